--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -161,7 +161,7 @@
 // followCache takes in the changes of one cache until the context ends.
 func (g *Gateway) followCache(ctx context.Context, cache cacheRun) {
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(cache.zone))
-	ctx = g.noticesOf(ctx, noticed{worker: cache.run.Engine, born: cache.born, kind: callCacheEvents})
+	ctx = g.withNoticesFrom(ctx, noticeSource{worker: cache.run.Engine, born: cache.born, kind: callCacheEvents})
 	var epoch, since uint64
 	reachable := true
 	for ctx.Err() == nil {
--- a/internal/gateway/callergone.go
+++ b/internal/gateway/callergone.go
@@ -6,23 +6,23 @@
 	"syscall"
 )
 
-// callerKey is the key of a caller's connection in the context of its requests.
-type callerKey struct{}
+// callerConnKey is the key of a caller's connection in the context of its requests.
+type callerConnKey struct{}
 
-// withCaller is the ConnContext hook of the front server.
-func withCaller(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, conn)
+// withCallerConn is the ConnContext hook of the front server.
+func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// hasLeft tells whether the caller of a request has closed its connection. The server's own
+// hasDisconnected tells whether the caller of a request has closed its connection. The server's own
 // watch over the connection begins with the request and says so a moment later: a request
 // that had waited unread until its caller gave up would reach a worker first, and run for
 // nobody.
-func hasLeft(ctx context.Context) bool {
+func hasDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
-	conn, found := ctx.Value(callerKey{}).(syscall.Conn)
+	conn, found := ctx.Value(callerConnKey{}).(syscall.Conn)
 	if !found {
 		return false
 	}
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -19,20 +19,20 @@
 // word on the deadline goes first.
 const deadlineGrace = 40 * time.Millisecond
 
-// errLateAnswer is the cause of a send broken off at its deadline.
-var errLateAnswer = errors.New("deadline passed")
+// errDeadlinePassed is the cause of a send broken off at its deadline.
+var errDeadlinePassed = errors.New("deadline passed")
 
-// carry sends a request to workers until there is a final answer.
-func (g *Gateway) carry(current *carried) {
-	current.machine = attempt.NewForwarding(current.began, attempt.ForwardingPolicy{
-		Idempotent:    current.route.Idempotent() && !current.trial,
-		Resumable:     current.route.Kind == routes.Streaming && current.route.Resumable && !current.trial,
+// forward sends a request to workers until there is a final answer.
+func (g *Gateway) forward(current *callerRequest) {
+	current.attempts = attempt.NewForwarding(current.startedAt, attempt.ForwardingPolicy{
+		Idempotent:    current.route.Idempotent() && !current.quarantineTrial,
+		Resumable:     current.route.Kind == routes.Streaming && current.route.Resumable && !current.quarantineTrial,
 		RetryFailures: current.route.Kind == routes.Safe,
 		MaxRuns:       current.route.MaxAttempts,
 		Deadline:      current.deadline,
-		RetryAfter:    retrySoon,
+		RetryAfter:    shortRetryAfter,
 	}, g.budgets.of(current.service.Name))
-	ctx, cancel := g.deadlines.with(current.request.Context(), g.now(), current.deadline+deadlineGrace)
+	ctx, cancel := g.deadlines.withDeadline(current.request.Context(), g.now(), current.deadline+deadlineGrace)
 	defer cancel()
 	step := attempt.Step{Kind: attempt.StepSend}
 	for {
@@ -40,21 +40,21 @@
 		case attempt.StepSend:
 			step = g.send(ctx, current)
 		case attempt.StepContinue:
-			step = g.continueAtCopy(ctx, current)
+			step = g.resumeAtCopy(ctx, current)
 		case attempt.StepDeliver:
 			return
 		case attempt.StepFail:
 			g.refuse(current, refusal{code: step.Code, reason: step.Reason, retryAfter: step.RetryAfter})
 			return
 		case attempt.StepBreak:
-			if current.callerGone() {
+			if current.isCallerGone() {
 				current.reason = "caller gone"
 				panic(http.ErrAbortHandler)
 			}
 			current.result, current.reason = resultcode.StreamInterrupted, "answer broke off"
 			panic(http.ErrAbortHandler)
 		}
-		if current.callerGone() {
+		if current.isCallerGone() {
 			current.reason = "caller gone"
 			panic(http.ErrAbortHandler)
 		}
@@ -62,27 +62,27 @@
 }
 
 // send chooses a worker, sends the request there and passes the answer on.
-func (g *Gateway) send(ctx context.Context, current *carried) attempt.Step {
-	if current.callerGone() {
+func (g *Gateway) send(ctx context.Context, current *callerRequest) attempt.Step {
+	if current.isCallerGone() {
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
 	g.noteSuspension()
 	if verdict, held := g.holds(current); held {
-		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
-	if current.tenant != nil && !g.mayServeKeyed() {
-		return current.machine.NoWorker("configuration too old", 0)
+	if current.tenant != nil && !g.canServeKeyed() {
+		return current.attempts.NoWorker("configuration too old", 0)
 	}
 	g.requireDueSoon(now)
-	choice := g.choice(current)
-	current.forTarget = choice.Versions.WantsTarget()
+	choice := g.placementRequest(current)
+	current.placedForTarget = choice.Versions.WantsTarget()
 	placement, refused := g.chooseWorker(ctx, current, choice)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
-			refused = g.closedRefusal(current, refused.RetryAfter)
+			refused = g.unavailableRefusal(current, refused.RetryAfter)
 		}
-		return current.machine.NoWorker(refused.Reason, refused.RetryAfter)
+		return current.attempts.NoWorker(refused.Reason, refused.RetryAfter)
 	}
 	g.chargeAgain(current)
 	g.announcePlacement(placement)
@@ -90,19 +90,19 @@
 }
 
 // sendTo sends the request to a chosen worker and passes the answer on.
-func (g *Gateway) sendTo(ctx context.Context, current *carried, placement *backends.Placement) attempt.Step {
+func (g *Gateway) sendTo(ctx context.Context, current *callerRequest, placement *backends.Placement) attempt.Step {
 	current.worker = string(placement.Worker.ID)
-	current.sentAt, current.events = g.now(), 0
+	current.sentAt, current.eventCount = g.now(), 0
 	g.logPlacement(current, placement)
-	if current.firstSend == 0 {
-		current.firstSend = g.now()
-		g.metrics.beforeSend.Observe((current.firstSend - current.began).Seconds())
+	if current.firstSentAt == 0 {
+		current.firstSentAt = g.now()
+		g.metrics.beforeSend.Observe((current.firstSentAt - current.startedAt).Seconds())
 	}
 	sending, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	answer, err := g.exchangeWith(sending, cancel, current, placement)
 	if err != nil {
-		return g.failed(ctx, sending, current, placement, err)
+		return g.handleSendError(ctx, sending, current, placement, err)
 	}
 	defer answer.Close()
 	info := g.outside.Codec.Answer(answer.Status, answer.Header)
@@ -113,11 +113,11 @@
 		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
 	if info.NotExecuted {
-		return g.rejected(current, placement, answer, info)
+		return g.handleRejection(current, placement, answer, info)
 	}
-	if !acceptable(answer.Status, info) {
-		g.ended(current, placement, backends.Lost, "answer without signature")
-		return current.machine.Unanswered(g.now(), placement.Worker.Run())
+	if !isAcceptable(answer.Status, info) {
+		g.recordOutcome(current, placement, backends.Lost, "answer without signature")
+		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 	}
 	return g.deliver(ctx, current, placement, answer)
 }
@@ -125,20 +125,20 @@
 // exchangeWith carries out one exchange up to the answer's head. Until then it
 // may be broken off since the engine's weights are too old to begin on, or since the
 // request is held by then.
-func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *carried, placement *backends.Placement) (*upstream.Answer, error) {
-	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, trial: current.trial}
+func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Answer, error) {
+	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, trial: current.quarantineTrial}
 	if placement.Engine != nil {
 		send.model, send.version = current.metadata.Model, placement.Engine.Version
 	}
 	g.pending.add(send)
 	defer g.pending.remove(send)
 	ctx = traffic.With(ctx, traffic.Requests, g.distanceTo(placement.Worker.Zone))
-	return g.upstreams.Do(ctx, g.destination(current, &placement.Worker), g.outgoing(ctx, current, placement))
+	return g.upstreams.Do(ctx, g.destination(current, &placement.Worker), g.outgoingRequest(ctx, current, placement))
 }
 
-// acceptable tells whether a worker's answer may be passed on: a success must
+// isAcceptable tells whether a worker's answer may be passed on: a success must
 // be signed, and so must a status that would promise that nothing ran.
-func acceptable(status int, info AnswerInfo) bool {
+func isAcceptable(status int, info AnswerInfo) bool {
 	switch {
 	case status < http.StatusMultipleChoices:
 		return info.Signed
@@ -149,55 +149,55 @@
 	}
 }
 
-// failed takes in a send without an answer. sending is the context of the send, ctx that
+// handleSendError takes in a send without an answer. sending is the context of the send, ctx that
 // of the request.
-func (g *Gateway) failed(ctx, sending context.Context, current *carried, placement *backends.Placement, err error) attempt.Step {
+func (g *Gateway) handleSendError(ctx, sending context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
 	run := placement.Worker.Run()
 	var failure *upstream.Failure
 	sent := !errors.As(err, &failure) || failure.Stage == upstream.Sent
 	if sent {
-		g.noteLostRun(current, placement, abandonedBy(sending))
+		g.noteLostRun(current, placement, lossOf(sending))
 	}
 	switch {
-	case current.callerGone():
-		g.ended(current, placement, backends.Cancelled, "caller gone")
+	case current.isCallerGone():
+		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepBreak}
 	case ctx.Err() != nil && sent:
-		g.ended(current, placement, backends.Lost, "deadline passed")
-		return current.machine.Interrupted()
+		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
+		return current.attempts.Interrupted()
 	case ctx.Err() != nil:
-		g.ended(current, placement, backends.Unreachable, "deadline passed")
-		return current.machine.Expired()
+		g.recordOutcome(current, placement, backends.Unreachable, "deadline passed")
+		return current.attempts.Expired()
 	case (errors.Is(err, errOutdated) || errors.Is(err, errQuarantined)) && sent:
-		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Unanswered(g.now(), run)
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Unanswered(g.now(), run)
 	case errors.Is(err, errQuarantined):
-		g.ended(current, placement, backends.Cancelled, err.Error())
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		verdict := g.quarantines.check(g.now(), current.fingerprint)
-		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	case errors.Is(err, errBackoff):
-		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
 	case errors.Is(err, errLimited):
-		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
-	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errUnproven), errors.Is(err, errDraining),
-		errors.Is(err, errLateAnswer):
-		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.NotSent(g.now(), run)
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
+	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errStaleConfiguration), errors.Is(err, errDraining),
+		errors.Is(err, errDeadlinePassed):
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.NotSent(g.now(), run)
 	case !sent:
 		g.noteUnreachable(placement.Worker.ID, err)
-		g.ended(current, placement, backends.Unreachable, err.Error())
-		return current.machine.NotSent(g.now(), run)
+		g.recordOutcome(current, placement, backends.Unreachable, err.Error())
+		return current.attempts.NotSent(g.now(), run)
 	default:
-		g.ended(current, placement, backends.Lost, err.Error())
-		return current.machine.Unanswered(g.now(), run)
+		g.recordOutcome(current, placement, backends.Lost, err.Error())
+		return current.attempts.Unanswered(g.now(), run)
 	}
 }
 
-// rejected takes in a worker's word that it did not run the request.
-func (g *Gateway) rejected(current *carried, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
-	drain(answer)
+// handleRejection takes in a worker's word that it did not run the request.
+func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
+	drainAnswer(answer)
 	outcome := backends.Refused
 	switch {
 	case info.Misdirected:
@@ -205,17 +205,17 @@
 	case info.RetryAfter > 0:
 		outcome = backends.Deferred
 	}
-	g.ended(current, placement, outcome, "status "+http.StatusText(answer.Status))
-	return current.machine.Rejected(g.now(), placement.Worker.Run())
+	g.recordOutcome(current, placement, outcome, "status "+http.StatusText(answer.Status))
+	return current.attempts.Rejected(g.now(), placement.Worker.Run())
 }
 
-// drainLimit bounds what is read of an answer that isn't passed on.
-const drainLimit = 4 << 10
+// maxDrainBytes bounds what is read of an answer that isn't passed on.
+const maxDrainBytes = 4 << 10
 
-// drain reads a short answer to its end, so that its connection can be used again.
-func drain(answer *upstream.Answer) {
+// drainAnswer reads a short answer to its end, so that its connection can be used again.
+func drainAnswer(answer *upstream.Answer) {
 	var buffer [512]byte
-	for total := 0; total < drainLimit; {
+	for total := 0; total < maxDrainBytes; {
 		count, err := answer.Read(buffer[:])
 		total += count
 		if err != nil {
@@ -224,8 +224,8 @@
 	}
 }
 
-// ended notes and logs how a send went.
-func (g *Gateway) ended(current *carried, placement *backends.Placement, outcome backends.Outcome, cause string) {
+// recordOutcome notes and logs how a send went.
+func (g *Gateway) recordOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome, cause string) {
 	g.noteDelivery(current, placement, outcome)
 	placement.End(g.now(), outcome)
 	g.metrics.attempts.WithLabelValues(string(placement.Worker.Service), outcome.String()).Inc()
@@ -240,7 +240,7 @@
 		Dur("left", current.timeLeft(g.now())).Msg("send_failed")
 }
 
-func (g *Gateway) logPlacement(current *carried, placement *backends.Placement) {
+func (g *Gateway) logPlacement(current *callerRequest, placement *backends.Placement) {
 	line := g.events.line("placed").Str("request_id", current.metadata.RequestID).Str("worker", string(placement.Worker.ID)).
 		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Looked).Float64("failure_rate", placement.FailureRate)
 	if engine := placement.Engine; engine != nil {
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -9,30 +9,30 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// messageBytes is the size of an exchange besides the request's body: headers both ways
+// exchangeOverheadBytes is the size of an exchange besides the request's body: headers both ways
 // and an answer of some hundred bytes.
-const messageBytes = 1500
+const exchangeOverheadBytes = 1500
 
-// choice describes the request to the registry.
-func (g *Gateway) choice(current *carried) *backends.Request {
+// placementRequest describes the request to the registry.
+func (g *Gateway) placementRequest(current *callerRequest) *backends.Request {
 	destination := g.destination(current, &backends.Worker{})
 	request := &backends.Request{
 		Service:  current.service.Name,
-		Excluded: current.machine.Excluded(),
+		Excluded: current.attempts.Excluded(),
 		Free: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
 			return g.upstreams.Free(destination)
 		},
-		Bytes:    messageBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.versions(current, current.wasAtTarget),
+		Bytes:    exchangeOverheadBytes + int(max(current.request.ContentLength, 0)),
+		Versions: g.versions(current, current.sentToTarget),
 	}
-	if g.limits.any.Load() || g.backoffs.any.Load() {
+	if g.limits.any.Load() || g.backoffs.active.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
 			intake, opensIn := g.limits.intake(now, worker, priority)
 			current.atLimit = current.atLimit || intake == backends.IntakeClosed
-			if closed := g.backoffs.closed(now, backoffRun(worker.ID, worker.Born)); closed > 0 {
+			if closed := g.backoffs.remaining(now, backoffRun(worker.ID, worker.Born)); closed > 0 {
 				return backends.IntakeClosed, max(closed, opensIn)
 			}
 			return intake, opensIn
@@ -46,15 +46,15 @@
 			PromptTokens: current.metadata.PromptTokens,
 			OutputTokens: current.metadata.OutputTokens,
 			Priority:     priorityOf(current),
-			TimeLeft:     g.targetLeft(current),
+			TimeLeft:     g.latencyTargetLeft(current),
 			Target:       current.route.TargetLatency,
-			MayRefuse:    current.machine.Sends() == 0,
+			MayRefuse:    current.attempts.Sends() == 0,
 			WantsCopy:    wantsCopy(current),
 			EventTokens:  engine.EventTokens,
 			TokenBytes:   engine.TokenBytes,
 			LinkMegabits: engine.LinkMegabits,
 		}
-		if store := g.keptStore(current); store != nil {
+		if store := g.cacheStore(current); store != nil {
 			request.Engine.Store, request.Engine.StoreZone = store.Store.Address, store.Store.Zone
 			request.Engine.StoreMegabits = store.Store.LinkMegabits
 		}
@@ -65,27 +65,27 @@
 	return request
 }
 
-// closedRefusal returns why a request is refused for which all workers are closed, and when its
+// unavailableRefusal returns why a request is refused for which all workers are closed, and when its
 // caller is to come back. opensIn is the time until the first of them opens.
-func (g *Gateway) closedRefusal(current *carried, opensIn time.Duration) backends.Refusal {
+func (g *Gateway) unavailableRefusal(current *callerRequest, opensIn time.Duration) backends.Refusal {
 	if current.atLimit {
 		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.returnAfter(g.now(), opensIn, g.servingCount())}
 	}
-	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.returnAfter(opensIn, priorityOf(current))}
+	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.retryAfter(opensIn, priorityOf(current))}
 }
 
-// targetLeft returns the time within which an answer should begin; 0 if the route
+// latencyTargetLeft returns the time within which an answer should begin; 0 if the route
 // names none.
-func (g *Gateway) targetLeft(current *carried) time.Duration {
+func (g *Gateway) latencyTargetLeft(current *callerRequest) time.Duration {
 	if current.route.TargetLatency <= 0 {
 		return 0
 	}
-	return max(current.began+current.route.TargetLatency-g.now(), time.Millisecond)
+	return max(current.startedAt+current.route.TargetLatency-g.now(), time.Millisecond)
 }
 
-// keptStore returns the store of kept KV cache for a request's prompt, or nil:
+// cacheStore returns the store of kept KV cache for a request's prompt, or nil:
 // of several, all nodes take the same one for the same shared parts.
-func (g *Gateway) keptStore(current *carried) *routes.Service {
+func (g *Gateway) cacheStore(current *callerRequest) *routes.Service {
 	held := g.holder.Current()
 	if held == nil {
 		return nil
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -19,51 +19,51 @@
 	// probeDelay is how long after a broken exchange its worker is asked whether it is still
 	// there: a process that ends closes its connections and its listener one after the other.
 	probeDelay = 50 * time.Millisecond
-	// namedRuns bounds the fingerprints that one line names.
-	namedRuns = 8
+	// maxLoggedFingerprints bounds the fingerprints that one line names.
+	maxLoggedFingerprints = 8
 )
 
-// crashes finds out which workers have ended, and what ended with them. It is safe for
+// crashDetector finds out which workers have ended, and what ended with them. It is safe for
 // concurrent use.
-type crashes struct {
+type crashDetector struct {
 	mutex sync.Mutex
 	lost  *quarantine.LostRuns
 }
 
-func newCrashes() *crashes { return &crashes{lost: quarantine.NewLostRuns()} }
+func newCrashDetector() *crashDetector { return &crashDetector{lost: quarantine.NewLostRuns()} }
 
-func (c *crashes) note(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (blamed, check bool) {
+func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (blamed, check bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lost.Note(now, worker, fingerprint, loss)
 }
 
-func (c *crashes) ended(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
+func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lost.Ended(now, worker, proof)
 }
 
-func (c *crashes) alive(worker fleet.EngineID) {
+func (c *crashDetector) markAlive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lost.Alive(worker)
 }
 
-func (c *crashes) undecided(worker fleet.EngineID) {
+func (c *crashDetector) markUndecided(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lost.Undecided(worker)
 }
 
-func (c *crashes) sweep(now time.Duration) {
+func (c *crashDetector) sweep(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lost.Sweep(now)
 }
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
-func fingerprintOf(current *carried) quarantine.Fingerprint {
+func fingerprintOf(current *callerRequest) quarantine.Fingerprint {
 	subject := quarantine.Subject{
 		Method: current.request.Method,
 		Host:   current.request.Host,
@@ -78,9 +78,9 @@
 
 // noteLostRun takes in that a run brought no whole answer, and has its worker asked whether it
 // has ended if its side broke off.
-func (g *Gateway) noteLostRun(current *carried, placement *backends.Placement, loss quarantine.Loss) {
+func (g *Gateway) noteLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
-	blamed, check := g.crashes.note(g.now(), worker, current.fingerprint, loss)
+	blamed, check := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
 	case blamed:
 		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
@@ -96,11 +96,11 @@
 	}
 	switch g.upstreams.Probe(g.context(), destination) {
 	case upstream.Alive:
-		g.crashes.alive(destination.Engine)
+		g.crashes.markAlive(destination.Engine)
 	case upstream.Dead:
 		g.noteWorkerEnded(destination.Engine, quarantine.Refused)
 	default:
-		g.crashes.undecided(destination.Engine)
+		g.crashes.markUndecided(destination.Engine)
 	}
 }
 
@@ -113,14 +113,14 @@
 
 // noteWorkerEnded takes in that a worker has ended without word that it was leaving.
 func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
-	if blamed := g.crashes.ended(g.now(), worker, proof); len(blamed) > 0 {
+	if blamed := g.crashes.markEnded(g.now(), worker, proof); len(blamed) > 0 {
 		g.blame(worker, proof, blamed)
 	}
 }
 
-// fingerprintText returns the first of some fingerprints.
-func fingerprintText(fingerprints []quarantine.Fingerprint) string {
-	named := fingerprints[:min(len(fingerprints), namedRuns)]
+// shortFingerprints returns the first of some fingerprints.
+func shortFingerprints(fingerprints []quarantine.Fingerprint) string {
+	named := fingerprints[:min(len(fingerprints), maxLoggedFingerprints)]
 	texts := make([]string, len(named))
 	for index, fingerprint := range named {
 		texts[index] = fingerprint.Short()
@@ -128,8 +128,8 @@
 	return strings.Join(texts, ",")
 }
 
-// abandonedBy tells whether the context of a send ended before its worker's connection.
-func abandonedBy(ctx context.Context) quarantine.Loss {
+// lossOf tells whether the context of a send ended before its worker's connection.
+func lossOf(ctx context.Context) quarantine.Loss {
 	if ctx.Err() != nil {
 		return quarantine.Abandoned
 	}
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// deadlines ends requests when their time is over on the clock that counts suspended time.
-// The runtime's own deadlines stand still while the machine is suspended, so that requests
+// deadlineTimers ends requests when their time is over on the clock that counts suspended time.
+// The runtime's own deadlineTimers stand still while the machine is suspended, so that requests
 // would be held for that much longer than their callers wait.
-type deadlines struct {
+type deadlineTimers struct {
 	mutex sync.Mutex
-	armed map[*deadline]bool
+	armed map[*deadlineTimer]bool
 }
 
-// deadline is the end of one request.
-type deadline struct {
+// deadlineTimer is the end of one request.
+type deadlineTimer struct {
 	at    time.Duration
 	timer *time.Timer
 }
 
-func newDeadlines() *deadlines { return &deadlines{armed: make(map[*deadline]bool)} }
+func newDeadlines() *deadlineTimers { return &deadlineTimers{armed: make(map[*deadlineTimer]bool)} }
 
-// with returns a context that ends at a time, for errLateAnswer.
-func (d *deadlines) with(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that ends at a time, for errLateAnswer.
+func (d *deadlineTimers) withDeadline(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	armed := &deadline{at: at}
+	armed := &deadlineTimer{at: at}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	armed.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errLateAnswer) })
+	armed.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errDeadlinePassed) })
 	d.armed[armed] = true
 	return ctx, func() {
 		d.disarm(armed)
@@ -36,7 +36,7 @@
 	}
 }
 
-func (d *deadlines) disarm(armed *deadline) {
+func (d *deadlineTimers) disarm(armed *deadlineTimer) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	armed.timer.Stop()
@@ -44,7 +44,7 @@
 }
 
 // rearm sets all timers by what is left now.
-func (d *deadlines) rearm(now time.Duration) {
+func (d *deadlineTimers) rearm(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for armed := range d.armed {
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -17,36 +17,36 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// wholeLimit is the size up to which an answer is read whole before its head
+// maxBufferedBytes is the size up to which an answer is read whole before its head
 // goes to the caller, so that one that breaks off can still be tried again or
 // told from a complete one.
-const wholeLimit = 64 << 10
+const maxBufferedBytes = 64 << 10
 
-// copyBuffer is the size of the buffer through which longer answers go.
-const copyBuffer = 16 << 10
+// copyBufferBytes is the size of the buffer through which longer answers go.
+const copyBufferBytes = 16 << 10
 
 // errCallerWrite means that the caller's connection failed.
 var errCallerWrite = errors.New("caller's connection failed")
 
 // deliver passes a worker's answer on.
-func (g *Gateway) deliver(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliver(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
 	if isEventStream(current, answer) {
 		return g.deliverStream(ctx, current, placement, answer)
 	}
 	if current.headSent {
 		// A resumed stream was answered by something else.
-		g.ended(current, placement, backends.Lost, "resumed by status "+strconv.Itoa(answer.Status))
-		return current.machine.Unanswered(g.now(), placement.Worker.Run())
+		g.recordOutcome(current, placement, backends.Lost, "resumed by status "+strconv.Itoa(answer.Status))
+		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 	}
-	content, whole, err := readWhole(answer)
+	content, whole, err := bufferAnswer(answer)
 	placement.FirstByte(g.now())
 	if err != nil {
-		return g.brokenBody(ctx, current, placement, err)
+		return g.handleBodyError(ctx, current, placement, err)
 	}
 	failed := answer.Status >= http.StatusInternalServerError
-	step := current.machine.Answered(g.now(), placement.Worker.Run(), failed)
+	step := current.attempts.Answered(g.now(), placement.Worker.Run(), failed)
 	if step.Kind != attempt.StepDeliver {
-		g.ended(current, placement, backends.Failed, "status "+strconv.Itoa(answer.Status))
+		g.recordOutcome(current, placement, backends.Failed, "status "+strconv.Itoa(answer.Status))
 		return step
 	}
 	length := answer.ContentLength
@@ -56,55 +56,55 @@
 	g.sendHead(current, answer, length)
 	_, writeErr := current.writer.Write(content)
 	if writeErr == nil && !whole {
-		writeErr = copyRest(current.writer, answer)
+		writeErr = copyRemaining(current.writer, answer)
 	}
 	switch {
 	case writeErr == nil && failed:
-		g.ended(current, placement, backends.Failed, "status "+strconv.Itoa(answer.Status))
+		g.recordOutcome(current, placement, backends.Failed, "status "+strconv.Itoa(answer.Status))
 	case writeErr == nil:
-		g.ended(current, placement, backends.Succeeded, "")
+		g.recordOutcome(current, placement, backends.Succeeded, "")
 	case errors.Is(writeErr, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
-		g.ended(current, placement, backends.Cancelled, writeErr.Error())
+		g.recordOutcome(current, placement, backends.Cancelled, writeErr.Error())
 		return attempt.Step{Kind: attempt.StepBreak}
 	default:
-		g.noteLostRun(current, placement, abandonedBy(ctx))
-		g.ended(current, placement, backends.Lost, writeErr.Error())
+		g.noteLostRun(current, placement, lossOf(ctx))
+		g.recordOutcome(current, placement, backends.Lost, writeErr.Error())
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
 	return step
 }
 
-func isEventStream(current *carried, answer *upstream.Answer) bool {
+func isEventStream(current *callerRequest, answer *upstream.Answer) bool {
 	return current.route.Kind == routes.Streaming && answer.Status == http.StatusOK &&
 		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// brokenBody takes in that an answer ended before its end, with nothing of it
+// handleBodyError takes in that an answer ended before its end, with nothing of it
 // passed on.
-func (g *Gateway) brokenBody(ctx context.Context, current *carried, placement *backends.Placement, err error) attempt.Step {
-	g.noteLostRun(current, placement, abandonedBy(ctx))
-	if current.callerGone() {
-		g.ended(current, placement, backends.Cancelled, "caller gone")
+func (g *Gateway) handleBodyError(ctx context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
+	g.noteLostRun(current, placement, lossOf(ctx))
+	if current.isCallerGone() {
+		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
-	g.ended(current, placement, backends.Lost, "body: "+err.Error())
+	g.recordOutcome(current, placement, backends.Lost, "body: "+err.Error())
 	if ctx.Err() != nil {
-		return current.machine.Interrupted()
+		return current.attempts.Interrupted()
 	}
-	return current.machine.Unanswered(g.now(), placement.Worker.Run())
+	return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 }
 
-// readWhole reads an answer up to wholeLimit; whole is false if there is more.
-func readWhole(answer *upstream.Answer) (content []byte, whole bool, err error) {
-	if answer.ContentLength >= 0 && answer.ContentLength <= wholeLimit {
+// bufferAnswer reads an answer up to wholeLimit; whole is false if there is more.
+func bufferAnswer(answer *upstream.Answer) (content []byte, whole bool, err error) {
+	if answer.ContentLength >= 0 && answer.ContentLength <= maxBufferedBytes {
 		content = make([]byte, 0, answer.ContentLength+1)
 	}
-	for len(content) < wholeLimit {
+	for len(content) < maxBufferedBytes {
 		if len(content) == cap(content) {
 			content = append(content, 0)[:len(content)]
 		}
-		end := min(cap(content), wholeLimit)
+		end := min(cap(content), maxBufferedBytes)
 		count, err := answer.Read(content[len(content):end])
 		content = content[:len(content)+count]
 		if err == io.EOF {
@@ -117,10 +117,10 @@
 	return content, false, nil
 }
 
-// copyRest copies what is left of an answer. A failure to write is
+// copyRemaining copies what is left of an answer. A failure to write is
 // errCallerWrite, any other error the worker's.
-func copyRest(writer io.Writer, answer *upstream.Answer) error {
-	buffer := make([]byte, copyBuffer)
+func copyRemaining(writer io.Writer, answer *upstream.Answer) error {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := answer.Read(buffer)
 		if count > 0 {
@@ -142,17 +142,17 @@
 
 // sendHead writes the head of a worker's answer. length is that of the body, in
 // bytes, or unknownLength.
-func (g *Gateway) sendHead(current *carried, answer *upstream.Answer, length int64) {
+func (g *Gateway) sendHead(current *callerRequest, answer *upstream.Answer, length int64) {
 	header := current.writer.Header()
 	copyAnswerHeader(header, answer.Header)
 	g.markConnection(header)
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	current.machine.Began()
+	current.attempts.Began()
 	current.headSent = true
 	current.status = answer.Status
 	current.result = resultcode.OK
-	current.firstByte = g.now()
+	current.firstByteAt = g.now()
 	current.writer.WriteHeader(answer.Status)
 }
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -35,8 +35,8 @@
 }
 
 // deliveryRequest returns a request that would go to the target at any share.
-func deliveryRequest() *carried {
-	return &carried{service: &routes.Service{Name: "app"}, route: &routes.Route{Name: "route"}, draw: 0}
+func deliveryRequest() *callerRequest {
+	return &callerRequest{service: &routes.Service{Name: "app"}, route: &routes.Route{Name: "route"}, targetDraw: 0}
 }
 
 // TestPushedDirectiveIsAskedForRatherThanBelieved since a call may have lain here while the
@@ -78,13 +78,13 @@
 	g.takeDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
-	current.forTarget = g.versions(current, false).WantsTarget()
-	require.True(t, current.forTarget)
+	current.placedForTarget = g.versions(current, false).WantsTarget()
+	require.True(t, current.placedForTarget)
 	assert.NoError(t, g.permitTarget(current, target))
 	time.Sleep(left + 50*time.Millisecond)
 	assert.ErrorIs(t, g.permitTarget(current, target), errNoTarget)
 	assert.NoError(t, g.permitTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "found as the fallback")
-	current.forTarget = false
+	current.placedForTarget = false
 	assert.NoError(t, g.permitTarget(current, target), "only workers of the target are listed")
 }
 
@@ -236,7 +236,7 @@
 		current := deliveryRequest()
 		g.noteDelivery(current, placement, outcome)
 		placement.End(g.now(), outcome)
-		assert.True(t, current.wasAtTarget)
+		assert.True(t, current.sentToTarget)
 		if says {
 			counted++
 		}
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -53,8 +53,8 @@
 
 // versions returns what limits a request's choice of a worker to versions of the service.
 // again is set if it was at the target and is to go elsewhere.
-func (g *Gateway) versions(current *carried, again bool) *delivery.Choice {
-	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.draw, again)
+func (g *Gateway) versions(current *callerRequest, again bool) *delivery.Choice {
+	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, again)
 }
 
 // errNoTarget is the cause of a send that a directive allowed which counts no more.
@@ -62,8 +62,8 @@
 
 // permitTarget returns an error if a request that was chosen to go to the target may not go
 // there any more: a new connection or a frozen process may have outlived the directive.
-func (g *Gateway) permitTarget(current *carried, worker *backends.Worker) error {
-	if current.forTarget && !g.permits(current, worker) {
+func (g *Gateway) permitTarget(current *callerRequest, worker *backends.Worker) error {
+	if current.placedForTarget && !g.permits(current, worker) {
 		return errNoTarget
 	}
 	return nil
@@ -71,7 +71,7 @@
 
 // permits tells whether a request that was chosen for a worker may go there still: runs of
 // the old side end there, those of a target only while it may get requests.
-func (g *Gateway) permits(current *carried, worker *backends.Worker) bool {
+func (g *Gateway) permits(current *callerRequest, worker *backends.Worker) bool {
 	if g.deliveries.targets(worker.Service, worker.Software) {
 		choice := g.versions(current, false)
 		return choice.WantsTarget() || choice.Allows(worker.ID, worker.Software)
@@ -81,11 +81,11 @@
 
 // noteDelivery counts what an answer says about its worker's version. A request that was
 // refused, not sent or cancelled says nothing.
-func (g *Gateway) noteDelivery(current *carried, placement *backends.Placement, outcome backends.Outcome) {
+func (g *Gateway) noteDelivery(current *callerRequest, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
 	worker := &placement.Worker
 	if g.deliveries.targets(worker.Service, worker.Software) {
-		current.wasAtTarget = true
+		current.sentToTarget = true
 	}
 	// How fast a worker with a limit answers says nothing of its version.
 	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.follows(worker.Service) {
@@ -126,11 +126,11 @@
 
 // wholeBaseline returns what the whole answer of an engine is expected to take, 0 if that
 // isn't known.
-func wholeBaseline(current *carried, engine *backends.EnginePlacement) time.Duration {
+func wholeBaseline(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
 	}
-	tokens := current.events * max(current.service.Engine.EventTokens, 1)
+	tokens := current.eventCount * max(current.service.Engine.EventTokens, 1)
 	return engine.Baseline + time.Duration(tokens)*backends.DefaultStep
 }
 
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -13,36 +13,36 @@
 
 // Constants of what goes to a worker.
 const (
-	// timeLeftSlack is by how much the time left that a worker is told may be too long: the
+	// timeLeftTolerance is by how much the time left that a worker is told may be too long: the
 	// making of a connection takes some milliseconds.
-	timeLeftSlack = 20 * time.Millisecond
-	// connectionSharers is the number of nodes that a worker's connections are
+	timeLeftTolerance = 20 * time.Millisecond
+	// minConnectionSharers is the number of nodes that a worker's connections are
 	// divided by at the least: nodes may be added.
-	connectionSharers = 10
-	// tenantRanks is the width of one rank of tenants in an engine's priorities.
-	tenantRanks = 3
-	maxPriority = backends.Priorities - 1
+	minConnectionSharers = 10
+	// tenantRankWidth is the width of one rank of tenants in an engine's priorities.
+	tenantRankWidth = 3
+	maxPriority     = backends.Priorities - 1
 	// defaultPriority is that of a tenant without one.
 	defaultPriority = 1
 )
 
 // Causes of sends that aren't made, or bring nothing.
 var (
-	// errForeign means that an answer isn't the request's own.
-	errForeign = errors.Wrap(upstream.ErrForeignAnswer, "request identifier differs")
-	// errUnproven means that this node's word on keys has become too old.
-	errUnproven = errors.New("configuration too old")
+	// errForeignAnswer means that an answer isn't the request's own.
+	errForeignAnswer = errors.Wrap(upstream.ErrForeignAnswer, "request identifier differs")
+	// errStaleConfiguration means that this node's word on keys has become too old.
+	errStaleConfiguration = errors.New("configuration too old")
 	// errDraining means that the worker shuts down, or has gone, since it was chosen.
 	errDraining = errors.New("worker shuts down")
 )
 
-// servingPart is the part of a worker's connections that the nodes to which
+// servingConnectionFraction is the part of a worker's connections that the nodes to which
 // callers are sent share; the other nodes share the rest.
-const servingPart = 0.6
+const servingConnectionFraction = 0.6
 
 // destination returns where to send, with this node's part of the worker's
 // connections.
-func (g *Gateway) destination(current *carried, worker *backends.Worker) upstream.Destination {
+func (g *Gateway) destination(current *callerRequest, worker *backends.Worker) upstream.Destination {
 	destination := upstream.Destination{Engine: worker.ID, Address: worker.Address}
 	if limit := current.service.MaxConnections; limit > 0 {
 		destination.MaxConnections = max(int(float64(limit)*g.connectionShare()), 1)
@@ -56,16 +56,16 @@
 	members, serving := g.memberCount(), g.servingCount()
 	switch {
 	case serving >= members:
-		return 1 / float64(max(members, connectionSharers))
+		return 1 / float64(max(members, minConnectionSharers))
 	case g.serves():
-		return servingPart / float64(max(serving, connectionSharers))
+		return servingConnectionFraction / float64(max(serving, minConnectionSharers))
 	default:
-		return (1 - servingPart) / float64(max(members-serving, connectionSharers))
+		return (1 - servingConnectionFraction) / float64(max(members-serving, minConnectionSharers))
 	}
 }
 
-// outgoing returns the request as it goes to a worker.
-func (g *Gateway) outgoing(ctx context.Context, current *carried, placement *backends.Placement) *upstream.Request {
+// outgoingRequest returns the request as it goes to a worker.
+func (g *Gateway) outgoingRequest(ctx context.Context, current *callerRequest, placement *backends.Placement) *upstream.Request {
 	header := forwardedHeader(current.request.Header)
 	g.outside.Codec.StripReserved(header)
 	dispatch := &Dispatch{
@@ -90,7 +90,7 @@
 		Accept: func(status int, header http.Header) error {
 			info := g.outside.Codec.Answer(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
-				return errForeign
+				return errForeignAnswer
 			}
 			return nil
 		},
@@ -99,14 +99,14 @@
 
 // permitSend is called right before a request is written. It corrects the time left that the
 // worker is told: the making of the connection may have taken its time.
-func (g *Gateway) permitSend(ctx context.Context, current *carried, worker *backends.Worker, dispatch *Dispatch, header http.Header) error {
+func (g *Gateway) permitSend(ctx context.Context, current *callerRequest, worker *backends.Worker, dispatch *Dispatch, header http.Header) error {
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
 	if err := g.permitLimit(ctx, limitPriority(current), worker); err != nil {
 		return err
 	}
-	if err := g.permit(current, worker); err != nil {
+	if err := g.permitRequest(current, worker); err != nil {
 		return err
 	}
 	// The question for a grant takes time.
@@ -116,7 +116,7 @@
 	if g.backoffs.begin(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
 		return errBackoff
 	}
-	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftSlack {
+	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftTolerance {
 		dispatch.TimeLeft = left
 		g.outside.Codec.WriteDispatch(header, dispatch)
 	}
@@ -129,20 +129,20 @@
 	if !g.workers.Sendable(g.now(), worker) {
 		return errDraining
 	}
-	if g.backoffs.closed(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
+	if g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
 		return errBackoff
 	}
 	return nil
 }
 
-// permit returns an error if a request may not go to its worker any more: a new connection, a
+// permitRequest returns an error if a request may not go to its worker any more: a new connection, a
 // process that stood still or a machine that was suspended may have outlived what allowed it.
-func (g *Gateway) permit(current *carried, worker *backends.Worker) error {
+func (g *Gateway) permitRequest(current *callerRequest, worker *backends.Worker) error {
 	if current.timeLeft(g.now()) <= 0 {
-		return errLateAnswer
+		return errDeadlinePassed
 	}
-	if current.tenant != nil && !g.mayServeKeyed() {
-		return errUnproven
+	if current.tenant != nil && !g.canServeKeyed() {
+		return errStaleConfiguration
 	}
 	if _, held := g.holds(current); held {
 		return errQuarantined
@@ -152,11 +152,11 @@
 
 // priorityOf returns the priority at an engine: the tenant's rank goes before
 // the route's.
-func priorityOf(current *carried) int {
+func priorityOf(current *callerRequest) int {
 	rank := defaultPriority
 	if current.tenant != nil && current.tenant.HasPriority {
 		rank = current.tenant.Priority
 	}
-	priority := rank*tenantRanks + min(current.route.Priority, tenantRanks-1)
+	priority := rank*tenantRankWidth + min(current.route.Priority, tenantRankWidth-1)
 	return min(max(priority, 0), maxPriority)
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -70,7 +70,7 @@
 func TestProofsAreRenewedBeforeTheyAreTooOld(t *testing.T) {
 	assert.Equal(t, operatorWait, operatorWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
-		counts := time.Duration(float64(bound) * freshPart)
+		counts := time.Duration(float64(bound) * freshnessFraction)
 		assert.Less(t, 2*operatorWaitFor(bound), counts, "bound %s", bound)
 	}
 }
@@ -80,7 +80,7 @@
 func TestProofsOfAnotherNodeAreRenewedBeforeTheyAreTooOld(t *testing.T) {
 	assert.Equal(t, watchWait, watchWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
-		counts := time.Duration(float64(bound) * freshPart)
+		counts := time.Duration(float64(bound) * freshnessFraction)
 		oldest := operatorWaitFor(bound) + watchWaitFor(bound) + watchGatherFor(bound)
 		assert.Less(t, oldest, counts*3/4, "bound %s: the last quarter is for the calls", bound)
 		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: a node that reads isn't left", bound)
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -21,9 +21,9 @@
 
 // Bounds on callers that hold before a configuration says more.
 const (
-	defaultMaxBody = 4 << 20
-	// maxIDLength bounds a caller's request identifier.
-	maxIDLength = 128
+	defaultMaxBodyBytes = 4 << 20
+	// maxRequestIDLength bounds a caller's request identifier.
+	maxRequestIDLength = 128
 	// bodyTimeout bounds the time for a request's body.
 	bodyTimeout = 5 * time.Second
 	// defaultTimeout bounds a request whose route names no time.
@@ -32,21 +32,21 @@
 
 // Waits that refused callers are told.
 const (
-	retrySoon  = 100 * time.Millisecond
-	retryLater = 500 * time.Millisecond
+	shortRetryAfter = 100 * time.Millisecond
+	longRetryAfter  = 500 * time.Millisecond
 )
 
-// freshPart is the part of the bound on revocations up to which this node's
+// freshnessFraction is the part of the bound on revocations up to which this node's
 // knowledge counts as new enough: what the store's feed misses for a moment
 // must fit into the rest.
-const freshPart = 0.7
+const freshnessFraction = 0.7
 
-// deniedPart is the part of the bound on configurations up to which the proof of
+// permanentRefusalFraction is the part of the bound on configurations up to which the proof of
 // the one in force is new enough for a refusal for good.
-const deniedPart = 0.85
+const permanentRefusalFraction = 0.85
 
-// carried is one caller's request on its way.
-type carried struct {
+// callerRequest is one caller's request on its way.
+type callerRequest struct {
 	writer   http.ResponseWriter
 	request  *http.Request
 	metadata Metadata
@@ -56,45 +56,45 @@
 	body     []byte
 	// fingerprint is that of the request once its body has been read.
 	fingerprint quarantine.Fingerprint
-	// trial is set if it is held and may be tried once.
-	trial bool
-	began time.Duration
+	// quarantineTrial is set if it is held and may be tried once.
+	quarantineTrial bool
+	startedAt       time.Duration
 	// deadline is when the final answer is due.
 	deadline time.Duration
-	machine  *attempt.Forwarding
-	// draw is uniform in [0, 1): it decides once whether the request goes to the target of
+	attempts *attempt.Forwarding
+	// targetDraw is uniform in [0, 1): it decides once whether the request goes to the target of
 	// a delivery.
-	draw float64
-	// forTarget is set if the last choice was one for the target, wasAtTarget once the
+	targetDraw float64
+	// placedForTarget is set if the last choice was one for the target, wasAtTarget once the
 	// request was sent there.
-	forTarget   bool
-	wasAtTarget bool
+	placedForTarget bool
+	sentToTarget    bool
 	// atLimit is set if the last choice found a worker without room at its limit.
 	atLimit bool
 	// sentAt is when the last send began, events the number of events that it has brought.
-	sentAt time.Duration
-	events int
-	// lost is the placement whose run is to go on at another engine.
-	lost *backends.Placement
-	// cost is what the request has taken out of its tenant's quota.
-	cost float64
-	// version is the configuration by which it was admitted.
-	version uint64
+	sentAt     time.Duration
+	eventCount int
+	// lostPlacement is the placement whose run is to go on at another engine.
+	lostPlacement *backends.Placement
+	// quotaCost is what the request has taken out of its tenant's quota.
+	quotaCost float64
+	// configurationVersion is the configuration by which it was admitted.
+	configurationVersion uint64
 
 	// lastEventID is the last event that the caller has.
 	lastEventID string
-	// firstSend is when the request first went to a worker.
-	firstSend time.Duration
-	headSent  bool
-	firstByte time.Duration
-	// lastEvent is when the last event went out, longestGap the longest time
+	// firstSentAt is when the request first went to a worker.
+	firstSentAt time.Duration
+	headSent    bool
+	firstByteAt time.Duration
+	// lastEventAt is when the last event went out, longestGap the longest time
 	// between two of them.
-	lastEvent  time.Duration
-	longestGap time.Duration
-	status     int
-	worker     string
-	result     resultcode.Code
-	reason     string
+	lastEventAt     time.Duration
+	longestEventGap time.Duration
+	status          int
+	worker          string
+	result          resultcode.Code
+	reason          string
 }
 
 // refusal is a failure of the gateway's own.
@@ -112,7 +112,7 @@
 	g.noteSuspension()
 	now := g.now()
 	g.lastRequest.Store(int64(now))
-	current := &carried{writer: writer, request: request, began: now, draw: rand.Float64()}
+	current := &callerRequest{writer: writer, request: request, startedAt: now, targetDraw: rand.Float64()}
 	defer g.finish(current)
 	if refused := g.admit(current); refused != nil {
 		g.refuse(current, *refused)
@@ -130,11 +130,11 @@
 		g.refuse(current, *refused)
 		return
 	}
-	g.carry(current)
+	g.forward(current)
 }
 
 // admit decides whether a request may go on, by the configuration in force.
-func (g *Gateway) admit(current *carried) *refusal {
+func (g *Gateway) admit(current *callerRequest) *refusal {
 	metadata, err := g.outside.Codec.Metadata(current.request.Header)
 	current.metadata = metadata
 	current.lastEventID = metadata.LastEventID
@@ -142,25 +142,25 @@
 	if err != nil {
 		return &refusal{code: resultcode.HeaderInvalid, reason: err.Error()}
 	}
-	if len(metadata.RequestID) > maxIDLength || !strings.HasPrefix(current.request.RequestURI, "/") {
+	if len(metadata.RequestID) > maxRequestIDLength || !strings.HasPrefix(current.request.RequestURI, "/") {
 		return &refusal{code: resultcode.HeaderInvalid, reason: "malformed request"}
 	}
 	if g.refusesNew() {
-		return &refusal{code: resultcode.Stopping, reason: "stopping", retryAfter: retrySoon}
+		return &refusal{code: resultcode.Stopping, reason: "stopping", retryAfter: shortRetryAfter}
 	}
 	if g.pressure.level() == nodecapacity.Full {
-		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarce().String(), retryAfter: retrySoon}
+		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarce().String(), retryAfter: shortRetryAfter}
 	}
 	g.awaitKnown(current.request.Context())
 	held := g.holder.Current()
 	if held == nil || !g.workersKnown.Load() {
-		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: retryLater}
+		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: longRetryAfter}
 	}
-	current.version = uint64(held.Table.Version())
+	current.configurationVersion = uint64(held.Table.Version())
 	path, _, _ := strings.Cut(current.request.RequestURI, "?")
 	route, found := held.Table.Match(current.request.Host, path)
 	if !found {
-		return g.unlessBehind(refusal{code: resultcode.UnknownPath, reason: "no route"})
+		return g.permanentUnlessStale(refusal{code: resultcode.UnknownPath, reason: "no route"})
 	}
 	current.route = route
 	if refused := g.authenticate(current, held.Table); refused != nil {
@@ -173,74 +173,74 @@
 }
 
 // authenticate finds the tenant of the request's key.
-func (g *Gateway) authenticate(current *carried, table *routes.Table) *refusal {
+func (g *Gateway) authenticate(current *callerRequest, table *routes.Table) *refusal {
 	if current.route.Public || !table.Keyed() {
 		return nil
 	}
-	if !g.mayServeKeyed() {
-		return &refusal{code: resultcode.NoConfiguration, reason: "configuration too old", retryAfter: retryLater}
+	if !g.canServeKeyed() {
+		return &refusal{code: resultcode.NoConfiguration, reason: "configuration too old", retryAfter: longRetryAfter}
 	}
 	if current.metadata.Key == "" {
 		return &refusal{code: resultcode.MissingKey, reason: "no key"}
 	}
 	tenant, found := table.Tenant(current.metadata.Key)
 	if !found {
-		return g.unlessBehind(refusal{code: resultcode.WrongKey, reason: "unknown key"})
+		return g.permanentUnlessStale(refusal{code: resultcode.WrongKey, reason: "unknown key"})
 	}
 	current.tenant = tenant
 	return nil
 }
 
-// mayServeKeyed tells whether this node knows the keys well enough: where a
+// canServeKeyed tells whether this node knows the keys well enough: where a
 // revocation holds everywhere, a node out of touch serves no keyed request.
-func (g *Gateway) mayServeKeyed() bool {
-	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.freshBound())
+func (g *Gateway) canServeKeyed() bool {
+	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.maxKeyedAge())
 }
 
-// freshBound is how old the proof of the configuration may be for keyed requests.
-func (g *Gateway) freshBound() time.Duration {
-	return time.Duration(float64(g.settings().RevokeWithin) * freshPart)
+// maxKeyedAge is how old the proof of the configuration may be for keyed requests.
+func (g *Gateway) maxKeyedAge() time.Duration {
+	return time.Duration(float64(g.settings().RevokeWithin) * freshnessFraction)
 }
 
-// unlessBehind returns a refusal for good if this node is known to be up to
+// permanentUnlessStale returns a refusal for good if this node is known to be up to
 // date; else one to come back after, since a newer configuration may allow it.
-func (g *Gateway) unlessBehind(refused refusal) *refusal {
-	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*deniedPart)) {
+func (g *Gateway) permanentUnlessStale(refused refusal) *refusal {
+	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
 		return &refused
 	}
-	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: retryLater}
+	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: longRetryAfter}
 }
 
 // chooseService takes the route's next service by its shares, and the times.
-func (g *Gateway) chooseService(current *carried, table *routes.Table) *refusal {
+func (g *Gateway) chooseService(current *callerRequest, table *routes.Table) *refusal {
 	g.splitMutex.Lock()
 	name, found := g.splitter.Choose(current.route)
 	g.splitMutex.Unlock()
 	if !found {
-		return &refusal{code: resultcode.NoEngine, reason: "no service has weight", retryAfter: retryLater}
+		return &refusal{code: resultcode.NoEngine, reason: "no service has weight", retryAfter: longRetryAfter}
 	}
 	current.service, found = table.Service(name)
 	if !found {
-		return &refusal{code: resultcode.NoEngine, reason: "unknown service", retryAfter: retryLater}
+		return &refusal{code: resultcode.NoEngine, reason: "unknown service", retryAfter: longRetryAfter}
 	}
-	current.deadline = current.began + defaultTimeout
+	current.deadline = current.startedAt + defaultTimeout
 	if current.route.Timeout > 0 {
-		current.deadline = current.began + current.route.Timeout
+		current.deadline = current.startedAt + current.route.Timeout
 	}
 	if left := current.metadata.TimeLeft; left > 0 {
-		current.deadline = min(current.deadline, current.began+left)
+		current.deadline = min(current.deadline, current.startedAt+left)
 	}
 	return nil
 }
 
 // readBody reads the caller's whole body: a request that may be sent again
 // needs it, and a worker gets it with a length.
-func (g *Gateway) readBody(current *carried) *refusal {
+func (g *Gateway) readBody(current *callerRequest) *refusal {
 	request := current.request
 	if request.Body == nil || request.Body == http.NoBody || request.ContentLength == 0 {
 		return nil
 	}
-	limit := int64(defaultMaxBody)
+	limit := int64(defaultMaxBodyBytes)
 	if held := g.holder.Current(); held != nil && held.Table.Limits().MaxBodyBytes > 0 {
 		limit = held.Table.Limits().MaxBodyBytes
 	}
@@ -284,7 +284,7 @@
 
 // refuse answers with a failure of the gateway's own. A caller that is gone
 // gets nothing.
-func (g *Gateway) refuse(current *carried, refused refusal) {
+func (g *Gateway) refuse(current *callerRequest, refused refusal) {
 	current.result, current.reason = refused.code, refused.reason
 	if current.headSent {
 		panic(http.ErrAbortHandler)
@@ -305,12 +305,12 @@
 }
 
 // finish logs and counts a request when it has ended.
-func (g *Gateway) finish(current *carried) {
+func (g *Gateway) finish(current *callerRequest) {
 	cause := recover()
 	g.refundUnrun(current)
-	took := g.now() - current.began
+	took := g.now() - current.startedAt
 	result := current.result.String()
-	if current.request.Context().Err() != nil && current.result == resultcode.OK && !current.complete() {
+	if current.request.Context().Err() != nil && current.result == resultcode.OK && !current.isComplete() {
 		result = "caller_gone"
 	}
 	route := ""
@@ -318,31 +318,31 @@
 		route = current.route.Name
 	}
 	g.metrics.requests.WithLabelValues(route, result).Inc()
-	if current.firstByte > 0 {
-		g.metrics.latency.WithLabelValues(route).Observe((current.firstByte - current.began).Seconds())
+	if current.firstByteAt > 0 {
+		g.metrics.latency.WithLabelValues(route).Observe((current.firstByteAt - current.startedAt).Seconds())
 	}
 	line := g.events.line("request_ended").Str("request_id", current.metadata.RequestID).Str("route", route).
-		Str("result", result).Int("status", current.status).Dur("took", took).Uint64("configuration", current.version)
+		Str("result", result).Int("status", current.status).Dur("took", took).Uint64("configuration", current.configurationVersion)
 	if current.reason != "" {
 		line = line.Str("reason", current.reason)
 	}
 	if current.tenant != nil {
 		line = line.Str("tenant", string(current.tenant.Name))
 	}
-	if current.machine != nil {
-		line = line.Int("sends", current.machine.Sends()).Str("worker", current.worker)
+	if current.attempts != nil {
+		line = line.Int("sends", current.attempts.Sends()).Str("worker", current.worker)
 	}
 	if current.fingerprint != (quarantine.Fingerprint{}) {
 		line = line.Str("fingerprint", current.fingerprint.Short())
 	}
-	if current.firstSend > 0 {
-		line = line.Dur("before_send", current.firstSend-current.began)
+	if current.firstSentAt > 0 {
+		line = line.Dur("before_send", current.firstSentAt-current.startedAt)
 	}
-	if current.firstByte > 0 {
-		line = line.Dur("first_byte", current.firstByte-current.began)
+	if current.firstByteAt > 0 {
+		line = line.Dur("first_byte", current.firstByteAt-current.startedAt)
 	}
-	if current.longestGap > 0 {
-		line = line.Dur("longest_gap", current.longestGap)
+	if current.longestEventGap > 0 {
+		line = line.Dur("longest_gap", current.longestEventGap)
 	}
 	line.Msg("request_ended")
 	if cause != nil {
@@ -350,13 +350,13 @@
 	}
 }
 
-// complete tells whether the whole answer went out.
-func (c *carried) complete() bool { return c.status != 0 && c.reason == "" }
+// isComplete tells whether the whole answer went out.
+func (c *callerRequest) isComplete() bool { return c.status != 0 && c.reason == "" }
 
 // timeLeft returns the time until the final answer is due.
-func (c *carried) timeLeft(now time.Duration) time.Duration { return c.deadline - now }
+func (c *callerRequest) timeLeft(now time.Duration) time.Duration { return c.deadline - now }
 
-// callerGone tells whether the caller has left.
-func (c *carried) callerGone() bool {
-	return errors.Is(c.request.Context().Err(), context.Canceled) || hasLeft(c.request.Context())
+// isCallerGone tells whether the caller has left.
+func (c *callerRequest) isCallerGone() bool {
+	return errors.Is(c.request.Context().Err(), context.Canceled) || hasDisconnected(c.request.Context())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,11 +74,11 @@
 	toldVersions *toldVersions
 	cacheLog     *cacheLog
 	zoneFeeds    *zoneFeeds
-	crashes      *crashes
+	crashes      *crashDetector
 	quarantines  *quarantines
 	suspensions  *suspension.Detector
 	resumptions  *resumptions
-	deadlines    *deadlines
+	deadlines    *deadlineTimers
 	// quarantineTable is followed by those that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
@@ -153,7 +153,7 @@
 		toldVersions: newToldVersions(),
 		cacheLog:     newCacheLog(rand.Uint64()),
 		zoneFeeds:    newZoneFeeds(),
-		crashes:      newCrashes(),
+		crashes:      newCrashDetector(),
 		quarantines:  newQuarantines(),
 		resumptions:  newResumptions(),
 		deadlines:    newDeadlines(),
@@ -344,7 +344,7 @@
 		}
 		g.upstreams.Sweep()
 		g.reportLimits()
-		g.metrics.backingOff.Set(float64(len(g.backoffs.closing(g.now()))))
+		g.metrics.backingOff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
 		g.idle.sweep(g.now(), g.idleLimit())
 		g.crashes.sweep(g.now())
 		g.sweepQuarantines()
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
@@ -24,7 +24,7 @@
 			}
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(forwarded, name)
 	}
 	delete(forwarded, "Content-Length")
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -230,7 +230,7 @@
 
 // limitPriority returns the priority at a worker's limit. A run that goes on has a caller with
 // half an answer.
-func limitPriority(current *carried) int {
+func limitPriority(current *callerRequest) int {
 	if current.headSent {
 		return 0
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -210,7 +210,7 @@
 }
 
 // noteLimit takes in what an answer to a request says of its worker's limit.
-func (g *Gateway) noteLimit(current *carried, worker *backends.Worker, info AnswerInfo) {
+func (g *Gateway) noteLimit(current *callerRequest, worker *backends.Worker, info AnswerInfo) {
 	if !saysLimit(info) {
 		return
 	}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -28,27 +28,27 @@
 	Unreadable []Unreadable
 }
 
-// saysOf tells whether the notice can be that of a worker. A call that was refused as meant for
+// appliesTo tells whether the notice can be that of a worker. A call that was refused as meant for
 // another run may have been answered by whoever has the address now.
-func (n *Notice) saysOf(worker fleet.EngineID) bool {
+func (n *Notice) appliesTo(worker fleet.EngineID) bool {
 	if n.Instance != "" {
 		return n.Instance == worker
 	}
 	return !n.Misdirected
 }
 
-// noticeKey is the key of a context's handler of notices.
-type noticeKey struct{}
+// noticeHandlerKey is the key of a context's handler of notices.
+type noticeHandlerKey struct{}
 
-// WithNotices returns a context for calls to a server. handle is called with the notice of each
+// WithNoticeHandler returns a context for calls to a server. handle is called with the notice of each
 // answer as soon as its head has been read, also where the call then fails.
-func WithNotices(ctx context.Context, handle func(Notice)) context.Context {
-	return context.WithValue(ctx, noticeKey{}, handle)
+func WithNoticeHandler(ctx context.Context, handle func(Notice)) context.Context {
+	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
 // HandleNotice hands the notice of an answer to the handler of its call, if there is one.
 func HandleNotice(ctx context.Context, notice Notice) {
-	if handle, found := ctx.Value(noticeKey{}).(func(Notice)); found {
+	if handle, found := ctx.Value(noticeHandlerKey{}).(func(Notice)); found {
 		handle(notice)
 	}
 }
@@ -67,15 +67,15 @@
 	logged map[fleet.EngineID][]string
 }
 
-// noticed is the worker's run that a notice is about, and what this node called it for.
-type noticed struct {
+// noticeSource is the worker's run that a notice is about, and what this node called it for.
+type noticeSource struct {
 	worker fleet.EngineID
 	born   backends.StartTime
 	kind   callKind
 }
 
-// first tells whether a header of a worker hasn't been logged before, and notes it.
-func (u *unknownHeaders) first(worker fleet.EngineID, header string) bool {
+// isFirst tells whether a header of a worker hasn't been logged before, and notes it.
+func (u *unknownHeaders) isFirst(worker fleet.EngineID, header string) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	known, found := u.logged[worker]
@@ -101,10 +101,10 @@
 	delete(u.logged, worker)
 }
 
-// takeNotice takes in what an answer says of a worker, besides its limit.
-func (g *Gateway) takeNotice(about noticed, notice *Notice) {
-	g.noteUnknown(about, notice.Unknown)
-	if !notice.saysOf(about.worker) {
+// applyNotice takes in what an answer says of a worker, besides its limit.
+func (g *Gateway) applyNotice(about noticeSource, notice *Notice) {
+	g.logUnknownHeaders(about, notice.Unknown)
+	if !notice.appliesTo(about.worker) {
 		return
 	}
 	if notice.Draining {
@@ -115,18 +115,18 @@
 	}
 }
 
-// noteUnknown logs each unknown header of a worker once.
-func (g *Gateway) noteUnknown(about noticed, headers []string) {
+// logUnknownHeaders logs each unknown header of a worker once.
+func (g *Gateway) logUnknownHeaders(about noticeSource, headers []string) {
 	for _, header := range headers {
 		name := header[:min(len(header), maxHeaderName)]
-		if g.unknown.first(about.worker, name) {
+		if g.unknown.isFirst(about.worker, name) {
 			g.events.line("unknown_header").Str("worker", string(about.worker)).Str("header", name).Str("call", string(about.kind)).Msg("unknown_header")
 		}
 	}
 }
 
 // noteDraining takes in that a worker says in an answer that it shuts down.
-func (g *Gateway) noteDraining(about noticed) {
+func (g *Gateway) noteDraining(about noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(about.kind)).Inc()
 	g.observeDraining(backends.DrainingRun{Worker: about.worker, Born: about.born}, string(about.kind))
 }
@@ -147,27 +147,27 @@
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.takeNotice(noticed{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
-	if info.RetryAfter == 0 && info.saysOf(worker.ID) {
-		g.backoffs.answered(backoffRun(worker.ID, worker.Born), sentAt)
+	g.applyNotice(noticeSource{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
+	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
+		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.Born), sentAt)
 	}
 }
 
-// storeName stands for the store in logs about servers.
-const storeName fleet.EngineID = "store"
+// storeLogName stands for the store in logs about servers.
+const storeLogName fleet.EngineID = "store"
 
 // Kinds of notices in logs and metrics.
 const (
 	noticeDraining   = "draining"
 	noticeRetryAfter = "retry_after"
-	// noticeByPeer is the source of what another node tells.
-	noticeByPeer = "peer"
+	// noticeSourcePeer is the source of what another node tells.
+	noticeSourcePeer = "peer"
 )
 
-// noticesOf returns a context in which the notices of a worker's answers are taken in.
-func (g *Gateway) noticesOf(ctx context.Context, about noticed) context.Context {
-	return WithNotices(ctx, func(notice Notice) {
+// withNoticesFrom returns a context in which the notices of a worker's answers are taken in.
+func (g *Gateway) withNoticesFrom(ctx context.Context, about noticeSource) context.Context {
+	return WithNoticeHandler(ctx, func(notice Notice) {
 		g.noteUnreadable("", notice.Unreadable)
-		g.takeNotice(about, &notice)
+		g.applyNotice(about, &notice)
 	})
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -41,14 +41,14 @@
 // TestUnknownHeadersAreLoggedOnceAndInBoundedNumber whatever workers send.
 func TestUnknownHeadersAreLoggedOnceAndInBoundedNumber(t *testing.T) {
 	var logged unknownHeaders
-	assert.True(t, logged.first("w", "Server-Wants"))
-	assert.False(t, logged.first("w", "Server-Wants"))
+	assert.True(t, logged.isFirst("w", "Server-Wants"))
+	assert.False(t, logged.isFirst("w", "Server-Wants"))
 	for number := range 100 {
-		logged.first("w", fmt.Sprint("Server-", number))
+		logged.isFirst("w", fmt.Sprint("Server-", number))
 	}
 	assert.LessOrEqual(t, len(logged.logged["w"]), maxUnknownHeaders)
 	logged.forget("w")
-	assert.True(t, logged.first("w", "Server-Wants"))
+	assert.True(t, logged.isFirst("w", "Server-Wants"))
 }
 
 // TestNodeHearsFromAPeerThatAWorkerDrains before it sends there: a worker's end cuts streams, and
@@ -82,9 +82,9 @@
 	g.noteAnswerNotice(&worker, 0, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
 	assert.Equal(t, []string{"w"}, report.GetDeferring())
-	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringOf(report))
+	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringWorkers(report))
 	report.Node = "of another zone"
-	assert.Empty(t, g.deferringOf(report))
+	assert.Empty(t, g.deferringWorkers(report))
 }
 
 // TestSuccessSentBeforeABackoffDoesNotEndIt nor does what isn't the worker's own answer.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -224,7 +224,7 @@
 			Worker: string(id), RemainingMillis: uint32(remaining.Milliseconds()),
 		})
 	}
-	for _, worker := range g.backoffs.closing(now) {
+	for _, worker := range g.backoffs.workersInBackoff(now) {
 		report.Deferring = append(report.Deferring, string(worker))
 	}
 	for _, run := range g.workers.DrainingUnlisted() {
@@ -305,10 +305,10 @@
 		}
 	}
 	g.workers.ObservePeer(now, fleet.NodeID(report.GetNode()), backends.PeerReport{
-		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Orders: orders, Work: work, Deferring: g.deferringOf(report),
+		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Orders: orders, Work: work, Deferring: g.deferringWorkers(report),
 	})
 	for _, run := range report.GetDraining() {
-		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeByPeer)
+		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
 	g.learnNamed(report.GetNamed())
 	g.quotas.take(now, report)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -165,25 +165,25 @@
 
 // checkQuarantine refuses a request that ends workers. One whose trial is due, and whose
 // trial nobody else makes, goes on.
-func (g *Gateway) checkQuarantine(current *carried) *refusal {
+func (g *Gateway) checkQuarantine(current *callerRequest) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if !verdict.Held {
 		return nil
 	}
 	if verdict.TrialDue && g.beginTrial(current, verdict) {
-		current.trial = true
+		current.quarantineTrial = true
 		return nil
 	}
 	g.noteHeld(current, verdict)
-	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, retryLater)}
+	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, longRetryAfter)}
 }
 
 // reasonQuarantined is the reason of a request that is refused since it ends workers.
 const reasonQuarantined = "workers ended under it"
 
 // holds tells whether a request must not go to a worker now, and logs that.
-func (g *Gateway) holds(current *carried) (quarantine.Verdict, bool) {
-	if current.trial {
+func (g *Gateway) holds(current *callerRequest) (quarantine.Verdict, bool) {
+	if current.quarantineTrial {
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
@@ -194,7 +194,7 @@
 }
 
 // noteHeld logs and counts that a request was kept from the workers.
-func (g *Gateway) noteHeld(current *carried, verdict quarantine.Verdict) {
+func (g *Gateway) noteHeld(current *callerRequest, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
 		Str("route", current.route.Name).Int("ends", verdict.Ends).Dur("first_end_age", verdict.FirstAge).
@@ -208,14 +208,14 @@
 	}
 	g.metrics.lostRuns.Add(float64(len(fingerprints)))
 	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
-		Int("runs", len(fingerprints)).Str("fingerprints", fingerprintText(fingerprints)).Msg("worker_ended")
+		Int("runs", len(fingerprints)).Str("fingerprints", shortFingerprints(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
 		g.noteQuarantine(fingerprint, "worker_ended", g.quarantines.ended(g.now(), fingerprint, worker))
 	}
 }
 
 // noteAnswered takes in that a request was answered whole by a worker.
-func (g *Gateway) noteAnswered(current *carried) {
+func (g *Gateway) noteAnswered(current *callerRequest) {
 	g.noteQuarantine(current.fingerprint, "answered", g.quarantines.answered(g.now(), current.fingerprint))
 }
 
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -73,8 +73,8 @@
 }
 
 // heldRequest returns a request and has a gateway hold it since so long ago.
-func heldRequest(g *Gateway, ago time.Duration) *carried {
-	current := &carried{
+func heldRequest(g *Gateway, ago time.Duration) *callerRequest {
+	current := &callerRequest{
 		request:  httptest.NewRequest("POST", "/a", nil),
 		metadata: Metadata{RequestID: "r"},
 		route:    &routes.Route{Name: "route"},
@@ -99,7 +99,7 @@
 	assert.Equal(t, resultcode.Quarantined, refused.code)
 	assert.True(t, resultcode.Lookup(refused.code).NotRun)
 	assert.InDelta(t, quarantine.DefaultHoldFor.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
-	assert.ErrorIs(t, g.permit(current, nil), errQuarantined, "nor right before a send")
+	assert.ErrorIs(t, g.permitRequest(current, nil), errQuarantined, "nor right before a send")
 	other := *current
 	other.fingerprint[0]++
 	assert.Nil(t, g.checkQuarantine(&other))
@@ -112,8 +112,8 @@
 	const past = quarantine.DefaultHoldFor + time.Second
 	first, second := heldRequest(one, past), heldRequest(other, past)
 	assert.Nil(t, one.checkQuarantine(first))
-	assert.True(t, first.trial)
-	assert.NoError(t, one.permit(first, nil))
+	assert.True(t, first.quarantineTrial)
+	assert.NoError(t, one.permitRequest(first, nil))
 	assert.NotNil(t, other.checkQuarantine(second), "the store holds one trial more than this node knows")
 	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "nor a second one here")
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
@@ -262,7 +262,7 @@
 // TestAnswersSpeakAtOnceAndElsewhere for a request that others suspect.
 func TestAnswersSpeakAtOnceAndElsewhere(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := &carried{fingerprint: quarantine.Fingerprint{7}}
+	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
 	g.noteAnswered(current)
 	assert.Empty(t, g.quarantines.takeUntold())
 	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
@@ -294,7 +294,7 @@
 		worker := backends.Worker{ID: "w", Service: "app", Address: "127.0.0.1:9"}
 		worker.Draining = draining
 		g.workers.Observe(1, worker)
-		g.crashes.note(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
+		g.crashes.recordLoss(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
 		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
 		_, blamed := g.quarantines.record(quarantine.Fingerprint{1})
 		assert.Equal(t, !draining, blamed)
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -247,7 +247,7 @@
 
 // beginTrial tells whether a held request may be tried here and now: the store has taken this
 // node's word that it is, so that no other node tries it too.
-func (g *Gateway) beginTrial(current *carried, verdict quarantine.Verdict) bool {
+func (g *Gateway) beginTrial(current *callerRequest, verdict quarantine.Verdict) bool {
 	record, known := g.quarantines.record(current.fingerprint)
 	if !known {
 		return false
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -170,7 +170,7 @@
 }
 
 // chargeTenant takes a request's cost out of its tenant's quota, or refuses it.
-func (g *Gateway) chargeTenant(current *carried) *refusal {
+func (g *Gateway) chargeTenant(current *callerRequest) *refusal {
 	if current.tenant == nil || current.tenant.Quota == nil {
 		return nil
 	}
@@ -179,7 +179,7 @@
 	decision := g.quotas.admit(g.now(), current.tenant.Name, cost)
 	tenant := string(current.tenant.Name)
 	if decision.Admitted {
-		current.cost = cost
+		current.quotaCost = cost
 		g.metrics.quotaUnits.WithLabelValues(tenant, "admitted").Add(cost)
 		return nil
 	}
@@ -189,20 +189,20 @@
 		Float64("cost", cost).Float64("rate", decision.Limit.Rate).Float64("burst", decision.Limit.Burst).
 		Float64("available", decision.Available).Float64("share", decision.Share).
 		Dur("retry_after", decision.RetryAfter).Msg("tenant_limited")
-	return &refusal{code: resultcode.QuotaExceeded, reason: "quota exceeded", retryAfter: max(decision.RetryAfter, retrySoon)}
+	return &refusal{code: resultcode.QuotaExceeded, reason: "quota exceeded", retryAfter: max(decision.RetryAfter, shortRetryAfter)}
 }
 
 // chargeAgain takes the cost of a further run out of the tenant's quota.
-func (g *Gateway) chargeAgain(current *carried) {
-	if current.cost > 0 && current.machine.MayHaveRun() {
-		g.quotas.charge(g.now(), current.tenant.Name, current.cost)
+func (g *Gateway) chargeAgain(current *callerRequest) {
+	if current.quotaCost > 0 && current.attempts.MayHaveRun() {
+		g.quotas.charge(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
 // refundUnrun gives back what a request was charged that didn't run.
-func (g *Gateway) refundUnrun(current *carried) {
-	if current.cost > 0 && (current.machine == nil || !current.machine.MayHaveRun()) {
-		g.quotas.refund(g.now(), current.tenant.Name, current.cost)
+func (g *Gateway) refundUnrun(current *callerRequest) {
+	if current.quotaCost > 0 && (current.attempts == nil || !current.attempts.MayHaveRun()) {
+		g.quotas.refund(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -17,10 +17,10 @@
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
 	require.Empty(t, g.loadPeers())
-	request := func(tenant *routes.Tenant) *carried {
+	request := func(tenant *routes.Tenant) *callerRequest {
 		g.taken.Add(1)
 		g.lastRequest.Store(int64(g.now()))
-		return &carried{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
+		return &callerRequest{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
 	}
 	assert.Empty(t, g.usePeers())
 	assert.Nil(t, g.chargeTenant(request(nil)))
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -37,7 +37,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         g.noteFront,
-		ConnContext:       withCaller,
+		ConnContext:       withCallerConn,
 	}
 	handlers := []struct {
 		address string
--- a/internal/gateway/storefeed.go
+++ b/internal/gateway/storefeed.go
@@ -88,7 +88,7 @@
 	calling, stop := g.resumptions.bind(ctx)
 	defer stop()
 	f.asked = 0
-	update, err := f.call(WithNotices(calling, f.notice))
+	update, err := f.call(WithNoticeHandler(calling, f.notice))
 	if ctx.Err() != nil {
 		return 0
 	}
@@ -129,7 +129,7 @@
 func (f *storeFeed) notice(notice Notice) {
 	g := f.gateway
 	g.noteUnreadable("", notice.Unreadable)
-	g.noteUnknown(noticed{worker: storeName, kind: callStore}, notice.Unknown)
+	g.logUnknownHeaders(noticeSource{worker: storeLogName, kind: callStore}, notice.Unknown)
 	if notice.RetryAfter == 0 {
 		return
 	}
@@ -185,6 +185,6 @@
 // operatorWaitFor returns the wait of a call for the operator's rows with which
 // proofs are renewed before they are too old for a bound on revocations.
 func operatorWaitFor(revokeWithin time.Duration) time.Duration {
-	counts := float64(revokeWithin) * freshPart
+	counts := float64(revokeWithin) * freshnessFraction
 	return min(operatorWait, time.Duration(counts/proofsWithinBound))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,19 +15,19 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 256 << 10
+// maxEventBytes bounds one event of a stream, in bytes.
+const maxEventBytes = 256 << 10
 
 // errPartialEvent means that a stream ended within an event.
 var errPartialEvent = errors.New("stream ended within an event")
 
 // deliverStream passes the events of a stream on, each as it comes and only
 // whole. A stream that breaks off may go on at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
 	run := placement.Worker.Run()
-	step := current.machine.Answered(g.now(), run, false)
+	step := current.attempts.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
-		g.ended(current, placement, backends.Failed, "not delivered")
+		g.recordOutcome(current, placement, backends.Failed, "not delivered")
 		return step
 	}
 	relay := &eventRelay{answer: answer, lastID: current.lastEventID}
@@ -38,40 +38,40 @@
 	current.lastEventID = relay.lastID
 	switch {
 	case err == nil && current.headSent:
-		g.ended(current, placement, backends.Succeeded, "")
+		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case err == nil:
 		// A stream without events is passed on as it is.
 		g.sendHead(current, answer, 0)
-		g.ended(current, placement, backends.Succeeded, "")
+		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
-	case current.callerGone() || errors.Is(err, errCallerWrite):
+	case current.isCallerGone() || errors.Is(err, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
-		g.ended(current, placement, backends.Cancelled, "caller gone")
+		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepBreak}
 	case ctx.Err() != nil:
 		g.noteLostRun(current, placement, quarantine.Abandoned)
-		g.ended(current, placement, backends.Lost, "deadline passed")
-		return current.machine.Expired()
+		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
+		return current.attempts.Expired()
 	default:
 		g.noteLostRun(current, placement, quarantine.BrokenOff)
-		g.ended(current, placement, backends.Lost, "stream: "+err.Error())
+		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
-		return current.machine.Broken(g.now(), run, current.keepsCopy(placement))
+		return current.attempts.Broken(g.now(), run, current.rememberCopy(placement))
 	}
 }
 
 // writeEvents passes whole events on at once.
-func (g *Gateway) writeEvents(current *carried, answer *upstream.Answer, events []byte) error {
+func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Answer, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
 	}
 	now := g.now()
-	current.events += bytes.Count(events, []byte("\n\n"))
-	if current.lastEvent > 0 {
-		current.longestGap = max(current.longestGap, now-current.lastEvent)
+	current.eventCount += bytes.Count(events, []byte("\n\n"))
+	if current.lastEventAt > 0 {
+		current.longestEventGap = max(current.longestEventGap, now-current.lastEventAt)
 	}
-	current.lastEvent = now
+	current.lastEventAt = now
 	if _, err := current.writer.Write(events); err != nil {
 		return errors.Wrap(errCallerWrite, err.Error())
 	}
@@ -100,7 +100,7 @@
 		}
 		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
-		if passErr := r.passWhole(pass); passErr != nil {
+		if passErr := r.relayWholeEvents(pass); passErr != nil {
 			return passErr
 		}
 		switch {
@@ -110,20 +110,20 @@
 			return nil
 		case err != nil:
 			return err
-		case len(r.buffer) > maxEvent:
+		case len(r.buffer) > maxEventBytes:
 			return errors.New("event too long")
 		}
 	}
 }
 
-// passWhole passes the whole events in the buffer on.
-func (r *eventRelay) passWhole(pass func(events []byte) error) error {
+// relayWholeEvents passes the whole events in the buffer on.
+func (r *eventRelay) relayWholeEvents(pass func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
 		return nil
 	}
 	events := r.buffer[:end]
-	if id, found := lastID(events); found {
+	if id, found := findLastEventID(events); found {
 		r.lastID = id
 	}
 	if err := pass(events); err != nil {
@@ -145,8 +145,8 @@
 	return end
 }
 
-// lastID returns the last event identifier in whole events.
-func lastID(events []byte) (string, bool) {
+// findLastEventID returns the last event identifier in whole events.
+func findLastEventID(events []byte) (string, bool) {
 	const field = "id:"
 	at := bytes.LastIndex(events, []byte("\n"+field))
 	start := at + 1
--- a/internal/gateway/wholebaseline_test.go
+++ b/internal/gateway/wholebaseline_test.go
@@ -13,9 +13,9 @@
 // TestWholeAnswersAreComparedByTheirLength so that long ones aren't taken for slow.
 func TestWholeAnswersAreComparedByTheirLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
-	current := &carried{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
+	current := &callerRequest{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
 	assert.Equal(t, engine.Baseline, wholeBaseline(current, engine))
-	current.events = 10
+	current.eventCount = 10
 	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, wholeBaseline(current, engine))
 	current.service.Engine.EventTokens = 0
 	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, wholeBaseline(current, engine))
