--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -112,7 +112,7 @@
 
 // announce tells one node. A node that doesn't hear of it does by the next report.
 func (g *Gateway) announce(member membership.Member, report *rpc.LoadReport) {
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Announcements, member), announceTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Announcements, member), announceTimeout)
 	defer cancel()
 	if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
 		g.metrics.shareFailures.Inc()
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -31,7 +31,7 @@
 		MaxRuns:       current.route.MaxAttempts,
 		Deadline:      current.deadline,
 		RetryAfter:    shortRetryAfter,
-	}, g.budgets.of(current.service.Name))
+	}, g.budgets.forService(current.service.Name))
 	ctx, cancel := g.deadlines.withDeadline(current.request.Context(), g.now(), current.deadline+deadlineGrace)
 	defer cancel()
 	step := attempt.Step{Kind: attempt.StepSend}
@@ -84,7 +84,7 @@
 		}
 		return current.attempts.NoWorker(refused.Reason, refused.RetryAfter)
 	}
-	g.chargeAgain(current)
+	g.chargeRerun(current)
 	g.announcePlacement(placement)
 	return g.sendTo(ctx, current, placement)
 }
@@ -126,7 +126,7 @@
 // may be broken off since the engine's weights are too old to begin on, or since the
 // request is held by then.
 func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Answer, error) {
-	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, trial: current.quarantineTrial}
+	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, quarantineTrial: current.quarantineTrial}
 	if placement.Engine != nil {
 		send.model, send.version = current.metadata.Model, placement.Engine.Version
 	}
@@ -168,7 +168,7 @@
 	case ctx.Err() != nil:
 		g.recordOutcome(current, placement, backends.Unreachable, "deadline passed")
 		return current.attempts.Expired()
-	case (errors.Is(err, errOutdated) || errors.Is(err, errQuarantined)) && sent:
+	case (errors.Is(err, errStaleVersion) || errors.Is(err, errQuarantined)) && sent:
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		return current.attempts.Unanswered(g.now(), run)
 	case errors.Is(err, errQuarantined):
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -38,7 +38,7 @@
 	if placement == nil {
 		return current.attempts.NotSent(now, lost.Engine.CopyTo.Run())
 	}
-	g.chargeAgain(current)
+	g.chargeRerun(current)
 	return g.sendTo(ctx, current, placement)
 }
 
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,113 +10,115 @@
 
 // Constants of the demand.
 const (
-	// rateWeight is the part of one interval in the mean rate.
-	rateWeight = 0.3
-	// rateValid is how long another node's word on a rate counts.
-	rateValid = 3 * time.Second
-	// perThousand is the unit of transmitted rates.
-	perThousand = 1000
+	// rateSmoothing is the part of one interval in the mean rate.
+	rateSmoothing = 0.3
+	// rateLifetime is how long another node's word on a rate counts.
+	rateLifetime = 3 * time.Second
+	// rateScale is the unit of transmitted rates.
+	rateScale = 1000
 )
 
-func encodeRate(rate float64) uint32 { return uint32(max(rate, 0) * perThousand) }
+func encodeRate(rate float64) uint32 { return uint32(max(rate, 0) * rateScale) }
 
-func decodeRate(rate uint32) float64 { return float64(rate) / perThousand }
+func decodeRate(rate uint32) float64 { return float64(rate) / rateScale }
 
-// demand knows how many requests callers send a second to all nodes: a node that
+// demandTracker knows how many requests callers send a second to all nodes: a node that
 // shares loads adds up what the others tell, any other takes its source's word.
-type demand struct {
+type demandTracker struct {
 	mutex sync.Mutex
 	// count is the number of own requests since countedAt, rate their mean.
-	count     int
-	countedAt time.Duration
-	rate      float64
-	peers     map[fleet.NodeID]toldRate
+	count         int
+	intervalStart time.Duration
+	rate          float64
+	peers         map[fleet.NodeID]reportedRate
 	// sharing is set while this node shares loads with those that serve.
-	sharing bool
-	source  toldRate
-	level   membership.Demand
+	sharing       bool
+	reportedTotal reportedRate
+	level         membership.Demand
 }
 
-// toldRate is another node's word on a rate.
-type toldRate struct {
+// reportedRate is another node's word on a rate.
+type reportedRate struct {
 	rate float64
 	at   time.Duration
 }
 
-func newDemand() *demand { return &demand{peers: make(map[fleet.NodeID]toldRate)} }
+func newDemandTracker() *demandTracker {
+	return &demandTracker{peers: make(map[fleet.NodeID]reportedRate)}
+}
 
-// note counts an own request.
-func (d *demand) note() {
+// countRequest counts an own request.
+func (d *demandTracker) countRequest() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.count++
 }
 
 // measure ends an interval.
-func (d *demand) measure(now time.Duration) {
+func (d *demandTracker) measure(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if elapsed := (now - d.countedAt).Seconds(); elapsed > 0 {
-		d.rate += (float64(d.count)/elapsed - d.rate) * rateWeight
+	if elapsed := (now - d.intervalStart).Seconds(); elapsed > 0 {
+		d.rate += (float64(d.count)/elapsed - d.rate) * rateSmoothing
 	}
-	d.count, d.countedAt = 0, now
+	d.count, d.intervalStart = 0, now
 }
 
-// own returns the rate of this node's requests.
-func (d *demand) own() float64 {
+// ownRate returns the rate of this node's requests.
+func (d *demandTracker) ownRate() float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.rate
 }
 
-// peer takes in another node's own rate.
-func (d *demand) peer(now time.Duration, node fleet.NodeID, rate float64) {
+// setPeerRate takes in another node's own rate.
+func (d *demandTracker) setPeerRate(now time.Duration, node fleet.NodeID, rate float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.peers[node] = toldRate{rate: rate, at: now}
+	d.peers[node] = reportedRate{rate: rate, at: now}
 }
 
 // forget drops a node that is gone.
-func (d *demand) forget(node fleet.NodeID) {
+func (d *demandTracker) forget(node fleet.NodeID) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.peers, node)
 }
 
-// told takes in another node's word on the rate of all. A rate of 0 says nothing.
-func (d *demand) told(now time.Duration, rate float64) {
+// reportTotal takes in another node's word on the rate of all. A rate of 0 says nothing.
+func (d *demandTracker) reportTotal(now time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if now > d.source.at+rateValid || rate > d.source.rate {
-		d.source = toldRate{rate: rate, at: now}
+	if now > d.reportedTotal.at+rateLifetime || rate > d.reportedTotal.rate {
+		d.reportedTotal = reportedRate{rate: rate, at: now}
 	}
 }
 
 // setSharing says whether this node shares loads.
-func (d *demand) setSharing(sharing bool) {
+func (d *demandTracker) setSharing(sharing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.sharing = sharing
 }
 
-// summed returns the rate of all by what nodes that share loads tell; 0 where
+// sharedTotal returns the rate of all by what nodes that share loads tell; 0 where
 // this node isn't one of them.
-func (d *demand) summed(now time.Duration) float64 {
+func (d *demandTracker) sharedTotal(now time.Duration) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.sum(now)
+	return d.sumLocked(now)
 }
 
-func (d *demand) sum(now time.Duration) float64 {
+func (d *demandTracker) sumLocked(now time.Duration) float64 {
 	if !d.sharing {
 		return 0
 	}
 	total := d.rate
 	for _, peer := range d.peers {
-		if now <= peer.at+rateValid {
+		if now <= peer.at+rateLifetime {
 			total += peer.rate
 		}
 	}
@@ -125,7 +127,7 @@
 
 // nodeRates returns the own rates of the nodes that share loads, this one's included; nil
 // where this node isn't one of them.
-func (d *demand) nodeRates(now time.Duration, self fleet.NodeID) map[fleet.NodeID]float64 {
+func (d *demandTracker) nodeRates(now time.Duration, self fleet.NodeID) map[fleet.NodeID]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.sharing {
@@ -133,7 +135,7 @@
 	}
 	rates := map[fleet.NodeID]float64{self: d.rate}
 	for node, peer := range d.peers {
-		if now <= peer.at+rateValid {
+		if now <= peer.at+rateLifetime {
 			rates[node] = peer.rate
 		}
 	}
@@ -141,20 +143,20 @@
 }
 
 // total returns the rate of all as far as this node knows.
-func (d *demand) total(now time.Duration) float64 {
+func (d *demandTracker) total(now time.Duration) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.sharing {
-		return d.sum(now)
+		return d.sumLocked(now)
 	}
-	if now <= d.source.at+rateValid {
-		return d.source.rate
+	if now <= d.reportedTotal.at+rateLifetime {
+		return d.reportedTotal.rate
 	}
 	return 0
 }
 
-// planned returns the rate to plan the roles for.
-func (d *demand) planned(now time.Duration) float64 {
+// plannedRate returns the rate to plan the roles for.
+func (d *demandTracker) plannedRate(now time.Duration) float64 {
 	total := d.total(now)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -39,5 +39,5 @@
 		return g.ready()
 	}
 	current, found := g.peers.View().Find(member.Node)
-	return found && current.State == membership.Alive && !g.origins.silent(g.now(), member.Node)
+	return found && current.State == membership.Alive && !g.origins.isUnreachable(g.now(), member.Node)
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -16,14 +16,14 @@
 // eventLog bounds the lines about single requests, so that a flood of them
 // doesn't become a flood of lines. What is left out is counted and told.
 type eventLog struct {
-	logger  zerolog.Logger
-	mutex   sync.Mutex
-	limits  map[string]*rate.Limiter
-	dropped map[string]int
+	logger   zerolog.Logger
+	mutex    sync.Mutex
+	limiters map[string]*rate.Limiter
+	dropped  map[string]int
 }
 
 func newEventLog(logger zerolog.Logger) *eventLog {
-	return &eventLog{logger: logger, limits: make(map[string]*rate.Limiter), dropped: make(map[string]int)}
+	return &eventLog{logger: logger, limiters: make(map[string]*rate.Limiter), dropped: make(map[string]int)}
 }
 
 // line returns a line for an event, or nil, on which all methods do nothing, if
@@ -31,10 +31,10 @@
 func (e *eventLog) line(event string) *zerolog.Event {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	limit := e.limits[event]
+	limit := e.limiters[event]
 	if limit == nil {
 		limit = rate.NewLimiter(eventsPerSecond, eventsBurst)
-		e.limits[event] = limit
+		e.limiters[event] = limit
 	}
 	if !limit.Allow() {
 		e.dropped[event]++
@@ -43,8 +43,8 @@
 	return e.logger.Info()
 }
 
-// report tells how many lines were left out since the last report.
-func (e *eventLog) report() {
+// logDropped tells how many lines were left out since the last logDropped.
+func (e *eventLog) logDropped() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for event, count := range e.dropped {
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -120,7 +120,7 @@
 	}
 	// What is refused costs little. After a loss of all nodes callers are refused and come
 	// back for a second, and twice as many nodes would serve as their requests need.
-	g.demand.note()
+	g.demand.countRequest()
 	if refused := g.readBody(current); refused != nil {
 		g.refuse(current, *refused)
 		return
@@ -149,7 +149,7 @@
 		return &refusal{code: resultcode.Stopping, reason: "stopping", retryAfter: shortRetryAfter}
 	}
 	if g.pressure.level() == nodecapacity.Full {
-		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarce().String(), retryAfter: shortRetryAfter}
+		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarcestResource().String(), retryAfter: shortRetryAfter}
 	}
 	g.awaitKnown(current.request.Context())
 	held := g.holder.Current()
@@ -169,7 +169,7 @@
 	if refused := g.chooseService(current, held.Table); refused != nil {
 		return refused
 	}
-	return g.chargeTenant(current)
+	return g.chargeQuota(current)
 }
 
 // authenticate finds the tenant of the request's key.
@@ -307,7 +307,7 @@
 // finish logs and counts a request when it has ended.
 func (g *Gateway) finish(current *callerRequest) {
 	cause := recover()
-	g.refundUnrun(current)
+	g.refundIfNotRun(current)
 	took := g.now() - current.startedAt
 	result := current.result.String()
 	if current.request.Context().Err() != nil && current.result == resultcode.OK && !current.isComplete() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	fresh        *routes.Freshness
 	workers      *backends.Registry
 	upstreams    *upstream.Pool
-	budgets      *budgets
+	budgets      *retryBudgets
 	quotas       *quotas
 	limits       *workerLimits
 	backoffs     *workerBackoffs
@@ -65,10 +65,10 @@
 	pending      *pendingSends
 	tables       []*table
 	sources      *sources
-	demand       *demand
-	origins      *origins
-	silences     *silences
-	pressure     *pressure
+	demand       *demandTracker
+	origins      *originTracker
+	silences     *peerFailures
+	pressure     *pressureMonitor
 	readiness    *readiness
 	announcer    *announcer
 	toldVersions *toldVersions
@@ -143,10 +143,10 @@
 		seeds:    &seedList{},
 		pending:  newPendingSends(),
 		idle:     newIdleConnections(),
-		demand:   newDemand(),
-		origins:  newOrigins(),
-		pressure: &pressure{},
-		silences: newSilences(),
+		demand:   newDemandTracker(),
+		origins:  newOriginTracker(),
+		pressure: &pressureMonitor{},
+		silences: newPeerFailures(),
 
 		readiness:    newReadiness(),
 		announcer:    newAnnouncer(),
@@ -180,7 +180,7 @@
 		Traffic: g.outside.Traffic,
 		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
-	g.budgets = newBudgets(settings, g.retryShare)
+	g.budgets = newRetryBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
 	g.weights = newWeights(settings)
 	g.deliveries = newDeliveries(g.node, settings)
@@ -288,11 +288,11 @@
 	g.peers.Start()
 	g.life.Go(g.watchPeers)
 	g.life.Go(g.driveRoles)
-	g.life.Go(g.drivePressure)
+	g.life.Go(g.monitorPressure)
 	g.life.Go(g.register)
 	g.life.Go(g.shareLoads)
 	g.life.Go(g.announceLoads)
-	g.life.Go(g.shareUses)
+	g.life.Go(g.driveUsageExchange)
 	g.life.Go(g.driveRollout)
 	g.life.Go(g.driveDeliveries)
 	g.life.Go(g.announceDeliveries)
@@ -349,7 +349,7 @@
 		g.crashes.sweep(g.now())
 		g.sweepQuarantines()
 		g.planSubsets(nil)
-		g.events.report()
+		g.events.logDropped()
 	}
 	return nil
 }
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -96,7 +96,7 @@
 		g.noteRefusedGrant(answer)
 		return answer
 	}
-	distance := traffic.Between(g.place(), membership.Location{Zone: granter.Zone, Region: granter.Region})
+	distance := traffic.Between(g.location(), membership.Location{Zone: granter.Zone, Region: granter.Region})
 	asking, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	begun := g.now()
--- a/internal/gateway/limittalk.go
+++ b/internal/gateway/limittalk.go
@@ -89,7 +89,7 @@
 // tellLimits tells one node, and learns what it knows. A node that misses it hears of it with
 // the next report.
 func (g *Gateway) tellLimits(member membership.Member, observations []workerlimit.Observation) {
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Limits, member), limitTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Limits, member), limitTimeout)
 	defer cancel()
 	begun := g.now()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(begun, observations)}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -126,7 +126,7 @@
 		}
 		known = present
 		g.workers.SetPeers(len(peers))
-		g.followUsers()
+		g.updateUsagePeers()
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 
 // exchange gives one member this node's report and takes its answer in.
 func (g *Gateway) exchange(member membership.Member) {
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Loads, member), shareTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), shareTimeout)
 	defer cancel()
 	begun := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
@@ -195,8 +195,8 @@
 		g.workers.UpdatePeer(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
 		return answer
 	}
-	g.quotas.take(g.now(), report)
-	g.quotas.write(g.now(), answer, fleet.NodeID(report.GetNode()))
+	g.quotas.applyReport(g.now(), report)
+	g.quotas.writeReport(g.now(), answer, fleet.NodeID(report.GetNode()))
 	return answer
 }
 
@@ -205,7 +205,7 @@
 	now := g.now()
 	report := &rpc.LoadReport{
 		Node:        string(g.node),
-		RequestRate: encodeRate(g.demand.own()),
+		RequestRate: encodeRate(g.demand.ownRate()),
 		Pressure:    uint32(g.pressure.level()),
 		Named:       g.namedVersions(now),
 		Limits:      g.limits.encodedLimits(now),
@@ -233,7 +233,7 @@
 	if _, holds := g.keeper.Fence(); holds {
 		report.Weights = g.versionsFor(now, to)
 	}
-	g.quotas.write(now, report, to)
+	g.quotas.writeReport(now, report, to)
 	g.deliveries.write(now, report, to)
 	g.quarantines.write(now, report)
 	if held := g.holder.Current(); held != nil {
@@ -311,10 +311,10 @@
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
 	g.learnNamed(report.GetNamed())
-	g.quotas.take(now, report)
-	g.demand.peer(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
+	g.quotas.applyReport(now, report)
+	g.demand.setPeerRate(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
 	g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
-	g.origins.press(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
+	g.origins.setPressure(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
 		g.workers.NoteVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
 			backends.WeightsVersion(versions.GetVersion()))
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -12,12 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/quarantine"
 )
 
-// beginReserve is how much before the bound on weights a request that waits at an
+// staleVersionMargin is how much before the bound on weights a request that waits at an
 // engine with an older version is taken away from it.
-const beginReserve = 400 * time.Millisecond
+const staleVersionMargin = 400 * time.Millisecond
 
-// errOutdated is the cause of a send broken off since the engine's weights are too old.
-var errOutdated = errors.New("weights too old to begin on")
+// errStaleVersion is the cause of a send broken off since the engine's weights are too old.
+var errStaleVersion = errors.New("weights too old to begin on")
 
 // pendingSends are the sends whose answer has not begun. An engine may have them wait until
 // its weights are too old for a request to begin on, or until the request is held.
@@ -32,9 +32,9 @@
 	model       fleet.ModelName
 	version     backends.WeightsVersion
 	fingerprint quarantine.Fingerprint
-	// trial is set if the request is held and this is the one time that it is tried.
-	trial  bool
-	cancel context.CancelCauseFunc
+	// quarantineTrial is set if the request is held and this is the one time that it is tried.
+	quarantineTrial bool
+	cancel          context.CancelCauseFunc
 }
 
 func newPendingSends() *pendingSends { return &pendingSends{sends: make(map[*pendingSend]bool)} }
@@ -51,25 +51,25 @@
 	delete(p.sends, send)
 }
 
-// expire breaks the sends off that wait at an older version than required.
-func (p *pendingSends) expire(required map[fleet.ModelName]backends.WeightsVersion) {
+// cancelStale breaks the sends off that wait at an older version than required.
+func (p *pendingSends) cancelStale(required map[fleet.ModelName]backends.WeightsVersion) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for send := range p.sends {
 		if send.version < required[send.model] {
-			send.cancel(errOutdated)
+			send.cancel(errStaleVersion)
 			delete(p.sends, send)
 		}
 	}
 }
 
-// hold breaks the sends of a request off that is held from now on, and returns their number.
-func (p *pendingSends) hold(fingerprint quarantine.Fingerprint) int {
+// cancelQuarantined breaks the sends of a request off that is held from now on, and returns their number.
+func (p *pendingSends) cancelQuarantined(fingerprint quarantine.Fingerprint) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	broken := 0
 	for send := range p.sends {
-		if send.fingerprint == fingerprint && !send.trial {
+		if send.fingerprint == fingerprint && !send.quarantineTrial {
 			send.cancel(errQuarantined)
 			delete(p.sends, send)
 			broken++
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -21,12 +21,12 @@
 func TestPressureFollowsTheLimits(t *testing.T) {
 	limits := nodecapacity.Limits{ProcessorShare: 0.2, MemoryMB: 100, FileDescriptors: 1200}
 	var processor time.Duration
-	measured := &pressure{}
+	measured := &pressureMonitor{}
 	now := time.Second
 	step := func(busy float64, memoryMB, descriptors int) nodecapacity.Pressure {
 		now += pressureInterval
 		processor += time.Duration(busy * float64(pressureInterval))
-		_, after := measured.observe(now, consumption{
+		_, after := measured.observe(now, resourceUsage{
 			processor: processor, memory: uint64(memoryMB) * bytesPerMB, descriptors: descriptors,
 		}, limits)
 		return after
@@ -39,41 +39,41 @@
 		step(0.2, 50, 500)
 	}
 	assert.Equal(t, nodecapacity.Busy, measured.level())
-	assert.Equal(t, nodecapacity.Processor, measured.scarce())
+	assert.Equal(t, nodecapacity.Processor, measured.scarcestResource())
 	assert.Equal(t, nodecapacity.Full, step(0.1, 95, 500))
-	assert.Equal(t, nodecapacity.Memory, measured.scarce())
+	assert.Equal(t, nodecapacity.Memory, measured.scarcestResource())
 	assert.Equal(t, nodecapacity.Full, step(0.1, 50, 950))
-	assert.Equal(t, nodecapacity.Descriptors, measured.scarce())
+	assert.Equal(t, nodecapacity.Descriptors, measured.scarcestResource())
 	assert.Equal(t, nodecapacity.Busy, step(0.1, 50, 100))
 }
 
 // TestPressureOfAnUnknownMachineIsNone has no limit in the settings.
 func TestPressureOfAnUnknownMachineIsNone(t *testing.T) {
-	measured := &pressure{}
-	_, after := measured.observe(time.Second, consumption{processor: time.Hour, memory: 1 << 40, descriptors: 1 << 20}, nodecapacity.Limits{})
+	measured := &pressureMonitor{}
+	_, after := measured.observe(time.Second, resourceUsage{processor: time.Hour, memory: 1 << 40, descriptors: 1 << 20}, nodecapacity.Limits{})
 	assert.Equal(t, nodecapacity.Free, after)
 }
 
 // TestNodeUnderPressureGetsFewerCallers has one node tell that it is busy.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := idleGateway(t)
-	assert.Empty(t, g.origins.planWeights(0))
+	assert.Empty(t, g.origins.capacityWeights(0))
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
-	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.planWeights(now))
+	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
 	g.assign(now)
 	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().weights["other"])
 	_, told := g.originReport(now)
 	require.Len(t, told, 1)
-	g.takeOrigins(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
-	assert.NotEmpty(t, g.origins.planWeights(now), "an older word doesn't count")
-	assert.Empty(t, g.origins.planWeights(now+rateValid+time.Second), "a word that isn't renewed ends")
+	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
+	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older word doesn't count")
+	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a word that isn't renewed ends")
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
-	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.planWeights(g.now())["other"])
+	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityWeights(g.now())["other"])
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: 77})
-	assert.True(t, g.origins.silent(g.now(), "other"), "an unknown word counts as the highest")
+	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown word counts as the highest")
 	g.takeLoad(&rpc.LoadReport{Node: "other"})
-	assert.Empty(t, g.origins.planWeights(g.now()))
+	assert.Empty(t, g.origins.capacityWeights(g.now()))
 }
 
 // TestOwnPressureIsTold has this node itself run short.
@@ -82,7 +82,7 @@
 	settings := *g.settings()
 	settings.Limits = nodecapacity.Limits{MemoryMB: 100}
 	require.NoError(t, g.Reload(settings))
-	g.takeUsage(g.now(), consumption{memory: 99 * bytesPerMB})
+	g.recordUsage(g.now(), resourceUsage{memory: 99 * bytesPerMB})
 	assert.EqualValues(t, nodecapacity.Full, g.loadReport("other").GetPressure())
 	response, _ := g.watchResponse(&rpc.WatchRequest{})
 	require.Len(t, response.GetPressures(), 1)
@@ -92,7 +92,7 @@
 // TestLostRegionIsRememberedAndCountedOnce cuts a region off and lets it return: its callers'
 // demand is planned for by those that are left, and isn't added to what the region tells again.
 func TestLostRegionIsRememberedAndCountedOnce(t *testing.T) {
-	known := newOrigins()
+	known := newOriginTracker()
 	north, south := membership.Location{Region: "north", Zone: "a"}, membership.Location{Region: "south", Zone: "b"}
 	both := map[membership.Location]float64{north: 100, south: 80}
 	alone := map[membership.Location]float64{north: 100}
@@ -101,7 +101,7 @@
 		for range int(duration / rolesInterval) {
 			planned = known.plan(rates)
 			for place, rate := range planned {
-				require.LessOrEqual(t, rate, both[place]*(1+originStep), "counted once at any time")
+				require.LessOrEqual(t, rate, both[place]*(1+replanThreshold), "counted once at any time")
 			}
 		}
 		return planned
@@ -117,7 +117,7 @@
 // TestVaryingRatesChangeThePlanSeldom has the numbers of few requests vary as they do by chance.
 func TestVaryingRatesChangeThePlanSeldom(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
-	known := newOrigins()
+	known := newOriginTracker()
 	changes := 0
 	var before map[membership.Location]float64
 	for range 300 {
@@ -137,16 +137,16 @@
 // TestPartitionedNodesCountOnlyWhomTheyHear has one side's rates run out while the link is
 // down, and come back as they are then.
 func TestPartitionedNodesCountOnlyWhomTheyHear(t *testing.T) {
-	known := newDemand()
+	known := newDemandTracker()
 	known.setSharing(true)
-	known.peer(0, "near", 40)
-	known.peer(0, "far", 60)
-	assert.InDelta(t, 100, known.summed(time.Second), 1e-9)
-	known.peer(4*time.Second, "near", 45)
-	assert.InDelta(t, 45, known.summed(4*time.Second), 1e-9)
+	known.setPeerRate(0, "near", 40)
+	known.setPeerRate(0, "far", 60)
+	assert.InDelta(t, 100, known.sharedTotal(time.Second), 1e-9)
+	known.setPeerRate(4*time.Second, "near", 45)
+	assert.InDelta(t, 45, known.sharedTotal(4*time.Second), 1e-9)
 	assert.Len(t, known.nodeRates(4*time.Second, "self"), 2)
-	known.peer(5*time.Second, "far", 70)
-	assert.InDelta(t, 115, known.summed(5*time.Second), 1e-9)
+	known.setPeerRate(5*time.Second, "far", 70)
+	assert.InDelta(t, 115, known.sharedTotal(5*time.Second), 1e-9)
 }
 
 // scriptedListener returns connections one after the other.
@@ -172,9 +172,9 @@
 	}
 	room, refused := 0, 0
 	listener := &boundedListener{
-		Listener: &scriptedListener{conns: ours},
-		room:     func() bool { room++; return room == 3 },
-		refused:  func() { refused++ },
+		Listener:  &scriptedListener{conns: ours},
+		hasRoom:   func() bool { room++; return room == 3 },
+		onRefused: func() { refused++ },
 	}
 	taken, err := listener.Accept()
 	require.NoError(t, err)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -224,7 +224,7 @@
 func (g *Gateway) noteQuarantine(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
-		broken := g.pending.hold(fingerprint)
+		broken := g.pending.cancelQuarantined(fingerprint)
 		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Ends).
 			Dur("first_end_age", change.verdict.FirstAge).Dur("last_end_age", change.verdict.LastAge).
 			Int("trials", change.verdict.Trials).Int("broken_off", broken).Msg("quarantine_began")
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -213,12 +213,12 @@
 	current := heldRequest(g, time.Second)
 	var causes []error
 	for _, send := range []*pendingSend{
-		{fingerprint: current.fingerprint}, {fingerprint: current.fingerprint, trial: true}, {fingerprint: quarantine.Fingerprint{1}},
+		{fingerprint: current.fingerprint}, {fingerprint: current.fingerprint, quarantineTrial: true}, {fingerprint: quarantine.Fingerprint{1}},
 	} {
 		send.cancel = func(cause error) { causes = append(causes, cause) }
 		g.pending.add(send)
 	}
-	assert.Equal(t, 1, g.pending.hold(current.fingerprint))
+	assert.Equal(t, 1, g.pending.cancelQuarantined(current.fingerprint))
 	require.Len(t, causes, 1)
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinetalk.go
@@ -62,7 +62,7 @@
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
 	report.QuarantineRecords = encodeRecords(g.now(), records)
 	newFanout(quarantineCalls).call(g.life.Dying(), g.quarantinePeers(), func(member membership.Member) {
-		ctx, cancel := context.WithTimeout(g.peerCall(traffic.Quarantine, member), quarantineTimeout)
+		ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Quarantine, member), quarantineTimeout)
 		defer cancel()
 		if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
 			g.metrics.shareFailures.Inc()
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -17,11 +17,11 @@
 
 // Times of the talk about quotas.
 const (
-	// useTimeout bounds one exchange of what tenants have used.
-	useTimeout = 250 * time.Millisecond
-	// carryingFor is how long after a request of a tenant with a limit a node that callers
+	// usageTimeout bounds one exchange of what tenants have used.
+	usageTimeout = 250 * time.Millisecond
+	// usageReportPeriod is how long after a request of a tenant with a limit a node that callers
 	// aren't sent to tells those that serve what it has admitted.
-	carryingFor = 3 * time.Second
+	usageReportPeriod = 3 * time.Second
 	// unknownRate marks a report that doesn't tell the sender's rate of requests.
 	unknownRate = -1
 )
@@ -73,35 +73,35 @@
 	q.limiter.Refund(now, tenant, cost)
 }
 
-// unlimited tells whether no tenant has a limit.
-func (q *quotas) unlimited() bool {
+// isUnlimited tells whether no tenant has a limit.
+func (q *quotas) isUnlimited() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.Unlimited()
 }
 
-func (q *quotas) near(now time.Duration) bool {
+func (q *quotas) isNearLimit(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.Near(now)
 }
 
-// newcomer tells whether this node doesn't know yet what was used before its start.
-func (q *quotas) newcomer(now time.Duration) bool {
+// isNewcomer tells whether this node doesn't know yet what was used before its start.
+func (q *quotas) isNewcomer(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.Newcomer(now)
 }
 
-// heardSince tells whether a node has told what it admits since a time.
-func (q *quotas) heardSince(node fleet.NodeID, at time.Duration) bool {
+// hasReportedSince tells whether a node has told what it admits since a time.
+func (q *quotas) hasReportedSince(node fleet.NodeID, at time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.HeardSince(node, at)
 }
 
-// write adds what this node has admitted to a report to another node.
-func (q *quotas) write(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
+// writeReport adds what this node has admitted to a report to another node.
+func (q *quotas) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	report.UsesTold = true
@@ -115,8 +115,8 @@
 	}
 }
 
-// take takes in what another node has admitted, if its report tells that.
-func (q *quotas) take(now time.Duration, report *rpc.LoadReport) {
+// applyReport takes in what another node has admitted, if its report tells that.
+func (q *quotas) applyReport(now time.Duration, report *rpc.LoadReport) {
 	if !report.GetUsesTold() {
 		return
 	}
@@ -140,10 +140,10 @@
 	q.limiter.Observe(now, told)
 }
 
-// expect names the nodes that this one shares loads with. Others that have told
+// expectPeers names the nodes that this one shares loads with. Others that have told
 // something and are still alive report to somebody else; those that are gone are left
 // their part.
-func (q *quotas) expect(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
+func (q *quotas) expectPeers(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
@@ -162,15 +162,15 @@
 	}
 }
 
-// leave forgets what others have told: this node no longer hears of all.
-func (q *quotas) leave(now time.Duration) {
+// forgetPeers forgets what others have told: this node no longer hears of all.
+func (q *quotas) forgetPeers(now time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.Leave(now)
 }
 
-// chargeTenant takes a request's cost out of its tenant's quota, or refuses it.
-func (g *Gateway) chargeTenant(current *callerRequest) *refusal {
+// chargeQuota takes a request's cost out of its tenant's quota, or refuses it.
+func (g *Gateway) chargeQuota(current *callerRequest) *refusal {
 	if current.tenant == nil || current.tenant.Quota == nil {
 		return nil
 	}
@@ -192,95 +192,95 @@
 	return &refusal{code: resultcode.QuotaExceeded, reason: "quota exceeded", retryAfter: max(decision.RetryAfter, shortRetryAfter)}
 }
 
-// chargeAgain takes the cost of a further run out of the tenant's quota.
-func (g *Gateway) chargeAgain(current *callerRequest) {
+// chargeRerun takes the cost of a further run out of the tenant's quota.
+func (g *Gateway) chargeRerun(current *callerRequest) {
 	if current.quotaCost > 0 && current.attempts.MayHaveRun() {
 		g.quotas.charge(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
-// refundUnrun gives back what a request was charged that didn't run.
-func (g *Gateway) refundUnrun(current *callerRequest) {
+// refundIfNotRun gives back what a request was charged that didn't run.
+func (g *Gateway) refundIfNotRun(current *callerRequest) {
 	if current.quotaCost > 0 && (current.attempts == nil || !current.attempts.MayHaveRun()) {
 		g.quotas.refund(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
-// shareUses tells the nodes that share loads what tenants near their limits have used,
+// driveUsageExchange tells the nodes that share loads what tenants near their limits have used,
 // and asks them, more often than loads are shared.
-func (g *Gateway) shareUses() error {
-	for g.pauseForUses() {
-		if !g.quotas.near(g.now()) && !g.quotas.newcomer(g.now()) {
+func (g *Gateway) driveUsageExchange() error {
+	for g.pauseForUsage() {
+		if !g.quotas.isNearLimit(g.now()) && !g.quotas.isNewcomer(g.now()) {
 			continue
 		}
-		for _, member := range g.usePeers() {
-			if !g.quotas.heardSince(member.Node, g.now()-quota.NearInterval) {
-				go g.exchangeUses(member)
+		for _, member := range g.usagePeers() {
+			if !g.quotas.hasReportedSince(member.Node, g.now()-quota.NearInterval) {
+				go g.exchangeUsage(member)
 			}
 		}
 	}
 	return nil
 }
 
-// unlimitedPause is the time between two looks at uses while no tenant has a limit.
-const unlimitedPause = time.Second
+// unlimitedInterval is the time between two looks at uses while no tenant has a limit.
+const unlimitedInterval = time.Second
 
-// pauseForUses waits until the next look at what tenants near their limits have used. It
+// pauseForUsage waits until the next look at what tenants near their limits have used. It
 // returns false when the process ends.
-func (g *Gateway) pauseForUses() bool {
-	if g.holder.Current() != nil && g.quotas.unlimited() {
-		return g.pauseOrRest(unlimitedPause)
+func (g *Gateway) pauseForUsage() bool {
+	if g.holder.Current() != nil && g.quotas.isUnlimited() {
+		return g.pauseOrRest(unlimitedInterval)
 	}
 	return g.pause(quota.NearInterval)
 }
 
-// followUsers keeps up to date whose use this node hears of. A node that carries
+// updateUsagePeers keeps up to date whose use this node hears of. A node that carries
 // requests although callers aren't sent to it asks those to which they are.
-func (g *Gateway) followUsers() {
-	peers := g.usePeers()
+func (g *Gateway) updateUsagePeers() {
+	peers := g.usagePeers()
 	if len(peers) == 0 {
-		g.quotas.leave(g.now())
+		g.quotas.forgetPeers(g.now())
 		return
 	}
-	g.quotas.expect(g.now(), g.demand.own(), peers, g.peers.View())
+	g.quotas.expectPeers(g.now(), g.demand.ownRate(), peers, g.peers.View())
 	if len(g.loadPeers()) > 0 {
 		return
 	}
 	for _, member := range peers {
-		go g.exchangeUses(member)
+		go g.exchangeUsage(member)
 	}
 	for _, member := range g.withDirectors(nil) {
 		go g.exchangeDeliveries(member)
 	}
 }
 
-// usePeers returns the nodes that this one tells what it admits: those that share
+// usagePeers returns the nodes that this one tells what it admits: those that share
 // loads, or, if callers aren't sent to it and some of limited tenants have come, those that
 // serve. Requests of others cause no talk, which would be most of a large fleet's.
-func (g *Gateway) usePeers() []membership.Member {
+func (g *Gateway) usagePeers() []membership.Member {
 	if peers := g.loadPeers(); len(peers) > 0 {
 		return peers
 	}
 	last := time.Duration(g.lastLimited.Load())
-	if last == 0 || g.now() > last+carryingFor {
+	if last == 0 || g.now() > last+usageReportPeriod {
 		return nil
 	}
 	return g.roles.Load().Serving
 }
 
-// exchangeUses tells one node what this one has admitted, and learns the same.
-func (g *Gateway) exchangeUses(member membership.Member) {
+// exchangeUsage tells one node what this one has admitted, and learns the same.
+func (g *Gateway) exchangeUsage(member membership.Member) {
 	if member.Node == g.node {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Uses, member), useTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Uses, member), usageTimeout)
 	defer cancel()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true}
-	g.quotas.write(g.now(), report, member.Node)
+	g.quotas.writeReport(g.now(), report, member.Node)
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.quotas.take(g.now(), answer)
+	g.quotas.applyReport(g.now(), answer)
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -22,13 +22,13 @@
 		g.lastRequest.Store(int64(g.now()))
 		return &callerRequest{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
 	}
-	assert.Empty(t, g.usePeers())
-	assert.Nil(t, g.chargeTenant(request(nil)))
-	assert.Nil(t, g.chargeTenant(request(&routes.Tenant{Name: "without"})))
-	assert.Empty(t, g.usePeers())
+	assert.Empty(t, g.usagePeers())
+	assert.Nil(t, g.chargeQuota(request(nil)))
+	assert.Nil(t, g.chargeQuota(request(&routes.Tenant{Name: "without"})))
+	assert.Empty(t, g.usagePeers())
 	limited := &routes.Tenant{Name: "limited", Quota: &routes.Quota{}}
-	g.chargeTenant(request(limited))
-	assert.Equal(t, g.roles.Load().Serving, g.usePeers())
-	g.lastLimited.Store(int64(g.now() - carryingFor - 1))
-	assert.Empty(t, g.usePeers())
+	g.chargeQuota(request(limited))
+	assert.Equal(t, g.roles.Load().Serving, g.usagePeers())
+	g.lastLimited.Store(int64(g.now() - usageReportPeriod - 1))
+	assert.Empty(t, g.usagePeers())
 }
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -121,7 +121,7 @@
 // hears of a few nodes' requests first: it would take one place for the origin of all, and
 // keep a group for it that is far too large.
 func (g *Gateway) roleOptions(now time.Duration, demand float64, before *nodeRoles) membership.RoleOptions {
-	options := membership.RoleOptions{Weights: g.origins.planWeights(now)}
+	options := membership.RoleOptions{Weights: g.origins.capacityWeights(now)}
 	origins := g.origins.plan(g.originRates(now))
 	if before == nil || now < planAfter {
 		return options
@@ -153,7 +153,7 @@
 func (g *Gateway) assign(now time.Duration) {
 	before := g.roles.Load()
 	roles := before
-	view, demand, standsIn := g.peers.View(), g.demand.planned(now), g.standIn.Load()
+	view, demand, standsIn := g.peers.View(), g.demand.plannedRate(now), g.standIn.Load()
 	options := g.roleOptions(now, demand, before)
 	if before == nil || before.view != view || before.demand != demand || before.standsIn != standsIn || before.plannedOtherwise(options) {
 		roles = deriveRolesBy(g.node, g.settings().Zone, view, demand, standsIn, options)
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -53,7 +53,7 @@
 	g.assign(time.Second)
 	assert.Same(t, derived, g.roles.Load(), "nothing has changed")
 	for range 1000 {
-		g.demand.note()
+		g.demand.countRequest()
 	}
 	g.demand.measure(2 * time.Second)
 	g.demand.setSharing(true)
@@ -89,7 +89,7 @@
 	assert.Equal(t, rolloutRest, g.rolloutPause())
 	g.inFlight.Store(1)
 	assert.Equal(t, rolloutInterval, g.rolloutPause())
-	assert.Less(t, rolloutRest+beginReserve, requireReserve)
+	assert.Less(t, rolloutRest+staleVersionMargin, requireReserve)
 }
 
 // TestRequestAtRestIsPlacedByTheVersionsThatAreDue places a request between two
@@ -197,7 +197,7 @@
 	g := idleGateway(t)
 	g.demand.setSharing(true)
 	first := func(now time.Duration) membership.RoleOptions {
-		g.demand.peer(now, g.node, 100)
+		g.demand.setPeerRate(now, g.node, 100)
 		return g.roleOptions(now, 100, g.roles.Load())
 	}
 	for now := time.Duration(0); now < planAfter; now += rolesInterval {
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -24,7 +24,7 @@
 			g.weights.hold(now)
 		}
 		g.requireDue(now)
-		g.pending.expire(g.weights.due(now, beginReserve))
+		g.pending.cancelStale(g.weights.due(now, staleVersionMargin))
 		g.noteStandIn(now)
 		g.keeper.SetEligible(g.rolloutCandidate())
 		token, holds := g.keeper.Fence()
@@ -143,7 +143,7 @@
 			return
 		}
 		wait := g.reportInterval(&next.worker)
-		report, err := g.outside.Engines.Report(g.workerCall(g.context(), callReport, &next.worker), next.worker)
+		report, err := g.outside.Engines.Report(g.workerCallContext(g.context(), callReport, &next.worker), next.worker)
 		if err == nil {
 			g.noteStart(next.worker.ID, backends.StartTime(report.Born))
 		}
@@ -238,7 +238,7 @@
 		return rollout.OrderUncertain, false
 	}
 	g.keeper.NoteUse()
-	ctx, cancel := context.WithTimeout(g.workerCall(g.context(), callOrder, &next.worker), orderTimeout)
+	ctx, cancel := context.WithTimeout(g.workerCallContext(g.context(), callOrder, &next.worker), orderTimeout)
 	defer cancel()
 	result, err := g.outside.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
 		Model:          next.model,
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -73,7 +73,7 @@
 	for index, server := range g.servers {
 		listener := g.listeners[index]
 		if server == g.front {
-			listener = &boundedListener{Listener: listener, room: g.hasRoom, refused: g.noteUntaken}
+			listener = &boundedListener{Listener: listener, hasRoom: g.hasConnectionRoom, onRefused: g.noteUntaken}
 		}
 		g.life.Go(func() error {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -94,7 +94,7 @@
 // noteUntaken counts and logs a caller's connection that was closed for want of descriptors.
 func (g *Gateway) noteUntaken() {
 	g.metrics.untaken.Inc()
-	g.events.line("connection_refused").Int("descriptors", g.pressure.descriptors()).Msg("connection_refused")
+	g.events.line("connection_refused").Int("descriptors", g.pressure.openDescriptors()).Msg("connection_refused")
 }
 
 func (g *Gateway) closeListeners() {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -7,27 +7,27 @@
 	"github.com/tillerfall/tillerfall/internal/nodecapacity"
 )
 
-// silentAfter is the number of failed exchanges in a row after which a node counts as
+// unreachableAfter is the number of failed exchanges in a row after which a node counts as
 // unreachable: one may
 // fail by a lost packet or a moment's work, and a node that is off fails two within some 1.4 s.
-const silentAfter = 2
+const unreachableAfter = 2
 
 // unreachable is said of a node by others, in the place of its own word on its pressure.
 const unreachable = nodecapacity.Full + 1
 
-// silences counts the exchanges with other nodes that have failed in a row.
-type silences struct {
+// peerFailures counts the exchanges with other nodes that have failed in a row.
+type peerFailures struct {
 	mutex  sync.Mutex
 	failed map[fleet.NodeID]int
 }
 
-func newSilences() *silences { return &silences{failed: make(map[fleet.NodeID]int)} }
+func newPeerFailures() *peerFailures { return &peerFailures{failed: make(map[fleet.NodeID]int)} }
 
 // forget drops a node that is gone.
-func (s *silences) forget(node fleet.NodeID) { s.note(node, true) }
+func (s *peerFailures) forget(node fleet.NodeID) { s.record(node, true) }
 
-// note takes in how an exchange went and tells whether the node counts as unreachable now.
-func (s *silences) note(node fleet.NodeID, answered bool) bool {
+// record takes in how an exchange went and tells whether the node counts as unreachable now.
+func (s *peerFailures) record(node fleet.NodeID, answered bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if answered {
@@ -35,7 +35,7 @@
 		return false
 	}
 	s.failed[node]++
-	return s.failed[node] >= silentAfter
+	return s.failed[node] >= unreachableAfter
 }
 
 // noteExchange takes in how an exchange with another node went. A node that doesn't answer is
@@ -43,8 +43,8 @@
 // seconds of a loss nodes at rest name it to no caller. By the membership's gossip alone the last
 // of many nodes knows of a loss of many after twice that time.
 func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
-	if g.silences.note(node, answered) && !g.stopping() {
-		g.origins.press(g.now(), node, unreachable)
+	if g.silences.record(node, answered) && !g.stopping() {
+		g.origins.setPressure(g.now(), node, unreachable)
 		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
 	}
 }
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -10,28 +10,28 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// trafficInterval is the time between two lines of the bytes counted: with lines of
+// trafficLogInterval is the time between two lines of the bytes counted: with lines of
 // less than 2 KB a node logs some 30 MB a day for it.
-const trafficInterval = 5 * time.Second
+const trafficLogInterval = 5 * time.Second
 
-// place returns where this node is.
-func (g *Gateway) place() membership.Location {
+// location returns where this node is.
+func (g *Gateway) location() membership.Location {
 	return membership.Location{Zone: g.settings().Zone, Region: g.settings().Region}
 }
 
 // distanceTo returns how far a zone is.
 func (g *Gateway) distanceTo(zone fleet.ZoneName) traffic.Distance {
-	return traffic.Between(g.place(), membership.Location{Zone: zone, Region: g.settings().Zones[zone]})
+	return traffic.Between(g.location(), membership.Location{Zone: zone, Region: g.settings().Zones[zone]})
 }
 
-// peerCall returns a context for a call to another gateway.
-func (g *Gateway) peerCall(purpose traffic.Purpose, member membership.Member) context.Context {
-	distance := traffic.Between(g.place(), membership.Location{Zone: member.Zone, Region: member.Region})
+// peerCallContext returns a context for a call to another gateway.
+func (g *Gateway) peerCallContext(purpose traffic.Purpose, member membership.Member) context.Context {
+	distance := traffic.Between(g.location(), membership.Location{Zone: member.Zone, Region: member.Region})
 	return traffic.With(g.context(), purpose, distance)
 }
 
-// workerCall counts a call to a worker for the gateway's own sake and returns its context.
-func (g *Gateway) workerCall(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
+// workerCallContext counts a call to a worker for the gateway's own sake and returns its context.
+func (g *Gateway) workerCallContext(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
 	g.noteCall(worker.ID, kind)
 	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, born: worker.Born, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
@@ -39,7 +39,7 @@
 
 // reportTraffic logs the bytes counted since the start.
 func (g *Gateway) reportTraffic() error {
-	for g.pause(trafficInterval) {
+	for g.pause(trafficLogInterval) {
 		line := g.logger.Info()
 		for _, count := range g.outside.Traffic.Counts() {
 			line = line.Uint64(count.Purpose.String()+"_"+count.Distance.String()+"_"+count.Direction.String(), count.Bytes)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -138,7 +138,7 @@
 	request := &rpc.WatchRequest{
 		Node:        string(g.node),
 		WaitMillis:  uint32(watchWaitFor(g.settings().RevokeWithin).Milliseconds()),
-		RequestRate: encodeRate(g.demand.summed(g.now())),
+		RequestRate: encodeRate(g.demand.sharedTotal(g.now())),
 	}
 	if _, proven := g.fresh.Age(g.now()); !proven {
 		request.WaitMillis = 0
@@ -160,7 +160,7 @@
 	g.askForSubsets(request)
 	begun := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
-	ctx, stop := g.resumptions.bind(g.peerCall(traffic.Watches, member))
+	ctx, stop := g.resumptions.bind(g.peerCallContext(traffic.Watches, member))
 	defer stop()
 	response, err := g.peers.AskWatch(ctx, member.Address, firstByte, request)
 	if g.context().Err() != nil {
@@ -199,8 +199,8 @@
 		followed.seen = update.Sequence
 		followed.cache.Advance(update.Followed)
 	}
-	g.demand.told(g.now(), decodeRate(response.GetRequestRate()))
-	g.takeOrigins(g.now(), response.GetOrigins(), response.GetPressures())
+	g.demand.reportTotal(g.now(), decodeRate(response.GetRequestRate()))
+	g.applyOriginReport(g.now(), response.GetOrigins(), response.GetPressures())
 	proven := response.GetProofAgeMillis() > 0
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
 	if proven {
@@ -252,8 +252,8 @@
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
 	g.sources.watched(arrived)
-	g.demand.told(g.now(), decodeRate(request.GetRequestRate()))
-	g.takeOrigins(g.now(), request.GetOrigins(), request.GetPressures())
+	g.demand.reportTotal(g.now(), decodeRate(request.GetRequestRate()))
+	g.applyOriginReport(g.now(), request.GetOrigins(), request.GetPressures())
 	wait := min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
