--- a/internal/gateway/awaitversion.go
+++ b/internal/gateway/awaitversion.go
@@ -7,30 +7,27 @@
 	"github.com/tillerfall/tillerfall/internal/backends"
 )
 
-// Waiting for an engine with weights that a request may begin on.
 const (
-	// versionWait is how long a request that was taken away from old weights waits for
-	// an engine that has the new ones: engines are under order then, and are asked each
-	// reportInterval. Without it such a request fails although an engine is known to be ready a few
-	// milliseconds later.
+	// versionWait is how long a request that was cancelled at an engine with a stale version waits
+	// for an engine with a current one.
 	versionWait         = 400 * time.Millisecond
 	versionPollInterval = 20 * time.Millisecond
 )
 
-// chooseWorker chooses a worker for a request. One that was at an engine already and finds none
-// with the weights that it may begin on waits for a moment.
+// chooseWorker chooses a worker for a request. A request that was sent before and finds no engine
+// with a version it may start on waits for up to versionWait.
 func (g *Gateway) chooseWorker(ctx context.Context, current *callerRequest, request *backends.Request) (*backends.Placement, backends.Refusal) {
 	until := g.now() + versionWait
 	for {
 		placement, refused := g.workers.Choose(g.now(), request)
-		waits := refused.Reason == backends.ReasonVersion && current.attempts.Sends() > 0 && g.now() < until
-		if placement != nil || !waits || !pauseWithContext(ctx, versionPollInterval) {
+		shouldWait := refused.Reason == backends.ReasonVersion && current.attempts.Sends() > 0 && g.now() < until
+		if placement != nil || !shouldWait || !pauseWithContext(ctx, versionPollInterval) {
 			return placement, refused
 		}
 	}
 }
 
-// pauseWithContext waits; it returns false when the context ends before.
+// pauseWithContext waits for a duration. It returns false if the context ends first.
 func pauseWithContext(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -15,23 +15,24 @@
 	"github.com/tillerfall/tillerfall/internal/workerbackoff"
 )
 
-// errBackoff is the cause of a send that isn't made since the worker wants none for a time.
+// errBackoff is the cause of a send that is not made because the worker is in backoff.
 var errBackoff = errors.New("worker asked for no requests")
 
-// reasonBackoff is why a request is refused whose workers all want none.
+// reasonBackoff is the reason for refusing a request whose candidate workers are all in backoff.
 const reasonBackoff = "workers_in_backoff"
 
-// backoffPollInterval is the time between two looks at a backoff: timers stand still while the machine
-// is suspended.
+// backoffPollInterval bounds a single wait for the end of a backoff, since timers stop while the
+// machine is suspended.
 const backoffPollInterval = time.Second
 
-// maxOrderDelay bounds how long orders and reports wait for the end of a backoff. An order
-// concerns all nodes: without it the worker gets no requests at all once its weights are too old.
+// maxOrderDelay bounds how long version orders and reports wait for the end of a backoff. Without
+// an order the worker receives no more requests once its model version is too old.
 const maxOrderDelay = 2 * time.Second
 
-// workerBackoffs makes what this node knows of workers' backoffs safe for concurrent use.
+// workerBackoffs holds the backoffs that workers have asked this node for. It is safe for
+// concurrent use.
 type workerBackoffs struct {
-	// active is set while a worker has a backoff: without, requests need no lock.
+	// active is set while any worker has a backoff; without one, requests need no lock.
 	active atomic.Bool
 
 	mutex       sync.Mutex
@@ -47,8 +48,7 @@
 	return workerbackoff.Run{Worker: worker, Born: uint64(born)}
 }
 
-// extend takes in that a run wants no requests for a time, and tells whether that is longer than
-// before.
+// extend records that a run asks for a backoff and reports whether this extends the current one.
 func (b *workerBackoffs) extend(now time.Duration, run workerbackoff.Run, wait time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -56,7 +56,7 @@
 	return b.ledger.Ask(now, run, wait)
 }
 
-// remaining returns for how long a run is to get nothing.
+// remaining returns how long a run still receives nothing.
 func (b *workerBackoffs) remaining(now time.Duration, run workerbackoff.Run) time.Duration {
 	if !b.active.Load() {
 		return 0
@@ -66,7 +66,8 @@
 	return b.ledger.Closed(now, run)
 }
 
-// begin returns for how long a run is to get no request; if 0, one is about to be sent.
+// begin returns how long a run still receives no requests. If it returns 0, the caller is about to
+// send one, and a run that is half open receives no other until that is answered.
 func (b *workerBackoffs) begin(now time.Duration, run workerbackoff.Run) time.Duration {
 	if !b.active.Load() {
 		return 0
@@ -76,7 +77,7 @@
 	return b.ledger.Begin(now, run)
 }
 
-// recordAnswer takes in an answer that asks for no backoff.
+// recordAnswer records an answer that asks for no backoff, to a request sent at sentAt.
 func (b *workerBackoffs) recordAnswer(run workerbackoff.Run, sentAt time.Duration) {
 	if !b.active.Load() {
 		return
@@ -98,7 +99,7 @@
 	b.active.Store(!b.ledger.Empty())
 }
 
-// workersInBackoff returns the workers that are to get nothing.
+// workersInBackoff returns the workers that receive nothing at now.
 func (b *workerBackoffs) workersInBackoff(now time.Duration) []fleet.EngineID {
 	if !b.active.Load() {
 		return nil
@@ -108,15 +109,15 @@
 	return b.ledger.Closing(now)
 }
 
-// retryAfter returns when a caller of a priority is to come back, if the first worker opens
-// after a time.
+// retryAfter returns when a caller of the given priority should retry if the first worker opens
+// after opensIn.
 func (b *workerBackoffs) retryAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.returnTimes.After(opensIn, priority)
 }
 
-// noteRetryAfter takes in that a worker wants nothing from this node for a time.
+// noteRetryAfter records that a worker asks this node for a backoff.
 func (g *Gateway) noteRetryAfter(about noticeSource, wait time.Duration) {
 	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(about.kind)).Inc()
 	longer := g.backoffs.extend(g.now(), backoffRun(about.worker, about.born), wait)
@@ -124,8 +125,8 @@
 		Dur("retry_after", wait).Bool("longer", longer).Msg("worker_notice")
 }
 
-// deferringWorkers returns the workers that have asked another node for no requests, if it is of this
-// node's zone: a worker may reject the requests of one zone alone.
+// deferringWorkers returns the workers that are in backoff at the reporting node. It returns nil
+// for a node of another zone, since a worker may reject the requests of a single zone.
 func (g *Gateway) deferringWorkers(report *rpc.LoadReport) []fleet.EngineID {
 	if len(report.GetDeferring()) == 0 {
 		return nil
@@ -141,7 +142,7 @@
 	return deferring
 }
 
-// awaitBackoff waits until a worker may be called for the gateway's own sake.
+// awaitBackoff waits until a worker's backoff is over.
 func (g *Gateway) awaitBackoff(ctx context.Context, run workerbackoff.Run) {
 	for ctx.Err() == nil {
 		closed := g.backoffs.remaining(g.now(), run)
@@ -152,7 +153,7 @@
 	}
 }
 
-// orderDelayOf returns how long a worker that is under order is to get no order or report yet.
+// orderDelayOf returns how long orders and reports to a worker are still held back by its backoff.
 // since is when the first of these was due.
 func (g *Gateway) orderDelayOf(worker *backends.Worker, since time.Duration) time.Duration {
 	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.Born))
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -8,28 +8,27 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Parts of the retries that all nodes share.
+// Shares of the retry budget that all nodes may spend together.
 const (
-	// ratioFraction is the part of the allowed ratio that a node spends.
+	// ratioFraction is the part of the allowed retry ratio that a node spends.
 	ratioFraction = 0.95
-	// servingSlackFraction is the part of the allowed slack that the nodes to which callers
-	// are sent spend together: a node that has just come may not be counted by all
-	// yet. The other nodes have idleSlackPart together.
+	// servingSlackFraction is the part of the allowed slack that the serving nodes spend together,
+	// with a margin since some nodes may not count a new one yet. The other nodes have
+	// idleSlackFraction together.
 	servingSlackFraction = 0.6
 	idleSlackFraction    = 0.2
-	// initialSlackFraction is the part of its slack that a node has at its start. All may
-	// restart within one window, and have spent their slack just before.
+	// initialSlackFraction is the part of its slack that a node has at its start. All nodes may
+	// restart within one window, after they have spent their slack.
 	initialSlackFraction = 0.5
-	// minSlackSharers is the least number of nodes that the slack is divided by.
+	// minSlackSharers is the least number of nodes among which the slack is divided.
 	minSlackSharers = 8
 )
 
-// retryBudgets holds a retry budget for each service. Each node spends its part of
-// what all nodes may, so that no talk is needed; a node that has just started
-// has a part of it only.
+// retryBudgets holds a retry budget for each service. Each node spends a fixed share of the global
+// budget, so the nodes need no coordination; a node that has just started gets part of its share.
 type retryBudgets struct {
 	settings Settings
-	// share returns the part of the slack that is this node's.
+	// share returns this node's share of the slack.
 	share    func() float64
 	mutex    sync.Mutex
 	services map[fleet.PoolName]*attempt.WindowBudget
@@ -39,7 +38,7 @@
 	return &retryBudgets{settings: settings, share: share, services: make(map[fleet.PoolName]*attempt.WindowBudget)}
 }
 
-// retryShare returns the part of the slack that is this node's.
+// retryShare returns this node's share of the slack.
 func (g *Gateway) retryShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
 	if g.serves() {
@@ -48,14 +47,14 @@
 	return idleSlackFraction / float64(max(members-serving, minSlackSharers))
 }
 
-// setSettings takes over other bounds, for services without a budget so far.
+// setSettings replaces the bounds. Window and ratio apply only to services that have no budget yet.
 func (b *retryBudgets) setSettings(settings Settings) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.settings = settings
 }
 
-// forService returns the budget forService a service.
+// forService returns the budget of a service.
 func (b *retryBudgets) forService(service fleet.PoolName) attempt.RetryBudget {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -72,7 +71,7 @@
 	return &sharedBudget{owner: b, budget: budget}
 }
 
-// sharedBudget is a budget that the requests of one service share.
+// sharedBudget is a budget that all requests of a service share. It is safe for concurrent use.
 type sharedBudget struct {
 	owner  *retryBudgets
 	budget *attempt.WindowBudget
--- a/internal/gateway/callergone.go
+++ b/internal/gateway/callergone.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// callerConnKey is the key of a caller's connection in the context of its requests.
+// callerConnKey is the context key of a caller's connection.
 type callerConnKey struct{}
 
 // withCallerConn is the ConnContext hook of the front server.
@@ -14,10 +14,9 @@
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// hasDisconnected tells whether the caller of a request has closed its connection. The server's own
-// watch over the connection begins with the request and says so a moment later: a request
-// that had waited unread until its caller gave up would reach a worker first, and run for
-// nobody.
+// hasDisconnected reports whether the caller of a request has closed its connection. It peeks at
+// the socket, because the HTTP server detects the disconnect of a caller only some time after it
+// began to serve the request.
 func hasDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
@@ -30,17 +29,17 @@
 	if err != nil {
 		return true
 	}
-	left := false
+	closed := false
 	err = raw.Control(func(descriptor uintptr) {
-		var one [1]byte
-		count, _, peekErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		count, _, peekErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch peekErr {
 		case nil:
-			left = count == 0
+			closed = count == 0
 		case syscall.EAGAIN, syscall.EINTR:
 		default:
-			left = true
+			closed = true
 		}
 	})
-	return err != nil || left
+	return err != nil || closed
 }
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -15,11 +15,11 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// deadlineGrace is how much later than its deadline a request is broken off: the worker's own
-// word on the deadline goes first.
+// deadlineGrace is how long after its deadline a request is cancelled. It leaves the worker time to
+// report the missed deadline itself.
 const deadlineGrace = 40 * time.Millisecond
 
-// errDeadlinePassed is the cause of a send broken off at its deadline.
+// errDeadlinePassed is the cause of a send that is cancelled at its deadline.
 var errDeadlinePassed = errors.New("deadline passed")
 
 // forward sends a request to workers until there is a final answer.
@@ -61,13 +61,13 @@
 	}
 }
 
-// send chooses a worker, sends the request there and passes the answer on.
+// send chooses a worker, sends the request to it and relays the answer.
 func (g *Gateway) send(ctx context.Context, current *callerRequest) attempt.Step {
 	if current.isCallerGone() {
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
 	g.noteSuspension()
-	if verdict, held := g.holds(current); held {
+	if verdict, quarantined := g.holds(current); quarantined {
 		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
@@ -89,7 +89,7 @@
 	return g.sendTo(ctx, current, placement)
 }
 
-// sendTo sends the request to a chosen worker and passes the answer on.
+// sendTo sends the request to a chosen worker and relays the answer.
 func (g *Gateway) sendTo(ctx context.Context, current *callerRequest, placement *backends.Placement) attempt.Step {
 	current.worker = string(placement.Worker.ID)
 	current.sentAt, current.eventCount = g.now(), 0
@@ -122,9 +122,9 @@
 	return g.deliver(ctx, current, placement, answer)
 }
 
-// exchangeWith carries out one exchange up to the answer's head. Until then it
-// may be broken off since the engine's weights are too old to begin on, or since the
-// request is held by then.
+// exchangeWith sends the request and waits for the head of the answer. Until the head arrives, the
+// send may be cancelled because the engine's model version has become too old or the request has
+// been quarantined.
 func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Answer, error) {
 	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, quarantineTrial: current.quarantineTrial}
 	if placement.Engine != nil {
@@ -136,8 +136,8 @@
 	return g.upstreams.Do(ctx, g.destination(current, &placement.Worker), g.outgoingRequest(ctx, current, placement))
 }
 
-// isAcceptable tells whether a worker's answer may be passed on: a success must
-// be signed, and so must a status that would promise that nothing ran.
+// isAcceptable reports whether a worker's answer may be passed on. A success must be signed, and so
+// must a status that implies that the request did not run.
 func isAcceptable(status int, info AnswerInfo) bool {
 	switch {
 	case status < http.StatusMultipleChoices:
@@ -149,8 +149,8 @@
 	}
 }
 
-// handleSendError takes in a send without an answer. sending is the context of the send, ctx that
-// of the request.
+// handleSendError returns the next step after a send that brought no answer. sending is the context
+// of the send, ctx that of the request.
 func (g *Gateway) handleSendError(ctx, sending context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
 	run := placement.Worker.Run()
 	var failure *upstream.Failure
@@ -195,7 +195,7 @@
 	}
 }
 
-// handleRejection takes in a worker's word that it did not run the request.
+// handleRejection returns the next step after a worker reported that it did not run the request.
 func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
 	drainAnswer(answer)
 	outcome := backends.Refused
@@ -209,10 +209,10 @@
 	return current.attempts.Rejected(g.now(), placement.Worker.Run())
 }
 
-// maxDrainBytes bounds what is read of an answer that isn't passed on.
+// maxDrainBytes bounds how much is read of an answer that is not passed on.
 const maxDrainBytes = 4 << 10
 
-// drainAnswer reads a short answer to its end, so that its connection can be used again.
+// drainAnswer reads a short answer to its end, so that its connection can be reused.
 func drainAnswer(answer *upstream.Answer) {
 	var buffer [512]byte
 	for total := 0; total < maxDrainBytes; {
@@ -224,7 +224,7 @@
 	}
 }
 
-// recordOutcome notes and logs how a send went.
+// recordOutcome records and logs the outcome of a send.
 func (g *Gateway) recordOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome, cause string) {
 	g.noteDelivery(current, placement, outcome)
 	placement.End(g.now(), outcome)
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -9,11 +9,11 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// exchangeOverheadBytes is the size of an exchange besides the request's body: headers both ways
-// and an answer of some hundred bytes.
+// exchangeOverheadBytes is the assumed size of an exchange besides the request's body: headers in
+// both directions and a short answer.
 const exchangeOverheadBytes = 1500
 
-// placementRequest describes the request to the registry.
+// placementRequest describes a caller's request to the worker registry.
 func (g *Gateway) placementRequest(current *callerRequest) *backends.Request {
 	destination := g.destination(current, &backends.Worker{})
 	request := &backends.Request{
@@ -32,8 +32,8 @@
 		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
 			intake, opensIn := g.limits.intake(now, worker, priority)
 			current.atLimit = current.atLimit || intake == backends.IntakeClosed
-			if closed := g.backoffs.remaining(now, backoffRun(worker.ID, worker.Born)); closed > 0 {
-				return backends.IntakeClosed, max(closed, opensIn)
+			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.Born)); backoff > 0 {
+				return backends.IntakeClosed, max(backoff, opensIn)
 			}
 			return intake, opensIn
 		}
@@ -65,8 +65,8 @@
 	return request
 }
 
-// unavailableRefusal returns why a request is refused for which all workers are closed, and when its
-// caller is to come back. opensIn is the time until the first of them opens.
+// unavailableRefusal returns the refusal for a request whose candidate workers are all closed, by
+// their limits or in backoff. opensIn is the time until the first of them opens.
 func (g *Gateway) unavailableRefusal(current *callerRequest, opensIn time.Duration) backends.Refusal {
 	if current.atLimit {
 		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.returnAfter(g.now(), opensIn, g.servingCount())}
@@ -74,8 +74,8 @@
 	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.retryAfter(opensIn, priorityOf(current))}
 }
 
-// latencyTargetLeft returns the time within which an answer should begin; 0 if the route
-// names none.
+// latencyTargetLeft returns the time left until the route's latency target, at least 1 ms; 0 if the
+// route has no target.
 func (g *Gateway) latencyTargetLeft(current *callerRequest) time.Duration {
 	if current.route.TargetLatency <= 0 {
 		return 0
@@ -83,21 +83,21 @@
 	return max(current.startedAt+current.route.TargetLatency-g.now(), time.Millisecond)
 }
 
-// cacheStore returns the store of kept KV cache for a request's prompt, or nil:
-// of several, all nodes take the same one for the same shared parts.
+// cacheStore returns the KV cache store for a request's prompt, or nil if none is configured. It
+// uses rendezvous hashing, so all nodes choose the same store for the same prefix.
 func (g *Gateway) cacheStore(current *callerRequest) *routes.Service {
-	held := g.holder.Current()
-	if held == nil {
+	snapshot := g.holder.Current()
+	if snapshot == nil {
 		return nil
 	}
 	key := backends.PrefixName(current.metadata.Parts)
-	var kept *routes.Service
+	var chosen *routes.Service
 	highest := uint64(0)
-	for _, store := range held.Table.Stores() {
+	for _, store := range snapshot.Table.Stores() {
 		weight := membership.RendezvousWeight(key, string(store.Store.Address))
-		if kept == nil || weight > highest {
-			kept, highest = store, weight
+		if chosen == nil || weight > highest {
+			chosen, highest = store, weight
 		}
 	}
-	return kept
+	return chosen
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -8,25 +8,24 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// minCopyOutputTokens is the number of tokens from which on a run is copied as it grows. Engines
-// copy a few times a second, and a token takes some 5 ms: shorter runs have mostly ended
-// before their copy is there.
+// minCopyOutputTokens is the least number of output tokens for which a run is replicated to another
+// engine. Shorter runs mostly end before their copy is complete.
 const minCopyOutputTokens = 16
 
-// maxCopyPromptTokens is the number of prompt tokens up to which a run is copied. A copy moves the
-// memory of the whole prompt and takes as much room at the other engine for as long as the
-// run lasts: those of long prompts drive other parts out and save no more streams.
+// maxCopyPromptTokens is the largest prompt, in tokens, for which a run is replicated. A copy
+// transfers the KV cache of the whole prompt and occupies as much memory at the other engine while
+// the run lasts.
 const maxCopyPromptTokens = 2048
 
-// wantsCopy tells whether a request's run should be copied to another engine: a stream
-// that nobody could go on with otherwise if its engine is lost.
+// wantsCopy reports whether a request's run should be replicated to another engine: it is a stream
+// that could not be resumed otherwise if its engine is lost.
 func wantsCopy(current *callerRequest) bool {
 	return current.route.Kind == routes.Streaming && !current.route.Resumable && !current.quarantineTrial &&
 		current.metadata.OutputTokens >= minCopyOutputTokens && current.metadata.PromptTokens <= maxCopyPromptTokens
 }
 
-// resumeAtCopy has the engine that holds a copy of a lost run go on behind the last
-// event that the caller has.
+// resumeAtCopy resumes a lost run at the engine that holds its copy, after the last event that the
+// caller received.
 func (g *Gateway) resumeAtCopy(ctx context.Context, current *callerRequest) attempt.Step {
 	lost := current.lostPlacement
 	current.lostPlacement = nil
@@ -42,8 +41,8 @@
 	return g.sendTo(ctx, current, placement)
 }
 
-// rememberCopy tells whether another engine may hold a copy of a placement's run, and keeps
-// the placement for continueAtCopy.
+// rememberCopy keeps the placement of a lost run for resumeAtCopy. It returns false if no other
+// engine can hold a copy of the run.
 func (c *callerRequest) rememberCopy(placement *backends.Placement) bool {
 	if placement.Engine == nil || placement.Engine.CopyTo.ID == "" || c.lastEventID == "" {
 		return false
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// probeDelay is how long after a broken exchange its worker is asked whether it is still
-	// there: a process that ends closes its connections and its listener one after the other.
+	// probeDelay is how long after a broken exchange the worker is probed. A process that ends
+	// closes its connections and its listener one after the other.
 	probeDelay = 50 * time.Millisecond
-	// maxLoggedFingerprints bounds the fingerprints that one line names.
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
 	maxLoggedFingerprints = 8
 )
 
-// crashDetector finds out which workers have ended, and what ended with them. It is safe for
-// concurrent use.
+// crashDetector finds out which workers have crashed and which requests were running there. It is
+// safe for concurrent use.
 type crashDetector struct {
 	mutex sync.Mutex
 	lost  *quarantine.LostRuns
@@ -32,7 +32,7 @@
 
 func newCrashDetector() *crashDetector { return &crashDetector{lost: quarantine.NewLostRuns()} }
 
-func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (blamed, check bool) {
+func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (suspected, probe bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lost.Note(now, worker, fingerprint, loss)
@@ -76,20 +76,20 @@
 	return subject.Fingerprint()
 }
 
-// noteLostRun takes in that a run brought no whole answer, and has its worker asked whether it
-// has ended if its side broke off.
+// noteLostRun records that a run brought no complete answer. If the worker's side broke off, it has
+// the worker probed.
 func (g *Gateway) noteLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
-	blamed, check := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
+	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
-	case blamed:
+	case suspected:
 		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
-	case check:
+	case probe:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
 }
 
-// probeWorker finds out whether a worker has ended.
+// probeWorker checks whether a worker still accepts connections.
 func (g *Gateway) probeWorker(destination upstream.Destination) {
 	if !g.pause(probeDelay) {
 		return
@@ -104,31 +104,34 @@
 	}
 }
 
-// noteUnreachable takes in that no connection to a worker could be made.
+// noteUnreachable records that no connection to a worker could be opened. A refused connection
+// means that the worker has ended.
 func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.noteWorkerEnded(worker, quarantine.Refused)
 	}
 }
 
-// noteWorkerEnded takes in that a worker has ended without word that it was leaving.
+// noteWorkerEnded records that a worker has ended without announcing its shutdown.
 func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
-	if blamed := g.crashes.markEnded(g.now(), worker, proof); len(blamed) > 0 {
-		g.blame(worker, proof, blamed)
+	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
+		g.blame(worker, proof, suspects)
 	}
 }
 
-// shortFingerprints returns the first of some fingerprints.
+// shortFingerprints returns the first fingerprints of a list in their short form, separated by
+// commas.
 func shortFingerprints(fingerprints []quarantine.Fingerprint) string {
-	named := fingerprints[:min(len(fingerprints), maxLoggedFingerprints)]
-	texts := make([]string, len(named))
-	for index, fingerprint := range named {
+	logged := fingerprints[:min(len(fingerprints), maxLoggedFingerprints)]
+	texts := make([]string, len(logged))
+	for index, fingerprint := range logged {
 		texts[index] = fingerprint.Short()
 	}
 	return strings.Join(texts, ",")
 }
 
-// lossOf tells whether the context of a send ended before its worker's connection.
+// lossOf returns how a send was lost: abandoned by this node if its context has ended, otherwise
+// broken off by the worker.
 func lossOf(ctx context.Context) quarantine.Loss {
 	if ctx.Err() != nil {
 		return quarantine.Abandoned
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// deadlineTimers ends requests when their time is over on the clock that counts suspended time.
-// The runtime's own deadlineTimers stand still while the machine is suspended, so that requests
-// would be held for that much longer than their callers wait.
+// deadlineTimers cancels requests at their deadlines, measured on the clock that counts suspended
+// time. The runtime's timers stop while the machine is suspended, and are rearmed when it resumes.
 type deadlineTimers struct {
 	mutex sync.Mutex
 	armed map[*deadlineTimer]bool
 }
 
-// deadlineTimer is the end of one request.
+// deadlineTimer is the timer of one request.
 type deadlineTimer struct {
 	at    time.Duration
 	timer *time.Timer
@@ -22,32 +21,32 @@
 
 func newDeadlines() *deadlineTimers { return &deadlineTimers{armed: make(map[*deadlineTimer]bool)} }
 
-// withDeadline returns a context that ends at a time, for errLateAnswer.
+// withDeadline returns a context that is cancelled with errDeadlinePassed at the time at.
 func (d *deadlineTimers) withDeadline(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	armed := &deadlineTimer{at: at}
+	entry := &deadlineTimer{at: at}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	armed.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errDeadlinePassed) })
-	d.armed[armed] = true
+	entry.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errDeadlinePassed) })
+	d.armed[entry] = true
 	return ctx, func() {
-		d.disarm(armed)
+		d.disarm(entry)
 		cancel(nil)
 	}
 }
 
-func (d *deadlineTimers) disarm(armed *deadlineTimer) {
+func (d *deadlineTimers) disarm(entry *deadlineTimer) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	armed.timer.Stop()
-	delete(d.armed, armed)
+	entry.timer.Stop()
+	delete(d.armed, entry)
 }
 
-// rearm sets all timers by what is left now.
+// rearm resets all timers to the time left at now.
 func (d *deadlineTimers) rearm(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for armed := range d.armed {
-		armed.timer.Reset(max(armed.at-now, 0))
+	for entry := range d.armed {
+		entry.timer.Reset(max(entry.at-now, 0))
 	}
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -17,28 +17,27 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// maxBufferedBytes is the size up to which an answer is read whole before its head
-// goes to the caller, so that one that breaks off can still be tried again or
-// told from a complete one.
+// maxBufferedBytes is the size up to which an answer is read completely before its head is sent to
+// the caller. Until then an answer that breaks off can be retried.
 const maxBufferedBytes = 64 << 10
 
-// copyBufferBytes is the size of the buffer through which longer answers go.
+// copyBufferBytes is the size of the buffer through which longer answers are copied.
 const copyBufferBytes = 16 << 10
 
-// errCallerWrite means that the caller's connection failed.
+// errCallerWrite means that writing to the caller failed.
 var errCallerWrite = errors.New("caller's connection failed")
 
-// deliver passes a worker's answer on.
+// deliver relays a worker's answer to the caller.
 func (g *Gateway) deliver(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
 	if isEventStream(current, answer) {
 		return g.deliverStream(ctx, current, placement, answer)
 	}
 	if current.headSent {
-		// A resumed stream was answered by something else.
-		g.recordOutcome(current, placement, backends.Lost, "resumed by status "+strconv.Itoa(answer.Status))
+		// The worker answered the resumption of a stream with something else.
+		g.recordOutcome(current, placement, backends.Lost, "resumption answered with status "+strconv.Itoa(answer.Status))
 		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 	}
-	content, whole, err := bufferAnswer(answer)
+	content, complete, err := bufferAnswer(answer)
 	placement.FirstByte(g.now())
 	if err != nil {
 		return g.handleBodyError(ctx, current, placement, err)
@@ -50,12 +49,12 @@
 		return step
 	}
 	length := answer.ContentLength
-	if whole && current.request.Method != http.MethodHead {
+	if complete && current.request.Method != http.MethodHead {
 		length = int64(len(content))
 	}
 	g.sendHead(current, answer, length)
 	_, writeErr := current.writer.Write(content)
-	if writeErr == nil && !whole {
+	if writeErr == nil && !complete {
 		writeErr = copyRemaining(current.writer, answer)
 	}
 	switch {
@@ -80,8 +79,7 @@
 		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// handleBodyError takes in that an answer ended before its end, with nothing of it
-// passed on.
+// handleBodyError returns the next step after an answer broke off before any of it was relayed.
 func (g *Gateway) handleBodyError(ctx context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
 	g.noteLostRun(current, placement, lossOf(ctx))
 	if current.isCallerGone() {
@@ -95,8 +93,8 @@
 	return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 }
 
-// bufferAnswer reads an answer up to wholeLimit; whole is false if there is more.
-func bufferAnswer(answer *upstream.Answer) (content []byte, whole bool, err error) {
+// bufferAnswer reads an answer up to maxBufferedBytes. complete is false if more may follow.
+func bufferAnswer(answer *upstream.Answer) (content []byte, complete bool, err error) {
 	if answer.ContentLength >= 0 && answer.ContentLength <= maxBufferedBytes {
 		content = make([]byte, 0, answer.ContentLength+1)
 	}
@@ -117,8 +115,8 @@
 	return content, false, nil
 }
 
-// copyRemaining copies what is left of an answer. A failure to write is
-// errCallerWrite, any other error the worker's.
+// copyRemaining copies the rest of an answer. A failed write returns errCallerWrite; any other
+// error is the worker's.
 func copyRemaining(writer io.Writer, answer *upstream.Answer) error {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -137,11 +135,11 @@
 	}
 }
 
-// unknownLength is the length of an answer that isn't known beforehand.
+// unknownLength is the length of an answer whose size is not known in advance.
 const unknownLength = -1
 
-// sendHead writes the head of a worker's answer. length is that of the body, in
-// bytes, or unknownLength.
+// sendHead writes the head of a worker's answer. length is that of the body in bytes, or
+// unknownLength.
 func (g *Gateway) sendHead(current *callerRequest, answer *upstream.Answer, length int64) {
 	header := current.writer.Header()
 	copyAnswerHeader(header, answer.Header)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -8,13 +8,12 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// Constants of the demand.
 const (
-	// rateSmoothing is the part of one interval in the mean rate.
+	// rateSmoothing is the weight of one interval in the moving average of the rate.
 	rateSmoothing = 0.3
-	// rateLifetime is how long another node's word on a rate counts.
+	// rateLifetime is how long a rate reported by another node is valid.
 	rateLifetime = 3 * time.Second
-	// rateScale is the unit of transmitted rates.
+	// rateScale is the factor between rates and their transmitted form.
 	rateScale = 1000
 )
 
@@ -22,22 +21,23 @@
 
 func decodeRate(rate uint32) float64 { return float64(rate) / rateScale }
 
-// demandTracker knows how many requests callers send a second to all nodes: a node that
-// shares loads adds up what the others tell, any other takes its source's word.
+// demandTracker estimates how many requests per second callers send to all nodes. A node that
+// shares loads sums the rates that its peers report; any other uses the total that its source
+// reports.
 type demandTracker struct {
 	mutex sync.Mutex
-	// count is the number of own requests since countedAt, rate their mean.
+	// count is the number of this node's requests since intervalStart, rate their moving average.
 	count         int
 	intervalStart time.Duration
 	rate          float64
 	peers         map[fleet.NodeID]reportedRate
-	// sharing is set while this node shares loads with those that serve.
+	// sharing is set while this node shares loads with the serving nodes.
 	sharing       bool
 	reportedTotal reportedRate
 	level         membership.Demand
 }
 
-// reportedRate is another node's word on a rate.
+// reportedRate is a rate reported by another node.
 type reportedRate struct {
 	rate float64
 	at   time.Duration
@@ -47,14 +47,14 @@
 	return &demandTracker{peers: make(map[fleet.NodeID]reportedRate)}
 }
 
-// countRequest counts an own request.
+// countRequest counts a request to this node.
 func (d *demandTracker) countRequest() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.count++
 }
 
-// measure ends an interval.
+// measure ends an interval and updates this node's rate.
 func (d *demandTracker) measure(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -64,14 +64,14 @@
 	d.count, d.intervalStart = 0, now
 }
 
-// ownRate returns the rate of this node's requests.
+// ownRate returns the rate of requests to this node.
 func (d *demandTracker) ownRate() float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.rate
 }
 
-// setPeerRate takes in another node's own rate.
+// setPeerRate records another node's own rate.
 func (d *demandTracker) setPeerRate(now time.Duration, node fleet.NodeID, rate float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -85,7 +85,8 @@
 	delete(d.peers, node)
 }
 
-// reportTotal takes in another node's word on the rate of all. A rate of 0 says nothing.
+// reportTotal records the total rate as reported by another node. A rate of 0 means unknown. While
+// the recorded rate is valid, only a higher one replaces it.
 func (d *demandTracker) reportTotal(now time.Duration, rate float64) {
 	if rate <= 0 {
 		return
@@ -97,21 +98,22 @@
 	}
 }
 
-// setSharing says whether this node shares loads.
+// setSharing sets whether this node shares loads.
 func (d *demandTracker) setSharing(sharing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.sharing = sharing
 }
 
-// sharedTotal returns the rate of all by what nodes that share loads tell; 0 where
-// this node isn't one of them.
+// sharedTotal returns the total rate as reported by the nodes that share loads; 0 if this node
+// isn't one of them.
 func (d *demandTracker) sharedTotal(now time.Duration) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.sumLocked(now)
 }
 
+// sumLocked is sharedTotal with the mutex held.
 func (d *demandTracker) sumLocked(now time.Duration) float64 {
 	if !d.sharing {
 		return 0
@@ -125,8 +127,8 @@
 	return total
 }
 
-// nodeRates returns the own rates of the nodes that share loads, this one's included; nil
-// where this node isn't one of them.
+// nodeRates returns the rate of each node that shares loads, including this one; nil if this node
+// isn't one of them.
 func (d *demandTracker) nodeRates(now time.Duration, self fleet.NodeID) map[fleet.NodeID]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -142,7 +144,7 @@
 	return rates
 }
 
-// total returns the rate of all as far as this node knows.
+// total returns the best known total rate; 0 if it is unknown.
 func (d *demandTracker) total(now time.Duration) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -155,7 +157,7 @@
 	return 0
 }
 
-// plannedRate returns the rate to plan the roles for.
+// plannedRate returns the total rate for which roles are planned.
 func (d *demandTracker) plannedRate(now time.Duration) float64 {
 	total := d.total(now)
 	d.mutex.Lock()
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -11,37 +11,35 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// Constants of what goes to a worker.
 const (
-	// timeLeftTolerance is by how much the time left that a worker is told may be too long: the
-	// making of a connection takes some milliseconds.
+	// timeLeftTolerance is by how much the time left that a worker is given may be too long before
+	// it is corrected; opening a connection takes some milliseconds.
 	timeLeftTolerance = 20 * time.Millisecond
-	// minConnectionSharers is the number of nodes that a worker's connections are
-	// divided by at the least: nodes may be added.
+	// minConnectionSharers is the least number of nodes among which a worker's connections are
+	// divided, since nodes may be added.
 	minConnectionSharers = 10
-	// tenantRankWidth is the width of one rank of tenants in an engine's priorities.
+	// tenantRankWidth is the number of engine priorities per tenant rank.
 	tenantRankWidth = 3
 	maxPriority     = backends.Priorities - 1
-	// defaultPriority is that of a tenant without one.
+	// defaultPriority is the rank of a tenant without a priority.
 	defaultPriority = 1
 )
 
-// Causes of sends that aren't made, or bring nothing.
+// Causes of sends that are not made or whose answer is discarded.
 var (
-	// errForeignAnswer means that an answer isn't the request's own.
+	// errForeignAnswer means that an answer belongs to another request.
 	errForeignAnswer = errors.Wrap(upstream.ErrForeignAnswer, "request identifier differs")
-	// errStaleConfiguration means that this node's word on keys has become too old.
+	// errStaleConfiguration means that the configuration is too old to check keys.
 	errStaleConfiguration = errors.New("configuration too old")
-	// errDraining means that the worker shuts down, or has gone, since it was chosen.
+	// errDraining means that the worker is draining or gone since it was chosen.
 	errDraining = errors.New("worker shuts down")
 )
 
-// servingConnectionFraction is the part of a worker's connections that the nodes to which
-// callers are sent share; the other nodes share the rest.
+// servingConnectionFraction is the part of a worker's connections that the serving nodes share; the
+// other nodes share the rest.
 const servingConnectionFraction = 0.6
 
-// destination returns where to send, with this node's part of the worker's
-// connections.
+// destination returns a worker's address with this node's share of its connections.
 func (g *Gateway) destination(current *callerRequest, worker *backends.Worker) upstream.Destination {
 	destination := upstream.Destination{Engine: worker.ID, Address: worker.Address}
 	if limit := current.service.MaxConnections; limit > 0 {
@@ -50,8 +48,7 @@
 	return destination
 }
 
-// connectionShare returns the part of a worker's connections that this node may
-// open.
+// connectionShare returns the part of a worker's connections that this node may open.
 func (g *Gateway) connectionShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
 	switch {
@@ -64,7 +61,7 @@
 	}
 }
 
-// outgoingRequest returns the request as it goes to a worker.
+// outgoingRequest returns the request as it is sent to a worker.
 func (g *Gateway) outgoingRequest(ctx context.Context, current *callerRequest, placement *backends.Placement) *upstream.Request {
 	header := forwardedHeader(current.request.Header)
 	g.outside.Codec.StripReserved(header)
@@ -97,8 +94,8 @@
 	}
 }
 
-// permitSend is called right before a request is written. It corrects the time left that the
-// worker is told: the making of the connection may have taken its time.
+// permitSend checks, right before a request is written, whether it may still be sent. It corrects
+// the time left in the header, since opening the connection may have taken long.
 func (g *Gateway) permitSend(ctx context.Context, current *callerRequest, worker *backends.Worker, dispatch *Dispatch, header http.Header) error {
 	if err := g.permitWorker(worker); err != nil {
 		return err
@@ -109,7 +106,7 @@
 	if err := g.permitRequest(current, worker); err != nil {
 		return err
 	}
-	// The question for a grant takes time.
+	// Asking for a grant takes time, so the worker is checked again.
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
@@ -124,7 +121,7 @@
 	return nil
 }
 
-// permitWorker returns an error if a worker takes no requests of this node any more.
+// permitWorker returns an error if a worker takes no more requests from this node.
 func (g *Gateway) permitWorker(worker *backends.Worker) error {
 	if !g.workers.Sendable(g.now(), worker) {
 		return errDraining
@@ -135,8 +132,9 @@
 	return nil
 }
 
-// permitRequest returns an error if a request may not go to its worker any more: a new connection, a
-// process that stood still or a machine that was suspended may have outlived what allowed it.
+// permitRequest returns an error if a request may no longer be sent to its worker. The conditions
+// at its placement may have changed while a connection was opened, or while the process or the
+// machine was suspended.
 func (g *Gateway) permitRequest(current *callerRequest, worker *backends.Worker) error {
 	if current.timeLeft(g.now()) <= 0 {
 		return errDeadlinePassed
@@ -144,14 +142,14 @@
 	if current.tenant != nil && !g.canServeKeyed() {
 		return errStaleConfiguration
 	}
-	if _, held := g.holds(current); held {
+	if _, quarantined := g.holds(current); quarantined {
 		return errQuarantined
 	}
 	return g.permitTarget(current, worker)
 }
 
-// priorityOf returns the priority at an engine: the tenant's rank goes before
-// the route's.
+// priorityOf returns a request's priority at an engine. The tenant's rank takes precedence over the
+// route's priority.
 func priorityOf(current *callerRequest) int {
 	rank := defaultPriority
 	if current.tenant != nil && current.tenant.HasPriority {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -7,14 +7,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds on log lines about requests, by event.
+// Rate limit of log lines about requests, for each event.
 const (
 	eventsPerSecond = 60
 	eventsBurst     = 120
 )
 
-// eventLog bounds the lines about single requests, so that a flood of them
-// doesn't become a flood of lines. What is left out is counted and told.
+// eventLog logs events of single requests at a limited rate for each event. It counts the dropped
+// lines.
 type eventLog struct {
 	logger   zerolog.Logger
 	mutex    sync.Mutex
@@ -26,8 +26,8 @@
 	return &eventLog{logger: logger, limiters: make(map[string]*rate.Limiter), dropped: make(map[string]int)}
 }
 
-// line returns a line for an event, or nil, on which all methods do nothing, if
-// there were too many of the event.
+// line returns a log line for an event, or nil if the event's rate limit is exceeded. All methods
+// of a nil line do nothing.
 func (e *eventLog) line(event string) *zerolog.Event {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -43,7 +43,7 @@
 	return e.logger.Info()
 }
 
-// logDropped tells how many lines were left out since the last logDropped.
+// logDropped logs how many lines were dropped since the last call.
 func (e *eventLog) logDropped() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -19,33 +19,32 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// Bounds on callers that hold before a configuration says more.
+// Limits on callers' requests.
 const (
 	defaultMaxBodyBytes = 4 << 20
-	// maxRequestIDLength bounds a caller's request identifier.
+	// maxRequestIDLength bounds a caller's request identifier, in bytes.
 	maxRequestIDLength = 128
-	// bodyTimeout bounds the time for a request's body.
+	// bodyTimeout bounds the time for reading a request's body.
 	bodyTimeout = 5 * time.Second
-	// defaultTimeout bounds a request whose route names no time.
+	// defaultTimeout bounds a request whose route sets no timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// Waits that refused callers are told.
+// Retry delays in refusals.
 const (
 	shortRetryAfter = 100 * time.Millisecond
 	longRetryAfter  = 500 * time.Millisecond
 )
 
-// freshnessFraction is the part of the bound on revocations up to which this node's
-// knowledge counts as new enough: what the store's feed misses for a moment
-// must fit into the rest.
+// freshnessFraction is the part of the revocation bound within which this node's configuration
+// counts as fresh. The rest leaves room for short interruptions of the store feed.
 const freshnessFraction = 0.7
 
-// permanentRefusalFraction is the part of the bound on configurations up to which the proof of
-// the one in force is new enough for a refusal for good.
+// permanentRefusalFraction is the part of the configuration bound within which the configuration
+// counts as fresh enough to refuse a request permanently.
 const permanentRefusalFraction = 0.85
 
-// callerRequest is one caller's request on its way.
+// callerRequest is the state of one caller's request.
 type callerRequest struct {
 	writer   http.ResponseWriter
 	request  *http.Request
@@ -54,41 +53,41 @@
 	service  *routes.Service
 	tenant   *routes.Tenant
 	body     []byte
-	// fingerprint is that of the request once its body has been read.
+	// fingerprint is set once the body has been read.
 	fingerprint quarantine.Fingerprint
-	// quarantineTrial is set if it is held and may be tried once.
+	// quarantineTrial is set if the request is quarantined and may be tried once.
 	quarantineTrial bool
 	startedAt       time.Duration
 	// deadline is when the final answer is due.
 	deadline time.Duration
 	attempts *attempt.Forwarding
-	// targetDraw is uniform in [0, 1): it decides once whether the request goes to the target of
-	// a delivery.
+	// targetDraw is uniform in [0, 1). It decides whether the request goes to the target version of
+	// a rollout; it is drawn once, so retries decide the same.
 	targetDraw float64
-	// placedForTarget is set if the last choice was one for the target, wasAtTarget once the
-	// request was sent there.
+	// placedForTarget is set if the last placement was for the target version, sentToTarget once
+	// the request was sent to it.
 	placedForTarget bool
 	sentToTarget    bool
-	// atLimit is set if the last choice found a worker without room at its limit.
+	// atLimit is set if the last placement found a worker at its request limit.
 	atLimit bool
-	// sentAt is when the last send began, events the number of events that it has brought.
+	// sentAt is when the last send began, eventCount the number of events it has brought.
 	sentAt     time.Duration
 	eventCount int
-	// lostPlacement is the placement whose run is to go on at another engine.
+	// lostPlacement is the placement of a lost run that is to be resumed at another engine.
 	lostPlacement *backends.Placement
-	// quotaCost is what the request has taken out of its tenant's quota.
+	// quotaCost is what the request was charged to its tenant's quota.
 	quotaCost float64
-	// configurationVersion is the configuration by which it was admitted.
+	// configurationVersion is the version of the configuration that admitted the request.
 	configurationVersion uint64
 
-	// lastEventID is the last event that the caller has.
+	// lastEventID identifies the last event that the caller received.
 	lastEventID string
-	// firstSentAt is when the request first went to a worker.
+	// firstSentAt is when the request was first sent to a worker.
 	firstSentAt time.Duration
 	headSent    bool
 	firstByteAt time.Duration
-	// lastEventAt is when the last event went out, longestGap the longest time
-	// between two of them.
+	// lastEventAt is when the last event was written, longestEventGap the longest time between two
+	// events.
 	lastEventAt     time.Duration
 	longestEventGap time.Duration
 	status          int
@@ -97,14 +96,14 @@
 	reason          string
 }
 
-// refusal is a failure of the gateway's own.
+// refusal is an error answer that the gateway itself gives.
 type refusal struct {
 	code       resultcode.Code
 	reason     string
 	retryAfter time.Duration
 }
 
-// serveFront takes one request from a caller.
+// serveFront handles one request of a caller.
 func (g *Gateway) serveFront(writer http.ResponseWriter, request *http.Request) {
 	g.inFlight.Add(1)
 	g.taken.Add(1)
@@ -118,8 +117,8 @@
 		g.refuse(current, *refused)
 		return
 	}
-	// What is refused costs little. After a loss of all nodes callers are refused and come
-	// back for a second, and twice as many nodes would serve as their requests need.
+	// Refused requests are not counted: they cost little, and callers that retry after a loss of
+	// all nodes would inflate the demand.
 	g.demand.countRequest()
 	if refused := g.readBody(current); refused != nil {
 		g.refuse(current, *refused)
@@ -133,7 +132,8 @@
 	g.forward(current)
 }
 
-// admit decides whether a request may go on, by the configuration in force.
+// admit decides by the configuration in force whether a request may go on. It sets the route,
+// tenant and service of the request.
 func (g *Gateway) admit(current *callerRequest) *refusal {
 	metadata, err := g.outside.Codec.Metadata(current.request.Header)
 	current.metadata = metadata
@@ -152,21 +152,21 @@
 		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarcestResource().String(), retryAfter: shortRetryAfter}
 	}
 	g.awaitKnown(current.request.Context())
-	held := g.holder.Current()
-	if held == nil || !g.workersKnown.Load() {
+	snapshot := g.holder.Current()
+	if snapshot == nil || !g.workersKnown.Load() {
 		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: longRetryAfter}
 	}
-	current.configurationVersion = uint64(held.Table.Version())
+	current.configurationVersion = uint64(snapshot.Table.Version())
 	path, _, _ := strings.Cut(current.request.RequestURI, "?")
-	route, found := held.Table.Match(current.request.Host, path)
+	route, found := snapshot.Table.Match(current.request.Host, path)
 	if !found {
 		return g.permanentUnlessStale(refusal{code: resultcode.UnknownPath, reason: "no route"})
 	}
 	current.route = route
-	if refused := g.authenticate(current, held.Table); refused != nil {
+	if refused := g.authenticate(current, snapshot.Table); refused != nil {
 		return refused
 	}
-	if refused := g.chooseService(current, held.Table); refused != nil {
+	if refused := g.chooseService(current, snapshot.Table); refused != nil {
 		return refused
 	}
 	return g.chargeQuota(current)
@@ -191,19 +191,19 @@
 	return nil
 }
 
-// canServeKeyed tells whether this node knows the keys well enough: where a
-// revocation holds everywhere, a node out of touch serves no keyed request.
+// canServeKeyed reports whether this node's configuration is fresh enough to check keys. With
+// RevokeEverywhere, a node that has lost touch with the store serves no keyed requests.
 func (g *Gateway) canServeKeyed() bool {
 	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.maxKeyedAge())
 }
 
-// maxKeyedAge is how old the proof of the configuration may be for keyed requests.
+// maxKeyedAge returns the greatest age of the configuration at which keyed requests are served.
 func (g *Gateway) maxKeyedAge() time.Duration {
 	return time.Duration(float64(g.settings().RevokeWithin) * freshnessFraction)
 }
 
-// permanentUnlessStale returns a refusal for good if this node is known to be up to
-// date; else one to come back after, since a newer configuration may allow it.
+// permanentUnlessStale returns the given permanent refusal if the configuration is fresh. Otherwise
+// it returns one that asks the caller to retry, since a newer configuration may allow the request.
 func (g *Gateway) permanentUnlessStale(refused refusal) *refusal {
 	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
 		return &refused
@@ -211,13 +211,13 @@
 	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: longRetryAfter}
 }
 
-// chooseService takes the route's next service by its shares, and the times.
+// chooseService chooses a service of the route by the split's weights and sets the deadline.
 func (g *Gateway) chooseService(current *callerRequest, table *routes.Table) *refusal {
 	g.splitMutex.Lock()
 	name, found := g.splitter.Choose(current.route)
 	g.splitMutex.Unlock()
 	if !found {
-		return &refusal{code: resultcode.NoEngine, reason: "no service has weight", retryAfter: longRetryAfter}
+		return &refusal{code: resultcode.NoEngine, reason: "no service with positive weight", retryAfter: longRetryAfter}
 	}
 	current.service, found = table.Service(name)
 	if !found {
@@ -233,16 +233,16 @@
 	return nil
 }
 
-// readBody reads the caller's whole body: a request that may be sent again
-// needs it, and a worker gets it with a length.
+// readBody reads the caller's whole body, so that the request can be sent again and goes to the
+// worker with a Content-Length.
 func (g *Gateway) readBody(current *callerRequest) *refusal {
 	request := current.request
 	if request.Body == nil || request.Body == http.NoBody || request.ContentLength == 0 {
 		return nil
 	}
 	limit := int64(defaultMaxBodyBytes)
-	if held := g.holder.Current(); held != nil && held.Table.Limits().MaxBodyBytes > 0 {
-		limit = held.Table.Limits().MaxBodyBytes
+	if snapshot := g.holder.Current(); snapshot != nil && snapshot.Table.Limits().MaxBodyBytes > 0 {
+		limit = snapshot.Table.Limits().MaxBodyBytes
 	}
 	if request.ContentLength > limit {
 		return &refusal{code: resultcode.BodyTooLarge, reason: "body of " + strconv.FormatInt(request.ContentLength, 10) + " bytes"}
@@ -263,7 +263,7 @@
 
 var errBodyTooLarge = errors.New("body too large")
 
-// readAll reads a body of a known length, or of up to limit bytes.
+// readAll reads a body of the given length, or of up to limit bytes if length isn't positive.
 func readAll(body io.Reader, length, limit int64) ([]byte, error) {
 	if length > 0 {
 		content := make([]byte, length)
@@ -282,8 +282,8 @@
 	return content, nil
 }
 
-// refuse answers with a failure of the gateway's own. A caller that is gone
-// gets nothing.
+// refuse answers with the gateway's own error. It aborts the connection if the head of an answer
+// was already sent.
 func (g *Gateway) refuse(current *callerRequest, refused refusal) {
 	current.result, current.reason = refused.code, refused.reason
 	if current.headSent {
@@ -304,11 +304,11 @@
 	_, _ = io.WriteString(current.writer, body)
 }
 
-// finish logs and counts a request when it has ended.
+// finish logs and counts a request that has ended.
 func (g *Gateway) finish(current *callerRequest) {
-	cause := recover()
+	panicked := recover()
 	g.refundIfNotRun(current)
-	took := g.now() - current.startedAt
+	duration := g.now() - current.startedAt
 	result := current.result.String()
 	if current.request.Context().Err() != nil && current.result == resultcode.OK && !current.isComplete() {
 		result = "caller_gone"
@@ -322,7 +322,7 @@
 		g.metrics.latency.WithLabelValues(route).Observe((current.firstByteAt - current.startedAt).Seconds())
 	}
 	line := g.events.line("request_ended").Str("request_id", current.metadata.RequestID).Str("route", route).
-		Str("result", result).Int("status", current.status).Dur("took", took).Uint64("configuration", current.configurationVersion)
+		Str("result", result).Int("status", current.status).Dur("took", duration).Uint64("configuration", current.configurationVersion)
 	if current.reason != "" {
 		line = line.Str("reason", current.reason)
 	}
@@ -345,18 +345,18 @@
 		line = line.Dur("longest_gap", current.longestEventGap)
 	}
 	line.Msg("request_ended")
-	if cause != nil {
-		panic(cause)
+	if panicked != nil {
+		panic(panicked)
 	}
 }
 
-// isComplete tells whether the whole answer went out.
+// isComplete reports whether the whole answer was sent.
 func (c *callerRequest) isComplete() bool { return c.status != 0 && c.reason == "" }
 
 // timeLeft returns the time until the final answer is due.
 func (c *callerRequest) timeLeft(now time.Duration) time.Duration { return c.deadline - now }
 
-// isCallerGone tells whether the caller has left.
+// isCallerGone reports whether the caller has disconnected.
 func (c *callerRequest) isCallerGone() bool {
 	return errors.Is(c.request.Context().Err(), context.Canceled) || hasDisconnected(c.request.Context())
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// forwardedHeader returns a copy of the headers that travel along.
+// forwardedHeader returns a copy of the header without its hop-by-hop fields and Content-Length.
 func forwardedHeader(header http.Header) http.Header {
 	forwarded := make(http.Header, len(header)+8)
 	for name, values := range header {
@@ -31,7 +31,8 @@
 	return forwarded
 }
 
-// copyAnswerHeader copies a worker's headers to the caller's answer.
+// copyAnswerHeader copies the end-to-end fields of a worker's answer to the caller's. A missing
+// Content-Type stays missing.
 func copyAnswerHeader(into, from http.Header) {
 	for name, values := range forwardedHeader(from) {
 		into[name] = values
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,26 +10,27 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Notice is what an answer, to a call of any kind, says of the server that gave it.
+// Notice is what the headers of an answer, to a call of any kind, say about the server that sent
+// it.
 type Notice struct {
-	// Instance is the run that answered, if the answer names it.
+	// Instance is the run that answered; empty if the answer doesn't name it.
 	Instance fleet.EngineID
-	// Misdirected is set if the call was refused as meant for another run or version.
+	// Misdirected is set if the call was refused because it was meant for another run or version.
 	Misdirected bool
-	// Draining is set if the server shuts down and is to get no new requests.
+	// Draining is set if the server is shutting down and takes no new requests.
 	Draining bool
-	// RetryAfter is how long the server wants nothing from this node; 0 if it doesn't say.
+	// RetryAfter is how long the server asks this node to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
-	// Limit is what the answer says of the requests that the server takes.
+	// Limit is the server's statement on its request limit.
 	Limit workerlimit.Statement
-	// Unknown lists the headers in which the server says something else of itself.
+	// Unknown lists the server's headers about itself that the codec doesn't know.
 	Unknown []string
-	// Unreadable lists the headers of these that couldn't be read.
+	// Unreadable lists the server's headers about itself that couldn't be parsed.
 	Unreadable []Unreadable
 }
 
-// appliesTo tells whether the notice can be that of a worker. A call that was refused as meant for
-// another run may have been answered by whoever has the address now.
+// appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
+// been answered by another run that has taken over the address.
 func (n *Notice) appliesTo(worker fleet.EngineID) bool {
 	if n.Instance != "" {
 		return n.Instance == worker
@@ -37,52 +38,54 @@
 	return !n.Misdirected
 }
 
-// noticeHandlerKey is the key of a context's handler of notices.
+// noticeHandlerKey is the context key of a call's notice handler.
 type noticeHandlerKey struct{}
 
-// WithNoticeHandler returns a context for calls to a server. handle is called with the notice of each
-// answer as soon as its head has been read, also where the call then fails.
+// WithNoticeHandler returns a context for calls to a server. handle is called with the notice of
+// each answer as soon as its head has been read, even if the call then fails.
 func WithNoticeHandler(ctx context.Context, handle func(Notice)) context.Context {
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HandleNotice hands the notice of an answer to the handler of its call, if there is one.
+// HandleNotice passes the notice of an answer to the handler of its call, if there is one.
 func HandleNotice(ctx context.Context, notice Notice) {
 	if handle, found := ctx.Value(noticeHandlerKey{}).(func(Notice)); found {
 		handle(notice)
 	}
 }
 
-// Bounds on the headers that are remembered as logged.
+// Bounds on the unknown headers that are recorded as logged.
 const (
 	maxUnknownHeaders = 8
 	maxUnknownWorkers = 1024
 	maxHeaderName     = 64
 )
 
-// unknownHeaders remembers which unknown headers have been logged, by worker. It is safe for
+// unknownHeaders records which unknown headers have been logged, by worker. It is safe for
 // concurrent use.
 type unknownHeaders struct {
 	mutex  sync.Mutex
 	logged map[fleet.EngineID][]string
 }
 
-// noticeSource is the worker's run that a notice is about, and what this node called it for.
+// noticeSource identifies the worker's run that a notice is about, and the kind of call that
+// brought it.
 type noticeSource struct {
 	worker fleet.EngineID
 	born   backends.StartTime
 	kind   callKind
 }
 
-// isFirst tells whether a header of a worker hasn't been logged before, and notes it.
+// isFirst records a header of a worker and reports whether it has not been logged before. It
+// returns false when the bounds on recorded headers are reached.
 func (u *unknownHeaders) isFirst(worker fleet.EngineID, header string) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	known, found := u.logged[worker]
-	if len(known) >= maxUnknownHeaders || (!found && len(u.logged) >= maxUnknownWorkers) {
+	headers, found := u.logged[worker]
+	if len(headers) >= maxUnknownHeaders || (!found && len(u.logged) >= maxUnknownWorkers) {
 		return false
 	}
-	for _, name := range known {
+	for _, name := range headers {
 		if name == header {
 			return false
 		}
@@ -90,18 +93,18 @@
 	if u.logged == nil {
 		u.logged = make(map[fleet.EngineID][]string)
 	}
-	u.logged[worker] = append(known, header)
+	u.logged[worker] = append(headers, header)
 	return true
 }
 
-// forget drops what was logged of a worker that is gone.
+// forget drops the records of a worker that is gone.
 func (u *unknownHeaders) forget(worker fleet.EngineID) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	delete(u.logged, worker)
 }
 
-// applyNotice takes in what an answer says of a worker, besides its limit.
+// applyNotice handles what an answer says about a worker, except for its limit.
 func (g *Gateway) applyNotice(about noticeSource, notice *Notice) {
 	g.logUnknownHeaders(about, notice.Unknown)
 	if !notice.appliesTo(about.worker) {
@@ -125,13 +128,13 @@
 	}
 }
 
-// noteDraining takes in that a worker says in an answer that it shuts down.
+// noteDraining records that a worker's answer announces its shutdown.
 func (g *Gateway) noteDraining(about noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(about.kind)).Inc()
 	g.observeDraining(backends.DrainingRun{Worker: about.worker, Born: about.born}, string(about.kind))
 }
 
-// observeDraining takes in that a worker shuts down, by the word of an answer or of a peer.
+// observeDraining records that a worker is draining, as reported by an answer or a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
 	if g.workers.ObserveDraining(run) != backends.Began {
 		return
@@ -140,9 +143,9 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// noteAnswerNotice takes in what an answer to a request that was sent at a time says of its worker.
-// What nobody signed and what isn't a worker's word that it didn't run the request isn't known to
-// be the worker's.
+// noteAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
+// answers that are neither signed nor a worker's statement that it did not run the request, since
+// others may not come from the worker.
 func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info AnswerInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
@@ -153,18 +156,18 @@
 	}
 }
 
-// storeLogName stands for the store in logs about servers.
+// storeLogName identifies the store in logs about servers.
 const storeLogName fleet.EngineID = "store"
 
-// Kinds of notices in logs and metrics.
+// Kinds and sources of notices in logs and metrics.
 const (
 	noticeDraining   = "draining"
 	noticeRetryAfter = "retry_after"
-	// noticeSourcePeer is the source of what another node tells.
+	// noticeSourcePeer is the source of a notice that another node forwarded.
 	noticeSourcePeer = "peer"
 )
 
-// withNoticesFrom returns a context in which the notices of a worker's answers are taken in.
+// withNoticesFrom returns a context in which the notices of a worker's answers are handled.
 func (g *Gateway) withNoticesFrom(ctx context.Context, about noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
 		g.noteUnreadable("", notice.Unreadable)
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -12,27 +12,28 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Constants of the rates that are planned for by place.
 const (
-	// risingSmoothing is the part of one look in a mean rate that rises: a second or two count,
-	// since a place's requests are few and their number varies by a sixth from look to look.
-	// fallingWeight is that of a falling one: a place whose nodes have vanished is remembered
-	// for some ten seconds, so that others are ready before its callers come.
-	risingSmoothing  = 0.1
+	// risingSmoothing is the weight of one sample in the moving average of a rising rate. It
+	// averages over a second or two, since the few requests of a location vary much between
+	// samples.
+	risingSmoothing = 0.1
+	// fallingSmoothing is the weight of one sample in the moving average of a falling rate. A
+	// location whose nodes have vanished is remembered for about ten seconds, so that other nodes
+	// are ready for its callers.
 	fallingSmoothing = 0.02
-	// replanThreshold is the change of a rate, as a part of the planned one, that makes another
-	// plan. All nodes look at other moments, and would differ in who serves with each of
-	// smaller ones.
+	// replanThreshold is the relative change of a rate that causes a new plan. Nodes sample at
+	// different moments and would disagree on the serving nodes after smaller changes.
 	replanThreshold = 0.25
-	// minOriginShare is the part of the rate of all under which a place isn't told apart.
+	// minOriginShare is the share of the total rate below which a location is not planned for
+	// separately.
 	minOriginShare = 0.02
 )
 
-// originTracker knows from which places requests come, and which nodes are under pressure: a node
-// that shares loads by what the others tell, any other by its source's word.
+// originTracker tracks the locations from which requests come and the nodes under pressure. A node
+// that shares loads uses the reports of its peers; any other uses those of its source.
 type originTracker struct {
 	mutex sync.Mutex
-	// reported is the rates by another node's word.
+	// reported holds the rates by location as reported by another node.
 	reported     map[membership.Location]float64
 	reportedAt   time.Duration
 	meanRates    map[membership.Location]float64
@@ -42,10 +43,10 @@
 	weights   map[fleet.NodeID]float64
 }
 
-// reportedPressure is the word on a node's pressure.
+// reportedPressure is a node's pressure as reported by itself or by another node.
 type reportedPressure struct {
 	pressure nodecapacity.Pressure
-	// measured is when it was measured, by this node's clock.
+	// measured is when it was measured, on this node's clock.
 	measured time.Duration
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// reportRates takes in another node's word on the rates by place. No rates say nothing.
+// reportRates records the rates by location that another node reports. Empty rates are ignored.
 func (o *originTracker) reportRates(now time.Duration, rates map[membership.Location]float64) {
 	if len(rates) == 0 {
 		return
@@ -66,7 +67,7 @@
 	o.reported, o.reportedAt = rates, now
 }
 
-// reportedRates returns the last word of another node, if it isn't too old.
+// reportedRates returns the last rates that another node reported, or nil if they are too old.
 func (o *originTracker) reportedRates(now time.Duration) map[membership.Location]float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -76,40 +77,41 @@
 	return o.reported
 }
 
-// plan takes in the rates at one look and returns those to plan for; the same map as long as
-// none has changed much.
+// plan adds a sample of the rates and returns those to plan for. It returns the same map until a
+// rate has changed by more than replanThreshold.
 func (o *originTracker) plan(rates map[membership.Location]float64) map[membership.Location]float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for place := range rates {
-		if _, known := o.meanRates[place]; !known {
-			o.meanRates[place] = 0
+	for location := range rates {
+		if _, known := o.meanRates[location]; !known {
+			o.meanRates[location] = 0
 		}
 	}
 	total := 0.0
-	for place, mean := range o.meanRates {
+	for location, mean := range o.meanRates {
 		weight := risingSmoothing
-		if rates[place] < mean {
+		if rates[location] < mean {
 			weight = fallingSmoothing
 		}
-		o.meanRates[place] = mean + (rates[place]-mean)*weight
-		total += o.meanRates[place]
+		o.meanRates[location] = mean + (rates[location]-mean)*weight
+		total += o.meanRates[location]
 	}
 	if o.needsReplan(total) {
 		o.plannedRates = make(map[membership.Location]float64, len(o.meanRates))
-		for place, mean := range o.meanRates {
+		for location, mean := range o.meanRates {
 			if mean > minOriginShare*total {
-				o.plannedRates[place] = mean
+				o.plannedRates[location] = mean
 			}
 		}
 	}
 	return o.plannedRates
 }
 
-// needsReplan tells whether a mean rate differs much from the planned one; the mutex is held.
+// needsReplan reports whether a moving average differs too much from its planned rate. The caller
+// holds the mutex.
 func (o *originTracker) needsReplan(total float64) bool {
-	for place, mean := range o.meanRates {
-		planned := o.plannedRates[place]
+	for location, mean := range o.meanRates {
+		planned := o.plannedRates[location]
 		if math.Abs(mean-planned) > replanThreshold*max(planned, minOriginShare*total) {
 			return true
 		}
@@ -117,8 +119,8 @@
 	return false
 }
 
-// setPressure takes in a node's pressure, measured at a time by this node's clock. The newer word
-// counts.
+// setPressure records a node's pressure, measured at a time on this node's clock. It ignores
+// measurements older than the known one.
 func (o *originTracker) setPressure(measured time.Duration, node fleet.NodeID, pressure nodecapacity.Pressure) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -128,39 +130,39 @@
 	o.pressures[node] = reportedPressure{pressure: pressure, measured: measured}
 }
 
-// nodesUnderPressure returns the nodes under pressure by words that aren't too old, and forgets others.
+// nodesUnderPressure returns the nodes under pressure and drops reports that have expired.
 func (o *originTracker) nodesUnderPressure(now time.Duration) map[fleet.NodeID]reportedPressure {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	pressed := make(map[fleet.NodeID]reportedPressure)
-	for node, told := range o.pressures {
+	underPressure := make(map[fleet.NodeID]reportedPressure)
+	for node, report := range o.pressures {
 		switch {
-		case now > told.measured+rateLifetime:
+		case now > report.measured+rateLifetime:
 			delete(o.pressures, node)
-		case told.pressure != nodecapacity.Free:
-			pressed[node] = told
+		case report.pressure != nodecapacity.Free:
+			underPressure[node] = report
 		}
 	}
-	return pressed
+	return underPressure
 }
 
-// isUnreachable tells whether a node is said to be unreachable.
+// isUnreachable reports whether a node was last reported as unreachable.
 func (o *originTracker) isUnreachable(now time.Duration, node fleet.NodeID) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	told, found := o.pressures[node]
-	return found && told.pressure == unreachable && now <= told.measured+rateLifetime
+	report, found := o.pressures[node]
+	return found && report.pressure == unreachable && now <= report.measured+rateLifetime
 }
 
-// capacityWeights returns by which part of their capacity nodes under pressure count; the same
-// map as long as nothing has changed.
+// capacityWeights returns the fraction of their capacity with which nodes under pressure count. It
+// returns the same map while nothing changes.
 func (o *originTracker) capacityWeights(now time.Duration) map[fleet.NodeID]float64 {
 	weights := make(map[fleet.NodeID]float64)
-	for node, told := range o.nodesUnderPressure(now) {
-		// A silent node's neighbours may be lost as well, unheard: none is taken in its
-		// place before the membership knows.
-		if told.pressure != unreachable {
-			weights[node] = told.pressure.Weight()
+	for node, report := range o.nodesUnderPressure(now) {
+		// Nodes near an unreachable one may be lost as well. It is replaced only after the
+		// membership has removed it.
+		if report.pressure != unreachable {
+			weights[node] = report.pressure.Weight()
 		}
 	}
 	o.mutex.Lock()
@@ -171,57 +173,58 @@
 	return o.weights
 }
 
-// originRates returns from which places requests come, as far as this node knows.
+// originRates returns the request rates by location, as far as this node knows them.
 func (g *Gateway) originRates(now time.Duration) map[membership.Location]float64 {
 	rates := g.demand.nodeRates(now, g.node)
 	if rates == nil {
 		return g.origins.reportedRates(now)
 	}
 	view := g.peers.View()
-	taken := make(map[membership.Location]float64)
+	byLocation := make(map[membership.Location]float64)
 	for node, rate := range rates {
 		if member, found := view.Find(node); found && rate > 0 {
-			taken[membership.Location{Region: member.Region, Zone: member.Zone}] += rate
+			byLocation[membership.Location{Region: member.Region, Zone: member.Zone}] += rate
 		}
 	}
 	if roles := g.roles.Load(); roles != nil {
-		return roles.Origins(taken)
+		return roles.Origins(byLocation)
 	}
-	return taken
+	return byLocation
 }
 
-// originReport returns what this node tells those that watch it, or whom it watches.
+// originReport returns the rates and pressures that this node reports to the nodes that watch it
+// and to those it watches.
 func (g *Gateway) originReport(now time.Duration) ([]*rpc.PlaceRate, []*rpc.NodePressure) {
 	var places []*rpc.PlaceRate
-	for place, rate := range g.originRates(now) {
-		places = append(places, &rpc.PlaceRate{Region: string(place.Region), Zone: string(place.Zone), Rate: encodeRate(rate)})
+	for location, rate := range g.originRates(now) {
+		places = append(places, &rpc.PlaceRate{Region: string(location.Region), Zone: string(location.Zone), Rate: encodeRate(rate)})
 	}
 	var nodes []*rpc.NodePressure
-	for node, told := range g.origins.nodesUnderPressure(now) {
+	for node, report := range g.origins.nodesUnderPressure(now) {
 		nodes = append(nodes, &rpc.NodePressure{
-			Node: string(node), Pressure: uint32(told.pressure), AgeMillis: uint32(max(now-told.measured, 0).Milliseconds()),
+			Node: string(node), Pressure: uint32(report.pressure), AgeMillis: uint32(max(now-report.measured, 0).Milliseconds()),
 		})
 	}
 	return places, nodes
 }
 
-// applyOriginReport takes in what another node tells of places and pressures. A word without a
-// summed rate comes from a node that doesn't know the rates itself.
+// applyOriginReport records the rates and pressures that another node reports. A node that doesn't
+// know the rates reports none.
 func (g *Gateway) applyOriginReport(now time.Duration, places []*rpc.PlaceRate, nodes []*rpc.NodePressure) {
 	rates := make(map[membership.Location]float64, len(places))
-	for _, told := range places {
-		place := membership.Location{Region: fleet.RegionName(told.GetRegion()), Zone: fleet.ZoneName(told.GetZone())}
-		rates[place] = decodeRate(told.GetRate())
+	for _, report := range places {
+		location := membership.Location{Region: fleet.RegionName(report.GetRegion()), Zone: fleet.ZoneName(report.GetZone())}
+		rates[location] = decodeRate(report.GetRate())
 	}
 	g.origins.reportRates(now, rates)
-	for _, told := range nodes {
-		measured := now - time.Duration(told.GetAgeMillis())*time.Millisecond
-		g.origins.setPressure(measured, fleet.NodeID(told.GetNode()), decodePressure(told.GetPressure()))
+	for _, report := range nodes {
+		measured := now - time.Duration(report.GetAgeMillis())*time.Millisecond
+		g.origins.setPressure(measured, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	}
 }
 
-// decodePressure reads a pressure, or the word that a node is unreachable, from its transmitted
-// form; one that this node doesn't know counts as the highest.
+// decodePressure decodes a transmitted pressure, or unreachable. Unknown values count as the
+// highest.
 func decodePressure(encoded uint32) nodecapacity.Pressure {
 	return nodecapacity.Pressure(min(encoded, uint32(unreachable)))
 }
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -12,15 +12,16 @@
 	"github.com/tillerfall/tillerfall/internal/quarantine"
 )
 
-// staleVersionMargin is how much before the bound on weights a request that waits at an
-// engine with an older version is taken away from it.
+// staleVersionMargin is how long before an older model version becomes too old the requests that
+// wait at its engines are cancelled there.
 const staleVersionMargin = 400 * time.Millisecond
 
-// errStaleVersion is the cause of a send broken off since the engine's weights are too old.
-var errStaleVersion = errors.New("weights too old to begin on")
+// errStaleVersion is the cause of a send that is cancelled because the engine's model version has
+// become too old.
+var errStaleVersion = errors.New("model version too old to start the request")
 
-// pendingSends are the sends whose answer has not begun. An engine may have them wait until
-// its weights are too old for a request to begin on, or until the request is held.
+// pendingSends holds the sends whose answer has not begun. An engine may queue a request until its
+// model version is too old or until the request is quarantined.
 type pendingSends struct {
 	mutex sync.Mutex
 	sends map[*pendingSend]bool
@@ -28,11 +29,11 @@
 
 // pendingSend is one send to a worker.
 type pendingSend struct {
-	// model and version are those that an engine is to run; empty for other workers.
+	// model and version are those that the engine is expected to run; empty for other workers.
 	model       fleet.ModelName
 	version     backends.WeightsVersion
 	fingerprint quarantine.Fingerprint
-	// quarantineTrial is set if the request is held and this is the one time that it is tried.
+	// quarantineTrial is set if the request is quarantined and this is its single trial.
 	quarantineTrial bool
 	cancel          context.CancelCauseFunc
 }
@@ -51,7 +52,7 @@
 	delete(p.sends, send)
 }
 
-// cancelStale breaks the sends off that wait at an older version than required.
+// cancelStale cancels the sends that wait at an older version than required.
 func (p *pendingSends) cancelStale(required map[fleet.ModelName]backends.WeightsVersion) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -63,17 +64,18 @@
 	}
 }
 
-// cancelQuarantined breaks the sends of a request off that is held from now on, and returns their number.
+// cancelQuarantined cancels the sends of a request that has been quarantined and returns their
+// number.
 func (p *pendingSends) cancelQuarantined(fingerprint quarantine.Fingerprint) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	broken := 0
+	cancelled := 0
 	for send := range p.sends {
 		if send.fingerprint == fingerprint && !send.quarantineTrial {
 			send.cancel(errQuarantined)
 			delete(p.sends, send)
-			broken++
+			cancelled++
 		}
 	}
-	return broken
+	return cancelled
 }
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -13,23 +13,22 @@
 	"github.com/tillerfall/tillerfall/internal/nodecapacity"
 )
 
-// Constants of a node's own pressure.
 const (
-	// pressureInterval is the time between two looks at what this node uses.
+	// pressureInterval is the time between two measurements of this node's resource usage.
 	pressureInterval = 250 * time.Millisecond
-	// pressureIdleInterval is the same at a node at rest, whose use changes slowly.
+	// pressureIdleInterval is the same for an idle node, whose usage changes slowly.
 	pressureIdleInterval = time.Second
-	// usageSmoothing is the part of one interval in the mean use of the processor, which so
-	// lasts some 0.8 s: a collection of garbage alone doesn't count.
+	// usageSmoothing is the weight of one interval in the moving average of processor usage. The
+	// average ignores peaks as short as one garbage collection.
 	usageSmoothing = 0.3
-	// baseDescriptors are those that aren't counted one by one: listeners, calls to the
-	// store, to engines and to other nodes.
+	// baseDescriptors is the assumed number of descriptors that are not counted individually:
+	// listeners and calls to the store, to engines and to other nodes.
 	baseDescriptors = 64
-	// maxConnectionFraction is the part of the descriptors up to which connections are taken at
-	// all. A process without descriptors can neither take connections nor reach workers.
+	// maxConnectionFraction is the part of the descriptors up to which new connections are
+	// accepted. The rest is kept for connections to workers.
 	maxConnectionFraction = 0.97
-	// releasedMemory and totalMemory are the runtime's names of what it has given back, and
-	// of all that it has mapped, in bytes.
+	// releasedMemory and totalMemory are the names of the runtime metrics for the memory returned
+	// to the system and for all mapped memory, in bytes.
 	releasedMemory = "/memory/classes/heap/released:bytes"
 	totalMemory    = "/memory/classes/total:bytes"
 	bytesPerMB     = 1 << 20
@@ -41,12 +40,12 @@
 	processor time.Duration
 	// memory is in bytes.
 	memory uint64
-	// descriptors are the open connections.
+	// descriptors is the number of open file descriptors.
 	descriptors int
 }
 
-// pressureMonitor follows how near this node is to its limits. Its meter belongs to
-// drivePressure alone.
+// pressureMonitor tracks how close this node is to its resource limits. Only the goroutine of
+// monitorPressure uses the meter.
 type pressureMonitor struct {
 	meter        nodecapacity.Meter
 	processorUse float64
@@ -54,23 +53,23 @@
 	lastAt       time.Duration
 	currentLevel atomic.Uint32
 	scarcest     atomic.Uint32
-	// connections counts those that servers have open, and workerConnections those to
-	// workers at the last look.
+	// connections counts the servers' open connections, workerConnections those to workers at the
+	// last measurement.
 	connections       atomic.Int64
 	workerConnections atomic.Int64
 }
 
-// level returns this node's pressure at the last look.
+// level returns this node's pressure at the last measurement.
 func (p *pressureMonitor) level() nodecapacity.Pressure {
 	return nodecapacity.Pressure(p.currentLevel.Load())
 }
 
-// scarcestResource returns the resource that this node was shortest of at the last look.
+// scarcestResource returns the resource that was closest to its limit at the last measurement.
 func (p *pressureMonitor) scarcestResource() nodecapacity.Resource {
 	return nodecapacity.Resource(p.scarcest.Load())
 }
 
-// observe takes in what is used at now, and returns the pressure before and after.
+// observe adds a measurement and returns the pressure before and after it.
 func (p *pressureMonitor) observe(now time.Duration, used resourceUsage, limits nodecapacity.Limits) (before, after nodecapacity.Pressure) {
 	if elapsed := now - p.lastAt; elapsed > 0 && p.lastAt > 0 {
 		busy := float64(used.processor-p.lastUsage.processor) / float64(elapsed)
@@ -94,7 +93,7 @@
 	return before, after
 }
 
-// monitorPressure measures what this node uses, until the process ends.
+// monitorPressure measures resource usage until the process ends.
 func (g *Gateway) monitorPressure() error {
 	for g.pauseOrRest(g.pressureSampleInterval()) {
 		used, err := g.measureUsage()
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// pressureSampleInterval returns the time until the next look.
+// pressureSampleInterval returns the time until the next measurement.
 func (g *Gateway) pressureSampleInterval() time.Duration {
 	if g.resting() {
 		return pressureIdleInterval
@@ -115,7 +114,7 @@
 	return pressureInterval
 }
 
-// recordUsage takes in what this node uses at now.
+// recordUsage updates this node's pressure from its resource usage at now, and logs changes.
 func (g *Gateway) recordUsage(now time.Duration, used resourceUsage) {
 	before, after := g.pressure.observe(now, used, g.settings().Limits)
 	g.origins.setPressure(now, g.node, after)
@@ -128,7 +127,7 @@
 		Msg("pressure_changed")
 }
 
-// measureUsage returns what the process uses.
+// measureUsage returns the process's current resource usage.
 func (g *Gateway) measureUsage() (resourceUsage, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -144,12 +143,12 @@
 	}, nil
 }
 
-// openDescriptors returns the number of open openDescriptors, nearly.
+// openDescriptors returns the approximate number of open file descriptors.
 func (p *pressureMonitor) openDescriptors() int {
 	return int(p.connections.Load()+p.workerConnections.Load()) + baseDescriptors
 }
 
-// countConnection is a ConnState hook of all servers.
+// countConnection is the ConnState hook of all servers.
 func (p *pressureMonitor) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -160,12 +159,12 @@
 	}
 }
 
-// boundedListener closes connections beyond a bound at once: their callers know by that that
-// nothing was read, and take another node. Waiting ones would use up the descriptors with
-// which requests under way are carried.
+// boundedListener closes connections beyond a bound at once. Their callers can tell that no request
+// was read, and try another node. Connections left waiting would use descriptors that requests in
+// flight need.
 type boundedListener struct {
 	net.Listener
-	// hasRoom tells whether another connection can be taken.
+	// hasRoom reports whether another connection can be accepted.
 	hasRoom func() bool
 	// onRefused is called for each connection that is closed.
 	onRefused func()
@@ -183,7 +182,7 @@
 	}
 }
 
-// hasConnectionRoom tells whether this node can take another connection.
+// hasConnectionRoom reports whether this node can accept another connection.
 func (g *Gateway) hasConnectionRoom() bool {
 	limits := g.settings().Limits
 	if limits.FileDescriptors == 0 {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -15,18 +15,17 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Times of the talk about quotas.
 const (
-	// usageTimeout bounds one exchange of what tenants have used.
+	// usageTimeout bounds one exchange of tenants' usage.
 	usageTimeout = 250 * time.Millisecond
-	// usageReportPeriod is how long after a request of a tenant with a limit a node that callers
-	// aren't sent to tells those that serve what it has admitted.
+	// usageReportPeriod is how long after the last request of a tenant with a quota a node that
+	// doesn't serve reports its usage to the serving nodes.
 	usageReportPeriod = 3 * time.Second
-	// unknownRate marks a report that doesn't tell the sender's rate of requests.
+	// unknownRate marks a report without the sender's request rate.
 	unknownRate = -1
 )
 
-// quotas makes the limiter of tenants safe for concurrent use.
+// quotas wraps the limiter of tenants for concurrent use.
 type quotas struct {
 	mutex   sync.Mutex
 	limiter *quota.Limiter
@@ -42,7 +41,7 @@
 	})}
 }
 
-// setLimits puts the limits of a configuration in force.
+// setLimits applies the quotas of a configuration.
 func (q *quotas) setLimits(now time.Duration, tenants []routes.Tenant) {
 	limits := make(map[fleet.TenantName]quota.Limit, len(tenants))
 	for index := range tenants {
@@ -73,7 +72,7 @@
 	q.limiter.Refund(now, tenant, cost)
 }
 
-// isUnlimited tells whether no tenant has a limit.
+// isUnlimited reports whether no tenant has a quota.
 func (q *quotas) isUnlimited() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -86,63 +85,63 @@
 	return q.limiter.Near(now)
 }
 
-// isNewcomer tells whether this node doesn't know yet what was used before its start.
+// isNewcomer reports whether this node doesn't know yet what was used before its start.
 func (q *quotas) isNewcomer(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.Newcomer(now)
 }
 
-// hasReportedSince tells whether a node has told what it admits since a time.
+// hasReportedSince reports whether a node has reported its usage since a time.
 func (q *quotas) hasReportedSince(node fleet.NodeID, at time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.HeardSince(node, at)
 }
 
-// writeReport adds what this node has admitted to a report to another node.
+// writeReport adds this node's usage to a report to another node.
 func (q *quotas) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	report.UsesTold = true
 	report.QuotaNewcomer = q.limiter.Newcomer(now)
 	for _, use := range q.limiter.Uses(now, to) {
-		told := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Heard}
+		usage := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Heard}
 		if report.QuotaNewcomer {
-			told.Recent = use.Recent
+			usage.Recent = use.Recent
 		}
-		report.TenantUses = append(report.TenantUses, told)
+		report.TenantUses = append(report.TenantUses, usage)
 	}
 }
 
-// applyReport takes in what another node has admitted, if its report tells that.
+// applyReport records another node's usage, if its report contains it.
 func (q *quotas) applyReport(now time.Duration, report *rpc.LoadReport) {
 	if !report.GetUsesTold() {
 		return
 	}
-	told := quota.Report{
+	usage := quota.Report{
 		Node:        fleet.NodeID(report.GetNode()),
 		Machine:     lease.HolderID(report.GetNode()).Machine(),
 		Newcomer:    report.GetQuotaNewcomer(),
 		RequestRate: decodeRate(report.GetRequestRate()),
 	}
 	if report.GetPartial() {
-		told.RequestRate = unknownRate
+		usage.RequestRate = unknownRate
 	}
 	for _, use := range report.GetTenantUses() {
-		told.Uses = append(told.Uses, quota.Use{
+		usage.Uses = append(usage.Uses, quota.Use{
 			Tenant: fleet.TenantName(use.GetTenant()), Total: use.GetTotal(), Recent: use.GetRecent(),
 			Deficit: use.GetDeficit(), Heard: use.GetHeard(),
 		})
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.limiter.Observe(now, told)
+	q.limiter.Observe(now, usage)
 }
 
-// expectPeers names the nodes that this one shares loads with. Others that have told
-// something and are still alive report to somebody else; those that are gone are left
-// their part.
+// expectPeers sets the nodes that this one shares loads with. Other nodes that have reported and
+// are still alive now report elsewhere and are forgotten; the shares of nodes that are suspected or
+// gone remain reserved.
 func (q *quotas) expectPeers(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -162,14 +161,15 @@
 	}
 }
 
-// forgetPeers forgets what others have told: this node no longer hears of all.
+// forgetPeers drops the usage of other nodes when this node no longer receives all reports.
 func (q *quotas) forgetPeers(now time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.Leave(now)
 }
 
-// chargeQuota takes a request's cost out of its tenant's quota, or refuses it.
+// chargeQuota charges a request's cost to its tenant's quota. It returns a refusal if the quota is
+// exceeded.
 func (g *Gateway) chargeQuota(current *callerRequest) *refusal {
 	if current.tenant == nil || current.tenant.Quota == nil {
 		return nil
@@ -192,22 +192,22 @@
 	return &refusal{code: resultcode.QuotaExceeded, reason: "quota exceeded", retryAfter: max(decision.RetryAfter, shortRetryAfter)}
 }
 
-// chargeRerun takes the cost of a further run out of the tenant's quota.
+// chargeRerun charges the cost of a further run to the tenant's quota.
 func (g *Gateway) chargeRerun(current *callerRequest) {
 	if current.quotaCost > 0 && current.attempts.MayHaveRun() {
 		g.quotas.charge(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
-// refundIfNotRun gives back what a request was charged that didn't run.
+// refundIfNotRun refunds the charge of a request that didn't run.
 func (g *Gateway) refundIfNotRun(current *callerRequest) {
 	if current.quotaCost > 0 && (current.attempts == nil || !current.attempts.MayHaveRun()) {
 		g.quotas.refund(g.now(), current.tenant.Name, current.quotaCost)
 	}
 }
 
-// driveUsageExchange tells the nodes that share loads what tenants near their limits have used,
-// and asks them, more often than loads are shared.
+// driveUsageExchange exchanges usage with the nodes that share loads while a tenant is near its
+// quota or this node is a newcomer. It does so more often than loads are shared.
 func (g *Gateway) driveUsageExchange() error {
 	for g.pauseForUsage() {
 		if !g.quotas.isNearLimit(g.now()) && !g.quotas.isNewcomer(g.now()) {
@@ -222,11 +222,10 @@
 	return nil
 }
 
-// unlimitedInterval is the time between two looks at uses while no tenant has a limit.
+// unlimitedInterval is the time between two checks while no tenant has a quota.
 const unlimitedInterval = time.Second
 
-// pauseForUsage waits until the next look at what tenants near their limits have used. It
-// returns false when the process ends.
+// pauseForUsage waits until usage is to be checked again. It returns false when the process ends.
 func (g *Gateway) pauseForUsage() bool {
 	if g.holder.Current() != nil && g.quotas.isUnlimited() {
 		return g.pauseOrRest(unlimitedInterval)
@@ -234,8 +233,8 @@
 	return g.pause(quota.NearInterval)
 }
 
-// updateUsagePeers keeps up to date whose use this node hears of. A node that carries
-// requests although callers aren't sent to it asks those to which they are.
+// updateUsagePeers updates the nodes whose usage this node expects. A node that receives requests
+// although it isn't a serving one exchanges usage with the serving nodes.
 func (g *Gateway) updateUsagePeers() {
 	peers := g.usagePeers()
 	if len(peers) == 0 {
@@ -254,9 +253,9 @@
 	}
 }
 
-// usagePeers returns the nodes that this one tells what it admits: those that share
-// loads, or, if callers aren't sent to it and some of limited tenants have come, those that
-// serve. Requests of others cause no talk, which would be most of a large fleet's.
+// usagePeers returns the nodes to which this one reports its usage: those that share loads or, if
+// this node is not a serving one and has recently received requests of tenants with quotas, the
+// serving nodes. Other requests cause no exchange, to limit traffic in a large fleet.
 func (g *Gateway) usagePeers() []membership.Member {
 	if peers := g.loadPeers(); len(peers) > 0 {
 		return peers
@@ -268,7 +267,7 @@
 	return g.roles.Load().Serving
 }
 
-// exchangeUsage tells one node what this one has admitted, and learns the same.
+// exchangeUsage reports this node's usage to another node and records that node's usage.
 func (g *Gateway) exchangeUsage(member membership.Member) {
 	if member.Node == g.node {
 		return
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -7,15 +7,14 @@
 	"github.com/tillerfall/tillerfall/internal/nodecapacity"
 )
 
-// unreachableAfter is the number of failed exchanges in a row after which a node counts as
-// unreachable: one may
-// fail by a lost packet or a moment's work, and a node that is off fails two within some 1.4 s.
+// unreachableAfter is the number of consecutive failed exchanges after which a node counts as
+// unreachable. A single one may fail by a lost packet or a short stall.
 const unreachableAfter = 2
 
-// unreachable is said of a node by others, in the place of its own word on its pressure.
+// unreachable is a pressure that other nodes report for a node that doesn't answer them.
 const unreachable = nodecapacity.Full + 1
 
-// peerFailures counts the exchanges with other nodes that have failed in a row.
+// peerFailures counts consecutive failed exchanges with each peer. It is safe for concurrent use.
 type peerFailures struct {
 	mutex  sync.Mutex
 	failed map[fleet.NodeID]int
@@ -26,7 +25,7 @@
 // forget drops a node that is gone.
 func (s *peerFailures) forget(node fleet.NodeID) { s.record(node, true) }
 
-// record takes in how an exchange went and tells whether the node counts as unreachable now.
+// record records the result of an exchange and reports whether the node now counts as unreachable.
 func (s *peerFailures) record(node fleet.NodeID, answered bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -38,10 +37,9 @@
 	return s.failed[node] >= unreachableAfter
 }
 
-// noteExchange takes in how an exchange with another node went. A node that doesn't answer is
-// told to be unreachable with this node's watches until it does, so that within some three
-// seconds of a loss nodes at rest name it to no caller. By the membership's gossip alone the last
-// of many nodes knows of a loss of many after twice that time.
+// noteExchange records the result of an exchange with another node. Until an unreachable node
+// answers again, this node's reports to its watchers list it, so that idle nodes stop directing
+// callers to it before the membership's gossip has spread its failure.
 func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
 	if g.silences.record(node, answered) && !g.stopping() {
 		g.origins.setPressure(g.now(), node, unreachable)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,14 +15,14 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// maxEventBytes bounds one event of a stream, in bytes.
+// maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 256 << 10
 
 // errPartialEvent means that a stream ended within an event.
 var errPartialEvent = errors.New("stream ended within an event")
 
-// deliverStream passes the events of a stream on, each as it comes and only
-// whole. A stream that breaks off may go on at another worker.
+// deliverStream relays the events of a stream as they arrive, only whole ones. A stream that breaks
+// off may be resumed at another worker.
 func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.attempts.Answered(g.now(), run, false)
@@ -41,7 +41,7 @@
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case err == nil:
-		// A stream without events is passed on as it is.
+		// A stream without events is passed on as an empty body.
 		g.sendHead(current, answer, 0)
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeEvents passes whole events on at once.
+// writeEvents writes whole events to the caller and flushes them.
 func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Answer, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
@@ -81,16 +81,17 @@
 	return nil
 }
 
-// eventRelay reads a stream of events and passes whole ones on.
+// eventRelay reads a stream of events and relays whole ones.
 type eventRelay struct {
 	answer *upstream.Answer
-	// lastID is the identifier of the last event passed on.
+	// lastID is the identifier of the last relayed event.
 	lastID string
 	buffer []byte
 }
 
-// run reads until the stream's end; nil means that it ended well.
-func (r *eventRelay) run(pass func(events []byte) error) error {
+// run reads until the end of the stream and calls relay with whole events. It returns nil if the
+// stream ended at the end of an event.
+func (r *eventRelay) run(relay func(events []byte) error) error {
 	const chunk = 4 << 10
 	for {
 		if cap(r.buffer)-len(r.buffer) < chunk/4 {
@@ -100,8 +101,8 @@
 		}
 		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
-		if passErr := r.relayWholeEvents(pass); passErr != nil {
-			return passErr
+		if relayErr := r.relayWholeEvents(relay); relayErr != nil {
+			return relayErr
 		}
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(r.buffer)) > 0:
@@ -111,13 +112,13 @@
 		case err != nil:
 			return err
 		case len(r.buffer) > maxEventBytes:
-			return errors.New("event too long")
+			return errors.New("event exceeds the size limit")
 		}
 	}
 }
 
-// relayWholeEvents passes the whole events in the buffer on.
-func (r *eventRelay) relayWholeEvents(pass func(events []byte) error) error {
+// relayWholeEvents passes the whole events in the buffer on and removes them from it.
+func (r *eventRelay) relayWholeEvents(relay func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
 		return nil
@@ -126,14 +127,15 @@
 	if id, found := findLastEventID(events); found {
 		r.lastID = id
 	}
-	if err := pass(events); err != nil {
+	if err := relay(events); err != nil {
 		return err
 	}
 	r.buffer = append(r.buffer[:0], r.buffer[end:]...)
 	return nil
 }
 
-// lastEventEnd returns the end of the last whole event: a blank line ends one.
+// lastEventEnd returns the end of the last whole event in the buffer, 0 if there is none. A blank
+// line ends an event.
 func lastEventEnd(buffer []byte) int {
 	end := 0
 	if at := bytes.LastIndex(buffer, []byte("\n\n")); at >= 0 {
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -10,34 +10,34 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// trafficLogInterval is the time between two lines of the bytes counted: with lines of
-// less than 2 KB a node logs some 30 MB a day for it.
+// trafficLogInterval is the time between two log lines with the counted bytes.
 const trafficLogInterval = 5 * time.Second
 
-// location returns where this node is.
+// location returns this node's zone and region.
 func (g *Gateway) location() membership.Location {
 	return membership.Location{Zone: g.settings().Zone, Region: g.settings().Region}
 }
 
-// distanceTo returns how far a zone is.
+// distanceTo returns the distance between this node and a zone.
 func (g *Gateway) distanceTo(zone fleet.ZoneName) traffic.Distance {
 	return traffic.Between(g.location(), membership.Location{Zone: zone, Region: g.settings().Zones[zone]})
 }
 
-// peerCallContext returns a context for a call to another gateway.
+// peerCallContext returns a context for a call to another gateway, which counts its traffic.
 func (g *Gateway) peerCallContext(purpose traffic.Purpose, member membership.Member) context.Context {
 	distance := traffic.Between(g.location(), membership.Location{Zone: member.Zone, Region: member.Region})
 	return traffic.With(g.context(), purpose, distance)
 }
 
-// workerCallContext counts a call to a worker for the gateway's own sake and returns its context.
+// workerCallContext counts a call to a worker other than a caller's request, and returns a context
+// for it that counts its traffic and handles its notices.
 func (g *Gateway) workerCallContext(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
 	g.noteCall(worker.ID, kind)
 	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, born: worker.Born, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
 }
 
-// reportTraffic logs the bytes counted since the start.
+// reportTraffic periodically logs the bytes counted since the start.
 func (g *Gateway) reportTraffic() error {
 	for g.pause(trafficLogInterval) {
 		line := g.logger.Info()
