--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// orderDelayOf returns how long orders and reports to a worker are still held back by its backoff.
+// remainingOrderDelay returns how long orders and reports to a worker are still held back by its backoff.
 // since is when the first of these was due.
-func (g *Gateway) orderDelayOf(worker *backends.Worker, since time.Duration) time.Duration {
+func (g *Gateway) remainingOrderDelay(worker *backends.Worker, since time.Duration) time.Duration {
 	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.Born))
 	return min(closed, max(since+maxOrderDelay-g.now(), 0))
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -26,40 +26,40 @@
 // crashDetector finds out which workers have crashed and which requests were running there. It is
 // safe for concurrent use.
 type crashDetector struct {
-	mutex sync.Mutex
-	lost  *quarantine.LostRuns
+	mutex    sync.Mutex
+	lostRuns *quarantine.LostRuns
 }
 
-func newCrashDetector() *crashDetector { return &crashDetector{lost: quarantine.NewLostRuns()} }
+func newCrashDetector() *crashDetector { return &crashDetector{lostRuns: quarantine.NewLostRuns()} }
 
 func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (suspected, probe bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Note(now, worker, fingerprint, loss)
+	return c.lostRuns.Note(now, worker, fingerprint, loss)
 }
 
 func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Ended(now, worker, proof)
+	return c.lostRuns.Ended(now, worker, proof)
 }
 
 func (c *crashDetector) markAlive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Alive(worker)
+	c.lostRuns.Alive(worker)
 }
 
 func (c *crashDetector) markUndecided(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Undecided(worker)
+	c.lostRuns.Undecided(worker)
 }
 
 func (c *crashDetector) sweep(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Sweep(now)
+	c.lostRuns.Sweep(now)
 }
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -34,7 +34,7 @@
 	// sharing is set while this node shares loads with the serving nodes.
 	sharing       bool
 	reportedTotal reportedRate
-	level         membership.Demand
+	plannedLevel  membership.Demand
 }
 
 // reportedRate is a rate reported by another node.
@@ -162,5 +162,5 @@
 	total := d.total(now)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.level.Observe(now, total)
+	return d.plannedLevel.Observe(now, total)
 }
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -151,7 +151,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	report, found := o.pressures[node]
-	return found && report.pressure == unreachable && now <= report.measured+rateLifetime
+	return found && report.pressure == pressureUnreachable && now <= report.measured+rateLifetime
 }
 
 // capacityWeights returns the fraction of their capacity with which nodes under pressure count. It
@@ -161,7 +161,7 @@
 	for node, report := range o.nodesUnderPressure(now) {
 		// Nodes near an unreachable one may be lost as well. It is replaced only after the
 		// membership has removed it.
-		if report.pressure != unreachable {
+		if report.pressure != pressureUnreachable {
 			weights[node] = report.pressure.Weight()
 		}
 	}
@@ -226,5 +226,5 @@
 // decodePressure decodes a transmitted pressure, or unreachable. Unknown values count as the
 // highest.
 func decodePressure(encoded uint32) nodecapacity.Pressure {
-	return nodecapacity.Pressure(min(encoded, uint32(unreachable)))
+	return nodecapacity.Pressure(min(encoded, uint32(pressureUnreachable)))
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -139,7 +139,7 @@
 	orders := int64(-1)
 	failed := 0
 	for g.now() < begun+changeTimeout {
-		if !g.pause(g.orderDelayOf(&next.worker, begun)) {
+		if !g.pause(g.remainingOrderDelay(&next.worker, begun)) {
 			return
 		}
 		wait := g.reportInterval(&next.worker)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -11,16 +11,16 @@
 // unreachable. A single one may fail by a lost packet or a short stall.
 const unreachableAfter = 2
 
-// unreachable is a pressure that other nodes report for a node that doesn't answer them.
-const unreachable = nodecapacity.Full + 1
+// pressureUnreachable is a pressure that other nodes report for a node that doesn't answer them.
+const pressureUnreachable = nodecapacity.Full + 1
 
 // peerFailures counts consecutive failed exchanges with each peer. It is safe for concurrent use.
 type peerFailures struct {
-	mutex  sync.Mutex
-	failed map[fleet.NodeID]int
+	mutex       sync.Mutex
+	consecutive map[fleet.NodeID]int
 }
 
-func newPeerFailures() *peerFailures { return &peerFailures{failed: make(map[fleet.NodeID]int)} }
+func newPeerFailures() *peerFailures { return &peerFailures{consecutive: make(map[fleet.NodeID]int)} }
 
 // forget drops a node that is gone.
 func (s *peerFailures) forget(node fleet.NodeID) { s.record(node, true) }
@@ -30,11 +30,11 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if answered {
-		delete(s.failed, node)
+		delete(s.consecutive, node)
 		return false
 	}
-	s.failed[node]++
-	return s.failed[node] >= unreachableAfter
+	s.consecutive[node]++
+	return s.consecutive[node] >= unreachableAfter
 }
 
 // noteExchange records the result of an exchange with another node. Until an unreachable node
@@ -42,7 +42,7 @@
 // callers to it before the membership's gossip has spread its failure.
 func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
 	if g.silences.record(node, answered) && !g.stopping() {
-		g.origins.setPressure(g.now(), node, unreachable)
+		g.origins.setPressure(g.now(), node, pressureUnreachable)
 		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
 	}
 }
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -20,7 +20,7 @@
 	assert.True(t, silences.record("a", false))
 	assert.True(t, silences.record("a", false), "as long as it is silent")
 	silences.forget("a")
-	assert.Len(t, silences.failed, 1)
+	assert.Len(t, silences.consecutive, 1)
 }
 
 // TestSilentNodeIsNamedToNobody has exchanges with a node fail while the membership still takes
@@ -40,7 +40,7 @@
 	assert.False(t, atRest.origins.isUnreachable(atRest.now()+rateLifetime+time.Second, lost.Node), "a word that isn't renewed ends")
 	g.takeLoad(&rpc.LoadReport{Node: "lost"})
 	assert.False(t, g.origins.isUnreachable(g.now(), lost.Node), "it is heard again")
-	g.origins.setPressure(g.now(), g.node, unreachable)
+	g.origins.setPressure(g.now(), g.node, pressureUnreachable)
 	g.recordUsage(g.now(), resourceUsage{})
 	assert.False(t, g.origins.isUnreachable(g.now(), g.node), "a node knows better of itself")
 }
