--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -11,19 +11,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestOnlyAWorkersOwnAnswerTellsThatItDrains: an answer of another run, of whoever has the address
-// now or of nobody known says nothing of it.
-func TestOnlyAWorkersOwnAnswerTellsThatItDrains(t *testing.T) {
+// TestDrainingNoticeCountsOnlyFromTheWorkerItself guards against marking a worker as draining by an
+// unsigned answer, or by one from another run that now has its address.
+func TestDrainingNoticeCountsOnlyFromTheWorkerItself(t *testing.T) {
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	for _, test := range []struct {
-		name  string
-		info  AnswerInfo
-		tells bool
+		name         string
+		info         AnswerInfo
+		wantDraining bool
 	}{
 		{"signed", AnswerInfo{Signed: true}, true},
 		{"rejected", AnswerInfo{NotExecuted: true}, true},
 		{"named", AnswerInfo{Signed: true, Notice: Notice{Instance: "w"}}, true},
-		{"other weights than expected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
+		{"other model version than expected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
 		{"misdirected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true}}, false},
 		{"another run", AnswerInfo{Signed: true, Notice: Notice{Instance: "other"}}, false},
 		{"without a signature", AnswerInfo{}, false},
@@ -33,12 +33,13 @@
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
 			g.noteAnswerNotice(&worker, 0, test.info)
-			assert.Equal(t, test.tells, g.workers.Draining("w"))
+			assert.Equal(t, test.wantDraining, g.workers.Draining("w"))
 		})
 	}
 }
 
-// TestUnknownHeadersAreLoggedOnceAndInBoundedNumber whatever workers send.
+// TestUnknownHeadersAreLoggedOnceAndInBoundedNumber guards against a worker that floods the log, or
+// this node's memory, with unknown headers.
 func TestUnknownHeadersAreLoggedOnceAndInBoundedNumber(t *testing.T) {
 	var logged unknownHeaders
 	assert.True(t, logged.isFirst("w", "Server-Wants"))
@@ -51,32 +52,33 @@
 	assert.True(t, logged.isFirst("w", "Server-Wants"))
 }
 
-// TestNodeHearsFromAPeerThatAWorkerDrains before it sends there: a worker's end cuts streams, and
-// its row can't say anything while the store is away.
-func TestNodeHearsFromAPeerThatAWorkerDrains(t *testing.T) {
+// TestDrainingNoticeIsForwardedToPeers guards against sends to a draining worker whose row can't be
+// updated while the store is unavailable.
+func TestDrainingNoticeIsForwardedToPeers(t *testing.T) {
 	worker := backends.Worker{ID: "w", Born: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	told, hears := idleGateway(t), idleGateway(t)
-	for _, g := range []*Gateway{told, hears} {
+	sender, receiver := idleGateway(t), idleGateway(t)
+	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, worker)
 	}
-	assert.Empty(t, told.loadReport("other").GetDraining())
-	told.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
-	report := told.loadReport("other")
-	hears.takeLoad(report)
-	assert.True(t, hears.workers.Draining("w"))
+	assert.Empty(t, sender.loadReport("other").GetDraining())
+	sender.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
+	report := sender.loadReport("other")
+	receiver.takeLoad(report)
+	assert.True(t, receiver.workers.Draining("w"))
 
 	worker.Born = 2000
-	hears.workers.Observe(2, worker)
-	hears.takeLoad(report)
-	assert.False(t, hears.workers.Draining("w"), "it was told of the run before")
+	receiver.workers.Observe(2, worker)
+	receiver.takeLoad(report)
+	assert.False(t, receiver.workers.Draining("w"), "the report is about the previous run")
 
 	worker.Born, worker.Draining = 1000, true
-	told.workers.Observe(2, worker)
-	assert.Empty(t, told.loadReport("other").GetDraining(), "the row says so")
+	sender.workers.Observe(2, worker)
+	assert.Empty(t, sender.loadReport("other").GetDraining(), "the worker's row already says so")
 }
 
-// TestBackoffsAreToldWithinAZone since a worker may reject the requests of one zone alone.
-func TestBackoffsAreToldWithinAZone(t *testing.T) {
+// TestBackoffsAreSharedWithinAZone guards against applying a backoff reported from another zone: a
+// worker may reject the requests of a single zone.
+func TestBackoffsAreSharedWithinAZone(t *testing.T) {
 	g := idleGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.noteAnswerNotice(&worker, 0, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
@@ -87,17 +89,18 @@
 	assert.Empty(t, g.deferringWorkers(report))
 }
 
-// TestSuccessSentBeforeABackoffDoesNotEndIt nor does what isn't the worker's own answer.
+// TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the answer to an
+// earlier request, or by an answer that isn't the worker's own.
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
 	g := idleGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.noteAnswerNotice(&worker, 0, AnswerInfo{Notice: Notice{RetryAfter: time.Hour}})
-	assert.NoError(t, g.permitWorker(&worker), "nobody signed it")
+	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
 	asked := g.now()
 	g.noteAnswerNotice(&worker, asked, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
 	g.noteAnswerNotice(&worker, asked-time.Millisecond, AnswerInfo{Signed: true})
 	g.noteAnswerNotice(&worker, asked+time.Minute, AnswerInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
 	g.forgetFormerRun("w")
-	assert.NoError(t, g.permitWorker(&worker), "another run")
+	assert.NoError(t, g.permitWorker(&worker), "the former run has ended")
 }
--- a/internal/gateway/pending_test.go
+++ b/internal/gateway/pending_test.go
@@ -10,8 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff.
-func TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff(t *testing.T) {
+// TestOnlyPendingSendsAtOlderVersionsAreCancelled guards against cancelling sends at a current
+// version, for another model, or whose answer has begun.
+func TestOnlyPendingSendsAtOlderVersionsAreCancelled(t *testing.T) {
 	pending := newPendingSends()
 	begin := func(model fleet.ModelName, version backends.WeightsVersion) (context.Context, *pendingSend) {
 		ctx, cancel := context.WithCancelCause(context.Background())
@@ -28,5 +29,5 @@
 	assert.ErrorIs(t, context.Cause(older), errStaleVersion)
 	assert.NoError(t, newer.Err())
 	assert.NoError(t, other.Err())
-	assert.NoError(t, answered.Err(), "its answer has begun")
+	assert.NoError(t, answered.Err(), "the answer has begun")
 }
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestPressureFollowsTheLimits has a node use more of each of its limits in turn.
+// TestPressureFollowsTheLimits guards against a pressure that misses one of the node's limits.
 func TestPressureFollowsTheLimits(t *testing.T) {
 	limits := nodecapacity.Limits{ProcessorShare: 0.2, MemoryMB: 100, FileDescriptors: 1200}
 	var processor time.Duration
@@ -34,7 +34,7 @@
 	for range 20 {
 		assert.Equal(t, nodecapacity.Free, step(0.1, 50, 500))
 	}
-	assert.Equal(t, nodecapacity.Free, step(0.2, 50, 500), "one interval isn't a trend")
+	assert.Equal(t, nodecapacity.Free, step(0.2, 50, 500), "a single interval has little weight")
 	for range 20 {
 		step(0.2, 50, 500)
 	}
@@ -47,14 +47,15 @@
 	assert.Equal(t, nodecapacity.Busy, step(0.1, 50, 100))
 }
 
-// TestPressureOfAnUnknownMachineIsNone has no limit in the settings.
-func TestPressureOfAnUnknownMachineIsNone(t *testing.T) {
+// TestPressureIsFreeWithoutLimits guards against pressure at a node without limits in its settings.
+func TestPressureIsFreeWithoutLimits(t *testing.T) {
 	measured := &pressureMonitor{}
 	_, after := measured.observe(time.Second, resourceUsage{processor: time.Hour, memory: 1 << 40, descriptors: 1 << 20}, nodecapacity.Limits{})
 	assert.Equal(t, nodecapacity.Free, after)
 }
 
-// TestNodeUnderPressureGetsFewerCallers has one node tell that it is busy.
+// TestNodeUnderPressureGetsFewerCallers guards against planning a node under pressure at its full
+// capacity, and against reports that are outdated or have expired.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.origins.capacityWeights(0))
@@ -63,21 +64,22 @@
 	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
 	g.assign(now)
 	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().weights["other"])
-	_, told := g.originReport(now)
-	require.Len(t, told, 1)
+	_, pressures := g.originReport(now)
+	require.Len(t, pressures, 1)
 	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
-	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older word doesn't count")
-	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a word that isn't renewed ends")
+	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older report is ignored")
+	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a report that isn't renewed expires")
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
 	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityWeights(g.now())["other"])
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: 77})
-	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown word counts as the highest")
+	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown value counts as the highest")
 	g.takeLoad(&rpc.LoadReport{Node: "other"})
 	assert.Empty(t, g.origins.capacityWeights(g.now()))
 }
 
-// TestOwnPressureIsTold has this node itself run short.
-func TestOwnPressureIsTold(t *testing.T) {
+// TestOwnPressureIsReported guards against a node that doesn't report its own pressure to peers and
+// watchers.
+func TestOwnPressureIsReported(t *testing.T) {
 	g := idleGateway(t)
 	settings := *g.settings()
 	settings.Limits = nodecapacity.Limits{MemoryMB: 100}
@@ -89,67 +91,68 @@
 	assert.EqualValues(t, g.node, response.GetPressures()[0].GetNode())
 }
 
-// TestLostRegionIsRememberedAndCountedOnce cuts a region off and lets it return: its callers'
-// demand is planned for by those that are left, and isn't added to what the region tells again.
-func TestLostRegionIsRememberedAndCountedOnce(t *testing.T) {
-	known := newOriginTracker()
+// TestDemandOfALostRegionIsKeptAndCountedOnce guards against dropping the demand of a lost region
+// before its callers arrive elsewhere, and against counting it twice when the region returns.
+func TestDemandOfALostRegionIsKeptAndCountedOnce(t *testing.T) {
+	tracker := newOriginTracker()
 	north, south := membership.Location{Region: "north", Zone: "a"}, membership.Location{Region: "south", Zone: "b"}
 	both := map[membership.Location]float64{north: 100, south: 80}
 	alone := map[membership.Location]float64{north: 100}
-	looks := func(duration time.Duration, rates map[membership.Location]float64) map[membership.Location]float64 {
+	sample := func(duration time.Duration, rates map[membership.Location]float64) map[membership.Location]float64 {
 		var planned map[membership.Location]float64
 		for range int(duration / rolesInterval) {
-			planned = known.plan(rates)
-			for place, rate := range planned {
-				require.LessOrEqual(t, rate, both[place]*(1+replanThreshold), "counted once at any time")
+			planned = tracker.plan(rates)
+			for location, rate := range planned {
+				require.LessOrEqual(t, rate, both[location]*(1+replanThreshold), "never counted twice")
 			}
 		}
 		return planned
 	}
-	planned := looks(10*time.Second, both)
+	planned := sample(10*time.Second, both)
 	assert.InDelta(t, 100, planned[north], 25)
 	assert.InDelta(t, 80, planned[south], 20)
-	assert.Greater(t, looks(5*time.Second, alone)[south], 40.0, "its callers may be on their way")
-	assert.InDelta(t, 80, looks(5*time.Second, both)[south], 20, "back")
-	assert.NotContains(t, looks(time.Minute, alone), south, "it serves its callers itself, or they have come")
+	assert.Greater(t, sample(5*time.Second, alone)[south], 40.0, "its callers may still arrive")
+	assert.InDelta(t, 80, sample(5*time.Second, both)[south], 20, "the region is back")
+	assert.NotContains(t, sample(time.Minute, alone), south, "its callers have arrived, or it serves them itself")
 }
 
-// TestVaryingRatesChangeThePlanSeldom has the numbers of few requests vary as they do by chance.
-func TestVaryingRatesChangeThePlanSeldom(t *testing.T) {
+// TestRandomVariationOfRatesRarelyChangesThePlan guards against replanning on the random variation of
+// low request rates.
+func TestRandomVariationOfRatesRarelyChangesThePlan(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
-	known := newOriginTracker()
+	tracker := newOriginTracker()
 	changes := 0
 	var before map[membership.Location]float64
 	for range 300 {
 		rates := map[membership.Location]float64{}
 		for zone := range 3 {
-			place := membership.Location{Region: "r", Zone: fleet.ZoneName(fmt.Sprint("z", zone))}
-			rates[place] = 30 * (1 + 0.17*random.NormFloat64())
+			location := membership.Location{Region: "r", Zone: fleet.ZoneName(fmt.Sprint("z", zone))}
+			rates[location] = 30 * (1 + 0.17*random.NormFloat64())
 		}
-		planned := known.plan(rates)
+		planned := tracker.plan(rates)
 		if !maps.Equal(planned, before) {
 			changes, before = changes+1, planned
 		}
 	}
-	assert.LessOrEqual(t, changes, 20, "of 300 looks, some twelve of them at the start")
+	assert.LessOrEqual(t, changes, 20, "of 300 samples, including the changes at the start")
 }
 
-// TestPartitionedNodesCountOnlyWhomTheyHear has one side's rates run out while the link is
-// down, and come back as they are then.
-func TestPartitionedNodesCountOnlyWhomTheyHear(t *testing.T) {
-	known := newDemandTracker()
-	known.setSharing(true)
-	known.setPeerRate(0, "near", 40)
-	known.setPeerRate(0, "far", 60)
-	assert.InDelta(t, 100, known.sharedTotal(time.Second), 1e-9)
-	known.setPeerRate(4*time.Second, "near", 45)
-	assert.InDelta(t, 45, known.sharedTotal(4*time.Second), 1e-9)
-	assert.Len(t, known.nodeRates(4*time.Second, "self"), 2)
-	known.setPeerRate(5*time.Second, "far", 70)
-	assert.InDelta(t, 115, known.sharedTotal(5*time.Second), 1e-9)
+// TestRatesOfUnreachablePeersExpire guards against counting the rates of peers beyond a network
+// partition, and against ignoring them once the partition is over.
+func TestRatesOfUnreachablePeersExpire(t *testing.T) {
+	tracker := newDemandTracker()
+	tracker.setSharing(true)
+	tracker.setPeerRate(0, "near", 40)
+	tracker.setPeerRate(0, "far", 60)
+	assert.InDelta(t, 100, tracker.sharedTotal(time.Second), 1e-9)
+	tracker.setPeerRate(4*time.Second, "near", 45)
+	assert.InDelta(t, 45, tracker.sharedTotal(4*time.Second), 1e-9)
+	assert.Len(t, tracker.nodeRates(4*time.Second, "self"), 2)
+	tracker.setPeerRate(5*time.Second, "far", 70)
+	assert.InDelta(t, 115, tracker.sharedTotal(5*time.Second), 1e-9)
 }
 
-// scriptedListener returns connections one after the other.
+// scriptedListener accepts a given list of connections.
 type scriptedListener struct {
 	net.Listener
 	conns []net.Conn
@@ -164,23 +167,25 @@
 	return conn, nil
 }
 
+// TestConnectionsBeyondTheBoundAreClosedUnread guards against connections that wait, or are served,
+// while the node has no descriptors left.
 func TestConnectionsBeyondTheBoundAreClosedUnread(t *testing.T) {
-	var ours, theirs []net.Conn
+	var accepted, callers []net.Conn
 	for range 3 {
-		one, other := net.Pipe()
-		ours, theirs = append(ours, one), append(theirs, other)
+		server, caller := net.Pipe()
+		accepted, callers = append(accepted, server), append(callers, caller)
 	}
 	room, refused := 0, 0
 	listener := &boundedListener{
-		Listener:  &scriptedListener{conns: ours},
+		Listener:  &scriptedListener{conns: accepted},
 		hasRoom:   func() bool { room++; return room == 3 },
 		onRefused: func() { refused++ },
 	}
 	taken, err := listener.Accept()
 	require.NoError(t, err)
-	assert.Same(t, ours[2], taken)
+	assert.Same(t, accepted[2], taken)
 	assert.Equal(t, 2, refused)
-	for _, conn := range theirs[:2] {
+	for _, conn := range callers[:2] {
 		_, err := conn.Read(make([]byte, 1))
 		require.Error(t, err)
 	}
@@ -188,8 +193,10 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-func TestDirectoryNamesNobodyWhoIsNotReady(t *testing.T) {
+// TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to nodes before this node
+// has a configuration.
+func TestDirectoryIsEmptyBeforeTheNodeIsReady(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(true)
-	assert.Empty(t, g.frontAddresses(ResolutionQuery{Zone: "z0"}), "it knows no configuration yet")
+	assert.Empty(t, g.frontAddresses(ResolutionQuery{Zone: "z0"}), "no configuration yet")
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -10,9 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestIdleNodeTellsUsesOnlyForLimitedTenants has a node to which callers aren't sent get
-// requests: those of tenants with a limit, whether admitted or not, have it talk about uses.
-func TestIdleNodeTellsUsesOnlyForLimitedTenants(t *testing.T) {
+// TestNonServingNodeReportsUsageOnlyForTenantsWithQuota guards against usage exchanges that requests
+// of tenants without a quota would cause.
+func TestNonServingNodeReportsUsageOnlyForTenantsWithQuota(t *testing.T) {
 	g := idleGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
