--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -118,10 +118,10 @@
 }
 
 // noteRetryAfter records that a worker asks this node for a backoff.
-func (g *Gateway) noteRetryAfter(about noticeSource, wait time.Duration) {
-	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(about.kind)).Inc()
-	longer := g.backoffs.extend(g.now(), backoffRun(about.worker, about.born), wait)
-	g.events.line("worker_notice").Str("worker", string(about.worker)).Str("notice", noticeRetryAfter).Str("source", string(about.kind)).
+func (g *Gateway) noteRetryAfter(source noticeSource, wait time.Duration) {
+	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(source.kind)).Inc()
+	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.born), wait)
+	g.events.line("worker_notice").Str("worker", string(source.worker)).Str("notice", noticeRetryAfter).Str("source", string(source.kind)).
 		Dur("retry_after", wait).Bool("longer", longer).Msg("worker_notice")
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -75,9 +75,9 @@
 		return current.attempts.NoWorker("configuration too old", 0)
 	}
 	g.requireDueSoon(now)
-	choice := g.placementRequest(current)
-	current.placedForTarget = choice.Versions.WantsTarget()
-	placement, refused := g.chooseWorker(ctx, current, choice)
+	request := g.placementRequest(current)
+	current.placedForTarget = request.Versions.WantsTarget()
+	placement, refused := g.chooseWorker(ctx, current, request)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
 			refused = g.unavailableRefusal(current, refused.RetryAfter)
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -105,33 +105,33 @@
 }
 
 // applyNotice handles what an answer says about a worker, except for its limit.
-func (g *Gateway) applyNotice(about noticeSource, notice *Notice) {
-	g.logUnknownHeaders(about, notice.Unknown)
-	if !notice.appliesTo(about.worker) {
+func (g *Gateway) applyNotice(source noticeSource, notice *Notice) {
+	g.logUnknownHeaders(source, notice.Unknown)
+	if !notice.appliesTo(source.worker) {
 		return
 	}
 	if notice.Draining {
-		g.noteDraining(about)
+		g.noteDraining(source)
 	}
 	if notice.RetryAfter > 0 {
-		g.noteRetryAfter(about, notice.RetryAfter)
+		g.noteRetryAfter(source, notice.RetryAfter)
 	}
 }
 
 // logUnknownHeaders logs each unknown header of a worker once.
-func (g *Gateway) logUnknownHeaders(about noticeSource, headers []string) {
+func (g *Gateway) logUnknownHeaders(source noticeSource, headers []string) {
 	for _, header := range headers {
 		name := header[:min(len(header), maxHeaderName)]
-		if g.unknown.isFirst(about.worker, name) {
-			g.events.line("unknown_header").Str("worker", string(about.worker)).Str("header", name).Str("call", string(about.kind)).Msg("unknown_header")
+		if g.unknown.isFirst(source.worker, name) {
+			g.events.line("unknown_header").Str("worker", string(source.worker)).Str("header", name).Str("call", string(source.kind)).Msg("unknown_header")
 		}
 	}
 }
 
 // noteDraining records that a worker's answer announces its shutdown.
-func (g *Gateway) noteDraining(about noticeSource) {
-	g.metrics.notices.WithLabelValues(noticeDraining, string(about.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: about.worker, Born: about.born}, string(about.kind))
+func (g *Gateway) noteDraining(source noticeSource) {
+	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
+	g.observeDraining(backends.DrainingRun{Worker: source.worker, Born: source.born}, string(source.kind))
 }
 
 // observeDraining records that a worker is draining, as reported by an answer or a peer.
@@ -168,9 +168,9 @@
 )
 
 // withNoticesFrom returns a context in which the notices of a worker's answers are handled.
-func (g *Gateway) withNoticesFrom(ctx context.Context, about noticeSource) context.Context {
+func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
 		g.noteUnreadable("", notice.Unreadable)
-		g.applyNotice(about, &notice)
+		g.applyNotice(source, &notice)
 	})
 }
--- a/internal/gateway/peerfailures.go
+++ b/internal/gateway/peerfailures.go
@@ -23,18 +23,18 @@
 func newPeerFailures() *peerFailures { return &peerFailures{consecutive: make(map[fleet.NodeID]int)} }
 
 // forget drops a node that is gone.
-func (s *peerFailures) forget(node fleet.NodeID) { s.record(node, true) }
+func (f *peerFailures) forget(node fleet.NodeID) { f.record(node, true) }
 
 // record records the result of an exchange and reports whether the node now counts as unreachable.
-func (s *peerFailures) record(node fleet.NodeID, answered bool) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (f *peerFailures) record(node fleet.NodeID, answered bool) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	if answered {
-		delete(s.consecutive, node)
+		delete(f.consecutive, node)
 		return false
 	}
-	s.consecutive[node]++
-	return s.consecutive[node] >= unreachableAfter
+	f.consecutive[node]++
+	return f.consecutive[node] >= unreachableAfter
 }
 
 // noteExchange records the result of an exchange with another node. Until an unreachable node
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -131,7 +131,7 @@
 func (g *Gateway) measureUsage() (resourceUsage, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return resourceUsage{}, errors.Wrap(err, "processor time")
+		return resourceUsage{}, errors.Wrap(err, "read processor time")
 	}
 	samples := []runtimemetrics.Sample{{Name: totalMemory}, {Name: releasedMemory}}
 	runtimemetrics.Read(samples)
