--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -19,7 +19,9 @@
 	timer *time.Timer
 }
 
-func newDeadlines() *deadlineTimers { return &deadlineTimers{armed: make(map[*deadlineTimer]bool)} }
+func newDeadlineTimers() *deadlineTimers {
+	return &deadlineTimers{armed: make(map[*deadlineTimer]bool)}
+}
 
 // withDeadline returns a context that is cancelled with errDeadlinePassed at the time at.
 func (d *deadlineTimers) withDeadline(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -156,7 +156,7 @@
 		crashes:      newCrashDetector(),
 		quarantines:  newQuarantines(),
 		resumptions:  newResumptions(),
-		deadlines:    newDeadlines(),
+		deadlines:    newDeadlineTimers(),
 		limits:       newWorkerLimits(),
 		backoffs:     newWorkerBackoffs(random()),
 		unknown:      &unknownHeaders{},
