--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// probeDelay is how long after a broken exchange its worker is asked whether it is still
-	// there: a process that ends closes its connections and its listener one after the other.
+	// probeDelay is how long after a broken exchange the worker is probed. A process that ends
+	// closes its connections and its listener one after the other.
 	probeDelay = 50 * time.Millisecond
-	// namedRuns bounds the fingerprints that one line names.
-	namedRuns = 8
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
+	maxLoggedFingerprints = 8
 )
 
-// crashes finds out which workers have ended, and what ended with them. It is safe for
-// concurrent use.
-type crashes struct {
-	mutex sync.Mutex
-	lost  *quarantine.LostRuns
+// crashDetector finds out which workers have crashed and which requests were running there. It is
+// safe for concurrent use.
+type crashDetector struct {
+	mutex    sync.Mutex
+	lostRuns *quarantine.LostRuns
 }
 
-func newCrashes() *crashes { return &crashes{lost: quarantine.NewLostRuns()} }
+func newCrashDetector() *crashDetector { return &crashDetector{lostRuns: quarantine.NewLostRuns()} }
 
-func (c *crashes) note(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (blamed, check bool) {
+func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (suspected, probe bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Note(now, worker, fingerprint, loss)
+	return c.lostRuns.Note(now, worker, fingerprint, loss)
 }
 
-func (c *crashes) ended(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
+func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Ended(now, worker, proof)
+	return c.lostRuns.Ended(now, worker, proof)
 }
 
-func (c *crashes) alive(worker fleet.EngineID) {
+func (c *crashDetector) markAlive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Alive(worker)
+	c.lostRuns.Alive(worker)
 }
 
-func (c *crashes) undecided(worker fleet.EngineID) {
+func (c *crashDetector) markUndecided(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Undecided(worker)
+	c.lostRuns.Undecided(worker)
 }
 
-func (c *crashes) sweep(now time.Duration) {
+func (c *crashDetector) sweep(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Sweep(now)
+	c.lostRuns.Sweep(now)
 }
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
-func fingerprintOf(current *carried) quarantine.Fingerprint {
+func fingerprintOf(current *callerRequest) quarantine.Fingerprint {
 	subject := quarantine.Subject{
 		Method: current.request.Method,
 		Host:   current.request.Host,
@@ -76,60 +76,63 @@
 	return subject.Fingerprint()
 }
 
-// noteLostRun takes in that a run brought no whole answer, and has its worker asked whether it
-// has ended if its side broke off.
-func (g *Gateway) noteLostRun(current *carried, placement *backends.Placement, loss quarantine.Loss) {
+// noteLostRun records that a run brought no complete answer. If the worker's side broke off, it has
+// the worker probed.
+func (g *Gateway) noteLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
-	blamed, check := g.crashes.note(g.now(), worker, current.fingerprint, loss)
+	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
-	case blamed:
+	case suspected:
 		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
-	case check:
+	case probe:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
 }
 
-// probeWorker finds out whether a worker has ended.
+// probeWorker checks whether a worker still accepts connections.
 func (g *Gateway) probeWorker(destination upstream.Destination) {
 	if !g.pause(probeDelay) {
 		return
 	}
 	switch g.upstreams.Probe(g.context(), destination) {
 	case upstream.Alive:
-		g.crashes.alive(destination.Engine)
+		g.crashes.markAlive(destination.Engine)
 	case upstream.Dead:
 		g.noteWorkerEnded(destination.Engine, quarantine.Refused)
 	default:
-		g.crashes.undecided(destination.Engine)
+		g.crashes.markUndecided(destination.Engine)
 	}
 }
 
-// noteUnreachable takes in that no connection to a worker could be made.
+// noteUnreachable records that no connection to a worker could be opened. A refused connection
+// means that the worker has ended.
 func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.noteWorkerEnded(worker, quarantine.Refused)
 	}
 }
 
-// noteWorkerEnded takes in that a worker has ended without word that it was leaving.
+// noteWorkerEnded records that a worker has ended without announcing its shutdown.
 func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
-	if blamed := g.crashes.ended(g.now(), worker, proof); len(blamed) > 0 {
-		g.blame(worker, proof, blamed)
+	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
+		g.blame(worker, proof, suspects)
 	}
 }
 
-// fingerprintText returns the first of some fingerprints.
-func fingerprintText(fingerprints []quarantine.Fingerprint) string {
-	named := fingerprints[:min(len(fingerprints), namedRuns)]
-	texts := make([]string, len(named))
-	for index, fingerprint := range named {
+// shortFingerprints returns the first fingerprints of a list in their short form, separated by
+// commas.
+func shortFingerprints(fingerprints []quarantine.Fingerprint) string {
+	logged := fingerprints[:min(len(fingerprints), maxLoggedFingerprints)]
+	texts := make([]string, len(logged))
+	for index, fingerprint := range logged {
 		texts[index] = fingerprint.Short()
 	}
 	return strings.Join(texts, ",")
 }
 
-// abandonedBy tells whether the context of a send ended before its worker's connection.
-func abandonedBy(ctx context.Context) quarantine.Loss {
+// lossOf returns how a send was lost: abandoned by this node if its context has ended, otherwise
+// broken off by the worker.
+func lossOf(ctx context.Context) quarantine.Loss {
 	if ctx.Err() != nil {
 		return quarantine.Abandoned
 	}
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// deadlines ends requests when their time is over on the clock that counts suspended time.
-// The runtime's own deadlines stand still while the machine is suspended, so that requests
-// would be held for that much longer than their callers wait.
-type deadlines struct {
+// deadlineTimers cancels requests at their deadlines, measured on the clock that counts suspended
+// time. The runtime's timers stop while the machine is suspended, and are rearmed when it resumes.
+type deadlineTimers struct {
 	mutex sync.Mutex
-	armed map[*deadline]bool
+	armed map[*deadlineTimer]bool
 }
 
-// deadline is the end of one request.
-type deadline struct {
+// deadlineTimer is the timer of one request.
+type deadlineTimer struct {
 	at    time.Duration
 	timer *time.Timer
 }
 
-func newDeadlines() *deadlines { return &deadlines{armed: make(map[*deadline]bool)} }
+func newDeadlineTimers() *deadlineTimers {
+	return &deadlineTimers{armed: make(map[*deadlineTimer]bool)}
+}
 
-// with returns a context that ends at a time, for errLateAnswer.
-func (d *deadlines) with(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that is cancelled with errDeadlinePassed at the time at.
+func (d *deadlineTimers) withDeadline(ctx context.Context, now, at time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	armed := &deadline{at: at}
+	entry := &deadlineTimer{at: at}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	armed.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errLateAnswer) })
-	d.armed[armed] = true
+	entry.timer = time.AfterFunc(max(at-now, 0), func() { cancel(errDeadlinePassed) })
+	d.armed[entry] = true
 	return ctx, func() {
-		d.disarm(armed)
+		d.disarm(entry)
 		cancel(nil)
 	}
 }
 
-func (d *deadlines) disarm(armed *deadline) {
+func (d *deadlineTimers) disarm(entry *deadlineTimer) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	armed.timer.Stop()
-	delete(d.armed, armed)
+	entry.timer.Stop()
+	delete(d.armed, entry)
 }
 
-// rearm sets all timers by what is left now.
-func (d *deadlines) rearm(now time.Duration) {
+// rearm resets all timers to the time left at now.
+func (d *deadlineTimers) rearm(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for armed := range d.armed {
-		armed.timer.Reset(max(armed.at-now, 0))
+	for entry := range d.armed {
+		entry.timer.Reset(max(entry.at-now, 0))
 	}
 }
--- /dev/null
+++ b/internal/gateway/forward.go
@@ -0,0 +1,259 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/tillerfall/tillerfall/internal/attempt"
+	"github.com/tillerfall/tillerfall/internal/backends"
+	"github.com/tillerfall/tillerfall/internal/resultcode"
+	"github.com/tillerfall/tillerfall/internal/routes"
+	"github.com/tillerfall/tillerfall/internal/traffic"
+	"github.com/tillerfall/tillerfall/internal/upstream"
+)
+
+// deadlineGrace is how long after its deadline a request is cancelled. It leaves the worker time to
+// report the missed deadline itself.
+const deadlineGrace = 40 * time.Millisecond
+
+// errDeadlinePassed is the cause of a send that is cancelled at its deadline.
+var errDeadlinePassed = errors.New("deadline passed")
+
+// forward sends a request to workers until there is a final answer.
+func (g *Gateway) forward(current *callerRequest) {
+	current.attempts = attempt.NewForwarding(current.startedAt, attempt.ForwardingPolicy{
+		Idempotent:    current.route.Idempotent() && !current.quarantineTrial,
+		Resumable:     current.route.Kind == routes.Streaming && current.route.Resumable && !current.quarantineTrial,
+		RetryFailures: current.route.Kind == routes.Safe,
+		MaxRuns:       current.route.MaxAttempts,
+		Deadline:      current.deadline,
+		RetryAfter:    shortRetryAfter,
+	}, g.budgets.forService(current.service.Name))
+	ctx, cancel := g.deadlines.withDeadline(current.request.Context(), g.now(), current.deadline+deadlineGrace)
+	defer cancel()
+	step := attempt.Step{Kind: attempt.StepSend}
+	for {
+		switch step.Kind {
+		case attempt.StepSend:
+			step = g.send(ctx, current)
+		case attempt.StepContinue:
+			step = g.resumeAtCopy(ctx, current)
+		case attempt.StepDeliver:
+			return
+		case attempt.StepFail:
+			g.refuse(current, refusal{code: step.Code, reason: step.Reason, retryAfter: step.RetryAfter})
+			return
+		case attempt.StepBreak:
+			if current.isCallerGone() {
+				current.reason = "caller gone"
+				panic(http.ErrAbortHandler)
+			}
+			current.result, current.reason = resultcode.StreamInterrupted, "answer broke off"
+			panic(http.ErrAbortHandler)
+		}
+		if current.isCallerGone() {
+			current.reason = "caller gone"
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+// send chooses a worker, sends the request to it and relays the answer.
+func (g *Gateway) send(ctx context.Context, current *callerRequest) attempt.Step {
+	if current.isCallerGone() {
+		return attempt.Step{Kind: attempt.StepBreak}
+	}
+	g.noteSuspension()
+	if verdict, quarantined := g.holds(current); quarantined {
+		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+	}
+	now := g.now()
+	if current.tenant != nil && !g.canServeKeyed() {
+		return current.attempts.NoWorker("configuration too old", 0)
+	}
+	g.requireDueSoon(now)
+	request := g.placementRequest(current)
+	current.placedForTarget = request.Versions.WantsTarget()
+	placement, refused := g.chooseWorker(ctx, current, request)
+	if placement == nil {
+		if refused.Reason == backends.ReasonLimited {
+			refused = g.unavailableRefusal(current, refused.RetryAfter)
+		}
+		return current.attempts.NoWorker(refused.Reason, refused.RetryAfter)
+	}
+	g.chargeRerun(current)
+	g.announcePlacement(placement)
+	return g.sendTo(ctx, current, placement)
+}
+
+// sendTo sends the request to a chosen worker and relays the answer.
+func (g *Gateway) sendTo(ctx context.Context, current *callerRequest, placement *backends.Placement) attempt.Step {
+	current.worker = string(placement.Worker.ID)
+	current.sentAt, current.eventCount = g.now(), 0
+	g.logPlacement(current, placement)
+	if current.firstSentAt == 0 {
+		current.firstSentAt = g.now()
+		g.metrics.beforeSend.Observe((current.firstSentAt - current.startedAt).Seconds())
+	}
+	sending, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	answer, err := g.exchangeWith(sending, cancel, current, placement)
+	if err != nil {
+		return g.handleSendError(ctx, sending, current, placement, err)
+	}
+	defer answer.Close()
+	info := g.outside.Codec.Answer(answer.Status, answer.Header)
+	g.noteUnreadable(current.metadata.RequestID, info.Unreadable)
+	g.noteLimit(current, &placement.Worker, info)
+	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
+	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
+		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
+	}
+	if info.NotExecuted {
+		return g.handleRejection(current, placement, answer, info)
+	}
+	if !isAcceptable(answer.Status, info) {
+		g.recordOutcome(current, placement, backends.Lost, "answer without signature")
+		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
+	}
+	return g.deliver(ctx, current, placement, answer)
+}
+
+// exchangeWith sends the request and waits for the head of the answer. Until the head arrives, the
+// send may be cancelled because the engine's model version has become too old or the request has
+// been quarantined.
+func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Answer, error) {
+	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, quarantineTrial: current.quarantineTrial}
+	if placement.Engine != nil {
+		send.model, send.version = current.metadata.Model, placement.Engine.Version
+	}
+	g.pending.add(send)
+	defer g.pending.remove(send)
+	ctx = traffic.With(ctx, traffic.Requests, g.distanceTo(placement.Worker.Zone))
+	return g.upstreams.Do(ctx, g.destination(current, &placement.Worker), g.outgoingRequest(ctx, current, placement))
+}
+
+// isAcceptable reports whether a worker's answer may be passed on. A success must be signed, and so
+// must a status that implies that the request did not run.
+func isAcceptable(status int, info AnswerInfo) bool {
+	switch {
+	case status < http.StatusMultipleChoices:
+		return info.Signed
+	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable, status == http.StatusRequestTimeout:
+		return info.Signed
+	default:
+		return true
+	}
+}
+
+// handleSendError returns the next step after a send that brought no answer. sending is the context
+// of the send, ctx that of the request.
+func (g *Gateway) handleSendError(ctx, sending context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
+	run := placement.Worker.Run()
+	var failure *upstream.Failure
+	sent := !errors.As(err, &failure) || failure.Stage == upstream.Sent
+	if sent {
+		g.noteLostRun(current, placement, lossOf(sending))
+	}
+	switch {
+	case current.isCallerGone():
+		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
+		return attempt.Step{Kind: attempt.StepBreak}
+	case ctx.Err() != nil && sent:
+		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
+		return current.attempts.Interrupted()
+	case ctx.Err() != nil:
+		g.recordOutcome(current, placement, backends.Unreachable, "deadline passed")
+		return current.attempts.Expired()
+	case (errors.Is(err, errStaleVersion) || errors.Is(err, errQuarantined)) && sent:
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Unanswered(g.now(), run)
+	case errors.Is(err, errQuarantined):
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		verdict := g.quarantines.check(g.now(), current.fingerprint)
+		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+	case errors.Is(err, errBackoff):
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
+	case errors.Is(err, errLimited):
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
+	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errStaleConfiguration), errors.Is(err, errDraining),
+		errors.Is(err, errDeadlinePassed):
+		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
+		return current.attempts.NotSent(g.now(), run)
+	case !sent:
+		g.noteUnreachable(placement.Worker.ID, err)
+		g.recordOutcome(current, placement, backends.Unreachable, err.Error())
+		return current.attempts.NotSent(g.now(), run)
+	default:
+		g.recordOutcome(current, placement, backends.Lost, err.Error())
+		return current.attempts.Unanswered(g.now(), run)
+	}
+}
+
+// handleRejection returns the next step after a worker reported that it did not run the request.
+func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
+	drainAnswer(answer)
+	outcome := backends.Refused
+	switch {
+	case info.Misdirected:
+		outcome = backends.Mismatched
+	case info.RetryAfter > 0:
+		outcome = backends.Deferred
+	}
+	g.recordOutcome(current, placement, outcome, "status "+http.StatusText(answer.Status))
+	return current.attempts.Rejected(g.now(), placement.Worker.Run())
+}
+
+// maxDrainBytes bounds how much is read of an answer that is not passed on.
+const maxDrainBytes = 4 << 10
+
+// drainAnswer reads a short answer to its end, so that its connection can be reused.
+func drainAnswer(answer *upstream.Answer) {
+	var buffer [512]byte
+	for total := 0; total < maxDrainBytes; {
+		count, err := answer.Read(buffer[:])
+		total += count
+		if err != nil {
+			return
+		}
+	}
+}
+
+// recordOutcome records and logs the outcome of a send.
+func (g *Gateway) recordOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome, cause string) {
+	g.noteDelivery(current, placement, outcome)
+	placement.End(g.now(), outcome)
+	g.metrics.attempts.WithLabelValues(string(placement.Worker.Service), outcome.String()).Inc()
+	if outcome == backends.Succeeded {
+		if current.status < http.StatusMultipleChoices {
+			g.noteAnswered(current)
+		}
+		return
+	}
+	g.events.line("send_failed").Str("request_id", current.metadata.RequestID).Str("worker", string(placement.Worker.ID)).
+		Str("address", string(placement.Worker.Address)).Str("fingerprint", current.fingerprint.Short()).Str("outcome", outcome.String()).Str("cause", cause).
+		Dur("left", current.timeLeft(g.now())).Msg("send_failed")
+}
+
+func (g *Gateway) logPlacement(current *callerRequest, placement *backends.Placement) {
+	line := g.events.line("placed").Str("request_id", current.metadata.RequestID).Str("worker", string(placement.Worker.ID)).
+		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Looked).Float64("failure_rate", placement.FailureRate)
+	if engine := placement.Engine; engine != nil {
+		line = line.Uint64("version", uint64(engine.Version)).Int("cached", engine.CachedTokens).
+			Int("imported", engine.ImportedTokens).Int("prompt", current.metadata.PromptTokens).
+			Str("scope", engine.Scope).Str("prefix", engine.Prefix).Str("import_from", string(engine.ImportFrom)).
+			Str("save_to", string(engine.SaveTo)).Int("shared", engine.SharedTokens).Int("shared_parts", engine.SharedParts).Int("held_parts", engine.HeldParts).
+			Int("stored_parts", engine.StoredParts).Int("most_held_parts", engine.MostHeldParts).Bool("home", engine.Home).Int("prefill_ahead", placement.PrefillTokens).
+			Int("memory_used", placement.MemoryTokens).Str("copy_to", string(engine.CopyTo.ID)).Bool("continues", engine.ContinueAt != "").
+			Dur("predicted", engine.Predicted)
+	}
+	if age, proven := g.fresh.Age(g.now()); proven {
+		line = line.Dur("configuration_age", age)
+	}
+	line.Msg("placed")
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	fresh        *routes.Freshness
 	workers      *backends.Registry
 	upstreams    *upstream.Pool
-	budgets      *budgets
+	budgets      *retryBudgets
 	quotas       *quotas
 	limits       *workerLimits
 	backoffs     *workerBackoffs
@@ -65,20 +65,20 @@
 	pending      *pendingSends
 	tables       []*table
 	sources      *sources
-	demand       *demand
-	origins      *origins
-	silences     *silences
-	pressure     *pressure
+	demand       *demandTracker
+	origins      *originTracker
+	silences     *peerFailures
+	pressure     *pressureMonitor
 	readiness    *readiness
 	announcer    *announcer
 	toldVersions *toldVersions
 	cacheLog     *cacheLog
 	zoneFeeds    *zoneFeeds
-	crashes      *crashes
+	crashes      *crashDetector
 	quarantines  *quarantines
 	suspensions  *suspension.Detector
 	resumptions  *resumptions
-	deadlines    *deadlines
+	deadlines    *deadlineTimers
 	// quarantineTable is followed by those that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
@@ -143,20 +143,20 @@
 		seeds:    &seedList{},
 		pending:  newPendingSends(),
 		idle:     newIdleConnections(),
-		demand:   newDemand(),
-		origins:  newOrigins(),
-		pressure: &pressure{},
-		silences: newSilences(),
+		demand:   newDemandTracker(),
+		origins:  newOriginTracker(),
+		pressure: &pressureMonitor{},
+		silences: newPeerFailures(),
 
 		readiness:    newReadiness(),
 		announcer:    newAnnouncer(),
 		toldVersions: newToldVersions(),
 		cacheLog:     newCacheLog(rand.Uint64()),
 		zoneFeeds:    newZoneFeeds(),
-		crashes:      newCrashes(),
+		crashes:      newCrashDetector(),
 		quarantines:  newQuarantines(),
 		resumptions:  newResumptions(),
-		deadlines:    newDeadlines(),
+		deadlines:    newDeadlineTimers(),
 		limits:       newWorkerLimits(),
 		backoffs:     newWorkerBackoffs(random()),
 		unknown:      &unknownHeaders{},
@@ -180,7 +180,7 @@
 		Traffic: g.outside.Traffic,
 		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
-	g.budgets = newBudgets(settings, g.retryShare)
+	g.budgets = newRetryBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
 	g.weights = newWeights(settings)
 	g.deliveries = newDeliveries(g.node, settings)
@@ -288,11 +288,11 @@
 	g.peers.Start()
 	g.life.Go(g.watchPeers)
 	g.life.Go(g.driveRoles)
-	g.life.Go(g.drivePressure)
+	g.life.Go(g.monitorPressure)
 	g.life.Go(g.register)
 	g.life.Go(g.shareLoads)
 	g.life.Go(g.announceLoads)
-	g.life.Go(g.shareUses)
+	g.life.Go(g.driveUsageExchange)
 	g.life.Go(g.driveRollout)
 	g.life.Go(g.driveDeliveries)
 	g.life.Go(g.announceDeliveries)
@@ -344,12 +344,12 @@
 		}
 		g.upstreams.Sweep()
 		g.reportLimits()
-		g.metrics.backingOff.Set(float64(len(g.backoffs.closing(g.now()))))
+		g.metrics.backingOff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
 		g.idle.sweep(g.now(), g.idleLimit())
 		g.crashes.sweep(g.now())
 		g.sweepQuarantines()
 		g.planSubsets(nil)
-		g.events.report()
+		g.events.logDropped()
 	}
 	return nil
 }
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -96,7 +96,7 @@
 		g.noteRefusedGrant(answer)
 		return answer
 	}
-	distance := traffic.Between(g.place(), membership.Location{Zone: granter.Zone, Region: granter.Region})
+	distance := traffic.Between(g.location(), membership.Location{Zone: granter.Zone, Region: granter.Region})
 	asking, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	begun := g.now()
@@ -230,7 +230,7 @@
 
 // limitPriority returns the priority at a worker's limit. A run that goes on has a caller with
 // half an answer.
-func limitPriority(current *carried) int {
+func limitPriority(current *callerRequest) int {
 	if current.headSent {
 		return 0
 	}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,79 +10,82 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Notice is what an answer, to a call of any kind, says of the server that gave it.
+// Notice is what the headers of an answer, to a call of any kind, say about the server that sent
+// it.
 type Notice struct {
-	// Instance is the run that answered, if the answer names it.
+	// Instance is the run that answered; empty if the answer doesn't name it.
 	Instance fleet.EngineID
-	// Misdirected is set if the call was refused as meant for another run or version.
+	// Misdirected is set if the call was refused because it was meant for another run or version.
 	Misdirected bool
-	// Draining is set if the server shuts down and is to get no new requests.
+	// Draining is set if the server is shutting down and takes no new requests.
 	Draining bool
-	// RetryAfter is how long the server wants nothing from this node; 0 if it doesn't say.
+	// RetryAfter is how long the server asks this node to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
-	// Limit is what the answer says of the requests that the server takes.
+	// Limit is the server's statement on its request limit.
 	Limit workerlimit.Statement
-	// Unknown lists the headers in which the server says something else of itself.
+	// Unknown lists the server's headers about itself that the codec doesn't know.
 	Unknown []string
-	// Unreadable lists the headers of these that couldn't be read.
+	// Unreadable lists the server's headers about itself that couldn't be parsed.
 	Unreadable []Unreadable
 }
 
-// saysOf tells whether the notice can be that of a worker. A call that was refused as meant for
-// another run may have been answered by whoever has the address now.
-func (n *Notice) saysOf(worker fleet.EngineID) bool {
+// appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
+// been answered by another run that has taken over the address.
+func (n *Notice) appliesTo(worker fleet.EngineID) bool {
 	if n.Instance != "" {
 		return n.Instance == worker
 	}
 	return !n.Misdirected
 }
 
-// noticeKey is the key of a context's handler of notices.
-type noticeKey struct{}
+// noticeHandlerKey is the context key of a call's notice handler.
+type noticeHandlerKey struct{}
 
-// WithNotices returns a context for calls to a server. handle is called with the notice of each
-// answer as soon as its head has been read, also where the call then fails.
-func WithNotices(ctx context.Context, handle func(Notice)) context.Context {
-	return context.WithValue(ctx, noticeKey{}, handle)
+// WithNoticeHandler returns a context for calls to a server. handle is called with the notice of
+// each answer as soon as its head has been read, even if the call then fails.
+func WithNoticeHandler(ctx context.Context, handle func(Notice)) context.Context {
+	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HandleNotice hands the notice of an answer to the handler of its call, if there is one.
+// HandleNotice passes the notice of an answer to the handler of its call, if there is one.
 func HandleNotice(ctx context.Context, notice Notice) {
-	if handle, found := ctx.Value(noticeKey{}).(func(Notice)); found {
+	if handle, found := ctx.Value(noticeHandlerKey{}).(func(Notice)); found {
 		handle(notice)
 	}
 }
 
-// Bounds on the headers that are remembered as logged.
+// Bounds on the unknown headers that are recorded as logged.
 const (
 	maxUnknownHeaders = 8
 	maxUnknownWorkers = 1024
 	maxHeaderName     = 64
 )
 
-// unknownHeaders remembers which unknown headers have been logged, by worker. It is safe for
+// unknownHeaders records which unknown headers have been logged, by worker. It is safe for
 // concurrent use.
 type unknownHeaders struct {
 	mutex  sync.Mutex
 	logged map[fleet.EngineID][]string
 }
 
-// noticed is the worker's run that a notice is about, and what this node called it for.
-type noticed struct {
+// noticeSource identifies the worker's run that a notice is about, and the kind of call that
+// brought it.
+type noticeSource struct {
 	worker fleet.EngineID
 	born   backends.StartTime
 	kind   callKind
 }
 
-// first tells whether a header of a worker hasn't been logged before, and notes it.
-func (u *unknownHeaders) first(worker fleet.EngineID, header string) bool {
+// isFirst records a header of a worker and reports whether it has not been logged before. It
+// returns false when the bounds on recorded headers are reached.
+func (u *unknownHeaders) isFirst(worker fleet.EngineID, header string) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	known, found := u.logged[worker]
-	if len(known) >= maxUnknownHeaders || (!found && len(u.logged) >= maxUnknownWorkers) {
+	headers, found := u.logged[worker]
+	if len(headers) >= maxUnknownHeaders || (!found && len(u.logged) >= maxUnknownWorkers) {
 		return false
 	}
-	for _, name := range known {
+	for _, name := range headers {
 		if name == header {
 			return false
 		}
@@ -90,48 +93,48 @@
 	if u.logged == nil {
 		u.logged = make(map[fleet.EngineID][]string)
 	}
-	u.logged[worker] = append(known, header)
+	u.logged[worker] = append(headers, header)
 	return true
 }
 
-// forget drops what was logged of a worker that is gone.
+// forget drops the records of a worker that is gone.
 func (u *unknownHeaders) forget(worker fleet.EngineID) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	delete(u.logged, worker)
 }
 
-// takeNotice takes in what an answer says of a worker, besides its limit.
-func (g *Gateway) takeNotice(about noticed, notice *Notice) {
-	g.noteUnknown(about, notice.Unknown)
-	if !notice.saysOf(about.worker) {
+// applyNotice handles what an answer says about a worker, except for its limit.
+func (g *Gateway) applyNotice(source noticeSource, notice *Notice) {
+	g.logUnknownHeaders(source, notice.Unknown)
+	if !notice.appliesTo(source.worker) {
 		return
 	}
 	if notice.Draining {
-		g.noteDraining(about)
+		g.noteDraining(source)
 	}
 	if notice.RetryAfter > 0 {
-		g.noteRetryAfter(about, notice.RetryAfter)
+		g.noteRetryAfter(source, notice.RetryAfter)
 	}
 }
 
-// noteUnknown logs each unknown header of a worker once.
-func (g *Gateway) noteUnknown(about noticed, headers []string) {
+// logUnknownHeaders logs each unknown header of a worker once.
+func (g *Gateway) logUnknownHeaders(source noticeSource, headers []string) {
 	for _, header := range headers {
 		name := header[:min(len(header), maxHeaderName)]
-		if g.unknown.first(about.worker, name) {
-			g.events.line("unknown_header").Str("worker", string(about.worker)).Str("header", name).Str("call", string(about.kind)).Msg("unknown_header")
+		if g.unknown.isFirst(source.worker, name) {
+			g.events.line("unknown_header").Str("worker", string(source.worker)).Str("header", name).Str("call", string(source.kind)).Msg("unknown_header")
 		}
 	}
 }
 
-// noteDraining takes in that a worker says in an answer that it shuts down.
-func (g *Gateway) noteDraining(about noticed) {
-	g.metrics.notices.WithLabelValues(noticeDraining, string(about.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: about.worker, Born: about.born}, string(about.kind))
+// noteDraining records that a worker's answer announces its shutdown.
+func (g *Gateway) noteDraining(source noticeSource) {
+	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
+	g.observeDraining(backends.DrainingRun{Worker: source.worker, Born: source.born}, string(source.kind))
 }
 
-// observeDraining takes in that a worker shuts down, by the word of an answer or of a peer.
+// observeDraining records that a worker is draining, as reported by an answer or a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
 	if g.workers.ObserveDraining(run) != backends.Began {
 		return
@@ -140,34 +143,34 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// noteAnswerNotice takes in what an answer to a request that was sent at a time says of its worker.
-// What nobody signed and what isn't a worker's word that it didn't run the request isn't known to
-// be the worker's.
+// noteAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
+// answers that are neither signed nor a worker's statement that it did not run the request, since
+// others may not come from the worker.
 func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info AnswerInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.takeNotice(noticed{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
-	if info.RetryAfter == 0 && info.saysOf(worker.ID) {
-		g.backoffs.answered(backoffRun(worker.ID, worker.Born), sentAt)
+	g.applyNotice(noticeSource{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
+	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
+		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.Born), sentAt)
 	}
 }
 
-// storeName stands for the store in logs about servers.
-const storeName fleet.EngineID = "store"
+// storeLogName identifies the store in logs about servers.
+const storeLogName fleet.EngineID = "store"
 
-// Kinds of notices in logs and metrics.
+// Kinds and sources of notices in logs and metrics.
 const (
 	noticeDraining   = "draining"
 	noticeRetryAfter = "retry_after"
-	// noticeByPeer is the source of what another node tells.
-	noticeByPeer = "peer"
+	// noticeSourcePeer is the source of a notice that another node forwarded.
+	noticeSourcePeer = "peer"
 )
 
-// noticesOf returns a context in which the notices of a worker's answers are taken in.
-func (g *Gateway) noticesOf(ctx context.Context, about noticed) context.Context {
-	return WithNotices(ctx, func(notice Notice) {
+// withNoticesFrom returns a context in which the notices of a worker's answers are handled.
+func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
+	return WithNoticeHandler(ctx, func(notice Notice) {
 		g.noteUnreadable("", notice.Unreadable)
-		g.takeNotice(about, &notice)
+		g.applyNotice(source, &notice)
 	})
 }
--- /dev/null
+++ b/internal/gateway/peerfailures.go
@@ -0,0 +1,48 @@
+package gateway
+
+import (
+	"sync"
+
+	"github.com/tillerfall/tillerfall/internal/fleet"
+	"github.com/tillerfall/tillerfall/internal/nodecapacity"
+)
+
+// unreachableAfter is the number of consecutive failed exchanges after which a node counts as
+// unreachable. A single one may fail by a lost packet or a short stall.
+const unreachableAfter = 2
+
+// pressureUnreachable is a pressure that other nodes report for a node that doesn't answer them.
+const pressureUnreachable = nodecapacity.Full + 1
+
+// peerFailures counts consecutive failed exchanges with each peer. It is safe for concurrent use.
+type peerFailures struct {
+	mutex       sync.Mutex
+	consecutive map[fleet.NodeID]int
+}
+
+func newPeerFailures() *peerFailures { return &peerFailures{consecutive: make(map[fleet.NodeID]int)} }
+
+// forget drops a node that is gone.
+func (f *peerFailures) forget(node fleet.NodeID) { f.record(node, true) }
+
+// record records the result of an exchange and reports whether the node now counts as unreachable.
+func (f *peerFailures) record(node fleet.NodeID, answered bool) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if answered {
+		delete(f.consecutive, node)
+		return false
+	}
+	f.consecutive[node]++
+	return f.consecutive[node] >= unreachableAfter
+}
+
+// noteExchange records the result of an exchange with another node. Until an unreachable node
+// answers again, this node's reports to its watchers list it, so that idle nodes stop directing
+// callers to it before the membership's gossip has spread its failure.
+func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
+	if g.silences.record(node, answered) && !g.stopping() {
+		g.origins.setPressure(g.now(), node, pressureUnreachable)
+		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
+	}
+}
--- a/internal/gateway/pending_test.go
+++ b/internal/gateway/pending_test.go
@@ -10,8 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff.
-func TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff(t *testing.T) {
+// TestOnlyPendingSendsAtOlderVersionsAreCancelled guards against cancelling sends at a current
+// version, for another model, or whose answer has begun.
+func TestOnlyPendingSendsAtOlderVersionsAreCancelled(t *testing.T) {
 	pending := newPendingSends()
 	begin := func(model fleet.ModelName, version backends.WeightsVersion) (context.Context, *pendingSend) {
 		ctx, cancel := context.WithCancelCause(context.Background())
@@ -24,9 +25,9 @@
 	other, _ := begin("n", 1)
 	answered, send := begin("m", 2)
 	pending.remove(send)
-	pending.expire(map[fleet.ModelName]backends.WeightsVersion{"m": 3})
-	assert.ErrorIs(t, context.Cause(older), errOutdated)
+	pending.cancelStale(map[fleet.ModelName]backends.WeightsVersion{"m": 3})
+	assert.ErrorIs(t, context.Cause(older), errStaleVersion)
 	assert.NoError(t, newer.Err())
 	assert.NoError(t, other.Err())
-	assert.NoError(t, answered.Err(), "its answer has begun")
+	assert.NoError(t, answered.Err(), "the answer has begun")
 }
--- a/internal/gateway/choice.go
+++ b/internal/gateway/placementrequest.go
@@ -9,31 +9,31 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// messageBytes is the size of an exchange besides the request's body: headers both ways
-// and an answer of some hundred bytes.
-const messageBytes = 1500
+// exchangeOverheadBytes is the assumed size of an exchange besides the request's body: headers in
+// both directions and a short answer.
+const exchangeOverheadBytes = 1500
 
-// choice describes the request to the registry.
-func (g *Gateway) choice(current *carried) *backends.Request {
+// placementRequest describes a caller's request to the worker registry.
+func (g *Gateway) placementRequest(current *callerRequest) *backends.Request {
 	destination := g.destination(current, &backends.Worker{})
 	request := &backends.Request{
 		Service:  current.service.Name,
-		Excluded: current.machine.Excluded(),
+		Excluded: current.attempts.Excluded(),
 		Free: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
 			return g.upstreams.Free(destination)
 		},
-		Bytes:    messageBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.versions(current, current.wasAtTarget),
+		Bytes:    exchangeOverheadBytes + int(max(current.request.ContentLength, 0)),
+		Versions: g.versions(current, current.sentToTarget),
 	}
-	if g.limits.any.Load() || g.backoffs.any.Load() {
+	if g.limits.any.Load() || g.backoffs.active.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
 			intake, opensIn := g.limits.intake(now, worker, priority)
 			current.atLimit = current.atLimit || intake == backends.IntakeClosed
-			if closed := g.backoffs.closed(now, backoffRun(worker.ID, worker.Born)); closed > 0 {
-				return backends.IntakeClosed, max(closed, opensIn)
+			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.Born)); backoff > 0 {
+				return backends.IntakeClosed, max(backoff, opensIn)
 			}
 			return intake, opensIn
 		}
@@ -46,15 +46,15 @@
 			PromptTokens: current.metadata.PromptTokens,
 			OutputTokens: current.metadata.OutputTokens,
 			Priority:     priorityOf(current),
-			TimeLeft:     g.targetLeft(current),
+			TimeLeft:     g.latencyTargetLeft(current),
 			Target:       current.route.TargetLatency,
-			MayRefuse:    current.machine.Sends() == 0,
+			MayRefuse:    current.attempts.Sends() == 0,
 			WantsCopy:    wantsCopy(current),
 			EventTokens:  engine.EventTokens,
 			TokenBytes:   engine.TokenBytes,
 			LinkMegabits: engine.LinkMegabits,
 		}
-		if store := g.keptStore(current); store != nil {
+		if store := g.cacheStore(current); store != nil {
 			request.Engine.Store, request.Engine.StoreZone = store.Store.Address, store.Store.Zone
 			request.Engine.StoreMegabits = store.Store.LinkMegabits
 		}
@@ -65,39 +65,39 @@
 	return request
 }
 
-// closedRefusal returns why a request is refused for which all workers are closed, and when its
-// caller is to come back. opensIn is the time until the first of them opens.
-func (g *Gateway) closedRefusal(current *carried, opensIn time.Duration) backends.Refusal {
+// unavailableRefusal returns the refusal for a request whose candidate workers are all closed, by
+// their limits or in backoff. opensIn is the time until the first of them opens.
+func (g *Gateway) unavailableRefusal(current *callerRequest, opensIn time.Duration) backends.Refusal {
 	if current.atLimit {
 		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.returnAfter(g.now(), opensIn, g.servingCount())}
 	}
-	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.returnAfter(opensIn, priorityOf(current))}
+	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.retryAfter(opensIn, priorityOf(current))}
 }
 
-// targetLeft returns the time within which an answer should begin; 0 if the route
-// names none.
-func (g *Gateway) targetLeft(current *carried) time.Duration {
+// latencyTargetLeft returns the time left until the route's latency target, at least 1 ms; 0 if the
+// route has no target.
+func (g *Gateway) latencyTargetLeft(current *callerRequest) time.Duration {
 	if current.route.TargetLatency <= 0 {
 		return 0
 	}
-	return max(current.began+current.route.TargetLatency-g.now(), time.Millisecond)
+	return max(current.startedAt+current.route.TargetLatency-g.now(), time.Millisecond)
 }
 
-// keptStore returns the store of kept KV cache for a request's prompt, or nil:
-// of several, all nodes take the same one for the same shared parts.
-func (g *Gateway) keptStore(current *carried) *routes.Service {
-	held := g.holder.Current()
-	if held == nil {
+// cacheStore returns the KV cache store for a request's prompt, or nil if none is configured. It
+// uses rendezvous hashing, so all nodes choose the same store for the same prefix.
+func (g *Gateway) cacheStore(current *callerRequest) *routes.Service {
+	snapshot := g.holder.Current()
+	if snapshot == nil {
 		return nil
 	}
 	key := backends.PrefixName(current.metadata.Parts)
-	var kept *routes.Service
+	var chosen *routes.Service
 	highest := uint64(0)
-	for _, store := range held.Table.Stores() {
+	for _, store := range snapshot.Table.Stores() {
 		weight := membership.RendezvousWeight(key, string(store.Store.Address))
-		if kept == nil || weight > highest {
-			kept, highest = store, weight
+		if chosen == nil || weight > highest {
+			chosen, highest = store, weight
 		}
 	}
-	return kept
+	return chosen
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -10,25 +10,25 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestIdleNodeTellsUsesOnlyForLimitedTenants has a node to which callers aren't sent get
-// requests: those of tenants with a limit, whether admitted or not, have it talk about uses.
-func TestIdleNodeTellsUsesOnlyForLimitedTenants(t *testing.T) {
+// TestNonServingNodeReportsUsageOnlyForTenantsWithQuota guards against usage exchanges that requests
+// of tenants without a quota would cause.
+func TestNonServingNodeReportsUsageOnlyForTenantsWithQuota(t *testing.T) {
 	g := idleGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
 	require.Empty(t, g.loadPeers())
-	request := func(tenant *routes.Tenant) *carried {
+	request := func(tenant *routes.Tenant) *callerRequest {
 		g.taken.Add(1)
 		g.lastRequest.Store(int64(g.now()))
-		return &carried{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
+		return &callerRequest{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
 	}
-	assert.Empty(t, g.usePeers())
-	assert.Nil(t, g.chargeTenant(request(nil)))
-	assert.Nil(t, g.chargeTenant(request(&routes.Tenant{Name: "without"})))
-	assert.Empty(t, g.usePeers())
+	assert.Empty(t, g.usagePeers())
+	assert.Nil(t, g.chargeQuota(request(nil)))
+	assert.Nil(t, g.chargeQuota(request(&routes.Tenant{Name: "without"})))
+	assert.Empty(t, g.usagePeers())
 	limited := &routes.Tenant{Name: "limited", Quota: &routes.Quota{}}
-	g.chargeTenant(request(limited))
-	assert.Equal(t, g.roles.Load().Serving, g.usePeers())
-	g.lastLimited.Store(int64(g.now() - carryingFor - 1))
-	assert.Empty(t, g.usePeers())
+	g.chargeQuota(request(limited))
+	assert.Equal(t, g.roles.Load().Serving, g.usagePeers())
+	g.lastLimited.Store(int64(g.now() - usageReportPeriod - 1))
+	assert.Empty(t, g.usagePeers())
 }
--- /dev/null
+++ b/internal/gateway/retrybudgets.go
@@ -0,0 +1,92 @@
+package gateway
+
+import (
+	"sync"
+	"time"
+
+	"github.com/tillerfall/tillerfall/internal/attempt"
+	"github.com/tillerfall/tillerfall/internal/fleet"
+)
+
+// Shares of the retry budget that all nodes may spend together.
+const (
+	// ratioFraction is the part of the allowed retry ratio that a node spends.
+	ratioFraction = 0.95
+	// servingSlackFraction is the part of the allowed slack that the serving nodes spend together,
+	// with a margin since some nodes may not count a new one yet. The other nodes have
+	// idleSlackFraction together.
+	servingSlackFraction = 0.6
+	idleSlackFraction    = 0.2
+	// initialSlackFraction is the part of its slack that a node has at its start. All nodes may
+	// restart within one window, after they have spent their slack.
+	initialSlackFraction = 0.5
+	// minSlackSharers is the least number of nodes among which the slack is divided.
+	minSlackSharers = 8
+)
+
+// retryBudgets holds a retry budget for each service. Each node spends a fixed share of the global
+// budget, so the nodes need no coordination; a node that has just started gets part of its share.
+type retryBudgets struct {
+	settings Settings
+	// share returns this node's share of the slack.
+	share    func() float64
+	mutex    sync.Mutex
+	services map[fleet.PoolName]*attempt.WindowBudget
+}
+
+func newRetryBudgets(settings Settings, share func() float64) *retryBudgets {
+	return &retryBudgets{settings: settings, share: share, services: make(map[fleet.PoolName]*attempt.WindowBudget)}
+}
+
+// retryShare returns this node's share of the slack.
+func (g *Gateway) retryShare() float64 {
+	members, serving := g.memberCount(), g.servingCount()
+	if g.serves() {
+		return servingSlackFraction / float64(max(serving, minSlackSharers))
+	}
+	return idleSlackFraction / float64(max(members-serving, minSlackSharers))
+}
+
+// setSettings replaces the bounds. Window and ratio apply only to services that have no budget yet.
+func (b *retryBudgets) setSettings(settings Settings) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.settings = settings
+}
+
+// forService returns the budget of a service.
+func (b *retryBudgets) forService(service fleet.PoolName) attempt.RetryBudget {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	slack := max(b.settings.RetrySlack*b.share(), 1)
+	budget := b.services[service]
+	if budget == nil {
+		budget = attempt.NewWindowBudget(attempt.WindowOptions{
+			Window: b.settings.RetryWindow,
+			Ratio:  b.settings.RetryRatio * ratioFraction,
+		})
+		b.services[service] = budget
+	}
+	budget.SetSlack(slack, slack*initialSlackFraction)
+	return &sharedBudget{owner: b, budget: budget}
+}
+
+// sharedBudget is a budget that all requests of a service share. It is safe for concurrent use.
+type sharedBudget struct {
+	owner  *retryBudgets
+	budget *attempt.WindowBudget
+}
+
+// Deposit implements attempt.RetryBudget.
+func (s *sharedBudget) Deposit(now time.Duration) {
+	s.owner.mutex.Lock()
+	defer s.owner.mutex.Unlock()
+	s.budget.Deposit(now)
+}
+
+// Withdraw implements attempt.RetryBudget.
+func (s *sharedBudget) Withdraw(now time.Duration) bool {
+	s.owner.mutex.Lock()
+	defer s.owner.mutex.Unlock()
+	return s.budget.Withdraw(now)
+}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,19 +15,19 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 256 << 10
+// maxEventBytes bounds the size of one event of a stream.
+const maxEventBytes = 256 << 10
 
 // errPartialEvent means that a stream ended within an event.
 var errPartialEvent = errors.New("stream ended within an event")
 
-// deliverStream passes the events of a stream on, each as it comes and only
-// whole. A stream that breaks off may go on at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+// deliverStream relays the events of a stream as they arrive, only whole ones. A stream that breaks
+// off may be resumed at another worker.
+func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
 	run := placement.Worker.Run()
-	step := current.machine.Answered(g.now(), run, false)
+	step := current.attempts.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
-		g.ended(current, placement, backends.Failed, "not delivered")
+		g.recordOutcome(current, placement, backends.Failed, "not delivered")
 		return step
 	}
 	relay := &eventRelay{answer: answer, lastID: current.lastEventID}
@@ -38,40 +38,40 @@
 	current.lastEventID = relay.lastID
 	switch {
 	case err == nil && current.headSent:
-		g.ended(current, placement, backends.Succeeded, "")
+		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case err == nil:
-		// A stream without events is passed on as it is.
+		// A stream without events is passed on as an empty body.
 		g.sendHead(current, answer, 0)
-		g.ended(current, placement, backends.Succeeded, "")
+		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
-	case current.callerGone() || errors.Is(err, errCallerWrite):
+	case current.isCallerGone() || errors.Is(err, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
-		g.ended(current, placement, backends.Cancelled, "caller gone")
+		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepBreak}
 	case ctx.Err() != nil:
 		g.noteLostRun(current, placement, quarantine.Abandoned)
-		g.ended(current, placement, backends.Lost, "deadline passed")
-		return current.machine.Expired()
+		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
+		return current.attempts.Expired()
 	default:
 		g.noteLostRun(current, placement, quarantine.BrokenOff)
-		g.ended(current, placement, backends.Lost, "stream: "+err.Error())
+		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
-		return current.machine.Broken(g.now(), run, current.keepsCopy(placement))
+		return current.attempts.Broken(g.now(), run, current.rememberCopy(placement))
 	}
 }
 
-// writeEvents passes whole events on at once.
-func (g *Gateway) writeEvents(current *carried, answer *upstream.Answer, events []byte) error {
+// writeEvents writes whole events to the caller and flushes them.
+func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Answer, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
 	}
 	now := g.now()
-	current.events += bytes.Count(events, []byte("\n\n"))
-	if current.lastEvent > 0 {
-		current.longestGap = max(current.longestGap, now-current.lastEvent)
+	current.eventCount += bytes.Count(events, []byte("\n\n"))
+	if current.lastEventAt > 0 {
+		current.longestEventGap = max(current.longestEventGap, now-current.lastEventAt)
 	}
-	current.lastEvent = now
+	current.lastEventAt = now
 	if _, err := current.writer.Write(events); err != nil {
 		return errors.Wrap(errCallerWrite, err.Error())
 	}
@@ -81,16 +81,17 @@
 	return nil
 }
 
-// eventRelay reads a stream of events and passes whole ones on.
+// eventRelay reads a stream of events and relays whole ones.
 type eventRelay struct {
 	answer *upstream.Answer
-	// lastID is the identifier of the last event passed on.
+	// lastID is the identifier of the last relayed event.
 	lastID string
 	buffer []byte
 }
 
-// run reads until the stream's end; nil means that it ended well.
-func (r *eventRelay) run(pass func(events []byte) error) error {
+// run reads until the end of the stream and calls relay with whole events. It returns nil if the
+// stream ended at the end of an event.
+func (r *eventRelay) run(relay func(events []byte) error) error {
 	const chunk = 4 << 10
 	for {
 		if cap(r.buffer)-len(r.buffer) < chunk/4 {
@@ -100,8 +101,8 @@
 		}
 		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
-		if passErr := r.passWhole(pass); passErr != nil {
-			return passErr
+		if relayErr := r.relayWholeEvents(relay); relayErr != nil {
+			return relayErr
 		}
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(r.buffer)) > 0:
@@ -110,30 +111,31 @@
 			return nil
 		case err != nil:
 			return err
-		case len(r.buffer) > maxEvent:
-			return errors.New("event too long")
+		case len(r.buffer) > maxEventBytes:
+			return errors.New("event exceeds the size limit")
 		}
 	}
 }
 
-// passWhole passes the whole events in the buffer on.
-func (r *eventRelay) passWhole(pass func(events []byte) error) error {
+// relayWholeEvents passes the whole events in the buffer on and removes them from it.
+func (r *eventRelay) relayWholeEvents(relay func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
 		return nil
 	}
 	events := r.buffer[:end]
-	if id, found := lastID(events); found {
+	if id, found := findLastEventID(events); found {
 		r.lastID = id
 	}
-	if err := pass(events); err != nil {
+	if err := relay(events); err != nil {
 		return err
 	}
 	r.buffer = append(r.buffer[:0], r.buffer[end:]...)
 	return nil
 }
 
-// lastEventEnd returns the end of the last whole event: a blank line ends one.
+// lastEventEnd returns the end of the last whole event in the buffer, 0 if there is none. A blank
+// line ends an event.
 func lastEventEnd(buffer []byte) int {
 	end := 0
 	if at := bytes.LastIndex(buffer, []byte("\n\n")); at >= 0 {
@@ -145,8 +147,8 @@
 	return end
 }
 
-// lastID returns the last event identifier in whole events.
-func lastID(events []byte) (string, bool) {
+// findLastEventID returns the last event identifier in whole events.
+func findLastEventID(events []byte) (string, bool) {
 	const field = "id:"
 	at := bytes.LastIndex(events, []byte("\n"+field))
 	start := at + 1
