--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -166,7 +166,7 @@
 	reachable := true
 	for ctx.Err() == nil {
 		g.awaitBackoff(ctx, backoffRun(cache.run.Engine, cache.born))
-		g.noteCall(cache.run.Engine, callCacheEvents)
+		g.countCall(cache.run.Engine, callCacheEvents)
 		events, err := g.outside.Engines.CacheEvents(ctx, cache.address, since, eventsWait)
 		if err != nil {
 			if ctx.Err() == nil && reachable {
@@ -197,7 +197,7 @@
 func (g *Gateway) pauseCache(ctx context.Context, cache cacheRun) {
 	sleep(ctx, eventsPause)
 	since := g.now()
-	for ctx.Err() == nil && g.limits.limited(cache.run.Engine, 0) {
+	for ctx.Err() == nil && g.limits.isLimited(cache.run.Engine, 0) {
 		if g.now() >= since+limitedEventsPause*time.Duration(g.followersOf(cache)) {
 			return
 		}
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -67,7 +67,7 @@
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
 	g.noteSuspension()
-	if verdict, held := g.holds(current); held {
+	if verdict, held := g.checkHeld(current); held {
 		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
@@ -107,7 +107,7 @@
 	defer answer.Close()
 	info := g.outside.Codec.Answer(answer.Status, answer.Header)
 	g.noteUnreadable(current.metadata.RequestID, info.Unreadable)
-	g.noteLimit(current, &placement.Worker, info)
+	g.observeLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
 		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
@@ -180,8 +180,8 @@
 		return current.machine.Withheld(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
 	case errors.Is(err, errLimited):
 		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
-	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errUnproven), errors.Is(err, errDraining),
+		return current.machine.Withheld(g.now(), g.limits.closedFor(g.now(), placement.Worker.ID, limitPriority(current)))
+	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errTargetNotAllowed), errors.Is(err, errUnproven), errors.Is(err, errDraining),
 		errors.Is(err, errLateAnswer):
 		g.ended(current, placement, backends.Cancelled, err.Error())
 		return current.machine.NotSent(g.now(), run)
@@ -226,12 +226,12 @@
 
 // ended notes and logs how a send went.
 func (g *Gateway) ended(current *carried, placement *backends.Placement, outcome backends.Outcome, cause string) {
-	g.noteDelivery(current, placement, outcome)
+	g.recordDeliveryOutcome(current, placement, outcome)
 	placement.End(g.now(), outcome)
 	g.metrics.attempts.WithLabelValues(string(placement.Worker.Service), outcome.String()).Inc()
 	if outcome == backends.Succeeded {
 		if current.status < http.StatusMultipleChoices {
-			g.noteAnswered(current)
+			g.recordAnswered(current)
 		}
 		return
 	}
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -24,9 +24,9 @@
 			return g.upstreams.Free(destination)
 		},
 		Bytes:    messageBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.versions(current, current.wasAtTarget),
+		Versions: g.allowedVersions(current, current.wasAtTarget),
 	}
-	if g.limits.any.Load() || g.backoffs.any.Load() {
+	if g.limits.active.Load() || g.backoffs.any.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
@@ -69,7 +69,7 @@
 // caller is to come back. opensIn is the time until the first of them opens.
 func (g *Gateway) closedRefusal(current *carried, opensIn time.Duration) backends.Refusal {
 	if current.atLimit {
-		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.returnAfter(g.now(), opensIn, g.servingCount())}
+		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.retryAfter(g.now(), opensIn, g.servingCount())}
 	}
 	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.returnAfter(opensIn, priorityOf(current))}
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -32,7 +32,7 @@
 	current.lost = nil
 	now := g.now()
 	var placement *backends.Placement
-	if g.permits(current, &lost.Engine.CopyTo) && (current.tenant == nil || g.mayServeKeyed()) {
+	if g.isSendAllowed(current, &lost.Engine.CopyTo) && (current.tenant == nil || g.mayServeKeyed()) {
 		placement = g.workers.Continue(now, lost, current.metadata.Model)
 	}
 	if placement == nil {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -83,7 +83,7 @@
 	blamed, check := g.crashes.note(g.now(), worker, current.fingerprint, loss)
 	switch {
 	case blamed:
-		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+		g.recordWorkerCrash(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
 	case check:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
@@ -114,7 +114,7 @@
 // noteWorkerEnded takes in that a worker has ended without word that it was leaving.
 func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
 	if blamed := g.crashes.ended(g.now(), worker, proof); len(blamed) > 0 {
-		g.blame(worker, proof, blamed)
+		g.recordWorkerCrash(worker, proof, blamed)
 	}
 }
 
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -11,12 +11,12 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// deliveries makes what a node knows of deliveries of services' versions, and directs of
+// deliveryState makes what a node knows of deliveryState of services' versions, and directs of
 // them, safe for concurrent use.
-type deliveries struct {
+type deliveryState struct {
 	self fleet.NodeID
-	// known is set once there was an order or a directive: before, requests need no lock.
-	known atomic.Bool
+	// active is set once there was an order or a directive: before, requests need no lock.
+	active atomic.Bool
 	// pulling is set while a node is asked for a directive that it has named.
 	pulling atomic.Bool
 
@@ -24,42 +24,42 @@
 	follower *delivery.Follower
 	// director is nil while this node doesn't direct.
 	director *delivery.Director
-	orders   map[fleet.PoolName]heardOrder
+	orders   map[fleet.PoolName]receivedOrder
 	// finished holds the newest order of each service that is known to be over.
 	finished map[fleet.PoolName]fleet.Revision
-	// stored holds the versions of the records in the store, writing the services of which
+	// storedVersions holds the versions of the records in the store, writing the services of which
 	// a record is being written. Both belong to the director.
-	stored  map[fleet.PoolName]fleet.Revision
-	writing map[fleet.PoolName]bool
+	storedVersions map[fleet.PoolName]fleet.Revision
+	writing        map[fleet.PoolName]bool
 
-	// changes counts the changes of directives; changed is closed at the next one.
-	changes uint64
-	changed chan struct{}
-	// source is the watched node of which seen is the number of changes.
-	source fleet.NodeID
-	seen   uint64
+	// changeCount counts the changeCount of directives; changed is closed at the next one.
+	changeCount uint64
+	changed     chan struct{}
+	// watchedNode is the watched node of which seen is the number of changes.
+	watchedNode    fleet.NodeID
+	watchedChanges uint64
 
-	// ordered has one element after news of an order, announced while there is something
+	// orderSignal has one element after news of an order, announced while there is something
 	// to tell all nodes at once.
-	ordered   chan struct{}
-	announced chan struct{}
+	orderSignal    chan struct{}
+	announceSignal chan struct{}
 }
 
-// heardOrder is an order and when it was written at the latest.
-type heardOrder struct {
+// receivedOrder is an order and when it was written at the latest.
+type receivedOrder struct {
 	delivery.Order
-	at time.Duration
+	writtenBy time.Duration
 }
 
-func newDeliveries(self fleet.NodeID, settings Settings) *deliveries {
-	return &deliveries{
-		self:      self,
-		follower:  delivery.NewFollower(deliveryOptions(self, settings)),
-		orders:    make(map[fleet.PoolName]heardOrder),
-		finished:  make(map[fleet.PoolName]fleet.Revision),
-		changed:   make(chan struct{}),
-		ordered:   make(chan struct{}, 1),
-		announced: make(chan struct{}, 1),
+func newDeliveryState(self fleet.NodeID, settings Settings) *deliveryState {
+	return &deliveryState{
+		self:           self,
+		follower:       delivery.NewFollower(deliveryOptions(self, settings)),
+		orders:         make(map[fleet.PoolName]receivedOrder),
+		finished:       make(map[fleet.PoolName]fleet.Revision),
+		changed:        make(chan struct{}),
+		orderSignal:    make(chan struct{}, 1),
+		announceSignal: make(chan struct{}, 1),
 	}
 }
 
@@ -80,9 +80,9 @@
 	}
 }
 
-// order takes in an order that was written at a time at the latest, and tells whether it
+// addOrder takes in an addOrder that was written at a time at the latest, and tells whether it
 // is news.
-func (d *deliveries) order(now, at time.Duration, order delivery.Order) (bool, error) {
+func (d *deliveryState) addOrder(now, at time.Duration, order delivery.Order) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if held, found := d.orders[order.Service]; found && held.Revision >= order.Revision {
@@ -92,9 +92,9 @@
 	if err != nil || !news {
 		return false, err
 	}
-	d.orders[order.Service] = heardOrder{Order: order, at: at}
-	d.known.Store(true)
-	signal(d.ordered)
+	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: at}
+	d.active.Store(true)
+	signal(d.orderSignal)
 	if d.director != nil {
 		return true, d.director.SetOrder(now, at, order)
 	}
@@ -102,7 +102,7 @@
 }
 
 // unfinished returns the services with an order that isn't known to be over.
-func (d *deliveries) unfinished() []fleet.PoolName {
+func (d *deliveryState) unfinished() []fleet.PoolName {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var services []fleet.PoolName
@@ -114,10 +114,10 @@
 	return services
 }
 
-// undirected tells whether a delivery runs for which no directive counts: nobody directs
+// hasUndirected tells whether a delivery runs for which no directive counts: nobody directs
 // it.
-func (d *deliveries) undirected(now time.Duration) bool {
-	if !d.known.Load() {
+func (d *deliveryState) hasUndirected(now time.Duration) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -134,9 +134,9 @@
 	return false
 }
 
-// follows tells whether a service has an order.
-func (d *deliveries) follows(service fleet.PoolName) bool {
-	if !d.known.Load() {
+// hasOrder tells whether a service has an order.
+func (d *deliveryState) hasOrder(service fleet.PoolName) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -145,9 +145,9 @@
 	return found
 }
 
-// targets tells whether a version is the target of its service's order.
-func (d *deliveries) targets(service fleet.PoolName, version fleet.SoftwareVersion) bool {
-	if version == "" || !d.known.Load() {
+// isTarget tells whether a version is the target of its service's order.
+func (d *deliveryState) isTarget(service fleet.PoolName, version fleet.SoftwareVersion) bool {
+	if version == "" || !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -156,9 +156,9 @@
 	return found && order.Target == version
 }
 
-// condemned tells whether a version of a service was rolled back.
-func (d *deliveries) condemned(now time.Duration, service fleet.PoolName, version fleet.SoftwareVersion) bool {
-	if version == "" || !d.known.Load() {
+// isRolledBack tells whether a version of a service was rolled back.
+func (d *deliveryState) isRolledBack(now time.Duration, service fleet.PoolName, version fleet.SoftwareVersion) bool {
+	if version == "" || !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -172,8 +172,8 @@
 }
 
 // choose returns what limits the choice of a worker, nil if nothing does.
-func (d *deliveries) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Choice {
-	if !d.known.Load() {
+func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Choice {
+	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
@@ -181,41 +181,41 @@
 	return d.follower.Choose(now, service, route, draw, again)
 }
 
-// note counts an outcome, and tells whether this node has just stopped sending to the
+// recordOutcome counts an outcome, and tells whether this node has just stopped sending to the
 // target by its own evidence.
-func (d *deliveries) note(now time.Duration, outcome delivery.Outcome) bool {
+func (d *deliveryState) recordOutcome(now time.Duration, outcome delivery.Outcome) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	stopped := d.follower.Note(now, outcome)
 	if stopped {
-		signal(d.announced)
+		signal(d.announceSignal)
 	}
 	return stopped
 }
 
-// take takes a directive in, and tells whether it changed the stage or the shares.
-func (d *deliveries) take(now time.Duration, directive delivery.Directive) bool {
+// applyDirective takes a directive in, and tells whether it changed the stage or the shares.
+func (d *deliveryState) applyDirective(now time.Duration, directive delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.known.Store(true)
+	d.active.Store(true)
 	if !d.follower.Take(now, directive) {
 		return false
 	}
 	if directive.Stage.Final() {
 		d.finished[directive.Service] = max(d.finished[directive.Service], directive.Revision)
 	}
-	d.changes++
+	d.changeCount++
 	close(d.changed)
 	d.changed = make(chan struct{})
 	if directive.Issuer == d.self {
-		signal(d.announced)
+		signal(d.announceSignal)
 	}
 	return true
 }
 
-// lacks tells whether a directive that another node has named is newer than what this one
+// needsDirective tells whether a directive that another node has named is newer than what this one
 // goes by, or keeps that from lapsing.
-func (d *deliveries) lacks(now time.Duration, directive *delivery.Directive) bool {
+func (d *deliveryState) needsDirective(now time.Duration, directive *delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, held := range d.follower.Directives(now) {
@@ -226,13 +226,13 @@
 			return false
 		}
 		same := held.Revision == directive.Revision && held.Sequence >= directive.Sequence
-		return !same && held.Revision <= directive.Revision || now > held.IssuedAt+directiveOld
+		return !same && held.Revision <= directive.Revision || now > held.IssuedAt+directiveRefreshAge
 	}
 	return true
 }
 
-// shifts tells whether all requests of a service go to its target now, before a verdict.
-func (d *deliveries) shifts(now time.Duration) bool {
+// isShifting tells whether all requests of a service go to its target now, before a verdict.
+func (d *deliveryState) isShifting(now time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, directive := range d.follower.Directives(now) {
@@ -245,8 +245,8 @@
 }
 
 // issuers returns the nodes that direct deliveries now, without this one.
-func (d *deliveries) issuers(now time.Duration) []fleet.NodeID {
-	if !d.known.Load() {
+func (d *deliveryState) issuers(now time.Duration) []fleet.NodeID {
+	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
@@ -260,10 +260,10 @@
 	return nodes
 }
 
-// write adds the directives that count to a report to another node, and what this node
+// writeReport adds the directives that count to a report to another node, and what this node
 // has seen if that node directs.
-func (d *deliveries) write(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
-	if !d.known.Load() {
+func (d *deliveryState) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
+	if !d.active.Load() {
 		return
 	}
 	d.mutex.Lock()
@@ -280,10 +280,10 @@
 	}
 }
 
-// writeWatch adds the directives that count to an answer to a node that watches this one,
+// writeWatchResponse adds the directives that count to an answer to a node that watches this one,
 // and tells whether they have changed since its last call.
-func (d *deliveries) writeWatch(now time.Duration, request *rpc.WatchRequest, response *rpc.WatchResponse) bool {
-	if !d.known.Load() {
+func (d *deliveryState) writeWatchResponse(now time.Duration, request *rpc.WatchRequest, response *rpc.WatchResponse) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -291,41 +291,41 @@
 	for _, directive := range d.follower.Directives(now) {
 		response.Deliveries = append(response.Deliveries, encodeDirective(now, &directive))
 	}
-	response.DeliveriesSeen = d.changes
+	response.DeliveriesSeen = d.changeCount
 	seen := request.GetDeliveriesSeen()
 	if request.GetPositionsOf() != string(d.self) {
 		seen = 0
 	}
-	return d.changes > seen
+	return d.changeCount > seen
 }
 
-// changedAfter returns a channel that is closed at the next change of a directive.
-func (d *deliveries) changedAfter() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change of a directive.
+func (d *deliveryState) nextChange() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.changed
 }
 
-// seenOf returns how many changes of a watched node this one has seen.
-func (d *deliveries) seenOf(source fleet.NodeID) uint64 {
+// seenChanges returns how many changes of a watched node this one has seen.
+func (d *deliveryState) seenChanges(source fleet.NodeID) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.source != source {
+	if d.watchedNode != source {
 		return 0
 	}
-	return d.seen
+	return d.watchedChanges
 }
 
-// noteSeen notes up to which change a watched node has told.
-func (d *deliveries) noteSeen(source fleet.NodeID, seen uint64) {
+// setSeenChanges notes up to which change a watched node has told.
+func (d *deliveryState) setSeenChanges(source fleet.NodeID, seen uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.source, d.seen = source, seen
+	d.watchedNode, d.watchedChanges = source, seen
 }
 
 // shares returns, by service and route, the part of the requests that is asked to go to the
 // target and the part of the answers that came from there.
-func (d *deliveries) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
+func (d *deliveryState) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	all := make(map[fleet.PoolName]map[delivery.RouteName]deliveryShare)
@@ -337,21 +337,21 @@
 		routes := make(map[delivery.RouteName]deliveryShare)
 		for route, counts := range evidence.Old {
 			share := routes[route]
-			share.old = counts.Answers
+			share.oldAnswers = counts.Answers
 			routes[route] = share
 		}
 		for route, workers := range evidence.New {
 			share := routes[route]
 			for _, counts := range workers {
-				share.target += counts.Answers
+				share.targetAnswers += counts.Answers
 			}
 			routes[route] = share
 		}
 		directive := asked[evidence.Service]
 		for route, share := range routes {
 			var named bool
-			if share.asked, named = directive.Shares[route]; !named {
-				share.asked = directive.DefaultShare
+			if share.requested, named = directive.Shares[route]; !named {
+				share.requested = directive.DefaultShare
 			}
 			routes[route] = share
 		}
@@ -362,14 +362,14 @@
 
 // deliveryShare is what a route's target is asked to get, and what both sides had.
 type deliveryShare struct {
-	asked       float64
-	old, target uint64
+	requested                 float64
+	oldAnswers, targetAnswers uint64
 }
 
-// had returns the part of the answers that came from the target.
-func (s deliveryShare) had() float64 {
-	if s.old+s.target == 0 {
+// actual returns the part of the answers that came from the target.
+func (s deliveryShare) actual() float64 {
+	if s.oldAnswers+s.targetAnswers == 0 {
 		return 0
 	}
-	return float64(s.target) / float64(s.old+s.target)
+	return float64(s.targetAnswers) / float64(s.oldAnswers+s.targetAnswers)
 }
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -20,7 +20,7 @@
 // deliveryGateway returns a gateway that isn't started and has heard of an order.
 func deliveryGateway(t *testing.T) *Gateway {
 	g := idleGateway(t)
-	g.takeOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
+	g.applyOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
 		{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
 	}})
 	require.Equal(t, []fleet.PoolName{"app"}, g.deliveries.unfinished())
@@ -45,18 +45,18 @@
 	g := deliveryGateway(t)
 	pushed := allTo(g, delivery.StageShifting, g.now())
 	report := &rpc.LoadReport{Node: "director", DeliveriesOnly: true, Deliveries: []*rpc.DeliveryDirective{encodeDirective(g.now(), &pushed)}}
-	g.heedPushed(report)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	g.handlePushedDeliveries(report)
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 
-	g.takeDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
+	g.applyDirectives(g.now(), report.Deliveries)
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
 
 	final := allTo(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
 	final.Condemned = append(final.Condemned, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
-	g.heedPushed(report)
-	choice := g.versions(deliveryRequest(), false)
+	g.handlePushedDeliveries(report)
+	choice := g.allowedVersions(deliveryRequest(), false)
 	assert.False(t, choice.WantsTarget())
 	assert.False(t, choice.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished(), "nothing is left to do")
@@ -67,41 +67,41 @@
 	g := deliveryGateway(t)
 	directive := allTo(g, delivery.StageShifting, g.now())
 	told := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
-	g.takeDirectives(g.now()-delivery.DirectiveValid, told)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	g.applyDirectives(g.now()-delivery.DirectiveValid, told)
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 }
 
 // TestSendIsPermittedOnlyWhileItsDirectiveCounts.
 func TestSendIsPermittedOnlyWhileItsDirectiveCounts(t *testing.T) {
 	g := deliveryGateway(t)
 	const left = 300 * time.Millisecond
-	g.takeDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
+	g.applyDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
-	current.forTarget = g.versions(current, false).WantsTarget()
+	current.forTarget = g.allowedVersions(current, false).WantsTarget()
 	require.True(t, current.forTarget)
-	assert.NoError(t, g.permitTarget(current, target))
+	assert.NoError(t, g.checkTarget(current, target))
 	time.Sleep(left + 50*time.Millisecond)
-	assert.ErrorIs(t, g.permitTarget(current, target), errNoTarget)
-	assert.NoError(t, g.permitTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "found as the fallback")
+	assert.ErrorIs(t, g.checkTarget(current, target), errTargetNotAllowed)
+	assert.NoError(t, g.checkTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "found as the fallback")
 	current.forTarget = false
-	assert.NoError(t, g.permitTarget(current, target), "only workers of the target are listed")
+	assert.NoError(t, g.checkTarget(current, target), "only workers of the target are listed")
 }
 
 // TestSecondTryLeavesTheTarget for the other side.
 func TestSecondTryLeavesTheTarget(t *testing.T) {
 	g := deliveryGateway(t)
 	canary := allTo(g, delivery.StageCanary, g.now())
-	g.takeDirective(canary)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget())
-	assert.False(t, g.versions(deliveryRequest(), true).WantsTarget())
+	g.applyDirective(canary)
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
+	assert.False(t, g.allowedVersions(deliveryRequest(), true).WantsTarget())
 }
 
 // TestReportsCarryDirectivesToAllAndEvidenceToTheDirector.
 func TestReportsCarryDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
-	g.deliveries.note(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
+	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.deliveries.recordOutcome(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
 	other := g.loadReport("other")
 	assert.Len(t, other.GetDeliveries(), 1)
 	assert.Empty(t, other.GetDeliveryEvidence())
@@ -119,8 +119,8 @@
 	response, news := g.watchResponse(request)
 	assert.False(t, news)
 	assert.Empty(t, response.GetDeliveries())
-	waiting := g.deliveries.changedAfter()
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
+	waiting := g.deliveries.nextChange()
+	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
 	select {
 	case <-waiting:
 	default:
@@ -169,9 +169,9 @@
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
 	g.outside.Platform = store
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
-	g.direct("app")
-	choice := g.versions(deliveryRequest(), false)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
+	g.stepDelivery("app")
+	choice := g.allowedVersions(deliveryRequest(), false)
 	assert.False(t, choice.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished())
 	assert.Empty(t, store.writes)
@@ -183,7 +183,7 @@
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	running := StoredDelivery{Version: 20, Record: delivery.Record{Order: order, Stage: delivery.StageCanary, StartedAt: time.Minute}}
 	stored := &StoredDeliveries{Records: []StoredDelivery{running}, StoreTime: time.Minute}
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
 	final := running
 	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
@@ -191,19 +191,19 @@
 	g.deliveries.beginWrite("app")
 	g.writeDelivery(delivery.Record{Order: order, Stage: delivery.StageCompleted, StartedAt: time.Minute})
 	assert.EqualValues(t, 21, g.deliveries.storedVersion("app"))
-	g.direct("app")
-	assert.False(t, g.versions(deliveryRequest(), false).Allows("w", "v2"))
+	g.stepDelivery("app")
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished())
 }
 
 // TestOneWriteAtATime of a service's record, and again after one that failed.
 func TestOneWriteAtATime(t *testing.T) {
 	g := deliveryGateway(t)
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
 	assert.True(t, g.deliveries.beginWrite("app"))
 	assert.False(t, g.deliveries.beginWrite("app"))
 	record := delivery.Record{Order: delivery.Order{Service: "app", Target: "v2", Duration: time.Second, Revision: 7}, Stage: delivery.StageCanary}
-	g.deliveries.written(g.now(), record, StoredDelivery{}, errors.New("lost"))
+	g.deliveries.finishWrite(g.now(), record, StoredDelivery{}, errors.New("lost"))
 	assert.True(t, g.deliveries.beginWrite("app"))
 	g.deliveries.resign()
 	assert.False(t, g.deliveries.beginWrite("app"))
@@ -212,18 +212,18 @@
 // TestUnusableOrderChangesNothing.
 func TestUnusableOrderChangesNothing(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeOrders(g.now(), g.now(), &OperatorRows{
+	g.applyOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
 		RefusedDeliveries: []Unreadable{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
 	})
-	assert.True(t, g.deliveries.targets("app", "v2"))
-	assert.False(t, g.deliveries.targets("app", "v0"))
+	assert.True(t, g.deliveries.isTarget("app", "v2"))
+	assert.False(t, g.deliveries.isTarget("app", "v0"))
 }
 
 // TestOutcomesThatSayNothingAreNotCounted.
 func TestOutcomesThatSayNothingAreNotCounted(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
 	g.workers.Observe(1, backends.Worker{ID: "w", Service: "app", Software: "v2", Slots: 4})
 	counted := 0
 	for outcome, says := range map[backends.Outcome]bool{
@@ -234,7 +234,7 @@
 		placement, _ := g.workers.Choose(g.now(), &backends.Request{Service: "app"})
 		require.NotNil(t, placement)
 		current := deliveryRequest()
-		g.noteDelivery(current, placement, outcome)
+		g.recordDeliveryOutcome(current, placement, outcome)
 		placement.End(g.now(), outcome)
 		assert.True(t, current.wasAtTarget)
 		if says {
@@ -242,29 +242,29 @@
 		}
 	}
 	shares := g.deliveries.shares(g.now())
-	assert.EqualValues(t, counted, shares["app"]["route"].target)
-	assert.InDelta(t, 1, shares["app"]["route"].had(), 0)
-	assert.InDelta(t, 1, shares["app"]["route"].asked, 0)
+	assert.EqualValues(t, counted, shares["app"]["route"].targetAnswers)
+	assert.InDelta(t, 1, shares["app"]["route"].actual(), 0)
+	assert.InDelta(t, 1, shares["app"]["route"].requested, 0)
 }
 
 // TestShiftIsKnownFromItsMoment has a shift be told in advance, begin, and end.
 func TestShiftIsKnownFromItsMoment(t *testing.T) {
 	g := idleGateway(t)
-	assert.False(t, g.deliveries.shifts(0))
+	assert.False(t, g.deliveries.isShifting(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
-	_, err := g.deliveries.order(0, 0, order)
+	_, err := g.deliveries.addOrder(0, 0, order)
 	require.NoError(t, err)
 	directive := delivery.Directive{
 		Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary,
 		IssuedAt: time.Second, ShiftAt: 2 * time.Second,
 	}
-	g.deliveries.take(time.Second, directive)
-	assert.False(t, g.deliveries.shifts(time.Second))
-	assert.True(t, g.deliveries.shifts(2*time.Second), "as told in advance")
+	g.deliveries.applyDirective(time.Second, directive)
+	assert.False(t, g.deliveries.isShifting(time.Second))
+	assert.True(t, g.deliveries.isShifting(2*time.Second), "as told in advance")
 	directive.Stage, directive.Sequence, directive.IssuedAt = delivery.StageShifting, 2, 2*time.Second
-	g.deliveries.take(2*time.Second, directive)
-	assert.True(t, g.deliveries.shifts(2500*time.Millisecond))
+	g.deliveries.applyDirective(2*time.Second, directive)
+	assert.True(t, g.deliveries.isShifting(2500*time.Millisecond))
 	directive.Stage, directive.Sequence = delivery.StageCompleted, 3
-	g.deliveries.take(3*time.Second, directive)
-	assert.False(t, g.deliveries.shifts(3*time.Second), "it is over")
+	g.deliveries.applyDirective(3*time.Second, directive)
+	assert.False(t, g.deliveries.isShifting(3*time.Second), "it is over")
 }
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -15,47 +15,47 @@
 
 // Times of directing deliveries.
 const (
-	// followInterval is the time between two looks at whether this node directs, while it
+	// directorCheckInterval is the time between two looks at whether this node directs, while it
 	// doesn't and a delivery runs.
-	followInterval = 300 * time.Millisecond
+	directorCheckInterval = 300 * time.Millisecond
 	// deliveryCallTimeout bounds the store's answer about records; an unknown outcome is
 	// looked up within it.
 	deliveryCallTimeout = 2500 * time.Millisecond
 )
 
-// driveDeliveries directs the deliveries that aren't over while this node holds the lease.
+// runDeliveryDirector directs the deliveries that aren't over while this node holds the lease.
 // It rests while there are none.
-func (g *Gateway) driveDeliveries() error {
+func (g *Gateway) runDeliveryDirector() error {
 	for {
 		unfinished := g.deliveries.unfinished()
 		if len(unfinished) == 0 {
 			select {
-			case <-g.deliveries.ordered:
+			case <-g.deliveries.orderSignal:
 				continue
 			case <-g.life.Dying():
 				return nil
 			}
 		}
-		interval := followInterval
-		if g.directs() {
+		interval := directorCheckInterval
+		if g.ensureDirector() {
 			interval = delivery.LookInterval
 			for _, service := range unfinished {
-				g.direct(service)
+				g.stepDelivery(service)
 			}
-		} else if g.deliveries.shifts(g.now()) {
+		} else if g.deliveries.isShifting(g.now()) {
 			interval = delivery.LookInterval
-			g.tellDirectors()
+			g.reportToDirectors()
 		}
-		g.noteShares()
+		g.updateShareMetrics()
 		if !g.pause(interval) {
 			return nil
 		}
 	}
 }
 
-// tellDirectors tells those that direct what this node has seen. Faults that show only under
+// reportToDirectors tells those that direct what this node has seen. Faults that show only under
 // load show in a shift, which is shorter than a round of reports.
-func (g *Gateway) tellDirectors() {
+func (g *Gateway) reportToDirectors() {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if member, found := g.peers.View().Find(issuer); found {
 			go g.exchangeDeliveries(member)
@@ -63,14 +63,14 @@
 	}
 }
 
-// directs tells whether this node directs deliveries now. Before it begins to, it reads
+// ensureDirector tells whether this node ensureDirector deliveries now. Before it begins to, it reads
 // the records of those before it.
-func (g *Gateway) directs() bool {
+func (g *Gateway) ensureDirector() bool {
 	if _, holds := g.keeper.Fence(); !holds || g.stopping() {
 		g.deliveries.resign()
 		return false
 	}
-	if g.deliveries.directing() {
+	if g.deliveries.isDirector() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
@@ -85,23 +85,23 @@
 	if _, holds := g.keeper.Fence(); !holds {
 		return false
 	}
-	refused := g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, begun-stored.StoreTime)
+	refused := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, begun-stored.StoreTime)
 	for service, err := range refused {
-		g.refuseOrder(string(service), err)
+		g.logRefusedOrder(string(service), err)
 	}
 	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-begun).Msg("delivery_taken_over")
 	return true
 }
 
-// direct looks at one service's delivery, passes the directive on and writes the record.
-func (g *Gateway) direct(service fleet.PoolName) {
+// stepDelivery looks at one service's delivery, passes the directive on and writes the record.
+func (g *Gateway) stepDelivery(service fleet.PoolName) {
 	now := g.now()
-	step := g.deliveries.look(now, g.observe(now, service))
+	step := g.deliveries.decide(now, g.observeService(now, service))
 	if step.Event.Name != "" {
-		g.logDelivery(&step.Event)
+		g.logDeliveryEvent(&step.Event)
 	}
 	if step.Directive != nil {
-		g.takeDirective(*step.Directive)
+		g.applyDirective(*step.Directive)
 	}
 	if step.Write != nil && g.deliveries.beginWrite(service) {
 		record := *step.Write
@@ -112,8 +112,8 @@
 	}
 }
 
-// observe returns what is to be known of a service for a look at its delivery.
-func (g *Gateway) observe(now time.Duration, service fleet.PoolName) delivery.Observation {
+// observeService returns what is to be known of a service for a look at its delivery.
+func (g *Gateway) observeService(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
 	held := g.holder.Current()
 	if held == nil {
@@ -122,7 +122,7 @@
 	_, observation.Known = held.Table.Service(service)
 	doubtful := g.workers.Doubtful(now)
 	for _, worker := range g.workers.WorkersInUse() {
-		isTarget := g.deliveries.targets(service, worker.Software)
+		isTarget := g.deliveries.isTarget(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
 			continue
 		}
@@ -153,11 +153,11 @@
 	line.Str("service", string(service)).Str("target", string(record.Order.Target)).Str("stage", record.Stage.String()).
 		Uint64("revision", uint64(record.Order.Revision)).Uint64("stored_version", uint64(stored.Version)).
 		Str("stored_stage", stored.Stage.String()).Dur("took", g.now()-begun).Msg("delivery_recorded")
-	g.deliveries.written(g.now(), record, stored, err)
+	g.deliveries.finishWrite(g.now(), record, stored, err)
 }
 
-// logDelivery logs a step or a verdict with what decided it.
-func (g *Gateway) logDelivery(event *delivery.Event) {
+// logDeliveryEvent logs a step or a verdict with what decided it.
+func (g *Gateway) logDeliveryEvent(event *delivery.Event) {
 	line := g.logger.Info()
 	if event.Name == delivery.EventRefused {
 		line = g.logger.Error().Int("code", int(resultcode.DeliveryInvalid)).Str("name", resultcode.DeliveryInvalid.String())
@@ -172,41 +172,41 @@
 	line.Msg(event.Name)
 }
 
-// noteShares updates the metrics of the shares that targets are asked to have and had.
-func (g *Gateway) noteShares() {
+// updateShareMetrics updates the metrics of the shares that targets are asked to have and had.
+func (g *Gateway) updateShareMetrics() {
 	for service, routes := range g.deliveries.shares(g.now()) {
 		for route, share := range routes {
-			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "asked").Set(share.asked)
-			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "had").Set(share.had())
+			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "asked").Set(share.requested)
+			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "had").Set(share.actual())
 		}
 	}
 }
 
-// directing tells whether there is a director.
-func (d *deliveries) directing() bool {
+// isDirector tells whether there is a director.
+func (d *deliveryState) isDirector() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.director != nil
 }
 
 // resign drops the director.
-func (d *deliveries) resign() {
+func (d *deliveryState) resign() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.director = nil
 }
 
-// lead makes a director of the store's records and the orders heard of. It returns the
+// becomeDirector makes a director of the store's records and the orders heard of. It returns the
 // orders that the director refuses.
-func (d *deliveries) lead(now time.Duration, options delivery.Options, stored *StoredDeliveries, sinceStore time.Duration) map[fleet.PoolName]error {
+func (d *deliveryState) becomeDirector(now time.Duration, options delivery.Options, stored *StoredDeliveries, sinceStore time.Duration) map[fleet.PoolName]error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.director = delivery.NewDirector(options)
-	d.stored = make(map[fleet.PoolName]fleet.Revision, len(stored.Records))
+	d.storedVersions = make(map[fleet.PoolName]fleet.Revision, len(stored.Records))
 	d.writing = make(map[fleet.PoolName]bool)
 	var records []delivery.Record
 	for _, record := range stored.Records {
-		d.stored[record.Order.Service] = record.Version
+		d.storedVersions[record.Order.Service] = record.Version
 		if record.Order.Target != "" {
 			records = append(records, record.Record)
 		}
@@ -214,15 +214,15 @@
 	d.director.Restore(now, records, sinceStore)
 	refused := make(map[fleet.PoolName]error)
 	for service, order := range d.orders {
-		if err := d.director.SetOrder(now, order.at, order.Order); err != nil {
+		if err := d.director.SetOrder(now, order.writtenBy, order.Order); err != nil {
 			refused[service] = err
 		}
 	}
 	return refused
 }
 
-// look has the director decide for one service. This node's own evidence counts too.
-func (d *deliveries) look(now time.Duration, observation delivery.Observation) delivery.Step {
+// decide has the director decide for one service. This node's own evidence counts too.
+func (d *deliveryState) decide(now time.Duration, observation delivery.Observation) delivery.Step {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
@@ -234,8 +234,8 @@
 	return d.director.Look(now, observation)
 }
 
-// observe takes in what another node has seen.
-func (d *deliveries) observe(now time.Duration, node fleet.NodeID, encoded []*rpc.DeliveryEvidence) {
+// addEvidence takes in what another node has seen.
+func (d *deliveryState) addEvidence(now time.Duration, node fleet.NodeID, encoded []*rpc.DeliveryEvidence) {
 	if len(encoded) == 0 {
 		return
 	}
@@ -250,7 +250,7 @@
 }
 
 // beginWrite tells whether a service's record may be written now: none is being written.
-func (d *deliveries) beginWrite(service fleet.PoolName) bool {
+func (d *deliveryState) beginWrite(service fleet.PoolName) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil || d.writing[service] {
@@ -261,15 +261,15 @@
 }
 
 // storedVersion returns the version that the store's record of a service is believed to have.
-func (d *deliveries) storedVersion(service fleet.PoolName) fleet.Revision {
+func (d *deliveryState) storedVersion(service fleet.PoolName) fleet.Revision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.stored[service]
+	return d.storedVersions[service]
 }
 
-// written tells the director how a write went. err is platform.ErrConflict if the store
+// finishWrite tells the director how a write went. err is platform.ErrConflict if the store
 // holds another record.
-func (d *deliveries) written(now time.Duration, record delivery.Record, stored StoredDelivery, err error) {
+func (d *deliveryState) finishWrite(now time.Duration, record delivery.Record, stored StoredDelivery, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
@@ -279,7 +279,7 @@
 	delete(d.writing, service)
 	var found *delivery.Record
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		d.stored[service] = stored.Version
+		d.storedVersions[service] = stored.Version
 	}
 	if errors.Is(err, platform.ErrConflict) && stored.Order.Target != "" {
 		found = &stored.Record
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// directiveOld is the age from which on a directive is asked for anew when another
+	// directiveRefreshAge is the age from which on a directive is asked for anew when another
 	// node names it.
-	directiveOld = delivery.DirectiveValid / 2
-	// deliveryTimeout bounds one exchange about deliveries alone.
-	deliveryTimeout = 250 * time.Millisecond
+	directiveRefreshAge = delivery.DirectiveValid / 2
+	// deliveryExchangeTimeout bounds one exchange about deliveries alone.
+	deliveryExchangeTimeout = 250 * time.Millisecond
 )
 
-// takeOrders takes in the orders among the operator's rows, which were written at a time at
+// applyOrders takes in the orders among the operator's rows, which were written at a time at
 // the latest.
-func (g *Gateway) takeOrders(now, at time.Duration, rows *OperatorRows) {
+func (g *Gateway) applyOrders(now, at time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
-		g.refuseOrder(refused.Key, refused.Err)
+		g.logRefusedOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
-		news, err := g.deliveries.order(now, at, order)
+		news, err := g.deliveries.addOrder(now, at, order)
 		if err != nil {
-			g.refuseOrder(string(order.Service), err)
+			g.logRefusedOrder(string(order.Service), err)
 			continue
 		}
 		if news {
@@ -45,50 +45,50 @@
 	}
 }
 
-// refuseOrder logs that an order can't be used; the former state holds.
-func (g *Gateway) refuseOrder(key string, err error) {
+// logRefusedOrder logs that an order can't be used; the former state holds.
+func (g *Gateway) logRefusedOrder(key string, err error) {
 	g.logger.Error().Str("key", key).Err(err).Int("code", int(resultcode.DeliveryInvalid)).
 		Str("name", resultcode.DeliveryInvalid.String()).Msg("delivery_refused")
 }
 
-// versions returns what limits a request's choice of a worker to versions of the service.
+// allowedVersions returns what limits a request's choice of a worker to allowedVersions of the service.
 // again is set if it was at the target and is to go elsewhere.
-func (g *Gateway) versions(current *carried, again bool) *delivery.Choice {
+func (g *Gateway) allowedVersions(current *carried, again bool) *delivery.Choice {
 	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.draw, again)
 }
 
-// errNoTarget is the cause of a send that a directive allowed which counts no more.
-var errNoTarget = errors.New("target not allowed any more")
+// errTargetNotAllowed is the cause of a send that a directive allowed which counts no more.
+var errTargetNotAllowed = errors.New("target not allowed any more")
 
-// permitTarget returns an error if a request that was chosen to go to the target may not go
+// checkTarget returns an error if a request that was chosen to go to the target may not go
 // there any more: a new connection or a frozen process may have outlived the directive.
-func (g *Gateway) permitTarget(current *carried, worker *backends.Worker) error {
-	if current.forTarget && !g.permits(current, worker) {
-		return errNoTarget
+func (g *Gateway) checkTarget(current *carried, worker *backends.Worker) error {
+	if current.forTarget && !g.isSendAllowed(current, worker) {
+		return errTargetNotAllowed
 	}
 	return nil
 }
 
-// permits tells whether a request that was chosen for a worker may go there still: runs of
+// isSendAllowed tells whether a request that was chosen for a worker may go there still: runs of
 // the old side end there, those of a target only while it may get requests.
-func (g *Gateway) permits(current *carried, worker *backends.Worker) bool {
-	if g.deliveries.targets(worker.Service, worker.Software) {
-		choice := g.versions(current, false)
+func (g *Gateway) isSendAllowed(current *carried, worker *backends.Worker) bool {
+	if g.deliveries.isTarget(worker.Service, worker.Software) {
+		choice := g.allowedVersions(current, false)
 		return choice.WantsTarget() || choice.Allows(worker.ID, worker.Software)
 	}
-	return !g.deliveries.condemned(g.now(), worker.Service, worker.Software)
+	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
 
-// noteDelivery counts what an answer says about its worker's version. A request that was
+// recordDeliveryOutcome counts what an answer says about its worker's version. A request that was
 // refused, not sent or cancelled says nothing.
-func (g *Gateway) noteDelivery(current *carried, placement *backends.Placement, outcome backends.Outcome) {
+func (g *Gateway) recordDeliveryOutcome(current *carried, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
 	worker := &placement.Worker
-	if g.deliveries.targets(worker.Service, worker.Software) {
+	if g.deliveries.isTarget(worker.Service, worker.Software) {
 		current.wasAtTarget = true
 	}
 	// How fast a worker with a limit answers says nothing of its version.
-	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.follows(worker.Service) {
+	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.hasOrder(worker.Service) {
 		return
 	}
 	noted := delivery.Outcome{
@@ -98,7 +98,7 @@
 	if placement.Engine != nil {
 		whole := g.now() - current.sentAt
 		noted.Took = geometricMean(noted.Took, whole)
-		noted.Predicted = geometricMean(placement.Engine.Baseline, wholeBaseline(current, placement.Engine))
+		noted.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
 	}
 	if placement.Engine != nil && noted.Predicted <= 0 && !failed {
 		// A run that goes on from a copy has no prediction to compare with.
@@ -110,7 +110,7 @@
 	}
 	g.metrics.deliveryAnswers.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name, result).Inc()
 	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.Took(g.now()).Seconds())
-	if g.deliveries.note(g.now(), noted) {
+	if g.deliveries.recordOutcome(g.now(), noted) {
 		g.logger.Warn().Str("service", string(worker.Service)).Str("target", string(worker.Software)).
 			Str("route", current.route.Name).Str("worker", string(worker.ID)).Msg("delivery_stopped")
 	}
@@ -124,9 +124,9 @@
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// wholeBaseline returns what the whole answer of an engine is expected to take, 0 if that
+// expectedAnswerTime returns what the whole answer of an engine is expected to take, 0 if that
 // isn't known.
-func wholeBaseline(current *carried, engine *backends.EnginePlacement) time.Duration {
+func expectedAnswerTime(current *carried, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
 	}
@@ -134,8 +134,8 @@
 	return engine.Baseline + time.Duration(tokens)*backends.DefaultStep
 }
 
-// withDirectors returns members and those that direct deliveries besides.
-func (g *Gateway) withDirectors(members []membership.Member) []membership.Member {
+// addDirectors returns members and those that direct deliveries besides.
+func (g *Gateway) addDirectors(members []membership.Member) []membership.Member {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if slices.ContainsFunc(members, func(member membership.Member) bool { return member.Node == issuer }) {
 			continue
@@ -147,31 +147,31 @@
 	return members
 }
 
-// takeDirectives takes in the directives of an answer to a call that was begun at a time:
+// applyDirectives takes in the directives of an answer to a call that was begun at a time:
 // they aren't younger than they were then.
-func (g *Gateway) takeDirectives(begun time.Duration, encoded []*rpc.DeliveryDirective) {
+func (g *Gateway) applyDirectives(begun time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
 	for _, told := range encoded {
 		if directive, readable := decodeDirective(begun, now, told); readable {
-			g.takeDirective(directive)
+			g.applyDirective(directive)
 		}
 	}
 }
 
-// takeDirective takes in a directive and logs a change.
-func (g *Gateway) takeDirective(directive delivery.Directive) {
+// applyDirective takes in a directive and logs a change.
+func (g *Gateway) applyDirective(directive delivery.Directive) {
 	now := g.now()
-	if !g.deliveries.take(now, directive) {
+	if !g.deliveries.applyDirective(now, directive) {
 		return
 	}
 	g.logger.Info().Str("service", string(directive.Service)).Str("target", string(directive.Target)).
 		Str("stage", directive.Stage.String()).Uint64("revision", uint64(directive.Revision)).Uint64("sequence", directive.Sequence).
-		Float64("default_share", directive.DefaultShare).Str("shares", shareText(directive.Shares)).Int("canaries", len(directive.Canaries)).
+		Float64("default_share", directive.DefaultShare).Str("shares", formatShares(directive.Shares)).Int("canaries", len(directive.Canaries)).
 		Str("issuer", string(directive.Issuer)).Dur("age", now-directive.IssuedAt).Msg("delivery_followed")
 }
 
-// shareText returns shares in order of the routes' names.
-func shareText(shares map[delivery.RouteName]float64) string {
+// formatShares returns shares in order of the routes' names.
+func formatShares(shares map[delivery.RouteName]float64) string {
 	parts := make([]string, 0, len(shares))
 	for route, share := range shares {
 		parts = append(parts, string(route)+":"+strconv.FormatFloat(share, 'g', 3, 64))
@@ -180,21 +180,21 @@
 	return strings.Join(parts, ",")
 }
 
-// heedPushed takes in what a call of another node tells of deliveries. The call may have
+// handlePushedDeliveries takes in what a call of another node tells of deliveries. The call may have
 // lain here while this process stood still, so that the age of a directive isn't known:
 // final ones count whatever their age, others are asked for.
-func (g *Gateway) heedPushed(report *rpc.LoadReport) {
+func (g *Gateway) handlePushedDeliveries(report *rpc.LoadReport) {
 	now := g.now()
 	if report.GetDeliveriesOnly() {
-		g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
+		g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	}
 	for _, told := range report.GetDeliveries() {
 		directive, readable := decodeDirective(now, now, told)
 		switch {
 		case !readable:
 		case directive.Stage.Final():
-			g.takeDirective(directive)
-		case g.deliveries.lacks(now, &directive):
+			g.applyDirective(directive)
+		case g.deliveries.needsDirective(now, &directive):
 			g.pullDeliveries(fleet.NodeID(report.GetNode()))
 		}
 	}
@@ -215,7 +215,7 @@
 // deliveryReport returns what this node tells another one about deliveries alone.
 func (g *Gateway) deliveryReport(to fleet.NodeID) *rpc.LoadReport {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, DeliveriesOnly: true}
-	g.deliveries.write(g.now(), report, to)
+	g.deliveries.writeReport(g.now(), report, to)
 	return report
 }
 
@@ -224,7 +224,7 @@
 	if member.Node == g.node {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.context(), deliveryTimeout)
+	ctx, cancel := context.WithTimeout(g.context(), deliveryExchangeTimeout)
 	defer cancel()
 	begun := g.now()
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
@@ -232,8 +232,8 @@
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.deliveries.observe(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
-	g.takeDirectives(begun, answer.GetDeliveries())
+	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
+	g.applyDirectives(begun, answer.GetDeliveries())
 }
 
 // announceDeliveries tells all nodes that share loads at once of a changed directive of
@@ -241,7 +241,7 @@
 func (g *Gateway) announceDeliveries() error {
 	for {
 		select {
-		case <-g.deliveries.announced:
+		case <-g.deliveries.announceSignal:
 		case <-g.life.Dying():
 			return nil
 		}
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -27,24 +27,24 @@
 	return changed
 }
 
-// noteVersions has workers of a version that appears beside others get no requests for a
+// observeVersions has workers of a version that appears beside others get no requests for a
 // moment: the order to deliver it comes by another table, and its target would get a part of
 // all requests until then. It does so only where the settings bound deliveries.
-func (g *Gateway) noteVersions(now time.Duration, rows []WorkerRow) {
+func (g *Gateway) observeVersions(now time.Duration, rows []WorkerRow) {
 	if !g.settings().Deliveries {
 		return
 	}
 	for _, service := range g.versionsSeen.add(rows) {
-		g.deliveries.seeVersions(now, service, g.versionsSeen[service])
+		g.deliveries.observeVersions(now, service, g.versionsSeen[service])
 	}
 }
 
-// seeVersions takes in the versions of a service's workers.
-func (d *deliveries) seeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
+// observeVersions takes in the versions of a service's workers.
+func (d *deliveryState) observeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.follower.SeeVersions(now, service, versions)
 	if len(versions) > 1 {
-		d.known.Store(true)
+		d.active.Store(true)
 	}
 }
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -24,12 +24,12 @@
 		settings := *g.settings()
 		settings.Deliveries = bounded
 		g.inForce.Store(&settings)
-		g.noteVersions(0, []WorkerRow{workerRow("old", "v1")})
+		g.observeVersions(0, []WorkerRow{workerRow("old", "v1")})
 		allows := func(now time.Duration, worker fleet.EngineID, version fleet.SoftwareVersion) bool {
 			return g.deliveries.choose(now, "app", delivery.RouteName("route"), 0.5, false).Allows(worker, version)
 		}
 		assert.True(t, allows(0, "old", "v1"))
-		g.noteVersions(time.Second, []WorkerRow{workerRow("new", "v2")})
+		g.observeVersions(time.Second, []WorkerRow{workerRow("new", "v2")})
 		assert.True(t, allows(time.Second, "old", "v1"))
 		assert.Equal(t, !bounded, allows(time.Second, "new", "v2"))
 		assert.True(t, allows(10*time.Second, "new", "v2"), "no order came")
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -103,7 +103,7 @@
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
-	if err := g.permitLimit(ctx, limitPriority(current), worker); err != nil {
+	if err := g.acquireLimitGrant(ctx, limitPriority(current), worker); err != nil {
 		return err
 	}
 	if err := g.permit(current, worker); err != nil {
@@ -120,7 +120,7 @@
 		dispatch.TimeLeft = left
 		g.outside.Codec.WriteDispatch(header, dispatch)
 	}
-	g.noteCall(worker.ID, callRequest)
+	g.countCall(worker.ID, callRequest)
 	return nil
 }
 
@@ -144,10 +144,10 @@
 	if current.tenant != nil && !g.mayServeKeyed() {
 		return errUnproven
 	}
-	if _, held := g.holds(current); held {
+	if _, held := g.checkHeld(current); held {
 		return errQuarantined
 	}
-	return g.permitTarget(current, worker)
+	return g.checkTarget(current, worker)
 }
 
 // priorityOf returns the priority at an engine: the tenant's rank goes before
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,7 +58,7 @@
 	backoffs     *workerBackoffs
 	unknown      *unknownHeaders
 	weights      *weights
-	deliveries   *deliveries
+	deliveries   *deliveryState
 	peers        *peer.Peer
 	keeper       *lease.Keeper
 	seeds        *seedList
@@ -75,7 +75,7 @@
 	cacheLog     *cacheLog
 	zoneFeeds    *zoneFeeds
 	crashes      *crashes
-	quarantines  *quarantines
+	quarantines  *quarantineState
 	suspensions  *suspension.Detector
 	resumptions  *resumptions
 	deadlines    *deadlines
@@ -154,7 +154,7 @@
 		cacheLog:     newCacheLog(rand.Uint64()),
 		zoneFeeds:    newZoneFeeds(),
 		crashes:      newCrashes(),
-		quarantines:  newQuarantines(),
+		quarantines:  newQuarantineState(),
 		resumptions:  newResumptions(),
 		deadlines:    newDeadlines(),
 		limits:       newWorkerLimits(),
@@ -183,7 +183,7 @@
 	g.budgets = newBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
 	g.weights = newWeights(settings)
-	g.deliveries = newDeliveries(g.node, settings)
+	g.deliveries = newDeliveryState(g.node, settings)
 	var err error
 	if g.peers, err = g.newPeer(random()); err != nil {
 		return nil, err
@@ -294,11 +294,11 @@
 	g.life.Go(g.announceLoads)
 	g.life.Go(g.shareUses)
 	g.life.Go(g.driveRollout)
-	g.life.Go(g.driveDeliveries)
+	g.life.Go(g.runDeliveryDirector)
 	g.life.Go(g.announceDeliveries)
 	g.life.Go(g.announceQuarantine)
 	g.life.Go(g.announceLimits)
-	g.life.Go(g.storeQuarantine)
+	g.life.Go(g.syncQuarantineStore)
 	g.life.Go(g.followCaches)
 	g.life.Go(g.housekeep)
 	g.life.Go(g.keepLease)
@@ -343,7 +343,7 @@
 			g.unknown.forget(engine)
 		}
 		g.upstreams.Sweep()
-		g.reportLimits()
+		g.logLimitUsage()
 		g.metrics.backingOff.Set(float64(len(g.backoffs.closing(g.now()))))
 		g.idle.sweep(g.now(), g.idleLimit())
 		g.crashes.sweep(g.now())
--- a/internal/gateway/limits_benchmark_test.go
+++ b/internal/gateway/limits_benchmark_test.go
@@ -14,7 +14,7 @@
 	limits := newWorkerLimits()
 	views := []*membership.View{largeFleet(985), largeFleet(985)}
 	for number := 0; b.Loop(); number++ {
-		limits.granter(0, "w", membership.Location{Zone: "z1"}, views[number%2])
+		limits.selectGranter(0, "w", membership.Location{Zone: "z1"}, views[number%2])
 	}
 }
 
@@ -23,7 +23,7 @@
 	limits := newWorkerLimits()
 	view := largeFleet(985)
 	for b.Loop() {
-		limits.granter(0, "w", membership.Location{Zone: "z1"}, view)
+		limits.selectGranter(0, "w", membership.Location{Zone: "z1"}, view)
 	}
 }
 
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -24,13 +24,13 @@
 
 func TestOnlyAWorkersOwnAnswerTellsOfItsLimit(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
-	assert.True(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
-	assert.True(t, saysLimit(AnswerInfo{Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{}), "it may not be the worker's")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
+	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
+	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
+	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
+	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true}))
+	assert.False(t, hasLimitStatement(AnswerInfo{}), "it may not be the worker's")
+	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Signed: true}))
+	assert.False(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
 // TestObservationIsNoYoungerAfterACall: what was said within a call may be as old as the call.
@@ -54,7 +54,7 @@
 func TestNothingIsSaidWhileNoWorkerHasALimit(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
-	assert.False(t, g.limits.any.Load())
+	assert.False(t, g.limits.active.Load())
 	g.limits.observe(limitObservation(2, g.now()), true)
 	reported := g.loadReport("other").GetLimits()
 	require.Len(t, reported, 1)
@@ -62,10 +62,10 @@
 
 	other := idleGateway(t)
 	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
-	assert.True(t, other.limits.limited("w", 0))
+	assert.True(t, other.limits.isLimited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
-	assert.Len(t, g.limits.takeUntold(), 1)
-	assert.Empty(t, other.limits.takeUntold(), "what another node told isn't passed on at once: that one tells all")
+	assert.Len(t, g.limits.takePendingBroadcast(), 1)
+	assert.Empty(t, other.limits.takePendingBroadcast(), "what another node told isn't passed on at once: that one tells all")
 
 	ended := workerlimit.Observation{Worker: "w", Asked: g.now() + time.Second, Answered: g.now() + time.Second}
 	g.limits.observe(ended, true)
@@ -98,19 +98,19 @@
 	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
 	assert.True(t, answer.Granted)
-	known, found := g.limits.known("w")
+	known, found := g.limits.knownObservation("w")
 	assert.True(t, found)
 	assert.False(t, known.Limited)
 }
 
 // TestPartIsLeftToMembersThatWentOfLate: they may be alive beyond a cut, and grant there.
 func TestPartIsLeftToMembersThatWentOfLate(t *testing.T) {
-	var touched touch
-	assert.InDelta(t, 1, touched.part(0, 8), 0.001)
-	assert.InDelta(t, 0.25, touched.part(time.Second, 2), 0.001)
-	assert.InDelta(t, 0.25, touched.part(9*time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.part(touchMemory+time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.part(touchMemory+2*time.Second, 5), 0.001)
+	var touched memberShare
+	assert.InDelta(t, 1, touched.update(0, 8), 0.001)
+	assert.InDelta(t, 0.25, touched.update(time.Second, 2), 0.001)
+	assert.InDelta(t, 0.25, touched.update(9*time.Second, 2), 0.001)
+	assert.InDelta(t, 1, touched.update(memberShareWindow+time.Second, 2), 0.001)
+	assert.InDelta(t, 1, touched.update(memberShareWindow+2*time.Second, 5), 0.001)
 }
 
 // TestNextNodeIsAskedWhereOneDoesNotAnswer, for a short time, and for longer where its release
@@ -120,24 +120,24 @@
 	view := largeFleet(20)
 	near := membership.Location{Zone: "z1"}
 	now := 100 * time.Second
-	first := g.limits.granter(now, "w", near, view)
+	first := g.limits.selectGranter(now, "w", near, view)
 	found, known := view.Find(first)
 	require.True(t, known)
 	assert.EqualValues(t, "z1", found.Zone, "near the worker")
 
-	g.limits.passOver(first, now+silentFor)
-	second := g.limits.granter(now, "w", near, view)
+	g.limits.skipGranter(first, now+unansweredBackoff)
+	second := g.limits.selectGranter(now, "w", near, view)
 	assert.NotEqual(t, first, second)
-	assert.Equal(t, first, g.limits.granter(now+silentFor, "w", near, view))
+	assert.Equal(t, first, g.limits.selectGranter(now+unansweredBackoff, "w", near, view))
 
-	g.noteSilentGranter(context.Background(), membership.Member{Node: first}, twirp.NewError(twirp.BadRoute, "no handler"))
-	assert.Equal(t, second, g.limits.granter(g.now()+silentFor+time.Second, "w", near, view))
-	assert.Equal(t, first, g.limits.granter(g.now()+unableFor, "w", near, view))
+	g.markGranterUnavailable(context.Background(), membership.Member{Node: first}, twirp.NewError(twirp.BadRoute, "no handler"))
+	assert.Equal(t, second, g.limits.selectGranter(g.now()+unansweredBackoff+time.Second, "w", near, view))
+	assert.Equal(t, first, g.limits.selectGranter(g.now()+unsupportedBackoff, "w", near, view))
 
-	for g.limits.granter(now, "w", near, view) != "" {
-		g.limits.passOver(g.limits.granter(now, "w", near, view), now+silentFor)
+	for g.limits.selectGranter(now, "w", near, view) != "" {
+		g.limits.skipGranter(g.limits.selectGranter(now, "w", near, view), now+unansweredBackoff)
 	}
-	assert.NotEmpty(t, g.limits.granter(now+silentFor, "w", near, view), "none answered a moment ago: nothing is granted")
+	assert.NotEmpty(t, g.limits.selectGranter(now+unansweredBackoff, "w", near, view), "none answered a moment ago: nothing is granted")
 }
 
 // TestOneWorkerIsGrantedByTheSameNodeAtAllNodes, whichever they are.
@@ -146,8 +146,8 @@
 	granters := make(map[fleet.NodeID]bool)
 	for number := range 200 {
 		worker := fleet.EngineID(rune('a' + number))
-		granter := one.limits.granter(0, worker, membership.Location{}, largeFleet(30))
-		assert.Equal(t, granter, other.limits.granter(0, worker, membership.Location{}, largeFleet(30)))
+		granter := one.limits.selectGranter(0, worker, membership.Location{}, largeFleet(30))
+		assert.Equal(t, granter, other.limits.selectGranter(0, worker, membership.Location{}, largeFleet(30)))
 		granters[granter] = true
 	}
 	assert.Greater(t, len(granters), 15, "shared out over the nodes")
@@ -163,25 +163,25 @@
 	assert.Equal(t, backends.IntakeLimited, intake)
 	intake, _ = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 200}, 0)
 	assert.Equal(t, backends.IntakeFree, intake)
-	g.limits.close(g.now(), "w", 5, workerlimit.Grant{Wait: time.Second, Refill: 100 * time.Millisecond})
+	g.limits.recordRefusal(g.now(), "w", 5, workerlimit.Grant{Wait: time.Second, Refill: 100 * time.Millisecond})
 	intake, opensIn := g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 5)
 	assert.Equal(t, backends.IntakeClosed, intake)
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
 	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 1)
 	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "more urgent requests may ask sooner")
 	g.forgetFormerRun("w")
-	assert.False(t, g.limits.limited("w", 0))
+	assert.False(t, g.limits.isLimited("w", 0))
 }
 
 // TestNodeIsNotPassedOverWhereACallerLeaves while it is asked.
 func TestNodeIsNotPassedOverWhereACallerLeaves(t *testing.T) {
 	g := idleGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
-	first := g.limits.granter(g.now(), "w", near, view)
+	first := g.limits.selectGranter(g.now(), "w", near, view)
 	gone, leave := context.WithCancel(context.Background())
 	leave()
-	g.noteSilentGranter(gone, membership.Member{Node: first}, context.Canceled)
-	assert.Equal(t, first, g.limits.granter(g.now(), "w", near, view))
-	g.noteSilentGranter(context.Background(), membership.Member{Node: first}, context.DeadlineExceeded)
-	assert.NotEqual(t, first, g.limits.granter(g.now(), "w", near, view))
+	g.markGranterUnavailable(gone, membership.Member{Node: first}, context.Canceled)
+	assert.Equal(t, first, g.limits.selectGranter(g.now(), "w", near, view))
+	g.markGranterUnavailable(context.Background(), membership.Member{Node: first}, context.DeadlineExceeded)
+	assert.NotEqual(t, first, g.limits.selectGranter(g.now(), "w", near, view))
 }
--- a/internal/gateway/limittalk.go
+++ b/internal/gateway/limittalk.go
@@ -16,48 +16,48 @@
 
 // Constants of the talk about limits.
 const (
-	// limitGather is the time in which changes are gathered before they are told at once.
-	limitGather = 2 * time.Millisecond
-	// limitPause is the least time between two rounds of telling: a worker may name another
+	// limitBatchDelay is the time in which changes are gathered before they are told at once.
+	limitBatchDelay = 2 * time.Millisecond
+	// limitBroadcastInterval is the least time between two rounds of telling: a worker may name another
 	// number in each answer.
-	limitPause   = 50 * time.Millisecond
-	limitTimeout = 250 * time.Millisecond
-	// limitCalls bounds the calls at a time that tell others.
-	limitCalls = 32
+	limitBroadcastInterval = 50 * time.Millisecond
+	limitCallTimeout       = 250 * time.Millisecond
+	// maxLimitCalls bounds the calls at a time that tell others.
+	maxLimitCalls = 32
 )
 
 // announceLimits tells others at once of limits that have changed by answers to this node,
 // until the process ends.
 func (g *Gateway) announceLimits() error {
-	calls := newFanout(limitCalls)
+	calls := newFanout(maxLimitCalls)
 	for {
 		select {
-		case <-g.limits.announced:
+		case <-g.limits.announceSignal:
 		case <-g.life.Dying():
 			return nil
 		}
-		if !g.pause(limitGather) {
+		if !g.pause(limitBatchDelay) {
 			return nil
 		}
-		observations := g.limits.takeUntold()
-		calls.call(g.life.Dying(), g.limitPeers(observations), func(member membership.Member) { g.tellLimits(member, observations) })
-		if !g.pause(limitPause) {
+		observations := g.limits.takePendingBroadcast()
+		calls.call(g.life.Dying(), g.limitPeers(observations), func(member membership.Member) { g.exchangeLimits(member, observations) })
+		if !g.pause(limitBroadcastInterval) {
 			return nil
 		}
 	}
 }
 
-// takeUntold returns what is to be told to others.
-func (l *workerLimits) takeUntold() []workerlimit.Observation {
+// takePendingBroadcast returns what is to be told to others.
+func (l *workerLimits) takePendingBroadcast() []workerlimit.Observation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	observations := make([]workerlimit.Observation, 0, len(l.untold))
-	for worker := range l.untold {
+	observations := make([]workerlimit.Observation, 0, len(l.pendingBroadcast))
+	for worker := range l.pendingBroadcast {
 		if observation, known := l.ledger.Observation(worker); known {
 			observations = append(observations, observation)
 		}
 	}
-	clear(l.untold)
+	clear(l.pendingBroadcast)
 	return observations
 }
 
@@ -86,10 +86,10 @@
 	return peers
 }
 
-// tellLimits tells one node, and learns what it knows. A node that misses it hears of it with
+// exchangeLimits tells one node, and learns what it knows. A node that misses it hears of it with
 // the next report.
-func (g *Gateway) tellLimits(member membership.Member, observations []workerlimit.Observation) {
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Limits, member), limitTimeout)
+func (g *Gateway) exchangeLimits(member membership.Member, observations []workerlimit.Observation) {
+	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Limits, member), limitCallTimeout)
 	defer cancel()
 	begun := g.now()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(begun, observations)}
@@ -98,12 +98,12 @@
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.takeLimits(answer, begun)
+	g.applyLimits(answer, begun)
 }
 
 // encodedLimits returns what this node knows of limits, for a report.
 func (l *workerLimits) encodedLimits(now time.Duration) []*rpc.WorkerLimit {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return nil
 	}
 	l.mutex.Lock()
@@ -111,16 +111,16 @@
 	return encodeLimits(now, l.ledger.Observations(now))
 }
 
-// takeLimits takes in what another node's report tells of limits. begun is a time before it
+// applyLimits takes in what another node's report tells of limits. begun is a time before it
 // was written.
-func (g *Gateway) takeLimits(report *rpc.LoadReport, begun time.Duration) {
+func (g *Gateway) applyLimits(report *rpc.LoadReport, begun time.Duration) {
 	for _, told := range report.GetLimits() {
-		g.takeLimit(told, begun, "peer")
+		g.applyLimit(told, begun, "peer")
 	}
 }
 
-// takeLimit takes in another node's observation of a limit; nil says nothing.
-func (g *Gateway) takeLimit(told *rpc.WorkerLimit, begun time.Duration, source string) {
+// applyLimit takes in another node's observation of a limit; nil says nothing.
+func (g *Gateway) applyLimit(told *rpc.WorkerLimit, begun time.Duration, source string) {
 	if told == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	if change := g.limits.observe(observation, false); change != workerlimit.Unchanged {
-		g.logLimit(observation, change, source)
+		g.logLimitChange(observation, change, source)
 	}
 }
 
@@ -147,7 +147,7 @@
 func encodeLimit(now time.Duration, observation *workerlimit.Observation) *rpc.WorkerLimit {
 	return &rpc.WorkerLimit{
 		Worker: string(observation.Worker), Born: observation.Born, Limited: observation.Limited, Rate: float64(observation.Rate),
-		AskedAgeMillis: millisUp(now - observation.Asked), AnsweredAgeMillis: ageMillis(now, observation.Answered),
+		AskedAgeMillis: ceilMillis(now - observation.Asked), AnsweredAgeMillis: ageMillis(now, observation.Answered),
 	}
 }
 
@@ -159,11 +159,11 @@
 	}
 	return workerlimit.Observation{
 		Worker: fleet.EngineID(told.GetWorker()), Born: told.GetBorn(), Limited: told.GetLimited(), Rate: workerlimit.Rate(rate),
-		Asked: atAge(begun, told.GetAskedAgeMillis()), Answered: atAge(ended, told.GetAnsweredAgeMillis()),
+		Asked: timeFromAge(begun, told.GetAskedAgeMillis()), Answered: timeFromAge(ended, told.GetAnsweredAgeMillis()),
 	}, nil
 }
 
-// millisUp returns a time in whole milliseconds, rounded up.
-func millisUp(duration time.Duration) uint32 {
+// ceilMillis returns a time in whole milliseconds, rounded up.
+func ceilMillis(duration time.Duration) uint32 {
 	return uint32((max(duration, 0) + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -112,7 +112,7 @@
 			present[member.Node] = true
 		}
 		var group sync.WaitGroup
-		for _, member := range g.withDirectors(turn(peers, round, shareFanout)) {
+		for _, member := range g.addDirectors(turn(peers, round, shareFanout)) {
 			group.Go(func() { g.exchange(member) })
 		}
 		group.Wait()
@@ -157,23 +157,23 @@
 	}
 	g.takeLoad(report)
 	g.takeProof(begun, report)
-	g.takeDirectives(begun, report.GetDeliveries())
-	g.takeQuarantineRecords(report.GetQuarantineRecords())
-	g.takeLimits(report, begun)
+	g.applyDirectives(begun, report.GetDeliveries())
+	g.mergeQuarantineRecords(report.GetQuarantineRecords())
+	g.applyLimits(report, begun)
 }
 
 // answerLoad answers another gateway's report with this one's.
 func (g *Gateway) answerLoad(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
-	g.takeQuarantineRecords(report.GetQuarantineRecords())
+	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	if report.GetQuarantineOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
 	}
 	// The report may have taken as long as a call may.
-	g.takeLimits(report, g.now()-limitTimeout)
+	g.applyLimits(report, g.now()-limitCallTimeout)
 	if report.GetLimitsOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: g.limits.encodedLimits(g.now())}
 	}
-	g.heedPushed(report)
+	g.handlePushedDeliveries(report)
 	if report.GetDeliveriesOnly() {
 		return g.deliveryReport(fleet.NodeID(report.GetNode()))
 	}
@@ -182,7 +182,7 @@
 	}
 	g.takeLoad(report)
 	answer := g.loadReport(fleet.NodeID(report.GetNode()))
-	lacking := g.quarantines.beyond(g.now(), report.GetQuarantineDigest())
+	lacking := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
 	answer.QuarantineRecords = append(answer.QuarantineRecords, lacking...)
 	return answer
 }
@@ -234,8 +234,8 @@
 		report.Weights = g.versionsFor(now, to)
 	}
 	g.quotas.write(now, report, to)
-	g.deliveries.write(now, report, to)
-	g.quarantines.write(now, report)
+	g.deliveries.writeReport(now, report, to)
+	g.quarantines.writeReport(now, report)
 	if held := g.holder.Current(); held != nil {
 		if age, proven := g.fresh.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
@@ -313,7 +313,7 @@
 	g.learnNamed(report.GetNamed())
 	g.quotas.take(now, report)
 	g.demand.peer(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
-	g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
+	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	g.origins.press(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
 		g.workers.NoteVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,48 +16,48 @@
 // since the request ends workers.
 var errQuarantined = errors.New("request is held")
 
-// sharedEnds is the number of ended workers from which on a request is told to every node
+// sharedCrashes is the number of ended workers from which on a request is told to every node
 // and kept in the store: of harmless requests few are under way at two workers that end.
-const sharedEnds = 2
+const sharedCrashes = 2
 
-// quarantines makes what a node knows of requests that end workers safe for concurrent use.
-type quarantines struct {
-	// any is set once there was a record: before, requests need no lock.
-	any atomic.Bool
+// quarantineState makes what a node knows of requests that end workers safe for concurrent use.
+type quarantineState struct {
+	// active is set once there was a record: before, requests need no lock.
+	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// changed holds when records last changed here, for as long as reports tell them.
-	changed map[quarantine.Fingerprint]time.Duration
-	// untold holds the records to be told to others at once.
-	untold map[quarantine.Fingerprint]bool
-	// own holds the requests that were under way at a worker which ended, or were answered
+	// changedAt holds when records last changedAt here, for as long as reports tell them.
+	changedAt map[quarantine.Fingerprint]time.Duration
+	// pendingBroadcast holds the records to be told to others at once.
+	pendingBroadcast map[quarantine.Fingerprint]bool
+	// local holds the requests that were under way at a worker which ended, or were answered
 	// afterwards, at this node: it is to keep their rows in step.
-	own map[quarantine.Fingerprint]bool
+	local map[quarantine.Fingerprint]bool
 	// stored holds what is known of the store's rows.
 	stored map[quarantine.Fingerprint]storedQuarantine
 
-	// announced has one element while there is something to tell, unstored while there may
+	// announceSignal has one element while there is something to tell, unstored while there may
 	// be something to write.
-	announced chan struct{}
-	unstored  chan struct{}
+	announceSignal chan struct{}
+	storeSignal    chan struct{}
 }
 
-func newQuarantines() *quarantines {
-	return &quarantines{
-		ledger:    quarantine.NewLedger(quarantine.Options{}),
-		changed:   make(map[quarantine.Fingerprint]time.Duration),
-		untold:    make(map[quarantine.Fingerprint]bool),
-		own:       make(map[quarantine.Fingerprint]bool),
-		stored:    make(map[quarantine.Fingerprint]storedQuarantine),
-		announced: make(chan struct{}, 1),
-		unstored:  make(chan struct{}, 1),
+func newQuarantineState() *quarantineState {
+	return &quarantineState{
+		ledger:           quarantine.NewLedger(quarantine.Options{}),
+		changedAt:        make(map[quarantine.Fingerprint]time.Duration),
+		pendingBroadcast: make(map[quarantine.Fingerprint]bool),
+		local:            make(map[quarantine.Fingerprint]bool),
+		stored:           make(map[quarantine.Fingerprint]storedQuarantine),
+		announceSignal:   make(chan struct{}, 1),
+		storeSignal:      make(chan struct{}, 1),
 	}
 }
 
 // check tells whether a request may go to a worker.
-func (q *quarantines) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
-	if !q.any.Load() {
+func (q *quarantineState) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
+	if !q.active.Load() {
 		return quarantine.Verdict{}
 	}
 	q.mutex.Lock()
@@ -74,8 +74,8 @@
 
 // update changes the ledger by a word on one request, and has others told of it if tell says
 // so. It returns what has changed.
-func (q *quarantines) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (tell bool)) quarantineChange {
-	q.any.Store(true)
+func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (tell bool)) quarantineChange {
+	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	before := q.ledger.Check(now, fingerprint)
@@ -84,33 +84,33 @@
 	outcome := quarantineChange{verdict: after, began: !before.Held && after.Held, ended: before.Held && !after.Held}
 	// A single end that another node has seen is that node's to tell: of some thousand runs
 	// that end at once each node would tell all to all, a second time and a third.
-	concerns := q.own[fingerprint] || after.Ends >= sharedEnds
+	concerns := q.local[fingerprint] || after.Ends >= sharedCrashes
 	if tell || (before.Ends != after.Ends && concerns) {
-		q.changed[fingerprint] = now
+		q.changedAt[fingerprint] = now
 	}
 	// Whoever begins to hold a request tells all: nodes that missed one of the words before
 	// would let it through.
 	if tell || outcome.began {
-		q.untold[fingerprint] = true
-		signal(q.announced)
+		q.pendingBroadcast[fingerprint] = true
+		signal(q.announceSignal)
 	}
-	if after.Ends >= sharedEnds || outcome.ended {
-		signal(q.unstored)
+	if after.Ends >= sharedCrashes || outcome.ended {
+		signal(q.storeSignal)
 	}
 	return outcome
 }
 
-// ended takes in that a worker ended while a request was under way there, at this node.
-func (q *quarantines) ended(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
+// recordCrash takes in that a worker recordCrash while a request was under way there, at this node.
+func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		q.own[fingerprint] = true
+		q.local[fingerprint] = true
 		return ledger.Ended(now, fingerprint, worker)
 	})
 }
 
-// answered takes in that a request was answered whole, at this node.
-func (q *quarantines) answered(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	if !q.any.Load() {
+// recordAnswer takes in that a request was recordAnswer whole, at this node.
+func (q *quarantineState) recordAnswer(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
 		q.ledger.Answered(now, fingerprint)
@@ -119,7 +119,7 @@
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
 		spoken := ledger.Answered(now, fingerprint)
 		if spoken {
-			q.own[fingerprint] = true
+			q.local[fingerprint] = true
 		}
 		return spoken
 	})
@@ -127,7 +127,7 @@
 
 // merge takes in what another node, or the store, tells of a request. A node that knows of a
 // whole answer which speaks for the request tells all.
-func (q *quarantines) merge(now time.Duration, record *quarantine.Record) quarantineChange {
+func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
 	return q.update(now, record.Fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.Merge(record)
 		return ledger.Beyond(record)
@@ -135,29 +135,29 @@
 }
 
 // release takes in that a request isn't to be held any more.
-func (q *quarantines) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool { return ledger.Release(now, fingerprint) })
 }
 
 // sweep forgets what is too old, and returns what is held no more.
-func (q *quarantines) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
-	if !q.any.Load() {
+func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
+	if !q.active.Load() {
 		return nil, 0
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	for fingerprint, at := range q.changed {
-		if now > at+tellFor {
-			delete(q.changed, fingerprint)
+	for fingerprint, at := range q.changedAt {
+		if now > at+reportChangesFor {
+			delete(q.changedAt, fingerprint)
 		}
 	}
 	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedEnds)) > 0 {
-		signal(q.unstored)
+	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedCrashes)) > 0 {
+		signal(q.storeSignal)
 	}
-	for fingerprint := range q.own {
+	for fingerprint := range q.local {
 		if _, known := q.ledger.Record(fingerprint); !known {
-			delete(q.own, fingerprint)
+			delete(q.local, fingerprint)
 		}
 	}
 	return released, q.ledger.Held()
@@ -170,39 +170,39 @@
 	if !verdict.Held {
 		return nil
 	}
-	if verdict.TrialDue && g.beginTrial(current, verdict) {
+	if verdict.TrialDue && g.acquireTrial(current, verdict) {
 		current.trial = true
 		return nil
 	}
-	g.noteHeld(current, verdict)
+	g.recordHeldRequest(current, verdict)
 	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, retryLater)}
 }
 
 // reasonQuarantined is the reason of a request that is refused since it ends workers.
 const reasonQuarantined = "workers ended under it"
 
-// holds tells whether a request must not go to a worker now, and logs that.
-func (g *Gateway) holds(current *carried) (quarantine.Verdict, bool) {
+// checkHeld tells whether a request must not go to a worker now, and logs that.
+func (g *Gateway) checkHeld(current *carried) (quarantine.Verdict, bool) {
 	if current.trial {
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if verdict.Held {
-		g.noteHeld(current, verdict)
+		g.recordHeldRequest(current, verdict)
 	}
 	return verdict, verdict.Held
 }
 
-// noteHeld logs and counts that a request was kept from the workers.
-func (g *Gateway) noteHeld(current *carried, verdict quarantine.Verdict) {
+// recordHeldRequest logs and counts that a request was kept from the workers.
+func (g *Gateway) recordHeldRequest(current *carried, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
 		Str("route", current.route.Name).Int("ends", verdict.Ends).Dur("first_end_age", verdict.FirstAge).
 		Dur("last_end_age", verdict.LastAge).Int("trials", verdict.Trials).Dur("retry_after", verdict.RetryAfter).Msg("request_held")
 }
 
-// blame takes in the requests whose runs ended with their worker, unless it shut down.
-func (g *Gateway) blame(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
+// recordWorkerCrash takes in the requests whose runs ended with their worker, unless it shut down.
+func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
 	if g.workers.Draining(worker) {
 		return
 	}
@@ -210,18 +210,18 @@
 	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", fingerprintText(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
-		g.noteQuarantine(fingerprint, "worker_ended", g.quarantines.ended(g.now(), fingerprint, worker))
+		g.handleQuarantineChange(fingerprint, "worker_ended", g.quarantines.recordCrash(g.now(), fingerprint, worker))
 	}
 }
 
-// noteAnswered takes in that a request was answered whole by a worker.
-func (g *Gateway) noteAnswered(current *carried) {
-	g.noteQuarantine(current.fingerprint, "answered", g.quarantines.answered(g.now(), current.fingerprint))
+// recordAnswered takes in that a request was answered whole by a worker.
+func (g *Gateway) recordAnswered(current *carried) {
+	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordAnswer(g.now(), current.fingerprint))
 }
 
-// noteQuarantine logs that a request is held from now on, or not any more, and what told so.
+// handleQuarantineChange logs that a request is held from now on, or not any more, and what told so.
 // Sends of a held one whose answer hasn't begun are broken off: they would end workers yet.
-func (g *Gateway) noteQuarantine(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
+func (g *Gateway) handleQuarantineChange(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
 		broken := g.pending.hold(fingerprint)
@@ -238,6 +238,6 @@
 	released, held := g.quarantines.sweep(g.now())
 	g.metrics.quarantined.Set(float64(held))
 	for _, fingerprint := range released {
-		g.noteQuarantine(fingerprint, "forgotten", quarantineChange{ended: true})
+		g.handleQuarantineChange(fingerprint, "forgotten", quarantineChange{ended: true})
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -86,7 +86,7 @@
 	for number := range quarantine.DefaultThreshold {
 		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
 	}
-	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
+	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	return current
 }
 
@@ -146,13 +146,13 @@
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	look := func(reads, leads bool) {
-		work := g.quarantines.work(g.now(), reads, leads)
-		g.carryOut(&work)
+		work := g.quarantines.pendingStoreChanges(g.now(), reads, leads)
+		g.applyStoreChanges(&work)
 	}
 	current := heldRequest(g, 0)
 	look(true, true)
 	assert.Empty(t, store.rows, "others write it")
-	g.blame("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+	g.recordWorkerCrash("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	look(false, false)
 	store.failed = nil
@@ -162,7 +162,7 @@
 	look(true, true)
 	assert.Equal(t, calls, store.calls, "nothing is left to do")
 
-	g.noteAnswered(current)
+	g.recordAnswered(current)
 	look(false, false)
 	assert.Empty(t, store.rows)
 }
@@ -171,11 +171,11 @@
 func TestStrandedRequestIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, strandedAfter+time.Second)
-	assert.Empty(t, g.quarantines.work(g.now(), false, true).write)
-	assert.Len(t, g.quarantines.work(g.now(), true, false).write, 1)
-	g.takeQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
-	assert.Empty(t, g.quarantines.work(g.now(), true, false).write)
+	current := heldRequest(g, orphanedAfter+time.Second)
+	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), false, true).write)
+	assert.Len(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write, 1)
+	g.applyQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
+	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write)
 }
 
 // TestRemovedRowEndsTheHold here and at those that still tell of it.
@@ -184,15 +184,15 @@
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
 	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Gone: true}
-	g.takeQuarantineRow(&gone)
+	g.applyQuarantineRow(&gone)
 	assert.NotNil(t, g.checkQuarantine(current), "there was no row yet")
-	g.takeQuarantineRow(&row)
-	g.takeQuarantineRow(&gone)
+	g.applyQuarantineRow(&row)
+	g.applyQuarantineRow(&gone)
 	assert.Nil(t, g.checkQuarantine(current))
-	g.quarantines.takeUntold()
+	g.quarantines.takePendingBroadcast()
 	heldRequest(g, time.Second)
 	assert.Nil(t, g.checkQuarantine(current), "a node that hasn't heard yet doesn't bring it back")
-	assert.Len(t, g.quarantines.takeUntold(), 1, "it is told")
+	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "it is told")
 }
 
 // TestRowThatAWholeReadLacksEndsTheHold: this node wrote it before it read any, and it was
@@ -200,7 +200,7 @@
 func TestRowThatAWholeReadLacksEndsTheHold(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
-	g.quarantines.noteStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
+	g.quarantines.setStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
 	g.quarantineTable.apply(&watchcache.Update{Revision: 6, Complete: true}, gapNone)
 	assert.NotNil(t, g.checkQuarantine(current))
 	g.quarantineTable.apply(&watchcache.Update{Revision: 8, Complete: true}, gapNone)
@@ -230,24 +230,24 @@
 	one.quarantines.merge(one.now(), &single)
 	assert.Empty(t, one.loadReport("other").QuarantineRecords, "another node's to tell")
 	assert.Zero(t, one.loadReport("other").QuarantineDigest)
-	one.blame("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
+	one.recordWorkerCrash("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
 	assert.Len(t, one.loadReport("other").QuarantineRecords, 1)
 	one.quarantines.mutex.Lock()
-	clear(one.quarantines.changed)
+	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	current := heldRequest(one, 5*time.Second)
 	report := one.loadReport("other")
 	require.Len(t, report.QuarantineRecords, 1, "it has changed a moment ago")
-	decoded, err := decodeRecord(one.now(), report.QuarantineRecords[0])
+	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
 	require.NoError(t, err)
 	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Ends[0].At.Seconds(), 0.1)
 
 	one.quarantines.mutex.Lock()
-	clear(one.quarantines.changed)
+	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
 	answer := one.answerLoad(context.Background(), other.loadReport("one"))
-	other.takeQuarantineRecords(answer.GetQuarantineRecords())
+	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "another digest brings it")
 	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "the same one doesn't")
 	watched, _ := one.watchResponse(&rpc.WatchRequest{})
@@ -255,7 +255,7 @@
 	watched, _ = one.watchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
-	other.takeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
+	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
 	assert.Equal(t, 1, other.quarantines.ledger.Held(), "a record that can't be read changes nothing")
 }
 
@@ -263,12 +263,12 @@
 func TestAnswersSpeakAtOnceAndElsewhere(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &carried{fingerprint: quarantine.Fingerprint{7}}
-	g.noteAnswered(current)
-	assert.Empty(t, g.quarantines.takeUntold())
+	g.recordAnswered(current)
+	assert.Empty(t, g.quarantines.takePendingBroadcast())
 	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
-	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
+	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Held)
-	untold := g.quarantines.takeUntold()
+	untold := g.quarantines.takePendingBroadcast()
 	require.Len(t, untold, 1, "others are told of the answer")
 	assert.True(t, untold[0].Answered)
 }
@@ -278,11 +278,11 @@
 func TestWhoeverBeginsToHoldTellsAll(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
-		assert.Empty(t, g.quarantines.takeUntold(), "what others have told isn't told on")
+		assert.Empty(t, g.quarantines.takePendingBroadcast(), "what others have told isn't told on")
 		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Ends: []quarantine.End{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
 		g.quarantines.merge(g.now(), &record)
 	}
-	untold := g.quarantines.takeUntold()
+	untold := g.quarantines.takePendingBroadcast()
 	require.Len(t, untold, 1)
 	assert.Len(t, untold[0].Ends, quarantine.DefaultThreshold)
 }
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -14,23 +14,23 @@
 
 // Times and bounds of keeping requests that end workers in the store.
 const (
-	// quarantineWait is the longest wait of one call that follows the rows. They prove nothing,
+	// quarantineWatchWait is the longest wait of one call that follows the rows. They prove nothing,
 	// and a change ends the call at once, so a shorter wait would only cost calls.
-	quarantineWait = 10 * time.Second
-	// strandedAfter is how long after its last end a held request without a row is written
+	quarantineWatchWait = 10 * time.Second
+	// orphanedAfter is how long after its last end a held request without a row is written
 	// by any node that reads the store: those that lost runs to it may all be gone.
-	strandedAfter = 3 * time.Second
-	// storedAtOnce bounds the rows that are written or removed in one look.
-	storedAtOnce = 16
+	orphanedAfter = 3 * time.Second
+	// maxStoreChanges bounds the rows that are written or removed in one look.
+	maxStoreChanges = 16
 	// trialTimeout bounds the store's answer to a node that wants to try a held request.
 	trialTimeout = 500 * time.Millisecond
 )
 
 // storedQuarantine is what is known of a request's row.
 type storedQuarantine struct {
-	version fleet.Revision
-	workers int
-	trials  int
+	version     fleet.Revision
+	workerCount int
+	trials      int
 }
 
 // newQuarantineTable returns the table of requests under which workers ended. Nodes that don't
@@ -39,10 +39,10 @@
 	return &table{
 		name:   TableQuarantine,
 		cache:  watchcache.New(0),
-		wait:   quarantineWait,
+		wait:   quarantineWatchWait,
 		pause:  workersPause,
-		take:   g.takeQuarantineRows,
-		whole:  g.takeWholeQuarantine,
+		take:   g.applyQuarantineRows,
+		whole:  g.applyQuarantineSnapshot,
 		taken:  func() {},
 		proven: func(time.Duration) {},
 	}
@@ -60,29 +60,29 @@
 	}
 }
 
-// takeQuarantineRows takes in changed rows.
-func (g *Gateway) takeQuarantineRows(rows []watchcache.Row, _ gap) {
+// applyQuarantineRows takes in changed rows.
+func (g *Gateway) applyQuarantineRows(rows []watchcache.Row, _ gap) {
 	decoded, unreadable := g.outside.Platform.DecodeQuarantine(rows)
 	g.noteUnreadable("", unreadable)
 	for index := range decoded {
-		g.takeQuarantineRow(&decoded[index])
+		g.applyQuarantineRow(&decoded[index])
 	}
 }
 
-// takeWholeQuarantine takes in what a whole read of the rows lacks. A row that this node wrote
+// applyQuarantineSnapshot takes in what a whole read of the rows lacks. A row that this node wrote
 // itself before it read any may have been removed since.
-func (g *Gateway) takeWholeQuarantine(update *watchcache.Update) {
+func (g *Gateway) applyQuarantineSnapshot(update *watchcache.Update) {
 	named := make(map[string]bool, len(update.Rows))
 	for _, row := range update.Rows {
 		named[row.Key] = true
 	}
-	for _, missing := range g.quarantines.storedBefore(update.Revision, named) {
-		g.takeQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
+	for _, missing := range g.quarantines.missingFrom(update.Revision, named) {
+		g.applyQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
 	}
 }
 
-// storedBefore returns the requests with a row of a revision at the latest that isn't named.
-func (q *quarantines) storedBefore(revision fleet.Revision, named map[string]bool) []quarantine.Fingerprint {
+// missingFrom returns the requests with a row of a revision at the latest that isn't named.
+func (q *quarantineState) missingFrom(revision fleet.Revision, named map[string]bool) []quarantine.Fingerprint {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var missing []quarantine.Fingerprint
@@ -94,18 +94,18 @@
 	return missing
 }
 
-// takeQuarantineRow takes one row in. Since it names no times, what it tells counts as if it
+// applyQuarantineRow takes one row in. Since it names no times, what it tells counts as if it
 // had happened now. A row that was removed, by a node that saw the request answered or by an
 // operator, ends the hold.
-func (g *Gateway) takeQuarantineRow(row *QuarantineRow) {
+func (g *Gateway) applyQuarantineRow(row *QuarantineRow) {
 	now := g.now()
 	if row.Gone {
-		if g.quarantines.forgetStored(row.Fingerprint) {
-			g.noteQuarantine(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
+		if g.quarantines.deleteStored(row.Fingerprint) {
+			g.handleQuarantineChange(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
 		}
 		return
 	}
-	g.quarantines.noteStored(row)
+	g.quarantines.setStored(row)
 	record := quarantine.Record{Fingerprint: row.Fingerprint, Trials: row.Trials}
 	if row.Trials > 0 {
 		record.TriedAt = now
@@ -113,18 +113,18 @@
 	for _, worker := range row.Workers {
 		record.Ends = append(record.Ends, quarantine.End{Worker: worker, At: now})
 	}
-	g.noteQuarantine(row.Fingerprint, "store", g.quarantines.merge(now, &record))
+	g.handleQuarantineChange(row.Fingerprint, "store", g.quarantines.merge(now, &record))
 }
 
-// noteStored notes what the store holds.
-func (q *quarantines) noteStored(row *QuarantineRow) {
+// setStored notes what the store holds.
+func (q *quarantineState) setStored(row *QuarantineRow) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.stored[row.Fingerprint] = storedQuarantine{version: row.Version, workers: len(row.Workers), trials: row.Trials}
+	q.stored[row.Fingerprint] = storedQuarantine{version: row.Version, workerCount: len(row.Workers), trials: row.Trials}
 }
 
-// forgetStored notes that the store holds no row of a request, and tells whether that is news.
-func (q *quarantines) forgetStored(fingerprint quarantine.Fingerprint) bool {
+// deleteStored notes that the store holds no row of a request, and tells whether that is news.
+func (q *quarantineState) deleteStored(fingerprint quarantine.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	_, found := q.stored[fingerprint]
@@ -133,49 +133,49 @@
 }
 
 // storedVersion returns the version that a request's row is believed to have; 0 for none.
-func (q *quarantines) storedVersion(fingerprint quarantine.Fingerprint) fleet.Revision {
+func (q *quarantineState) storedVersion(fingerprint quarantine.Fingerprint) fleet.Revision {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.stored[fingerprint].version
 }
 
-// storeWork is what is to be done at the store.
-type storeWork struct {
+// storeChanges is what is to be done at the store.
+type storeChanges struct {
 	write  []QuarantineRow
 	remove []quarantine.Fingerprint
 }
 
-// work returns what this node is to write and to remove. It writes what was under way at its
+// pendingStoreChanges returns what this node is to write and to remove. It writes what was under way at its
 // own lost runs; what others have left unwritten it writes if it reads the store. It removes
 // what it had a part in, or anything if it holds the lease.
-func (q *quarantines) work(now time.Duration, reads, leads bool) storeWork {
-	if !q.any.Load() {
-		return storeWork{}
+func (q *quarantineState) pendingStoreChanges(now time.Duration, reads, leads bool) storeChanges {
+	if !q.active.Load() {
+		return storeChanges{}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var work storeWork
+	var work storeChanges
 	shared := make(map[quarantine.Fingerprint]bool)
-	for _, record := range q.ledger.AtLeast(sharedEnds) {
+	for _, record := range q.ledger.AtLeast(sharedCrashes) {
 		shared[record.Fingerprint] = true
 		verdict := q.ledger.Check(now, record.Fingerprint)
-		stranded := reads && verdict.Held && verdict.LastAge > strandedAfter
+		stranded := reads && verdict.Held && verdict.LastAge > orphanedAfter
 		known := q.stored[record.Fingerprint]
-		lacks := known.workers < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
-		if lacks && (q.own[record.Fingerprint] || stranded) && len(work.write) < storedAtOnce {
-			work.write = append(work.write, rowOf(&record, verdict.Ends))
+		lacks := known.workerCount < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
+		if lacks && (q.local[record.Fingerprint] || stranded) && len(work.write) < maxStoreChanges {
+			work.write = append(work.write, rowFromRecord(&record, verdict.Ends))
 		}
 	}
 	for fingerprint := range q.stored {
-		if !shared[fingerprint] && (leads || q.own[fingerprint]) && len(work.remove) < storedAtOnce {
+		if !shared[fingerprint] && (leads || q.local[fingerprint]) && len(work.remove) < maxStoreChanges {
 			work.remove = append(work.remove, fingerprint)
 		}
 	}
 	return work
 }
 
-// rowOf returns the row of a record, of which the last ends count.
-func rowOf(record *quarantine.Record, counted int) QuarantineRow {
+// rowFromRecord returns the row of a record, of which the last ends count.
+func rowFromRecord(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
 	for _, end := range record.Ends[len(record.Ends)-counted:] {
 		row.Workers = append(row.Workers, end.Worker)
@@ -183,25 +183,25 @@
 	return row
 }
 
-// storeQuarantine keeps the store's rows in step with what this node knows, until the process
+// syncQuarantineStore keeps the store's rows in step with what this node knows, until the process
 // ends. What fails, such as while the store is out of reach, is tried again with the next
 // look, which the housekeeping asks for.
-func (g *Gateway) storeQuarantine() error {
+func (g *Gateway) syncQuarantineStore() error {
 	for {
 		select {
-		case <-g.quarantines.unstored:
+		case <-g.quarantines.storeSignal:
 		case <-g.life.Dying():
 			return nil
 		}
 		_, leads := g.keeper.Fence()
 		reads, _ := g.sources.reads()
-		work := g.quarantines.work(g.now(), reads, leads)
-		g.carryOut(&work)
+		work := g.quarantines.pendingStoreChanges(g.now(), reads, leads)
+		g.applyStoreChanges(&work)
 	}
 }
 
-// carryOut writes and removes rows.
-func (g *Gateway) carryOut(work *storeWork) {
+// applyStoreChanges writes and removes rows.
+func (g *Gateway) applyStoreChanges(work *storeChanges) {
 	for _, row := range work.write {
 		g.writeQuarantine(row)
 	}
@@ -217,11 +217,11 @@
 	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
 	switch {
 	case err == nil:
-		g.quarantines.noteStored(&stored)
+		g.quarantines.setStored(&stored)
 	case errors.Is(err, platform.ErrConflict) && stored.Version != 0:
-		g.takeQuarantineRow(&stored)
+		g.applyQuarantineRow(&stored)
 	case errors.Is(err, platform.ErrConflict):
-		g.quarantines.forgetStored(row.Fingerprint)
+		g.quarantines.deleteStored(row.Fingerprint)
 	}
 	line := g.events.line("quarantine_recorded").Str("fingerprint", row.Fingerprint.String()).Int("ends", len(row.Workers)).Int("trials", row.Trials)
 	if err != nil {
@@ -236,7 +236,7 @@
 	defer cancel()
 	err := g.outside.Platform.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		g.quarantines.forgetStored(fingerprint)
+		g.quarantines.deleteStored(fingerprint)
 	}
 	line := g.events.line("quarantine_removed").Str("fingerprint", fingerprint.String())
 	if err != nil {
@@ -245,16 +245,16 @@
 	line.Msg("quarantine_removed")
 }
 
-// beginTrial tells whether a held request may be tried here and now: the store has taken this
+// acquireTrial tells whether a held request may be tried here and now: the store has taken this
 // node's word that it is, so that no other node tries it too.
-func (g *Gateway) beginTrial(current *carried, verdict quarantine.Verdict) bool {
+func (g *Gateway) acquireTrial(current *carried, verdict quarantine.Verdict) bool {
 	record, known := g.quarantines.record(current.fingerprint)
 	if !known {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(current.request.Context(), trialTimeout)
 	defer cancel()
-	row := rowOf(&record, verdict.Ends)
+	row := rowFromRecord(&record, verdict.Ends)
 	row.Trials = verdict.Trials + 1
 	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
@@ -265,21 +265,21 @@
 		line.Err(err).Msg("quarantine_trial_refused")
 		return false
 	}
-	g.quarantines.noteStored(&stored)
+	g.quarantines.setStored(&stored)
 	g.quarantines.beginTrial(g.now(), current.fingerprint, row.Trials)
 	line.Msg("quarantine_trial")
 	return true
 }
 
 // record returns what is known of a request.
-func (q *quarantines) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
+func (q *quarantineState) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.ledger.Record(fingerprint)
 }
 
 // beginTrial notes that a held request is tried at this node.
-func (q *quarantines) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
+func (q *quarantineState) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
 	q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.BeginTrial(now, fingerprint, trials)
 		return true
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinetalk.go
@@ -13,15 +13,15 @@
 
 // Times of the talk about requests that end workers.
 const (
-	// quarantineGather is the time in which words are gathered: the connections to a worker
+	// quarantineBatchDelay is the time in which words are gathered: the connections to a worker
 	// that ends break one after the other.
-	quarantineGather  = 20 * time.Millisecond
-	quarantineTimeout = 250 * time.Millisecond
-	// tellFor is how long a changed record goes with each report besides: three rounds of
+	quarantineBatchDelay  = 20 * time.Millisecond
+	quarantineCallTimeout = 250 * time.Millisecond
+	// reportChangesFor is how long a changed record goes with each report besides: three rounds of
 	// reports, for those that missed it when it was told at once.
-	tellFor = 2 * time.Second
-	// quarantineCalls bounds the calls at a time that tell others.
-	quarantineCalls = 32
+	reportChangesFor = 2 * time.Second
+	// maxQuarantineCalls bounds the calls at a time that tell others.
+	maxQuarantineCalls = 32
 )
 
 // announceQuarantine tells others at once of the requests whose records have changed here,
@@ -29,40 +29,40 @@
 func (g *Gateway) announceQuarantine() error {
 	for {
 		select {
-		case <-g.quarantines.announced:
+		case <-g.quarantines.announceSignal:
 		case <-g.life.Dying():
 			return nil
 		}
-		if !g.pause(quarantineGather) {
+		if !g.pause(quarantineBatchDelay) {
 			return nil
 		}
-		records := g.quarantines.takeUntold()
+		records := g.quarantines.takePendingBroadcast()
 		if len(records) > 0 {
-			g.tellQuarantine(records)
+			g.broadcastQuarantine(records)
 		}
 	}
 }
 
-// takeUntold returns the records that are to be told.
-func (q *quarantines) takeUntold() []quarantine.Record {
+// takePendingBroadcast returns the records that are to be told.
+func (q *quarantineState) takePendingBroadcast() []quarantine.Record {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	records := make([]quarantine.Record, 0, len(q.untold))
-	for fingerprint := range q.untold {
+	records := make([]quarantine.Record, 0, len(q.pendingBroadcast))
+	for fingerprint := range q.pendingBroadcast {
 		if record, known := q.ledger.Record(fingerprint); known {
 			records = append(records, record)
 		}
 	}
-	clear(q.untold)
+	clear(q.pendingBroadcast)
 	return records
 }
 
-// tellQuarantine tells the nodes that carry requests, and those that others ask for news.
-func (g *Gateway) tellQuarantine(records []quarantine.Record) {
+// broadcastQuarantine tells the nodes that carry requests, and those that others ask for news.
+func (g *Gateway) broadcastQuarantine(records []quarantine.Record) {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
-	report.QuarantineRecords = encodeRecords(g.now(), records)
-	newFanout(quarantineCalls).call(g.life.Dying(), g.quarantinePeers(), func(member membership.Member) {
-		ctx, cancel := context.WithTimeout(g.peerCall(traffic.Quarantine, member), quarantineTimeout)
+	report.QuarantineRecords = encodeQuarantineRecords(g.now(), records)
+	newFanout(maxQuarantineCalls).call(g.life.Dying(), g.quarantinePeers(), func(member membership.Member) {
+		ctx, cancel := context.WithTimeout(g.peerCall(traffic.Quarantine, member), quarantineCallTimeout)
 		defer cancel()
 		if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
 			g.metrics.shareFailures.Inc()
@@ -87,61 +87,61 @@
 	return peers
 }
 
-// write adds to a report what has changed of late, and the digest of what is known.
-func (q *quarantines) write(now time.Duration, report *rpc.LoadReport) {
-	if !q.any.Load() {
+// writeReport adds to a report what has changed of late, and the digest of what is known.
+func (q *quarantineState) writeReport(now time.Duration, report *rpc.LoadReport) {
+	if !q.active.Load() {
 		return
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	report.QuarantineDigest = q.ledger.Digest(sharedEnds)
+	report.QuarantineDigest = q.ledger.Digest(sharedCrashes)
 	var records []quarantine.Record
-	for fingerprint, at := range q.changed {
-		if record, known := q.ledger.Record(fingerprint); known && now <= at+tellFor {
+	for fingerprint, at := range q.changedAt {
+		if record, known := q.ledger.Record(fingerprint); known && now <= at+reportChangesFor {
 			records = append(records, record)
 		}
 	}
-	report.QuarantineRecords = encodeRecords(now, records)
+	report.QuarantineRecords = encodeQuarantineRecords(now, records)
 }
 
 // digest returns the digest of the records that every node is told of.
-func (q *quarantines) digest() uint64 {
-	if !q.any.Load() {
+func (q *quarantineState) digest() uint64 {
+	if !q.active.Load() {
 		return 0
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.ledger.Digest(sharedEnds)
+	return q.ledger.Digest(sharedCrashes)
 }
 
-// beyond returns the records that a node with another digest is to be told of.
-func (q *quarantines) beyond(now time.Duration, digest uint64) []*rpc.QuarantineRecord {
-	if !q.any.Load() {
+// missingRecords returns the records that a node with another digest is to be told of.
+func (q *quarantineState) missingRecords(now time.Duration, digest uint64) []*rpc.QuarantineRecord {
+	if !q.active.Load() {
 		return nil
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.ledger.Digest(sharedEnds) == digest {
+	if q.ledger.Digest(sharedCrashes) == digest {
 		return nil
 	}
-	return encodeRecords(now, q.ledger.AtLeast(sharedEnds))
+	return encodeQuarantineRecords(now, q.ledger.AtLeast(sharedCrashes))
 }
 
-// takeQuarantineRecords takes in what another node tells.
-func (g *Gateway) takeQuarantineRecords(encoded []*rpc.QuarantineRecord) {
+// mergeQuarantineRecords takes in what another node tells.
+func (g *Gateway) mergeQuarantineRecords(encoded []*rpc.QuarantineRecord) {
 	now := g.now()
 	for _, told := range encoded {
-		record, err := decodeRecord(now, told)
+		record, err := decodeQuarantineRecord(now, told)
 		if err != nil {
 			g.noteUnreadable("", []Unreadable{{Source: "quarantine_record", Err: err}})
 			continue
 		}
-		g.noteQuarantine(record.Fingerprint, "peer", g.quarantines.merge(now, &record))
+		g.handleQuarantineChange(record.Fingerprint, "peer", g.quarantines.merge(now, &record))
 	}
 }
 
-// encodeRecords returns records in their transmitted form.
-func encodeRecords(now time.Duration, records []quarantine.Record) []*rpc.QuarantineRecord {
+// encodeQuarantineRecords returns records in their transmitted form.
+func encodeQuarantineRecords(now time.Duration, records []quarantine.Record) []*rpc.QuarantineRecord {
 	encoded := make([]*rpc.QuarantineRecord, len(records))
 	for index := range records {
 		record := &records[index]
@@ -166,26 +166,26 @@
 // ageMillis returns the time since a moment in whole milliseconds.
 func ageMillis(now, at time.Duration) uint32 { return uint32(max(now-at, 0).Milliseconds()) }
 
-// atAge returns the moment of an age in milliseconds.
-func atAge(now time.Duration, age uint32) time.Duration {
+// timeFromAge returns the moment of an age in milliseconds.
+func timeFromAge(now time.Duration, age uint32) time.Duration {
 	return now - time.Duration(age)*time.Millisecond
 }
 
-// decodeRecord reads a record from its transmitted form.
-func decodeRecord(now time.Duration, told *rpc.QuarantineRecord) (quarantine.Record, error) {
+// decodeQuarantineRecord reads a record from its transmitted form.
+func decodeQuarantineRecord(now time.Duration, told *rpc.QuarantineRecord) (quarantine.Record, error) {
 	fingerprint, err := quarantine.FingerprintFromBytes(told.GetFingerprint())
 	if err != nil {
 		return quarantine.Record{}, err
 	}
 	record := quarantine.Record{Fingerprint: fingerprint, Trials: int(told.GetTrials())}
 	if record.Trials > 0 {
-		record.TriedAt = atAge(now, told.GetTriedAgeMillis())
+		record.TriedAt = timeFromAge(now, told.GetTriedAgeMillis())
 	}
 	if age := told.GetAnsweredAgeMillis(); age > 0 {
-		record.Answered, record.AnsweredAt = true, atAge(now, age-1)
+		record.Answered, record.AnsweredAt = true, timeFromAge(now, age-1)
 	}
 	for _, end := range told.GetEnds() {
-		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(end.GetWorker()), At: atAge(now, end.GetAgeMillis())})
+		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(end.GetWorker()), At: timeFromAge(now, end.GetAgeMillis())})
 	}
 	return record, nil
 }
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -249,7 +249,7 @@
 	for _, member := range peers {
 		go g.exchangeUses(member)
 	}
-	for _, member := range g.withDirectors(nil) {
+	for _, member := range g.addDirectors(nil) {
 		go g.exchangeDeliveries(member)
 	}
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -179,7 +179,7 @@
 
 // reportInterval returns the time between two questions to an engine under order.
 func (g *Gateway) reportInterval(worker *backends.Worker) time.Duration {
-	if g.limits.limited(worker.ID, worker.Born) {
+	if g.limits.isLimited(worker.ID, worker.Born) {
 		return limitedReportInterval
 	}
 	return reportInterval
--- a/internal/gateway/standin.go
+++ b/internal/gateway/standin.go
@@ -96,7 +96,7 @@
 		return g.duty.undone
 	}
 	seen := g.weights.seen(g.workers.Workers(), g.workers.Doubtful(now))
-	seen.undirected = g.deliveries.undirected(now)
+	seen.undirected = g.deliveries.hasUndirected(now)
 	return g.duty.observe(now, seen, g.settings().LeaseGap+undoneSlack)
 }
 
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -60,18 +60,18 @@
 // counts.
 func TestDeliveryWithoutDirectiveIsUndirected(t *testing.T) {
 	g := idleGateway(t)
-	assert.False(t, g.deliveries.undirected(0))
+	assert.False(t, g.deliveries.hasUndirected(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
-	_, err := g.deliveries.order(0, 0, order)
+	_, err := g.deliveries.addOrder(0, 0, order)
 	require.NoError(t, err)
-	assert.True(t, g.deliveries.undirected(0))
+	assert.True(t, g.deliveries.hasUndirected(0))
 	directive := delivery.Directive{Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary, IssuedAt: time.Second}
-	g.deliveries.take(time.Second, directive)
-	assert.False(t, g.deliveries.undirected(2*time.Second))
-	assert.True(t, g.deliveries.undirected(time.Second+delivery.DirectiveValid+time.Millisecond), "it has lapsed")
+	g.deliveries.applyDirective(time.Second, directive)
+	assert.False(t, g.deliveries.hasUndirected(2*time.Second))
+	assert.True(t, g.deliveries.hasUndirected(time.Second+delivery.DirectiveValid+time.Millisecond), "it has lapsed")
 	directive.Stage, directive.Sequence = delivery.StageRolledBack, 2
-	g.deliveries.take(5*time.Second, directive)
-	assert.False(t, g.deliveries.undirected(time.Minute), "it is over")
+	g.deliveries.applyDirective(5*time.Second, directive)
+	assert.False(t, g.deliveries.hasUndirected(time.Minute), "it is over")
 }
 
 // TestEnginesThatComeAndGoAreNoProgress has an engine crash and come back as another run
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -104,7 +104,7 @@
 	if decoded.Document != nil {
 		g.takeDocument(now, decoded)
 	}
-	g.takeOrders(now, at, decoded)
+	g.applyOrders(now, at, decoded)
 }
 
 // changedAt returns when changes that are heard of now were made at the latest;
@@ -172,7 +172,7 @@
 			Int("draining", counts[backends.Began]).Int("restarted", counts[backends.Restarted]).
 			Int("unusable", counts[backends.Unusable]).Int("version", counts[backends.NewVersion]).Msg("workers_changed")
 	}
-	g.noteVersions(now, decoded)
+	g.observeVersions(now, decoded)
 	g.workersKnown.Store(true)
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -145,7 +145,7 @@
 	}
 	request.PositionsOf = string(source)
 	request.QuarantineDigest = g.quarantines.digest()
-	request.DeliveriesSeen = g.deliveries.seenOf(source)
+	request.DeliveriesSeen = g.deliveries.seenChanges(source)
 	if request.GetRequestRate() > 0 {
 		request.Origins, request.Pressures = g.originReport(g.now())
 	}
@@ -178,9 +178,9 @@
 // time for which the peer held the call, less that age.
 func (g *Gateway) takeWatch(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
 	g.learnNamed(response.GetNamed())
-	g.takeDirectives(begun, response.GetDeliveries())
-	g.deliveries.noteSeen(source, response.GetDeliveriesSeen())
-	g.takeQuarantineRecords(response.GetQuarantineRecords())
+	g.applyDirectives(begun, response.GetDeliveries())
+	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
+	g.mergeQuarantineRecords(response.GetQuarantineRecords())
 	for _, message := range response.GetUpdates() {
 		followed := g.table(Table(message.GetTable()))
 		if followed == nil {
@@ -262,7 +262,7 @@
 		for _, followed := range g.tables {
 			changed = append(changed, followed.cache.Changed())
 		}
-		redirected := g.deliveries.changedAfter()
+		redirected := g.deliveries.nextChange()
 		response, news := g.heldResponse(request, arrived)
 		if news {
 			return response
@@ -301,9 +301,9 @@
 		Named:       g.namedVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
-	news := g.deliveries.writeWatch(now, request, response)
+	news := g.deliveries.writeWatchResponse(now, request, response)
 	response.Origins, response.Pressures = g.originReport(now)
-	response.QuarantineRecords = g.quarantines.beyond(now, request.GetQuarantineDigest())
+	response.QuarantineRecords = g.quarantines.missingRecords(now, request.GetQuarantineDigest())
 	if proven {
 		response.ProofAgeMillis = uint32(max(age, 0).Milliseconds()) + 1
 	}
--- a/internal/gateway/wholebaseline_test.go
+++ b/internal/gateway/wholebaseline_test.go
@@ -14,12 +14,12 @@
 func TestWholeAnswersAreComparedByTheirLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &carried{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
-	assert.Equal(t, engine.Baseline, wholeBaseline(current, engine))
+	assert.Equal(t, engine.Baseline, expectedAnswerTime(current, engine))
 	current.events = 10
-	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, wholeBaseline(current, engine))
+	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, expectedAnswerTime(current, engine))
 	current.service.Engine.EventTokens = 0
-	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, wholeBaseline(current, engine))
-	assert.Zero(t, wholeBaseline(current, &backends.EnginePlacement{}), "a run that goes on from a copy")
+	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, expectedAnswerTime(current, engine))
+	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "a run that goes on from a copy")
 }
 
 // TestRatiosOfTimesAreAveraged by a mean that a single high one doesn't decide.
