--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -15,13 +15,13 @@
 
 // Constants of announcements.
 const (
-	// announceTokens is the prompt work from which on a placement is told at once: a
+	// announceMinTokens is the prompt work from which on a placement is told at once: a
 	// few such prompts at one engine hold up all streams there, and other nodes would
 	// take it for idle until the next exchange of reports.
-	announceTokens = 1500
-	// announceGather is the time in which placements are gathered.
-	announceGather  = 3 * time.Millisecond
-	announceTimeout = 250 * time.Millisecond
+	announceMinTokens = 1500
+	// announceBatchDelay is the time in which placements are gathered.
+	announceBatchDelay = 3 * time.Millisecond
+	announceTimeout    = 250 * time.Millisecond
 )
 
 // announcer tells the nodes that share loads at once where this node has just
@@ -31,24 +31,24 @@
 	engines map[fleet.EngineID]bool
 	// all is set if everything is to be told.
 	all bool
-	// noted has one element while there is something to tell.
-	noted chan struct{}
+	// pending has one element while there is something to tell.
+	pending chan struct{}
 }
 
 func newAnnouncer() *announcer {
-	return &announcer{engines: make(map[fleet.EngineID]bool), noted: make(chan struct{}, 1)}
+	return &announcer{engines: make(map[fleet.EngineID]bool), pending: make(chan struct{}, 1)}
 }
 
-// note has an engine's load told.
-func (a *announcer) note(engine fleet.EngineID) {
+// addEngine has an engine's load told.
+func (a *announcer) addEngine(engine fleet.EngineID) {
 	a.mutex.Lock()
 	a.engines[engine] = true
 	a.mutex.Unlock()
 	a.wake()
 }
 
-// noteAll has everything told.
-func (a *announcer) noteAll() {
+// addAll has everything told.
+func (a *announcer) addAll() {
 	a.mutex.Lock()
 	a.all = true
 	a.mutex.Unlock()
@@ -57,7 +57,7 @@
 
 func (a *announcer) wake() {
 	select {
-	case a.noted <- struct{}{}:
+	case a.pending <- struct{}{}:
 	default:
 	}
 }
@@ -73,8 +73,8 @@
 
 // announcePlacement has a placement of much prompt work told to other nodes.
 func (g *Gateway) announcePlacement(placement *backends.Placement) {
-	if placement.Engine != nil && placement.Prefill() >= announceTokens {
-		g.announcer.note(placement.Worker.ID)
+	if placement.Engine != nil && placement.Prefill() >= announceMinTokens {
+		g.announcer.addEngine(placement.Worker.ID)
 	}
 }
 
@@ -83,21 +83,21 @@
 func (g *Gateway) announceLoads() error {
 	for round := 0; ; round++ {
 		select {
-		case <-g.announcer.noted:
+		case <-g.announcer.pending:
 		case <-g.life.Dying():
 			return nil
 		}
-		if !g.pause(announceGather) {
+		if !g.pause(announceBatchDelay) {
 			return nil
 		}
 		engines, all := g.announcer.take()
 		report := g.partialReport(engines)
-		for _, member := range turn(g.loadPeers(), round, shareFanout) {
+		for _, member := range rotatingSubset(g.loadPeers(), round, loadExchangeFanout) {
 			if all {
-				go g.exchange(member)
+				go g.exchangeLoad(member)
 				continue
 			}
-			go g.announce(member, report)
+			go g.sendAnnouncement(member, report)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 	return report
 }
 
-// announce tells one node. A node that doesn't hear of it does by the next report.
-func (g *Gateway) announce(member membership.Member, report *rpc.LoadReport) {
+// sendAnnouncement tells one node. A node that doesn't hear of it does by the next report.
+func (g *Gateway) sendAnnouncement(member membership.Member, report *rpc.LoadReport) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Announcements, member), announceTimeout)
 	defer cancel()
 	if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -12,22 +12,22 @@
 
 func TestPlacementsAreGatheredUntilTheyAreTold(t *testing.T) {
 	announcer := newAnnouncer()
-	announcer.note("a")
-	announcer.note("b")
-	announcer.note("a")
-	<-announcer.noted
+	announcer.addEngine("a")
+	announcer.addEngine("b")
+	announcer.addEngine("a")
+	<-announcer.pending
 	engines, all := announcer.take()
 	assert.Equal(t, map[fleet.EngineID]bool{"a": true, "b": true}, engines)
 	assert.False(t, all)
 	engines, _ = announcer.take()
 	assert.Empty(t, engines)
 	select {
-	case <-announcer.noted:
+	case <-announcer.pending:
 		t.Fatal("all was told")
 	default:
 	}
-	announcer.noteAll()
-	<-announcer.noted
+	announcer.addAll()
+	<-announcer.pending
 	_, all = announcer.take()
 	assert.True(t, all)
 	_, all = announcer.take()
--- a/internal/gateway/cachetalk.go
+++ b/internal/gateway/cachetalk.go
@@ -14,16 +14,16 @@
 
 // Times of telling other nodes about the caches of a zone.
 const (
-	// cachesWanted is how long after the last question a node to which callers aren't sent
+	// cacheInterestTimeout is how long after the last question a node to which callers aren't sent
 	// goes on following the caches of its zone.
-	cachesWanted = 5 * time.Second
-	// cachesGathered is how long a node that has begun to follow caches waits for the first
+	cacheInterestTimeout = 5 * time.Second
+	// cacheGatherTimeout is how long a node that has begun to follow caches waits for the first
 	// answers of all of them until it tells of those that it knows.
-	cachesGathered = time.Second
+	cacheGatherTimeout = time.Second
 )
 
-// errFollowsNone says that a node can't tell of caches.
-var errFollowsNone = errors.New("this node follows no caches")
+// errNoCachesFollowed says that a node can't tell of caches.
+var errNoCachesFollowed = errors.New("this node follows no caches")
 
 // cacheLog is what this node knows of the caches of its zone, for nodes of other zones.
 type cacheLog struct {
@@ -31,21 +31,21 @@
 	log   *cachefeed.Log
 	// changed is closed at the next change.
 	changed chan struct{}
-	// asked is when another node asked last, if one has.
-	asked    time.Duration
-	wasAsked bool
+	// lastAskedAt is when another node lastAskedAt last, if one has.
+	lastAskedAt time.Duration
+	wasAsked    bool
 	// following is the number of caches that this node follows for others, and begun
 	// since when there are any.
-	following int
-	begun     time.Duration
+	following      int
+	followingSince time.Duration
 }
 
 func newCacheLog(generation uint64) *cacheLog {
 	return &cacheLog{log: cachefeed.NewLog(generation, 0), changed: make(chan struct{})}
 }
 
-// restart forgets everything. The generation must be another one.
-func (c *cacheLog) restart(generation uint64) {
+// reset forgets everything. The generation must be another one.
+func (c *cacheLog) reset(generation uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.log, c.following = cachefeed.NewLog(generation, 0), 0
@@ -57,16 +57,16 @@
 	c.update(func(log *cachefeed.Log) { log.Observe(cache, anew, changes) })
 }
 
-func (c *cacheLog) lose(cache fleet.EngineID) {
+func (c *cacheLog) markLost(cache fleet.EngineID) {
 	c.update(func(log *cachefeed.Log) { log.Lose(cache) })
 }
 
-// takeTold takes in what another node tells of so many caches.
-func (c *cacheLog) takeTold(now time.Duration, updates []cachefeed.Update, caches int) {
-	c.follow(now, caches)
+// applyUpdates takes in what another node tells of so many caches.
+func (c *cacheLog) applyUpdates(now time.Duration, updates []cachefeed.Update, caches int) {
+	c.setFollowing(now, caches)
 	for _, update := range updates {
 		if update.Lost {
-			c.lose(update.Cache)
+			c.markLost(update.Cache)
 			continue
 		}
 		c.observe(update.Cache, update.Anew, update.Changes())
@@ -85,26 +85,26 @@
 	}
 }
 
-// ask notes a question.
-func (c *cacheLog) ask(now time.Duration) {
+// recordRequest notes a question.
+func (c *cacheLog) recordRequest(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asked, c.wasAsked = now, true
+	c.lastAskedAt, c.wasAsked = now, true
 }
 
-// wanted tells whether another node has asked of late.
-func (c *cacheLog) wanted(now time.Duration) bool {
+// isWanted tells whether another node has asked of late.
+func (c *cacheLog) isWanted(now time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.wasAsked && now <= c.asked+cachesWanted
+	return c.wasAsked && now <= c.lastAskedAt+cacheInterestTimeout
 }
 
-// follow notes how many caches this node follows for others.
-func (c *cacheLog) follow(now time.Duration, caches int) {
+// setFollowing notes how many caches this node follows for others.
+func (c *cacheLog) setFollowing(now time.Duration, caches int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.following == 0 {
-		c.begun = now
+		c.followingSince = now
 	}
 	c.following = caches
 }
@@ -116,17 +116,17 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
-	ready = c.following > 0 && known > 0 && (known >= c.following || now >= c.begun+cachesGathered)
+	ready = c.following > 0 && known > 0 && (known >= c.following || now >= c.followingSince+cacheGatherTimeout)
 	if !ready {
 		return news, false, false, c.changed
 	}
 	return c.log.Answer(question), c.log.Answers(question), true, c.changed
 }
 
-// logOf returns what this node tells others of a zone's caches, or nil if it doesn't. Of other
+// cacheLogFor returns what this node tells others of a zone's caches, or nil if it doesn't. Of other
 // zones it tells only what it has from there: two nodes that asked each other would believe
 // for ever what they hold.
-func (g *Gateway) logOf(zone fleet.ZoneName) *cacheLog {
+func (g *Gateway) cacheLogFor(zone fleet.ZoneName) *cacheLog {
 	if zone == "" || zone == g.settings().Zone {
 		return g.cacheLog
 	}
@@ -135,21 +135,21 @@
 
 // answerCaches answers another node's question about the caches of a zone.
 func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
-	log := g.logOf(fleet.ZoneName(request.GetZone()))
+	log := g.cacheLogFor(fleet.ZoneName(request.GetZone()))
 	if log == nil || g.stopping() {
-		return nil, errFollowsNone
+		return nil, errNoCachesFollowed
 	}
-	log.ask(g.now())
-	question := decodeQuestion(request)
+	log.recordRequest(g.now())
+	question := decodeCachesRequest(request)
 	timer := time.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for waiting := true; ; {
 		news, found, ready, changed := log.answer(g.now(), question)
 		switch {
 		case found || (ready && !waiting):
-			return encodeNews(news), nil
+			return encodeCachesResponse(news), nil
 		case !waiting:
-			return nil, errFollowsNone
+			return nil, errNoCachesFollowed
 		}
 		select {
 		case <-changed:
@@ -158,12 +158,12 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-g.life.Dying():
-			return nil, errFollowsNone
+			return nil, errNoCachesFollowed
 		}
 	}
 }
 
-func decodeQuestion(request *rpc.CachesRequest) cachefeed.Question {
+func decodeCachesRequest(request *rpc.CachesRequest) cachefeed.Question {
 	question := cachefeed.Question{
 		After: cachefeed.Cursor{Generation: request.GetGeneration(), Sequence: request.GetSequence()},
 	}
@@ -173,7 +173,7 @@
 	return question
 }
 
-func encodeQuestion(question cachefeed.Question, wait time.Duration) *rpc.CachesRequest {
+func encodeCachesRequest(question cachefeed.Question, wait time.Duration) *rpc.CachesRequest {
 	request := &rpc.CachesRequest{
 		Generation: question.After.Generation, Sequence: question.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
 	}
@@ -183,20 +183,20 @@
 	return request
 }
 
-// encodeNews returns what a follower lacks in its transmitted form.
-func encodeNews(news cachefeed.News) *rpc.CachesResponse {
+// encodeCachesResponse returns what a follower lacks in its transmitted form.
+func encodeCachesResponse(news cachefeed.News) *rpc.CachesResponse {
 	response := &rpc.CachesResponse{Generation: news.Next.Generation, Sequence: news.Next.Sequence, Whole: news.Whole}
 	for _, update := range news.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
 			Cache: string(update.Cache), Anew: update.Anew, Lost: update.Lost,
-			Held: encodeParts(update.Held), Dropped: encodeParts(update.Dropped),
+			Held: encodeBlockHashes(update.Held), Dropped: encodeBlockHashes(update.Dropped),
 		})
 	}
 	return response
 }
 
-// decodeNews reads what a follower lacks from its transmitted form.
-func decodeNews(response *rpc.CachesResponse) cachefeed.News {
+// decodeCachesResponse reads what a follower lacks from its transmitted form.
+func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.News {
 	news := cachefeed.News{
 		Whole: response.GetWhole(),
 		Next:  cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
@@ -204,13 +204,13 @@
 	for _, update := range response.GetUpdates() {
 		news.Updates = append(news.Updates, cachefeed.Update{
 			Cache: fleet.EngineID(update.GetCache()), Anew: update.GetAnew(), Lost: update.GetLost(),
-			Held: decodeParts(update.GetHeld()), Dropped: decodeParts(update.GetDropped()),
+			Held: decodeBlockHashes(update.GetHeld()), Dropped: decodeBlockHashes(update.GetDropped()),
 		})
 	}
 	return news
 }
 
-func encodeParts(parts []fleet.BlockHash) []uint64 {
+func encodeBlockHashes(parts []fleet.BlockHash) []uint64 {
 	encoded := make([]uint64, len(parts))
 	for index, part := range parts {
 		encoded[index] = uint64(part)
@@ -218,7 +218,7 @@
 	return encoded
 }
 
-func decodeParts(encoded []uint64) []fleet.BlockHash {
+func decodeBlockHashes(encoded []uint64) []fleet.BlockHash {
 	parts := make([]fleet.BlockHash, len(encoded))
 	for index, part := range encoded {
 		parts[index] = fleet.BlockHash(part)
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -20,17 +20,17 @@
 func TestNodeTellsOfCachesThatItFollows(t *testing.T) {
 	g := idleGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
-		response, err := g.answerCaches(t.Context(), encodeQuestion(question, 20*time.Millisecond))
-		return decodeNews(response), err
+		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
+		return decodeCachesResponse(response), err
 	}
 	_, err := ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errFollowsNone, "it follows none")
-	assert.True(t, g.cacheLog.wanted(g.now()), "but does from now on")
+	require.ErrorIs(t, err, errNoCachesFollowed, "it follows none")
+	assert.True(t, g.cacheLog.isWanted(g.now()), "but does from now on")
 
-	g.cacheLog.follow(g.now(), 2)
+	g.cacheLog.setFollowing(g.now(), 2)
 	g.cacheLog.observe("one", true, []cachefeed.Change{{Part: 1, Held: true}, {Part: 2, Held: true}})
 	_, err = ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errFollowsNone, "what it told of two caches would have the other forgotten")
+	require.ErrorIs(t, err, errNoCachesFollowed, "what it told of two caches would have the other forgotten")
 	g.cacheLog.observe("two", true, nil)
 	news, err := ask(cachefeed.Question{})
 	require.NoError(t, err)
@@ -44,10 +44,10 @@
 		time.Sleep(5 * time.Millisecond)
 		g.cacheLog.observe("one", false, []cachefeed.Change{{Part: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeQuestion(cachefeed.Question{After: news.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Question{After: news.Next}, time.Minute))
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeNews(response).Updates)
-	news, err = ask(cachefeed.Question{After: decodeNews(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
+	news, err = ask(cachefeed.Question{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
 	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, news.Updates)
 }
@@ -66,22 +66,22 @@
 		})
 	}
 	g.settled.Store(true)
-	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
-	far := cacheRun{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
-	somewhere := cacheRun{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
+	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
+	far := followedCache{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
+	somewhere := followedCache{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
 
-	present, asked := g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true, somewhere: true}, present)
+	present, asked := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, somewhere: true}, present)
 	assert.Equal(t, map[fleet.ZoneName]map[fleet.EngineID]bool{"z1": {"far": true}}, asked)
 
-	g.zoneFeeds.feeds["z1"] = &zoneFeed{silent: true, mirror: newCacheLog(1)}
-	present, asked = g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true, far: true, somewhere: true}, present)
+	g.zoneFeeds.feeds["z1"] = &zoneFeed{unavailable: true, mirror: newCacheLog(1)}
+	present, asked = g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, far: true, somewhere: true}, present)
 	assert.Empty(t, asked)
 
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
-	present, asked = g.caches()
+	present, asked = g.selectCaches()
 	assert.Empty(t, present, "callers aren't sent here")
 	assert.Empty(t, asked)
 }
@@ -113,12 +113,12 @@
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
 	assert.Empty(t, present(g))
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
-	require.ErrorIs(t, err, errFollowsNone)
-	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
-	following, asked := g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true}, following)
+	require.ErrorIs(t, err, errNoCachesFollowed)
+	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
+	following, asked := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true}, following)
 	assert.Empty(t, asked)
-	g.cacheLog.ask(g.now() - cachesWanted - time.Millisecond)
+	g.cacheLog.recordRequest(g.now() - cacheInterestTimeout - time.Millisecond)
 	assert.Empty(t, present(g))
 }
 
@@ -156,19 +156,19 @@
 
 	ask := &rpc.CachesRequest{Zone: "far"}
 	_, err := g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "it knows nothing of that zone")
+	require.ErrorIs(t, err, errNoCachesFollowed, "it knows nothing of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
 	updates := []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
-	feed.mirror.takeTold(g.now(), updates, 1)
+	feed.mirror.applyUpdates(g.now(), updates, 1)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "what another node has told may come from here")
+	require.ErrorIs(t, err, errNoCachesFollowed, "what another node has told may come from here")
 	g.zoneFeeds.setSource(feed, false, true)
 	response, err := g.answerCaches(t.Context(), ask)
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeNews(response).Updates)
-	assert.True(t, feed.mirror.wanted(g.now()))
-	feed.mirror.restart(6)
+	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeCachesResponse(response).Updates)
+	assert.True(t, feed.mirror.isWanted(g.now()))
+	feed.mirror.reset(6)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "it begins anew")
+	require.ErrorIs(t, err, errNoCachesFollowed, "it begins anew")
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -51,14 +51,14 @@
 		members[index].Incarnation = 1
 		members[index].Node = "n"
 	}
-	assert.Len(t, turn(members, 3, 40), 30)
+	assert.Len(t, rotatingSubset(members, 3, 40), 30)
 	numbers := make([]int, 30)
 	for index := range numbers {
 		numbers[index] = index
 	}
 	met := map[int]bool{}
 	for round := range 3 {
-		chosen := turn(numbers, round, 12)
+		chosen := rotatingSubset(numbers, round, 12)
 		assert.Len(t, chosen, 12)
 		for _, number := range chosen {
 			met[number] = true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 	pressure     *pressure
 	readiness    *readiness
 	announcer    *announcer
-	toldVersions *toldVersions
+	toldVersions *versionReports
 	cacheLog     *cacheLog
 	zoneFeeds    *zoneFeeds
 	crashes      *crashes
@@ -150,7 +150,7 @@
 
 		readiness:    newReadiness(),
 		announcer:    newAnnouncer(),
-		toldVersions: newToldVersions(),
+		toldVersions: newVersionReports(),
 		cacheLog:     newCacheLog(rand.Uint64()),
 		zoneFeeds:    newZoneFeeds(),
 		crashes:      newCrashes(),
@@ -289,8 +289,8 @@
 	g.life.Go(g.watchPeers)
 	g.life.Go(g.driveRoles)
 	g.life.Go(g.drivePressure)
-	g.life.Go(g.register)
-	g.life.Go(g.shareLoads)
+	g.life.Go(g.runRegistration)
+	g.life.Go(g.exchangeLoads)
 	g.life.Go(g.announceLoads)
 	g.life.Go(g.shareUses)
 	g.life.Go(g.driveRollout)
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -62,12 +62,12 @@
 	assert.Empty(t, told.loadReport("other").GetDraining())
 	told.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := told.loadReport("other")
-	hears.takeLoad(report)
+	hears.applyLoadReport(report)
 	assert.True(t, hears.workers.Draining("w"))
 
 	worker.Born = 2000
 	hears.workers.Observe(2, worker)
-	hears.takeLoad(report)
+	hears.applyLoadReport(report)
 	assert.False(t, hears.workers.Draining("w"), "it was told of the run before")
 
 	worker.Born, worker.Draining = 1000, true
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -14,16 +14,16 @@
 
 // Times of the talk between gateways.
 const (
-	// shareInterval is the time between two exchanges with the same peer. Each
+	// loadExchangeInterval is the time between two exchanges with the same peer. Each
 	// of the two calls the other, so that news travel twice as often.
-	shareInterval = 600 * time.Millisecond
-	shareTimeout  = 400 * time.Millisecond
-	// shareFanout bounds the peers of one round of exchanges.
-	shareFanout = 12
-	// seedInterval is the time between two reads of the nodes' rows while no peer
+	loadExchangeInterval = 600 * time.Millisecond
+	loadExchangeTimeout  = 400 * time.Millisecond
+	// loadExchangeFanout bounds the peers of one round of exchanges.
+	loadExchangeFanout = 12
+	// seedRetryInterval is the time between two reads of the nodes' rows while no peer
 	// is known, and seedIntervalKnown otherwise.
-	seedInterval      = 700 * time.Millisecond
-	seedIntervalKnown = 15 * time.Second
+	seedRetryInterval   = 700 * time.Millisecond
+	seedRefreshInterval = 15 * time.Second
 )
 
 // seedList is the addresses at which other gateways may be found.
@@ -44,20 +44,20 @@
 	s.list = addresses
 }
 
-// register writes this node's row, so that others find it, and reads those of
+// runRegistration writes this node's row, so that others find it, and reads those of
 // others. In a larger fleet only nodes whose role is to read the store do so, and
 // nodes that find nobody else.
-func (g *Gateway) register() error {
+func (g *Gateway) runRegistration() error {
 	registered := false
 	for {
 		reading := g.settled.Load() && g.roles.Load().reader
 		alone := g.memberCount() == 1
 		if reading || (alone && g.now() >= joinGrace) {
-			registered = g.meet(registered)
+			registered = g.registerAndReadSeeds(registered)
 		}
-		interval := seedIntervalKnown
+		interval := seedRefreshInterval
 		if alone || !g.settled.Load() || (reading && !registered) {
-			interval = seedInterval
+			interval = seedRetryInterval
 		}
 		if !g.pause(interval) {
 			return nil
@@ -65,8 +65,8 @@
 	}
 }
 
-// meet makes the calls of register and tells whether this node's row is written.
-func (g *Gateway) meet(registered bool) bool {
+// registerAndReadSeeds makes the calls of register and tells whether this node's row is written.
+func (g *Gateway) registerAndReadSeeds(registered bool) bool {
 	ctx, cancel := context.WithTimeout(g.context(), 2*time.Second)
 	defer cancel()
 	if !registered {
@@ -101,19 +101,19 @@
 	g.seeds.set(addresses)
 }
 
-// shareLoads exchanges reports with the other gateways that share loads: with
+// exchangeLoads exchanges reports with the other gateways that share loads: with
 // all of them in each round while they are few, else with some, taking turns.
-func (g *Gateway) shareLoads() error {
+func (g *Gateway) exchangeLoads() error {
 	known := make(map[fleet.NodeID]bool)
-	for round := 0; g.pauseOrRest(shareInterval); round++ {
+	for round := 0; g.pauseOrRest(loadExchangeInterval); round++ {
 		peers := g.loadPeers()
 		present := make(map[fleet.NodeID]bool, len(peers))
 		for _, member := range peers {
 			present[member.Node] = true
 		}
 		var group sync.WaitGroup
-		for _, member := range g.addDirectors(turn(peers, round, shareFanout)) {
-			group.Go(func() { g.exchange(member) })
+		for _, member := range g.addDirectors(rotatingSubset(peers, round, loadExchangeFanout)) {
+			group.Go(func() { g.exchangeLoad(member) })
 		}
 		group.Wait()
 		for node := range known {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// turn returns at most limit elements, others in each round.
-func turn[Element any](all []Element, round, limit int) []Element {
+// rotatingSubset returns at most limit elements, others in each round.
+func rotatingSubset[Element any](all []Element, round, limit int) []Element {
 	if len(all) <= limit {
 		return all
 	}
@@ -144,9 +144,9 @@
 	return chosen
 }
 
-// exchange gives one member this node's report and takes its answer in.
-func (g *Gateway) exchange(member membership.Member) {
-	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Loads, member), shareTimeout)
+// exchangeLoad gives one member this node's report and takes its answer in.
+func (g *Gateway) exchangeLoad(member membership.Member) {
+	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
 	begun := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
@@ -155,8 +155,8 @@
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.takeLoad(report)
-	g.takeProof(begun, report)
+	g.applyLoadReport(report)
+	g.applyProof(begun, report)
 	g.applyDirectives(begun, report.GetDeliveries())
 	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	g.applyLimits(report, begun)
@@ -178,18 +178,18 @@
 		return g.deliveryReport(fleet.NodeID(report.GetNode()))
 	}
 	if report.GetPartial() {
-		return g.answerPartial(report)
+		return g.answerPartialReport(report)
 	}
-	g.takeLoad(report)
+	g.applyLoadReport(report)
 	answer := g.loadReport(fleet.NodeID(report.GetNode()))
 	lacking := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
 	answer.QuarantineRecords = append(answer.QuarantineRecords, lacking...)
 	return answer
 }
 
-// answerPartial takes in what has changed at another gateway, and tells what tenants
+// answerPartialReport takes in what has changed at another gateway, and tells what tenants
 // have used here if the other does.
-func (g *Gateway) answerPartial(report *rpc.LoadReport) *rpc.LoadReport {
+func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
 		g.workers.UpdatePeer(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
@@ -231,7 +231,7 @@
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
 	}
 	if _, holds := g.keeper.Fence(); holds {
-		report.Weights = g.versionsFor(now, to)
+		report.Weights = g.dueVersions(now, to)
 	}
 	g.quotas.write(now, report, to)
 	g.deliveries.writeReport(now, report, to)
@@ -258,8 +258,8 @@
 	return named
 }
 
-// learnNamed takes in when another node heard of versions.
-func (g *Gateway) learnNamed(named []*rpc.NamedVersion) {
+// applyNamedVersions takes in when another node heard of versions.
+func (g *Gateway) applyNamedVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
@@ -267,9 +267,9 @@
 	}
 }
 
-// versionsFor returns the engines' versions, by the word of the lease's holder, as far as
+// dueVersions returns the engines' versions, by the word of the lease's holder, as far as
 // a node is to be told of them.
-func (g *Gateway) versionsFor(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
+func (g *Gateway) dueVersions(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
 		for model, version := range worker.Versions {
@@ -286,8 +286,8 @@
 	return told
 }
 
-// takeLoad takes in another gateway's report.
-func (g *Gateway) takeLoad(report *rpc.LoadReport) {
+// applyLoadReport takes in another gateway's report.
+func (g *Gateway) applyLoadReport(report *rpc.LoadReport) {
 	now := g.now()
 	suspects := make([]fleet.EngineID, 0, len(report.GetSuspects()))
 	for _, suspect := range report.GetSuspects() {
@@ -310,7 +310,7 @@
 	for _, run := range report.GetDraining() {
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeByPeer)
 	}
-	g.learnNamed(report.GetNamed())
+	g.applyNamedVersions(report.GetNamed())
 	g.quotas.take(now, report)
 	g.demand.peer(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
 	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
@@ -321,10 +321,10 @@
 	}
 }
 
-// takeProof takes another gateway's proof as this one's: if it had proof of age a
+// applyProof takes another gateway's proof as this one's: if it had proof of age a
 // when it answered a call begun at a time, and holds the same configuration,
 // then nothing newer was acknowledged up to that time less a.
-func (g *Gateway) takeProof(begun time.Duration, report *rpc.LoadReport) {
+func (g *Gateway) applyProof(begun time.Duration, report *rpc.LoadReport) {
 	held := g.holder.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -58,7 +58,7 @@
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.origins.planWeights(0))
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
 	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.planWeights(now))
 	g.assign(now)
@@ -68,11 +68,11 @@
 	g.takeOrigins(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
 	assert.NotEmpty(t, g.origins.planWeights(now), "an older word doesn't count")
 	assert.Empty(t, g.origins.planWeights(now+rateValid+time.Second), "a word that isn't renewed ends")
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
 	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.planWeights(g.now())["other"])
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: 77})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: 77})
 	assert.True(t, g.origins.silent(g.now(), "other"), "an unknown word counts as the highest")
-	g.takeLoad(&rpc.LoadReport{Node: "other"})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other"})
 	assert.Empty(t, g.origins.planWeights(g.now()))
 }
 
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -147,7 +147,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
-	q.limiter.SetRounds((len(peers) + shareFanout - 1) / shareFanout)
+	q.limiter.SetRounds((len(peers) + loadExchangeFanout - 1) / loadExchangeFanout)
 	present := make(map[fleet.NodeID]bool, len(peers))
 	for _, member := range peers {
 		present[member.Node] = true
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -12,7 +12,7 @@
 func TestLoopsOfANodeAtRestWakeTogether(t *testing.T) {
 	moments := make(map[time.Duration]bool)
 	for index, interval := range []time.Duration{
-		rolesInterval, pressureRest, unlimitedPause, shareInterval, rolloutRest, cacheRest, housekeepInterval,
+		rolesInterval, pressureRest, unlimitedPause, loadExchangeInterval, rolloutRest, idleCacheCheckInterval, housekeepInterval,
 	} {
 		begun := time.Duration(index) * 37 * time.Millisecond
 		for now, before := begun, begun; now < 10*time.Second; before = now {
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -138,7 +138,7 @@
 // TestNodeThatDoesNotKnowItsRoleClaimsLittle has a node that has just started, and knows
 // itself alone, follow few caches and not name itself to callers.
 func TestNodeThatDoesNotKnowItsRoleClaimsLittle(t *testing.T) {
-	const engines = 2*cachesByRequest + 1
+	const engines = 2*cachesPerRequest + 1
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
@@ -209,7 +209,7 @@
 }
 
 // present returns the caches that a gateway follows itself.
-func present(g *Gateway) map[cacheRun]bool {
-	caches, _ := g.caches()
+func present(g *Gateway) map[followedCache]bool {
+	caches, _ := g.selectCaches()
 	return caches
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -215,7 +215,7 @@
 	until := g.now() + orderedFor
 	g.workers.NoteOrder(id, until)
 	if g.weights.announce(id, until) {
-		g.announcer.noteAll()
+		g.announcer.addAll()
 	}
 }
 
@@ -259,6 +259,6 @@
 	g.workers.NoteVersion(done.worker.ID, done.model, version)
 	g.workers.NoteOrder(done.worker.ID, 0)
 	g.weights.retract(done.worker.ID)
-	g.announcer.noteAll()
+	g.announcer.addAll()
 	g.logger.Info().Str("worker", string(done.worker.ID)).Uint64("version", uint64(version)).Dur("took", took).Msg("weights_changed")
 }
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -38,7 +38,7 @@
 	assert.True(t, atRest.origins.silent(atRest.now(), lost.Node))
 	assert.False(t, atRest.reachable(lost))
 	assert.False(t, atRest.origins.silent(atRest.now()+rateValid+time.Second, lost.Node), "a word that isn't renewed ends")
-	g.takeLoad(&rpc.LoadReport{Node: "lost"})
+	g.applyLoadReport(&rpc.LoadReport{Node: "lost"})
 	assert.False(t, g.origins.silent(g.now(), lost.Node), "it is heard again")
 	g.origins.press(g.now(), g.node, unreachable)
 	g.takeUsage(g.now(), consumption{})
--- a/internal/gateway/storefeed.go
+++ b/internal/gateway/storefeed.go
@@ -144,7 +144,7 @@
 	store := f.gateway.outside.Platform
 	partial := f.table.cache.Partial()
 	switch {
-	case partial && !f.gateway.readsAll():
+	case partial && !f.gateway.shouldReadAllWorkers():
 		f.after, f.known = f.table.cache.Revision(), true
 	case partial, !f.known:
 		return store.ReadTable(ctx, f.table.name, f.gateway.settled.Load)
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -11,22 +11,22 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// knowsAllWorkers tells whether it is this node's part to know all workers, rather than those
+// needsAllWorkers tells whether it is this node's part to know all workers, rather than those
 // in use: it orders them, or may have to soon.
-func (g *Gateway) knowsAllWorkers() bool {
+func (g *Gateway) needsAllWorkers() bool {
 	if _, holds := g.keeper.Fence(); holds {
 		return true
 	}
 	return g.roles.Load().candidate || g.standIn.Load()
 }
 
-// readsAll tells whether this node, if it reads the store, is to read all workers: it tells
+// shouldReadAllWorkers tells whether this node, if it reads the store, is to read all workers: it tells
 // others of them, has to know them, or has had no answer of any peer for long. A node that
 // reads for a moment, since its peers are slow, follows the changes of what it knows: where
 // the store turns a part of a large fleet away, whole reads by such nodes would be most of the
 // store's calls and bytes.
-func (g *Gateway) readsAll() bool {
-	return g.roles.Load().reader || g.knowsAllWorkers() || g.sources.needsAll(g.now())
+func (g *Gateway) shouldReadAllWorkers() bool {
+	return g.roles.Load().reader || g.needsAllWorkers() || g.sources.needsAll(g.now())
 }
 
 // workersTable returns the table of the workers.
@@ -53,15 +53,15 @@
 	if !g.workers.SetSubsets(subsets, all) {
 		return
 	}
-	for _, service := range servicesOf(subsets) {
+	for _, service := range sortedServices(subsets) {
 		if before[service] != subsets[service] {
 			g.logger.Info().Str("service", string(service)).Uint8("halvings", uint8(subsets[service])).Msg("subset_in_force")
 		}
 	}
 }
 
-// servicesOf returns the services of subsets in order.
-func servicesOf(subsets backends.Subsets) []fleet.PoolName {
+// sortedServices returns the services of subsets in order.
+func sortedServices(subsets backends.Subsets) []fleet.PoolName {
 	services := make([]fleet.PoolName, 0, len(subsets))
 	for service := range subsets {
 		services = append(services, service)
@@ -70,10 +70,10 @@
 	return services
 }
 
-// digestOf returns a number that differs for other subsets; never 0.
-func digestOf(subsets backends.Subsets) uint64 {
+// subsetsDigest returns a number that differs for other subsets; never 0.
+func subsetsDigest(subsets backends.Subsets) uint64 {
 	digest := fnv.New64a()
-	for _, service := range servicesOf(subsets) {
+	for _, service := range sortedServices(subsets) {
 		_, _ = digest.Write([]byte(string(service) + "\x00" + strconv.Itoa(int(subsets[service])) + "\x00"))
 	}
 	return digest.Sum64() | 1
@@ -81,7 +81,7 @@
 
 func encodeSubsets(subsets backends.Subsets) []*rpc.ServiceSubset {
 	encoded := make([]*rpc.ServiceSubset, 0, len(subsets))
-	for _, service := range servicesOf(subsets) {
+	for _, service := range sortedServices(subsets) {
 		encoded = append(encoded, &rpc.ServiceSubset{Service: string(service), Halvings: uint32(subsets[service])})
 	}
 	return encoded
@@ -95,15 +95,15 @@
 	return subsets
 }
 
-// askForSubsets has a question for rows ask for those of the workers in use alone.
-func (g *Gateway) askForSubsets(request *rpc.WatchRequest) {
-	if g.knowsAllWorkers() {
+// requestSubsets has a question for rows ask for those of the workers in use alone.
+func (g *Gateway) requestSubsets(request *rpc.WatchRequest) {
+	if g.needsAllWorkers() {
 		return
 	}
 	request.WorkersInUse = true
 	request.Doublings = encodeSubsets(g.workers.Doublings())
 	if !g.workersTable().cache.Whole() {
-		request.SubsetsDigest = digestOf(g.workers.InForce())
+		request.SubsetsDigest = subsetsDigest(g.workers.InForce())
 	}
 }
 
@@ -117,15 +117,15 @@
 		return followed.cache.After(seen), nil
 	}
 	subsets := g.workers.InForce().Widened(decodeSubsets(request.GetDoublings()))
-	if request.GetSubsetsDigest() != digestOf(subsets) {
+	if request.GetSubsetsDigest() != subsetsDigest(subsets) {
 		seen = 0
 	}
 	return followed.cache.AfterOf(seen, g.workers.Covers(subsets)), subsets
 }
 
-// applyWorkers takes a peer's word on the workers in: on all of them, or on those in use. What
+// applyWorkersUpdate takes a peer's word on the workers in: on all of them, or on those in use. What
 // is dropped is told by the rows, so the subsets are in force after them.
-func (g *Gateway) applyWorkers(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
+func (g *Gateway) applyWorkersUpdate(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
 	if !message.GetWorkersInUse() {
 		followed.apply(update, gapUnreached)
 		return
@@ -136,10 +136,10 @@
 	g.setSubsets(subsets, false)
 }
 
-// positionAt returns the number up to which this node has seen a source's changes of a table;
+// watchPosition returns the number up to which this node has seen a source's changes of a table;
 // 0 asks for everything.
-func (g *Gateway) positionAt(followed *table) uint64 {
-	if followed.name == TableWorkers && followed.cache.Partial() && g.knowsAllWorkers() {
+func (g *Gateway) watchPosition(followed *table) uint64 {
+	if followed.name == TableWorkers && followed.cache.Partial() && g.needsAllWorkers() {
 		return 0
 	}
 	return followed.seen
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -76,12 +76,12 @@
 // watch has one gateway ask another once, and returns the size of the answer in bytes.
 func watch(t testing.TB, follower, source *Gateway) int {
 	request := &rpc.WatchRequest{Node: string(follower.node), PositionsOf: string(source.node)}
-	follower.askForSubsets(request)
+	follower.requestSubsets(request)
 	for _, followed := range follower.tables {
 		if followed.source != source.node {
 			followed.source, followed.seen = source.node, 0
 		}
-		request.Positions = append(request.Positions, &rpc.TablePosition{Table: string(followed.name), Sequence: follower.positionAt(followed)})
+		request.Positions = append(request.Positions, &rpc.TablePosition{Table: string(followed.name), Sequence: follower.watchPosition(followed)})
 	}
 	response, _ := source.watchResponse(request)
 	follower.takeWatch(source.node, follower.now(), response)
@@ -182,7 +182,7 @@
 	for _, all := range []bool{false, true} {
 		other.standIn.Store(all)
 		request := &rpc.WatchRequest{PositionsOf: string(follower.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
-		other.askForSubsets(request)
+		other.requestSubsets(request)
 		response, _ := follower.watchResponse(request)
 		assert.Empty(t, response.GetUpdates())
 		assert.Zero(t, response.GetProofAgeMillis())
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -154,10 +154,10 @@
 			followed.source, followed.seen = source, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{
-			Table: string(followed.name), Sequence: g.positionAt(followed),
+			Table: string(followed.name), Sequence: g.watchPosition(followed),
 		})
 	}
-	g.askForSubsets(request)
+	g.requestSubsets(request)
 	begun := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
 	ctx, stop := g.resumptions.bind(g.peerCall(traffic.Watches, member))
@@ -177,7 +177,7 @@
 // holds by a proof of an age proves the same here, as of the call's start and the
 // time for which the peer held the call, less that age.
 func (g *Gateway) takeWatch(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
-	g.learnNamed(response.GetNamed())
+	g.applyNamedVersions(response.GetNamed())
 	g.applyDirectives(begun, response.GetDeliveries())
 	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
 	g.mergeQuarantineRecords(response.GetQuarantineRecords())
@@ -192,7 +192,7 @@
 			return watchUseless
 		}
 		if followed.name == TableWorkers {
-			g.applyWorkers(followed, message, update)
+			g.applyWorkersUpdate(followed, message, update)
 		} else {
 			followed.apply(update, gapUnreached)
 		}
@@ -322,7 +322,7 @@
 			continue
 		}
 		news = news || update.Complete || len(update.Rows) > 0
-		message := followed.encode(seen, update, digestOf(subsets))
+		message := followed.encode(seen, update, subsetsDigest(subsets))
 		message.WorkersInUse, message.Subsets = update.Covers != nil, encodeSubsets(subsets)
 		response.Updates = append(response.Updates, message)
 	}
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -16,9 +16,9 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// cachesSlack is how much longer than its wait a question about caches may take until the
+// cacheRequestSlack is how much longer than its wait a question about caches may take until the
 // node that was asked counts as silent. A frozen one is noticed after eventsWait and this.
-const cachesSlack = 350 * time.Millisecond
+const cacheRequestSlack = 350 * time.Millisecond
 
 // errNotMember says that a node isn't a member any more.
 var errNotMember = errors.New("not a member")
@@ -34,31 +34,31 @@
 // zoneFeed is one such zone. Its fields are guarded by the mutex of zoneFeeds.
 type zoneFeed struct {
 	cancel context.CancelFunc
-	// silent is set while nobody of the zone answers.
-	silent bool
+	// unavailable is set while nobody of the zone answers.
+	unavailable bool
 	// wanted are the caches of which this node asks; a set is replaced, never changed.
 	wanted map[fleet.EngineID]bool
 	// mirror is what this node tells others of its region about the zone, if first is set:
 	// then it learns it from the zone itself.
-	mirror *cacheLog
-	first  bool
+	mirror    *cacheLog
+	firsthand bool
 }
 
 func newZoneFeeds() *zoneFeeds { return &zoneFeeds{feeds: make(map[fleet.ZoneName]*zoneFeed)} }
 
-// silent tells whether nobody of a zone answers questions about its caches.
-func (z *zoneFeeds) silent(zone fleet.ZoneName) bool {
+// isUnavailable tells whether nobody of a zone answers questions about its caches.
+func (z *zoneFeeds) isUnavailable(zone fleet.ZoneName) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	feed := z.feeds[zone]
-	return feed != nil && feed.silent
+	return feed != nil && feed.unavailable
 }
 
 // setSource notes whom a feed asks: nobody, as all are silent, or a node, of the zone itself or not.
 func (z *zoneFeeds) setSource(feed *zoneFeed, silent, first bool) {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	feed.silent, feed.first = silent, first
+	feed.unavailable, feed.firsthand = silent, first
 }
 
 // mirror returns what this node knows of a zone from the zone itself, or nil.
@@ -66,7 +66,7 @@
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	feed := z.feeds[zone]
-	if feed == nil || !feed.first {
+	if feed == nil || !feed.firsthand {
 		return nil
 	}
 	return feed.mirror
@@ -78,9 +78,9 @@
 	return feed.wanted
 }
 
-// set takes over which caches are wanted, by zone, and starts a feed for each new zone. A zone
-// in which nobody answers stays, so that its nodes are tried again while keepSilent is set.
-func (z *zoneFeeds) set(wanted map[fleet.ZoneName]map[fleet.EngineID]bool, keepSilent bool, start func(zone fleet.ZoneName, feed *zoneFeed)) {
+// setWanted takes over which caches are wanted, by zone, and starts a feed for each new zone. A zone
+// in which nobody answers stays, so that its nodes are tried again while keepSilent is setWanted.
+func (z *zoneFeeds) setWanted(wanted map[fleet.ZoneName]map[fleet.EngineID]bool, keepSilent bool, start func(zone fleet.ZoneName, feed *zoneFeed)) {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	for zone, caches := range wanted {
@@ -97,16 +97,16 @@
 			continue
 		}
 		feed.wanted = nil
-		if !feed.silent || !keepSilent {
+		if !feed.unavailable || !keepSilent {
 			feed.cancel()
 			delete(z.feeds, zone)
 		}
 	}
 }
 
-// askZones has nodes of other zones asked about the caches there.
-func (g *Gateway) askZones(wanted map[fleet.ZoneName]map[fleet.EngineID]bool) {
-	g.zoneFeeds.set(wanted, g.serves(), func(zone fleet.ZoneName, feed *zoneFeed) {
+// updateZoneFeeds has nodes of other zones asked about the caches there.
+func (g *Gateway) updateZoneFeeds(wanted map[fleet.ZoneName]map[fleet.EngineID]bool) {
+	g.zoneFeeds.setWanted(wanted, g.serves(), func(zone fleet.ZoneName, feed *zoneFeed) {
 		ctx, cancel := context.WithCancel(g.context())
 		feed.cancel = cancel
 		g.life.Go(func() error {
@@ -129,39 +129,39 @@
 		wanted := g.zoneFeeds.wanted(feed)
 		if !found || len(wanted) == 0 {
 			follower.Reset()
-			sleep(ctx, cacheCheck)
+			sleep(ctx, cacheCheckInterval)
 			continue
 		}
-		if asked := feed.mirror.wanted(g.now()) || slices.Contains(g.cacheMirrors(zone), g.node); asked != mirrored {
+		if asked := feed.mirror.isWanted(g.now()) || slices.Contains(g.cacheMirrors(zone), g.node); asked != mirrored {
 			mirrored = asked
-			feed.mirror.restart(rand.Uint64())
+			feed.mirror.reset(rand.Uint64())
 			follower.Reset()
 		}
-		updates, err := g.askCaches(ctx, zone, member, follower, wanted)
+		updates, err := g.requestCaches(ctx, zone, member, follower, wanted)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err == nil:
-			g.takeTold(updates)
+			g.applyCacheUpdates(updates)
 			if mirrored {
-				feed.mirror.takeTold(g.now(), updates, len(wanted))
+				feed.mirror.applyUpdates(g.now(), updates, len(wanted))
 			}
-			sleep(ctx, eventsPause)
+			sleep(ctx, cacheEventsInterval)
 		case errors.Is(err, peer.ErrUnavailable):
-			g.noteCacheSource(zone, source, err)
+			g.logCacheSourceFailure(zone, source, err)
 			selector.Unavailable(g.now(), source)
 			follower.Reset()
-			sleep(ctx, cacheCheck)
+			sleep(ctx, cacheCheckInterval)
 		default:
-			g.noteCacheSource(zone, source, err)
+			g.logCacheSourceFailure(zone, source, err)
 			selector.Failed(g.now(), source)
 			follower.Reset()
 		}
 	}
 }
 
-// noteCacheSource logs that a node couldn't tell of a zone's caches.
-func (g *Gateway) noteCacheSource(zone fleet.ZoneName, source fleet.NodeID, err error) {
+// logCacheSourceFailure logs that a node couldn't tell of a zone's caches.
+func (g *Gateway) logCacheSourceFailure(zone fleet.ZoneName, source fleet.NodeID, err error) {
 	g.events.line("cache_source_failed").Str("zone", string(zone)).Str("source", string(source)).Err(err).Msg("cache_source_failed")
 }
 
@@ -187,15 +187,15 @@
 	return g.roles.Load().CacheMirrors(zone, own)
 }
 
-// askCaches asks one node once about the caches of a zone and returns what is new.
-func (g *Gateway) askCaches(ctx context.Context, zone fleet.ZoneName, source membership.Member, follower *cachefeed.Follower, wanted map[fleet.EngineID]bool) ([]cachefeed.Update, error) {
+// requestCaches asks one node once about the caches of a zone and returns what is new.
+func (g *Gateway) requestCaches(ctx context.Context, zone fleet.ZoneName, source membership.Member, follower *cachefeed.Follower, wanted map[fleet.EngineID]bool) ([]cachefeed.Update, error) {
 	if source.Node == "" {
 		return nil, errNotMember
 	}
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(source.Zone))
-	ctx, cancel := context.WithTimeout(ctx, eventsWait+cachesSlack)
+	ctx, cancel := context.WithTimeout(ctx, cacheEventsWait+cacheRequestSlack)
 	defer cancel()
-	request := encodeQuestion(follower.Ask(wanted), eventsWait)
+	request := encodeCachesRequest(follower.Ask(wanted), cacheEventsWait)
 	if source.Zone != zone {
 		request.Zone = string(zone)
 	}
@@ -203,11 +203,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return follower.Take(decodeNews(response), wanted), nil
+	return follower.Take(decodeCachesResponse(response), wanted), nil
 }
 
-// takeTold takes another node's word on caches in.
-func (g *Gateway) takeTold(updates []cachefeed.Update) {
+// applyCacheUpdates takes another node's word on caches in.
+func (g *Gateway) applyCacheUpdates(updates []cachefeed.Update) {
 	for _, update := range updates {
 		run := fleet.EngineRun{Engine: update.Cache}
 		if update.Lost {
