--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-func TestPlacementsAreGatheredUntilTheyAreTold(t *testing.T) {
+func TestAnnouncerBatchesEngines(t *testing.T) {
 	announcer := newAnnouncer()
 	announcer.addEngine("a")
 	announcer.addEngine("b")
@@ -34,9 +34,9 @@
 	assert.False(t, all)
 }
 
-// TestLoadsKeepTheirValuesOnTheWay has the names of known workers go as hashes, and loads of
+// TestLoadsRoundTrip has the names of known workers go as hashes, and loads of
 // workers that the receiver doesn't know be left out.
-func TestLoadsKeepTheirValuesOnTheWay(t *testing.T) {
+func TestLoadsRoundTrip(t *testing.T) {
 	sender, receiver := idleGateway(t), idleGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, backends.Worker{ID: "a"})
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -16,8 +16,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestNodeTellsOfCachesThatItFollows asks a node about the caches of its zone.
-func TestNodeTellsOfCachesThatItFollows(t *testing.T) {
+// TestAnswerCachesServesFollowedCaches asks a node about the caches of its zone.
+func TestAnswerCachesServesFollowedCaches(t *testing.T) {
 	g := idleGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
 		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
@@ -52,9 +52,9 @@
 	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, news.Updates)
 }
 
-// TestCachesOfOtherZonesAreAskedAbout has a node that serves follow the caches of its own
+// TestOtherZonesAreFollowedThroughPeers has a node that serves follow the caches of its own
 // zone by itself, and those of another zone only while nobody there answers.
-func TestCachesOfOtherZonesAreAskedAbout(t *testing.T) {
+func TestOtherZonesAreFollowedThroughPeers(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
 	require.NoError(t, err)
@@ -86,8 +86,8 @@
 	assert.Empty(t, asked)
 }
 
-// TestIdleNodeFollowsItsZonesCachesWhileAsked has a zone without a node that serves.
-func TestIdleNodeFollowsItsZonesCachesWhileAsked(t *testing.T) {
+// TestIdleNodeFollowsCachesOnDemand has a zone without a node that serves.
+func TestIdleNodeFollowsCachesOnDemand(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
@@ -122,9 +122,9 @@
 	assert.Empty(t, present(g))
 }
 
-// TestFarRegionIsAskedByOneNodeOfTheOwn has a zone of another region asked by one node, the
+// TestRemoteRegionIsFollowedByOneNode has a zone of another region asked by one node, the
 // others ask that one, and a node tells only what it has from the zone itself.
-func TestFarRegionIsAskedByOneNodeOfTheOwn(t *testing.T) {
+func TestRemoteRegionIsFollowedByOneNode(t *testing.T) {
 	g := idleGateway(t)
 	settings := *g.settings()
 	settings.Region, settings.Zones = "north", map[fleet.ZoneName]fleet.RegionName{"z0": "north", "z1": "north", "far": "south"}
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -27,8 +27,8 @@
 	return g
 }
 
-// allTo returns a directive that sends everything to the target.
-func allTo(g *Gateway, stage delivery.Stage, issuedAt time.Duration) delivery.Directive {
+// directiveToTarget returns a directive that sends everything to the target.
+func directiveToTarget(g *Gateway, stage delivery.Stage, issuedAt time.Duration) delivery.Directive {
 	directive := testDirective(issuedAt)
 	directive.Stage, directive.Canaries, directive.Shares, directive.DefaultShare = stage, nil, nil, 1
 	return directive
@@ -39,11 +39,11 @@
 	return &carried{service: &routes.Service{Name: "app"}, route: &routes.Route{Name: "route"}, draw: 0}
 }
 
-// TestPushedDirectiveIsAskedForRatherThanBelieved since a call may have lain here while the
+// TestPushedDirectiveIsPulledBeforeItApplies since a call may have lain here while the
 // process stood still; a final one counts whatever its age.
-func TestPushedDirectiveIsAskedForRatherThanBelieved(t *testing.T) {
+func TestPushedDirectiveIsPulledBeforeItApplies(t *testing.T) {
 	g := deliveryGateway(t)
-	pushed := allTo(g, delivery.StageShifting, g.now())
+	pushed := directiveToTarget(g, delivery.StageShifting, g.now())
 	report := &rpc.LoadReport{Node: "director", DeliveriesOnly: true, Deliveries: []*rpc.DeliveryDirective{encodeDirective(g.now(), &pushed)}}
 	g.handlePushedDeliveries(report)
 	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
@@ -51,7 +51,7 @@
 	g.applyDirectives(g.now(), report.Deliveries)
 	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
 
-	final := allTo(g, delivery.StageRolledBack, g.now())
+	final := directiveToTarget(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
 	final.Condemned = append(final.Condemned, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
@@ -62,20 +62,20 @@
 	assert.Empty(t, g.deliveries.unfinished(), "nothing is left to do")
 }
 
-// TestDirectiveIsAsOldAsTheCallThatBroughtIt however young it was when it was told.
-func TestDirectiveIsAsOldAsTheCallThatBroughtIt(t *testing.T) {
+// TestDirectiveAgeIncludesTheCall however young it was when it was told.
+func TestDirectiveAgeIncludesTheCall(t *testing.T) {
 	g := deliveryGateway(t)
-	directive := allTo(g, delivery.StageShifting, g.now())
+	directive := directiveToTarget(g, delivery.StageShifting, g.now())
 	told := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
 	g.applyDirectives(g.now()-delivery.DirectiveValid, told)
 	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 }
 
-// TestSendIsPermittedOnlyWhileItsDirectiveCounts.
-func TestSendIsPermittedOnlyWhileItsDirectiveCounts(t *testing.T) {
+// TestSendToTargetRequiresValidDirective.
+func TestSendToTargetRequiresValidDirective(t *testing.T) {
 	g := deliveryGateway(t)
 	const left = 300 * time.Millisecond
-	g.applyDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
+	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
 	current.forTarget = g.allowedVersions(current, false).WantsTarget()
@@ -88,19 +88,19 @@
 	assert.NoError(t, g.checkTarget(current, target), "only workers of the target are listed")
 }
 
-// TestSecondTryLeavesTheTarget for the other side.
-func TestSecondTryLeavesTheTarget(t *testing.T) {
+// TestRetryAvoidsTheTarget for the other side.
+func TestRetryAvoidsTheTarget(t *testing.T) {
 	g := deliveryGateway(t)
-	canary := allTo(g, delivery.StageCanary, g.now())
+	canary := directiveToTarget(g, delivery.StageCanary, g.now())
 	g.applyDirective(canary)
 	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 	assert.False(t, g.allowedVersions(deliveryRequest(), true).WantsTarget())
 }
 
-// TestReportsCarryDirectivesToAllAndEvidenceToTheDirector.
-func TestReportsCarryDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
+// TestReportsSendDirectivesToAllAndEvidenceToTheDirector.
+func TestReportsSendDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
-	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	g.deliveries.recordOutcome(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
 	other := g.loadReport("other")
 	assert.Len(t, other.GetDeliveries(), 1)
@@ -112,15 +112,15 @@
 	assert.Equal(t, []fleet.NodeID{"director"}, g.deliveries.issuers(g.now()))
 }
 
-// TestWatcherIsToldOfAChangedDirectiveAtOnce and of the same one not again.
-func TestWatcherIsToldOfAChangedDirectiveAtOnce(t *testing.T) {
+// TestChangedDirectiveWakesWatcher and of the same one not again.
+func TestChangedDirectiveWakesWatcher(t *testing.T) {
 	g := deliveryGateway(t)
 	request := &rpc.WatchRequest{Node: "watcher", PositionsOf: string(g.node)}
 	response, news := g.watchResponse(request)
 	assert.False(t, news)
 	assert.Empty(t, response.GetDeliveries())
 	waiting := g.deliveries.nextChange()
-	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	select {
 	case <-waiting:
 	default:
@@ -160,8 +160,8 @@
 	return StoredDelivery{Record: record, Version: expected + 1}, s.failed
 }
 
-// TestNewDirectorHoldsToAFinalRecord and decides nothing anew.
-func TestNewDirectorHoldsToAFinalRecord(t *testing.T) {
+// TestNewDirectorKeepsFinalRecord and decides nothing anew.
+func TestNewDirectorKeepsFinalRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	final := StoredDelivery{Version: 20, Record: delivery.Record{
 		Order: delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
@@ -177,8 +177,8 @@
 	assert.Empty(t, store.writes)
 }
 
-// TestLateDirectorTakesOverWhatTheStoreHolds when its own verdict comes too late.
-func TestLateDirectorTakesOverWhatTheStoreHolds(t *testing.T) {
+// TestWriteConflictAdoptsStoredRecord when its own verdict comes too late.
+func TestWriteConflictAdoptsStoredRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	running := StoredDelivery{Version: 20, Record: delivery.Record{Order: order, Stage: delivery.StageCanary, StartedAt: time.Minute}}
@@ -196,8 +196,8 @@
 	assert.Empty(t, g.deliveries.unfinished())
 }
 
-// TestOneWriteAtATime of a service's record, and again after one that failed.
-func TestOneWriteAtATime(t *testing.T) {
+// TestDeliveryWritesAreSerialized of a service's record, and again after one that failed.
+func TestDeliveryWritesAreSerialized(t *testing.T) {
 	g := deliveryGateway(t)
 	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
 	assert.True(t, g.deliveries.beginWrite("app"))
@@ -209,8 +209,8 @@
 	assert.False(t, g.deliveries.beginWrite("app"))
 }
 
-// TestUnusableOrderChangesNothing.
-func TestUnusableOrderChangesNothing(t *testing.T) {
+// TestInvalidOrderIsIgnored.
+func TestInvalidOrderIsIgnored(t *testing.T) {
 	g := deliveryGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
@@ -220,10 +220,10 @@
 	assert.False(t, g.deliveries.isTarget("app", "v0"))
 }
 
-// TestOutcomesThatSayNothingAreNotCounted.
-func TestOutcomesThatSayNothingAreNotCounted(t *testing.T) {
+// TestInconclusiveOutcomesAreNotCounted.
+func TestInconclusiveOutcomesAreNotCounted(t *testing.T) {
 	g := deliveryGateway(t)
-	g.applyDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	g.workers.Observe(1, backends.Worker{ID: "w", Service: "app", Software: "v2", Slots: 4})
 	counted := 0
 	for outcome, says := range map[backends.Outcome]bool{
@@ -247,8 +247,8 @@
 	assert.InDelta(t, 1, shares["app"]["route"].requested, 0)
 }
 
-// TestShiftIsKnownFromItsMoment has a shift be told in advance, begin, and end.
-func TestShiftIsKnownFromItsMoment(t *testing.T) {
+// TestShiftStartsAtItsPlannedTime has a shift be told in advance, begin, and end.
+func TestShiftStartsAtItsPlannedTime(t *testing.T) {
 	g := idleGateway(t)
 	assert.False(t, g.deliveries.isShifting(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
--- a/internal/gateway/deliverycodec_test.go
+++ b/internal/gateway/deliverycodec_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestDirectiveIsNeverYoungerAfterItsWay and else the same.
-func TestDirectiveIsNeverYoungerAfterItsWay(t *testing.T) {
+// TestDecodedDirectiveIsNeverYounger and else the same.
+func TestDecodedDirectiveIsNeverYounger(t *testing.T) {
 	sent := testDirective(10 * time.Second)
 	for _, age := range []time.Duration{0, time.Nanosecond, 700 * time.Microsecond, 2499500 * time.Microsecond, 100 * 24 * time.Hour} {
 		const at = 5 * time.Second
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestShiftIsNeverEarlierThanPlanned by more than a millisecond, however long the way was.
-func TestShiftIsNeverEarlierThanPlanned(t *testing.T) {
+// TestDecodedShiftIsNeverEarlier by more than a millisecond, however long the way was.
+func TestDecodedShiftIsNeverEarlier(t *testing.T) {
 	sent := testDirective(10 * time.Second)
 	sent.ShiftAt = 12 * time.Second
 	const began, way = 5 * time.Second, 300 * time.Millisecond
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestUnreadableDirectiveIsLeftOut(t *testing.T) {
+func TestInvalidDirectiveIsRejected(t *testing.T) {
 	for _, change := range []func(*rpc.DeliveryDirective){
 		func(d *rpc.DeliveryDirective) { d.Stage = 0 },
 		func(d *rpc.DeliveryDirective) { d.Stage = 99 },
@@ -68,7 +68,7 @@
 	assert.LessOrEqual(t, read.DefaultShare, 1.0)
 }
 
-func TestEvidenceSurvivesItsWay(t *testing.T) {
+func TestEvidenceRoundTrip(t *testing.T) {
 	counts := func(answers, failures uint64, bucket int) *delivery.Counts {
 		c := &delivery.Counts{Answers: answers, Failures: failures}
 		c.Latency[bucket] = 5
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -15,10 +15,10 @@
 	return WorkerRow{Worker: backends.Worker{ID: id, Service: "app", Software: version}}
 }
 
-// TestVersionThatComesBeforeItsOrderGetsNothingYet has workers of a new version be listed
+// TestNewVersionIsHeldUntilItsOrder has workers of a new version be listed
 // before the order to deliver it is heard of, with and without settings that bound
 // deliveries.
-func TestVersionThatComesBeforeItsOrderGetsNothingYet(t *testing.T) {
+func TestNewVersionIsHeldUntilItsOrder(t *testing.T) {
 	for _, bounded := range []bool{true, false} {
 		g := idleGateway(t)
 		settings := *g.settings()
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestVersionsOfTheFirstReadAreNoNews has a node begin with two versions side by side.
-func TestVersionsOfTheFirstReadAreNoNews(t *testing.T) {
+// TestRepeatedVersionsAreNotNew has a node begin with two versions side by side.
+func TestRepeatedVersionsAreNotNew(t *testing.T) {
 	seen := make(seenVersions)
 	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Gone: true}}
 	assert.Equal(t, []fleet.PoolName{"app"}, seen.add(rows))
--- a/internal/gateway/encodedupdate_test.go
+++ b/internal/gateway/encodedupdate_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// TestCompleteUpdateIsNotMadeOfChangesForAnother guards against workers that are taken for gone.
-func TestCompleteUpdateIsNotMadeOfChangesForAnother(t *testing.T) {
+// TestCompleteUpdateIsNotCachedAsChanges guards against workers that are taken for gone.
+func TestCompleteUpdateIsNotCachedAsChanges(t *testing.T) {
 	followed := &table{name: TableWorkers, cache: watchcache.New(0)}
 	value := make([]byte, 100)
 	write := func(from, to int) {
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestWhenChangesWereMade dates what is heard of after each kind of gap.
-func TestWhenChangesWereMade(t *testing.T) {
+// TestChangeTimeAfterGap dates what is heard of after each kind of gap.
+func TestChangeTimeAfterGap(t *testing.T) {
 	const now = time.Minute
 	for name, test := range map[string]struct {
 		since    gap
@@ -37,15 +37,15 @@
 	}
 }
 
-func TestOnlyAHistoryGoneSoonIsTheStoresOwnDoing(t *testing.T) {
+func TestGapAfterError(t *testing.T) {
 	assert.Equal(t, gapDropped, gapAfter(ErrHistoryGone, 0, time.Second))
 	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 0, historyKept))
 	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 1, time.Second))
 	assert.Equal(t, gapUnreached, gapAfter(errors.New("silent"), 0, time.Second))
 }
 
-// TestPeersTakeTurnsInLargeFleets has each met within a few rounds.
-func TestPeersTakeTurnsInLargeFleets(t *testing.T) {
+// TestExchangesRotateThroughPeers has each met within a few rounds.
+func TestExchangesRotateThroughPeers(t *testing.T) {
 	members := make([]membership.Member, 30)
 	for index := range members {
 		members[index].Incarnation = 1
@@ -67,7 +67,7 @@
 	assert.Len(t, met, 30, "all are met within three rounds")
 }
 
-func TestProofsAreRenewedBeforeTheyAreTooOld(t *testing.T) {
+func TestStoreReadsRenewProofInTime(t *testing.T) {
 	assert.Equal(t, operatorWait, operatorWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshPart)
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestProofsOfAnotherNodeAreRenewedBeforeTheyAreTooOld guards against requests that are refused for a
+// TestWatchCallsRenewProofInTime guards against requests that are refused for a
 // configuration too old while the store answers.
-func TestProofsOfAnotherNodeAreRenewedBeforeTheyAreTooOld(t *testing.T) {
+func TestWatchCallsRenewProofInTime(t *testing.T) {
 	assert.Equal(t, watchWait, watchWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshPart)
--- a/internal/gateway/limits_benchmark_test.go
+++ b/internal/gateway/limits_benchmark_test.go
@@ -8,9 +8,9 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// BenchmarkRankGranters ranks who grants the requests to a worker among 985 members, as after
+// BenchmarkSelectGranterNewView ranks who grants the requests to a worker among 985 members, as after
 // each change of the members.
-func BenchmarkRankGranters(b *testing.B) {
+func BenchmarkSelectGranterNewView(b *testing.B) {
 	limits := newWorkerLimits()
 	views := []*membership.View{largeFleet(985), largeFleet(985)}
 	for number := 0; b.Loop(); number++ {
@@ -18,8 +18,8 @@
 	}
 }
 
-// BenchmarkGranterAgain is the same while they don't change.
-func BenchmarkGranterAgain(b *testing.B) {
+// BenchmarkSelectGranterSameView is the same while they don't change.
+func BenchmarkSelectGranterSameView(b *testing.B) {
 	limits := newWorkerLimits()
 	view := largeFleet(985)
 	for b.Loop() {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -22,7 +22,7 @@
 	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, Asked: at, Answered: at}
 }
 
-func TestOnlyAWorkersOwnAnswerTellsOfItsLimit(t *testing.T) {
+func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
 	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
 	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
@@ -33,8 +33,8 @@
 	assert.False(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
-// TestObservationIsNoYoungerAfterACall: what was said within a call may be as old as the call.
-func TestObservationIsNoYoungerAfterACall(t *testing.T) {
+// TestDecodedLimitIsNoYounger: what was said within a call may be as old as the call.
+func TestDecodedLimitIsNoYounger(t *testing.T) {
 	observation := limitObservation(2, 0)
 	observation.Asked, observation.Answered = 900*time.Millisecond, 1000*time.Millisecond
 	told := encodeLimit(5*time.Second, &observation)
@@ -50,8 +50,8 @@
 	assert.Error(t, err)
 }
 
-// TestNothingIsSaidWhileNoWorkerHasALimit, and the end of one is told for a while.
-func TestNothingIsSaidWhileNoWorkerHasALimit(t *testing.T) {
+// TestReportsOmitLimitsWhenNoneExist, and the end of one is told for a while.
+func TestReportsOmitLimitsWhenNoneExist(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
 	assert.False(t, g.limits.active.Load())
@@ -73,8 +73,8 @@
 	assert.False(t, g.loadReport("other").GetLimits()[0].GetLimited())
 }
 
-// TestNodeThatHasJustStartedGrantsNothing: it may not be the one that grants.
-func TestNodeThatHasJustStartedGrantsNothing(t *testing.T) {
+// TestUnsettledNodeGrantsNothing: it may not be the one that grants.
+func TestUnsettledNodeGrantsNothing(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(false)
 	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
@@ -88,8 +88,8 @@
 	assert.True(t, answer.GetLimit().GetLimited())
 }
 
-// TestWhoGrantsKnowsThatALimitHasEnded and says so to one that believes in it still.
-func TestWhoGrantsKnowsThatALimitHasEnded(t *testing.T) {
+// TestGranterKnowsThatALimitHasEnded and says so to one that believes in it still.
+func TestGranterKnowsThatALimitHasEnded(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(true)
 	now := g.now() + 10*time.Second
@@ -103,8 +103,8 @@
 	assert.False(t, known.Limited)
 }
 
-// TestPartIsLeftToMembersThatWentOfLate: they may be alive beyond a cut, and grant there.
-func TestPartIsLeftToMembersThatWentOfLate(t *testing.T) {
+// TestShareIsReservedForRecentMembers: they may be alive beyond a cut, and grant there.
+func TestShareIsReservedForRecentMembers(t *testing.T) {
 	var touched memberShare
 	assert.InDelta(t, 1, touched.update(0, 8), 0.001)
 	assert.InDelta(t, 0.25, touched.update(time.Second, 2), 0.001)
@@ -113,9 +113,9 @@
 	assert.InDelta(t, 1, touched.update(memberShareWindow+2*time.Second, 5), 0.001)
 }
 
-// TestNextNodeIsAskedWhereOneDoesNotAnswer, for a short time, and for longer where its release
+// TestUnansweredGranterIsSkipped, for a short time, and for longer where its release
 // doesn't know the question.
-func TestNextNodeIsAskedWhereOneDoesNotAnswer(t *testing.T) {
+func TestUnansweredGranterIsSkipped(t *testing.T) {
 	g := idleGateway(t)
 	view := largeFleet(20)
 	near := membership.Location{Zone: "z1"}
@@ -140,8 +140,8 @@
 	assert.NotEmpty(t, g.limits.selectGranter(now+unansweredBackoff, "w", near, view), "none answered a moment ago: nothing is granted")
 }
 
-// TestOneWorkerIsGrantedByTheSameNodeAtAllNodes, whichever they are.
-func TestOneWorkerIsGrantedByTheSameNodeAtAllNodes(t *testing.T) {
+// TestAllNodesSelectTheSameGranter, whichever they are.
+func TestAllNodesSelectTheSameGranter(t *testing.T) {
 	one, other := idleGateway(t), idleGateway(t)
 	granters := make(map[fleet.NodeID]bool)
 	for number := range 200 {
@@ -153,8 +153,8 @@
 	assert.Greater(t, len(granters), 15, "shared out over the nodes")
 }
 
-// TestRunsUnderOneNameHaveLimitsOfTheirOwn.
-func TestRunsUnderOneNameHaveLimitsOfTheirOwn(t *testing.T) {
+// TestLimitsArePerWorkerRun.
+func TestLimitsArePerWorkerRun(t *testing.T) {
 	g := idleGateway(t)
 	observation := limitObservation(2, g.now())
 	observation.Born = 100
@@ -173,8 +173,8 @@
 	assert.False(t, g.limits.isLimited("w", 0))
 }
 
-// TestNodeIsNotPassedOverWhereACallerLeaves while it is asked.
-func TestNodeIsNotPassedOverWhereACallerLeaves(t *testing.T) {
+// TestCallerCancellationDoesNotSkipGranter while it is asked.
+func TestCallerCancellationDoesNotSkipGranter(t *testing.T) {
 	g := idleGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
 	first := g.limits.selectGranter(g.now(), "w", near, view)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -90,8 +90,8 @@
 	return current
 }
 
-// TestHeldRequestIsRefusedAsNotRun, and as one that may have run once it was sent.
-func TestHeldRequestIsRefusedAsNotRun(t *testing.T) {
+// TestQuarantinedRequestIsRefused, and as one that may have run once it was sent.
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	refused := g.checkQuarantine(current)
@@ -105,8 +105,8 @@
 	assert.Nil(t, g.checkQuarantine(&other))
 }
 
-// TestOneTrialForTheWholeFleet: whoever gets the store's word, whether or not it knew the row.
-func TestOneTrialForTheWholeFleet(t *testing.T) {
+// TestOnlyOneGatewayRunsATrial: whoever gets the store's word, whether or not it knew the row.
+func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
 	const past = quarantine.DefaultHoldFor + time.Second
@@ -119,8 +119,8 @@
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
 }
 
-// TestNoTrialWithoutTheStoresWord.
-func TestNoTrialWithoutTheStoresWord(t *testing.T) {
+// TestTrialRequiresStoreWrite.
+func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
@@ -130,8 +130,8 @@
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestTrialIsFoundWhereTheRowWasUnknown: the row is there, from before this node's start.
-func TestTrialIsFoundWhereTheRowWasUnknown(t *testing.T) {
+// TestTrialRetriesOnUnknownStoredRow: the row is there, from before this node's start.
+func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
@@ -141,8 +141,8 @@
 	assert.Equal(t, 1, store.rows[current.fingerprint].Trials)
 }
 
-// TestRowsAreWrittenByThoseThatLostRuns, once, and removed when the request was answered.
-func TestRowsAreWrittenByThoseThatLostRuns(t *testing.T) {
+// TestRowsAreWrittenByGatewaysThatSawTheCrash, once, and removed when the request was answered.
+func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	look := func(reads, leads bool) {
@@ -167,8 +167,8 @@
 	assert.Empty(t, store.rows)
 }
 
-// TestStrandedRequestIsWrittenByAReader: those that lost runs to it may have died.
-func TestStrandedRequestIsWrittenByAReader(t *testing.T) {
+// TestOrphanedRecordIsWrittenByAReader: those that lost runs to it may have died.
+func TestOrphanedRecordIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	current := heldRequest(g, orphanedAfter+time.Second)
@@ -178,8 +178,8 @@
 	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write)
 }
 
-// TestRemovedRowEndsTheHold here and at those that still tell of it.
-func TestRemovedRowEndsTheHold(t *testing.T) {
+// TestRemovedRowEndsQuarantine here and at those that still tell of it.
+func TestRemovedRowEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
@@ -195,9 +195,9 @@
 	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "it is told")
 }
 
-// TestRowThatAWholeReadLacksEndsTheHold: this node wrote it before it read any, and it was
+// TestRowMissingFromSnapshotEndsQuarantine: this node wrote it before it read any, and it was
 // removed meanwhile. A read that is older than the row says nothing.
-func TestRowThatAWholeReadLacksEndsTheHold(t *testing.T) {
+func TestRowMissingFromSnapshotEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	g.quarantines.setStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
@@ -207,8 +207,8 @@
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestHoldBreaksOffWhatWaits at workers, but for a trial.
-func TestHoldBreaksOffWhatWaits(t *testing.T) {
+// TestQuarantineCancelsPendingSends at workers, but for a trial.
+func TestQuarantineCancelsPendingSends(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	var causes []error
@@ -223,8 +223,8 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// TestReportsCarryChangesAndWhatAnotherLacks.
-func TestReportsCarryChangesAndWhatAnotherLacks(t *testing.T) {
+// TestReportsCarryChangedAndMissingRecords.
+func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
 	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Ends: []quarantine.End{{Worker: "w", At: one.now()}}}
 	one.quarantines.merge(one.now(), &single)
@@ -259,8 +259,8 @@
 	assert.Equal(t, 1, other.quarantines.ledger.Held(), "a record that can't be read changes nothing")
 }
 
-// TestAnswersSpeakAtOnceAndElsewhere for a request that others suspect.
-func TestAnswersSpeakAtOnceAndElsewhere(t *testing.T) {
+// TestAnswerOfSuspectedRequestIsBroadcast for a request that others suspect.
+func TestAnswerOfSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &carried{fingerprint: quarantine.Fingerprint{7}}
 	g.recordAnswered(current)
@@ -273,9 +273,9 @@
 	assert.True(t, untold[0].Answered)
 }
 
-// TestWhoeverBeginsToHoldTellsAll: nodes that missed one of the words before would let the
+// TestQuarantineStartIsBroadcast: nodes that missed one of the words before would let the
 // request through.
-func TestWhoeverBeginsToHoldTellsAll(t *testing.T) {
+func TestQuarantineStartIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
 		assert.Empty(t, g.quarantines.takePendingBroadcast(), "what others have told isn't told on")
@@ -287,8 +287,8 @@
 	assert.Len(t, untold[0].Ends, quarantine.DefaultThreshold)
 }
 
-// TestOnlyEndsWithoutLeaveCount: a row that goes after word of leaving is no crash.
-func TestOnlyEndsWithoutLeaveCount(t *testing.T) {
+// TestDrainedWorkerIsNotACrash: a row that goes after word of leaving is no crash.
+func TestDrainedWorkerIsNotACrash(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		g := quarantineGateway(t, newQuarantineStore())
 		worker := backends.Worker{ID: "w", Service: "app", Address: "127.0.0.1:9"}
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -39,8 +39,8 @@
 // padding brings a row to the size of the users' rows, some 300 bytes.
 const padding = 150
 
-// workerNamed returns the row of an engine.
-func workerNamed(number int, revision fleet.Revision, draining bool) watchcache.Row {
+// workerTableRow returns the row of an engine.
+func workerTableRow(number int, revision fleet.Revision, draining bool) watchcache.Row {
 	value, _ := json.Marshal(backends.Worker{
 		Address: fleet.Address(fmt.Sprintf("10.0.%d.%d:1%0*d", number/250, number%250, padding, number)), Service: "engines",
 		Zone: fleet.ZoneName(fmt.Sprint("z", number%5)), Slots: 16, Draining: draining,
@@ -49,13 +49,13 @@
 	return watchcache.Row{Key: fmt.Sprintf("i-%05d", number), Revision: revision, Value: value}
 }
 
-// readerOf returns a gateway that has read so many workers from the store.
-func readerOf(t testing.TB, workers int) *Gateway {
+// readerGateway returns a gateway that has read so many workers from the store.
+func readerGateway(t testing.TB, workers int) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = workerTable{}
 	update := &watchcache.Update{Revision: 1, Complete: true}
 	for number := range workers {
-		update.Rows = append(update.Rows, workerNamed(number, 1, false))
+		update.Rows = append(update.Rows, workerTableRow(number, 1, false))
 	}
 	g.workersTable().apply(update, gapNone)
 	g.table(TableOperator).cache.Apply(&watchcache.Update{Revision: 1, Complete: true})
@@ -63,8 +63,8 @@
 	return g
 }
 
-// followerOf returns a gateway that knows nothing yet and is to know the workers in use alone.
-func followerOf(t testing.TB) *Gateway {
+// followerGateway returns a gateway that knows nothing yet and is to know the workers in use alone.
+func followerGateway(t testing.TB) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = workerTable{}
 	roles := *g.roles.Load()
@@ -89,12 +89,12 @@
 	return proto.Size(response)
 }
 
-// TestWatcherLearnsAsMuchInAFleetTwiceAsLarge counts what a node that rests is told and keeps
+// TestWatcherStateDoesNotGrowWithFleet counts what a node that rests is told and keeps
 // of 10,000 and of 20,000 workers: neither grows with the fleet.
-func TestWatcherLearnsAsMuchInAFleetTwiceAsLarge(t *testing.T) {
+func TestWatcherStateDoesNotGrowWithFleet(t *testing.T) {
 	const most = 2 * 192 * 3 / 2
 	for _, workers := range []int{10_000, 20_000} {
-		reader, follower := readerOf(t, workers), followerOf(t)
+		reader, follower := readerGateway(t, workers), followerGateway(t)
 		size := watch(t, follower, reader)
 		known := len(follower.workers.Workers())
 		t.Logf("of %d workers %d are known, told in %d bytes", workers, known, size)
@@ -106,18 +106,18 @@
 	}
 }
 
-// TestSmallFleetIsKnownWhole.
-func TestSmallFleetIsKnownWhole(t *testing.T) {
-	reader, follower := readerOf(t, 280), followerOf(t)
+// TestWatcherKnowsAllWorkersOfSmallFleet.
+func TestWatcherKnowsAllWorkersOfSmallFleet(t *testing.T) {
+	reader, follower := readerGateway(t, 280), followerGateway(t)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 280)
 	assert.Len(t, reader.workers.WorkersInUse(), 280)
 }
 
-// TestChangesOfWorkersInUseReachWatchers has one of the workers in use drain and one go, and
+// TestWatcherReceivesChangesOfWorkersInUse has one of the workers in use drain and one go, and
 // others that the watcher doesn't know.
-func TestChangesOfWorkersInUseReachWatchers(t *testing.T) {
-	reader, follower := readerOf(t, 5000), followerOf(t)
+func TestWatcherReceivesChangesOfWorkersInUse(t *testing.T) {
+	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	known := follower.workers.Workers()
 	inUse := make(map[fleet.EngineID]bool)
@@ -127,7 +127,7 @@
 	update := &watchcache.Update{Revision: 2}
 	drained, gone := fleet.EngineID(""), fleet.EngineID("")
 	for number := range 5000 {
-		row := workerNamed(number, 2, true)
+		row := workerTableRow(number, 2, true)
 		id := fleet.EngineID(row.Key)
 		switch {
 		case !inUse[id] && number%2 == 0:
@@ -146,10 +146,10 @@
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
-// TestWatcherThatMayGiveOrdersLearnsAll has its role change twice: it learns of all workers,
+// TestCandidateLeaderLearnsAllWorkers has its role change twice: it learns of all workers,
 // then drops those that aren't in use, and none of them counts as gone.
-func TestWatcherThatMayGiveOrdersLearnsAll(t *testing.T) {
-	reader, follower := readerOf(t, 5000), followerOf(t)
+func TestCandidateLeaderLearnsAllWorkers(t *testing.T) {
+	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	few := len(follower.workers.Workers())
 	follower.standIn.Store(true)
@@ -165,19 +165,19 @@
 	assert.Len(t, follower.workers.Workers(), 5000, "what was dropped comes back at the same revision")
 }
 
-// TestWatcherChangesItsSource has two readers that plan alike.
-func TestWatcherChangesItsSource(t *testing.T) {
-	first, second, follower := readerOf(t, 5000), readerOf(t, 5000), followerOf(t)
+// TestWatcherKeepsWorkersOnSourceChange has two readers that plan alike.
+func TestWatcherKeepsWorkersOnSourceChange(t *testing.T) {
+	first, second, follower := readerGateway(t, 5000), readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, first)
 	known := follower.workers.Workers()
 	watch(t, follower, second)
 	assert.Equal(t, known, follower.workers.Workers())
 }
 
-// TestPartialKnowledgeIsNotPassedOn has a node that knows the workers in use alone be asked:
+// TestPartialTableIsNotServed has a node that knows the workers in use alone be asked:
 // it can't tell all of them, nor that what it tells is all of a subset.
-func TestPartialKnowledgeIsNotPassedOn(t *testing.T) {
-	reader, follower, other := readerOf(t, 5000), followerOf(t), followerOf(t)
+func TestPartialTableIsNotServed(t *testing.T) {
+	reader, follower, other := readerGateway(t, 5000), followerGateway(t), followerGateway(t)
 	watch(t, follower, reader)
 	for _, all := range []bool{false, true} {
 		other.standIn.Store(all)
@@ -189,10 +189,10 @@
 	}
 }
 
-// TestWatcherWithoutRoomGetsMoreWorkers has the workers in use refuse, so that their subset
+// TestFullWorkersWidenSubset has the workers in use refuse, so that their subset
 // is doubled.
-func TestWatcherWithoutRoomGetsMoreWorkers(t *testing.T) {
-	reader, follower := readerOf(t, 5000), followerOf(t)
+func TestFullWorkersWidenSubset(t *testing.T) {
+	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	few := len(follower.workers.Workers())
 	_, refused := follower.workers.Choose(0, &backends.Request{
@@ -204,9 +204,9 @@
 	assert.Len(t, reader.workers.WorkersInUse(), few)
 }
 
-// TestReaderOfTheReleaseBeforeTellsAll has a source that knows nothing of subsets.
-func TestReaderOfTheReleaseBeforeTellsAll(t *testing.T) {
-	reader, follower := readerOf(t, 5000), followerOf(t)
+// TestSourceWithoutSubsetSupport has a source that knows nothing of subsets.
+func TestSourceWithoutSubsetSupport(t *testing.T) {
+	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	request := &rpc.WatchRequest{PositionsOf: string(reader.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
 	response, _ := reader.watchResponse(request)
 	follower.takeWatch(reader.node, follower.now(), response)
@@ -216,70 +216,70 @@
 	assert.Len(t, follower.workers.Workers(), len(reader.workers.WorkersInUse()))
 }
 
-// BenchmarkWatcherOfManyWorkers measures what a node that rests takes in at a start.
-func BenchmarkWatcherOfManyWorkers(b *testing.B) {
+// BenchmarkWatchWorkersInUse measures what a node that rests takes in at a start.
+func BenchmarkWatchWorkersInUse(b *testing.B) {
 	for _, workers := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			reader := readerOf(b, workers)
+			reader := readerGateway(b, workers)
 			b.ReportAllocs()
 			for b.Loop() {
-				watch(b, followerOf(b), reader)
+				watch(b, followerGateway(b), reader)
 			}
 		})
 	}
 }
 
-// BenchmarkWatcherOfAllWorkers measures what a node that is to know all workers takes in.
-func BenchmarkWatcherOfAllWorkers(b *testing.B) {
-	reader := readerOf(b, 10_000)
+// BenchmarkWatchAllWorkers measures what a node that is to know all workers takes in.
+func BenchmarkWatchAllWorkers(b *testing.B) {
+	reader := readerGateway(b, 10_000)
 	b.ReportAllocs()
 	for b.Loop() {
-		follower := followerOf(b)
+		follower := followerGateway(b)
 		follower.standIn.Store(true)
 		watch(b, follower, reader)
 	}
 }
 
-// BenchmarkLookForChanges measures one look of the holder of the lease at which engines are to
+// BenchmarkNextWeightsChange measures one look of the holder of the lease at which engines are to
 // change, while none is.
-func BenchmarkLookForChanges(b *testing.B) {
-	reader := readerOf(b, 10_000)
+func BenchmarkNextWeightsChange(b *testing.B) {
+	reader := readerGateway(b, 10_000)
 	reader.weights.name(0, true, NamedWeights{Model: "m", Version: 1})
 	for b.Loop() {
 		reader.weights.next(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
 	}
 }
 
-// followedTables is a store that counts whole reads of the workers and has the changes after a
+// recordingStore is a store that counts whole reads of the workers and has the changes after a
 // revision.
-type followedTables struct {
+type recordingStore struct {
 	workerTable
 	whole   int
 	after   []fleet.Revision
 	changes *watchcache.Update
 }
 
-func (s *followedTables) ReadTable(context.Context, Table, func() bool) (*watchcache.Update, error) {
+func (s *recordingStore) ReadTable(context.Context, Table, func() bool) (*watchcache.Update, error) {
 	s.whole++
 	return &watchcache.Update{Revision: s.changes.Revision, Complete: true}, nil
 }
 
-func (s *followedTables) FollowTable(_ context.Context, _ Table, after fleet.Revision, _ time.Duration) (*watchcache.Update, error) {
+func (s *recordingStore) FollowTable(_ context.Context, _ Table, after fleet.Revision, _ time.Duration) (*watchcache.Update, error) {
 	s.after = append(s.after, after)
 	return s.changes, nil
 }
 
-// TestNodeThatReadsForAMomentFollowsWhatItKnows: its peers are slow, and it asks the store. In
+// TestTemporaryReaderFollowsKnownRows: its peers are slow, and it asks the store. In
 // a fleet of hundreds that all do so, whole reads of thousands of rows would swamp it.
-func TestNodeThatReadsForAMomentFollowsWhatItKnows(t *testing.T) {
-	reader, follower := readerOf(t, 5000), followerOf(t)
+func TestTemporaryReaderFollowsKnownRows(t *testing.T) {
+	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	reader.workersTable().cache.Advance(7)
 	watch(t, follower, reader)
 	drained := follower.workers.Workers()[0].ID
 	number := 0
 	_, err := fmt.Sscanf(string(drained), "i-%05d", &number)
 	require.NoError(t, err)
-	store := &followedTables{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerNamed(number, 9, true)}}}
+	store := &recordingStore{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerTableRow(number, 9, true)}}}
 	follower.outside.Platform = store
 	follower.sources.answered(follower.now(), "peer", 0, true)
 	feed := &storeFeed{gateway: follower, table: follower.workersTable(), since: gapUnreached}
--- a/internal/gateway/toldversions_test.go
+++ b/internal/gateway/toldversions_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestVersionsAreToldWhenTheyChangeAndNowAndThenAll(t *testing.T) {
+func TestVersionsAreReportedOnChangeAndPeriodically(t *testing.T) {
 	one := engineVersion{engineModel{"one", "model"}, 1}
 	two := engineVersion{engineModel{"two", "model"}, 1}
 	changed := engineVersion{engineModel{"two", "model"}, 2}
--- a/internal/gateway/wholebaseline_test.go
+++ b/internal/gateway/wholebaseline_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestWholeAnswersAreComparedByTheirLength so that long ones aren't taken for slow.
-func TestWholeAnswersAreComparedByTheirLength(t *testing.T) {
+// TestExpectedAnswerTimeGrowsWithLength so that long ones aren't taken for slow.
+func TestExpectedAnswerTimeGrowsWithLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &carried{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
 	assert.Equal(t, engine.Baseline, expectedAnswerTime(current, engine))
@@ -22,8 +22,8 @@
 	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "a run that goes on from a copy")
 }
 
-// TestRatiosOfTimesAreAveraged by a mean that a single high one doesn't decide.
-func TestRatiosOfTimesAreAveraged(t *testing.T) {
+// TestGeometricMeanAveragesRatios by a mean that a single high one doesn't decide.
+func TestGeometricMeanAveragesRatios(t *testing.T) {
 	took := geometricMean(40*time.Millisecond, 900*time.Millisecond)
 	predicted := geometricMean(10*time.Millisecond, 100*time.Millisecond)
 	assert.InDelta(t, 6, float64(took)/float64(predicted), 0.001, "of 4 and 9")
