--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -13,25 +13,24 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Constants of announcements.
 const (
-	// announceMinTokens is the prompt work from which on a placement is told at once: a
-	// few such prompts at one engine hold up all streams there, and other nodes would
-	// take it for idle until the next exchange of reports.
+	// announceMinTokens is the prompt work from which on a placement is announced at once: a few
+	// such prompts delay all streams of an engine, which other gateways would take for idle until
+	// the next report.
 	announceMinTokens = 1500
-	// announceBatchDelay is the time in which placements are gathered.
+	// announceBatchDelay is the time in which placements are collected.
 	announceBatchDelay = 3 * time.Millisecond
 	announceTimeout    = 250 * time.Millisecond
 )
 
-// announcer tells the nodes that share loads at once where this node has just
-// placed much prompt work, and which engines it orders or has changed.
+// announcer collects the engines whose load this gateway announces to the other load-sharing ones
+// before the next report: those with large new placements, a new order or a new version.
 type announcer struct {
 	mutex   sync.Mutex
 	engines map[fleet.EngineID]bool
-	// all is set if everything is to be told.
+	// all is set if a full report is due.
 	all bool
-	// pending has one element while there is something to tell.
+	// pending holds one element while there is something to announce.
 	pending chan struct{}
 }
 
@@ -39,7 +38,7 @@
 	return &announcer{engines: make(map[fleet.EngineID]bool), pending: make(chan struct{}, 1)}
 }
 
-// addEngine has an engine's load told.
+// addEngine schedules the announcement of an engine's load.
 func (a *announcer) addEngine(engine fleet.EngineID) {
 	a.mutex.Lock()
 	a.engines[engine] = true
@@ -47,7 +46,7 @@
 	a.wake()
 }
 
-// addAll has everything told.
+// addAll schedules a full report.
 func (a *announcer) addAll() {
 	a.mutex.Lock()
 	a.all = true
@@ -62,7 +61,7 @@
 	}
 }
 
-// take returns the engines whose load is to be told, and whether everything is.
+// take returns and clears the engines to announce and whether a full report is due.
 func (a *announcer) take() (engines map[fleet.EngineID]bool, all bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -71,15 +70,15 @@
 	return engines, all
 }
 
-// announcePlacement has a placement of much prompt work told to other nodes.
+// announcePlacement announces a placement with much prompt work.
 func (g *Gateway) announcePlacement(placement *backends.Placement) {
 	if placement.Engine != nil && placement.Prefill() >= announceMinTokens {
 		g.announcer.addEngine(placement.Worker.ID)
 	}
 }
 
-// announceLoads tells other nodes what is noted, until the process ends: all that
-// share loads while they are few, else some in turn.
+// announceLoads sends announcements until the process stops: to all load-sharing gateways while
+// they are few, otherwise to some in rotation.
 func (g *Gateway) announceLoads() error {
 	for round := 0; ; round++ {
 		select {
@@ -102,7 +101,7 @@
 	}
 }
 
-// partialReport returns this node's load at some engines.
+// partialReport returns this gateway's load on some engines.
 func (g *Gateway) partialReport(engines map[fleet.EngineID]bool) *rpc.LoadReport {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	loads := slices.DeleteFunc(g.workers.OwnLoad(), func(load backends.Load) bool { return !engines[load.Engine] })
@@ -110,7 +109,8 @@
 	return report
 }
 
-// sendAnnouncement tells one node. A node that doesn't hear of it does by the next report.
+// sendAnnouncement sends a partial report to one gateway. If it is lost, the next full report makes
+// up for it.
 func (g *Gateway) sendAnnouncement(member membership.Member, report *rpc.LoadReport) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Announcements, member), announceTimeout)
 	defer cancel()
@@ -119,17 +119,17 @@
 	}
 }
 
-// priorityFields is the number of values that tell of one priority.
+// priorityFields is the number of encoded values per priority.
 const priorityFields = 3
 
-// encodeLoads returns loads in their transmitted form.
+// encodeLoads encodes loads, with short worker names where they are unambiguous.
 func (g *Gateway) encodeLoads(loads []backends.Load) []*rpc.WorkerLoad {
-	short := g.workers.ShortNames(loads)
+	shortNames := g.workers.ShortNames(loads)
 	encoded := make([]*rpc.WorkerLoad, len(loads))
 	for index := range loads {
 		encoded[index] = encodeLoad(&loads[index])
-		if short[index] != 0 {
-			encoded[index].ShortName = short[index]
+		if shortNames[index] != 0 {
+			encoded[index].ShortName = shortNames[index]
 		} else {
 			encoded[index].Worker = string(loads[index].Engine)
 		}
@@ -137,7 +137,7 @@
 	return encoded
 }
 
-// encodeLoad returns a load in its transmitted form, without the worker's name.
+// encodeLoad encodes a load without the worker's name.
 func encodeLoad(load *backends.Load) *rpc.WorkerLoad {
 	encoded := &rpc.WorkerLoad{
 		InFlight:      uint32(max(load.InFlight, 0)),
@@ -153,19 +153,19 @@
 	return encoded
 }
 
-// decodeLoads reads loads from their transmitted form. Those of workers that this node
-// doesn't know, or can't tell apart, are left out: a choice can't use them.
+// decodeLoads decodes loads. It omits those of workers that are unknown here or whose short names
+// are ambiguous.
 func (g *Gateway) decodeLoads(encoded []*rpc.WorkerLoad) []backends.Load {
-	short := make([]uint32, len(encoded))
+	shortNames := make([]uint32, len(encoded))
 	for index, load := range encoded {
-		short[index] = load.GetShortName()
+		shortNames[index] = load.GetShortName()
 	}
-	full := g.workers.FullNames(short)
+	fullNames := g.workers.FullNames(shortNames)
 	loads := make([]backends.Load, 0, len(encoded))
 	for index, load := range encoded {
 		decoded := decodeLoad(load)
 		if load.GetShortName() != 0 {
-			decoded.Engine = full[index]
+			decoded.Engine = fullNames[index]
 		}
 		if decoded.Engine != "" {
 			loads = append(loads, decoded)
@@ -174,7 +174,6 @@
 	return loads
 }
 
-// decodeLoad reads a load from its transmitted form.
 func decodeLoad(load *rpc.WorkerLoad) backends.Load {
 	decoded := backends.Load{
 		Engine:        fleet.EngineID(load.GetWorker()),
--- a/internal/gateway/cachetalk.go
+++ b/internal/gateway/cachelog.go
@@ -12,30 +12,30 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Times of telling other nodes about the caches of a zone.
 const (
-	// cacheInterestTimeout is how long after the last question a node to which callers aren't sent
-	// goes on following the caches of its zone.
+	// cacheInterestTimeout is how long after the last request a gateway that doesn't serve keeps
+	// following the caches of its zone.
 	cacheInterestTimeout = 5 * time.Second
-	// cacheGatherTimeout is how long a node that has begun to follow caches waits for the first
-	// answers of all of them until it tells of those that it knows.
+	// cacheGatherTimeout is how long a gateway that starts to follow caches waits for the state of
+	// all of them before it answers with those that it has.
 	cacheGatherTimeout = time.Second
 )
 
-// errNoCachesFollowed says that a node can't tell of caches.
+// errNoCachesFollowed is returned if a gateway has no state of the requested caches.
 var errNoCachesFollowed = errors.New("this node follows no caches")
 
-// cacheLog is what this node knows of the caches of its zone, for nodes of other zones.
+// cacheLog is the log of changes of a zone's caches, served to other gateways. It is safe for
+// concurrent use.
 type cacheLog struct {
 	mutex sync.Mutex
 	log   *cachefeed.Log
 	// changed is closed at the next change.
 	changed chan struct{}
-	// lastAskedAt is when another node lastAskedAt last, if one has.
+	// lastAskedAt is the time of the last request, valid if wasAsked.
 	lastAskedAt time.Duration
 	wasAsked    bool
-	// following is the number of caches that this node follows for others, and begun
-	// since when there are any.
+	// following is the number of caches that this gateway follows, followingSince when it became
+	// nonzero.
 	following      int
 	followingSince time.Duration
 }
@@ -44,7 +44,7 @@
 	return &cacheLog{log: cachefeed.NewLog(generation, 0), changed: make(chan struct{})}
 }
 
-// reset forgets everything. The generation must be another one.
+// reset drops all entries. The generation must differ from the one before.
 func (c *cacheLog) reset(generation uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,15 +53,15 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *cacheLog) observe(cache fleet.EngineID, anew bool, changes []cachefeed.Change) {
-	c.update(func(log *cachefeed.Log) { log.Observe(cache, anew, changes) })
+func (c *cacheLog) observe(cache fleet.EngineID, fresh bool, changes []cachefeed.Change) {
+	c.update(func(log *cachefeed.Log) { log.Observe(cache, fresh, changes) })
 }
 
 func (c *cacheLog) markLost(cache fleet.EngineID) {
 	c.update(func(log *cachefeed.Log) { log.Lose(cache) })
 }
 
-// applyUpdates takes in what another node tells of so many caches.
+// applyUpdates applies another gateway's updates of that many caches.
 func (c *cacheLog) applyUpdates(now time.Duration, updates []cachefeed.Update, caches int) {
 	c.setFollowing(now, caches)
 	for _, update := range updates {
@@ -73,7 +73,7 @@
 	}
 }
 
-// update changes the log and wakes those who wait for a change.
+// update changes the log and wakes waiting requests.
 func (c *cacheLog) update(change func(log *cachefeed.Log)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,21 +85,21 @@
 	}
 }
 
-// recordRequest notes a question.
+// recordRequest records the time of a request.
 func (c *cacheLog) recordRequest(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastAskedAt, c.wasAsked = now, true
 }
 
-// isWanted tells whether another node has asked of late.
+// isWanted reports whether there was a recent request.
 func (c *cacheLog) isWanted(now time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.wasAsked && now <= c.lastAskedAt+cacheInterestTimeout
 }
 
-// setFollowing notes how many caches this node follows for others.
+// setFollowing sets how many caches this gateway follows.
 func (c *cacheLog) setFollowing(now time.Duration, caches int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -109,23 +109,23 @@
 	c.following = caches
 }
 
-// answer returns what a follower lacks if that is anything, and a channel that is closed
-// at the next change. ready is false while this node doesn't know the caches yet: what it
-// then told would have others forget what they know.
-func (c *cacheLog) answer(now time.Duration, question cachefeed.Question) (news cachefeed.News, any, ready bool, changed <-chan struct{}) {
+// answer returns the response to a question, whether it contains anything new, and a channel that
+// is closed at the next change. ready is false while the caches aren't known yet: an incomplete
+// answer would make the follower drop what it knows.
+func (c *cacheLog) answer(now time.Duration, question cachefeed.Question) (answer cachefeed.News, hasNew, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
 	ready = c.following > 0 && known > 0 && (known >= c.following || now >= c.followingSince+cacheGatherTimeout)
 	if !ready {
-		return news, false, false, c.changed
+		return answer, false, false, c.changed
 	}
 	return c.log.Answer(question), c.log.Answers(question), true, c.changed
 }
 
-// cacheLogFor returns what this node tells others of a zone's caches, or nil if it doesn't. Of other
-// zones it tells only what it has from there: two nodes that asked each other would believe
-// for ever what they hold.
+// cacheLogFor returns the log that answers requests about a zone's caches, nil if there is none.
+// For other zones it serves only state received from the zone itself, so that two gateways never
+// confirm stale state to each other.
 func (g *Gateway) cacheLogFor(zone fleet.ZoneName) *cacheLog {
 	if zone == "" || zone == g.settings().Zone {
 		return g.cacheLog
@@ -133,7 +133,7 @@
 	return g.zoneFeeds.mirror(zone)
 }
 
-// answerCaches answers another node's question about the caches of a zone.
+// answerCaches handles another gateway's request for the caches of a zone.
 func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	log := g.cacheLogFor(fleet.ZoneName(request.GetZone()))
 	if log == nil || g.stopping() {
@@ -144,10 +144,10 @@
 	timer := time.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for waiting := true; ; {
-		news, found, ready, changed := log.answer(g.now(), question)
+		answer, found, ready, changed := log.answer(g.now(), question)
 		switch {
 		case found || (ready && !waiting):
-			return encodeCachesResponse(news), nil
+			return encodeCachesResponse(answer), nil
 		case !waiting:
 			return nil, errNoCachesFollowed
 		}
@@ -183,10 +183,9 @@
 	return request
 }
 
-// encodeCachesResponse returns what a follower lacks in its transmitted form.
-func encodeCachesResponse(news cachefeed.News) *rpc.CachesResponse {
-	response := &rpc.CachesResponse{Generation: news.Next.Generation, Sequence: news.Next.Sequence, Whole: news.Whole}
-	for _, update := range news.Updates {
+func encodeCachesResponse(answer cachefeed.News) *rpc.CachesResponse {
+	response := &rpc.CachesResponse{Generation: answer.Next.Generation, Sequence: answer.Next.Sequence, Whole: answer.Whole}
+	for _, update := range answer.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
 			Cache: string(update.Cache), Anew: update.Anew, Lost: update.Lost,
 			Held: encodeBlockHashes(update.Held), Dropped: encodeBlockHashes(update.Dropped),
@@ -195,33 +194,32 @@
 	return response
 }
 
-// decodeCachesResponse reads what a follower lacks from its transmitted form.
 func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.News {
-	news := cachefeed.News{
+	answer := cachefeed.News{
 		Whole: response.GetWhole(),
 		Next:  cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
 	}
 	for _, update := range response.GetUpdates() {
-		news.Updates = append(news.Updates, cachefeed.Update{
+		answer.Updates = append(answer.Updates, cachefeed.Update{
 			Cache: fleet.EngineID(update.GetCache()), Anew: update.GetAnew(), Lost: update.GetLost(),
 			Held: decodeBlockHashes(update.GetHeld()), Dropped: decodeBlockHashes(update.GetDropped()),
 		})
 	}
-	return news
+	return answer
 }
 
-func encodeBlockHashes(parts []fleet.BlockHash) []uint64 {
-	encoded := make([]uint64, len(parts))
-	for index, part := range parts {
-		encoded[index] = uint64(part)
+func encodeBlockHashes(hashes []fleet.BlockHash) []uint64 {
+	encoded := make([]uint64, len(hashes))
+	for index, hash := range hashes {
+		encoded[index] = uint64(hash)
 	}
 	return encoded
 }
 
 func decodeBlockHashes(encoded []uint64) []fleet.BlockHash {
-	parts := make([]fleet.BlockHash, len(encoded))
-	for index, part := range encoded {
-		parts[index] = fleet.BlockHash(part)
+	hashes := make([]fleet.BlockHash, len(encoded))
+	for index, hash := range encoded {
+		hashes[index] = fleet.BlockHash(hash)
 	}
-	return parts
+	return hashes
 }
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -11,24 +11,23 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Times of following caches.
 const (
 	// cacheEventsWait is how long one call waits for events.
 	cacheEventsWait = time.Second
-	// cacheEventsInterval is the pause between two calls, in which events gather.
+	// cacheEventsInterval is the pause between two calls, in which events accumulate.
 	cacheEventsInterval = 250 * time.Millisecond
-	// cacheEventsRetryDelay is the pause after a call that failed.
+	// cacheEventsRetryDelay is the pause after a failed call.
 	cacheEventsRetryDelay = time.Second
-	// cacheCheckInterval is the time between two looks at which caches there are, cacheRest
-	// the same at a node that follows none.
+	// cacheCheckInterval is the time between two updates of the set of followed caches,
+	// idleCacheCheckInterval the same at a gateway that doesn't serve.
 	cacheCheckInterval     = 100 * time.Millisecond
 	idleCacheCheckInterval = 500 * time.Millisecond
-	// limitedCacheEventsInterval is the pause between the calls of all that follow the cache of an
-	// engine with a limit on its requests.
+	// limitedCacheEventsInterval is the pause between the calls of all followers together to a
+	// rate-limited engine.
 	limitedCacheEventsInterval = 2 * time.Second
 )
 
-// followedCache is one cache that is followed.
+// followedCache identifies one cache that is followed.
 type followedCache struct {
 	run     fleet.EngineRun
 	born    backends.StartTime
@@ -36,13 +35,13 @@
 	zone    fleet.ZoneName
 }
 
-// followCaches follows the caches of the engines and of the store of kept KV
-// cache, each by a goroutine of its own, and asks other zones' nodes about theirs.
+// followCaches follows the caches of engines and KV cache stores, each in its own goroutine, and
+// requests those of other zones from gateways there.
 func (g *Gateway) followCaches() error {
 	following := make(map[followedCache]context.CancelFunc)
 	for pause := cacheCheckInterval; g.pauseOrRest(pause); {
-		present, asked := g.selectCaches()
-		g.updateZoneFeeds(asked)
+		present, requested := g.selectCaches()
+		g.updateZoneFeeds(requested)
 		g.cacheLog.setFollowing(g.now(), g.countLocalCaches(present))
 		pause = idleCacheCheckInterval
 		if g.serves() {
@@ -70,59 +69,59 @@
 	return nil
 }
 
-// reservedFollowers is how many fewer nodes than a cache allows follow it: nodes
-// don't all know the same members while some come or go.
+// reservedFollowers is subtracted from the number of followers that a cache allows, since
+// membership views differ while gateways join or leave.
 const reservedFollowers = 3
 
-// cachesPerRequest is how many caches a node that doesn't know its role yet follows for
-// each request that it has taken, and before the first: it takes itself for one of few
-// nodes, and in a large fleet all would connect to all engines; a node to which
-// callers come needs to know the caches at once.
+// cachesPerRequest limits the caches that a gateway follows before it knows its role: that many at
+// first, and as many again for each request that it has taken. Otherwise every starting gateway of
+// a large fleet would connect to all engines. A gateway that receives requests needs the caches at
+// once.
 const cachesPerRequest = 16
 
-// canFollow tells whether this node may follow that many caches.
+// canFollow reports whether this gateway may follow that many caches.
 func (g *Gateway) canFollow(caches int) bool {
 	return g.settled.Load() || int64(caches) <= cachesPerRequest*(1+g.taken.Load())
 }
 
-// selectCaches returns the selectCaches that this node follows by itself, and those of which it asks
-// other nodes, by zone.
-func (g *Gateway) selectCaches() (present map[followedCache]bool, asked map[fleet.ZoneName]map[fleet.EngineID]bool) {
+// selectCaches returns the caches that this gateway follows directly, and by zone those that it
+// requests from other gateways.
+func (g *Gateway) selectCaches() (present map[followedCache]bool, requested map[fleet.ZoneName]map[fleet.EngineID]bool) {
 	present = make(map[followedCache]bool)
-	asked = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
+	requested = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
 	held := g.holder.Current()
 	if held == nil || (!g.serves() && !g.cacheLog.isWanted(g.now())) {
-		return present, asked
+		return present, requested
 	}
-	take := func(cache followedCache, limit int) {
+	add := func(cache followedCache, limit int) {
 		switch {
 		case g.shouldFollowDirectly(cache, limit):
 			present[cache] = true
 		case g.serves() && cache.zone != "":
-			if asked[cache.zone] == nil {
-				asked[cache.zone] = make(map[fleet.EngineID]bool)
+			if requested[cache.zone] == nil {
+				requested[cache.zone] = make(map[fleet.EngineID]bool)
 			}
-			asked[cache.zone][cache.run.Engine] = true
+			requested[cache.zone][cache.run.Engine] = true
 		}
 	}
 	for _, worker := range g.workers.WorkersInUse() {
 		service, known := held.Table.Service(worker.Service)
 		if known && len(worker.Versions) > 0 {
-			take(followedCache{run: worker.Run(), born: worker.Born, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
+			add(followedCache{run: worker.Run(), born: worker.Born, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
 		}
 	}
 	for _, store := range held.Table.Stores() {
 		run := backends.StoreRun(store.Store.Address)
-		take(followedCache{run: run, address: store.Store.Address, zone: store.Store.Zone}, store.MaxFollowers)
+		add(followedCache{run: run, address: store.Store.Address, zone: store.Store.Zone}, store.MaxFollowers)
 	}
 	if !g.canFollow(len(present)) {
 		clear(present)
-		clear(asked)
+		clear(requested)
 	}
-	return present, asked
+	return present, requested
 }
 
-// countLocalCaches returns how many of the caches are of this node's zone.
+// countLocalCaches returns how many of the caches are in this gateway's zone.
 func (g *Gateway) countLocalCaches(present map[followedCache]bool) int {
 	count := 0
 	for cache := range present {
@@ -133,9 +132,9 @@
 	return count
 }
 
-// shouldFollowDirectly tells whether this node follows a cache by itself: one of its own zone if it is
-// a source for others, or among the nodes that may; one of another zone only if it is among
-// those and nobody there answers.
+// shouldFollowDirectly reports whether this gateway follows a cache itself. In its own zone it does
+// so as a cache source for others or as an assigned follower, in another zone only as an assigned
+// follower while no gateway there answers.
 func (g *Gateway) shouldFollowDirectly(cache followedCache, limit int) bool {
 	if cache.zone == g.settings().Zone && slices.Contains(g.roles.Load().CacheSources(cache.zone), g.node) {
 		return true
@@ -146,8 +145,8 @@
 	return cache.zone == g.settings().Zone || cache.zone == "" || g.zoneFeeds.isUnavailable(cache.zone)
 }
 
-// isAssignedFollower tells whether this node is among those that serve and may follow a cache: where
-// more serve than may, the nearest, by rendezvous hashing.
+// isAssignedFollower reports whether this gateway is among the serving ones that may follow a
+// cache. If more serve than the cache allows, rendezvous hashing assigns the nearest.
 func (g *Gateway) isAssignedFollower(cache followedCache, limit int) bool {
 	members := g.roles.Load().Serving
 	followers := max(limit-reservedFollowers, 1)
@@ -158,7 +157,7 @@
 	return slices.Contains(membership.OwnersNear(cache.run.Engine, near, members, followers), g.node)
 }
 
-// followCache takes in the changes of one cache until the context ends.
+// followCache applies the events of one cache until the context ends.
 func (g *Gateway) followCache(ctx context.Context, cache followedCache) {
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(cache.zone))
 	ctx = g.noticesOf(ctx, noticed{worker: cache.run.Engine, born: cache.born, kind: callCacheEvents})
@@ -192,8 +191,8 @@
 	}
 }
 
-// pauseCacheEvents waits between two calls for a cache's events. These take some of what an engine
-// with a limit takes in all, so that its followers together make few.
+// pauseCacheEvents waits between two calls for a cache's events. These count against the rate limit
+// of an engine, so all followers of a limited engine share one interval.
 func (g *Gateway) pauseCacheEvents(ctx context.Context, cache followedCache) {
 	sleep(ctx, cacheEventsInterval)
 	since := g.now()
@@ -205,7 +204,7 @@
 	}
 }
 
-// countFollowers returns how many nodes may follow a cache.
+// countFollowers returns how many gateways may follow a cache.
 func (g *Gateway) countFollowers(cache followedCache) int {
 	roles := g.roles.Load()
 	followers := len(roles.CacheSources(cache.zone))
@@ -217,20 +216,20 @@
 	return max(followers, 1)
 }
 
-// applyCacheEvents takes in the changes of one cache.
+// applyCacheEvents applies the events of one cache.
 func (g *Gateway) applyCacheEvents(cache followedCache, events *CacheEvents, restarted bool) {
 	changes := make([]backends.PartChange, 0, len(events.Events))
 	for _, event := range events.Events {
 		changes = append(changes, backends.PartChange{Held: event.Held, Scope: event.Scope, Part: event.Part})
 	}
-	anew := restarted || events.Lost
-	told := g.workers.ObserveCache(cache.run, anew, changes)
+	fresh := restarted || events.Lost
+	applied := g.workers.ObserveCache(cache.run, fresh, changes)
 	if cache.zone == g.settings().Zone {
-		g.cacheLog.observe(cache.run.Engine, anew, told)
+		g.cacheLog.observe(cache.run.Engine, fresh, applied)
 	}
 }
 
-// sleep waits for a time or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -11,41 +11,43 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// deliveryState makes what a node knows of deliveryState of services' versions, and directs of
-// them, safe for concurrent use.
+// deliveryState holds a gateway's follower and, while the gateway holds the lease, director of
+// service version deliveries. It is safe for concurrent use.
 type deliveryState struct {
 	self fleet.NodeID
-	// active is set once there was an order or a directive: before, requests need no lock.
+	// active is set by the first order, directive or second version. Until then requests skip the
+	// mutex.
 	active atomic.Bool
-	// pulling is set while a node is asked for a directive that it has named.
+	// pulling is set while a request for another gateway's directives is in flight.
 	pulling atomic.Bool
 
 	mutex    sync.Mutex
 	follower *delivery.Follower
-	// director is nil while this node doesn't direct.
+	// director is nil unless this gateway directs deliveries.
 	director *delivery.Director
 	orders   map[fleet.PoolName]receivedOrder
-	// finished holds the newest order of each service that is known to be over.
+	// finished holds the newest finished order of each service.
 	finished map[fleet.PoolName]fleet.Revision
-	// storedVersions holds the versions of the records in the store, writing the services of which
-	// a record is being written. Both belong to the director.
+	// storedVersions holds the versions of the stored records, writing the services whose record is
+	// being written. Both are set together with director.
 	storedVersions map[fleet.PoolName]fleet.Revision
 	writing        map[fleet.PoolName]bool
 
-	// changeCount counts the changeCount of directives; changed is closed at the next one.
+	// changeCount counts the changes of directives. changed is closed at the next one.
 	changeCount uint64
 	changed     chan struct{}
-	// watchedNode is the watched node of which seen is the number of changes.
+	// watchedNode is the gateway that this one watches, watchedChanges the number of its changes
+	// seen.
 	watchedNode    fleet.NodeID
 	watchedChanges uint64
 
-	// orderSignal has one element after news of an order, announced while there is something
-	// to tell all nodes at once.
+	// orderSignal holds one element after a new order, announceSignal while there is something to
+	// announce to all gateways.
 	orderSignal    chan struct{}
 	announceSignal chan struct{}
 }
 
-// receivedOrder is an order and when it was written at the latest.
+// receivedOrder is an order and the latest time at which it can have been written.
 type receivedOrder struct {
 	delivery.Order
 	writtenBy time.Duration
@@ -72,36 +74,35 @@
 	}
 }
 
-// signal puts an element into a channel that has room for one.
-func signal(into chan struct{}) {
+// signal wakes the receiver of a channel with a buffer of one. It doesn't block.
+func signal(channel chan struct{}) {
 	select {
-	case into <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// addOrder takes in an addOrder that was written at a time at the latest, and tells whether it
-// is news.
-func (d *deliveryState) addOrder(now, at time.Duration, order delivery.Order) (bool, error) {
+// addOrder adds an order that was written at latest or before, and reports whether it is new.
+func (d *deliveryState) addOrder(now, latest time.Duration, order delivery.Order) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if held, found := d.orders[order.Service]; found && held.Revision >= order.Revision {
 		return false, nil
 	}
-	news, err := d.follower.SetOrder(now, order)
-	if err != nil || !news {
+	isNew, err := d.follower.SetOrder(now, order)
+	if err != nil || !isNew {
 		return false, err
 	}
-	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: at}
+	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: latest}
 	d.active.Store(true)
 	signal(d.orderSignal)
 	if d.director != nil {
-		return true, d.director.SetOrder(now, at, order)
+		return true, d.director.SetOrder(now, latest, order)
 	}
 	return true, nil
 }
 
-// unfinished returns the services with an order that isn't known to be over.
+// unfinished returns the services whose newest order isn't known to be finished.
 func (d *deliveryState) unfinished() []fleet.PoolName {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -114,8 +115,7 @@
 	return services
 }
 
-// hasUndirected tells whether a delivery runs for which no directive counts: nobody directs
-// it.
+// hasUndirected reports whether an unfinished delivery has no valid directive.
 func (d *deliveryState) hasUndirected(now time.Duration) bool {
 	if !d.active.Load() {
 		return false
@@ -134,7 +134,7 @@
 	return false
 }
 
-// hasOrder tells whether a service has an order.
+// hasOrder reports whether a service has an order.
 func (d *deliveryState) hasOrder(service fleet.PoolName) bool {
 	if !d.active.Load() {
 		return false
@@ -145,7 +145,7 @@
 	return found
 }
 
-// isTarget tells whether a version is the target of its service's order.
+// isTarget reports whether a version is the target of its service's order.
 func (d *deliveryState) isTarget(service fleet.PoolName, version fleet.SoftwareVersion) bool {
 	if version == "" || !d.active.Load() {
 		return false
@@ -156,7 +156,7 @@
 	return found && order.Target == version
 }
 
-// isRolledBack tells whether a version of a service was rolled back.
+// isRolledBack reports whether a version of a service was rolled back.
 func (d *deliveryState) isRolledBack(now time.Duration, service fleet.PoolName, version fleet.SoftwareVersion) bool {
 	if version == "" || !d.active.Load() {
 		return false
@@ -171,17 +171,18 @@
 	return false
 }
 
-// choose returns what limits the choice of a worker, nil if nothing does.
-func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Choice {
+// choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
+// excludes the target for a request that was there before.
+func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Choice {
 	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.follower.Choose(now, service, route, draw, again)
+	return d.follower.Choose(now, service, route, draw, avoidTarget)
 }
 
-// recordOutcome counts an outcome, and tells whether this node has just stopped sending to the
+// recordOutcome counts an outcome, and reports whether this gateway has just stopped sending to the
 // target by its own evidence.
 func (d *deliveryState) recordOutcome(now time.Duration, outcome delivery.Outcome) bool {
 	d.mutex.Lock()
@@ -193,7 +194,7 @@
 	return stopped
 }
 
-// applyDirective takes a directive in, and tells whether it changed the stage or the shares.
+// applyDirective applies a directive, and reports whether it changed the stage or the shares.
 func (d *deliveryState) applyDirective(now time.Duration, directive delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -213,8 +214,8 @@
 	return true
 }
 
-// needsDirective tells whether a directive that another node has named is newer than what this one
-// goes by, or keeps that from lapsing.
+// needsDirective reports whether a directive that another gateway holds is newer than the one held
+// here, or whether the one held here is about to expire.
 func (d *deliveryState) needsDirective(now time.Duration, directive *delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -231,7 +232,8 @@
 	return true
 }
 
-// isShifting tells whether all requests of a service go to its target now, before a verdict.
+// isShifting reports whether all requests of some service go to its target while the delivery isn't
+// finished.
 func (d *deliveryState) isShifting(now time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -244,7 +246,7 @@
 	return false
 }
 
-// issuers returns the nodes that direct deliveries now, without this one.
+// issuers returns the other gateways that currently direct deliveries.
 func (d *deliveryState) issuers(now time.Duration) []fleet.NodeID {
 	if !d.active.Load() {
 		return nil
@@ -260,8 +262,8 @@
 	return nodes
 }
 
-// writeReport adds the directives that count to a report to another node, and what this node
-// has seen if that node directs.
+// writeReport adds the valid directives to a report to another gateway, and the evidence of this
+// gateway for the deliveries that the receiver directs.
 func (d *deliveryState) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
 	if !d.active.Load() {
 		return
@@ -280,8 +282,8 @@
 	}
 }
 
-// writeWatchResponse adds the directives that count to an answer to a node that watches this one,
-// and tells whether they have changed since its last call.
+// writeWatchResponse adds the valid directives to the response to a watching gateway, and reports
+// whether they have changed since its last call.
 func (d *deliveryState) writeWatchResponse(now time.Duration, request *rpc.WatchRequest, response *rpc.WatchResponse) bool {
 	if !d.active.Load() {
 		return false
@@ -306,7 +308,7 @@
 	return d.changed
 }
 
-// seenChanges returns how many changes of a watched node this one has seen.
+// seenChanges returns how many changes of a watched gateway have been seen.
 func (d *deliveryState) seenChanges(source fleet.NodeID) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -316,22 +318,22 @@
 	return d.watchedChanges
 }
 
-// setSeenChanges notes up to which change a watched node has told.
+// setSeenChanges records how many changes of a watched gateway have been seen.
 func (d *deliveryState) setSeenChanges(source fleet.NodeID, seen uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.watchedNode, d.watchedChanges = source, seen
 }
 
-// shares returns, by service and route, the part of the requests that is asked to go to the
-// target and the part of the answers that came from there.
+// shares returns, by service and route, the share of requests that the directive assigns to the
+// target and the answers of both versions.
 func (d *deliveryState) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	all := make(map[fleet.PoolName]map[delivery.RouteName]deliveryShare)
-	asked := make(map[fleet.PoolName]delivery.Directive)
+	directives := make(map[fleet.PoolName]delivery.Directive)
 	for _, directive := range d.follower.Directives(now) {
-		asked[directive.Service] = directive
+		directives[directive.Service] = directive
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		routes := make(map[delivery.RouteName]deliveryShare)
@@ -347,7 +349,7 @@
 			}
 			routes[route] = share
 		}
-		directive := asked[evidence.Service]
+		directive := directives[evidence.Service]
 		for route, share := range routes {
 			var named bool
 			if share.requested, named = directive.Shares[route]; !named {
@@ -360,13 +362,13 @@
 	return all
 }
 
-// deliveryShare is what a route's target is asked to get, and what both sides had.
+// deliveryShare is the requested share of a route's target and the answers of both versions.
 type deliveryShare struct {
 	requested                 float64
 	oldAnswers, targetAnswers uint64
 }
 
-// actual returns the part of the answers that came from the target.
+// actual returns the share of the answers that came from the target.
 func (s deliveryShare) actual() float64 {
 	if s.oldAnswers+s.targetAnswers == 0 {
 		return 0
--- a/internal/gateway/deliverycodec.go
+++ b/internal/gateway/deliverycodec.go
@@ -8,11 +8,10 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// perMillion is the unit of transmitted shares.
+// perMillion is the unit of encoded shares.
 const perMillion = 1_000_000
 
-// encodeDirective returns a directive in its transmitted form; its age is never less than
-// the true one.
+// encodeDirective encodes a directive. Its age is rounded up.
 func encodeDirective(now time.Duration, directive *delivery.Directive) *rpc.DeliveryDirective {
 	encoded := &rpc.DeliveryDirective{
 		Service:      string(directive.Service),
@@ -39,12 +38,12 @@
 	return encoded
 }
 
-// maxAgeMillis bounds transmitted ages.
+// maxAgeMillis bounds encoded ages.
 const maxAgeMillis = 1 << 31
 
-// decodeDirective reads a directive from its transmitted form. begun is a time on this node's
-// clock at which it had not been told yet, received one after that: its age counts from
-// the first and the time until a shift from the second, so that neither is too short.
+// decodeDirective decodes a directive from a call that began at begun and was received at received,
+// and reports whether it is valid. The age counts from begun and the time until a shift from
+// received, so that neither is too short.
 func decodeDirective(begun, received time.Duration, encoded *rpc.DeliveryDirective) (delivery.Directive, bool) {
 	stage := delivery.Stage(encoded.GetStage())
 	if stage < delivery.StageCanary || stage > delivery.StageRolledBack || encoded.GetService() == "" || encoded.GetTarget() == "" {
@@ -80,7 +79,6 @@
 
 func decodeShare(share uint32) float64 { return min(float64(share)/perMillion, 1) }
 
-// encodeEvidence returns evidence in its transmitted form.
 func encodeEvidence(evidence *delivery.Evidence) *rpc.DeliveryEvidence {
 	encoded := &rpc.DeliveryEvidence{
 		Service: string(evidence.Service), Revision: uint64(evidence.Revision), Stopped: evidence.Stopped,
@@ -108,7 +106,6 @@
 	}
 }
 
-// decodeEvidence reads evidence from its transmitted form.
 func decodeEvidence(encoded *rpc.DeliveryEvidence) delivery.Evidence {
 	evidence := delivery.Evidence{
 		Service:  fleet.PoolName(encoded.GetService()),
@@ -117,18 +114,18 @@
 		New:      make(map[delivery.RouteName]map[fleet.EngineID]*delivery.Counts),
 		Stopped:  encoded.GetStopped(),
 	}
-	for _, told := range encoded.GetCounts() {
-		counts := &delivery.Counts{Answers: told.GetAnswers(), Failures: told.GetFailures()}
-		copy(counts.Latency[:], told.GetLatency())
-		route := delivery.RouteName(told.GetRoute())
-		if told.GetWorker() == "" {
+	for _, entry := range encoded.GetCounts() {
+		counts := &delivery.Counts{Answers: entry.GetAnswers(), Failures: entry.GetFailures()}
+		copy(counts.Latency[:], entry.GetLatency())
+		route := delivery.RouteName(entry.GetRoute())
+		if entry.GetWorker() == "" {
 			evidence.Old[route] = counts
 			continue
 		}
 		if evidence.New[route] == nil {
 			evidence.New[route] = make(map[fleet.EngineID]*delivery.Counts)
 		}
-		evidence.New[route][fleet.EngineID(told.GetWorker())] = counts
+		evidence.New[route][fleet.EngineID(entry.GetWorker())] = counts
 	}
 	return evidence
 }
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -13,18 +13,17 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Times of directing deliveries.
 const (
-	// directorCheckInterval is the time between two looks at whether this node directs, while it
-	// doesn't and a delivery runs.
+	// directorCheckInterval is the time between two checks for the lease while a delivery runs that
+	// this gateway doesn't direct.
 	directorCheckInterval = 300 * time.Millisecond
-	// deliveryCallTimeout bounds the store's answer about records; an unknown outcome is
-	// looked up within it.
+	// deliveryCallTimeout bounds one store call about records, including the read that resolves an
+	// unknown outcome.
 	deliveryCallTimeout = 2500 * time.Millisecond
 )
 
-// runDeliveryDirector directs the deliveries that aren't over while this node holds the lease.
-// It rests while there are none.
+// runDeliveryDirector directs the unfinished deliveries while this gateway holds the lease. It
+// waits while there are none.
 func (g *Gateway) runDeliveryDirector() error {
 	for {
 		unfinished := g.deliveries.unfinished()
@@ -53,8 +52,8 @@
 	}
 }
 
-// reportToDirectors tells those that direct what this node has seen. Faults that show only under
-// load show in a shift, which is shorter than a round of reports.
+// reportToDirectors sends this gateway's evidence to the directors at once. A shift is shorter than
+// the interval of load reports, and faults that appear only under load appear during it.
 func (g *Gateway) reportToDirectors() {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if member, found := g.peers.View().Find(issuer); found {
@@ -63,8 +62,8 @@
 	}
 }
 
-// ensureDirector tells whether this node ensureDirector deliveries now. Before it begins to, it reads
-// the records of those before it.
+// ensureDirector reports whether this gateway directs deliveries. When it has just acquired the
+// lease it first reads the records of its predecessors.
 func (g *Gateway) ensureDirector() bool {
 	if _, holds := g.keeper.Fence(); !holds || g.stopping() {
 		g.deliveries.resign()
@@ -93,7 +92,7 @@
 	return true
 }
 
-// stepDelivery looks at one service's delivery, passes the directive on and writes the record.
+// stepDelivery evaluates one service's delivery, applies its directive and writes its record.
 func (g *Gateway) stepDelivery(service fleet.PoolName) {
 	now := g.now()
 	step := g.deliveries.decide(now, g.observeService(now, service))
@@ -112,7 +111,7 @@
 	}
 }
 
-// observeService returns what is to be known of a service for a look at its delivery.
+// observeService returns the state of a service's workers for the director.
 func (g *Gateway) observeService(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
 	held := g.holder.Current()
@@ -126,20 +125,20 @@
 		if worker.Service != service || (isTarget && worker.Draining) {
 			continue
 		}
-		seen := delivery.TargetWorker{
+		observed := delivery.TargetWorker{
 			ID: worker.ID, Version: worker.Software, Slots: worker.Slots,
 			InFlight: g.workers.InFlight(now, worker.ID), Doubtful: doubtful[worker.ID],
 		}
 		if worker.Draining {
-			// It takes no requests; what runs there still counts.
-			seen.Slots = 0
+			// A draining worker takes no requests, but its requests in flight count.
+			observed.Slots = 0
 		}
-		observation.Workers = append(observation.Workers, seen)
+		observation.Workers = append(observation.Workers, observed)
 	}
 	return observation
 }
 
-// writeDelivery writes a record, and tells the director what the store holds then.
+// writeDelivery writes a record and passes the result to the director.
 func (g *Gateway) writeDelivery(record delivery.Record) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
@@ -156,7 +155,7 @@
 	g.deliveries.finishWrite(g.now(), record, stored, err)
 }
 
-// logDeliveryEvent logs a step or a verdict with what decided it.
+// logDeliveryEvent logs a step or a verdict with the figures that decided it.
 func (g *Gateway) logDeliveryEvent(event *delivery.Event) {
 	line := g.logger.Info()
 	if event.Name == delivery.EventRefused {
@@ -172,7 +171,7 @@
 	line.Msg(event.Name)
 }
 
-// updateShareMetrics updates the metrics of the shares that targets are asked to have and had.
+// updateShareMetrics updates the metrics of requested and actual shares of the targets.
 func (g *Gateway) updateShareMetrics() {
 	for service, routes := range g.deliveries.shares(g.now()) {
 		for route, share := range routes {
@@ -182,22 +181,22 @@
 	}
 }
 
-// isDirector tells whether there is a director.
+// isDirector reports whether this gateway directs deliveries.
 func (d *deliveryState) isDirector() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.director != nil
 }
 
-// resign drops the director.
 func (d *deliveryState) resign() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.director = nil
 }
 
-// becomeDirector makes a director of the store's records and the orders heard of. It returns the
-// orders that the director refuses.
+// becomeDirector creates a director from the stored records and the received orders. It returns the
+// orders that the director rejects. sinceStore is the difference between this gateway's clock and
+// the store's.
 func (d *deliveryState) becomeDirector(now time.Duration, options delivery.Options, stored *StoredDeliveries, sinceStore time.Duration) map[fleet.PoolName]error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -221,7 +220,7 @@
 	return refused
 }
 
-// decide has the director decide for one service. This node's own evidence counts too.
+// decide runs the director for one service, with this gateway's own evidence included.
 func (d *deliveryState) decide(now time.Duration, observation delivery.Observation) delivery.Step {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -234,7 +233,7 @@
 	return d.director.Look(now, observation)
 }
 
-// addEvidence takes in what another node has seen.
+// addEvidence passes another gateway's evidence to the director.
 func (d *deliveryState) addEvidence(now time.Duration, node fleet.NodeID, encoded []*rpc.DeliveryEvidence) {
 	if len(encoded) == 0 {
 		return
@@ -244,12 +243,13 @@
 	if d.director == nil {
 		return
 	}
-	for _, told := range encoded {
-		d.director.Observe(now, node, decodeEvidence(told))
+	for _, evidence := range encoded {
+		d.director.Observe(now, node, decodeEvidence(evidence))
 	}
 }
 
-// beginWrite tells whether a service's record may be written now: none is being written.
+// beginWrite reports whether the caller may write a service's record now. It returns false while
+// another write of it is in flight.
 func (d *deliveryState) beginWrite(service fleet.PoolName) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -260,15 +260,15 @@
 	return true
 }
 
-// storedVersion returns the version that the store's record of a service is believed to have.
+// storedVersion returns the version that the stored record of a service had when it was last seen.
 func (d *deliveryState) storedVersion(service fleet.PoolName) fleet.Revision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.storedVersions[service]
 }
 
-// finishWrite tells the director how a write went. err is platform.ErrConflict if the store
-// holds another record.
+// finishWrite passes the result of a write to the director. err is platform.ErrConflict if the
+// store holds another record.
 func (d *deliveryState) finishWrite(now time.Duration, record delivery.Record, stored StoredDelivery, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -19,49 +19,50 @@
 )
 
 const (
-	// directiveRefreshAge is the age from which on a directive is asked for anew when another
-	// node names it.
+	// directiveRefreshAge is the age from which on a directive is pulled again from a gateway that
+	// reports the same one.
 	directiveRefreshAge = delivery.DirectiveValid / 2
-	// deliveryExchangeTimeout bounds one exchange about deliveries alone.
+	// deliveryExchangeTimeout bounds one exchange of deliveries alone.
 	deliveryExchangeTimeout = 250 * time.Millisecond
 )
 
-// applyOrders takes in the orders among the operator's rows, which were written at a time at
-// the latest.
-func (g *Gateway) applyOrders(now, at time.Duration, rows *OperatorRows) {
+// applyOrders applies the orders among the operator's rows, which were written at writtenBy at the
+// latest.
+func (g *Gateway) applyOrders(now, latest time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
 		g.logRefusedOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
-		news, err := g.deliveries.addOrder(now, at, order)
+		isNew, err := g.deliveries.addOrder(now, latest, order)
 		if err != nil {
 			g.logRefusedOrder(string(order.Service), err)
 			continue
 		}
-		if news {
+		if isNew {
 			g.logger.Info().Str("service", string(order.Service)).Str("target", string(order.Target)).
-				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-at).Msg("delivery_ordered")
+				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-latest).Msg("delivery_ordered")
 		}
 	}
 }
 
-// logRefusedOrder logs that an order can't be used; the former state holds.
+// logRefusedOrder logs that an order is invalid. The order before it stays in force.
 func (g *Gateway) logRefusedOrder(key string, err error) {
 	g.logger.Error().Str("key", key).Err(err).Int("code", int(resultcode.DeliveryInvalid)).
 		Str("name", resultcode.DeliveryInvalid.String()).Msg("delivery_refused")
 }
 
-// allowedVersions returns what limits a request's choice of a worker to allowedVersions of the service.
-// again is set if it was at the target and is to go elsewhere.
-func (g *Gateway) allowedVersions(current *carried, again bool) *delivery.Choice {
-	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.draw, again)
+// allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
+// set if the request was at the target and is to be retried elsewhere.
+func (g *Gateway) allowedVersions(current *carried, avoidTarget bool) *delivery.Choice {
+	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.draw, avoidTarget)
 }
 
-// errTargetNotAllowed is the cause of a send that a directive allowed which counts no more.
-var errTargetNotAllowed = errors.New("target not allowed any more")
+// errTargetNotAllowed is returned if the directive that allowed a request to go to the target is no
+// longer valid.
+var errTargetNotAllowed = errors.New("target version no longer allowed")
 
-// checkTarget returns an error if a request that was chosen to go to the target may not go
-// there any more: a new connection or a frozen process may have outlived the directive.
+// checkTarget returns an error if a request that was assigned to the target may no longer go there.
+// The directive may have expired while a connection was opened or the process was suspended.
 func (g *Gateway) checkTarget(current *carried, worker *backends.Worker) error {
 	if current.forTarget && !g.isSendAllowed(current, worker) {
 		return errTargetNotAllowed
@@ -69,8 +70,9 @@
 	return nil
 }
 
-// isSendAllowed tells whether a request that was chosen for a worker may go there still: runs of
-// the old side end there, those of a target only while it may get requests.
+// isSendAllowed reports whether a request that was assigned to a worker may still go there: to a
+// worker of the target while the directive allows it, to any other unless its version was rolled
+// back.
 func (g *Gateway) isSendAllowed(current *carried, worker *backends.Worker) bool {
 	if g.deliveries.isTarget(worker.Service, worker.Software) {
 		choice := g.allowedVersions(current, false)
@@ -79,29 +81,29 @@
 	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
 
-// recordDeliveryOutcome counts what an answer says about its worker's version. A request that was
-// refused, not sent or cancelled says nothing.
+// recordDeliveryOutcome counts an answer for or against its worker's version. Requests that were
+// refused, not sent or cancelled don't count.
 func (g *Gateway) recordDeliveryOutcome(current *carried, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
 	worker := &placement.Worker
 	if g.deliveries.isTarget(worker.Service, worker.Software) {
 		current.wasAtTarget = true
 	}
-	// How fast a worker with a limit answers says nothing of its version.
+	// The latency of a rate-limited worker doesn't depend on its version.
 	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.hasOrder(worker.Service) {
 		return
 	}
-	noted := delivery.Outcome{
+	recorded := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
 		Failed: failed, Took: placement.Took(g.now()),
 	}
 	if placement.Engine != nil {
-		whole := g.now() - current.sentAt
-		noted.Took = geometricMean(noted.Took, whole)
-		noted.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
+		total := g.now() - current.sentAt
+		recorded.Took = geometricMean(recorded.Took, total)
+		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
 	}
-	if placement.Engine != nil && noted.Predicted <= 0 && !failed {
-		// A run that goes on from a copy has no prediction to compare with.
+	if placement.Engine != nil && recorded.Predicted <= 0 && !failed {
+		// A run that continues from a copy has no prediction.
 		return
 	}
 	result := "good"
@@ -110,22 +112,22 @@
 	}
 	g.metrics.deliveryAnswers.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name, result).Inc()
 	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.Took(g.now()).Seconds())
-	if g.deliveries.recordOutcome(g.now(), noted) {
+	if g.deliveries.recordOutcome(g.now(), recorded) {
 		g.logger.Warn().Str("service", string(worker.Service)).Str("target", string(worker.Software)).
 			Str("route", current.route.Name).Str("worker", string(worker.ID)).Msg("delivery_stopped")
 	}
 }
 
-// geometricMean returns the time whose ratio to another mean is the mean of two ratios.
-// Versions of engines are compared by the first event and the whole answer together: a slow
-// one shows little in the first event, where waits on the old side take as long, and a good one
-// with empty caches looks slow by whole answers, where long prompts are read between its events.
+// geometricMean returns the geometric mean of two durations. Engine versions are compared by the
+// time to the first event and the time of the whole answer together: the first includes queueing,
+// which hides a slow version, and the second includes prompt processing, which makes a new version
+// with cold caches look slow.
 func geometricMean(one, other time.Duration) time.Duration {
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// expectedAnswerTime returns what the whole answer of an engine is expected to take, 0 if that
-// isn't known.
+// expectedAnswerTime returns the expected time of an engine's whole answer, 0 if there is no
+// prediction.
 func expectedAnswerTime(current *carried, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
@@ -134,7 +136,7 @@
 	return engine.Baseline + time.Duration(tokens)*backends.DefaultStep
 }
 
-// addDirectors returns members and those that direct deliveries besides.
+// addDirectors returns members together with the gateways that direct deliveries.
 func (g *Gateway) addDirectors(members []membership.Member) []membership.Member {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if slices.ContainsFunc(members, func(member membership.Member) bool { return member.Node == issuer }) {
@@ -147,18 +149,18 @@
 	return members
 }
 
-// applyDirectives takes in the directives of an answer to a call that was begun at a time:
-// they aren't younger than they were then.
+// applyDirectives applies the directives in the answer to a call that began at begun. Their ages
+// count from there.
 func (g *Gateway) applyDirectives(begun time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
-	for _, told := range encoded {
-		if directive, readable := decodeDirective(begun, now, told); readable {
+	for _, message := range encoded {
+		if directive, readable := decodeDirective(begun, now, message); readable {
 			g.applyDirective(directive)
 		}
 	}
 }
 
-// applyDirective takes in a directive and logs a change.
+// applyDirective applies a directive and logs a change.
 func (g *Gateway) applyDirective(directive delivery.Directive) {
 	now := g.now()
 	if !g.deliveries.applyDirective(now, directive) {
@@ -170,7 +172,7 @@
 		Str("issuer", string(directive.Issuer)).Dur("age", now-directive.IssuedAt).Msg("delivery_followed")
 }
 
-// formatShares returns shares in order of the routes' names.
+// formatShares returns shares sorted by route name.
 func formatShares(shares map[delivery.RouteName]float64) string {
 	parts := make([]string, 0, len(shares))
 	for route, share := range shares {
@@ -180,16 +182,16 @@
 	return strings.Join(parts, ",")
 }
 
-// handlePushedDeliveries takes in what a call of another node tells of deliveries. The call may have
-// lain here while this process stood still, so that the age of a directive isn't known:
-// final ones count whatever their age, others are asked for.
+// handlePushedDeliveries handles the delivery part of another gateway's call. The call may have
+// waited while this process was suspended, so the age of its directives is unknown: final
+// directives apply at any age, others are pulled from the sender.
 func (g *Gateway) handlePushedDeliveries(report *rpc.LoadReport) {
 	now := g.now()
 	if report.GetDeliveriesOnly() {
 		g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	}
-	for _, told := range report.GetDeliveries() {
-		directive, readable := decodeDirective(now, now, told)
+	for _, message := range report.GetDeliveries() {
+		directive, readable := decodeDirective(now, now, message)
 		switch {
 		case !readable:
 		case directive.Stage.Final():
@@ -200,7 +202,7 @@
 	}
 }
 
-// pullDeliveries asks a node for what it knows of deliveries, unless one is being asked.
+// pullDeliveries requests the directives of a gateway unless such a request is in flight.
 func (g *Gateway) pullDeliveries(node fleet.NodeID) {
 	member, found := g.peers.View().Find(node)
 	if !found || !g.deliveries.pulling.CompareAndSwap(false, true) {
@@ -212,14 +214,14 @@
 	}()
 }
 
-// deliveryReport returns what this node tells another one about deliveries alone.
+// deliveryReport returns a report to another gateway with deliveries alone.
 func (g *Gateway) deliveryReport(to fleet.NodeID) *rpc.LoadReport {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, DeliveriesOnly: true}
 	g.deliveries.writeReport(g.now(), report, to)
 	return report
 }
 
-// exchangeDeliveries tells a node about deliveries alone, and takes its answer in.
+// exchangeDeliveries sends a deliveries-only report to a gateway and applies its answer.
 func (g *Gateway) exchangeDeliveries(member membership.Member) {
 	if member.Node == g.node {
 		return
@@ -236,8 +238,8 @@
 	g.applyDirectives(begun, answer.GetDeliveries())
 }
 
-// announceDeliveries tells all nodes that share loads at once of a changed directive of
-// this node's, or that it has stopped sending to a target, until the process ends.
+// announceDeliveries sends changes of this gateway's directives, and its decision to stop sending
+// to a target, to all load-sharing gateways at once. It returns when the process stops.
 func (g *Gateway) announceDeliveries() error {
 	for {
 		select {
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -7,11 +7,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// seenVersions holds, by service, the software versions of which workers were ever listed,
-// in the order in which they came. It isn't safe for concurrent use.
+// seenVersions holds, by service, the software versions of all workers listed so far, in order of
+// appearance. It isn't safe for concurrent use.
 type seenVersions map[fleet.PoolName][]fleet.SoftwareVersion
 
-// add takes in the rows of workers and returns the services with a version not seen before.
+// add adds the versions in rows and returns the services with a new version.
 func (s seenVersions) add(rows []WorkerRow) []fleet.PoolName {
 	var changed []fleet.PoolName
 	for index := range rows {
@@ -27,9 +27,9 @@
 	return changed
 }
 
-// observeVersions has workers of a version that appears beside others get no requests for a
-// moment: the order to deliver it comes by another table, and its target would get a part of
-// all requests until then. It does so only where the settings bound deliveries.
+// observeVersions holds requests back from workers of a new version that appears beside others. Its
+// order comes through another table, and until it arrives the version would get an unrestricted
+// share. It does so only if the settings enable deliveries.
 func (g *Gateway) observeVersions(now time.Duration, rows []WorkerRow) {
 	if !g.settings().Deliveries {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// observeVersions takes in the versions of a service's workers.
+// observeVersions passes the versions of a service's workers to the follower.
 func (d *deliveryState) observeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -15,43 +15,41 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Constants of the grants.
 const (
-	// grantTimeout bounds one question for a request to a worker with a limit.
+	// grantTimeout bounds one call that asks another gateway for a grant.
 	grantTimeout = 250 * time.Millisecond
-	// granterRanks is the number of nodes that may grant the requests to a worker, in turn.
+	// granterRanks is the number of gateways that may be a worker's granter, by rank.
 	granterRanks = 3
-	// unansweredBackoff is how long a node that didn't answer is passed over, unableFor the same for
-	// one whose release doesn't know the question.
+	// unansweredBackoff is how long a gateway that didn't answer isn't asked again,
+	// unsupportedBackoff the same for one whose release doesn't support grants.
 	unansweredBackoff  = 2 * time.Second
 	unsupportedBackoff = 30 * time.Second
-	// nextGranterDelay is the time after which a node asks the next one, unsettledWait that after which
-	// it asks one again that has just started and doesn't know its part yet.
+	// nextGranterDelay is the delay before the next granter is asked, unsettledDelay the delay
+	// before a granter is asked again that has just started and doesn't know its role yet.
 	nextGranterDelay = 20 * time.Millisecond
 	unsettledDelay   = 200 * time.Millisecond
-	// noGranterDelay is the time after which it looks again where none of them answers: it is
-	// cut off, and may not know it yet.
+	// noGranterDelay is the delay before the next attempt if no granter answers, such as in a
+	// partition.
 	noGranterDelay = 500 * time.Millisecond
-	// memberShareWindow is how long the part of a limit is left to members that are gone: they may
-	// be alive beyond a cut, and grant there.
+	// memberShareWindow is how long a part of the rate is reserved for members that have gone. They
+	// may be alive in another partition and grant requests there.
 	memberShareWindow = 10 * time.Second
 )
 
 var (
-	// errLimited is the cause of a send that isn't made since the worker has no room at its
-	// limit.
+	// errLimited is the cause of a send that isn't made because the worker is at its limit.
 	errLimited = errors.New("no room at the worker's limit")
-	// errUnsettled means that a node grants nothing yet.
+	// errUnsettled is returned by a gateway that has just started and grants nothing yet.
 	errUnsettled = errors.New("not settled")
 )
 
-// memberShare tells which part of the members that there were of late is in memberShare.
+// memberShare computes the share of recently known members that is reachable.
 type memberShare struct {
 	maxMembers int
 	maxSeenAt  time.Duration
 }
 
-// update takes in the number of members and returns their update of the most that there were.
+// update records the number of members and returns its share of the recent maximum.
 func (t *memberShare) update(now time.Duration, members int) float64 {
 	if members >= t.maxMembers || now >= t.maxSeenAt+memberShareWindow {
 		t.maxMembers, t.maxSeenAt = members, now
@@ -59,8 +57,8 @@
 	return float64(members) / float64(max(t.maxMembers, 1))
 }
 
-// acquireLimitGrant asks for one request to a worker that names a limit. All that reaches a worker
-// passes here right before it is written: first sends, further ones, and runs that go on.
+// acquireLimitGrant asks for a grant to send one request to a worker with a limit. It is called
+// right before each write to a worker: first sends, retries and continued runs.
 func (g *Gateway) acquireLimitGrant(ctx context.Context, priority int, worker *backends.Worker) error {
 	observation, limited := g.limits.observation(worker.ID, worker.Born)
 	if !limited {
@@ -79,8 +77,8 @@
 	return errLimited
 }
 
-// requestGrant asks the node that grants the requests to a worker, which may be this one. A node
-// that doesn't answer grants nothing, and the next one is asked from then on.
+// requestGrant asks the worker's granter, which may be this gateway. If the granter doesn't answer,
+// the grant is denied and the next one is asked from then on.
 func (g *Gateway) requestGrant(ctx context.Context, observation workerlimit.Observation, zone fleet.ZoneName, priority int) workerlimit.Grant {
 	granter, found := g.granter(observation.Worker, zone)
 	if !found {
@@ -97,10 +95,10 @@
 		return answer
 	}
 	distance := traffic.Between(g.place(), membership.Location{Zone: granter.Zone, Region: granter.Region})
-	asking, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
+	callCtx, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	begun := g.now()
-	answer, err := g.peers.AskGrant(asking, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(begun, &observation), Priority: uint32(max(priority, 0))})
+	answer, err := g.peers.AskGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(begun, &observation), Priority: uint32(max(priority, 0))})
 	if err != nil {
 		g.markGranterUnavailable(ctx, granter, err)
 		return workerlimit.Grant{Wait: nextGranterDelay, Refill: nextGranterDelay}
@@ -115,60 +113,59 @@
 	return decoded
 }
 
-// countRefusedGrant counts a question that was answered by a refusal.
 func (g *Gateway) countRefusedGrant(answer workerlimit.Grant) {
 	if !answer.Granted {
 		g.metrics.limitGrants.WithLabelValues("refused").Inc()
 	}
 }
 
-// markGranterUnavailable has a node passed over that didn't answer a question, unless the request
-// ended meanwhile: then it had no time to, and passing it over would have two nodes grant.
+// markGranterUnavailable skips a granter that didn't answer, unless the request's context ended
+// first: the granter had no time to answer, and skipping it would let two gateways grant.
 func (g *Gateway) markGranterUnavailable(ctx context.Context, granter membership.Member, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	g.metrics.limitGrants.WithLabelValues("unanswered").Inc()
-	passedOver := unansweredBackoff
+	backoff := unansweredBackoff
 	var failure twirp.Error
 	if errors.As(err, &failure) && (failure.Code() == twirp.BadRoute || failure.Code() == twirp.Unimplemented) {
-		passedOver = unsupportedBackoff
+		backoff = unsupportedBackoff
 	}
-	g.limits.skipGranter(granter.Node, g.now()+passedOver)
+	g.limits.skipGranter(granter.Node, g.now()+backoff)
 	g.events.line("grant_unanswered").Str("granter", string(granter.Node)).Err(err).Msg("grant_unanswered")
 }
 
-// skipGranter has a node asked for nothing until a time.
+// skipGranter excludes a gateway as granter until a time.
 func (l *workerLimits) skipGranter(node fleet.NodeID, until time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for other, passed := range l.unavailableUntil {
-		if passed < until-unsupportedBackoff {
+	for other, expiry := range l.unavailableUntil {
+		if expiry < until-unsupportedBackoff {
 			delete(l.unavailableUntil, other)
 		}
 	}
 	l.unavailableUntil[node] = until
 }
 
-// granter returns the node that grants the requests to a worker: the same for all that know
-// the same members, near the worker. Which nodes callers are sent to changes nothing. It
-// returns false while none of those that may answers.
+// granter returns the gateway that grants requests to a worker, preferably near the worker. All
+// gateways with the same membership view return the same one. It returns false if none is
+// available.
 func (g *Gateway) granter(worker fleet.EngineID, zone fleet.ZoneName) (membership.Member, bool) {
 	view := g.peers.View()
 	near := membership.Location{Region: g.settings().Zones[zone], Zone: zone}
 	return view.Find(g.limits.selectGranter(g.now(), worker, near, view))
 }
 
-// selectGranter returns the first node by rank that isn't passed over; none if all are.
+// selectGranter returns the best granter that isn't skipped, empty if all are.
 func (l *workerLimits) selectGranter(now time.Duration, worker fleet.EngineID, near membership.Location, view *membership.View) fleet.NodeID {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.granters[worker]
-	if known.view != view {
-		known = rankedGranters{view: view, nodes: membership.OwnersNear(worker, near, view.Members(), granterRanks)}
-		l.granters[worker] = known
+	ranked := l.granters[worker]
+	if ranked.view != view {
+		ranked = rankedGranters{view: view, nodes: membership.OwnersNear(worker, near, view.Members(), granterRanks)}
+		l.granters[worker] = ranked
 	}
-	for _, node := range known.nodes {
+	for _, node := range ranked.nodes {
 		if now >= l.unavailableUntil[node] {
 			return node
 		}
@@ -176,7 +173,7 @@
 	return ""
 }
 
-// grant tells whether a request may be sent to a worker, for any node that asks this one.
+// grant grants or denies a request to a worker for any gateway that asks.
 func (g *Gateway) grant(observation workerlimit.Observation, priority int) (workerlimit.Grant, error) {
 	if !g.settled.Load() {
 		return workerlimit.Grant{}, errUnsettled
@@ -189,8 +186,8 @@
 	return g.limits.grant(now, observation, members, priority), nil
 }
 
-// grant grants a request by what is believed of the worker. Members that went of late are left
-// their part.
+// grant grants or denies a request by the known limit of the worker. A part of the rate is reserved
+// for members that have recently gone.
 func (l *workerLimits) grant(now time.Duration, observation workerlimit.Observation, members, priority int) workerlimit.Grant {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -201,7 +198,7 @@
 	return l.limiter.Ask(now, observation.Worker, rate, l.memberShare.update(now, members), priority)
 }
 
-// answerGrant answers another node's question.
+// answerGrant handles another gateway's request for a grant.
 func (g *Gateway) answerGrant(_ context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	g.noteSuspension()
 	observation, err := decodeLimit(question.GetLimit(), g.now()-grantTimeout, g.now())
@@ -215,21 +212,21 @@
 	encoded := &rpc.LimitAnswer{
 		Granted: answer.Granted, WaitMillis: ceilMillis(answer.Wait), RefillMillis: ceilMillis(answer.Refill),
 	}
-	if known, found := g.limits.knownObservation(observation.Worker); found {
-		encoded.Limit = encodeLimit(g.now(), &known)
+	if newest, found := g.limits.knownObservation(observation.Worker); found {
+		encoded.Limit = encodeLimit(g.now(), &newest)
 	}
 	return encoded, nil
 }
 
-// knownObservation returns what is believed of a worker, also that its limit has ended.
+// knownObservation returns the newest observation of a worker, including one that ended its limit.
 func (l *workerLimits) knownObservation(worker fleet.EngineID) (workerlimit.Observation, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ledger.Observation(worker)
 }
 
-// limitPriority returns the priority at a worker's limit. A run that goes on has a caller with
-// half an answer.
+// limitPriority returns a request's priority at a worker's limit. A continued run has the highest,
+// since its caller has part of the answer.
 func limitPriority(current *carried) int {
 	if current.headSent {
 		return 0
--- a/internal/gateway/limittalk.go
+++ b/internal/gateway/limitpeers.go
@@ -14,20 +14,19 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Constants of the talk about limits.
 const (
-	// limitBatchDelay is the time in which changes are gathered before they are told at once.
+	// limitBatchDelay is the time in which changes are collected before a broadcast.
 	limitBatchDelay = 2 * time.Millisecond
-	// limitBroadcastInterval is the least time between two rounds of telling: a worker may name another
-	// number in each answer.
+	// limitBroadcastInterval is the minimum time between two broadcasts. A worker may state another
+	// rate in each answer.
 	limitBroadcastInterval = 50 * time.Millisecond
 	limitCallTimeout       = 250 * time.Millisecond
-	// maxLimitCalls bounds the calls at a time that tell others.
+	// maxLimitCalls bounds the concurrent calls of broadcasts.
 	maxLimitCalls = 32
 )
 
-// announceLimits tells others at once of limits that have changed by answers to this node,
-// until the process ends.
+// announceLimits broadcasts limits that have changed by answers to this gateway, until the process
+// stops.
 func (g *Gateway) announceLimits() error {
 	calls := newFanout(maxLimitCalls)
 	for {
@@ -47,7 +46,7 @@
 	}
 }
 
-// takePendingBroadcast returns what is to be told to others.
+// takePendingBroadcast returns and clears the observations to broadcast.
 func (l *workerLimits) takePendingBroadcast() []workerlimit.Observation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -61,14 +60,14 @@
 	return observations
 }
 
-// limitPeers returns the nodes that are told of changes at once: those that send to workers,
-// and those that grant.
+// limitPeers returns the gateways that receive broadcasts: those that send to workers, and the
+// granters.
 func (g *Gateway) limitPeers(observations []workerlimit.Observation) []membership.Member {
-	told := make(map[fleet.NodeID]bool)
+	added := make(map[fleet.NodeID]bool)
 	var peers []membership.Member
 	add := func(member membership.Member) {
-		if member.Node != g.node && !told[member.Node] {
-			told[member.Node] = true
+		if member.Node != g.node && !added[member.Node] {
+			added[member.Node] = true
 			peers = append(peers, member)
 		}
 	}
@@ -86,8 +85,8 @@
 	return peers
 }
 
-// exchangeLimits tells one node, and learns what it knows. A node that misses it hears of it with
-// the next report.
+// exchangeLimits sends observations to one gateway and applies its answer. A gateway that misses
+// them receives them with the next load report.
 func (g *Gateway) exchangeLimits(member membership.Member, observations []workerlimit.Observation) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Limits, member), limitCallTimeout)
 	defer cancel()
@@ -101,7 +100,7 @@
 	g.applyLimits(answer, begun)
 }
 
-// encodedLimits returns what this node knows of limits, for a report.
+// encodedLimits returns the encoded observations for a report.
 func (l *workerLimits) encodedLimits(now time.Duration) []*rpc.WorkerLimit {
 	if !l.active.Load() {
 		return nil
@@ -111,22 +110,22 @@
 	return encodeLimits(now, l.ledger.Observations(now))
 }
 
-// applyLimits takes in what another node's report tells of limits. begun is a time before it
-// was written.
+// applyLimits applies the limits in another gateway's report. begun is a time before the report was
+// written.
 func (g *Gateway) applyLimits(report *rpc.LoadReport, begun time.Duration) {
-	for _, told := range report.GetLimits() {
-		g.applyLimit(told, begun, "peer")
+	for _, limit := range report.GetLimits() {
+		g.applyLimit(limit, begun, "peer")
 	}
 }
 
-// applyLimit takes in another node's observation of a limit; nil says nothing.
-func (g *Gateway) applyLimit(told *rpc.WorkerLimit, begun time.Duration, source string) {
-	if told == nil {
+// applyLimit applies another gateway's observation of a limit. A nil one is ignored.
+func (g *Gateway) applyLimit(limit *rpc.WorkerLimit, begun time.Duration, source string) {
+	if limit == nil {
 		return
 	}
-	observation, err := decodeLimit(told, begun, g.now())
+	observation, err := decodeLimit(limit, begun, g.now())
 	if err != nil {
-		g.noteUnreadable("", []Unreadable{{Source: "worker_limit", Key: told.GetWorker(), Err: err}})
+		g.noteUnreadable("", []Unreadable{{Source: "worker_limit", Key: limit.GetWorker(), Err: err}})
 		return
 	}
 	if change := g.limits.observe(observation, false); change != workerlimit.Unchanged {
@@ -134,7 +133,6 @@
 	}
 }
 
-// encodeLimits returns observations in their transmitted form.
 func encodeLimits(now time.Duration, observations []workerlimit.Observation) []*rpc.WorkerLimit {
 	encoded := make([]*rpc.WorkerLimit, len(observations))
 	for index := range observations {
@@ -143,7 +141,6 @@
 	return encoded
 }
 
-// encodeLimit returns an observation in its transmitted form.
 func encodeLimit(now time.Duration, observation *workerlimit.Observation) *rpc.WorkerLimit {
 	return &rpc.WorkerLimit{
 		Worker: string(observation.Worker), Born: observation.Born, Limited: observation.Limited, Rate: float64(observation.Rate),
@@ -151,19 +148,19 @@
 	}
 }
 
-// decodeLimit reads an observation that was written between two times.
-func decodeLimit(told *rpc.WorkerLimit, begun, ended time.Duration) (workerlimit.Observation, error) {
-	rate := told.GetRate()
-	if told.GetWorker() == "" || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
-		return workerlimit.Observation{}, errors.Errorf("limit of %q: %f", told.GetWorker(), rate)
+// decodeLimit decodes an observation that was written between begun and ended.
+func decodeLimit(limit *rpc.WorkerLimit, begun, ended time.Duration) (workerlimit.Observation, error) {
+	rate := limit.GetRate()
+	if limit.GetWorker() == "" || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
+		return workerlimit.Observation{}, errors.Errorf("limit of %q: %f", limit.GetWorker(), rate)
 	}
 	return workerlimit.Observation{
-		Worker: fleet.EngineID(told.GetWorker()), Born: told.GetBorn(), Limited: told.GetLimited(), Rate: workerlimit.Rate(rate),
-		Asked: timeFromAge(begun, told.GetAskedAgeMillis()), Answered: timeFromAge(ended, told.GetAnsweredAgeMillis()),
+		Worker: fleet.EngineID(limit.GetWorker()), Born: limit.GetBorn(), Limited: limit.GetLimited(), Rate: workerlimit.Rate(rate),
+		Asked: timeFromAge(begun, limit.GetAskedAgeMillis()), Answered: timeFromAge(ended, limit.GetAnsweredAgeMillis()),
 	}, nil
 }
 
-// ceilMillis returns a time in whole milliseconds, rounded up.
+// ceilMillis returns a duration in whole milliseconds, rounded up.
 func ceilMillis(duration time.Duration) uint32 {
 	return uint32((max(duration, 0) + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,10 +11,9 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// callKind tells what a call to a worker is for.
+// callKind is the purpose of a call to a worker.
 type callKind string
 
-// Kinds of calls.
 const (
 	callRequest     callKind = "request"
 	callCacheEvents callKind = "cache_events"
@@ -23,30 +22,31 @@
 	callStore       callKind = "store"
 )
 
-// workerLimits makes what this node knows of workers' limits safe for concurrent use.
+// workerLimits holds what a gateway knows about the rate limits of workers. It is safe for
+// concurrent use.
 type workerLimits struct {
-	// active is set while something is known: without, requests need no lock.
+	// active is set while a limit is known. Without one, requests skip the mutex.
 	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *workerlimit.Ledger
-	// limiter is used for the workers to which this node grants the requests of all.
+	// limiter grants requests to the workers for which this gateway is the granter.
 	limiter     *workerlimit.Limiter
 	retryTimes  workerlimit.RetryTimes
 	memberShare memberShare
-	// calls counts, by worker with a limit, this node's calls since the last line about them.
+	// calls counts this gateway's calls to each worker with a limit since the last usage log line.
 	calls map[fleet.EngineID]map[callKind]int
-	// granters holds who grants the requests to a worker, best first, as of a view.
+	// granters caches the ranked granters of each worker for one membership view.
 	granters map[fleet.EngineID]rankedGranters
-	// unavailableUntil holds until when a node that didn't grant is passed over.
+	// unavailableUntil holds until when a gateway that didn't answer isn't asked.
 	unavailableUntil map[fleet.NodeID]time.Duration
-	// pendingBroadcast holds the workers whose limits are to be told to others at once.
+	// pendingBroadcast holds the workers whose limits are to be sent to other gateways at once.
 	pendingBroadcast map[fleet.EngineID]bool
-	// announceSignal has one element while there is something to tell.
+	// announceSignal holds one element while there is something to broadcast.
 	announceSignal chan struct{}
 }
 
-// rankedGranters are the nodes that grant the requests to a worker, best first.
+// rankedGranters are the gateways that may grant requests to a worker, best first.
 type rankedGranters struct {
 	view  *membership.View
 	nodes []fleet.NodeID
@@ -61,8 +61,8 @@
 	}
 }
 
-// observe takes in an observation. tell has other nodes told of what it changes.
-func (l *workerLimits) observe(observation workerlimit.Observation, tell bool) workerlimit.Change {
+// observe adds an observation. broadcast sends a resulting change to other gateways.
+func (l *workerLimits) observe(observation workerlimit.Observation, broadcast bool) workerlimit.Change {
 	if !observation.Limited && !l.active.Load() {
 		return workerlimit.Unchanged
 	}
@@ -79,21 +79,21 @@
 		l.dropLocked(observation.Worker)
 	case workerlimit.Altered:
 	}
-	if tell {
+	if broadcast {
 		l.pendingBroadcast[observation.Worker] = true
 		signal(l.announceSignal)
 	}
 	return change
 }
 
-// dropLocked forgets what belongs to the limit of a worker that has none any more; the mutex is held.
+// dropLocked drops the state of a worker's limit. The caller holds the mutex.
 func (l *workerLimits) dropLocked(worker fleet.EngineID) {
 	delete(l.calls, worker)
 	delete(l.granters, worker)
 	l.limiter.Forget(worker)
 }
 
-// forget drops what is known of a worker whose run has ended.
+// forget drops the state of a worker whose run has ended.
 func (l *workerLimits) forget(worker fleet.EngineID) {
 	if !l.active.Load() {
 		return
@@ -104,13 +104,13 @@
 	l.dropLocked(worker)
 }
 
-// isLimited tells whether a worker's run has a limit.
+// isLimited reports whether a worker's run has a rate limit.
 func (l *workerLimits) isLimited(worker fleet.EngineID, born backends.StartTime) bool {
 	_, limited := l.observation(worker, born)
 	return limited
 }
 
-// observation returns what is believed of the limit of a worker's run; false if it has none.
+// observation returns the newest observation of a worker's run, false if it has no limit.
 func (l *workerLimits) observation(worker fleet.EngineID, born backends.StartTime) (workerlimit.Observation, bool) {
 	if !l.active.Load() {
 		return workerlimit.Observation{}, false
@@ -123,7 +123,7 @@
 	return l.ledger.Observation(worker)
 }
 
-// intake tells whether a worker takes a request of a priority, and for how long not.
+// intake returns whether a worker takes a request of a priority and, if not, for how long.
 func (l *workerLimits) intake(now time.Duration, worker *backends.Worker, priority int) (backends.Intake, time.Duration) {
 	if !l.active.Load() {
 		return backends.IntakeFree, 0
@@ -139,7 +139,7 @@
 	return backends.IntakeLimited, 0
 }
 
-// recordRefusal takes in that a worker had no room for a request of a priority.
+// recordRefusal records that a worker had no room for a request of a priority.
 func (l *workerLimits) recordRefusal(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -153,8 +153,8 @@
 	return l.ledger.Closed(now, worker, priority)
 }
 
-// retryAfter returns when a caller is to come back that found all workers at their limits, of
-// which one opens after a time. sharers is the number of nodes that share their rates.
+// retryAfter returns when a caller should retry that found all workers at their limits, the first
+// of which has room after opensIn. sharers is the number of gateways that share the rates.
 func (l *workerLimits) retryAfter(now, opensIn time.Duration, sharers int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -177,14 +177,13 @@
 	}
 }
 
-// limitUsage is what this node has sent to a worker with a limit since the last time.
+// limitUsage is the number of calls to a worker with a limit in one log period.
 type limitUsage struct {
 	observation workerlimit.Observation
 	calls       map[callKind]int
 }
 
-// takeUsage returns what was sent to the workers with limits since the last call, and drops what is
-// over.
+// takeUsage returns and resets the calls to workers with limits, and drops expired state.
 func (l *workerLimits) takeUsage(now time.Duration) []limitUsage {
 	if !l.active.Load() {
 		return nil
@@ -203,13 +202,13 @@
 	return uses
 }
 
-// countCall counts a call that is about to reach a worker.
+// countCall counts a call that is about to be sent to a worker.
 func (g *Gateway) countCall(worker fleet.EngineID, kind callKind) {
 	g.metrics.workerCalls.WithLabelValues(string(kind)).Inc()
 	g.limits.countCall(worker, kind)
 }
 
-// observeLimit takes in what an answer to a request says of its worker's limit.
+// observeLimit records what an answer to a request states about its worker's limit.
 func (g *Gateway) observeLimit(current *carried, worker *backends.Worker, info AnswerInfo) {
 	if !hasLimitStatement(info) {
 		return
@@ -224,9 +223,8 @@
 	}
 }
 
-// hasLimitStatement tells whether an answer is the worker's own statement on its limit. One by another run
-// says nothing, and one that rejects the request, which need not be the worker's whole answer,
-// doesn't end a limit.
+// hasLimitStatement reports whether an answer is a valid statement of the worker about its limit.
+// An answer of another run is not. A rejection may omit the limit, so it doesn't end one.
 func hasLimitStatement(info AnswerInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
@@ -238,13 +236,13 @@
 	}
 }
 
-// logLimitChange logs a change of what is known of a limit, and from where.
+// logLimitChange logs a change of a known limit and its source.
 func (g *Gateway) logLimitChange(observation workerlimit.Observation, change workerlimit.Change, source string) {
 	g.events.line("worker_limit").Str("worker", string(observation.Worker)).Str("change", change.String()).Float64("rate", float64(observation.Rate)).
 		Dur("answer_age", g.now()-observation.Answered).Str("source", source).Msg("worker_limit")
 }
 
-// logLimitUsage logs what this node has sent to the workers with limits since the last time.
+// logLimitUsage logs the calls to workers with limits since the last call.
 func (g *Gateway) logLimitUsage() {
 	uses := g.limits.takeUsage(g.now())
 	g.metrics.limited.Set(float64(len(uses)))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,21 +12,20 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Times of the talk between gateways.
 const (
-	// loadExchangeInterval is the time between two exchanges with the same peer. Each
-	// of the two calls the other, so that news travel twice as often.
+	// loadExchangeInterval is the time between two exchanges with the same peer. Each side calls
+	// the other, so reports pass twice as often.
 	loadExchangeInterval = 600 * time.Millisecond
 	loadExchangeTimeout  = 400 * time.Millisecond
 	// loadExchangeFanout bounds the peers of one round of exchanges.
 	loadExchangeFanout = 12
-	// seedRetryInterval is the time between two reads of the nodes' rows while no peer
-	// is known, and seedIntervalKnown otherwise.
+	// seedRetryInterval is the time between two reads of the node rows while no peer is known,
+	// seedRefreshInterval the same otherwise.
 	seedRetryInterval   = 700 * time.Millisecond
 	seedRefreshInterval = 15 * time.Second
 )
 
-// seedList is the addresses at which other gateways may be found.
+// seedList holds the addresses of other gateways to join through.
 type seedList struct {
 	mutex sync.Mutex
 	list  []fleet.Address
@@ -44,9 +43,8 @@
 	s.list = addresses
 }
 
-// runRegistration writes this node's row, so that others find it, and reads those of
-// others. In a larger fleet only nodes whose role is to read the store do so, and
-// nodes that find nobody else.
+// runRegistration writes this gateway's node row and reads those of others. In a large fleet only
+// gateways whose role is to read the store do so, and those that find no others.
 func (g *Gateway) runRegistration() error {
 	registered := false
 	for {
@@ -65,7 +63,8 @@
 	}
 }
 
-// registerAndReadSeeds makes the calls of register and tells whether this node's row is written.
+// registerAndReadSeeds registers this gateway if it isn't registered yet, reads the seeds, and
+// reports whether this gateway is registered.
 func (g *Gateway) registerAndReadSeeds(registered bool) bool {
 	ctx, cancel := context.WithTimeout(g.context(), 2*time.Second)
 	defer cancel()
@@ -101,8 +100,8 @@
 	g.seeds.set(addresses)
 }
 
-// exchangeLoads exchanges reports with the other gateways that share loads: with
-// all of them in each round while they are few, else with some, taking turns.
+// exchangeLoads periodically exchanges reports with the other load-sharing gateways: with all of
+// them in each round while they are few, otherwise with some in rotation.
 func (g *Gateway) exchangeLoads() error {
 	known := make(map[fleet.NodeID]bool)
 	for round := 0; g.pauseOrRest(loadExchangeInterval); round++ {
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// rotatingSubset returns at most limit elements, others in each round.
+// rotatingSubset returns at most limit elements, a different subset in each round.
 func rotatingSubset[Element any](all []Element, round, limit int) []Element {
 	if len(all) <= limit {
 		return all
@@ -144,7 +143,7 @@
 	return chosen
 }
 
-// exchangeLoad gives one member this node's report and takes its answer in.
+// exchangeLoad sends this gateway's report to a member and applies its answer.
 func (g *Gateway) exchangeLoad(member membership.Member) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
@@ -162,13 +161,13 @@
 	g.applyLimits(report, begun)
 }
 
-// answerLoad answers another gateway's report with this one's.
+// answerLoad applies another gateway's report and returns this one's.
 func (g *Gateway) answerLoad(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
 	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	if report.GetQuarantineOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
 	}
-	// The report may have taken as long as a call may.
+	// The call may have taken up to its timeout.
 	g.applyLimits(report, g.now()-limitCallTimeout)
 	if report.GetLimitsOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: g.limits.encodedLimits(g.now())}
@@ -182,13 +181,13 @@
 	}
 	g.applyLoadReport(report)
 	answer := g.loadReport(fleet.NodeID(report.GetNode()))
-	lacking := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
-	answer.QuarantineRecords = append(answer.QuarantineRecords, lacking...)
+	missing := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
+	answer.QuarantineRecords = append(answer.QuarantineRecords, missing...)
 	return answer
 }
 
-// answerPartialReport takes in what has changed at another gateway, and tells what tenants
-// have used here if the other does.
+// answerPartialReport applies the changes at another gateway. If the report includes quota usage,
+// the answer does too.
 func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
@@ -200,7 +199,7 @@
 	return answer
 }
 
-// loadReport returns what this node tells another one.
+// loadReport returns this gateway's full report to another one.
 func (g *Gateway) loadReport(to fleet.NodeID) *rpc.LoadReport {
 	now := g.now()
 	report := &rpc.LoadReport{
@@ -245,7 +244,7 @@
 	return report
 }
 
-// namedVersions returns when the newest versions of weights were named.
+// namedVersions returns the newest model versions with the time since each was named.
 func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
 	for model, namings := range g.weights.heard() {
@@ -258,7 +257,7 @@
 	return named
 }
 
-// applyNamedVersions takes in when another node heard of versions.
+// applyNamedVersions records when other gateways heard of model versions.
 func (g *Gateway) applyNamedVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
@@ -267,8 +266,8 @@
 	}
 }
 
-// dueVersions returns the engines' versions, by the word of the lease's holder, as far as
-// a node is to be told of them.
+// dueVersions returns the engines' model versions to include in a report to a gateway. The lease
+// holder is their authority.
 func (g *Gateway) dueVersions(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
@@ -277,16 +276,16 @@
 		}
 	}
 	due := g.toldVersions.due(now, to, present)
-	told := make([]*rpc.WorkerWeights, 0, len(due))
+	encoded := make([]*rpc.WorkerWeights, 0, len(due))
 	for _, version := range due {
-		told = append(told, &rpc.WorkerWeights{
+		encoded = append(encoded, &rpc.WorkerWeights{
 			Worker: string(version.engine), Model: string(version.model), Version: version.version,
 		})
 	}
-	return told
+	return encoded
 }
 
-// applyLoadReport takes in another gateway's report.
+// applyLoadReport applies another gateway's full report.
 func (g *Gateway) applyLoadReport(report *rpc.LoadReport) {
 	now := g.now()
 	suspects := make([]fleet.EngineID, 0, len(report.GetSuspects()))
@@ -298,10 +297,10 @@
 		orders[fleet.EngineID(order.GetWorker())] = now + time.Duration(order.GetRemainingMillis())*time.Millisecond
 	}
 	work := make(map[fleet.PoolName]backends.Work, len(report.GetWork()))
-	for _, told := range report.GetWork() {
-		work[fleet.PoolName(told.GetService())] = backends.Work{
-			Long:  time.Duration(told.GetLongMillis()) * time.Millisecond,
-			Short: time.Duration(told.GetShortMillis()) * time.Millisecond,
+	for _, entry := range report.GetWork() {
+		work[fleet.PoolName(entry.GetService())] = backends.Work{
+			Long:  time.Duration(entry.GetLongMillis()) * time.Millisecond,
+			Short: time.Duration(entry.GetShortMillis()) * time.Millisecond,
 		}
 	}
 	g.workers.ObservePeer(now, fleet.NodeID(report.GetNode()), backends.PeerReport{
@@ -321,9 +320,9 @@
 	}
 }
 
-// applyProof takes another gateway's proof as this one's: if it had proof of age a
-// when it answered a call begun at a time, and holds the same configuration,
-// then nothing newer was acknowledged up to that time less a.
+// applyProof adopts another gateway's proof of freshness: if its proof had age a when it answered a
+// call that began at begun, and its configuration is not newer than the one held here, then this
+// configuration was current at begun-a.
 func (g *Gateway) applyProof(begun time.Duration, report *rpc.LoadReport) {
 	held := g.holder.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -12,33 +12,34 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// errQuarantined is the cause of a send that isn't made, or is broken off before its answer,
-// since the request ends workers.
-var errQuarantined = errors.New("request is held")
+// errQuarantined is the cause of a send that isn't made, or is cancelled before its answer begins,
+// because its request is quarantined.
+var errQuarantined = errors.New("request is quarantined")
 
-// sharedCrashes is the number of ended workers from which on a request is told to every node
-// and kept in the store: of harmless requests few are under way at two workers that end.
+// sharedCrashes is the number of worker crashes from which on a request's record goes to every
+// gateway and the store. Few harmless requests are in flight at two workers that crash.
 const sharedCrashes = 2
 
-// quarantineState makes what a node knows of requests that end workers safe for concurrent use.
+// quarantineState holds what a gateway knows about requests suspected of crashing workers. It is
+// safe for concurrent use.
 type quarantineState struct {
-	// active is set once there was a record: before, requests need no lock.
+	// active is set by the first record. Until then requests skip the mutex.
 	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// changedAt holds when records last changedAt here, for as long as reports tell them.
+	// changedAt holds when a record last changed here. Reports include it for reportChangesFor.
 	changedAt map[quarantine.Fingerprint]time.Duration
-	// pendingBroadcast holds the records to be told to others at once.
+	// pendingBroadcast holds the records to send to other gateways at once.
 	pendingBroadcast map[quarantine.Fingerprint]bool
-	// local holds the requests that were under way at a worker which ended, or were answered
-	// afterwards, at this node: it is to keep their rows in step.
+	// local holds the requests that were in flight at a crashed worker, or were answered after a
+	// crash, at this gateway. It keeps their stored rows up to date.
 	local map[quarantine.Fingerprint]bool
-	// stored holds what is known of the store's rows.
+	// stored holds the known state of the store's rows.
 	stored map[quarantine.Fingerprint]storedQuarantine
 
-	// announceSignal has one element while there is something to tell, unstored while there may
-	// be something to write.
+	// announceSignal holds one element while there is something to broadcast, storeSignal while the
+	// store may be out of date.
 	announceSignal chan struct{}
 	storeSignal    chan struct{}
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-// check tells whether a request may go to a worker.
+// check returns whether a request is held and when its next trial is due.
 func (q *quarantineState) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
 	if !q.active.Load() {
 		return quarantine.Verdict{}
@@ -65,32 +66,31 @@
 	return q.ledger.Check(now, fingerprint)
 }
 
-// quarantineChange is what a word on one request has changed.
+// quarantineChange is the effect of an update on one request.
 type quarantineChange struct {
 	verdict quarantine.Verdict
-	// began is set if the request is held from now on, ended if it isn't any more.
+	// began is set if the request is held from now on, ended if it is released.
 	began, ended bool
 }
 
-// update changes the ledger by a word on one request, and has others told of it if tell says
-// so. It returns what has changed.
-func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (tell bool)) quarantineChange {
+// update applies a change to the ledger and returns its effect. The record is broadcast if change
+// returns true or the request becomes held.
+func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (broadcast bool)) quarantineChange {
 	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	before := q.ledger.Check(now, fingerprint)
-	tell := change(q.ledger)
+	broadcast := change(q.ledger)
 	after := q.ledger.Check(now, fingerprint)
 	outcome := quarantineChange{verdict: after, began: !before.Held && after.Held, ended: before.Held && !after.Held}
-	// A single end that another node has seen is that node's to tell: of some thousand runs
-	// that end at once each node would tell all to all, a second time and a third.
-	concerns := q.local[fingerprint] || after.Ends >= sharedCrashes
-	if tell || (before.Ends != after.Ends && concerns) {
+	// A single crash that another gateway saw is reported by that gateway alone. Otherwise a
+	// failure of many runs would be reported by each gateway to all others.
+	relevant := q.local[fingerprint] || after.Ends >= sharedCrashes
+	if broadcast || (before.Ends != after.Ends && relevant) {
 		q.changedAt[fingerprint] = now
 	}
-	// Whoever begins to hold a request tells all: nodes that missed one of the words before
-	// would let it through.
-	if tell || outcome.began {
+	// Gateways that missed one of the earlier updates would let the request pass.
+	if broadcast || outcome.began {
 		q.pendingBroadcast[fingerprint] = true
 		signal(q.announceSignal)
 	}
@@ -100,7 +100,7 @@
 	return outcome
 }
 
-// recordCrash takes in that a worker recordCrash while a request was under way there, at this node.
+// recordCrash records that a worker crashed while this gateway had a request in flight there.
 func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
 		q.local[fingerprint] = true
@@ -108,7 +108,7 @@
 	})
 }
 
-// recordAnswer takes in that a request was recordAnswer whole, at this node.
+// recordAnswer records that this gateway received a complete answer to a request.
 func (q *quarantineState) recordAnswer(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	if !q.active.Load() {
 		q.mutex.Lock()
@@ -117,16 +117,16 @@
 		return quarantineChange{}
 	}
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		spoken := ledger.Answered(now, fingerprint)
-		if spoken {
+		suspected := ledger.Answered(now, fingerprint)
+		if suspected {
 			q.local[fingerprint] = true
 		}
-		return spoken
+		return suspected
 	})
 }
 
-// merge takes in what another node, or the store, tells of a request. A node that knows of a
-// whole answer which speaks for the request tells all.
+// merge merges a record of another gateway or the store. If this gateway knows of an answer or a
+// trial that the record lacks, it broadcasts it.
 func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
 	return q.update(now, record.Fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.Merge(record)
@@ -134,12 +134,13 @@
 	})
 }
 
-// release takes in that a request isn't to be held any more.
+// release ends the quarantine of a request.
 func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool { return ledger.Release(now, fingerprint) })
 }
 
-// sweep forgets what is too old, and returns what is held no more.
+// sweep drops expired records, and returns the released requests and the number of those still
+// held.
 func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
 	if !q.active.Load() {
 		return nil, 0
@@ -163,8 +164,8 @@
 	return released, q.ledger.Held()
 }
 
-// checkQuarantine refuses a request that ends workers. One whose trial is due, and whose
-// trial nobody else makes, goes on.
+// checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
+// this gateway acquires the trial.
 func (g *Gateway) checkQuarantine(current *carried) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if !verdict.Held {
@@ -178,10 +179,11 @@
 	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, retryLater)}
 }
 
-// reasonQuarantined is the reason of a request that is refused since it ends workers.
+// reasonQuarantined is the refusal reason of a quarantined request.
 const reasonQuarantined = "workers ended under it"
 
-// checkHeld tells whether a request must not go to a worker now, and logs that.
+// checkHeld reports whether a request is held, and logs it if so. The trial of a held request
+// passes.
 func (g *Gateway) checkHeld(current *carried) (quarantine.Verdict, bool) {
 	if current.trial {
 		return quarantine.Verdict{}, false
@@ -193,7 +195,7 @@
 	return verdict, verdict.Held
 }
 
-// recordHeldRequest logs and counts that a request was kept from the workers.
+// recordHeldRequest logs and counts a request that was refused or cancelled by quarantine.
 func (g *Gateway) recordHeldRequest(current *carried, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
@@ -201,7 +203,8 @@
 		Dur("last_end_age", verdict.LastAge).Int("trials", verdict.Trials).Dur("retry_after", verdict.RetryAfter).Msg("request_held")
 }
 
-// recordWorkerCrash takes in the requests whose runs ended with their worker, unless it shut down.
+// recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
+// draining.
 func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
 	if g.workers.Draining(worker) {
 		return
@@ -214,26 +217,26 @@
 	}
 }
 
-// recordAnswered takes in that a request was answered whole by a worker.
+// recordAnswered records a complete answer to a request.
 func (g *Gateway) recordAnswered(current *carried) {
 	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordAnswer(g.now(), current.fingerprint))
 }
 
-// handleQuarantineChange logs that a request is held from now on, or not any more, and what told so.
-// Sends of a held one whose answer hasn't begun are broken off: they would end workers yet.
+// handleQuarantineChange logs the start or end of a quarantine and its source. At the start it
+// cancels sends of the request whose answer hasn't begun.
 func (g *Gateway) handleQuarantineChange(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
-		broken := g.pending.hold(fingerprint)
+		cancelled := g.pending.hold(fingerprint)
 		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Ends).
 			Dur("first_end_age", change.verdict.FirstAge).Dur("last_end_age", change.verdict.LastAge).
-			Int("trials", change.verdict.Trials).Int("broken_off", broken).Msg("quarantine_began")
+			Int("trials", change.verdict.Trials).Int("broken_off", cancelled).Msg("quarantine_began")
 	case change.ended:
 		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Msg("quarantine_ended")
 	}
 }
 
-// sweepQuarantines forgets what is too old.
+// sweepQuarantines drops expired records.
 func (g *Gateway) sweepQuarantines() {
 	released, held := g.quarantines.sweep(g.now())
 	g.metrics.quarantined.Set(float64(held))
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinepeers.go
@@ -11,21 +11,19 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Times of the talk about requests that end workers.
 const (
-	// quarantineBatchDelay is the time in which words are gathered: the connections to a worker
-	// that ends break one after the other.
+	// quarantineBatchDelay is the time in which changes are collected before a broadcast: the
+	// connections to a crashed worker break one after the other.
 	quarantineBatchDelay  = 20 * time.Millisecond
 	quarantineCallTimeout = 250 * time.Millisecond
-	// reportChangesFor is how long a changed record goes with each report besides: three rounds of
-	// reports, for those that missed it when it was told at once.
+	// reportChangesFor is how long load reports include a changed record, for gateways that missed
+	// its broadcast. It covers three rounds of reports.
 	reportChangesFor = 2 * time.Second
-	// maxQuarantineCalls bounds the calls at a time that tell others.
+	// maxQuarantineCalls bounds the concurrent calls of broadcasts.
 	maxQuarantineCalls = 32
 )
 
-// announceQuarantine tells others at once of the requests whose records have changed here,
-// until the process ends.
+// announceQuarantine broadcasts records that have changed here, until the process stops.
 func (g *Gateway) announceQuarantine() error {
 	for {
 		select {
@@ -43,7 +41,7 @@
 	}
 }
 
-// takePendingBroadcast returns the records that are to be told.
+// takePendingBroadcast returns and clears the records to broadcast.
 func (q *quarantineState) takePendingBroadcast() []quarantine.Record {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -57,7 +55,8 @@
 	return records
 }
 
-// broadcastQuarantine tells the nodes that carry requests, and those that others ask for news.
+// broadcastQuarantine sends records to the gateways that forward requests and to those that others
+// watch.
 func (g *Gateway) broadcastQuarantine(records []quarantine.Record) {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
 	report.QuarantineRecords = encodeQuarantineRecords(g.now(), records)
@@ -70,8 +69,8 @@
 	})
 }
 
-// quarantinePeers returns the other nodes that carry requests, take part in the talk about
-// loads or read the store. Any other node hears from one of those that read.
+// quarantinePeers returns the other gateways that serve requests, share loads or read the store.
+// All others watch one of the readers.
 func (g *Gateway) quarantinePeers() []membership.Member {
 	roles := g.roles.Load()
 	sharing := make(map[fleet.NodeID]bool, len(roles.loadPeers))
@@ -87,7 +86,7 @@
 	return peers
 }
 
-// writeReport adds to a report what has changed of late, and the digest of what is known.
+// writeReport adds the recently changed records and the digest of all shared records to a report.
 func (q *quarantineState) writeReport(now time.Duration, report *rpc.LoadReport) {
 	if !q.active.Load() {
 		return
@@ -104,7 +103,7 @@
 	report.QuarantineRecords = encodeQuarantineRecords(now, records)
 }
 
-// digest returns the digest of the records that every node is told of.
+// digest returns the digest of the records shared with all gateways.
 func (q *quarantineState) digest() uint64 {
 	if !q.active.Load() {
 		return 0
@@ -114,7 +113,7 @@
 	return q.ledger.Digest(sharedCrashes)
 }
 
-// missingRecords returns the records that a node with another digest is to be told of.
+// missingRecords returns the shared records if a gateway's digest differs from this one's.
 func (q *quarantineState) missingRecords(now time.Duration, digest uint64) []*rpc.QuarantineRecord {
 	if !q.active.Load() {
 		return nil
@@ -127,11 +126,11 @@
 	return encodeQuarantineRecords(now, q.ledger.AtLeast(sharedCrashes))
 }
 
-// mergeQuarantineRecords takes in what another node tells.
+// mergeQuarantineRecords merges records of another gateway.
 func (g *Gateway) mergeQuarantineRecords(encoded []*rpc.QuarantineRecord) {
 	now := g.now()
-	for _, told := range encoded {
-		record, err := decodeQuarantineRecord(now, told)
+	for _, message := range encoded {
+		record, err := decodeQuarantineRecord(now, message)
 		if err != nil {
 			g.noteUnreadable("", []Unreadable{{Source: "quarantine_record", Err: err}})
 			continue
@@ -140,51 +139,49 @@
 	}
 }
 
-// encodeQuarantineRecords returns records in their transmitted form.
 func encodeQuarantineRecords(now time.Duration, records []quarantine.Record) []*rpc.QuarantineRecord {
 	encoded := make([]*rpc.QuarantineRecord, len(records))
 	for index := range records {
 		record := &records[index]
-		told := &rpc.QuarantineRecord{
+		message := &rpc.QuarantineRecord{
 			Fingerprint: record.Fingerprint[:],
 			Trials:      uint32(max(record.Trials, 0)),
 		}
 		if record.Trials > 0 {
-			told.TriedAgeMillis = ageMillis(now, record.TriedAt)
+			message.TriedAgeMillis = ageMillis(now, record.TriedAt)
 		}
 		if record.Answered {
-			told.AnsweredAgeMillis = ageMillis(now, record.AnsweredAt) + 1
+			message.AnsweredAgeMillis = ageMillis(now, record.AnsweredAt) + 1
 		}
 		for _, end := range record.Ends {
-			told.Ends = append(told.Ends, &rpc.QuarantineEnd{Worker: string(end.Worker), AgeMillis: ageMillis(now, end.At)})
+			message.Ends = append(message.Ends, &rpc.QuarantineEnd{Worker: string(end.Worker), AgeMillis: ageMillis(now, end.At)})
 		}
-		encoded[index] = told
+		encoded[index] = message
 	}
 	return encoded
 }
 
-// ageMillis returns the time since a moment in whole milliseconds.
+// ageMillis returns the time since at in whole milliseconds, rounded down.
 func ageMillis(now, at time.Duration) uint32 { return uint32(max(now-at, 0).Milliseconds()) }
 
-// timeFromAge returns the moment of an age in milliseconds.
+// timeFromAge returns the time that lies an age in milliseconds before now.
 func timeFromAge(now time.Duration, age uint32) time.Duration {
 	return now - time.Duration(age)*time.Millisecond
 }
 
-// decodeQuarantineRecord reads a record from its transmitted form.
-func decodeQuarantineRecord(now time.Duration, told *rpc.QuarantineRecord) (quarantine.Record, error) {
-	fingerprint, err := quarantine.FingerprintFromBytes(told.GetFingerprint())
+func decodeQuarantineRecord(now time.Duration, message *rpc.QuarantineRecord) (quarantine.Record, error) {
+	fingerprint, err := quarantine.FingerprintFromBytes(message.GetFingerprint())
 	if err != nil {
 		return quarantine.Record{}, err
 	}
-	record := quarantine.Record{Fingerprint: fingerprint, Trials: int(told.GetTrials())}
+	record := quarantine.Record{Fingerprint: fingerprint, Trials: int(message.GetTrials())}
 	if record.Trials > 0 {
-		record.TriedAt = timeFromAge(now, told.GetTriedAgeMillis())
+		record.TriedAt = timeFromAge(now, message.GetTriedAgeMillis())
 	}
-	if age := told.GetAnsweredAgeMillis(); age > 0 {
+	if age := message.GetAnsweredAgeMillis(); age > 0 {
 		record.Answered, record.AnsweredAt = true, timeFromAge(now, age-1)
 	}
-	for _, end := range told.GetEnds() {
+	for _, end := range message.GetEnds() {
 		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(end.GetWorker()), At: timeFromAge(now, end.GetAgeMillis())})
 	}
 	return record, nil
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -12,29 +12,28 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// Times and bounds of keeping requests that end workers in the store.
 const (
-	// quarantineWatchWait is the longest wait of one call that follows the rows. They prove nothing,
-	// and a change ends the call at once, so a shorter wait would only cost calls.
+	// quarantineWatchWait is the longest wait of one call that follows the rows. A change ends the
+	// call at once.
 	quarantineWatchWait = 10 * time.Second
-	// orphanedAfter is how long after its last end a held request without a row is written
-	// by any node that reads the store: those that lost runs to it may all be gone.
+	// orphanedAfter is the time after the last crash from which on any gateway that reads the store
+	// may write the missing row of a held request. The gateways that saw the crashes may be gone.
 	orphanedAfter = 3 * time.Second
-	// maxStoreChanges bounds the rows that are written or removed in one look.
+	// maxStoreChanges bounds the rows that one pass writes, and those that it removes.
 	maxStoreChanges = 16
-	// trialTimeout bounds the store's answer to a node that wants to try a held request.
+	// trialTimeout bounds the store calls that acquire a trial.
 	trialTimeout = 500 * time.Millisecond
 )
 
-// storedQuarantine is what is known of a request's row.
+// storedQuarantine is the known state of a request's row.
 type storedQuarantine struct {
 	version     fleet.Revision
 	workerCount int
 	trials      int
 }
 
-// newQuarantineTable returns the table of requests under which workers ended. Nodes that don't
-// read the store aren't told of its rows but of the records, so that it is none of g.tables.
+// newQuarantineTable returns the table of quarantined requests. It isn't part of g.tables: gateways
+// that don't read the store receive records from their peers instead of rows.
 func (g *Gateway) newQuarantineTable() *table {
 	return &table{
 		name:   TableQuarantine,
@@ -48,9 +47,9 @@
 	}
 }
 
-// followQuarantine follows the rows while this node reads the store, until the process ends.
-// It begins once this node knows what it needs to serve: until then each node reads, and most
-// are told of the records by a reader a moment later.
+// followQuarantine follows the rows while this gateway reads the store, until the process stops. It
+// starts once the gateway is ready: until then every gateway reads the store, and most receive the
+// records from a peer shortly after.
 func (g *Gateway) followQuarantine() error {
 	select {
 	case <-g.readiness.known:
@@ -60,7 +59,7 @@
 	}
 }
 
-// applyQuarantineRows takes in changed rows.
+// applyQuarantineRows applies changed rows.
 func (g *Gateway) applyQuarantineRows(rows []watchcache.Row, _ gap) {
 	decoded, unreadable := g.outside.Platform.DecodeQuarantine(rows)
 	g.noteUnreadable("", unreadable)
@@ -69,34 +68,34 @@
 	}
 }
 
-// applyQuarantineSnapshot takes in what a whole read of the rows lacks. A row that this node wrote
-// itself before it read any may have been removed since.
+// applyQuarantineSnapshot removes the rows that a complete read lacks. A row that this gateway
+// wrote before its first read may have been removed in between.
 func (g *Gateway) applyQuarantineSnapshot(update *watchcache.Update) {
-	named := make(map[string]bool, len(update.Rows))
+	present := make(map[string]bool, len(update.Rows))
 	for _, row := range update.Rows {
-		named[row.Key] = true
+		present[row.Key] = true
 	}
-	for _, missing := range g.quarantines.missingFrom(update.Revision, named) {
+	for _, missing := range g.quarantines.missingFrom(update.Revision, present) {
 		g.applyQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
 	}
 }
 
-// missingFrom returns the requests with a row of a revision at the latest that isn't named.
-func (q *quarantineState) missingFrom(revision fleet.Revision, named map[string]bool) []quarantine.Fingerprint {
+// missingFrom returns the requests whose known row is at most as new as a revision and isn't in
+// present.
+func (q *quarantineState) missingFrom(revision fleet.Revision, present map[string]bool) []quarantine.Fingerprint {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var missing []quarantine.Fingerprint
 	for fingerprint, stored := range q.stored {
-		if stored.version <= revision && !named[fingerprint.String()] {
+		if stored.version <= revision && !present[fingerprint.String()] {
 			missing = append(missing, fingerprint)
 		}
 	}
 	return missing
 }
 
-// applyQuarantineRow takes one row in. Since it names no times, what it tells counts as if it
-// had happened now. A row that was removed, by a node that saw the request answered or by an
-// operator, ends the hold.
+// applyQuarantineRow applies one row. Rows hold no times, so their crashes and trials count as of
+// now. A removed row ends the quarantine: the request was answered, or an operator removed it.
 func (g *Gateway) applyQuarantineRow(row *QuarantineRow) {
 	now := g.now()
 	if row.Gone {
@@ -116,14 +115,14 @@
 	g.handleQuarantineChange(row.Fingerprint, "store", g.quarantines.merge(now, &record))
 }
 
-// setStored notes what the store holds.
+// setStored records the state of a stored row.
 func (q *quarantineState) setStored(row *QuarantineRow) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.stored[row.Fingerprint] = storedQuarantine{version: row.Version, workerCount: len(row.Workers), trials: row.Trials}
 }
 
-// deleteStored notes that the store holds no row of a request, and tells whether that is news.
+// deleteStored records that the store holds no row of a request, and reports whether one was known.
 func (q *quarantineState) deleteStored(fingerprint quarantine.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -132,49 +131,49 @@
 	return found
 }
 
-// storedVersion returns the version that a request's row is believed to have; 0 for none.
+// storedVersion returns the last known version of a request's row, 0 if there is none.
 func (q *quarantineState) storedVersion(fingerprint quarantine.Fingerprint) fleet.Revision {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.stored[fingerprint].version
 }
 
-// storeChanges is what is to be done at the store.
+// storeChanges holds the rows to write to the store and those to remove.
 type storeChanges struct {
 	write  []QuarantineRow
 	remove []quarantine.Fingerprint
 }
 
-// pendingStoreChanges returns what this node is to write and to remove. It writes what was under way at its
-// own lost runs; what others have left unwritten it writes if it reads the store. It removes
-// what it had a part in, or anything if it holds the lease.
-func (q *quarantineState) pendingStoreChanges(now time.Duration, reads, leads bool) storeChanges {
+// pendingStoreChanges returns the rows that this gateway is to write and to remove. It writes the
+// requests that were in flight here when a worker crashed and, if it reads the store, orphaned
+// ones. It removes rows of requests that it took part in, or any row if it holds the lease.
+func (q *quarantineState) pendingStoreChanges(now time.Duration, isReader, isLeader bool) storeChanges {
 	if !q.active.Load() {
 		return storeChanges{}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var work storeChanges
+	var changes storeChanges
 	shared := make(map[quarantine.Fingerprint]bool)
 	for _, record := range q.ledger.AtLeast(sharedCrashes) {
 		shared[record.Fingerprint] = true
 		verdict := q.ledger.Check(now, record.Fingerprint)
-		stranded := reads && verdict.Held && verdict.LastAge > orphanedAfter
+		orphaned := isReader && verdict.Held && verdict.LastAge > orphanedAfter
 		known := q.stored[record.Fingerprint]
-		lacks := known.workerCount < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
-		if lacks && (q.local[record.Fingerprint] || stranded) && len(work.write) < maxStoreChanges {
-			work.write = append(work.write, rowFromRecord(&record, verdict.Ends))
+		outdated := known.workerCount < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
+		if outdated && (q.local[record.Fingerprint] || orphaned) && len(changes.write) < maxStoreChanges {
+			changes.write = append(changes.write, rowFromRecord(&record, verdict.Ends))
 		}
 	}
 	for fingerprint := range q.stored {
-		if !shared[fingerprint] && (leads || q.local[fingerprint]) && len(work.remove) < maxStoreChanges {
-			work.remove = append(work.remove, fingerprint)
+		if !shared[fingerprint] && (isLeader || q.local[fingerprint]) && len(changes.remove) < maxStoreChanges {
+			changes.remove = append(changes.remove, fingerprint)
 		}
 	}
-	return work
+	return changes
 }
 
-// rowFromRecord returns the row of a record, of which the last ends count.
+// rowFromRecord returns the row of a record with its last counted crashes.
 func rowFromRecord(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
 	for _, end := range record.Ends[len(record.Ends)-counted:] {
@@ -183,9 +182,8 @@
 	return row
 }
 
-// syncQuarantineStore keeps the store's rows in step with what this node knows, until the process
-// ends. What fails, such as while the store is out of reach, is tried again with the next
-// look, which the housekeeping asks for.
+// syncQuarantineStore keeps the store's rows up to date until the process stops. Failed writes are
+// retried when the periodic sweep signals again.
 func (g *Gateway) syncQuarantineStore() error {
 	for {
 		select {
@@ -193,24 +191,24 @@
 		case <-g.life.Dying():
 			return nil
 		}
-		_, leads := g.keeper.Fence()
-		reads, _ := g.sources.reads()
-		work := g.quarantines.pendingStoreChanges(g.now(), reads, leads)
-		g.applyStoreChanges(&work)
+		_, isLeader := g.keeper.Fence()
+		isReader, _ := g.sources.reads()
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+		g.applyStoreChanges(&changes)
 	}
 }
 
 // applyStoreChanges writes and removes rows.
-func (g *Gateway) applyStoreChanges(work *storeChanges) {
-	for _, row := range work.write {
+func (g *Gateway) applyStoreChanges(changes *storeChanges) {
+	for _, row := range changes.write {
 		g.writeQuarantine(row)
 	}
-	for _, fingerprint := range work.remove {
+	for _, fingerprint := range changes.remove {
 		g.removeQuarantine(fingerprint)
 	}
 }
 
-// writeQuarantine writes one row, together with what the store holds of the request.
+// writeQuarantine writes one row. On a conflict it applies the stored row.
 func (g *Gateway) writeQuarantine(row QuarantineRow) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
@@ -230,7 +228,6 @@
 	line.Msg("quarantine_recorded")
 }
 
-// removeQuarantine removes one row.
 func (g *Gateway) removeQuarantine(fingerprint quarantine.Fingerprint) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
@@ -245,8 +242,8 @@
 	line.Msg("quarantine_removed")
 }
 
-// acquireTrial tells whether a held request may be tried here and now: the store has taken this
-// node's word that it is, so that no other node tries it too.
+// acquireTrial reports whether this gateway may try a held request now. The conditional write to
+// the store ensures that no other gateway runs the same trial.
 func (g *Gateway) acquireTrial(current *carried, verdict quarantine.Verdict) bool {
 	record, known := g.quarantines.record(current.fingerprint)
 	if !known {
@@ -271,14 +268,14 @@
 	return true
 }
 
-// record returns what is known of a request.
+// record returns the record of a request, if any.
 func (q *quarantineState) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.ledger.Record(fingerprint)
 }
 
-// beginTrial notes that a held request is tried at this node.
+// beginTrial records that this gateway tries a held request.
 func (q *quarantineState) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
 	q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.BeginTrial(now, fingerprint, trials)
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// needsAllWorkers tells whether it is this node's part to know all workers, rather than those
-// in use: it orders them, or may have to soon.
+// needsAllWorkers reports whether this gateway needs to know all workers rather than those in use:
+// it holds the lease or may acquire it soon.
 func (g *Gateway) needsAllWorkers() bool {
 	if _, holds := g.keeper.Fence(); holds {
 		return true
@@ -20,41 +20,39 @@
 	return g.roles.Load().candidate || g.standIn.Load()
 }
 
-// shouldReadAllWorkers tells whether this node, if it reads the store, is to read all workers: it tells
-// others of them, has to know them, or has had no answer of any peer for long. A node that
-// reads for a moment, since its peers are slow, follows the changes of what it knows: where
-// the store turns a part of a large fleet away, whole reads by such nodes would be most of the
-// store's calls and bytes.
+// shouldReadAllWorkers reports whether this gateway, if it reads the store, reads all workers: it
+// serves them to others, needs them itself, or has had no answer of any peer for long. A gateway
+// that reads temporarily because its peers are slow follows only the changes of what it knows,
+// which spares the store complete reads.
 func (g *Gateway) shouldReadAllWorkers() bool {
 	return g.roles.Load().reader || g.needsAllWorkers() || g.sources.needsAll(g.now())
 }
 
-// workersTable returns the table of the workers.
 func (g *Gateway) workersTable() *table { return g.table(TableWorkers) }
 
-// planSubsets puts the subsets of the workers in force at a node that knows them all. Rows
-// that are about to be taken in count.
-func (g *Gateway) planSubsets(coming []WorkerRow) {
+// planSubsets plans and applies the subsets of workers in use, at a gateway that knows all workers.
+// Rows that are about to be applied are included.
+func (g *Gateway) planSubsets(incoming []WorkerRow) {
 	if !g.workersTable().cache.Whole() {
 		return
 	}
 	var workers []backends.Worker
-	for index := range coming {
-		if row := &coming[index]; !row.Gone && !row.Unusable {
+	for index := range incoming {
+		if row := &incoming[index]; !row.Gone && !row.Unusable {
 			workers = append(workers, row.Worker)
 		}
 	}
 	g.setSubsets(g.workers.PlanSubsets(g.demand.total(g.now()), workers), true)
 }
 
-// setSubsets puts subsets in force and logs them if they are others.
+// setSubsets applies subsets and logs those that changed.
 func (g *Gateway) setSubsets(subsets backends.Subsets, all bool) {
-	before := g.workers.InForce()
+	previous := g.workers.InForce()
 	if !g.workers.SetSubsets(subsets, all) {
 		return
 	}
 	for _, service := range sortedServices(subsets) {
-		if before[service] != subsets[service] {
+		if previous[service] != subsets[service] {
 			g.logger.Info().Str("service", string(service)).Uint8("halvings", uint8(subsets[service])).Msg("subset_in_force")
 		}
 	}
@@ -70,7 +68,7 @@
 	return services
 }
 
-// subsetsDigest returns a number that differs for other subsets; never 0.
+// subsetsDigest returns a digest of subsets. It is never 0.
 func subsetsDigest(subsets backends.Subsets) uint64 {
 	digest := fnv.New64a()
 	for _, service := range sortedServices(subsets) {
@@ -95,7 +93,7 @@
 	return subsets
 }
 
-// requestSubsets has a question for rows ask for those of the workers in use alone.
+// requestSubsets restricts a watch request to the workers in use unless this gateway needs all.
 func (g *Gateway) requestSubsets(request *rpc.WatchRequest) {
 	if g.needsAllWorkers() {
 		return
@@ -107,8 +105,8 @@
 	}
 }
 
-// workersUpdate returns what a watcher that has seen all up to a number is to be told of the
-// workers: of all of them, or of those in use. It returns nil if this node doesn't know all.
+// workersUpdate returns the changes of workers after the sequence number seen, of all workers or
+// those in use. It returns nil if this gateway doesn't know all workers.
 func (g *Gateway) workersUpdate(followed *table, request *rpc.WatchRequest, seen uint64) (*watchcache.Update, backends.Subsets) {
 	if !followed.cache.Whole() {
 		return nil, nil
@@ -123,8 +121,8 @@
 	return followed.cache.AfterOf(seen, g.workers.Covers(subsets)), subsets
 }
 
-// applyWorkersUpdate takes a peer's word on the workers in: on all of them, or on those in use. What
-// is dropped is told by the rows, so the subsets are in force after them.
+// applyWorkersUpdate applies a peer's update of all workers or of those in use. The rows tell which
+// workers are dropped, so the subsets change after them.
 func (g *Gateway) applyWorkersUpdate(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
 	if !message.GetWorkersInUse() {
 		followed.apply(update, gapUnreached)
@@ -136,8 +134,8 @@
 	g.setSubsets(subsets, false)
 }
 
-// watchPosition returns the number up to which this node has seen a source's changes of a table;
-// 0 asks for everything.
+// watchPosition returns the sequence number up to which this gateway has seen a source's changes of
+// a table. 0 requests all rows.
 func (g *Gateway) watchPosition(followed *table) uint64 {
 	if followed.name == TableWorkers && followed.cache.Partial() && g.needsAllWorkers() {
 		return 0
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -16,37 +16,36 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// cacheRequestSlack is how much longer than its wait a question about caches may take until the
-// node that was asked counts as silent. A frozen one is noticed after eventsWait and this.
+// cacheRequestSlack is added to cacheEventsWait for the timeout of a request for cache changes.
 const cacheRequestSlack = 350 * time.Millisecond
 
-// errNotMember says that a node isn't a member any more.
+// errNotMember is returned if a selected source is no longer a member.
 var errNotMember = errors.New("not a member")
 
-// zoneFeeds are the zones about whose caches this node asks others. A change is known in
-// another zone after the pauses of the node there and of the one that asks, twice
-// eventsPause at the most, besides the events' own lag.
+// zoneFeeds are the other zones whose caches this gateway follows through gateways there. A change
+// arrives after at most two pauses of cacheEventsInterval, besides the delay of the events
+// themselves.
 type zoneFeeds struct {
 	mutex sync.Mutex
 	feeds map[fleet.ZoneName]*zoneFeed
 }
 
-// zoneFeed is one such zone. Its fields are guarded by the mutex of zoneFeeds.
+// zoneFeed is the feed of one zone. Its fields are guarded by the mutex of zoneFeeds.
 type zoneFeed struct {
 	cancel context.CancelFunc
-	// unavailable is set while nobody of the zone answers.
+	// unavailable is set while no gateway of the zone answers.
 	unavailable bool
-	// wanted are the caches of which this node asks; a set is replaced, never changed.
+	// wanted holds the caches to request. The map is replaced, never modified.
 	wanted map[fleet.EngineID]bool
-	// mirror is what this node tells others of its region about the zone, if first is set:
-	// then it learns it from the zone itself.
+	// mirror is the log that this gateway serves to others of its region. It is served only if
+	// firsthand is set: its state comes from the zone itself.
 	mirror    *cacheLog
 	firsthand bool
 }
 
 func newZoneFeeds() *zoneFeeds { return &zoneFeeds{feeds: make(map[fleet.ZoneName]*zoneFeed)} }
 
-// isUnavailable tells whether nobody of a zone answers questions about its caches.
+// isUnavailable reports whether no gateway of a zone answers requests for its caches.
 func (z *zoneFeeds) isUnavailable(zone fleet.ZoneName) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
@@ -54,14 +53,15 @@
 	return feed != nil && feed.unavailable
 }
 
-// setSource notes whom a feed asks: nobody, as all are silent, or a node, of the zone itself or not.
-func (z *zoneFeeds) setSource(feed *zoneFeed, silent, first bool) {
+// setSource records the kind of a feed's current source: none available, or one within the zone
+// itself.
+func (z *zoneFeeds) setSource(feed *zoneFeed, unavailable, firsthand bool) {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	feed.unavailable, feed.firsthand = silent, first
+	feed.unavailable, feed.firsthand = unavailable, firsthand
 }
 
-// mirror returns what this node knows of a zone from the zone itself, or nil.
+// mirror returns the log of a zone if its state comes from the zone itself, otherwise nil.
 func (z *zoneFeeds) mirror(zone fleet.ZoneName) *cacheLog {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
@@ -78,9 +78,9 @@
 	return feed.wanted
 }
 
-// setWanted takes over which caches are wanted, by zone, and starts a feed for each new zone. A zone
-// in which nobody answers stays, so that its nodes are tried again while keepSilent is setWanted.
-func (z *zoneFeeds) setWanted(wanted map[fleet.ZoneName]map[fleet.EngineID]bool, keepSilent bool, start func(zone fleet.ZoneName, feed *zoneFeed)) {
+// setWanted sets the wanted caches by zone and starts a feed for each new zone. While
+// keepUnavailable is set, the feed of an unavailable zone is kept to retry its gateways.
+func (z *zoneFeeds) setWanted(wanted map[fleet.ZoneName]map[fleet.EngineID]bool, keepUnavailable bool, start func(zone fleet.ZoneName, feed *zoneFeed)) {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	for zone, caches := range wanted {
@@ -97,14 +97,14 @@
 			continue
 		}
 		feed.wanted = nil
-		if !feed.unavailable || !keepSilent {
+		if !feed.unavailable || !keepUnavailable {
 			feed.cancel()
 			delete(z.feeds, zone)
 		}
 	}
 }
 
-// updateZoneFeeds has nodes of other zones asked about the caches there.
+// updateZoneFeeds starts and stops the feeds of other zones.
 func (g *Gateway) updateZoneFeeds(wanted map[fleet.ZoneName]map[fleet.EngineID]bool) {
 	g.zoneFeeds.setWanted(wanted, g.serves(), func(zone fleet.ZoneName, feed *zoneFeed) {
 		ctx, cancel := context.WithCancel(g.context())
@@ -116,9 +116,9 @@
 	})
 }
 
-// followZone learns from nodes of a zone what its caches hold, until the context ends. A
-// source that doesn't answer is left for the next; with none left, this node follows
-// the caches itself.
+// followZone applies the changes of a zone's caches until the context ends. If a source fails it
+// tries the next one. With none left, the zone is marked unavailable and this gateway follows its
+// caches directly.
 func (g *Gateway) followZone(ctx context.Context, zone fleet.ZoneName, feed *zoneFeed) {
 	selector, follower := cachefeed.NewSelector(g.now()), cachefeed.NewFollower()
 	mirrored := false
@@ -132,8 +132,8 @@
 			sleep(ctx, cacheCheckInterval)
 			continue
 		}
-		if asked := feed.mirror.isWanted(g.now()) || slices.Contains(g.cacheMirrors(zone), g.node); asked != mirrored {
-			mirrored = asked
+		if shouldMirror := feed.mirror.isWanted(g.now()) || slices.Contains(g.cacheMirrors(zone), g.node); shouldMirror != mirrored {
+			mirrored = shouldMirror
 			feed.mirror.reset(rand.Uint64())
 			follower.Reset()
 		}
@@ -160,34 +160,33 @@
 	}
 }
 
-// logCacheSourceFailure logs that a node couldn't tell of a zone's caches.
 func (g *Gateway) logCacheSourceFailure(zone fleet.ZoneName, source fleet.NodeID, err error) {
 	g.events.line("cache_source_failed").Str("zone", string(zone)).Str("source", string(source)).Err(err).Msg("cache_source_failed")
 }
 
-// cacheSources returns the nodes to ask about the caches of a zone, best first. Of a zone of
-// another region one node of this region asks there, and others that one, so that each change
-// crosses once; a second one stands by.
+// cacheSources returns the gateways to request a zone's caches from, best first. A zone of another
+// region is requested by one gateway of this region, with a second one as standby, and the others
+// request it from there, so that each change crosses between regions once.
 func (g *Gateway) cacheSources(zone fleet.ZoneName) []fleet.NodeID {
 	mirrors := g.cacheMirrors(zone)
-	if own := slices.Index(mirrors, g.node); own >= 0 {
-		mirrors = mirrors[:own]
+	if rank := slices.Index(mirrors, g.node); rank >= 0 {
+		mirrors = mirrors[:rank]
 	}
 	sources := slices.Concat(mirrors, g.roles.Load().CacheSources(zone))
 	return slices.DeleteFunc(sources, func(node fleet.NodeID) bool { return node == g.node })
 }
 
-// cacheMirrors returns the nodes of this region that tell of a zone of another region; none
-// for one of this region.
+// cacheMirrors returns the gateways of this region that mirror a zone of another region, nil for a
+// zone of this region.
 func (g *Gateway) cacheMirrors(zone fleet.ZoneName) []fleet.NodeID {
-	region, own := g.settings().Zones[zone], g.settings().Region
-	if region == "" || own == "" || region == own {
+	region, ownRegion := g.settings().Zones[zone], g.settings().Region
+	if region == "" || ownRegion == "" || region == ownRegion {
 		return nil
 	}
-	return g.roles.Load().CacheMirrors(zone, own)
+	return g.roles.Load().CacheMirrors(zone, ownRegion)
 }
 
-// requestCaches asks one node once about the caches of a zone and returns what is new.
+// requestCaches requests the changes of a zone's caches from one gateway and returns the new ones.
 func (g *Gateway) requestCaches(ctx context.Context, zone fleet.ZoneName, source membership.Member, follower *cachefeed.Follower, wanted map[fleet.EngineID]bool) ([]cachefeed.Update, error) {
 	if source.Node == "" {
 		return nil, errNotMember
@@ -206,7 +205,7 @@
 	return follower.Take(decodeCachesResponse(response), wanted), nil
 }
 
-// applyCacheUpdates takes another node's word on caches in.
+// applyCacheUpdates applies another gateway's cache updates.
 func (g *Gateway) applyCacheUpdates(updates []cachefeed.Update) {
 	for _, update := range updates {
 		run := fleet.EngineRun{Engine: update.Cache}
