--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -23,7 +23,7 @@
 	assert.Empty(t, engines)
 	select {
 	case <-announcer.pending:
-		t.Fatal("all was told")
+		t.Fatal("signal without a change")
 	default:
 	}
 	announcer.addAll()
@@ -34,8 +34,7 @@
 	assert.False(t, all)
 }
 
-// TestLoadsRoundTrip has the names of known workers go as hashes, and loads of
-// workers that the receiver doesn't know be left out.
+// Loads must survive encoding with short worker names. Those of unknown workers must be omitted.
 func TestLoadsRoundTrip(t *testing.T) {
 	sender, receiver := idleGateway(t), idleGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
@@ -57,5 +56,5 @@
 	assert.Equal(t, loads, receiver.decodeLoads(encoded))
 	assert.Empty(t, receiver.decodeLoads([]*rpc.WorkerLoad{{InFlight: 1}}))
 	truncated := []*rpc.WorkerLoad{{Worker: "a", ByPriority: []uint32{backends.Priorities, 1, 1, 0, 1}}}
-	assert.Equal(t, []backends.Load{{Engine: "a"}}, receiver.decodeLoads(truncated), "no such priority, and a part")
+	assert.Equal(t, []backends.Load{{Engine: "a"}}, receiver.decodeLoads(truncated), "unknown priority and truncated values")
 }
--- a/internal/gateway/cachelog_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -16,7 +16,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestAnswerCachesServesFollowedCaches asks a node about the caches of its zone.
+// A gateway must answer requests about the caches that it follows, but not with an incomplete
+// state.
 func TestAnswerCachesServesFollowedCaches(t *testing.T) {
 	g := idleGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
@@ -24,36 +25,35 @@
 		return decodeCachesResponse(response), err
 	}
 	_, err := ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errNoCachesFollowed, "it follows none")
-	assert.True(t, g.cacheLog.isWanted(g.now()), "but does from now on")
+	require.ErrorIs(t, err, errNoCachesFollowed, "no caches followed")
+	assert.True(t, g.cacheLog.isWanted(g.now()), "wanted after the first request")
 
 	g.cacheLog.setFollowing(g.now(), 2)
 	g.cacheLog.observe("one", true, []cachefeed.Change{{Part: 1, Held: true}, {Part: 2, Held: true}})
 	_, err = ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errNoCachesFollowed, "what it told of two caches would have the other forgotten")
+	require.ErrorIs(t, err, errNoCachesFollowed, "incomplete state must not be served")
 	g.cacheLog.observe("two", true, nil)
-	news, err := ask(cachefeed.Question{})
+	answer, err := ask(cachefeed.Question{})
 	require.NoError(t, err)
-	assert.True(t, news.Whole)
-	assert.Len(t, news.Updates, 2)
+	assert.True(t, answer.Whole)
+	assert.Len(t, answer.Updates, 2)
 
-	quiet, err := ask(cachefeed.Question{After: news.Next})
+	unchanged, err := ask(cachefeed.Question{After: answer.Next})
 	require.NoError(t, err)
-	assert.Equal(t, cachefeed.News{Next: news.Next}, quiet)
+	assert.Equal(t, cachefeed.News{Next: answer.Next}, unchanged)
 	go func() {
 		time.Sleep(5 * time.Millisecond)
 		g.cacheLog.observe("one", false, []cachefeed.Change{{Part: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Question{After: news.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Question{After: answer.Next}, time.Minute))
 	require.NoError(t, err)
 	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
-	news, err = ask(cachefeed.Question{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	answer, err = ask(cachefeed.Question{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, news.Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, answer.Updates)
 }
 
-// TestOtherZonesAreFollowedThroughPeers has a node that serves follow the caches of its own
-// zone by itself, and those of another zone only while nobody there answers.
+// A serving gateway must follow another zone's caches directly only while no gateway there answers.
 func TestOtherZonesAreFollowedThroughPeers(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
@@ -82,11 +82,11 @@
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
 	present, asked = g.selectCaches()
-	assert.Empty(t, present, "callers aren't sent here")
+	assert.Empty(t, present, "gateway doesn't serve")
 	assert.Empty(t, asked)
 }
 
-// TestIdleNodeFollowsCachesOnDemand has a zone without a node that serves.
+// A gateway that doesn't serve must follow its zone's caches while others request them.
 func TestIdleNodeFollowsCachesOnDemand(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
@@ -99,7 +99,7 @@
 		})
 	}
 	g.settled.Store(true)
-	// With four zones and six nodes that serve, no zone has serving nodes of its own by rule.
+	// With four zones and six serving gateways, no zone is guaranteed a serving one.
 	all := []membership.Member{
 		{Node: g.node, Zone: "z0", State: membership.Alive, Capacity: 200},
 		{Node: "y", Zone: "z2", State: membership.Alive, Capacity: 200},
@@ -122,8 +122,8 @@
 	assert.Empty(t, present(g))
 }
 
-// TestRemoteRegionIsFollowedByOneNode has a zone of another region asked by one node, the
-// others ask that one, and a node tells only what it has from the zone itself.
+// A zone of another region must be requested by one gateway of this region, and only state received
+// from the zone itself may be passed on.
 func TestRemoteRegionIsFollowedByOneNode(t *testing.T) {
 	g := idleGateway(t)
 	settings := *g.settings()
@@ -142,7 +142,7 @@
 	require.Len(t, mirrors, 2)
 	far := g.roles.Load().CacheSources("far")
 	require.ElementsMatch(t, []fleet.NodeID{"x", "y"}, far)
-	assert.ElementsMatch(t, []fleet.NodeID{"a", "b", "c"}, g.cacheSources("z1"), "the own region is asked by all")
+	assert.ElementsMatch(t, []fleet.NodeID{"a", "b", "c"}, g.cacheSources("z1"), "zone of the same region")
 	node := g.node
 	for _, self := range []fleet.NodeID{node, "a", "b", "c"} {
 		g.node = self
@@ -156,13 +156,13 @@
 
 	ask := &rpc.CachesRequest{Zone: "far"}
 	_, err := g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errNoCachesFollowed, "it knows nothing of that zone")
+	require.ErrorIs(t, err, errNoCachesFollowed, "no state of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
 	updates := []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
 	feed.mirror.applyUpdates(g.now(), updates, 1)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errNoCachesFollowed, "what another node has told may come from here")
+	require.ErrorIs(t, err, errNoCachesFollowed, "state received through another gateway")
 	g.zoneFeeds.setSource(feed, false, true)
 	response, err := g.answerCaches(t.Context(), ask)
 	require.NoError(t, err)
@@ -170,5 +170,5 @@
 	assert.True(t, feed.mirror.isWanted(g.now()))
 	feed.mirror.reset(6)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errNoCachesFollowed, "it begins anew")
+	require.ErrorIs(t, err, errNoCachesFollowed, "log was reset")
 }
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// deliveryGateway returns a gateway that isn't started and has heard of an order.
+// deliveryGateway returns a gateway that isn't started and has received an order.
 func deliveryGateway(t *testing.T) *Gateway {
 	g := idleGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
@@ -27,20 +27,20 @@
 	return g
 }
 
-// directiveToTarget returns a directive that sends everything to the target.
+// directiveToTarget returns a directive that sends all requests to the target.
 func directiveToTarget(g *Gateway, stage delivery.Stage, issuedAt time.Duration) delivery.Directive {
 	directive := testDirective(issuedAt)
 	directive.Stage, directive.Canaries, directive.Shares, directive.DefaultShare = stage, nil, nil, 1
 	return directive
 }
 
-// deliveryRequest returns a request that would go to the target at any share.
+// deliveryRequest returns a request that goes to the target at any share above 0.
 func deliveryRequest() *carried {
 	return &carried{service: &routes.Service{Name: "app"}, route: &routes.Route{Name: "route"}, draw: 0}
 }
 
-// TestPushedDirectiveIsPulledBeforeItApplies since a call may have lain here while the
-// process stood still; a final one counts whatever its age.
+// A pushed directive of unknown age must be pulled before it applies. A final one applies at any
+// age.
 func TestPushedDirectiveIsPulledBeforeItApplies(t *testing.T) {
 	g := deliveryGateway(t)
 	pushed := directiveToTarget(g, delivery.StageShifting, g.now())
@@ -49,7 +49,7 @@
 	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 
 	g.applyDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "answer to this gateway's own call")
 
 	final := directiveToTarget(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
@@ -59,36 +59,36 @@
 	choice := g.allowedVersions(deliveryRequest(), false)
 	assert.False(t, choice.WantsTarget())
 	assert.False(t, choice.Allows("w", "v2"))
-	assert.Empty(t, g.deliveries.unfinished(), "nothing is left to do")
+	assert.Empty(t, g.deliveries.unfinished(), "no work left")
 }
 
-// TestDirectiveAgeIncludesTheCall however young it was when it was told.
+// A directive must count as at least as old as the call that delivered it.
 func TestDirectiveAgeIncludesTheCall(t *testing.T) {
 	g := deliveryGateway(t)
 	directive := directiveToTarget(g, delivery.StageShifting, g.now())
-	told := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
-	g.applyDirectives(g.now()-delivery.DirectiveValid, told)
+	encoded := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
+	g.applyDirectives(g.now()-delivery.DirectiveValid, encoded)
 	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 }
 
-// TestSendToTargetRequiresValidDirective.
+// A request must not reach the target after its directive has expired.
 func TestSendToTargetRequiresValidDirective(t *testing.T) {
 	g := deliveryGateway(t)
-	const left = 300 * time.Millisecond
-	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
+	const remaining = 300 * time.Millisecond
+	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+remaining))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
 	current.forTarget = g.allowedVersions(current, false).WantsTarget()
 	require.True(t, current.forTarget)
 	assert.NoError(t, g.checkTarget(current, target))
-	time.Sleep(left + 50*time.Millisecond)
+	time.Sleep(remaining + 50*time.Millisecond)
 	assert.ErrorIs(t, g.checkTarget(current, target), errTargetNotAllowed)
-	assert.NoError(t, g.checkTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "found as the fallback")
+	assert.NoError(t, g.checkTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "fallback worker")
 	current.forTarget = false
-	assert.NoError(t, g.checkTarget(current, target), "only workers of the target are listed")
+	assert.NoError(t, g.checkTarget(current, target), "request without assignment")
 }
 
-// TestRetryAvoidsTheTarget for the other side.
+// A retry after the target must go to a worker of another version.
 func TestRetryAvoidsTheTarget(t *testing.T) {
 	g := deliveryGateway(t)
 	canary := directiveToTarget(g, delivery.StageCanary, g.now())
@@ -97,7 +97,6 @@
 	assert.False(t, g.allowedVersions(deliveryRequest(), true).WantsTarget())
 }
 
-// TestReportsSendDirectivesToAllAndEvidenceToTheDirector.
 func TestReportsSendDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
 	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
@@ -112,33 +111,33 @@
 	assert.Equal(t, []fleet.NodeID{"director"}, g.deliveries.issuers(g.now()))
 }
 
-// TestChangedDirectiveWakesWatcher and of the same one not again.
+// A changed directive must wake a waiting watch call, an unchanged one must not.
 func TestChangedDirectiveWakesWatcher(t *testing.T) {
 	g := deliveryGateway(t)
 	request := &rpc.WatchRequest{Node: "watcher", PositionsOf: string(g.node)}
-	response, news := g.watchResponse(request)
-	assert.False(t, news)
+	response, changed := g.watchResponse(request)
+	assert.False(t, changed)
 	assert.Empty(t, response.GetDeliveries())
 	waiting := g.deliveries.nextChange()
 	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	select {
 	case <-waiting:
 	default:
-		t.Error("a waiting call isn't woken")
+		t.Error("waiting call not woken")
 	}
-	response, news = g.watchResponse(request)
-	assert.True(t, news)
+	response, changed = g.watchResponse(request)
+	assert.True(t, changed)
 	assert.Len(t, response.GetDeliveries(), 1)
 	request.DeliveriesSeen = response.GetDeliveriesSeen()
-	response, news = g.watchResponse(request)
-	assert.False(t, news)
-	assert.Len(t, response.GetDeliveries(), 1, "its age is renewed")
+	response, changed = g.watchResponse(request)
+	assert.False(t, changed)
+	assert.Len(t, response.GetDeliveries(), 1, "age refreshed")
 	request.PositionsOf = "another run"
-	_, news = g.watchResponse(request)
-	assert.True(t, news)
+	_, changed = g.watchResponse(request)
+	assert.True(t, changed)
 }
 
-// deliveryStore is the store's part about deliveries.
+// deliveryStore is a store with delivery records alone.
 type deliveryStore struct {
 	Platform
 	stored *StoredDeliveries
@@ -160,7 +159,7 @@
 	return StoredDelivery{Record: record, Version: expected + 1}, s.failed
 }
 
-// TestNewDirectorKeepsFinalRecord and decides nothing anew.
+// A new director must keep a final verdict and write nothing.
 func TestNewDirectorKeepsFinalRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	final := StoredDelivery{Version: 20, Record: delivery.Record{
@@ -177,7 +176,7 @@
 	assert.Empty(t, store.writes)
 }
 
-// TestWriteConflictAdoptsStoredRecord when its own verdict comes too late.
+// A director whose write conflicts must adopt the stored final record.
 func TestWriteConflictAdoptsStoredRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
@@ -196,7 +195,7 @@
 	assert.Empty(t, g.deliveries.unfinished())
 }
 
-// TestDeliveryWritesAreSerialized of a service's record, and again after one that failed.
+// Two writes of one service's record must not overlap, and a failed write must not block the next.
 func TestDeliveryWritesAreSerialized(t *testing.T) {
 	g := deliveryGateway(t)
 	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
@@ -209,7 +208,6 @@
 	assert.False(t, g.deliveries.beginWrite("app"))
 }
 
-// TestInvalidOrderIsIgnored.
 func TestInvalidOrderIsIgnored(t *testing.T) {
 	g := deliveryGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{
@@ -220,13 +218,13 @@
 	assert.False(t, g.deliveries.isTarget("app", "v0"))
 }
 
-// TestInconclusiveOutcomesAreNotCounted.
+// Refused, unsent and cancelled requests must not count for or against a version.
 func TestInconclusiveOutcomesAreNotCounted(t *testing.T) {
 	g := deliveryGateway(t)
 	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	g.workers.Observe(1, backends.Worker{ID: "w", Service: "app", Software: "v2", Slots: 4})
 	counted := 0
-	for outcome, says := range map[backends.Outcome]bool{
+	for outcome, conclusive := range map[backends.Outcome]bool{
 		backends.Succeeded: true, backends.Failed: true, backends.Lost: true,
 		backends.Refused: false, backends.Mismatched: false, backends.Unreachable: false, backends.Cancelled: false,
 		backends.Deferred: false,
@@ -237,7 +235,7 @@
 		g.recordDeliveryOutcome(current, placement, outcome)
 		placement.End(g.now(), outcome)
 		assert.True(t, current.wasAtTarget)
-		if says {
+		if conclusive {
 			counted++
 		}
 	}
@@ -247,7 +245,7 @@
 	assert.InDelta(t, 1, shares["app"]["route"].requested, 0)
 }
 
-// TestShiftStartsAtItsPlannedTime has a shift be told in advance, begin, and end.
+// A shift must start at the planned time, whether or not the next directive has arrived.
 func TestShiftStartsAtItsPlannedTime(t *testing.T) {
 	g := idleGateway(t)
 	assert.False(t, g.deliveries.isShifting(0))
@@ -260,11 +258,11 @@
 	}
 	g.deliveries.applyDirective(time.Second, directive)
 	assert.False(t, g.deliveries.isShifting(time.Second))
-	assert.True(t, g.deliveries.isShifting(2*time.Second), "as told in advance")
+	assert.True(t, g.deliveries.isShifting(2*time.Second), "planned shift")
 	directive.Stage, directive.Sequence, directive.IssuedAt = delivery.StageShifting, 2, 2*time.Second
 	g.deliveries.applyDirective(2*time.Second, directive)
 	assert.True(t, g.deliveries.isShifting(2500*time.Millisecond))
 	directive.Stage, directive.Sequence = delivery.StageCompleted, 3
 	g.deliveries.applyDirective(3*time.Second, directive)
-	assert.False(t, g.deliveries.isShifting(3*time.Second), "it is over")
+	assert.False(t, g.deliveries.isShifting(3*time.Second), "completed")
 }
--- a/internal/gateway/deliverycodec_test.go
+++ b/internal/gateway/deliverycodec_test.go
@@ -20,30 +20,30 @@
 	}
 }
 
-// TestDecodedDirectiveIsNeverYounger and else the same.
+// Encoding must not make a directive younger or change its other fields.
 func TestDecodedDirectiveIsNeverYounger(t *testing.T) {
 	sent := testDirective(10 * time.Second)
 	for _, age := range []time.Duration{0, time.Nanosecond, 700 * time.Microsecond, 2499500 * time.Microsecond, 100 * 24 * time.Hour} {
 		const at = 5 * time.Second
-		read, readable := decodeDirective(at, at, encodeDirective(sent.IssuedAt+age, &sent))
-		require.True(t, readable)
-		assert.GreaterOrEqual(t, at-read.IssuedAt, min(age, maxAgeMillis*time.Millisecond))
-		assert.LessOrEqual(t, at-read.IssuedAt, age+time.Millisecond)
-		read.IssuedAt = sent.IssuedAt
-		assert.Equal(t, sent, read)
+		decoded, valid := decodeDirective(at, at, encodeDirective(sent.IssuedAt+age, &sent))
+		require.True(t, valid)
+		assert.GreaterOrEqual(t, at-decoded.IssuedAt, min(age, maxAgeMillis*time.Millisecond))
+		assert.LessOrEqual(t, at-decoded.IssuedAt, age+time.Millisecond)
+		decoded.IssuedAt = sent.IssuedAt
+		assert.Equal(t, sent, decoded)
 	}
 }
 
-// TestDecodedShiftIsNeverEarlier by more than a millisecond, however long the way was.
+// A decoded shift must not start earlier than planned, however long the call took.
 func TestDecodedShiftIsNeverEarlier(t *testing.T) {
 	sent := testDirective(10 * time.Second)
 	sent.ShiftAt = 12 * time.Second
-	const began, way = 5 * time.Second, 300 * time.Millisecond
-	for _, told := range []time.Duration{10 * time.Second, 11500 * time.Millisecond, 12 * time.Second, 13 * time.Second} {
-		read, readable := decodeDirective(began, began+way, encodeDirective(told, &sent))
-		require.True(t, readable)
-		assert.InDelta(t, max(sent.ShiftAt-told, 0).Seconds(), (read.ShiftAt - began - way).Seconds(), 0.001)
-		assert.Equal(t, began, read.IssuedAt+(told-sent.IssuedAt)+time.Millisecond)
+	const began, transit = 5 * time.Second, 300 * time.Millisecond
+	for _, encodedAt := range []time.Duration{10 * time.Second, 11500 * time.Millisecond, 12 * time.Second, 13 * time.Second} {
+		decoded, valid := decodeDirective(began, began+transit, encodeDirective(encodedAt, &sent))
+		require.True(t, valid)
+		assert.InDelta(t, max(sent.ShiftAt-encodedAt, 0).Seconds(), (decoded.ShiftAt - began - transit).Seconds(), 0.001)
+		assert.Equal(t, began, decoded.IssuedAt+(encodedAt-sent.IssuedAt)+time.Millisecond)
 	}
 }
 
@@ -57,15 +57,15 @@
 		directive := testDirective(0)
 		encoded := encodeDirective(0, &directive)
 		change(encoded)
-		_, readable := decodeDirective(0, 0, encoded)
-		assert.False(t, readable)
+		_, valid := decodeDirective(0, 0, encoded)
+		assert.False(t, valid)
 	}
 	directive := testDirective(0)
 	encoded := encodeDirective(0, &directive)
 	encoded.DefaultShare = 4_000_000
-	read, readable := decodeDirective(0, 0, encoded)
-	require.True(t, readable)
-	assert.LessOrEqual(t, read.DefaultShare, 1.0)
+	decoded, valid := decodeDirective(0, 0, encoded)
+	require.True(t, valid)
+	assert.LessOrEqual(t, decoded.DefaultShare, 1.0)
 }
 
 func TestEvidenceRoundTrip(t *testing.T) {
@@ -82,5 +82,5 @@
 	encoded := encodeEvidence(&sent)
 	assert.Equal(t, sent, decodeEvidence(encoded))
 	encoded.Counts[0].Latency = make([]uint32, 1000)
-	assert.NotPanics(t, func() { decodeEvidence(encoded) }, "another node may know more buckets")
+	assert.NotPanics(t, func() { decodeEvidence(encoded) }, "another release may have more buckets")
 }
--- a/internal/gateway/deliverypeers_test.go
+++ b/internal/gateway/deliverypeers_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestExpectedAnswerTimeGrowsWithLength so that long ones aren't taken for slow.
+// Long answers must not count as slow.
 func TestExpectedAnswerTimeGrowsWithLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &carried{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
@@ -19,13 +19,13 @@
 	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, expectedAnswerTime(current, engine))
 	current.service.Engine.EventTokens = 0
 	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, expectedAnswerTime(current, engine))
-	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "a run that goes on from a copy")
+	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "continued run")
 }
 
-// TestGeometricMeanAveragesRatios by a mean that a single high one doesn't decide.
+// A single high ratio must not decide the mean.
 func TestGeometricMeanAveragesRatios(t *testing.T) {
 	took := geometricMean(40*time.Millisecond, 900*time.Millisecond)
 	predicted := geometricMean(10*time.Millisecond, 100*time.Millisecond)
-	assert.InDelta(t, 6, float64(took)/float64(predicted), 0.001, "of 4 and 9")
+	assert.InDelta(t, 6, float64(took)/float64(predicted), 0.001, "mean of 4 and 9")
 	assert.Zero(t, geometricMean(0, time.Second))
 }
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -15,9 +15,8 @@
 	return WorkerRow{Worker: backends.Worker{ID: id, Service: "app", Software: version}}
 }
 
-// TestNewVersionIsHeldUntilItsOrder has workers of a new version be listed
-// before the order to deliver it is heard of, with and without settings that bound
-// deliveries.
+// Workers of a new version that are listed before its order must get no requests yet if the
+// settings enable deliveries.
 func TestNewVersionIsHeldUntilItsOrder(t *testing.T) {
 	for _, bounded := range []bool{true, false} {
 		g := idleGateway(t)
@@ -32,11 +31,11 @@
 		g.observeVersions(time.Second, []WorkerRow{workerRow("new", "v2")})
 		assert.True(t, allows(time.Second, "old", "v1"))
 		assert.Equal(t, !bounded, allows(time.Second, "new", "v2"))
-		assert.True(t, allows(10*time.Second, "new", "v2"), "no order came")
+		assert.True(t, allows(10*time.Second, "new", "v2"), "no order arrived")
 	}
 }
 
-// TestRepeatedVersionsAreNotNew has a node begin with two versions side by side.
+// The versions of one read must be reported as new only once.
 func TestRepeatedVersionsAreNotNew(t *testing.T) {
 	seen := make(seenVersions)
 	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Gone: true}}
--- a/internal/gateway/limits_benchmark_test.go
+++ b/internal/gateway/limits_benchmark_test.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// BenchmarkSelectGranterNewView ranks who grants the requests to a worker among 985 members, as after
-// each change of the members.
+// BenchmarkSelectGranterNewView ranks the granters of a worker among 985 members, as after each
+// membership change.
 func BenchmarkSelectGranterNewView(b *testing.B) {
 	limits := newWorkerLimits()
 	views := []*membership.View{largeFleet(985), largeFleet(985)}
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkSelectGranterSameView is the same while they don't change.
+// BenchmarkSelectGranterSameView selects a granter while the membership doesn't change.
 func BenchmarkSelectGranterSameView(b *testing.B) {
 	limits := newWorkerLimits()
 	view := largeFleet(985)
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkGrant grants one request, at the node that does.
+// BenchmarkGrant grants one request at the granter.
 func BenchmarkGrant(b *testing.B) {
 	limits := newWorkerLimits()
 	observation := limitObservation(1000, 0)
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkIntake asks for one candidate of a choice whether it takes the request.
+// BenchmarkIntake checks one candidate of a choice.
 func BenchmarkIntake(b *testing.B) {
 	limits := newWorkerLimits()
 	limits.observe(limitObservation(2, 0), false)
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// limitObservation is what a worker named at a time.
+// limitObservation returns an observation of worker w's limit at a time.
 func limitObservation(rate workerlimit.Rate, at time.Duration) workerlimit.Observation {
 	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, Asked: at, Answered: at}
 }
@@ -25,23 +25,23 @@
 func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
 	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
-	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
+	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
+	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
 	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true}))
-	assert.False(t, hasLimitStatement(AnswerInfo{}), "it may not be the worker's")
+	assert.False(t, hasLimitStatement(AnswerInfo{}), "unsigned answer")
 	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Signed: true}))
 	assert.False(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
-// TestDecodedLimitIsNoYounger: what was said within a call may be as old as the call.
+// Encoding must not make an observation younger than the call that delivered it.
 func TestDecodedLimitIsNoYounger(t *testing.T) {
 	observation := limitObservation(2, 0)
 	observation.Asked, observation.Answered = 900*time.Millisecond, 1000*time.Millisecond
-	told := encodeLimit(5*time.Second, &observation)
-	heard, err := decodeLimit(told, 100*time.Second, 100*time.Second+200*time.Millisecond)
+	encoded := encodeLimit(5*time.Second, &observation)
+	decoded, err := decodeLimit(encoded, 100*time.Second, 100*time.Second+200*time.Millisecond)
 	require.NoError(t, err)
-	assert.Equal(t, 95900*time.Millisecond, heard.Asked)
-	assert.Equal(t, 96200*time.Millisecond, heard.Answered)
+	assert.Equal(t, 95900*time.Millisecond, decoded.Asked)
+	assert.Equal(t, 96200*time.Millisecond, decoded.Answered)
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		_, err := decodeLimit(&rpc.WorkerLimit{Worker: "w", Limited: true, Rate: rate}, 0, 0)
 		assert.Error(t, err)
@@ -50,7 +50,7 @@
 	assert.Error(t, err)
 }
 
-// TestReportsOmitLimitsWhenNoneExist, and the end of one is told for a while.
+// Reports must not carry limits while none is known, and must carry the end of one.
 func TestReportsOmitLimitsWhenNoneExist(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
@@ -65,7 +65,7 @@
 	assert.True(t, other.limits.isLimited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
 	assert.Len(t, g.limits.takePendingBroadcast(), 1)
-	assert.Empty(t, other.limits.takePendingBroadcast(), "what another node told isn't passed on at once: that one tells all")
+	assert.Empty(t, other.limits.takePendingBroadcast(), "received limits aren't broadcast")
 
 	ended := workerlimit.Observation{Worker: "w", Asked: g.now() + time.Second, Answered: g.now() + time.Second}
 	g.limits.observe(ended, true)
@@ -73,7 +73,7 @@
 	assert.False(t, g.loadReport("other").GetLimits()[0].GetLimited())
 }
 
-// TestUnsettledNodeGrantsNothing: it may not be the one that grants.
+// A gateway that doesn't know its role yet must not grant: another one may be the granter.
 func TestUnsettledNodeGrantsNothing(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(false)
@@ -83,12 +83,12 @@
 	g.settled.Store(true)
 	answer, err := g.answerGrant(context.Background(), question)
 	require.NoError(t, err)
-	assert.False(t, answer.GetGranted(), "it begins with nothing to give")
+	assert.False(t, answer.GetGranted(), "no initial allowance")
 	assert.InDelta(t, 500, answer.GetWaitMillis(), 20)
 	assert.True(t, answer.GetLimit().GetLimited())
 }
 
-// TestGranterKnowsThatALimitHasEnded and says so to one that believes in it still.
+// A granter that knows the end of a limit must override an older observation of the asking gateway.
 func TestGranterKnowsThatALimitHasEnded(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(true)
@@ -103,18 +103,18 @@
 	assert.False(t, known.Limited)
 }
 
-// TestShareIsReservedForRecentMembers: they may be alive beyond a cut, and grant there.
+// Members that have just gone may grant in another partition, so their share must stay reserved.
 func TestShareIsReservedForRecentMembers(t *testing.T) {
-	var touched memberShare
-	assert.InDelta(t, 1, touched.update(0, 8), 0.001)
-	assert.InDelta(t, 0.25, touched.update(time.Second, 2), 0.001)
-	assert.InDelta(t, 0.25, touched.update(9*time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.update(memberShareWindow+time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.update(memberShareWindow+2*time.Second, 5), 0.001)
+	var share memberShare
+	assert.InDelta(t, 1, share.update(0, 8), 0.001)
+	assert.InDelta(t, 0.25, share.update(time.Second, 2), 0.001)
+	assert.InDelta(t, 0.25, share.update(9*time.Second, 2), 0.001)
+	assert.InDelta(t, 1, share.update(memberShareWindow+time.Second, 2), 0.001)
+	assert.InDelta(t, 1, share.update(memberShareWindow+2*time.Second, 5), 0.001)
 }
 
-// TestUnansweredGranterIsSkipped, for a short time, and for longer where its release
-// doesn't know the question.
+// A granter that doesn't answer must be skipped briefly, one that doesn't support grants for
+// longer.
 func TestUnansweredGranterIsSkipped(t *testing.T) {
 	g := idleGateway(t)
 	view := largeFleet(20)
@@ -123,7 +123,7 @@
 	first := g.limits.selectGranter(now, "w", near, view)
 	found, known := view.Find(first)
 	require.True(t, known)
-	assert.EqualValues(t, "z1", found.Zone, "near the worker")
+	assert.EqualValues(t, "z1", found.Zone, "granter near the worker")
 
 	g.limits.skipGranter(first, now+unansweredBackoff)
 	second := g.limits.selectGranter(now, "w", near, view)
@@ -137,10 +137,10 @@
 	for g.limits.selectGranter(now, "w", near, view) != "" {
 		g.limits.skipGranter(g.limits.selectGranter(now, "w", near, view), now+unansweredBackoff)
 	}
-	assert.NotEmpty(t, g.limits.selectGranter(now+unansweredBackoff, "w", near, view), "none answered a moment ago: nothing is granted")
+	assert.NotEmpty(t, g.limits.selectGranter(now+unansweredBackoff, "w", near, view), "granters available again after the backoff")
 }
 
-// TestAllNodesSelectTheSameGranter, whichever they are.
+// Two granters for one worker would exceed its limit.
 func TestAllNodesSelectTheSameGranter(t *testing.T) {
 	one, other := idleGateway(t), idleGateway(t)
 	granters := make(map[fleet.NodeID]bool)
@@ -150,10 +150,10 @@
 		assert.Equal(t, granter, other.limits.selectGranter(0, worker, membership.Location{}, largeFleet(30)))
 		granters[granter] = true
 	}
-	assert.Greater(t, len(granters), 15, "shared out over the nodes")
+	assert.Greater(t, len(granters), 15, "granters spread over the nodes")
 }
 
-// TestLimitsArePerWorkerRun.
+// The limit of one run must not apply to the next run of the same name.
 func TestLimitsArePerWorkerRun(t *testing.T) {
 	g := idleGateway(t)
 	observation := limitObservation(2, g.now())
@@ -168,19 +168,19 @@
 	assert.Equal(t, backends.IntakeClosed, intake)
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
 	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 1)
-	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "more urgent requests may ask sooner")
+	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "higher priority opens earlier")
 	g.forgetFormerRun("w")
 	assert.False(t, g.limits.isLimited("w", 0))
 }
 
-// TestCallerCancellationDoesNotSkipGranter while it is asked.
+// A caller that leaves during a call must not make the granter count as unavailable.
 func TestCallerCancellationDoesNotSkipGranter(t *testing.T) {
 	g := idleGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
 	first := g.limits.selectGranter(g.now(), "w", near, view)
-	gone, leave := context.WithCancel(context.Background())
-	leave()
-	g.markGranterUnavailable(gone, membership.Member{Node: first}, context.Canceled)
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	g.markGranterUnavailable(cancelled, membership.Member{Node: first}, context.Canceled)
 	assert.Equal(t, first, g.limits.selectGranter(g.now(), "w", near, view))
 	g.markGranterUnavailable(context.Background(), membership.Member{Node: first}, context.DeadlineExceeded)
 	assert.NotEqual(t, first, g.limits.selectGranter(g.now(), "w", near, view))
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -21,7 +21,7 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// quarantineStore is the store's part about requests that end workers.
+// quarantineStore is a store with quarantine rows alone.
 type quarantineStore struct {
 	Platform
 	rows    map[quarantine.Fingerprint]QuarantineRow
@@ -65,14 +65,14 @@
 	return nil, nil
 }
 
-// quarantineGateway returns a gateway that isn't started, before a store.
+// quarantineGateway returns a gateway with a store. It isn't started.
 func quarantineGateway(t *testing.T, store *quarantineStore) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = store
 	return g
 }
 
-// heldRequest returns a request and has a gateway hold it since so long ago.
+// heldRequest returns a request that the gateway holds, with crashes that long ago.
 func heldRequest(g *Gateway, ago time.Duration) *carried {
 	current := &carried{
 		request:  httptest.NewRequest("POST", "/a", nil),
@@ -90,7 +90,7 @@
 	return current
 }
 
-// TestQuarantinedRequestIsRefused, and as one that may have run once it was sent.
+// A quarantined request must be refused before any send, with a result that says it wasn't run.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
@@ -99,13 +99,13 @@
 	assert.Equal(t, resultcode.Quarantined, refused.code)
 	assert.True(t, resultcode.Lookup(refused.code).NotRun)
 	assert.InDelta(t, quarantine.DefaultHoldFor.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
-	assert.ErrorIs(t, g.permit(current, nil), errQuarantined, "nor right before a send")
+	assert.ErrorIs(t, g.permit(current, nil), errQuarantined, "checked again before the send")
 	other := *current
 	other.fingerprint[0]++
 	assert.Nil(t, g.checkQuarantine(&other))
 }
 
-// TestOnlyOneGatewayRunsATrial: whoever gets the store's word, whether or not it knew the row.
+// Of two gateways that try a held request at the same time only one may succeed.
 func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
@@ -114,12 +114,12 @@
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.trial)
 	assert.NoError(t, one.permit(first, nil))
-	assert.NotNil(t, other.checkQuarantine(second), "the store holds one trial more than this node knows")
-	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "nor a second one here")
+	assert.NotNil(t, other.checkQuarantine(second), "stored trial is newer")
+	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "no second trial")
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
 }
 
-// TestTrialRequiresStoreWrite.
+// No trial may run without the store's confirmation.
 func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
@@ -130,7 +130,7 @@
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestTrialRetriesOnUnknownStoredRow: the row is there, from before this node's start.
+// A trial must succeed although the row was written before this gateway started.
 func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
@@ -141,33 +141,33 @@
 	assert.Equal(t, 1, store.rows[current.fingerprint].Trials)
 }
 
-// TestRowsAreWrittenByGatewaysThatSawTheCrash, once, and removed when the request was answered.
+// Rows must be written once, by gateways that saw the crash, and removed after an answer.
 func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	look := func(reads, leads bool) {
-		work := g.quarantines.pendingStoreChanges(g.now(), reads, leads)
-		g.applyStoreChanges(&work)
+	sync := func(isReader, isLeader bool) {
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+		g.applyStoreChanges(&changes)
 	}
 	current := heldRequest(g, 0)
-	look(true, true)
-	assert.Empty(t, store.rows, "others write it")
+	sync(true, true)
+	assert.Empty(t, store.rows, "other gateways write it")
 	g.recordWorkerCrash("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
-	look(false, false)
+	sync(false, false)
 	store.failed = nil
-	look(false, false)
+	sync(false, false)
 	assert.Len(t, store.rows[current.fingerprint].Workers, 4)
 	calls := store.calls
-	look(true, true)
-	assert.Equal(t, calls, store.calls, "nothing is left to do")
+	sync(true, true)
+	assert.Equal(t, calls, store.calls, "no changes left")
 
 	g.recordAnswered(current)
-	look(false, false)
+	sync(false, false)
 	assert.Empty(t, store.rows)
 }
 
-// TestOrphanedRecordIsWrittenByAReader: those that lost runs to it may have died.
+// A record whose gateways are gone must be written by a reader of the store.
 func TestOrphanedRecordIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
@@ -178,25 +178,25 @@
 	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write)
 }
 
-// TestRemovedRowEndsQuarantine here and at those that still tell of it.
+// A removed row must release the request, also against peers that still report it.
 func TestRemovedRowEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
 	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Gone: true}
 	g.applyQuarantineRow(&gone)
-	assert.NotNil(t, g.checkQuarantine(current), "there was no row yet")
+	assert.NotNil(t, g.checkQuarantine(current), "no row known yet")
 	g.applyQuarantineRow(&row)
 	g.applyQuarantineRow(&gone)
 	assert.Nil(t, g.checkQuarantine(current))
 	g.quarantines.takePendingBroadcast()
 	heldRequest(g, time.Second)
-	assert.Nil(t, g.checkQuarantine(current), "a node that hasn't heard yet doesn't bring it back")
-	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "it is told")
+	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the hold")
+	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "release broadcast")
 }
 
-// TestRowMissingFromSnapshotEndsQuarantine: this node wrote it before it read any, and it was
-// removed meanwhile. A read that is older than the row says nothing.
+// A row that was removed before this gateway's first read must release the request. An older
+// snapshot must not.
 func TestRowMissingFromSnapshotEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
@@ -207,7 +207,7 @@
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestQuarantineCancelsPendingSends at workers, but for a trial.
+// The start of a quarantine must cancel pending sends of the request, but not its trial.
 func TestQuarantineCancelsPendingSends(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
@@ -223,12 +223,12 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// TestReportsCarryChangedAndMissingRecords.
+// Reports must carry recent changes, and answers the records that the other gateway lacks.
 func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
 	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Ends: []quarantine.End{{Worker: "w", At: one.now()}}}
 	one.quarantines.merge(one.now(), &single)
-	assert.Empty(t, one.loadReport("other").QuarantineRecords, "another node's to tell")
+	assert.Empty(t, one.loadReport("other").QuarantineRecords, "crash seen by another gateway")
 	assert.Zero(t, one.loadReport("other").QuarantineDigest)
 	one.recordWorkerCrash("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
 	assert.Len(t, one.loadReport("other").QuarantineRecords, 1)
@@ -237,7 +237,7 @@
 	one.quarantines.mutex.Unlock()
 	current := heldRequest(one, 5*time.Second)
 	report := one.loadReport("other")
-	require.Len(t, report.QuarantineRecords, 1, "it has changed a moment ago")
+	require.Len(t, report.QuarantineRecords, 1, "recently changed")
 	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
 	require.NoError(t, err)
 	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Ends[0].At.Seconds(), 0.1)
@@ -248,18 +248,18 @@
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
 	answer := one.answerLoad(context.Background(), other.loadReport("one"))
 	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
-	assert.NotNil(t, other.checkQuarantine(current), "another digest brings it")
-	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "the same one doesn't")
+	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
+	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
 	watched, _ := one.watchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
 	watched, _ = one.watchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.Held(), "a record that can't be read changes nothing")
+	assert.Equal(t, 1, other.quarantines.ledger.Held(), "unreadable record ignored")
 }
 
-// TestAnswerOfSuspectedRequestIsBroadcast for a request that others suspect.
+// An answer to a request that other gateways suspect must release it and be broadcast.
 func TestAnswerOfSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &carried{fingerprint: quarantine.Fingerprint{7}}
@@ -268,26 +268,26 @@
 	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Held)
-	untold := g.quarantines.takePendingBroadcast()
-	require.Len(t, untold, 1, "others are told of the answer")
-	assert.True(t, untold[0].Answered)
+	broadcast := g.quarantines.takePendingBroadcast()
+	require.Len(t, broadcast, 1, "answer broadcast")
+	assert.True(t, broadcast[0].Answered)
 }
 
-// TestQuarantineStartIsBroadcast: nodes that missed one of the words before would let the
-// request through.
+// The start of a quarantine must be broadcast: gateways that missed an earlier update would let the
+// request pass.
 func TestQuarantineStartIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
-		assert.Empty(t, g.quarantines.takePendingBroadcast(), "what others have told isn't told on")
+		assert.Empty(t, g.quarantines.takePendingBroadcast(), "received records aren't broadcast")
 		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Ends: []quarantine.End{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
 		g.quarantines.merge(g.now(), &record)
 	}
-	untold := g.quarantines.takePendingBroadcast()
-	require.Len(t, untold, 1)
-	assert.Len(t, untold[0].Ends, quarantine.DefaultThreshold)
+	broadcast := g.quarantines.takePendingBroadcast()
+	require.Len(t, broadcast, 1)
+	assert.Len(t, broadcast[0].Ends, quarantine.DefaultThreshold)
 }
 
-// TestDrainedWorkerIsNotACrash: a row that goes after word of leaving is no crash.
+// A worker that drained before it was gone must not count as crashed.
 func TestDrainedWorkerIsNotACrash(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		g := quarantineGateway(t, newQuarantineStore())
@@ -296,7 +296,7 @@
 		g.workers.Observe(1, worker)
 		g.crashes.note(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
 		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
-		_, blamed := g.quarantines.record(quarantine.Fingerprint{1})
-		assert.Equal(t, !draining, blamed)
+		_, recorded := g.quarantines.record(quarantine.Fingerprint{1})
+		assert.Equal(t, !draining, recorded)
 	}
 }
--- a/internal/gateway/storefeed_test.go
+++ b/internal/gateway/storefeed_test.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestChangeTimeAfterGap dates what is heard of after each kind of gap.
+// A change that is read after a gap must be dated by the kind of the gap.
 func TestChangeTimeAfterGap(t *testing.T) {
 	const now = time.Minute
 	for name, test := range map[string]struct {
@@ -21,11 +21,11 @@
 		at       time.Duration
 		known    bool
 	}{
-		"followed":                       {gapNone, now - 4*time.Second, true, now, true},
-		"history dropped":                {gapDropped, now - 2*time.Second, true, now, true},
-		"this node alone out of reach":   {gapUnreached, now - 2*time.Second, true, now - 2*time.Second, true},
-		"store out of everybody's reach": {gapUnreached, now - 6*time.Second, true, now, true},
-		"just started":                   {gapUnreached, 0, false, now, false},
+		"no gap":                      {gapNone, now - 4*time.Second, true, now, true},
+		"history dropped":             {gapDropped, now - 2*time.Second, true, now, true},
+		"only this node disconnected": {gapUnreached, now - 2*time.Second, true, now - 2*time.Second, true},
+		"store unreachable for all":   {gapUnreached, now - 6*time.Second, true, now, true},
+		"just started":                {gapUnreached, 0, false, now, false},
 	} {
 		g := &Gateway{fresh: routes.NewFreshness()}
 		if test.proven {
@@ -44,7 +44,7 @@
 	assert.Equal(t, gapUnreached, gapAfter(errors.New("silent"), 0, time.Second))
 }
 
-// TestExchangesRotateThroughPeers has each met within a few rounds.
+// Every peer must be reached within a few rounds of exchanges.
 func TestExchangesRotateThroughPeers(t *testing.T) {
 	members := make([]membership.Member, 30)
 	for index := range members {
@@ -56,15 +56,15 @@
 	for index := range numbers {
 		numbers[index] = index
 	}
-	met := map[int]bool{}
+	reached := map[int]bool{}
 	for round := range 3 {
 		chosen := rotatingSubset(numbers, round, 12)
 		assert.Len(t, chosen, 12)
 		for _, number := range chosen {
-			met[number] = true
+			reached[number] = true
 		}
 	}
-	assert.Len(t, met, 30, "all are met within three rounds")
+	assert.Len(t, reached, 30, "all reached within three rounds")
 }
 
 func TestStoreReadsRenewProofInTime(t *testing.T) {
@@ -75,15 +75,14 @@
 	}
 }
 
-// TestWatchCallsRenewProofInTime guards against requests that are refused for a
-// configuration too old while the store answers.
+// Requests must not be refused for a stale configuration while the store answers.
 func TestWatchCallsRenewProofInTime(t *testing.T) {
 	assert.Equal(t, watchWait, watchWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshPart)
 		oldest := operatorWaitFor(bound) + watchWaitFor(bound) + watchGatherFor(bound)
-		assert.Less(t, oldest, counts*3/4, "bound %s: the last quarter is for the calls", bound)
-		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: a node that reads isn't left", bound)
+		assert.Less(t, oldest, counts*3/4, "bound %s: a quarter must be left for the calls", bound)
+		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: reading node must not be dropped", bound)
 		assert.Less(t, staleAfterFor(bound)+watchWaitFor(bound), counts, "bound %s", bound)
 	}
 }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// workerTable is the store's part about workers: rows are workers in JSON.
+// workerTable is a store with worker rows in JSON alone.
 type workerTable struct{ Platform }
 
 func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []Unreadable) {
@@ -36,10 +36,10 @@
 	return &OperatorRows{}, nil
 }
 
-// padding brings a row to the size of the users' rows, some 300 bytes.
+// padding brings a row to the size of typical rows, about 300 bytes.
 const padding = 150
 
-// workerTableRow returns the row of an engine.
+// workerTableRow returns the row of a worker.
 func workerTableRow(number int, revision fleet.Revision, draining bool) watchcache.Row {
 	value, _ := json.Marshal(backends.Worker{
 		Address: fleet.Address(fmt.Sprintf("10.0.%d.%d:1%0*d", number/250, number%250, padding, number)), Service: "engines",
@@ -49,7 +49,7 @@
 	return watchcache.Row{Key: fmt.Sprintf("i-%05d", number), Revision: revision, Value: value}
 }
 
-// readerGateway returns a gateway that has read so many workers from the store.
+// readerGateway returns a gateway that has read that many workers from the store.
 func readerGateway(t testing.TB, workers int) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = workerTable{}
@@ -63,7 +63,7 @@
 	return g
 }
 
-// followerGateway returns a gateway that knows nothing yet and is to know the workers in use alone.
+// followerGateway returns a gateway that knows no workers yet and needs only those in use.
 func followerGateway(t testing.TB) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = workerTable{}
@@ -73,7 +73,7 @@
 	return g
 }
 
-// watch has one gateway ask another once, and returns the size of the answer in bytes.
+// watch makes one watch call and returns the size of the response in bytes.
 func watch(t testing.TB, follower, source *Gateway) int {
 	request := &rpc.WatchRequest{Node: string(follower.node), PositionsOf: string(source.node)}
 	follower.requestSubsets(request)
@@ -89,24 +89,22 @@
 	return proto.Size(response)
 }
 
-// TestWatcherStateDoesNotGrowWithFleet counts what a node that rests is told and keeps
-// of 10,000 and of 20,000 workers: neither grows with the fleet.
+// Neither the response to an idle watcher nor its known workers may grow with the fleet.
 func TestWatcherStateDoesNotGrowWithFleet(t *testing.T) {
-	const most = 2 * 192 * 3 / 2
+	const maxKnown = 2 * 192 * 3 / 2
 	for _, workers := range []int{10_000, 20_000} {
 		reader, follower := readerGateway(t, workers), followerGateway(t)
 		size := watch(t, follower, reader)
 		known := len(follower.workers.Workers())
-		t.Logf("of %d workers %d are known, told in %d bytes", workers, known, size)
-		assert.Less(t, known, most)
+		t.Logf("%d workers: %d known, response of %d bytes", workers, known, size)
+		assert.Less(t, known, maxKnown)
 		assert.Greater(t, known, 192*3/4)
 		assert.Less(t, size, 60_000)
 		assert.Equal(t, reader.workers.WorkersInUse(), follower.workers.Workers())
-		assert.Less(t, watch(t, follower, reader), 200, "nothing has changed")
+		assert.Less(t, watch(t, follower, reader), 200, "no changes")
 	}
 }
 
-// TestWatcherKnowsAllWorkersOfSmallFleet.
 func TestWatcherKnowsAllWorkersOfSmallFleet(t *testing.T) {
 	reader, follower := readerGateway(t, 280), followerGateway(t)
 	watch(t, follower, reader)
@@ -114,8 +112,7 @@
 	assert.Len(t, reader.workers.WorkersInUse(), 280)
 }
 
-// TestWatcherReceivesChangesOfWorkersInUse has one of the workers in use drain and one go, and
-// others that the watcher doesn't know.
+// Changes of workers in use must reach the watcher, changes of others must not.
 func TestWatcherReceivesChangesOfWorkersInUse(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
@@ -141,31 +138,30 @@
 		}
 	}
 	reader.workersTable().apply(update, gapNone)
-	assert.Less(t, watch(t, follower, reader), 1500, "two rows")
+	assert.Less(t, watch(t, follower, reader), 1500, "two changed rows")
 	assert.True(t, follower.workers.Draining(drained))
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
-// TestCandidateLeaderLearnsAllWorkers has its role change twice: it learns of all workers,
-// then drops those that aren't in use, and none of them counts as gone.
+// A change of role must add and drop workers without counting any as gone.
 func TestCandidateLeaderLearnsAllWorkers(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
-	few := len(follower.workers.Workers())
+	inUse := len(follower.workers.Workers())
 	follower.standIn.Store(true)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 5000)
-	assert.Len(t, follower.workers.WorkersInUse(), few)
+	assert.Len(t, follower.workers.WorkersInUse(), inUse)
 	follower.standIn.Store(false)
 	watch(t, follower, reader)
-	assert.Len(t, follower.workers.Workers(), few)
-	assert.Empty(t, follower.workers.Forget(time.Hour, 0), "nothing counts as gone")
+	assert.Len(t, follower.workers.Workers(), inUse)
+	assert.Empty(t, follower.workers.Forget(time.Hour, 0), "no worker counts as gone")
 	follower.standIn.Store(true)
 	watch(t, follower, reader)
-	assert.Len(t, follower.workers.Workers(), 5000, "what was dropped comes back at the same revision")
+	assert.Len(t, follower.workers.Workers(), 5000, "dropped workers return at the same revision")
 }
 
-// TestWatcherKeepsWorkersOnSourceChange has two readers that plan alike.
+// A new source with the same plan must not change the known workers.
 func TestWatcherKeepsWorkersOnSourceChange(t *testing.T) {
 	first, second, follower := readerGateway(t, 5000), readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, first)
@@ -174,8 +170,7 @@
 	assert.Equal(t, known, follower.workers.Workers())
 }
 
-// TestPartialTableIsNotServed has a node that knows the workers in use alone be asked:
-// it can't tell all of them, nor that what it tells is all of a subset.
+// A gateway that knows only the workers in use must not serve the table to others.
 func TestPartialTableIsNotServed(t *testing.T) {
 	reader, follower, other := readerGateway(t, 5000), followerGateway(t), followerGateway(t)
 	watch(t, follower, reader)
@@ -189,34 +184,33 @@
 	}
 }
 
-// TestFullWorkersWidenSubset has the workers in use refuse, so that their subset
-// is doubled.
+// Workers in use that refuse requests must double their subset.
 func TestFullWorkersWidenSubset(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
-	few := len(follower.workers.Workers())
+	inUse := len(follower.workers.Workers())
 	_, refused := follower.workers.Choose(0, &backends.Request{
 		Service: "engines", Free: func(*backends.Worker) bool { return false },
 	})
 	require.Equal(t, backends.ReasonFull, refused.Reason)
 	watch(t, follower, reader)
-	assert.Greater(t, len(follower.workers.Workers()), few*3/2)
-	assert.Len(t, reader.workers.WorkersInUse(), few)
+	assert.Greater(t, len(follower.workers.Workers()), inUse*3/2)
+	assert.Len(t, reader.workers.WorkersInUse(), inUse)
 }
 
-// TestSourceWithoutSubsetSupport has a source that knows nothing of subsets.
+// A source without support for subsets must be usable.
 func TestSourceWithoutSubsetSupport(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	request := &rpc.WatchRequest{PositionsOf: string(reader.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
 	response, _ := reader.watchResponse(request)
 	follower.takeWatch(reader.node, follower.now(), response)
 	assert.Len(t, follower.workers.Workers(), 5000)
-	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "it plans by itself")
+	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "watcher plans its own subsets")
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), len(reader.workers.WorkersInUse()))
 }
 
-// BenchmarkWatchWorkersInUse measures what a node that rests takes in at a start.
+// BenchmarkWatchWorkersInUse measures the first watch call of an idle gateway.
 func BenchmarkWatchWorkersInUse(b *testing.B) {
 	for _, workers := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -229,7 +223,7 @@
 	}
 }
 
-// BenchmarkWatchAllWorkers measures what a node that is to know all workers takes in.
+// BenchmarkWatchAllWorkers measures the first watch call of a gateway that needs all workers.
 func BenchmarkWatchAllWorkers(b *testing.B) {
 	reader := readerGateway(b, 10_000)
 	b.ReportAllocs()
@@ -240,8 +234,8 @@
 	}
 }
 
-// BenchmarkNextWeightsChange measures one look of the holder of the lease at which engines are to
-// change, while none is.
+// BenchmarkNextWeightsChange measures one search of the lease holder for engines to update while
+// there are none.
 func BenchmarkNextWeightsChange(b *testing.B) {
 	reader := readerGateway(b, 10_000)
 	reader.weights.name(0, true, NamedWeights{Model: "m", Version: 1})
@@ -250,8 +244,8 @@
 	}
 }
 
-// recordingStore is a store that counts whole reads of the workers and has the changes after a
-// revision.
+// recordingStore is a store that counts complete reads and records the revisions of incremental
+// ones.
 type recordingStore struct {
 	workerTable
 	whole   int
@@ -269,8 +263,8 @@
 	return s.changes, nil
 }
 
-// TestTemporaryReaderFollowsKnownRows: its peers are slow, and it asks the store. In
-// a fleet of hundreds that all do so, whole reads of thousands of rows would swamp it.
+// A gateway that reads the store because its peers are slow must follow changes. Complete reads by
+// all such gateways would overload the store.
 func TestTemporaryReaderFollowsKnownRows(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	reader.workersTable().cache.Advance(7)
@@ -290,5 +284,5 @@
 	assert.True(t, follower.workers.Draining(drained))
 	follower.sources.watched(follower.now())
 	feed.step(t.Context())
-	assert.Equal(t, 1, store.whole, "others ask it")
+	assert.Equal(t, 1, store.whole, "gateway is watched by others")
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -11,7 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// TestCompleteUpdateIsNotCachedAsChanges guards against workers that are taken for gone.
+// A complete update must not be encoded from cached changes: the watcher would drop workers that
+// are still there.
 func TestCompleteUpdateIsNotCachedAsChanges(t *testing.T) {
 	followed := &table{name: TableWorkers, cache: watchcache.New(0)}
 	value := make([]byte, 100)
