--- a/internal/gateway/deliverycodec.go
+++ b/internal/gateway/deliverycodec.go
@@ -41,10 +41,10 @@
 // maxAgeMillis bounds encoded ages.
 const maxAgeMillis = 1 << 31
 
-// decodeDirective decodes a directive from a call that began at begun and was received at received,
-// and reports whether it is valid. The age counts from begun and the time until a shift from
+// decodeDirective decodes a directive from a call that began at start and was received at received,
+// and reports whether it is valid. The age counts from start and the time until a shift from
 // received, so that neither is too short.
-func decodeDirective(begun, received time.Duration, encoded *rpc.DeliveryDirective) (delivery.Directive, bool) {
+func decodeDirective(start, received time.Duration, encoded *rpc.DeliveryDirective) (delivery.Directive, bool) {
 	stage := delivery.Stage(encoded.GetStage())
 	if stage < delivery.StageCanary || stage > delivery.StageRolledBack || encoded.GetService() == "" || encoded.GetTarget() == "" {
 		return delivery.Directive{}, false
@@ -56,7 +56,7 @@
 		Sequence:     encoded.GetSequence(),
 		Stage:        stage,
 		Issuer:       fleet.NodeID(encoded.GetIssuer()),
-		IssuedAt:     begun - time.Duration(encoded.GetAgeMillis())*time.Millisecond,
+		IssuedAt:     start - time.Duration(encoded.GetAgeMillis())*time.Millisecond,
 		Shares:       make(map[delivery.RouteName]float64, len(encoded.GetShares())),
 		DefaultShare: decodeShare(encoded.GetDefaultShare()),
 	}
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -74,7 +74,7 @@
 	}
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	stored, err := g.outside.Platform.ReadDeliveries(ctx)
 	if err != nil {
 		g.events.line("deliveries_unread").Err(err).Msg("deliveries_unread")
@@ -84,11 +84,11 @@
 	if _, holds := g.keeper.Fence(); !holds {
 		return false
 	}
-	refused := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, begun-stored.StoreTime)
-	for service, err := range refused {
+	rejected := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, start-stored.StoreTime)
+	for service, err := range rejected {
 		g.logRefusedOrder(string(service), err)
 	}
-	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-begun).Msg("delivery_taken_over")
+	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-start).Msg("delivery_taken_over")
 	return true
 }
 
@@ -142,7 +142,7 @@
 func (g *Gateway) writeDelivery(record delivery.Record) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	service := record.Order.Service
 	stored, err := g.outside.Platform.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
 	line := g.logger.Info()
@@ -151,7 +151,7 @@
 	}
 	line.Str("service", string(service)).Str("target", string(record.Order.Target)).Str("stage", record.Stage.String()).
 		Uint64("revision", uint64(record.Order.Revision)).Uint64("stored_version", uint64(stored.Version)).
-		Str("stored_stage", stored.Stage.String()).Dur("took", g.now()-begun).Msg("delivery_recorded")
+		Str("stored_stage", stored.Stage.String()).Dur("took", g.now()-start).Msg("delivery_recorded")
 	g.deliveries.finishWrite(g.now(), record, stored, err)
 }
 
@@ -211,13 +211,13 @@
 		}
 	}
 	d.director.Restore(now, records, sinceStore)
-	refused := make(map[fleet.PoolName]error)
+	rejected := make(map[fleet.PoolName]error)
 	for service, order := range d.orders {
 		if err := d.director.SetOrder(now, order.writtenBy, order.Order); err != nil {
-			refused[service] = err
+			rejected[service] = err
 		}
 	}
-	return refused
+	return rejected
 }
 
 // decide runs the director for one service, with this gateway's own evidence included.
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -149,12 +149,12 @@
 	return members
 }
 
-// applyDirectives applies the directives in the answer to a call that began at begun. Their ages
+// applyDirectives applies the directives in the answer to a call that began at start. Their ages
 // count from there.
-func (g *Gateway) applyDirectives(begun time.Duration, encoded []*rpc.DeliveryDirective) {
+func (g *Gateway) applyDirectives(start time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
 	for _, message := range encoded {
-		if directive, readable := decodeDirective(begun, now, message); readable {
+		if directive, valid := decodeDirective(start, now, message); valid {
 			g.applyDirective(directive)
 		}
 	}
@@ -191,9 +191,9 @@
 		g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	}
 	for _, message := range report.GetDeliveries() {
-		directive, readable := decodeDirective(now, now, message)
+		directive, valid := decodeDirective(now, now, message)
 		switch {
-		case !readable:
+		case !valid:
 		case directive.Stage.Final():
 			g.applyDirective(directive)
 		case g.deliveries.needsDirective(now, &directive):
@@ -228,14 +228,14 @@
 	}
 	ctx, cancel := context.WithTimeout(g.context(), deliveryExchangeTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
 		g.metrics.shareFailures.Inc()
 		return
 	}
 	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
-	g.applyDirectives(begun, answer.GetDeliveries())
+	g.applyDirectives(start, answer.GetDeliveries())
 }
 
 // announceDeliveries sends changes of this gateway's directives, and its decision to stop sending
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -50,11 +50,11 @@
 }
 
 // update records the number of members and returns its share of the recent maximum.
-func (t *memberShare) update(now time.Duration, members int) float64 {
-	if members >= t.maxMembers || now >= t.maxSeenAt+memberShareWindow {
-		t.maxMembers, t.maxSeenAt = members, now
+func (s *memberShare) update(now time.Duration, members int) float64 {
+	if members >= s.maxMembers || now >= s.maxSeenAt+memberShareWindow {
+		s.maxMembers, s.maxSeenAt = members, now
 	}
-	return float64(members) / float64(max(t.maxMembers, 1))
+	return float64(members) / float64(max(s.maxMembers, 1))
 }
 
 // acquireLimitGrant asks for a grant to send one request to a worker with a limit. It is called
@@ -97,13 +97,13 @@
 	distance := traffic.Between(g.place(), membership.Location{Zone: granter.Zone, Region: granter.Region})
 	callCtx, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
-	begun := g.now()
-	answer, err := g.peers.AskGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(begun, &observation), Priority: uint32(max(priority, 0))})
+	start := g.now()
+	answer, err := g.peers.AskGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(start, &observation), Priority: uint32(max(priority, 0))})
 	if err != nil {
 		g.markGranterUnavailable(ctx, granter, err)
 		return workerlimit.Grant{Wait: nextGranterDelay, Refill: nextGranterDelay}
 	}
-	g.applyLimit(answer.GetLimit(), begun, "granter")
+	g.applyLimit(answer.GetLimit(), start, "granter")
 	decoded := workerlimit.Grant{
 		Granted: answer.GetGranted(),
 		Wait:    time.Duration(answer.GetWaitMillis()) * time.Millisecond,
--- a/internal/gateway/limitpeers.go
+++ b/internal/gateway/limitpeers.go
@@ -90,14 +90,14 @@
 func (g *Gateway) exchangeLimits(member membership.Member, observations []workerlimit.Observation) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Limits, member), limitCallTimeout)
 	defer cancel()
-	begun := g.now()
-	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(begun, observations)}
+	start := g.now()
+	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(start, observations)}
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.applyLimits(answer, begun)
+	g.applyLimits(answer, start)
 }
 
 // encodedLimits returns the encoded observations for a report.
@@ -110,20 +110,20 @@
 	return encodeLimits(now, l.ledger.Observations(now))
 }
 
-// applyLimits applies the limits in another gateway's report. begun is a time before the report was
+// applyLimits applies the limits in another gateway's report. start is a time before the report was
 // written.
-func (g *Gateway) applyLimits(report *rpc.LoadReport, begun time.Duration) {
+func (g *Gateway) applyLimits(report *rpc.LoadReport, start time.Duration) {
 	for _, limit := range report.GetLimits() {
-		g.applyLimit(limit, begun, "peer")
+		g.applyLimit(limit, start, "peer")
 	}
 }
 
 // applyLimit applies another gateway's observation of a limit. A nil one is ignored.
-func (g *Gateway) applyLimit(limit *rpc.WorkerLimit, begun time.Duration, source string) {
+func (g *Gateway) applyLimit(limit *rpc.WorkerLimit, start time.Duration, source string) {
 	if limit == nil {
 		return
 	}
-	observation, err := decodeLimit(limit, begun, g.now())
+	observation, err := decodeLimit(limit, start, g.now())
 	if err != nil {
 		g.noteUnreadable("", []Unreadable{{Source: "worker_limit", Key: limit.GetWorker(), Err: err}})
 		return
@@ -148,15 +148,15 @@
 	}
 }
 
-// decodeLimit decodes an observation that was written between begun and ended.
-func decodeLimit(limit *rpc.WorkerLimit, begun, ended time.Duration) (workerlimit.Observation, error) {
+// decodeLimit decodes an observation that was written between start and end.
+func decodeLimit(limit *rpc.WorkerLimit, start, end time.Duration) (workerlimit.Observation, error) {
 	rate := limit.GetRate()
 	if limit.GetWorker() == "" || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
 		return workerlimit.Observation{}, errors.Errorf("limit of %q: %f", limit.GetWorker(), rate)
 	}
 	return workerlimit.Observation{
 		Worker: fleet.EngineID(limit.GetWorker()), Born: limit.GetBorn(), Limited: limit.GetLimited(), Rate: workerlimit.Rate(rate),
-		Asked: timeFromAge(begun, limit.GetAskedAgeMillis()), Answered: timeFromAge(ended, limit.GetAnsweredAgeMillis()),
+		Asked: timeFromAge(start, limit.GetAskedAgeMillis()), Answered: timeFromAge(end, limit.GetAnsweredAgeMillis()),
 	}, nil
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -147,7 +147,7 @@
 func (g *Gateway) exchangeLoad(member membership.Member) {
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
 	g.noteExchange(member.Node, err == nil)
 	if err != nil {
@@ -155,10 +155,10 @@
 		return
 	}
 	g.applyLoadReport(report)
-	g.applyProof(begun, report)
-	g.applyDirectives(begun, report.GetDeliveries())
+	g.applyProof(start, report)
+	g.applyDirectives(start, report.GetDeliveries())
 	g.mergeQuarantineRecords(report.GetQuarantineRecords())
-	g.applyLimits(report, begun)
+	g.applyLimits(report, start)
 }
 
 // answerLoad applies another gateway's report and returns this one's.
@@ -321,13 +321,13 @@
 }
 
 // applyProof adopts another gateway's proof of freshness: if its proof had age a when it answered a
-// call that began at begun, and its configuration is not newer than the one held here, then this
-// configuration was current at begun-a.
-func (g *Gateway) applyProof(begun time.Duration, report *rpc.LoadReport) {
+// call that began at start, and its configuration is not newer than the one held here, then this
+// configuration was current at start-a.
+func (g *Gateway) applyProof(start time.Duration, report *rpc.LoadReport) {
 	held := g.holder.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
 	}
-	g.fresh.Prove(begun - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
+	g.fresh.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
 	g.noteKnown()
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -89,7 +89,8 @@
 	if broadcast || (before.Ends != after.Ends && relevant) {
 		q.changedAt[fingerprint] = now
 	}
-	// Gateways that missed one of the earlier updates would let the request pass.
+	// Broadcast the start of a quarantine: gateways that missed an earlier update would otherwise
+	// let the request pass.
 	if broadcast || outcome.began {
 		q.pendingBroadcast[fingerprint] = true
 		signal(q.announceSignal)
