--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -10,33 +10,32 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-func TestPlacementsAreGatheredUntilTheyAreTold(t *testing.T) {
+func TestAnnouncerBatchesEngines(t *testing.T) {
 	announcer := newAnnouncer()
-	announcer.note("a")
-	announcer.note("b")
-	announcer.note("a")
-	<-announcer.noted
+	announcer.addEngine("a")
+	announcer.addEngine("b")
+	announcer.addEngine("a")
+	<-announcer.pending
 	engines, all := announcer.take()
 	assert.Equal(t, map[fleet.EngineID]bool{"a": true, "b": true}, engines)
 	assert.False(t, all)
 	engines, _ = announcer.take()
 	assert.Empty(t, engines)
 	select {
-	case <-announcer.noted:
-		t.Fatal("all was told")
+	case <-announcer.pending:
+		t.Fatal("signal without a change")
 	default:
 	}
-	announcer.noteAll()
-	<-announcer.noted
+	announcer.addAll()
+	<-announcer.pending
 	_, all = announcer.take()
 	assert.True(t, all)
 	_, all = announcer.take()
 	assert.False(t, all)
 }
 
-// TestLoadsKeepTheirValuesOnTheWay has the names of known workers go as hashes, and loads of
-// workers that the receiver doesn't know be left out.
-func TestLoadsKeepTheirValuesOnTheWay(t *testing.T) {
+// Loads must survive encoding with short worker names. Those of unknown workers must be omitted.
+func TestLoadsRoundTrip(t *testing.T) {
 	sender, receiver := idleGateway(t), idleGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, backends.Worker{ID: "a"})
@@ -57,5 +56,5 @@
 	assert.Equal(t, loads, receiver.decodeLoads(encoded))
 	assert.Empty(t, receiver.decodeLoads([]*rpc.WorkerLoad{{InFlight: 1}}))
 	truncated := []*rpc.WorkerLoad{{Worker: "a", ByPriority: []uint32{backends.Priorities, 1, 1, 0, 1}}}
-	assert.Equal(t, []backends.Load{{Engine: "a"}}, receiver.decodeLoads(truncated), "no such priority, and a part")
+	assert.Equal(t, []backends.Load{{Engine: "a"}}, receiver.decodeLoads(truncated), "unknown priority and truncated values")
 }
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -16,45 +16,45 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestNodeTellsOfCachesThatItFollows asks a node about the caches of its zone.
-func TestNodeTellsOfCachesThatItFollows(t *testing.T) {
+// A gateway must answer requests about the caches that it follows, but not with an incomplete
+// state.
+func TestAnswerCachesServesFollowedCaches(t *testing.T) {
 	g := idleGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
-		response, err := g.answerCaches(t.Context(), encodeQuestion(question, 20*time.Millisecond))
-		return decodeNews(response), err
+		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
+		return decodeCachesResponse(response), err
 	}
 	_, err := ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errFollowsNone, "it follows none")
-	assert.True(t, g.cacheLog.wanted(g.now()), "but does from now on")
+	require.ErrorIs(t, err, errNoCachesFollowed, "no caches followed")
+	assert.True(t, g.cacheLog.isWanted(g.now()), "wanted after the first request")
 
-	g.cacheLog.follow(g.now(), 2)
+	g.cacheLog.setFollowing(g.now(), 2)
 	g.cacheLog.observe("one", true, []cachefeed.Change{{Part: 1, Held: true}, {Part: 2, Held: true}})
 	_, err = ask(cachefeed.Question{})
-	require.ErrorIs(t, err, errFollowsNone, "what it told of two caches would have the other forgotten")
+	require.ErrorIs(t, err, errNoCachesFollowed, "incomplete state must not be served")
 	g.cacheLog.observe("two", true, nil)
-	news, err := ask(cachefeed.Question{})
+	answer, err := ask(cachefeed.Question{})
 	require.NoError(t, err)
-	assert.True(t, news.Whole)
-	assert.Len(t, news.Updates, 2)
+	assert.True(t, answer.Whole)
+	assert.Len(t, answer.Updates, 2)
 
-	quiet, err := ask(cachefeed.Question{After: news.Next})
+	unchanged, err := ask(cachefeed.Question{After: answer.Next})
 	require.NoError(t, err)
-	assert.Equal(t, cachefeed.News{Next: news.Next}, quiet)
+	assert.Equal(t, cachefeed.News{Next: answer.Next}, unchanged)
 	go func() {
 		time.Sleep(5 * time.Millisecond)
 		g.cacheLog.observe("one", false, []cachefeed.Change{{Part: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeQuestion(cachefeed.Question{After: news.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Question{After: answer.Next}, time.Minute))
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeNews(response).Updates)
-	news, err = ask(cachefeed.Question{After: decodeNews(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
+	answer, err = ask(cachefeed.Question{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, news.Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, answer.Updates)
 }
 
-// TestCachesOfOtherZonesAreAskedAbout has a node that serves follow the caches of its own
-// zone by itself, and those of another zone only while nobody there answers.
-func TestCachesOfOtherZonesAreAskedAbout(t *testing.T) {
+// A serving gateway must follow another zone's caches directly only while no gateway there answers.
+func TestOtherZonesAreFollowedThroughPeers(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
 	require.NoError(t, err)
@@ -66,28 +66,28 @@
 		})
 	}
 	g.settled.Store(true)
-	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
-	far := cacheRun{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
-	somewhere := cacheRun{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
+	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
+	far := followedCache{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
+	somewhere := followedCache{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
 
-	present, asked := g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true, somewhere: true}, present)
+	present, asked := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, somewhere: true}, present)
 	assert.Equal(t, map[fleet.ZoneName]map[fleet.EngineID]bool{"z1": {"far": true}}, asked)
 
-	g.zoneFeeds.feeds["z1"] = &zoneFeed{silent: true, mirror: newCacheLog(1)}
-	present, asked = g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true, far: true, somewhere: true}, present)
+	g.zoneFeeds.feeds["z1"] = &zoneFeed{unavailable: true, mirror: newCacheLog(1)}
+	present, asked = g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, far: true, somewhere: true}, present)
 	assert.Empty(t, asked)
 
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.serves())
-	present, asked = g.caches()
-	assert.Empty(t, present, "callers aren't sent here")
+	present, asked = g.selectCaches()
+	assert.Empty(t, present, "gateway doesn't serve")
 	assert.Empty(t, asked)
 }
 
-// TestIdleNodeFollowsItsZonesCachesWhileAsked has a zone without a node that serves.
-func TestIdleNodeFollowsItsZonesCachesWhileAsked(t *testing.T) {
+// A gateway that doesn't serve must follow its zone's caches while others request them.
+func TestIdleNodeFollowsCachesOnDemand(t *testing.T) {
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
@@ -99,7 +99,7 @@
 		})
 	}
 	g.settled.Store(true)
-	// With four zones and six nodes that serve, no zone has serving nodes of its own by rule.
+	// With four zones and six serving gateways, no zone is guaranteed a serving one.
 	all := []membership.Member{
 		{Node: g.node, Zone: "z0", State: membership.Alive, Capacity: 200},
 		{Node: "y", Zone: "z2", State: membership.Alive, Capacity: 200},
@@ -113,18 +113,18 @@
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
 	assert.Empty(t, present(g))
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
-	require.ErrorIs(t, err, errFollowsNone)
-	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
-	following, asked := g.caches()
-	assert.Equal(t, map[cacheRun]bool{near: true}, following)
+	require.ErrorIs(t, err, errNoCachesFollowed)
+	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
+	following, asked := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true}, following)
 	assert.Empty(t, asked)
-	g.cacheLog.ask(g.now() - cachesWanted - time.Millisecond)
+	g.cacheLog.recordRequest(g.now() - cacheInterestTimeout - time.Millisecond)
 	assert.Empty(t, present(g))
 }
 
-// TestFarRegionIsAskedByOneNodeOfTheOwn has a zone of another region asked by one node, the
-// others ask that one, and a node tells only what it has from the zone itself.
-func TestFarRegionIsAskedByOneNodeOfTheOwn(t *testing.T) {
+// A zone of another region must be requested by one gateway of this region, and only state received
+// from the zone itself may be passed on.
+func TestRemoteRegionIsFollowedByOneNode(t *testing.T) {
 	g := idleGateway(t)
 	settings := *g.settings()
 	settings.Region, settings.Zones = "north", map[fleet.ZoneName]fleet.RegionName{"z0": "north", "z1": "north", "far": "south"}
@@ -142,7 +142,7 @@
 	require.Len(t, mirrors, 2)
 	far := g.roles.Load().CacheSources("far")
 	require.ElementsMatch(t, []fleet.NodeID{"x", "y"}, far)
-	assert.ElementsMatch(t, []fleet.NodeID{"a", "b", "c"}, g.cacheSources("z1"), "the own region is asked by all")
+	assert.ElementsMatch(t, []fleet.NodeID{"a", "b", "c"}, g.cacheSources("z1"), "zone of the same region")
 	node := g.node
 	for _, self := range []fleet.NodeID{node, "a", "b", "c"} {
 		g.node = self
@@ -156,19 +156,19 @@
 
 	ask := &rpc.CachesRequest{Zone: "far"}
 	_, err := g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "it knows nothing of that zone")
+	require.ErrorIs(t, err, errNoCachesFollowed, "no state of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
 	updates := []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
-	feed.mirror.takeTold(g.now(), updates, 1)
+	feed.mirror.applyUpdates(g.now(), updates, 1)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "what another node has told may come from here")
+	require.ErrorIs(t, err, errNoCachesFollowed, "state received through another gateway")
 	g.zoneFeeds.setSource(feed, false, true)
 	response, err := g.answerCaches(t.Context(), ask)
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeNews(response).Updates)
-	assert.True(t, feed.mirror.wanted(g.now()))
-	feed.mirror.restart(6)
+	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeCachesResponse(response).Updates)
+	assert.True(t, feed.mirror.isWanted(g.now()))
+	feed.mirror.reset(6)
 	_, err = g.answerCaches(t.Context(), ask)
-	require.ErrorIs(t, err, errFollowsNone, "it begins anew")
+	require.ErrorIs(t, err, errNoCachesFollowed, "log was reset")
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -31,7 +31,7 @@
 	current.lostPlacement = nil
 	now := g.now()
 	var placement *backends.Placement
-	if g.permits(current, &lost.Engine.CopyTo) && (current.tenant == nil || g.canServeKeyed()) {
+	if g.isSendAllowed(current, &lost.Engine.CopyTo) && (current.tenant == nil || g.canServeKeyed()) {
 		placement = g.workers.Continue(now, lost, current.metadata.Model)
 	}
 	if placement == nil {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -83,7 +83,7 @@
 	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
 	case suspected:
-		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+		g.recordWorkerCrash(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
 	case probe:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
@@ -115,7 +115,7 @@
 // noteWorkerEnded records that a worker has ended without announcing its shutdown.
 func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
 	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
-		g.blame(worker, proof, suspects)
+		g.recordWorkerCrash(worker, proof, suspects)
 	}
 }
 
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -11,55 +11,57 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// deliveries makes what a node knows of deliveries of services' versions, and directs of
-// them, safe for concurrent use.
-type deliveries struct {
+// deliveryState holds a gateway's follower and, while the gateway holds the lease, director of
+// service version deliveries. It is safe for concurrent use.
+type deliveryState struct {
 	self fleet.NodeID
-	// known is set once there was an order or a directive: before, requests need no lock.
-	known atomic.Bool
-	// pulling is set while a node is asked for a directive that it has named.
+	// active is set by the first order, directive or second version. Until then requests skip the
+	// mutex.
+	active atomic.Bool
+	// pulling is set while a request for another gateway's directives is in flight.
 	pulling atomic.Bool
 
 	mutex    sync.Mutex
 	follower *delivery.Follower
-	// director is nil while this node doesn't direct.
+	// director is nil unless this gateway directs deliveries.
 	director *delivery.Director
-	orders   map[fleet.PoolName]heardOrder
-	// finished holds the newest order of each service that is known to be over.
+	orders   map[fleet.PoolName]receivedOrder
+	// finished holds the newest finished order of each service.
 	finished map[fleet.PoolName]fleet.Revision
-	// stored holds the versions of the records in the store, writing the services of which
-	// a record is being written. Both belong to the director.
-	stored  map[fleet.PoolName]fleet.Revision
-	writing map[fleet.PoolName]bool
+	// storedVersions holds the versions of the stored records, writing the services whose record is
+	// being written. Both are set together with director.
+	storedVersions map[fleet.PoolName]fleet.Revision
+	writing        map[fleet.PoolName]bool
 
-	// changes counts the changes of directives; changed is closed at the next one.
-	changes uint64
-	changed chan struct{}
-	// source is the watched node of which seen is the number of changes.
-	source fleet.NodeID
-	seen   uint64
+	// changeCount counts the changes of directives. changed is closed at the next one.
+	changeCount uint64
+	changed     chan struct{}
+	// watchedNode is the gateway that this one watches, watchedChanges the number of its changes
+	// seen.
+	watchedNode    fleet.NodeID
+	watchedChanges uint64
 
-	// ordered has one element after news of an order, announced while there is something
-	// to tell all nodes at once.
-	ordered   chan struct{}
-	announced chan struct{}
+	// orderSignal holds one element after a new order, announceSignal while there is something to
+	// announce to all gateways.
+	orderSignal    chan struct{}
+	announceSignal chan struct{}
 }
 
-// heardOrder is an order and when it was written at the latest.
-type heardOrder struct {
+// receivedOrder is an order and the latest time at which it can have been written.
+type receivedOrder struct {
 	delivery.Order
-	at time.Duration
+	writtenBy time.Duration
 }
 
-func newDeliveries(self fleet.NodeID, settings Settings) *deliveries {
-	return &deliveries{
-		self:      self,
-		follower:  delivery.NewFollower(deliveryOptions(self, settings)),
-		orders:    make(map[fleet.PoolName]heardOrder),
-		finished:  make(map[fleet.PoolName]fleet.Revision),
-		changed:   make(chan struct{}),
-		ordered:   make(chan struct{}, 1),
-		announced: make(chan struct{}, 1),
+func newDeliveryState(self fleet.NodeID, settings Settings) *deliveryState {
+	return &deliveryState{
+		self:           self,
+		follower:       delivery.NewFollower(deliveryOptions(self, settings)),
+		orders:         make(map[fleet.PoolName]receivedOrder),
+		finished:       make(map[fleet.PoolName]fleet.Revision),
+		changed:        make(chan struct{}),
+		orderSignal:    make(chan struct{}, 1),
+		announceSignal: make(chan struct{}, 1),
 	}
 }
 
@@ -72,37 +74,36 @@
 	}
 }
 
-// signal puts an element into a channel that has room for one.
-func signal(into chan struct{}) {
+// signal wakes the receiver of a channel with a buffer of one. It doesn't block.
+func signal(channel chan struct{}) {
 	select {
-	case into <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// order takes in an order that was written at a time at the latest, and tells whether it
-// is news.
-func (d *deliveries) order(now, at time.Duration, order delivery.Order) (bool, error) {
+// addOrder adds an order that was written at latest or before, and reports whether it is new.
+func (d *deliveryState) addOrder(now, latest time.Duration, order delivery.Order) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if held, found := d.orders[order.Service]; found && held.Revision >= order.Revision {
 		return false, nil
 	}
-	news, err := d.follower.SetOrder(now, order)
-	if err != nil || !news {
+	isNew, err := d.follower.SetOrder(now, order)
+	if err != nil || !isNew {
 		return false, err
 	}
-	d.orders[order.Service] = heardOrder{Order: order, at: at}
-	d.known.Store(true)
-	signal(d.ordered)
+	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: latest}
+	d.active.Store(true)
+	signal(d.orderSignal)
 	if d.director != nil {
-		return true, d.director.SetOrder(now, at, order)
+		return true, d.director.SetOrder(now, latest, order)
 	}
 	return true, nil
 }
 
-// unfinished returns the services with an order that isn't known to be over.
-func (d *deliveries) unfinished() []fleet.PoolName {
+// unfinished returns the services whose newest order isn't known to be finished.
+func (d *deliveryState) unfinished() []fleet.PoolName {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var services []fleet.PoolName
@@ -114,10 +115,9 @@
 	return services
 }
 
-// undirected tells whether a delivery runs for which no directive counts: nobody directs
-// it.
-func (d *deliveries) undirected(now time.Duration) bool {
-	if !d.known.Load() {
+// hasUndirected reports whether an unfinished delivery has no valid directive.
+func (d *deliveryState) hasUndirected(now time.Duration) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -134,9 +134,9 @@
 	return false
 }
 
-// follows tells whether a service has an order.
-func (d *deliveries) follows(service fleet.PoolName) bool {
-	if !d.known.Load() {
+// hasOrder reports whether a service has an order.
+func (d *deliveryState) hasOrder(service fleet.PoolName) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -145,9 +145,9 @@
 	return found
 }
 
-// targets tells whether a version is the target of its service's order.
-func (d *deliveries) targets(service fleet.PoolName, version fleet.SoftwareVersion) bool {
-	if version == "" || !d.known.Load() {
+// isTarget reports whether a version is the target of its service's order.
+func (d *deliveryState) isTarget(service fleet.PoolName, version fleet.SoftwareVersion) bool {
+	if version == "" || !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -156,9 +156,9 @@
 	return found && order.Target == version
 }
 
-// condemned tells whether a version of a service was rolled back.
-func (d *deliveries) condemned(now time.Duration, service fleet.PoolName, version fleet.SoftwareVersion) bool {
-	if version == "" || !d.known.Load() {
+// isRolledBack reports whether a version of a service was rolled back.
+func (d *deliveryState) isRolledBack(now time.Duration, service fleet.PoolName, version fleet.SoftwareVersion) bool {
+	if version == "" || !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -171,51 +171,52 @@
 	return false
 }
 
-// choose returns what limits the choice of a worker, nil if nothing does.
-func (d *deliveries) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Choice {
-	if !d.known.Load() {
+// choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
+// excludes the target for a request that was there before.
+func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Choice {
+	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.follower.Choose(now, service, route, draw, again)
+	return d.follower.Choose(now, service, route, draw, avoidTarget)
 }
 
-// note counts an outcome, and tells whether this node has just stopped sending to the
+// recordOutcome counts an outcome, and reports whether this gateway has just stopped sending to the
 // target by its own evidence.
-func (d *deliveries) note(now time.Duration, outcome delivery.Outcome) bool {
+func (d *deliveryState) recordOutcome(now time.Duration, outcome delivery.Outcome) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	stopped := d.follower.Note(now, outcome)
 	if stopped {
-		signal(d.announced)
+		signal(d.announceSignal)
 	}
 	return stopped
 }
 
-// take takes a directive in, and tells whether it changed the stage or the shares.
-func (d *deliveries) take(now time.Duration, directive delivery.Directive) bool {
+// applyDirective applies a directive, and reports whether it changed the stage or the shares.
+func (d *deliveryState) applyDirective(now time.Duration, directive delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.known.Store(true)
+	d.active.Store(true)
 	if !d.follower.Take(now, directive) {
 		return false
 	}
 	if directive.Stage.Final() {
 		d.finished[directive.Service] = max(d.finished[directive.Service], directive.Revision)
 	}
-	d.changes++
+	d.changeCount++
 	close(d.changed)
 	d.changed = make(chan struct{})
 	if directive.Issuer == d.self {
-		signal(d.announced)
+		signal(d.announceSignal)
 	}
 	return true
 }
 
-// lacks tells whether a directive that another node has named is newer than what this one
-// goes by, or keeps that from lapsing.
-func (d *deliveries) lacks(now time.Duration, directive *delivery.Directive) bool {
+// needsDirective reports whether a directive that another gateway holds is newer than the one held
+// here, or whether the one held here is about to expire.
+func (d *deliveryState) needsDirective(now time.Duration, directive *delivery.Directive) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, held := range d.follower.Directives(now) {
@@ -226,13 +227,14 @@
 			return false
 		}
 		same := held.Revision == directive.Revision && held.Sequence >= directive.Sequence
-		return !same && held.Revision <= directive.Revision || now > held.IssuedAt+directiveOld
+		return !same && held.Revision <= directive.Revision || now > held.IssuedAt+directiveRefreshAge
 	}
 	return true
 }
 
-// shifts tells whether all requests of a service go to its target now, before a verdict.
-func (d *deliveries) shifts(now time.Duration) bool {
+// isShifting reports whether all requests of some service go to its target while the delivery isn't
+// finished.
+func (d *deliveryState) isShifting(now time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, directive := range d.follower.Directives(now) {
@@ -244,9 +246,9 @@
 	return false
 }
 
-// issuers returns the nodes that direct deliveries now, without this one.
-func (d *deliveries) issuers(now time.Duration) []fleet.NodeID {
-	if !d.known.Load() {
+// issuers returns the other gateways that currently direct deliveries.
+func (d *deliveryState) issuers(now time.Duration) []fleet.NodeID {
+	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
@@ -260,10 +262,10 @@
 	return nodes
 }
 
-// write adds the directives that count to a report to another node, and what this node
-// has seen if that node directs.
-func (d *deliveries) write(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
-	if !d.known.Load() {
+// writeReport adds the valid directives to a report to another gateway, and the evidence of this
+// gateway for the deliveries that the receiver directs.
+func (d *deliveryState) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
+	if !d.active.Load() {
 		return
 	}
 	d.mutex.Lock()
@@ -280,10 +282,10 @@
 	}
 }
 
-// writeWatch adds the directives that count to an answer to a node that watches this one,
-// and tells whether they have changed since its last call.
-func (d *deliveries) writeWatch(now time.Duration, request *rpc.WatchRequest, response *rpc.WatchResponse) bool {
-	if !d.known.Load() {
+// writeWatchResponse adds the valid directives to the response to a watching gateway, and reports
+// whether they have changed since its last call.
+func (d *deliveryState) writeWatchResponse(now time.Duration, request *rpc.WatchRequest, response *rpc.WatchResponse) bool {
+	if !d.active.Load() {
 		return false
 	}
 	d.mutex.Lock()
@@ -291,67 +293,67 @@
 	for _, directive := range d.follower.Directives(now) {
 		response.Deliveries = append(response.Deliveries, encodeDirective(now, &directive))
 	}
-	response.DeliveriesSeen = d.changes
+	response.DeliveriesSeen = d.changeCount
 	seen := request.GetDeliveriesSeen()
 	if request.GetPositionsOf() != string(d.self) {
 		seen = 0
 	}
-	return d.changes > seen
+	return d.changeCount > seen
 }
 
-// changedAfter returns a channel that is closed at the next change of a directive.
-func (d *deliveries) changedAfter() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change of a directive.
+func (d *deliveryState) nextChange() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.changed
 }
 
-// seenOf returns how many changes of a watched node this one has seen.
-func (d *deliveries) seenOf(source fleet.NodeID) uint64 {
+// seenChanges returns how many changes of a watched gateway have been seen.
+func (d *deliveryState) seenChanges(source fleet.NodeID) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.source != source {
+	if d.watchedNode != source {
 		return 0
 	}
-	return d.seen
+	return d.watchedChanges
 }
 
-// noteSeen notes up to which change a watched node has told.
-func (d *deliveries) noteSeen(source fleet.NodeID, seen uint64) {
+// setSeenChanges records how many changes of a watched gateway have been seen.
+func (d *deliveryState) setSeenChanges(source fleet.NodeID, seen uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.source, d.seen = source, seen
+	d.watchedNode, d.watchedChanges = source, seen
 }
 
-// shares returns, by service and route, the part of the requests that is asked to go to the
-// target and the part of the answers that came from there.
-func (d *deliveries) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
+// shares returns, by service and route, the share of requests that the directive assigns to the
+// target and the answers of both versions.
+func (d *deliveryState) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	all := make(map[fleet.PoolName]map[delivery.RouteName]deliveryShare)
-	asked := make(map[fleet.PoolName]delivery.Directive)
+	directives := make(map[fleet.PoolName]delivery.Directive)
 	for _, directive := range d.follower.Directives(now) {
-		asked[directive.Service] = directive
+		directives[directive.Service] = directive
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		routes := make(map[delivery.RouteName]deliveryShare)
 		for route, counts := range evidence.Old {
 			share := routes[route]
-			share.old = counts.Answers
+			share.oldAnswers = counts.Answers
 			routes[route] = share
 		}
 		for route, workers := range evidence.New {
 			share := routes[route]
 			for _, counts := range workers {
-				share.target += counts.Answers
+				share.targetAnswers += counts.Answers
 			}
 			routes[route] = share
 		}
-		directive := asked[evidence.Service]
+		directive := directives[evidence.Service]
 		for route, share := range routes {
 			var named bool
-			if share.asked, named = directive.Shares[route]; !named {
-				share.asked = directive.DefaultShare
+			if share.requested, named = directive.Shares[route]; !named {
+				share.requested = directive.DefaultShare
 			}
 			routes[route] = share
 		}
@@ -360,16 +362,16 @@
 	return all
 }
 
-// deliveryShare is what a route's target is asked to get, and what both sides had.
+// deliveryShare is the requested share of a route's target and the answers of both versions.
 type deliveryShare struct {
-	asked       float64
-	old, target uint64
+	requested                 float64
+	oldAnswers, targetAnswers uint64
 }
 
-// had returns the part of the answers that came from the target.
-func (s deliveryShare) had() float64 {
-	if s.old+s.target == 0 {
+// actual returns the share of the answers that came from the target.
+func (s deliveryShare) actual() float64 {
+	if s.oldAnswers+s.targetAnswers == 0 {
 		return 0
 	}
-	return float64(s.target) / float64(s.old+s.target)
+	return float64(s.targetAnswers) / float64(s.oldAnswers+s.targetAnswers)
 }
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -17,91 +17,90 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// deliveryGateway returns a gateway that isn't started and has heard of an order.
+// deliveryGateway returns a gateway that isn't started and has received an order.
 func deliveryGateway(t *testing.T) *Gateway {
 	g := idleGateway(t)
-	g.takeOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
+	g.applyOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
 		{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
 	}})
 	require.Equal(t, []fleet.PoolName{"app"}, g.deliveries.unfinished())
 	return g
 }
 
-// allTo returns a directive that sends everything to the target.
-func allTo(g *Gateway, stage delivery.Stage, issuedAt time.Duration) delivery.Directive {
+// directiveToTarget returns a directive that sends all requests to the target.
+func directiveToTarget(g *Gateway, stage delivery.Stage, issuedAt time.Duration) delivery.Directive {
 	directive := testDirective(issuedAt)
 	directive.Stage, directive.Canaries, directive.Shares, directive.DefaultShare = stage, nil, nil, 1
 	return directive
 }
 
-// deliveryRequest returns a request that would go to the target at any share.
+// deliveryRequest returns a request that goes to the target at any share above 0.
 func deliveryRequest() *callerRequest {
 	return &callerRequest{service: &routes.Service{Name: "app"}, route: &routes.Route{Name: "route"}, targetDraw: 0}
 }
 
-// TestPushedDirectiveIsAskedForRatherThanBelieved since a call may have lain here while the
-// process stood still; a final one counts whatever its age.
-func TestPushedDirectiveIsAskedForRatherThanBelieved(t *testing.T) {
+// A pushed directive of unknown age must be pulled before it applies. A final one applies at any
+// age.
+func TestPushedDirectiveIsPulledBeforeItApplies(t *testing.T) {
 	g := deliveryGateway(t)
-	pushed := allTo(g, delivery.StageShifting, g.now())
+	pushed := directiveToTarget(g, delivery.StageShifting, g.now())
 	report := &rpc.LoadReport{Node: "director", DeliveriesOnly: true, Deliveries: []*rpc.DeliveryDirective{encodeDirective(g.now(), &pushed)}}
-	g.heedPushed(report)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	g.handlePushedDeliveries(report)
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 
-	g.takeDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
+	g.applyDirectives(g.now(), report.Deliveries)
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "answer to this gateway's own call")
 
-	final := allTo(g, delivery.StageRolledBack, g.now())
+	final := directiveToTarget(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
 	final.Condemned = append(final.Condemned, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
-	g.heedPushed(report)
-	choice := g.versions(deliveryRequest(), false)
+	g.handlePushedDeliveries(report)
+	choice := g.allowedVersions(deliveryRequest(), false)
 	assert.False(t, choice.WantsTarget())
 	assert.False(t, choice.Allows("w", "v2"))
-	assert.Empty(t, g.deliveries.unfinished(), "nothing is left to do")
+	assert.Empty(t, g.deliveries.unfinished(), "no work left")
 }
 
-// TestDirectiveIsAsOldAsTheCallThatBroughtIt however young it was when it was told.
-func TestDirectiveIsAsOldAsTheCallThatBroughtIt(t *testing.T) {
+// A directive must count as at least as old as the call that delivered it.
+func TestDirectiveAgeIncludesTheCall(t *testing.T) {
 	g := deliveryGateway(t)
-	directive := allTo(g, delivery.StageShifting, g.now())
-	told := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
-	g.takeDirectives(g.now()-delivery.DirectiveValid, told)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	directive := directiveToTarget(g, delivery.StageShifting, g.now())
+	encoded := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
+	g.applyDirectives(g.now()-delivery.DirectiveValid, encoded)
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
 }
 
-// TestSendIsPermittedOnlyWhileItsDirectiveCounts.
-func TestSendIsPermittedOnlyWhileItsDirectiveCounts(t *testing.T) {
+// A request must not reach the target after its directive has expired.
+func TestSendToTargetRequiresValidDirective(t *testing.T) {
 	g := deliveryGateway(t)
-	const left = 300 * time.Millisecond
-	g.takeDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
+	const remaining = 300 * time.Millisecond
+	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+remaining))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
-	current.placedForTarget = g.versions(current, false).WantsTarget()
+	current.placedForTarget = g.allowedVersions(current, false).WantsTarget()
 	require.True(t, current.placedForTarget)
-	assert.NoError(t, g.permitTarget(current, target))
-	time.Sleep(left + 50*time.Millisecond)
-	assert.ErrorIs(t, g.permitTarget(current, target), errNoTarget)
-	assert.NoError(t, g.permitTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "found as the fallback")
+	assert.NoError(t, g.checkTarget(current, target))
+	time.Sleep(remaining + 50*time.Millisecond)
+	assert.ErrorIs(t, g.checkTarget(current, target), errTargetNotAllowed)
+	assert.NoError(t, g.checkTarget(current, &backends.Worker{ID: "o", Service: "app", Software: "v1"}), "fallback worker")
 	current.placedForTarget = false
-	assert.NoError(t, g.permitTarget(current, target), "only workers of the target are listed")
+	assert.NoError(t, g.checkTarget(current, target), "request without assignment")
 }
 
-// TestSecondTryLeavesTheTarget for the other side.
-func TestSecondTryLeavesTheTarget(t *testing.T) {
+// A retry after the target must go to a worker of another version.
+func TestRetryAvoidsTheTarget(t *testing.T) {
 	g := deliveryGateway(t)
-	canary := allTo(g, delivery.StageCanary, g.now())
-	g.takeDirective(canary)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget())
-	assert.False(t, g.versions(deliveryRequest(), true).WantsTarget())
+	canary := directiveToTarget(g, delivery.StageCanary, g.now())
+	g.applyDirective(canary)
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
+	assert.False(t, g.allowedVersions(deliveryRequest(), true).WantsTarget())
 }
 
-// TestReportsCarryDirectivesToAllAndEvidenceToTheDirector.
-func TestReportsCarryDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
+func TestReportsSendDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
-	g.deliveries.note(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
+	g.deliveries.recordOutcome(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
 	other := g.loadReport("other")
 	assert.Len(t, other.GetDeliveries(), 1)
 	assert.Empty(t, other.GetDeliveryEvidence())
@@ -112,33 +111,33 @@
 	assert.Equal(t, []fleet.NodeID{"director"}, g.deliveries.issuers(g.now()))
 }
 
-// TestWatcherIsToldOfAChangedDirectiveAtOnce and of the same one not again.
-func TestWatcherIsToldOfAChangedDirectiveAtOnce(t *testing.T) {
+// A changed directive must wake a waiting watch call, an unchanged one must not.
+func TestChangedDirectiveWakesWatcher(t *testing.T) {
 	g := deliveryGateway(t)
 	request := &rpc.WatchRequest{Node: "watcher", PositionsOf: string(g.node)}
-	response, news := g.watchResponse(request)
-	assert.False(t, news)
+	response, changed := g.watchResponse(request)
+	assert.False(t, changed)
 	assert.Empty(t, response.GetDeliveries())
-	waiting := g.deliveries.changedAfter()
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
+	waiting := g.deliveries.nextChange()
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	select {
 	case <-waiting:
 	default:
-		t.Error("a waiting call isn't woken")
+		t.Error("waiting call not woken")
 	}
-	response, news = g.watchResponse(request)
-	assert.True(t, news)
+	response, changed = g.watchResponse(request)
+	assert.True(t, changed)
 	assert.Len(t, response.GetDeliveries(), 1)
 	request.DeliveriesSeen = response.GetDeliveriesSeen()
-	response, news = g.watchResponse(request)
-	assert.False(t, news)
-	assert.Len(t, response.GetDeliveries(), 1, "its age is renewed")
+	response, changed = g.watchResponse(request)
+	assert.False(t, changed)
+	assert.Len(t, response.GetDeliveries(), 1, "age refreshed")
 	request.PositionsOf = "another run"
-	_, news = g.watchResponse(request)
-	assert.True(t, news)
+	_, changed = g.watchResponse(request)
+	assert.True(t, changed)
 }
 
-// deliveryStore is the store's part about deliveries.
+// deliveryStore is a store with delivery records alone.
 type deliveryStore struct {
 	Platform
 	stored *StoredDeliveries
@@ -160,8 +159,8 @@
 	return StoredDelivery{Record: record, Version: expected + 1}, s.failed
 }
 
-// TestNewDirectorHoldsToAFinalRecord and decides nothing anew.
-func TestNewDirectorHoldsToAFinalRecord(t *testing.T) {
+// A new director must keep a final verdict and write nothing.
+func TestNewDirectorKeepsFinalRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	final := StoredDelivery{Version: 20, Record: delivery.Record{
 		Order: delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
@@ -169,21 +168,21 @@
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
 	g.outside.Platform = store
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
-	g.direct("app")
-	choice := g.versions(deliveryRequest(), false)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
+	g.stepDelivery("app")
+	choice := g.allowedVersions(deliveryRequest(), false)
 	assert.False(t, choice.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished())
 	assert.Empty(t, store.writes)
 }
 
-// TestLateDirectorTakesOverWhatTheStoreHolds when its own verdict comes too late.
-func TestLateDirectorTakesOverWhatTheStoreHolds(t *testing.T) {
+// A director whose write conflicts must adopt the stored final record.
+func TestWriteConflictAdoptsStoredRecord(t *testing.T) {
 	g := deliveryGateway(t)
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	running := StoredDelivery{Version: 20, Record: delivery.Record{Order: order, Stage: delivery.StageCanary, StartedAt: time.Minute}}
 	stored := &StoredDeliveries{Records: []StoredDelivery{running}, StoreTime: time.Minute}
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
 	final := running
 	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
@@ -191,42 +190,41 @@
 	g.deliveries.beginWrite("app")
 	g.writeDelivery(delivery.Record{Order: order, Stage: delivery.StageCompleted, StartedAt: time.Minute})
 	assert.EqualValues(t, 21, g.deliveries.storedVersion("app"))
-	g.direct("app")
-	assert.False(t, g.versions(deliveryRequest(), false).Allows("w", "v2"))
+	g.stepDelivery("app")
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished())
 }
 
-// TestOneWriteAtATime of a service's record, and again after one that failed.
-func TestOneWriteAtATime(t *testing.T) {
+// Two writes of one service's record must not overlap, and a failed write must not block the next.
+func TestDeliveryWritesAreSerialized(t *testing.T) {
 	g := deliveryGateway(t)
-	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
+	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), &StoredDeliveries{}, 0)
 	assert.True(t, g.deliveries.beginWrite("app"))
 	assert.False(t, g.deliveries.beginWrite("app"))
 	record := delivery.Record{Order: delivery.Order{Service: "app", Target: "v2", Duration: time.Second, Revision: 7}, Stage: delivery.StageCanary}
-	g.deliveries.written(g.now(), record, StoredDelivery{}, errors.New("lost"))
+	g.deliveries.finishWrite(g.now(), record, StoredDelivery{}, errors.New("lost"))
 	assert.True(t, g.deliveries.beginWrite("app"))
 	g.deliveries.resign()
 	assert.False(t, g.deliveries.beginWrite("app"))
 }
 
-// TestUnusableOrderChangesNothing.
-func TestUnusableOrderChangesNothing(t *testing.T) {
+func TestInvalidOrderIsIgnored(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeOrders(g.now(), g.now(), &OperatorRows{
+	g.applyOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
 		RefusedDeliveries: []Unreadable{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
 	})
-	assert.True(t, g.deliveries.targets("app", "v2"))
-	assert.False(t, g.deliveries.targets("app", "v0"))
+	assert.True(t, g.deliveries.isTarget("app", "v2"))
+	assert.False(t, g.deliveries.isTarget("app", "v0"))
 }
 
-// TestOutcomesThatSayNothingAreNotCounted.
-func TestOutcomesThatSayNothingAreNotCounted(t *testing.T) {
+// Refused, unsent and cancelled requests must not count for or against a version.
+func TestInconclusiveOutcomesAreNotCounted(t *testing.T) {
 	g := deliveryGateway(t)
-	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
+	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
 	g.workers.Observe(1, backends.Worker{ID: "w", Service: "app", Software: "v2", Slots: 4})
 	counted := 0
-	for outcome, says := range map[backends.Outcome]bool{
+	for outcome, conclusive := range map[backends.Outcome]bool{
 		backends.Succeeded: true, backends.Failed: true, backends.Lost: true,
 		backends.Refused: false, backends.Mismatched: false, backends.Unreachable: false, backends.Cancelled: false,
 		backends.Deferred: false,
@@ -234,37 +232,37 @@
 		placement, _ := g.workers.Choose(g.now(), &backends.Request{Service: "app"})
 		require.NotNil(t, placement)
 		current := deliveryRequest()
-		g.noteDelivery(current, placement, outcome)
+		g.recordDeliveryOutcome(current, placement, outcome)
 		placement.End(g.now(), outcome)
 		assert.True(t, current.sentToTarget)
-		if says {
+		if conclusive {
 			counted++
 		}
 	}
 	shares := g.deliveries.shares(g.now())
-	assert.EqualValues(t, counted, shares["app"]["route"].target)
-	assert.InDelta(t, 1, shares["app"]["route"].had(), 0)
-	assert.InDelta(t, 1, shares["app"]["route"].asked, 0)
+	assert.EqualValues(t, counted, shares["app"]["route"].targetAnswers)
+	assert.InDelta(t, 1, shares["app"]["route"].actual(), 0)
+	assert.InDelta(t, 1, shares["app"]["route"].requested, 0)
 }
 
-// TestShiftIsKnownFromItsMoment has a shift be told in advance, begin, and end.
-func TestShiftIsKnownFromItsMoment(t *testing.T) {
+// A shift must start at the planned time, whether or not the next directive has arrived.
+func TestShiftStartsAtItsPlannedTime(t *testing.T) {
 	g := idleGateway(t)
-	assert.False(t, g.deliveries.shifts(0))
+	assert.False(t, g.deliveries.isShifting(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
-	_, err := g.deliveries.order(0, 0, order)
+	_, err := g.deliveries.addOrder(0, 0, order)
 	require.NoError(t, err)
 	directive := delivery.Directive{
 		Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary,
 		IssuedAt: time.Second, ShiftAt: 2 * time.Second,
 	}
-	g.deliveries.take(time.Second, directive)
-	assert.False(t, g.deliveries.shifts(time.Second))
-	assert.True(t, g.deliveries.shifts(2*time.Second), "as told in advance")
+	g.deliveries.applyDirective(time.Second, directive)
+	assert.False(t, g.deliveries.isShifting(time.Second))
+	assert.True(t, g.deliveries.isShifting(2*time.Second), "planned shift")
 	directive.Stage, directive.Sequence, directive.IssuedAt = delivery.StageShifting, 2, 2*time.Second
-	g.deliveries.take(2*time.Second, directive)
-	assert.True(t, g.deliveries.shifts(2500*time.Millisecond))
+	g.deliveries.applyDirective(2*time.Second, directive)
+	assert.True(t, g.deliveries.isShifting(2500*time.Millisecond))
 	directive.Stage, directive.Sequence = delivery.StageCompleted, 3
-	g.deliveries.take(3*time.Second, directive)
-	assert.False(t, g.deliveries.shifts(3*time.Second), "it is over")
+	g.deliveries.applyDirective(3*time.Second, directive)
+	assert.False(t, g.deliveries.isShifting(3*time.Second), "completed")
 }
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -13,49 +13,48 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Times of directing deliveries.
 const (
-	// followInterval is the time between two looks at whether this node directs, while it
-	// doesn't and a delivery runs.
-	followInterval = 300 * time.Millisecond
-	// deliveryCallTimeout bounds the store's answer about records; an unknown outcome is
-	// looked up within it.
+	// directorCheckInterval is the time between two checks for the lease while a delivery runs that
+	// this gateway doesn't direct.
+	directorCheckInterval = 300 * time.Millisecond
+	// deliveryCallTimeout bounds one store call about records, including the read that resolves an
+	// unknown outcome.
 	deliveryCallTimeout = 2500 * time.Millisecond
 )
 
-// driveDeliveries directs the deliveries that aren't over while this node holds the lease.
-// It rests while there are none.
-func (g *Gateway) driveDeliveries() error {
+// runDeliveryDirector directs the unfinished deliveries while this gateway holds the lease. It
+// waits while there are none.
+func (g *Gateway) runDeliveryDirector() error {
 	for {
 		unfinished := g.deliveries.unfinished()
 		if len(unfinished) == 0 {
 			select {
-			case <-g.deliveries.ordered:
+			case <-g.deliveries.orderSignal:
 				continue
 			case <-g.life.Dying():
 				return nil
 			}
 		}
-		interval := followInterval
-		if g.directs() {
+		interval := directorCheckInterval
+		if g.ensureDirector() {
 			interval = delivery.LookInterval
 			for _, service := range unfinished {
-				g.direct(service)
+				g.stepDelivery(service)
 			}
-		} else if g.deliveries.shifts(g.now()) {
+		} else if g.deliveries.isShifting(g.now()) {
 			interval = delivery.LookInterval
-			g.tellDirectors()
+			g.reportToDirectors()
 		}
-		g.noteShares()
+		g.updateShareMetrics()
 		if !g.pause(interval) {
 			return nil
 		}
 	}
 }
 
-// tellDirectors tells those that direct what this node has seen. Faults that show only under
-// load show in a shift, which is shorter than a round of reports.
-func (g *Gateway) tellDirectors() {
+// reportToDirectors sends this gateway's evidence to the directors at once. A shift is shorter than
+// the interval of load reports, and faults that appear only under load appear during it.
+func (g *Gateway) reportToDirectors() {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if member, found := g.peers.View().Find(issuer); found {
 			go g.exchangeDeliveries(member)
@@ -63,19 +62,19 @@
 	}
 }
 
-// directs tells whether this node directs deliveries now. Before it begins to, it reads
-// the records of those before it.
-func (g *Gateway) directs() bool {
+// ensureDirector reports whether this gateway directs deliveries. When it has just acquired the
+// lease it first reads the records of its predecessors.
+func (g *Gateway) ensureDirector() bool {
 	if _, holds := g.keeper.Fence(); !holds || g.stopping() {
 		g.deliveries.resign()
 		return false
 	}
-	if g.deliveries.directing() {
+	if g.deliveries.isDirector() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	stored, err := g.outside.Platform.ReadDeliveries(ctx)
 	if err != nil {
 		g.events.line("deliveries_unread").Err(err).Msg("deliveries_unread")
@@ -85,23 +84,23 @@
 	if _, holds := g.keeper.Fence(); !holds {
 		return false
 	}
-	refused := g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, begun-stored.StoreTime)
-	for service, err := range refused {
-		g.refuseOrder(string(service), err)
+	rejected := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, start-stored.StoreTime)
+	for service, err := range rejected {
+		g.logRefusedOrder(string(service), err)
 	}
-	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-begun).Msg("delivery_taken_over")
+	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-start).Msg("delivery_taken_over")
 	return true
 }
 
-// direct looks at one service's delivery, passes the directive on and writes the record.
-func (g *Gateway) direct(service fleet.PoolName) {
+// stepDelivery evaluates one service's delivery, applies its directive and writes its record.
+func (g *Gateway) stepDelivery(service fleet.PoolName) {
 	now := g.now()
-	step := g.deliveries.look(now, g.observe(now, service))
+	step := g.deliveries.decide(now, g.observeService(now, service))
 	if step.Event.Name != "" {
-		g.logDelivery(&step.Event)
+		g.logDeliveryEvent(&step.Event)
 	}
 	if step.Directive != nil {
-		g.takeDirective(*step.Directive)
+		g.applyDirective(*step.Directive)
 	}
 	if step.Write != nil && g.deliveries.beginWrite(service) {
 		record := *step.Write
@@ -112,8 +111,8 @@
 	}
 }
 
-// observe returns what is to be known of a service for a look at its delivery.
-func (g *Gateway) observe(now time.Duration, service fleet.PoolName) delivery.Observation {
+// observeService returns the state of a service's workers for the director.
+func (g *Gateway) observeService(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
 	held := g.holder.Current()
 	if held == nil {
@@ -122,28 +121,28 @@
 	_, observation.Known = held.Table.Service(service)
 	doubtful := g.workers.Doubtful(now)
 	for _, worker := range g.workers.WorkersInUse() {
-		isTarget := g.deliveries.targets(service, worker.Software)
+		isTarget := g.deliveries.isTarget(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
 			continue
 		}
-		seen := delivery.TargetWorker{
+		observed := delivery.TargetWorker{
 			ID: worker.ID, Version: worker.Software, Slots: worker.Slots,
 			InFlight: g.workers.InFlight(now, worker.ID), Doubtful: doubtful[worker.ID],
 		}
 		if worker.Draining {
-			// It takes no requests; what runs there still counts.
-			seen.Slots = 0
+			// A draining worker takes no requests, but its requests in flight count.
+			observed.Slots = 0
 		}
-		observation.Workers = append(observation.Workers, seen)
+		observation.Workers = append(observation.Workers, observed)
 	}
 	return observation
 }
 
-// writeDelivery writes a record, and tells the director what the store holds then.
+// writeDelivery writes a record and passes the result to the director.
 func (g *Gateway) writeDelivery(record delivery.Record) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	service := record.Order.Service
 	stored, err := g.outside.Platform.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
 	line := g.logger.Info()
@@ -152,12 +151,12 @@
 	}
 	line.Str("service", string(service)).Str("target", string(record.Order.Target)).Str("stage", record.Stage.String()).
 		Uint64("revision", uint64(record.Order.Revision)).Uint64("stored_version", uint64(stored.Version)).
-		Str("stored_stage", stored.Stage.String()).Dur("took", g.now()-begun).Msg("delivery_recorded")
-	g.deliveries.written(g.now(), record, stored, err)
+		Str("stored_stage", stored.Stage.String()).Dur("took", g.now()-start).Msg("delivery_recorded")
+	g.deliveries.finishWrite(g.now(), record, stored, err)
 }
 
-// logDelivery logs a step or a verdict with what decided it.
-func (g *Gateway) logDelivery(event *delivery.Event) {
+// logDeliveryEvent logs a step or a verdict with the figures that decided it.
+func (g *Gateway) logDeliveryEvent(event *delivery.Event) {
 	line := g.logger.Info()
 	if event.Name == delivery.EventRefused {
 		line = g.logger.Error().Int("code", int(resultcode.DeliveryInvalid)).Str("name", resultcode.DeliveryInvalid.String())
@@ -172,57 +171,57 @@
 	line.Msg(event.Name)
 }
 
-// noteShares updates the metrics of the shares that targets are asked to have and had.
-func (g *Gateway) noteShares() {
+// updateShareMetrics updates the metrics of requested and actual shares of the targets.
+func (g *Gateway) updateShareMetrics() {
 	for service, routes := range g.deliveries.shares(g.now()) {
 		for route, share := range routes {
-			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "asked").Set(share.asked)
-			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "had").Set(share.had())
+			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "asked").Set(share.requested)
+			g.metrics.deliveryShare.WithLabelValues(string(service), string(route), "had").Set(share.actual())
 		}
 	}
 }
 
-// directing tells whether there is a director.
-func (d *deliveries) directing() bool {
+// isDirector reports whether this gateway directs deliveries.
+func (d *deliveryState) isDirector() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.director != nil
 }
 
-// resign drops the director.
-func (d *deliveries) resign() {
+func (d *deliveryState) resign() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.director = nil
 }
 
-// lead makes a director of the store's records and the orders heard of. It returns the
-// orders that the director refuses.
-func (d *deliveries) lead(now time.Duration, options delivery.Options, stored *StoredDeliveries, sinceStore time.Duration) map[fleet.PoolName]error {
+// becomeDirector creates a director from the stored records and the received orders. It returns the
+// orders that the director rejects. sinceStore is the difference between this gateway's clock and
+// the store's.
+func (d *deliveryState) becomeDirector(now time.Duration, options delivery.Options, stored *StoredDeliveries, sinceStore time.Duration) map[fleet.PoolName]error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.director = delivery.NewDirector(options)
-	d.stored = make(map[fleet.PoolName]fleet.Revision, len(stored.Records))
+	d.storedVersions = make(map[fleet.PoolName]fleet.Revision, len(stored.Records))
 	d.writing = make(map[fleet.PoolName]bool)
 	var records []delivery.Record
 	for _, record := range stored.Records {
-		d.stored[record.Order.Service] = record.Version
+		d.storedVersions[record.Order.Service] = record.Version
 		if record.Order.Target != "" {
 			records = append(records, record.Record)
 		}
 	}
 	d.director.Restore(now, records, sinceStore)
-	refused := make(map[fleet.PoolName]error)
+	rejected := make(map[fleet.PoolName]error)
 	for service, order := range d.orders {
-		if err := d.director.SetOrder(now, order.at, order.Order); err != nil {
-			refused[service] = err
+		if err := d.director.SetOrder(now, order.writtenBy, order.Order); err != nil {
+			rejected[service] = err
 		}
 	}
-	return refused
+	return rejected
 }
 
-// look has the director decide for one service. This node's own evidence counts too.
-func (d *deliveries) look(now time.Duration, observation delivery.Observation) delivery.Step {
+// decide runs the director for one service, with this gateway's own evidence included.
+func (d *deliveryState) decide(now time.Duration, observation delivery.Observation) delivery.Step {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
@@ -234,8 +233,8 @@
 	return d.director.Look(now, observation)
 }
 
-// observe takes in what another node has seen.
-func (d *deliveries) observe(now time.Duration, node fleet.NodeID, encoded []*rpc.DeliveryEvidence) {
+// addEvidence passes another gateway's evidence to the director.
+func (d *deliveryState) addEvidence(now time.Duration, node fleet.NodeID, encoded []*rpc.DeliveryEvidence) {
 	if len(encoded) == 0 {
 		return
 	}
@@ -244,13 +243,14 @@
 	if d.director == nil {
 		return
 	}
-	for _, told := range encoded {
-		d.director.Observe(now, node, decodeEvidence(told))
+	for _, evidence := range encoded {
+		d.director.Observe(now, node, decodeEvidence(evidence))
 	}
 }
 
-// beginWrite tells whether a service's record may be written now: none is being written.
-func (d *deliveries) beginWrite(service fleet.PoolName) bool {
+// beginWrite reports whether the caller may write a service's record now. It returns false while
+// another write of it is in flight.
+func (d *deliveryState) beginWrite(service fleet.PoolName) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil || d.writing[service] {
@@ -260,16 +260,16 @@
 	return true
 }
 
-// storedVersion returns the version that the store's record of a service is believed to have.
-func (d *deliveries) storedVersion(service fleet.PoolName) fleet.Revision {
+// storedVersion returns the version that the stored record of a service had when it was last seen.
+func (d *deliveryState) storedVersion(service fleet.PoolName) fleet.Revision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.stored[service]
+	return d.storedVersions[service]
 }
 
-// written tells the director how a write went. err is platform.ErrConflict if the store
-// holds another record.
-func (d *deliveries) written(now time.Duration, record delivery.Record, stored StoredDelivery, err error) {
+// finishWrite passes the result of a write to the director. err is platform.ErrConflict if the
+// store holds another record.
+func (d *deliveryState) finishWrite(now time.Duration, record delivery.Record, stored StoredDelivery, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
@@ -279,7 +279,7 @@
 	delete(d.writing, service)
 	var found *delivery.Record
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		d.stored[service] = stored.Version
+		d.storedVersions[service] = stored.Version
 	}
 	if errors.Is(err, platform.ErrConflict) && stored.Order.Target != "" {
 		found = &stored.Record
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -19,89 +19,91 @@
 )
 
 const (
-	// directiveOld is the age from which on a directive is asked for anew when another
-	// node names it.
-	directiveOld = delivery.DirectiveValid / 2
-	// deliveryTimeout bounds one exchange about deliveries alone.
-	deliveryTimeout = 250 * time.Millisecond
+	// directiveRefreshAge is the age from which on a directive is pulled again from a gateway that
+	// reports the same one.
+	directiveRefreshAge = delivery.DirectiveValid / 2
+	// deliveryExchangeTimeout bounds one exchange of deliveries alone.
+	deliveryExchangeTimeout = 250 * time.Millisecond
 )
 
-// takeOrders takes in the orders among the operator's rows, which were written at a time at
-// the latest.
-func (g *Gateway) takeOrders(now, at time.Duration, rows *OperatorRows) {
+// applyOrders applies the orders among the operator's rows, which were written at writtenBy at the
+// latest.
+func (g *Gateway) applyOrders(now, latest time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
-		g.refuseOrder(refused.Key, refused.Err)
+		g.logRefusedOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
-		news, err := g.deliveries.order(now, at, order)
+		isNew, err := g.deliveries.addOrder(now, latest, order)
 		if err != nil {
-			g.refuseOrder(string(order.Service), err)
+			g.logRefusedOrder(string(order.Service), err)
 			continue
 		}
-		if news {
+		if isNew {
 			g.logger.Info().Str("service", string(order.Service)).Str("target", string(order.Target)).
-				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-at).Msg("delivery_ordered")
+				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-latest).Msg("delivery_ordered")
 		}
 	}
 }
 
-// refuseOrder logs that an order can't be used; the former state holds.
-func (g *Gateway) refuseOrder(key string, err error) {
+// logRefusedOrder logs that an order is invalid. The order before it stays in force.
+func (g *Gateway) logRefusedOrder(key string, err error) {
 	g.logger.Error().Str("key", key).Err(err).Int("code", int(resultcode.DeliveryInvalid)).
 		Str("name", resultcode.DeliveryInvalid.String()).Msg("delivery_refused")
 }
 
-// versions returns what limits a request's choice of a worker to versions of the service.
-// again is set if it was at the target and is to go elsewhere.
-func (g *Gateway) versions(current *callerRequest, again bool) *delivery.Choice {
-	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, again)
+// allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
+// set if the request was at the target and is to be retried elsewhere.
+func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Choice {
+	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
 }
 
-// errNoTarget is the cause of a send that a directive allowed which counts no more.
-var errNoTarget = errors.New("target not allowed any more")
+// errTargetNotAllowed is returned if the directive that allowed a request to go to the target is no
+// longer valid.
+var errTargetNotAllowed = errors.New("target version no longer allowed")
 
-// permitTarget returns an error if a request that was chosen to go to the target may not go
-// there any more: a new connection or a frozen process may have outlived the directive.
-func (g *Gateway) permitTarget(current *callerRequest, worker *backends.Worker) error {
-	if current.placedForTarget && !g.permits(current, worker) {
-		return errNoTarget
+// checkTarget returns an error if a request that was assigned to the target may no longer go there.
+// The directive may have expired while a connection was opened or the process was suspended.
+func (g *Gateway) checkTarget(current *callerRequest, worker *backends.Worker) error {
+	if current.placedForTarget && !g.isSendAllowed(current, worker) {
+		return errTargetNotAllowed
 	}
 	return nil
 }
 
-// permits tells whether a request that was chosen for a worker may go there still: runs of
-// the old side end there, those of a target only while it may get requests.
-func (g *Gateway) permits(current *callerRequest, worker *backends.Worker) bool {
-	if g.deliveries.targets(worker.Service, worker.Software) {
-		choice := g.versions(current, false)
+// isSendAllowed reports whether a request that was assigned to a worker may still go there: to a
+// worker of the target while the directive allows it, to any other unless its version was rolled
+// back.
+func (g *Gateway) isSendAllowed(current *callerRequest, worker *backends.Worker) bool {
+	if g.deliveries.isTarget(worker.Service, worker.Software) {
+		choice := g.allowedVersions(current, false)
 		return choice.WantsTarget() || choice.Allows(worker.ID, worker.Software)
 	}
-	return !g.deliveries.condemned(g.now(), worker.Service, worker.Software)
+	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
 
-// noteDelivery counts what an answer says about its worker's version. A request that was
-// refused, not sent or cancelled says nothing.
-func (g *Gateway) noteDelivery(current *callerRequest, placement *backends.Placement, outcome backends.Outcome) {
+// recordDeliveryOutcome counts an answer for or against its worker's version. Requests that were
+// refused, not sent or cancelled don't count.
+func (g *Gateway) recordDeliveryOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
 	worker := &placement.Worker
-	if g.deliveries.targets(worker.Service, worker.Software) {
+	if g.deliveries.isTarget(worker.Service, worker.Software) {
 		current.sentToTarget = true
 	}
-	// How fast a worker with a limit answers says nothing of its version.
-	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.follows(worker.Service) {
+	// The latency of a rate-limited worker doesn't depend on its version.
+	if (outcome != backends.Succeeded && !failed) || (!failed && placement.Limited) || !g.deliveries.hasOrder(worker.Service) {
 		return
 	}
-	noted := delivery.Outcome{
+	recorded := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
 		Failed: failed, Took: placement.Took(g.now()),
 	}
 	if placement.Engine != nil {
-		whole := g.now() - current.sentAt
-		noted.Took = geometricMean(noted.Took, whole)
-		noted.Predicted = geometricMean(placement.Engine.Baseline, wholeBaseline(current, placement.Engine))
+		total := g.now() - current.sentAt
+		recorded.Took = geometricMean(recorded.Took, total)
+		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
 	}
-	if placement.Engine != nil && noted.Predicted <= 0 && !failed {
-		// A run that goes on from a copy has no prediction to compare with.
+	if placement.Engine != nil && recorded.Predicted <= 0 && !failed {
+		// A run that continues from a copy has no prediction.
 		return
 	}
 	result := "good"
@@ -110,23 +112,23 @@
 	}
 	g.metrics.deliveryAnswers.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name, result).Inc()
 	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.Took(g.now()).Seconds())
-	if g.deliveries.note(g.now(), noted) {
+	if g.deliveries.recordOutcome(g.now(), recorded) {
 		g.logger.Warn().Str("service", string(worker.Service)).Str("target", string(worker.Software)).
 			Str("route", current.route.Name).Str("worker", string(worker.ID)).Msg("delivery_stopped")
 	}
 }
 
-// geometricMean returns the time whose ratio to another mean is the mean of two ratios.
-// Versions of engines are compared by the first event and the whole answer together: a slow
-// one shows little in the first event, where waits on the old side take as long, and a good one
-// with empty caches looks slow by whole answers, where long prompts are read between its events.
+// geometricMean returns the geometric mean of two durations. Engine versions are compared by the
+// time to the first event and the time of the whole answer together: the first includes queueing,
+// which hides a slow version, and the second includes prompt processing, which makes a new version
+// with cold caches look slow.
 func geometricMean(one, other time.Duration) time.Duration {
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// wholeBaseline returns what the whole answer of an engine is expected to take, 0 if that
-// isn't known.
-func wholeBaseline(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
+// expectedAnswerTime returns the expected time of an engine's whole answer, 0 if there is no
+// prediction.
+func expectedAnswerTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
 	}
@@ -134,8 +136,8 @@
 	return engine.Baseline + time.Duration(tokens)*backends.DefaultStep
 }
 
-// withDirectors returns members and those that direct deliveries besides.
-func (g *Gateway) withDirectors(members []membership.Member) []membership.Member {
+// addDirectors returns members together with the gateways that direct deliveries.
+func (g *Gateway) addDirectors(members []membership.Member) []membership.Member {
 	for _, issuer := range g.deliveries.issuers(g.now()) {
 		if slices.ContainsFunc(members, func(member membership.Member) bool { return member.Node == issuer }) {
 			continue
@@ -147,31 +149,31 @@
 	return members
 }
 
-// takeDirectives takes in the directives of an answer to a call that was begun at a time:
-// they aren't younger than they were then.
-func (g *Gateway) takeDirectives(begun time.Duration, encoded []*rpc.DeliveryDirective) {
+// applyDirectives applies the directives in the answer to a call that began at start. Their ages
+// count from there.
+func (g *Gateway) applyDirectives(start time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
-	for _, told := range encoded {
-		if directive, readable := decodeDirective(begun, now, told); readable {
-			g.takeDirective(directive)
+	for _, message := range encoded {
+		if directive, valid := decodeDirective(start, now, message); valid {
+			g.applyDirective(directive)
 		}
 	}
 }
 
-// takeDirective takes in a directive and logs a change.
-func (g *Gateway) takeDirective(directive delivery.Directive) {
+// applyDirective applies a directive and logs a change.
+func (g *Gateway) applyDirective(directive delivery.Directive) {
 	now := g.now()
-	if !g.deliveries.take(now, directive) {
+	if !g.deliveries.applyDirective(now, directive) {
 		return
 	}
 	g.logger.Info().Str("service", string(directive.Service)).Str("target", string(directive.Target)).
 		Str("stage", directive.Stage.String()).Uint64("revision", uint64(directive.Revision)).Uint64("sequence", directive.Sequence).
-		Float64("default_share", directive.DefaultShare).Str("shares", shareText(directive.Shares)).Int("canaries", len(directive.Canaries)).
+		Float64("default_share", directive.DefaultShare).Str("shares", formatShares(directive.Shares)).Int("canaries", len(directive.Canaries)).
 		Str("issuer", string(directive.Issuer)).Dur("age", now-directive.IssuedAt).Msg("delivery_followed")
 }
 
-// shareText returns shares in order of the routes' names.
-func shareText(shares map[delivery.RouteName]float64) string {
+// formatShares returns shares sorted by route name.
+func formatShares(shares map[delivery.RouteName]float64) string {
 	parts := make([]string, 0, len(shares))
 	for route, share := range shares {
 		parts = append(parts, string(route)+":"+strconv.FormatFloat(share, 'g', 3, 64))
@@ -180,27 +182,27 @@
 	return strings.Join(parts, ",")
 }
 
-// heedPushed takes in what a call of another node tells of deliveries. The call may have
-// lain here while this process stood still, so that the age of a directive isn't known:
-// final ones count whatever their age, others are asked for.
-func (g *Gateway) heedPushed(report *rpc.LoadReport) {
+// handlePushedDeliveries handles the delivery part of another gateway's call. The call may have
+// waited while this process was suspended, so the age of its directives is unknown: final
+// directives apply at any age, others are pulled from the sender.
+func (g *Gateway) handlePushedDeliveries(report *rpc.LoadReport) {
 	now := g.now()
 	if report.GetDeliveriesOnly() {
-		g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
+		g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	}
-	for _, told := range report.GetDeliveries() {
-		directive, readable := decodeDirective(now, now, told)
+	for _, message := range report.GetDeliveries() {
+		directive, valid := decodeDirective(now, now, message)
 		switch {
-		case !readable:
+		case !valid:
 		case directive.Stage.Final():
-			g.takeDirective(directive)
-		case g.deliveries.lacks(now, &directive):
+			g.applyDirective(directive)
+		case g.deliveries.needsDirective(now, &directive):
 			g.pullDeliveries(fleet.NodeID(report.GetNode()))
 		}
 	}
 }
 
-// pullDeliveries asks a node for what it knows of deliveries, unless one is being asked.
+// pullDeliveries requests the directives of a gateway unless such a request is in flight.
 func (g *Gateway) pullDeliveries(node fleet.NodeID) {
 	member, found := g.peers.View().Find(node)
 	if !found || !g.deliveries.pulling.CompareAndSwap(false, true) {
@@ -212,36 +214,36 @@
 	}()
 }
 
-// deliveryReport returns what this node tells another one about deliveries alone.
+// deliveryReport returns a report to another gateway with deliveries alone.
 func (g *Gateway) deliveryReport(to fleet.NodeID) *rpc.LoadReport {
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, DeliveriesOnly: true}
-	g.deliveries.write(g.now(), report, to)
+	g.deliveries.writeReport(g.now(), report, to)
 	return report
 }
 
-// exchangeDeliveries tells a node about deliveries alone, and takes its answer in.
+// exchangeDeliveries sends a deliveries-only report to a gateway and applies its answer.
 func (g *Gateway) exchangeDeliveries(member membership.Member) {
 	if member.Node == g.node {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.context(), deliveryTimeout)
+	ctx, cancel := context.WithTimeout(g.context(), deliveryExchangeTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.deliveries.observe(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
-	g.takeDirectives(begun, answer.GetDeliveries())
+	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
+	g.applyDirectives(start, answer.GetDeliveries())
 }
 
-// announceDeliveries tells all nodes that share loads at once of a changed directive of
-// this node's, or that it has stopped sending to a target, until the process ends.
+// announceDeliveries sends changes of this gateway's directives, and its decision to stop sending
+// to a target, to all load-sharing gateways at once. It returns when the process stops.
 func (g *Gateway) announceDeliveries() error {
 	for {
 		select {
-		case <-g.deliveries.announced:
+		case <-g.deliveries.announceSignal:
 		case <-g.life.Dying():
 			return nil
 		}
--- a/internal/gateway/wholebaseline_test.go
+++ b/internal/gateway/deliverypeers_test.go
@@ -10,22 +10,22 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestWholeAnswersAreComparedByTheirLength so that long ones aren't taken for slow.
-func TestWholeAnswersAreComparedByTheirLength(t *testing.T) {
+// Long answers must not count as slow.
+func TestExpectedAnswerTimeGrowsWithLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &callerRequest{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
-	assert.Equal(t, engine.Baseline, wholeBaseline(current, engine))
+	assert.Equal(t, engine.Baseline, expectedAnswerTime(current, engine))
 	current.eventCount = 10
-	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, wholeBaseline(current, engine))
+	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, expectedAnswerTime(current, engine))
 	current.service.Engine.EventTokens = 0
-	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, wholeBaseline(current, engine))
-	assert.Zero(t, wholeBaseline(current, &backends.EnginePlacement{}), "a run that goes on from a copy")
+	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, expectedAnswerTime(current, engine))
+	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "continued run")
 }
 
-// TestRatiosOfTimesAreAveraged by a mean that a single high one doesn't decide.
-func TestRatiosOfTimesAreAveraged(t *testing.T) {
+// A single high ratio must not decide the mean.
+func TestGeometricMeanAveragesRatios(t *testing.T) {
 	took := geometricMean(40*time.Millisecond, 900*time.Millisecond)
 	predicted := geometricMean(10*time.Millisecond, 100*time.Millisecond)
-	assert.InDelta(t, 6, float64(took)/float64(predicted), 0.001, "of 4 and 9")
+	assert.InDelta(t, 6, float64(took)/float64(predicted), 0.001, "mean of 4 and 9")
 	assert.Zero(t, geometricMean(0, time.Second))
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -100,7 +100,7 @@
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
-	if err := g.permitLimit(ctx, limitPriority(current), worker); err != nil {
+	if err := g.acquireLimitGrant(ctx, limitPriority(current), worker); err != nil {
 		return err
 	}
 	if err := g.permitRequest(current, worker); err != nil {
@@ -117,7 +117,7 @@
 		dispatch.TimeLeft = left
 		g.outside.Codec.WriteDispatch(header, dispatch)
 	}
-	g.noteCall(worker.ID, callRequest)
+	g.countCall(worker.ID, callRequest)
 	return nil
 }
 
@@ -142,10 +142,10 @@
 	if current.tenant != nil && !g.canServeKeyed() {
 		return errStaleConfiguration
 	}
-	if _, quarantined := g.holds(current); quarantined {
+	if _, quarantined := g.checkHeld(current); quarantined {
 		return errQuarantined
 	}
-	return g.permitTarget(current, worker)
+	return g.checkTarget(current, worker)
 }
 
 // priorityOf returns a request's priority at an engine. The tenant's rank takes precedence over the
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -67,7 +67,7 @@
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
 	g.noteSuspension()
-	if verdict, quarantined := g.holds(current); quarantined {
+	if verdict, quarantined := g.checkHeld(current); quarantined {
 		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
@@ -107,7 +107,7 @@
 	defer answer.Close()
 	info := g.outside.Codec.Answer(answer.Status, answer.Header)
 	g.noteUnreadable(current.metadata.RequestID, info.Unreadable)
-	g.noteLimit(current, &placement.Worker, info)
+	g.observeLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
 		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
@@ -180,8 +180,8 @@
 		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
 	case errors.Is(err, errLimited):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
-		return current.attempts.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
-	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errStaleConfiguration), errors.Is(err, errDraining),
+		return current.attempts.Withheld(g.now(), g.limits.closedFor(g.now(), placement.Worker.ID, limitPriority(current)))
+	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errTargetNotAllowed), errors.Is(err, errStaleConfiguration), errors.Is(err, errDraining),
 		errors.Is(err, errDeadlinePassed):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		return current.attempts.NotSent(g.now(), run)
@@ -226,12 +226,12 @@
 
 // recordOutcome records and logs the outcome of a send.
 func (g *Gateway) recordOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome, cause string) {
-	g.noteDelivery(current, placement, outcome)
+	g.recordDeliveryOutcome(current, placement, outcome)
 	placement.End(g.now(), outcome)
 	g.metrics.attempts.WithLabelValues(string(placement.Worker.Service), outcome.String()).Inc()
 	if outcome == backends.Succeeded {
 		if current.status < http.StatusMultipleChoices {
-			g.noteAnswered(current)
+			g.recordAnswered(current)
 		}
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,7 +58,7 @@
 	backoffs     *workerBackoffs
 	unknown      *unknownHeaders
 	weights      *weights
-	deliveries   *deliveries
+	deliveries   *deliveryState
 	peers        *peer.Peer
 	keeper       *lease.Keeper
 	seeds        *seedList
@@ -71,11 +71,11 @@
 	pressure     *pressureMonitor
 	readiness    *readiness
 	announcer    *announcer
-	toldVersions *toldVersions
+	toldVersions *versionReports
 	cacheLog     *cacheLog
 	zoneFeeds    *zoneFeeds
 	crashes      *crashDetector
-	quarantines  *quarantines
+	quarantines  *quarantineState
 	suspensions  *suspension.Detector
 	resumptions  *resumptions
 	deadlines    *deadlineTimers
@@ -150,11 +150,11 @@
 
 		readiness:    newReadiness(),
 		announcer:    newAnnouncer(),
-		toldVersions: newToldVersions(),
+		toldVersions: newVersionReports(),
 		cacheLog:     newCacheLog(rand.Uint64()),
 		zoneFeeds:    newZoneFeeds(),
 		crashes:      newCrashDetector(),
-		quarantines:  newQuarantines(),
+		quarantines:  newQuarantineState(),
 		resumptions:  newResumptions(),
 		deadlines:    newDeadlineTimers(),
 		limits:       newWorkerLimits(),
@@ -183,7 +183,7 @@
 	g.budgets = newRetryBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
 	g.weights = newWeights(settings)
-	g.deliveries = newDeliveries(g.node, settings)
+	g.deliveries = newDeliveryState(g.node, settings)
 	var err error
 	if g.peers, err = g.newPeer(random()); err != nil {
 		return nil, err
@@ -289,16 +289,16 @@
 	g.life.Go(g.watchPeers)
 	g.life.Go(g.driveRoles)
 	g.life.Go(g.monitorPressure)
-	g.life.Go(g.register)
-	g.life.Go(g.shareLoads)
+	g.life.Go(g.runRegistration)
+	g.life.Go(g.exchangeLoads)
 	g.life.Go(g.announceLoads)
 	g.life.Go(g.driveUsageExchange)
 	g.life.Go(g.driveRollout)
-	g.life.Go(g.driveDeliveries)
+	g.life.Go(g.runDeliveryDirector)
 	g.life.Go(g.announceDeliveries)
 	g.life.Go(g.announceQuarantine)
 	g.life.Go(g.announceLimits)
-	g.life.Go(g.storeQuarantine)
+	g.life.Go(g.syncQuarantineStore)
 	g.life.Go(g.followCaches)
 	g.life.Go(g.housekeep)
 	g.life.Go(g.keepLease)
@@ -343,7 +343,7 @@
 			g.unknown.forget(engine)
 		}
 		g.upstreams.Sweep()
-		g.reportLimits()
+		g.logLimitUsage()
 		g.metrics.backingOff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
 		g.idle.sweep(g.now(), g.idleLimit())
 		g.crashes.sweep(g.now())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,10 +11,9 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// callKind tells what a call to a worker is for.
+// callKind is the purpose of a call to a worker.
 type callKind string
 
-// Kinds of calls.
 const (
 	callRequest     callKind = "request"
 	callCacheEvents callKind = "cache_events"
@@ -23,31 +22,32 @@
 	callStore       callKind = "store"
 )
 
-// workerLimits makes what this node knows of workers' limits safe for concurrent use.
+// workerLimits holds what a gateway knows about the rate limits of workers. It is safe for
+// concurrent use.
 type workerLimits struct {
-	// any is set while something is known: without, requests need no lock.
-	any atomic.Bool
+	// active is set while a limit is known. Without one, requests skip the mutex.
+	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *workerlimit.Ledger
-	// limiter is used for the workers to which this node grants the requests of all.
-	limiter    *workerlimit.Limiter
-	retryTimes workerlimit.RetryTimes
-	touch      touch
-	// calls counts, by worker with a limit, this node's calls since the last line about them.
+	// limiter grants requests to the workers for which this gateway is the granter.
+	limiter     *workerlimit.Limiter
+	retryTimes  workerlimit.RetryTimes
+	memberShare memberShare
+	// calls counts this gateway's calls to each worker with a limit since the last usage log line.
 	calls map[fleet.EngineID]map[callKind]int
-	// granters holds who grants the requests to a worker, best first, as of a view.
-	granters map[fleet.EngineID]granters
-	// silent holds until when a node that didn't grant is passed over.
-	silent map[fleet.NodeID]time.Duration
-	// untold holds the workers whose limits are to be told to others at once.
-	untold map[fleet.EngineID]bool
-	// announced has one element while there is something to tell.
-	announced chan struct{}
+	// granters caches the ranked granters of each worker for one membership view.
+	granters map[fleet.EngineID]rankedGranters
+	// unavailableUntil holds until when a gateway that didn't answer isn't asked.
+	unavailableUntil map[fleet.NodeID]time.Duration
+	// pendingBroadcast holds the workers whose limits are to be sent to other gateways at once.
+	pendingBroadcast map[fleet.EngineID]bool
+	// announceSignal holds one element while there is something to broadcast.
+	announceSignal chan struct{}
 }
 
-// granters are the nodes that grant the requests to a worker, best first.
-type granters struct {
+// rankedGranters are the gateways that may grant requests to a worker, best first.
+type rankedGranters struct {
 	view  *membership.View
 	nodes []fleet.NodeID
 }
@@ -56,19 +56,19 @@
 	return &workerLimits{
 		ledger: workerlimit.NewLedger(), limiter: workerlimit.NewLimiter(),
 		calls:    make(map[fleet.EngineID]map[callKind]int),
-		granters: make(map[fleet.EngineID]granters), silent: make(map[fleet.NodeID]time.Duration),
-		untold: make(map[fleet.EngineID]bool), announced: make(chan struct{}, 1),
+		granters: make(map[fleet.EngineID]rankedGranters), unavailableUntil: make(map[fleet.NodeID]time.Duration),
+		pendingBroadcast: make(map[fleet.EngineID]bool), announceSignal: make(chan struct{}, 1),
 	}
 }
 
-// observe takes in an observation. tell has other nodes told of what it changes.
-func (l *workerLimits) observe(observation workerlimit.Observation, tell bool) workerlimit.Change {
-	if !observation.Limited && !l.any.Load() {
+// observe adds an observation. broadcast sends a resulting change to other gateways.
+func (l *workerLimits) observe(observation workerlimit.Observation, broadcast bool) workerlimit.Change {
+	if !observation.Limited && !l.active.Load() {
 		return workerlimit.Unchanged
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.any.Store(true)
+	l.active.Store(true)
 	change := l.ledger.Observe(observation)
 	switch change {
 	case workerlimit.Unchanged:
@@ -76,43 +76,43 @@
 	case workerlimit.Began:
 		l.calls[observation.Worker] = make(map[callKind]int)
 	case workerlimit.Ended:
-		l.drop(observation.Worker)
+		l.dropLocked(observation.Worker)
 	case workerlimit.Altered:
 	}
-	if tell {
-		l.untold[observation.Worker] = true
-		signal(l.announced)
+	if broadcast {
+		l.pendingBroadcast[observation.Worker] = true
+		signal(l.announceSignal)
 	}
 	return change
 }
 
-// drop forgets what belongs to the limit of a worker that has none any more; the mutex is held.
-func (l *workerLimits) drop(worker fleet.EngineID) {
+// dropLocked drops the state of a worker's limit. The caller holds the mutex.
+func (l *workerLimits) dropLocked(worker fleet.EngineID) {
 	delete(l.calls, worker)
 	delete(l.granters, worker)
 	l.limiter.Forget(worker)
 }
 
-// forget drops what is known of a worker whose run has ended.
+// forget drops the state of a worker whose run has ended.
 func (l *workerLimits) forget(worker fleet.EngineID) {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ledger.Forget(worker)
-	l.drop(worker)
+	l.dropLocked(worker)
 }
 
-// limited tells whether a worker's run has a limit.
-func (l *workerLimits) limited(worker fleet.EngineID, born backends.StartTime) bool {
+// isLimited reports whether a worker's run has a rate limit.
+func (l *workerLimits) isLimited(worker fleet.EngineID, born backends.StartTime) bool {
 	_, limited := l.observation(worker, born)
 	return limited
 }
 
-// observation returns what is believed of the limit of a worker's run; false if it has none.
+// observation returns the newest observation of a worker's run, false if it has no limit.
 func (l *workerLimits) observation(worker fleet.EngineID, born backends.StartTime) (workerlimit.Observation, bool) {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return workerlimit.Observation{}, false
 	}
 	l.mutex.Lock()
@@ -123,9 +123,9 @@
 	return l.ledger.Observation(worker)
 }
 
-// intake tells whether a worker takes a request of a priority, and for how long not.
+// intake returns whether a worker takes a request of a priority and, if not, for how long.
 func (l *workerLimits) intake(now time.Duration, worker *backends.Worker, priority int) (backends.Intake, time.Duration) {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return backends.IntakeFree, 0
 	}
 	l.mutex.Lock()
@@ -139,23 +139,23 @@
 	return backends.IntakeLimited, 0
 }
 
-// close takes in that a worker had no room for a request of a priority.
-func (l *workerLimits) close(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
+// recordRefusal records that a worker had no room for a request of a priority.
+func (l *workerLimits) recordRefusal(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ledger.Close(now, worker, priority, refused)
 }
 
-// closed returns how long a worker has no room for a request of a priority.
-func (l *workerLimits) closed(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
+// closedFor returns how long a worker has no room for a request of a priority.
+func (l *workerLimits) closedFor(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ledger.Closed(now, worker, priority)
 }
 
-// returnAfter returns when a caller is to come back that found all workers at their limits, of
-// which one opens after a time. sharers is the number of nodes that share their rates.
-func (l *workerLimits) returnAfter(now, opensIn time.Duration, sharers int) time.Duration {
+// retryAfter returns when a caller should retry that found all workers at their limits, the first
+// of which has room after opensIn. sharers is the number of gateways that share the rates.
+func (l *workerLimits) retryAfter(now, opensIn time.Duration, sharers int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var rate workerlimit.Rate
@@ -165,9 +165,9 @@
 	return l.retryTimes.After(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
 }
 
-// noteCall counts a call to a worker that has a limit.
-func (l *workerLimits) noteCall(worker fleet.EngineID, kind callKind) {
-	if !l.any.Load() {
+// countCall counts a call to a worker that has a limit.
+func (l *workerLimits) countCall(worker fleet.EngineID, kind callKind) {
+	if !l.active.Load() {
 		return
 	}
 	l.mutex.Lock()
@@ -177,41 +177,40 @@
 	}
 }
 
-// limitUse is what this node has sent to a worker with a limit since the last time.
-type limitUse struct {
+// limitUsage is the number of calls to a worker with a limit in one log period.
+type limitUsage struct {
 	observation workerlimit.Observation
 	calls       map[callKind]int
 }
 
-// uses returns what was sent to the workers with limits since the last call, and drops what is
-// over.
-func (l *workerLimits) uses(now time.Duration) []limitUse {
-	if !l.any.Load() {
+// takeUsage returns and resets the calls to workers with limits, and drops expired state.
+func (l *workerLimits) takeUsage(now time.Duration) []limitUsage {
+	if !l.active.Load() {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var uses []limitUse
+	var uses []limitUsage
 	for _, observation := range l.ledger.Observations(now) {
 		if counts := l.calls[observation.Worker]; observation.Limited && counts != nil {
-			uses = append(uses, limitUse{observation: observation, calls: counts})
+			uses = append(uses, limitUsage{observation: observation, calls: counts})
 			l.calls[observation.Worker] = make(map[callKind]int)
 		}
 	}
 	l.limiter.Sweep(now)
-	l.any.Store(!l.ledger.Empty())
+	l.active.Store(!l.ledger.Empty())
 	return uses
 }
 
-// noteCall counts a call that is about to reach a worker.
-func (g *Gateway) noteCall(worker fleet.EngineID, kind callKind) {
+// countCall counts a call that is about to be sent to a worker.
+func (g *Gateway) countCall(worker fleet.EngineID, kind callKind) {
 	g.metrics.workerCalls.WithLabelValues(string(kind)).Inc()
-	g.limits.noteCall(worker, kind)
+	g.limits.countCall(worker, kind)
 }
 
-// noteLimit takes in what an answer to a request says of its worker's limit.
-func (g *Gateway) noteLimit(current *callerRequest, worker *backends.Worker, info AnswerInfo) {
-	if !saysLimit(info) {
+// observeLimit records what an answer to a request states about its worker's limit.
+func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info AnswerInfo) {
+	if !hasLimitStatement(info) {
 		return
 	}
 	observation := workerlimit.Observation{
@@ -220,14 +219,13 @@
 		Asked: current.sentAt, Answered: g.now(),
 	}
 	if change := g.limits.observe(observation, true); change != workerlimit.Unchanged {
-		g.logLimit(observation, change, "answer")
+		g.logLimitChange(observation, change, "answer")
 	}
 }
 
-// saysLimit tells whether an answer is the worker's own statement on its limit. One by another run
-// says nothing, and one that rejects the request, which need not be the worker's whole answer,
-// doesn't end a limit.
-func saysLimit(info AnswerInfo) bool {
+// hasLimitStatement reports whether an answer is a valid statement of the worker about its limit.
+// An answer of another run is not. A rejection may omit the limit, so it doesn't end one.
+func hasLimitStatement(info AnswerInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
 		return !info.Misdirected
@@ -238,15 +236,15 @@
 	}
 }
 
-// logLimit logs a change of what is known of a limit, and from where.
-func (g *Gateway) logLimit(observation workerlimit.Observation, change workerlimit.Change, source string) {
+// logLimitChange logs a change of a known limit and its source.
+func (g *Gateway) logLimitChange(observation workerlimit.Observation, change workerlimit.Change, source string) {
 	g.events.line("worker_limit").Str("worker", string(observation.Worker)).Str("change", change.String()).Float64("rate", float64(observation.Rate)).
 		Dur("answer_age", g.now()-observation.Answered).Str("source", source).Msg("worker_limit")
 }
 
-// reportLimits logs what this node has sent to the workers with limits since the last time.
-func (g *Gateway) reportLimits() {
-	uses := g.limits.uses(g.now())
+// logLimitUsage logs the calls to workers with limits since the last call.
+func (g *Gateway) logLimitUsage() {
+	uses := g.limits.takeUsage(g.now())
 	g.metrics.limited.Set(float64(len(uses)))
 	for _, use := range uses {
 		line := g.events.line("worker_limit_use").Str("worker", string(use.observation.Worker)).Float64("rate", float64(use.observation.Rate))
--- a/internal/gateway/limits_benchmark_test.go
+++ b/internal/gateway/limits_benchmark_test.go
@@ -8,26 +8,26 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// BenchmarkRankGranters ranks who grants the requests to a worker among 985 members, as after
-// each change of the members.
-func BenchmarkRankGranters(b *testing.B) {
+// BenchmarkSelectGranterNewView ranks the granters of a worker among 985 members, as after each
+// membership change.
+func BenchmarkSelectGranterNewView(b *testing.B) {
 	limits := newWorkerLimits()
 	views := []*membership.View{largeFleet(985), largeFleet(985)}
 	for number := 0; b.Loop(); number++ {
-		limits.granter(0, "w", membership.Location{Zone: "z1"}, views[number%2])
+		limits.selectGranter(0, "w", membership.Location{Zone: "z1"}, views[number%2])
 	}
 }
 
-// BenchmarkGranterAgain is the same while they don't change.
-func BenchmarkGranterAgain(b *testing.B) {
+// BenchmarkSelectGranterSameView selects a granter while the membership doesn't change.
+func BenchmarkSelectGranterSameView(b *testing.B) {
 	limits := newWorkerLimits()
 	view := largeFleet(985)
 	for b.Loop() {
-		limits.granter(0, "w", membership.Location{Zone: "z1"}, view)
+		limits.selectGranter(0, "w", membership.Location{Zone: "z1"}, view)
 	}
 }
 
-// BenchmarkGrant grants one request, at the node that does.
+// BenchmarkGrant grants one request at the granter.
 func BenchmarkGrant(b *testing.B) {
 	limits := newWorkerLimits()
 	observation := limitObservation(1000, 0)
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkIntake asks for one candidate of a choice whether it takes the request.
+// BenchmarkIntake checks one candidate of a choice.
 func BenchmarkIntake(b *testing.B) {
 	limits := newWorkerLimits()
 	limits.observe(limitObservation(2, 0), false)
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,31 +17,31 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// limitObservation is what a worker named at a time.
+// limitObservation returns an observation of worker w's limit at a time.
 func limitObservation(rate workerlimit.Rate, at time.Duration) workerlimit.Observation {
 	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, Asked: at, Answered: at}
 }
 
-func TestOnlyAWorkersOwnAnswerTellsOfItsLimit(t *testing.T) {
+func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
-	assert.True(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
-	assert.True(t, saysLimit(AnswerInfo{Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{}), "it may not be the worker's")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
+	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
+	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
+	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
+	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true}))
+	assert.False(t, hasLimitStatement(AnswerInfo{}), "unsigned answer")
+	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Signed: true}))
+	assert.False(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
-// TestObservationIsNoYoungerAfterACall: what was said within a call may be as old as the call.
-func TestObservationIsNoYoungerAfterACall(t *testing.T) {
+// Encoding must not make an observation younger than the call that delivered it.
+func TestDecodedLimitIsNoYounger(t *testing.T) {
 	observation := limitObservation(2, 0)
 	observation.Asked, observation.Answered = 900*time.Millisecond, 1000*time.Millisecond
-	told := encodeLimit(5*time.Second, &observation)
-	heard, err := decodeLimit(told, 100*time.Second, 100*time.Second+200*time.Millisecond)
+	encoded := encodeLimit(5*time.Second, &observation)
+	decoded, err := decodeLimit(encoded, 100*time.Second, 100*time.Second+200*time.Millisecond)
 	require.NoError(t, err)
-	assert.Equal(t, 95900*time.Millisecond, heard.Asked)
-	assert.Equal(t, 96200*time.Millisecond, heard.Answered)
+	assert.Equal(t, 95900*time.Millisecond, decoded.Asked)
+	assert.Equal(t, 96200*time.Millisecond, decoded.Answered)
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		_, err := decodeLimit(&rpc.WorkerLimit{Worker: "w", Limited: true, Rate: rate}, 0, 0)
 		assert.Error(t, err)
@@ -50,11 +50,11 @@
 	assert.Error(t, err)
 }
 
-// TestNothingIsSaidWhileNoWorkerHasALimit, and the end of one is told for a while.
-func TestNothingIsSaidWhileNoWorkerHasALimit(t *testing.T) {
+// Reports must not carry limits while none is known, and must carry the end of one.
+func TestReportsOmitLimitsWhenNoneExist(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
-	assert.False(t, g.limits.any.Load())
+	assert.False(t, g.limits.active.Load())
 	g.limits.observe(limitObservation(2, g.now()), true)
 	reported := g.loadReport("other").GetLimits()
 	require.Len(t, reported, 1)
@@ -62,10 +62,10 @@
 
 	other := idleGateway(t)
 	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
-	assert.True(t, other.limits.limited("w", 0))
+	assert.True(t, other.limits.isLimited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
-	assert.Len(t, g.limits.takeUntold(), 1)
-	assert.Empty(t, other.limits.takeUntold(), "what another node told isn't passed on at once: that one tells all")
+	assert.Len(t, g.limits.takePendingBroadcast(), 1)
+	assert.Empty(t, other.limits.takePendingBroadcast(), "received limits aren't broadcast")
 
 	ended := workerlimit.Observation{Worker: "w", Asked: g.now() + time.Second, Answered: g.now() + time.Second}
 	g.limits.observe(ended, true)
@@ -73,8 +73,8 @@
 	assert.False(t, g.loadReport("other").GetLimits()[0].GetLimited())
 }
 
-// TestNodeThatHasJustStartedGrantsNothing: it may not be the one that grants.
-func TestNodeThatHasJustStartedGrantsNothing(t *testing.T) {
+// A gateway that doesn't know its role yet must not grant: another one may be the granter.
+func TestUnsettledNodeGrantsNothing(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(false)
 	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
@@ -83,13 +83,13 @@
 	g.settled.Store(true)
 	answer, err := g.answerGrant(context.Background(), question)
 	require.NoError(t, err)
-	assert.False(t, answer.GetGranted(), "it begins with nothing to give")
+	assert.False(t, answer.GetGranted(), "no initial allowance")
 	assert.InDelta(t, 500, answer.GetWaitMillis(), 20)
 	assert.True(t, answer.GetLimit().GetLimited())
 }
 
-// TestWhoGrantsKnowsThatALimitHasEnded and says so to one that believes in it still.
-func TestWhoGrantsKnowsThatALimitHasEnded(t *testing.T) {
+// A granter that knows the end of a limit must override an older observation of the asking gateway.
+func TestGranterKnowsThatALimitHasEnded(t *testing.T) {
 	g := idleGateway(t)
 	g.settled.Store(true)
 	now := g.now() + 10*time.Second
@@ -98,63 +98,63 @@
 	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
 	assert.True(t, answer.Granted)
-	known, found := g.limits.known("w")
+	known, found := g.limits.knownObservation("w")
 	assert.True(t, found)
 	assert.False(t, known.Limited)
 }
 
-// TestPartIsLeftToMembersThatWentOfLate: they may be alive beyond a cut, and grant there.
-func TestPartIsLeftToMembersThatWentOfLate(t *testing.T) {
-	var touched touch
-	assert.InDelta(t, 1, touched.part(0, 8), 0.001)
-	assert.InDelta(t, 0.25, touched.part(time.Second, 2), 0.001)
-	assert.InDelta(t, 0.25, touched.part(9*time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.part(touchMemory+time.Second, 2), 0.001)
-	assert.InDelta(t, 1, touched.part(touchMemory+2*time.Second, 5), 0.001)
+// Members that have just gone may grant in another partition, so their share must stay reserved.
+func TestShareIsReservedForRecentMembers(t *testing.T) {
+	var share memberShare
+	assert.InDelta(t, 1, share.update(0, 8), 0.001)
+	assert.InDelta(t, 0.25, share.update(time.Second, 2), 0.001)
+	assert.InDelta(t, 0.25, share.update(9*time.Second, 2), 0.001)
+	assert.InDelta(t, 1, share.update(memberShareWindow+time.Second, 2), 0.001)
+	assert.InDelta(t, 1, share.update(memberShareWindow+2*time.Second, 5), 0.001)
 }
 
-// TestNextNodeIsAskedWhereOneDoesNotAnswer, for a short time, and for longer where its release
-// doesn't know the question.
-func TestNextNodeIsAskedWhereOneDoesNotAnswer(t *testing.T) {
+// A granter that doesn't answer must be skipped briefly, one that doesn't support grants for
+// longer.
+func TestUnansweredGranterIsSkipped(t *testing.T) {
 	g := idleGateway(t)
 	view := largeFleet(20)
 	near := membership.Location{Zone: "z1"}
 	now := 100 * time.Second
-	first := g.limits.granter(now, "w", near, view)
+	first := g.limits.selectGranter(now, "w", near, view)
 	found, known := view.Find(first)
 	require.True(t, known)
-	assert.EqualValues(t, "z1", found.Zone, "near the worker")
+	assert.EqualValues(t, "z1", found.Zone, "granter near the worker")
 
-	g.limits.passOver(first, now+silentFor)
-	second := g.limits.granter(now, "w", near, view)
+	g.limits.skipGranter(first, now+unansweredBackoff)
+	second := g.limits.selectGranter(now, "w", near, view)
 	assert.NotEqual(t, first, second)
-	assert.Equal(t, first, g.limits.granter(now+silentFor, "w", near, view))
+	assert.Equal(t, first, g.limits.selectGranter(now+unansweredBackoff, "w", near, view))
 
-	g.noteSilentGranter(context.Background(), membership.Member{Node: first}, twirp.NewError(twirp.BadRoute, "no handler"))
-	assert.Equal(t, second, g.limits.granter(g.now()+silentFor+time.Second, "w", near, view))
-	assert.Equal(t, first, g.limits.granter(g.now()+unableFor, "w", near, view))
+	g.markGranterUnavailable(context.Background(), membership.Member{Node: first}, twirp.NewError(twirp.BadRoute, "no handler"))
+	assert.Equal(t, second, g.limits.selectGranter(g.now()+unansweredBackoff+time.Second, "w", near, view))
+	assert.Equal(t, first, g.limits.selectGranter(g.now()+unsupportedBackoff, "w", near, view))
 
-	for g.limits.granter(now, "w", near, view) != "" {
-		g.limits.passOver(g.limits.granter(now, "w", near, view), now+silentFor)
+	for g.limits.selectGranter(now, "w", near, view) != "" {
+		g.limits.skipGranter(g.limits.selectGranter(now, "w", near, view), now+unansweredBackoff)
 	}
-	assert.NotEmpty(t, g.limits.granter(now+silentFor, "w", near, view), "none answered a moment ago: nothing is granted")
+	assert.NotEmpty(t, g.limits.selectGranter(now+unansweredBackoff, "w", near, view), "granters available again after the backoff")
 }
 
-// TestOneWorkerIsGrantedByTheSameNodeAtAllNodes, whichever they are.
-func TestOneWorkerIsGrantedByTheSameNodeAtAllNodes(t *testing.T) {
+// Two granters for one worker would exceed its limit.
+func TestAllNodesSelectTheSameGranter(t *testing.T) {
 	one, other := idleGateway(t), idleGateway(t)
 	granters := make(map[fleet.NodeID]bool)
 	for number := range 200 {
 		worker := fleet.EngineID(rune('a' + number))
-		granter := one.limits.granter(0, worker, membership.Location{}, largeFleet(30))
-		assert.Equal(t, granter, other.limits.granter(0, worker, membership.Location{}, largeFleet(30)))
+		granter := one.limits.selectGranter(0, worker, membership.Location{}, largeFleet(30))
+		assert.Equal(t, granter, other.limits.selectGranter(0, worker, membership.Location{}, largeFleet(30)))
 		granters[granter] = true
 	}
-	assert.Greater(t, len(granters), 15, "shared out over the nodes")
+	assert.Greater(t, len(granters), 15, "granters spread over the nodes")
 }
 
-// TestRunsUnderOneNameHaveLimitsOfTheirOwn.
-func TestRunsUnderOneNameHaveLimitsOfTheirOwn(t *testing.T) {
+// The limit of one run must not apply to the next run of the same name.
+func TestLimitsArePerWorkerRun(t *testing.T) {
 	g := idleGateway(t)
 	observation := limitObservation(2, g.now())
 	observation.Born = 100
@@ -163,25 +163,25 @@
 	assert.Equal(t, backends.IntakeLimited, intake)
 	intake, _ = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 200}, 0)
 	assert.Equal(t, backends.IntakeFree, intake)
-	g.limits.close(g.now(), "w", 5, workerlimit.Grant{Wait: time.Second, Refill: 100 * time.Millisecond})
+	g.limits.recordRefusal(g.now(), "w", 5, workerlimit.Grant{Wait: time.Second, Refill: 100 * time.Millisecond})
 	intake, opensIn := g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 5)
 	assert.Equal(t, backends.IntakeClosed, intake)
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
 	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 1)
-	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "more urgent requests may ask sooner")
+	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "higher priority opens earlier")
 	g.forgetFormerRun("w")
-	assert.False(t, g.limits.limited("w", 0))
+	assert.False(t, g.limits.isLimited("w", 0))
 }
 
-// TestNodeIsNotPassedOverWhereACallerLeaves while it is asked.
-func TestNodeIsNotPassedOverWhereACallerLeaves(t *testing.T) {
+// A caller that leaves during a call must not make the granter count as unavailable.
+func TestCallerCancellationDoesNotSkipGranter(t *testing.T) {
 	g := idleGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
-	first := g.limits.granter(g.now(), "w", near, view)
-	gone, leave := context.WithCancel(context.Background())
-	leave()
-	g.noteSilentGranter(gone, membership.Member{Node: first}, context.Canceled)
-	assert.Equal(t, first, g.limits.granter(g.now(), "w", near, view))
-	g.noteSilentGranter(context.Background(), membership.Member{Node: first}, context.DeadlineExceeded)
-	assert.NotEqual(t, first, g.limits.granter(g.now(), "w", near, view))
+	first := g.limits.selectGranter(g.now(), "w", near, view)
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	g.markGranterUnavailable(cancelled, membership.Member{Node: first}, context.Canceled)
+	assert.Equal(t, first, g.limits.selectGranter(g.now(), "w", near, view))
+	g.markGranterUnavailable(context.Background(), membership.Member{Node: first}, context.DeadlineExceeded)
+	assert.NotEqual(t, first, g.limits.selectGranter(g.now(), "w", near, view))
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -63,12 +63,12 @@
 	assert.Empty(t, sender.loadReport("other").GetDraining())
 	sender.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := sender.loadReport("other")
-	receiver.takeLoad(report)
+	receiver.applyLoadReport(report)
 	assert.True(t, receiver.workers.Draining("w"))
 
 	worker.Born = 2000
 	receiver.workers.Observe(2, worker)
-	receiver.takeLoad(report)
+	receiver.applyLoadReport(report)
 	assert.False(t, receiver.workers.Draining("w"), "the report is about the previous run")
 
 	worker.Born, worker.Draining = 1000, true
--- a/internal/gateway/peerfailures_test.go
+++ b/internal/gateway/peerfailures_test.go
@@ -40,7 +40,7 @@
 	assert.True(t, watcher.origins.isUnreachable(watcher.now(), lost.Node))
 	assert.False(t, watcher.reachable(lost))
 	assert.False(t, watcher.origins.isUnreachable(watcher.now()+rateLifetime+time.Second, lost.Node), "a report that isn't renewed expires")
-	g.takeLoad(&rpc.LoadReport{Node: "lost"})
+	g.applyLoadReport(&rpc.LoadReport{Node: "lost"})
 	assert.False(t, g.origins.isUnreachable(g.now(), lost.Node), "it has reported again")
 	g.origins.setPressure(g.now(), g.node, pressureUnreachable)
 	g.recordUsage(g.now(), resourceUsage{})
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,21 +12,20 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Times of the talk between gateways.
 const (
-	// shareInterval is the time between two exchanges with the same peer. Each
-	// of the two calls the other, so that news travel twice as often.
-	shareInterval = 600 * time.Millisecond
-	shareTimeout  = 400 * time.Millisecond
-	// shareFanout bounds the peers of one round of exchanges.
-	shareFanout = 12
-	// seedInterval is the time between two reads of the nodes' rows while no peer
-	// is known, and seedIntervalKnown otherwise.
-	seedInterval      = 700 * time.Millisecond
-	seedIntervalKnown = 15 * time.Second
+	// loadExchangeInterval is the time between two exchanges with the same peer. Each side calls
+	// the other, so reports pass twice as often.
+	loadExchangeInterval = 600 * time.Millisecond
+	loadExchangeTimeout  = 400 * time.Millisecond
+	// loadExchangeFanout bounds the peers of one round of exchanges.
+	loadExchangeFanout = 12
+	// seedRetryInterval is the time between two reads of the node rows while no peer is known,
+	// seedRefreshInterval the same otherwise.
+	seedRetryInterval   = 700 * time.Millisecond
+	seedRefreshInterval = 15 * time.Second
 )
 
-// seedList is the addresses at which other gateways may be found.
+// seedList holds the addresses of other gateways to join through.
 type seedList struct {
 	mutex sync.Mutex
 	list  []fleet.Address
@@ -44,20 +43,19 @@
 	s.list = addresses
 }
 
-// register writes this node's row, so that others find it, and reads those of
-// others. In a larger fleet only nodes whose role is to read the store do so, and
-// nodes that find nobody else.
-func (g *Gateway) register() error {
+// runRegistration writes this gateway's node row and reads those of others. In a large fleet only
+// gateways whose role is to read the store do so, and those that find no others.
+func (g *Gateway) runRegistration() error {
 	registered := false
 	for {
 		reading := g.settled.Load() && g.roles.Load().reader
 		alone := g.memberCount() == 1
 		if reading || (alone && g.now() >= joinGrace) {
-			registered = g.meet(registered)
+			registered = g.registerAndReadSeeds(registered)
 		}
-		interval := seedIntervalKnown
+		interval := seedRefreshInterval
 		if alone || !g.settled.Load() || (reading && !registered) {
-			interval = seedInterval
+			interval = seedRetryInterval
 		}
 		if !g.pause(interval) {
 			return nil
@@ -65,8 +63,9 @@
 	}
 }
 
-// meet makes the calls of register and tells whether this node's row is written.
-func (g *Gateway) meet(registered bool) bool {
+// registerAndReadSeeds registers this gateway if it isn't registered yet, reads the seeds, and
+// reports whether this gateway is registered.
+func (g *Gateway) registerAndReadSeeds(registered bool) bool {
 	ctx, cancel := context.WithTimeout(g.context(), 2*time.Second)
 	defer cancel()
 	if !registered {
@@ -101,19 +100,19 @@
 	g.seeds.set(addresses)
 }
 
-// shareLoads exchanges reports with the other gateways that share loads: with
-// all of them in each round while they are few, else with some, taking turns.
-func (g *Gateway) shareLoads() error {
+// exchangeLoads periodically exchanges reports with the other load-sharing gateways: with all of
+// them in each round while they are few, otherwise with some in rotation.
+func (g *Gateway) exchangeLoads() error {
 	known := make(map[fleet.NodeID]bool)
-	for round := 0; g.pauseOrRest(shareInterval); round++ {
+	for round := 0; g.pauseOrRest(loadExchangeInterval); round++ {
 		peers := g.loadPeers()
 		present := make(map[fleet.NodeID]bool, len(peers))
 		for _, member := range peers {
 			present[member.Node] = true
 		}
 		var group sync.WaitGroup
-		for _, member := range g.withDirectors(turn(peers, round, shareFanout)) {
-			group.Go(func() { g.exchange(member) })
+		for _, member := range g.addDirectors(rotatingSubset(peers, round, loadExchangeFanout)) {
+			group.Go(func() { g.exchangeLoad(member) })
 		}
 		group.Wait()
 		for node := range known {
@@ -131,8 +130,8 @@
 	return nil
 }
 
-// turn returns at most limit elements, others in each round.
-func turn[Element any](all []Element, round, limit int) []Element {
+// rotatingSubset returns at most limit elements, a different subset in each round.
+func rotatingSubset[Element any](all []Element, round, limit int) []Element {
 	if len(all) <= limit {
 		return all
 	}
@@ -144,52 +143,52 @@
 	return chosen
 }
 
-// exchange gives one member this node's report and takes its answer in.
-func (g *Gateway) exchange(member membership.Member) {
-	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), shareTimeout)
+// exchangeLoad sends this gateway's report to a member and applies its answer.
+func (g *Gateway) exchangeLoad(member membership.Member) {
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
-	begun := g.now()
+	start := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
 	g.noteExchange(member.Node, err == nil)
 	if err != nil {
 		g.metrics.shareFailures.Inc()
 		return
 	}
-	g.takeLoad(report)
-	g.takeProof(begun, report)
-	g.takeDirectives(begun, report.GetDeliveries())
-	g.takeQuarantineRecords(report.GetQuarantineRecords())
-	g.takeLimits(report, begun)
+	g.applyLoadReport(report)
+	g.applyProof(start, report)
+	g.applyDirectives(start, report.GetDeliveries())
+	g.mergeQuarantineRecords(report.GetQuarantineRecords())
+	g.applyLimits(report, start)
 }
 
-// answerLoad answers another gateway's report with this one's.
+// answerLoad applies another gateway's report and returns this one's.
 func (g *Gateway) answerLoad(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
-	g.takeQuarantineRecords(report.GetQuarantineRecords())
+	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	if report.GetQuarantineOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
 	}
-	// The report may have taken as long as a call may.
-	g.takeLimits(report, g.now()-limitTimeout)
+	// The call may have taken up to its timeout.
+	g.applyLimits(report, g.now()-limitCallTimeout)
 	if report.GetLimitsOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: g.limits.encodedLimits(g.now())}
 	}
-	g.heedPushed(report)
+	g.handlePushedDeliveries(report)
 	if report.GetDeliveriesOnly() {
 		return g.deliveryReport(fleet.NodeID(report.GetNode()))
 	}
 	if report.GetPartial() {
-		return g.answerPartial(report)
+		return g.answerPartialReport(report)
 	}
-	g.takeLoad(report)
+	g.applyLoadReport(report)
 	answer := g.loadReport(fleet.NodeID(report.GetNode()))
-	lacking := g.quarantines.beyond(g.now(), report.GetQuarantineDigest())
-	answer.QuarantineRecords = append(answer.QuarantineRecords, lacking...)
+	missing := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
+	answer.QuarantineRecords = append(answer.QuarantineRecords, missing...)
 	return answer
 }
 
-// answerPartial takes in what has changed at another gateway, and tells what tenants
-// have used here if the other does.
-func (g *Gateway) answerPartial(report *rpc.LoadReport) *rpc.LoadReport {
+// answerPartialReport applies the changes at another gateway. If the report includes quota usage,
+// the answer does too.
+func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
 		g.workers.UpdatePeer(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
@@ -200,7 +199,7 @@
 	return answer
 }
 
-// loadReport returns what this node tells another one.
+// loadReport returns this gateway's full report to another one.
 func (g *Gateway) loadReport(to fleet.NodeID) *rpc.LoadReport {
 	now := g.now()
 	report := &rpc.LoadReport{
@@ -231,11 +230,11 @@
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
 	}
 	if _, holds := g.keeper.Fence(); holds {
-		report.Weights = g.versionsFor(now, to)
+		report.Weights = g.dueVersions(now, to)
 	}
 	g.quotas.writeReport(now, report, to)
-	g.deliveries.write(now, report, to)
-	g.quarantines.write(now, report)
+	g.deliveries.writeReport(now, report, to)
+	g.quarantines.writeReport(now, report)
 	if held := g.holder.Current(); held != nil {
 		if age, proven := g.fresh.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
@@ -245,7 +244,7 @@
 	return report
 }
 
-// namedVersions returns when the newest versions of weights were named.
+// namedVersions returns the newest model versions with the time since each was named.
 func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
 	for model, namings := range g.weights.heard() {
@@ -258,8 +257,8 @@
 	return named
 }
 
-// learnNamed takes in when another node heard of versions.
-func (g *Gateway) learnNamed(named []*rpc.NamedVersion) {
+// applyNamedVersions records when other gateways heard of model versions.
+func (g *Gateway) applyNamedVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
@@ -267,9 +266,9 @@
 	}
 }
 
-// versionsFor returns the engines' versions, by the word of the lease's holder, as far as
-// a node is to be told of them.
-func (g *Gateway) versionsFor(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
+// dueVersions returns the engines' model versions to include in a report to a gateway. The lease
+// holder is their authority.
+func (g *Gateway) dueVersions(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
 		for model, version := range worker.Versions {
@@ -277,17 +276,17 @@
 		}
 	}
 	due := g.toldVersions.due(now, to, present)
-	told := make([]*rpc.WorkerWeights, 0, len(due))
+	encoded := make([]*rpc.WorkerWeights, 0, len(due))
 	for _, version := range due {
-		told = append(told, &rpc.WorkerWeights{
+		encoded = append(encoded, &rpc.WorkerWeights{
 			Worker: string(version.engine), Model: string(version.model), Version: version.version,
 		})
 	}
-	return told
+	return encoded
 }
 
-// takeLoad takes in another gateway's report.
-func (g *Gateway) takeLoad(report *rpc.LoadReport) {
+// applyLoadReport applies another gateway's full report.
+func (g *Gateway) applyLoadReport(report *rpc.LoadReport) {
 	now := g.now()
 	suspects := make([]fleet.EngineID, 0, len(report.GetSuspects()))
 	for _, suspect := range report.GetSuspects() {
@@ -298,10 +297,10 @@
 		orders[fleet.EngineID(order.GetWorker())] = now + time.Duration(order.GetRemainingMillis())*time.Millisecond
 	}
 	work := make(map[fleet.PoolName]backends.Work, len(report.GetWork()))
-	for _, told := range report.GetWork() {
-		work[fleet.PoolName(told.GetService())] = backends.Work{
-			Long:  time.Duration(told.GetLongMillis()) * time.Millisecond,
-			Short: time.Duration(told.GetShortMillis()) * time.Millisecond,
+	for _, entry := range report.GetWork() {
+		work[fleet.PoolName(entry.GetService())] = backends.Work{
+			Long:  time.Duration(entry.GetLongMillis()) * time.Millisecond,
+			Short: time.Duration(entry.GetShortMillis()) * time.Millisecond,
 		}
 	}
 	g.workers.ObservePeer(now, fleet.NodeID(report.GetNode()), backends.PeerReport{
@@ -310,10 +309,10 @@
 	for _, run := range report.GetDraining() {
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
-	g.learnNamed(report.GetNamed())
+	g.applyNamedVersions(report.GetNamed())
 	g.quotas.applyReport(now, report)
 	g.demand.setPeerRate(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
-	g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
+	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	g.origins.setPressure(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
 		g.workers.NoteVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
@@ -321,14 +320,14 @@
 	}
 }
 
-// takeProof takes another gateway's proof as this one's: if it had proof of age a
-// when it answered a call begun at a time, and holds the same configuration,
-// then nothing newer was acknowledged up to that time less a.
-func (g *Gateway) takeProof(begun time.Duration, report *rpc.LoadReport) {
+// applyProof adopts another gateway's proof of freshness: if its proof had age a when it answered a
+// call that began at start, and its configuration is not newer than the one held here, then this
+// configuration was current at start-a.
+func (g *Gateway) applyProof(start time.Duration, report *rpc.LoadReport) {
 	held := g.holder.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
 	}
-	g.fresh.Prove(begun - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
+	g.fresh.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
 	g.noteKnown()
 }
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -24,9 +24,9 @@
 			return g.upstreams.Free(destination)
 		},
 		Bytes:    exchangeOverheadBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.versions(current, current.sentToTarget),
+		Versions: g.allowedVersions(current, current.sentToTarget),
 	}
-	if g.limits.any.Load() || g.backoffs.active.Load() {
+	if g.limits.active.Load() || g.backoffs.active.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
@@ -69,7 +69,7 @@
 // their limits or in backoff. opensIn is the time until the first of them opens.
 func (g *Gateway) unavailableRefusal(current *callerRequest, opensIn time.Duration) backends.Refusal {
 	if current.atLimit {
-		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.returnAfter(g.now(), opensIn, g.servingCount())}
+		return backends.Refusal{Reason: backends.ReasonLimited, RetryAfter: g.limits.retryAfter(g.now(), opensIn, g.servingCount())}
 	}
 	return backends.Refusal{Reason: reasonBackoff, RetryAfter: g.backoffs.retryAfter(opensIn, priorityOf(current))}
 }
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -59,7 +59,7 @@
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := idleGateway(t)
 	assert.Empty(t, g.origins.capacityWeights(0))
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
 	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
 	g.assign(now)
@@ -69,11 +69,11 @@
 	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
 	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older report is ignored")
 	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a report that isn't renewed expires")
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
 	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityWeights(g.now())["other"])
-	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: 77})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: 77})
 	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown value counts as the highest")
-	g.takeLoad(&rpc.LoadReport{Node: "other"})
+	g.applyLoadReport(&rpc.LoadReport{Node: "other"})
 	assert.Empty(t, g.origins.capacityWeights(g.now()))
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -12,52 +12,53 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// errQuarantined is the cause of a send that isn't made, or is broken off before its answer,
-// since the request ends workers.
-var errQuarantined = errors.New("request is held")
+// errQuarantined is the cause of a send that isn't made, or is cancelled before its answer begins,
+// because its request is quarantined.
+var errQuarantined = errors.New("request is quarantined")
 
-// sharedEnds is the number of ended workers from which on a request is told to every node
-// and kept in the store: of harmless requests few are under way at two workers that end.
-const sharedEnds = 2
+// sharedCrashes is the number of worker crashes from which on a request's record goes to every
+// gateway and the store. Few harmless requests are in flight at two workers that crash.
+const sharedCrashes = 2
 
-// quarantines makes what a node knows of requests that end workers safe for concurrent use.
-type quarantines struct {
-	// any is set once there was a record: before, requests need no lock.
-	any atomic.Bool
+// quarantineState holds what a gateway knows about requests suspected of crashing workers. It is
+// safe for concurrent use.
+type quarantineState struct {
+	// active is set by the first record. Until then requests skip the mutex.
+	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// changed holds when records last changed here, for as long as reports tell them.
-	changed map[quarantine.Fingerprint]time.Duration
-	// untold holds the records to be told to others at once.
-	untold map[quarantine.Fingerprint]bool
-	// own holds the requests that were under way at a worker which ended, or were answered
-	// afterwards, at this node: it is to keep their rows in step.
-	own map[quarantine.Fingerprint]bool
-	// stored holds what is known of the store's rows.
+	// changedAt holds when a record last changed here. Reports include it for reportChangesFor.
+	changedAt map[quarantine.Fingerprint]time.Duration
+	// pendingBroadcast holds the records to send to other gateways at once.
+	pendingBroadcast map[quarantine.Fingerprint]bool
+	// local holds the requests that were in flight at a crashed worker, or were answered after a
+	// crash, at this gateway. It keeps their stored rows up to date.
+	local map[quarantine.Fingerprint]bool
+	// stored holds the known state of the store's rows.
 	stored map[quarantine.Fingerprint]storedQuarantine
 
-	// announced has one element while there is something to tell, unstored while there may
-	// be something to write.
-	announced chan struct{}
-	unstored  chan struct{}
+	// announceSignal holds one element while there is something to broadcast, storeSignal while the
+	// store may be out of date.
+	announceSignal chan struct{}
+	storeSignal    chan struct{}
 }
 
-func newQuarantines() *quarantines {
-	return &quarantines{
-		ledger:    quarantine.NewLedger(quarantine.Options{}),
-		changed:   make(map[quarantine.Fingerprint]time.Duration),
-		untold:    make(map[quarantine.Fingerprint]bool),
-		own:       make(map[quarantine.Fingerprint]bool),
-		stored:    make(map[quarantine.Fingerprint]storedQuarantine),
-		announced: make(chan struct{}, 1),
-		unstored:  make(chan struct{}, 1),
+func newQuarantineState() *quarantineState {
+	return &quarantineState{
+		ledger:           quarantine.NewLedger(quarantine.Options{}),
+		changedAt:        make(map[quarantine.Fingerprint]time.Duration),
+		pendingBroadcast: make(map[quarantine.Fingerprint]bool),
+		local:            make(map[quarantine.Fingerprint]bool),
+		stored:           make(map[quarantine.Fingerprint]storedQuarantine),
+		announceSignal:   make(chan struct{}, 1),
+		storeSignal:      make(chan struct{}, 1),
 	}
 }
 
-// check tells whether a request may go to a worker.
-func (q *quarantines) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
-	if !q.any.Load() {
+// check returns whether a request is held and when its next trial is due.
+func (q *quarantineState) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
+	if !q.active.Load() {
 		return quarantine.Verdict{}
 	}
 	q.mutex.Lock()
@@ -65,144 +66,147 @@
 	return q.ledger.Check(now, fingerprint)
 }
 
-// quarantineChange is what a word on one request has changed.
+// quarantineChange is the effect of an update on one request.
 type quarantineChange struct {
 	verdict quarantine.Verdict
-	// began is set if the request is held from now on, ended if it isn't any more.
+	// began is set if the request is held from now on, ended if it is released.
 	began, ended bool
 }
 
-// update changes the ledger by a word on one request, and has others told of it if tell says
-// so. It returns what has changed.
-func (q *quarantines) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (tell bool)) quarantineChange {
-	q.any.Store(true)
+// update applies a change to the ledger and returns its effect. The record is broadcast if change
+// returns true or the request becomes held.
+func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (broadcast bool)) quarantineChange {
+	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	before := q.ledger.Check(now, fingerprint)
-	tell := change(q.ledger)
+	broadcast := change(q.ledger)
 	after := q.ledger.Check(now, fingerprint)
 	outcome := quarantineChange{verdict: after, began: !before.Held && after.Held, ended: before.Held && !after.Held}
-	// A single end that another node has seen is that node's to tell: of some thousand runs
-	// that end at once each node would tell all to all, a second time and a third.
-	concerns := q.own[fingerprint] || after.Ends >= sharedEnds
-	if tell || (before.Ends != after.Ends && concerns) {
-		q.changed[fingerprint] = now
+	// A single crash that another gateway saw is reported by that gateway alone. Otherwise a
+	// failure of many runs would be reported by each gateway to all others.
+	relevant := q.local[fingerprint] || after.Ends >= sharedCrashes
+	if broadcast || (before.Ends != after.Ends && relevant) {
+		q.changedAt[fingerprint] = now
 	}
-	// Whoever begins to hold a request tells all: nodes that missed one of the words before
-	// would let it through.
-	if tell || outcome.began {
-		q.untold[fingerprint] = true
-		signal(q.announced)
+	// Broadcast the start of a quarantine: gateways that missed an earlier update would otherwise
+	// let the request pass.
+	if broadcast || outcome.began {
+		q.pendingBroadcast[fingerprint] = true
+		signal(q.announceSignal)
 	}
-	if after.Ends >= sharedEnds || outcome.ended {
-		signal(q.unstored)
+	if after.Ends >= sharedCrashes || outcome.ended {
+		signal(q.storeSignal)
 	}
 	return outcome
 }
 
-// ended takes in that a worker ended while a request was under way there, at this node.
-func (q *quarantines) ended(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
+// recordCrash records that a worker crashed while this gateway had a request in flight there.
+func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		q.own[fingerprint] = true
+		q.local[fingerprint] = true
 		return ledger.Ended(now, fingerprint, worker)
 	})
 }
 
-// answered takes in that a request was answered whole, at this node.
-func (q *quarantines) answered(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	if !q.any.Load() {
+// recordAnswer records that this gateway received a complete answer to a request.
+func (q *quarantineState) recordAnswer(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
 		q.ledger.Answered(now, fingerprint)
 		return quarantineChange{}
 	}
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		spoken := ledger.Answered(now, fingerprint)
-		if spoken {
-			q.own[fingerprint] = true
+		suspected := ledger.Answered(now, fingerprint)
+		if suspected {
+			q.local[fingerprint] = true
 		}
-		return spoken
+		return suspected
 	})
 }
 
-// merge takes in what another node, or the store, tells of a request. A node that knows of a
-// whole answer which speaks for the request tells all.
-func (q *quarantines) merge(now time.Duration, record *quarantine.Record) quarantineChange {
+// merge merges a record of another gateway or the store. If this gateway knows of an answer or a
+// trial that the record lacks, it broadcasts it.
+func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
 	return q.update(now, record.Fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.Merge(record)
 		return ledger.Beyond(record)
 	})
 }
 
-// release takes in that a request isn't to be held any more.
-func (q *quarantines) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+// release ends the quarantine of a request.
+func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool { return ledger.Release(now, fingerprint) })
 }
 
-// sweep forgets what is too old, and returns what is held no more.
-func (q *quarantines) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
-	if !q.any.Load() {
+// sweep drops expired records, and returns the released requests and the number of those still
+// held.
+func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
+	if !q.active.Load() {
 		return nil, 0
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	for fingerprint, at := range q.changed {
-		if now > at+tellFor {
-			delete(q.changed, fingerprint)
+	for fingerprint, at := range q.changedAt {
+		if now > at+reportChangesFor {
+			delete(q.changedAt, fingerprint)
 		}
 	}
 	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedEnds)) > 0 {
-		signal(q.unstored)
+	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedCrashes)) > 0 {
+		signal(q.storeSignal)
 	}
-	for fingerprint := range q.own {
+	for fingerprint := range q.local {
 		if _, known := q.ledger.Record(fingerprint); !known {
-			delete(q.own, fingerprint)
+			delete(q.local, fingerprint)
 		}
 	}
 	return released, q.ledger.Held()
 }
 
-// checkQuarantine refuses a request that ends workers. One whose trial is due, and whose
-// trial nobody else makes, goes on.
+// checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
+// this gateway acquires the trial.
 func (g *Gateway) checkQuarantine(current *callerRequest) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if !verdict.Held {
 		return nil
 	}
-	if verdict.TrialDue && g.beginTrial(current, verdict) {
+	if verdict.TrialDue && g.acquireTrial(current, verdict) {
 		current.quarantineTrial = true
 		return nil
 	}
-	g.noteHeld(current, verdict)
+	g.recordHeldRequest(current, verdict)
 	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, longRetryAfter)}
 }
 
-// reasonQuarantined is the reason of a request that is refused since it ends workers.
+// reasonQuarantined is the refusal reason of a quarantined request.
 const reasonQuarantined = "workers ended under it"
 
-// holds tells whether a request must not go to a worker now, and logs that.
-func (g *Gateway) holds(current *callerRequest) (quarantine.Verdict, bool) {
+// checkHeld reports whether a request is held, and logs it if so. The trial of a held request
+// passes.
+func (g *Gateway) checkHeld(current *callerRequest) (quarantine.Verdict, bool) {
 	if current.quarantineTrial {
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if verdict.Held {
-		g.noteHeld(current, verdict)
+		g.recordHeldRequest(current, verdict)
 	}
 	return verdict, verdict.Held
 }
 
-// noteHeld logs and counts that a request was kept from the workers.
-func (g *Gateway) noteHeld(current *callerRequest, verdict quarantine.Verdict) {
+// recordHeldRequest logs and counts a request that was refused or cancelled by quarantine.
+func (g *Gateway) recordHeldRequest(current *callerRequest, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
 		Str("route", current.route.Name).Int("ends", verdict.Ends).Dur("first_end_age", verdict.FirstAge).
 		Dur("last_end_age", verdict.LastAge).Int("trials", verdict.Trials).Dur("retry_after", verdict.RetryAfter).Msg("request_held")
 }
 
-// blame takes in the requests whose runs ended with their worker, unless it shut down.
-func (g *Gateway) blame(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
+// recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
+// draining.
+func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
 	if g.workers.Draining(worker) {
 		return
 	}
@@ -210,34 +214,34 @@
 	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", shortFingerprints(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
-		g.noteQuarantine(fingerprint, "worker_ended", g.quarantines.ended(g.now(), fingerprint, worker))
+		g.handleQuarantineChange(fingerprint, "worker_ended", g.quarantines.recordCrash(g.now(), fingerprint, worker))
 	}
 }
 
-// noteAnswered takes in that a request was answered whole by a worker.
-func (g *Gateway) noteAnswered(current *callerRequest) {
-	g.noteQuarantine(current.fingerprint, "answered", g.quarantines.answered(g.now(), current.fingerprint))
+// recordAnswered records a complete answer to a request.
+func (g *Gateway) recordAnswered(current *callerRequest) {
+	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordAnswer(g.now(), current.fingerprint))
 }
 
-// noteQuarantine logs that a request is held from now on, or not any more, and what told so.
-// Sends of a held one whose answer hasn't begun are broken off: they would end workers yet.
-func (g *Gateway) noteQuarantine(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
+// handleQuarantineChange logs the start or end of a quarantine and its source. At the start it
+// cancels sends of the request whose answer hasn't begun.
+func (g *Gateway) handleQuarantineChange(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
-		broken := g.pending.cancelQuarantined(fingerprint)
+		cancelled := g.pending.cancelQuarantined(fingerprint)
 		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Ends).
 			Dur("first_end_age", change.verdict.FirstAge).Dur("last_end_age", change.verdict.LastAge).
-			Int("trials", change.verdict.Trials).Int("broken_off", broken).Msg("quarantine_began")
+			Int("trials", change.verdict.Trials).Int("broken_off", cancelled).Msg("quarantine_began")
 	case change.ended:
 		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Msg("quarantine_ended")
 	}
 }
 
-// sweepQuarantines forgets what is too old.
+// sweepQuarantines drops expired records.
 func (g *Gateway) sweepQuarantines() {
 	released, held := g.quarantines.sweep(g.now())
 	g.metrics.quarantined.Set(float64(held))
 	for _, fingerprint := range released {
-		g.noteQuarantine(fingerprint, "forgotten", quarantineChange{ended: true})
+		g.handleQuarantineChange(fingerprint, "forgotten", quarantineChange{ended: true})
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -21,7 +21,7 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// quarantineStore is the store's part about requests that end workers.
+// quarantineStore is a store with quarantine rows alone.
 type quarantineStore struct {
 	Platform
 	rows    map[quarantine.Fingerprint]QuarantineRow
@@ -65,14 +65,14 @@
 	return nil, nil
 }
 
-// quarantineGateway returns a gateway that isn't started, before a store.
+// quarantineGateway returns a gateway with a store. It isn't started.
 func quarantineGateway(t *testing.T, store *quarantineStore) *Gateway {
 	g := idleGateway(t)
 	g.outside.Platform = store
 	return g
 }
 
-// heldRequest returns a request and has a gateway hold it since so long ago.
+// heldRequest returns a request that the gateway holds, with crashes that long ago.
 func heldRequest(g *Gateway, ago time.Duration) *callerRequest {
 	current := &callerRequest{
 		request:  httptest.NewRequest("POST", "/a", nil),
@@ -86,12 +86,12 @@
 	for number := range quarantine.DefaultThreshold {
 		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
 	}
-	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
+	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	return current
 }
 
-// TestHeldRequestIsRefusedAsNotRun, and as one that may have run once it was sent.
-func TestHeldRequestIsRefusedAsNotRun(t *testing.T) {
+// A quarantined request must be refused before any send, with a result that says it wasn't run.
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	refused := g.checkQuarantine(current)
@@ -99,14 +99,14 @@
 	assert.Equal(t, resultcode.Quarantined, refused.code)
 	assert.True(t, resultcode.Lookup(refused.code).NotRun)
 	assert.InDelta(t, quarantine.DefaultHoldFor.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
-	assert.ErrorIs(t, g.permitRequest(current, nil), errQuarantined, "nor right before a send")
+	assert.ErrorIs(t, g.permitRequest(current, nil), errQuarantined, "checked again before the send")
 	other := *current
 	other.fingerprint[0]++
 	assert.Nil(t, g.checkQuarantine(&other))
 }
 
-// TestOneTrialForTheWholeFleet: whoever gets the store's word, whether or not it knew the row.
-func TestOneTrialForTheWholeFleet(t *testing.T) {
+// Of two gateways that try a held request at the same time only one may succeed.
+func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
 	const past = quarantine.DefaultHoldFor + time.Second
@@ -114,13 +114,13 @@
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.quarantineTrial)
 	assert.NoError(t, one.permitRequest(first, nil))
-	assert.NotNil(t, other.checkQuarantine(second), "the store holds one trial more than this node knows")
-	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "nor a second one here")
+	assert.NotNil(t, other.checkQuarantine(second), "stored trial is newer")
+	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "no second trial")
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
 }
 
-// TestNoTrialWithoutTheStoresWord.
-func TestNoTrialWithoutTheStoresWord(t *testing.T) {
+// No trial may run without the store's confirmation.
+func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
@@ -130,8 +130,8 @@
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestTrialIsFoundWhereTheRowWasUnknown: the row is there, from before this node's start.
-func TestTrialIsFoundWhereTheRowWasUnknown(t *testing.T) {
+// A trial must succeed although the row was written before this gateway started.
+func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
 	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
@@ -141,74 +141,74 @@
 	assert.Equal(t, 1, store.rows[current.fingerprint].Trials)
 }
 
-// TestRowsAreWrittenByThoseThatLostRuns, once, and removed when the request was answered.
-func TestRowsAreWrittenByThoseThatLostRuns(t *testing.T) {
+// Rows must be written once, by gateways that saw the crash, and removed after an answer.
+func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	look := func(reads, leads bool) {
-		work := g.quarantines.work(g.now(), reads, leads)
-		g.carryOut(&work)
+	sync := func(isReader, isLeader bool) {
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+		g.applyStoreChanges(&changes)
 	}
 	current := heldRequest(g, 0)
-	look(true, true)
-	assert.Empty(t, store.rows, "others write it")
-	g.blame("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+	sync(true, true)
+	assert.Empty(t, store.rows, "other gateways write it")
+	g.recordWorkerCrash("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
-	look(false, false)
+	sync(false, false)
 	store.failed = nil
-	look(false, false)
+	sync(false, false)
 	assert.Len(t, store.rows[current.fingerprint].Workers, 4)
 	calls := store.calls
-	look(true, true)
-	assert.Equal(t, calls, store.calls, "nothing is left to do")
+	sync(true, true)
+	assert.Equal(t, calls, store.calls, "no changes left")
 
-	g.noteAnswered(current)
-	look(false, false)
+	g.recordAnswered(current)
+	sync(false, false)
 	assert.Empty(t, store.rows)
 }
 
-// TestStrandedRequestIsWrittenByAReader: those that lost runs to it may have died.
-func TestStrandedRequestIsWrittenByAReader(t *testing.T) {
+// A record whose gateways are gone must be written by a reader of the store.
+func TestOrphanedRecordIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, strandedAfter+time.Second)
-	assert.Empty(t, g.quarantines.work(g.now(), false, true).write)
-	assert.Len(t, g.quarantines.work(g.now(), true, false).write, 1)
-	g.takeQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
-	assert.Empty(t, g.quarantines.work(g.now(), true, false).write)
+	current := heldRequest(g, orphanedAfter+time.Second)
+	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), false, true).write)
+	assert.Len(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write, 1)
+	g.applyQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
+	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write)
 }
 
-// TestRemovedRowEndsTheHold here and at those that still tell of it.
-func TestRemovedRowEndsTheHold(t *testing.T) {
+// A removed row must release the request, also against peers that still report it.
+func TestRemovedRowEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
 	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Gone: true}
-	g.takeQuarantineRow(&gone)
-	assert.NotNil(t, g.checkQuarantine(current), "there was no row yet")
-	g.takeQuarantineRow(&row)
-	g.takeQuarantineRow(&gone)
+	g.applyQuarantineRow(&gone)
+	assert.NotNil(t, g.checkQuarantine(current), "no row known yet")
+	g.applyQuarantineRow(&row)
+	g.applyQuarantineRow(&gone)
 	assert.Nil(t, g.checkQuarantine(current))
-	g.quarantines.takeUntold()
+	g.quarantines.takePendingBroadcast()
 	heldRequest(g, time.Second)
-	assert.Nil(t, g.checkQuarantine(current), "a node that hasn't heard yet doesn't bring it back")
-	assert.Len(t, g.quarantines.takeUntold(), 1, "it is told")
+	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the hold")
+	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "release broadcast")
 }
 
-// TestRowThatAWholeReadLacksEndsTheHold: this node wrote it before it read any, and it was
-// removed meanwhile. A read that is older than the row says nothing.
-func TestRowThatAWholeReadLacksEndsTheHold(t *testing.T) {
+// A row that was removed before this gateway's first read must release the request. An older
+// snapshot must not.
+func TestRowMissingFromSnapshotEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
-	g.quarantines.noteStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
+	g.quarantines.setStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
 	g.quarantineTable.apply(&watchcache.Update{Revision: 6, Complete: true}, gapNone)
 	assert.NotNil(t, g.checkQuarantine(current))
 	g.quarantineTable.apply(&watchcache.Update{Revision: 8, Complete: true}, gapNone)
 	assert.Nil(t, g.checkQuarantine(current))
 }
 
-// TestHoldBreaksOffWhatWaits at workers, but for a trial.
-func TestHoldBreaksOffWhatWaits(t *testing.T) {
+// The start of a quarantine must cancel pending sends of the request, but not its trial.
+func TestQuarantineCancelsPendingSends(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	var causes []error
@@ -223,72 +223,72 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// TestReportsCarryChangesAndWhatAnotherLacks.
-func TestReportsCarryChangesAndWhatAnotherLacks(t *testing.T) {
+// Reports must carry recent changes, and answers the records that the other gateway lacks.
+func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
 	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Ends: []quarantine.End{{Worker: "w", At: one.now()}}}
 	one.quarantines.merge(one.now(), &single)
-	assert.Empty(t, one.loadReport("other").QuarantineRecords, "another node's to tell")
+	assert.Empty(t, one.loadReport("other").QuarantineRecords, "crash seen by another gateway")
 	assert.Zero(t, one.loadReport("other").QuarantineDigest)
-	one.blame("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
+	one.recordWorkerCrash("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
 	assert.Len(t, one.loadReport("other").QuarantineRecords, 1)
 	one.quarantines.mutex.Lock()
-	clear(one.quarantines.changed)
+	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	current := heldRequest(one, 5*time.Second)
 	report := one.loadReport("other")
-	require.Len(t, report.QuarantineRecords, 1, "it has changed a moment ago")
-	decoded, err := decodeRecord(one.now(), report.QuarantineRecords[0])
+	require.Len(t, report.QuarantineRecords, 1, "recently changed")
+	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
 	require.NoError(t, err)
 	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Ends[0].At.Seconds(), 0.1)
 
 	one.quarantines.mutex.Lock()
-	clear(one.quarantines.changed)
+	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
 	answer := one.answerLoad(context.Background(), other.loadReport("one"))
-	other.takeQuarantineRecords(answer.GetQuarantineRecords())
-	assert.NotNil(t, other.checkQuarantine(current), "another digest brings it")
-	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "the same one doesn't")
+	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
+	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
+	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
 	watched, _ := one.watchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
 	watched, _ = one.watchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
-	other.takeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.Held(), "a record that can't be read changes nothing")
+	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
+	assert.Equal(t, 1, other.quarantines.ledger.Held(), "unreadable record ignored")
 }
 
-// TestAnswersSpeakAtOnceAndElsewhere for a request that others suspect.
-func TestAnswersSpeakAtOnceAndElsewhere(t *testing.T) {
+// An answer to a request that other gateways suspect must release it and be broadcast.
+func TestAnswerOfSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
-	g.noteAnswered(current)
-	assert.Empty(t, g.quarantines.takeUntold())
+	g.recordAnswered(current)
+	assert.Empty(t, g.quarantines.takePendingBroadcast())
 	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
-	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
+	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Held)
-	untold := g.quarantines.takeUntold()
-	require.Len(t, untold, 1, "others are told of the answer")
-	assert.True(t, untold[0].Answered)
+	broadcast := g.quarantines.takePendingBroadcast()
+	require.Len(t, broadcast, 1, "answer broadcast")
+	assert.True(t, broadcast[0].Answered)
 }
 
-// TestWhoeverBeginsToHoldTellsAll: nodes that missed one of the words before would let the
-// request through.
-func TestWhoeverBeginsToHoldTellsAll(t *testing.T) {
+// The start of a quarantine must be broadcast: gateways that missed an earlier update would let the
+// request pass.
+func TestQuarantineStartIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
-		assert.Empty(t, g.quarantines.takeUntold(), "what others have told isn't told on")
+		assert.Empty(t, g.quarantines.takePendingBroadcast(), "received records aren't broadcast")
 		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Ends: []quarantine.End{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
 		g.quarantines.merge(g.now(), &record)
 	}
-	untold := g.quarantines.takeUntold()
-	require.Len(t, untold, 1)
-	assert.Len(t, untold[0].Ends, quarantine.DefaultThreshold)
+	broadcast := g.quarantines.takePendingBroadcast()
+	require.Len(t, broadcast, 1)
+	assert.Len(t, broadcast[0].Ends, quarantine.DefaultThreshold)
 }
 
-// TestOnlyEndsWithoutLeaveCount: a row that goes after word of leaving is no crash.
-func TestOnlyEndsWithoutLeaveCount(t *testing.T) {
+// A worker that drained before it was gone must not count as crashed.
+func TestDrainedWorkerIsNotACrash(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		g := quarantineGateway(t, newQuarantineStore())
 		worker := backends.Worker{ID: "w", Service: "app", Address: "127.0.0.1:9"}
@@ -296,7 +296,7 @@
 		g.workers.Observe(1, worker)
 		g.crashes.recordLoss(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
 		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
-		_, blamed := g.quarantines.record(quarantine.Fingerprint{1})
-		assert.Equal(t, !draining, blamed)
+		_, recorded := g.quarantines.record(quarantine.Fingerprint{1})
+		assert.Equal(t, !draining, recorded)
 	}
 }
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -12,45 +12,44 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// Times and bounds of keeping requests that end workers in the store.
 const (
-	// quarantineWait is the longest wait of one call that follows the rows. They prove nothing,
-	// and a change ends the call at once, so a shorter wait would only cost calls.
-	quarantineWait = 10 * time.Second
-	// strandedAfter is how long after its last end a held request without a row is written
-	// by any node that reads the store: those that lost runs to it may all be gone.
-	strandedAfter = 3 * time.Second
-	// storedAtOnce bounds the rows that are written or removed in one look.
-	storedAtOnce = 16
-	// trialTimeout bounds the store's answer to a node that wants to try a held request.
+	// quarantineWatchWait is the longest wait of one call that follows the rows. A change ends the
+	// call at once.
+	quarantineWatchWait = 10 * time.Second
+	// orphanedAfter is the time after the last crash from which on any gateway that reads the store
+	// may write the missing row of a held request. The gateways that saw the crashes may be gone.
+	orphanedAfter = 3 * time.Second
+	// maxStoreChanges bounds the rows that one pass writes, and those that it removes.
+	maxStoreChanges = 16
+	// trialTimeout bounds the store calls that acquire a trial.
 	trialTimeout = 500 * time.Millisecond
 )
 
-// storedQuarantine is what is known of a request's row.
+// storedQuarantine is the known state of a request's row.
 type storedQuarantine struct {
-	version fleet.Revision
-	workers int
-	trials  int
+	version     fleet.Revision
+	workerCount int
+	trials      int
 }
 
-// newQuarantineTable returns the table of requests under which workers ended. Nodes that don't
-// read the store aren't told of its rows but of the records, so that it is none of g.tables.
+// newQuarantineTable returns the table of quarantined requests. It isn't part of g.tables: gateways
+// that don't read the store receive records from their peers instead of rows.
 func (g *Gateway) newQuarantineTable() *table {
 	return &table{
 		name:   TableQuarantine,
 		cache:  watchcache.New(0),
-		wait:   quarantineWait,
+		wait:   quarantineWatchWait,
 		pause:  workersPause,
-		take:   g.takeQuarantineRows,
-		whole:  g.takeWholeQuarantine,
+		take:   g.applyQuarantineRows,
+		whole:  g.applyQuarantineSnapshot,
 		taken:  func() {},
 		proven: func(time.Duration) {},
 	}
 }
 
-// followQuarantine follows the rows while this node reads the store, until the process ends.
-// It begins once this node knows what it needs to serve: until then each node reads, and most
-// are told of the records by a reader a moment later.
+// followQuarantine follows the rows while this gateway reads the store, until the process stops. It
+// starts once the gateway is ready: until then every gateway reads the store, and most receive the
+// records from a peer shortly after.
 func (g *Gateway) followQuarantine() error {
 	select {
 	case <-g.readiness.known:
@@ -60,52 +59,52 @@
 	}
 }
 
-// takeQuarantineRows takes in changed rows.
-func (g *Gateway) takeQuarantineRows(rows []watchcache.Row, _ gap) {
+// applyQuarantineRows applies changed rows.
+func (g *Gateway) applyQuarantineRows(rows []watchcache.Row, _ gap) {
 	decoded, unreadable := g.outside.Platform.DecodeQuarantine(rows)
 	g.noteUnreadable("", unreadable)
 	for index := range decoded {
-		g.takeQuarantineRow(&decoded[index])
+		g.applyQuarantineRow(&decoded[index])
 	}
 }
 
-// takeWholeQuarantine takes in what a whole read of the rows lacks. A row that this node wrote
-// itself before it read any may have been removed since.
-func (g *Gateway) takeWholeQuarantine(update *watchcache.Update) {
-	named := make(map[string]bool, len(update.Rows))
+// applyQuarantineSnapshot removes the rows that a complete read lacks. A row that this gateway
+// wrote before its first read may have been removed in between.
+func (g *Gateway) applyQuarantineSnapshot(update *watchcache.Update) {
+	present := make(map[string]bool, len(update.Rows))
 	for _, row := range update.Rows {
-		named[row.Key] = true
+		present[row.Key] = true
 	}
-	for _, missing := range g.quarantines.storedBefore(update.Revision, named) {
-		g.takeQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
+	for _, missing := range g.quarantines.missingFrom(update.Revision, present) {
+		g.applyQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
 	}
 }
 
-// storedBefore returns the requests with a row of a revision at the latest that isn't named.
-func (q *quarantines) storedBefore(revision fleet.Revision, named map[string]bool) []quarantine.Fingerprint {
+// missingFrom returns the requests whose known row is at most as new as a revision and isn't in
+// present.
+func (q *quarantineState) missingFrom(revision fleet.Revision, present map[string]bool) []quarantine.Fingerprint {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var missing []quarantine.Fingerprint
 	for fingerprint, stored := range q.stored {
-		if stored.version <= revision && !named[fingerprint.String()] {
+		if stored.version <= revision && !present[fingerprint.String()] {
 			missing = append(missing, fingerprint)
 		}
 	}
 	return missing
 }
 
-// takeQuarantineRow takes one row in. Since it names no times, what it tells counts as if it
-// had happened now. A row that was removed, by a node that saw the request answered or by an
-// operator, ends the hold.
-func (g *Gateway) takeQuarantineRow(row *QuarantineRow) {
+// applyQuarantineRow applies one row. Rows hold no times, so their crashes and trials count as of
+// now. A removed row ends the quarantine: the request was answered, or an operator removed it.
+func (g *Gateway) applyQuarantineRow(row *QuarantineRow) {
 	now := g.now()
 	if row.Gone {
-		if g.quarantines.forgetStored(row.Fingerprint) {
-			g.noteQuarantine(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
+		if g.quarantines.deleteStored(row.Fingerprint) {
+			g.handleQuarantineChange(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
 		}
 		return
 	}
-	g.quarantines.noteStored(row)
+	g.quarantines.setStored(row)
 	record := quarantine.Record{Fingerprint: row.Fingerprint, Trials: row.Trials}
 	if row.Trials > 0 {
 		record.TriedAt = now
@@ -113,18 +112,18 @@
 	for _, worker := range row.Workers {
 		record.Ends = append(record.Ends, quarantine.End{Worker: worker, At: now})
 	}
-	g.noteQuarantine(row.Fingerprint, "store", g.quarantines.merge(now, &record))
+	g.handleQuarantineChange(row.Fingerprint, "store", g.quarantines.merge(now, &record))
 }
 
-// noteStored notes what the store holds.
-func (q *quarantines) noteStored(row *QuarantineRow) {
+// setStored records the state of a stored row.
+func (q *quarantineState) setStored(row *QuarantineRow) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.stored[row.Fingerprint] = storedQuarantine{version: row.Version, workers: len(row.Workers), trials: row.Trials}
+	q.stored[row.Fingerprint] = storedQuarantine{version: row.Version, workerCount: len(row.Workers), trials: row.Trials}
 }
 
-// forgetStored notes that the store holds no row of a request, and tells whether that is news.
-func (q *quarantines) forgetStored(fingerprint quarantine.Fingerprint) bool {
+// deleteStored records that the store holds no row of a request, and reports whether one was known.
+func (q *quarantineState) deleteStored(fingerprint quarantine.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	_, found := q.stored[fingerprint]
@@ -132,50 +131,50 @@
 	return found
 }
 
-// storedVersion returns the version that a request's row is believed to have; 0 for none.
-func (q *quarantines) storedVersion(fingerprint quarantine.Fingerprint) fleet.Revision {
+// storedVersion returns the last known version of a request's row, 0 if there is none.
+func (q *quarantineState) storedVersion(fingerprint quarantine.Fingerprint) fleet.Revision {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.stored[fingerprint].version
 }
 
-// storeWork is what is to be done at the store.
-type storeWork struct {
+// storeChanges holds the rows to write to the store and those to remove.
+type storeChanges struct {
 	write  []QuarantineRow
 	remove []quarantine.Fingerprint
 }
 
-// work returns what this node is to write and to remove. It writes what was under way at its
-// own lost runs; what others have left unwritten it writes if it reads the store. It removes
-// what it had a part in, or anything if it holds the lease.
-func (q *quarantines) work(now time.Duration, reads, leads bool) storeWork {
-	if !q.any.Load() {
-		return storeWork{}
+// pendingStoreChanges returns the rows that this gateway is to write and to remove. It writes the
+// requests that were in flight here when a worker crashed and, if it reads the store, orphaned
+// ones. It removes rows of requests that it took part in, or any row if it holds the lease.
+func (q *quarantineState) pendingStoreChanges(now time.Duration, isReader, isLeader bool) storeChanges {
+	if !q.active.Load() {
+		return storeChanges{}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var work storeWork
+	var changes storeChanges
 	shared := make(map[quarantine.Fingerprint]bool)
-	for _, record := range q.ledger.AtLeast(sharedEnds) {
+	for _, record := range q.ledger.AtLeast(sharedCrashes) {
 		shared[record.Fingerprint] = true
 		verdict := q.ledger.Check(now, record.Fingerprint)
-		stranded := reads && verdict.Held && verdict.LastAge > strandedAfter
+		orphaned := isReader && verdict.Held && verdict.LastAge > orphanedAfter
 		known := q.stored[record.Fingerprint]
-		lacks := known.workers < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
-		if lacks && (q.own[record.Fingerprint] || stranded) && len(work.write) < storedAtOnce {
-			work.write = append(work.write, rowOf(&record, verdict.Ends))
+		outdated := known.workerCount < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
+		if outdated && (q.local[record.Fingerprint] || orphaned) && len(changes.write) < maxStoreChanges {
+			changes.write = append(changes.write, rowFromRecord(&record, verdict.Ends))
 		}
 	}
 	for fingerprint := range q.stored {
-		if !shared[fingerprint] && (leads || q.own[fingerprint]) && len(work.remove) < storedAtOnce {
-			work.remove = append(work.remove, fingerprint)
+		if !shared[fingerprint] && (isLeader || q.local[fingerprint]) && len(changes.remove) < maxStoreChanges {
+			changes.remove = append(changes.remove, fingerprint)
 		}
 	}
-	return work
+	return changes
 }
 
-// rowOf returns the row of a record, of which the last ends count.
-func rowOf(record *quarantine.Record, counted int) QuarantineRow {
+// rowFromRecord returns the row of a record with its last counted crashes.
+func rowFromRecord(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
 	for _, end := range record.Ends[len(record.Ends)-counted:] {
 		row.Workers = append(row.Workers, end.Worker)
@@ -183,45 +182,44 @@
 	return row
 }
 
-// storeQuarantine keeps the store's rows in step with what this node knows, until the process
-// ends. What fails, such as while the store is out of reach, is tried again with the next
-// look, which the housekeeping asks for.
-func (g *Gateway) storeQuarantine() error {
+// syncQuarantineStore keeps the store's rows up to date until the process stops. Failed writes are
+// retried when the periodic sweep signals again.
+func (g *Gateway) syncQuarantineStore() error {
 	for {
 		select {
-		case <-g.quarantines.unstored:
+		case <-g.quarantines.storeSignal:
 		case <-g.life.Dying():
 			return nil
 		}
-		_, leads := g.keeper.Fence()
-		reads, _ := g.sources.reads()
-		work := g.quarantines.work(g.now(), reads, leads)
-		g.carryOut(&work)
+		_, isLeader := g.keeper.Fence()
+		isReader, _ := g.sources.reads()
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+		g.applyStoreChanges(&changes)
 	}
 }
 
-// carryOut writes and removes rows.
-func (g *Gateway) carryOut(work *storeWork) {
-	for _, row := range work.write {
+// applyStoreChanges writes and removes rows.
+func (g *Gateway) applyStoreChanges(changes *storeChanges) {
+	for _, row := range changes.write {
 		g.writeQuarantine(row)
 	}
-	for _, fingerprint := range work.remove {
+	for _, fingerprint := range changes.remove {
 		g.removeQuarantine(fingerprint)
 	}
 }
 
-// writeQuarantine writes one row, together with what the store holds of the request.
+// writeQuarantine writes one row. On a conflict it applies the stored row.
 func (g *Gateway) writeQuarantine(row QuarantineRow) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
 	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
 	switch {
 	case err == nil:
-		g.quarantines.noteStored(&stored)
+		g.quarantines.setStored(&stored)
 	case errors.Is(err, platform.ErrConflict) && stored.Version != 0:
-		g.takeQuarantineRow(&stored)
+		g.applyQuarantineRow(&stored)
 	case errors.Is(err, platform.ErrConflict):
-		g.quarantines.forgetStored(row.Fingerprint)
+		g.quarantines.deleteStored(row.Fingerprint)
 	}
 	line := g.events.line("quarantine_recorded").Str("fingerprint", row.Fingerprint.String()).Int("ends", len(row.Workers)).Int("trials", row.Trials)
 	if err != nil {
@@ -230,13 +228,12 @@
 	line.Msg("quarantine_recorded")
 }
 
-// removeQuarantine removes one row.
 func (g *Gateway) removeQuarantine(fingerprint quarantine.Fingerprint) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
 	err := g.outside.Platform.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		g.quarantines.forgetStored(fingerprint)
+		g.quarantines.deleteStored(fingerprint)
 	}
 	line := g.events.line("quarantine_removed").Str("fingerprint", fingerprint.String())
 	if err != nil {
@@ -245,16 +242,16 @@
 	line.Msg("quarantine_removed")
 }
 
-// beginTrial tells whether a held request may be tried here and now: the store has taken this
-// node's word that it is, so that no other node tries it too.
-func (g *Gateway) beginTrial(current *callerRequest, verdict quarantine.Verdict) bool {
+// acquireTrial reports whether this gateway may try a held request now. The conditional write to
+// the store ensures that no other gateway runs the same trial.
+func (g *Gateway) acquireTrial(current *callerRequest, verdict quarantine.Verdict) bool {
 	record, known := g.quarantines.record(current.fingerprint)
 	if !known {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(current.request.Context(), trialTimeout)
 	defer cancel()
-	row := rowOf(&record, verdict.Ends)
+	row := rowFromRecord(&record, verdict.Ends)
 	row.Trials = verdict.Trials + 1
 	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
@@ -265,21 +262,21 @@
 		line.Err(err).Msg("quarantine_trial_refused")
 		return false
 	}
-	g.quarantines.noteStored(&stored)
+	g.quarantines.setStored(&stored)
 	g.quarantines.beginTrial(g.now(), current.fingerprint, row.Trials)
 	line.Msg("quarantine_trial")
 	return true
 }
 
-// record returns what is known of a request.
-func (q *quarantines) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
+// record returns the record of a request, if any.
+func (q *quarantineState) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.ledger.Record(fingerprint)
 }
 
-// beginTrial notes that a held request is tried at this node.
-func (q *quarantines) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
+// beginTrial records that this gateway tries a held request.
+func (q *quarantineState) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
 	q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
 		ledger.BeginTrial(now, fingerprint, trials)
 		return true
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -146,7 +146,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
-	q.limiter.SetRounds((len(peers) + shareFanout - 1) / shareFanout)
+	q.limiter.SetRounds((len(peers) + loadExchangeFanout - 1) / loadExchangeFanout)
 	present := make(map[fleet.NodeID]bool, len(peers))
 	for _, member := range peers {
 		present[member.Node] = true
@@ -248,7 +248,7 @@
 	for _, member := range peers {
 		go g.exchangeUsage(member)
 	}
-	for _, member := range g.withDirectors(nil) {
+	for _, member := range g.addDirectors(nil) {
 		go g.exchangeDeliveries(member)
 	}
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/storefeed_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestWhenChangesWereMade dates what is heard of after each kind of gap.
-func TestWhenChangesWereMade(t *testing.T) {
+// A change that is read after a gap must be dated by the kind of the gap.
+func TestChangeTimeAfterGap(t *testing.T) {
 	const now = time.Minute
 	for name, test := range map[string]struct {
 		since    gap
@@ -21,11 +21,11 @@
 		at       time.Duration
 		known    bool
 	}{
-		"followed":                       {gapNone, now - 4*time.Second, true, now, true},
-		"history dropped":                {gapDropped, now - 2*time.Second, true, now, true},
-		"this node alone out of reach":   {gapUnreached, now - 2*time.Second, true, now - 2*time.Second, true},
-		"store out of everybody's reach": {gapUnreached, now - 6*time.Second, true, now, true},
-		"just started":                   {gapUnreached, 0, false, now, false},
+		"no gap":                      {gapNone, now - 4*time.Second, true, now, true},
+		"history dropped":             {gapDropped, now - 2*time.Second, true, now, true},
+		"only this node disconnected": {gapUnreached, now - 2*time.Second, true, now - 2*time.Second, true},
+		"store unreachable for all":   {gapUnreached, now - 6*time.Second, true, now, true},
+		"just started":                {gapUnreached, 0, false, now, false},
 	} {
 		g := &Gateway{fresh: routes.NewFreshness()}
 		if test.proven {
@@ -37,37 +37,37 @@
 	}
 }
 
-func TestOnlyAHistoryGoneSoonIsTheStoresOwnDoing(t *testing.T) {
+func TestGapAfterError(t *testing.T) {
 	assert.Equal(t, gapDropped, gapAfter(ErrHistoryGone, 0, time.Second))
 	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 0, historyKept))
 	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 1, time.Second))
 	assert.Equal(t, gapUnreached, gapAfter(errors.New("silent"), 0, time.Second))
 }
 
-// TestPeersTakeTurnsInLargeFleets has each met within a few rounds.
-func TestPeersTakeTurnsInLargeFleets(t *testing.T) {
+// Every peer must be reached within a few rounds of exchanges.
+func TestExchangesRotateThroughPeers(t *testing.T) {
 	members := make([]membership.Member, 30)
 	for index := range members {
 		members[index].Incarnation = 1
 		members[index].Node = "n"
 	}
-	assert.Len(t, turn(members, 3, 40), 30)
+	assert.Len(t, rotatingSubset(members, 3, 40), 30)
 	numbers := make([]int, 30)
 	for index := range numbers {
 		numbers[index] = index
 	}
-	met := map[int]bool{}
+	reached := map[int]bool{}
 	for round := range 3 {
-		chosen := turn(numbers, round, 12)
+		chosen := rotatingSubset(numbers, round, 12)
 		assert.Len(t, chosen, 12)
 		for _, number := range chosen {
-			met[number] = true
+			reached[number] = true
 		}
 	}
-	assert.Len(t, met, 30, "all are met within three rounds")
+	assert.Len(t, reached, 30, "all reached within three rounds")
 }
 
-func TestProofsAreRenewedBeforeTheyAreTooOld(t *testing.T) {
+func TestStoreReadsRenewProofInTime(t *testing.T) {
 	assert.Equal(t, operatorWait, operatorWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshnessFraction)
@@ -75,15 +75,14 @@
 	}
 }
 
-// TestProofsOfAnotherNodeAreRenewedBeforeTheyAreTooOld guards against requests that are refused for a
-// configuration too old while the store answers.
-func TestProofsOfAnotherNodeAreRenewedBeforeTheyAreTooOld(t *testing.T) {
+// Requests must not be refused for a stale configuration while the store answers.
+func TestWatchCallsRenewProofInTime(t *testing.T) {
 	assert.Equal(t, watchWait, watchWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshnessFraction)
 		oldest := operatorWaitFor(bound) + watchWaitFor(bound) + watchGatherFor(bound)
-		assert.Less(t, oldest, counts*3/4, "bound %s: the last quarter is for the calls", bound)
-		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: a node that reads isn't left", bound)
+		assert.Less(t, oldest, counts*3/4, "bound %s: a quarter must be left for the calls", bound)
+		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: reading node must not be dropped", bound)
 		assert.Less(t, staleAfterFor(bound)+watchWaitFor(bound), counts, "bound %s", bound)
 	}
 }
--- a/internal/gateway/encodedupdate_test.go
+++ b/internal/gateway/tables_test.go
@@ -11,8 +11,9 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// TestCompleteUpdateIsNotMadeOfChangesForAnother guards against workers that are taken for gone.
-func TestCompleteUpdateIsNotMadeOfChangesForAnother(t *testing.T) {
+// A complete update must not be encoded from cached changes: the watcher would drop workers that
+// are still there.
+func TestCompleteUpdateIsNotCachedAsChanges(t *testing.T) {
 	followed := &table{name: TableWorkers, cache: watchcache.New(0)}
 	value := make([]byte, 100)
 	write := func(from, to int) {
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -32,7 +32,7 @@
 // workerCallContext counts a call to a worker other than a caller's request, and returns a context
 // for it that counts its traffic and handles its notices.
 func (g *Gateway) workerCallContext(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
-	g.noteCall(worker.ID, kind)
+	g.countCall(worker.ID, kind)
 	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, born: worker.Born, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -145,7 +145,7 @@
 	}
 	request.PositionsOf = string(source)
 	request.QuarantineDigest = g.quarantines.digest()
-	request.DeliveriesSeen = g.deliveries.seenOf(source)
+	request.DeliveriesSeen = g.deliveries.seenChanges(source)
 	if request.GetRequestRate() > 0 {
 		request.Origins, request.Pressures = g.originReport(g.now())
 	}
@@ -154,10 +154,10 @@
 			followed.source, followed.seen = source, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{
-			Table: string(followed.name), Sequence: g.positionAt(followed),
+			Table: string(followed.name), Sequence: g.watchPosition(followed),
 		})
 	}
-	g.askForSubsets(request)
+	g.requestSubsets(request)
 	begun := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
 	ctx, stop := g.resumptions.bind(g.peerCallContext(traffic.Watches, member))
@@ -177,10 +177,10 @@
 // holds by a proof of an age proves the same here, as of the call's start and the
 // time for which the peer held the call, less that age.
 func (g *Gateway) takeWatch(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
-	g.learnNamed(response.GetNamed())
-	g.takeDirectives(begun, response.GetDeliveries())
-	g.deliveries.noteSeen(source, response.GetDeliveriesSeen())
-	g.takeQuarantineRecords(response.GetQuarantineRecords())
+	g.applyNamedVersions(response.GetNamed())
+	g.applyDirectives(begun, response.GetDeliveries())
+	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
+	g.mergeQuarantineRecords(response.GetQuarantineRecords())
 	for _, message := range response.GetUpdates() {
 		followed := g.table(Table(message.GetTable()))
 		if followed == nil {
@@ -192,7 +192,7 @@
 			return watchUseless
 		}
 		if followed.name == TableWorkers {
-			g.applyWorkers(followed, message, update)
+			g.applyWorkersUpdate(followed, message, update)
 		} else {
 			followed.apply(update, gapUnreached)
 		}
@@ -262,7 +262,7 @@
 		for _, followed := range g.tables {
 			changed = append(changed, followed.cache.Changed())
 		}
-		redirected := g.deliveries.changedAfter()
+		redirected := g.deliveries.nextChange()
 		response, news := g.heldResponse(request, arrived)
 		if news {
 			return response
@@ -301,9 +301,9 @@
 		Named:       g.namedVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
-	news := g.deliveries.writeWatch(now, request, response)
+	news := g.deliveries.writeWatchResponse(now, request, response)
 	response.Origins, response.Pressures = g.originReport(now)
-	response.QuarantineRecords = g.quarantines.beyond(now, request.GetQuarantineDigest())
+	response.QuarantineRecords = g.quarantines.missingRecords(now, request.GetQuarantineDigest())
 	if proven {
 		response.ProofAgeMillis = uint32(max(age, 0).Milliseconds()) + 1
 	}
@@ -322,7 +322,7 @@
 			continue
 		}
 		news = news || update.Complete || len(update.Rows) > 0
-		message := followed.encode(seen, update, digestOf(subsets))
+		message := followed.encode(seen, update, subsetsDigest(subsets))
 		message.WorkersInUse, message.Subsets = update.Covers != nil, encodeSubsets(subsets)
 		response.Updates = append(response.Updates, message)
 	}
