--- a/cmd/tillerfall/gateway.go
+++ b/cmd/tillerfall/gateway.go
@@ -70,12 +70,12 @@
 	meter := &traffic.Meter{}
 	store := platform.NewStore(settings.StoreAddress, meter)
 	engines := platform.NewEngines(meter)
-	process, err := gateway.New(*settings, gateway.Outside{
-		Platform: store,
-		Leases:   platform.NewLeaseTables(store),
-		Engines:  engines,
-		Codec:    platform.Codec{},
-		Traffic:  meter,
+	process, err := gateway.New(*settings, gateway.Dependencies{
+		Store:   store,
+		Leases:  platform.NewLeaseTables(store),
+		Engines: engines,
+		Codec:   platform.Codec{},
+		Traffic: meter,
 		CloseIdle: func() {
 			store.CloseIdle()
 			engines.CloseIdle()
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(g.peerCall(traffic.Announcements, member), announceTimeout)
 	defer cancel()
 	if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 	}
 }
 
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -42,7 +42,7 @@
 // retryShare returns the part of the slack that is this node's.
 func (g *Gateway) retryShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
-	if g.serves() {
+	if g.isServing() {
 		return slackPart / float64(max(serving, minSharers))
 	}
 	return idleSlackPart / float64(max(members-serving, minSharers))
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -40,12 +40,12 @@
 // cache, each by a goroutine of its own, and asks other zones' nodes about theirs.
 func (g *Gateway) followCaches() error {
 	following := make(map[cacheRun]context.CancelFunc)
-	for pause := cacheCheck; g.pauseOrRest(pause); {
+	for pause := cacheCheck; g.pauseInterval(pause); {
 		present, asked := g.caches()
 		g.askZones(asked)
 		g.cacheLog.follow(g.now(), g.inZone(present))
 		pause = cacheRest
-		if g.serves() {
+		if g.isServing() {
 			pause = cacheCheck
 		}
 		for cache, cancel := range following {
@@ -82,7 +82,7 @@
 
 // mayFollow tells whether this node may follow that many caches.
 func (g *Gateway) mayFollow(caches int) bool {
-	return g.settled.Load() || int64(caches) <= cachesByRequest*(1+g.taken.Load())
+	return g.roleSettled.Load() || int64(caches) <= cachesByRequest*(1+g.requestCount.Load())
 }
 
 // caches returns the caches that this node follows by itself, and those of which it asks
@@ -91,14 +91,14 @@
 	present = make(map[cacheRun]bool)
 	asked = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
 	held := g.holder.Current()
-	if held == nil || (!g.serves() && !g.cacheLog.wanted(g.now())) {
+	if held == nil || (!g.isServing() && !g.cacheLog.wanted(g.now())) {
 		return present, asked
 	}
 	take := func(cache cacheRun, limit int) {
 		switch {
 		case g.followsItself(cache, limit):
 			present[cache] = true
-		case g.serves() && cache.zone != "":
+		case g.isServing() && cache.zone != "":
 			if asked[cache.zone] == nil {
 				asked[cache.zone] = make(map[fleet.EngineID]bool)
 			}
@@ -140,7 +140,7 @@
 	if cache.zone == g.settings().Zone && slices.Contains(g.roles.Load().CacheSources(cache.zone), g.node) {
 		return true
 	}
-	if !g.serves() || !g.mayOwn(cache, limit) {
+	if !g.isServing() || !g.mayOwn(cache, limit) {
 		return false
 	}
 	return cache.zone == g.settings().Zone || cache.zone == "" || g.zoneFeeds.silent(cache.zone)
@@ -167,7 +167,7 @@
 	for ctx.Err() == nil {
 		g.awaitBackoff(ctx, backoffRun(cache.run.Engine, cache.born))
 		g.noteCall(cache.run.Engine, callCacheEvents)
-		events, err := g.outside.Engines.CacheEvents(ctx, cache.address, since, eventsWait)
+		events, err := g.dependencies.Engines.CacheEvents(ctx, cache.address, since, eventsWait)
 		if err != nil {
 			if ctx.Err() == nil && reachable {
 				g.logger.Warn().Str("dependency", string(cache.run.Engine)).Err(err).Msg("dependency_lost")
--- a/internal/gateway/cachetalk.go
+++ b/internal/gateway/cachetalk.go
@@ -136,7 +136,7 @@
 // answerCaches answers another node's question about the caches of a zone.
 func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	log := g.logOf(fleet.ZoneName(request.GetZone()))
-	if log == nil || g.stopping() {
+	if log == nil || g.isStopping() {
 		return nil, errFollowsNone
 	}
 	log.ask(g.now())
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -65,7 +65,7 @@
 			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 		})
 	}
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
 	far := cacheRun{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
 	somewhere := cacheRun{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
@@ -80,7 +80,7 @@
 	assert.Empty(t, asked)
 
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	present, asked = g.caches()
 	assert.Empty(t, present, "callers aren't sent here")
 	assert.Empty(t, asked)
@@ -98,7 +98,7 @@
 			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 		})
 	}
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	// With four zones and six nodes that serve, no zone has serving nodes of its own by rule.
 	all := []membership.Member{
 		{Node: g.node, Zone: "z0", State: membership.Alive, Capacity: 200},
@@ -109,7 +109,7 @@
 		all = append(all, membership.Member{Node: node, Zone: "z1", State: membership.Alive, Capacity: 800})
 	}
 	g.roles.Store(deriveRoles(g.node, "z0", membership.NewView(1, all[0], all), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
 	assert.Empty(t, present(g))
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
@@ -128,7 +128,7 @@
 	g := idleGateway(t)
 	settings := *g.settings()
 	settings.Region, settings.Zones = "north", map[fleet.ZoneName]fleet.RegionName{"z0": "north", "z1": "north", "far": "south"}
-	g.inForce.Store(&settings)
+	g.currentSettings.Store(&settings)
 	all := []membership.Member{{Node: g.node, Zone: "z0", Region: "north", State: membership.Alive}}
 	for _, node := range []fleet.NodeID{"a", "b", "c"} {
 		all = append(all, membership.Member{Node: node, Zone: "z1", Region: "north", State: membership.Alive})
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -66,7 +66,7 @@
 	if current.callerGone() {
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
-	g.noteSuspension()
+	g.checkSuspension()
 	if verdict, held := g.holds(current); held {
 		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
@@ -74,7 +74,7 @@
 	if current.tenant != nil && !g.mayServeKeyed() {
 		return current.machine.NoWorker("configuration too old", 0)
 	}
-	g.requireDueSoon(now)
+	g.refreshDueVersions(now)
 	choice := g.choice(current)
 	current.forTarget = choice.Versions.WantsTarget()
 	placement, refused := g.chooseWorker(ctx, current, choice)
@@ -105,8 +105,8 @@
 		return g.failed(ctx, sending, current, placement, err)
 	}
 	defer answer.Close()
-	info := g.outside.Codec.Answer(answer.Status, answer.Header)
-	g.noteUnreadable(current.metadata.RequestID, info.Unreadable)
+	info := g.dependencies.Codec.ReadResponse(answer.Status, answer.Header)
+	g.reportInvalidInput(current.metadata.RequestID, info.Unreadable)
 	g.noteLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
@@ -138,7 +138,7 @@
 
 // acceptable tells whether a worker's answer may be passed on: a success must
 // be signed, and so must a status that would promise that nothing ran.
-func acceptable(status int, info AnswerInfo) bool {
+func acceptable(status int, info ResponseInfo) bool {
 	switch {
 	case status < http.StatusMultipleChoices:
 		return info.Signed
@@ -196,7 +196,7 @@
 }
 
 // rejected takes in a worker's word that it did not run the request.
-func (g *Gateway) rejected(current *carried, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
+func (g *Gateway) rejected(current *carried, placement *backends.Placement, answer *upstream.Answer, info ResponseInfo) attempt.Step {
 	drain(answer)
 	outcome := backends.Refused
 	switch {
@@ -252,7 +252,7 @@
 			Int("memory_used", placement.MemoryTokens).Str("copy_to", string(engine.CopyTo.ID)).Bool("continues", engine.ContinueAt != "").
 			Dur("predicted", engine.Predicted)
 	}
-	if age, proven := g.fresh.Age(g.now()); proven {
+	if age, proven := g.freshness.Age(g.now()); proven {
 		line = line.Dur("configuration_age", age)
 	}
 	line.Msg("placed")
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -18,12 +18,12 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// ErrManyRows means that a whole read was given up since it would be a long one.
-var ErrManyRows = errors.New("many rows")
+// ErrTooManyRows means that a whole read was given up since it would be a long one.
+var ErrTooManyRows = errors.New("many rows")
 
-// ErrHistoryGone means that changes can't be followed from a revision any more:
+// ErrHistoryExpired means that changes can't be followed from a revision any more:
 // everything must be read again.
-var ErrHistoryGone = errors.New("history gone")
+var ErrHistoryExpired = errors.New("history gone")
 
 // Table names a table of the store that gateways follow.
 type Table string
@@ -43,19 +43,19 @@
 	// Document is the newest configuration, nil if it isn't among the rows.
 	Document         *routes.Document
 	DocumentRevision fleet.Revision
-	// Weights lists named versions.
-	Weights []NamedWeights
+	// DesiredVersions lists named versions.
+	DesiredVersions []DesiredVersion
 	// Deliveries lists orders to move a service to a version of its software.
 	Deliveries []delivery.Order
 	// RefusedDeliveries lists the orders of that kind that can't be used.
-	RefusedDeliveries []Unreadable
-	// Unreadable lists the parts of the configuration that couldn't be read and are left
+	RefusedDeliveries []InvalidInput
+	// Invalid lists the parts of the configuration that couldn't be read and are left
 	// as they were.
-	Unreadable []Unreadable
+	Invalid []InvalidInput
 }
 
-// NamedWeights is a version of a model's weights that an operator has named.
-type NamedWeights struct {
+// DesiredVersion is a version of a model's weights that an operator has named.
+type DesiredVersion struct {
 	Model   fleet.ModelName
 	Version backends.WeightsVersion
 	// Revision is that of the row.
@@ -66,14 +66,14 @@
 type WorkerRow struct {
 	Revision fleet.Revision
 	Worker   backends.Worker
-	Gone     bool
+	Deleted  bool
 	// Unusable is set if the row names no worker to use: it can't be read, or lacks what
 	// every worker writes. Only the worker's identifier is known then.
 	Unusable bool
 }
 
-// Unreadable is something from outside that couldn't be read and counts as absent.
-type Unreadable struct {
+// InvalidInput is something from outside that couldn't be read and counts as absent.
+type InvalidInput struct {
 	// Source says what it is, such as a table or a header; it labels a metric.
 	Source string
 	// Key names the one among others of the source; empty if there is one.
@@ -92,8 +92,8 @@
 type StoredDeliveries struct {
 	// Records holds those that couldn't be read too, without a target.
 	Records []StoredDelivery
-	// Unreadable tells why records couldn't be read.
-	Unreadable []Unreadable
+	// Invalid tells why records couldn't be read.
+	Invalid []InvalidInput
 	// StoreTime is the store's steady clock at the answer.
 	StoreTime time.Duration
 }
@@ -108,7 +108,7 @@
 	Trials  int
 	// Version is that of the row; 0 if there is none.
 	Version fleet.Revision
-	Gone    bool
+	Deleted bool
 }
 
 // Node is another gateway as the store knows it.
@@ -120,9 +120,9 @@
 	Region  fleet.RegionName
 }
 
-// Platform is the store, as the gateway needs it. Reads return an error of
+// Store is the store, as the gateway needs it. Reads return an error of
 // package platform, or ErrHistoryGone.
-type Platform interface {
+type Store interface {
 	// ReadTable returns all rows of a table. It may be behind. Of a table with many rows it
 	// reads the first ones and asks readOn whether to go on; else it returns ErrManyRows.
 	ReadTable(ctx context.Context, table Table, readOn func() bool) (*watchcache.Update, error)
@@ -134,12 +134,12 @@
 	DecodeOperator(rows []watchcache.Row) (*OperatorRows, error)
 	// DecodeWorkers reads rows of the workers' table. A row that can't be read is
 	// left out: its worker stays as it was.
-	DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []Unreadable)
+	DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []InvalidInput)
 	// RegisterNode writes this node's row.
 	RegisterNode(ctx context.Context, node Node) error
 	// ReadNodes returns the nodes that have ever registered, without rows that can't
 	// be read.
-	ReadNodes(ctx context.Context) ([]Node, []Unreadable, error)
+	ReadNodes(ctx context.Context) ([]Node, []InvalidInput, error)
 	// ReadDeliveries returns the records of deliveries.
 	ReadDeliveries(ctx context.Context) (*StoredDeliveries, error)
 	// WriteDelivery writes a record together with the status that operators read, if the
@@ -149,7 +149,7 @@
 	WriteDelivery(ctx context.Context, record delivery.Record, expected fleet.Revision) (StoredDelivery, error)
 	// DecodeQuarantine reads rows of the table of requests under which workers ended. A row
 	// that can't be read is left out.
-	DecodeQuarantine(rows []watchcache.Row) ([]QuarantineRow, []Unreadable)
+	DecodeQuarantine(rows []watchcache.Row) ([]QuarantineRow, []InvalidInput)
 	// WriteQuarantine writes a row if the store's still has the version that was expected; 0
 	// expects none. It returns the row with its new version, or platform.ErrConflict with
 	// what the store holds. After another error nothing is known of the outcome.
@@ -159,9 +159,9 @@
 	RemoveQuarantine(ctx context.Context, fingerprint quarantine.Fingerprint, expected fleet.Revision) error
 }
 
-// EngineCalls are the calls to an engine besides requests. What each answer says of the engine
+// EngineClient are the calls to an engine besides requests. What each answer says of the engine
 // goes to HandleNotice.
-type EngineCalls interface {
+type EngineClient interface {
 	Report(ctx context.Context, worker backends.Worker) (rollout.Report, error)
 	// CacheEvents returns what changed in the cache of an engine, or of a store of
 	// kept KV cache, after a position; it waits for a change, up to a time.
@@ -206,8 +206,8 @@
 	// TokensNamed is set if the request names its tokens.
 	TokensNamed bool
 
-	// Unreadable lists the headers that couldn't be read.
-	Unreadable []Unreadable
+	// Invalid lists the headers that couldn't be read.
+	Invalid []InvalidInput
 }
 
 // Dispatch is what the gateway adds to a request for a worker.
@@ -223,8 +223,8 @@
 	Engine      *backends.EnginePlacement
 }
 
-// AnswerInfo is what the headers of a worker's answer say.
-type AnswerInfo struct {
+// ResponseInfo is what the headers of a worker's answer say.
+type ResponseInfo struct {
 	Notice
 
 	RequestID string
@@ -253,14 +253,14 @@
 // Codec translates between headers and the gateway's types. It is safe for
 // concurrent use.
 type Codec interface {
-	// Metadata reads a caller's headers.
-	Metadata(header http.Header) (Metadata, error)
+	// ReadMetadata reads a caller's headers.
+	ReadMetadata(header http.Header) (Metadata, error)
 	// StripReserved removes what only the gateway may tell a worker, and the key.
 	StripReserved(header http.Header)
 	// WriteDispatch adds what the gateway tells a worker.
 	WriteDispatch(header http.Header, dispatch *Dispatch)
-	// Answer reads the headers of a worker's answer.
-	Answer(status int, header http.Header) AnswerInfo
+	// ReadResponse reads the headers of a worker's answer.
+	ReadResponse(status int, header http.Header) ResponseInfo
 	// WriteRefusal writes the headers of an answer of the gateway's own.
 	WriteRefusal(header http.Header, requestID string, retryAfter time.Duration)
 	// Paths returns the paths of the gateway's own services.
@@ -271,12 +271,12 @@
 	WriteResolution(writer http.ResponseWriter, addresses []fleet.Address, ttl time.Duration) error
 }
 
-// Outside is all that the gateway needs from where it runs.
-type Outside struct {
-	Platform Platform
+// Dependencies is all that the gateway needs from where it runs.
+type Dependencies struct {
+	Store Store
 	// Leases is the table service for leases.
 	Leases  platform.Tables
-	Engines EngineCalls
+	Engines EngineClient
 	Codec   Codec
 	// Traffic counts the bytes of all connections; nil for a meter of the gateway's own.
 	Traffic *traffic.Meter
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -145,7 +145,7 @@
 func (g *Gateway) sendHead(current *carried, answer *upstream.Answer, length int64) {
 	header := current.writer.Header()
 	copyAnswerHeader(header, answer.Header)
-	g.markConnection(header)
+	g.closeAfterResponse(header)
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -116,7 +116,7 @@
 func TestWatcherIsToldOfAChangedDirectiveAtOnce(t *testing.T) {
 	g := deliveryGateway(t)
 	request := &rpc.WatchRequest{Node: "watcher", PositionsOf: string(g.node)}
-	response, news := g.watchResponse(request)
+	response, news := g.buildWatchResponse(request)
 	assert.False(t, news)
 	assert.Empty(t, response.GetDeliveries())
 	waiting := g.deliveries.changedAfter()
@@ -126,21 +126,21 @@
 	default:
 		t.Error("a waiting call isn't woken")
 	}
-	response, news = g.watchResponse(request)
+	response, news = g.buildWatchResponse(request)
 	assert.True(t, news)
 	assert.Len(t, response.GetDeliveries(), 1)
 	request.DeliveriesSeen = response.GetDeliveriesSeen()
-	response, news = g.watchResponse(request)
+	response, news = g.buildWatchResponse(request)
 	assert.False(t, news)
 	assert.Len(t, response.GetDeliveries(), 1, "its age is renewed")
 	request.PositionsOf = "another run"
-	_, news = g.watchResponse(request)
+	_, news = g.buildWatchResponse(request)
 	assert.True(t, news)
 }
 
 // deliveryStore is the store's part about deliveries.
 type deliveryStore struct {
-	Platform
+	Store
 	stored *StoredDeliveries
 	failed error
 	writes []delivery.Record
@@ -168,7 +168,7 @@
 		Stage: delivery.StageRolledBack, Condemned: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
-	g.outside.Platform = store
+	g.dependencies.Store = store
 	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
 	g.direct("app")
 	choice := g.versions(deliveryRequest(), false)
@@ -187,7 +187,7 @@
 	final := running
 	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
-	g.outside.Platform = store
+	g.dependencies.Store = store
 	g.deliveries.beginWrite("app")
 	g.writeDelivery(delivery.Record{Order: order, Stage: delivery.StageCompleted, StartedAt: time.Minute})
 	assert.EqualValues(t, 21, g.deliveries.storedVersion("app"))
@@ -214,7 +214,7 @@
 	g := deliveryGateway(t)
 	g.takeOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
-		RefusedDeliveries: []Unreadable{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
+		RefusedDeliveries: []InvalidInput{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
 	})
 	assert.True(t, g.deliveries.targets("app", "v2"))
 	assert.False(t, g.deliveries.targets("app", "v0"))
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -66,7 +66,7 @@
 // directs tells whether this node directs deliveries now. Before it begins to, it reads
 // the records of those before it.
 func (g *Gateway) directs() bool {
-	if _, holds := g.keeper.Fence(); !holds || g.stopping() {
+	if _, holds := g.lease.Fence(); !holds || g.isStopping() {
 		g.deliveries.resign()
 		return false
 	}
@@ -76,13 +76,13 @@
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
 	begun := g.now()
-	stored, err := g.outside.Platform.ReadDeliveries(ctx)
+	stored, err := g.dependencies.Store.ReadDeliveries(ctx)
 	if err != nil {
 		g.events.line("deliveries_unread").Err(err).Msg("deliveries_unread")
 		return false
 	}
-	g.noteUnreadable("", stored.Unreadable)
-	if _, holds := g.keeper.Fence(); !holds {
+	g.reportInvalidInput("", stored.Invalid)
+	if _, holds := g.lease.Fence(); !holds {
 		return false
 	}
 	refused := g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, begun-stored.StoreTime)
@@ -145,7 +145,7 @@
 	defer cancel()
 	begun := g.now()
 	service := record.Order.Service
-	stored, err := g.outside.Platform.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
+	stored, err := g.dependencies.Store.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
 	line := g.logger.Info()
 	if err != nil {
 		line = g.logger.Warn().Err(err)
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -229,7 +229,7 @@
 	begun := g.now()
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.deliveries.observe(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -16,7 +16,7 @@
 	var changed []fleet.PoolName
 	for index := range rows {
 		worker := &rows[index].Worker
-		if rows[index].Gone || worker.Software == "" || slices.Contains(s[worker.Service], worker.Software) {
+		if rows[index].Deleted || worker.Software == "" || slices.Contains(s[worker.Service], worker.Software) {
 			continue
 		}
 		s[worker.Service] = append(s[worker.Service], worker.Software)
@@ -34,8 +34,8 @@
 	if !g.settings().Deliveries {
 		return
 	}
-	for _, service := range g.versionsSeen.add(rows) {
-		g.deliveries.seeVersions(now, service, g.versionsSeen[service])
+	for _, service := range g.softwareVersions.add(rows) {
+		g.deliveries.seeVersions(now, service, g.softwareVersions[service])
 	}
 }
 
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -23,7 +23,7 @@
 		g := idleGateway(t)
 		settings := *g.settings()
 		settings.Deliveries = bounded
-		g.inForce.Store(&settings)
+		g.currentSettings.Store(&settings)
 		g.noteVersions(0, []WorkerRow{workerRow("old", "v1")})
 		allows := func(now time.Duration, worker fleet.EngineID, version fleet.SoftwareVersion) bool {
 			return g.deliveries.choose(now, "app", delivery.RouteName("route"), 0.5, false).Allows(worker, version)
@@ -39,7 +39,7 @@
 // TestVersionsOfTheFirstReadAreNoNews has a node begin with two versions side by side.
 func TestVersionsOfTheFirstReadAreNoNews(t *testing.T) {
 	seen := make(seenVersions)
-	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Gone: true}}
+	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Deleted: true}}
 	assert.Equal(t, []fleet.PoolName{"app"}, seen.add(rows))
 	assert.Equal(t, []fleet.SoftwareVersion{"v1", "v2"}, seen["app"])
 	assert.Empty(t, seen.add(rows))
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -13,7 +13,7 @@
 // small nodes that know neither loads nor caches would carry the requests. All gateways
 // serve on the same ports.
 func (g *Gateway) frontAddresses(query ResolutionQuery) []fleet.Address {
-	if !g.settled.Load() && g.memberCount() == 1 {
+	if !g.roleSettled.Load() && g.memberCount() == 1 {
 		return nil
 	}
 	_, port, err := net.SplitHostPort(g.settings().FrontAddress)
@@ -22,8 +22,8 @@
 	}
 	var addresses []fleet.Address
 	from := membership.Location{Region: query.Region, Zone: query.Zone}
-	for _, member := range g.roles.Load().Answer(from, g.node, g.reachable) {
-		if member.Node == g.node && !g.ready() {
+	for _, member := range g.roles.Load().Answer(from, g.node, g.isReachable) {
+		if member.Node == g.node && !g.isReady() {
 			continue
 		}
 		if host, _, err := net.SplitHostPort(string(member.Address)); err == nil {
@@ -33,10 +33,10 @@
 	return addresses
 }
 
-// reachable tells whether callers can be sent to a member, as far as this node knows.
-func (g *Gateway) reachable(member membership.Member) bool {
+// isReachable tells whether callers can be sent to a member, as far as this node knows.
+func (g *Gateway) isReachable(member membership.Member) bool {
 	if member.Node == g.node {
-		return g.ready()
+		return g.isReady()
 	}
 	current, found := g.peers.View().Find(member.Node)
 	return found && current.State == membership.Alive && !g.origins.silent(g.now(), member.Node)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -57,7 +57,7 @@
 	switch {
 	case serving >= members:
 		return 1 / float64(max(members, connectionSharers))
-	case g.serves():
+	case g.isServing():
 		return servingPart / float64(max(serving, connectionSharers))
 	default:
 		return (1 - servingPart) / float64(max(members-serving, connectionSharers))
@@ -67,7 +67,7 @@
 // outgoing returns the request as it goes to a worker.
 func (g *Gateway) outgoing(ctx context.Context, current *carried, placement *backends.Placement) *upstream.Request {
 	header := forwardedHeader(current.request.Header)
-	g.outside.Codec.StripReserved(header)
+	g.dependencies.Codec.StripReserved(header)
 	dispatch := &Dispatch{
 		Worker:      placement.Worker.ID,
 		TimeLeft:    current.timeLeft(g.now()),
@@ -78,7 +78,7 @@
 	if current.tenant != nil {
 		dispatch.Tenant = current.tenant.Name
 	}
-	g.outside.Codec.WriteDispatch(header, dispatch)
+	g.dependencies.Codec.WriteDispatch(header, dispatch)
 	id := current.metadata.RequestID
 	return &upstream.Request{
 		Method: current.request.Method,
@@ -88,7 +88,7 @@
 		Body:   current.body,
 		Permit: func() error { return g.permitSend(ctx, current, &placement.Worker, dispatch, header) },
 		Accept: func(status int, header http.Header) error {
-			info := g.outside.Codec.Answer(status, header)
+			info := g.dependencies.Codec.ReadResponse(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
 				return errForeign
 			}
@@ -118,7 +118,7 @@
 	}
 	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftSlack {
 		dispatch.TimeLeft = left
-		g.outside.Codec.WriteDispatch(header, dispatch)
+		g.dependencies.Codec.WriteDispatch(header, dispatch)
 	}
 	g.noteCall(worker.ID, callRequest)
 	return nil
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -22,26 +22,26 @@
 		known    bool
 	}{
 		"followed":                       {gapNone, now - 4*time.Second, true, now, true},
-		"history dropped":                {gapDropped, now - 2*time.Second, true, now, true},
-		"this node alone out of reach":   {gapUnreached, now - 2*time.Second, true, now - 2*time.Second, true},
-		"store out of everybody's reach": {gapUnreached, now - 6*time.Second, true, now, true},
-		"just started":                   {gapUnreached, 0, false, now, false},
+		"history dropped":                {gapHistoryExpired, now - 2*time.Second, true, now, true},
+		"this node alone out of reach":   {gapUnreachable, now - 2*time.Second, true, now - 2*time.Second, true},
+		"store out of everybody's reach": {gapUnreachable, now - 6*time.Second, true, now, true},
+		"just started":                   {gapUnreachable, 0, false, now, false},
 	} {
-		g := &Gateway{fresh: routes.NewFreshness()}
+		g := &Gateway{freshness: routes.NewFreshness()}
 		if test.proven {
-			g.fresh.Prove(test.provenAt)
+			g.freshness.Prove(test.provenAt)
 		}
-		at, known := g.changedAt(now, test.since)
+		at, known := g.changeTime(now, test.since)
 		assert.Equal(t, test.at, at, name)
 		assert.Equal(t, test.known, known, name)
 	}
 }
 
 func TestOnlyAHistoryGoneSoonIsTheStoresOwnDoing(t *testing.T) {
-	assert.Equal(t, gapDropped, gapAfter(ErrHistoryGone, 0, time.Second))
-	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 0, historyKept))
-	assert.Equal(t, gapUnreached, gapAfter(ErrHistoryGone, 1, time.Second))
-	assert.Equal(t, gapUnreached, gapAfter(errors.New("silent"), 0, time.Second))
+	assert.Equal(t, gapHistoryExpired, gapAfterFailure(ErrHistoryExpired, 0, time.Second))
+	assert.Equal(t, gapUnreachable, gapAfterFailure(ErrHistoryExpired, 0, minHistoryRetention))
+	assert.Equal(t, gapUnreachable, gapAfterFailure(ErrHistoryExpired, 1, time.Second))
+	assert.Equal(t, gapUnreachable, gapAfterFailure(errors.New("silent"), 0, time.Second))
 }
 
 // TestPeersTakeTurnsInLargeFleets has each met within a few rounds.
@@ -81,7 +81,7 @@
 	assert.Equal(t, watchWait, watchWaitFor(5*time.Second))
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		counts := time.Duration(float64(bound) * freshPart)
-		oldest := operatorWaitFor(bound) + watchWaitFor(bound) + watchGatherFor(bound)
+		oldest := operatorWaitFor(bound) + watchWaitFor(bound) + watchBatchDelayFor(bound)
 		assert.Less(t, oldest, counts*3/4, "bound %s: the last quarter is for the calls", bound)
 		assert.Greater(t, staleAfterFor(bound), operatorWaitFor(bound), "bound %s: a node that reads isn't left", bound)
 		assert.Less(t, staleAfterFor(bound)+watchWaitFor(bound), counts, "bound %s", bound)
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -107,9 +107,9 @@
 // serveFront takes one request from a caller.
 func (g *Gateway) serveFront(writer http.ResponseWriter, request *http.Request) {
 	g.inFlight.Add(1)
-	g.taken.Add(1)
+	g.requestCount.Add(1)
 	defer g.inFlight.Add(-1)
-	g.noteSuspension()
+	g.checkSuspension()
 	now := g.now()
 	g.lastRequest.Store(int64(now))
 	current := &carried{writer: writer, request: request, began: now, draw: rand.Float64()}
@@ -135,23 +135,23 @@
 
 // admit decides whether a request may go on, by the configuration in force.
 func (g *Gateway) admit(current *carried) *refusal {
-	metadata, err := g.outside.Codec.Metadata(current.request.Header)
+	metadata, err := g.dependencies.Codec.ReadMetadata(current.request.Header)
 	current.metadata = metadata
 	current.lastEventID = metadata.LastEventID
-	g.noteUnreadable(metadata.RequestID, metadata.Unreadable)
+	g.reportInvalidInput(metadata.RequestID, metadata.Invalid)
 	if err != nil {
 		return &refusal{code: resultcode.HeaderInvalid, reason: err.Error()}
 	}
 	if len(metadata.RequestID) > maxIDLength || !strings.HasPrefix(current.request.RequestURI, "/") {
 		return &refusal{code: resultcode.HeaderInvalid, reason: "malformed request"}
 	}
-	if g.refusesNew() {
+	if g.refusesRequests() {
 		return &refusal{code: resultcode.Stopping, reason: "stopping", retryAfter: retrySoon}
 	}
 	if g.pressure.level() == nodecapacity.Full {
 		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarce().String(), retryAfter: retrySoon}
 	}
-	g.awaitKnown(current.request.Context())
+	g.awaitReady(current.request.Context())
 	held := g.holder.Current()
 	if held == nil || !g.workersKnown.Load() {
 		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: retryLater}
@@ -194,7 +194,7 @@
 // mayServeKeyed tells whether this node knows the keys well enough: where a
 // revocation holds everywhere, a node out of touch serves no keyed request.
 func (g *Gateway) mayServeKeyed() bool {
-	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.freshBound())
+	return !g.settings().RevokeEverywhere || g.freshness.Within(g.now(), g.freshBound())
 }
 
 // freshBound is how old the proof of the configuration may be for keyed requests.
@@ -205,7 +205,7 @@
 // unlessBehind returns a refusal for good if this node is known to be up to
 // date; else one to come back after, since a newer configuration may allow it.
 func (g *Gateway) unlessBehind(refused refusal) *refusal {
-	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*deniedPart)) {
+	if g.freshness.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*deniedPart)) {
 		return &refused
 	}
 	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: retryLater}
@@ -291,8 +291,8 @@
 	}
 	entry := resultcode.Lookup(refused.code)
 	header := current.writer.Header()
-	g.outside.Codec.WriteRefusal(header, current.metadata.RequestID, refused.retryAfter)
-	g.markConnection(header)
+	g.dependencies.Codec.WriteRefusal(header, current.metadata.RequestID, refused.retryAfter)
+	g.closeAfterResponse(header)
 	if refused.code == resultcode.BodyTimeout || refused.code == resultcode.BodyTooLarge {
 		header.Set("Connection", "close")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,60 +38,60 @@
 
 // Gateway is one process. Start serves until Stop or a failure.
 type Gateway struct {
-	// inForce is replaced as a whole by Reload.
-	inForce atomic.Pointer[Settings]
-	outside Outside
-	clock   fleet.Clock
-	node    fleet.NodeID
-	logger  zerolog.Logger
-	events  *eventLog
-	metrics *metrics
-	life    tomb.Tomb
+	// currentSettings is replaced as a whole by Reload.
+	currentSettings atomic.Pointer[Settings]
+	dependencies    Dependencies
+	clock           fleet.Clock
+	node            fleet.NodeID
+	logger          zerolog.Logger
+	events          *eventLog
+	metrics         *metrics
+	life            tomb.Tomb
 
-	holder       *routes.Holder
-	fresh        *routes.Freshness
-	workers      *backends.Registry
-	upstreams    *upstream.Pool
-	budgets      *budgets
-	quotas       *quotas
-	limits       *workerLimits
-	backoffs     *workerBackoffs
-	unknown      *unknownHeaders
-	weights      *weights
-	deliveries   *deliveries
-	peers        *peer.Peer
-	keeper       *lease.Keeper
-	seeds        *seedList
-	pending      *pendingSends
-	tables       []*table
-	sources      *sources
-	demand       *demand
-	origins      *origins
-	silences     *silences
-	pressure     *pressure
-	readiness    *readiness
-	announcer    *announcer
-	toldVersions *toldVersions
-	cacheLog     *cacheLog
-	zoneFeeds    *zoneFeeds
-	crashes      *crashes
-	quarantines  *quarantines
-	suspensions  *suspension.Detector
-	resumptions  *resumptions
-	deadlines    *deadlines
+	holder            *routes.Holder
+	freshness         *routes.Freshness
+	workers           *backends.Registry
+	upstreams         *upstream.Pool
+	budgets           *budgets
+	quotas            *quotas
+	limits            *workerLimits
+	backoffs          *workerBackoffs
+	unknownHeaders    *unknownHeaders
+	rollout           *rolloutState
+	deliveries        *deliveries
+	peers             *peer.Peer
+	lease             *lease.Keeper
+	seeds             *seedList
+	pending           *pendingSends
+	tables            []*table
+	sources           *sourceSelector
+	demand            *demand
+	origins           *origins
+	unresponsivePeers *silences
+	pressure          *pressure
+	readiness         *readiness
+	announcer         *announcer
+	reportedVersions  *toldVersions
+	cacheLog          *cacheLog
+	zoneFeeds         *zoneFeeds
+	crashes           *crashes
+	quarantines       *quarantines
+	suspensions       *suspension.Detector
+	suspensionSignal  *suspensionSignal
+	deadlines         *deadlines
 	// quarantineTable is followed by those that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
-	// sizes and joined are used by assign alone; settled is set once this node knows its role.
-	sizes   membership.SizeHold
-	joined  joinedMembers
-	settled atomic.Bool
-	// versionsSeen belongs to who takes the workers' table in.
-	versionsSeen seenVersions
-	// duty is used by driveRollout alone; standIn is set while this node stands in for
+	// groupSizes and joined are used by assign alone; settled is set once this node knows its role.
+	groupSizes  membership.SizeHold
+	join        joinState
+	roleSettled atomic.Bool
+	// softwareVersions belongs to who takes the workers' table in.
+	softwareVersions seenVersions
+	// progress is used by driveRollout alone; standIn is set while this node stands in for
 	// the candidates of the lease.
-	duty    dutyWatch
-	standIn atomic.Bool
+	progress          progressMonitor
+	fallbackCandidate atomic.Bool
 
 	splitMutex sync.Mutex
 	splitter   *routes.Splitter
@@ -102,23 +102,23 @@
 	// clock; 0 before.
 	stoppingSince atomic.Int64
 	inFlight      atomic.Int64
-	// taken counts the requests since the start.
-	taken atomic.Int64
-	// requiredAt is when requireDue was last called, in nanoseconds of the steady clock.
-	requiredAt  atomic.Int64
-	lastRequest atomic.Int64
-	// lastLimited is when the last request of a tenant with a limit came, in nanoseconds of
+	// requestCount counts the requests since the start.
+	requestCount atomic.Int64
+	// versionsEnforcedAt is when requireDue was last called, in nanoseconds of the steady clock.
+	versionsEnforcedAt atomic.Int64
+	lastRequest        atomic.Int64
+	// lastLimitedRequest is when the last request of a tenant with a limit came, in nanoseconds of
 	// the steady clock; 0 before.
-	lastLimited atomic.Int64
+	lastLimitedRequest atomic.Int64
 
-	servers   []*http.Server
-	front     *http.Server
-	idle      *idleConnections
-	listeners []net.Listener
+	servers         []*http.Server
+	front           *http.Server
+	idleConnections *idleConnections
+	listeners       []net.Listener
 }
 
 // New returns a gateway that isn't started.
-func New(settings Settings, outside Outside, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
+func New(settings Settings, outside Dependencies, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
@@ -131,40 +131,40 @@
 	}
 	holderID := lease.NewHolderID(fleet.NodeID(settings.Node), rand.Uint64())
 	g := &Gateway{
-		outside:  outside,
-		clock:    outside.Clock,
-		node:     fleet.NodeID(holderID),
-		logger:   logger,
-		events:   newEventLog(logger),
-		metrics:  newMetrics(registry, outside.Traffic),
-		holder:   routes.NewHolder(),
-		fresh:    routes.NewFreshness(),
-		splitter: routes.NewSplitter(),
-		seeds:    &seedList{},
-		pending:  newPendingSends(),
-		idle:     newIdleConnections(),
-		demand:   newDemand(),
-		origins:  newOrigins(),
-		pressure: &pressure{},
-		silences: newSilences(),
+		dependencies:      outside,
+		clock:             outside.Clock,
+		node:              fleet.NodeID(holderID),
+		logger:            logger,
+		events:            newEventLog(logger),
+		metrics:           newMetrics(registry, outside.Traffic),
+		holder:            routes.NewHolder(),
+		freshness:         routes.NewFreshness(),
+		splitter:          routes.NewSplitter(),
+		seeds:             &seedList{},
+		pending:           newPendingSends(),
+		idleConnections:   newIdleConnections(),
+		demand:            newDemand(),
+		origins:           newOrigins(),
+		pressure:          &pressure{},
+		unresponsivePeers: newSilences(),
 
-		readiness:    newReadiness(),
-		announcer:    newAnnouncer(),
-		toldVersions: newToldVersions(),
-		cacheLog:     newCacheLog(rand.Uint64()),
-		zoneFeeds:    newZoneFeeds(),
-		crashes:      newCrashes(),
-		quarantines:  newQuarantines(),
-		resumptions:  newResumptions(),
-		deadlines:    newDeadlines(),
-		limits:       newWorkerLimits(),
-		backoffs:     newWorkerBackoffs(random()),
-		unknown:      &unknownHeaders{},
-		versionsSeen: make(seenVersions),
+		readiness:        newReadiness(),
+		announcer:        newAnnouncer(),
+		reportedVersions: newToldVersions(),
+		cacheLog:         newCacheLog(rand.Uint64()),
+		zoneFeeds:        newZoneFeeds(),
+		crashes:          newCrashes(),
+		quarantines:      newQuarantines(),
+		suspensionSignal: newSuspensionSignal(),
+		deadlines:        newDeadlines(),
+		limits:           newWorkerLimits(),
+		backoffs:         newWorkerBackoffs(random()),
+		unknownHeaders:   &unknownHeaders{},
+		softwareVersions: make(seenVersions),
 	}
-	g.inForce.Store(&settings)
+	g.currentSettings.Store(&settings)
 	g.suspensions = suspension.NewDetector(g.clock, fleet.NewRuntimeClock())
-	g.sources = newSources(g.clock.Now(), relay.Options{
+	g.sources = newSourceSelector(g.clock.Now(), relay.Options{
 		Self: g.node, Random: random(), AwaitRole: settings.FirstStart, StaleAfter: staleAfterFor(settings.RevokeWithin),
 	})
 	g.tables = g.newTables()
@@ -177,24 +177,24 @@
 		Scheduling: schedulingOptions(),
 	})
 	g.upstreams = upstream.NewPool(upstream.Options{
-		Traffic: g.outside.Traffic,
+		Traffic: g.dependencies.Traffic,
 		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
 	g.budgets = newBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
-	g.weights = newWeights(settings)
+	g.rollout = newRolloutState(settings)
 	g.deliveries = newDeliveries(g.node, settings)
 	var err error
 	if g.peers, err = g.newPeer(random()); err != nil {
 		return nil, err
 	}
-	g.assign(g.clock.Now())
+	g.updateRoles(g.clock.Now())
 	election, err := lease.NewElection(leaseSettings(settings), holderID, random())
 	if err != nil {
 		return nil, errors.Wrap(err, "lease")
 	}
 	election.SetEligible(false)
-	g.keeper = lease.NewKeeper(election, outside.Leases, g.clock, logger)
+	g.lease = lease.NewKeeper(election, outside.Leases, g.clock, logger)
 	return g, nil
 }
 
@@ -231,7 +231,7 @@
 		Holder:   config.NewHolder(),
 		Logger:   g.logger,
 		Loads:    g.answerLoad,
-		Traffic:  g.outside.Traffic,
+		Traffic:  g.dependencies.Traffic,
 		Watch:    g.answerWatch,
 		Caches:   g.answerCaches,
 		Limits:   g.answerGrant,
@@ -243,7 +243,7 @@
 }
 
 // settings returns the settings in force.
-func (g *Gateway) settings() *Settings { return g.inForce.Load() }
+func (g *Gateway) settings() *Settings { return g.currentSettings.Load() }
 
 // Reload puts other settings in force without a break. Addresses and names stay
 // as they were at the start: a change of these needs a restart, and is refused.
@@ -254,8 +254,8 @@
 	if settings.identity() != g.settings().identity() {
 		return errors.New("names and addresses can't change while the gateway runs")
 	}
-	g.inForce.Store(&settings)
-	g.weights.setWithin(settings.WeightsWithin)
+	g.currentSettings.Store(&settings)
+	g.rollout.setBound(settings.UpdateModelsWithin)
 	g.budgets.setSettings(settings)
 	g.logger.Info().Msg("settings_reloaded")
 	return nil
@@ -287,13 +287,13 @@
 	g.life.Go(g.followQuarantine)
 	g.peers.Start()
 	g.life.Go(g.watchPeers)
-	g.life.Go(g.driveRoles)
+	g.life.Go(g.maintainRoles)
 	g.life.Go(g.drivePressure)
 	g.life.Go(g.register)
 	g.life.Go(g.shareLoads)
 	g.life.Go(g.announceLoads)
 	g.life.Go(g.shareUses)
-	g.life.Go(g.driveRollout)
+	g.life.Go(g.runRollout)
 	g.life.Go(g.driveDeliveries)
 	g.life.Go(g.announceDeliveries)
 	g.life.Go(g.announceQuarantine)
@@ -309,8 +309,8 @@
 // now returns the time on the steady clock, which counts suspended time.
 func (g *Gateway) now() time.Duration { return g.clock.Now() }
 
-// stopping tells whether a planned stop has begun.
-func (g *Gateway) stopping() bool { return g.stoppingSince.Load() != 0 }
+// isStopping tells whether a planned stop has begun.
+func (g *Gateway) isStopping() bool { return g.stoppingSince.Load() != 0 }
 
 // context returns a context that ends with the process.
 func (g *Gateway) context() context.Context { return g.life.Context(context.Background()) }
@@ -329,23 +329,23 @@
 
 // Intervals of housekeeping.
 const (
-	housekeepInterval = time.Second
-	forgetWorkers     = 20 * time.Second
+	housekeepInterval  = time.Second
+	forgetWorkersAfter = 20 * time.Second
 )
 
 // housekeep drops what is not needed any more.
 func (g *Gateway) housekeep() error {
-	for g.pauseOrRest(housekeepInterval) {
-		for _, engine := range g.workers.Forget(g.now(), forgetWorkers) {
+	for g.pauseInterval(housekeepInterval) {
+		for _, engine := range g.workers.Forget(g.now(), forgetWorkersAfter) {
 			g.upstreams.Forget(engine)
 			g.limits.forget(engine)
 			g.backoffs.forget(engine)
-			g.unknown.forget(engine)
+			g.unknownHeaders.forget(engine)
 		}
 		g.upstreams.Sweep()
 		g.reportLimits()
-		g.metrics.backingOff.Set(float64(len(g.backoffs.closing(g.now()))))
-		g.idle.sweep(g.now(), g.idleLimit())
+		g.metrics.workersInBackoff.Set(float64(len(g.backoffs.closing(g.now()))))
+		g.idleConnections.sweep(g.now(), g.idleTimeout())
 		g.crashes.sweep(g.now())
 		g.sweepQuarantines()
 		g.planSubsets(nil)
@@ -354,8 +354,8 @@
 	return nil
 }
 
-// idleLimit returns how long a caller's connection may rest.
-func (g *Gateway) idleLimit() time.Duration {
+// idleTimeout returns how long a caller's connection may rest.
+func (g *Gateway) idleTimeout() time.Duration {
 	held := g.holder.Current()
 	if held == nil {
 		return 0
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -178,7 +178,7 @@
 
 // grant tells whether a request may be sent to a worker, for any node that asks this one.
 func (g *Gateway) grant(observation workerlimit.Observation, priority int) (workerlimit.Grant, error) {
-	if !g.settled.Load() {
+	if !g.roleSettled.Load() {
 		return workerlimit.Grant{}, errUnsettled
 	}
 	now := g.now()
@@ -203,7 +203,7 @@
 
 // answerGrant answers another node's question.
 func (g *Gateway) answerGrant(_ context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
-	g.noteSuspension()
+	g.checkSuspension()
 	observation, err := decodeLimit(question.GetLimit(), g.now()-grantTimeout, g.now())
 	if err != nil {
 		return nil, err
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -210,7 +210,7 @@
 }
 
 // noteLimit takes in what an answer to a request says of its worker's limit.
-func (g *Gateway) noteLimit(current *carried, worker *backends.Worker, info AnswerInfo) {
+func (g *Gateway) noteLimit(current *carried, worker *backends.Worker, info ResponseInfo) {
 	if !saysLimit(info) {
 		return
 	}
@@ -227,7 +227,7 @@
 // saysLimit tells whether an answer is the worker's own statement on its limit. One by another run
 // says nothing, and one that rejects the request, which need not be the worker's whole answer,
 // doesn't end a limit.
-func saysLimit(info AnswerInfo) bool {
+func saysLimit(info ResponseInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
 		return !info.Misdirected
@@ -247,7 +247,7 @@
 // reportLimits logs what this node has sent to the workers with limits since the last time.
 func (g *Gateway) reportLimits() {
 	uses := g.limits.uses(g.now())
-	g.metrics.limited.Set(float64(len(uses)))
+	g.metrics.limitedWorkers.Set(float64(len(uses)))
 	for _, use := range uses {
 		line := g.events.line("worker_limit_use").Str("worker", string(use.observation.Worker)).Float64("rate", float64(use.observation.Rate))
 		for _, kind := range []callKind{callRequest, callCacheEvents, callReport, callOrder} {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -24,13 +24,13 @@
 
 func TestOnlyAWorkersOwnAnswerTellsOfItsLimit(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
-	assert.True(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
-	assert.True(t, saysLimit(AnswerInfo{Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{}), "it may not be the worker's")
-	assert.False(t, saysLimit(AnswerInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, saysLimit(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
+	assert.True(t, saysLimit(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
+	assert.True(t, saysLimit(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "it says so where it rejects as well")
+	assert.False(t, saysLimit(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "another run")
+	assert.True(t, saysLimit(ResponseInfo{Signed: true}))
+	assert.False(t, saysLimit(ResponseInfo{}), "it may not be the worker's")
+	assert.False(t, saysLimit(ResponseInfo{NotExecuted: true, Signed: true}))
+	assert.False(t, saysLimit(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
 // TestObservationIsNoYoungerAfterACall: what was said within a call may be as old as the call.
@@ -76,11 +76,11 @@
 // TestNodeThatHasJustStartedGrantsNothing: it may not be the one that grants.
 func TestNodeThatHasJustStartedGrantsNothing(t *testing.T) {
 	g := idleGateway(t)
-	g.settled.Store(false)
+	g.roleSettled.Store(false)
 	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
 	_, err := g.answerGrant(context.Background(), question)
 	assert.ErrorIs(t, err, errUnsettled)
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	answer, err := g.answerGrant(context.Background(), question)
 	require.NoError(t, err)
 	assert.False(t, answer.GetGranted(), "it begins with nothing to give")
@@ -91,7 +91,7 @@
 // TestWhoGrantsKnowsThatALimitHasEnded and says so to one that believes in it still.
 func TestWhoGrantsKnowsThatALimitHasEnded(t *testing.T) {
 	g := idleGateway(t)
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
 	g.limits.observe(workerlimit.Observation{Worker: "w", Asked: now - time.Second, Answered: now}, false)
@@ -169,7 +169,7 @@
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
 	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 1)
 	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "more urgent requests may ask sooner")
-	g.forgetFormerRun("w")
+	g.forgetPreviousRun("w")
 	assert.False(t, g.limits.limited("w", 0))
 }
 
--- a/internal/gateway/limittalk.go
+++ b/internal/gateway/limittalk.go
@@ -95,7 +95,7 @@
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(begun, observations)}
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.takeLimits(answer, begun)
@@ -126,7 +126,7 @@
 	}
 	observation, err := decodeLimit(told, begun, g.now())
 	if err != nil {
-		g.noteUnreadable("", []Unreadable{{Source: "worker_limit", Key: told.GetWorker(), Err: err}})
+		g.reportInvalidInput("", []InvalidInput{{Source: "worker_limit", Key: told.GetWorker(), Err: err}})
 		return
 	}
 	if change := g.limits.observe(observation, false); change != workerlimit.Unchanged {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,25 +8,25 @@
 
 // metrics are the counters and histograms of a gateway.
 type metrics struct {
-	requests      *prometheus.CounterVec
-	latency       *prometheus.HistogramVec
-	attempts      *prometheus.CounterVec
-	storeFailures *prometheus.CounterVec
-	shareFailures prometheus.Counter
-	connections   prometheus.Counter
-	orders        prometheus.Counter
-	unreadable    *prometheus.CounterVec
-	quotaUnits    *prometheus.CounterVec
-	quotaShare    *prometheus.GaugeVec
-	pressure      prometheus.Gauge
-	untaken       prometheus.Counter
-	lostRuns      prometheus.Counter
-	suspensions   prometheus.Counter
-	workerCalls   *prometheus.CounterVec
-	limited       prometheus.Gauge
-	limitGrants   *prometheus.CounterVec
-	notices       *prometheus.CounterVec
-	backingOff    prometheus.Gauge
+	requests            *prometheus.CounterVec
+	latency             *prometheus.HistogramVec
+	attempts            *prometheus.CounterVec
+	storeFailures       *prometheus.CounterVec
+	peerFailures        prometheus.Counter
+	connections         prometheus.Counter
+	orders              prometheus.Counter
+	invalidInputs       *prometheus.CounterVec
+	quotaUnits          *prometheus.CounterVec
+	quotaShare          *prometheus.GaugeVec
+	pressure            prometheus.Gauge
+	refusedConnections  prometheus.Counter
+	runsEndedWithWorker prometheus.Counter
+	suspensions         prometheus.Counter
+	workerCalls         *prometheus.CounterVec
+	limitedWorkers      prometheus.Gauge
+	limitGrants         *prometheus.CounterVec
+	notices             *prometheus.CounterVec
+	workersInBackoff    prometheus.Gauge
 
 	quarantineRefusals prometheus.Counter
 	quarantined        prometheus.Gauge
@@ -61,7 +61,7 @@
 		storeFailures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tillerfall_gateway_store_failures_total", Help: "Failed calls to the store, by table.",
 		}, []string{"table"}),
-		shareFailures: prometheus.NewCounter(prometheus.CounterOpts{
+		peerFailures: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tillerfall_gateway_share_failures_total", Help: "Failed exchanges with other gateways.",
 		}),
 		connections: prometheus.NewCounter(prometheus.CounterOpts{
@@ -70,7 +70,7 @@
 		orders: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tillerfall_gateway_orders_total", Help: "Orders sent to engines.",
 		}),
-		unreadable: prometheus.NewCounterVec(prometheus.CounterOpts{
+		invalidInputs: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tillerfall_gateway_unreadable_total", Help: "Rows and headers that couldn't be read, by source.",
 		}, []string{"source"}),
 		quotaUnits: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -93,10 +93,10 @@
 	m.pressure = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "tillerfall_gateway_pressure", Help: "How near the node is to its limits: 0 free, 1 busy, 2 full.",
 	})
-	m.untaken = prometheus.NewCounter(prometheus.CounterOpts{
+	m.refusedConnections = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tillerfall_gateway_untaken_connections_total", Help: "Connections of callers closed for want of descriptors.",
 	})
-	m.lostRuns = prometheus.NewCounter(prometheus.CounterOpts{
+	m.runsEndedWithWorker = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tillerfall_gateway_runs_ended_with_worker_total", Help: "Runs that were under way at a worker when it ended.",
 	})
 	m.suspensions = prometheus.NewCounter(prometheus.CounterOpts{
@@ -115,7 +115,7 @@
 	m.workerCalls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "tillerfall_gateway_worker_calls_total", Help: "Calls that reach workers, by what they are for.",
 	}, []string{"kind"})
-	m.limited = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.limitedWorkers = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "tillerfall_gateway_limited_workers", Help: "Workers that name a limit on their requests now.",
 	})
 	m.limitGrants = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -124,14 +124,14 @@
 	m.notices = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "tillerfall_gateway_worker_notices_total", Help: "Answers in which workers say that they shut down or want no requests, by notice and call.",
 	}, []string{"notice", "call"})
-	m.backingOff = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.workersInBackoff = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "tillerfall_gateway_workers_in_backoff", Help: "Workers that have asked this node for no requests and get none now.",
 	})
 	if registry != nil {
-		registry.MustRegister(m.limitGrants, m.notices, m.backingOff)
-		registry.MustRegister(m.workerCalls, m.limited)
-		registry.MustRegister(m.pressure, m.untaken, m.lostRuns, m.suspensions, m.quarantineRefusals, m.quarantined, m.beforeSend)
-		registry.MustRegister(m.requests, m.latency, m.attempts, m.storeFailures, m.shareFailures, m.connections, m.orders, m.unreadable, m.quotaUnits, m.quotaShare,
+		registry.MustRegister(m.limitGrants, m.notices, m.workersInBackoff)
+		registry.MustRegister(m.workerCalls, m.limitedWorkers)
+		registry.MustRegister(m.pressure, m.refusedConnections, m.runsEndedWithWorker, m.suspensions, m.quarantineRefusals, m.quarantined, m.beforeSend)
+		registry.MustRegister(m.requests, m.latency, m.attempts, m.storeFailures, m.peerFailures, m.connections, m.orders, m.invalidInputs, m.quotaUnits, m.quotaShare,
 			m.deliveryAnswers, m.deliveryLatency, m.deliveryShare, traffic.NewCollector(meter, bytesMetric))
 	}
 	return m
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -25,7 +25,7 @@
 	// Unknown lists the headers in which the server says something else of itself.
 	Unknown []string
 	// Unreadable lists the headers of these that couldn't be read.
-	Unreadable []Unreadable
+	Unreadable []InvalidInput
 }
 
 // saysOf tells whether the notice can be that of a worker. A call that was refused as meant for
@@ -119,7 +119,7 @@
 func (g *Gateway) noteUnknown(about noticed, headers []string) {
 	for _, header := range headers {
 		name := header[:min(len(header), maxHeaderName)]
-		if g.unknown.first(about.worker, name) {
+		if g.unknownHeaders.first(about.worker, name) {
 			g.events.line("unknown_header").Str("worker", string(about.worker)).Str("header", name).Str("call", string(about.kind)).Msg("unknown_header")
 		}
 	}
@@ -143,7 +143,7 @@
 // noteAnswerNotice takes in what an answer to a request that was sent at a time says of its worker.
 // What nobody signed and what isn't a worker's word that it didn't run the request isn't known to
 // be the worker's.
-func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info AnswerInfo) {
+func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
@@ -167,7 +167,7 @@
 // noticesOf returns a context in which the notices of a worker's answers are taken in.
 func (g *Gateway) noticesOf(ctx context.Context, about noticed) context.Context {
 	return WithNotices(ctx, func(notice Notice) {
-		g.noteUnreadable("", notice.Unreadable)
+		g.reportInvalidInput("", notice.Unreadable)
 		g.takeNotice(about, &notice)
 	})
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -17,16 +17,16 @@
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	for _, test := range []struct {
 		name  string
-		info  AnswerInfo
+		info  ResponseInfo
 		tells bool
 	}{
-		{"signed", AnswerInfo{Signed: true}, true},
-		{"rejected", AnswerInfo{NotExecuted: true}, true},
-		{"named", AnswerInfo{Signed: true, Notice: Notice{Instance: "w"}}, true},
-		{"other weights than expected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
-		{"misdirected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true}}, false},
-		{"another run", AnswerInfo{Signed: true, Notice: Notice{Instance: "other"}}, false},
-		{"without a signature", AnswerInfo{}, false},
+		{"signed", ResponseInfo{Signed: true}, true},
+		{"rejected", ResponseInfo{NotExecuted: true}, true},
+		{"named", ResponseInfo{Signed: true, Notice: Notice{Instance: "w"}}, true},
+		{"other weights than expected", ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
+		{"misdirected", ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true}}, false},
+		{"another run", ResponseInfo{Signed: true, Notice: Notice{Instance: "other"}}, false},
+		{"without a signature", ResponseInfo{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			g := idleGateway(t)
@@ -60,7 +60,7 @@
 		g.workers.Observe(1, worker)
 	}
 	assert.Empty(t, told.loadReport("other").GetDraining())
-	told.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
+	told.noteAnswerNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := told.loadReport("other")
 	hears.takeLoad(report)
 	assert.True(t, hears.workers.Draining("w"))
@@ -79,7 +79,7 @@
 func TestBackoffsAreToldWithinAZone(t *testing.T) {
 	g := idleGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
+	g.noteAnswerNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
 	assert.Equal(t, []string{"w"}, report.GetDeferring())
 	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringOf(report))
@@ -91,13 +91,13 @@
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
 	g := idleGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, AnswerInfo{Notice: Notice{RetryAfter: time.Hour}})
+	g.noteAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
 	assert.NoError(t, g.permitWorker(&worker), "nobody signed it")
 	asked := g.now()
-	g.noteAnswerNotice(&worker, asked, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
-	g.noteAnswerNotice(&worker, asked-time.Millisecond, AnswerInfo{Signed: true})
-	g.noteAnswerNotice(&worker, asked+time.Minute, AnswerInfo{Signed: true, Notice: Notice{Misdirected: true}})
+	g.noteAnswerNotice(&worker, asked, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
+	g.noteAnswerNotice(&worker, asked-time.Millisecond, ResponseInfo{Signed: true})
+	g.noteAnswerNotice(&worker, asked+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
-	g.forgetFormerRun("w")
+	g.forgetPreviousRun("w")
 	assert.NoError(t, g.permitWorker(&worker), "another run")
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -50,13 +50,13 @@
 func (g *Gateway) register() error {
 	registered := false
 	for {
-		reading := g.settled.Load() && g.roles.Load().reader
+		reading := g.roleSettled.Load() && g.roles.Load().reader
 		alone := g.memberCount() == 1
-		if reading || (alone && g.now() >= joinGrace) {
+		if reading || (alone && g.now() >= joinGracePeriod) {
 			registered = g.meet(registered)
 		}
 		interval := seedIntervalKnown
-		if alone || !g.settled.Load() || (reading && !registered) {
+		if alone || !g.roleSettled.Load() || (reading && !registered) {
 			interval = seedInterval
 		}
 		if !g.pause(interval) {
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(g.context(), 2*time.Second)
 	defer cancel()
 	if !registered {
-		err := g.outside.Platform.RegisterNode(ctx, Node{
+		err := g.dependencies.Store.RegisterNode(ctx, Node{
 			Name:    g.settings().Node,
 			Address: fleet.Address(g.settings().PeerAddress),
 			Zone:    g.settings().Zone,
@@ -86,12 +86,12 @@
 }
 
 func (g *Gateway) readSeeds(ctx context.Context) {
-	nodes, unreadable, err := g.outside.Platform.ReadNodes(ctx)
+	nodes, unreadable, err := g.dependencies.Store.ReadNodes(ctx)
 	if err != nil {
 		g.events.line("nodes_unread").Err(err).Msg("nodes_unread")
 		return
 	}
-	g.noteUnreadable("", unreadable)
+	g.reportInvalidInput("", unreadable)
 	var addresses []fleet.Address
 	for _, node := range nodes {
 		if node.Address != fleet.Address(g.settings().PeerAddress) {
@@ -105,7 +105,7 @@
 // all of them in each round while they are few, else with some, taking turns.
 func (g *Gateway) shareLoads() error {
 	known := make(map[fleet.NodeID]bool)
-	for round := 0; g.pauseOrRest(shareInterval); round++ {
+	for round := 0; g.pauseInterval(shareInterval); round++ {
 		peers := g.loadPeers()
 		present := make(map[fleet.NodeID]bool, len(peers))
 		for _, member := range peers {
@@ -120,8 +120,8 @@
 			if !present[node] {
 				g.workers.ForgetPeer(node)
 				g.demand.forget(node)
-				g.silences.forget(node)
-				g.toldVersions.forget(node)
+				g.unresponsivePeers.forget(node)
+				g.reportedVersions.forget(node)
 			}
 		}
 		known = present
@@ -152,7 +152,7 @@
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
 	g.noteExchange(member.Node, err == nil)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.takeLoad(report)
@@ -219,7 +219,7 @@
 	for _, suspect := range g.workers.Suspects(now) {
 		report.Suspects = append(report.Suspects, string(suspect))
 	}
-	for id, remaining := range g.weights.underOrder(now) {
+	for id, remaining := range g.rollout.orderedEngines(now) {
 		report.Orders = append(report.Orders, &rpc.WorkerOrder{
 			Worker: string(id), RemainingMillis: uint32(remaining.Milliseconds()),
 		})
@@ -230,14 +230,14 @@
 	for _, run := range g.workers.DrainingUnlisted() {
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
 	}
-	if _, holds := g.keeper.Fence(); holds {
+	if _, holds := g.lease.Fence(); holds {
 		report.Weights = g.versionsFor(now, to)
 	}
 	g.quotas.write(now, report, to)
 	g.deliveries.write(now, report, to)
 	g.quarantines.write(now, report)
 	if held := g.holder.Current(); held != nil {
-		if age, proven := g.fresh.Age(now); proven && age < g.settings().RevokeWithin {
+		if age, proven := g.freshness.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
 			report.ProofRevision = uint64(held.Revision)
 		}
@@ -248,7 +248,7 @@
 // namedVersions returns when the newest versions of weights were named.
 func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
-	for model, namings := range g.weights.heard() {
+	for model, namings := range g.rollout.recentVersions() {
 		for _, naming := range namings {
 			named = append(named, &rpc.NamedVersion{
 				Model: string(model), Version: naming.Version, AgeMillis: uint32(max(now-naming.At, 0).Milliseconds()),
@@ -263,7 +263,7 @@
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
-		g.weights.learn(at, fleet.ModelName(version.GetModel()), version.GetVersion())
+		g.rollout.recordPeerVersion(at, fleet.ModelName(version.GetModel()), version.GetVersion())
 	}
 }
 
@@ -276,7 +276,7 @@
 			present = append(present, engineVersion{engineModel{worker.ID, model}, uint64(version)})
 		}
 	}
-	due := g.toldVersions.due(now, to, present)
+	due := g.reportedVersions.due(now, to, present)
 	told := make([]*rpc.WorkerWeights, 0, len(due))
 	for _, version := range due {
 		told = append(told, &rpc.WorkerWeights{
@@ -329,6 +329,6 @@
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
 	}
-	g.fresh.Prove(begun - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
-	g.noteKnown()
+	g.freshness.Prove(begun - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
+	g.updateReadiness()
 }
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -92,7 +92,7 @@
 
 // drivePressure measures what this node uses, until the process ends.
 func (g *Gateway) drivePressure() error {
-	for g.pauseOrRest(g.pressurePause()) {
+	for g.pauseInterval(g.pressurePause()) {
 		used, err := g.consumed()
 		if err != nil {
 			g.events.line("usage_unread").Err(err).Msg("usage_unread")
@@ -105,7 +105,7 @@
 
 // pressurePause returns the time until the next look.
 func (g *Gateway) pressurePause() time.Duration {
-	if g.resting() {
+	if g.isIdle() {
 		return pressureRest
 	}
 	return pressureInterval
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -61,8 +61,8 @@
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
 	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.planWeights(now))
-	g.assign(now)
-	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().weights["other"])
+	g.updateRoles(now)
+	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().pressureWeights["other"])
 	_, told := g.originReport(now)
 	require.Len(t, told, 1)
 	g.takeOrigins(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
@@ -84,7 +84,7 @@
 	require.NoError(t, g.Reload(settings))
 	g.takeUsage(g.now(), consumption{memory: 99 * bytesPerMB})
 	assert.EqualValues(t, nodecapacity.Full, g.loadReport("other").GetPressure())
-	response, _ := g.watchResponse(&rpc.WatchRequest{})
+	response, _ := g.buildWatchResponse(&rpc.WatchRequest{})
 	require.Len(t, response.GetPressures(), 1)
 	assert.EqualValues(t, g.node, response.GetPressures()[0].GetNode())
 }
@@ -190,6 +190,6 @@
 
 func TestDirectoryNamesNobodyWhoIsNotReady(t *testing.T) {
 	g := idleGateway(t)
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{Zone: "z0"}), "it knows no configuration yet")
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -206,7 +206,7 @@
 	if g.workers.Draining(worker) {
 		return
 	}
-	g.metrics.lostRuns.Add(float64(len(fingerprints)))
+	g.metrics.runsEndedWithWorker.Add(float64(len(fingerprints)))
 	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", fingerprintText(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -23,7 +23,7 @@
 
 // quarantineStore is the store's part about requests that end workers.
 type quarantineStore struct {
-	Platform
+	Store
 	rows    map[quarantine.Fingerprint]QuarantineRow
 	version fleet.Revision
 	failed  error
@@ -61,14 +61,14 @@
 	return nil
 }
 
-func (s *quarantineStore) DecodeQuarantine([]watchcache.Row) ([]QuarantineRow, []Unreadable) {
+func (s *quarantineStore) DecodeQuarantine([]watchcache.Row) ([]QuarantineRow, []InvalidInput) {
 	return nil, nil
 }
 
 // quarantineGateway returns a gateway that isn't started, before a store.
 func quarantineGateway(t *testing.T, store *quarantineStore) *Gateway {
 	g := idleGateway(t)
-	g.outside.Platform = store
+	g.dependencies.Store = store
 	return g
 }
 
@@ -183,7 +183,7 @@
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
-	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Gone: true}
+	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Deleted: true}
 	g.takeQuarantineRow(&gone)
 	assert.NotNil(t, g.checkQuarantine(current), "there was no row yet")
 	g.takeQuarantineRow(&row)
@@ -250,9 +250,9 @@
 	other.takeQuarantineRecords(answer.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "another digest brings it")
 	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "the same one doesn't")
-	watched, _ := one.watchResponse(&rpc.WatchRequest{})
+	watched, _ := one.buildWatchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
-	watched, _ = one.watchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
+	watched, _ = one.buildWatchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.takeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
@@ -295,7 +295,7 @@
 		worker.Draining = draining
 		g.workers.Observe(1, worker)
 		g.crashes.note(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
-		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
+		g.handleWorkerChange(worker, g.workers.ObserveGone(g.now(), 2, "w"))
 		_, blamed := g.quarantines.record(quarantine.Fingerprint{1})
 		assert.Equal(t, !draining, blamed)
 	}
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -37,14 +37,14 @@
 // read the store aren't told of its rows but of the records, so that it is none of g.tables.
 func (g *Gateway) newQuarantineTable() *table {
 	return &table{
-		name:   TableQuarantine,
-		cache:  watchcache.New(0),
-		wait:   quarantineWait,
-		pause:  workersPause,
-		take:   g.takeQuarantineRows,
-		whole:  g.takeWholeQuarantine,
-		taken:  func() {},
-		proven: func(time.Duration) {},
+		name:       TableQuarantine,
+		cache:      watchcache.New(0),
+		maxWait:    quarantineWait,
+		pause:      workersPause,
+		applyRows:  g.takeQuarantineRows,
+		onSnapshot: g.takeWholeQuarantine,
+		onApplied:  func() {},
+		onProof:    func(time.Duration) {},
 	}
 }
 
@@ -53,7 +53,7 @@
 // are told of the records by a reader a moment later.
 func (g *Gateway) followQuarantine() error {
 	select {
-	case <-g.readiness.known:
+	case <-g.readiness.ready:
 		return g.followStore(g.quarantineTable)
 	case <-g.life.Dying():
 		return nil
@@ -62,8 +62,8 @@
 
 // takeQuarantineRows takes in changed rows.
 func (g *Gateway) takeQuarantineRows(rows []watchcache.Row, _ gap) {
-	decoded, unreadable := g.outside.Platform.DecodeQuarantine(rows)
-	g.noteUnreadable("", unreadable)
+	decoded, unreadable := g.dependencies.Store.DecodeQuarantine(rows)
+	g.reportInvalidInput("", unreadable)
 	for index := range decoded {
 		g.takeQuarantineRow(&decoded[index])
 	}
@@ -77,7 +77,7 @@
 		named[row.Key] = true
 	}
 	for _, missing := range g.quarantines.storedBefore(update.Revision, named) {
-		g.takeQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
+		g.takeQuarantineRow(&QuarantineRow{Fingerprint: missing, Deleted: true})
 	}
 }
 
@@ -99,7 +99,7 @@
 // operator, ends the hold.
 func (g *Gateway) takeQuarantineRow(row *QuarantineRow) {
 	now := g.now()
-	if row.Gone {
+	if row.Deleted {
 		if g.quarantines.forgetStored(row.Fingerprint) {
 			g.noteQuarantine(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
 		}
@@ -193,8 +193,8 @@
 		case <-g.life.Dying():
 			return nil
 		}
-		_, leads := g.keeper.Fence()
-		reads, _ := g.sources.reads()
+		_, leads := g.lease.Fence()
+		reads, _ := g.sources.readsStore()
 		work := g.quarantines.work(g.now(), reads, leads)
 		g.carryOut(&work)
 	}
@@ -214,7 +214,7 @@
 func (g *Gateway) writeQuarantine(row QuarantineRow) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
+	stored, err := g.dependencies.Store.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
 	switch {
 	case err == nil:
 		g.quarantines.noteStored(&stored)
@@ -234,7 +234,7 @@
 func (g *Gateway) removeQuarantine(fingerprint quarantine.Fingerprint) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	err := g.outside.Platform.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
+	err := g.dependencies.Store.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
 	if err == nil || errors.Is(err, platform.ErrConflict) {
 		g.quarantines.forgetStored(fingerprint)
 	}
@@ -256,9 +256,9 @@
 	defer cancel()
 	row := rowOf(&record, verdict.Ends)
 	row.Trials = verdict.Trials + 1
-	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
+	stored, err := g.dependencies.Store.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
-		stored, err = g.outside.Platform.WriteQuarantine(ctx, row, stored.Version)
+		stored, err = g.dependencies.Store.WriteQuarantine(ctx, row, stored.Version)
 	}
 	line := g.logger.Warn().Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).Int("trial", row.Trials)
 	if err != nil {
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinetalk.go
@@ -65,7 +65,7 @@
 		ctx, cancel := context.WithTimeout(g.peerCall(traffic.Quarantine, member), quarantineTimeout)
 		defer cancel()
 		if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
-			g.metrics.shareFailures.Inc()
+			g.metrics.peerFailures.Inc()
 		}
 	})
 }
@@ -133,7 +133,7 @@
 	for _, told := range encoded {
 		record, err := decodeRecord(now, told)
 		if err != nil {
-			g.noteUnreadable("", []Unreadable{{Source: "quarantine_record", Err: err}})
+			g.reportInvalidInput("", []InvalidInput{{Source: "quarantine_record", Err: err}})
 			continue
 		}
 		g.noteQuarantine(record.Fingerprint, "peer", g.quarantines.merge(now, &record))
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -174,7 +174,7 @@
 	if current.tenant == nil || current.tenant.Quota == nil {
 		return nil
 	}
-	g.lastLimited.Store(int64(g.now()))
+	g.lastLimitedRequest.Store(int64(g.now()))
 	cost := current.tenant.Quota.Cost(current.metadata.PromptTokens, current.metadata.OutputTokens, current.metadata.TokensNamed)
 	decision := g.quotas.admit(g.now(), current.tenant.Name, cost)
 	tenant := string(current.tenant.Name)
@@ -229,7 +229,7 @@
 // returns false when the process ends.
 func (g *Gateway) pauseForUses() bool {
 	if g.holder.Current() != nil && g.quotas.unlimited() {
-		return g.pauseOrRest(unlimitedPause)
+		return g.pauseInterval(unlimitedPause)
 	}
 	return g.pause(quota.NearInterval)
 }
@@ -261,7 +261,7 @@
 	if peers := g.loadPeers(); len(peers) > 0 {
 		return peers
 	}
-	last := time.Duration(g.lastLimited.Load())
+	last := time.Duration(g.lastLimitedRequest.Load())
 	if last == 0 || g.now() > last+carryingFor {
 		return nil
 	}
@@ -279,7 +279,7 @@
 	g.quotas.write(g.now(), report, member.Node)
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.quotas.take(g.now(), answer)
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -15,10 +15,10 @@
 func TestIdleNodeTellsUsesOnlyForLimitedTenants(t *testing.T) {
 	g := idleGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	require.Empty(t, g.loadPeers())
 	request := func(tenant *routes.Tenant) *carried {
-		g.taken.Add(1)
+		g.requestCount.Add(1)
 		g.lastRequest.Store(int64(g.now()))
 		return &carried{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
 	}
@@ -29,6 +29,6 @@
 	limited := &routes.Tenant{Name: "limited", Quota: &routes.Quota{}}
 	g.chargeTenant(request(limited))
 	assert.Equal(t, g.roles.Load().Serving, g.usePeers())
-	g.lastLimited.Store(int64(g.now() - carryingFor - 1))
+	g.lastLimitedRequest.Store(int64(g.now() - carryingFor - 1))
 	assert.Empty(t, g.usePeers())
 }
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -12,11 +12,11 @@
 // a request is held.
 func TestRequestIsHeldFromTheOpeningOfTheFront(t *testing.T) {
 	g := idleGateway(t)
-	time.Sleep(startHold + 20*time.Millisecond)
-	g.readiness.opened.Store(int64(g.now()))
-	answered := time.AfterFunc(50*time.Millisecond, func() { close(g.readiness.known) })
+	time.Sleep(startupHold + 20*time.Millisecond)
+	g.readiness.frontOpenedAt.Store(int64(g.now()))
+	answered := time.AfterFunc(50*time.Millisecond, func() { close(g.readiness.ready) })
 	defer answered.Stop()
 	began := g.now()
-	g.awaitKnown(context.Background())
+	g.awaitReady(context.Background())
 	assert.GreaterOrEqual(t, g.now()-began, 45*time.Millisecond, "it waits for the store's answer")
 }
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -12,13 +12,13 @@
 func TestLoopsOfANodeAtRestWakeTogether(t *testing.T) {
 	moments := make(map[time.Duration]bool)
 	for index, interval := range []time.Duration{
-		rolesInterval, pressureRest, unlimitedPause, shareInterval, rolloutRest, cacheRest, housekeepInterval,
+		rolesInterval, pressureRest, unlimitedPause, shareInterval, idleRolloutInterval, cacheRest, housekeepInterval,
 	} {
 		begun := time.Duration(index) * 37 * time.Millisecond
 		for now, before := begun, begun; now < 10*time.Second; before = now {
 			now += untilTick(now, interval)
 			assert.Positive(t, now-before)
-			assert.LessOrEqual(t, now-before, interval+restTick)
+			assert.LessOrEqual(t, now-before, interval+idleTick)
 			moments[now] = true
 		}
 	}
@@ -31,18 +31,18 @@
 	roles := *g.roles.Load()
 	roles.sharesLoads = false
 	g.roles.Store(&roles)
-	assert.False(t, g.resting(), "its role isn't settled")
-	g.settled.Store(true)
-	g.lastRequest.Store(int64(g.now() - restAfter - time.Second))
-	assert.True(t, g.resting())
+	assert.False(t, g.isIdle(), "its role isn't settled")
+	g.roleSettled.Store(true)
+	g.lastRequest.Store(int64(g.now() - idleAfter - time.Second))
+	assert.True(t, g.isIdle())
 	g.inFlight.Add(1)
-	assert.False(t, g.resting())
+	assert.False(t, g.isIdle())
 	g.inFlight.Add(-1)
 	g.lastRequest.Store(int64(g.now()))
-	assert.False(t, g.resting())
-	g.lastRequest.Store(int64(g.now() - restAfter - time.Second))
+	assert.False(t, g.isIdle())
+	g.lastRequest.Store(int64(g.now() - idleAfter - time.Second))
 	sharing := roles
 	sharing.sharesLoads = true
 	g.roles.Store(&sharing)
-	assert.False(t, g.resting())
+	assert.False(t, g.isIdle())
 }
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -26,7 +26,7 @@
 		ReadyAddress: "127.0.0.1:3", PeerAddress: "127.0.0.1:4", StoreAddress: "127.0.0.1:5",
 	}
 	settings.ApplyDefaults()
-	g, err := New(settings, Outside{}, zerolog.Nop(), prometheus.NewRegistry())
+	g, err := New(settings, Dependencies{}, zerolog.Nop(), prometheus.NewRegistry())
 	require.NoError(t, err)
 	return g
 }
@@ -50,14 +50,14 @@
 	g := idleGateway(t)
 	derived := g.roles.Load()
 	require.NotNil(t, derived)
-	g.assign(time.Second)
+	g.updateRoles(time.Second)
 	assert.Same(t, derived, g.roles.Load(), "nothing has changed")
 	for range 1000 {
 		g.demand.note()
 	}
 	g.demand.measure(2 * time.Second)
 	g.demand.setSharing(true)
-	g.assign(2 * time.Second)
+	g.updateRoles(2 * time.Second)
 	assert.NotSame(t, derived, g.roles.Load(), "the demand has changed")
 }
 
@@ -83,13 +83,13 @@
 
 func TestNodeAtRestLooksSeldomAtTheRollout(t *testing.T) {
 	g := idleGateway(t)
-	assert.Equal(t, rolloutInterval, g.rolloutPause(), "alone it serves")
+	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval(), "alone it serves")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().sharesLoads)
-	assert.Equal(t, rolloutRest, g.rolloutPause())
+	assert.Equal(t, idleRolloutInterval, g.rolloutCheckInterval())
 	g.inFlight.Store(1)
-	assert.Equal(t, rolloutInterval, g.rolloutPause())
-	assert.Less(t, rolloutRest+beginReserve, requireReserve)
+	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval())
+	assert.Less(t, idleRolloutInterval+beginReserve, enforceReserve)
 }
 
 // TestRequestAtRestIsPlacedByTheVersionsThatAreDue places a request between two
@@ -100,22 +100,22 @@
 		ID: "engine", Service: "pool", Address: "127.0.0.1:9", Slots: 1,
 		Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 	})
-	require.True(t, g.weights.name(0, true, NamedWeights{Model: "model", Version: 2}))
+	require.True(t, g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2}))
 	request := &backends.Request{Service: "pool", Engine: &backends.EngineRequest{Model: "model", PromptTokens: 10}}
-	g.requireDueSoon(rolloutInterval)
+	g.refreshDueVersions(rolloutInterval)
 	placement, reason := g.workers.Choose(rolloutInterval, request)
 	require.NotNil(t, placement, reason)
 	placement.End(rolloutInterval, backends.Cancelled)
-	due := g.settings().WeightsWithin
-	g.requireDueSoon(due)
+	due := g.settings().UpdateModelsWithin
+	g.refreshDueVersions(due)
 	_, reason = g.workers.Choose(due, request)
 	assert.Equal(t, backends.ReasonVersion, reason.Reason)
 }
 
 func TestOnlyChangedRowsAreNews(t *testing.T) {
-	assert.False(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Table: "workers"}, {Table: "operator"}}}))
-	assert.True(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Rows: []*rpc.TableRow{{Key: "a"}}}}}))
-	assert.True(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
+	assert.False(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Table: "workers"}, {Table: "operator"}}}))
+	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Rows: []*rpc.TableRow{{Key: "a"}}}}}))
+	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
 }
 
 // TestNodeAsksSeldomerWhileNobodyKnowsMore bounds what a large fleet asks its readers
@@ -124,15 +124,15 @@
 	g := idleGateway(t)
 	useless := 0
 	for range 20 {
-		useless = watchUseless.countUseless(useless)
+		useless = watchFailed.countFailures(useless)
 	}
-	assert.Equal(t, watchRetry, g.watchPause(watchUseless, 1))
-	assert.Equal(t, watchRetryMax, g.watchPause(watchUseless, useless))
-	assert.Zero(t, watchQuiet.countUseless(useless))
-	assert.Zero(t, g.watchPause(watchNews, 0), "callers are sent here")
+	assert.Equal(t, watchRetry, g.watchPause(watchFailed, 1))
+	assert.Equal(t, watchRetryMax, g.watchPause(watchFailed, useless))
+	assert.Zero(t, watchUnchanged.countFailures(useless))
+	assert.Zero(t, g.watchPause(watchChanged, 0), "callers are sent here")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	assert.Equal(t, watchGather, g.watchPause(watchNews, 0))
-	assert.Zero(t, g.watchPause(watchQuiet, 0))
+	assert.Equal(t, watchBatchDelay, g.watchPause(watchChanged, 0))
+	assert.Zero(t, g.watchPause(watchUnchanged, 0))
 }
 
 // TestNodeThatDoesNotKnowItsRoleClaimsLittle has a node that has just started, and knows
@@ -150,15 +150,15 @@
 		})
 	}
 	g.workersKnown.Store(true)
-	g.settled.Store(false)
+	g.roleSettled.Store(false)
 	assert.Empty(t, present(g))
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{}))
-	g.taken.Store(1)
+	g.requestCount.Store(1)
 	assert.Empty(t, present(g))
-	g.taken.Store(2)
+	g.requestCount.Store(2)
 	assert.Len(t, present(g), engines, "callers come all the same")
-	g.taken.Store(0)
-	g.settled.Store(true)
+	g.requestCount.Store(0)
+	g.roleSettled.Store(true)
 	assert.Len(t, present(g), engines)
 	assert.Len(t, g.frontAddresses(ResolutionQuery{}), 1)
 }
@@ -167,16 +167,16 @@
 // has written a configuration.
 func TestNodeThatKnowsTheTablesAsksNoMoreOfTheStore(t *testing.T) {
 	g := idleGateway(t)
-	g.sources = newSources(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
+	g.sources = newSourceSelector(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
 	g.sources.setRole(0, sourceRole{order: []fleet.NodeID{"other"}})
-	reading, _ := g.sources.reads()
+	reading, _ := g.sources.readsStore()
 	require.True(t, reading)
 	g.workersKnown.Store(true)
-	g.fresh.Prove(0)
-	g.noteKnown()
-	reading, _ = g.sources.reads()
+	g.freshness.Prove(0)
+	g.updateReadiness()
+	reading, _ = g.sources.readsStore()
 	assert.False(t, reading)
-	assert.False(t, g.ready())
+	assert.False(t, g.isReady())
 }
 
 // BenchmarkDeriveRoles measures deriving the roles anew, by the number of members.
@@ -200,12 +200,12 @@
 		g.demand.peer(now, g.node, 100)
 		return g.roleOptions(now, 100, g.roles.Load())
 	}
-	for now := time.Duration(0); now < planAfter; now += rolesInterval {
+	for now := time.Duration(0); now < planningDelay; now += rolesInterval {
 		options := first(now)
 		require.Empty(t, options.Origins)
 		require.Empty(t, options.Least)
 	}
-	assert.NotEmpty(t, first(planAfter).Origins)
+	assert.NotEmpty(t, first(planningDelay).Origins)
 }
 
 // present returns the caches that a gateway follows itself.
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -12,42 +12,42 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// driveRollout requires new versions when they are due and, while this node
+// runRollout requires new versions when they are due and, while this node
 // holds the lease, changes the engines.
-func (g *Gateway) driveRollout() error {
+func (g *Gateway) runRollout() error {
 	var orderFrom time.Duration
-	var finished rolloutMark
+	var finished rolloutGeneration
 	held := false
-	for g.pauseOrRest(g.rolloutPause()) {
+	for g.pauseInterval(g.rolloutCheckInterval()) {
 		now := g.now()
-		if age, proven := g.fresh.Age(now); proven && age > storeLostAfter {
-			g.weights.hold(now)
+		if age, proven := g.freshness.Age(now); proven && age > storeLostAfter {
+			g.rollout.postpone(now)
 		}
-		g.requireDue(now)
-		g.pending.expire(g.weights.due(now, beginReserve))
-		g.noteStandIn(now)
-		g.keeper.SetEligible(g.rolloutCandidate())
-		token, holds := g.keeper.Fence()
+		g.enforceDueVersions(now)
+		g.pending.expire(g.rollout.due(now, beginReserve))
+		g.updateFallbackCandidate(now)
+		g.lease.SetEligible(g.isRolloutCandidate())
+		token, holds := g.lease.Fence()
 		if holds && !held {
 			orderFrom = now + g.orderDelay(token)
 			g.logger.Info().Uint64("token", uint64(token)).Dur("order_delay", orderFrom-now).Msg("rollout_taken")
 		}
 		held = holds
-		if !holds || now < orderFrom || g.stopping() {
+		if !holds || now < orderFrom || g.isStopping() {
 			continue
 		}
-		mark := rolloutMark{workers: g.workers.Changes(), namings: g.weights.namings()}
+		mark := rolloutGeneration{workers: g.workers.Changes(), versions: g.rollout.generation()}
 		if mark == finished {
 			continue
 		}
 		workers := g.workers.Workers()
-		if !g.weights.unfinished(workers) {
+		if !g.rollout.hasOutdated(workers) {
 			finished = mark
 			continue
 		}
-		for _, next := range g.weights.next(now, workers, g.workers.Doubtful(now)) {
+		for _, next := range g.rollout.startUpdates(now, workers, g.workers.Doubtful(now)) {
 			g.life.Go(func() error {
-				g.carryChange(next)
+				g.updateEngine(next)
 				return nil
 			})
 		}
@@ -55,40 +55,40 @@
 	return nil
 }
 
-// rolloutMark names a state of the workers and of the named versions. While it is the one in
+// rolloutGeneration names a state of the workers and of the named versions. While it is the one in
 // which all engines had the newest ones, there is nothing to look for: there are ten looks a second, each at
 // all workers.
-type rolloutMark struct {
-	workers, namings uint64
+type rolloutGeneration struct {
+	workers, versions uint64
 }
 
-// rolloutPause returns the time until the next look: short while this node carries
+// rolloutCheckInterval returns the time until the next look: short while this node carries
 // requests or may hold the lease, since in a large fleet most nodes do neither.
-func (g *Gateway) rolloutPause() time.Duration {
+func (g *Gateway) rolloutCheckInterval() time.Duration {
 	roles := g.roles.Load()
-	_, holds := g.keeper.Fence()
+	_, holds := g.lease.Fence()
 	if roles.sharesLoads || holds || g.inFlight.Load() > 0 {
 		return rolloutInterval
 	}
-	return rolloutRest
+	return idleRolloutInterval
 }
 
-// requireDue has requests go to engines with the versions that are due at now.
-func (g *Gateway) requireDue(now time.Duration) {
-	g.requiredAt.Store(int64(now))
-	for model, version := range g.weights.due(now, requireReserve) {
+// enforceDueVersions has requests go to engines with the versions that are due at now.
+func (g *Gateway) enforceDueVersions(now time.Duration) {
+	g.versionsEnforcedAt.Store(int64(now))
+	for model, version := range g.rollout.due(now, enforceReserve) {
 		g.workers.Require(model, version)
 	}
-	for model, version := range g.weights.replaced(now) {
+	for model, version := range g.rollout.preferred(now) {
 		g.workers.Prefer(model, version)
 	}
 }
 
-// requireDueSoon is requireDue for a request that is placed at now, unless that was
+// refreshDueVersions is requireDue for a request that is placed at now, unless that was
 // done a moment ago.
-func (g *Gateway) requireDueSoon(now time.Duration) {
-	if now-time.Duration(g.requiredAt.Load()) >= rolloutInterval {
-		g.requireDue(now)
+func (g *Gateway) refreshDueVersions(now time.Duration) {
+	if now-time.Duration(g.versionsEnforcedAt.Load()) >= rolloutInterval {
+		g.enforceDueVersions(now)
 	}
 }
 
@@ -98,54 +98,54 @@
 	if token <= 1 {
 		return 0
 	}
-	if g.keeper.Predecessor().Machine() == g.settings().Node {
+	if g.lease.Predecessor().Machine() == g.settings().Node {
 		return 0
 	}
-	delay := g.settings().LeaseGap + gapSlack
-	if g.keeper.Predecessor() != "" {
+	delay := g.settings().LeaseGap + leaseGapSlack
+	if g.lease.Predecessor() != "" {
 		return delay - leaseSettings(*g.settings()).Margin*2
 	}
-	return max(delay-g.keeper.IdleAtTakeover(), 0)
+	return max(delay-g.lease.IdleAtTakeover(), 0)
 }
 
 // keepLease runs the lease's keeper, which first reads the lease. At the first start of
 // the whole fleet nobody has held it, so that a node waits until it may take it; after a
 // restart the keeper looks at once whether the lease is still its machine's.
 func (g *Gateway) keepLease() error {
-	for g.settings().FirstStart && !g.rolloutCandidate() && !g.stopping() {
-		if !g.pause(rolloutRest) {
+	for g.settings().FirstStart && !g.isRolloutCandidate() && !g.isStopping() {
+		if !g.pause(idleRolloutInterval) {
 			return nil
 		}
 	}
-	g.keeper.Start()
+	g.lease.Start()
 	return nil
 }
 
-// rolloutCandidate tells whether this node is among those that take the lease.
-func (g *Gateway) rolloutCandidate() bool {
-	return !g.stopping() && g.settled.Load() && (g.roles.Load().candidate || g.standIn.Load())
+// isRolloutCandidate tells whether this node is among those that take the lease.
+func (g *Gateway) isRolloutCandidate() bool {
+	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().candidate || g.fallbackCandidate.Load())
 }
 
-// carryChange brings one engine to a version: it keeps requests away, sends
+// updateEngine brings one engine to a version: it keeps requests away, sends
 // the order, and asks until the engine has the version.
-func (g *Gateway) carryChange(next change) {
+func (g *Gateway) updateEngine(next engineUpdate) {
 	begun := g.now()
 	took, ordered := time.Duration(0), begun
-	defer func() { g.weights.finish(g.now(), next, took, begun+took-ordered) }()
+	defer func() { g.rollout.finishUpdate(g.now(), next, took, begun+took-ordered) }()
 	if !g.quiesce(begun, next.worker.ID) {
 		return
 	}
 	repeatAt := time.Duration(0)
 	orders := int64(-1)
 	failed := 0
-	for g.now() < begun+changeTimeout {
+	for g.now() < begun+updateTimeout {
 		if !g.pause(g.orderDelayOf(&next.worker, begun)) {
 			return
 		}
-		wait := g.reportInterval(&next.worker)
-		report, err := g.outside.Engines.Report(g.workerCall(g.context(), callReport, &next.worker), next.worker)
+		wait := g.reportIntervalFor(&next.worker)
+		report, err := g.dependencies.Engines.Report(g.workerCall(g.context(), callReport, &next.worker), next.worker)
 		if err == nil {
-			g.noteStart(next.worker.ID, backends.StartTime(report.Born))
+			g.observeWorkerStart(next.worker.ID, backends.StartTime(report.Born))
 		}
 		switch {
 		case err != nil:
@@ -156,29 +156,29 @@
 			}
 		case report.Versions[next.model] >= next.version && !report.Busy:
 			took = g.now() - begun
-			g.changed(next, backends.WeightsVersion(report.Versions[next.model]), took)
+			g.recordUpdated(next, backends.WeightsVersion(report.Versions[next.model]), took)
 			return
 		case !report.Busy && (report.Orders != orders || g.now() > repeatAt):
-			next.version = max(next.version, g.weights.newest(next.model))
-			result, sent := g.order(next, report)
+			next.version = max(next.version, g.rollout.newestVersion(next.model))
+			result, sent := g.sendOrder(next, report)
 			if !sent {
 				return
 			}
 			ordered = g.now()
-			repeatAt, orders, wait = ordered+repeatAfter(result), report.Orders, loadAtLeast
+			repeatAt, orders, wait = ordered+reorderDelay(result), report.Orders, minLoadTime
 			if result == rollout.OrderUncertain {
-				wait = g.reportInterval(&next.worker)
+				wait = g.reportIntervalFor(&next.worker)
 			}
 		}
-		g.keepAway(next.worker.ID)
+		g.cordonEngine(next.worker.ID)
 		if !g.pause(wait) {
 			return
 		}
 	}
 }
 
-// reportInterval returns the time between two questions to an engine under order.
-func (g *Gateway) reportInterval(worker *backends.Worker) time.Duration {
+// reportIntervalFor returns the time between two questions to an engine under order.
+func (g *Gateway) reportIntervalFor(worker *backends.Worker) time.Duration {
 	if g.limits.limited(worker.ID, worker.Born) {
 		return limitedReportInterval
 	}
@@ -188,59 +188,59 @@
 // quiesce keeps requests away from an engine until its runs have ended, for a
 // time at the most. It returns false when the process ends.
 func (g *Gateway) quiesce(begun time.Duration, id fleet.EngineID) bool {
-	g.keepAway(id)
-	if !g.pause(quiesceLeast) {
+	g.cordonEngine(id)
+	if !g.pause(minQuiesce) {
 		return false
 	}
-	most := quiesceMost(g.workers.MemoryUse(g.now(), id))
+	most := quiesceLimit(g.workers.MemoryUse(g.now(), id))
 	for g.now() < begun+most && g.workers.InFlight(g.now(), id) > 0 {
-		g.keepAway(id)
-		if !g.pause(quiescePoll) {
+		g.cordonEngine(id)
+		if !g.pause(quiescePollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// quiesceMost returns how long an engine's runs are let end, by the part of the
+// quiesceLimit returns how long an engine's runs are let end, by the part of the
 // engines' memory that is in use.
-func quiesceMost(use float64) time.Duration {
-	part := min(max((use-idleBelow)/(fullAbove-idleBelow), 0), 1)
-	return quiesceIdle - time.Duration(part*float64(quiesceIdle-quiesceFull))
+func quiesceLimit(use float64) time.Duration {
+	part := min(max((use-idleMemoryUse)/(fullMemoryUse-idleMemoryUse), 0), 1)
+	return maxQuiesceIdle - time.Duration(part*float64(maxQuiesceIdle-maxQuiesceFull))
 }
 
-// keepAway has this node and all that share loads send no requests to an engine
+// cordonEngine has this node and all that share loads send no requests to an engine
 // for a while.
-func (g *Gateway) keepAway(id fleet.EngineID) {
-	until := g.now() + orderedFor
+func (g *Gateway) cordonEngine(id fleet.EngineID) {
+	until := g.now() + cordonDuration
 	g.workers.NoteOrder(id, until)
-	if g.weights.announce(id, until) {
+	if g.rollout.markOrdered(id, until) {
 		g.announcer.noteAll()
 	}
 }
 
-// repeatAfter returns how long after an order without effect it is sent again. One
+// reorderDelay returns how long after an order without effect it is sent again. One
 // that may have been lost is repeated soon: both expect the same count of orders,
 // so that only one of them is carried out.
-func repeatAfter(result rollout.OrderResult) time.Duration {
+func reorderDelay(result rollout.OrderResult) time.Duration {
 	if result == rollout.OrderUncertain {
 		return reorderUncertain
 	}
 	return reorderAfter
 }
 
-// order sends one order, if the lease is still held right before. It returns
+// sendOrder sends one sendOrder, if the lease is still held right before. It returns
 // false if it isn't.
-func (g *Gateway) order(next change, report rollout.Report) (rollout.OrderResult, bool) {
-	token, holds := g.keeper.Fence()
+func (g *Gateway) sendOrder(next engineUpdate, report rollout.Report) (rollout.OrderResult, bool) {
+	token, holds := g.lease.Fence()
 	if !holds {
 		g.logger.Warn().Str("worker", string(next.worker.ID)).Msg("order_dropped_without_lease")
 		return rollout.OrderUncertain, false
 	}
-	g.keeper.NoteUse()
+	g.lease.NoteUse()
 	ctx, cancel := context.WithTimeout(g.workerCall(g.context(), callOrder, &next.worker), orderTimeout)
 	defer cancel()
-	result, err := g.outside.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
+	result, err := g.dependencies.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
 		Model:          next.model,
 		Version:        next.version,
 		Holder:         lease.HolderID(g.settings().Node),
@@ -254,11 +254,11 @@
 	return result, true
 }
 
-// changed notes that an engine has its new version.
-func (g *Gateway) changed(done change, version backends.WeightsVersion, took time.Duration) {
+// recordUpdated notes that an engine has its new version.
+func (g *Gateway) recordUpdated(done engineUpdate, version backends.WeightsVersion, took time.Duration) {
 	g.workers.NoteVersion(done.worker.ID, done.model, version)
 	g.workers.NoteOrder(done.worker.ID, 0)
-	g.weights.retract(done.worker.ID)
+	g.rollout.clearOrdered(done.worker.ID)
 	g.announcer.noteAll()
 	g.logger.Info().Str("worker", string(done.worker.ID)).Uint64("version", uint64(version)).Dur("took", took).Msg("weights_changed")
 }
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestOrderThatMayBeLostIsRepeatedSoon(t *testing.T) {
-	assert.Equal(t, reorderUncertain, repeatAfter(rollout.OrderUncertain))
+	assert.Equal(t, reorderUncertain, reorderDelay(rollout.OrderUncertain))
 	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderHolds, rollout.OrderRejected} {
-		assert.Equal(t, reorderAfter, repeatAfter(result))
+		assert.Equal(t, reorderAfter, reorderDelay(result))
 	}
 }
 
 // TestRunsAreLetEndForLongerWhileEnginesAreIdle looks at both ends.
 func TestRunsAreLetEndForLongerWhileEnginesAreIdle(t *testing.T) {
-	assert.Equal(t, quiesceIdle, quiesceMost(0))
-	assert.Equal(t, quiesceIdle, quiesceMost(idleBelow))
-	assert.Equal(t, quiesceFull, quiesceMost(fullAbove))
-	assert.Equal(t, quiesceFull, quiesceMost(1))
-	assert.Greater(t, quiesceMost(0.2), quiesceMost(0.3))
+	assert.Equal(t, maxQuiesceIdle, quiesceLimit(0))
+	assert.Equal(t, maxQuiesceIdle, quiesceLimit(idleMemoryUse))
+	assert.Equal(t, maxQuiesceFull, quiesceLimit(fullMemoryUse))
+	assert.Equal(t, maxQuiesceFull, quiesceLimit(1))
+	assert.Greater(t, quiesceLimit(0.2), quiesceLimit(0.3))
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -36,7 +36,7 @@
 		Handler:           http.HandlerFunc(g.serveFront),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         g.noteFront,
+		ConnState:         g.observeFrontConnection,
 		ConnContext:       withCaller,
 	}
 	handlers := []struct {
@@ -58,7 +58,7 @@
 			return resultcode.New(resultcode.SettingsInvalid, "listen on "+entry.address+": "+err.Error())
 		}
 		if entry.counted != traffic.Other {
-			listener = traffic.Listener{Listener: listener, Meter: g.outside.Traffic, Purpose: entry.counted}
+			listener = traffic.Listener{Listener: listener, Meter: g.dependencies.Traffic, Purpose: entry.counted}
 		}
 		g.listeners = append(g.listeners, listener)
 		g.servers = append(g.servers, entry.server)
@@ -69,11 +69,11 @@
 			entry.server.ReadHeaderTimeout = headerTimeout
 		}
 	}
-	g.readiness.opened.Store(int64(g.now()))
+	g.readiness.frontOpenedAt.Store(int64(g.now()))
 	for index, server := range g.servers {
 		listener := g.listeners[index]
 		if server == g.front {
-			listener = &boundedListener{Listener: listener, room: g.hasRoom, refused: g.noteUntaken}
+			listener = &boundedListener{Listener: listener, room: g.hasRoom, refused: g.recordRefusedConnection}
 		}
 		g.life.Go(func() error {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -85,15 +85,15 @@
 	return nil
 }
 
-// noteFront is the ConnState hook of the front server.
-func (g *Gateway) noteFront(conn net.Conn, state http.ConnState) {
-	g.idle.note(g.now(), conn, state)
+// observeFrontConnection is the ConnState hook of the front server.
+func (g *Gateway) observeFrontConnection(conn net.Conn, state http.ConnState) {
+	g.idleConnections.observe(g.now(), conn, state)
 	g.pressure.countConnection(conn, state)
 }
 
-// noteUntaken counts and logs a caller's connection that was closed for want of descriptors.
-func (g *Gateway) noteUntaken() {
-	g.metrics.untaken.Inc()
+// recordRefusedConnection counts and logs a caller's connection that was closed for want of descriptors.
+func (g *Gateway) recordRefusedConnection() {
+	g.metrics.refusedConnections.Inc()
 	g.events.line("connection_refused").Int("descriptors", g.pressure.descriptors()).Msg("connection_refused")
 }
 
@@ -115,8 +115,8 @@
 
 func (g *Gateway) readinessHandler() http.Handler {
 	router := bunrouter.New()
-	router.GET(g.outside.Codec.Paths().Readiness, func(writer http.ResponseWriter, _ bunrouter.Request) error {
-		if !g.ready() {
+	router.GET(g.dependencies.Codec.Paths().Readiness, func(writer http.ResponseWriter, _ bunrouter.Request) error {
+		if !g.isReady() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return nil
@@ -126,14 +126,14 @@
 
 func (g *Gateway) directoryHandler() http.Handler {
 	router := bunrouter.New()
-	router.GET(g.outside.Codec.Paths().Resolution, func(writer http.ResponseWriter, request bunrouter.Request) error {
-		addresses := g.frontAddresses(g.outside.Codec.ResolutionQuery(request.Request))
+	router.GET(g.dependencies.Codec.Paths().Resolution, func(writer http.ResponseWriter, request bunrouter.Request) error {
+		addresses := g.frontAddresses(g.dependencies.Codec.ResolutionQuery(request.Request))
 		if len(addresses) == 0 {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
 		ttl := min(directoryTTL, g.settings().MaxDirectoryTTL)
-		return g.outside.Codec.WriteResolution(writer, addresses, ttl)
+		return g.dependencies.Codec.WriteResolution(writer, addresses, ttl)
 	})
 	return router
 }
@@ -149,8 +149,8 @@
 	return &idleConnections{since: make(map[net.Conn]time.Duration)}
 }
 
-// note takes in a connection's new state, as the ConnState hook of a server tells it.
-func (i *idleConnections) note(now time.Duration, conn net.Conn, state http.ConnState) {
+// observe takes in a connection's new state, as the ConnState hook of a server tells it.
+func (i *idleConnections) observe(now time.Duration, conn net.Conn, state http.ConnState) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if state == http.StateIdle {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -73,9 +73,9 @@
 	RollbackWithin time.Duration
 	// LeaseGap is the least time between the orders of two holders.
 	LeaseGap time.Duration
-	// WeightsWithin is the time after the naming of a version after which no
+	// UpdateModelsWithin is the time after the naming of a version after which no
 	// request may begin on an older one.
-	WeightsWithin time.Duration
+	UpdateModelsWithin time.Duration
 	// ConfigureWithin is the time after a configuration's acknowledgement within
 	// which it must be in force.
 	ConfigureWithin time.Duration
@@ -85,17 +85,17 @@
 
 // Defaults of bounds that a deployment doesn't set.
 const (
-	DefaultStopGrace     = 8 * time.Second
-	DefaultRevokeWithin  = 5 * time.Second
-	DefaultRetryRatio    = 0.1
-	DefaultRetryWindow   = 10 * time.Second
-	DefaultQuotaWindow   = 8 * time.Second
-	DefaultLeaseGap      = 3 * time.Second
-	DefaultExposureShare = 0.1
-	DefaultRollback      = 5 * time.Second
-	DefaultWeightsWithin = 8 * time.Second
-	DefaultConfigure     = 2 * time.Second
-	DefaultDirectoryTTL  = 5 * time.Second
+	DefaultStopGrace          = 8 * time.Second
+	DefaultRevokeWithin       = 5 * time.Second
+	DefaultRetryRatio         = 0.1
+	DefaultRetryWindow        = 10 * time.Second
+	DefaultQuotaWindow        = 8 * time.Second
+	DefaultLeaseGap           = 3 * time.Second
+	DefaultExposureShare      = 0.1
+	DefaultRollbackWithin     = 5 * time.Second
+	DefaultUpdateModelsWithin = 8 * time.Second
+	DefaultConfigureWithin    = 2 * time.Second
+	DefaultDirectoryTTL       = 5 * time.Second
 )
 
 // ApplyDefaults sets the bounds that are 0, since a deployment names only those
@@ -110,9 +110,9 @@
 	}{
 		{&s.StopGrace, DefaultStopGrace}, {&s.RevokeWithin, DefaultRevokeWithin},
 		{&s.RetryWindow, DefaultRetryWindow}, {&s.QuotaWindow, DefaultQuotaWindow},
-		{&s.LeaseGap, DefaultLeaseGap}, {&s.WeightsWithin, DefaultWeightsWithin},
-		{&s.RollbackWithin, DefaultRollback},
-		{&s.MaxDirectoryTTL, DefaultDirectoryTTL}, {&s.ConfigureWithin, DefaultConfigure},
+		{&s.LeaseGap, DefaultLeaseGap}, {&s.UpdateModelsWithin, DefaultUpdateModelsWithin},
+		{&s.RollbackWithin, DefaultRollbackWithin},
+		{&s.MaxDirectoryTTL, DefaultDirectoryTTL}, {&s.ConfigureWithin, DefaultConfigureWithin},
 	} {
 		if *bound.field == 0 {
 			*bound.field = bound.fallback
@@ -152,7 +152,7 @@
 	}
 	for name, bound := range map[string]time.Duration{
 		"stop grace": s.StopGrace, "revocation bound": s.RevokeWithin, "lease gap": s.LeaseGap,
-		"weights bound": s.WeightsWithin, "configuration bound": s.ConfigureWithin, "retry window": s.RetryWindow,
+		"weights bound": s.UpdateModelsWithin, "configuration bound": s.ConfigureWithin, "retry window": s.RetryWindow,
 		"rollback bound": s.RollbackWithin,
 	} {
 		if bound <= 0 {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -43,7 +43,7 @@
 // seconds of a loss nodes at rest name it to no caller. By the membership's gossip alone the last
 // of many nodes knows of a loss of many after twice that time.
 func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
-	if g.silences.note(node, answered) && !g.stopping() {
+	if g.unresponsivePeers.note(node, answered) && !g.isStopping() {
 		g.origins.press(g.now(), node, unreachable)
 		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
 	}
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -36,7 +36,7 @@
 	_, told := g.originReport(g.now())
 	atRest.takeOrigins(atRest.now(), nil, told)
 	assert.True(t, atRest.origins.silent(atRest.now(), lost.Node))
-	assert.False(t, atRest.reachable(lost))
+	assert.False(t, atRest.isReachable(lost))
 	assert.False(t, atRest.origins.silent(atRest.now()+rateValid+time.Second, lost.Node), "a word that isn't renewed ends")
 	g.takeLoad(&rpc.LoadReport{Node: "lost"})
 	assert.False(t, g.origins.silent(g.now(), lost.Node), "it is heard again")
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/relay"
 )
 
-// sources says from whom this node learns what changes in the store.
-type sources struct {
+// sourceSelector says from whom this node learns what changes in the store.
+type sourceSelector struct {
 	mutex    sync.Mutex
 	selector *relay.Selector
 	reading  bool
@@ -17,8 +17,8 @@
 	changed chan struct{}
 }
 
-func newSources(now time.Duration, options relay.Options) *sources {
-	return &sources{
+func newSourceSelector(now time.Duration, options relay.Options) *sourceSelector {
+	return &sourceSelector{
 		selector: relay.New(now, options),
 		changed:  make(chan struct{}),
 	}
@@ -31,24 +31,24 @@
 	reader  bool
 	// order is whom it asks otherwise, best first.
 	order []fleet.NodeID
-	// others is the number of nodes that callers aren't sent to, if this is one.
-	others int
+	// standbyCount is the number of nodes that callers aren't sent to, if this is one.
+	standbyCount int
 }
 
 // setRole says what this node's role is.
-func (s *sources) setRole(now time.Duration, role sourceRole) {
+func (s *sourceSelector) setRole(now time.Duration, role sourceRole) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if role.settled {
 		s.selector.Settle(now)
 	}
-	s.selector.SetOthers(role.others)
+	s.selector.SetOthers(role.standbyCount)
 	s.selector.SetRole(now, role.reader, role.order)
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// refresh takes over whether the node is to read now; the mutex is held.
-func (s *sources) refresh(now time.Duration) {
+// updateReading takes over whether the node is to read now; the mutex is held.
+func (s *sourceSelector) updateReading(now time.Duration) {
 	reading := s.selector.Reads(now)
 	if reading == s.reading {
 		return
@@ -58,16 +58,16 @@
 	s.changed = make(chan struct{})
 }
 
-// reads tells whether this node is to read the store, and returns a channel
+// readsStore tells whether this node is to read the store, and returns a channel
 // that is closed when that changes.
-func (s *sources) reads() (bool, <-chan struct{}) {
+func (s *sourceSelector) readsStore() (bool, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reading, s.changed
 }
 
-// asks returns the peer to ask, if one is to be asked now.
-func (s *sources) asks(now time.Duration) (fleet.NodeID, bool) {
+// peerToAsk returns the peer to ask, if one is to be asked now.
+func (s *sourceSelector) peerToAsk(now time.Duration) (fleet.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.selector.Asks(now) {
@@ -76,74 +76,74 @@
 	return s.selector.Source()
 }
 
-// watched notes that another node asks this one.
-func (s *sources) watched(now time.Duration) {
+// recordWatcher notes that another node asks this one.
+func (s *sourceSelector) recordWatcher(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.Watched(now)
-	s.refresh(now)
+	s.updateReading(now)
 }
 
 // needsAll tells whether this node is to know everything that the store holds.
-func (s *sources) needsAll(now time.Duration) bool {
+func (s *sourceSelector) needsAll(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.NeedsAll(now)
 }
 
-// inform notes that this node knows everything for the first time.
-func (s *sources) inform(now time.Duration) {
+// recordTablesKnown notes that this node knows everything for the first time.
+func (s *sourceSelector) recordTablesKnown(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.Inform()
-	s.refresh(now)
+	s.updateReading(now)
 }
 
 // awaitRole leaves reading to others until this node knows its role.
-func (s *sources) awaitRole(now time.Duration) {
+func (s *sourceSelector) awaitRole(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.AwaitRole()
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// storeAnswered notes whether this node's last call to the store was answered.
-func (s *sources) storeAnswered(answered bool) {
+// recordStoreCall notes whether this node's last call to the store was answered.
+func (s *sourceSelector) recordStoreCall(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.StoreAnswered(answered)
 }
 
-// proven notes this node's own proof by the store.
-func (s *sources) proven(now, at time.Duration) {
+// recordProof notes this node's own proof by the store.
+func (s *sourceSelector) recordProof(now, at time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.Proven(now, now-at)
 }
 
-// provenWithin tells whether this node has a proof of its own by the store that isn't
+// hasProofWithin tells whether this node has a proof of its own by the store that isn't
 // older than within.
-func (s *sources) provenWithin(now, within time.Duration) bool {
+func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.ProvenWithin(now, within)
 }
 
-// answered takes in a peer's answer and tells whether another one is asked next.
-func (s *sources) answered(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
+// recordResponse takes in a peer's answer and tells whether another one is asked next.
+func (s *sourceSelector) recordResponse(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	moved := s.selector.Answered(now, from, age, proven)
-	s.refresh(now)
+	s.updateReading(now)
 	return moved
 }
 
-// failed takes in that a peer gave no answer.
-func (s *sources) failed(now time.Duration, from fleet.NodeID) bool {
+// recordFailure takes in that a peer gave no answer.
+func (s *sourceSelector) recordFailure(now time.Duration, from fleet.NodeID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	moved := s.selector.Failed(now, from)
-	s.refresh(now)
+	s.updateReading(now)
 	return moved
 }
 
@@ -151,7 +151,7 @@
 // ends before.
 func (g *Gateway) awaitReading() bool {
 	for {
-		reading, changed := g.sources.reads()
+		reading, changed := g.sources.readsStore()
 		if reading {
 			return g.life.Alive()
 		}
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -16,12 +16,12 @@
 const undoneWithin = 3400 * time.Millisecond
 
 // look returns what two engines show with these versions; those below 2 wait.
-func look(versions ...uint64) engineVersions {
-	seen := engineVersions{sums: make(map[fleet.EngineID]uint64)}
+func look(versions ...uint64) rolloutProgress {
+	seen := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64)}
 	for index, version := range versions {
-		seen.sums[fleet.EngineID(rune('a'+index))] = version
+		seen.versionSums[fleet.EngineID(rune('a'+index))] = version
 		if version < 2 {
-			seen.waiting++
+			seen.outdated++
 		}
 	}
 	return seen
@@ -29,7 +29,7 @@
 
 // lookUntil looks each second from one second to another and returns when the duty was
 // first found undone; 0 if it wasn't.
-func lookUntil(duty *dutyWatch, from, until int, seen engineVersions) int {
+func lookUntil(duty *progressMonitor, from, until int, seen rolloutProgress) int {
 	for second := from; second <= until; second++ {
 		if duty.observe(time.Duration(second)*time.Second, seen, undoneWithin) {
 			return second
@@ -39,7 +39,7 @@
 }
 
 func TestDutyThatNobodyDoesIsNoticed(t *testing.T) {
-	var duty dutyWatch
+	var duty progressMonitor
 	assert.Equal(t, 4, lookUntil(&duty, 0, 4, look(1, 1)), "engines wait since the first look")
 	assert.Equal(t, 9, lookUntil(&duty, 5, 9, look(1, 2)), "one has changed")
 	assert.Zero(t, lookUntil(&duty, 10, 20, look(2, 2)), "none waits")
@@ -48,7 +48,7 @@
 
 // TestDeliveryThatNobodyDirectsIsNoticed has engines change while nobody directs.
 func TestDeliveryThatNobodyDirectsIsNoticed(t *testing.T) {
-	var duty dutyWatch
+	var duty progressMonitor
 	undirected := look(2, 2)
 	undirected.undirected = true
 	assert.Equal(t, 4, lookUntil(&duty, 0, 4, undirected))
@@ -77,7 +77,7 @@
 // TestEnginesThatComeAndGoAreNoProgress has an engine crash and come back as another run
 // while nobody changes any.
 func TestEnginesThatComeAndGoAreNoProgress(t *testing.T) {
-	var duty dutyWatch
+	var duty progressMonitor
 	assert.Zero(t, lookUntil(&duty, 0, 1, look(1, 1)))
 	assert.Zero(t, lookUntil(&duty, 2, 3, look(1)))
 	assert.Equal(t, 4, lookUntil(&duty, 4, 4, look(1, 1, 1)))
@@ -89,22 +89,22 @@
 	g := idleGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().candidate)
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1}})
-	g.weights.name(0, true, NamedWeights{Model: "model", Version: 2})
+	g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2})
 	step := func(second int, proven bool) bool {
 		now := time.Duration(second) * time.Second
 		if proven {
-			g.sources.proven(now, now)
+			g.sources.recordProof(now, now)
 		}
-		g.noteStandIn(now)
-		return g.rolloutCandidate()
+		g.updateFallbackCandidate(now)
+		return g.isRolloutCandidate()
 	}
 	for second := 1; second <= 4; second++ {
 		assert.False(t, step(second, true), second)
 	}
 	assert.True(t, step(5, true), "nobody changes the engine")
-	roles := deriveRoles("node-000", "z0", largeFleet(195), 0, g.standIn.Load())
+	roles := deriveRoles("node-000", "z0", largeFleet(195), 0, g.fallbackCandidate.Load())
 	assert.True(t, roles.sharesLoads, "those that place requests hear of its orders")
 	assert.Len(t, roles.loadPeers, membership.DefaultMinServing+membership.DefaultCandidates)
 	assert.True(t, step(6, false), "its proof is a second old")
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -11,11 +11,11 @@
 
 // Times of a planned stop.
 const (
-	// leaveFor is how long requests are still taken after a stop began: callers
+	// leaveDuration is how long requests are still taken after a stop began: callers
 	// keep answers of the directory for up to three times their lifetime.
-	leaveFor = 3*directoryTTL + 500*time.Millisecond
-	// quietFor is the time without a request after which no more are awaited.
-	quietFor = 700 * time.Millisecond
+	leaveDuration = 3*directoryTTL + 500*time.Millisecond
+	// quietDuration is the time without a request after which no more are awaited.
+	quietDuration = 700 * time.Millisecond
 	// stopReserve is how much before the kill the process ends.
 	stopReserve  = 400 * time.Millisecond
 	leaveTimeout = 300 * time.Millisecond
@@ -32,11 +32,11 @@
 	}
 	g.logger.Info().Int64("in_flight", g.inFlight.Load()).Msg("stopping")
 	var released sync.WaitGroup
-	released.Go(func() { _ = g.keeper.Stop() })
+	released.Go(func() { _ = g.lease.Stop() })
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	_ = g.peers.Leave(ctx)
 	cancel()
-	g.awaitQuiet(began)
+	g.awaitDrained(began)
 	g.shutdown(began)
 	released.Wait()
 	err := g.peers.Stop()
@@ -49,12 +49,12 @@
 	return err
 }
 
-// awaitQuiet waits until callers have left, or until the grace runs out.
-func (g *Gateway) awaitQuiet(began time.Duration) {
+// awaitDrained waits until callers have left, or until the grace runs out.
+func (g *Gateway) awaitDrained(began time.Duration) {
 	end := began + g.settings().StopGrace - stopReserve
 	for g.now() < end {
-		quiet := g.now()-time.Duration(g.lastRequest.Load()) > quietFor
-		if g.now() > began+leaveFor && quiet && g.inFlight.Load() == 0 {
+		quiet := g.now()-time.Duration(g.lastRequest.Load()) > quietDuration
+		if g.now() > began+leaveDuration && quiet && g.inFlight.Load() == 0 {
 			return
 		}
 		time.Sleep(stopPoll)
@@ -77,15 +77,15 @@
 	group.Wait()
 }
 
-// refusesNew tells whether new requests are turned away since the stop is near.
-func (g *Gateway) refusesNew() bool {
+// refusesRequests tells whether new requests are turned away since the stop is near.
+func (g *Gateway) refusesRequests() bool {
 	since := g.stoppingSince.Load()
-	return since != 0 && g.now() > time.Duration(since)+leaveFor+quietFor
+	return since != 0 && g.now() > time.Duration(since)+leaveDuration+quietDuration
 }
 
-// markConnection asks the caller to open another connection next time.
-func (g *Gateway) markConnection(header http.Header) {
-	if g.stopping() || g.pressure.level() == nodecapacity.Full {
+// closeAfterResponse asks the caller to open another connection next time.
+func (g *Gateway) closeAfterResponse(header http.Header) {
+	if g.isStopping() || g.pressure.level() == nodecapacity.Full {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/storeclock.go
+++ b/internal/gateway/storeclock.go
@@ -12,9 +12,9 @@
 // the answer - begin of the call) bounds the difference from above. A translated time
 // is therefore never later than the true one.
 type storeClock struct {
-	calibrated bool
-	difference time.Duration
-	at         time.Duration
+	calibrated   bool
+	offset       time.Duration
+	calibratedAt time.Duration
 }
 
 // translate takes in one call and returns, on this process's clock, a time at
@@ -25,13 +25,13 @@
 		return begun
 	}
 	difference := storeTime - begun
-	if allowed := c.difference + c.drift(ended); !c.calibrated || difference < allowed {
-		c.calibrated, c.difference, c.at = true, difference, ended
+	if allowed := c.offset + c.drift(ended); !c.calibrated || difference < allowed {
+		c.calibrated, c.offset, c.calibratedAt = true, difference, ended
 	}
-	answered := storeTime - c.difference - c.drift(ended)
+	answered := storeTime - c.offset - c.drift(ended)
 	if answered > ended {
 		// The store's clock has jumped ahead: nothing is known but this call.
-		c.difference, c.at = difference, ended
+		c.offset, c.calibratedAt = difference, ended
 		return begun
 	}
 	return max(answered, begun)
@@ -39,5 +39,5 @@
 
 // drift returns how far the clocks may have parted since the calibration.
 func (c *storeClock) drift(now time.Duration) time.Duration {
-	return time.Duration(float64(now-c.at) * maxClockDrift)
+	return time.Duration(float64(now-c.calibratedAt) * maxClockDrift)
 }
--- a/internal/gateway/storefeed.go
+++ b/internal/gateway/storefeed.go
@@ -22,14 +22,14 @@
 	// followRetry is the pause after a call that failed, followRetryMax after many.
 	followRetry    = 100 * time.Millisecond
 	followRetryMax = 400 * time.Millisecond
-	// mostStoreBackoff bounds the pause that the store may ask for: without the store nothing
+	// maxStoreBackoff bounds the pause that the store may ask for: without the store nothing
 	// that it holds can be changed.
-	mostStoreBackoff = 30 * time.Second
+	maxStoreBackoff = 30 * time.Second
 )
 
-// historyKept is a time for which the store keeps its history at the least while
+// minHistoryRetention is a time for which the store keeps its history at the least while
 // nothing ails it: one that is gone sooner was dropped.
-const historyKept = 5 * time.Second
+const minHistoryRetention = 5 * time.Second
 
 // gap tells what is unknown of when changes were made.
 type gap int
@@ -38,35 +38,35 @@
 const (
 	// gapNone: the changes are as new as the answer that brought them.
 	gapNone gap = iota
-	// gapDropped: the store itself dropped its history a moment ago.
-	gapDropped
-	// gapUnreached: the changes may be older, since the store was out of reach, or
+	// gapHistoryExpired: the store itself dropped its history a moment ago.
+	gapHistoryExpired
+	// gapUnreachable: the changes may be older, since the store was out of reach, or
 	// since a peer told of them.
-	gapUnreached
+	gapUnreachable
 )
 
-// storeFeed follows one table at the store while it is this node's part to read.
-type storeFeed struct {
+// storeFollower follows one table at the store while it is this node's part to read.
+type storeFollower struct {
 	gateway *Gateway
 	table   *table
 	// after is the revision up to which the store has told all, and known is set
 	// while changes can be followed from there. Only the store's word counts here:
 	// after lost history the revision goes back to that of the read.
-	after    fleet.Revision
-	known    bool
-	failures int
-	since    gap
-	// answered is when the store last answered.
-	answered time.Duration
-	clock    storeClock
-	// asked is for how long the store wanted no calls by its last answer.
-	asked time.Duration
+	after       fleet.Revision
+	hasPosition bool
+	failures    int
+	since       gap
+	// lastResponse is when the store last lastResponse.
+	lastResponse time.Duration
+	clock        storeClock
+	// backoff is for how long the store wanted no calls by its last answer.
+	backoff time.Duration
 }
 
 // followStore follows a table until the process ends. Only a call that follows
 // changes proves anything: a whole read may be behind.
 func (g *Gateway) followStore(followed *table) error {
-	feed := &storeFeed{gateway: g, table: followed, since: gapUnreached}
+	feed := &storeFollower{gateway: g, table: followed, since: gapUnreachable}
 	for {
 		if !g.awaitReading() {
 			return nil
@@ -79,45 +79,45 @@
 }
 
 // step makes one call and returns the pause until the next.
-func (f *storeFeed) step(ctx context.Context) time.Duration {
+func (f *storeFollower) step(ctx context.Context) time.Duration {
 	g := f.gateway
 	begun := g.now()
-	if f.answered != 0 && begun-f.answered > historyKept {
-		f.since = gapUnreached
+	if f.lastResponse != 0 && begun-f.lastResponse > minHistoryRetention {
+		f.since = gapUnreachable
 	}
-	calling, stop := g.resumptions.bind(ctx)
+	calling, stop := g.suspensionSignal.bind(ctx)
 	defer stop()
-	f.asked = 0
-	update, err := f.call(WithNotices(calling, f.notice))
+	f.backoff = 0
+	update, err := f.call(WithNotices(calling, f.handleNotice))
 	if ctx.Err() != nil {
 		return 0
 	}
-	if errors.Is(err, ErrManyRows) {
+	if errors.Is(err, ErrTooManyRows) {
 		g.logger.Info().Str("table", string(f.table.name)).Msg("read_left_to_others")
 		g.sources.awaitRole(g.now())
 		return followRetry
 	}
-	g.sources.storeAnswered(err == nil)
+	g.sources.recordStoreCall(err == nil)
 	if err != nil {
-		g.noteStore(string(f.table.name), err, f.failures)
-		f.since = gapAfter(err, f.failures, begun-f.answered)
-		f.known = f.known && !errors.Is(err, ErrHistoryGone)
+		g.recordStoreCall(string(f.table.name), err, f.failures)
+		f.since = gapAfterFailure(err, f.failures, begun-f.lastResponse)
+		f.hasPosition = f.hasPosition && !errors.Is(err, ErrHistoryExpired)
 		f.failures++
-		return max(min(followRetry*time.Duration(f.failures), followRetryMax), f.asked)
+		return max(min(followRetry*time.Duration(f.failures), followRetryMax), f.backoff)
 	}
-	g.noteStore(string(f.table.name), nil, f.failures)
-	f.failures, f.answered = 0, g.now()
-	provenAt := f.clock.translate(begun, f.answered, update.StoreTime)
+	g.recordStoreCall(string(f.table.name), nil, f.failures)
+	f.failures, f.lastResponse = 0, g.now()
+	provenAt := f.clock.translate(begun, f.lastResponse, update.StoreTime)
 	f.table.apply(update, f.since)
 	if update.Complete {
-		f.known, f.after = true, update.Revision
+		f.hasPosition, f.after = true, update.Revision
 		return 0
 	}
 	f.since = gapNone
 	if update.Revision >= f.after {
 		f.after = update.Revision
 		f.table.cache.Advance(update.Revision)
-		f.table.proven(provenAt)
+		f.table.onProof(provenAt)
 	}
 	if g.roles.Load().Small {
 		return 0
@@ -125,48 +125,48 @@
 	return f.table.pause
 }
 
-// notice takes in what an answer of the store says of it.
-func (f *storeFeed) notice(notice Notice) {
+// handleNotice takes in what an answer of the store says of it.
+func (f *storeFollower) handleNotice(notice Notice) {
 	g := f.gateway
-	g.noteUnreadable("", notice.Unreadable)
+	g.reportInvalidInput("", notice.Unreadable)
 	g.noteUnknown(noticed{worker: storeName, kind: callStore}, notice.Unknown)
 	if notice.RetryAfter == 0 {
 		return
 	}
-	f.asked = min(notice.RetryAfter, mostStoreBackoff)
+	f.backoff = min(notice.RetryAfter, maxStoreBackoff)
 	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(callStore)).Inc()
 	g.events.line("store_notice").Str("table", string(f.table.name)).Dur("retry_after", notice.RetryAfter).Msg("store_notice")
 }
 
 // call reads the table, or what changed after its position. The first call
 // after a break doesn't wait, so that there is a proof at once.
-func (f *storeFeed) call(ctx context.Context) (*watchcache.Update, error) {
-	store := f.gateway.outside.Platform
+func (f *storeFollower) call(ctx context.Context) (*watchcache.Update, error) {
+	store := f.gateway.dependencies.Store
 	partial := f.table.cache.Partial()
 	switch {
 	case partial && !f.gateway.readsAll():
-		f.after, f.known = f.table.cache.Revision(), true
-	case partial, !f.known:
-		return store.ReadTable(ctx, f.table.name, f.gateway.settled.Load)
+		f.after, f.hasPosition = f.table.cache.Revision(), true
+	case partial, !f.hasPosition:
+		return store.ReadTable(ctx, f.table.name, f.gateway.roleSettled.Load)
 	}
-	wait := f.table.wait
+	wait := f.table.maxWait
 	if f.since != gapNone {
 		wait = 0
 	}
 	return store.FollowTable(ctx, f.table.name, f.after, wait)
 }
 
-// gapAfter returns the gap that a failed call leaves. unanswered is the time from
+// gapAfterFailure returns the gap that a failed call leaves. unanswered is the time from
 // the answer before to the call.
-func gapAfter(err error, failures int, unanswered time.Duration) gap {
-	if errors.Is(err, ErrHistoryGone) && failures == 0 && unanswered < historyKept {
-		return gapDropped
+func gapAfterFailure(err error, failures int, unanswered time.Duration) gap {
+	if errors.Is(err, ErrHistoryExpired) && failures == 0 && unanswered < minHistoryRetention {
+		return gapHistoryExpired
 	}
-	return gapUnreached
+	return gapUnreachable
 }
 
-// noteStore logs that a table was lost or regained.
-func (g *Gateway) noteStore(table string, err error, failures int) {
+// recordStoreCall logs that a table was lost or regained.
+func (g *Gateway) recordStoreCall(table string, err error, failures int) {
 	switch {
 	case err == nil && failures > 0:
 		g.logger.Info().Str("dependency", "store").Str("table", table).Int("failures", failures).Msg("dependency_regained")
@@ -178,13 +178,13 @@
 	}
 }
 
-// proofsWithinBound is how many waits fit into the time for which a proof counts:
+// waitsPerProofLifetime is how many waits fit into the time for which a proof counts:
 // a proof is as old as its call, and lasts until the next call has ended.
-const proofsWithinBound = 2.5
+const waitsPerProofLifetime = 2.5
 
 // operatorWaitFor returns the wait of a call for the operator's rows with which
 // proofs are renewed before they are too old for a bound on revocations.
 func operatorWaitFor(revokeWithin time.Duration) time.Duration {
 	counts := float64(revokeWithin) * freshPart
-	return min(operatorWait, time.Duration(counts/proofsWithinBound))
+	return min(operatorWait, time.Duration(counts/waitsPerProofLifetime))
 }
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -14,10 +14,10 @@
 // knowsAllWorkers tells whether it is this node's part to know all workers, rather than those
 // in use: it orders them, or may have to soon.
 func (g *Gateway) knowsAllWorkers() bool {
-	if _, holds := g.keeper.Fence(); holds {
+	if _, holds := g.lease.Fence(); holds {
 		return true
 	}
-	return g.roles.Load().candidate || g.standIn.Load()
+	return g.roles.Load().candidate || g.fallbackCandidate.Load()
 }
 
 // readsAll tells whether this node, if it reads the store, is to read all workers: it tells
@@ -40,7 +40,7 @@
 	}
 	var workers []backends.Worker
 	for index := range coming {
-		if row := &coming[index]; !row.Gone && !row.Unusable {
+		if row := &coming[index]; !row.Deleted && !row.Unusable {
 			workers = append(workers, row.Worker)
 		}
 	}
@@ -127,12 +127,12 @@
 // is dropped is told by the rows, so the subsets are in force after them.
 func (g *Gateway) applyWorkers(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
 	if !message.GetWorkersInUse() {
-		followed.apply(update, gapUnreached)
+		followed.apply(update, gapUnreachable)
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
 	update.Covers = g.workers.Covers(subsets)
-	followed.apply(update, gapUnreached)
+	followed.apply(update, gapUnreachable)
 	g.setSubsets(subsets, false)
 }
 
@@ -142,5 +142,5 @@
 	if followed.name == TableWorkers && followed.cache.Partial() && g.knowsAllWorkers() {
 		return 0
 	}
-	return followed.seen
+	return followed.seenSequence
 }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -18,12 +18,12 @@
 )
 
 // workerTable is the store's part about workers: rows are workers in JSON.
-type workerTable struct{ Platform }
+type workerTable struct{ Store }
 
-func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []Unreadable) {
+func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []InvalidInput) {
 	decoded := make([]WorkerRow, len(rows))
 	for index, row := range rows {
-		decoded[index] = WorkerRow{Revision: row.Revision, Gone: row.Gone}
+		decoded[index] = WorkerRow{Revision: row.Revision, Deleted: row.Gone}
 		if !row.Gone {
 			decoded[index].Unusable = json.Unmarshal(row.Value, &decoded[index].Worker) != nil
 		}
@@ -52,21 +52,21 @@
 // readerOf returns a gateway that has read so many workers from the store.
 func readerOf(t testing.TB, workers int) *Gateway {
 	g := idleGateway(t)
-	g.outside.Platform = workerTable{}
+	g.dependencies.Store = workerTable{}
 	update := &watchcache.Update{Revision: 1, Complete: true}
 	for number := range workers {
 		update.Rows = append(update.Rows, workerNamed(number, 1, false))
 	}
 	g.workersTable().apply(update, gapNone)
 	g.table(TableOperator).cache.Apply(&watchcache.Update{Revision: 1, Complete: true})
-	g.fresh.Prove(g.now())
+	g.freshness.Prove(g.now())
 	return g
 }
 
 // followerOf returns a gateway that knows nothing yet and is to know the workers in use alone.
 func followerOf(t testing.TB) *Gateway {
 	g := idleGateway(t)
-	g.outside.Platform = workerTable{}
+	g.dependencies.Store = workerTable{}
 	roles := *g.roles.Load()
 	roles.candidate, roles.reader = false, false
 	g.roles.Store(&roles)
@@ -79,12 +79,12 @@
 	follower.askForSubsets(request)
 	for _, followed := range follower.tables {
 		if followed.source != source.node {
-			followed.source, followed.seen = source.node, 0
+			followed.source, followed.seenSequence = source.node, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{Table: string(followed.name), Sequence: follower.positionAt(followed)})
 	}
-	response, _ := source.watchResponse(request)
-	follower.takeWatch(source.node, follower.now(), response)
+	response, _ := source.buildWatchResponse(request)
+	follower.applyWatchResponse(source.node, follower.now(), response)
 	require.NotZero(t, response.GetProofAgeMillis())
 	return proto.Size(response)
 }
@@ -152,15 +152,15 @@
 	reader, follower := readerOf(t, 5000), followerOf(t)
 	watch(t, follower, reader)
 	few := len(follower.workers.Workers())
-	follower.standIn.Store(true)
+	follower.fallbackCandidate.Store(true)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 5000)
 	assert.Len(t, follower.workers.WorkersInUse(), few)
-	follower.standIn.Store(false)
+	follower.fallbackCandidate.Store(false)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), few)
 	assert.Empty(t, follower.workers.Forget(time.Hour, 0), "nothing counts as gone")
-	follower.standIn.Store(true)
+	follower.fallbackCandidate.Store(true)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 5000, "what was dropped comes back at the same revision")
 }
@@ -180,10 +180,10 @@
 	reader, follower, other := readerOf(t, 5000), followerOf(t), followerOf(t)
 	watch(t, follower, reader)
 	for _, all := range []bool{false, true} {
-		other.standIn.Store(all)
+		other.fallbackCandidate.Store(all)
 		request := &rpc.WatchRequest{PositionsOf: string(follower.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
 		other.askForSubsets(request)
-		response, _ := follower.watchResponse(request)
+		response, _ := follower.buildWatchResponse(request)
 		assert.Empty(t, response.GetUpdates())
 		assert.Zero(t, response.GetProofAgeMillis())
 	}
@@ -208,8 +208,8 @@
 func TestReaderOfTheReleaseBeforeTellsAll(t *testing.T) {
 	reader, follower := readerOf(t, 5000), followerOf(t)
 	request := &rpc.WatchRequest{PositionsOf: string(reader.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
-	response, _ := reader.watchResponse(request)
-	follower.takeWatch(reader.node, follower.now(), response)
+	response, _ := reader.buildWatchResponse(request)
+	follower.applyWatchResponse(reader.node, follower.now(), response)
 	assert.Len(t, follower.workers.Workers(), 5000)
 	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "it plans by itself")
 	watch(t, follower, reader)
@@ -235,7 +235,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		follower := followerOf(b)
-		follower.standIn.Store(true)
+		follower.fallbackCandidate.Store(true)
 		watch(b, follower, reader)
 	}
 }
@@ -244,9 +244,9 @@
 // change, while none is.
 func BenchmarkLookForChanges(b *testing.B) {
 	reader := readerOf(b, 10_000)
-	reader.weights.name(0, true, NamedWeights{Model: "m", Version: 1})
+	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
 	for b.Loop() {
-		reader.weights.next(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
+		reader.rollout.startUpdates(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
 	}
 }
 
@@ -280,15 +280,15 @@
 	_, err := fmt.Sscanf(string(drained), "i-%05d", &number)
 	require.NoError(t, err)
 	store := &followedTables{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerNamed(number, 9, true)}}}
-	follower.outside.Platform = store
-	follower.sources.answered(follower.now(), "peer", 0, true)
-	feed := &storeFeed{gateway: follower, table: follower.workersTable(), since: gapUnreached}
+	follower.dependencies.Store = store
+	follower.sources.recordResponse(follower.now(), "peer", 0, true)
+	feed := &storeFollower{gateway: follower, table: follower.workersTable(), since: gapUnreachable}
 	feed.step(t.Context())
 	feed.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
 	assert.Zero(t, store.whole)
 	assert.True(t, follower.workers.Draining(drained))
-	follower.sources.watched(follower.now())
+	follower.sources.recordWatcher(follower.now())
 	feed.step(t.Context())
 	assert.Equal(t, 1, store.whole, "others ask it")
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -10,11 +10,11 @@
 // errResumed is the cause of a call that was broken off since the machine had been suspended.
 var errResumed = errors.New("machine was suspended")
 
-// noteSuspension finds out whether the machine was suspended since the last call. What other
+// checkSuspension finds out whether the machine was suspended since the last call. What other
 // machines closed or sent meanwhile may never be heard of: idle connections aren't used again,
 // calls that wait for news are made anew, and requests end by the clock that went on. All else
 // goes by that clock already, and finds out itself how old it is.
-func (g *Gateway) noteSuspension() {
+func (g *Gateway) checkSuspension() {
 	slept := g.suspensions.Check()
 	if slept == 0 {
 		return
@@ -24,37 +24,37 @@
 	g.deadlines.rearm(g.now())
 	g.upstreams.CloseIdle()
 	g.peers.CloseIdle()
-	if g.outside.CloseIdle != nil {
-		g.outside.CloseIdle()
+	if g.dependencies.CloseIdle != nil {
+		g.dependencies.CloseIdle()
 	}
-	g.resumptions.note()
+	g.suspensionSignal.notify()
 }
 
-// resumptions breaks calls off that wait for news when the machine goes on after a suspension.
-type resumptions struct {
-	mutex  sync.Mutex
-	awaken context.Context
-	cancel context.CancelCauseFunc
+// suspensionSignal breaks calls off that wait for news when the machine goes on after a suspension.
+type suspensionSignal struct {
+	mutex   sync.Mutex
+	current context.Context
+	cancel  context.CancelCauseFunc
 }
 
-func newResumptions() *resumptions {
-	r := &resumptions{}
-	r.awaken, r.cancel = context.WithCancelCause(context.Background())
+func newSuspensionSignal() *suspensionSignal {
+	r := &suspensionSignal{}
+	r.current, r.cancel = context.WithCancelCause(context.Background())
 	return r
 }
 
-// note breaks the calls off that are bound now.
-func (r *resumptions) note() {
+// notify breaks the calls off that are bound now.
+func (r *suspensionSignal) notify() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cancel(errResumed)
-	r.awaken, r.cancel = context.WithCancelCause(context.Background())
+	r.current, r.cancel = context.WithCancelCause(context.Background())
 }
 
 // bind returns a context for a call that ends also at the next suspension.
-func (r *resumptions) bind(ctx context.Context) (context.Context, context.CancelFunc) {
+func (r *suspensionSignal) bind(ctx context.Context) (context.Context, context.CancelFunc) {
 	r.mutex.Lock()
-	awaken := r.awaken
+	awaken := r.current
 	r.mutex.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(awaken, func() { cancel(context.Cause(awaken)) })
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -41,7 +41,7 @@
 func (g *Gateway) reportTraffic() error {
 	for g.pause(trafficInterval) {
 		line := g.logger.Info()
-		for _, count := range g.outside.Traffic.Counts() {
+		for _, count := range g.dependencies.Traffic.Counts() {
 			line = line.Uint64(count.Purpose.String()+"_"+count.Distance.String()+"_"+count.Direction.String(), count.Bytes)
 		}
 		line.Msg("bytes_counted")
--- a/internal/gateway/unreadable.go
+++ b/internal/gateway/unreadable.go
@@ -1,10 +1,10 @@
 package gateway
 
-// noteUnreadable counts and logs what couldn't be read and therefore counts as absent.
+// reportInvalidInput counts and logs what couldn't be read and therefore counts as absent.
 // requestID names the request that it belongs to; empty if there is none.
-func (g *Gateway) noteUnreadable(requestID string, entries []Unreadable) {
+func (g *Gateway) reportInvalidInput(requestID string, entries []InvalidInput) {
 	for _, entry := range entries {
-		g.metrics.unreadable.WithLabelValues(entry.Source).Inc()
+		g.metrics.invalidInputs.WithLabelValues(entry.Source).Inc()
 		line := g.events.line("unreadable_input").Str("source", entry.Source).Err(entry.Err)
 		if entry.Key != "" {
 			line = line.Str("key", entry.Key)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -22,16 +22,16 @@
 	// take to begin until the peer counts as silent.
 	watchWait  = 600 * time.Millisecond
 	watchSlack = 350 * time.Millisecond
-	// watchGather is the pause after news at a node that callers aren't sent to: one
+	// watchBatchDelay is the pause after news at a node that callers aren't sent to: one
 	// roll-out changes a row of each engine, and each change would have every node ask
 	// again. It adds to the time until a change is in force there.
-	watchGather = 400 * time.Millisecond
-	// watchIdle is the pause while nobody is asked, watchRetry that after an answer
+	watchBatchDelay = 400 * time.Millisecond
+	// watchIdlePause is the pause while nobody is asked, watchRetry that after an answer
 	// of no use, which grows to watchRetryMax after several in a row: while the store is
 	// out of everybody's reach a large fleet would ask its readers all the time.
-	watchIdle     = 200 * time.Millisecond
-	watchRetry    = 100 * time.Millisecond
-	watchRetryMax = 500 * time.Millisecond
+	watchIdlePause = 200 * time.Millisecond
+	watchRetry     = 100 * time.Millisecond
+	watchRetryMax  = 500 * time.Millisecond
 	// maxWatchWait bounds what a caller may ask for.
 	maxWatchWait = 2 * time.Second
 	// staleNumerator over staleDenominator is the least age of a proof at which a node counts
@@ -42,32 +42,32 @@
 
 // Bounds of encoded rows, in bytes.
 const (
-	// compressAbove is the size from which on rows are compressed.
-	compressAbove = 1 << 10
+	// compressThreshold is the size from which on rows are compressed.
+	compressThreshold = 1 << 10
 	// maxRowsBytes bounds the rows of one update, uncompressed.
 	maxRowsBytes = 32 << 20
 )
 
-// wholeBound is a bound on revocations from which on the times of watching hold; for shorter
+// fullTimingBound is a bound on revocations from which on the times of watching hold; for shorter
 // ones they are shorter in proportion: a node's proof is as old as that of the node it asks,
 // and then as its own call.
-const wholeBound = 5 * time.Second
+const fullTimingBound = 5 * time.Second
 
-func shortenedFor(revokeWithin, duration time.Duration) time.Duration {
-	if revokeWithin >= wholeBound {
+func scaleForBound(revokeWithin, duration time.Duration) time.Duration {
+	if revokeWithin >= fullTimingBound {
 		return duration
 	}
-	return time.Duration(float64(duration) * float64(revokeWithin) / float64(wholeBound))
+	return time.Duration(float64(duration) * float64(revokeWithin) / float64(fullTimingBound))
 }
 
 // watchWaitFor returns the longest wait of one call for a bound on revocations.
 func watchWaitFor(revokeWithin time.Duration) time.Duration {
-	return shortenedFor(revokeWithin, watchWait)
+	return scaleForBound(revokeWithin, watchWait)
 }
 
-// watchGatherFor returns the pause after news for a bound on revocations.
-func watchGatherFor(revokeWithin time.Duration) time.Duration {
-	return shortenedFor(revokeWithin, watchGather)
+// watchBatchDelayFor returns the pause after news for a bound on revocations.
+func watchBatchDelayFor(revokeWithin time.Duration) time.Duration {
+	return scaleForBound(revokeWithin, watchBatchDelay)
 }
 
 // staleAfterFor returns the age of a node's proof from which on another node is asked: more
@@ -81,10 +81,10 @@
 func (g *Gateway) watchPeers() error {
 	useless := 0
 	for {
-		pause := watchIdle
-		if source, found := g.sources.asks(g.now()); found {
+		pause := watchIdlePause
+		if source, found := g.sources.peerToAsk(g.now()); found {
 			outcome := g.watchOnce(source)
-			useless = outcome.countUseless(useless)
+			useless = outcome.countFailures(useless)
 			pause = g.watchPause(outcome, useless)
 		}
 		if !g.pause(pause) {
@@ -98,18 +98,18 @@
 
 // Outcomes of watching.
 const (
-	// watchQuiet means that nothing has changed.
-	watchQuiet watchOutcome = iota
-	// watchNews means that rows have changed.
-	watchNews
-	// watchUseless means that the next question is to wait a little, mostly at another node:
+	// watchUnchanged means that nothing has changed.
+	watchUnchanged watchOutcome = iota
+	// watchChanged means that rows have changed.
+	watchChanged
+	// watchFailed means that the next question is to wait a little, mostly at another node:
 	// this one gave no answer, has no proof, or an old one.
-	watchUseless
+	watchFailed
 )
 
-// countUseless returns the number of useless outcomes in a row, this one included.
-func (o watchOutcome) countUseless(before int) int {
-	if o == watchUseless {
+// countFailures returns the number of useless outcomes in a row, this one included.
+func (o watchOutcome) countFailures(before int) int {
+	if o == watchFailed {
 		return before + 1
 	}
 	return 0
@@ -119,10 +119,10 @@
 // of no use in a row.
 func (g *Gateway) watchPause(outcome watchOutcome, useless int) time.Duration {
 	switch {
-	case outcome == watchUseless:
+	case outcome == watchFailed:
 		return min(time.Duration(useless)*watchRetry, watchRetryMax)
-	case outcome == watchNews && !g.serves():
-		return watchGatherFor(g.settings().RevokeWithin)
+	case outcome == watchChanged && !g.isServing():
+		return watchBatchDelayFor(g.settings().RevokeWithin)
 	default:
 		return 0
 	}
@@ -132,15 +132,15 @@
 func (g *Gateway) watchOnce(source fleet.NodeID) watchOutcome {
 	member, found := g.peers.View().Find(source)
 	if !found {
-		g.noteSource(source, g.sources.failed(g.now(), source), "not a member")
-		return watchUseless
+		g.logSourceChange(source, g.sources.recordFailure(g.now(), source), "not a member")
+		return watchFailed
 	}
 	request := &rpc.WatchRequest{
 		Node:        string(g.node),
 		WaitMillis:  uint32(watchWaitFor(g.settings().RevokeWithin).Milliseconds()),
 		RequestRate: encodeRate(g.demand.summed(g.now())),
 	}
-	if _, proven := g.fresh.Age(g.now()); !proven {
+	if _, proven := g.freshness.Age(g.now()); !proven {
 		request.WaitMillis = 0
 	}
 	request.PositionsOf = string(source)
@@ -151,7 +151,7 @@
 	}
 	for _, followed := range g.tables {
 		if followed.source != source {
-			followed.source, followed.seen = source, 0
+			followed.source, followed.seenSequence = source, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{
 			Table: string(followed.name), Sequence: g.positionAt(followed),
@@ -160,23 +160,23 @@
 	g.askForSubsets(request)
 	begun := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
-	ctx, stop := g.resumptions.bind(g.peerCall(traffic.Watches, member))
+	ctx, stop := g.suspensionSignal.bind(g.peerCall(traffic.Watches, member))
 	defer stop()
 	response, err := g.peers.AskWatch(ctx, member.Address, firstByte, request)
 	if g.context().Err() != nil {
-		return watchQuiet
+		return watchUnchanged
 	}
 	if err != nil {
-		g.noteSource(source, g.sources.failed(g.now(), source), err.Error())
-		return watchUseless
+		g.logSourceChange(source, g.sources.recordFailure(g.now(), source), err.Error())
+		return watchFailed
 	}
-	return g.takeWatch(source, begun, response)
+	return g.applyWatchResponse(source, begun, response)
 }
 
-// takeWatch takes a peer's answer in. A peer that proved at its answer what it
+// applyWatchResponse takes a peer's answer in. A peer that proved at its answer what it
 // holds by a proof of an age proves the same here, as of the call's start and the
 // time for which the peer held the call, less that age.
-func (g *Gateway) takeWatch(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
+func (g *Gateway) applyWatchResponse(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
 	g.learnNamed(response.GetNamed())
 	g.takeDirectives(begun, response.GetDeliveries())
 	g.deliveries.noteSeen(source, response.GetDeliveriesSeen())
@@ -188,15 +188,15 @@
 		}
 		update, err := decodeUpdate(message)
 		if err != nil {
-			g.noteSource(source, g.sources.failed(g.now(), source), err.Error())
-			return watchUseless
+			g.logSourceChange(source, g.sources.recordFailure(g.now(), source), err.Error())
+			return watchFailed
 		}
 		if followed.name == TableWorkers {
 			g.applyWorkers(followed, message, update)
 		} else {
-			followed.apply(update, gapUnreached)
+			followed.apply(update, gapUnreachable)
 		}
-		followed.seen = update.Sequence
+		followed.seenSequence = update.Sequence
 		followed.cache.Advance(update.Followed)
 	}
 	g.demand.told(g.now(), decodeRate(response.GetRequestRate()))
@@ -205,35 +205,35 @@
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
 	if proven {
 		held := time.Duration(response.GetHeldMillis()) * time.Millisecond
-		g.fresh.Prove(min(begun+held, g.now()) - age)
-		g.noteKnown()
+		g.freshness.Prove(min(begun+held, g.now()) - age)
+		g.updateReadiness()
 	}
-	if moved := g.sources.answered(g.now(), source, age, proven); moved {
-		g.noteSource(source, moved, "proof too old, or first source again")
-		return watchUseless
+	if moved := g.sources.recordResponse(g.now(), source, age, proven); moved {
+		g.logSourceChange(source, moved, "proof too old, or first source again")
+		return watchFailed
 	}
 	if !proven {
-		return watchUseless
+		return watchFailed
 	}
-	if news(response) {
-		return watchNews
+	if hasChangedRows(response) {
+		return watchChanged
 	}
-	return watchQuiet
+	return watchUnchanged
 }
 
-// news tells whether an answer brings changed rows.
-func news(response *rpc.WatchResponse) bool {
+// hasChangedRows tells whether an answer brings changed rows.
+func hasChangedRows(response *rpc.WatchResponse) bool {
 	return slices.ContainsFunc(response.GetUpdates(), func(update *rpc.TableUpdate) bool {
 		return len(update.GetRows()) > 0 || len(update.GetCompressedRows()) > 0
 	})
 }
 
-// noteSource logs that another node is asked from now on.
-func (g *Gateway) noteSource(source fleet.NodeID, moved bool, reason string) {
+// logSourceChange logs that another node is asked from now on.
+func (g *Gateway) logSourceChange(source fleet.NodeID, moved bool, reason string) {
 	if !moved {
 		return
 	}
-	next, _ := g.sources.asks(g.now())
+	next, _ := g.sources.peerToAsk(g.now())
 	g.events.line("source_changed").Str("from", string(source)).Str("to", string(next)).Str("reason", reason).Msg("source_changed")
 }
 
@@ -251,7 +251,7 @@
 // the caller, else when it does or when the wait is over.
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
-	g.sources.watched(arrived)
+	g.sources.recordWatcher(arrived)
 	g.demand.told(g.now(), decodeRate(request.GetRequestRate()))
 	g.takeOrigins(g.now(), request.GetOrigins(), request.GetPressures())
 	wait := min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait)
@@ -286,17 +286,17 @@
 // before the age of the proof, so that nobody takes the proof for younger than it is.
 func (g *Gateway) heldResponse(request *rpc.WatchRequest, arrived time.Duration) (*rpc.WatchResponse, bool) {
 	held := g.now() - arrived
-	response, news := g.watchResponse(request)
+	response, news := g.buildWatchResponse(request)
 	response.HeldMillis = uint32(max(held, 0).Milliseconds())
 	return response, news
 }
 
-// watchResponse returns what this node knows beyond the caller, and whether
+// buildWatchResponse returns what this node knows beyond the caller, and whether
 // that is anything.
-func (g *Gateway) watchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
+func (g *Gateway) buildWatchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
 	now := g.now()
 	// The proof is read before the tables: it holds for what they hold by then.
-	age, proven := g.fresh.Age(now)
+	age, proven := g.freshness.Age(now)
 	response := &rpc.WatchResponse{
 		Named:       g.namedVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
@@ -352,7 +352,7 @@
 			Key: row.Key, Revision: uint64(row.Revision), Value: row.Value, Gone: row.Gone,
 		})
 	}
-	if size < compressAbove {
+	if size < compressThreshold {
 		return message
 	}
 	// A watcher may be told everything though it has seen some, as it asks for another part.
@@ -375,8 +375,8 @@
 
 // compress returns an update's rows compressed.
 func (t *table) compress(after uint64, update *watchcache.Update, part uint64, rows []*rpc.TableRow) ([]byte, error) {
-	t.encoding.Lock()
-	defer t.encoding.Unlock()
+	t.encodingMutex.Lock()
+	defer t.encodingMutex.Unlock()
 	if t.encoded.content != nil && t.encoded.after == after && t.encoded.upTo == update.Sequence && t.encoded.part == part {
 		return t.encoded.content, nil
 	}
--- a/internal/gateway/watchproof_test.go
+++ b/internal/gateway/watchproof_test.go
@@ -16,13 +16,13 @@
 func TestProofOfAnotherNodeIsNoOlderForTheWaitOfTheCall(t *testing.T) {
 	const wait, slack = 300 * time.Millisecond, 150 * time.Millisecond
 	reader, asker := idleGateway(t), idleGateway(t)
-	reader.fresh.Prove(reader.now())
+	reader.freshness.Prove(reader.now())
 	begun := asker.now()
 	response := reader.answerWatch(context.Background(), &rpc.WatchRequest{WaitMillis: uint32(wait.Milliseconds())})
-	asker.takeWatch("reader", begun, response)
-	age, proven := asker.fresh.Age(asker.now())
+	asker.applyWatchResponse("reader", begun, response)
+	age, proven := asker.freshness.Age(asker.now())
 	require.True(t, proven)
-	told, _ := reader.fresh.Age(reader.now())
+	told, _ := reader.freshness.Age(reader.now())
 	assert.GreaterOrEqual(t, age, wait, "never younger than it is")
 	assert.Less(t, age, wait+slack)
 	assert.GreaterOrEqual(t, age+slack, told)
@@ -31,8 +31,8 @@
 // TestProofIsNotFromTheFuture whatever another node tells of the time for which it held a call.
 func TestProofIsNotFromTheFuture(t *testing.T) {
 	g := idleGateway(t)
-	g.takeWatch("other", g.now(), &rpc.WatchResponse{ProofAgeMillis: 1, HeldMillis: 1 << 31})
-	age, proven := g.fresh.Age(g.now())
+	g.applyWatchResponse("other", g.now(), &rpc.WatchResponse{ProofAgeMillis: 1, HeldMillis: 1 << 31})
+	age, proven := g.freshness.Age(g.now())
 	require.True(t, proven)
 	assert.GreaterOrEqual(t, age, time.Duration(0))
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -19,57 +19,57 @@
 	// same at a node without requests that can't hold the lease: together with
 	// beginReserve it must stay below requireReserve, so that a request that comes
 	// meanwhile is still taken away from old weights in time.
-	rolloutInterval = 100 * time.Millisecond
-	rolloutRest     = 500 * time.Millisecond
-	// requireReserve is how much before the bound no request goes to an engine
+	rolloutInterval     = 100 * time.Millisecond
+	idleRolloutInterval = 500 * time.Millisecond
+	// enforceReserve is how much before the bound no request goes to an engine
 	// with an older version any more.
-	requireReserve = 1200 * time.Millisecond
-	// preferAfter is the time from the naming of a version from which requests go to
+	enforceReserve = 1200 * time.Millisecond
+	// preferDelay is the time from the naming of a version from which requests go to
 	// engines that have it where that costs little.
-	preferAfter = 1400 * time.Millisecond
-	// startUnknown is the time after this process's start at which a version that
+	preferDelay = 1400 * time.Millisecond
+	// unknownAgeGracePeriod is the time after this process's start at which a version that
 	// was named before it counts as due, unless a peer knows better.
-	startUnknown = 2800 * time.Millisecond
-	// quiesceLeast is the least time from the word that an engine is about to be
+	unknownAgeGracePeriod = 2800 * time.Millisecond
+	// minQuiesce is the least time from the word that an engine is about to be
 	// ordered until the order: requests under way to it arrive meanwhile. After that
 	// its runs, which new weights would halt for a while, are let end for at most
 	// quiesceIdle while the engines are far from full, and quiesceFull at the other
 	// end, since the engine does nothing else meanwhile.
-	quiesceLeast = 100 * time.Millisecond
-	quiesceIdle  = 600 * time.Millisecond
-	quiesceFull  = 400 * time.Millisecond
-	quiescePoll  = 40 * time.Millisecond
-	// idleBelow and fullAbove are the parts of the engines' memory in use at which
+	minQuiesce          = 100 * time.Millisecond
+	maxQuiesceIdle      = 600 * time.Millisecond
+	maxQuiesceFull      = 400 * time.Millisecond
+	quiescePollInterval = 40 * time.Millisecond
+	// idleMemoryUse and fullAbove are the parts of the engines' memory in use at which
 	// they count as idle and full.
-	idleBelow = 0.15
-	fullAbove = 0.45
-	// orderedFor is how long an engine counts as under an order, unless its new
+	idleMemoryUse = 0.15
+	fullMemoryUse = 0.45
+	// cordonDuration is how long an engine counts as under an order, unless its new
 	// version is seen before.
-	orderedFor = 2 * time.Second
-	// loadAtLeast is the time from an order until an engine is asked for the first
+	cordonDuration = 2 * time.Second
+	// minLoadTime is the time from an order until an engine is asked for the first
 	// time, reportInterval the time between two questions after that.
-	loadAtLeast    = 600 * time.Millisecond
+	minLoadTime    = 600 * time.Millisecond
 	reportInterval = 80 * time.Millisecond
 	// limitedReportInterval is the same at an engine with a limit on its requests.
 	limitedReportInterval = 600 * time.Millisecond
 	// maxFailedReports bounds the questions without an answer, after which the
 	// engine is left alone for changeBackoff.
 	maxFailedReports = 2
-	changeBackoff    = 1500 * time.Millisecond
+	updateBackoff    = 1500 * time.Millisecond
 	// storeLostAfter is the age of the newest proof among all reachable nodes from
 	// which the store counts as out of everybody's reach.
 	storeLostAfter = 2500 * time.Millisecond
-	// sharedNamings bounds the versions whose naming is told to peers.
-	sharedNamings = 4
+	// maxSharedVersions bounds the versions whose naming is told to peers.
+	maxSharedVersions = 4
 	// reorderAfter is when an order without effect is sent again, reorderUncertain
 	// when one is that got no answer within orderTimeout.
 	reorderAfter     = 1500 * time.Millisecond
 	reorderUncertain = 100 * time.Millisecond
 	orderTimeout     = 400 * time.Millisecond
-	// changeTimeout bounds the change of one engine, after which it is begun anew.
-	changeTimeout = 9 * time.Second
-	// gapSlack is added to the least time between the orders of two holders.
-	gapSlack = 150 * time.Millisecond
+	// updateTimeout bounds the change of one engine, after which it is begun anew.
+	updateTimeout = 9 * time.Second
+	// leaseGapSlack is added to the least time between the orders of two holders.
+	leaseGapSlack = 150 * time.Millisecond
 )
 
 // Parts of the lease's duration, against the least gap between two holders.
@@ -89,186 +89,186 @@
 	}
 }
 
-// weights keeps the named versions and when the engines change to them.
-type weights struct {
-	within time.Duration
-	mutex  sync.Mutex
-	pacers map[fleet.ModelName]*rollout.Pacer
-	// changing holds the engines under order by this node.
-	changing map[fleet.EngineID]bool
-	// orders holds, by engine, until when it counts as under order.
-	orders map[fleet.EngineID]time.Duration
+// rolloutState keeps the named versions and when the engines change to them.
+type rolloutState struct {
+	updateWithin time.Duration
+	mutex        sync.Mutex
+	pacers       map[fleet.ModelName]*rollout.Pacer
+	// updating holds the engines under order by this node.
+	updating map[fleet.EngineID]bool
+	// orderedUntil holds, by engine, until when it counts as under order.
+	orderedUntil map[fleet.EngineID]time.Duration
 	// failures counts, by engine, the changes in a row that failed.
 	failures map[fleet.EngineID]int
-	// leftAlone holds, by engine, until when no change of it is begun.
-	leftAlone map[fleet.EngineID]time.Duration
+	// backoffUntil holds, by engine, until when no change of it is begun.
+	backoffUntil map[fleet.EngineID]time.Duration
 }
 
-func newWeights(settings Settings) *weights {
-	return &weights{
-		within:    settings.WeightsWithin,
-		pacers:    make(map[fleet.ModelName]*rollout.Pacer),
-		changing:  make(map[fleet.EngineID]bool),
-		orders:    make(map[fleet.EngineID]time.Duration),
-		leftAlone: make(map[fleet.EngineID]time.Duration),
-		failures:  make(map[fleet.EngineID]int),
+func newRolloutState(settings Settings) *rolloutState {
+	return &rolloutState{
+		updateWithin: settings.UpdateModelsWithin,
+		pacers:       make(map[fleet.ModelName]*rollout.Pacer),
+		updating:     make(map[fleet.EngineID]bool),
+		orderedUntil: make(map[fleet.EngineID]time.Duration),
+		backoffUntil: make(map[fleet.EngineID]time.Duration),
+		failures:     make(map[fleet.EngineID]int),
 	}
 }
 
-// name takes in a named version and tells whether it is new. at is when it was
+// setDesired takes in a named version and tells whether it is new. at is when it was
 // named at the latest; known is false for a version that was named at an unknown
 // time before.
-func (w *weights) name(at time.Duration, known bool, named NamedWeights) bool {
+func (w *rolloutState) setDesired(at time.Duration, known bool, named DesiredVersion) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	pacer := w.pacer(named.Model)
 	if !known {
-		return pacer.Assume(at-w.within+requireReserve+startUnknown, uint64(named.Version))
+		return pacer.Assume(at-w.updateWithin+enforceReserve+unknownAgeGracePeriod, uint64(named.Version))
 	}
 	return pacer.Name(at, uint64(named.Version))
 }
 
 // pacer returns a model's pacer; the mutex is held.
-func (w *weights) pacer(model fleet.ModelName) *rollout.Pacer {
+func (w *rolloutState) pacer(model fleet.ModelName) *rollout.Pacer {
 	pacer := w.pacers[model]
 	if pacer == nil {
-		within := w.within - requireReserve
+		within := w.updateWithin - enforceReserve
 		pacer = rollout.NewPacer(rollout.PacerOptions{Within: within})
 		w.pacers[model] = pacer
 	}
 	return pacer
 }
 
-// setWithin takes over another bound, for the versions of models that are named
+// setBound takes over another bound, for the versions of models that are named
 // from now on for the first time.
-func (w *weights) setWithin(within time.Duration) {
+func (w *rolloutState) setBound(within time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.within = within
+	w.updateWithin = within
 }
 
-// hold has the time of versions that aren't due yet begin anew.
-func (w *weights) hold(now time.Duration) {
+// postpone has the time of versions that aren't due yet begin anew.
+func (w *rolloutState) postpone(now time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, pacer := range w.pacers {
-		pacer.Hold(now, w.within-requireReserve)
+		pacer.Hold(now, w.updateWithin-enforceReserve)
 	}
 }
 
-// learn takes in a peer's word on when a version was named.
-func (w *weights) learn(at time.Duration, model fleet.ModelName, version uint64) {
+// recordPeerVersion takes in a peer's word on when a version was named.
+func (w *rolloutState) recordPeerVersion(at time.Duration, model fleet.ModelName, version uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.pacer(model).Learn(at, version)
 }
 
-// heard returns the namings that this node has heard of at once.
-func (w *weights) heard() map[fleet.ModelName][]rollout.Naming {
+// recentVersions returns the namings that this node has recentVersions of at once.
+func (w *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Naming {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	heard := make(map[fleet.ModelName][]rollout.Naming, len(w.pacers))
 	for model, pacer := range w.pacers {
-		heard[model] = pacer.Heard(sharedNamings)
+		heard[model] = pacer.Heard(maxSharedVersions)
 	}
 	return heard
 }
 
 // due returns the versions older than which no request may begin from reserve
 // after now on.
-func (w *weights) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (w *rolloutState) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	due := make(map[fleet.ModelName]backends.WeightsVersion, len(w.pacers))
 	for model, pacer := range w.pacers {
-		due[model] = backends.WeightsVersion(pacer.Due(now, w.within-reserve))
+		due[model] = backends.WeightsVersion(pacer.Due(now, w.updateWithin-reserve))
 	}
 	return due
 }
 
-// replaced returns the newest versions that were named preferAfter ago.
-func (w *weights) replaced(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
-	return w.due(now, w.bound()-preferAfter)
+// preferred returns the newest versions that were named preferAfter ago.
+func (w *rolloutState) preferred(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+	return w.due(now, w.bound()-preferDelay)
 }
 
 // bound returns the time after which no request may begin on an older version.
-func (w *weights) bound() time.Duration {
+func (w *rolloutState) bound() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.within
+	return w.updateWithin
 }
 
-// change is one engine that is to take a version.
-type change struct {
+// engineUpdate is one engine that is to take a version.
+type engineUpdate struct {
 	worker  backends.Worker
 	model   fleet.ModelName
 	version uint64
 }
 
-// next returns the changes to begin now and counts them as begun. doubtful are
+// startUpdates returns the changes to begin now and counts them as begun. doubtful are
 // the workers that can't be reached, by what is known.
-func (w *weights) next(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []change {
+func (w *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []engineUpdate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	var changes []change
+	var changes []engineUpdate
 	for model, pacer := range w.pacers {
 		byID := make(map[fleet.EngineID]backends.Worker)
 		var engines []rollout.VersionedEngine
 		for _, worker := range workers {
 			version, serves := worker.Versions[model]
-			if !serves || worker.Draining || now < w.leftAlone[worker.ID] {
+			if !serves || worker.Draining || now < w.backoffUntil[worker.ID] {
 				continue
 			}
 			byID[worker.ID] = worker
 			engines = append(engines, rollout.VersionedEngine{
-				Engine: worker.ID, Version: uint64(version), Changing: w.changing[worker.ID],
+				Engine: worker.ID, Version: uint64(version), Changing: w.updating[worker.ID],
 				Doubtful: doubtful[worker.ID] || w.failures[worker.ID] > 0, Failures: w.failures[worker.ID],
 			})
 		}
 		for _, id := range pacer.Next(now, engines) {
-			w.changing[id] = true
-			changes = append(changes, change{worker: byID[id], model: model, version: pacer.Newest()})
+			w.updating[id] = true
+			changes = append(changes, engineUpdate{worker: byID[id], model: model, version: pacer.Newest()})
 		}
 	}
 	return changes
 }
 
-// announce says until when an engine counts as under order, and tells whether that
+// markOrdered says until when an engine counts as under order, and tells whether that
 // is news.
-func (w *weights) announce(id fleet.EngineID, until time.Duration) bool {
+func (w *rolloutState) markOrdered(id fleet.EngineID, until time.Duration) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	_, known := w.orders[id]
-	w.orders[id] = until
+	_, known := w.orderedUntil[id]
+	w.orderedUntil[id] = until
 	return !known
 }
 
-// retract says that an engine is no longer under order.
-func (w *weights) retract(id fleet.EngineID) {
+// clearOrdered says that an engine is no longer under order.
+func (w *rolloutState) clearOrdered(id fleet.EngineID) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.orders, id)
+	delete(w.orderedUntil, id)
 }
 
-// finish notes that a change has ended. took is 0 if it failed, load the part of it
+// finishUpdate notes that a change has ended. took is 0 if it failed, load the part of it
 // since the order.
-func (w *weights) finish(now time.Duration, done change, took, load time.Duration) {
+func (w *rolloutState) finishUpdate(now time.Duration, done engineUpdate, took, load time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.changing, done.worker.ID)
-	delete(w.orders, done.worker.ID)
+	delete(w.updating, done.worker.ID)
+	delete(w.orderedUntil, done.worker.ID)
 	if took > 0 {
 		w.pacers[done.model].Measured(took, load)
-		delete(w.leftAlone, done.worker.ID)
+		delete(w.backoffUntil, done.worker.ID)
 		delete(w.failures, done.worker.ID)
 		return
 	}
 	w.failures[done.worker.ID]++
-	w.leftAlone[done.worker.ID] = now + changeBackoff
+	w.backoffUntil[done.worker.ID] = now + updateBackoff
 }
 
-// namings returns a number that rises with each version that is named.
-func (w *weights) namings() uint64 {
+// generation returns a number that rises with each version that is named.
+func (w *rolloutState) generation() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	sum := uint64(len(w.pacers))
@@ -278,11 +278,11 @@
 	return sum
 }
 
-// unfinished tells whether a worker is to take a newer version than it has, or is about to.
-func (w *weights) unfinished(workers []backends.Worker) bool {
+// hasOutdated tells whether a worker is to take a newer version than it has, or is about to.
+func (w *rolloutState) hasOutdated(workers []backends.Worker) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if len(w.changing) > 0 {
+	if len(w.updating) > 0 {
 		return true
 	}
 	for index := range workers {
@@ -296,20 +296,20 @@
 }
 
 // forgetRun drops what is known of the orders to a run that has ended.
-func (w *weights) forgetRun(id fleet.EngineID) {
+func (w *rolloutState) forgetRun(id fleet.EngineID) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.orders, id)
+	delete(w.orderedUntil, id)
 	delete(w.failures, id)
-	delete(w.leftAlone, id)
+	delete(w.backoffUntil, id)
 }
 
-// underOrder returns the engines under this node's orders and for how long.
-func (w *weights) underOrder(now time.Duration) map[fleet.EngineID]time.Duration {
+// orderedEngines returns the engines under this node's orders and for how long.
+func (w *rolloutState) orderedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	remaining := make(map[fleet.EngineID]time.Duration, len(w.orders))
-	for id, until := range w.orders {
+	remaining := make(map[fleet.EngineID]time.Duration, len(w.orderedUntil))
+	for id, until := range w.orderedUntil {
 		if until > now {
 			remaining[id] = until - now
 		}
@@ -317,8 +317,8 @@
 	return remaining
 }
 
-// newest returns the newest named version of a model.
-func (w *weights) newest(model fleet.ModelName) uint64 {
+// newestVersion returns the newestVersion named version of a model.
+func (w *rolloutState) newestVersion(model fleet.ModelName) uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.pacers[model].Newest()
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -106,7 +106,7 @@
 
 // askZones has nodes of other zones asked about the caches there.
 func (g *Gateway) askZones(wanted map[fleet.ZoneName]map[fleet.EngineID]bool) {
-	g.zoneFeeds.set(wanted, g.serves(), func(zone fleet.ZoneName, feed *zoneFeed) {
+	g.zoneFeeds.set(wanted, g.isServing(), func(zone fleet.ZoneName, feed *zoneFeed) {
 		ctx, cancel := context.WithCancel(g.context())
 		feed.cancel = cancel
 		g.life.Go(func() error {
