--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -37,7 +37,7 @@
 // TestLoadsKeepTheirValuesOnTheWay has the names of known workers go as hashes, and loads of
 // workers that the receiver doesn't know be left out.
 func TestLoadsKeepTheirValuesOnTheWay(t *testing.T) {
-	sender, receiver := idleGateway(t), idleGateway(t)
+	sender, receiver := newTestGateway(t), newTestGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, backends.Worker{ID: "a"})
 		g.workers.Observe(2, backends.Worker{ID: "b"})
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -18,7 +18,7 @@
 
 // TestNodeTellsOfCachesThatItFollows asks a node about the caches of its zone.
 func TestNodeTellsOfCachesThatItFollows(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
 		response, err := g.answerCaches(t.Context(), encodeQuestion(question, 20*time.Millisecond))
 		return decodeNews(response), err
@@ -55,7 +55,7 @@
 // TestCachesOfOtherZonesAreAskedAbout has a node that serves follow the caches of its own
 // zone by itself, and those of another zone only while nobody there answers.
 func TestCachesOfOtherZonesAreAskedAbout(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
 	require.NoError(t, err)
 	require.True(t, g.holder.Offer(0, 1, compiled))
@@ -88,7 +88,7 @@
 
 // TestIdleNodeFollowsItsZonesCachesWhileAsked has a zone without a node that serves.
 func TestIdleNodeFollowsItsZonesCachesWhileAsked(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
 	require.True(t, g.holder.Offer(0, 1, compiled))
@@ -111,7 +111,7 @@
 	g.roles.Store(deriveRoles(g.node, "z0", membership.NewView(1, all[0], all), 0, false))
 	require.False(t, g.isServing())
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
 	require.ErrorIs(t, err, errFollowsNone)
 	near := cacheRun{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
@@ -119,13 +119,13 @@
 	assert.Equal(t, map[cacheRun]bool{near: true}, following)
 	assert.Empty(t, asked)
 	g.cacheLog.ask(g.now() - cachesWanted - time.Millisecond)
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 }
 
 // TestFarRegionIsAskedByOneNodeOfTheOwn has a zone of another region asked by one node, the
 // others ask that one, and a node tells only what it has from the zone itself.
 func TestFarRegionIsAskedByOneNodeOfTheOwn(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	settings := *g.settings()
 	settings.Region, settings.Zones = "north", map[fleet.ZoneName]fleet.RegionName{"z0": "north", "z1": "north", "far": "south"}
 	g.currentSettings.Store(&settings)
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -19,7 +19,7 @@
 
 // deliveryGateway returns a gateway that isn't started and has heard of an order.
 func deliveryGateway(t *testing.T) *Gateway {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.takeOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
 		{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
 	}})
@@ -249,7 +249,7 @@
 
 // TestShiftIsKnownFromItsMoment has a shift be told in advance, begin, and end.
 func TestShiftIsKnownFromItsMoment(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.False(t, g.deliveries.shifts(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	_, err := g.deliveries.order(0, 0, order)
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -20,7 +20,7 @@
 // deliveries.
 func TestVersionThatComesBeforeItsOrderGetsNothingYet(t *testing.T) {
 	for _, bounded := range []bool{true, false} {
-		g := idleGateway(t)
+		g := newTestGateway(t)
 		settings := *g.settings()
 		settings.Deliveries = bounded
 		g.currentSettings.Store(&settings)
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -52,7 +52,7 @@
 
 // TestNothingIsSaidWhileNoWorkerHasALimit, and the end of one is told for a while.
 func TestNothingIsSaidWhileNoWorkerHasALimit(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
 	assert.False(t, g.limits.any.Load())
 	g.limits.observe(limitObservation(2, g.now()), true)
@@ -60,7 +60,7 @@
 	require.Len(t, reported, 1)
 	assert.True(t, reported[0].GetLimited())
 
-	other := idleGateway(t)
+	other := newTestGateway(t)
 	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
 	assert.True(t, other.limits.limited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
@@ -75,7 +75,7 @@
 
 // TestNodeThatHasJustStartedGrantsNothing: it may not be the one that grants.
 func TestNodeThatHasJustStartedGrantsNothing(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.roleSettled.Store(false)
 	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
 	_, err := g.answerGrant(context.Background(), question)
@@ -90,7 +90,7 @@
 
 // TestWhoGrantsKnowsThatALimitHasEnded and says so to one that believes in it still.
 func TestWhoGrantsKnowsThatALimitHasEnded(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.roleSettled.Store(true)
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
@@ -116,7 +116,7 @@
 // TestNextNodeIsAskedWhereOneDoesNotAnswer, for a short time, and for longer where its release
 // doesn't know the question.
 func TestNextNodeIsAskedWhereOneDoesNotAnswer(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	view := largeFleet(20)
 	near := membership.Location{Zone: "z1"}
 	now := 100 * time.Second
@@ -142,7 +142,7 @@
 
 // TestOneWorkerIsGrantedByTheSameNodeAtAllNodes, whichever they are.
 func TestOneWorkerIsGrantedByTheSameNodeAtAllNodes(t *testing.T) {
-	one, other := idleGateway(t), idleGateway(t)
+	one, other := newTestGateway(t), newTestGateway(t)
 	granters := make(map[fleet.NodeID]bool)
 	for number := range 200 {
 		worker := fleet.EngineID(rune('a' + number))
@@ -155,7 +155,7 @@
 
 // TestRunsUnderOneNameHaveLimitsOfTheirOwn.
 func TestRunsUnderOneNameHaveLimitsOfTheirOwn(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	observation := limitObservation(2, g.now())
 	observation.Born = 100
 	g.limits.observe(observation, false)
@@ -175,7 +175,7 @@
 
 // TestNodeIsNotPassedOverWhereACallerLeaves while it is asked.
 func TestNodeIsNotPassedOverWhereACallerLeaves(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
 	first := g.limits.granter(g.now(), "w", near, view)
 	gone, leave := context.WithCancel(context.Background())
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -29,7 +29,7 @@
 		{"without a signature", ResponseInfo{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			g := idleGateway(t)
+			g := newTestGateway(t)
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
 			g.noteAnswerNotice(&worker, 0, test.info)
@@ -55,7 +55,7 @@
 // its row can't say anything while the store is away.
 func TestNodeHearsFromAPeerThatAWorkerDrains(t *testing.T) {
 	worker := backends.Worker{ID: "w", Born: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	told, hears := idleGateway(t), idleGateway(t)
+	told, hears := newTestGateway(t), newTestGateway(t)
 	for _, g := range []*Gateway{told, hears} {
 		g.workers.Observe(1, worker)
 	}
@@ -77,7 +77,7 @@
 
 // TestBackoffsAreToldWithinAZone since a worker may reject the requests of one zone alone.
 func TestBackoffsAreToldWithinAZone(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.noteAnswerNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
@@ -89,7 +89,7 @@
 
 // TestSuccessSentBeforeABackoffDoesNotEndIt nor does what isn't the worker's own answer.
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.noteAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
 	assert.NoError(t, g.permitWorker(&worker), "nobody signed it")
--- a/internal/gateway/operationspage_test.go
+++ b/internal/gateway/operationspage_test.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// TestPageNamesTheGatewaysMetrics compares docs/OPERATIONS.md with what a gateway
+// TestOperationsPageListsMetrics compares docs/OPERATIONS.md with what a gateway
 // registers.
-func TestPageNamesTheGatewaysMetrics(t *testing.T) {
+func TestOperationsPageListsMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	registry := prometheus.NewRegistry()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -50,7 +50,7 @@
 func (g *Gateway) register() error {
 	registered := false
 	for {
-		reading := g.roleSettled.Load() && g.roles.Load().reader
+		reading := g.roleSettled.Load() && g.roles.Load().isReader
 		alone := g.memberCount() == 1
 		if reading || (alone && g.now() >= joinGracePeriod) {
 			registered = g.meet(registered)
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -56,7 +56,7 @@
 
 // TestNodeUnderPressureGetsFewerCallers has one node tell that it is busy.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.Empty(t, g.origins.planWeights(0))
 	g.takeLoad(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
@@ -78,7 +78,7 @@
 
 // TestOwnPressureIsTold has this node itself run short.
 func TestOwnPressureIsTold(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	settings := *g.settings()
 	settings.Limits = nodecapacity.Limits{MemoryMB: 100}
 	require.NoError(t, g.Reload(settings))
@@ -189,7 +189,7 @@
 }
 
 func TestDirectoryNamesNobodyWhoIsNotReady(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.roleSettled.Store(true)
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{Zone: "z0"}), "it knows no configuration yet")
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -67,7 +67,7 @@
 
 // quarantineGateway returns a gateway that isn't started, before a store.
 func quarantineGateway(t *testing.T, store *quarantineStore) *Gateway {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.dependencies.Store = store
 	return g
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -13,7 +13,7 @@
 // TestIdleNodeTellsUsesOnlyForLimitedTenants has a node to which callers aren't sent get
 // requests: those of tenants with a limit, whether admitted or not, have it talk about uses.
 func TestIdleNodeTellsUsesOnlyForLimitedTenants(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.isServing())
 	require.Empty(t, g.loadPeers())
--- a/internal/gateway/readiness_test.go
+++ b/internal/gateway/readiness_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestIsHeldFromTheOpeningOfTheFront has the process take longer to open its front than
+// TestStartupHoldBeginsWhenFrontOpens has the process take longer to open its front than
 // a request is held.
-func TestRequestIsHeldFromTheOpeningOfTheFront(t *testing.T) {
-	g := idleGateway(t)
+func TestStartupHoldBeginsWhenFrontOpens(t *testing.T) {
+	g := newTestGateway(t)
 	time.Sleep(startupHold + 20*time.Millisecond)
 	g.readiness.frontOpenedAt.Store(int64(g.now()))
 	answered := time.AfterFunc(50*time.Millisecond, func() { close(g.readiness.ready) })
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLoopsOfANodeAtRestWakeTogether counts the moments at which loops of some intervals look
+// TestIdleLoopsShareTicks counts the moments at which loops of some intervals look
 // around in ten seconds.
-func TestLoopsOfANodeAtRestWakeTogether(t *testing.T) {
+func TestIdleLoopsShareTicks(t *testing.T) {
 	moments := make(map[time.Duration]bool)
 	for index, interval := range []time.Duration{
 		rolesInterval, pressureRest, unlimitedPause, shareInterval, idleRolloutInterval, cacheRest, housekeepInterval,
@@ -25,9 +25,9 @@
 	assert.LessOrEqual(t, len(moments), 21)
 }
 
-// TestNodeThatMayHaveToActDoesNotRest.
-func TestNodeThatMayHaveToActDoesNotRest(t *testing.T) {
-	g := idleGateway(t)
+// TestActiveNodeIsNotIdle.
+func TestActiveNodeIsNotIdle(t *testing.T) {
+	g := newTestGateway(t)
 	roles := *g.roles.Load()
 	roles.sharesLoads = false
 	g.roles.Store(&roles)
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -69,12 +69,12 @@
 	origins         map[membership.Location]float64
 	pressureWeights map[fleet.NodeID]float64
 	minSizes        map[membership.Location]int
-	// reader is set if it is this node's role to read the store, candidate if it
+	// isReader is set if it is this node's role to read the store, candidate if it
 	// takes the lease of the weights, and sharesLoads if it is among those that tell
 	// each other what they send: those that serve, the candidates, and who stands in for
 	// these.
-	reader      bool
-	candidate   bool
+	isReader    bool
+	isCandidate bool
 	sharesLoads bool
 	// standbyCount is the number of nodes that callers aren't sent to, if this is one of
 	// them.
@@ -98,14 +98,14 @@
 	roles := &nodeRoles{
 		Roles: all, view: view, demand: demand, fallbackCandidate: standsIn,
 		origins: options.Origins, pressureWeights: options.Weights, minSizes: options.Least,
-		reader:      all.Reads(self),
-		candidate:   slices.Contains(candidates, self),
+		isReader:    all.Reads(self),
+		isCandidate: slices.Contains(candidates, self),
 		readerOrder: all.ReaderOrder(zone, self),
 	}
 	if !all.Serves(self) {
 		roles.standbyCount = len(view.Routable()) - len(all.Serving)
 	}
-	roles.sharesLoads = roles.candidate || standsIn || all.Serves(self)
+	roles.sharesLoads = roles.isCandidate || standsIn || all.Serves(self)
 	if !roles.sharesLoads {
 		return roles
 	}
@@ -161,7 +161,7 @@
 		g.demand.setSharing(roles.sharesLoads)
 	}
 	settled := !g.isJoining(now)
-	reader := roles.reader && settled
+	reader := roles.isReader && settled
 	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, standbyCount: roles.standbyCount})
 	if serves := roles.Serves(g.node); before == nil || before.Serves(g.node) != serves || len(before.Serving) != len(roles.Serving) {
 		g.logger.Info().Bool("serves", serves).Int("serving", len(roles.Serving)).Bool("reads", reader).
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -19,8 +19,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// idleGateway returns a gateway that isn't started and has nothing outside.
-func idleGateway(t testing.TB) *Gateway {
+// newTestGateway returns a gateway that isn't started and has nothing outside.
+func newTestGateway(t testing.TB) *Gateway {
 	settings := Settings{
 		Node: "node-000", Zone: "z0", FrontAddress: "127.0.0.1:1", DirectoryAddress: "127.0.0.1:2",
 		ReadyAddress: "127.0.0.1:3", PeerAddress: "127.0.0.1:4", StoreAddress: "127.0.0.1:5",
@@ -47,7 +47,7 @@
 }
 
 func TestRolesAreDerivedOnlyWhenMembersOrDemandChange(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	derived := g.roles.Load()
 	require.NotNil(t, derived)
 	g.updateRoles(time.Second)
@@ -81,8 +81,8 @@
 	assert.Equal(t, membership.DefaultMinServing+len(candidates), sharing)
 }
 
-func TestNodeAtRestLooksSeldomAtTheRollout(t *testing.T) {
-	g := idleGateway(t)
+func TestIdleNodeChecksRolloutLessOften(t *testing.T) {
+	g := newTestGateway(t)
 	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval(), "alone it serves")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().sharesLoads)
@@ -92,10 +92,10 @@
 	assert.Less(t, idleRolloutInterval+beginReserve, enforceReserve)
 }
 
-// TestRequestAtRestIsPlacedByTheVersionsThatAreDue places a request between two
+// TestRequestAtIdleNodeUsesDueVersions places a request between two
 // looks at the roll-out.
-func TestRequestAtRestIsPlacedByTheVersionsThatAreDue(t *testing.T) {
-	g := idleGateway(t)
+func TestRequestAtIdleNodeUsesDueVersions(t *testing.T) {
+	g := newTestGateway(t)
 	g.workers.Observe(1, backends.Worker{
 		ID: "engine", Service: "pool", Address: "127.0.0.1:9", Slots: 1,
 		Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
@@ -112,16 +112,16 @@
 	assert.Equal(t, backends.ReasonVersion, reason.Reason)
 }
 
-func TestOnlyChangedRowsAreNews(t *testing.T) {
+func TestOnlyRowsCountAsChanges(t *testing.T) {
 	assert.False(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Table: "workers"}, {Table: "operator"}}}))
 	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Rows: []*rpc.TableRow{{Key: "a"}}}}}))
 	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
 }
 
-// TestNodeAsksSeldomerWhileNobodyKnowsMore bounds what a large fleet asks its readers
+// TestWatchBacksOffAfterFailures bounds what a large fleet asks its readers
 // while the store is out of everybody's reach.
-func TestNodeAsksSeldomerWhileNobodyKnowsMore(t *testing.T) {
-	g := idleGateway(t)
+func TestWatchBacksOffAfterFailures(t *testing.T) {
+	g := newTestGateway(t)
 	useless := 0
 	for range 20 {
 		useless = watchFailed.countFailures(useless)
@@ -135,11 +135,11 @@
 	assert.Zero(t, g.watchPause(watchUnchanged, 0))
 }
 
-// TestNodeThatDoesNotKnowItsRoleClaimsLittle has a node that has just started, and knows
+// TestNodeWithoutSettledRoleFollowsFewCaches has a node that has just started, and knows
 // itself alone, follow few caches and not name itself to callers.
-func TestNodeThatDoesNotKnowItsRoleClaimsLittle(t *testing.T) {
+func TestNodeWithoutSettledRoleFollowsFewCaches(t *testing.T) {
 	const engines = 2*cachesByRequest + 1
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
 	require.True(t, g.holder.Offer(0, 1, compiled))
@@ -151,22 +151,22 @@
 	}
 	g.workersKnown.Store(true)
 	g.roleSettled.Store(false)
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{}))
 	g.requestCount.Store(1)
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 	g.requestCount.Store(2)
-	assert.Len(t, present(g), engines, "callers come all the same")
+	assert.Len(t, followedCaches(g), engines, "callers come all the same")
 	g.requestCount.Store(0)
 	g.roleSettled.Store(true)
-	assert.Len(t, present(g), engines)
+	assert.Len(t, followedCaches(g), engines)
 	assert.Len(t, g.frontAddresses(ResolutionQuery{}), 1)
 }
 
-// TestNodeThatKnowsTheTablesAsksNoMoreOfTheStore has a fleet start before its operator
+// TestNodeWithTablesStopsReadingStore has a fleet start before its operator
 // has written a configuration.
-func TestNodeThatKnowsTheTablesAsksNoMoreOfTheStore(t *testing.T) {
-	g := idleGateway(t)
+func TestNodeWithTablesStopsReadingStore(t *testing.T) {
+	g := newTestGateway(t)
 	g.sources = newSourceSelector(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
 	g.sources.setRole(0, sourceRole{order: []fleet.NodeID{"other"}})
 	reading, _ := g.sources.readsStore()
@@ -191,10 +191,10 @@
 	}
 }
 
-// TestNodeThatHasJustStartedPlansByEqualParts has the first rates that it hears come from one
+// TestStartingNodePlansWithoutOrigins has the first rates that it hears come from one
 // place alone.
-func TestNodeThatHasJustStartedPlansByEqualParts(t *testing.T) {
-	g := idleGateway(t)
+func TestStartingNodePlansWithoutOrigins(t *testing.T) {
+	g := newTestGateway(t)
 	g.demand.setSharing(true)
 	first := func(now time.Duration) membership.RoleOptions {
 		g.demand.peer(now, g.node, 100)
@@ -208,8 +208,8 @@
 	assert.NotEmpty(t, first(planningDelay).Origins)
 }
 
-// present returns the caches that a gateway follows itself.
-func present(g *Gateway) map[cacheRun]bool {
+// followedCaches returns the caches that a gateway follows itself.
+func followedCaches(g *Gateway) map[cacheRun]bool {
 	caches, _ := g.caches()
 	return caches
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -123,7 +123,7 @@
 
 // isRolloutCandidate tells whether this node is among those that take the lease.
 func (g *Gateway) isRolloutCandidate() bool {
-	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().candidate || g.fallbackCandidate.Load())
+	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().isCandidate || g.fallbackCandidate.Load())
 }
 
 // updateEngine brings one engine to a version: it keeps requests away, sends
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -8,15 +8,15 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-func TestOrderThatMayBeLostIsRepeatedSoon(t *testing.T) {
+func TestUncertainOrderIsRepeatedSooner(t *testing.T) {
 	assert.Equal(t, reorderUncertain, reorderDelay(rollout.OrderUncertain))
 	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderHolds, rollout.OrderRejected} {
 		assert.Equal(t, reorderAfter, reorderDelay(result))
 	}
 }
 
-// TestRunsAreLetEndForLongerWhileEnginesAreIdle looks at both ends.
-func TestRunsAreLetEndForLongerWhileEnginesAreIdle(t *testing.T) {
+// TestQuiesceLimitShrinksWithMemoryUse looks at both ends.
+func TestQuiesceLimitShrinksWithMemoryUse(t *testing.T) {
 	assert.Equal(t, maxQuiesceIdle, quiesceLimit(0))
 	assert.Equal(t, maxQuiesceIdle, quiesceLimit(idleMemoryUse))
 	assert.Equal(t, maxQuiesceFull, quiesceLimit(fullMemoryUse))
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -26,7 +26,7 @@
 // TestSilentNodeIsNamedToNobody has exchanges with a node fail while the membership still takes
 // it for alive, and the word on that reach a node at rest.
 func TestSilentNodeIsNamedToNobody(t *testing.T) {
-	g, atRest := idleGateway(t), idleGateway(t)
+	g, atRest := newTestGateway(t), newTestGateway(t)
 	lost := membership.Member{Node: "lost", State: membership.Alive}
 	g.noteExchange(lost.Node, false)
 	assert.False(t, g.origins.silent(g.now(), lost.Node))
--- a/internal/gateway/standin.go
+++ b/internal/gateway/standin.go
@@ -83,7 +83,7 @@
 // candidates: nobody does the duty, and this node itself reaches the store. A node that
 // holds the lease so goes on.
 func (g *Gateway) shouldBeFallbackCandidate(now time.Duration) bool {
-	if g.roles.Load().candidate {
+	if g.roles.Load().isCandidate {
 		return false
 	}
 	if _, holds := g.lease.Fence(); holds {
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -13,10 +13,10 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-const undoneWithin = 3400 * time.Millisecond
+const stallTimeout = 3400 * time.Millisecond
 
-// look returns what two engines show with these versions; those below 2 wait.
-func look(versions ...uint64) rolloutProgress {
+// progressOf returns what two engines show with these versions; those below 2 wait.
+func progressOf(versions ...uint64) rolloutProgress {
 	seen := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64)}
 	for index, version := range versions {
 		seen.versionSums[fleet.EngineID(rune('a'+index))] = version
@@ -27,39 +27,39 @@
 	return seen
 }
 
-// lookUntil looks each second from one second to another and returns when the duty was
+// firstStall looks each second from one second to another and returns when the duty was
 // first found undone; 0 if it wasn't.
-func lookUntil(duty *progressMonitor, from, until int, seen rolloutProgress) int {
+func firstStall(duty *progressMonitor, from, until int, seen rolloutProgress) int {
 	for second := from; second <= until; second++ {
-		if duty.observe(time.Duration(second)*time.Second, seen, undoneWithin) {
+		if duty.observe(time.Duration(second)*time.Second, seen, stallTimeout) {
 			return second
 		}
 	}
 	return 0
 }
 
-func TestDutyThatNobodyDoesIsNoticed(t *testing.T) {
+func TestStalledRolloutIsDetected(t *testing.T) {
 	var duty progressMonitor
-	assert.Equal(t, 4, lookUntil(&duty, 0, 4, look(1, 1)), "engines wait since the first look")
-	assert.Equal(t, 9, lookUntil(&duty, 5, 9, look(1, 2)), "one has changed")
-	assert.Zero(t, lookUntil(&duty, 10, 20, look(2, 2)), "none waits")
-	assert.Zero(t, lookUntil(&duty, 30, 33, look(2, 1)), "nobody has looked for a while")
+	assert.Equal(t, 4, firstStall(&duty, 0, 4, progressOf(1, 1)), "engines wait since the first look")
+	assert.Equal(t, 9, firstStall(&duty, 5, 9, progressOf(1, 2)), "one has changed")
+	assert.Zero(t, firstStall(&duty, 10, 20, progressOf(2, 2)), "none waits")
+	assert.Zero(t, firstStall(&duty, 30, 33, progressOf(2, 1)), "nobody has looked for a while")
 }
 
-// TestDeliveryThatNobodyDirectsIsNoticed has engines change while nobody directs.
-func TestDeliveryThatNobodyDirectsIsNoticed(t *testing.T) {
+// TestUndirectedDeliveryIsDetected has engines change while nobody directs.
+func TestUndirectedDeliveryIsDetected(t *testing.T) {
 	var duty progressMonitor
-	undirected := look(2, 2)
+	undirected := progressOf(2, 2)
 	undirected.undirected = true
-	assert.Equal(t, 4, lookUntil(&duty, 0, 4, undirected))
-	assert.Zero(t, lookUntil(&duty, 5, 5, look(2, 2)), "somebody directs")
-	assert.Equal(t, 9, lookUntil(&duty, 6, 9, undirected))
+	assert.Equal(t, 4, firstStall(&duty, 0, 4, undirected))
+	assert.Zero(t, firstStall(&duty, 5, 5, progressOf(2, 2)), "somebody directs")
+	assert.Equal(t, 9, firstStall(&duty, 6, 9, undirected))
 }
 
 // TestDeliveryWithoutDirectiveIsUndirected has an order without and with a directive that
 // counts.
 func TestDeliveryWithoutDirectiveIsUndirected(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.False(t, g.deliveries.undirected(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	_, err := g.deliveries.order(0, 0, order)
@@ -74,21 +74,21 @@
 	assert.False(t, g.deliveries.undirected(time.Minute), "it is over")
 }
 
-// TestEnginesThatComeAndGoAreNoProgress has an engine crash and come back as another run
+// TestEngineRestartsAreNoProgress has an engine crash and come back as another run
 // while nobody changes any.
-func TestEnginesThatComeAndGoAreNoProgress(t *testing.T) {
+func TestEngineRestartsAreNoProgress(t *testing.T) {
 	var duty progressMonitor
-	assert.Zero(t, lookUntil(&duty, 0, 1, look(1, 1)))
-	assert.Zero(t, lookUntil(&duty, 2, 3, look(1)))
-	assert.Equal(t, 4, lookUntil(&duty, 4, 4, look(1, 1, 1)))
+	assert.Zero(t, firstStall(&duty, 0, 1, progressOf(1, 1)))
+	assert.Zero(t, firstStall(&duty, 2, 3, progressOf(1)))
+	assert.Equal(t, 4, firstStall(&duty, 4, 4, progressOf(1, 1, 1)))
 }
 
-// TestNodeThatReachesTheStoreStandsInForTheCandidates has an engine wait for new weights
+// TestNodeWithStoreAccessBecomesFallbackCandidate has an engine wait for new weights
 // at a node that isn't a candidate.
-func TestNodeThatReachesTheStoreStandsInForTheCandidates(t *testing.T) {
-	g := idleGateway(t)
+func TestNodeWithStoreAccessBecomesFallbackCandidate(t *testing.T) {
+	g := newTestGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	require.False(t, g.roles.Load().candidate)
+	require.False(t, g.roles.Load().isCandidate)
 	g.roleSettled.Store(true)
 	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1}})
 	g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2})
--- a/internal/gateway/storeclock_test.go
+++ b/internal/gateway/storeclock_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTranslatedTimeIsNeverLaterThanTheAnswer draws calls of all lengths, on a
+// TestStoreClockTimeIsNeverLaterThanResponse draws calls of all lengths, on a
 // clock that parts from the store's.
-func TestTranslatedTimeIsNeverLaterThanTheAnswer(t *testing.T) {
+func TestStoreClockTimeIsNeverLaterThanResponse(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		rate := 1 + (random.Float64()*2-1)*maxClockDrift/2
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestLongWaitProvesItsEnd has a short call calibrate the clocks first.
-func TestLongWaitProvesItsEnd(t *testing.T) {
+// TestStoreClockDatesLongPollAtItsResponse has a short call calibrate the clocks first.
+func TestStoreClockDatesLongPollAtItsResponse(t *testing.T) {
 	var clock storeClock
 	const ahead = time.Hour
 	assert.Equal(t, time.Second, clock.translate(time.Second, 1010*time.Millisecond, ahead+1005*time.Millisecond))
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -17,7 +17,7 @@
 	if _, holds := g.lease.Fence(); holds {
 		return true
 	}
-	return g.roles.Load().candidate || g.fallbackCandidate.Load()
+	return g.roles.Load().isCandidate || g.fallbackCandidate.Load()
 }
 
 // readsAll tells whether this node, if it reads the store, is to read all workers: it tells
@@ -26,7 +26,7 @@
 // the store turns a part of a large fleet away, whole reads by such nodes would be most of the
 // store's calls and bytes.
 func (g *Gateway) readsAll() bool {
-	return g.roles.Load().reader || g.knowsAllWorkers() || g.sources.needsAll(g.now())
+	return g.roles.Load().isReader || g.knowsAllWorkers() || g.sources.needsAll(g.now())
 }
 
 // workersTable returns the table of the workers.
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -51,7 +51,7 @@
 
 // readerOf returns a gateway that has read so many workers from the store.
 func readerOf(t testing.TB, workers int) *Gateway {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.dependencies.Store = workerTable{}
 	update := &watchcache.Update{Revision: 1, Complete: true}
 	for number := range workers {
@@ -65,10 +65,10 @@
 
 // followerOf returns a gateway that knows nothing yet and is to know the workers in use alone.
 func followerOf(t testing.TB) *Gateway {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.dependencies.Store = workerTable{}
 	roles := *g.roles.Load()
-	roles.candidate, roles.reader = false, false
+	roles.isCandidate, roles.isReader = false, false
 	g.roles.Store(&roles)
 	return g
 }
--- a/internal/gateway/watchproof_test.go
+++ b/internal/gateway/watchproof_test.go
@@ -11,11 +11,11 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestProofOfAnotherNodeIsNoOlderForTheWaitOfTheCall: the wait of a call would count twice, in the
+// TestWatchWaitIsNotCountedTwiceInProofAge: the wait of a call would count twice, in the
 // age that the other node tells and in the time of the call.
-func TestProofOfAnotherNodeIsNoOlderForTheWaitOfTheCall(t *testing.T) {
+func TestWatchWaitIsNotCountedTwiceInProofAge(t *testing.T) {
 	const wait, slack = 300 * time.Millisecond, 150 * time.Millisecond
-	reader, asker := idleGateway(t), idleGateway(t)
+	reader, asker := newTestGateway(t), newTestGateway(t)
 	reader.freshness.Prove(reader.now())
 	begun := asker.now()
 	response := reader.answerWatch(context.Background(), &rpc.WatchRequest{WaitMillis: uint32(wait.Milliseconds())})
@@ -30,7 +30,7 @@
 
 // TestProofIsNotFromTheFuture whatever another node tells of the time for which it held a call.
 func TestProofIsNotFromTheFuture(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.applyWatchResponse("other", g.now(), &rpc.WatchResponse{ProofAgeMillis: 1, HeldMillis: 1 << 31})
 	age, proven := g.freshness.Age(g.now())
 	require.True(t, proven)
