--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -18,271 +18,270 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// ErrTooManyRows means that a whole read was given up since it would be a long one.
+// ErrTooManyRows is returned by ReadTable if it stopped reading a large table early.
 var ErrTooManyRows = errors.New("many rows")
 
-// ErrHistoryExpired means that changes can't be followed from a revision any more:
-// everything must be read again.
-var ErrHistoryExpired = errors.New("history gone")
+// ErrHistoryExpired is returned if the store no longer has the changes since a revision. The table
+// must then be read again in full.
+var ErrHistoryExpired = errors.New("store history expired")
 
-// Table names a table of the store that gateways follow.
+// Table is the name of a store table that gateways follow.
 type Table string
 
 // Tables that gateways follow.
 const (
-	// TableOperator holds the configuration and the named weights.
+	// TableOperator holds the configuration and the desired model versions.
 	TableOperator Table = "operator"
 	// TableWorkers holds a row for each worker.
 	TableWorkers Table = "workers"
-	// TableQuarantine holds a row for each request under which several workers ended.
+	// TableQuarantine holds a row for each request that several workers failed on.
 	TableQuarantine Table = "quarantine"
 )
 
-// OperatorRows is what an operator has written, as far as rows tell.
+// OperatorRows is the decoded content of rows of the operator table.
 type OperatorRows struct {
-	// Document is the newest configuration, nil if it isn't among the rows.
+	// Document is the newest configuration, or nil if the rows do not contain it.
 	Document         *routes.Document
 	DocumentRevision fleet.Revision
-	// DesiredVersions lists named versions.
+	// DesiredVersions lists the model versions that the operator requests.
 	DesiredVersions []DesiredVersion
-	// Deliveries lists orders to move a service to a version of its software.
+	// Deliveries lists the orders to move a service to a software version.
 	Deliveries []delivery.Order
-	// RefusedDeliveries lists the orders of that kind that can't be used.
+	// RefusedDeliveries lists the delivery orders that are invalid.
 	RefusedDeliveries []InvalidInput
-	// Invalid lists the parts of the configuration that couldn't be read and are left
-	// as they were.
+	// Invalid lists the parts of the configuration that could not be decoded. Their previous values
+	// stay in force.
 	Invalid []InvalidInput
 }
 
-// DesiredVersion is a version of a model's weights that an operator has named.
+// DesiredVersion is the version of a model's weights that an operator requests.
 type DesiredVersion struct {
 	Model   fleet.ModelName
 	Version backends.WeightsVersion
-	// Revision is that of the row.
+	// Revision is the revision of the row.
 	Revision fleet.Revision
 }
 
-// WorkerRow is one worker's row, or the word that it is gone.
+// WorkerRow is the row of one worker or, if Deleted, its deletion.
 type WorkerRow struct {
 	Revision fleet.Revision
 	Worker   backends.Worker
 	Deleted  bool
-	// Unusable is set if the row names no worker to use: it can't be read, or lacks what
-	// every worker writes. Only the worker's identifier is known then.
+	// Unusable is set if the row cannot be decoded or lacks a mandatory field. Only the worker's
+	// identifier is known then.
 	Unusable bool
 }
 
-// InvalidInput is something from outside that couldn't be read and counts as absent.
+// InvalidInput describes external input that could not be decoded and is treated as absent.
 type InvalidInput struct {
-	// Source says what it is, such as a table or a header; it labels a metric.
+	// Source is the kind of input, such as a table or a header. It labels a metric.
 	Source string
-	// Key names the one among others of the source; empty if there is one.
+	// Key identifies the input within its source. It is empty if the source has one input only.
 	Key string
 	Err error
 }
 
-// StoredDelivery is what the store holds of one service's delivery.
+// StoredDelivery is the stored record of one service's delivery.
 type StoredDelivery struct {
 	delivery.Record
-	// Version is that of the record in the store; 0 if there is none.
+	// Version is the version of the record in the store, 0 if there is none.
 	Version fleet.Revision
 }
 
-// StoredDeliveries is what the store holds of deliveries.
+// StoredDeliveries is the stored state of all deliveries.
 type StoredDeliveries struct {
-	// Records holds those that couldn't be read too, without a target.
+	// Records also contains, without a target, the records that could not be decoded.
 	Records []StoredDelivery
-	// Invalid tells why records couldn't be read.
+	// Invalid lists the records that could not be decoded.
 	Invalid []InvalidInput
-	// StoreTime is the store's steady clock at the answer.
+	// StoreTime is the store's steady clock at the time of the response.
 	StoreTime time.Duration
 }
 
-// QuarantineRow is what the store holds of one request under which workers ended. It names
-// no times: the clocks of nodes don't agree, and a row outlives them all.
+// QuarantineRow is the stored row of one request that workers failed on. It contains no times,
+// since the clocks of nodes differ and the row outlives their processes.
 type QuarantineRow struct {
 	Fingerprint quarantine.Fingerprint
-	// Workers are those that ended, Trials the times that the request was let through after
-	// it had been held.
+	// Workers are the workers that ended. Trials counts how often the request was let through after
+	// it had been quarantined.
 	Workers []fleet.EngineID
 	Trials  int
-	// Version is that of the row; 0 if there is none.
+	// Version is the version of the row, 0 if there is none.
 	Version fleet.Revision
 	Deleted bool
 }
 
-// Node is another gateway as the store knows it.
+// Node is the store's row of a gateway.
 type Node struct {
-	// Name is the machine's name.
+	// Name is the name of the machine.
 	Name    string
 	Address fleet.Address
 	Zone    fleet.ZoneName
 	Region  fleet.RegionName
 }
 
-// Store is the store, as the gateway needs it. Reads return an error of
-// package platform, or ErrHistoryGone.
+// Store is the interface to the store. Reads return the errors of package platform, or
+// ErrHistoryExpired.
 type Store interface {
-	// ReadTable returns all rows of a table. It may be behind. Of a table with many rows it
-	// reads the first ones and asks readOn whether to go on; else it returns ErrManyRows.
-	ReadTable(ctx context.Context, table Table, readOn func() bool) (*watchcache.Update, error)
-	// FollowTable returns what has changed after a revision, as soon as something
-	// has or after wait.
+	// ReadTable returns all rows of a table, possibly not the latest ones. For a table with many
+	// rows it reads the first ones and calls continueReading; if that returns false it returns
+	// ErrTooManyRows.
+	ReadTable(ctx context.Context, table Table, continueReading func() bool) (*watchcache.Update, error)
+	// FollowTable returns the changes of a table after a revision. It waits until there is a
+	// change, for at most wait.
 	FollowTable(ctx context.Context, table Table, after fleet.Revision, wait time.Duration) (*watchcache.Update, error)
-	// DecodeOperator reads rows of the operator's table. Rows that can't be read
-	// are left out, and the error tells of the first.
+	// DecodeOperator decodes rows of the operator table. It leaves out rows that cannot be decoded
+	// and returns the error of the first one.
 	DecodeOperator(rows []watchcache.Row) (*OperatorRows, error)
-	// DecodeWorkers reads rows of the workers' table. A row that can't be read is
-	// left out: its worker stays as it was.
+	// DecodeWorkers decodes rows of the workers table. It leaves out rows that cannot be decoded;
+	// the state of their workers stays unchanged.
 	DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []InvalidInput)
-	// RegisterNode writes this node's row.
+	// RegisterNode writes the row of this node.
 	RegisterNode(ctx context.Context, node Node) error
-	// ReadNodes returns the nodes that have ever registered, without rows that can't
-	// be read.
+	// ReadNodes returns all nodes that have ever registered, except rows that cannot be decoded.
 	ReadNodes(ctx context.Context) ([]Node, []InvalidInput, error)
-	// ReadDeliveries returns the records of deliveries.
+	// ReadDeliveries returns the delivery records.
 	ReadDeliveries(ctx context.Context) (*StoredDeliveries, error)
-	// WriteDelivery writes a record together with the status that operators read, if the
-	// store's record still has the version that was expected; 0 expects none. It returns
-	// what the store holds afterwards, together with platform.ErrConflict if that isn't the
-	// record. After another error nothing is known of the outcome.
+	// WriteDelivery writes a record and the status shown to operators if the stored record still
+	// has the expected version, 0 for no record. It returns the stored record afterwards, with
+	// platform.ErrConflict if that is not the given one. After any other error the outcome is
+	// unknown.
 	WriteDelivery(ctx context.Context, record delivery.Record, expected fleet.Revision) (StoredDelivery, error)
-	// DecodeQuarantine reads rows of the table of requests under which workers ended. A row
-	// that can't be read is left out.
+	// DecodeQuarantine decodes rows of the quarantine table. It leaves out rows that cannot be
+	// decoded.
 	DecodeQuarantine(rows []watchcache.Row) ([]QuarantineRow, []InvalidInput)
-	// WriteQuarantine writes a row if the store's still has the version that was expected; 0
-	// expects none. It returns the row with its new version, or platform.ErrConflict with
-	// what the store holds. After another error nothing is known of the outcome.
+	// WriteQuarantine writes a row if the stored row still has the expected version, 0 for no row.
+	// It returns the row with its new version, or the stored row and platform.ErrConflict. After
+	// any other error the outcome is unknown.
 	WriteQuarantine(ctx context.Context, row QuarantineRow, expected fleet.Revision) (QuarantineRow, error)
-	// RemoveQuarantine removes a row if it still has a version; it returns
-	// platform.ErrConflict if it hasn't.
+	// RemoveQuarantine removes a row if it still has the expected version. It returns
+	// platform.ErrConflict if it does not.
 	RemoveQuarantine(ctx context.Context, fingerprint quarantine.Fingerprint, expected fleet.Revision) error
 }
 
-// EngineClient are the calls to an engine besides requests. What each answer says of the engine
-// goes to HandleNotice.
+// EngineClient makes the calls to engines other than requests. It passes the notices in the
+// responses to HandleNotice.
 type EngineClient interface {
 	Report(ctx context.Context, worker backends.Worker) (rollout.Report, error)
-	// CacheEvents returns what changed in the cache of an engine, or of a store of
-	// kept KV cache, after a position; it waits for a change, up to a time.
+	// CacheEvents returns the changes in the cache of an engine or of a KV cache store after a
+	// position. It waits for a change, for at most wait.
 	CacheEvents(ctx context.Context, address fleet.Address, since uint64, wait time.Duration) (*CacheEvents, error)
-	// OrderVersion sends an order; the error explains a result that isn't
-	// OrderAccepted or OrderHolds.
+	// OrderVersion sends an order to load a version. The error explains a result other than
+	// OrderAccepted and OrderHolds.
 	OrderVersion(ctx context.Context, worker backends.Worker, order rollout.VersionOrder) (rollout.OrderResult, error)
 }
 
-// CacheEvents are changes of a cache, in order.
+// CacheEvents is a list of cache changes in order.
 type CacheEvents struct {
-	// Epoch is another after each restart, which empties the cache.
+	// Epoch changes with each restart, which empties the cache.
 	Epoch uint64
-	// Next is the position behind the events.
+	// Next is the position after the last event.
 	Next uint64
-	// Lost is set if events before these are no longer kept.
+	// Lost is set if earlier events after the requested position are no longer available.
 	Lost   bool
 	Events []CacheEvent
 }
 
-// CacheEvent tells that a part is held or dropped.
+// CacheEvent reports that a prompt part was cached (Held) or evicted.
 type CacheEvent struct {
 	Held  bool
 	Scope string
 	Part  string
 }
 
-// Metadata is what a caller's headers say.
+// Metadata is the content of a caller's request headers.
 type Metadata struct {
 	RequestID string
-	// Key is the caller's API key; empty if none was sent.
+	// Key is the caller's API key, empty if none was sent.
 	Key string
-	// TimeLeft is how long the caller will wait; 0 if it doesn't say.
+	// TimeLeft is how long the caller waits, 0 if not specified.
 	TimeLeft time.Duration
-	// LastEventID is the last event of an earlier stream that the caller has.
+	// LastEventID is the last event that the caller received of an interrupted stream.
 	LastEventID string
 
 	Model        fleet.ModelName
 	Parts        []backends.Part
 	PromptTokens int
 	OutputTokens int
-	// TokensNamed is set if the request names its tokens.
+	// TokensNamed is set if the request specifies its token counts.
 	TokensNamed bool
 
-	// Invalid lists the headers that couldn't be read.
+	// Invalid lists the headers that could not be decoded.
 	Invalid []InvalidInput
 }
 
-// Dispatch is what the gateway adds to a request for a worker.
+// Dispatch is what the gateway adds to a request that it sends to a worker.
 type Dispatch struct {
-	// Worker is the run that must not be mistaken for another.
+	// Worker identifies the run of the worker. Another run must not accept the request.
 	Worker   fleet.EngineID
 	Tenant   fleet.TenantName
 	TimeLeft time.Duration
-	// Priority orders requests at an engine, 0 to 9, 0 first.
+	// Priority is the priority at an engine, from 0 (highest) to 9.
 	Priority int
 	// LastEventID is set when a stream is resumed.
 	LastEventID string
 	Engine      *backends.EnginePlacement
 }
 
-// ResponseInfo is what the headers of a worker's answer say.
+// ResponseInfo is the content of the headers of a worker's response.
 type ResponseInfo struct {
 	Notice
 
 	RequestID string
-	// Signed is set if the worker has signed the answer.
+	// Signed is set if the worker signed the response.
 	Signed bool
-	// NotExecuted is the worker's word that it did not run the request.
+	// NotExecuted is set if the worker states that it did not execute the request.
 	NotExecuted bool
-	// Version is the version of the weights, if HasVersion.
+	// Version is the model version, valid if HasVersion is set.
 	Version    backends.WeightsVersion
 	HasVersion bool
 }
 
-// Paths are the paths of the calls to the gateway's own services.
+// Paths are the URL paths of the gateway's own services.
 type Paths struct {
 	Readiness  string
 	Resolution string
 }
 
-// ResolutionQuery asks which addresses to use.
+// ResolutionQuery is a query to the directory for gateway addresses.
 type ResolutionQuery struct {
 	Host   string
 	Zone   fleet.ZoneName
 	Region fleet.RegionName
 }
 
-// Codec translates between headers and the gateway's types. It is safe for
-// concurrent use.
+// Codec converts between HTTP headers and the gateway's types. It is safe for concurrent use.
 type Codec interface {
-	// ReadMetadata reads a caller's headers.
+	// ReadMetadata decodes the headers of a caller's request.
 	ReadMetadata(header http.Header) (Metadata, error)
-	// StripReserved removes what only the gateway may tell a worker, and the key.
+	// StripReserved removes the API key and the headers that only gateways may send to workers.
 	StripReserved(header http.Header)
-	// WriteDispatch adds what the gateway tells a worker.
+	// WriteDispatch adds the headers of a dispatch to a worker.
 	WriteDispatch(header http.Header, dispatch *Dispatch)
-	// ReadResponse reads the headers of a worker's answer.
+	// ReadResponse decodes the headers of a worker's response.
 	ReadResponse(status int, header http.Header) ResponseInfo
-	// WriteRefusal writes the headers of an answer of the gateway's own.
+	// WriteRefusal writes the headers of a response that the gateway itself generates.
 	WriteRefusal(header http.Header, requestID string, retryAfter time.Duration)
-	// Paths returns the paths of the gateway's own services.
+	// Paths returns the URL paths of the gateway's own services.
 	Paths() Paths
-	// ResolutionQuery reads a question to the directory.
+	// ResolutionQuery decodes a directory query.
 	ResolutionQuery(request *http.Request) ResolutionQuery
-	// WriteResolution writes the directory's answer.
+	// WriteResolution writes the response to a directory query.
 	WriteResolution(writer http.ResponseWriter, addresses []fleet.Address, ttl time.Duration) error
 }
 
-// Dependencies is all that the gateway needs from where it runs.
+// Dependencies are the external services and components that a gateway uses.
 type Dependencies struct {
 	Store Store
-	// Leases is the table service for leases.
+	// Leases is the table service that stores leases.
 	Leases  platform.Tables
 	Engines EngineClient
 	Codec   Codec
-	// Traffic counts the bytes of all connections; nil for a meter of the gateway's own.
+	// Traffic counts the bytes of all connections. If nil, the gateway creates its own meter.
 	Traffic *traffic.Meter
-	// Clock counts the time in which the machine is suspended; nil for the system's.
+	// Clock is the steady clock, which includes time spent suspended. If nil, the system's clock is
+	// used.
 	Clock fleet.Clock
-	// CloseIdle closes the idle connections to the store and of EngineCalls; nil if there are
-	// none to close.
+	// CloseIdle closes idle connections to the store and of Engines. It may be nil.
 	CloseIdle func()
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -7,11 +7,12 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// frontAddresses returns where a caller that asks finds the gateways that serve; none while
-// this node has just started and knows itself alone, since callers then keep the addresses
-// that they have. If each node of a large fleet named itself after a loss of power,
-// small nodes that know neither loads nor caches would carry the requests. All gateways
-// serve on the same ports.
+// frontAddresses returns the front addresses of the serving gateways that callers should use. All
+// gateways serve on the same ports.
+//
+// It returns none while this node has just started and knows no other member, since callers then
+// keep their addresses. Otherwise, after a power loss, each node of a large fleet would return
+// itself, and small nodes that know neither loads nor caches would receive the requests.
 func (g *Gateway) frontAddresses(query ResolutionQuery) []fleet.Address {
 	if !g.roleSettled.Load() && g.memberCount() == 1 {
 		return nil
@@ -33,7 +34,7 @@
 	return addresses
 }
 
-// isReachable tells whether callers can be sent to a member, as far as this node knows.
+// isReachable reports whether callers can be sent to a member, as far as this node knows.
 func (g *Gateway) isReachable(member membership.Member) bool {
 	if member.Node == g.node {
 		return g.isReady()
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -7,86 +7,82 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Constants of standing in for the candidates of the lease.
 const (
-	// stallSlack is added to the lease's duration: after both without any change of an
-	// engine that is due one, a holder that was lost would have been replaced.
+	// stallSlack is added to LeaseGap to get the time without progress after which the rollout
+	// counts as stalled. A lost lease holder would have been replaced by then.
 	stallSlack = 400 * time.Millisecond
-	// progressInterval is the time between two looks at whether the duty is done.
+	// progressInterval is the interval at which progress is checked.
 	progressInterval = 300 * time.Millisecond
-	// maxProgressGap is the time between two looks after which the time begins anew: what
-	// happened meanwhile isn't known.
+	// maxProgressGap is the longest time between two checks. After a longer gap the measurement
+	// restarts, since what happened meanwhile is unknown.
 	maxProgressGap = 2 * time.Second
-	// maxOwnProofAge is the age of this node's own proof by the store up to which it
-	// counts as in the store's reach.
+	// maxOwnProofAge is the age of the node's own freshness proof up to which the node counts as
+	// having store access.
 	maxOwnProofAge = 1500 * time.Millisecond
 )
 
-// progressMonitor notices that engines wait for new weights and nobody changes them, or that
-// nobody directs a delivery. The
-// few candidates for the lease can be out of the store's reach together: then no engine is
-// changed, and all requests are refused once the old weights must not be used any more.
+// progressMonitor detects that outdated engines aren't being updated, or that nobody directs a
+// delivery. This happens if the few candidates for the lease lose access to the store together.
+// Without a fallback, all requests would be refused once the old model versions must no longer be
+// used.
 type progressMonitor struct {
 	checkedAt time.Duration
-	// versions are the sums of the engines' versions at the last look.
+	// versions holds, by engine, the sum of its model versions at the last check.
 	versions map[fleet.EngineID]uint64
-	// changedAt is when an engine was last seen to have taken a newer version, or when
-	// none waited for one.
+	// changedAt is when an engine was last seen to have been updated, or when none was outdated.
 	changedAt time.Duration
-	// directedAt is when no delivery was last seen to be without a director.
+	// directedAt is when all running deliveries were last seen to be directed.
 	directedAt time.Duration
 	stalled    bool
 }
 
-// rolloutProgress is what a look shows of the engines.
+// rolloutProgress is the state of the engines and deliveries at one check.
 type rolloutProgress struct {
-	// outdated counts those that can be reached and have older weights than the newest
-	// named.
+	// outdated counts the reachable engines that have an older version than the newest desired one.
 	outdated int
-	// versionSums holds, by engine, the sum of the versions of its models.
+	// versionSums holds, by engine, the sum of its model versions.
 	versionSums map[fleet.EngineID]uint64
-	// undirected is set if a delivery runs that nobody directs.
+	// undirected is set if a delivery is running that nobody directs.
 	undirected bool
 }
 
-// isDue tells whether it is time for another look.
+// isDue reports whether it is time for the next check.
 func (d *progressMonitor) isDue(now time.Duration) bool { return now >= d.checkedAt+progressInterval }
 
-// observe takes in a look and tells whether the duty has lain undone for longer than
-// within.
-func (d *progressMonitor) observe(now time.Duration, seen rolloutProgress, within time.Duration) bool {
-	begins := d.versions == nil || now-d.checkedAt > maxProgressGap
+// observe records a check and reports whether there has been no progress for longer than timeout.
+func (d *progressMonitor) observe(now time.Duration, progress rolloutProgress, timeout time.Duration) bool {
+	restart := d.versions == nil || now-d.checkedAt > maxProgressGap
 	d.checkedAt = now
-	if begins || seen.outdated == 0 || d.hasUpdatedEngine(seen.versionSums) {
+	if restart || progress.outdated == 0 || d.hasUpdatedEngine(progress.versionSums) {
 		d.changedAt = now
 	}
-	if begins || !seen.undirected {
+	if restart || !progress.undirected {
 		d.directedAt = now
 	}
-	d.versions = seen.versionSums
-	d.stalled = now-min(d.changedAt, d.directedAt) > within
+	d.versions = progress.versionSums
+	d.stalled = now-min(d.changedAt, d.directedAt) > timeout
 	return d.stalled
 }
 
-// hasUpdatedEngine tells whether an engine has taken a newer version since the last look. Engines
-// that came or went say nothing.
+// hasUpdatedEngine reports whether an engine has a newer version than at the last check. Engines
+// that have appeared or disappeared don't count.
 func (d *progressMonitor) hasUpdatedEngine(sums map[fleet.EngineID]uint64) bool {
 	for id, sum := range sums {
-		if before, known := d.versions[id]; known && sum > before {
+		if previous, known := d.versions[id]; known && sum > previous {
 			return true
 		}
 	}
 	return false
 }
 
-// shouldBeFallbackCandidate tells whether this node is to take the lease although it isn't among the
-// candidates: nobody does the duty, and this node itself reaches the store. A node that
-// holds the lease so goes on.
+// shouldBeFallbackCandidate reports whether this node should take the lease although it isn't a
+// regular candidate: the rollout has stalled and this node has store access. A node that already
+// holds the lease as a fallback stays one.
 func (g *Gateway) shouldBeFallbackCandidate(now time.Duration) bool {
 	if g.roles.Load().isCandidate {
 		return false
 	}
-	if _, holds := g.lease.Fence(); holds {
+	if _, isHolder := g.lease.Fence(); isHolder {
 		return true
 	}
 	if !g.sources.hasProofWithin(now, maxOwnProofAge) {
@@ -95,34 +91,35 @@
 	if !g.progress.isDue(now) {
 		return g.progress.stalled
 	}
-	seen := g.rollout.observeProgress(g.workers.Workers(), g.workers.Doubtful(now))
-	seen.undirected = g.deliveries.undirected(now)
-	return g.progress.observe(now, seen, g.settings().LeaseGap+stallSlack)
+	progress := g.rollout.observeProgress(g.workers.Workers(), g.workers.Doubtful(now))
+	progress.undirected = g.deliveries.undirected(now)
+	return g.progress.observe(now, progress, g.settings().LeaseGap+stallSlack)
 }
 
-// updateFallbackCandidate notes whether this node stands in; its roles follow at the next look.
+// updateFallbackCandidate updates whether this node is a fallback candidate. Its roles follow at
+// the next update.
 func (g *Gateway) updateFallbackCandidate(now time.Duration) {
-	stands := g.shouldBeFallbackCandidate(now)
-	if g.fallbackCandidate.Swap(stands) != stands {
-		g.logger.Info().Bool("stands_in", stands).Dur("undone", now-min(g.progress.changedAt, g.progress.directedAt)).Msg("lease_stand_in")
+	fallback := g.shouldBeFallbackCandidate(now)
+	if g.fallbackCandidate.Swap(fallback) != fallback {
+		g.logger.Info().Bool("stands_in", fallback).Dur("undone", now-min(g.progress.changedAt, g.progress.directedAt)).Msg("lease_stand_in")
 	}
 }
 
-// observeProgress returns what the workers show of the engines' versions. doubtful are those that
-// can't be reached, by what is known.
-func (w *rolloutState) observeProgress(workers []backends.Worker, doubtful map[fleet.EngineID]bool) rolloutProgress {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	seen := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64, len(workers))}
+// observeProgress returns the progress of the rollout that the workers' rows show. doubtful are the
+// engines presumed to be unreachable.
+func (s *rolloutState) observeProgress(workers []backends.Worker, doubtful map[fleet.EngineID]bool) rolloutProgress {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	progress := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64, len(workers))}
 	for index := range workers {
 		worker := &workers[index]
 		for model, version := range worker.Versions {
-			seen.versionSums[worker.ID] += uint64(version)
-			pacer := w.pacers[model]
+			progress.versionSums[worker.ID] += uint64(version)
+			pacer := s.pacers[model]
 			if pacer != nil && uint64(version) < pacer.Newest() && !worker.Draining && !doubtful[worker.ID] {
-				seen.outdated++
+				progress.outdated++
 			}
 		}
 	}
-	return seen
+	return progress
 }
--- a/internal/gateway/fallback_test.go
+++ b/internal/gateway/fallback_test.go
@@ -15,23 +15,23 @@
 
 const stallTimeout = 3400 * time.Millisecond
 
-// progressOf returns what two engines show with these versions; those below 2 wait.
+// progressOf returns the progress of engines with these versions. Those below 2 are outdated.
 func progressOf(versions ...uint64) rolloutProgress {
-	seen := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64)}
+	progress := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64)}
 	for index, version := range versions {
-		seen.versionSums[fleet.EngineID(rune('a'+index))] = version
+		progress.versionSums[fleet.EngineID(rune('a'+index))] = version
 		if version < 2 {
-			seen.outdated++
+			progress.outdated++
 		}
 	}
-	return seen
+	return progress
 }
 
-// firstStall looks each second from one second to another and returns when the duty was
-// first found undone; 0 if it wasn't.
-func firstStall(duty *progressMonitor, from, until int, seen rolloutProgress) int {
+// firstStall checks progress each second of a range and returns the second at which it was first
+// found stalled, 0 if it wasn't.
+func firstStall(monitor *progressMonitor, from, until int, progress rolloutProgress) int {
 	for second := from; second <= until; second++ {
-		if duty.observe(time.Duration(second)*time.Second, seen, stallTimeout) {
+		if monitor.observe(time.Duration(second)*time.Second, progress, stallTimeout) {
 			return second
 		}
 	}
@@ -39,25 +39,26 @@
 }
 
 func TestStalledRolloutIsDetected(t *testing.T) {
-	var duty progressMonitor
-	assert.Equal(t, 4, firstStall(&duty, 0, 4, progressOf(1, 1)), "engines wait since the first look")
-	assert.Equal(t, 9, firstStall(&duty, 5, 9, progressOf(1, 2)), "one has changed")
-	assert.Zero(t, firstStall(&duty, 10, 20, progressOf(2, 2)), "none waits")
-	assert.Zero(t, firstStall(&duty, 30, 33, progressOf(2, 1)), "nobody has looked for a while")
+	var monitor progressMonitor
+	assert.Equal(t, 4, firstStall(&monitor, 0, 4, progressOf(1, 1)), "engines outdated since the first check")
+	assert.Equal(t, 9, firstStall(&monitor, 5, 9, progressOf(1, 2)), "one engine was updated")
+	assert.Zero(t, firstStall(&monitor, 10, 20, progressOf(2, 2)), "no engine is outdated")
+	assert.Zero(t, firstStall(&monitor, 30, 33, progressOf(2, 1)), "measurement restarts after a gap")
 }
 
-// TestUndirectedDeliveryIsDetected has engines change while nobody directs.
+// TestUndirectedDeliveryIsDetected guards against missing a delivery that nobody directs while
+// engines are being updated.
 func TestUndirectedDeliveryIsDetected(t *testing.T) {
-	var duty progressMonitor
+	var monitor progressMonitor
 	undirected := progressOf(2, 2)
 	undirected.undirected = true
-	assert.Equal(t, 4, firstStall(&duty, 0, 4, undirected))
-	assert.Zero(t, firstStall(&duty, 5, 5, progressOf(2, 2)), "somebody directs")
-	assert.Equal(t, 9, firstStall(&duty, 6, 9, undirected))
+	assert.Equal(t, 4, firstStall(&monitor, 0, 4, undirected))
+	assert.Zero(t, firstStall(&monitor, 5, 5, progressOf(2, 2)), "delivery is directed")
+	assert.Equal(t, 9, firstStall(&monitor, 6, 9, undirected))
 }
 
-// TestDeliveryWithoutDirectiveIsUndirected has an order without and with a directive that
-// counts.
+// TestDeliveryWithoutDirectiveIsUndirected guards against counting a delivery as directed without a
+// valid directive.
 func TestDeliveryWithoutDirectiveIsUndirected(t *testing.T) {
 	g := newTestGateway(t)
 	assert.False(t, g.deliveries.undirected(0))
@@ -68,23 +69,23 @@
 	directive := delivery.Directive{Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary, IssuedAt: time.Second}
 	g.deliveries.take(time.Second, directive)
 	assert.False(t, g.deliveries.undirected(2*time.Second))
-	assert.True(t, g.deliveries.undirected(time.Second+delivery.DirectiveValid+time.Millisecond), "it has lapsed")
+	assert.True(t, g.deliveries.undirected(time.Second+delivery.DirectiveValid+time.Millisecond), "directive has expired")
 	directive.Stage, directive.Sequence = delivery.StageRolledBack, 2
 	g.deliveries.take(5*time.Second, directive)
-	assert.False(t, g.deliveries.undirected(time.Minute), "it is over")
+	assert.False(t, g.deliveries.undirected(time.Minute), "delivery is finished")
 }
 
-// TestEngineRestartsAreNoProgress has an engine crash and come back as another run
-// while nobody changes any.
+// TestEngineRestartsAreNoProgress guards against counting an engine that crashes and restarts as
+// progress.
 func TestEngineRestartsAreNoProgress(t *testing.T) {
-	var duty progressMonitor
-	assert.Zero(t, firstStall(&duty, 0, 1, progressOf(1, 1)))
-	assert.Zero(t, firstStall(&duty, 2, 3, progressOf(1)))
-	assert.Equal(t, 4, firstStall(&duty, 4, 4, progressOf(1, 1, 1)))
+	var monitor progressMonitor
+	assert.Zero(t, firstStall(&monitor, 0, 1, progressOf(1, 1)))
+	assert.Zero(t, firstStall(&monitor, 2, 3, progressOf(1)))
+	assert.Equal(t, 4, firstStall(&monitor, 4, 4, progressOf(1, 1, 1)))
 }
 
-// TestNodeWithStoreAccessBecomesFallbackCandidate has an engine wait for new weights
-// at a node that isn't a candidate.
+// TestNodeWithStoreAccessBecomesFallbackCandidate guards against a rollout that stays stalled
+// because all regular candidates have lost the store.
 func TestNodeWithStoreAccessBecomesFallbackCandidate(t *testing.T) {
 	g := newTestGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
@@ -103,13 +104,13 @@
 	for second := 1; second <= 4; second++ {
 		assert.False(t, step(second, true), second)
 	}
-	assert.True(t, step(5, true), "nobody changes the engine")
+	assert.True(t, step(5, true), "rollout has stalled")
 	roles := deriveRoles("node-000", "z0", largeFleet(195), 0, g.fallbackCandidate.Load())
-	assert.True(t, roles.sharesLoads, "those that place requests hear of its orders")
+	assert.True(t, roles.sharesLoads, "a fallback candidate exchanges loads")
 	assert.Len(t, roles.loadPeers, membership.DefaultMinServing+membership.DefaultCandidates)
-	assert.True(t, step(6, false), "its proof is a second old")
-	assert.False(t, step(7, false), "it has lost the store itself")
+	assert.True(t, step(6, false), "proof is 1 s old")
+	assert.False(t, step(7, false), "no store access")
 	assert.True(t, step(8, true))
 	g.workers.NoteVersion("engine", "model", 2)
-	assert.False(t, step(9, true), "it is done")
+	assert.False(t, step(9, true), "engine is up to date")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,11 +1,10 @@
-// Package gateway is the process that stands between callers and workers where
-// callers run nothing of the project's: it takes requests, places them by the
-// product's cores, carries them and keeps the promises about them. Any number
-// of gateways serve side by side; all are equal.
+// Package gateway implements the proxy between callers and workers: it accepts requests, chooses a
+// worker for each and forwards it, enforcing deadlines, retry budgets, quotas and key revocations.
+// Any number of gateways serve side by side as equal peers that share state with each other and
+// follow the store.
 //
-// The package drives the cores in real time and holds no rule of its own that
-// a core could hold: routes, backends, attempt, rollout, lease and membership
-// decide.
+// The package runs in real time; the decisions are those of packages such as routes, backends,
+// attempt, rollout, lease and membership.
 package gateway
 
 import (
@@ -36,7 +35,7 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// Gateway is one process. Start serves until Stop or a failure.
+// Gateway is one gateway process. Start serves until Stop is called or the process fails.
 type Gateway struct {
 	// currentSettings is replaced as a whole by Reload.
 	currentSettings atomic.Pointer[Settings]
@@ -79,36 +78,38 @@
 	suspensions       *suspension.Detector
 	suspensionSignal  *suspensionSignal
 	deadlines         *deadlines
-	// quarantineTable is followed by those that read the store.
+	// quarantineTable is followed only by nodes that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
-	// groupSizes and joined are used by assign alone; settled is set once this node knows its role.
+	// groupSizes and join are used by updateRoles alone. roleSettled is set once this node knows
+	// its role.
 	groupSizes  membership.SizeHold
 	join        joinState
 	roleSettled atomic.Bool
-	// softwareVersions belongs to who takes the workers' table in.
+	// softwareVersions is only accessed while the workers table is applied.
 	softwareVersions seenVersions
-	// progress is used by driveRollout alone; standIn is set while this node stands in for
-	// the candidates of the lease.
+	// progress is used by runRollout alone. fallbackCandidate is set while this node is a candidate
+	// for the rollout lease because the regular candidates make no progress.
 	progress          progressMonitor
 	fallbackCandidate atomic.Bool
 
 	splitMutex sync.Mutex
 	splitter   *routes.Splitter
 
-	// workersKnown is set after the first whole list of workers.
+	// workersKnown is set after the first complete list of workers.
 	workersKnown atomic.Bool
-	// stoppingSince is when the planned stop began, in nanoseconds of the steady
-	// clock; 0 before.
+	// stoppingSince is the start of the planned stop in nanoseconds of the steady clock, 0 before
+	// it.
 	stoppingSince atomic.Int64
 	inFlight      atomic.Int64
-	// requestCount counts the requests since the start.
+	// requestCount counts the requests since the process started.
 	requestCount atomic.Int64
-	// versionsEnforcedAt is when requireDue was last called, in nanoseconds of the steady clock.
+	// versionsEnforcedAt is the time of the last enforceDueVersions call, in nanoseconds of the
+	// steady clock.
 	versionsEnforcedAt atomic.Int64
 	lastRequest        atomic.Int64
-	// lastLimitedRequest is when the last request of a tenant with a limit came, in nanoseconds of
-	// the steady clock; 0 before.
+	// lastLimitedRequest is the arrival of the last request of a tenant with a limit, in
+	// nanoseconds of the steady clock, 0 before the first one.
 	lastLimitedRequest atomic.Int64
 
 	servers         []*http.Server
@@ -117,26 +118,26 @@
 	listeners       []net.Listener
 }
 
-// New returns a gateway that isn't started.
-func New(settings Settings, outside Dependencies, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
+// New returns a gateway that has not been started.
+func New(settings Settings, dependencies Dependencies, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	random := func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
-	if outside.Traffic == nil {
-		outside.Traffic = &traffic.Meter{}
+	if dependencies.Traffic == nil {
+		dependencies.Traffic = &traffic.Meter{}
 	}
-	if outside.Clock == nil {
-		outside.Clock = fleet.NewClock()
+	if dependencies.Clock == nil {
+		dependencies.Clock = fleet.NewClock()
 	}
 	holderID := lease.NewHolderID(fleet.NodeID(settings.Node), rand.Uint64())
 	g := &Gateway{
-		dependencies:      outside,
-		clock:             outside.Clock,
+		dependencies:      dependencies,
+		clock:             dependencies.Clock,
 		node:              fleet.NodeID(holderID),
 		logger:            logger,
 		events:            newEventLog(logger),
-		metrics:           newMetrics(registry, outside.Traffic),
+		metrics:           newMetrics(registry, dependencies.Traffic),
 		holder:            routes.NewHolder(),
 		freshness:         routes.NewFreshness(),
 		splitter:          routes.NewSplitter(),
@@ -194,19 +195,19 @@
 		return nil, errors.Wrap(err, "lease")
 	}
 	election.SetEligible(false)
-	g.lease = lease.NewKeeper(election, outside.Leases, g.clock, logger)
+	g.lease = lease.NewKeeper(election, dependencies.Leases, g.clock, logger)
 	return g, nil
 }
 
-// Prices of a choice among engines that can take KV cache over from each other:
-// a move must not count as a tie, and what it brings takes the place of other
-// parts, which are read again later.
+// Scheduling costs for engines that can import KV cache from each other. The tie fraction keeps a
+// placement that needs an import from counting as a tie; the import weight accounts for the cached
+// parts that an import evicts.
 const (
 	tieFraction  = 0.02
 	importWeight = 45 * time.Microsecond
 )
 
-// schedulingOptions returns the prices for engines that can import.
+// schedulingOptions returns the scheduling options for engines that can import KV cache.
 func schedulingOptions() scheduling.Options {
 	options := scheduling.DefaultOptions()
 	options.TieFraction = tieFraction
@@ -242,17 +243,17 @@
 	return created, nil
 }
 
-// settings returns the settings in force.
+// settings returns the current settings.
 func (g *Gateway) settings() *Settings { return g.currentSettings.Load() }
 
-// Reload puts other settings in force without a break. Addresses and names stay
-// as they were at the start: a change of these needs a restart, and is refused.
+// Reload replaces the settings while the gateway runs. It returns an error if the settings are
+// invalid or if they change names or addresses, which needs a restart.
 func (g *Gateway) Reload(settings Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
 	}
 	if settings.identity() != g.settings().identity() {
-		return errors.New("names and addresses can't change while the gateway runs")
+		return errors.New("names and addresses can't be reloaded: restart the gateway")
 	}
 	g.currentSettings.Store(&settings)
 	g.rollout.setBound(settings.UpdateModelsWithin)
@@ -261,16 +262,16 @@
 	return nil
 }
 
-// Node returns the identifier of this run.
+// Node returns the node identifier of this run.
 func (g *Gateway) Node() fleet.NodeID { return g.node }
 
-// Dead is closed when the gateway has ended.
+// Dead returns a channel that is closed when the gateway has ended.
 func (g *Gateway) Dead() <-chan struct{} { return g.life.Dead() }
 
-// Err returns why the gateway has ended.
+// Err returns the reason why the gateway has ended.
 func (g *Gateway) Err() error { return g.life.Err() }
 
-// Start listens and serves.
+// Start opens the listeners and starts serving.
 func (g *Gateway) Start() error {
 	if err := g.listen(); err != nil {
 		return err
@@ -306,16 +307,16 @@
 	return nil
 }
 
-// now returns the time on the steady clock, which counts suspended time.
+// now returns the time on the steady clock, which includes time spent suspended.
 func (g *Gateway) now() time.Duration { return g.clock.Now() }
 
-// isStopping tells whether a planned stop has begun.
+// isStopping reports whether a planned stop has begun.
 func (g *Gateway) isStopping() bool { return g.stoppingSince.Load() != 0 }
 
-// context returns a context that ends with the process.
+// context returns a context that is cancelled when the process ends.
 func (g *Gateway) context() context.Context { return g.life.Context(context.Background()) }
 
-// pause waits; it returns false when the process ends.
+// pause sleeps for a duration. It returns false if the process ends first.
 func (g *Gateway) pause(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -327,13 +328,12 @@
 	}
 }
 
-// Intervals of housekeeping.
 const (
 	housekeepInterval  = time.Second
 	forgetWorkersAfter = 20 * time.Second
 )
 
-// housekeep drops what is not needed any more.
+// housekeep periodically drops state that is no longer needed and updates gauges.
 func (g *Gateway) housekeep() error {
 	for g.pauseInterval(housekeepInterval) {
 		for _, engine := range g.workers.Forget(g.now(), forgetWorkersAfter) {
@@ -354,11 +354,11 @@
 	return nil
 }
 
-// idleTimeout returns how long a caller's connection may rest.
+// idleTimeout returns how long a caller's connection may stay idle, 0 for no limit.
 func (g *Gateway) idleTimeout() time.Duration {
-	held := g.holder.Current()
-	if held == nil {
+	current := g.holder.Current()
+	if current == nil {
 		return 0
 	}
-	return held.Table.Limits().IdleTimeout
+	return current.Table.Limits().IdleTimeout
 }
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -2,18 +2,16 @@
 
 import "time"
 
-// Times of a node at rest.
 const (
-	// idleAfter is how long after its last request a node rests.
+	// idleAfter is the time after its last request from which a node may be idle.
 	idleAfter = 3 * time.Second
-	// idleTick is the time between two moments at which the loops of a node at rest look
-	// around, all at once. Most nodes of a large fleet rest, and wake-ups are most of what they
-	// cost: seven loops on one tick wake a node 2 times a second instead of 14.
+	// idleTick is the interval at which the periodic loops of an idle node run. They run on common
+	// ticks, because wake-ups are most of the cost of an idle node.
 	idleTick = 500 * time.Millisecond
 )
 
-// isIdle tells whether this node does nothing but wait for its part: callers aren't sent to
-// it, it has had no request of late, and it may not give orders.
+// isIdle reports whether this node is on standby: callers aren't sent to it, it has had no recent
+// request, and it can't give orders to engines.
 func (g *Gateway) isIdle() bool {
 	roles := g.roles.Load()
 	switch {
@@ -24,8 +22,8 @@
 	}
 }
 
-// pauseInterval waits until a loop's next look: for its interval, or, at rest, until the next
-// tick after that. It returns false when the process ends.
+// pauseInterval waits until the next run of a periodic loop: for its interval or, at an idle node,
+// until a common tick about that far away. It returns false when the process ends.
 func (g *Gateway) pauseInterval(interval time.Duration) bool {
 	if !g.isIdle() {
 		return g.pause(interval)
@@ -33,7 +31,8 @@
 	return g.pause(untilTick(g.now(), interval))
 }
 
-// untilTick returns the time from now to the first tick that is an interval away, or nearly.
+// untilTick returns the time from now to the last tick that is no later than max(interval,
+// idleTick) away.
 func untilTick(now, interval time.Duration) time.Duration {
 	next := now + max(interval, idleTick)
 	return next - next%idleTick - now
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -7,31 +7,30 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestIdleLoopsShareTicks counts the moments at which loops of some intervals look
-// around in ten seconds.
+// TestIdleLoopsShareTicks guards against idle nodes waking up separately for each periodic loop.
 func TestIdleLoopsShareTicks(t *testing.T) {
-	moments := make(map[time.Duration]bool)
+	wakeups := make(map[time.Duration]bool)
 	for index, interval := range []time.Duration{
 		rolesInterval, pressureRest, unlimitedPause, shareInterval, idleRolloutInterval, cacheRest, housekeepInterval,
 	} {
-		begun := time.Duration(index) * 37 * time.Millisecond
-		for now, before := begun, begun; now < 10*time.Second; before = now {
+		start := time.Duration(index) * 37 * time.Millisecond
+		for now, previous := start, start; now < 10*time.Second; previous = now {
 			now += untilTick(now, interval)
-			assert.Positive(t, now-before)
-			assert.LessOrEqual(t, now-before, interval+idleTick)
-			moments[now] = true
+			assert.Positive(t, now-previous)
+			assert.LessOrEqual(t, now-previous, interval+idleTick)
+			wakeups[now] = true
 		}
 	}
-	assert.LessOrEqual(t, len(moments), 21)
+	assert.LessOrEqual(t, len(wakeups), 21)
 }
 
-// TestActiveNodeIsNotIdle.
+// TestActiveNodeIsNotIdle guards against slowing down a node that has requests or a role to act on.
 func TestActiveNodeIsNotIdle(t *testing.T) {
 	g := newTestGateway(t)
 	roles := *g.roles.Load()
 	roles.sharesLoads = false
 	g.roles.Store(&roles)
-	assert.False(t, g.isIdle(), "its role isn't settled")
+	assert.False(t, g.isIdle(), "role not settled")
 	g.roleSettled.Store(true)
 	g.lastRequest.Store(int64(g.now() - idleAfter - time.Second))
 	assert.True(t, g.isIdle())
--- a/internal/gateway/invalidinput.go
+++ b/internal/gateway/invalidinput.go
@@ -1,7 +1,7 @@
 package gateway
 
-// reportInvalidInput counts and logs what couldn't be read and therefore counts as absent.
-// requestID names the request that it belongs to; empty if there is none.
+// reportInvalidInput counts and logs inputs that could not be decoded and are treated as absent.
+// requestID identifies the request they belong to, empty if there is none.
 func (g *Gateway) reportInvalidInput(requestID string, entries []InvalidInput) {
 	for _, entry := range entries {
 		g.metrics.invalidInputs.WithLabelValues(entry.Source).Inc()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// metrics are the counters and histograms of a gateway.
+// metrics are the Prometheus metrics of a gateway.
 type metrics struct {
 	requests            *prometheus.CounterVec
 	latency             *prometheus.HistogramVec
@@ -37,13 +37,14 @@
 	deliveryShare   *prometheus.GaugeVec
 }
 
-// bytesMetric is the name under which the bytes of all connections are counted.
+// bytesMetric is the name of the metric that counts the bytes of all connections.
 const bytesMetric = "tillerfall_gateway_bytes_total"
 
-// latencyBuckets are the upper bounds of the histograms, in seconds.
+// latencyBuckets are the bucket bounds of the latency histograms, in seconds.
 var latencyBuckets = []float64{.01, .025, .05, .1, .2, .3, .5, .8, 1.2, 2, 4, 8}
 
-// ownTimeBuckets are the upper bounds of the time that a node takes itself, in seconds.
+// ownTimeBuckets are the bucket bounds for the time that the gateway itself adds to a request, in
+// seconds.
 var ownTimeBuckets = []float64{.0005, .001, .002, .005, .01, .025, .05, .1, .25}
 
 func newMetrics(registry *prometheus.Registry, meter *traffic.Meter) *metrics {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// TestOperationsPageListsMetrics compares docs/OPERATIONS.md with what a gateway
-// registers.
+// TestOperationsPageListsMetrics guards against differences between the metrics in
+// docs/OPERATIONS.md and those that a gateway registers.
 func TestOperationsPageListsMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// startupHold is how long after the front was opened a request is held until this
-// node knows the configuration for the first time: the store is being asked, and a
-// caller that is refused comes back later than the answer. The process's start doesn't
-// count: 1.3 s passed between the two on a machine with five times more to do than it could.
+// startupHold is how long after the front opens a request waits for the first configuration,
+// instead of being refused while the store is being read. It doesn't count from the process's
+// start, since a slow machine may take longer to open the front.
 const startupHold = 300 * time.Millisecond
 
-// readiness tells when this node knows all that it needs to serve.
+// readiness tracks whether this node has the state that it needs to serve.
 type readiness struct {
 	readyOnce sync.Once
-	// tablesOnce is done when it knows what the store holds.
+	// tablesOnce runs when the node first knows both tables.
 	tablesOnce sync.Once
-	// frontOpenedAt is when the front was frontOpenedAt, in nanoseconds of the steady clock.
+	// frontOpenedAt is when the front opened, in nanoseconds of the steady clock.
 	frontOpenedAt atomic.Int64
-	// ready is closed when it does for the first time.
+	// ready is closed when the node becomes ready for the first time.
 	ready chan struct{}
 }
 
 func newReadiness() *readiness { return &readiness{ready: make(chan struct{})} }
 
-// hasTables tells whether this node has a configuration and the list of workers.
+// hasTables reports whether this node has a configuration and the list of workers.
 func (g *Gateway) hasTables() bool { return g.holder.Current() != nil && g.workersKnown.Load() }
 
-// isReady tells whether this node can serve.
+// isReady reports whether this node can serve.
 func (g *Gateway) isReady() bool { return !g.isStopping() && g.hasTables() }
 
-// updateReadiness is called after each step towards knowing all: both tables, and a
-// proof of how new they are. A node that knows both tables needs no more of the store,
-// even if no configuration is there yet; it is ready when there is.
+// updateReadiness is called after each change of the tables or of the freshness proof. A node that
+// knows both tables needs no more reads of the store, even if no configuration exists yet, but is
+// not ready before one does.
 func (g *Gateway) updateReadiness() {
 	if _, proven := g.freshness.Age(g.now()); !proven || !g.workersKnown.Load() {
 		return
@@ -49,14 +48,13 @@
 	})
 }
 
-// awaitReady waits a moment for what this node needs to serve, if it has just
-// started.
+// awaitReady waits until this node is ready, but no longer than startupHold after the front opened.
 func (g *Gateway) awaitReady(ctx context.Context) {
-	left := time.Duration(g.readiness.frontOpenedAt.Load()) + startupHold - g.now()
-	if left <= 0 {
+	remaining := time.Duration(g.readiness.frontOpenedAt.Load()) + startupHold - g.now()
+	if remaining <= 0 {
 		return
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-g.readiness.ready:
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -9,25 +9,22 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// Times of the roles.
 const (
-	// rolesInterval is the time between two looks at who does what.
+	// rolesInterval is the interval at which the roles are updated.
 	rolesInterval = 200 * time.Millisecond
-	// joinSettleTime is how long a node that has just started must have seen no new
-	// member before it takes its role, and joinGrace after how long it does in any
-	// case, if it was told where to find others. At the first start of the whole fleet
-	// it takes its role after firstGrace: machines start within some 0.3 s, programs need
-	// as long to start on a slow machine, and nobody calls yet.
+	// A node that has just started and has seeds takes its role once it has seen no new member for
+	// joinSettleTime, and after joinGracePeriod in any case. At the first start of the whole fleet
+	// it takes its role after firstStartGracePeriod, because machines don't start at the same time.
 	joinSettleTime        = 400 * time.Millisecond
 	joinGracePeriod       = time.Second
 	firstStartGracePeriod = 2 * time.Second
-	// planningDelay is how long after its start a node plans by equal parts of the places and
-	// keeps no group's size. After a loss of all nodes each would plan by the little that it has
-	// heard, and more would serve than their requests need.
+	// planningDelay is the time after its start during which a node plans with equal demand in all
+	// locations and doesn't hold group sizes. Its view of the demand is incomplete then, and more
+	// nodes would serve than needed.
 	planningDelay = 5 * time.Second
 )
 
-// isJoining tells whether this node has just started and may not know its role yet.
+// isJoining reports whether this node has just started and may not know its role yet.
 func (g *Gateway) isJoining(now time.Duration) bool {
 	if members := g.memberCount(); members != g.join.members {
 		g.join = joinState{members: members, changedAt: now}
@@ -46,57 +43,55 @@
 	return !g.join.done
 }
 
-// joinState is how many members a node has seen that has just started, and
-// since when.
+// joinState is the number of members that a starting node knows, when it last changed, and whether
+// the join is done.
 type joinState struct {
 	members   int
 	changedAt time.Duration
 	done      bool
 }
 
-// nodeRoles are the roles of all members, and what follows from them for this
-// node. It is derived when the members or the planned demand change, and immutable.
+// nodeRoles are the roles of all members and what follows from them for this node. They are derived
+// when the members or the planned demand change, and immutable.
 type nodeRoles struct {
 	*membership.Roles
-	// view and demand, in requests a second, are what it was derived from.
+	// view and demand, in requests per second, are what the roles were derived from.
 	view   *membership.View
 	demand float64
-	// fallbackCandidate is set while this node stands in for the candidates.
+	// fallbackCandidate is set while this node is a fallback candidate for the rollout lease.
 	fallbackCandidate bool
-	// origins and weights are what else it was derived from: the demand by place, and the
-	// parts by which nodes under pressure count. least is the least sizes of the serving
+	// origins, pressureWeights and minSizes are the options that the roles were derived from: the
+	// demand by location, the weights of nodes under pressure, and the least sizes of the serving
 	// groups.
 	origins         map[membership.Location]float64
 	pressureWeights map[fleet.NodeID]float64
 	minSizes        map[membership.Location]int
-	// isReader is set if it is this node's role to read the store, candidate if it
-	// takes the lease of the weights, and sharesLoads if it is among those that tell
-	// each other what they send: those that serve, the candidates, and who stands in for
-	// these.
+	// isReader is set if this node reads the store, isCandidate if it competes for the rollout
+	// lease. sharesLoads is set if it exchanges loads: the serving nodes, the candidates and
+	// fallback candidates do.
 	isReader    bool
 	isCandidate bool
 	sharesLoads bool
-	// standbyCount is the number of nodes that callers aren't sent to, if this is one of
-	// them.
+	// standbyCount is the number of nodes that aren't serving, if this is one of them.
 	standbyCount int
-	// readerOrder are the nodes that this one asks for the store's rows.
+	// readerOrder are the readers that this node asks for changes of the store, best first.
 	readerOrder []fleet.NodeID
-	// loadPeers are the other nodes that share loads; empty if this one doesn't.
+	// loadPeers are the other nodes that share loads, empty if this one doesn't.
 	loadPeers []membership.Member
 }
 
-// deriveRoles returns the roles of a view's members at a demand in requests a second.
-func deriveRoles(self fleet.NodeID, zone fleet.ZoneName, view *membership.View, demand float64, standsIn bool) *nodeRoles {
-	return deriveRolesWithOptions(self, zone, view, demand, standsIn, membership.RoleOptions{})
+// deriveRoles returns the roles of a view's members at a demand in requests per second.
+func deriveRoles(self fleet.NodeID, zone fleet.ZoneName, view *membership.View, demand float64, fallback bool) *nodeRoles {
+	return deriveRolesWithOptions(self, zone, view, demand, fallback, membership.RoleOptions{})
 }
 
-// deriveRolesWithOptions returns the roles by what else is known.
-func deriveRolesWithOptions(self fleet.NodeID, zone fleet.ZoneName, view *membership.View, demand float64, standsIn bool,
+// deriveRolesWithOptions is deriveRoles with further options.
+func deriveRolesWithOptions(self fleet.NodeID, zone fleet.ZoneName, view *membership.View, demand float64, fallback bool,
 	options membership.RoleOptions) *nodeRoles {
 	all := membership.Assign(view, demand, options)
 	candidates := all.Candidates(rolloutLease)
 	roles := &nodeRoles{
-		Roles: all, view: view, demand: demand, fallbackCandidate: standsIn,
+		Roles: all, view: view, demand: demand, fallbackCandidate: fallback,
 		origins: options.Origins, pressureWeights: options.Weights, minSizes: options.Least,
 		isReader:    all.Reads(self),
 		isCandidate: slices.Contains(candidates, self),
@@ -105,7 +100,7 @@
 	if !all.Serves(self) {
 		roles.standbyCount = len(view.Routable()) - len(all.Serving)
 	}
-	roles.sharesLoads = roles.isCandidate || standsIn || all.Serves(self)
+	roles.sharesLoads = roles.isCandidate || fallback || all.Serves(self)
 	if !roles.sharesLoads {
 		return roles
 	}
@@ -117,26 +112,26 @@
 	return roles
 }
 
-// roleOptions returns what is planned for besides the demand. A node that has just started
-// hears of a few nodes' requests first: it would take one place for the origin of all, and
-// keep a group for it that is far too large.
-func (g *Gateway) roleOptions(now time.Duration, demand float64, before *nodeRoles) membership.RoleOptions {
+// roleOptions returns the planning inputs other than the demand. A node that has just started
+// receives reports of a few nodes first. It would take a single location for the origin of all
+// requests and hold a group size that is far too large.
+func (g *Gateway) roleOptions(now time.Duration, demand float64, previous *nodeRoles) membership.RoleOptions {
 	options := membership.RoleOptions{Weights: g.origins.planWeights(now)}
 	origins := g.origins.plan(g.originRates(now))
-	if before == nil || now < planningDelay {
+	if previous == nil || now < planningDelay {
 		return options
 	}
 	options.Origins = origins
-	options.Least = g.groupSizes.Observe(now, demand, before.Needed())
+	options.Least = g.groupSizes.Observe(now, demand, previous.Needed())
 	return options
 }
 
-// optionsChanged tells whether other roles may follow from the options.
+// optionsChanged reports whether the options differ from those that the roles were derived from.
 func (r *nodeRoles) optionsChanged(options membership.RoleOptions) bool {
 	return !maps.Equal(r.origins, options.Origins) || !maps.Equal(r.pressureWeights, options.Weights) || !maps.Equal(r.minSizes, options.Least)
 }
 
-// maintainRoles keeps this node's part up to date with the membership and the demand.
+// maintainRoles keeps this node's roles up to date with the membership and the demand.
 func (g *Gateway) maintainRoles() error {
 	for {
 		g.checkSuspension()
@@ -149,35 +144,35 @@
 	}
 }
 
-// updateRoles puts the roles of the present members in force.
+// updateRoles derives the roles of the current members and puts them in force.
 func (g *Gateway) updateRoles(now time.Duration) {
-	before := g.roles.Load()
-	roles := before
-	view, demand, standsIn := g.peers.View(), g.demand.planned(now), g.fallbackCandidate.Load()
-	options := g.roleOptions(now, demand, before)
-	if before == nil || before.view != view || before.demand != demand || before.fallbackCandidate != standsIn || before.optionsChanged(options) {
-		roles = deriveRolesWithOptions(g.node, g.settings().Zone, view, demand, standsIn, options)
+	previous := g.roles.Load()
+	roles := previous
+	view, demand, fallback := g.peers.View(), g.demand.planned(now), g.fallbackCandidate.Load()
+	options := g.roleOptions(now, demand, previous)
+	if previous == nil || previous.view != view || previous.demand != demand || previous.fallbackCandidate != fallback || previous.optionsChanged(options) {
+		roles = deriveRolesWithOptions(g.node, g.settings().Zone, view, demand, fallback, options)
 		g.roles.Store(roles)
 		g.demand.setSharing(roles.sharesLoads)
 	}
 	settled := !g.isJoining(now)
 	reader := roles.isReader && settled
 	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, standbyCount: roles.standbyCount})
-	if serves := roles.Serves(g.node); before == nil || before.Serves(g.node) != serves || len(before.Serving) != len(roles.Serving) {
+	if serves := roles.Serves(g.node); previous == nil || previous.Serves(g.node) != serves || len(previous.Serving) != len(roles.Serving) {
 		g.logger.Info().Bool("serves", serves).Int("serving", len(roles.Serving)).Bool("reads", reader).
 			Int("members", len(view.Routable())).Float64("request_rate", g.demand.total(now)).Msg("roles_changed")
 	}
 }
 
-// loadPeers returns the other nodes that share loads, if this one does. Callers
-// must not write to the slice.
+// loadPeers returns the other nodes that share loads, if this one does. Callers must not modify the
+// slice.
 func (g *Gateway) loadPeers() []membership.Member { return g.roles.Load().loadPeers }
 
-// isServing tells whether callers are sent to this node.
+// isServing reports whether callers are sent to this node.
 func (g *Gateway) isServing() bool { return g.roles.Load().Serves(g.node) }
 
-// servingCount returns how many nodes callers are sent to, at least 1.
+// servingCount returns the number of serving nodes, at least 1.
 func (g *Gateway) servingCount() int { return max(len(g.roles.Load().Serving), 1) }
 
-// memberCount returns how many gateways there are, this one included.
+// memberCount returns the number of gateways, including this one.
 func (g *Gateway) memberCount() int { return max(len(g.peers.View().Members()), 1) }
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -19,7 +19,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// newTestGateway returns a gateway that isn't started and has nothing outside.
+// newTestGateway returns a gateway that isn't started and has no dependencies.
 func newTestGateway(t testing.TB) *Gateway {
 	settings := Settings{
 		Node: "node-000", Zone: "z0", FrontAddress: "127.0.0.1:1", DirectoryAddress: "127.0.0.1:2",
@@ -31,7 +31,7 @@
 	return g
 }
 
-// largeFleet returns a view of a fleet in which small members are far from serving.
+// largeFleet returns a view of a fleet whose small members aren't serving.
 func largeFleet(members int) *membership.View {
 	all := make([]membership.Member, members)
 	for number := range all {
@@ -51,39 +51,39 @@
 	derived := g.roles.Load()
 	require.NotNil(t, derived)
 	g.updateRoles(time.Second)
-	assert.Same(t, derived, g.roles.Load(), "nothing has changed")
+	assert.Same(t, derived, g.roles.Load(), "neither members nor demand changed")
 	for range 1000 {
 		g.demand.note()
 	}
 	g.demand.measure(2 * time.Second)
 	g.demand.setSharing(true)
 	g.updateRoles(2 * time.Second)
-	assert.NotSame(t, derived, g.roles.Load(), "the demand has changed")
+	assert.NotSame(t, derived, g.roles.Load(), "demand changed")
 }
 
 func TestLoadsAreSharedAmongServingNodesAndCandidates(t *testing.T) {
 	view := largeFleet(195)
 	all := membership.Assign(view, 100, membership.RoleOptions{})
 	candidates := all.Candidates(rolloutLease)
-	sharing := 0
+	sharingCount := 0
 	for _, member := range view.Members() {
 		roles := deriveRoles(member.Node, member.Zone, view, 100, false)
 		if !roles.sharesLoads {
 			assert.Empty(t, roles.loadPeers)
 			continue
 		}
-		sharing++
+		sharingCount++
 		assert.Len(t, roles.loadPeers, membership.DefaultMinServing+len(candidates)-1)
 		for _, peer := range roles.loadPeers {
 			assert.NotEqual(t, member.Node, peer.Node)
 		}
 	}
-	assert.Equal(t, membership.DefaultMinServing+len(candidates), sharing)
+	assert.Equal(t, membership.DefaultMinServing+len(candidates), sharingCount)
 }
 
 func TestIdleNodeChecksRolloutLessOften(t *testing.T) {
 	g := newTestGateway(t)
-	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval(), "alone it serves")
+	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval(), "a single node serves")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().sharesLoads)
 	assert.Equal(t, idleRolloutInterval, g.rolloutCheckInterval())
@@ -92,8 +92,8 @@
 	assert.Less(t, idleRolloutInterval+beginReserve, enforceReserve)
 }
 
-// TestRequestAtIdleNodeUsesDueVersions places a request between two
-// looks at the roll-out.
+// TestRequestAtIdleNodeUsesDueVersions guards against placing a request on an outdated engine
+// between two checks of the rollout.
 func TestRequestAtIdleNodeUsesDueVersions(t *testing.T) {
 	g := newTestGateway(t)
 	g.workers.Observe(1, backends.Worker{
@@ -118,25 +118,25 @@
 	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
 }
 
-// TestWatchBacksOffAfterFailures bounds what a large fleet asks its readers
-// while the store is out of everybody's reach.
+// TestWatchBacksOffAfterFailures guards against a large fleet flooding its readers while no node
+// can reach the store.
 func TestWatchBacksOffAfterFailures(t *testing.T) {
 	g := newTestGateway(t)
-	useless := 0
+	failures := 0
 	for range 20 {
-		useless = watchFailed.countFailures(useless)
+		failures = watchFailed.countFailures(failures)
 	}
 	assert.Equal(t, watchRetry, g.watchPause(watchFailed, 1))
-	assert.Equal(t, watchRetryMax, g.watchPause(watchFailed, useless))
-	assert.Zero(t, watchUnchanged.countFailures(useless))
-	assert.Zero(t, g.watchPause(watchChanged, 0), "callers are sent here")
+	assert.Equal(t, watchRetryMax, g.watchPause(watchFailed, failures))
+	assert.Zero(t, watchUnchanged.countFailures(failures))
+	assert.Zero(t, g.watchPause(watchChanged, 0), "node is serving")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	assert.Equal(t, watchBatchDelay, g.watchPause(watchChanged, 0))
 	assert.Zero(t, g.watchPause(watchUnchanged, 0))
 }
 
-// TestNodeWithoutSettledRoleFollowsFewCaches has a node that has just started, and knows
-// itself alone, follow few caches and not name itself to callers.
+// TestNodeWithoutSettledRoleFollowsFewCaches guards against a starting node that knows no other
+// member following all caches and returning itself from the directory.
 func TestNodeWithoutSettledRoleFollowsFewCaches(t *testing.T) {
 	const engines = 2*cachesByRequest + 1
 	g := newTestGateway(t)
@@ -156,15 +156,15 @@
 	g.requestCount.Store(1)
 	assert.Empty(t, followedCaches(g))
 	g.requestCount.Store(2)
-	assert.Len(t, followedCaches(g), engines, "callers come all the same")
+	assert.Len(t, followedCaches(g), engines, "node receives requests")
 	g.requestCount.Store(0)
 	g.roleSettled.Store(true)
 	assert.Len(t, followedCaches(g), engines)
 	assert.Len(t, g.frontAddresses(ResolutionQuery{}), 1)
 }
 
-// TestNodeWithTablesStopsReadingStore has a fleet start before its operator
-// has written a configuration.
+// TestNodeWithTablesStopsReadingStore guards against a fleet without a configuration reading the
+// store from every node.
 func TestNodeWithTablesStopsReadingStore(t *testing.T) {
 	g := newTestGateway(t)
 	g.sources = newSourceSelector(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
@@ -179,7 +179,7 @@
 	assert.False(t, g.isReady())
 }
 
-// BenchmarkDeriveRoles measures deriving the roles anew, by the number of members.
+// BenchmarkDeriveRoles measures deriving the roles by the number of members.
 func BenchmarkDeriveRoles(b *testing.B) {
 	for _, members := range []int{8, 79, 195, 680} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestStartingNodePlansWithoutOrigins has the first rates that it hears come from one
-// place alone.
+// TestStartingNodePlansWithoutOrigins guards against planning by the first reported rates, which
+// come from a single location.
 func TestStartingNodePlansWithoutOrigins(t *testing.T) {
 	g := newTestGateway(t)
 	g.demand.setSharing(true)
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -12,12 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// runRollout requires new versions when they are due and, while this node
-// holds the lease, changes the engines.
+// runRollout enforces new model versions when they are due and, while this node holds the lease,
+// updates the engines.
 func (g *Gateway) runRollout() error {
-	var orderFrom time.Duration
-	var finished rolloutGeneration
-	held := false
+	var firstOrderAt time.Duration
+	var upToDate rolloutGeneration
+	wasHolder := false
 	for g.pauseInterval(g.rolloutCheckInterval()) {
 		now := g.now()
 		if age, proven := g.freshness.Age(now); proven && age > storeLostAfter {
@@ -27,27 +27,27 @@
 		g.pending.expire(g.rollout.due(now, beginReserve))
 		g.updateFallbackCandidate(now)
 		g.lease.SetEligible(g.isRolloutCandidate())
-		token, holds := g.lease.Fence()
-		if holds && !held {
-			orderFrom = now + g.orderDelay(token)
-			g.logger.Info().Uint64("token", uint64(token)).Dur("order_delay", orderFrom-now).Msg("rollout_taken")
+		token, isHolder := g.lease.Fence()
+		if isHolder && !wasHolder {
+			firstOrderAt = now + g.orderDelay(token)
+			g.logger.Info().Uint64("token", uint64(token)).Dur("order_delay", firstOrderAt-now).Msg("rollout_taken")
 		}
-		held = holds
-		if !holds || now < orderFrom || g.isStopping() {
+		wasHolder = isHolder
+		if !isHolder || now < firstOrderAt || g.isStopping() {
 			continue
 		}
-		mark := rolloutGeneration{workers: g.workers.Changes(), versions: g.rollout.generation()}
-		if mark == finished {
+		current := rolloutGeneration{workers: g.workers.Changes(), versions: g.rollout.generation()}
+		if current == upToDate {
 			continue
 		}
 		workers := g.workers.Workers()
 		if !g.rollout.hasOutdated(workers) {
-			finished = mark
+			upToDate = current
 			continue
 		}
-		for _, next := range g.rollout.startUpdates(now, workers, g.workers.Doubtful(now)) {
+		for _, update := range g.rollout.startUpdates(now, workers, g.workers.Doubtful(now)) {
 			g.life.Go(func() error {
-				g.updateEngine(next)
+				g.updateEngine(update)
 				return nil
 			})
 		}
@@ -55,25 +55,25 @@
 	return nil
 }
 
-// rolloutGeneration names a state of the workers and of the named versions. While it is the one in
-// which all engines had the newest ones, there is nothing to look for: there are ten looks a second, each at
-// all workers.
+// rolloutGeneration identifies a state of the workers and of the desired versions. The rollout loop
+// skips its check of all workers while the state is one in which all engines were up to date.
 type rolloutGeneration struct {
 	workers, versions uint64
 }
 
-// rolloutCheckInterval returns the time until the next look: short while this node carries
-// requests or may hold the lease, since in a large fleet most nodes do neither.
+// rolloutCheckInterval returns the time until the next check. It is short while this node handles
+// requests or may hold the lease, which most nodes of a large fleet don't.
 func (g *Gateway) rolloutCheckInterval() time.Duration {
 	roles := g.roles.Load()
-	_, holds := g.lease.Fence()
-	if roles.sharesLoads || holds || g.inFlight.Load() > 0 {
+	_, isHolder := g.lease.Fence()
+	if roles.sharesLoads || isHolder || g.inFlight.Load() > 0 {
 		return rolloutInterval
 	}
 	return idleRolloutInterval
 }
 
-// enforceDueVersions has requests go to engines with the versions that are due at now.
+// enforceDueVersions routes requests only to engines that have the versions due at now, and prefers
+// engines that have the newer preferred versions.
 func (g *Gateway) enforceDueVersions(now time.Duration) {
 	g.versionsEnforcedAt.Store(int64(now))
 	for model, version := range g.rollout.due(now, enforceReserve) {
@@ -84,16 +84,16 @@
 	}
 }
 
-// refreshDueVersions is requireDue for a request that is placed at now, unless that was
-// done a moment ago.
+// refreshDueVersions calls enforceDueVersions for a request that is placed at now, unless that was
+// done within rolloutInterval.
 func (g *Gateway) refreshDueVersions(now time.Duration) {
 	if now-time.Duration(g.versionsEnforcedAt.Load()) >= rolloutInterval {
 		g.enforceDueVersions(now)
 	}
 }
 
-// orderDelay returns the time until a new holder may order, so that its orders
-// don't come within the least gap behind those of the holder before.
+// orderDelay returns how long a new holder waits before its first order, so that orders of two
+// holders are at least LeaseGap apart.
 func (g *Gateway) orderDelay(token fleet.FencingToken) time.Duration {
 	if token <= 1 {
 		return 0
@@ -108,9 +108,9 @@
 	return max(delay-g.lease.IdleAtTakeover(), 0)
 }
 
-// keepLease runs the lease's keeper, which first reads the lease. At the first start of
-// the whole fleet nobody has held it, so that a node waits until it may take it; after a
-// restart the keeper looks at once whether the lease is still its machine's.
+// keepLease runs the lease keeper, which first reads the lease. At the first start of the whole
+// fleet nobody has held the lease, so a node waits until it is a candidate. After a restart the
+// keeper checks at once whether its machine still holds the lease.
 func (g *Gateway) keepLease() error {
 	for g.settings().FirstStart && !g.isRolloutCandidate() && !g.isStopping() {
 		if !g.pause(idleRolloutInterval) {
@@ -121,63 +121,63 @@
 	return nil
 }
 
-// isRolloutCandidate tells whether this node is among those that take the lease.
+// isRolloutCandidate reports whether this node may take the lease.
 func (g *Gateway) isRolloutCandidate() bool {
 	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().isCandidate || g.fallbackCandidate.Load())
 }
 
-// updateEngine brings one engine to a version: it keeps requests away, sends
-// the order, and asks until the engine has the version.
-func (g *Gateway) updateEngine(next engineUpdate) {
-	begun := g.now()
-	took, ordered := time.Duration(0), begun
-	defer func() { g.rollout.finishUpdate(g.now(), next, took, begun+took-ordered) }()
-	if !g.quiesce(begun, next.worker.ID) {
+// updateEngine updates one engine to a version: it cordons and quiesces the engine, sends the
+// order, and polls until the engine reports the version.
+func (g *Gateway) updateEngine(update engineUpdate) {
+	start := g.now()
+	duration, orderedAt := time.Duration(0), start
+	defer func() { g.rollout.finishUpdate(g.now(), update, duration, start+duration-orderedAt) }()
+	if !g.quiesce(start, update.worker.ID) {
 		return
 	}
 	repeatAt := time.Duration(0)
-	orders := int64(-1)
-	failed := 0
-	for g.now() < begun+updateTimeout {
-		if !g.pause(g.orderDelayOf(&next.worker, begun)) {
+	lastOrders := int64(-1)
+	failedReports := 0
+	for g.now() < start+updateTimeout {
+		if !g.pause(g.orderDelayOf(&update.worker, start)) {
 			return
 		}
-		wait := g.reportIntervalFor(&next.worker)
-		report, err := g.dependencies.Engines.Report(g.workerCall(g.context(), callReport, &next.worker), next.worker)
+		wait := g.reportIntervalFor(&update.worker)
+		report, err := g.dependencies.Engines.Report(g.workerCall(g.context(), callReport, &update.worker), update.worker)
 		if err == nil {
-			g.observeWorkerStart(next.worker.ID, backends.StartTime(report.Born))
+			g.observeWorkerStart(update.worker.ID, backends.StartTime(report.Born))
 		}
 		switch {
 		case err != nil:
-			failed++
-			g.logger.Warn().Str("worker", string(next.worker.ID)).Err(err).Msg("report_failed")
-			if failed >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
+			failedReports++
+			g.logger.Warn().Str("worker", string(update.worker.ID)).Err(err).Msg("report_failed")
+			if failedReports >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
 				return
 			}
-		case report.Versions[next.model] >= next.version && !report.Busy:
-			took = g.now() - begun
-			g.recordUpdated(next, backends.WeightsVersion(report.Versions[next.model]), took)
+		case report.Versions[update.model] >= update.version && !report.Busy:
+			duration = g.now() - start
+			g.recordUpdated(update, backends.WeightsVersion(report.Versions[update.model]), duration)
 			return
-		case !report.Busy && (report.Orders != orders || g.now() > repeatAt):
-			next.version = max(next.version, g.rollout.newestVersion(next.model))
-			result, sent := g.sendOrder(next, report)
+		case !report.Busy && (report.Orders != lastOrders || g.now() > repeatAt):
+			update.version = max(update.version, g.rollout.newestVersion(update.model))
+			result, sent := g.sendOrder(update, report)
 			if !sent {
 				return
 			}
-			ordered = g.now()
-			repeatAt, orders, wait = ordered+reorderDelay(result), report.Orders, minLoadTime
+			orderedAt = g.now()
+			repeatAt, lastOrders, wait = orderedAt+reorderDelay(result), report.Orders, minLoadTime
 			if result == rollout.OrderUncertain {
-				wait = g.reportIntervalFor(&next.worker)
+				wait = g.reportIntervalFor(&update.worker)
 			}
 		}
-		g.cordonEngine(next.worker.ID)
+		g.cordonEngine(update.worker.ID)
 		if !g.pause(wait) {
 			return
 		}
 	}
 }
 
-// reportIntervalFor returns the time between two questions to an engine under order.
+// reportIntervalFor returns the interval at which an engine that was given an order is polled.
 func (g *Gateway) reportIntervalFor(worker *backends.Worker) time.Duration {
 	if g.limits.limited(worker.ID, worker.Born) {
 		return limitedReportInterval
@@ -185,16 +185,16 @@
 	return reportInterval
 }
 
-// quiesce keeps requests away from an engine until its runs have ended, for a
-// time at the most. It returns false when the process ends.
-func (g *Gateway) quiesce(begun time.Duration, id fleet.EngineID) bool {
-	g.cordonEngine(id)
+// quiesce cordons an engine and waits until its runs have ended, up to quiesceLimit. It returns
+// false when the process ends.
+func (g *Gateway) quiesce(start time.Duration, engine fleet.EngineID) bool {
+	g.cordonEngine(engine)
 	if !g.pause(minQuiesce) {
 		return false
 	}
-	most := quiesceLimit(g.workers.MemoryUse(g.now(), id))
-	for g.now() < begun+most && g.workers.InFlight(g.now(), id) > 0 {
-		g.cordonEngine(id)
+	limit := quiesceLimit(g.workers.MemoryUse(g.now(), engine))
+	for g.now() < start+limit && g.workers.InFlight(g.now(), engine) > 0 {
+		g.cordonEngine(engine)
 		if !g.pause(quiescePollInterval) {
 			return false
 		}
@@ -202,26 +202,26 @@
 	return true
 }
 
-// quiesceLimit returns how long an engine's runs are let end, by the part of the
-// engines' memory that is in use.
-func quiesceLimit(use float64) time.Duration {
-	part := min(max((use-idleMemoryUse)/(fullMemoryUse-idleMemoryUse), 0), 1)
-	return maxQuiesceIdle - time.Duration(part*float64(maxQuiesceIdle-maxQuiesceFull))
+// quiesceLimit returns how long to wait for an engine's runs to end, for a fraction of the engines'
+// memory that is in use.
+func quiesceLimit(memoryUse float64) time.Duration {
+	fraction := min(max((memoryUse-idleMemoryUse)/(fullMemoryUse-idleMemoryUse), 0), 1)
+	return maxQuiesceIdle - time.Duration(fraction*float64(maxQuiesceIdle-maxQuiesceFull))
 }
 
-// cordonEngine has this node and all that share loads send no requests to an engine
-// for a while.
-func (g *Gateway) cordonEngine(id fleet.EngineID) {
+// cordonEngine stops this node and all that share loads from sending requests to an engine for
+// cordonDuration.
+func (g *Gateway) cordonEngine(engine fleet.EngineID) {
 	until := g.now() + cordonDuration
-	g.workers.NoteOrder(id, until)
-	if g.rollout.markOrdered(id, until) {
+	g.workers.NoteOrder(engine, until)
+	if g.rollout.markOrdered(engine, until) {
 		g.announcer.noteAll()
 	}
 }
 
-// reorderDelay returns how long after an order without effect it is sent again. One
-// that may have been lost is repeated soon: both expect the same count of orders,
-// so that only one of them is carried out.
+// reorderDelay returns the time until an order without effect is sent again. An order that may have
+// been lost is repeated soon: both carry the same expected order count, so the engine executes only
+// one of them.
 func reorderDelay(result rollout.OrderResult) time.Duration {
 	if result == rollout.OrderUncertain {
 		return reorderUncertain
@@ -229,36 +229,36 @@
 	return reorderAfter
 }
 
-// sendOrder sends one sendOrder, if the lease is still held right before. It returns
-// false if it isn't.
-func (g *Gateway) sendOrder(next engineUpdate, report rollout.Report) (rollout.OrderResult, bool) {
-	token, holds := g.lease.Fence()
-	if !holds {
-		g.logger.Warn().Str("worker", string(next.worker.ID)).Msg("order_dropped_without_lease")
+// sendOrder sends an order to an engine. It returns false, without sending, if this node no longer
+// holds the lease.
+func (g *Gateway) sendOrder(update engineUpdate, report rollout.Report) (rollout.OrderResult, bool) {
+	token, isHolder := g.lease.Fence()
+	if !isHolder {
+		g.logger.Warn().Str("worker", string(update.worker.ID)).Msg("order_dropped_without_lease")
 		return rollout.OrderUncertain, false
 	}
 	g.lease.NoteUse()
-	ctx, cancel := context.WithTimeout(g.workerCall(g.context(), callOrder, &next.worker), orderTimeout)
+	ctx, cancel := context.WithTimeout(g.workerCall(g.context(), callOrder, &update.worker), orderTimeout)
 	defer cancel()
-	result, err := g.dependencies.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
-		Model:          next.model,
-		Version:        next.version,
+	result, err := g.dependencies.Engines.OrderVersion(ctx, update.worker, rollout.VersionOrder{
+		Model:          update.model,
+		Version:        update.version,
 		Holder:         lease.HolderID(g.settings().Node),
 		Token:          token,
 		ExpectedOrders: report.Orders,
 	})
 	g.metrics.orders.Inc()
-	g.logger.Info().Str("worker", string(next.worker.ID)).Str("model", string(next.model)).
-		Uint64("version", next.version).Uint64("token", uint64(token)).Int64("expected_orders", report.Orders).
+	g.logger.Info().Str("worker", string(update.worker.ID)).Str("model", string(update.model)).
+		Uint64("version", update.version).Uint64("token", uint64(token)).Int64("expected_orders", report.Orders).
 		Int("running", report.Running).Int("result", int(result)).AnErr("cause", err).Msg("order_sent")
 	return result, true
 }
 
-// recordUpdated notes that an engine has its new version.
-func (g *Gateway) recordUpdated(done engineUpdate, version backends.WeightsVersion, took time.Duration) {
-	g.workers.NoteVersion(done.worker.ID, done.model, version)
-	g.workers.NoteOrder(done.worker.ID, 0)
-	g.rollout.clearOrdered(done.worker.ID)
+// recordUpdated records that an engine has its new version.
+func (g *Gateway) recordUpdated(update engineUpdate, version backends.WeightsVersion, duration time.Duration) {
+	g.workers.NoteVersion(update.worker.ID, update.model, version)
+	g.workers.NoteOrder(update.worker.ID, 0)
+	g.rollout.clearOrdered(update.worker.ID)
 	g.announcer.noteAll()
-	g.logger.Info().Str("worker", string(done.worker.ID)).Uint64("version", uint64(version)).Dur("took", took).Msg("weights_changed")
+	g.logger.Info().Str("worker", string(update.worker.ID)).Uint64("version", uint64(version)).Dur("took", duration).Msg("weights_changed")
 }
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -15,7 +15,8 @@
 	}
 }
 
-// TestQuiesceLimitShrinksWithMemoryUse looks at both ends.
+// TestQuiesceLimitShrinksWithMemoryUse guards against quiescing busy engines for as long as idle
+// ones.
 func TestQuiesceLimitShrinksWithMemoryUse(t *testing.T) {
 	assert.Equal(t, maxQuiesceIdle, quiesceLimit(0))
 	assert.Equal(t, maxQuiesceIdle, quiesceLimit(idleMemoryUse))
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -10,69 +10,68 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// Constants of the duty of weights.
+// Parameters of the model version rollout.
 const (
-	// rolloutLease is the lease of the one node that sends orders, and the task's
-	// name by which the candidates for it are chosen.
+	// rolloutLease is the key of the lease held by the one node that sends orders. The candidates
+	// for the lease are also chosen by this name.
 	rolloutLease = "rollout"
-	// rolloutInterval is the time between two looks at the engines, rolloutRest the
-	// same at a node without requests that can't hold the lease: together with
-	// beginReserve it must stay below requireReserve, so that a request that comes
-	// meanwhile is still taken away from old weights in time.
+	// rolloutInterval is the interval at which the rollout is checked; idleRolloutInterval is the
+	// interval at a node without requests that can't hold the lease. idleRolloutInterval plus
+	// beginReserve must stay below enforceReserve, so that a request that arrives between two
+	// checks can still be moved from an outdated engine in time.
 	rolloutInterval     = 100 * time.Millisecond
 	idleRolloutInterval = 500 * time.Millisecond
-	// enforceReserve is how much before the bound no request goes to an engine
-	// with an older version any more.
+	// enforceReserve is how long before the bound requests stop going to engines with an older
+	// version.
 	enforceReserve = 1200 * time.Millisecond
-	// preferDelay is the time from the naming of a version from which requests go to
-	// engines that have it where that costs little.
+	// preferDelay is the time after a version is requested from which requests prefer engines that
+	// have it, if that costs little.
 	preferDelay = 1400 * time.Millisecond
-	// unknownAgeGracePeriod is the time after this process's start at which a version that
-	// was named before it counts as due, unless a peer knows better.
+	// unknownAgeGracePeriod is the time after the process's start at which a version requested
+	// earlier is due, unless a peer knows when it was requested.
 	unknownAgeGracePeriod = 2800 * time.Millisecond
-	// minQuiesce is the least time from the word that an engine is about to be
-	// ordered until the order: requests under way to it arrive meanwhile. After that
-	// its runs, which new weights would halt for a while, are let end for at most
-	// quiesceIdle while the engines are far from full, and quiesceFull at the other
-	// end, since the engine does nothing else meanwhile.
+	// minQuiesce is the least time between announcing a cordon and the order, in which requests on
+	// their way to the engine arrive. After that, the engine's runs may end, since loading a
+	// version interrupts them. The wait is at most maxQuiesceIdle while the engines' memory is
+	// mostly free and at most maxQuiesceFull when it is full, since the engine does no other work
+	// meanwhile.
 	minQuiesce          = 100 * time.Millisecond
 	maxQuiesceIdle      = 600 * time.Millisecond
 	maxQuiesceFull      = 400 * time.Millisecond
 	quiescePollInterval = 40 * time.Millisecond
-	// idleMemoryUse and fullAbove are the parts of the engines' memory in use at which
-	// they count as idle and full.
+	// idleMemoryUse and fullMemoryUse are the fractions of the engines' memory in use at which they
+	// count as idle and full.
 	idleMemoryUse = 0.15
 	fullMemoryUse = 0.45
-	// cordonDuration is how long an engine counts as under an order, unless its new
-	// version is seen before.
+	// cordonDuration is how long an engine stays cordoned, unless its new version is seen earlier.
 	cordonDuration = 2 * time.Second
-	// minLoadTime is the time from an order until an engine is asked for the first
-	// time, reportInterval the time between two questions after that.
+	// minLoadTime is the time from an order to the first poll of the engine. reportInterval is the
+	// interval of the polls after that.
 	minLoadTime    = 600 * time.Millisecond
 	reportInterval = 80 * time.Millisecond
-	// limitedReportInterval is the same at an engine with a limit on its requests.
+	// limitedReportInterval is the poll interval for an engine with a request limit.
 	limitedReportInterval = 600 * time.Millisecond
-	// maxFailedReports bounds the questions without an answer, after which the
-	// engine is left alone for changeBackoff.
+	// maxFailedReports is the number of failed polls after which the update is abandoned. The
+	// engine isn't updated again before updateBackoff has passed.
 	maxFailedReports = 2
 	updateBackoff    = 1500 * time.Millisecond
-	// storeLostAfter is the age of the newest proof among all reachable nodes from
-	// which the store counts as out of everybody's reach.
+	// storeLostAfter is the age of the newest freshness proof of all reachable nodes from which the
+	// store counts as unreachable for all of them.
 	storeLostAfter = 2500 * time.Millisecond
-	// maxSharedVersions bounds the versions whose naming is told to peers.
+	// maxSharedVersions bounds the versions per model that are shared with peers.
 	maxSharedVersions = 4
-	// reorderAfter is when an order without effect is sent again, reorderUncertain
-	// when one is that got no answer within orderTimeout.
+	// reorderAfter is the time after which an order without effect is sent again; reorderUncertain
+	// applies to an order that got no response within orderTimeout.
 	reorderAfter     = 1500 * time.Millisecond
 	reorderUncertain = 100 * time.Millisecond
 	orderTimeout     = 400 * time.Millisecond
-	// updateTimeout bounds the change of one engine, after which it is begun anew.
+	// updateTimeout limits the update of one engine. After that it is started again.
 	updateTimeout = 9 * time.Second
-	// leaseGapSlack is added to the least time between the orders of two holders.
+	// leaseGapSlack is added to the least time between the orders of two lease holders.
 	leaseGapSlack = 150 * time.Millisecond
 )
 
-// Parts of the lease's duration, against the least gap between two holders.
+// The lease's margin for clock drift as a fraction of its duration.
 const (
 	leaseMarginNumerator   = 2
 	leaseMarginDenominator = 5
@@ -84,23 +83,24 @@
 		Key:      rolloutLease,
 		Duration: duration,
 		Margin:   duration * leaseMarginNumerator / leaseMarginDenominator,
-		// A machine runs one gateway, and counts as one holder.
+		// A machine runs one gateway and counts as one holder.
 		Exclusive: true,
 	}
 }
 
-// rolloutState keeps the named versions and when the engines change to them.
+// rolloutState tracks the desired model versions and the updates of the engines to them. It is safe
+// for concurrent use.
 type rolloutState struct {
 	updateWithin time.Duration
 	mutex        sync.Mutex
 	pacers       map[fleet.ModelName]*rollout.Pacer
-	// updating holds the engines under order by this node.
+	// updating holds the engines that this node is updating.
 	updating map[fleet.EngineID]bool
-	// orderedUntil holds, by engine, until when it counts as under order.
+	// orderedUntil holds, by engine, the end of its cordon.
 	orderedUntil map[fleet.EngineID]time.Duration
-	// failures counts, by engine, the changes in a row that failed.
+	// failures counts, by engine, the failed updates in a row.
 	failures map[fleet.EngineID]int
-	// backoffUntil holds, by engine, until when no change of it is begun.
+	// backoffUntil holds, by engine, the time before which no update of it starts.
 	backoffUntil map[fleet.EngineID]time.Duration
 }
 
@@ -115,179 +115,180 @@
 	}
 }
 
-// setDesired takes in a named version and tells whether it is new. at is when it was
-// named at the latest; known is false for a version that was named at an unknown
-// time before.
-func (w *rolloutState) setDesired(at time.Duration, known bool, named DesiredVersion) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	pacer := w.pacer(named.Model)
-	if !known {
-		return pacer.Assume(at-w.updateWithin+enforceReserve+unknownAgeGracePeriod, uint64(named.Version))
+// setDesired records a desired version and reports whether it is new. requestedAt is the latest time at
+// which it was requested. timeKnown is false for a version that was requested at an unknown time
+// before.
+func (s *rolloutState) setDesired(requestedAt time.Duration, timeKnown bool, desired DesiredVersion) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	pacer := s.pacer(desired.Model)
+	if !timeKnown {
+		return pacer.Assume(requestedAt-s.updateWithin+enforceReserve+unknownAgeGracePeriod, uint64(desired.Version))
 	}
-	return pacer.Name(at, uint64(named.Version))
+	return pacer.Name(requestedAt, uint64(desired.Version))
 }
 
-// pacer returns a model's pacer; the mutex is held.
-func (w *rolloutState) pacer(model fleet.ModelName) *rollout.Pacer {
-	pacer := w.pacers[model]
+// pacer returns a model's pacer. The mutex must be held.
+func (s *rolloutState) pacer(model fleet.ModelName) *rollout.Pacer {
+	pacer := s.pacers[model]
 	if pacer == nil {
-		within := w.updateWithin - enforceReserve
+		within := s.updateWithin - enforceReserve
 		pacer = rollout.NewPacer(rollout.PacerOptions{Within: within})
-		w.pacers[model] = pacer
+		s.pacers[model] = pacer
 	}
 	return pacer
 }
 
-// setBound takes over another bound, for the versions of models that are named
-// from now on for the first time.
-func (w *rolloutState) setBound(within time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.updateWithin = within
+// setBound changes the bound. It doesn't affect the pacers of models that already have one.
+func (s *rolloutState) setBound(within time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.updateWithin = within
 }
 
-// postpone has the time of versions that aren't due yet begin anew.
-func (w *rolloutState) postpone(now time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, pacer := range w.pacers {
-		pacer.Hold(now, w.updateWithin-enforceReserve)
+// postpone restarts the time until versions that aren't due yet become due.
+func (s *rolloutState) postpone(now time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, pacer := range s.pacers {
+		pacer.Hold(now, s.updateWithin-enforceReserve)
 	}
 }
 
-// recordPeerVersion takes in a peer's word on when a version was named.
-func (w *rolloutState) recordPeerVersion(at time.Duration, model fleet.ModelName, version uint64) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.pacer(model).Learn(at, version)
+// recordPeerVersion records the time at which, according to a peer, a version was requested.
+func (s *rolloutState) recordPeerVersion(requestedAt time.Duration, model fleet.ModelName, version uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.pacer(model).Learn(requestedAt, version)
 }
 
-// recentVersions returns the namings that this node has recentVersions of at once.
-func (w *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Naming {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	heard := make(map[fleet.ModelName][]rollout.Naming, len(w.pacers))
-	for model, pacer := range w.pacers {
-		heard[model] = pacer.Heard(maxSharedVersions)
+// recentVersions returns the latest versions that this node learned of without delay, by model.
+func (s *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Naming {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	recent := make(map[fleet.ModelName][]rollout.Naming, len(s.pacers))
+	for model, pacer := range s.pacers {
+		recent[model] = pacer.Heard(maxSharedVersions)
 	}
-	return heard
+	return recent
 }
 
-// due returns the versions older than which no request may begin from reserve
-// after now on.
-func (w *rolloutState) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	due := make(map[fleet.ModelName]backends.WeightsVersion, len(w.pacers))
-	for model, pacer := range w.pacers {
-		due[model] = backends.WeightsVersion(pacer.Due(now, w.updateWithin-reserve))
+// due returns, by model, the version that every request beginning later than now plus reserve must
+// have at least.
+func (s *rolloutState) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	due := make(map[fleet.ModelName]backends.WeightsVersion, len(s.pacers))
+	for model, pacer := range s.pacers {
+		due[model] = backends.WeightsVersion(pacer.Due(now, s.updateWithin-reserve))
 	}
 	return due
 }
 
-// preferred returns the newest versions that were named preferAfter ago.
-func (w *rolloutState) preferred(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
-	return w.due(now, w.bound()-preferDelay)
+// preferred returns, by model, the newest version that was requested at least preferDelay ago.
+func (s *rolloutState) preferred(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+	return s.due(now, s.bound()-preferDelay)
 }
 
-// bound returns the time after which no request may begin on an older version.
-func (w *rolloutState) bound() time.Duration {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.updateWithin
+// bound returns the time after a version is requested from which no request may begin on an older
+// one.
+func (s *rolloutState) bound() time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.updateWithin
 }
 
-// engineUpdate is one engine that is to take a version.
+// engineUpdate is the update of one engine to a model version.
 type engineUpdate struct {
 	worker  backends.Worker
 	model   fleet.ModelName
 	version uint64
 }
 
-// startUpdates returns the changes to begin now and counts them as begun. doubtful are
-// the workers that can't be reached, by what is known.
-func (w *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []engineUpdate {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// startUpdates returns the engine updates to start now and marks them as started. doubtful are the
+// workers presumed to be unreachable.
+func (s *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []engineUpdate {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	var changes []engineUpdate
-	for model, pacer := range w.pacers {
+	for model, pacer := range s.pacers {
 		byID := make(map[fleet.EngineID]backends.Worker)
 		var engines []rollout.VersionedEngine
 		for _, worker := range workers {
 			version, serves := worker.Versions[model]
-			if !serves || worker.Draining || now < w.backoffUntil[worker.ID] {
+			if !serves || worker.Draining || now < s.backoffUntil[worker.ID] {
 				continue
 			}
 			byID[worker.ID] = worker
 			engines = append(engines, rollout.VersionedEngine{
-				Engine: worker.ID, Version: uint64(version), Changing: w.updating[worker.ID],
-				Doubtful: doubtful[worker.ID] || w.failures[worker.ID] > 0, Failures: w.failures[worker.ID],
+				Engine: worker.ID, Version: uint64(version), Changing: s.updating[worker.ID],
+				Doubtful: doubtful[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
 			})
 		}
 		for _, id := range pacer.Next(now, engines) {
-			w.updating[id] = true
+			s.updating[id] = true
 			changes = append(changes, engineUpdate{worker: byID[id], model: model, version: pacer.Newest()})
 		}
 	}
 	return changes
 }
 
-// markOrdered says until when an engine counts as under order, and tells whether that
-// is news.
-func (w *rolloutState) markOrdered(id fleet.EngineID, until time.Duration) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	_, known := w.orderedUntil[id]
-	w.orderedUntil[id] = until
+// markOrdered sets the end of an engine's cordon and reports whether the engine wasn't cordoned
+// before.
+func (s *rolloutState) markOrdered(engine fleet.EngineID, until time.Duration) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	_, known := s.orderedUntil[engine]
+	s.orderedUntil[engine] = until
 	return !known
 }
 
-// clearOrdered says that an engine is no longer under order.
-func (w *rolloutState) clearOrdered(id fleet.EngineID) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.orderedUntil, id)
+// clearOrdered removes an engine's cordon.
+func (s *rolloutState) clearOrdered(engine fleet.EngineID) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.orderedUntil, engine)
 }
 
-// finishUpdate notes that a change has ended. took is 0 if it failed, load the part of it
-// since the order.
-func (w *rolloutState) finishUpdate(now time.Duration, done engineUpdate, took, load time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.updating, done.worker.ID)
-	delete(w.orderedUntil, done.worker.ID)
-	if took > 0 {
-		w.pacers[done.model].Measured(took, load)
-		delete(w.backoffUntil, done.worker.ID)
-		delete(w.failures, done.worker.ID)
+// finishUpdate records the end of an update. duration is 0 if it failed; load is the part
+// of it since the order.
+func (s *rolloutState) finishUpdate(now time.Duration, update engineUpdate, duration, load time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.updating, update.worker.ID)
+	delete(s.orderedUntil, update.worker.ID)
+	if duration > 0 {
+		s.pacers[update.model].Measured(duration, load)
+		delete(s.backoffUntil, update.worker.ID)
+		delete(s.failures, update.worker.ID)
 		return
 	}
-	w.failures[done.worker.ID]++
-	w.backoffUntil[done.worker.ID] = now + updateBackoff
+	s.failures[update.worker.ID]++
+	s.backoffUntil[update.worker.ID] = now + updateBackoff
 }
 
-// generation returns a number that rises with each version that is named.
-func (w *rolloutState) generation() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	sum := uint64(len(w.pacers))
-	for _, pacer := range w.pacers {
+// generation returns a number that increases with each desired version.
+func (s *rolloutState) generation() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	sum := uint64(len(s.pacers))
+	for _, pacer := range s.pacers {
 		sum += pacer.Newest()
 	}
 	return sum
 }
 
-// hasOutdated tells whether a worker is to take a newer version than it has, or is about to.
-func (w *rolloutState) hasOutdated(workers []backends.Worker) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if len(w.updating) > 0 {
+// hasOutdated reports whether an update is in progress or a worker has an older version than the
+// newest desired one.
+func (s *rolloutState) hasOutdated(workers []backends.Worker) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.updating) > 0 {
 		return true
 	}
 	for index := range workers {
 		for model, version := range workers[index].Versions {
-			if pacer := w.pacers[model]; pacer != nil && uint64(version) < pacer.Newest() {
+			if pacer := s.pacers[model]; pacer != nil && uint64(version) < pacer.Newest() {
 				return true
 			}
 		}
@@ -295,21 +296,22 @@
 	return false
 }
 
-// forgetRun drops what is known of the orders to a run that has ended.
-func (w *rolloutState) forgetRun(id fleet.EngineID) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.orderedUntil, id)
-	delete(w.failures, id)
-	delete(w.backoffUntil, id)
+// forgetRun drops the state of the orders to a worker run that has ended.
+func (s *rolloutState) forgetRun(engine fleet.EngineID) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.orderedUntil, engine)
+	delete(s.failures, engine)
+	delete(s.backoffUntil, engine)
 }
 
-// orderedEngines returns the engines under this node's orders and for how long.
-func (w *rolloutState) orderedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	remaining := make(map[fleet.EngineID]time.Duration, len(w.orderedUntil))
-	for id, until := range w.orderedUntil {
+// orderedEngines returns the engines that this node has cordoned and the remaining time of their
+// cordons.
+func (s *rolloutState) orderedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	remaining := make(map[fleet.EngineID]time.Duration, len(s.orderedUntil))
+	for id, until := range s.orderedUntil {
 		if until > now {
 			remaining[id] = until - now
 		}
@@ -317,9 +319,9 @@
 	return remaining
 }
 
-// newestVersion returns the newestVersion named version of a model.
-func (w *rolloutState) newestVersion(model fleet.ModelName) uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.pacers[model].Newest()
+// newestVersion returns the newest desired version of a model.
+func (s *rolloutState) newestVersion(model fleet.ModelName) uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.pacers[model].Newest()
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -17,20 +17,19 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// Bounds of the servers.
+// Limits of the HTTP servers.
 const (
-	// headerTimeout bounds the time for a request's head.
+	// headerTimeout is the read timeout for a request's headers.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a request's head whatever the configuration says.
+	// maxHeaderBytes limits a request's headers independently of the configuration.
 	maxHeaderBytes = 64 << 10
-	// directoryTTL is how long callers keep an answer of the directory.
+	// directoryTTL is how long callers may cache a response of the directory.
 	directoryTTL = time.Second
-	// callerUserTimeout is how long bytes to a caller may stay unacknowledged.
+	// callerUserTimeout is how long bytes sent to a caller may stay unacknowledged.
 	callerUserTimeout = 5 * time.Second
 )
 
-// listen opens all addresses before anything is served, so that a port in use
-// is a clear error.
+// listen opens all listeners before serving any, so that a port in use fails the start.
 func (g *Gateway) listen() error {
 	g.front = &http.Server{
 		Handler:           http.HandlerFunc(g.serveFront),
@@ -42,7 +41,7 @@
 	handlers := []struct {
 		address string
 		server  *http.Server
-		// counted is what the bytes that come in are for; Other if the side that calls
+		// counted is the purpose under which received bytes are counted; Other if the calling side
 		// counts them.
 		counted traffic.Purpose
 	}{
@@ -91,7 +90,8 @@
 	g.pressure.countConnection(conn, state)
 }
 
-// recordRefusedConnection counts and logs a caller's connection that was closed for want of descriptors.
+// recordRefusedConnection counts and logs a caller's connection that was closed because file
+// descriptors ran short.
 func (g *Gateway) recordRefusedConnection() {
 	g.metrics.refusedConnections.Inc()
 	g.events.line("connection_refused").Int("descriptors", g.pressure.descriptors()).Msg("connection_refused")
@@ -104,7 +104,7 @@
 	g.listeners, g.servers = nil, nil
 }
 
-// listenTCP listens with a bound on unacknowledged bytes.
+// listenTCP listens on an address with a timeout for unacknowledged bytes.
 func listenTCP(address string) (net.Listener, error) {
 	settings := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3},
@@ -138,8 +138,8 @@
 	return router
 }
 
-// idleConnections closes callers' connections that rest for too long. The
-// limit may change with each configuration, which a server's own can't.
+// idleConnections closes callers' connections that are idle for too long. The limit may change with
+// each configuration, unlike http.Server.IdleTimeout.
 type idleConnections struct {
 	mutex sync.Mutex
 	since map[net.Conn]time.Duration
@@ -149,7 +149,7 @@
 	return &idleConnections{since: make(map[net.Conn]time.Duration)}
 }
 
-// observe takes in a connection's new state, as the ConnState hook of a server tells it.
+// observe records a connection's new state. It is called from a server's ConnState hook.
 func (i *idleConnections) observe(now time.Duration, conn net.Conn, state http.ConnState) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -160,8 +160,7 @@
 	delete(i.since, conn)
 }
 
-// sweep closes the connections that have rested for longer than limit; 0 means
-// no limit.
+// sweep closes the connections that have been idle for longer than limit; 0 means no limit.
 func (i *idleConnections) sweep(now, limit time.Duration) {
 	if limit <= 0 {
 		return
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -13,77 +13,79 @@
 	"github.com/tillerfall/tillerfall/internal/nodecapacity"
 )
 
-// Settings sets up one gateway. They are checked by Validate, apart from serving.
+// Settings configures a gateway. Callers set them, call ApplyDefaults and pass them to New, which
+// validates them.
 type Settings struct {
-	// Node is the machine's name; a restart keeps it.
+	// Node is the name of the machine. It must be the same after a restart.
 	Node   string
 	Zone   fleet.ZoneName
 	Region fleet.RegionName
-	// Zones holds the region of each zone; zones that it lacks count as near ones.
+	// Zones maps each zone to its region. Zones that are missing count as near.
 	Zones map[fleet.ZoneName]fleet.RegionName
-	// Distances are what distance costs a request; backends.DefaultDistancePrices if all
-	// are 0. They hold from the start of the process on.
+	// Distances are the costs of sending a request to another zone or region;
+	// backends.DefaultDistancePrices if all are 0. A reload doesn't change them.
 	Distances backends.DistancePrices
 
-	// FrontAddress serves callers' requests.
+	// FrontAddress is the listen address for callers' requests.
 	FrontAddress string
-	// DirectoryAddress tells callers which addresses to use.
+	// DirectoryAddress is the listen address of the directory, which returns gateway addresses.
 	DirectoryAddress string
-	// ReadyAddress answers checks of readiness.
+	// ReadyAddress is the listen address of the readiness check.
 	ReadyAddress string
-	// PeerAddress serves other gateways.
+	// PeerAddress is the listen address for other gateways.
 	PeerAddress string
-	// MetricsAddress serves metrics; empty serves none.
+	// MetricsAddress is the listen address for metrics; empty disables them.
 	MetricsAddress string
-	// StoreAddress is where the store is.
+	// StoreAddress is the address of the store.
 	StoreAddress string
 
-	// Seeds are addresses at which other gateways may be found; they may be stale.
+	// Seeds are addresses of other gateways, used to join the fleet. They may be stale.
 	Seeds []fleet.Address
 
-	// FirstStart is set if all nodes start for the first time: no caller is there yet.
+	// FirstStart is set at the first start of the whole fleet, when there are no callers yet.
 	FirstStart bool
 
-	// Limits are what the machine gives this process.
+	// Limits are the machine's resources available to this process.
 	Limits nodecapacity.Limits
 
-	// StopGrace is the time between a planned stop's signal and the kill.
+	// StopGrace is the time from the signal of a planned stop until the process is killed.
 	StopGrace time.Duration
-	// RevokeWithin is the time after which a revoked key must not be served, also
-	// by a node out of touch, if RevokeEverywhere is set.
+	// RevokeWithin is the time after which a revoked key must no longer be accepted. If
+	// RevokeEverywhere is set, this also holds for nodes that are partitioned.
 	RevokeWithin     time.Duration
 	RevokeEverywhere bool
-	// RetryRatio and RetrySlack bound the retries of all nodes together, in any
-	// RetryWindow: the ratio of the requests plus the slack.
+	// RetryRatio and RetrySlack bound the retries of all nodes together in any RetryWindow: the
+	// ratio times the requests, plus the slack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// QuotaOvershoot and QuotaSlack are by how much all nodes together may exceed a
-	// tenant's quota in any QuotaWindow: a part of it, and units besides.
+	// QuotaOvershoot and QuotaSlack bound by how much all nodes together may exceed a tenant's
+	// quota in any QuotaWindow: a fraction of the quota, plus the slack in units.
 	QuotaOvershoot float64
 	QuotaSlack     float64
 	QuotaWindow    time.Duration
-	// Deliveries is set if versions of services' software are delivered by order here.
+	// Deliveries enables deliveries, the staged rollouts of services' software versions.
 	Deliveries bool
-	// ExposureShare and ExposureSlack bound what a bad version of a service may get until
-	// its delivery's deadline: a part of the service's requests, and requests besides.
-	// RollbackWithin is the time after the first bad answers after which it must get none.
+	// ExposureShare and ExposureSlack bound the requests that a bad version of a service may
+	// receive until the deadline of its delivery: a fraction of the service's requests, plus the
+	// slack. RollbackWithin is the time after the first bad responses after which it must receive
+	// none.
 	ExposureShare  float64
 	ExposureSlack  float64
 	RollbackWithin time.Duration
-	// LeaseGap is the least time between the orders of two holders.
+	// LeaseGap is the least time between the orders of two lease holders.
 	LeaseGap time.Duration
-	// UpdateModelsWithin is the time after the naming of a version after which no
-	// request may begin on an older one.
+	// UpdateModelsWithin is the time after a model version is requested from which no request may
+	// begin on an older one.
 	UpdateModelsWithin time.Duration
-	// ConfigureWithin is the time after a configuration's acknowledgement within
-	// which it must be in force.
+	// ConfigureWithin is the time after its acknowledgement within which a configuration must be in
+	// force.
 	ConfigureWithin time.Duration
-	// MaxDirectoryTTL bounds how long callers may keep an answer of the directory.
+	// MaxDirectoryTTL bounds how long callers may cache a response of the directory.
 	MaxDirectoryTTL time.Duration
 }
 
-// Defaults of bounds that a deployment doesn't set.
+// Defaults of the settings that a deployment doesn't set.
 const (
 	DefaultStopGrace          = 8 * time.Second
 	DefaultRevokeWithin       = 5 * time.Second
@@ -98,8 +100,7 @@
 	DefaultDirectoryTTL       = 5 * time.Second
 )
 
-// ApplyDefaults sets the bounds that are 0, since a deployment names only those
-// of the parts that it has.
+// ApplyDefaults sets the fields that are 0 to their defaults.
 func (s *Settings) ApplyDefaults() {
 	if s.Distances == (backends.DistancePrices{}) {
 		s.Distances = backends.DefaultDistancePrices()
@@ -126,22 +127,22 @@
 	}
 }
 
-// hasOtherSeeds tells whether other gateways may be there.
+// hasOtherSeeds reports whether there are seeds other than this node's own address.
 func (s *Settings) hasOtherSeeds() bool {
 	return slices.ContainsFunc(s.Seeds, func(seed fleet.Address) bool { return seed != fleet.Address(s.PeerAddress) })
 }
 
-// Validate returns an error that names the first field that can't be used.
+// Validate returns an error that names the first invalid field.
 func (s *Settings) Validate() error {
 	if s.Node == "" {
-		return errors.New("node: no name")
+		return errors.New("node name is empty")
 	}
 	for name, address := range map[string]string{
 		"front": s.FrontAddress, "directory": s.DirectoryAddress, "ready": s.ReadyAddress,
 		"internal": s.PeerAddress, "store": s.StoreAddress,
 	} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return errors.Errorf("%s address %q: not HOST:PORT", name, address)
+			return errors.Errorf("%s address %q: must have the form HOST:PORT", name, address)
 		}
 	}
 	if err := s.Limits.Validate(); err != nil {
@@ -152,23 +153,23 @@
 	}
 	for name, bound := range map[string]time.Duration{
 		"stop grace": s.StopGrace, "revocation bound": s.RevokeWithin, "lease gap": s.LeaseGap,
-		"weights bound": s.UpdateModelsWithin, "configuration bound": s.ConfigureWithin, "retry window": s.RetryWindow,
+		"model update bound": s.UpdateModelsWithin, "configuration bound": s.ConfigureWithin, "retry window": s.RetryWindow,
 		"rollback bound": s.RollbackWithin,
 	} {
 		if bound <= 0 {
-			return errors.Errorf("%s: %s isn't above 0", name, bound)
+			return errors.Errorf("%s: %s must be greater than 0", name, bound)
 		}
 	}
 	if !(s.ExposureShare >= 0 && s.ExposureShare <= 1) {
-		return errors.Errorf("exposure share: %v isn't between 0 and 1", s.ExposureShare)
+		return errors.Errorf("exposure share: %v must be between 0 and 1", s.ExposureShare)
 	}
 	if !(s.ExposureSlack >= 0) {
-		return errors.Errorf("exposure slack: %v is below 0", s.ExposureSlack)
+		return errors.Errorf("exposure slack: %v must not be negative", s.ExposureSlack)
 	}
 	return nil
 }
 
-// regions returns the region of each zone, this node's own included.
+// regions returns the region of each zone, including this node's own.
 func (s *Settings) regions() backends.Regions {
 	regions := make(backends.Regions, len(s.Zones)+1)
 	maps.Copy(regions, s.Zones)
@@ -178,7 +179,7 @@
 	return regions
 }
 
-// identity is what of the settings holds for as long as a process runs.
+// identity is the part of the settings that a reload can't change.
 type identity struct {
 	node                           string
 	zone                           fleet.ZoneName
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -8,12 +8,13 @@
 	"github.com/tillerfall/tillerfall/internal/relay"
 )
 
-// sourceSelector says from whom this node learns what changes in the store.
+// sourceSelector selects where this node gets changes of the store from: the store itself or a
+// peer. It is a relay.Selector that is safe for concurrent use.
 type sourceSelector struct {
 	mutex    sync.Mutex
 	selector *relay.Selector
 	reading  bool
-	// changed is closed when reading changes.
+	// changed is closed and replaced when reading changes.
 	changed chan struct{}
 }
 
@@ -24,18 +25,18 @@
 	}
 }
 
-// sourceRole is what a node's role says of its reading.
+// sourceRole is the part of a node's role that the choice of a source depends on.
 type sourceRole struct {
-	// settled is set once the role is known, reader if it is to read.
+	// settled is set once the role is known, reader if the node reads the store.
 	settled bool
 	reader  bool
-	// order is whom it asks otherwise, best first.
+	// order lists the peers to ask otherwise, best first.
 	order []fleet.NodeID
-	// standbyCount is the number of nodes that callers aren't sent to, if this is one.
+	// standbyCount is the number of nodes that aren't serving, if this is one of them.
 	standbyCount int
 }
 
-// setRole says what this node's role is.
+// setRole sets this node's role.
 func (s *sourceSelector) setRole(now time.Duration, role sourceRole) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -47,7 +48,7 @@
 	s.updateReading(now)
 }
 
-// updateReading takes over whether the node is to read now; the mutex is held.
+// updateReading updates reading from the selector. The mutex must be held.
 func (s *sourceSelector) updateReading(now time.Duration) {
 	reading := s.selector.Reads(now)
 	if reading == s.reading {
@@ -58,15 +59,15 @@
 	s.changed = make(chan struct{})
 }
 
-// readsStore tells whether this node is to read the store, and returns a channel
-// that is closed when that changes.
+// readsStore reports whether this node is to read the store, and returns a channel that is closed
+// when that changes.
 func (s *sourceSelector) readsStore() (bool, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reading, s.changed
 }
 
-// peerToAsk returns the peer to ask, if one is to be asked now.
+// peerToAsk returns the peer to ask, and whether there is one now.
 func (s *sourceSelector) peerToAsk(now time.Duration) (fleet.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,7 +77,7 @@
 	return s.selector.Source()
 }
 
-// recordWatcher notes that another node asks this one.
+// recordWatcher records that another node asks this one for changes.
 func (s *sourceSelector) recordWatcher(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,14 +85,14 @@
 	s.updateReading(now)
 }
 
-// needsAll tells whether this node is to know everything that the store holds.
+// needsAll reports whether this node needs the complete tables.
 func (s *sourceSelector) needsAll(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.NeedsAll(now)
 }
 
-// recordTablesKnown notes that this node knows everything for the first time.
+// recordTablesKnown records that this node knows all tables.
 func (s *sourceSelector) recordTablesKnown(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -99,7 +100,7 @@
 	s.updateReading(now)
 }
 
-// awaitRole leaves reading to others until this node knows its role.
+// awaitRole makes this node leave reading to others until its role is known.
 func (s *sourceSelector) awaitRole(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,21 +108,21 @@
 	s.updateReading(now)
 }
 
-// recordStoreCall notes whether this node's last call to the store was answered.
+// recordStoreCall records whether the store answered this node's last call.
 func (s *sourceSelector) recordStoreCall(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.StoreAnswered(answered)
 }
 
-// recordProof notes this node's own proof by the store.
-func (s *sourceSelector) recordProof(now, at time.Duration) {
+// recordProof records a freshness proof that this node got from the store itself.
+func (s *sourceSelector) recordProof(now, provenAt time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Proven(now, now-at)
+	s.selector.Proven(now, now-provenAt)
 }
 
-// hasProofWithin tells whether this node has a proof of its own by the store that isn't
+// hasProofWithin reports whether this node has a freshness proof from the store itself that is no
 // older than within.
 func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
@@ -129,26 +130,26 @@
 	return s.selector.ProvenWithin(now, within)
 }
 
-// recordResponse takes in a peer's answer and tells whether another one is asked next.
+// recordResponse records a peer's response and reports whether another peer is asked next.
 func (s *sourceSelector) recordResponse(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Answered(now, from, age, proven)
+	changed := s.selector.Answered(now, from, age, proven)
 	s.updateReading(now)
-	return moved
+	return changed
 }
 
-// recordFailure takes in that a peer gave no answer.
+// recordFailure records that a peer didn't answer and reports whether another peer is asked next.
 func (s *sourceSelector) recordFailure(now time.Duration, from fleet.NodeID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Failed(now, from)
+	changed := s.selector.Failed(now, from)
 	s.updateReading(now)
-	return moved
+	return changed
 }
 
-// awaitReading waits until this node is to read the store; false if the process
-// ends before.
+// awaitReading waits until this node is to read the store. It returns false if the process ends
+// first.
 func (g *Gateway) awaitReading() bool {
 	for {
 		reading, changed := g.sources.readsStore()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -9,25 +9,23 @@
 	"github.com/tillerfall/tillerfall/internal/nodecapacity"
 )
 
-// Times of a planned stop.
 const (
-	// leaveDuration is how long requests are still taken after a stop began: callers
-	// keep answers of the directory for up to three times their lifetime.
+	// leaveDuration is how long requests are still accepted after a stop began. Callers may keep a
+	// directory response for up to three times its TTL.
 	leaveDuration = 3*directoryTTL + 500*time.Millisecond
-	// quietDuration is the time without a request after which no more are awaited.
+	// quietDuration is the time without a request after which no more are expected.
 	quietDuration = 700 * time.Millisecond
-	// stopReserve is how much before the kill the process ends.
+	// stopReserve is how long before the kill the process ends.
 	stopReserve  = 400 * time.Millisecond
 	leaveTimeout = 300 * time.Millisecond
 	stopPoll     = 50 * time.Millisecond
 )
 
-// Stop stops as planned: the node leaves the directory, goes on serving until
-// callers have heard of it, finishes what it has taken and ends within the
-// grace.
+// Stop performs a planned stop: the node leaves the directory, serves until callers have noticed,
+// finishes the requests in flight and ends within StopGrace.
 func (g *Gateway) Stop() error {
-	began := g.now()
-	if !g.stoppingSince.CompareAndSwap(0, int64(began)) {
+	start := g.now()
+	if !g.stoppingSince.CompareAndSwap(0, int64(start)) {
 		return g.life.Wait()
 	}
 	g.logger.Info().Int64("in_flight", g.inFlight.Load()).Msg("stopping")
@@ -36,8 +34,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	_ = g.peers.Leave(ctx)
 	cancel()
-	g.awaitDrained(began)
-	g.shutdown(began)
+	g.awaitDrained(start)
+	g.shutdown(start)
 	released.Wait()
 	err := g.peers.Stop()
 	g.life.Kill(nil)
@@ -45,26 +43,27 @@
 		err = waitErr
 	}
 	g.upstreams.CloseIdle()
-	g.logger.Info().Int64("in_flight", g.inFlight.Load()).Dur("took", g.now()-began).Msg("stopped")
+	g.logger.Info().Int64("in_flight", g.inFlight.Load()).Dur("took", g.now()-start).Msg("stopped")
 	return err
 }
 
-// awaitDrained waits until callers have left, or until the grace runs out.
-func (g *Gateway) awaitDrained(began time.Duration) {
-	end := began + g.settings().StopGrace - stopReserve
+// awaitDrained waits until callers have left and no request is in flight, or until the grace period
+// is nearly over.
+func (g *Gateway) awaitDrained(start time.Duration) {
+	end := start + g.settings().StopGrace - stopReserve
 	for g.now() < end {
 		quiet := g.now()-time.Duration(g.lastRequest.Load()) > quietDuration
-		if g.now() > began+leaveDuration && quiet && g.inFlight.Load() == 0 {
+		if g.now() > start+leaveDuration && quiet && g.inFlight.Load() == 0 {
 			return
 		}
 		time.Sleep(stopPoll)
 	}
 }
 
-// shutdown closes the servers, the front last and with what is left of the grace.
-func (g *Gateway) shutdown(began time.Duration) {
-	left := max(began+g.settings().StopGrace-stopReserve/2-g.now(), stopPoll)
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+// shutdown shuts the servers down within the rest of the grace period.
+func (g *Gateway) shutdown(start time.Duration) {
+	remaining := max(start+g.settings().StopGrace-stopReserve/2-g.now(), stopPoll)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, server := range g.servers {
@@ -77,13 +76,14 @@
 	group.Wait()
 }
 
-// refusesRequests tells whether new requests are turned away since the stop is near.
+// refusesRequests reports whether new requests are refused because the stop is near.
 func (g *Gateway) refusesRequests() bool {
 	since := g.stoppingSince.Load()
 	return since != 0 && g.now() > time.Duration(since)+leaveDuration+quietDuration
 }
 
-// closeAfterResponse asks the caller to open another connection next time.
+// closeAfterResponse asks the caller to open a new connection for its next request if this node is
+// stopping or full.
 func (g *Gateway) closeAfterResponse(header http.Header) {
 	if g.isStopping() || g.pressure.level() == nodecapacity.Full {
 		header.Set("Connection", "close")
--- a/internal/gateway/storeclock_test.go
+++ b/internal/gateway/storeclock_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoreClockTimeIsNeverLaterThanResponse draws calls of all lengths, on a
-// clock that parts from the store's.
+// TestStoreClockTimeIsNeverLaterThanResponse guards against freshness proofs dated after the
+// response, for random call durations and clock drift.
 func TestStoreClockTimeIsNeverLaterThanResponse(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -22,28 +22,29 @@
 		var clock storeClock
 		now := time.Duration(0)
 		for range 200 {
-			begun := now + time.Duration(random.Int64N(int64(time.Second)))
-			answered := begun + time.Duration(random.Int64N(int64(time.Second)))
-			ended := answered + time.Duration(random.Int64N(int64(time.Second)))
-			at := clock.translate(begun, ended, storeTime(answered))
-			require.LessOrEqual(t, at, answered, "seed %d", seed)
-			require.GreaterOrEqual(t, at, begun)
-			now = ended
+			callStart := now + time.Duration(random.Int64N(int64(time.Second)))
+			responseTime := callStart + time.Duration(random.Int64N(int64(time.Second)))
+			callEnd := responseTime + time.Duration(random.Int64N(int64(time.Second)))
+			at := clock.translate(callStart, callEnd, storeTime(responseTime))
+			require.LessOrEqual(t, at, responseTime, "seed %d", seed)
+			require.GreaterOrEqual(t, at, callStart)
+			now = callEnd
 		}
 	}
 }
 
-// TestStoreClockDatesLongPollAtItsResponse has a short call calibrate the clocks first.
+// TestStoreClockDatesLongPollAtItsResponse guards against dating the proof of a long poll at the
+// start of its call, and against following jumps of the store's clock.
 func TestStoreClockDatesLongPollAtItsResponse(t *testing.T) {
 	var clock storeClock
 	const ahead = time.Hour
 	assert.Equal(t, time.Second, clock.translate(time.Second, 1010*time.Millisecond, ahead+1005*time.Millisecond))
 	at := clock.translate(2*time.Second, 3010*time.Millisecond, ahead+3005*time.Millisecond)
 	assert.InDelta(t, float64(3*time.Second), float64(at), float64(time.Millisecond))
-	frozen := clock.translate(4*time.Second, 9*time.Second, ahead+5005*time.Millisecond)
-	assert.InDelta(t, float64(5*time.Second), float64(frozen), float64(2*time.Millisecond), "a freeze doesn't make it newer")
-	assert.Equal(t, 10*time.Second, clock.translate(10*time.Second, 11*time.Second, 0), "no store time")
-	assert.Equal(t, 12*time.Second, clock.translate(12*time.Second, 13*time.Second, 2*time.Hour), "the store's clock jumped")
-	back := clock.translate(14*time.Second, 15*time.Second, time.Minute)
-	assert.Equal(t, 14*time.Second, back, "the store's clock went back")
+	afterFreeze := clock.translate(4*time.Second, 9*time.Second, ahead+5005*time.Millisecond)
+	assert.InDelta(t, float64(5*time.Second), float64(afterFreeze), float64(2*time.Millisecond), "a late call end must not make the time newer")
+	assert.Equal(t, 10*time.Second, clock.translate(10*time.Second, 11*time.Second, 0), "store time unknown")
+	assert.Equal(t, 12*time.Second, clock.translate(12*time.Second, 13*time.Second, 2*time.Hour), "store clock jumped ahead")
+	afterReset := clock.translate(14*time.Second, 15*time.Second, time.Minute)
+	assert.Equal(t, 14*time.Second, afterReset, "store clock went back")
 }
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -10,85 +10,84 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// Times of following the store.
 const (
-	// operatorWait is the longest wait of one call for the operator's rows: the
-	// proof of freshness is renewed as often.
+	// operatorWait is the longest wait of one call for the operator table. It is also the interval
+	// at which the freshness proof is renewed.
 	operatorWait = time.Second
-	// workersWait is the same for workers' rows, which prove nothing. Each change
-	// of a worker ends a call, so workersPause gathers some in a larger fleet.
+	// workersWait is the longest wait of one call for the workers table, which provides no proof.
+	// Each change ends a call, so workersPause batches changes in a fleet that isn't small.
 	workersWait  = 3 * time.Second
 	workersPause = 250 * time.Millisecond
-	// followRetry is the pause after a call that failed, followRetryMax after many.
+	// followRetry is the pause after a failed call. It grows with each failure up to
+	// followRetryMax.
 	followRetry    = 100 * time.Millisecond
 	followRetryMax = 400 * time.Millisecond
-	// maxStoreBackoff bounds the pause that the store may ask for: without the store nothing
-	// that it holds can be changed.
+	// maxStoreBackoff bounds the backoff that the store may request.
 	maxStoreBackoff = 30 * time.Second
 )
 
-// minHistoryRetention is a time for which the store keeps its history at the least while
-// nothing ails it: one that is gone sooner was dropped.
+// minHistoryRetention is the least time for which a healthy store keeps its change history. If it
+// ends sooner, the store itself has dropped it.
 const minHistoryRetention = 5 * time.Second
 
-// gap tells what is unknown of when changes were made.
+// gap describes what is unknown about the time of changes.
 type gap int
 
-// Gaps in following a table.
+// Kinds of gaps in following a table.
 const (
-	// gapNone: the changes are as new as the answer that brought them.
+	// gapNone means that the changes are as new as the response that contained them.
 	gapNone gap = iota
-	// gapHistoryExpired: the store itself dropped its history a moment ago.
+	// gapHistoryExpired means that the store has just dropped its history.
 	gapHistoryExpired
-	// gapUnreachable: the changes may be older, since the store was out of reach, or
-	// since a peer told of them.
+	// gapUnreachable means that the changes may be older, since the store was unreachable or a peer
+	// sent them.
 	gapUnreachable
 )
 
-// storeFollower follows one table at the store while it is this node's part to read.
+// storeFollower follows one table at the store while this node has the reader role.
 type storeFollower struct {
 	gateway *Gateway
 	table   *table
-	// after is the revision up to which the store has told all, and known is set
-	// while changes can be followed from there. Only the store's word counts here:
-	// after lost history the revision goes back to that of the read.
+	// after is the revision up to which the store has returned all changes. hasPosition is set
+	// while changes can be followed from there. Only responses of the store count: after the
+	// history has expired, the revision may go back to that of a new read.
 	after       fleet.Revision
 	hasPosition bool
 	failures    int
 	since       gap
-	// lastResponse is when the store last lastResponse.
+	// lastResponse is the time of the store's last response.
 	lastResponse time.Duration
 	clock        storeClock
-	// backoff is for how long the store wanted no calls by its last answer.
+	// backoff is the backoff that the store requested in its last response.
 	backoff time.Duration
 }
 
-// followStore follows a table until the process ends. Only a call that follows
-// changes proves anything: a whole read may be behind.
+// followStore follows a table until the process ends. Only calls that follow changes renew the
+// freshness proof, since a full read may return old rows.
 func (g *Gateway) followStore(followed *table) error {
-	feed := &storeFollower{gateway: g, table: followed, since: gapUnreachable}
+	follower := &storeFollower{gateway: g, table: followed, since: gapUnreachable}
 	for {
 		if !g.awaitReading() {
 			return nil
 		}
-		pause := feed.step(g.context())
+		pause := follower.step(g.context())
 		if !g.pause(pause) {
 			return nil
 		}
 	}
 }
 
-// step makes one call and returns the pause until the next.
+// step makes one call and returns the pause until the next one.
 func (f *storeFollower) step(ctx context.Context) time.Duration {
 	g := f.gateway
-	begun := g.now()
-	if f.lastResponse != 0 && begun-f.lastResponse > minHistoryRetention {
+	start := g.now()
+	if f.lastResponse != 0 && start-f.lastResponse > minHistoryRetention {
 		f.since = gapUnreachable
 	}
-	calling, stop := g.suspensionSignal.bind(ctx)
+	callCtx, stop := g.suspensionSignal.bind(ctx)
 	defer stop()
 	f.backoff = 0
-	update, err := f.call(WithNotices(calling, f.handleNotice))
+	update, err := f.call(WithNotices(callCtx, f.handleNotice))
 	if ctx.Err() != nil {
 		return 0
 	}
@@ -100,14 +99,14 @@
 	g.sources.recordStoreCall(err == nil)
 	if err != nil {
 		g.recordStoreCall(string(f.table.name), err, f.failures)
-		f.since = gapAfterFailure(err, f.failures, begun-f.lastResponse)
+		f.since = gapAfterFailure(err, f.failures, start-f.lastResponse)
 		f.hasPosition = f.hasPosition && !errors.Is(err, ErrHistoryExpired)
 		f.failures++
 		return max(min(followRetry*time.Duration(f.failures), followRetryMax), f.backoff)
 	}
 	g.recordStoreCall(string(f.table.name), nil, f.failures)
 	f.failures, f.lastResponse = 0, g.now()
-	provenAt := f.clock.translate(begun, f.lastResponse, update.StoreTime)
+	provenAt := f.clock.translate(start, f.lastResponse, update.StoreTime)
 	f.table.apply(update, f.since)
 	if update.Complete {
 		f.hasPosition, f.after = true, update.Revision
@@ -125,7 +124,7 @@
 	return f.table.pause
 }
 
-// handleNotice takes in what an answer of the store says of it.
+// handleNotice handles the notices in a response of the store.
 func (f *storeFollower) handleNotice(notice Notice) {
 	g := f.gateway
 	g.reportInvalidInput("", notice.Unreadable)
@@ -138,15 +137,15 @@
 	g.events.line("store_notice").Str("table", string(f.table.name)).Dur("retry_after", notice.RetryAfter).Msg("store_notice")
 }
 
-// call reads the table, or what changed after its position. The first call
-// after a break doesn't wait, so that there is a proof at once.
+// call reads the table, or its changes after the current position. The first call after a gap
+// doesn't wait, so that it renews the freshness proof at once.
 func (f *storeFollower) call(ctx context.Context) (*watchcache.Update, error) {
 	store := f.gateway.dependencies.Store
-	partial := f.table.cache.Partial()
+	isPartial := f.table.cache.Partial()
 	switch {
-	case partial && !f.gateway.readsAll():
+	case isPartial && !f.gateway.readsAll():
 		f.after, f.hasPosition = f.table.cache.Revision(), true
-	case partial, !f.hasPosition:
+	case isPartial, !f.hasPosition:
 		return store.ReadTable(ctx, f.table.name, f.gateway.roleSettled.Load)
 	}
 	wait := f.table.maxWait
@@ -156,16 +155,17 @@
 	return store.FollowTable(ctx, f.table.name, f.after, wait)
 }
 
-// gapAfterFailure returns the gap that a failed call leaves. unanswered is the time from
-// the answer before to the call.
-func gapAfterFailure(err error, failures int, unanswered time.Duration) gap {
-	if errors.Is(err, ErrHistoryExpired) && failures == 0 && unanswered < minHistoryRetention {
+// gapAfterFailure returns the gap that a failed call leaves. sinceResponse is the time between the
+// previous response and the call.
+func gapAfterFailure(err error, failures int, sinceResponse time.Duration) gap {
+	if errors.Is(err, ErrHistoryExpired) && failures == 0 && sinceResponse < minHistoryRetention {
 		return gapHistoryExpired
 	}
 	return gapUnreachable
 }
 
-// recordStoreCall logs that a table was lost or regained.
+// recordStoreCall counts failed calls and logs when the store becomes unreachable or reachable for
+// a table.
 func (g *Gateway) recordStoreCall(table string, err error, failures int) {
 	switch {
 	case err == nil && failures > 0:
@@ -178,13 +178,13 @@
 	}
 }
 
-// waitsPerProofLifetime is how many waits fit into the time for which a proof counts:
-// a proof is as old as its call, and lasts until the next call has ended.
+// waitsPerProofLifetime is the number of waits that fit into the lifetime of a freshness proof. A
+// proof is as old as its call and must last until the next call ends.
 const waitsPerProofLifetime = 2.5
 
-// operatorWaitFor returns the wait of a call for the operator's rows with which
-// proofs are renewed before they are too old for a bound on revocations.
+// operatorWaitFor returns the longest wait of a call for the operator table that still renews the
+// freshness proof in time for a revocation bound.
 func operatorWaitFor(revokeWithin time.Duration) time.Duration {
-	counts := float64(revokeWithin) * freshPart
-	return min(operatorWait, time.Duration(counts/waitsPerProofLifetime))
+	lifetime := float64(revokeWithin) * freshPart
+	return min(operatorWait, time.Duration(lifetime/waitsPerProofLifetime))
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -7,20 +7,21 @@
 	"github.com/go-faster/errors"
 )
 
-// errResumed is the cause of a call that was broken off since the machine had been suspended.
+// errResumed is the cancellation cause of calls that were in progress when the machine was
+// suspended.
 var errResumed = errors.New("machine was suspended")
 
-// checkSuspension finds out whether the machine was suspended since the last call. What other
-// machines closed or sent meanwhile may never be heard of: idle connections aren't used again,
-// calls that wait for news are made anew, and requests end by the clock that went on. All else
-// goes by that clock already, and finds out itself how old it is.
+// checkSuspension checks whether the machine was suspended since the last call. After a suspension,
+// peers may have closed connections or sent data that never arrives, so it closes idle connections,
+// cancels long polls and rearms the deadlines of requests. All other timing uses the steady clock,
+// which includes the suspension.
 func (g *Gateway) checkSuspension() {
-	slept := g.suspensions.Check()
-	if slept == 0 {
+	suspended := g.suspensions.Check()
+	if suspended == 0 {
 		return
 	}
 	g.metrics.suspensions.Inc()
-	g.logger.Warn().Dur("slept", slept).Int64("in_flight", g.inFlight.Load()).Msg("machine_suspended")
+	g.logger.Warn().Dur("slept", suspended).Int64("in_flight", g.inFlight.Load()).Msg("machine_suspended")
 	g.deadlines.rearm(g.now())
 	g.upstreams.CloseIdle()
 	g.peers.CloseIdle()
@@ -30,7 +31,7 @@
 	g.suspensionSignal.notify()
 }
 
-// suspensionSignal breaks calls off that wait for news when the machine goes on after a suspension.
+// suspensionSignal cancels long polls after the machine was suspended.
 type suspensionSignal struct {
 	mutex   sync.Mutex
 	current context.Context
@@ -38,26 +39,26 @@
 }
 
 func newSuspensionSignal() *suspensionSignal {
-	r := &suspensionSignal{}
-	r.current, r.cancel = context.WithCancelCause(context.Background())
-	return r
+	s := &suspensionSignal{}
+	s.current, s.cancel = context.WithCancelCause(context.Background())
+	return s
 }
 
-// notify breaks the calls off that are bound now.
-func (r *suspensionSignal) notify() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.cancel(errResumed)
-	r.current, r.cancel = context.WithCancelCause(context.Background())
+// notify cancels the calls that are currently bound.
+func (s *suspensionSignal) notify() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.cancel(errResumed)
+	s.current, s.cancel = context.WithCancelCause(context.Background())
 }
 
-// bind returns a context for a call that ends also at the next suspension.
-func (r *suspensionSignal) bind(ctx context.Context) (context.Context, context.CancelFunc) {
-	r.mutex.Lock()
-	awaken := r.current
-	r.mutex.Unlock()
+// bind returns a context for a call that is also cancelled after the next suspension.
+func (s *suspensionSignal) bind(ctx context.Context) (context.Context, context.CancelFunc) {
+	s.mutex.Lock()
+	current := s.current
+	s.mutex.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(awaken, func() { cancel(context.Cause(awaken)) })
+	stop := context.AfterFunc(current, func() { cancel(context.Cause(current)) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -11,52 +11,52 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// table is one table of the store as this node knows it, whoever told.
+// table is this node's replica of a store table, updated from the store or from a peer.
 type table struct {
 	name  Table
 	cache *watchcache.Cache
-	// maxWait is the longest maxWait of one call that follows the table at the store,
-	// pause the least time between two such calls in a larger fleet.
+	// maxWait is the longest wait of one call that follows the table at the store. pause is the
+	// least time between two such calls in a fleet that isn't small.
 	maxWait time.Duration
 	pause   time.Duration
-	// applyRows takes rows that are news in.
-	applyRows func(rows []watchcache.Row, since gap)
-	// onSnapshot, if set, takes in the rows of an update that names all there are.
+	// applyRows applies changed rows.
+	applyRows func(rows []watchcache.Row, changeGap gap)
+	// onSnapshot, if set, is called after an update that contains the complete table.
 	onSnapshot func(update *watchcache.Update)
-	// onApplied is called after that.
+	// onApplied is called last, after every update that was applied.
 	onApplied func()
-	// onProof is called for each call that followed the changes without a gap, with
-	// a time at which its answer had not been given yet.
+	// onProof is called after each call that followed the changes without a gap, with a time no
+	// later than the response.
 	onProof func(at time.Duration)
 
-	// seen is the number of the last change seen of the watched node's cache. Both
-	// are used by the watching goroutine alone.
+	// source is the peer that is watched, seenSequence the last sequence number received from it.
+	// Both are used by the watching goroutine alone.
 	source       fleet.NodeID
 	seenSequence uint64
 
-	// applyMutex has updates taken in one after the other.
+	// applyMutex serializes updates.
 	applyMutex sync.Mutex
 	// encoded is guarded by encodingMutex.
 	encodingMutex sync.Mutex
 	encoded       encodedUpdate
 }
 
-// apply takes an update in.
-func (t *table) apply(update *watchcache.Update, since gap) {
+// apply applies an update and calls the table's hooks.
+func (t *table) apply(update *watchcache.Update, changeGap gap) {
 	t.applyMutex.Lock()
 	defer t.applyMutex.Unlock()
-	news := t.cache.Apply(update)
-	if len(news) == 0 && !update.Complete {
+	changed := t.cache.Apply(update)
+	if len(changed) == 0 && !update.Complete {
 		return
 	}
-	t.applyRows(news, since)
+	t.applyRows(changed, changeGap)
 	if update.Complete && t.onSnapshot != nil {
 		t.onSnapshot(update)
 	}
 	t.onApplied()
 }
 
-// newTables returns the tables that every gateway keeps.
+// newTables returns the tables that every gateway follows.
 func (g *Gateway) newTables() []*table {
 	return []*table{
 		{
@@ -79,40 +79,40 @@
 	}
 }
 
-// recordStoreProof notes that this node itself has followed the operator's table
-// without a gap.
+// recordStoreProof records that this node itself has followed the operator table without a gap up
+// to a time.
 func (g *Gateway) recordStoreProof(at time.Duration) {
 	g.freshness.Prove(at)
 	g.updateReadiness()
 	g.sources.recordProof(g.now(), at)
 }
 
-// applyOperatorRows takes in what the operator has written.
-func (g *Gateway) applyOperatorRows(rows []watchcache.Row, since gap) {
+// applyOperatorRows applies changed rows of the operator table.
+func (g *Gateway) applyOperatorRows(rows []watchcache.Row, changeGap gap) {
 	decoded, err := g.dependencies.Store.DecodeOperator(rows)
 	if err != nil {
 		g.logger.Error().Str("table", string(TableOperator)).Err(err).Msg("row_refused")
 	}
 	now := g.now()
-	at, known := g.changeTime(now, since)
-	for _, named := range decoded.DesiredVersions {
-		if g.rollout.setDesired(at, known, named) {
-			g.logger.Info().Str("model", string(named.Model)).Uint64("version", uint64(named.Version)).
-				Uint64("revision", uint64(named.Revision)).Dur("age", now-at).Bool("age_known", known).Msg("weights_named")
+	changedAt, ageKnown := g.changeTime(now, changeGap)
+	for _, desired := range decoded.DesiredVersions {
+		if g.rollout.setDesired(changedAt, ageKnown, desired) {
+			g.logger.Info().Str("model", string(desired.Model)).Uint64("version", uint64(desired.Version)).
+				Uint64("revision", uint64(desired.Revision)).Dur("age", now-changedAt).Bool("age_known", ageKnown).Msg("weights_named")
 		}
 	}
 	if decoded.Document != nil {
 		g.applyConfiguration(now, decoded)
 	}
-	g.takeOrders(now, at, decoded)
+	g.takeOrders(now, changedAt, decoded)
 }
 
-// changeTime returns when changes that are heard of now were made at the latest;
-// false if that isn't known. If the store was out of this node's reach they may
-// be as old as the last proof that any reachable node had; if it was out of
-// everybody's, their time begins now, as for versions named before.
-func (g *Gateway) changeTime(now time.Duration, since gap) (time.Duration, bool) {
-	if since != gapUnreachable {
+// changeTime returns the latest time at which changes received now were made, and whether it is
+// known. If this node could not reach the store, the changes may be as old as the last proof of any
+// reachable node. If no node could reach it, their age counts from now, as for versions that were
+// requested before the process started.
+func (g *Gateway) changeTime(now time.Duration, changeGap gap) (time.Duration, bool) {
+	if changeGap != gapUnreachable {
 		return now, true
 	}
 	age, proven := g.freshness.Age(now)
@@ -126,12 +126,12 @@
 	}
 }
 
-// applyConfiguration takes a configuration over. One that can't be used is refused,
-// and the one in force stays.
+// applyConfiguration puts a configuration in force. If it is invalid, the current one stays in
+// force.
 func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
 	g.reportInvalidInput("", rows.Invalid)
-	if held := g.holder.Current(); held != nil {
-		rows.Document.KeepQuotas(held.Table)
+	if current := g.holder.Current(); current != nil {
+		rows.Document.KeepQuotas(current.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// applyWorkerRows takes in changed rows of workers.
+// applyWorkerRows applies changed rows of the workers table.
 func (g *Gateway) applyWorkerRows(rows []watchcache.Row, _ gap) {
 	now := g.now()
 	decoded, unreadable := g.dependencies.Store.DecodeWorkers(rows)
@@ -176,8 +176,8 @@
 	g.workersKnown.Store(true)
 }
 
-// forgetPreviousRun drops what is believed of a worker's run that has ended, as another one
-// has its identifier.
+// forgetPreviousRun drops the state of a worker's previous run after a restart under the same
+// identifier.
 func (g *Gateway) forgetPreviousRun(worker fleet.EngineID) {
 	g.upstreams.Forget(worker)
 	g.rollout.forgetRun(worker)
@@ -186,7 +186,7 @@
 	g.noteWorkerEnded(worker, quarantine.RowGone)
 }
 
-// observeWorkerStart takes in when a worker says that it started, beside its row.
+// observeWorkerStart records a start time that a worker reports itself, independently of its row.
 func (g *Gateway) observeWorkerStart(worker fleet.EngineID, born backends.StartTime) {
 	if !g.workers.ObserveStart(worker, born) {
 		return
@@ -195,7 +195,7 @@
 	g.logger.Info().Str("worker", string(worker)).Str("change", string(backends.Restarted)).Msg("worker_changed")
 }
 
-// observeWorker takes one row in.
+// observeWorker applies one row to the worker registry.
 func (g *Gateway) observeWorker(now time.Duration, row *WorkerRow) backends.Change {
 	switch {
 	case row.Deleted:
@@ -207,11 +207,10 @@
 	}
 }
 
-// maxLoggedWorkers is the number of changed rows up to which each worker has a log line of its
-// own: a node that reads thousands would write as many lines at its start.
+// maxLoggedWorkers is the number of changed rows up to which each worker is logged separately.
 const maxLoggedWorkers = 64
 
-// handleWorkerChange does what follows from a worker's change.
+// handleWorkerChange updates the state that depends on a worker after a change of its row.
 func (g *Gateway) handleWorkerChange(worker backends.Worker, change backends.Change) {
 	switch change {
 	case backends.Gone, backends.Began, backends.Unusable:
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -16,41 +16,40 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// Times of watching another node.
 const (
-	// watchWait is the longest wait of one call, watchSlack how much longer the answer may
-	// take to begin until the peer counts as silent.
+	// watchWait is the longest wait of one watch call. watchSlack is how much longer the first byte
+	// of the response may take before the peer counts as unresponsive.
 	watchWait  = 600 * time.Millisecond
 	watchSlack = 350 * time.Millisecond
-	// watchBatchDelay is the pause after news at a node that callers aren't sent to: one
-	// roll-out changes a row of each engine, and each change would have every node ask
-	// again. It adds to the time until a change is in force there.
+	// watchBatchDelay is the pause after a change at a node that isn't serving. A rollout changes
+	// the row of each engine, and without the pause each change would end a call of every node. It
+	// adds to the time until a change is in force there.
 	watchBatchDelay = 400 * time.Millisecond
-	// watchIdlePause is the pause while nobody is asked, watchRetry that after an answer
-	// of no use, which grows to watchRetryMax after several in a row: while the store is
-	// out of everybody's reach a large fleet would ask its readers all the time.
+	// watchIdlePause is the pause while there is no peer to ask. watchRetry is the pause after a
+	// failed call; it grows with each failure up to watchRetryMax to bound the load on the readers
+	// while no node can reach the store.
 	watchIdlePause = 200 * time.Millisecond
 	watchRetry     = 100 * time.Millisecond
 	watchRetryMax  = 500 * time.Millisecond
-	// maxWatchWait bounds what a caller may ask for.
+	// maxWatchWait bounds the wait that a peer may request.
 	maxWatchWait = 2 * time.Second
-	// staleNumerator over staleDenominator is the least age of a proof at which a node counts
-	// as out of the store's reach, in waits of a call to the store.
+	// staleNumerator/staleDenominator times the wait of a store call is the proof age from which a
+	// node counts as cut off from the store.
 	staleNumerator   = 13
 	staleDenominator = 10
 )
 
-// Bounds of encoded rows, in bytes.
+// Limits of encoded rows, in bytes.
 const (
-	// compressThreshold is the size from which on rows are compressed.
+	// compressThreshold is the size from which rows are compressed.
 	compressThreshold = 1 << 10
-	// maxRowsBytes bounds the rows of one update, uncompressed.
+	// maxRowsBytes limits the uncompressed rows of one update.
 	maxRowsBytes = 32 << 20
 )
 
-// fullTimingBound is a bound on revocations from which on the times of watching hold; for shorter
-// ones they are shorter in proportion: a node's proof is as old as that of the node it asks,
-// and then as its own call.
+// fullTimingBound is the least revocation bound at which the watch times apply unscaled. For
+// shorter bounds they shrink in proportion, because a node's proof is as old as its peer's plus its
+// own call.
 const fullTimingBound = 5 * time.Second
 
 func scaleForBound(revokeWithin, duration time.Duration) time.Duration {
@@ -60,32 +59,31 @@
 	return time.Duration(float64(duration) * float64(revokeWithin) / float64(fullTimingBound))
 }
 
-// watchWaitFor returns the longest wait of one call for a bound on revocations.
+// watchWaitFor returns the longest wait of one watch call for a revocation bound.
 func watchWaitFor(revokeWithin time.Duration) time.Duration {
 	return scaleForBound(revokeWithin, watchWait)
 }
 
-// watchBatchDelayFor returns the pause after news for a bound on revocations.
+// watchBatchDelayFor returns the pause after a change for a revocation bound.
 func watchBatchDelayFor(revokeWithin time.Duration) time.Duration {
 	return scaleForBound(revokeWithin, watchBatchDelay)
 }
 
-// staleAfterFor returns the age of a node's proof from which on another node is asked: more
-// than that of one that reads the store.
+// staleAfterFor returns the proof age from which a node asks another peer. It is greater than the
+// proof age of a node that reads the store.
 func staleAfterFor(revokeWithin time.Duration) time.Duration {
 	return min(relay.DefaultStaleAfter, operatorWaitFor(revokeWithin)*staleNumerator/staleDenominator)
 }
 
-// watchPeers learns from another node what changes in the store, while this
-// node is to ask one.
+// watchPeers follows the changes of the store through a peer while this node is to ask one.
 func (g *Gateway) watchPeers() error {
-	useless := 0
+	failures := 0
 	for {
 		pause := watchIdlePause
 		if source, found := g.sources.peerToAsk(g.now()); found {
 			outcome := g.watchOnce(source)
-			useless = outcome.countFailures(useless)
-			pause = g.watchPause(outcome, useless)
+			failures = outcome.countFailures(failures)
+			pause = g.watchPause(outcome, failures)
 		}
 		if !g.pause(pause) {
 			return nil
@@ -93,34 +91,33 @@
 	}
 }
 
-// watchOutcome tells what a call that watches another node has brought.
+// watchOutcome is the outcome of one watch call.
 type watchOutcome int
 
-// Outcomes of watching.
+// Outcomes of a watch call.
 const (
-	// watchUnchanged means that nothing has changed.
+	// watchUnchanged means that no rows have changed.
 	watchUnchanged watchOutcome = iota
 	// watchChanged means that rows have changed.
 	watchChanged
-	// watchFailed means that the next question is to wait a little, mostly at another node:
-	// this one gave no answer, has no proof, or an old one.
+	// watchFailed means that the next call must wait a little, usually for another peer: the peer
+	// didn't respond, has no freshness proof, or an old one.
 	watchFailed
 )
 
-// countFailures returns the number of useless outcomes in a row, this one included.
-func (o watchOutcome) countFailures(before int) int {
+// countFailures returns the number of failures in a row, including this outcome.
+func (o watchOutcome) countFailures(previous int) int {
 	if o == watchFailed {
-		return before + 1
+		return previous + 1
 	}
 	return 0
 }
 
-// watchPause returns the pause until the next call. useless counts the outcomes
-// of no use in a row.
-func (g *Gateway) watchPause(outcome watchOutcome, useless int) time.Duration {
+// watchPause returns the pause until the next call. failures counts the failed calls in a row.
+func (g *Gateway) watchPause(outcome watchOutcome, failures int) time.Duration {
 	switch {
 	case outcome == watchFailed:
-		return min(time.Duration(useless)*watchRetry, watchRetryMax)
+		return min(time.Duration(failures)*watchRetry, watchRetryMax)
 	case outcome == watchChanged && !g.isServing():
 		return watchBatchDelayFor(g.settings().RevokeWithin)
 	default:
@@ -128,7 +125,7 @@
 	}
 }
 
-// watchOnce asks one node and takes its answer in.
+// watchOnce makes one watch call to a peer and applies the response.
 func (g *Gateway) watchOnce(source fleet.NodeID) watchOutcome {
 	member, found := g.peers.View().Find(source)
 	if !found {
@@ -158,7 +155,7 @@
 		})
 	}
 	g.askForSubsets(request)
-	begun := g.now()
+	start := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
 	ctx, stop := g.suspensionSignal.bind(g.peerCall(traffic.Watches, member))
 	defer stop()
@@ -170,15 +167,15 @@
 		g.logSourceChange(source, g.sources.recordFailure(g.now(), source), err.Error())
 		return watchFailed
 	}
-	return g.applyWatchResponse(source, begun, response)
+	return g.applyWatchResponse(source, start, response)
 }
 
-// applyWatchResponse takes a peer's answer in. A peer that proved at its answer what it
-// holds by a proof of an age proves the same here, as of the call's start and the
-// time for which the peer held the call, less that age.
-func (g *Gateway) applyWatchResponse(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
+// applyWatchResponse applies a peer's response. The peer's freshness proof is also valid here: its
+// time is the start of the call plus the time for which the peer held the call, less the age of the
+// proof.
+func (g *Gateway) applyWatchResponse(source fleet.NodeID, start time.Duration, response *rpc.WatchResponse) watchOutcome {
 	g.learnNamed(response.GetNamed())
-	g.takeDirectives(begun, response.GetDeliveries())
+	g.takeDirectives(start, response.GetDeliveries())
 	g.deliveries.noteSeen(source, response.GetDeliveriesSeen())
 	g.takeQuarantineRecords(response.GetQuarantineRecords())
 	for _, message := range response.GetUpdates() {
@@ -205,11 +202,11 @@
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
 	if proven {
 		held := time.Duration(response.GetHeldMillis()) * time.Millisecond
-		g.freshness.Prove(min(begun+held, g.now()) - age)
+		g.freshness.Prove(min(start+held, g.now()) - age)
 		g.updateReadiness()
 	}
-	if moved := g.sources.recordResponse(g.now(), source, age, proven); moved {
-		g.logSourceChange(source, moved, "proof too old, or first source again")
+	if changed := g.sources.recordResponse(g.now(), source, age, proven); changed {
+		g.logSourceChange(source, changed, "freshness proof too old, or preferred source available again")
 		return watchFailed
 	}
 	if !proven {
@@ -221,16 +218,16 @@
 	return watchUnchanged
 }
 
-// hasChangedRows tells whether an answer brings changed rows.
+// hasChangedRows reports whether a response contains changed rows.
 func hasChangedRows(response *rpc.WatchResponse) bool {
 	return slices.ContainsFunc(response.GetUpdates(), func(update *rpc.TableUpdate) bool {
 		return len(update.GetRows()) > 0 || len(update.GetCompressedRows()) > 0
 	})
 }
 
-// logSourceChange logs that another node is asked from now on.
-func (g *Gateway) logSourceChange(source fleet.NodeID, moved bool, reason string) {
-	if !moved {
+// logSourceChange logs that another peer is asked from now on.
+func (g *Gateway) logSourceChange(source fleet.NodeID, changed bool, reason string) {
+	if !changed {
 		return
 	}
 	next, _ := g.sources.peerToAsk(g.now())
@@ -247,8 +244,8 @@
 	return nil
 }
 
-// answerWatch answers another node's call: at once if this node knows more than
-// the caller, else when it does or when the wait is over.
+// answerWatch answers a peer's watch call: at once if this node has changes for it, otherwise as
+// soon as it has some or when the requested wait is over.
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
 	g.sources.recordWatcher(arrived)
@@ -258,19 +255,19 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed := make([]<-chan struct{}, 0, len(g.tables))
+		tableChanges := make([]<-chan struct{}, 0, len(g.tables))
 		for _, followed := range g.tables {
-			changed = append(changed, followed.cache.Changed())
+			tableChanges = append(tableChanges, followed.cache.Changed())
 		}
-		redirected := g.deliveries.changedAfter()
-		response, news := g.heldResponse(request, arrived)
-		if news {
+		deliveriesChanged := g.deliveries.changedAfter()
+		response, changed := g.heldResponse(request, arrived)
+		if changed {
 			return response
 		}
 		select {
-		case <-changed[0]:
-		case <-changed[1]:
-		case <-redirected:
+		case <-tableChanges[0]:
+		case <-tableChanges[1]:
+		case <-deliveriesChanged:
 		case <-timer.C:
 			response, _ = g.heldResponse(request, arrived)
 			return response
@@ -282,26 +279,26 @@
 	}
 }
 
-// heldResponse is watchResponse for a call that has been held since it arrived. The time is read
-// before the age of the proof, so that nobody takes the proof for younger than it is.
+// heldResponse returns buildWatchResponse's response for a call that has been held since arrived.
+// It measures the time held before the proof's age is read, so that the caller never underestimates
+// that age.
 func (g *Gateway) heldResponse(request *rpc.WatchRequest, arrived time.Duration) (*rpc.WatchResponse, bool) {
 	held := g.now() - arrived
-	response, news := g.buildWatchResponse(request)
+	response, changed := g.buildWatchResponse(request)
 	response.HeldMillis = uint32(max(held, 0).Milliseconds())
-	return response, news
+	return response, changed
 }
 
-// buildWatchResponse returns what this node knows beyond the caller, and whether
-// that is anything.
+// buildWatchResponse returns the changes that the caller has not seen, and whether there are any.
 func (g *Gateway) buildWatchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
 	now := g.now()
-	// The proof is read before the tables: it holds for what they hold by then.
+	// The proof must be read before the tables, so that they are at least as new as the proof.
 	age, proven := g.freshness.Age(now)
 	response := &rpc.WatchResponse{
 		Named:       g.namedVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
-	news := g.deliveries.writeWatch(now, request, response)
+	changed := g.deliveries.writeWatch(now, request, response)
 	response.Origins, response.Pressures = g.originReport(now)
 	response.QuarantineRecords = g.quarantines.beyond(now, request.GetQuarantineDigest())
 	if proven {
@@ -321,16 +318,16 @@
 			response.ProofAgeMillis = 0
 			continue
 		}
-		news = news || update.Complete || len(update.Rows) > 0
+		changed = changed || update.Complete || len(update.Rows) > 0
 		message := followed.encode(seen, update, digestOf(subsets))
 		message.WorkersInUse, message.Subsets = update.Covers != nil, encodeSubsets(subsets)
 		response.Updates = append(response.Updates, message)
 	}
-	return response, news
+	return response, changed
 }
 
-// updateFor returns what a watcher that has seen all up to a number is to be told of a table,
-// and the subsets of the workers to which that is limited.
+// updateFor returns the changes of a table after a sequence number, and the subsets of the workers
+// that they are limited to.
 func (g *Gateway) updateFor(followed *table, request *rpc.WatchRequest, seen uint64) (*watchcache.Update, backends.Subsets) {
 	if followed.name == TableWorkers {
 		return g.workersUpdate(followed, request, seen)
@@ -338,8 +335,8 @@
 	return followed.cache.After(seen), nil
 }
 
-// encode returns an update in its transmitted form. Watchers mostly ask after
-// the same position and for the same part, so the last compressed one is kept.
+// encode returns the wire form of an update. It caches the last compressed rows, because most peers
+// ask for the same part after the same position.
 func (t *table) encode(after uint64, update *watchcache.Update, part uint64) *rpc.TableUpdate {
 	message := &rpc.TableUpdate{
 		Table: string(t.name), Revision: uint64(update.Revision), Complete: update.Complete, Sequence: update.Sequence,
@@ -355,8 +352,8 @@
 	if size < compressThreshold {
 		return message
 	}
-	// A watcher may be told everything though it has seen some, as it asks for another part.
-	// Its rows aren't those of one that is told what has changed since.
+	// A peer that asks for another part receives the complete table even though it has seen some of
+	// it. These rows must not be cached as the changes after its position.
 	if update.Complete {
 		after = 0
 	}
@@ -366,14 +363,14 @@
 	return message
 }
 
-// encodedUpdate is the last update that was compressed: the changes after a
-// number up to another, of a part of the table.
+// encodedUpdate holds the compressed rows of an update of one part of a table, from one sequence
+// number to another.
 type encodedUpdate struct {
 	after, upTo, part uint64
 	content           []byte
 }
 
-// compress returns an update's rows compressed.
+// compress returns the compressed rows of an update.
 func (t *table) compress(after uint64, update *watchcache.Update, part uint64, rows []*rpc.TableRow) ([]byte, error) {
 	t.encodingMutex.Lock()
 	defer t.encodingMutex.Unlock()
@@ -388,7 +385,7 @@
 	return content, nil
 }
 
-// decodeUpdate reads an update from its transmitted form.
+// decodeUpdate decodes the wire form of an update.
 func decodeUpdate(message *rpc.TableUpdate) (*watchcache.Update, error) {
 	rows := message.GetRows()
 	if compressed := message.GetCompressedRows(); len(compressed) > 0 {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -11,24 +11,25 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestWatchWaitIsNotCountedTwiceInProofAge: the wait of a call would count twice, in the
-// age that the other node tells and in the time of the call.
+// TestWatchWaitIsNotCountedTwiceInProofAge guards against counting the wait of a watch call both in
+// the peer's proof age and in the duration of the call.
 func TestWatchWaitIsNotCountedTwiceInProofAge(t *testing.T) {
 	const wait, slack = 300 * time.Millisecond, 150 * time.Millisecond
-	reader, asker := newTestGateway(t), newTestGateway(t)
+	reader, watcher := newTestGateway(t), newTestGateway(t)
 	reader.freshness.Prove(reader.now())
-	begun := asker.now()
+	start := watcher.now()
 	response := reader.answerWatch(context.Background(), &rpc.WatchRequest{WaitMillis: uint32(wait.Milliseconds())})
-	asker.applyWatchResponse("reader", begun, response)
-	age, proven := asker.freshness.Age(asker.now())
+	watcher.applyWatchResponse("reader", start, response)
+	age, proven := watcher.freshness.Age(watcher.now())
 	require.True(t, proven)
-	told, _ := reader.freshness.Age(reader.now())
-	assert.GreaterOrEqual(t, age, wait, "never younger than it is")
+	readerAge, _ := reader.freshness.Age(reader.now())
+	assert.GreaterOrEqual(t, age, wait, "must not be underestimated")
 	assert.Less(t, age, wait+slack)
-	assert.GreaterOrEqual(t, age+slack, told)
+	assert.GreaterOrEqual(t, age+slack, readerAge)
 }
 
-// TestProofIsNotFromTheFuture whatever another node tells of the time for which it held a call.
+// TestProofIsNotFromTheFuture guards against a proof dated later than now if a peer reports a wrong
+// time for which it held the call.
 func TestProofIsNotFromTheFuture(t *testing.T) {
 	g := newTestGateway(t)
 	g.applyWatchResponse("other", g.now(), &rpc.WatchResponse{ProofAgeMillis: 1, HeldMillis: 1 << 31})
