--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -90,7 +90,7 @@
 func (g *Gateway) caches() (present map[cacheRun]bool, asked map[fleet.ZoneName]map[fleet.EngineID]bool) {
 	present = make(map[cacheRun]bool)
 	asked = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil || (!g.isServing() && !g.cacheLog.wanted(g.now())) {
 		return present, asked
 	}
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -86,7 +86,7 @@
 // keptStore returns the store of kept KV cache for a request's prompt, or nil:
 // of several, all nodes take the same one for the same shared parts.
 func (g *Gateway) keptStore(current *carried) *routes.Service {
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil {
 		return nil
 	}
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -203,8 +203,8 @@
 	Parts        []backends.Part
 	PromptTokens int
 	OutputTokens int
-	// TokensNamed is set if the request specifies its token counts.
-	TokensNamed bool
+	// HasTokenCounts is set if the request specifies its token counts.
+	HasTokenCounts bool
 
 	// Invalid lists the headers that could not be decoded.
 	Invalid []InvalidInput
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -115,7 +115,7 @@
 // observe returns what is to be known of a service for a look at its delivery.
 func (g *Gateway) observe(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil {
 		return observation
 	}
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -152,7 +152,7 @@
 		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarce().String(), retryAfter: retrySoon}
 	}
 	g.awaitReady(current.request.Context())
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil || !g.workersKnown.Load() {
 		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: retryLater}
 	}
@@ -241,7 +241,7 @@
 		return nil
 	}
 	limit := int64(defaultMaxBody)
-	if held := g.holder.Current(); held != nil && held.Table.Limits().MaxBodyBytes > 0 {
+	if held := g.configuration.Current(); held != nil && held.Table.Limits().MaxBodyBytes > 0 {
 		limit = held.Table.Limits().MaxBodyBytes
 	}
 	if request.ContentLength > limit {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,7 +47,7 @@
 	metrics         *metrics
 	life            tomb.Tomb
 
-	holder            *routes.Holder
+	configuration     *routes.Holder
 	freshness         *routes.Freshness
 	workers           *backends.Registry
 	upstreams         *upstream.Pool
@@ -138,7 +138,7 @@
 		logger:            logger,
 		events:            newEventLog(logger),
 		metrics:           newMetrics(registry, dependencies.Traffic),
-		holder:            routes.NewHolder(),
+		configuration:     routes.NewHolder(),
 		freshness:         routes.NewFreshness(),
 		splitter:          routes.NewSplitter(),
 		seeds:             &seedList{},
@@ -356,7 +356,7 @@
 
 // idleTimeout returns how long a caller's connection may stay idle, 0 for no limit.
 func (g *Gateway) idleTimeout() time.Duration {
-	current := g.holder.Current()
+	current := g.configuration.Current()
 	if current == nil {
 		return 0
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -236,7 +236,7 @@
 	g.quotas.write(now, report, to)
 	g.deliveries.write(now, report, to)
 	g.quarantines.write(now, report)
-	if held := g.holder.Current(); held != nil {
+	if held := g.configuration.Current(); held != nil {
 		if age, proven := g.freshness.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
 			report.ProofRevision = uint64(held.Revision)
@@ -325,7 +325,7 @@
 // when it answered a call begun at a time, and holds the same configuration,
 // then nothing newer was acknowledged up to that time less a.
 func (g *Gateway) takeProof(begun time.Duration, report *rpc.LoadReport) {
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
 	}
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -175,7 +175,7 @@
 		return nil
 	}
 	g.lastLimitedRequest.Store(int64(g.now()))
-	cost := current.tenant.Quota.Cost(current.metadata.PromptTokens, current.metadata.OutputTokens, current.metadata.TokensNamed)
+	cost := current.tenant.Quota.Cost(current.metadata.PromptTokens, current.metadata.OutputTokens, current.metadata.HasTokenCounts)
 	decision := g.quotas.admit(g.now(), current.tenant.Name, cost)
 	tenant := string(current.tenant.Name)
 	if decision.Admitted {
@@ -228,7 +228,7 @@
 // pauseForUses waits until the next look at what tenants near their limits have used. It
 // returns false when the process ends.
 func (g *Gateway) pauseForUses() bool {
-	if g.holder.Current() != nil && g.quotas.unlimited() {
+	if g.configuration.Current() != nil && g.quotas.unlimited() {
 		return g.pauseInterval(unlimitedPause)
 	}
 	return g.pause(quota.NearInterval)
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -26,7 +26,7 @@
 func newReadiness() *readiness { return &readiness{ready: make(chan struct{})} }
 
 // hasTables reports whether this node has a configuration and the list of workers.
-func (g *Gateway) hasTables() bool { return g.holder.Current() != nil && g.workersKnown.Load() }
+func (g *Gateway) hasTables() bool { return g.configuration.Current() != nil && g.workersKnown.Load() }
 
 // isReady reports whether this node can serve.
 func (g *Gateway) isReady() bool { return !g.isStopping() && g.hasTables() }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -24,7 +24,7 @@
 			g.rollout.postpone(now)
 		}
 		g.enforceDueVersions(now)
-		g.pending.expire(g.rollout.due(now, beginReserve))
+		g.pending.expire(g.rollout.dueVersions(now, beginReserve))
 		g.updateFallbackCandidate(now)
 		g.lease.SetEligible(g.isRolloutCandidate())
 		token, isHolder := g.lease.Fence()
@@ -76,10 +76,10 @@
 // engines that have the newer preferred versions.
 func (g *Gateway) enforceDueVersions(now time.Duration) {
 	g.versionsEnforcedAt.Store(int64(now))
-	for model, version := range g.rollout.due(now, enforceReserve) {
+	for model, version := range g.rollout.dueVersions(now, enforceReserve) {
 		g.workers.Require(model, version)
 	}
-	for model, version := range g.rollout.preferred(now) {
+	for model, version := range g.rollout.preferredVersions(now) {
 		g.workers.Prefer(model, version)
 	}
 }
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -173,9 +173,9 @@
 	return recent
 }
 
-// due returns, by model, the version that every request beginning later than now plus reserve must
+// dueVersions returns, by model, the version that every request beginning later than now plus reserve must
 // have at least.
-func (s *rolloutState) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (s *rolloutState) dueVersions(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	due := make(map[fleet.ModelName]backends.WeightsVersion, len(s.pacers))
@@ -185,14 +185,14 @@
 	return due
 }
 
-// preferred returns, by model, the newest version that was requested at least preferDelay ago.
-func (s *rolloutState) preferred(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
-	return s.due(now, s.bound()-preferDelay)
+// preferredVersions returns, by model, the newest version that was requested at least preferDelay ago.
+func (s *rolloutState) preferredVersions(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+	return s.dueVersions(now, s.updateBound()-preferDelay)
 }
 
-// bound returns the time after a version is requested from which no request may begin on an older
+// updateBound returns the time after a version is requested from which no request may begin on an older
 // one.
-func (s *rolloutState) bound() time.Duration {
+func (s *rolloutState) updateBound() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.updateWithin
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,9 +16,9 @@
 	// quietDuration is the time without a request after which no more are expected.
 	quietDuration = 700 * time.Millisecond
 	// stopReserve is how long before the kill the process ends.
-	stopReserve  = 400 * time.Millisecond
-	leaveTimeout = 300 * time.Millisecond
-	stopPoll     = 50 * time.Millisecond
+	stopReserve      = 400 * time.Millisecond
+	leaveTimeout     = 300 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Stop performs a planned stop: the node leaves the directory, serves until callers have noticed,
@@ -56,13 +56,13 @@
 		if g.now() > start+leaveDuration && quiet && g.inFlight.Load() == 0 {
 			return
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
 
 // shutdown shuts the servers down within the rest of the grace period.
 func (g *Gateway) shutdown(start time.Duration) {
-	remaining := max(start+g.settings().StopGrace-stopReserve/2-g.now(), stopPoll)
+	remaining := max(start+g.settings().StopGrace-stopReserve/2-g.now(), stopPollInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
 	var group sync.WaitGroup
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -54,7 +54,7 @@
 	after       fleet.Revision
 	hasPosition bool
 	failures    int
-	since       gap
+	gap         gap
 	// lastResponse is the time of the store's last response.
 	lastResponse time.Duration
 	clock        storeClock
@@ -65,7 +65,7 @@
 // followStore follows a table until the process ends. Only calls that follow changes renew the
 // freshness proof, since a full read may return old rows.
 func (g *Gateway) followStore(followed *table) error {
-	follower := &storeFollower{gateway: g, table: followed, since: gapUnreachable}
+	follower := &storeFollower{gateway: g, table: followed, gap: gapUnreachable}
 	for {
 		if !g.awaitReading() {
 			return nil
@@ -82,7 +82,7 @@
 	g := f.gateway
 	start := g.now()
 	if f.lastResponse != 0 && start-f.lastResponse > minHistoryRetention {
-		f.since = gapUnreachable
+		f.gap = gapUnreachable
 	}
 	callCtx, stop := g.suspensionSignal.bind(ctx)
 	defer stop()
@@ -99,7 +99,7 @@
 	g.sources.recordStoreCall(err == nil)
 	if err != nil {
 		g.recordStoreCall(string(f.table.name), err, f.failures)
-		f.since = gapAfterFailure(err, f.failures, start-f.lastResponse)
+		f.gap = gapAfterFailure(err, f.failures, start-f.lastResponse)
 		f.hasPosition = f.hasPosition && !errors.Is(err, ErrHistoryExpired)
 		f.failures++
 		return max(min(followRetry*time.Duration(f.failures), followRetryMax), f.backoff)
@@ -107,12 +107,12 @@
 	g.recordStoreCall(string(f.table.name), nil, f.failures)
 	f.failures, f.lastResponse = 0, g.now()
 	provenAt := f.clock.translate(start, f.lastResponse, update.StoreTime)
-	f.table.apply(update, f.since)
+	f.table.apply(update, f.gap)
 	if update.Complete {
 		f.hasPosition, f.after = true, update.Revision
 		return 0
 	}
-	f.since = gapNone
+	f.gap = gapNone
 	if update.Revision >= f.after {
 		f.after = update.Revision
 		f.table.cache.Advance(update.Revision)
@@ -149,7 +149,7 @@
 		return store.ReadTable(ctx, f.table.name, f.gateway.roleSettled.Load)
 	}
 	wait := f.table.maxWait
-	if f.since != gapNone {
+	if f.gap != gapNone {
 		wait = 0
 	}
 	return store.FollowTable(ctx, f.table.name, f.after, wait)
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -282,7 +282,7 @@
 	store := &followedTables{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerNamed(number, 9, true)}}}
 	follower.dependencies.Store = store
 	follower.sources.recordResponse(follower.now(), "peer", 0, true)
-	feed := &storeFollower{gateway: follower, table: follower.workersTable(), since: gapUnreachable}
+	feed := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
 	feed.step(t.Context())
 	feed.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -130,7 +130,7 @@
 // force.
 func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
 	g.reportInvalidInput("", rows.Invalid)
-	if current := g.holder.Current(); current != nil {
+	if current := g.configuration.Current(); current != nil {
 		rows.Document.KeepQuotas(current.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
@@ -138,7 +138,7 @@
 		g.logger.Error().Uint64("version", uint64(rows.Document.Version)).Err(err).Msg("configuration_refused")
 		return
 	}
-	if g.holder.Offer(now, rows.DocumentRevision, compiled) {
+	if g.configuration.Offer(now, rows.DocumentRevision, compiled) {
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
