--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -47,28 +47,28 @@
 }
 
 // isDue reports whether it is time for the next check.
-func (d *progressMonitor) isDue(now time.Duration) bool { return now >= d.checkedAt+progressInterval }
+func (m *progressMonitor) isDue(now time.Duration) bool { return now >= m.checkedAt+progressInterval }
 
 // observe records a check and reports whether there has been no progress for longer than timeout.
-func (d *progressMonitor) observe(now time.Duration, progress rolloutProgress, timeout time.Duration) bool {
-	restart := d.versions == nil || now-d.checkedAt > maxProgressGap
-	d.checkedAt = now
-	if restart || progress.outdated == 0 || d.hasUpdatedEngine(progress.versionSums) {
-		d.changedAt = now
+func (m *progressMonitor) observe(now time.Duration, progress rolloutProgress, timeout time.Duration) bool {
+	restart := m.versions == nil || now-m.checkedAt > maxProgressGap
+	m.checkedAt = now
+	if restart || progress.outdated == 0 || m.hasUpdatedEngine(progress.versionSums) {
+		m.changedAt = now
 	}
 	if restart || !progress.undirected {
-		d.directedAt = now
+		m.directedAt = now
 	}
-	d.versions = progress.versionSums
-	d.stalled = now-min(d.changedAt, d.directedAt) > timeout
-	return d.stalled
+	m.versions = progress.versionSums
+	m.stalled = now-min(m.changedAt, m.directedAt) > timeout
+	return m.stalled
 }
 
 // hasUpdatedEngine reports whether an engine has a newer version than at the last check. Engines
 // that have appeared or disappeared don't count.
-func (d *progressMonitor) hasUpdatedEngine(sums map[fleet.EngineID]uint64) bool {
-	for id, sum := range sums {
-		if previous, known := d.versions[id]; known && sum > previous {
+func (m *progressMonitor) hasUpdatedEngine(sums map[fleet.EngineID]uint64) bool {
+	for engine, sum := range sums {
+		if previous, known := m.versions[engine]; known && sum > previous {
 			return true
 		}
 	}
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// setDesired records a desired version and reports whether it is new. requestedAt is the latest time at
-// which it was requested. timeKnown is false for a version that was requested at an unknown time
-// before.
+// setDesired records a desired version and reports whether it is new. requestedAt is the latest
+// time at which it was requested. timeKnown is false for a version that was requested at an unknown
+// time before.
 func (s *rolloutState) setDesired(requestedAt time.Duration, timeKnown bool, desired DesiredVersion) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -173,8 +173,8 @@
 	return recent
 }
 
-// dueVersions returns, by model, the version that every request beginning later than now plus reserve must
-// have at least.
+// dueVersions returns, by model, the version that every request beginning later than now plus
+// reserve must have at least.
 func (s *rolloutState) dueVersions(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -185,13 +185,14 @@
 	return due
 }
 
-// preferredVersions returns, by model, the newest version that was requested at least preferDelay ago.
+// preferredVersions returns, by model, the newest version that was requested at least preferDelay
+// ago.
 func (s *rolloutState) preferredVersions(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
 	return s.dueVersions(now, s.updateBound()-preferDelay)
 }
 
-// updateBound returns the time after a version is requested from which no request may begin on an older
-// one.
+// updateBound returns the time after a version is requested from which no request may begin on an
+// older one.
 func (s *rolloutState) updateBound() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -280,7 +280,7 @@
 }
 
 // heldResponse returns buildWatchResponse's response for a call that has been held since arrived.
-// It measures the time held before the proof's age is read, so that the caller never underestimates
+// It measures the time held before the proof's age is read, so that the peer never underestimates
 // that age.
 func (g *Gateway) heldResponse(request *rpc.WatchRequest, arrived time.Duration) (*rpc.WatchResponse, bool) {
 	held := g.now() - arrived
@@ -289,7 +289,7 @@
 	return response, changed
 }
 
-// buildWatchResponse returns the changes that the caller has not seen, and whether there are any.
+// buildWatchResponse returns the changes that the peer has not seen, and whether there are any.
 func (g *Gateway) buildWatchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
 	now := g.now()
 	// The proof must be read before the tables, so that they are at least as new as the proof.
