--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -219,7 +219,7 @@
 	for _, suspect := range g.workers.Suspects(now) {
 		report.Suspects = append(report.Suspects, string(suspect))
 	}
-	for id, remaining := range g.rollout.orderedEngines(now) {
+	for id, remaining := range g.rollout.cordonedEngines(now) {
 		report.Orders = append(report.Orders, &rpc.WorkerOrder{
 			Worker: string(id), RemainingMillis: uint32(remaining.Milliseconds()),
 		})
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -214,7 +214,7 @@
 func (g *Gateway) cordonEngine(engine fleet.EngineID) {
 	until := g.now() + cordonDuration
 	g.workers.NoteOrder(engine, until)
-	if g.rollout.markOrdered(engine, until) {
+	if g.rollout.cordon(engine, until) {
 		g.announcer.noteAll()
 	}
 }
@@ -258,7 +258,7 @@
 func (g *Gateway) recordUpdated(update engineUpdate, version backends.WeightsVersion, duration time.Duration) {
 	g.workers.NoteVersion(update.worker.ID, update.model, version)
 	g.workers.NoteOrder(update.worker.ID, 0)
-	g.rollout.clearOrdered(update.worker.ID)
+	g.rollout.uncordon(update.worker.ID)
 	g.announcer.noteAll()
 	g.logger.Info().Str("worker", string(update.worker.ID)).Uint64("version", uint64(version)).Dur("took", duration).Msg("weights_changed")
 }
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -96,8 +96,8 @@
 	pacers       map[fleet.ModelName]*rollout.Pacer
 	// updating holds the engines that this node is updating.
 	updating map[fleet.EngineID]bool
-	// orderedUntil holds, by engine, the end of its cordon.
-	orderedUntil map[fleet.EngineID]time.Duration
+	// cordonedUntil holds, by engine, the end of its cordon.
+	cordonedUntil map[fleet.EngineID]time.Duration
 	// failures counts, by engine, the failed updates in a row.
 	failures map[fleet.EngineID]int
 	// backoffUntil holds, by engine, the time before which no update of it starts.
@@ -106,12 +106,12 @@
 
 func newRolloutState(settings Settings) *rolloutState {
 	return &rolloutState{
-		updateWithin: settings.UpdateModelsWithin,
-		pacers:       make(map[fleet.ModelName]*rollout.Pacer),
-		updating:     make(map[fleet.EngineID]bool),
-		orderedUntil: make(map[fleet.EngineID]time.Duration),
-		backoffUntil: make(map[fleet.EngineID]time.Duration),
-		failures:     make(map[fleet.EngineID]int),
+		updateWithin:  settings.UpdateModelsWithin,
+		pacers:        make(map[fleet.ModelName]*rollout.Pacer),
+		updating:      make(map[fleet.EngineID]bool),
+		cordonedUntil: make(map[fleet.EngineID]time.Duration),
+		backoffUntil:  make(map[fleet.EngineID]time.Duration),
+		failures:      make(map[fleet.EngineID]int),
 	}
 }
 
@@ -234,21 +234,21 @@
 	return changes
 }
 
-// markOrdered sets the end of an engine's cordon and reports whether the engine wasn't cordoned
+// cordon sets the end of an engine's cordon and reports whether the engine wasn't cordoned
 // before.
-func (s *rolloutState) markOrdered(engine fleet.EngineID, until time.Duration) bool {
+func (s *rolloutState) cordon(engine fleet.EngineID, until time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	_, known := s.orderedUntil[engine]
-	s.orderedUntil[engine] = until
+	_, known := s.cordonedUntil[engine]
+	s.cordonedUntil[engine] = until
 	return !known
 }
 
-// clearOrdered removes an engine's cordon.
-func (s *rolloutState) clearOrdered(engine fleet.EngineID) {
+// uncordon removes an engine's cordon.
+func (s *rolloutState) uncordon(engine fleet.EngineID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.orderedUntil, engine)
+	delete(s.cordonedUntil, engine)
 }
 
 // finishUpdate records the end of an update. duration is 0 if it failed; load is the part
@@ -257,7 +257,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.updating, update.worker.ID)
-	delete(s.orderedUntil, update.worker.ID)
+	delete(s.cordonedUntil, update.worker.ID)
 	if duration > 0 {
 		s.pacers[update.model].Measured(duration, load)
 		delete(s.backoffUntil, update.worker.ID)
@@ -301,18 +301,18 @@
 func (s *rolloutState) forgetRun(engine fleet.EngineID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.orderedUntil, engine)
+	delete(s.cordonedUntil, engine)
 	delete(s.failures, engine)
 	delete(s.backoffUntil, engine)
 }
 
-// orderedEngines returns the engines that this node has cordoned and the remaining time of their
+// cordonedEngines returns the engines that this node has cordoned and the remaining time of their
 // cordons.
-func (s *rolloutState) orderedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
+func (s *rolloutState) cordonedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	remaining := make(map[fleet.EngineID]time.Duration, len(s.orderedUntil))
-	for id, until := range s.orderedUntil {
+	remaining := make(map[fleet.EngineID]time.Duration, len(s.cordonedUntil))
+	for id, until := range s.cordonedUntil {
 		if until > now {
 			remaining[id] = until - now
 		}
