--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -211,7 +211,7 @@
 func (s *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []engineUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var changes []engineUpdate
+	var updates []engineUpdate
 	for model, pacer := range s.pacers {
 		byID := make(map[fleet.EngineID]backends.Worker)
 		var engines []rollout.VersionedEngine
@@ -226,12 +226,12 @@
 				Doubtful: doubtful[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
 			})
 		}
-		for _, id := range pacer.Next(now, engines) {
-			s.updating[id] = true
-			changes = append(changes, engineUpdate{worker: byID[id], model: model, version: pacer.Newest()})
+		for _, engine := range pacer.Next(now, engines) {
+			s.updating[engine] = true
+			updates = append(updates, engineUpdate{worker: byID[engine], model: model, version: pacer.Newest()})
 		}
 	}
-	return changes
+	return updates
 }
 
 // cordon sets the end of an engine's cordon and reports whether the engine wasn't cordoned
@@ -251,7 +251,7 @@
 	delete(s.cordonedUntil, engine)
 }
 
-// finishUpdate records the end of an update. duration is 0 if it failed; load is the part
+// finishUpdate records the end of an update. duration is 0 if the update failed; load is the part
 // of it since the order.
 func (s *rolloutState) finishUpdate(now time.Duration, update engineUpdate, duration, load time.Duration) {
 	s.mutex.Lock()
