--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -139,7 +139,8 @@
 	return pacer
 }
 
-// setBound changes the bound. It doesn't affect the pacers of models that already have one.
+// setBound changes the bound. Existing pacers keep spreading updates over the bound that they were
+// created with.
 func (s *rolloutState) setBound(within time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// shutdown shuts the servers down within the rest of the grace period.
+// shutdown shuts all servers down concurrently, within the rest of the grace period.
 func (g *Gateway) shutdown(start time.Duration) {
 	remaining := max(start+g.settings().StopGrace-stopReserve/2-g.now(), stopPollInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
