--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Announcements, member), announceTimeout)
 	defer cancel()
 	if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 	}
 }
 
--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -36,7 +36,7 @@
 
 // Loads must survive encoding with short worker names. Those of unknown workers must be omitted.
 func TestLoadsRoundTrip(t *testing.T) {
-	sender, receiver := idleGateway(t), idleGateway(t)
+	sender, receiver := newTestGateway(t), newTestGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, backends.Worker{ID: "a"})
 		g.workers.Observe(2, backends.Worker{ID: "b"})
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -136,7 +136,7 @@
 // answerCaches handles another gateway's request for the caches of a zone.
 func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	log := g.cacheLogFor(fleet.ZoneName(request.GetZone()))
-	if log == nil || g.stopping() {
+	if log == nil || g.isStopping() {
 		return nil, errNoCachesFollowed
 	}
 	log.recordRequest(g.now())
--- a/internal/gateway/cachelog_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -19,7 +19,7 @@
 // A gateway must answer requests about the caches that it follows, but not with an incomplete
 // state.
 func TestAnswerCachesServesFollowedCaches(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	ask := func(question cachefeed.Question) (cachefeed.News, error) {
 		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
 		return decodeCachesResponse(response), err
@@ -55,17 +55,17 @@
 
 // A serving gateway must follow another zone's caches directly only while no gateway there answers.
 func TestOtherZonesAreFollowedThroughPeers(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.configuration.Offer(0, 1, compiled))
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1", "somewhere": ""} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
 			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 		})
 	}
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
 	far := followedCache{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
 	somewhere := followedCache{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
@@ -80,7 +80,7 @@
 	assert.Empty(t, asked)
 
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	present, asked = g.selectCaches()
 	assert.Empty(t, present, "gateway doesn't serve")
 	assert.Empty(t, asked)
@@ -88,17 +88,17 @@
 
 // A gateway that doesn't serve must follow its zone's caches while others request them.
 func TestIdleNodeFollowsCachesOnDemand(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.configuration.Offer(0, 1, compiled))
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1"} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
 			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 		})
 	}
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	// With four zones and six serving gateways, no zone is guaranteed a serving one.
 	all := []membership.Member{
 		{Node: g.node, Zone: "z0", State: membership.Alive, Capacity: 200},
@@ -109,9 +109,9 @@
 		all = append(all, membership.Member{Node: node, Zone: "z1", State: membership.Alive, Capacity: 800})
 	}
 	g.roles.Store(deriveRoles(g.node, "z0", membership.NewView(1, all[0], all), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
 	require.ErrorIs(t, err, errNoCachesFollowed)
 	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
@@ -119,16 +119,16 @@
 	assert.Equal(t, map[followedCache]bool{near: true}, following)
 	assert.Empty(t, asked)
 	g.cacheLog.recordRequest(g.now() - cacheInterestTimeout - time.Millisecond)
-	assert.Empty(t, present(g))
+	assert.Empty(t, followedCaches(g))
 }
 
 // A zone of another region must be requested by one gateway of this region, and only state received
 // from the zone itself may be passed on.
 func TestRemoteRegionIsFollowedByOneNode(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	settings := *g.settings()
 	settings.Region, settings.Zones = "north", map[fleet.ZoneName]fleet.RegionName{"z0": "north", "z1": "north", "far": "south"}
-	g.inForce.Store(&settings)
+	g.currentSettings.Store(&settings)
 	all := []membership.Member{{Node: g.node, Zone: "z0", Region: "north", State: membership.Alive}}
 	for _, node := range []fleet.NodeID{"a", "b", "c"} {
 		all = append(all, membership.Member{Node: node, Zone: "z1", Region: "north", State: membership.Alive})
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -39,12 +39,12 @@
 // requests those of other zones from gateways there.
 func (g *Gateway) followCaches() error {
 	following := make(map[followedCache]context.CancelFunc)
-	for pause := cacheCheckInterval; g.pauseOrRest(pause); {
+	for pause := cacheCheckInterval; g.pauseInterval(pause); {
 		present, requested := g.selectCaches()
 		g.updateZoneFeeds(requested)
 		g.cacheLog.setFollowing(g.now(), g.countLocalCaches(present))
 		pause = idleCacheCheckInterval
-		if g.serves() {
+		if g.isServing() {
 			pause = cacheCheckInterval
 		}
 		for cache, cancel := range following {
@@ -81,7 +81,7 @@
 
 // canFollow reports whether this gateway may follow that many caches.
 func (g *Gateway) canFollow(caches int) bool {
-	return g.settled.Load() || int64(caches) <= cachesPerRequest*(1+g.taken.Load())
+	return g.roleSettled.Load() || int64(caches) <= cachesPerRequest*(1+g.requestCount.Load())
 }
 
 // selectCaches returns the caches that this gateway follows directly, and by zone those that it
@@ -89,15 +89,15 @@
 func (g *Gateway) selectCaches() (present map[followedCache]bool, requested map[fleet.ZoneName]map[fleet.EngineID]bool) {
 	present = make(map[followedCache]bool)
 	requested = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
-	held := g.holder.Current()
-	if held == nil || (!g.serves() && !g.cacheLog.isWanted(g.now())) {
+	held := g.configuration.Current()
+	if held == nil || (!g.isServing() && !g.cacheLog.isWanted(g.now())) {
 		return present, requested
 	}
 	add := func(cache followedCache, limit int) {
 		switch {
 		case g.shouldFollowDirectly(cache, limit):
 			present[cache] = true
-		case g.serves() && cache.zone != "":
+		case g.isServing() && cache.zone != "":
 			if requested[cache.zone] == nil {
 				requested[cache.zone] = make(map[fleet.EngineID]bool)
 			}
@@ -139,7 +139,7 @@
 	if cache.zone == g.settings().Zone && slices.Contains(g.roles.Load().CacheSources(cache.zone), g.node) {
 		return true
 	}
-	if !g.serves() || !g.isAssignedFollower(cache, limit) {
+	if !g.isServing() || !g.isAssignedFollower(cache, limit) {
 		return false
 	}
 	return cache.zone == g.settings().Zone || cache.zone == "" || g.zoneFeeds.isUnavailable(cache.zone)
@@ -166,7 +166,7 @@
 	for ctx.Err() == nil {
 		g.awaitBackoff(ctx, backoffRun(cache.run.Engine, cache.born))
 		g.countCall(cache.run.Engine, callCacheEvents)
-		events, err := g.outside.Engines.CacheEvents(ctx, cache.address, since, cacheEventsWait)
+		events, err := g.dependencies.Engines.CacheEvents(ctx, cache.address, since, cacheEventsWait)
 		if err != nil {
 			if ctx.Err() == nil && reachable {
 				g.logger.Warn().Str("dependency", string(cache.run.Engine)).Err(err).Msg("dependency_lost")
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -19,7 +19,7 @@
 
 // deliveryGateway returns a gateway that isn't started and has received an order.
 func deliveryGateway(t *testing.T) *Gateway {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{Deliveries: []delivery.Order{
 		{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
 	}})
@@ -115,7 +115,7 @@
 func TestChangedDirectiveWakesWatcher(t *testing.T) {
 	g := deliveryGateway(t)
 	request := &rpc.WatchRequest{Node: "watcher", PositionsOf: string(g.node)}
-	response, changed := g.watchResponse(request)
+	response, changed := g.buildWatchResponse(request)
 	assert.False(t, changed)
 	assert.Empty(t, response.GetDeliveries())
 	waiting := g.deliveries.nextChange()
@@ -125,21 +125,21 @@
 	default:
 		t.Error("waiting call not woken")
 	}
-	response, changed = g.watchResponse(request)
+	response, changed = g.buildWatchResponse(request)
 	assert.True(t, changed)
 	assert.Len(t, response.GetDeliveries(), 1)
 	request.DeliveriesSeen = response.GetDeliveriesSeen()
-	response, changed = g.watchResponse(request)
+	response, changed = g.buildWatchResponse(request)
 	assert.False(t, changed)
 	assert.Len(t, response.GetDeliveries(), 1, "age refreshed")
 	request.PositionsOf = "another run"
-	_, changed = g.watchResponse(request)
+	_, changed = g.buildWatchResponse(request)
 	assert.True(t, changed)
 }
 
 // deliveryStore is a store with delivery records alone.
 type deliveryStore struct {
-	Platform
+	Store
 	stored *StoredDeliveries
 	failed error
 	writes []delivery.Record
@@ -167,7 +167,7 @@
 		Stage: delivery.StageRolledBack, Condemned: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
-	g.outside.Platform = store
+	g.dependencies.Store = store
 	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
 	g.stepDelivery("app")
 	choice := g.allowedVersions(deliveryRequest(), false)
@@ -186,7 +186,7 @@
 	final := running
 	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
-	g.outside.Platform = store
+	g.dependencies.Store = store
 	g.deliveries.beginWrite("app")
 	g.writeDelivery(delivery.Record{Order: order, Stage: delivery.StageCompleted, StartedAt: time.Minute})
 	assert.EqualValues(t, 21, g.deliveries.storedVersion("app"))
@@ -212,7 +212,7 @@
 	g := deliveryGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
-		RefusedDeliveries: []Unreadable{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
+		RefusedDeliveries: []InvalidInput{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
 	})
 	assert.True(t, g.deliveries.isTarget("app", "v2"))
 	assert.False(t, g.deliveries.isTarget("app", "v0"))
@@ -247,7 +247,7 @@
 
 // A shift must start at the planned time, whether or not the next directive has arrived.
 func TestShiftStartsAtItsPlannedTime(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.False(t, g.deliveries.isShifting(0))
 	order := delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 	_, err := g.deliveries.addOrder(0, 0, order)
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -65,7 +65,7 @@
 // ensureDirector reports whether this gateway directs deliveries. When it has just acquired the
 // lease it first reads the records of its predecessors.
 func (g *Gateway) ensureDirector() bool {
-	if _, holds := g.keeper.Fence(); !holds || g.stopping() {
+	if _, holds := g.lease.Fence(); !holds || g.isStopping() {
 		g.deliveries.resign()
 		return false
 	}
@@ -75,13 +75,13 @@
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
 	start := g.now()
-	stored, err := g.outside.Platform.ReadDeliveries(ctx)
+	stored, err := g.dependencies.Store.ReadDeliveries(ctx)
 	if err != nil {
 		g.events.line("deliveries_unread").Err(err).Msg("deliveries_unread")
 		return false
 	}
-	g.noteUnreadable("", stored.Unreadable)
-	if _, holds := g.keeper.Fence(); !holds {
+	g.reportInvalidInput("", stored.Invalid)
+	if _, holds := g.lease.Fence(); !holds {
 		return false
 	}
 	rejected := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, start-stored.StoreTime)
@@ -114,7 +114,7 @@
 // observeService returns the state of a service's workers for the director.
 func (g *Gateway) observeService(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil {
 		return observation
 	}
@@ -144,7 +144,7 @@
 	defer cancel()
 	start := g.now()
 	service := record.Order.Service
-	stored, err := g.outside.Platform.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
+	stored, err := g.dependencies.Store.WriteDelivery(ctx, record, g.deliveries.storedVersion(service))
 	line := g.logger.Info()
 	if err != nil {
 		line = g.logger.Warn().Err(err)
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -231,7 +231,7 @@
 	start := g.now()
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -19,10 +19,10 @@
 // settings enable deliveries.
 func TestNewVersionIsHeldUntilItsOrder(t *testing.T) {
 	for _, bounded := range []bool{true, false} {
-		g := idleGateway(t)
+		g := newTestGateway(t)
 		settings := *g.settings()
 		settings.Deliveries = bounded
-		g.inForce.Store(&settings)
+		g.currentSettings.Store(&settings)
 		g.observeVersions(0, []WorkerRow{workerRow("old", "v1")})
 		allows := func(now time.Duration, worker fleet.EngineID, version fleet.SoftwareVersion) bool {
 			return g.deliveries.choose(now, "app", delivery.RouteName("route"), 0.5, false).Allows(worker, version)
@@ -38,7 +38,7 @@
 // The versions of one read must be reported as new only once.
 func TestRepeatedVersionsAreNotNew(t *testing.T) {
 	seen := make(seenVersions)
-	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Gone: true}}
+	rows := []WorkerRow{workerRow("old", "v1"), workerRow("new", "v2"), {Deleted: true}}
 	assert.Equal(t, []fleet.PoolName{"app"}, seen.add(rows))
 	assert.Equal(t, []fleet.SoftwareVersion{"v1", "v2"}, seen["app"])
 	assert.Empty(t, seen.add(rows))
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -7,13 +7,14 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// frontAddresses returns where a caller that asks finds the gateways that serve; none while
-// this node has just started and knows itself alone, since callers then keep the addresses
-// that they have. If each node of a large fleet named itself after a loss of power,
-// small nodes that know neither loads nor caches would carry the requests. All gateways
-// serve on the same ports.
+// frontAddresses returns the front addresses of the serving gateways that callers should use. All
+// gateways serve on the same ports.
+//
+// It returns none while this node has just started and knows no other member, since callers then
+// keep their addresses. Otherwise, after a power loss, each node of a large fleet would return
+// itself, and small nodes that know neither loads nor caches would receive the requests.
 func (g *Gateway) frontAddresses(query ResolutionQuery) []fleet.Address {
-	if !g.settled.Load() && g.memberCount() == 1 {
+	if !g.roleSettled.Load() && g.memberCount() == 1 {
 		return nil
 	}
 	_, port, err := net.SplitHostPort(g.settings().FrontAddress)
@@ -22,8 +23,8 @@
 	}
 	var addresses []fleet.Address
 	from := membership.Location{Region: query.Region, Zone: query.Zone}
-	for _, member := range g.roles.Load().Answer(from, g.node, g.reachable) {
-		if member.Node == g.node && !g.ready() {
+	for _, member := range g.roles.Load().Answer(from, g.node, g.isReachable) {
+		if member.Node == g.node && !g.isReady() {
 			continue
 		}
 		if host, _, err := net.SplitHostPort(string(member.Address)); err == nil {
@@ -33,10 +34,10 @@
 	return addresses
 }
 
-// reachable tells whether callers can be sent to a member, as far as this node knows.
-func (g *Gateway) reachable(member membership.Member) bool {
+// isReachable reports whether callers can be sent to a member, as far as this node knows.
+func (g *Gateway) isReachable(member membership.Member) bool {
 	if member.Node == g.node {
-		return g.ready()
+		return g.isReady()
 	}
 	current, found := g.peers.View().Find(member.Node)
 	return found && current.State == membership.Alive && !g.origins.isUnreachable(g.now(), member.Node)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -54,7 +54,7 @@
 	switch {
 	case serving >= members:
 		return 1 / float64(max(members, minConnectionSharers))
-	case g.serves():
+	case g.isServing():
 		return servingConnectionFraction / float64(max(serving, minConnectionSharers))
 	default:
 		return (1 - servingConnectionFraction) / float64(max(members-serving, minConnectionSharers))
@@ -64,7 +64,7 @@
 // outgoingRequest returns the request as it is sent to a worker.
 func (g *Gateway) outgoingRequest(ctx context.Context, current *callerRequest, placement *backends.Placement) *upstream.Request {
 	header := forwardedHeader(current.request.Header)
-	g.outside.Codec.StripReserved(header)
+	g.dependencies.Codec.StripReserved(header)
 	dispatch := &Dispatch{
 		Worker:      placement.Worker.ID,
 		TimeLeft:    current.timeLeft(g.now()),
@@ -75,7 +75,7 @@
 	if current.tenant != nil {
 		dispatch.Tenant = current.tenant.Name
 	}
-	g.outside.Codec.WriteDispatch(header, dispatch)
+	g.dependencies.Codec.WriteDispatch(header, dispatch)
 	id := current.metadata.RequestID
 	return &upstream.Request{
 		Method: current.request.Method,
@@ -85,7 +85,7 @@
 		Body:   current.body,
 		Permit: func() error { return g.permitSend(ctx, current, &placement.Worker, dispatch, header) },
 		Accept: func(status int, header http.Header) error {
-			info := g.outside.Codec.Answer(status, header)
+			info := g.dependencies.Codec.ReadResponse(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
 				return errForeignAnswer
 			}
@@ -115,7 +115,7 @@
 	}
 	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftTolerance {
 		dispatch.TimeLeft = left
-		g.outside.Codec.WriteDispatch(header, dispatch)
+		g.dependencies.Codec.WriteDispatch(header, dispatch)
 	}
 	g.countCall(worker.ID, callRequest)
 	return nil
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -66,7 +66,7 @@
 	if current.isCallerGone() {
 		return attempt.Step{Kind: attempt.StepBreak}
 	}
-	g.noteSuspension()
+	g.checkSuspension()
 	if verdict, quarantined := g.checkHeld(current); quarantined {
 		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
@@ -74,7 +74,7 @@
 	if current.tenant != nil && !g.canServeKeyed() {
 		return current.attempts.NoWorker("configuration too old", 0)
 	}
-	g.requireDueSoon(now)
+	g.refreshDueVersions(now)
 	request := g.placementRequest(current)
 	current.placedForTarget = request.Versions.WantsTarget()
 	placement, refused := g.chooseWorker(ctx, current, request)
@@ -105,8 +105,8 @@
 		return g.handleSendError(ctx, sending, current, placement, err)
 	}
 	defer answer.Close()
-	info := g.outside.Codec.Answer(answer.Status, answer.Header)
-	g.noteUnreadable(current.metadata.RequestID, info.Unreadable)
+	info := g.dependencies.Codec.ReadResponse(answer.Status, answer.Header)
+	g.reportInvalidInput(current.metadata.RequestID, info.Unreadable)
 	g.observeLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
@@ -138,7 +138,7 @@
 
 // isAcceptable reports whether a worker's answer may be passed on. A success must be signed, and so
 // must a status that implies that the request did not run.
-func isAcceptable(status int, info AnswerInfo) bool {
+func isAcceptable(status int, info ResponseInfo) bool {
 	switch {
 	case status < http.StatusMultipleChoices:
 		return info.Signed
@@ -196,7 +196,7 @@
 }
 
 // handleRejection returns the next step after a worker reported that it did not run the request.
-func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
+func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info ResponseInfo) attempt.Step {
 	drainAnswer(answer)
 	outcome := backends.Refused
 	switch {
@@ -252,7 +252,7 @@
 			Int("memory_used", placement.MemoryTokens).Str("copy_to", string(engine.CopyTo.ID)).Bool("continues", engine.ContinueAt != "").
 			Dur("predicted", engine.Predicted)
 	}
-	if age, proven := g.fresh.Age(g.now()); proven {
+	if age, proven := g.freshness.Age(g.now()); proven {
 		line = line.Dur("configuration_age", age)
 	}
 	line.Msg("placed")
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -106,9 +106,9 @@
 // serveFront handles one request of a caller.
 func (g *Gateway) serveFront(writer http.ResponseWriter, request *http.Request) {
 	g.inFlight.Add(1)
-	g.taken.Add(1)
+	g.requestCount.Add(1)
 	defer g.inFlight.Add(-1)
-	g.noteSuspension()
+	g.checkSuspension()
 	now := g.now()
 	g.lastRequest.Store(int64(now))
 	current := &callerRequest{writer: writer, request: request, startedAt: now, targetDraw: rand.Float64()}
@@ -135,24 +135,24 @@
 // admit decides by the configuration in force whether a request may go on. It sets the route,
 // tenant and service of the request.
 func (g *Gateway) admit(current *callerRequest) *refusal {
-	metadata, err := g.outside.Codec.Metadata(current.request.Header)
+	metadata, err := g.dependencies.Codec.ReadMetadata(current.request.Header)
 	current.metadata = metadata
 	current.lastEventID = metadata.LastEventID
-	g.noteUnreadable(metadata.RequestID, metadata.Unreadable)
+	g.reportInvalidInput(metadata.RequestID, metadata.Invalid)
 	if err != nil {
 		return &refusal{code: resultcode.HeaderInvalid, reason: err.Error()}
 	}
 	if len(metadata.RequestID) > maxRequestIDLength || !strings.HasPrefix(current.request.RequestURI, "/") {
 		return &refusal{code: resultcode.HeaderInvalid, reason: "malformed request"}
 	}
-	if g.refusesNew() {
+	if g.refusesRequests() {
 		return &refusal{code: resultcode.Stopping, reason: "stopping", retryAfter: shortRetryAfter}
 	}
 	if g.pressure.level() == nodecapacity.Full {
 		return &refusal{code: resultcode.NodeFull, reason: "short of " + g.pressure.scarcestResource().String(), retryAfter: shortRetryAfter}
 	}
-	g.awaitKnown(current.request.Context())
-	snapshot := g.holder.Current()
+	g.awaitReady(current.request.Context())
+	snapshot := g.configuration.Current()
 	if snapshot == nil || !g.workersKnown.Load() {
 		return &refusal{code: resultcode.NoConfiguration, reason: "no configuration yet", retryAfter: longRetryAfter}
 	}
@@ -194,7 +194,7 @@
 // canServeKeyed reports whether this node's configuration is fresh enough to check keys. With
 // RevokeEverywhere, a node that has lost touch with the store serves no keyed requests.
 func (g *Gateway) canServeKeyed() bool {
-	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.maxKeyedAge())
+	return !g.settings().RevokeEverywhere || g.freshness.Within(g.now(), g.maxKeyedAge())
 }
 
 // maxKeyedAge returns the greatest age of the configuration at which keyed requests are served.
@@ -205,7 +205,7 @@
 // permanentUnlessStale returns the given permanent refusal if the configuration is fresh. Otherwise
 // it returns one that asks the caller to retry, since a newer configuration may allow the request.
 func (g *Gateway) permanentUnlessStale(refused refusal) *refusal {
-	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
+	if g.freshness.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
 		return &refused
 	}
 	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: longRetryAfter}
@@ -241,7 +241,7 @@
 		return nil
 	}
 	limit := int64(defaultMaxBodyBytes)
-	if snapshot := g.holder.Current(); snapshot != nil && snapshot.Table.Limits().MaxBodyBytes > 0 {
+	if snapshot := g.configuration.Current(); snapshot != nil && snapshot.Table.Limits().MaxBodyBytes > 0 {
 		limit = snapshot.Table.Limits().MaxBodyBytes
 	}
 	if request.ContentLength > limit {
@@ -291,8 +291,8 @@
 	}
 	entry := resultcode.Lookup(refused.code)
 	header := current.writer.Header()
-	g.outside.Codec.WriteRefusal(header, current.metadata.RequestID, refused.retryAfter)
-	g.markConnection(header)
+	g.dependencies.Codec.WriteRefusal(header, current.metadata.RequestID, refused.retryAfter)
+	g.closeAfterResponse(header)
 	if refused.code == resultcode.BodyTimeout || refused.code == resultcode.BodyTooLarge {
 		header.Set("Connection", "close")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,11 +1,10 @@
-// Package gateway is the process that stands between callers and workers where
-// callers run nothing of the project's: it takes requests, places them by the
-// product's cores, carries them and keeps the promises about them. Any number
-// of gateways serve side by side; all are equal.
+// Package gateway implements the proxy between callers and workers: it accepts requests, chooses a
+// worker for each and forwards it, enforcing deadlines, retry budgets, quotas and key revocations.
+// Any number of gateways serve side by side as equal peers that share state with each other and
+// follow the store.
 //
-// The package drives the cores in real time and holds no rule of its own that
-// a core could hold: routes, backends, attempt, rollout, lease and membership
-// decide.
+// The package runs in real time; the decisions are those of packages such as routes, backends,
+// attempt, rollout, lease and membership.
 package gateway
 
 import (
@@ -36,135 +35,137 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// Gateway is one process. Start serves until Stop or a failure.
+// Gateway is one gateway process. Start serves until Stop is called or the process fails.
 type Gateway struct {
-	// inForce is replaced as a whole by Reload.
-	inForce atomic.Pointer[Settings]
-	outside Outside
-	clock   fleet.Clock
-	node    fleet.NodeID
-	logger  zerolog.Logger
-	events  *eventLog
-	metrics *metrics
-	life    tomb.Tomb
+	// currentSettings is replaced as a whole by Reload.
+	currentSettings atomic.Pointer[Settings]
+	dependencies    Dependencies
+	clock           fleet.Clock
+	node            fleet.NodeID
+	logger          zerolog.Logger
+	events          *eventLog
+	metrics         *metrics
+	life            tomb.Tomb
 
-	holder       *routes.Holder
-	fresh        *routes.Freshness
-	workers      *backends.Registry
-	upstreams    *upstream.Pool
-	budgets      *retryBudgets
-	quotas       *quotas
-	limits       *workerLimits
-	backoffs     *workerBackoffs
-	unknown      *unknownHeaders
-	weights      *weights
-	deliveries   *deliveryState
-	peers        *peer.Peer
-	keeper       *lease.Keeper
-	seeds        *seedList
-	pending      *pendingSends
-	tables       []*table
-	sources      *sources
-	demand       *demandTracker
-	origins      *originTracker
-	silences     *peerFailures
-	pressure     *pressureMonitor
-	readiness    *readiness
-	announcer    *announcer
-	toldVersions *versionReports
-	cacheLog     *cacheLog
-	zoneFeeds    *zoneFeeds
-	crashes      *crashDetector
-	quarantines  *quarantineState
-	suspensions  *suspension.Detector
-	resumptions  *resumptions
-	deadlines    *deadlineTimers
-	// quarantineTable is followed by those that read the store.
+	configuration     *routes.Holder
+	freshness         *routes.Freshness
+	workers           *backends.Registry
+	upstreams         *upstream.Pool
+	budgets           *retryBudgets
+	quotas            *quotas
+	limits            *workerLimits
+	backoffs          *workerBackoffs
+	unknownHeaders    *unknownHeaders
+	rollout           *rolloutState
+	deliveries        *deliveryState
+	peers             *peer.Peer
+	lease             *lease.Keeper
+	seeds             *seedList
+	pending           *pendingSends
+	tables            []*table
+	sources           *sourceSelector
+	demand            *demandTracker
+	origins           *originTracker
+	unresponsivePeers *peerFailures
+	pressure          *pressureMonitor
+	readiness         *readiness
+	announcer         *announcer
+	reportedVersions  *versionReports
+	cacheLog          *cacheLog
+	zoneFeeds         *zoneFeeds
+	crashes           *crashDetector
+	quarantines       *quarantineState
+	suspensions       *suspension.Detector
+	suspensionSignal  *suspensionSignal
+	deadlines         *deadlineTimers
+	// quarantineTable is followed only by nodes that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
-	// sizes and joined are used by assign alone; settled is set once this node knows its role.
-	sizes   membership.SizeHold
-	joined  joinedMembers
-	settled atomic.Bool
-	// versionsSeen belongs to who takes the workers' table in.
-	versionsSeen seenVersions
-	// duty is used by driveRollout alone; standIn is set while this node stands in for
-	// the candidates of the lease.
-	duty    dutyWatch
-	standIn atomic.Bool
+	// groupSizes and join are used by updateRoles alone. roleSettled is set once this node knows
+	// its role.
+	groupSizes  membership.SizeHold
+	join        joinState
+	roleSettled atomic.Bool
+	// softwareVersions is only accessed while the workers table is applied.
+	softwareVersions seenVersions
+	// progress is used by runRollout alone. fallbackCandidate is set while this node is a candidate
+	// for the rollout lease because the regular candidates make no progress.
+	progress          progressMonitor
+	fallbackCandidate atomic.Bool
 
 	splitMutex sync.Mutex
 	splitter   *routes.Splitter
 
-	// workersKnown is set after the first whole list of workers.
+	// workersKnown is set after the first complete list of workers.
 	workersKnown atomic.Bool
-	// stoppingSince is when the planned stop began, in nanoseconds of the steady
-	// clock; 0 before.
+	// stoppingSince is the start of the planned stop in nanoseconds of the steady clock, 0 before
+	// it.
 	stoppingSince atomic.Int64
 	inFlight      atomic.Int64
-	// taken counts the requests since the start.
-	taken atomic.Int64
-	// requiredAt is when requireDue was last called, in nanoseconds of the steady clock.
-	requiredAt  atomic.Int64
-	lastRequest atomic.Int64
-	// lastLimited is when the last request of a tenant with a limit came, in nanoseconds of
-	// the steady clock; 0 before.
-	lastLimited atomic.Int64
+	// requestCount counts the requests since the process started.
+	requestCount atomic.Int64
+	// versionsEnforcedAt is the time of the last enforceDueVersions call, in nanoseconds of the
+	// steady clock.
+	versionsEnforcedAt atomic.Int64
+	lastRequest        atomic.Int64
+	// lastLimitedRequest is the arrival of the last request of a tenant with a limit, in
+	// nanoseconds of the steady clock, 0 before the first one.
+	lastLimitedRequest atomic.Int64
 
-	servers   []*http.Server
-	front     *http.Server
-	idle      *idleConnections
-	listeners []net.Listener
+	servers         []*http.Server
+	front           *http.Server
+	idleConnections *idleConnections
+	listeners       []net.Listener
 }
 
-// New returns a gateway that isn't started.
-func New(settings Settings, outside Outside, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
+// New returns a gateway that has not been started.
+func New(settings Settings, dependencies Dependencies, logger zerolog.Logger, registry *prometheus.Registry) (*Gateway, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	random := func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
-	if outside.Traffic == nil {
-		outside.Traffic = &traffic.Meter{}
+	if dependencies.Traffic == nil {
+		dependencies.Traffic = &traffic.Meter{}
 	}
-	if outside.Clock == nil {
-		outside.Clock = fleet.NewClock()
+	if dependencies.Clock == nil {
+		dependencies.Clock = fleet.NewClock()
 	}
 	holderID := lease.NewHolderID(fleet.NodeID(settings.Node), rand.Uint64())
 	g := &Gateway{
-		outside:  outside,
-		clock:    outside.Clock,
-		node:     fleet.NodeID(holderID),
-		logger:   logger,
-		events:   newEventLog(logger),
-		metrics:  newMetrics(registry, outside.Traffic),
-		holder:   routes.NewHolder(),
-		fresh:    routes.NewFreshness(),
-		splitter: routes.NewSplitter(),
-		seeds:    &seedList{},
-		pending:  newPendingSends(),
-		idle:     newIdleConnections(),
-		demand:   newDemandTracker(),
-		origins:  newOriginTracker(),
-		pressure: &pressureMonitor{},
-		silences: newPeerFailures(),
+		dependencies:      dependencies,
+		clock:             dependencies.Clock,
+		node:              fleet.NodeID(holderID),
+		logger:            logger,
+		events:            newEventLog(logger),
+		metrics:           newMetrics(registry, dependencies.Traffic),
+		configuration:     routes.NewHolder(),
+		freshness:         routes.NewFreshness(),
+		splitter:          routes.NewSplitter(),
+		seeds:             &seedList{},
+		pending:           newPendingSends(),
+		idleConnections:   newIdleConnections(),
+		demand:            newDemandTracker(),
+		origins:           newOriginTracker(),
+		pressure:          &pressureMonitor{},
+		unresponsivePeers: newPeerFailures(),
 
-		readiness:    newReadiness(),
-		announcer:    newAnnouncer(),
-		toldVersions: newVersionReports(),
-		cacheLog:     newCacheLog(rand.Uint64()),
-		zoneFeeds:    newZoneFeeds(),
-		crashes:      newCrashDetector(),
-		quarantines:  newQuarantineState(),
-		resumptions:  newResumptions(),
-		deadlines:    newDeadlineTimers(),
-		limits:       newWorkerLimits(),
-		backoffs:     newWorkerBackoffs(random()),
-		unknown:      &unknownHeaders{},
-		versionsSeen: make(seenVersions),
+		readiness:        newReadiness(),
+		announcer:        newAnnouncer(),
+		reportedVersions: newVersionReports(),
+		cacheLog:         newCacheLog(rand.Uint64()),
+		zoneFeeds:        newZoneFeeds(),
+		crashes:          newCrashDetector(),
+		quarantines:      newQuarantineState(),
+		suspensionSignal: newSuspensionSignal(),
+		deadlines:        newDeadlineTimers(),
+		limits:           newWorkerLimits(),
+		backoffs:         newWorkerBackoffs(random()),
+		unknownHeaders:   &unknownHeaders{},
+		softwareVersions: make(seenVersions),
 	}
-	g.inForce.Store(&settings)
+	g.currentSettings.Store(&settings)
 	g.suspensions = suspension.NewDetector(g.clock, fleet.NewRuntimeClock())
-	g.sources = newSources(g.clock.Now(), relay.Options{
+	g.sources = newSourceSelector(g.clock.Now(), relay.Options{
 		Self: g.node, Random: random(), AwaitRole: settings.FirstStart, StaleAfter: staleAfterFor(settings.RevokeWithin),
 	})
 	g.tables = g.newTables()
@@ -177,36 +178,36 @@
 		Scheduling: schedulingOptions(),
 	})
 	g.upstreams = upstream.NewPool(upstream.Options{
-		Traffic: g.outside.Traffic,
+		Traffic: g.dependencies.Traffic,
 		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
 	g.budgets = newRetryBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
-	g.weights = newWeights(settings)
+	g.rollout = newRolloutState(settings)
 	g.deliveries = newDeliveryState(g.node, settings)
 	var err error
 	if g.peers, err = g.newPeer(random()); err != nil {
 		return nil, err
 	}
-	g.assign(g.clock.Now())
+	g.updateRoles(g.clock.Now())
 	election, err := lease.NewElection(leaseSettings(settings), holderID, random())
 	if err != nil {
 		return nil, errors.Wrap(err, "lease")
 	}
 	election.SetEligible(false)
-	g.keeper = lease.NewKeeper(election, outside.Leases, g.clock, logger)
+	g.lease = lease.NewKeeper(election, dependencies.Leases, g.clock, logger)
 	return g, nil
 }
 
-// Prices of a choice among engines that can take KV cache over from each other:
-// a move must not count as a tie, and what it brings takes the place of other
-// parts, which are read again later.
+// Scheduling costs for engines that can import KV cache from each other. The tie fraction keeps a
+// placement that needs an import from counting as a tie; the import weight accounts for the cached
+// parts that an import evicts.
 const (
 	tieFraction  = 0.02
 	importWeight = 45 * time.Microsecond
 )
 
-// schedulingOptions returns the prices for engines that can import.
+// schedulingOptions returns the scheduling options for engines that can import KV cache.
 func schedulingOptions() scheduling.Options {
 	options := scheduling.DefaultOptions()
 	options.TieFraction = tieFraction
@@ -231,7 +232,7 @@
 		Holder:   config.NewHolder(),
 		Logger:   g.logger,
 		Loads:    g.answerLoad,
-		Traffic:  g.outside.Traffic,
+		Traffic:  g.dependencies.Traffic,
 		Watch:    g.answerWatch,
 		Caches:   g.answerCaches,
 		Limits:   g.answerGrant,
@@ -242,35 +243,35 @@
 	return created, nil
 }
 
-// settings returns the settings in force.
-func (g *Gateway) settings() *Settings { return g.inForce.Load() }
+// settings returns the current settings.
+func (g *Gateway) settings() *Settings { return g.currentSettings.Load() }
 
-// Reload puts other settings in force without a break. Addresses and names stay
-// as they were at the start: a change of these needs a restart, and is refused.
+// Reload replaces the settings while the gateway runs. It returns an error if the settings are
+// invalid or if they change names or addresses, which needs a restart.
 func (g *Gateway) Reload(settings Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
 	}
 	if settings.identity() != g.settings().identity() {
-		return errors.New("names and addresses can't change while the gateway runs")
+		return errors.New("names and addresses can't be reloaded: restart the gateway")
 	}
-	g.inForce.Store(&settings)
-	g.weights.setWithin(settings.WeightsWithin)
+	g.currentSettings.Store(&settings)
+	g.rollout.setBound(settings.UpdateModelsWithin)
 	g.budgets.setSettings(settings)
 	g.logger.Info().Msg("settings_reloaded")
 	return nil
 }
 
-// Node returns the identifier of this run.
+// Node returns the node identifier of this run.
 func (g *Gateway) Node() fleet.NodeID { return g.node }
 
-// Dead is closed when the gateway has ended.
+// Dead returns a channel that is closed when the gateway has ended.
 func (g *Gateway) Dead() <-chan struct{} { return g.life.Dead() }
 
-// Err returns why the gateway has ended.
+// Err returns the reason why the gateway has ended.
 func (g *Gateway) Err() error { return g.life.Err() }
 
-// Start listens and serves.
+// Start opens the listeners and starts serving.
 func (g *Gateway) Start() error {
 	if err := g.listen(); err != nil {
 		return err
@@ -287,13 +288,13 @@
 	g.life.Go(g.followQuarantine)
 	g.peers.Start()
 	g.life.Go(g.watchPeers)
-	g.life.Go(g.driveRoles)
+	g.life.Go(g.maintainRoles)
 	g.life.Go(g.monitorPressure)
 	g.life.Go(g.runRegistration)
 	g.life.Go(g.exchangeLoads)
 	g.life.Go(g.announceLoads)
 	g.life.Go(g.driveUsageExchange)
-	g.life.Go(g.driveRollout)
+	g.life.Go(g.runRollout)
 	g.life.Go(g.runDeliveryDirector)
 	g.life.Go(g.announceDeliveries)
 	g.life.Go(g.announceQuarantine)
@@ -306,16 +307,16 @@
 	return nil
 }
 
-// now returns the time on the steady clock, which counts suspended time.
+// now returns the time on the steady clock, which includes time spent suspended.
 func (g *Gateway) now() time.Duration { return g.clock.Now() }
 
-// stopping tells whether a planned stop has begun.
-func (g *Gateway) stopping() bool { return g.stoppingSince.Load() != 0 }
+// isStopping reports whether a planned stop has begun.
+func (g *Gateway) isStopping() bool { return g.stoppingSince.Load() != 0 }
 
-// context returns a context that ends with the process.
+// context returns a context that is cancelled when the process ends.
 func (g *Gateway) context() context.Context { return g.life.Context(context.Background()) }
 
-// pause waits; it returns false when the process ends.
+// pause sleeps for a duration. It returns false if the process ends first.
 func (g *Gateway) pause(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -327,25 +328,24 @@
 	}
 }
 
-// Intervals of housekeeping.
 const (
-	housekeepInterval = time.Second
-	forgetWorkers     = 20 * time.Second
+	housekeepInterval  = time.Second
+	forgetWorkersAfter = 20 * time.Second
 )
 
-// housekeep drops what is not needed any more.
+// housekeep periodically drops state that is no longer needed and updates gauges.
 func (g *Gateway) housekeep() error {
-	for g.pauseOrRest(housekeepInterval) {
-		for _, engine := range g.workers.Forget(g.now(), forgetWorkers) {
+	for g.pauseInterval(housekeepInterval) {
+		for _, engine := range g.workers.Forget(g.now(), forgetWorkersAfter) {
 			g.upstreams.Forget(engine)
 			g.limits.forget(engine)
 			g.backoffs.forget(engine)
-			g.unknown.forget(engine)
+			g.unknownHeaders.forget(engine)
 		}
 		g.upstreams.Sweep()
 		g.logLimitUsage()
-		g.metrics.backingOff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
-		g.idle.sweep(g.now(), g.idleLimit())
+		g.metrics.workersInBackoff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
+		g.idleConnections.sweep(g.now(), g.idleTimeout())
 		g.crashes.sweep(g.now())
 		g.sweepQuarantines()
 		g.planSubsets(nil)
@@ -354,11 +354,11 @@
 	return nil
 }
 
-// idleLimit returns how long a caller's connection may rest.
-func (g *Gateway) idleLimit() time.Duration {
-	held := g.holder.Current()
-	if held == nil {
+// idleTimeout returns how long a caller's connection may stay idle, 0 for no limit.
+func (g *Gateway) idleTimeout() time.Duration {
+	current := g.configuration.Current()
+	if current == nil {
 		return 0
 	}
-	return held.Table.Limits().IdleTimeout
+	return current.Table.Limits().IdleTimeout
 }
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -175,7 +175,7 @@
 
 // grant grants or denies a request to a worker for any gateway that asks.
 func (g *Gateway) grant(observation workerlimit.Observation, priority int) (workerlimit.Grant, error) {
-	if !g.settled.Load() {
+	if !g.roleSettled.Load() {
 		return workerlimit.Grant{}, errUnsettled
 	}
 	now := g.now()
@@ -200,7 +200,7 @@
 
 // answerGrant handles another gateway's request for a grant.
 func (g *Gateway) answerGrant(_ context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
-	g.noteSuspension()
+	g.checkSuspension()
 	observation, err := decodeLimit(question.GetLimit(), g.now()-grantTimeout, g.now())
 	if err != nil {
 		return nil, err
--- a/internal/gateway/limitpeers.go
+++ b/internal/gateway/limitpeers.go
@@ -94,7 +94,7 @@
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(start, observations)}
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.applyLimits(answer, start)
@@ -125,7 +125,7 @@
 	}
 	observation, err := decodeLimit(limit, start, g.now())
 	if err != nil {
-		g.noteUnreadable("", []Unreadable{{Source: "worker_limit", Key: limit.GetWorker(), Err: err}})
+		g.reportInvalidInput("", []InvalidInput{{Source: "worker_limit", Key: limit.GetWorker(), Err: err}})
 		return
 	}
 	if change := g.limits.observe(observation, false); change != workerlimit.Unchanged {
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -209,7 +209,7 @@
 }
 
 // observeLimit records what an answer to a request states about its worker's limit.
-func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info AnswerInfo) {
+func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info ResponseInfo) {
 	if !hasLimitStatement(info) {
 		return
 	}
@@ -225,7 +225,7 @@
 
 // hasLimitStatement reports whether an answer is a valid statement of the worker about its limit.
 // An answer of another run is not. A rejection may omit the limit, so it doesn't end one.
-func hasLimitStatement(info AnswerInfo) bool {
+func hasLimitStatement(info ResponseInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
 		return !info.Misdirected
@@ -245,7 +245,7 @@
 // logLimitUsage logs the calls to workers with limits since the last call.
 func (g *Gateway) logLimitUsage() {
 	uses := g.limits.takeUsage(g.now())
-	g.metrics.limited.Set(float64(len(uses)))
+	g.metrics.limitedWorkers.Set(float64(len(uses)))
 	for _, use := range uses {
 		line := g.events.line("worker_limit_use").Str("worker", string(use.observation.Worker)).Float64("rate", float64(use.observation.Rate))
 		for _, kind := range []callKind{callRequest, callCacheEvents, callReport, callOrder} {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -24,13 +24,13 @@
 
 func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
-	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
-	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
-	assert.True(t, hasLimitStatement(AnswerInfo{Signed: true}))
-	assert.False(t, hasLimitStatement(AnswerInfo{}), "unsigned answer")
-	assert.False(t, hasLimitStatement(AnswerInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, hasLimitStatement(AnswerInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
+	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
+	assert.True(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
+	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
+	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true}))
+	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned answer")
+	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Signed: true}))
+	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
 
 // Encoding must not make an observation younger than the call that delivered it.
@@ -52,7 +52,7 @@
 
 // Reports must not carry limits while none is known, and must carry the end of one.
 func TestReportsOmitLimitsWhenNoneExist(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.Empty(t, g.loadReport("other").GetLimits())
 	assert.False(t, g.limits.active.Load())
 	g.limits.observe(limitObservation(2, g.now()), true)
@@ -60,7 +60,7 @@
 	require.Len(t, reported, 1)
 	assert.True(t, reported[0].GetLimited())
 
-	other := idleGateway(t)
+	other := newTestGateway(t)
 	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
 	assert.True(t, other.limits.isLimited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
@@ -75,12 +75,12 @@
 
 // A gateway that doesn't know its role yet must not grant: another one may be the granter.
 func TestUnsettledNodeGrantsNothing(t *testing.T) {
-	g := idleGateway(t)
-	g.settled.Store(false)
+	g := newTestGateway(t)
+	g.roleSettled.Store(false)
 	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
 	_, err := g.answerGrant(context.Background(), question)
 	assert.ErrorIs(t, err, errUnsettled)
-	g.settled.Store(true)
+	g.roleSettled.Store(true)
 	answer, err := g.answerGrant(context.Background(), question)
 	require.NoError(t, err)
 	assert.False(t, answer.GetGranted(), "no initial allowance")
@@ -90,8 +90,8 @@
 
 // A granter that knows the end of a limit must override an older observation of the asking gateway.
 func TestGranterKnowsThatALimitHasEnded(t *testing.T) {
-	g := idleGateway(t)
-	g.settled.Store(true)
+	g := newTestGateway(t)
+	g.roleSettled.Store(true)
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
 	g.limits.observe(workerlimit.Observation{Worker: "w", Asked: now - time.Second, Answered: now}, false)
@@ -116,7 +116,7 @@
 // A granter that doesn't answer must be skipped briefly, one that doesn't support grants for
 // longer.
 func TestUnansweredGranterIsSkipped(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	view := largeFleet(20)
 	near := membership.Location{Zone: "z1"}
 	now := 100 * time.Second
@@ -142,7 +142,7 @@
 
 // Two granters for one worker would exceed its limit.
 func TestAllNodesSelectTheSameGranter(t *testing.T) {
-	one, other := idleGateway(t), idleGateway(t)
+	one, other := newTestGateway(t), newTestGateway(t)
 	granters := make(map[fleet.NodeID]bool)
 	for number := range 200 {
 		worker := fleet.EngineID(rune('a' + number))
@@ -155,7 +155,7 @@
 
 // The limit of one run must not apply to the next run of the same name.
 func TestLimitsArePerWorkerRun(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	observation := limitObservation(2, g.now())
 	observation.Born = 100
 	g.limits.observe(observation, false)
@@ -169,13 +169,13 @@
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
 	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 1)
 	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "higher priority opens earlier")
-	g.forgetFormerRun("w")
+	g.forgetPreviousRun("w")
 	assert.False(t, g.limits.isLimited("w", 0))
 }
 
 // A caller that leaves during a call must not make the granter count as unavailable.
 func TestCallerCancellationDoesNotSkipGranter(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	near, view := membership.Location{Zone: "z1"}, largeFleet(20)
 	first := g.limits.selectGranter(g.now(), "w", near, view)
 	cancelled, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -26,7 +26,7 @@
 	// Unknown lists the server's headers about itself that the codec doesn't know.
 	Unknown []string
 	// Unreadable lists the server's headers about itself that couldn't be parsed.
-	Unreadable []Unreadable
+	Unreadable []InvalidInput
 }
 
 // appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
@@ -122,7 +122,7 @@
 func (g *Gateway) logUnknownHeaders(source noticeSource, headers []string) {
 	for _, header := range headers {
 		name := header[:min(len(header), maxHeaderName)]
-		if g.unknown.isFirst(source.worker, name) {
+		if g.unknownHeaders.isFirst(source.worker, name) {
 			g.events.line("unknown_header").Str("worker", string(source.worker)).Str("header", name).Str("call", string(source.kind)).Msg("unknown_header")
 		}
 	}
@@ -146,7 +146,7 @@
 // noteAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
 // answers that are neither signed nor a worker's statement that it did not run the request, since
 // others may not come from the worker.
-func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info AnswerInfo) {
+func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
@@ -170,7 +170,7 @@
 // withNoticesFrom returns a context in which the notices of a worker's answers are handled.
 func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
-		g.noteUnreadable("", notice.Unreadable)
+		g.reportInvalidInput("", notice.Unreadable)
 		g.applyNotice(source, &notice)
 	})
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -17,19 +17,19 @@
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	for _, test := range []struct {
 		name         string
-		info         AnswerInfo
+		info         ResponseInfo
 		wantDraining bool
 	}{
-		{"signed", AnswerInfo{Signed: true}, true},
-		{"rejected", AnswerInfo{NotExecuted: true}, true},
-		{"named", AnswerInfo{Signed: true, Notice: Notice{Instance: "w"}}, true},
-		{"other model version than expected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
-		{"misdirected", AnswerInfo{NotExecuted: true, Notice: Notice{Misdirected: true}}, false},
-		{"another run", AnswerInfo{Signed: true, Notice: Notice{Instance: "other"}}, false},
-		{"without a signature", AnswerInfo{}, false},
+		{"signed", ResponseInfo{Signed: true}, true},
+		{"rejected", ResponseInfo{NotExecuted: true}, true},
+		{"named", ResponseInfo{Signed: true, Notice: Notice{Instance: "w"}}, true},
+		{"other model version than expected", ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Instance: "w"}}, true},
+		{"misdirected", ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true}}, false},
+		{"another run", ResponseInfo{Signed: true, Notice: Notice{Instance: "other"}}, false},
+		{"without a signature", ResponseInfo{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			g := idleGateway(t)
+			g := newTestGateway(t)
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
 			g.noteAnswerNotice(&worker, 0, test.info)
@@ -56,12 +56,12 @@
 // updated while the store is unavailable.
 func TestDrainingNoticeIsForwardedToPeers(t *testing.T) {
 	worker := backends.Worker{ID: "w", Born: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	sender, receiver := idleGateway(t), idleGateway(t)
+	sender, receiver := newTestGateway(t), newTestGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, worker)
 	}
 	assert.Empty(t, sender.loadReport("other").GetDraining())
-	sender.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
+	sender.noteAnswerNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := sender.loadReport("other")
 	receiver.applyLoadReport(report)
 	assert.True(t, receiver.workers.Draining("w"))
@@ -79,9 +79,9 @@
 // TestBackoffsAreSharedWithinAZone guards against applying a backoff reported from another zone: a
 // worker may reject the requests of a single zone.
 func TestBackoffsAreSharedWithinAZone(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
+	g.noteAnswerNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
 	assert.Equal(t, []string{"w"}, report.GetDeferring())
 	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringWorkers(report))
@@ -92,15 +92,15 @@
 // TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the answer to an
 // earlier request, or by an answer that isn't the worker's own.
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, AnswerInfo{Notice: Notice{RetryAfter: time.Hour}})
+	g.noteAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
 	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
 	asked := g.now()
-	g.noteAnswerNotice(&worker, asked, AnswerInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
-	g.noteAnswerNotice(&worker, asked-time.Millisecond, AnswerInfo{Signed: true})
-	g.noteAnswerNotice(&worker, asked+time.Minute, AnswerInfo{Signed: true, Notice: Notice{Misdirected: true}})
+	g.noteAnswerNotice(&worker, asked, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
+	g.noteAnswerNotice(&worker, asked-time.Millisecond, ResponseInfo{Signed: true})
+	g.noteAnswerNotice(&worker, asked+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
-	g.forgetFormerRun("w")
+	g.forgetPreviousRun("w")
 	assert.NoError(t, g.permitWorker(&worker), "the former run has ended")
 }
--- a/internal/gateway/peerfailures.go
+++ b/internal/gateway/peerfailures.go
@@ -41,7 +41,7 @@
 // answers again, this node's reports to its watchers list it, so that idle nodes stop directing
 // callers to it before the membership's gossip has spread its failure.
 func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
-	if g.silences.record(node, answered) && !g.stopping() {
+	if g.unresponsivePeers.record(node, answered) && !g.isStopping() {
 		g.origins.setPressure(g.now(), node, pressureUnreachable)
 		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
 	}
--- a/internal/gateway/peerfailures_test.go
+++ b/internal/gateway/peerfailures_test.go
@@ -28,7 +28,7 @@
 // TestCallersAreNotDirectedToAnUnreachableNode guards against idle nodes that direct callers to a
 // node which no longer answers its peers but is still alive in the membership.
 func TestCallersAreNotDirectedToAnUnreachableNode(t *testing.T) {
-	g, watcher := idleGateway(t), idleGateway(t)
+	g, watcher := newTestGateway(t), newTestGateway(t)
 	lost := membership.Member{Node: "lost", State: membership.Alive}
 	g.noteExchange(lost.Node, false)
 	assert.False(t, g.origins.isUnreachable(g.now(), lost.Node))
@@ -38,7 +38,7 @@
 	_, pressures := g.originReport(g.now())
 	watcher.applyOriginReport(watcher.now(), nil, pressures)
 	assert.True(t, watcher.origins.isUnreachable(watcher.now(), lost.Node))
-	assert.False(t, watcher.reachable(lost))
+	assert.False(t, watcher.isReachable(lost))
 	assert.False(t, watcher.origins.isUnreachable(watcher.now()+rateLifetime+time.Second, lost.Node), "a report that isn't renewed expires")
 	g.applyLoadReport(&rpc.LoadReport{Node: "lost"})
 	assert.False(t, g.origins.isUnreachable(g.now(), lost.Node), "it has reported again")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -48,13 +48,13 @@
 func (g *Gateway) runRegistration() error {
 	registered := false
 	for {
-		reading := g.settled.Load() && g.roles.Load().reader
+		reading := g.roleSettled.Load() && g.roles.Load().isReader
 		alone := g.memberCount() == 1
-		if reading || (alone && g.now() >= joinGrace) {
+		if reading || (alone && g.now() >= joinGracePeriod) {
 			registered = g.registerAndReadSeeds(registered)
 		}
 		interval := seedRefreshInterval
-		if alone || !g.settled.Load() || (reading && !registered) {
+		if alone || !g.roleSettled.Load() || (reading && !registered) {
 			interval = seedRetryInterval
 		}
 		if !g.pause(interval) {
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(g.context(), 2*time.Second)
 	defer cancel()
 	if !registered {
-		err := g.outside.Platform.RegisterNode(ctx, Node{
+		err := g.dependencies.Store.RegisterNode(ctx, Node{
 			Name:    g.settings().Node,
 			Address: fleet.Address(g.settings().PeerAddress),
 			Zone:    g.settings().Zone,
@@ -85,12 +85,12 @@
 }
 
 func (g *Gateway) readSeeds(ctx context.Context) {
-	nodes, unreadable, err := g.outside.Platform.ReadNodes(ctx)
+	nodes, unreadable, err := g.dependencies.Store.ReadNodes(ctx)
 	if err != nil {
 		g.events.line("nodes_unread").Err(err).Msg("nodes_unread")
 		return
 	}
-	g.noteUnreadable("", unreadable)
+	g.reportInvalidInput("", unreadable)
 	var addresses []fleet.Address
 	for _, node := range nodes {
 		if node.Address != fleet.Address(g.settings().PeerAddress) {
@@ -104,7 +104,7 @@
 // them in each round while they are few, otherwise with some in rotation.
 func (g *Gateway) exchangeLoads() error {
 	known := make(map[fleet.NodeID]bool)
-	for round := 0; g.pauseOrRest(loadExchangeInterval); round++ {
+	for round := 0; g.pauseInterval(loadExchangeInterval); round++ {
 		peers := g.loadPeers()
 		present := make(map[fleet.NodeID]bool, len(peers))
 		for _, member := range peers {
@@ -119,8 +119,8 @@
 			if !present[node] {
 				g.workers.ForgetPeer(node)
 				g.demand.forget(node)
-				g.silences.forget(node)
-				g.toldVersions.forget(node)
+				g.unresponsivePeers.forget(node)
+				g.reportedVersions.forget(node)
 			}
 		}
 		known = present
@@ -151,7 +151,7 @@
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
 	g.noteExchange(member.Node, err == nil)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.applyLoadReport(report)
@@ -218,7 +218,7 @@
 	for _, suspect := range g.workers.Suspects(now) {
 		report.Suspects = append(report.Suspects, string(suspect))
 	}
-	for id, remaining := range g.weights.underOrder(now) {
+	for id, remaining := range g.rollout.cordonedEngines(now) {
 		report.Orders = append(report.Orders, &rpc.WorkerOrder{
 			Worker: string(id), RemainingMillis: uint32(remaining.Milliseconds()),
 		})
@@ -229,14 +229,14 @@
 	for _, run := range g.workers.DrainingUnlisted() {
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
 	}
-	if _, holds := g.keeper.Fence(); holds {
+	if _, holds := g.lease.Fence(); holds {
 		report.Weights = g.dueVersions(now, to)
 	}
 	g.quotas.writeReport(now, report, to)
 	g.deliveries.writeReport(now, report, to)
 	g.quarantines.writeReport(now, report)
-	if held := g.holder.Current(); held != nil {
-		if age, proven := g.fresh.Age(now); proven && age < g.settings().RevokeWithin {
+	if held := g.configuration.Current(); held != nil {
+		if age, proven := g.freshness.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
 			report.ProofRevision = uint64(held.Revision)
 		}
@@ -247,7 +247,7 @@
 // namedVersions returns the newest model versions with the time since each was named.
 func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
-	for model, namings := range g.weights.heard() {
+	for model, namings := range g.rollout.recentVersions() {
 		for _, naming := range namings {
 			named = append(named, &rpc.NamedVersion{
 				Model: string(model), Version: naming.Version, AgeMillis: uint32(max(now-naming.At, 0).Milliseconds()),
@@ -262,7 +262,7 @@
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
-		g.weights.learn(at, fleet.ModelName(version.GetModel()), version.GetVersion())
+		g.rollout.recordPeerVersion(at, fleet.ModelName(version.GetModel()), version.GetVersion())
 	}
 }
 
@@ -275,7 +275,7 @@
 			present = append(present, engineVersion{engineModel{worker.ID, model}, uint64(version)})
 		}
 	}
-	due := g.toldVersions.due(now, to, present)
+	due := g.reportedVersions.due(now, to, present)
 	encoded := make([]*rpc.WorkerWeights, 0, len(due))
 	for _, version := range due {
 		encoded = append(encoded, &rpc.WorkerWeights{
@@ -324,10 +324,10 @@
 // call that began at start, and its configuration is not newer than the one held here, then this
 // configuration was current at start-a.
 func (g *Gateway) applyProof(start time.Duration, report *rpc.LoadReport) {
-	held := g.holder.Current()
+	held := g.configuration.Current()
 	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
 		return
 	}
-	g.fresh.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
-	g.noteKnown()
+	g.freshness.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
+	g.updateReadiness()
 }
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -86,7 +86,7 @@
 // cacheStore returns the KV cache store for a request's prompt, or nil if none is configured. It
 // uses rendezvous hashing, so all nodes choose the same store for the same prefix.
 func (g *Gateway) cacheStore(current *callerRequest) *routes.Service {
-	snapshot := g.holder.Current()
+	snapshot := g.configuration.Current()
 	if snapshot == nil {
 		return nil
 	}
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -95,7 +95,7 @@
 
 // monitorPressure measures resource usage until the process ends.
 func (g *Gateway) monitorPressure() error {
-	for g.pauseOrRest(g.pressureSampleInterval()) {
+	for g.pauseInterval(g.pressureSampleInterval()) {
 		used, err := g.measureUsage()
 		if err != nil {
 			g.events.line("usage_unread").Err(err).Msg("usage_unread")
@@ -108,7 +108,7 @@
 
 // pressureSampleInterval returns the time until the next measurement.
 func (g *Gateway) pressureSampleInterval() time.Duration {
-	if g.resting() {
+	if g.isIdle() {
 		return pressureIdleInterval
 	}
 	return pressureInterval
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -57,13 +57,13 @@
 // TestNodeUnderPressureGetsFewerCallers guards against planning a node under pressure at its full
 // capacity, and against reports that are outdated or have expired.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	assert.Empty(t, g.origins.capacityWeights(0))
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
 	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
-	g.assign(now)
-	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().weights["other"])
+	g.updateRoles(now)
+	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().pressureWeights["other"])
 	_, pressures := g.originReport(now)
 	require.Len(t, pressures, 1)
 	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
@@ -80,13 +80,13 @@
 // TestOwnPressureIsReported guards against a node that doesn't report its own pressure to peers and
 // watchers.
 func TestOwnPressureIsReported(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	settings := *g.settings()
 	settings.Limits = nodecapacity.Limits{MemoryMB: 100}
 	require.NoError(t, g.Reload(settings))
 	g.recordUsage(g.now(), resourceUsage{memory: 99 * bytesPerMB})
 	assert.EqualValues(t, nodecapacity.Full, g.loadReport("other").GetPressure())
-	response, _ := g.watchResponse(&rpc.WatchRequest{})
+	response, _ := g.buildWatchResponse(&rpc.WatchRequest{})
 	require.Len(t, response.GetPressures(), 1)
 	assert.EqualValues(t, g.node, response.GetPressures()[0].GetNode())
 }
@@ -196,7 +196,7 @@
 // TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to nodes before this node
 // has a configuration.
 func TestDirectoryIsEmptyBeforeTheNodeIsReady(t *testing.T) {
-	g := idleGateway(t)
-	g.settled.Store(true)
+	g := newTestGateway(t)
+	g.roleSettled.Store(true)
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{Zone: "z0"}), "no configuration yet")
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -210,7 +210,7 @@
 	if g.workers.Draining(worker) {
 		return
 	}
-	g.metrics.lostRuns.Add(float64(len(fingerprints)))
+	g.metrics.runsEndedWithWorker.Add(float64(len(fingerprints)))
 	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", shortFingerprints(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -23,7 +23,7 @@
 
 // quarantineStore is a store with quarantine rows alone.
 type quarantineStore struct {
-	Platform
+	Store
 	rows    map[quarantine.Fingerprint]QuarantineRow
 	version fleet.Revision
 	failed  error
@@ -61,14 +61,14 @@
 	return nil
 }
 
-func (s *quarantineStore) DecodeQuarantine([]watchcache.Row) ([]QuarantineRow, []Unreadable) {
+func (s *quarantineStore) DecodeQuarantine([]watchcache.Row) ([]QuarantineRow, []InvalidInput) {
 	return nil, nil
 }
 
 // quarantineGateway returns a gateway with a store. It isn't started.
 func quarantineGateway(t *testing.T, store *quarantineStore) *Gateway {
-	g := idleGateway(t)
-	g.outside.Platform = store
+	g := newTestGateway(t)
+	g.dependencies.Store = store
 	return g
 }
 
@@ -183,7 +183,7 @@
 	g := quarantineGateway(t, newQuarantineStore())
 	current := heldRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
-	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Gone: true}
+	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Deleted: true}
 	g.applyQuarantineRow(&gone)
 	assert.NotNil(t, g.checkQuarantine(current), "no row known yet")
 	g.applyQuarantineRow(&row)
@@ -250,9 +250,9 @@
 	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
 	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
-	watched, _ := one.watchResponse(&rpc.WatchRequest{})
+	watched, _ := one.buildWatchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
-	watched, _ = one.watchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
+	watched, _ = one.buildWatchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
@@ -295,7 +295,7 @@
 		worker.Draining = draining
 		g.workers.Observe(1, worker)
 		g.crashes.recordLoss(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
-		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
+		g.handleWorkerChange(worker, g.workers.ObserveGone(g.now(), 2, "w"))
 		_, recorded := g.quarantines.record(quarantine.Fingerprint{1})
 		assert.Equal(t, !draining, recorded)
 	}
--- a/internal/gateway/quarantinepeers.go
+++ b/internal/gateway/quarantinepeers.go
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Quarantine, member), quarantineCallTimeout)
 		defer cancel()
 		if _, err := g.peers.ExchangeLoad(ctx, member.Address, report); err != nil {
-			g.metrics.shareFailures.Inc()
+			g.metrics.peerFailures.Inc()
 		}
 	})
 }
@@ -132,7 +132,7 @@
 	for _, message := range encoded {
 		record, err := decodeQuarantineRecord(now, message)
 		if err != nil {
-			g.noteUnreadable("", []Unreadable{{Source: "quarantine_record", Err: err}})
+			g.reportInvalidInput("", []InvalidInput{{Source: "quarantine_record", Err: err}})
 			continue
 		}
 		g.handleQuarantineChange(record.Fingerprint, "peer", g.quarantines.merge(now, &record))
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -36,14 +36,14 @@
 // that don't read the store receive records from their peers instead of rows.
 func (g *Gateway) newQuarantineTable() *table {
 	return &table{
-		name:   TableQuarantine,
-		cache:  watchcache.New(0),
-		wait:   quarantineWatchWait,
-		pause:  workersPause,
-		take:   g.applyQuarantineRows,
-		whole:  g.applyQuarantineSnapshot,
-		taken:  func() {},
-		proven: func(time.Duration) {},
+		name:       TableQuarantine,
+		cache:      watchcache.New(0),
+		maxWait:    quarantineWatchWait,
+		pause:      workersPause,
+		applyRows:  g.applyQuarantineRows,
+		onSnapshot: g.applyQuarantineSnapshot,
+		onApplied:  func() {},
+		onProof:    func(time.Duration) {},
 	}
 }
 
@@ -52,7 +52,7 @@
 // records from a peer shortly after.
 func (g *Gateway) followQuarantine() error {
 	select {
-	case <-g.readiness.known:
+	case <-g.readiness.ready:
 		return g.followStore(g.quarantineTable)
 	case <-g.life.Dying():
 		return nil
@@ -61,8 +61,8 @@
 
 // applyQuarantineRows applies changed rows.
 func (g *Gateway) applyQuarantineRows(rows []watchcache.Row, _ gap) {
-	decoded, unreadable := g.outside.Platform.DecodeQuarantine(rows)
-	g.noteUnreadable("", unreadable)
+	decoded, unreadable := g.dependencies.Store.DecodeQuarantine(rows)
+	g.reportInvalidInput("", unreadable)
 	for index := range decoded {
 		g.applyQuarantineRow(&decoded[index])
 	}
@@ -76,7 +76,7 @@
 		present[row.Key] = true
 	}
 	for _, missing := range g.quarantines.missingFrom(update.Revision, present) {
-		g.applyQuarantineRow(&QuarantineRow{Fingerprint: missing, Gone: true})
+		g.applyQuarantineRow(&QuarantineRow{Fingerprint: missing, Deleted: true})
 	}
 }
 
@@ -98,7 +98,7 @@
 // now. A removed row ends the quarantine: the request was answered, or an operator removed it.
 func (g *Gateway) applyQuarantineRow(row *QuarantineRow) {
 	now := g.now()
-	if row.Gone {
+	if row.Deleted {
 		if g.quarantines.deleteStored(row.Fingerprint) {
 			g.handleQuarantineChange(row.Fingerprint, "row_removed", g.quarantines.release(now, row.Fingerprint))
 		}
@@ -191,8 +191,8 @@
 		case <-g.life.Dying():
 			return nil
 		}
-		_, isLeader := g.keeper.Fence()
-		isReader, _ := g.sources.reads()
+		_, isLeader := g.lease.Fence()
+		isReader, _ := g.sources.readsStore()
 		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
 		g.applyStoreChanges(&changes)
 	}
@@ -212,7 +212,7 @@
 func (g *Gateway) writeQuarantine(row QuarantineRow) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
+	stored, err := g.dependencies.Store.WriteQuarantine(ctx, row, g.quarantines.storedVersion(row.Fingerprint))
 	switch {
 	case err == nil:
 		g.quarantines.setStored(&stored)
@@ -231,7 +231,7 @@
 func (g *Gateway) removeQuarantine(fingerprint quarantine.Fingerprint) {
 	ctx, cancel := context.WithTimeout(g.context(), deliveryCallTimeout)
 	defer cancel()
-	err := g.outside.Platform.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
+	err := g.dependencies.Store.RemoveQuarantine(ctx, fingerprint, g.quarantines.storedVersion(fingerprint))
 	if err == nil || errors.Is(err, platform.ErrConflict) {
 		g.quarantines.deleteStored(fingerprint)
 	}
@@ -253,9 +253,9 @@
 	defer cancel()
 	row := rowFromRecord(&record, verdict.Ends)
 	row.Trials = verdict.Trials + 1
-	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
+	stored, err := g.dependencies.Store.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
-		stored, err = g.outside.Platform.WriteQuarantine(ctx, row, stored.Version)
+		stored, err = g.dependencies.Store.WriteQuarantine(ctx, row, stored.Version)
 	}
 	line := g.logger.Warn().Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).Int("trial", row.Trials)
 	if err != nil {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -174,8 +174,8 @@
 	if current.tenant == nil || current.tenant.Quota == nil {
 		return nil
 	}
-	g.lastLimited.Store(int64(g.now()))
-	cost := current.tenant.Quota.Cost(current.metadata.PromptTokens, current.metadata.OutputTokens, current.metadata.TokensNamed)
+	g.lastLimitedRequest.Store(int64(g.now()))
+	cost := current.tenant.Quota.Cost(current.metadata.PromptTokens, current.metadata.OutputTokens, current.metadata.HasTokenCounts)
 	decision := g.quotas.admit(g.now(), current.tenant.Name, cost)
 	tenant := string(current.tenant.Name)
 	if decision.Admitted {
@@ -227,8 +227,8 @@
 
 // pauseForUsage waits until usage is to be checked again. It returns false when the process ends.
 func (g *Gateway) pauseForUsage() bool {
-	if g.holder.Current() != nil && g.quotas.isUnlimited() {
-		return g.pauseOrRest(unlimitedInterval)
+	if g.configuration.Current() != nil && g.quotas.isUnlimited() {
+		return g.pauseInterval(unlimitedInterval)
 	}
 	return g.pause(quota.NearInterval)
 }
@@ -260,7 +260,7 @@
 	if peers := g.loadPeers(); len(peers) > 0 {
 		return peers
 	}
-	last := time.Duration(g.lastLimited.Load())
+	last := time.Duration(g.lastLimitedRequest.Load())
 	if last == 0 || g.now() > last+usageReportPeriod {
 		return nil
 	}
@@ -278,7 +278,7 @@
 	g.quotas.writeReport(g.now(), report, member.Node)
 	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
-		g.metrics.shareFailures.Inc()
+		g.metrics.peerFailures.Inc()
 		return
 	}
 	g.quotas.applyReport(g.now(), answer)
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -13,12 +13,12 @@
 // TestNonServingNodeReportsUsageOnlyForTenantsWithQuota guards against usage exchanges that requests
 // of tenants without a quota would cause.
 func TestNonServingNodeReportsUsageOnlyForTenantsWithQuota(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	require.False(t, g.serves())
+	require.False(t, g.isServing())
 	require.Empty(t, g.loadPeers())
 	request := func(tenant *routes.Tenant) *callerRequest {
-		g.taken.Add(1)
+		g.requestCount.Add(1)
 		g.lastRequest.Store(int64(g.now()))
 		return &callerRequest{request: httptest.NewRequest("GET", "/", nil), tenant: tenant}
 	}
@@ -29,6 +29,6 @@
 	limited := &routes.Tenant{Name: "limited", Quota: &routes.Quota{}}
 	g.chargeQuota(request(limited))
 	assert.Equal(t, g.roles.Load().Serving, g.usagePeers())
-	g.lastLimited.Store(int64(g.now() - usageReportPeriod - 1))
+	g.lastLimitedRequest.Store(int64(g.now() - usageReportPeriod - 1))
 	assert.Empty(t, g.usagePeers())
 }
--- a/internal/gateway/retrybudgets.go
+++ b/internal/gateway/retrybudgets.go
@@ -41,7 +41,7 @@
 // retryShare returns this node's share of the slack.
 func (g *Gateway) retryShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
-	if g.serves() {
+	if g.isServing() {
 		return servingSlackFraction / float64(max(serving, minSlackSharers))
 	}
 	return idleSlackFraction / float64(max(members-serving, minSlackSharers))
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -19,19 +19,19 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// idleGateway returns a gateway that isn't started and has nothing outside.
-func idleGateway(t testing.TB) *Gateway {
+// newTestGateway returns a gateway that isn't started and has no dependencies.
+func newTestGateway(t testing.TB) *Gateway {
 	settings := Settings{
 		Node: "node-000", Zone: "z0", FrontAddress: "127.0.0.1:1", DirectoryAddress: "127.0.0.1:2",
 		ReadyAddress: "127.0.0.1:3", PeerAddress: "127.0.0.1:4", StoreAddress: "127.0.0.1:5",
 	}
 	settings.ApplyDefaults()
-	g, err := New(settings, Outside{}, zerolog.Nop(), prometheus.NewRegistry())
+	g, err := New(settings, Dependencies{}, zerolog.Nop(), prometheus.NewRegistry())
 	require.NoError(t, err)
 	return g
 }
 
-// largeFleet returns a view of a fleet in which small members are far from serving.
+// largeFleet returns a view of a fleet whose small members aren't serving.
 func largeFleet(members int) *membership.View {
 	all := make([]membership.Member, members)
 	for number := range all {
@@ -47,102 +47,102 @@
 }
 
 func TestRolesAreDerivedOnlyWhenMembersOrDemandChange(t *testing.T) {
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	derived := g.roles.Load()
 	require.NotNil(t, derived)
-	g.assign(time.Second)
-	assert.Same(t, derived, g.roles.Load(), "nothing has changed")
+	g.updateRoles(time.Second)
+	assert.Same(t, derived, g.roles.Load(), "neither members nor demand changed")
 	for range 1000 {
 		g.demand.countRequest()
 	}
 	g.demand.measure(2 * time.Second)
 	g.demand.setSharing(true)
-	g.assign(2 * time.Second)
-	assert.NotSame(t, derived, g.roles.Load(), "the demand has changed")
+	g.updateRoles(2 * time.Second)
+	assert.NotSame(t, derived, g.roles.Load(), "demand changed")
 }
 
 func TestLoadsAreSharedAmongServingNodesAndCandidates(t *testing.T) {
 	view := largeFleet(195)
 	all := membership.Assign(view, 100, membership.RoleOptions{})
 	candidates := all.Candidates(rolloutLease)
-	sharing := 0
+	sharingCount := 0
 	for _, member := range view.Members() {
 		roles := deriveRoles(member.Node, member.Zone, view, 100, false)
 		if !roles.sharesLoads {
 			assert.Empty(t, roles.loadPeers)
 			continue
 		}
-		sharing++
+		sharingCount++
 		assert.Len(t, roles.loadPeers, membership.DefaultMinServing+len(candidates)-1)
 		for _, peer := range roles.loadPeers {
 			assert.NotEqual(t, member.Node, peer.Node)
 		}
 	}
-	assert.Equal(t, membership.DefaultMinServing+len(candidates), sharing)
+	assert.Equal(t, membership.DefaultMinServing+len(candidates), sharingCount)
 }
 
-func TestNodeAtRestLooksSeldomAtTheRollout(t *testing.T) {
-	g := idleGateway(t)
-	assert.Equal(t, rolloutInterval, g.rolloutPause(), "alone it serves")
+func TestIdleNodeChecksRolloutLessOften(t *testing.T) {
+	g := newTestGateway(t)
+	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval(), "a single node serves")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().sharesLoads)
-	assert.Equal(t, rolloutRest, g.rolloutPause())
+	assert.Equal(t, idleRolloutInterval, g.rolloutCheckInterval())
 	g.inFlight.Store(1)
-	assert.Equal(t, rolloutInterval, g.rolloutPause())
-	assert.Less(t, rolloutRest+staleVersionMargin, requireReserve)
+	assert.Equal(t, rolloutInterval, g.rolloutCheckInterval())
+	assert.Less(t, idleRolloutInterval+staleVersionMargin, enforceReserve)
 }
 
-// TestRequestAtRestIsPlacedByTheVersionsThatAreDue places a request between two
-// looks at the roll-out.
-func TestRequestAtRestIsPlacedByTheVersionsThatAreDue(t *testing.T) {
-	g := idleGateway(t)
+// TestRequestAtIdleNodeUsesDueVersions guards against placing a request on an outdated engine
+// between two checks of the rollout.
+func TestRequestAtIdleNodeUsesDueVersions(t *testing.T) {
+	g := newTestGateway(t)
 	g.workers.Observe(1, backends.Worker{
 		ID: "engine", Service: "pool", Address: "127.0.0.1:9", Slots: 1,
 		Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
 	})
-	require.True(t, g.weights.name(0, true, NamedWeights{Model: "model", Version: 2}))
+	require.True(t, g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2}))
 	request := &backends.Request{Service: "pool", Engine: &backends.EngineRequest{Model: "model", PromptTokens: 10}}
-	g.requireDueSoon(rolloutInterval)
+	g.refreshDueVersions(rolloutInterval)
 	placement, reason := g.workers.Choose(rolloutInterval, request)
 	require.NotNil(t, placement, reason)
 	placement.End(rolloutInterval, backends.Cancelled)
-	due := g.settings().WeightsWithin
-	g.requireDueSoon(due)
+	due := g.settings().UpdateModelsWithin
+	g.refreshDueVersions(due)
 	_, reason = g.workers.Choose(due, request)
 	assert.Equal(t, backends.ReasonVersion, reason.Reason)
 }
 
-func TestOnlyChangedRowsAreNews(t *testing.T) {
-	assert.False(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Table: "workers"}, {Table: "operator"}}}))
-	assert.True(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Rows: []*rpc.TableRow{{Key: "a"}}}}}))
-	assert.True(t, news(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
+func TestOnlyRowsCountAsChanges(t *testing.T) {
+	assert.False(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Table: "workers"}, {Table: "operator"}}}))
+	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{Rows: []*rpc.TableRow{{Key: "a"}}}}}))
+	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
 }
 
-// TestNodeAsksSeldomerWhileNobodyKnowsMore bounds what a large fleet asks its readers
-// while the store is out of everybody's reach.
-func TestNodeAsksSeldomerWhileNobodyKnowsMore(t *testing.T) {
-	g := idleGateway(t)
-	useless := 0
+// TestWatchBacksOffAfterFailures guards against a large fleet flooding its readers while no node
+// can reach the store.
+func TestWatchBacksOffAfterFailures(t *testing.T) {
+	g := newTestGateway(t)
+	failures := 0
 	for range 20 {
-		useless = watchUseless.countUseless(useless)
+		failures = watchFailed.countFailures(failures)
 	}
-	assert.Equal(t, watchRetry, g.watchPause(watchUseless, 1))
-	assert.Equal(t, watchRetryMax, g.watchPause(watchUseless, useless))
-	assert.Zero(t, watchQuiet.countUseless(useless))
-	assert.Zero(t, g.watchPause(watchNews, 0), "callers are sent here")
+	assert.Equal(t, watchRetry, g.watchPause(watchFailed, 1))
+	assert.Equal(t, watchRetryMax, g.watchPause(watchFailed, failures))
+	assert.Zero(t, watchUnchanged.countFailures(failures))
+	assert.Zero(t, g.watchPause(watchChanged, 0), "node is serving")
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
-	assert.Equal(t, watchGather, g.watchPause(watchNews, 0))
-	assert.Zero(t, g.watchPause(watchQuiet, 0))
+	assert.Equal(t, watchBatchDelay, g.watchPause(watchChanged, 0))
+	assert.Zero(t, g.watchPause(watchUnchanged, 0))
 }
 
-// TestNodeThatDoesNotKnowItsRoleClaimsLittle has a node that has just started, and knows
-// itself alone, follow few caches and not name itself to callers.
-func TestNodeThatDoesNotKnowItsRoleClaimsLittle(t *testing.T) {
+// TestNodeWithoutSettledRoleFollowsFewCaches guards against a starting node that knows no other
+// member following all caches and returning itself from the directory.
+func TestNodeWithoutSettledRoleFollowsFewCaches(t *testing.T) {
 	const engines = 2*cachesPerRequest + 1
-	g := idleGateway(t)
+	g := newTestGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.configuration.Offer(0, 1, compiled))
 	for number := range engines {
 		g.workers.Observe(1, backends.Worker{
 			ID: fleet.EngineID(fmt.Sprint("engine-", number)), Service: "pool", Address: "127.0.0.1:9",
@@ -150,36 +150,36 @@
 		})
 	}
 	g.workersKnown.Store(true)
-	g.settled.Store(false)
-	assert.Empty(t, present(g))
+	g.roleSettled.Store(false)
+	assert.Empty(t, followedCaches(g))
 	assert.Empty(t, g.frontAddresses(ResolutionQuery{}))
-	g.taken.Store(1)
-	assert.Empty(t, present(g))
-	g.taken.Store(2)
-	assert.Len(t, present(g), engines, "callers come all the same")
-	g.taken.Store(0)
-	g.settled.Store(true)
-	assert.Len(t, present(g), engines)
+	g.requestCount.Store(1)
+	assert.Empty(t, followedCaches(g))
+	g.requestCount.Store(2)
+	assert.Len(t, followedCaches(g), engines, "node receives requests")
+	g.requestCount.Store(0)
+	g.roleSettled.Store(true)
+	assert.Len(t, followedCaches(g), engines)
 	assert.Len(t, g.frontAddresses(ResolutionQuery{}), 1)
 }
 
-// TestNodeThatKnowsTheTablesAsksNoMoreOfTheStore has a fleet start before its operator
-// has written a configuration.
-func TestNodeThatKnowsTheTablesAsksNoMoreOfTheStore(t *testing.T) {
-	g := idleGateway(t)
-	g.sources = newSources(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
+// TestNodeWithTablesStopsReadingStore guards against a fleet without a configuration reading the
+// store from every node.
+func TestNodeWithTablesStopsReadingStore(t *testing.T) {
+	g := newTestGateway(t)
+	g.sources = newSourceSelector(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
 	g.sources.setRole(0, sourceRole{order: []fleet.NodeID{"other"}})
-	reading, _ := g.sources.reads()
+	reading, _ := g.sources.readsStore()
 	require.True(t, reading)
 	g.workersKnown.Store(true)
-	g.fresh.Prove(0)
-	g.noteKnown()
-	reading, _ = g.sources.reads()
+	g.freshness.Prove(0)
+	g.updateReadiness()
+	reading, _ = g.sources.readsStore()
 	assert.False(t, reading)
-	assert.False(t, g.ready())
+	assert.False(t, g.isReady())
 }
 
-// BenchmarkDeriveRoles measures deriving the roles anew, by the number of members.
+// BenchmarkDeriveRoles measures deriving the roles by the number of members.
 func BenchmarkDeriveRoles(b *testing.B) {
 	for _, members := range []int{8, 79, 195, 680} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
@@ -191,25 +191,25 @@
 	}
 }
 
-// TestNodeThatHasJustStartedPlansByEqualParts has the first rates that it hears come from one
-// place alone.
-func TestNodeThatHasJustStartedPlansByEqualParts(t *testing.T) {
-	g := idleGateway(t)
+// TestStartingNodePlansWithoutOrigins guards against planning by the first reported rates, which
+// come from a single location.
+func TestStartingNodePlansWithoutOrigins(t *testing.T) {
+	g := newTestGateway(t)
 	g.demand.setSharing(true)
 	first := func(now time.Duration) membership.RoleOptions {
 		g.demand.setPeerRate(now, g.node, 100)
 		return g.roleOptions(now, 100, g.roles.Load())
 	}
-	for now := time.Duration(0); now < planAfter; now += rolesInterval {
+	for now := time.Duration(0); now < planningDelay; now += rolesInterval {
 		options := first(now)
 		require.Empty(t, options.Origins)
 		require.Empty(t, options.Least)
 	}
-	assert.NotEmpty(t, first(planAfter).Origins)
+	assert.NotEmpty(t, first(planningDelay).Origins)
 }
 
-// present returns the caches that a gateway follows itself.
-func present(g *Gateway) map[followedCache]bool {
+// followedCaches returns the caches that a gateway follows itself.
+func followedCaches(g *Gateway) map[followedCache]bool {
 	caches, _ := g.selectCaches()
 	return caches
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -12,42 +12,42 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// driveRollout requires new versions when they are due and, while this node
-// holds the lease, changes the engines.
-func (g *Gateway) driveRollout() error {
-	var orderFrom time.Duration
-	var finished rolloutMark
-	held := false
-	for g.pauseOrRest(g.rolloutPause()) {
+// runRollout enforces new model versions when they are due and, while this node holds the lease,
+// updates the engines.
+func (g *Gateway) runRollout() error {
+	var firstOrderAt time.Duration
+	var upToDate rolloutGeneration
+	wasHolder := false
+	for g.pauseInterval(g.rolloutCheckInterval()) {
 		now := g.now()
-		if age, proven := g.fresh.Age(now); proven && age > storeLostAfter {
-			g.weights.hold(now)
+		if age, proven := g.freshness.Age(now); proven && age > storeLostAfter {
+			g.rollout.postpone(now)
 		}
-		g.requireDue(now)
-		g.pending.cancelStale(g.weights.due(now, staleVersionMargin))
-		g.noteStandIn(now)
-		g.keeper.SetEligible(g.rolloutCandidate())
-		token, holds := g.keeper.Fence()
-		if holds && !held {
-			orderFrom = now + g.orderDelay(token)
-			g.logger.Info().Uint64("token", uint64(token)).Dur("order_delay", orderFrom-now).Msg("rollout_taken")
+		g.enforceDueVersions(now)
+		g.pending.cancelStale(g.rollout.dueVersions(now, staleVersionMargin))
+		g.updateFallbackCandidate(now)
+		g.lease.SetEligible(g.isRolloutCandidate())
+		token, isHolder := g.lease.Fence()
+		if isHolder && !wasHolder {
+			firstOrderAt = now + g.orderDelay(token)
+			g.logger.Info().Uint64("token", uint64(token)).Dur("order_delay", firstOrderAt-now).Msg("rollout_taken")
 		}
-		held = holds
-		if !holds || now < orderFrom || g.stopping() {
+		wasHolder = isHolder
+		if !isHolder || now < firstOrderAt || g.isStopping() {
 			continue
 		}
-		mark := rolloutMark{workers: g.workers.Changes(), namings: g.weights.namings()}
-		if mark == finished {
+		current := rolloutGeneration{workers: g.workers.Changes(), versions: g.rollout.generation()}
+		if current == upToDate {
 			continue
 		}
 		workers := g.workers.Workers()
-		if !g.weights.unfinished(workers) {
-			finished = mark
+		if !g.rollout.hasOutdated(workers) {
+			upToDate = current
 			continue
 		}
-		for _, next := range g.weights.next(now, workers, g.workers.Doubtful(now)) {
+		for _, update := range g.rollout.startUpdates(now, workers, g.workers.Doubtful(now)) {
 			g.life.Go(func() error {
-				g.carryChange(next)
+				g.updateEngine(update)
 				return nil
 			})
 		}
@@ -55,210 +55,210 @@
 	return nil
 }
 
-// rolloutMark names a state of the workers and of the named versions. While it is the one in
-// which all engines had the newest ones, there is nothing to look for: there are ten looks a second, each at
-// all workers.
-type rolloutMark struct {
-	workers, namings uint64
+// rolloutGeneration identifies a state of the workers and of the desired versions. The rollout loop
+// skips its check of all workers while the state is one in which all engines were up to date.
+type rolloutGeneration struct {
+	workers, versions uint64
 }
 
-// rolloutPause returns the time until the next look: short while this node carries
-// requests or may hold the lease, since in a large fleet most nodes do neither.
-func (g *Gateway) rolloutPause() time.Duration {
+// rolloutCheckInterval returns the time until the next check. It is short while this node handles
+// requests or may hold the lease, which most nodes of a large fleet don't.
+func (g *Gateway) rolloutCheckInterval() time.Duration {
 	roles := g.roles.Load()
-	_, holds := g.keeper.Fence()
-	if roles.sharesLoads || holds || g.inFlight.Load() > 0 {
+	_, isHolder := g.lease.Fence()
+	if roles.sharesLoads || isHolder || g.inFlight.Load() > 0 {
 		return rolloutInterval
 	}
-	return rolloutRest
+	return idleRolloutInterval
 }
 
-// requireDue has requests go to engines with the versions that are due at now.
-func (g *Gateway) requireDue(now time.Duration) {
-	g.requiredAt.Store(int64(now))
-	for model, version := range g.weights.due(now, requireReserve) {
+// enforceDueVersions routes requests only to engines that have the versions due at now, and prefers
+// engines that have the newer preferred versions.
+func (g *Gateway) enforceDueVersions(now time.Duration) {
+	g.versionsEnforcedAt.Store(int64(now))
+	for model, version := range g.rollout.dueVersions(now, enforceReserve) {
 		g.workers.Require(model, version)
 	}
-	for model, version := range g.weights.replaced(now) {
+	for model, version := range g.rollout.preferredVersions(now) {
 		g.workers.Prefer(model, version)
 	}
 }
 
-// requireDueSoon is requireDue for a request that is placed at now, unless that was
-// done a moment ago.
-func (g *Gateway) requireDueSoon(now time.Duration) {
-	if now-time.Duration(g.requiredAt.Load()) >= rolloutInterval {
-		g.requireDue(now)
+// refreshDueVersions calls enforceDueVersions for a request that is placed at now, unless that was
+// done within rolloutInterval.
+func (g *Gateway) refreshDueVersions(now time.Duration) {
+	if now-time.Duration(g.versionsEnforcedAt.Load()) >= rolloutInterval {
+		g.enforceDueVersions(now)
 	}
 }
 
-// orderDelay returns the time until a new holder may order, so that its orders
-// don't come within the least gap behind those of the holder before.
+// orderDelay returns how long a new holder waits before its first order, so that orders of two
+// holders are at least LeaseGap apart.
 func (g *Gateway) orderDelay(token fleet.FencingToken) time.Duration {
 	if token <= 1 {
 		return 0
 	}
-	if g.keeper.Predecessor().Machine() == g.settings().Node {
+	if g.lease.Predecessor().Machine() == g.settings().Node {
 		return 0
 	}
-	delay := g.settings().LeaseGap + gapSlack
-	if g.keeper.Predecessor() != "" {
+	delay := g.settings().LeaseGap + leaseGapSlack
+	if g.lease.Predecessor() != "" {
 		return delay - leaseSettings(*g.settings()).Margin*2
 	}
-	return max(delay-g.keeper.IdleAtTakeover(), 0)
+	return max(delay-g.lease.IdleAtTakeover(), 0)
 }
 
-// keepLease runs the lease's keeper, which first reads the lease. At the first start of
-// the whole fleet nobody has held it, so that a node waits until it may take it; after a
-// restart the keeper looks at once whether the lease is still its machine's.
+// keepLease runs the lease keeper, which first reads the lease. At the first start of the whole
+// fleet nobody has held the lease, so a node waits until it is a candidate. After a restart the
+// keeper checks at once whether its machine still holds the lease.
 func (g *Gateway) keepLease() error {
-	for g.settings().FirstStart && !g.rolloutCandidate() && !g.stopping() {
-		if !g.pause(rolloutRest) {
+	for g.settings().FirstStart && !g.isRolloutCandidate() && !g.isStopping() {
+		if !g.pause(idleRolloutInterval) {
 			return nil
 		}
 	}
-	g.keeper.Start()
+	g.lease.Start()
 	return nil
 }
 
-// rolloutCandidate tells whether this node is among those that take the lease.
-func (g *Gateway) rolloutCandidate() bool {
-	return !g.stopping() && g.settled.Load() && (g.roles.Load().candidate || g.standIn.Load())
+// isRolloutCandidate reports whether this node may take the lease.
+func (g *Gateway) isRolloutCandidate() bool {
+	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().isCandidate || g.fallbackCandidate.Load())
 }
 
-// carryChange brings one engine to a version: it keeps requests away, sends
-// the order, and asks until the engine has the version.
-func (g *Gateway) carryChange(next change) {
-	begun := g.now()
-	took, ordered := time.Duration(0), begun
-	defer func() { g.weights.finish(g.now(), next, took, begun+took-ordered) }()
-	if !g.quiesce(begun, next.worker.ID) {
+// updateEngine updates one engine to a version: it cordons and quiesces the engine, sends the
+// order, and polls until the engine reports the version.
+func (g *Gateway) updateEngine(update engineUpdate) {
+	start := g.now()
+	duration, orderedAt := time.Duration(0), start
+	defer func() { g.rollout.finishUpdate(g.now(), update, duration, start+duration-orderedAt) }()
+	if !g.quiesce(start, update.worker.ID) {
 		return
 	}
 	repeatAt := time.Duration(0)
-	orders := int64(-1)
-	failed := 0
-	for g.now() < begun+changeTimeout {
-		if !g.pause(g.remainingOrderDelay(&next.worker, begun)) {
+	lastOrders := int64(-1)
+	failedReports := 0
+	for g.now() < start+updateTimeout {
+		if !g.pause(g.remainingOrderDelay(&update.worker, start)) {
 			return
 		}
-		wait := g.reportInterval(&next.worker)
-		report, err := g.outside.Engines.Report(g.workerCallContext(g.context(), callReport, &next.worker), next.worker)
+		wait := g.reportIntervalFor(&update.worker)
+		report, err := g.dependencies.Engines.Report(g.workerCallContext(g.context(), callReport, &update.worker), update.worker)
 		if err == nil {
-			g.noteStart(next.worker.ID, backends.StartTime(report.Born))
+			g.observeWorkerStart(update.worker.ID, backends.StartTime(report.Born))
 		}
 		switch {
 		case err != nil:
-			failed++
-			g.logger.Warn().Str("worker", string(next.worker.ID)).Err(err).Msg("report_failed")
-			if failed >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
+			failedReports++
+			g.logger.Warn().Str("worker", string(update.worker.ID)).Err(err).Msg("report_failed")
+			if failedReports >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
 				return
 			}
-		case report.Versions[next.model] >= next.version && !report.Busy:
-			took = g.now() - begun
-			g.changed(next, backends.WeightsVersion(report.Versions[next.model]), took)
+		case report.Versions[update.model] >= update.version && !report.Busy:
+			duration = g.now() - start
+			g.recordUpdated(update, backends.WeightsVersion(report.Versions[update.model]), duration)
 			return
-		case !report.Busy && (report.Orders != orders || g.now() > repeatAt):
-			next.version = max(next.version, g.weights.newest(next.model))
-			result, sent := g.order(next, report)
+		case !report.Busy && (report.Orders != lastOrders || g.now() > repeatAt):
+			update.version = max(update.version, g.rollout.newestVersion(update.model))
+			result, sent := g.sendOrder(update, report)
 			if !sent {
 				return
 			}
-			ordered = g.now()
-			repeatAt, orders, wait = ordered+repeatAfter(result), report.Orders, loadAtLeast
+			orderedAt = g.now()
+			repeatAt, lastOrders, wait = orderedAt+reorderDelay(result), report.Orders, minLoadTime
 			if result == rollout.OrderUncertain {
-				wait = g.reportInterval(&next.worker)
+				wait = g.reportIntervalFor(&update.worker)
 			}
 		}
-		g.keepAway(next.worker.ID)
+		g.cordonEngine(update.worker.ID)
 		if !g.pause(wait) {
 			return
 		}
 	}
 }
 
-// reportInterval returns the time between two questions to an engine under order.
-func (g *Gateway) reportInterval(worker *backends.Worker) time.Duration {
+// reportIntervalFor returns the interval at which an engine that was given an order is polled.
+func (g *Gateway) reportIntervalFor(worker *backends.Worker) time.Duration {
 	if g.limits.isLimited(worker.ID, worker.Born) {
 		return limitedReportInterval
 	}
 	return reportInterval
 }
 
-// quiesce keeps requests away from an engine until its runs have ended, for a
-// time at the most. It returns false when the process ends.
-func (g *Gateway) quiesce(begun time.Duration, id fleet.EngineID) bool {
-	g.keepAway(id)
-	if !g.pause(quiesceLeast) {
+// quiesce cordons an engine and waits until its runs have ended, up to quiesceLimit. It returns
+// false when the process ends.
+func (g *Gateway) quiesce(start time.Duration, engine fleet.EngineID) bool {
+	g.cordonEngine(engine)
+	if !g.pause(minQuiesce) {
 		return false
 	}
-	most := quiesceMost(g.workers.MemoryUse(g.now(), id))
-	for g.now() < begun+most && g.workers.InFlight(g.now(), id) > 0 {
-		g.keepAway(id)
-		if !g.pause(quiescePoll) {
+	limit := quiesceLimit(g.workers.MemoryUse(g.now(), engine))
+	for g.now() < start+limit && g.workers.InFlight(g.now(), engine) > 0 {
+		g.cordonEngine(engine)
+		if !g.pause(quiescePollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// quiesceMost returns how long an engine's runs are let end, by the part of the
-// engines' memory that is in use.
-func quiesceMost(use float64) time.Duration {
-	part := min(max((use-idleBelow)/(fullAbove-idleBelow), 0), 1)
-	return quiesceIdle - time.Duration(part*float64(quiesceIdle-quiesceFull))
+// quiesceLimit returns how long to wait for an engine's runs to end, for a fraction of the engines'
+// memory that is in use.
+func quiesceLimit(memoryUse float64) time.Duration {
+	fraction := min(max((memoryUse-idleMemoryUse)/(fullMemoryUse-idleMemoryUse), 0), 1)
+	return maxQuiesceIdle - time.Duration(fraction*float64(maxQuiesceIdle-maxQuiesceFull))
 }
 
-// keepAway has this node and all that share loads send no requests to an engine
-// for a while.
-func (g *Gateway) keepAway(id fleet.EngineID) {
-	until := g.now() + orderedFor
-	g.workers.NoteOrder(id, until)
-	if g.weights.announce(id, until) {
+// cordonEngine stops this node and all that share loads from sending requests to an engine for
+// cordonDuration.
+func (g *Gateway) cordonEngine(engine fleet.EngineID) {
+	until := g.now() + cordonDuration
+	g.workers.NoteOrder(engine, until)
+	if g.rollout.cordon(engine, until) {
 		g.announcer.addAll()
 	}
 }
 
-// repeatAfter returns how long after an order without effect it is sent again. One
-// that may have been lost is repeated soon: both expect the same count of orders,
-// so that only one of them is carried out.
-func repeatAfter(result rollout.OrderResult) time.Duration {
+// reorderDelay returns the time until an order without effect is sent again. An order that may have
+// been lost is repeated soon: both carry the same expected order count, so the engine executes only
+// one of them.
+func reorderDelay(result rollout.OrderResult) time.Duration {
 	if result == rollout.OrderUncertain {
 		return reorderUncertain
 	}
 	return reorderAfter
 }
 
-// order sends one order, if the lease is still held right before. It returns
-// false if it isn't.
-func (g *Gateway) order(next change, report rollout.Report) (rollout.OrderResult, bool) {
-	token, holds := g.keeper.Fence()
-	if !holds {
-		g.logger.Warn().Str("worker", string(next.worker.ID)).Msg("order_dropped_without_lease")
+// sendOrder sends an order to an engine. It returns false, without sending, if this node no longer
+// holds the lease.
+func (g *Gateway) sendOrder(update engineUpdate, report rollout.Report) (rollout.OrderResult, bool) {
+	token, isHolder := g.lease.Fence()
+	if !isHolder {
+		g.logger.Warn().Str("worker", string(update.worker.ID)).Msg("order_dropped_without_lease")
 		return rollout.OrderUncertain, false
 	}
-	g.keeper.NoteUse()
-	ctx, cancel := context.WithTimeout(g.workerCallContext(g.context(), callOrder, &next.worker), orderTimeout)
+	g.lease.NoteUse()
+	ctx, cancel := context.WithTimeout(g.workerCallContext(g.context(), callOrder, &update.worker), orderTimeout)
 	defer cancel()
-	result, err := g.outside.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
-		Model:          next.model,
-		Version:        next.version,
+	result, err := g.dependencies.Engines.OrderVersion(ctx, update.worker, rollout.VersionOrder{
+		Model:          update.model,
+		Version:        update.version,
 		Holder:         lease.HolderID(g.settings().Node),
 		Token:          token,
 		ExpectedOrders: report.Orders,
 	})
 	g.metrics.orders.Inc()
-	g.logger.Info().Str("worker", string(next.worker.ID)).Str("model", string(next.model)).
-		Uint64("version", next.version).Uint64("token", uint64(token)).Int64("expected_orders", report.Orders).
+	g.logger.Info().Str("worker", string(update.worker.ID)).Str("model", string(update.model)).
+		Uint64("version", update.version).Uint64("token", uint64(token)).Int64("expected_orders", report.Orders).
 		Int("running", report.Running).Int("result", int(result)).AnErr("cause", err).Msg("order_sent")
 	return result, true
 }
 
-// changed notes that an engine has its new version.
-func (g *Gateway) changed(done change, version backends.WeightsVersion, took time.Duration) {
-	g.workers.NoteVersion(done.worker.ID, done.model, version)
-	g.workers.NoteOrder(done.worker.ID, 0)
-	g.weights.retract(done.worker.ID)
+// recordUpdated records that an engine has its new version.
+func (g *Gateway) recordUpdated(update engineUpdate, version backends.WeightsVersion, duration time.Duration) {
+	g.workers.NoteVersion(update.worker.ID, update.model, version)
+	g.workers.NoteOrder(update.worker.ID, 0)
+	g.rollout.uncordon(update.worker.ID)
 	g.announcer.addAll()
-	g.logger.Info().Str("worker", string(done.worker.ID)).Uint64("version", uint64(version)).Dur("took", took).Msg("weights_changed")
+	g.logger.Info().Str("worker", string(update.worker.ID)).Uint64("version", uint64(version)).Dur("took", duration).Msg("weights_changed")
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -17,32 +17,31 @@
 	"github.com/tillerfall/tillerfall/internal/upstream"
 )
 
-// Bounds of the servers.
+// Limits of the HTTP servers.
 const (
-	// headerTimeout bounds the time for a request's head.
+	// headerTimeout is the read timeout for a request's headers.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a request's head whatever the configuration says.
+	// maxHeaderBytes limits a request's headers independently of the configuration.
 	maxHeaderBytes = 64 << 10
-	// directoryTTL is how long callers keep an answer of the directory.
+	// directoryTTL is how long callers may cache a response of the directory.
 	directoryTTL = time.Second
-	// callerUserTimeout is how long bytes to a caller may stay unacknowledged.
+	// callerUserTimeout is how long bytes sent to a caller may stay unacknowledged.
 	callerUserTimeout = 5 * time.Second
 )
 
-// listen opens all addresses before anything is served, so that a port in use
-// is a clear error.
+// listen opens all listeners before serving any, so that a port in use fails the start.
 func (g *Gateway) listen() error {
 	g.front = &http.Server{
 		Handler:           http.HandlerFunc(g.serveFront),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnState:         g.noteFront,
+		ConnState:         g.observeFrontConnection,
 		ConnContext:       withCallerConn,
 	}
 	handlers := []struct {
 		address string
 		server  *http.Server
-		// counted is what the bytes that come in are for; Other if the side that calls
+		// counted is the purpose under which received bytes are counted; Other if the calling side
 		// counts them.
 		counted traffic.Purpose
 	}{
@@ -58,7 +57,7 @@
 			return resultcode.New(resultcode.SettingsInvalid, "listen on "+entry.address+": "+err.Error())
 		}
 		if entry.counted != traffic.Other {
-			listener = traffic.Listener{Listener: listener, Meter: g.outside.Traffic, Purpose: entry.counted}
+			listener = traffic.Listener{Listener: listener, Meter: g.dependencies.Traffic, Purpose: entry.counted}
 		}
 		g.listeners = append(g.listeners, listener)
 		g.servers = append(g.servers, entry.server)
@@ -69,11 +68,11 @@
 			entry.server.ReadHeaderTimeout = headerTimeout
 		}
 	}
-	g.readiness.opened.Store(int64(g.now()))
+	g.readiness.frontOpenedAt.Store(int64(g.now()))
 	for index, server := range g.servers {
 		listener := g.listeners[index]
 		if server == g.front {
-			listener = &boundedListener{Listener: listener, hasRoom: g.hasConnectionRoom, onRefused: g.noteUntaken}
+			listener = &boundedListener{Listener: listener, hasRoom: g.hasConnectionRoom, onRefused: g.recordRefusedConnection}
 		}
 		g.life.Go(func() error {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -85,15 +84,16 @@
 	return nil
 }
 
-// noteFront is the ConnState hook of the front server.
-func (g *Gateway) noteFront(conn net.Conn, state http.ConnState) {
-	g.idle.note(g.now(), conn, state)
+// observeFrontConnection is the ConnState hook of the front server.
+func (g *Gateway) observeFrontConnection(conn net.Conn, state http.ConnState) {
+	g.idleConnections.observe(g.now(), conn, state)
 	g.pressure.countConnection(conn, state)
 }
 
-// noteUntaken counts and logs a caller's connection that was closed for want of descriptors.
-func (g *Gateway) noteUntaken() {
-	g.metrics.untaken.Inc()
+// recordRefusedConnection counts and logs a caller's connection that was closed because file
+// descriptors ran short.
+func (g *Gateway) recordRefusedConnection() {
+	g.metrics.refusedConnections.Inc()
 	g.events.line("connection_refused").Int("descriptors", g.pressure.openDescriptors()).Msg("connection_refused")
 }
 
@@ -104,7 +104,7 @@
 	g.listeners, g.servers = nil, nil
 }
 
-// listenTCP listens with a bound on unacknowledged bytes.
+// listenTCP listens on an address with a timeout for unacknowledged bytes.
 func listenTCP(address string) (net.Listener, error) {
 	settings := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3},
@@ -115,8 +115,8 @@
 
 func (g *Gateway) readinessHandler() http.Handler {
 	router := bunrouter.New()
-	router.GET(g.outside.Codec.Paths().Readiness, func(writer http.ResponseWriter, _ bunrouter.Request) error {
-		if !g.ready() {
+	router.GET(g.dependencies.Codec.Paths().Readiness, func(writer http.ResponseWriter, _ bunrouter.Request) error {
+		if !g.isReady() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return nil
@@ -126,20 +126,20 @@
 
 func (g *Gateway) directoryHandler() http.Handler {
 	router := bunrouter.New()
-	router.GET(g.outside.Codec.Paths().Resolution, func(writer http.ResponseWriter, request bunrouter.Request) error {
-		addresses := g.frontAddresses(g.outside.Codec.ResolutionQuery(request.Request))
+	router.GET(g.dependencies.Codec.Paths().Resolution, func(writer http.ResponseWriter, request bunrouter.Request) error {
+		addresses := g.frontAddresses(g.dependencies.Codec.ResolutionQuery(request.Request))
 		if len(addresses) == 0 {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
 		ttl := min(directoryTTL, g.settings().MaxDirectoryTTL)
-		return g.outside.Codec.WriteResolution(writer, addresses, ttl)
+		return g.dependencies.Codec.WriteResolution(writer, addresses, ttl)
 	})
 	return router
 }
 
-// idleConnections closes callers' connections that rest for too long. The
-// limit may change with each configuration, which a server's own can't.
+// idleConnections closes callers' connections that are idle for too long. The limit may change with
+// each configuration, unlike http.Server.IdleTimeout.
 type idleConnections struct {
 	mutex sync.Mutex
 	since map[net.Conn]time.Duration
@@ -149,8 +149,8 @@
 	return &idleConnections{since: make(map[net.Conn]time.Duration)}
 }
 
-// note takes in a connection's new state, as the ConnState hook of a server tells it.
-func (i *idleConnections) note(now time.Duration, conn net.Conn, state http.ConnState) {
+// observe records a connection's new state. It is called from a server's ConnState hook.
+func (i *idleConnections) observe(now time.Duration, conn net.Conn, state http.ConnState) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if state == http.StateIdle {
@@ -160,8 +160,7 @@
 	delete(i.since, conn)
 }
 
-// sweep closes the connections that have rested for longer than limit; 0 means
-// no limit.
+// sweep closes the connections that have been idle for longer than limit; 0 means no limit.
 func (i *idleConnections) sweep(now, limit time.Duration) {
 	if limit <= 0 {
 		return
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -8,47 +8,48 @@
 	"github.com/tillerfall/tillerfall/internal/relay"
 )
 
-// sources says from whom this node learns what changes in the store.
-type sources struct {
+// sourceSelector selects where this node gets changes of the store from: the store itself or a
+// peer. It is a relay.Selector that is safe for concurrent use.
+type sourceSelector struct {
 	mutex    sync.Mutex
 	selector *relay.Selector
 	reading  bool
-	// changed is closed when reading changes.
+	// changed is closed and replaced when reading changes.
 	changed chan struct{}
 }
 
-func newSources(now time.Duration, options relay.Options) *sources {
-	return &sources{
+func newSourceSelector(now time.Duration, options relay.Options) *sourceSelector {
+	return &sourceSelector{
 		selector: relay.New(now, options),
 		changed:  make(chan struct{}),
 	}
 }
 
-// sourceRole is what a node's role says of its reading.
+// sourceRole is the part of a node's role that the choice of a source depends on.
 type sourceRole struct {
-	// settled is set once the role is known, reader if it is to read.
+	// settled is set once the role is known, reader if the node reads the store.
 	settled bool
 	reader  bool
-	// order is whom it asks otherwise, best first.
+	// order lists the peers to ask otherwise, best first.
 	order []fleet.NodeID
-	// others is the number of nodes that callers aren't sent to, if this is one.
-	others int
+	// standbyCount is the number of nodes that aren't serving, if this is one of them.
+	standbyCount int
 }
 
-// setRole says what this node's role is.
-func (s *sources) setRole(now time.Duration, role sourceRole) {
+// setRole sets this node's role.
+func (s *sourceSelector) setRole(now time.Duration, role sourceRole) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if role.settled {
 		s.selector.Settle(now)
 	}
-	s.selector.SetOthers(role.others)
+	s.selector.SetOthers(role.standbyCount)
 	s.selector.SetRole(now, role.reader, role.order)
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// refresh takes over whether the node is to read now; the mutex is held.
-func (s *sources) refresh(now time.Duration) {
+// updateReading updates reading from the selector. The mutex must be held.
+func (s *sourceSelector) updateReading(now time.Duration) {
 	reading := s.selector.Reads(now)
 	if reading == s.reading {
 		return
@@ -58,16 +59,16 @@
 	s.changed = make(chan struct{})
 }
 
-// reads tells whether this node is to read the store, and returns a channel
-// that is closed when that changes.
-func (s *sources) reads() (bool, <-chan struct{}) {
+// readsStore reports whether this node is to read the store, and returns a channel that is closed
+// when that changes.
+func (s *sourceSelector) readsStore() (bool, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reading, s.changed
 }
 
-// asks returns the peer to ask, if one is to be asked now.
-func (s *sources) asks(now time.Duration) (fleet.NodeID, bool) {
+// peerToAsk returns the peer to ask, and whether there is one now.
+func (s *sourceSelector) peerToAsk(now time.Duration) (fleet.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.selector.Asks(now) {
@@ -76,82 +77,82 @@
 	return s.selector.Source()
 }
 
-// watched notes that another node asks this one.
-func (s *sources) watched(now time.Duration) {
+// recordWatcher records that another node asks this one for changes.
+func (s *sourceSelector) recordWatcher(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.Watched(now)
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// needsAll tells whether this node is to know everything that the store holds.
-func (s *sources) needsAll(now time.Duration) bool {
+// needsAll reports whether this node needs the complete tables.
+func (s *sourceSelector) needsAll(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.NeedsAll(now)
 }
 
-// inform notes that this node knows everything for the first time.
-func (s *sources) inform(now time.Duration) {
+// recordTablesKnown records that this node knows all tables.
+func (s *sourceSelector) recordTablesKnown(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.Inform()
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// awaitRole leaves reading to others until this node knows its role.
-func (s *sources) awaitRole(now time.Duration) {
+// awaitRole makes this node leave reading to others until its role is known.
+func (s *sourceSelector) awaitRole(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.AwaitRole()
-	s.refresh(now)
+	s.updateReading(now)
 }
 
-// storeAnswered notes whether this node's last call to the store was answered.
-func (s *sources) storeAnswered(answered bool) {
+// recordStoreCall records whether the store answered this node's last call.
+func (s *sourceSelector) recordStoreCall(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.StoreAnswered(answered)
 }
 
-// proven notes this node's own proof by the store.
-func (s *sources) proven(now, at time.Duration) {
+// recordProof records a freshness proof that this node got from the store itself.
+func (s *sourceSelector) recordProof(now, provenAt time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Proven(now, now-at)
+	s.selector.Proven(now, now-provenAt)
 }
 
-// provenWithin tells whether this node has a proof of its own by the store that isn't
+// hasProofWithin reports whether this node has a freshness proof from the store itself that is no
 // older than within.
-func (s *sources) provenWithin(now, within time.Duration) bool {
+func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.ProvenWithin(now, within)
 }
 
-// answered takes in a peer's answer and tells whether another one is asked next.
-func (s *sources) answered(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
+// recordResponse records a peer's response and reports whether another peer is asked next.
+func (s *sourceSelector) recordResponse(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Answered(now, from, age, proven)
-	s.refresh(now)
-	return moved
+	changed := s.selector.Answered(now, from, age, proven)
+	s.updateReading(now)
+	return changed
 }
 
-// failed takes in that a peer gave no answer.
-func (s *sources) failed(now time.Duration, from fleet.NodeID) bool {
+// recordFailure records that a peer didn't answer and reports whether another peer is asked next.
+func (s *sourceSelector) recordFailure(now time.Duration, from fleet.NodeID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Failed(now, from)
-	s.refresh(now)
-	return moved
+	changed := s.selector.Failed(now, from)
+	s.updateReading(now)
+	return changed
 }
 
-// awaitReading waits until this node is to read the store; false if the process
-// ends before.
+// awaitReading waits until this node is to read the store. It returns false if the process ends
+// first.
 func (g *Gateway) awaitReading() bool {
 	for {
-		reading, changed := g.sources.reads()
+		reading, changed := g.sources.readsStore()
 		if reading {
 			return g.life.Alive()
 		}
--- /dev/null
+++ b/internal/gateway/storefollower.go
@@ -0,0 +1,190 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/tillerfall/tillerfall/internal/fleet"
+	"github.com/tillerfall/tillerfall/internal/watchcache"
+)
+
+const (
+	// operatorWait is the longest wait of one call for the operator table. It is also the interval
+	// at which the freshness proof is renewed.
+	operatorWait = time.Second
+	// workersWait is the longest wait of one call for the workers table, which provides no proof.
+	// Each change ends a call, so workersPause batches changes in a fleet that isn't small.
+	workersWait  = 3 * time.Second
+	workersPause = 250 * time.Millisecond
+	// followRetry is the pause after a failed call. It grows with each failure up to
+	// followRetryMax.
+	followRetry    = 100 * time.Millisecond
+	followRetryMax = 400 * time.Millisecond
+	// maxStoreBackoff bounds the backoff that the store may request.
+	maxStoreBackoff = 30 * time.Second
+)
+
+// minHistoryRetention is the least time for which a healthy store keeps its change history. If it
+// ends sooner, the store itself has dropped it.
+const minHistoryRetention = 5 * time.Second
+
+// gap describes what is unknown about the time of changes.
+type gap int
+
+// Kinds of gaps in following a table.
+const (
+	// gapNone means that the changes are as new as the response that contained them.
+	gapNone gap = iota
+	// gapHistoryExpired means that the store has just dropped its history.
+	gapHistoryExpired
+	// gapUnreachable means that the changes may be older, since the store was unreachable or a peer
+	// sent them.
+	gapUnreachable
+)
+
+// storeFollower follows one table at the store while this node has the reader role.
+type storeFollower struct {
+	gateway *Gateway
+	table   *table
+	// after is the revision up to which the store has returned all changes. hasPosition is set
+	// while changes can be followed from there. Only responses of the store count: after the
+	// history has expired, the revision may go back to that of a new read.
+	after       fleet.Revision
+	hasPosition bool
+	failures    int
+	gap         gap
+	// lastResponse is the time of the store's last response.
+	lastResponse time.Duration
+	clock        storeClock
+	// backoff is the backoff that the store requested in its last response.
+	backoff time.Duration
+}
+
+// followStore follows a table until the process ends. Only calls that follow changes renew the
+// freshness proof, since a full read may return old rows.
+func (g *Gateway) followStore(followed *table) error {
+	follower := &storeFollower{gateway: g, table: followed, gap: gapUnreachable}
+	for {
+		if !g.awaitReading() {
+			return nil
+		}
+		pause := follower.step(g.context())
+		if !g.pause(pause) {
+			return nil
+		}
+	}
+}
+
+// step makes one call and returns the pause until the next one.
+func (f *storeFollower) step(ctx context.Context) time.Duration {
+	g := f.gateway
+	start := g.now()
+	if f.lastResponse != 0 && start-f.lastResponse > minHistoryRetention {
+		f.gap = gapUnreachable
+	}
+	callCtx, stop := g.suspensionSignal.bind(ctx)
+	defer stop()
+	f.backoff = 0
+	update, err := f.call(WithNoticeHandler(callCtx, f.handleNotice))
+	if ctx.Err() != nil {
+		return 0
+	}
+	if errors.Is(err, ErrTooManyRows) {
+		g.logger.Info().Str("table", string(f.table.name)).Msg("read_left_to_others")
+		g.sources.awaitRole(g.now())
+		return followRetry
+	}
+	g.sources.recordStoreCall(err == nil)
+	if err != nil {
+		g.recordStoreCall(string(f.table.name), err, f.failures)
+		f.gap = gapAfterFailure(err, f.failures, start-f.lastResponse)
+		f.hasPosition = f.hasPosition && !errors.Is(err, ErrHistoryExpired)
+		f.failures++
+		return max(min(followRetry*time.Duration(f.failures), followRetryMax), f.backoff)
+	}
+	g.recordStoreCall(string(f.table.name), nil, f.failures)
+	f.failures, f.lastResponse = 0, g.now()
+	provenAt := f.clock.translate(start, f.lastResponse, update.StoreTime)
+	f.table.apply(update, f.gap)
+	if update.Complete {
+		f.hasPosition, f.after = true, update.Revision
+		return 0
+	}
+	f.gap = gapNone
+	if update.Revision >= f.after {
+		f.after = update.Revision
+		f.table.cache.Advance(update.Revision)
+		f.table.onProof(provenAt)
+	}
+	if g.roles.Load().Small {
+		return 0
+	}
+	return f.table.pause
+}
+
+// handleNotice handles the notices in a response of the store.
+func (f *storeFollower) handleNotice(notice Notice) {
+	g := f.gateway
+	g.reportInvalidInput("", notice.Unreadable)
+	g.logUnknownHeaders(noticeSource{worker: storeLogName, kind: callStore}, notice.Unknown)
+	if notice.RetryAfter == 0 {
+		return
+	}
+	f.backoff = min(notice.RetryAfter, maxStoreBackoff)
+	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(callStore)).Inc()
+	g.events.line("store_notice").Str("table", string(f.table.name)).Dur("retry_after", notice.RetryAfter).Msg("store_notice")
+}
+
+// call reads the table, or its changes after the current position. The first call after a gap
+// doesn't wait, so that it renews the freshness proof at once.
+func (f *storeFollower) call(ctx context.Context) (*watchcache.Update, error) {
+	store := f.gateway.dependencies.Store
+	isPartial := f.table.cache.Partial()
+	switch {
+	case isPartial && !f.gateway.shouldReadAllWorkers():
+		f.after, f.hasPosition = f.table.cache.Revision(), true
+	case isPartial, !f.hasPosition:
+		return store.ReadTable(ctx, f.table.name, f.gateway.roleSettled.Load)
+	}
+	wait := f.table.maxWait
+	if f.gap != gapNone {
+		wait = 0
+	}
+	return store.FollowTable(ctx, f.table.name, f.after, wait)
+}
+
+// gapAfterFailure returns the gap that a failed call leaves. sinceResponse is the time between the
+// previous response and the call.
+func gapAfterFailure(err error, failures int, sinceResponse time.Duration) gap {
+	if errors.Is(err, ErrHistoryExpired) && failures == 0 && sinceResponse < minHistoryRetention {
+		return gapHistoryExpired
+	}
+	return gapUnreachable
+}
+
+// recordStoreCall counts failed calls and logs when the store becomes unreachable or reachable for
+// a table.
+func (g *Gateway) recordStoreCall(table string, err error, failures int) {
+	switch {
+	case err == nil && failures > 0:
+		g.logger.Info().Str("dependency", "store").Str("table", table).Int("failures", failures).Msg("dependency_regained")
+	case err != nil && failures == 0:
+		g.logger.Warn().Str("dependency", "store").Str("table", table).Err(err).Msg("dependency_lost")
+	}
+	if err != nil {
+		g.metrics.storeFailures.WithLabelValues(table).Inc()
+	}
+}
+
+// waitsPerProofLifetime is the number of waits that fit into the lifetime of a freshness proof. A
+// proof is as old as its call and must last until the next call ends.
+const waitsPerProofLifetime = 2.5
+
+// operatorWaitFor returns the longest wait of a call for the operator table that still renews the
+// freshness proof in time for a revocation bound.
+func operatorWaitFor(revokeWithin time.Duration) time.Duration {
+	lifetime := float64(revokeWithin) * freshnessFraction
+	return min(operatorWait, time.Duration(lifetime/waitsPerProofLifetime))
+}
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -14,10 +14,10 @@
 // needsAllWorkers reports whether this gateway needs to know all workers rather than those in use:
 // it holds the lease or may acquire it soon.
 func (g *Gateway) needsAllWorkers() bool {
-	if _, holds := g.keeper.Fence(); holds {
+	if _, holds := g.lease.Fence(); holds {
 		return true
 	}
-	return g.roles.Load().candidate || g.standIn.Load()
+	return g.roles.Load().isCandidate || g.fallbackCandidate.Load()
 }
 
 // shouldReadAllWorkers reports whether this gateway, if it reads the store, reads all workers: it
@@ -25,7 +25,7 @@
 // that reads temporarily because its peers are slow follows only the changes of what it knows,
 // which spares the store complete reads.
 func (g *Gateway) shouldReadAllWorkers() bool {
-	return g.roles.Load().reader || g.needsAllWorkers() || g.sources.needsAll(g.now())
+	return g.roles.Load().isReader || g.needsAllWorkers() || g.sources.needsAll(g.now())
 }
 
 func (g *Gateway) workersTable() *table { return g.table(TableWorkers) }
@@ -38,7 +38,7 @@
 	}
 	var workers []backends.Worker
 	for index := range incoming {
-		if row := &incoming[index]; !row.Gone && !row.Unusable {
+		if row := &incoming[index]; !row.Deleted && !row.Unusable {
 			workers = append(workers, row.Worker)
 		}
 	}
@@ -125,12 +125,12 @@
 // workers are dropped, so the subsets change after them.
 func (g *Gateway) applyWorkersUpdate(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
 	if !message.GetWorkersInUse() {
-		followed.apply(update, gapUnreached)
+		followed.apply(update, gapUnreachable)
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
 	update.Covers = g.workers.Covers(subsets)
-	followed.apply(update, gapUnreached)
+	followed.apply(update, gapUnreachable)
 	g.setSubsets(subsets, false)
 }
 
@@ -140,5 +140,5 @@
 	if followed.name == TableWorkers && followed.cache.Partial() && g.needsAllWorkers() {
 		return 0
 	}
-	return followed.seen
+	return followed.seenSequence
 }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -18,12 +18,12 @@
 )
 
 // workerTable is a store with worker rows in JSON alone.
-type workerTable struct{ Platform }
+type workerTable struct{ Store }
 
-func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []Unreadable) {
+func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []InvalidInput) {
 	decoded := make([]WorkerRow, len(rows))
 	for index, row := range rows {
-		decoded[index] = WorkerRow{Revision: row.Revision, Gone: row.Gone}
+		decoded[index] = WorkerRow{Revision: row.Revision, Deleted: row.Gone}
 		if !row.Gone {
 			decoded[index].Unusable = json.Unmarshal(row.Value, &decoded[index].Worker) != nil
 		}
@@ -51,24 +51,24 @@
 
 // readerGateway returns a gateway that has read that many workers from the store.
 func readerGateway(t testing.TB, workers int) *Gateway {
-	g := idleGateway(t)
-	g.outside.Platform = workerTable{}
+	g := newTestGateway(t)
+	g.dependencies.Store = workerTable{}
 	update := &watchcache.Update{Revision: 1, Complete: true}
 	for number := range workers {
 		update.Rows = append(update.Rows, workerTableRow(number, 1, false))
 	}
 	g.workersTable().apply(update, gapNone)
 	g.table(TableOperator).cache.Apply(&watchcache.Update{Revision: 1, Complete: true})
-	g.fresh.Prove(g.now())
+	g.freshness.Prove(g.now())
 	return g
 }
 
 // followerGateway returns a gateway that knows no workers yet and needs only those in use.
 func followerGateway(t testing.TB) *Gateway {
-	g := idleGateway(t)
-	g.outside.Platform = workerTable{}
+	g := newTestGateway(t)
+	g.dependencies.Store = workerTable{}
 	roles := *g.roles.Load()
-	roles.candidate, roles.reader = false, false
+	roles.isCandidate, roles.isReader = false, false
 	g.roles.Store(&roles)
 	return g
 }
@@ -79,12 +79,12 @@
 	follower.requestSubsets(request)
 	for _, followed := range follower.tables {
 		if followed.source != source.node {
-			followed.source, followed.seen = source.node, 0
+			followed.source, followed.seenSequence = source.node, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{Table: string(followed.name), Sequence: follower.watchPosition(followed)})
 	}
-	response, _ := source.watchResponse(request)
-	follower.takeWatch(source.node, follower.now(), response)
+	response, _ := source.buildWatchResponse(request)
+	follower.applyWatchResponse(source.node, follower.now(), response)
 	require.NotZero(t, response.GetProofAgeMillis())
 	return proto.Size(response)
 }
@@ -148,15 +148,15 @@
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	inUse := len(follower.workers.Workers())
-	follower.standIn.Store(true)
+	follower.fallbackCandidate.Store(true)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 5000)
 	assert.Len(t, follower.workers.WorkersInUse(), inUse)
-	follower.standIn.Store(false)
+	follower.fallbackCandidate.Store(false)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), inUse)
 	assert.Empty(t, follower.workers.Forget(time.Hour, 0), "no worker counts as gone")
-	follower.standIn.Store(true)
+	follower.fallbackCandidate.Store(true)
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), 5000, "dropped workers return at the same revision")
 }
@@ -175,10 +175,10 @@
 	reader, follower, other := readerGateway(t, 5000), followerGateway(t), followerGateway(t)
 	watch(t, follower, reader)
 	for _, all := range []bool{false, true} {
-		other.standIn.Store(all)
+		other.fallbackCandidate.Store(all)
 		request := &rpc.WatchRequest{PositionsOf: string(follower.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
 		other.requestSubsets(request)
-		response, _ := follower.watchResponse(request)
+		response, _ := follower.buildWatchResponse(request)
 		assert.Empty(t, response.GetUpdates())
 		assert.Zero(t, response.GetProofAgeMillis())
 	}
@@ -202,8 +202,8 @@
 func TestSourceWithoutSubsetSupport(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	request := &rpc.WatchRequest{PositionsOf: string(reader.node), Positions: []*rpc.TablePosition{{Table: string(TableWorkers)}}}
-	response, _ := reader.watchResponse(request)
-	follower.takeWatch(reader.node, follower.now(), response)
+	response, _ := reader.buildWatchResponse(request)
+	follower.applyWatchResponse(reader.node, follower.now(), response)
 	assert.Len(t, follower.workers.Workers(), 5000)
 	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "watcher plans its own subsets")
 	watch(t, follower, reader)
@@ -229,7 +229,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		follower := followerGateway(b)
-		follower.standIn.Store(true)
+		follower.fallbackCandidate.Store(true)
 		watch(b, follower, reader)
 	}
 }
@@ -238,9 +238,9 @@
 // there are none.
 func BenchmarkNextWeightsChange(b *testing.B) {
 	reader := readerGateway(b, 10_000)
-	reader.weights.name(0, true, NamedWeights{Model: "m", Version: 1})
+	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
 	for b.Loop() {
-		reader.weights.next(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
+		reader.rollout.startUpdates(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
 	}
 }
 
@@ -274,15 +274,15 @@
 	_, err := fmt.Sscanf(string(drained), "i-%05d", &number)
 	require.NoError(t, err)
 	store := &recordingStore{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerTableRow(number, 9, true)}}}
-	follower.outside.Platform = store
-	follower.sources.answered(follower.now(), "peer", 0, true)
-	feed := &storeFeed{gateway: follower, table: follower.workersTable(), since: gapUnreached}
+	follower.dependencies.Store = store
+	follower.sources.recordResponse(follower.now(), "peer", 0, true)
+	feed := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
 	feed.step(t.Context())
 	feed.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
 	assert.Zero(t, store.whole)
 	assert.True(t, follower.workers.Draining(drained))
-	follower.sources.watched(follower.now())
+	follower.sources.recordWatcher(follower.now())
 	feed.step(t.Context())
 	assert.Equal(t, 1, store.whole, "gateway is watched by others")
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -11,111 +11,111 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// table is one table of the store as this node knows it, whoever told.
+// table is this node's replica of a store table, updated from the store or from a peer.
 type table struct {
 	name  Table
 	cache *watchcache.Cache
-	// wait is the longest wait of one call that follows the table at the store,
-	// pause the least time between two such calls in a larger fleet.
-	wait  time.Duration
-	pause time.Duration
-	// take takes rows that are news in.
-	take func(rows []watchcache.Row, since gap)
-	// whole, if set, takes in the rows of an update that names all there are.
-	whole func(update *watchcache.Update)
-	// taken is called after that.
-	taken func()
-	// proven is called for each call that followed the changes without a gap, with
-	// a time at which its answer had not been given yet.
-	proven func(at time.Duration)
-
-	// seen is the number of the last change seen of the watched node's cache. Both
-	// are used by the watching goroutine alone.
-	source fleet.NodeID
-	seen   uint64
-
-	// mutex has updates taken in one after the other.
-	mutex sync.Mutex
-	// encoded is guarded by encoding.
-	encoding sync.Mutex
-	encoded  encodedUpdate
+	// maxWait is the longest wait of one call that follows the table at the store. pause is the
+	// least time between two such calls in a fleet that isn't small.
+	maxWait time.Duration
+	pause   time.Duration
+	// applyRows applies changed rows.
+	applyRows func(rows []watchcache.Row, changeGap gap)
+	// onSnapshot, if set, is called after an update that contains the complete table.
+	onSnapshot func(update *watchcache.Update)
+	// onApplied is called last, after every update that was applied.
+	onApplied func()
+	// onProof is called after each call that followed the changes without a gap, with a time no
+	// later than the response.
+	onProof func(at time.Duration)
+
+	// source is the peer that is watched, seenSequence the last sequence number received from it.
+	// Both are used by the watching goroutine alone.
+	source       fleet.NodeID
+	seenSequence uint64
+
+	// applyMutex serializes updates.
+	applyMutex sync.Mutex
+	// encoded is guarded by encodingMutex.
+	encodingMutex sync.Mutex
+	encoded       encodedUpdate
 }
 
-// apply takes an update in.
-func (t *table) apply(update *watchcache.Update, since gap) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	news := t.cache.Apply(update)
-	if len(news) == 0 && !update.Complete {
+// apply applies an update and calls the table's hooks.
+func (t *table) apply(update *watchcache.Update, changeGap gap) {
+	t.applyMutex.Lock()
+	defer t.applyMutex.Unlock()
+	changed := t.cache.Apply(update)
+	if len(changed) == 0 && !update.Complete {
 		return
 	}
-	t.take(news, since)
-	if update.Complete && t.whole != nil {
-		t.whole(update)
+	t.applyRows(changed, changeGap)
+	if update.Complete && t.onSnapshot != nil {
+		t.onSnapshot(update)
 	}
-	t.taken()
+	t.onApplied()
 }
 
-// newTables returns the tables that every gateway keeps.
+// newTables returns the tables that every gateway follows.
 func (g *Gateway) newTables() []*table {
 	return []*table{
 		{
-			name:   TableOperator,
-			cache:  watchcache.New(0),
-			wait:   operatorWaitFor(g.settings().RevokeWithin),
-			take:   g.takeOperator,
-			taken:  g.noteKnown,
-			proven: g.proveByStore,
+			name:      TableOperator,
+			cache:     watchcache.New(0),
+			maxWait:   operatorWaitFor(g.settings().RevokeWithin),
+			applyRows: g.applyOperatorRows,
+			onApplied: g.updateReadiness,
+			onProof:   g.recordStoreProof,
 		},
 		{
-			name:   TableWorkers,
-			cache:  watchcache.New(0),
-			wait:   workersWait,
-			pause:  workersPause,
-			take:   g.takeWorkers,
-			taken:  g.noteKnown,
-			proven: func(time.Duration) {},
+			name:      TableWorkers,
+			cache:     watchcache.New(0),
+			maxWait:   workersWait,
+			pause:     workersPause,
+			applyRows: g.applyWorkerRows,
+			onApplied: g.updateReadiness,
+			onProof:   func(time.Duration) {},
 		},
 	}
 }
 
-// proveByStore notes that this node itself has followed the operator's table
-// without a gap.
-func (g *Gateway) proveByStore(at time.Duration) {
-	g.fresh.Prove(at)
-	g.noteKnown()
-	g.sources.proven(g.now(), at)
+// recordStoreProof records that this node itself has followed the operator table without a gap up
+// to a time.
+func (g *Gateway) recordStoreProof(at time.Duration) {
+	g.freshness.Prove(at)
+	g.updateReadiness()
+	g.sources.recordProof(g.now(), at)
 }
 
-// takeOperator takes in what the operator has written.
-func (g *Gateway) takeOperator(rows []watchcache.Row, since gap) {
-	decoded, err := g.outside.Platform.DecodeOperator(rows)
+// applyOperatorRows applies changed rows of the operator table.
+func (g *Gateway) applyOperatorRows(rows []watchcache.Row, changeGap gap) {
+	decoded, err := g.dependencies.Store.DecodeOperator(rows)
 	if err != nil {
 		g.logger.Error().Str("table", string(TableOperator)).Err(err).Msg("row_refused")
 	}
 	now := g.now()
-	at, known := g.changedAt(now, since)
-	for _, named := range decoded.Weights {
-		if g.weights.name(at, known, named) {
-			g.logger.Info().Str("model", string(named.Model)).Uint64("version", uint64(named.Version)).
-				Uint64("revision", uint64(named.Revision)).Dur("age", now-at).Bool("age_known", known).Msg("weights_named")
+	changedAt, ageKnown := g.changeTime(now, changeGap)
+	for _, desired := range decoded.DesiredVersions {
+		if g.rollout.setDesired(changedAt, ageKnown, desired) {
+			g.logger.Info().Str("model", string(desired.Model)).Uint64("version", uint64(desired.Version)).
+				Uint64("revision", uint64(desired.Revision)).Dur("age", now-changedAt).Bool("age_known", ageKnown).Msg("weights_named")
 		}
 	}
 	if decoded.Document != nil {
-		g.takeDocument(now, decoded)
+		g.applyConfiguration(now, decoded)
 	}
-	g.applyOrders(now, at, decoded)
+	g.applyOrders(now, changedAt, decoded)
 }
 
-// changedAt returns when changes that are heard of now were made at the latest;
-// false if that isn't known. If the store was out of this node's reach they may
-// be as old as the last proof that any reachable node had; if it was out of
-// everybody's, their time begins now, as for versions named before.
-func (g *Gateway) changedAt(now time.Duration, since gap) (time.Duration, bool) {
-	if since != gapUnreached {
+// changeTime returns the latest time at which changes received now were made, and whether it is
+// known. If this node could not reach the store, the changes may be as old as the last proof of any
+// reachable node. If no node could reach it, their age counts from now, as for versions that were
+// requested before the process started.
+func (g *Gateway) changeTime(now time.Duration, changeGap gap) (time.Duration, bool) {
+	if changeGap != gapUnreachable {
 		return now, true
 	}
-	age, proven := g.fresh.Age(now)
+	age, proven := g.freshness.Age(now)
 	switch {
 	case !proven:
 		return now, false
@@ -126,19 +126,19 @@
 	}
 }
 
-// takeDocument takes a configuration over. One that can't be used is refused,
-// and the one in force stays.
-func (g *Gateway) takeDocument(now time.Duration, rows *OperatorRows) {
-	g.noteUnreadable("", rows.Unreadable)
-	if held := g.holder.Current(); held != nil {
-		rows.Document.KeepQuotas(held.Table)
+// applyConfiguration puts a configuration in force. If it is invalid, the current one stays in
+// force.
+func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
+	g.reportInvalidInput("", rows.Invalid)
+	if current := g.configuration.Current(); current != nil {
+		rows.Document.KeepQuotas(current.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
 	if err != nil {
 		g.logger.Error().Uint64("version", uint64(rows.Document.Version)).Err(err).Msg("configuration_refused")
 		return
 	}
-	if g.holder.Offer(now, rows.DocumentRevision, compiled) {
+	if g.configuration.Offer(now, rows.DocumentRevision, compiled) {
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
@@ -150,24 +150,24 @@
 	}
 }
 
-// takeWorkers takes in changed rows of workers.
-func (g *Gateway) takeWorkers(rows []watchcache.Row, _ gap) {
+// applyWorkerRows applies changed rows of the workers table.
+func (g *Gateway) applyWorkerRows(rows []watchcache.Row, _ gap) {
 	now := g.now()
-	decoded, unreadable := g.outside.Platform.DecodeWorkers(rows)
-	g.noteUnreadable("", unreadable)
+	decoded, unreadable := g.dependencies.Store.DecodeWorkers(rows)
+	g.reportInvalidInput("", unreadable)
 	g.planSubsets(decoded)
 	counts := make(map[backends.Change]int)
 	for _, row := range decoded {
 		change := g.observeWorker(now, &row)
 		counts[change]++
-		g.noteWorker(row.Worker, change)
-		if change != backends.Unchanged && len(decoded) <= mostNamedWorkers {
+		g.handleWorkerChange(row.Worker, change)
+		if change != backends.Unchanged && len(decoded) <= maxLoggedWorkers {
 			g.logger.Info().Str("worker", string(row.Worker.ID)).Str("address", string(row.Worker.Address)).
 				Str("service", string(row.Worker.Service)).Uint64("revision", uint64(row.Revision)).
 				Str("change", string(change)).Msg("worker_changed")
 		}
 	}
-	if len(decoded) > mostNamedWorkers {
+	if len(decoded) > maxLoggedWorkers {
 		g.logger.Info().Int("rows", len(decoded)).Int("added", counts[backends.Added]).Int("gone", counts[backends.Gone]).
 			Int("draining", counts[backends.Began]).Int("restarted", counts[backends.Restarted]).
 			Int("unusable", counts[backends.Unusable]).Int("version", counts[backends.NewVersion]).Msg("workers_changed")
@@ -176,29 +176,29 @@
 	g.workersKnown.Store(true)
 }
 
-// forgetFormerRun drops what is believed of a worker's run that has ended, as another one
-// has its identifier.
-func (g *Gateway) forgetFormerRun(worker fleet.EngineID) {
+// forgetPreviousRun drops the state of a worker's previous run after a restart under the same
+// identifier.
+func (g *Gateway) forgetPreviousRun(worker fleet.EngineID) {
 	g.upstreams.Forget(worker)
-	g.weights.forgetRun(worker)
+	g.rollout.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
 	g.noteWorkerEnded(worker, quarantine.RowGone)
 }
 
-// noteStart takes in when a worker says that it started, beside its row.
-func (g *Gateway) noteStart(worker fleet.EngineID, born backends.StartTime) {
+// observeWorkerStart records a start time that a worker reports itself, independently of its row.
+func (g *Gateway) observeWorkerStart(worker fleet.EngineID, born backends.StartTime) {
 	if !g.workers.ObserveStart(worker, born) {
 		return
 	}
-	g.forgetFormerRun(worker)
+	g.forgetPreviousRun(worker)
 	g.logger.Info().Str("worker", string(worker)).Str("change", string(backends.Restarted)).Msg("worker_changed")
 }
 
-// observeWorker takes one row in.
+// observeWorker applies one row to the worker registry.
 func (g *Gateway) observeWorker(now time.Duration, row *WorkerRow) backends.Change {
 	switch {
-	case row.Gone:
+	case row.Deleted:
 		return g.workers.ObserveGone(now, row.Revision, row.Worker.ID)
 	case row.Unusable:
 		return g.workers.ObserveUnusable(now, row.Revision, row.Worker.ID)
@@ -207,17 +207,16 @@
 	}
 }
 
-// mostNamedWorkers is the number of changed rows up to which each worker has a log line of its
-// own: a node that reads thousands would write as many lines at its start.
-const mostNamedWorkers = 64
+// maxLoggedWorkers is the number of changed rows up to which each worker is logged separately.
+const maxLoggedWorkers = 64
 
-// noteWorker does what follows from a worker's change.
-func (g *Gateway) noteWorker(worker backends.Worker, change backends.Change) {
+// handleWorkerChange updates the state that depends on a worker after a change of its row.
+func (g *Gateway) handleWorkerChange(worker backends.Worker, change backends.Change) {
 	switch change {
 	case backends.Gone, backends.Began, backends.Unusable:
 		g.upstreams.Forget(worker.ID)
 	case backends.Restarted:
-		g.forgetFormerRun(worker.ID)
+		g.forgetPreviousRun(worker.ID)
 	}
 	if change == backends.Gone {
 		g.noteWorkerEnded(worker.ID, quarantine.RowGone)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -16,76 +16,74 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// Times of watching another node.
 const (
-	// watchWait is the longest wait of one call, watchSlack how much longer the answer may
-	// take to begin until the peer counts as silent.
+	// watchWait is the longest wait of one watch call. watchSlack is how much longer the first byte
+	// of the response may take before the peer counts as unresponsive.
 	watchWait  = 600 * time.Millisecond
 	watchSlack = 350 * time.Millisecond
-	// watchGather is the pause after news at a node that callers aren't sent to: one
-	// roll-out changes a row of each engine, and each change would have every node ask
-	// again. It adds to the time until a change is in force there.
-	watchGather = 400 * time.Millisecond
-	// watchIdle is the pause while nobody is asked, watchRetry that after an answer
-	// of no use, which grows to watchRetryMax after several in a row: while the store is
-	// out of everybody's reach a large fleet would ask its readers all the time.
-	watchIdle     = 200 * time.Millisecond
-	watchRetry    = 100 * time.Millisecond
-	watchRetryMax = 500 * time.Millisecond
-	// maxWatchWait bounds what a caller may ask for.
+	// watchBatchDelay is the pause after a change at a node that isn't serving. A rollout changes
+	// the row of each engine, and without the pause each change would end a call of every node. It
+	// adds to the time until a change is in force there.
+	watchBatchDelay = 400 * time.Millisecond
+	// watchIdlePause is the pause while there is no peer to ask. watchRetry is the pause after a
+	// failed call; it grows with each failure up to watchRetryMax to bound the load on the readers
+	// while no node can reach the store.
+	watchIdlePause = 200 * time.Millisecond
+	watchRetry     = 100 * time.Millisecond
+	watchRetryMax  = 500 * time.Millisecond
+	// maxWatchWait bounds the wait that a peer may request.
 	maxWatchWait = 2 * time.Second
-	// staleNumerator over staleDenominator is the least age of a proof at which a node counts
-	// as out of the store's reach, in waits of a call to the store.
+	// staleNumerator/staleDenominator times the wait of a store call is the proof age from which a
+	// node counts as cut off from the store.
 	staleNumerator   = 13
 	staleDenominator = 10
 )
 
-// Bounds of encoded rows, in bytes.
+// Limits of encoded rows, in bytes.
 const (
-	// compressAbove is the size from which on rows are compressed.
-	compressAbove = 1 << 10
-	// maxRowsBytes bounds the rows of one update, uncompressed.
+	// compressThreshold is the size from which rows are compressed.
+	compressThreshold = 1 << 10
+	// maxRowsBytes limits the uncompressed rows of one update.
 	maxRowsBytes = 32 << 20
 )
 
-// wholeBound is a bound on revocations from which on the times of watching hold; for shorter
-// ones they are shorter in proportion: a node's proof is as old as that of the node it asks,
-// and then as its own call.
-const wholeBound = 5 * time.Second
+// fullTimingBound is the least revocation bound at which the watch times apply unscaled. For
+// shorter bounds they shrink in proportion, because a node's proof is as old as its peer's plus its
+// own call.
+const fullTimingBound = 5 * time.Second
 
-func shortenedFor(revokeWithin, duration time.Duration) time.Duration {
-	if revokeWithin >= wholeBound {
+func scaleForBound(revokeWithin, duration time.Duration) time.Duration {
+	if revokeWithin >= fullTimingBound {
 		return duration
 	}
-	return time.Duration(float64(duration) * float64(revokeWithin) / float64(wholeBound))
+	return time.Duration(float64(duration) * float64(revokeWithin) / float64(fullTimingBound))
 }
 
-// watchWaitFor returns the longest wait of one call for a bound on revocations.
+// watchWaitFor returns the longest wait of one watch call for a revocation bound.
 func watchWaitFor(revokeWithin time.Duration) time.Duration {
-	return shortenedFor(revokeWithin, watchWait)
+	return scaleForBound(revokeWithin, watchWait)
 }
 
-// watchGatherFor returns the pause after news for a bound on revocations.
-func watchGatherFor(revokeWithin time.Duration) time.Duration {
-	return shortenedFor(revokeWithin, watchGather)
+// watchBatchDelayFor returns the pause after a change for a revocation bound.
+func watchBatchDelayFor(revokeWithin time.Duration) time.Duration {
+	return scaleForBound(revokeWithin, watchBatchDelay)
 }
 
-// staleAfterFor returns the age of a node's proof from which on another node is asked: more
-// than that of one that reads the store.
+// staleAfterFor returns the proof age from which a node asks another peer. It is greater than the
+// proof age of a node that reads the store.
 func staleAfterFor(revokeWithin time.Duration) time.Duration {
 	return min(relay.DefaultStaleAfter, operatorWaitFor(revokeWithin)*staleNumerator/staleDenominator)
 }
 
-// watchPeers learns from another node what changes in the store, while this
-// node is to ask one.
+// watchPeers follows the changes of the store through a peer while this node is to ask one.
 func (g *Gateway) watchPeers() error {
-	useless := 0
+	failures := 0
 	for {
-		pause := watchIdle
-		if source, found := g.sources.asks(g.now()); found {
+		pause := watchIdlePause
+		if source, found := g.sources.peerToAsk(g.now()); found {
 			outcome := g.watchOnce(source)
-			useless = outcome.countUseless(useless)
-			pause = g.watchPause(outcome, useless)
+			failures = outcome.countFailures(failures)
+			pause = g.watchPause(outcome, failures)
 		}
 		if !g.pause(pause) {
 			return nil
@@ -93,54 +91,53 @@
 	}
 }
 
-// watchOutcome tells what a call that watches another node has brought.
+// watchOutcome is the outcome of one watch call.
 type watchOutcome int
 
-// Outcomes of watching.
+// Outcomes of a watch call.
 const (
-	// watchQuiet means that nothing has changed.
-	watchQuiet watchOutcome = iota
-	// watchNews means that rows have changed.
-	watchNews
-	// watchUseless means that the next question is to wait a little, mostly at another node:
-	// this one gave no answer, has no proof, or an old one.
-	watchUseless
+	// watchUnchanged means that no rows have changed.
+	watchUnchanged watchOutcome = iota
+	// watchChanged means that rows have changed.
+	watchChanged
+	// watchFailed means that the next call must wait a little, usually for another peer: the peer
+	// didn't respond, has no freshness proof, or an old one.
+	watchFailed
 )
 
-// countUseless returns the number of useless outcomes in a row, this one included.
-func (o watchOutcome) countUseless(before int) int {
-	if o == watchUseless {
-		return before + 1
+// countFailures returns the number of failures in a row, including this outcome.
+func (o watchOutcome) countFailures(previous int) int {
+	if o == watchFailed {
+		return previous + 1
 	}
 	return 0
 }
 
-// watchPause returns the pause until the next call. useless counts the outcomes
-// of no use in a row.
-func (g *Gateway) watchPause(outcome watchOutcome, useless int) time.Duration {
+// watchPause returns the pause until the next call. failures counts the failed calls in a row.
+func (g *Gateway) watchPause(outcome watchOutcome, failures int) time.Duration {
 	switch {
-	case outcome == watchUseless:
-		return min(time.Duration(useless)*watchRetry, watchRetryMax)
-	case outcome == watchNews && !g.serves():
-		return watchGatherFor(g.settings().RevokeWithin)
+	case outcome == watchFailed:
+		return min(time.Duration(failures)*watchRetry, watchRetryMax)
+	case outcome == watchChanged && !g.isServing():
+		return watchBatchDelayFor(g.settings().RevokeWithin)
 	default:
 		return 0
 	}
 }
 
-// watchOnce asks one node and takes its answer in.
+// watchOnce makes one watch call to a peer and applies the response.
 func (g *Gateway) watchOnce(source fleet.NodeID) watchOutcome {
 	member, found := g.peers.View().Find(source)
 	if !found {
-		g.noteSource(source, g.sources.failed(g.now(), source), "not a member")
-		return watchUseless
+		g.logSourceChange(source, g.sources.recordFailure(g.now(), source), "not a member")
+		return watchFailed
 	}
 	request := &rpc.WatchRequest{
 		Node:        string(g.node),
 		WaitMillis:  uint32(watchWaitFor(g.settings().RevokeWithin).Milliseconds()),
 		RequestRate: encodeRate(g.demand.sharedTotal(g.now())),
 	}
-	if _, proven := g.fresh.Age(g.now()); !proven {
+	if _, proven := g.freshness.Age(g.now()); !proven {
 		request.WaitMillis = 0
 	}
 	request.PositionsOf = string(source)
@@ -151,34 +148,34 @@
 	}
 	for _, followed := range g.tables {
 		if followed.source != source {
-			followed.source, followed.seen = source, 0
+			followed.source, followed.seenSequence = source, 0
 		}
 		request.Positions = append(request.Positions, &rpc.TablePosition{
 			Table: string(followed.name), Sequence: g.watchPosition(followed),
 		})
 	}
 	g.requestSubsets(request)
-	begun := g.now()
+	start := g.now()
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
-	ctx, stop := g.resumptions.bind(g.peerCallContext(traffic.Watches, member))
+	ctx, stop := g.suspensionSignal.bind(g.peerCallContext(traffic.Watches, member))
 	defer stop()
 	response, err := g.peers.AskWatch(ctx, member.Address, firstByte, request)
 	if g.context().Err() != nil {
-		return watchQuiet
+		return watchUnchanged
 	}
 	if err != nil {
-		g.noteSource(source, g.sources.failed(g.now(), source), err.Error())
-		return watchUseless
+		g.logSourceChange(source, g.sources.recordFailure(g.now(), source), err.Error())
+		return watchFailed
 	}
-	return g.takeWatch(source, begun, response)
+	return g.applyWatchResponse(source, start, response)
 }
 
-// takeWatch takes a peer's answer in. A peer that proved at its answer what it
-// holds by a proof of an age proves the same here, as of the call's start and the
-// time for which the peer held the call, less that age.
-func (g *Gateway) takeWatch(source fleet.NodeID, begun time.Duration, response *rpc.WatchResponse) watchOutcome {
+// applyWatchResponse applies a peer's response. The peer's freshness proof is also valid here: its
+// time is the start of the call plus the time for which the peer held the call, less the age of the
+// proof.
+func (g *Gateway) applyWatchResponse(source fleet.NodeID, start time.Duration, response *rpc.WatchResponse) watchOutcome {
 	g.applyNamedVersions(response.GetNamed())
-	g.applyDirectives(begun, response.GetDeliveries())
+	g.applyDirectives(start, response.GetDeliveries())
 	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
 	g.mergeQuarantineRecords(response.GetQuarantineRecords())
 	for _, message := range response.GetUpdates() {
@@ -188,15 +185,15 @@
 		}
 		update, err := decodeUpdate(message)
 		if err != nil {
-			g.noteSource(source, g.sources.failed(g.now(), source), err.Error())
-			return watchUseless
+			g.logSourceChange(source, g.sources.recordFailure(g.now(), source), err.Error())
+			return watchFailed
 		}
 		if followed.name == TableWorkers {
 			g.applyWorkersUpdate(followed, message, update)
 		} else {
-			followed.apply(update, gapUnreached)
+			followed.apply(update, gapUnreachable)
 		}
-		followed.seen = update.Sequence
+		followed.seenSequence = update.Sequence
 		followed.cache.Advance(update.Followed)
 	}
 	g.demand.reportTotal(g.now(), decodeRate(response.GetRequestRate()))
@@ -205,35 +202,35 @@
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
 	if proven {
 		held := time.Duration(response.GetHeldMillis()) * time.Millisecond
-		g.fresh.Prove(min(begun+held, g.now()) - age)
-		g.noteKnown()
+		g.freshness.Prove(min(start+held, g.now()) - age)
+		g.updateReadiness()
 	}
-	if moved := g.sources.answered(g.now(), source, age, proven); moved {
-		g.noteSource(source, moved, "proof too old, or first source again")
-		return watchUseless
+	if changed := g.sources.recordResponse(g.now(), source, age, proven); changed {
+		g.logSourceChange(source, changed, "freshness proof too old, or preferred source available again")
+		return watchFailed
 	}
 	if !proven {
-		return watchUseless
+		return watchFailed
 	}
-	if news(response) {
-		return watchNews
+	if hasChangedRows(response) {
+		return watchChanged
 	}
-	return watchQuiet
+	return watchUnchanged
 }
 
-// news tells whether an answer brings changed rows.
-func news(response *rpc.WatchResponse) bool {
+// hasChangedRows reports whether a response contains changed rows.
+func hasChangedRows(response *rpc.WatchResponse) bool {
 	return slices.ContainsFunc(response.GetUpdates(), func(update *rpc.TableUpdate) bool {
 		return len(update.GetRows()) > 0 || len(update.GetCompressedRows()) > 0
 	})
 }
 
-// noteSource logs that another node is asked from now on.
-func (g *Gateway) noteSource(source fleet.NodeID, moved bool, reason string) {
-	if !moved {
+// logSourceChange logs that another peer is asked from now on.
+func (g *Gateway) logSourceChange(source fleet.NodeID, changed bool, reason string) {
+	if !changed {
 		return
 	}
-	next, _ := g.sources.asks(g.now())
+	next, _ := g.sources.peerToAsk(g.now())
 	g.events.line("source_changed").Str("from", string(source)).Str("to", string(next)).Str("reason", reason).Msg("source_changed")
 }
 
@@ -247,30 +244,30 @@
 	return nil
 }
 
-// answerWatch answers another node's call: at once if this node knows more than
-// the caller, else when it does or when the wait is over.
+// answerWatch answers a peer's watch call: at once if this node has changes for it, otherwise as
+// soon as it has some or when the requested wait is over.
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
-	g.sources.watched(arrived)
+	g.sources.recordWatcher(arrived)
 	g.demand.reportTotal(g.now(), decodeRate(request.GetRequestRate()))
 	g.applyOriginReport(g.now(), request.GetOrigins(), request.GetPressures())
 	wait := min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed := make([]<-chan struct{}, 0, len(g.tables))
+		tableChanges := make([]<-chan struct{}, 0, len(g.tables))
 		for _, followed := range g.tables {
-			changed = append(changed, followed.cache.Changed())
+			tableChanges = append(tableChanges, followed.cache.Changed())
 		}
-		redirected := g.deliveries.nextChange()
-		response, news := g.heldResponse(request, arrived)
-		if news {
+		deliveriesChanged := g.deliveries.nextChange()
+		response, changed := g.heldResponse(request, arrived)
+		if changed {
 			return response
 		}
 		select {
-		case <-changed[0]:
-		case <-changed[1]:
-		case <-redirected:
+		case <-tableChanges[0]:
+		case <-tableChanges[1]:
+		case <-deliveriesChanged:
 		case <-timer.C:
 			response, _ = g.heldResponse(request, arrived)
 			return response
@@ -282,26 +279,26 @@
 	}
 }
 
-// heldResponse is watchResponse for a call that has been held since it arrived. The time is read
-// before the age of the proof, so that nobody takes the proof for younger than it is.
+// heldResponse returns buildWatchResponse's response for a call that has been held since arrived.
+// It measures the time held before the proof's age is read, so that the peer never underestimates
+// that age.
 func (g *Gateway) heldResponse(request *rpc.WatchRequest, arrived time.Duration) (*rpc.WatchResponse, bool) {
 	held := g.now() - arrived
-	response, news := g.watchResponse(request)
+	response, changed := g.buildWatchResponse(request)
 	response.HeldMillis = uint32(max(held, 0).Milliseconds())
-	return response, news
+	return response, changed
 }
 
-// watchResponse returns what this node knows beyond the caller, and whether
-// that is anything.
-func (g *Gateway) watchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
+// buildWatchResponse returns the changes that the peer has not seen, and whether there are any.
+func (g *Gateway) buildWatchResponse(request *rpc.WatchRequest) (*rpc.WatchResponse, bool) {
 	now := g.now()
-	// The proof is read before the tables: it holds for what they hold by then.
-	age, proven := g.fresh.Age(now)
+	// The proof must be read before the tables, so that they are at least as new as the proof.
+	age, proven := g.freshness.Age(now)
 	response := &rpc.WatchResponse{
 		Named:       g.namedVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
-	news := g.deliveries.writeWatchResponse(now, request, response)
+	changed := g.deliveries.writeWatchResponse(now, request, response)
 	response.Origins, response.Pressures = g.originReport(now)
 	response.QuarantineRecords = g.quarantines.missingRecords(now, request.GetQuarantineDigest())
 	if proven {
@@ -321,16 +318,16 @@
 			response.ProofAgeMillis = 0
 			continue
 		}
-		news = news || update.Complete || len(update.Rows) > 0
+		changed = changed || update.Complete || len(update.Rows) > 0
 		message := followed.encode(seen, update, subsetsDigest(subsets))
 		message.WorkersInUse, message.Subsets = update.Covers != nil, encodeSubsets(subsets)
 		response.Updates = append(response.Updates, message)
 	}
-	return response, news
+	return response, changed
 }
 
-// updateFor returns what a watcher that has seen all up to a number is to be told of a table,
-// and the subsets of the workers to which that is limited.
+// updateFor returns the changes of a table after a sequence number, and the subsets of the workers
+// that they are limited to.
 func (g *Gateway) updateFor(followed *table, request *rpc.WatchRequest, seen uint64) (*watchcache.Update, backends.Subsets) {
 	if followed.name == TableWorkers {
 		return g.workersUpdate(followed, request, seen)
@@ -338,8 +335,8 @@
 	return followed.cache.After(seen), nil
 }
 
-// encode returns an update in its transmitted form. Watchers mostly ask after
-// the same position and for the same part, so the last compressed one is kept.
+// encode returns the wire form of an update. It caches the last compressed rows, because most peers
+// ask for the same part after the same position.
 func (t *table) encode(after uint64, update *watchcache.Update, part uint64) *rpc.TableUpdate {
 	message := &rpc.TableUpdate{
 		Table: string(t.name), Revision: uint64(update.Revision), Complete: update.Complete, Sequence: update.Sequence,
@@ -352,11 +349,11 @@
 			Key: row.Key, Revision: uint64(row.Revision), Value: row.Value, Gone: row.Gone,
 		})
 	}
-	if size < compressAbove {
+	if size < compressThreshold {
 		return message
 	}
-	// A watcher may be told everything though it has seen some, as it asks for another part.
-	// Its rows aren't those of one that is told what has changed since.
+	// A peer that asks for another part receives the complete table even though it has seen some of
+	// it. These rows must not be cached as the changes after its position.
 	if update.Complete {
 		after = 0
 	}
@@ -366,17 +363,17 @@
 	return message
 }
 
-// encodedUpdate is the last update that was compressed: the changes after a
-// number up to another, of a part of the table.
+// encodedUpdate holds the compressed rows of an update of one part of a table, from one sequence
+// number to another.
 type encodedUpdate struct {
 	after, upTo, part uint64
 	content           []byte
 }
 
-// compress returns an update's rows compressed.
+// compress returns the compressed rows of an update.
 func (t *table) compress(after uint64, update *watchcache.Update, part uint64, rows []*rpc.TableRow) ([]byte, error) {
-	t.encoding.Lock()
-	defer t.encoding.Unlock()
+	t.encodingMutex.Lock()
+	defer t.encodingMutex.Unlock()
 	if t.encoded.content != nil && t.encoded.after == after && t.encoded.upTo == update.Sequence && t.encoded.part == part {
 		return t.encoded.content, nil
 	}
@@ -388,7 +385,7 @@
 	return content, nil
 }
 
-// decodeUpdate reads an update from its transmitted form.
+// decodeUpdate decodes the wire form of an update.
 func decodeUpdate(message *rpc.TableUpdate) (*watchcache.Update, error) {
 	rows := message.GetRows()
 	if compressed := message.GetCompressedRows(); len(compressed) > 0 {
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -106,7 +106,7 @@
 
 // updateZoneFeeds starts and stops the feeds of other zones.
 func (g *Gateway) updateZoneFeeds(wanted map[fleet.ZoneName]map[fleet.EngineID]bool) {
-	g.zoneFeeds.setWanted(wanted, g.serves(), func(zone fleet.ZoneName, feed *zoneFeed) {
+	g.zoneFeeds.setWanted(wanted, g.isServing(), func(zone fleet.ZoneName, feed *zoneFeed) {
 		ctx, cancel := context.WithCancel(g.context())
 		feed.cancel = cancel
 		g.life.Go(func() error {
