--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -12,11 +12,11 @@
 	endpoint := r.loaded(found.now, engine, known)
 	endpoint.Address, endpoint.Zone = known.worker.Address, known.worker.Zone
 	distance := r.from(known.worker.Zone)
-	endpoint.Delay = r.options.Distances.Delay[distance]
-	endpoint.Crossing = r.options.Distances.crossing(distance, found.request.Bytes)
-	endpoint.Decoding = max(endpoint.InFlight-known.prefilling, 0)
-	endpoint.EventSteps = engine.EventTokens
-	endpoint.Risk = time.Duration(known.failureRate(found.now) * float64(riskTime))
+	endpoint.NetworkDelay = r.options.Distances.Delay[distance]
+	endpoint.TransferCost = r.options.Distances.crossing(distance, found.request.Bytes)
+	endpoint.DecodingStreams = max(endpoint.InFlight-known.prefilling, 0)
+	endpoint.StepsPerEvent = engine.EventTokens
+	endpoint.FailureCost = time.Duration(known.failureRate(found.now) * float64(riskTime))
 	if capacity := r.capacities[known.worker.Service]; capacity > 0 {
 		endpoint.MemoryTokens = capacity
 		endpoint.MemoryUsed = r.total(found.now, known).MemoryTokens - known.memory.tokens() + known.memory.with(needOf(engine, parts))
@@ -28,12 +28,12 @@
 		endpoint.ImportBlocks = from.parts
 		endpoint.ImportSetup = importSetup
 		endpoint.ImportPerToken = from.perToken
-		endpoint.ImportPrice = r.options.Distances.MovePrice[from.distance]
+		endpoint.ImportCostFactor = r.options.Distances.MovePrice[from.distance]
 	}
 	somewhere := sharedTokens(prompt.ends, max(held, from.parts))
-	endpoint.UnreadTokens = max(engine.PromptTokens-somewhere, 0)
+	endpoint.ColdTokens = max(engine.PromptTokens-somewhere, 0)
 	if known != prompt.home {
-		endpoint.ApartTokens = int(apartPart * float64(max(sharedTokens(prompt.ends, prompt.shared)-somewhere, 0)))
+		endpoint.DuplicateTokens = int(apartPart * float64(max(sharedTokens(prompt.ends, prompt.shared)-somewhere, 0)))
 	}
 	return endpoint
 }
@@ -43,19 +43,19 @@
 	load := r.total(now, known)
 	overtaken := r.overtaken(now, known, engine.Priority)
 	return scheduling.Endpoint{
-		Run:              known.worker.Run(),
-		Pool:             known.worker.Service,
-		Ready:            true,
-		InFlight:         load.InFlight,
-		MaxStreams:       maxStreams(known.worker.Slots),
-		Slots:            known.worker.Slots,
-		OvertakenStreams: int(overtaken.InFlight),
-		SlotTime:         r.slotTime(known.worker.Service),
-		PrefillTokens:    load.PrefillTokens,
-		OvertakenTokens:  int(overtaken.PrefillTokens),
-		PrefillPerToken:  time.Duration(float64(r.perToken(known.worker.Service)) * max(known.slowness, 1)),
-		Step:             r.options.Step,
-		StepTokens:       r.options.StepTokens,
+		Run:                  known.worker.Run(),
+		Pool:                 known.worker.Service,
+		Ready:                true,
+		InFlight:             load.InFlight,
+		MaxStreams:           maxStreams(known.worker.Slots),
+		Slots:                known.worker.Slots,
+		LowerPriorityStreams: int(overtaken.InFlight),
+		SlotTime:             r.slotTime(known.worker.Service),
+		PrefillTokens:        load.PrefillTokens,
+		LowerPriorityTokens:  int(overtaken.PrefillTokens),
+		PrefillPerToken:      time.Duration(float64(r.perToken(known.worker.Service)) * max(known.slowness, 1)),
+		Step:                 r.options.Step,
+		StepTokens:           r.options.StepTokens,
 	}
 }
 
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -160,14 +160,14 @@
 		version := known.worker.Versions[engine.Model]
 		endpoint := r.endpoint(found, prompt, known, found.scopeOf(version))
 		if found.kept(known) {
-			endpoint.Reserved = reservedPrice
+			endpoint.ReservedPenalty = reservedPrice
 		}
 		if version < r.preferred[engine.Model] {
-			endpoint.Outdated = outdatedPrice
+			endpoint.OutdatedPenalty = outdatedPrice
 		}
 		r.endpoints = append(r.endpoints, endpoint)
 	}
-	return r.scheduler.Compare(scheduling.Request{
+	return r.scheduler.ChooseAmong(scheduling.Request{
 		ID:           engine.ID,
 		Pool:         found.request.Service,
 		PromptTokens: engine.PromptTokens,
--- a/internal/backends/refuse.go
+++ b/internal/backends/refuse.go
@@ -18,13 +18,13 @@
 		return Refusal{}, false
 	}
 	allowed := allowedWait(engine, decision)
-	if decision.Wait <= allowed {
+	if decision.WaitTime <= allowed {
 		return Refusal{}, false
 	}
-	return Refusal{Reason: ReasonLate, RetryAfter: decision.Wait - allowed}, true
+	return Refusal{Reason: ReasonLate, RetryAfter: decision.WaitTime - allowed}, true
 }
 
 // allowedWait returns for how long a request may wait for others.
 func allowedWait(engine *EngineRequest, decision *scheduling.Decision) time.Duration {
-	return max(engine.Target-decision.Own, time.Duration(leastWaitPart*float64(engine.Target)))
+	return max(engine.Target-decision.ServiceTime, time.Duration(leastWaitPart*float64(engine.Target)))
 }
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		endpoint := s.loaded(s.now, s.request.Engine, known)
-		found.note(known, scheduling.WaitAt(&endpoint))
+		found.note(known, scheduling.PredictedWait(&endpoint))
 	}
 	return found
 }
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -98,7 +98,7 @@
 func benchmarkDecision(b *testing.B, state *bench, blockTokens int) {
 	scheduler := scheduling.New(scheduling.DefaultOptions())
 	request := scheduling.Request{
-		Weights: fleet.Weights{Model: "m"}, Pool: "pool",
+		ModelVersion: fleet.Weights{Model: "m"}, Pool: "pool",
 		PromptTokens: promptTokens, BlockTokens: blockTokens,
 	}
 	histogram := hdrhistogram.New(1, int64(time.Second), 3)
--- a/internal/scheduling/filter.go
+++ b/internal/scheduling/filter.go
@@ -2,12 +2,12 @@
 
 // Names of the filters in explanations.
 const (
-	FilterPool     = "pool"
-	FilterLeaving  = "leaving"
-	FilterReady    = "ready"
-	FilterExcluded = "excluded"
-	FilterWeights  = "weights"
-	FilterStreams  = "max_streams"
+	FilterPool         = "pool"
+	FilterDraining     = "leaving"
+	FilterReady        = "ready"
+	FilterExcluded     = "excluded"
+	FilterModelVersion = "weights"
+	FilterStreams      = "max_streams"
 )
 
 // removedBy runs the chain of filters and returns the name of the first that
@@ -18,14 +18,14 @@
 	switch {
 	case !inPool(request, endpoint):
 		return FilterPool
-	case !notLeaving(endpoint):
-		return FilterLeaving
-	case !ready(endpoint):
+	case !notDraining(endpoint):
+		return FilterDraining
+	case !isReady(endpoint):
 		return FilterReady
 	case !notExcluded(request, endpoint):
 		return FilterExcluded
-	case !servesWeights(request, endpoint):
-		return FilterWeights
+	case !servesModelVersion(request, endpoint):
+		return FilterModelVersion
 	case !belowMaxStreams(endpoint):
 		return FilterStreams
 	default:
--- a/internal/scheduling/filter_leaving.go
+++ b/internal/scheduling/filter_leaving.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// notLeaving removes the endpoints that get no new work any more.
-func notLeaving(endpoint *Endpoint) bool {
-	return !endpoint.Leaving
+// notDraining removes the endpoints that get no new work any more.
+func notDraining(endpoint *Endpoint) bool {
+	return !endpoint.Draining
 }
--- a/internal/scheduling/filter_ready.go
+++ b/internal/scheduling/filter_ready.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// ready keeps the endpoints that have answered lately.
-func ready(endpoint *Endpoint) bool {
+// isReady keeps the endpoints that have answered lately.
+func isReady(endpoint *Endpoint) bool {
 	return endpoint.Ready
 }
--- a/internal/scheduling/filter_test.go
+++ b/internal/scheduling/filter_test.go
@@ -11,13 +11,13 @@
 // TestFilters spoils one property of a good endpoint at a time.
 func TestFilters(t *testing.T) {
 	spoiled := map[string]func(*Request, *Endpoint){
-		"":             func(*Request, *Endpoint) {},
-		FilterPool:     func(_ *Request, e *Endpoint) { e.Pool = "other" },
-		FilterReady:    func(_ *Request, e *Endpoint) { e.Ready = false },
-		FilterLeaving:  func(_ *Request, e *Endpoint) { e.Leaving = true },
-		FilterExcluded: func(r *Request, e *Endpoint) { r.Excluded = []fleet.EngineRun{e.Run} },
-		FilterWeights:  func(r *Request, _ *Endpoint) { r.Weights.Version = "v2" },
-		FilterStreams:  func(_ *Request, e *Endpoint) { e.InFlight = e.MaxStreams },
+		"":                 func(*Request, *Endpoint) {},
+		FilterPool:         func(_ *Request, e *Endpoint) { e.Pool = "other" },
+		FilterReady:        func(_ *Request, e *Endpoint) { e.Ready = false },
+		FilterDraining:     func(_ *Request, e *Endpoint) { e.Draining = true },
+		FilterExcluded:     func(r *Request, e *Endpoint) { r.Excluded = []fleet.EngineRun{e.Run} },
+		FilterModelVersion: func(r *Request, _ *Endpoint) { r.ModelVersion.Version = "v2" },
+		FilterStreams:      func(_ *Request, e *Endpoint) { e.InFlight = e.MaxStreams },
 	}
 	for name, spoil := range spoiled {
 		t.Run("removed by "+name, func(t *testing.T) {
--- a/internal/scheduling/options.go
+++ b/internal/scheduling/options.go
@@ -4,16 +4,16 @@
 
 // Defaults of Options, and of endpoints that haven't reported their speed.
 const (
-	DefaultZonePenalty      = 3 * time.Millisecond
-	DefaultRecomputeWeight  = 100 * time.Microsecond
-	DefaultCongestionWeight = 300 * time.Microsecond
-	DefaultCongestedQueue   = 200 * time.Millisecond
-	DefaultTieFraction      = 0.05
-	DefaultDisturbance      = 100 * time.Millisecond
-	DefaultMemoryWeight     = 50 * time.Microsecond
-	DefaultStepTokens       = 2048
-	DefaultPrefillPerToken  = 50 * time.Microsecond
-	DefaultStep             = 10 * time.Millisecond
+	DefaultZonePenalty       = 3 * time.Millisecond
+	DefaultRecomputeWeight   = 100 * time.Microsecond
+	DefaultCongestionWeight  = 300 * time.Microsecond
+	DefaultCongestedQueue    = 200 * time.Millisecond
+	DefaultTieFraction       = 0.05
+	DefaultDecodeStallWeight = 100 * time.Millisecond
+	DefaultMemoryWeight      = 50 * time.Microsecond
+	DefaultStepTokens        = 2048
+	DefaultPrefillPerToken   = 50 * time.Microsecond
+	DefaultStep              = 10 * time.Millisecond
 )
 
 // Options sets the prices that a scheduler compares engines by. A zero field
@@ -42,9 +42,9 @@
 	// holder: a move loads two links and may fail, and makes a second copy that
 	// takes the place of others.
 	ImportWeight time.Duration
-	// DisturbanceWeight is charged for each stream whose events a prompt holds up
+	// DecodeStallWeight is charged for each stream whose events a prompt holds up
 	// over all the steps between two of them.
-	DisturbanceWeight time.Duration
+	DecodeStallWeight time.Duration
 	// MemoryWeight is charged for each token that doesn't fit into an endpoint's
 	// memory beside what its requests hold: an engine that runs out of memory puts
 	// a request back and computes its prompt anew.
@@ -60,7 +60,7 @@
 		CongestedQueue:   DefaultCongestedQueue,
 		TieFraction:      DefaultTieFraction,
 
-		DisturbanceWeight: DefaultDisturbance,
+		DecodeStallWeight: DefaultDecodeStallWeight,
 		MemoryWeight:      DefaultMemoryWeight,
 	}
 }
--- a/internal/scheduling/pick.go
+++ b/internal/scheduling/pick.go
@@ -8,7 +8,7 @@
 // pick takes the cheapest candidate among those predicted to meet the deadline,
 // with near-ties broken by load and chance. When none is, it takes the earliest
 // and returns true. candidates must not be empty; their order may change.
-func (s *Scheduler) pick(request *Request, endpoints []Endpoint, candidates []rated, random *rand.Rand) (rated, bool) {
+func (s *Scheduler) pick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) (scoredEndpoint, bool) {
 	inTime := meetingDeadline(request.Deadline, candidates)
 	if len(inTime) == 0 {
 		return earliest(candidates), true
@@ -18,13 +18,13 @@
 
 // meetingDeadline moves the candidates that meet a deadline to the front and
 // returns them.
-func meetingDeadline(deadline time.Duration, candidates []rated) []rated {
+func meetingDeadline(deadline time.Duration, candidates []scoredEndpoint) []scoredEndpoint {
 	if deadline <= 0 {
 		return candidates
 	}
 	kept := candidates[:0:len(candidates)]
 	for position := range candidates {
-		if candidates[position].scores.Soonest() <= deadline {
+		if candidates[position].scores.EarliestFirstToken() <= deadline {
 			candidates[len(kept)], candidates[position] = candidates[position], candidates[len(kept)]
 			kept = candidates[:len(kept)+1]
 		}
@@ -32,10 +32,10 @@
 	return kept
 }
 
-func earliest(candidates []rated) rated {
+func earliest(candidates []scoredEndpoint) scoredEndpoint {
 	best := candidates[0]
 	for _, candidate := range candidates[1:] {
-		if candidate.scores.Soonest() < best.scores.Soonest() {
+		if candidate.scores.EarliestFirstToken() < best.scores.EarliestFirstToken() {
 			best = candidate
 		}
 	}
@@ -45,9 +45,9 @@
 // breakTies chooses among the candidates within TieFraction of the cheapest:
 // the fewest streams in flight, then each with equal chance (reservoir
 // sampling, so that nothing is allocated).
-func (s *Scheduler) breakTies(endpoints []Endpoint, candidates []rated, random *rand.Rand) rated {
+func (s *Scheduler) breakTies(endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) scoredEndpoint {
 	limit := s.tieLimit(candidates)
-	var best rated
+	var best scoredEndpoint
 	equal := 0
 	for _, candidate := range candidates {
 		if candidate.scores.Cost() > limit {
@@ -68,7 +68,7 @@
 }
 
 // tieLimit returns the highest cost that counts as equal to the lowest.
-func (s *Scheduler) tieLimit(candidates []rated) time.Duration {
+func (s *Scheduler) tieLimit(candidates []scoredEndpoint) time.Duration {
 	lowest := candidates[0].scores.Cost()
 	for _, candidate := range candidates[1:] {
 		lowest = min(lowest, candidate.scores.Cost())
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -20,8 +20,8 @@
 	return &Scheduler{options: options}
 }
 
-// rated is an endpoint that passed every filter.
-type rated struct {
+// scoredEndpoint is an endpoint that passed every filter.
+type scoredEndpoint struct {
 	index  int
 	scores Scores
 }
@@ -30,10 +30,10 @@
 // passes the filters; Candidates then still says why, if asked for. The
 // generator breaks ties only.
 func (s *Scheduler) Schedule(request Request, endpoints []Endpoint, random *rand.Rand) (Decision, bool) {
-	var buffer [stackCandidates]rated
+	var buffer [stackCandidates]scoredEndpoint
 	candidates := buffer[:0]
 	if len(endpoints) > stackCandidates {
-		candidates = make([]rated, 0, len(endpoints))
+		candidates = make([]scoredEndpoint, 0, len(endpoints))
 	}
 	var explanation []Candidate
 	if request.Explain {
@@ -44,7 +44,7 @@
 		endpoint := &endpoints[index]
 		filter := removedBy(&request, endpoint)
 		if filter == "" {
-			candidates = append(candidates, rated{index: index})
+			candidates = append(candidates, scoredEndpoint{index: index})
 			congestion += s.congestionAt(endpoint)
 		}
 		if request.Explain {
@@ -54,28 +54,28 @@
 	if len(candidates) == 0 {
 		return Decision{Candidates: explanation}, false
 	}
-	return s.compare(&request, endpoints, candidates, congestion, explanation, random), true
+	return s.scoreAndPick(&request, endpoints, candidates, congestion, explanation, random), true
 }
 
-// Compare chooses among endpoints that may all get the request: whoever calls it has
+// ChooseAmong chooses among endpoints that may all get the request: whoever calls it has
 // filtered them. There must be one at least.
-func (s *Scheduler) Compare(request Request, endpoints []Endpoint, random *rand.Rand) Decision {
-	var buffer [stackCandidates]rated
+func (s *Scheduler) ChooseAmong(request Request, endpoints []Endpoint, random *rand.Rand) Decision {
+	var buffer [stackCandidates]scoredEndpoint
 	candidates := buffer[:0]
 	if len(endpoints) > stackCandidates {
-		candidates = make([]rated, 0, len(endpoints))
+		candidates = make([]scoredEndpoint, 0, len(endpoints))
 	}
 	congestion := 0.0
 	for index := range endpoints {
-		candidates = append(candidates, rated{index: index})
+		candidates = append(candidates, scoredEndpoint{index: index})
 		congestion += s.congestionAt(&endpoints[index])
 	}
-	return s.compare(&request, endpoints, candidates, congestion, nil, random)
+	return s.scoreAndPick(&request, endpoints, candidates, congestion, nil, random)
 }
 
-// compare scores the candidates, of a congestion together, and picks one.
-func (s *Scheduler) compare(request *Request, endpoints []Endpoint, candidates []rated, congestion float64, explanation []Candidate, random *rand.Rand) Decision {
-	charged := s.prices(congestion/float64(len(candidates)), request.RecomputeDiscount)
+// scoreAndPick scores the candidates, of a congestion together, and picks one.
+func (s *Scheduler) scoreAndPick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, congestion float64, explanation []Candidate, random *rand.Rand) Decision {
+	charged := s.recomputePricesAt(congestion/float64(len(candidates)), request.RecomputeDiscount)
 	for position := range candidates {
 		candidate := &candidates[position]
 		candidate.scores = s.score(request, &endpoints[candidate.index], charged)
@@ -93,35 +93,35 @@
 		CachedTokens:   picked.scores.CachedTokens,
 		ImportedTokens: picked.scores.ImportedTokens,
 		FirstToken:     picked.scores.FirstToken(),
-		Own:            picked.scores.Own(),
-		Wait:           picked.scores.Wait(),
+		ServiceTime:    picked.scores.ServiceTime(),
+		WaitTime:       picked.scores.WaitTime(),
 		Late:           late,
 		Candidates:     explanation,
 	}
 }
 
 // score predicts the costs of an endpoint, at the prices of a decision.
-func (s *Scheduler) score(request *Request, endpoint *Endpoint, charged prices) Scores {
+func (s *Scheduler) score(request *Request, endpoint *Endpoint, charged recomputePrices) Scores {
 	cached := cachedTokens(request, endpoint)
 	imported, importing := importTime(request, endpoint, cached)
 	uncached := request.PromptTokens - cached - imported
-	unread := min(endpoint.UnreadTokens, uncached)
+	unread := min(endpoint.ColdTokens, uncached)
 	return Scores{
 		CachedTokens:   cached,
 		ImportedTokens: imported,
 		Import:         importing,
 		Queue:          queueTime(endpoint),
-		Overtaken:      prefillTime(endpoint, endpoint.OvertakenTokens),
+		LowerPriority:  prefillTime(endpoint, endpoint.LowerPriorityTokens),
 		Prefill:        prefillTime(endpoint, uncached),
 		Interference:   interferenceTime(endpoint, uncached),
-		Zone:           s.zonePrice(request, endpoint) + endpoint.Delay,
-		Crossing:       endpoint.Crossing,
-		Recompute:      charged.recompute(uncached - unread + endpoint.ApartTokens),
-		Move:           time.Duration(imported*max(endpoint.ImportPrice, 1)) * s.options.ImportWeight,
-		Risk:           endpoint.Risk,
-		Reserved:       endpoint.Reserved,
-		Outdated:       endpoint.Outdated,
-		Disturbance:    s.disturbance(endpoint, uncached),
-		Memory:         s.memoryPrice(endpoint),
+		Zone:           s.zonePenalty(request, endpoint) + endpoint.NetworkDelay,
+		Transfer:       endpoint.TransferCost,
+		Recompute:      charged.cost(uncached - unread + endpoint.DuplicateTokens),
+		ImportCost:     time.Duration(imported*max(endpoint.ImportCostFactor, 1)) * s.options.ImportWeight,
+		Failure:        endpoint.FailureCost,
+		Reserved:       endpoint.ReservedPenalty,
+		Outdated:       endpoint.OutdatedPenalty,
+		DecodeStall:    s.decodeStallCost(endpoint, uncached),
+		Memory:         s.memoryCost(endpoint),
 	}
 }
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -14,7 +14,7 @@
 
 func testRequest() Request {
 	return Request{
-		Weights:      fleet.Weights{Model: "m", Version: "v1"},
+		ModelVersion: fleet.Weights{Model: "m", Version: "v1"},
 		Pool:         "pool",
 		AgentZone:    "a",
 		PromptTokens: 1024,
@@ -126,20 +126,20 @@
 
 func TestExplainListsEveryEndpoint(t *testing.T) {
 	endpoints := []Endpoint{testEndpoint(0), testEndpoint(1), testEndpoint(2)}
-	endpoints[0].Leaving = true
+	endpoints[0].Draining = true
 	endpoints[2].CachedBlocks = 32
 	request := testRequest()
 	request.Explain = true
 	decision := scheduleOne(t, Options{}, request, endpoints...)
 	require.Len(t, decision.Candidates, 3)
-	assert.Equal(t, FilterLeaving, decision.Candidates[0].RemovedBy)
+	assert.Equal(t, FilterDraining, decision.Candidates[0].RemovedBy)
 	assert.True(t, decision.Candidates[2].Chosen)
 	assert.Equal(t, 512, decision.Candidates[2].Scores.CachedTokens)
 	assert.Equal(t, decision.FirstToken, decision.Candidates[2].Scores.FirstToken())
 
 	decision, found := New(Options{}).Schedule(request, endpoints[:1], testRandom())
 	assert.False(t, found)
-	assert.Equal(t, FilterLeaving, decision.Candidates[0].RemovedBy)
+	assert.Equal(t, FilterDraining, decision.Candidates[0].RemovedBy)
 }
 
 func TestScheduleAllocatesNothing(t *testing.T) {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -20,9 +20,9 @@
 	Pool    fleet.PoolName
 	// Ready is false for an engine that hasn't answered lately.
 	Ready bool
-	// Leaving is true once any source has said that this run is leaving; it
+	// Draining is true once any source has said that this run is leaving; it
 	// never becomes false again for the same run.
-	Leaving bool
+	Draining bool
 	// Serves tells whether the run has the weights loaded and its role takes requests.
 	Serves func(weights fleet.Weights) bool
 	// InFlight counts the streams placed here and not known to have ended.
@@ -36,10 +36,10 @@
 	// PrefillTokens is the uncached prompt work ahead of a new request: the
 	// last load report plus what was placed since, less what has ended.
 	PrefillTokens int
-	// OvertakenTokens and OvertakenStreams are the parts of PrefillTokens and InFlight
+	// LowerPriorityTokens and OvertakenStreams are the parts of PrefillTokens and InFlight
 	// that are less urgent than the request: the engine takes it before them.
-	OvertakenTokens  int
-	OvertakenStreams int
+	LowerPriorityTokens  int
+	LowerPriorityStreams int
 	// PrefillPerToken and Step are the engine's measured speed: the time to
 	// compute a prompt token, and the time that a batch step takes besides.
 	PrefillPerToken time.Duration
@@ -61,34 +61,34 @@
 	ImportBlocks   int
 	ImportPerToken time.Duration
 	ImportSetup    time.Duration
-	// ImportPrice is how many times as dear the move is as one nearby; 0 counts as 1.
-	ImportPrice int
-	// Delay is by how much later the first token comes from there, Crossing the price of
+	// ImportCostFactor is how many times as dear the move is as one nearby; 0 counts as 1.
+	ImportCostFactor int
+	// NetworkDelay is by how much later the first token comes from there, Crossing the price of
 	// the bytes that go there and back.
-	Delay    time.Duration
-	Crossing time.Duration
-	// UnreadTokens is the end of the prompt that nobody holds: computing it is no
+	NetworkDelay time.Duration
+	TransferCost time.Duration
+	// ColdTokens is the end of the prompt that nobody holds: computing it is no
 	// recomputation.
-	UnreadTokens int
-	// ApartTokens are charged like recomputed ones, since another request may have
+	ColdTokens int
+	// DuplicateTokens are charged like recomputed ones, since another request may have
 	// the unread prefix computed elsewhere at the same time.
-	ApartTokens int
-	// Risk is the time that failures of this engine are expected to cost.
-	Risk time.Duration
-	// Reserved is the price of taking an engine that is kept for requests of
+	DuplicateTokens int
+	// FailureCost is the time that failures of this engine are expected to cost.
+	FailureCost time.Duration
+	// ReservedPenalty is the price of taking an engine that is kept for requests of
 	// another size.
-	Reserved time.Duration
-	// Outdated is the price of weights that have been replaced.
-	Outdated time.Duration
+	ReservedPenalty time.Duration
+	// OutdatedPenalty is the price of weights that have been replaced.
+	OutdatedPenalty time.Duration
 	// MemoryTokens is the endpoint's memory for KV cache; 0 if it doesn't matter.
 	// MemoryUsed is what its requests would hold there with this one.
 	MemoryTokens int
 	MemoryUsed   int
-	// Decoding counts the streams that are past their prompts here.
-	Decoding int
-	// EventSteps is the number of batch steps between two events of a stream; 0
+	// DecodingStreams counts the streams that are past their prompts here.
+	DecodingStreams int
+	// StepsPerEvent is the number of batch steps between two events of a stream; 0
 	// if the streams' pauses don't matter.
-	EventSteps int
+	StepsPerEvent int
 }
 
 // Request is what a decision needs to know of a request.
@@ -97,7 +97,7 @@
 	Tenant       fleet.TenantName
 	Class        fleet.ClassName
 	Rank         int
-	Weights      fleet.Weights
+	ModelVersion fleet.Weights
 	Pool         fleet.PoolName
 	AgentZone    fleet.ZoneName
 	PromptTokens int
@@ -128,10 +128,10 @@
 	ImportedTokens int
 	// FirstToken is the predicted time until the first token.
 	FirstToken time.Duration
-	// Own is the part of FirstToken that the request takes at an idle engine, and Wait
+	// ServiceTime is the part of FirstToken that the request takes at an idle engine, and Wait
 	// the part for which it waits for others, without those that it overtakes.
-	Own  time.Duration
-	Wait time.Duration
+	ServiceTime time.Duration
+	WaitTime    time.Duration
 	// Late is true when no candidate is predicted to meet the deadline; the
 	// chosen one is the earliest. The caller should refuse the request.
 	Late bool
@@ -156,9 +156,9 @@
 	CachedTokens int
 	// Queue is the time until the request's own prefill can begin.
 	Queue time.Duration
-	// Overtaken is the part of Queue that doesn't delay the request, since the engine
+	// LowerPriority is the part of Queue that doesn't delay the request, since the engine
 	// takes it before: what it holds up there counts all the same.
-	Overtaken time.Duration
+	LowerPriority time.Duration
 	// ImportedTokens is the part of the prompt that is cheaper to take over from
 	// another holder than to compute, and Import the time that this takes.
 	ImportedTokens int
@@ -169,42 +169,42 @@
 	Interference time.Duration
 	// Zone is the price of leaving the agent's zone, the delay from there included.
 	Zone time.Duration
-	// Crossing is the price of the bytes that leave the zone.
-	Crossing time.Duration
+	// Transfer is the price of the bytes that leave the zone.
+	Transfer time.Duration
 	// Recompute is the price of the capacity that recomputing takes from
 	// others. It doesn't delay this request.
 	Recompute time.Duration
-	// Move is the price of what is taken over besides the time that it takes.
-	Move time.Duration
-	// Risk is the price of the engine's failures.
-	Risk time.Duration
+	// ImportCost is the price of what is taken over besides the time that it takes.
+	ImportCost time.Duration
+	// Failure is the price of the engine's failures.
+	Failure time.Duration
 	// Reserved is the price of an engine that is kept for others.
 	Reserved time.Duration
 	// Outdated is the price of weights that have been replaced.
 	Outdated time.Duration
-	// Disturbance is the price of the pauses that the prompt makes in the streams
+	// DecodeStall is the price of the pauses that the prompt makes in the streams
 	// of others.
-	Disturbance time.Duration
+	DecodeStall time.Duration
 	// Memory is the price of what doesn't fit into the endpoint's memory.
 	Memory time.Duration
 }
 
 // FirstToken is the predicted time until the first token.
 func (s Scores) FirstToken() time.Duration {
-	return s.Queue + s.Own()
+	return s.Queue + s.ServiceTime()
 }
 
-// Soonest is FirstToken for a request that overtakes all that it may.
-func (s Scores) Soonest() time.Duration { return s.Wait() + s.Own() }
+// EarliestFirstToken is FirstToken for a request that overtakes all that it may.
+func (s Scores) EarliestFirstToken() time.Duration { return s.WaitTime() + s.ServiceTime() }
 
-// Wait returns the time for which the request waits for others.
-func (s Scores) Wait() time.Duration { return s.Queue - s.Overtaken }
+// WaitTime returns the time for which the request waits for others.
+func (s Scores) WaitTime() time.Duration { return s.Queue - s.LowerPriority }
 
-// Own returns the time that the request takes itself.
-func (s Scores) Own() time.Duration { return s.Import + s.Prefill + s.Interference + s.Zone }
+// ServiceTime returns the time that the request takes itself.
+func (s Scores) ServiceTime() time.Duration { return s.Import + s.Prefill + s.Interference + s.Zone }
 
 // Cost is what the picker minimises.
 func (s Scores) Cost() time.Duration {
-	prices := s.Recompute + s.Move + s.Risk + s.Reserved + s.Outdated + s.Disturbance + s.Memory + s.Crossing
+	prices := s.Recompute + s.ImportCost + s.Failure + s.Reserved + s.Outdated + s.DecodeStall + s.Memory + s.Transfer
 	return s.FirstToken() + prices
 }
--- a/internal/scheduling/score_disturbance_test.go
+++ b/internal/scheduling/score_disturbance_test.go
@@ -10,8 +10,8 @@
 // with those of another, for prompts on both sides of the bound.
 func TestLongPromptGoesWhereItHoldsUpFewStreams(t *testing.T) {
 	busy, quiet := testEndpoint(0), testEndpoint(1)
-	busy.Decoding, busy.EventSteps = 5, 4
-	quiet.Decoding, quiet.EventSteps = 1, 4
+	busy.DecodingStreams, busy.StepsPerEvent = 5, 4
+	quiet.DecodingStreams, quiet.StepsPerEvent = 1, 4
 	quiet.PrefillTokens = 100
 	request := testRequest()
 	options := DefaultOptions()
@@ -20,6 +20,6 @@
 	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "it fills three of four steps")
 	request.PromptTokens++
 	assert.Equal(t, 1, scheduleOne(t, options, request, busy, quiet).Index)
-	busy.EventSteps, quiet.EventSteps = 0, 0
+	busy.StepsPerEvent, quiet.StepsPerEvent = 0, 0
 	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "pauses don't matter")
 }
--- a/internal/scheduling/score_memory.go
+++ b/internal/scheduling/score_memory.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// memoryPrice returns the price of what doesn't fit into an endpoint's memory.
-func (s *Scheduler) memoryPrice(endpoint *Endpoint) time.Duration {
+// memoryCost returns the price of what doesn't fit into an endpoint's memory.
+func (s *Scheduler) memoryCost(endpoint *Endpoint) time.Duration {
 	if endpoint.MemoryTokens <= 0 {
 		return 0
 	}
--- a/internal/scheduling/score_queue.go
+++ b/internal/scheduling/score_queue.go
@@ -21,12 +21,12 @@
 	if endpoint.Slots <= 0 || endpoint.InFlight < endpoint.Slots {
 		return 0
 	}
-	waiting := max(endpoint.InFlight-endpoint.OvertakenStreams-endpoint.Slots, 0)
+	waiting := max(endpoint.InFlight-endpoint.LowerPriorityStreams-endpoint.Slots, 0)
 	return time.Duration(waiting+1) * endpoint.SlotTime / time.Duration(endpoint.Slots)
 }
 
-// WaitAt returns the time for which a request waits for others at an endpoint, without
+// PredictedWait returns the time for which a request waits for others at an endpoint, without
 // those that it overtakes.
-func WaitAt(endpoint *Endpoint) time.Duration {
-	return queueTime(endpoint) - prefillTime(endpoint, endpoint.OvertakenTokens)
+func PredictedWait(endpoint *Endpoint) time.Duration {
+	return queueTime(endpoint) - prefillTime(endpoint, endpoint.LowerPriorityTokens)
 }
--- a/internal/scheduling/score_queue_test.go
+++ b/internal/scheduling/score_queue_test.go
@@ -31,10 +31,10 @@
 	request.Deadline = 700 * time.Millisecond
 	assert.True(t, scheduleOne(t, DefaultOptions(), request, busy).Late)
 	all := scheduleOne(t, DefaultOptions(), request, busy)
-	busy.OvertakenTokens, busy.OvertakenStreams = 9_000, 3
+	busy.LowerPriorityTokens, busy.LowerPriorityStreams = 9_000, 3
 	urgent := scheduleOne(t, DefaultOptions(), request, busy)
 	assert.False(t, urgent.Late)
-	assert.Equal(t, 350*time.Millisecond, urgent.Wait, "1,000 tokens and the next free slot")
-	assert.Equal(t, all.Own, urgent.Own)
-	assert.Greater(t, urgent.FirstToken, urgent.Wait+urgent.Own)
+	assert.Equal(t, 350*time.Millisecond, urgent.WaitTime, "1,000 tokens and the next free slot")
+	assert.Equal(t, all.ServiceTime, urgent.ServiceTime)
+	assert.Greater(t, urgent.FirstToken, urgent.WaitTime+urgent.ServiceTime)
 }
--- a/internal/scheduling/score_recompute.go
+++ b/internal/scheduling/score_recompute.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// congestedTokens bounds the tokens of one prompt that are dearer in congestion:
+// maxCongestionTokens bounds the tokens of one prompt that are dearer in congestion:
 // the wait for a warm engine would else grow out of proportion for long prompts.
-const congestedTokens = 6000
+const maxCongestionTokens = 6000
 
-// discountUpTo is the congestion from which on waiting earns no discount: where
+// maxDiscountCongestion is the congestion from which on waiting earns no discount: where
 // most engines are busy, all requests wait, and recomputing makes it worse.
-const discountUpTo = 0.5
+const maxDiscountCongestion = 0.5
 
-// prices are what one decision charges for recomputation.
-type prices struct {
+// recomputePrices are what one decision charges for recomputation.
+type recomputePrices struct {
 	perToken time.Duration
-	// congested is charged besides, for each of the first congestedTokens.
-	congested time.Duration
+	// congestionPerToken is charged besides, for each of the first congestedTokens.
+	congestionPerToken time.Duration
 }
 
-// recompute returns the price of the capacity that computing the uncached part
+// cost returns the price of the capacity that computing the uncached part
 // of a prompt takes from all other requests. Tokens that no engine holds are
 // priced alike everywhere and so don't change the order.
-func (p prices) recompute(uncached int) time.Duration {
+func (p recomputePrices) cost(uncached int) time.Duration {
 	uncached = max(uncached, 0)
-	return time.Duration(uncached)*p.perToken + time.Duration(min(uncached, congestedTokens))*p.congested
+	return time.Duration(uncached)*p.perToken + time.Duration(min(uncached, maxCongestionTokens))*p.congestionPerToken
 }
 
 // congestionAt tells how busy an endpoint is, from 0 to 1.
@@ -34,12 +34,12 @@
 	return min(float64(queueTime(endpoint))/full, 1)
 }
 
-// prices returns the prices at a mean congestion of the candidates, less the
+// recomputePricesAt returns the recomputePricesAt at a mean congestion of the candidates, less the
 // request's discount.
-func (s *Scheduler) prices(congestion, discount float64) prices {
-	kept := 1 - discount*max(1-congestion/discountUpTo, 0)
-	return prices{
-		perToken:  time.Duration(kept * float64(s.options.RecomputeWeight)),
-		congested: time.Duration(kept * congestion * float64(s.options.CongestionWeight)),
+func (s *Scheduler) recomputePricesAt(congestion, discount float64) recomputePrices {
+	kept := 1 - discount*max(1-congestion/maxDiscountCongestion, 0)
+	return recomputePrices{
+		perToken:           time.Duration(kept * float64(s.options.RecomputeWeight)),
+		congestionPerToken: time.Duration(kept * congestion * float64(s.options.CongestionWeight)),
 	}
 }
--- a/internal/scheduling/score_test.go
+++ b/internal/scheduling/score_test.go
@@ -37,9 +37,9 @@
 func TestZoneAndRecomputePrices(t *testing.T) {
 	scheduler := New(Options{ZonePenalty: time.Millisecond, RecomputeWeight: time.Microsecond})
 	request, endpoint := testRequest(), testEndpoint(1)
-	assert.Zero(t, scheduler.zonePrice(&request, &endpoint))
+	assert.Zero(t, scheduler.zonePenalty(&request, &endpoint))
 	request.AgentZone = "b"
-	assert.Equal(t, time.Millisecond, scheduler.zonePrice(&request, &endpoint))
+	assert.Equal(t, time.Millisecond, scheduler.zonePenalty(&request, &endpoint))
 	decision := scheduleOne(t, scheduler.options, explained(request), endpoint)
 	assert.Equal(t, 1024*time.Microsecond, decision.Candidates[0].Scores.Recompute)
 }
@@ -75,8 +75,8 @@
 }
 
 func TestCongestionPriceIsBounded(t *testing.T) {
-	charged := prices{perToken: time.Microsecond, congested: 2 * time.Microsecond}
-	assert.Zero(t, charged.recompute(-1))
-	assert.Equal(t, 3*congestedTokens*time.Microsecond, charged.recompute(congestedTokens))
-	assert.Equal(t, (3*congestedTokens+100)*time.Microsecond, charged.recompute(congestedTokens+100))
+	charged := recomputePrices{perToken: time.Microsecond, congestionPerToken: 2 * time.Microsecond}
+	assert.Zero(t, charged.cost(-1))
+	assert.Equal(t, 3*maxCongestionTokens*time.Microsecond, charged.cost(maxCongestionTokens))
+	assert.Equal(t, (3*maxCongestionTokens+100)*time.Microsecond, charged.cost(maxCongestionTokens+100))
 }
--- a/internal/scheduling/score_zone.go
+++ b/internal/scheduling/score_zone.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// zonePrice returns the price of an engine outside the agent's zone. An agent
+// zonePenalty returns the price of an engine outside the agent's zone. An agent
 // that gave no zone has no preference.
-func (s *Scheduler) zonePrice(request *Request, endpoint *Endpoint) time.Duration {
+func (s *Scheduler) zonePenalty(request *Request, endpoint *Endpoint) time.Duration {
 	if request.AgentZone == "" || request.AgentZone == endpoint.Zone {
 		return 0
 	}
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -266,7 +266,7 @@
 		Tenant:       request.Tenant,
 		Class:        request.Class,
 		Rank:         item.rank,
-		Weights:      request.Weights,
+		ModelVersion: request.Weights,
 		Pool:         item.model.Pool,
 		AgentZone:    request.AgentZone,
 		PromptTokens: request.PromptTokens,
