--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -91,7 +91,7 @@
 
 func TestWholeReadRemovesWhatItDoesNotName(t *testing.T) {
 	registry := withPlain(3)
-	gone := registry.ObserveAll(0, 2, map[fleet.EngineID]bool{"p0": true})
+	gone := registry.ObserveSnapshot(0, 2, map[fleet.EngineID]bool{"p0": true})
 	assert.Equal(t, []fleet.EngineID{"p1"}, gone, "p2's row is newer than the read")
 }
 
@@ -100,14 +100,14 @@
 	registry := withPlain(2)
 	draining := plainWorker(0)
 	draining.Draining = true
-	assert.Equal(t, Began, registry.Observe(10, draining))
+	assert.Equal(t, StartedDraining, registry.Observe(10, draining))
 	registry.Observe(11, plainWorker(0))
 	for range 50 {
 		assert.Equal(t, fleet.EngineID("p1"), choosePlain(t, registry, 0).Worker.ID)
 	}
 	registry.ObserveGone(0, 12, "p1")
 	registry.ObserveGone(0, 13, "p0")
-	placement, reason := registry.Choose(lapseGrace, &Request{Service: "plain"})
+	placement, reason := registry.Choose(lapsedGracePeriod, &Request{Service: "plain"})
 	assert.Nil(t, placement)
 	assert.Equal(t, ReasonNoWorker, reason.Reason)
 }
@@ -121,8 +121,8 @@
 		assert.Equal(t, fleet.EngineID("p1"), choosePlain(t, registry, time.Second).Worker.ID)
 	}
 	registry.ObserveGone(time.Second, 11, "p1")
-	choosePlain(t, registry, time.Second+lapseGrace-1)
-	placement, _ := registry.Choose(time.Second+lapseGrace, &Request{Service: "plain"})
+	choosePlain(t, registry, time.Second+lapsedGracePeriod-1)
+	placement, _ := registry.Choose(time.Second+lapsedGracePeriod, &Request{Service: "plain"})
 	assert.Nil(t, placement)
 }
 
@@ -136,7 +136,7 @@
 	assert.Equal(t, map[fleet.EngineID]int{"p1": 6, "p2": 6}, counts, "another node's requests count")
 	counts = map[fleet.EngineID]int{}
 	for range 6 {
-		counts[choosePlain(t, registry, 2*peerLoadValid).Worker.ID]++
+		counts[choosePlain(t, registry, 2*peerReportValidity).Worker.ID]++
 	}
 	assert.Equal(t, 6, counts["p0"], "an old word doesn't")
 }
@@ -145,7 +145,7 @@
 	registry := withPlain(2)
 	now := time.Duration(0)
 	state := registry.workers["p0"]
-	for _, want := range []time.Duration{firstSuspicion, 2 * firstSuspicion, 4 * firstSuspicion} {
+	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion} {
 		for {
 			placement := choosePlain(t, registry, now)
 			if placement.Worker.ID == "p0" {
@@ -238,7 +238,7 @@
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
-	registry.NoteVersion(cold.Worker.ID, testModel, 2)
+	registry.ObserveVersion(cold.Worker.ID, testModel, 2)
 	old := Scope(testModel, 1, "t", false)
 	registry.ObserveCache(cold.Worker.Run(), false, []PartChange{{true, old, "common"}, {true, old, "p"}})
 	request := engineRequest("p")
@@ -259,15 +259,15 @@
 
 func TestRequiredVersionExcludesOlderEngines(t *testing.T) {
 	registry := withEngines()
-	registry.NoteVersion("e3", testModel, 2)
-	registry.Require(testModel, 2)
+	registry.ObserveVersion("e3", testModel, 2)
+	registry.RequireVersion(testModel, 2)
 	for range 10 {
 		placement, _ := registry.Choose(0, engineRequest("p"))
 		require.NotNil(t, placement)
 		assert.Equal(t, fleet.EngineID("e3"), placement.Worker.ID)
 		assert.EqualValues(t, 2, placement.Engine.Version)
 	}
-	registry.Require(testModel, 3)
+	registry.RequireVersion(testModel, 3)
 	_, reason := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, ReasonVersion, reason.Reason)
 	registry.Observe(50, engineWorker(3, 1))
@@ -278,8 +278,8 @@
 // newest weights, idle first and then with a long queue.
 func TestReplacedWeightsAreLeftWhereThatCostsLittle(t *testing.T) {
 	registry := withEngines()
-	registry.NoteVersion("e3", testModel, 2)
-	registry.Prefer(testModel, 2)
+	registry.ObserveVersion("e3", testModel, 2)
+	registry.PreferVersion(testModel, 2)
 	for number := range 10 {
 		placement, _ := registry.Choose(0, engineRequest(fmt.Sprint("p", number)))
 		assert.Equal(t, fleet.EngineID("e3"), placement.Worker.ID)
@@ -288,14 +288,14 @@
 	registry.ObservePeer(0, "peer", PeerReport{Loads: []Load{{Engine: "e3", PrefillTokens: 30000}}})
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, fleet.EngineID("e3"), placement.Worker.ID)
-	registry.Prefer(testModel, 1)
+	registry.PreferVersion(testModel, 1)
 	assert.EqualValues(t, 2, registry.preferred[testModel], "it doesn't go back")
 }
 
 func TestEngineUnderOrderIsLeftOut(t *testing.T) {
 	registry := withEngines()
 	home, _ := registry.Choose(0, engineRequest("p"))
-	registry.NoteOrder(home.Worker.ID, time.Second)
+	registry.ObserveOrder(home.Worker.ID, time.Second)
 	other, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, home.Worker.ID, other.Worker.ID)
 	again, _ := registry.Choose(time.Second, engineRequest("q"))
@@ -338,7 +338,7 @@
 	placement.End(0, Lost)
 	placement.FirstByte(0)
 	assert.Empty(t, registry.OwnLoad())
-	assert.Zero(t, registry.workers[placement.Worker.ID].prefill)
+	assert.Zero(t, registry.workers[placement.Worker.ID].prefillTokens)
 }
 
 // TestLongAndShortPromptsKeepApart once both have been seen, as long as neither
@@ -405,7 +405,7 @@
 	registry.ObserveCache(run, false, []PartChange{{true, scope, "common"}})
 	again, _ := registry.Choose(0, request)
 	assert.Equal(t, 1, again.Engine.MostHeldParts)
-	registry.LoseCache(run)
+	registry.UntrackCache(run)
 	lost, _ := registry.Choose(0, request)
 	assert.Zero(t, lost.Engine.MostHeldParts)
 }
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -12,7 +12,7 @@
 	place := func(prefill int, slowness float64) *EnginePlacement {
 		registry := withEngines()
 		for _, known := range registry.workers {
-			known.prefill, known.slowness = prefill, slowness
+			known.prefillTokens, known.slowness = prefill, slowness
 		}
 		placement, refused := registry.Choose(0, engineRequest("p"))
 		require.NotNil(t, placement, refused)
--- a/internal/backends/benchmark_test.go
+++ b/internal/backends/benchmark_test.go
@@ -18,7 +18,7 @@
 	for number := range engines {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
 	}
-	registry.SetPeers(peers)
+	registry.SetPeerCount(peers)
 	load := func(number int) Load {
 		told := Load{Engine: fleet.EngineID(fmt.Sprintf("e%d", number)), InFlight: 3, PrefillTokens: 900, MemoryTokens: 9000}
 		told.Priorities[number%3] = PriorityLoad{InFlight: 3, PrefillTokens: 900}
@@ -33,7 +33,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		registry.UpdatePeer(fleet.NodeID(fmt.Sprint(random.IntN(peers))), []Load{load(random.IntN(engines))})
+		registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(random.IntN(peers))), []Load{load(random.IntN(engines))})
 		placement, _ := registry.Choose(0, engineRequest("p"))
 		placement.End(0, Succeeded)
 	}
--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -12,40 +12,40 @@
 type Request struct {
 	Service  fleet.PoolName
 	Excluded []fleet.EngineRun
-	// Free tells whether this node has a connection left for a worker; nil
+	// HasConnection tells whether this node has a connection left for a worker; nil
 	// means always.
-	Free func(worker *Worker) bool
-	// Intake tells whether a worker takes more requests by what it says of that; nil means
+	HasConnection func(worker *Worker) bool
+	// Admission tells whether a worker takes more requests by what it says of that; nil means
 	// that no worker says anything.
-	Intake func(worker *Worker) (Intake, time.Duration)
-	// Versions limits the choice by the version of the workers' software; nil limits
+	Admission func(worker *Worker) (Admission, time.Duration)
+	// Software limits the choice by the version of the workers' software; nil limits
 	// nothing.
-	Versions *delivery.Choice
+	Software *delivery.Choice
 	// Bytes is the size of the request and of the answer that is expected.
 	Bytes int
 	// Engine is set for requests to language-model engines.
 	Engine *EngineRequest
 }
 
-// Intake tells whether a worker takes more requests.
-type Intake uint8
+// Admission tells whether a worker takes more requests.
+type Admission uint8
 
 // Intakes.
 const (
-	// IntakeFree is a worker that takes requests without a limit.
-	IntakeFree Intake = iota
-	// IntakeLimited is a worker with a limit that may have room.
-	IntakeLimited
-	// IntakeClosed is a worker that takes none for a time.
-	IntakeClosed
+	// AdmissionUnlimited is a worker that takes requests without a limit.
+	AdmissionUnlimited Admission = iota
+	// AdmissionLimited is a worker with a limit that may have room.
+	AdmissionLimited
+	// AdmissionClosed is a worker that takes none for a time.
+	AdmissionClosed
 )
 
-// intake returns whether a worker takes the request, and for how long not.
-func (r *Request) intake(worker *Worker) (Intake, time.Duration) {
-	if r.Intake == nil {
-		return IntakeFree, 0
+// admission returns whether a worker takes the request, and for how long not.
+func (r *Request) admission(worker *Worker) (Admission, time.Duration) {
+	if r.Admission == nil {
+		return AdmissionUnlimited, 0
 	}
-	return r.Intake(worker)
+	return r.Admission(worker)
 }
 
 // Refusal tells why no worker was chosen.
@@ -57,11 +57,11 @@
 
 // Reasons why no worker could be chosen.
 const (
-	ReasonNoWorker  = "no_worker"
-	ReasonExcluded  = "all_tried"
-	ReasonUnsettled = "none_ready"
-	ReasonFull      = "full"
-	ReasonVersion   = "none_at_version"
+	ReasonNoWorker = "no_worker"
+	ReasonExcluded = "all_tried"
+	ReasonNotReady = "none_ready"
+	ReasonFull     = "full"
+	ReasonVersion  = "none_at_version"
 	// ReasonLimited means that the workers that could get it take no requests for a time.
 	ReasonLimited = "at_their_limits"
 	// ReasonLate means that each worker has more to do before the request than its
@@ -81,7 +81,7 @@
 	// Candidates counts the workers that were compared, and Looked those that were looked
 	// at for it.
 	Candidates int
-	Looked     int
+	Examined   int
 	// FailureRate is the worker's mean failure rate at the choice.
 	FailureRate float64
 	// Engine is set for engines.
@@ -90,14 +90,14 @@
 	// tells nothing of how fast or how sound it is.
 	Limited bool
 
-	registry *Registry
-	state    *state
-	begun    time.Duration
-	work     placedWork
-	first    bool
-	ended    bool
-	// took is the time from the choice until the answer began.
-	took time.Duration
+	registry     *Registry
+	state        *workerState
+	chosenAt     time.Duration
+	work         placedWork
+	hasFirstByte bool
+	ended        bool
+	// timeToFirstByte is the time from the choice until the answer began.
+	timeToFirstByte time.Duration
 }
 
 // Outcome tells how a request at a worker went.
@@ -135,15 +135,15 @@
 	defer r.mutex.Unlock()
 	placement, refusal := r.choose(now, request)
 	if placement == nil && refusal.Reason != ReasonExcluded {
-		r.noteShortage(now, request.Service)
+		r.recordShortage(now, request.Service)
 	}
-	next := request.Versions.Fallback()
-	if placement != nil || next == nil || !request.Versions.WantsTarget() {
+	next := request.Software.Fallback()
+	if placement != nil || next == nil || !request.Software.WantsTarget() {
 		return placement, refusal
 	}
 	// A delivery's few target workers may be full or slow while others have room.
 	limited := *request
-	limited.Versions = next
+	limited.Software = next
 	return r.choose(now, &limited)
 }
 
@@ -154,7 +154,7 @@
 	case reason == ReasonFull && request.Engine != nil:
 		return nil, Refusal{Reason: reason, RetryAfter: r.slotTime(request.Service)}
 	case reason == ReasonLimited:
-		return nil, Refusal{Reason: reason, RetryAfter: found.opensIn}
+		return nil, Refusal{Reason: reason, RetryAfter: found.reopensIn}
 	case reason != "":
 		return nil, Refusal{Reason: reason}
 	case request.Engine != nil:
@@ -167,7 +167,7 @@
 // candidates returns the workers that may get a request, by the versions that it is
 // limited to; without one, by what holds then.
 func (r *Registry) candidates(now time.Duration, request *Request) (*search, string) {
-	versions := request.Versions
+	versions := request.Software
 	for {
 		found := r.newSearch(now, request, versions)
 		reason := found.gather()
@@ -179,18 +179,18 @@
 	}
 }
 
-// settled tells whether neither this node nor enough others know anything against
+// isReady tells whether neither this node nor enough others know anything against
 // a worker right now.
-func (r *Registry) settled(now time.Duration, known *state) bool {
-	return known.settled(now) && r.settledByPeers(now, known)
+func (r *Registry) isReady(now time.Duration, known *workerState) bool {
+	return known.isReady(now) && r.isReadyByPeers(now, known)
 }
 
 // choosePlain takes the worker with the least load by its slots, failures and
 // slowness; the own zone breaks ties.
 func (r *Registry) choosePlain(found *search) *Placement {
 	candidates := found.candidates()
-	mean := meanFailureRate(found.now, candidates)
-	var best *state
+	mean := minFailureRate(found.now, candidates)
+	var best *workerState
 	bestCost := math.Inf(1)
 	for _, known := range candidates {
 		cost := r.plainCost(found.now, known, mean)
@@ -199,29 +199,29 @@
 		}
 	}
 	placement := r.begin(found.now, best, len(candidates), placedWork{})
-	placement.Looked = found.looked
-	placement.Limited = found.limited(best)
+	placement.Examined = found.examined
+	placement.Limited = found.hasLimit(best)
 	return placement
 }
 
-// tieCost is the part of a plain worker's cost that chance makes, in requests in flight at
+// tieJitter is the part of a plain worker's cost that chance makes, in requests in flight at
 // one slot.
-const tieCost = 0.02
+const tieJitter = 0.02
 
-func (r *Registry) plainCost(now time.Duration, known *state, meanFailures float64) float64 {
-	load := r.total(now, known)
+func (r *Registry) plainCost(now time.Duration, known *workerState, meanFailures float64) float64 {
+	load := r.totalLoad(now, known)
 	slots := float64(max(known.worker.Slots, 1))
 	cost := (float64(load.InFlight) + 1) / slots
 	cost *= max(known.slowness, 1)
 	excess := max(known.failureRate(now)-meanFailures, 0)
 	cost *= 1 + excess*8
-	cost += r.options.Distances.Plain[r.from(known.worker.Zone)]
-	return cost + r.options.Random.Float64()*tieCost
+	cost += r.options.Distances.Plain[r.distanceTo(known.worker.Zone)]
+	return cost + r.options.Random.Float64()*tieJitter
 }
 
-// meanFailureRate returns the lowest rate among candidates: answers that fail
+// minFailureRate returns the lowest rate among candidates: answers that fail
 // for the request's own sake fail everywhere.
-func meanFailureRate(now time.Duration, candidates []*state) float64 {
+func minFailureRate(now time.Duration, candidates []*workerState) float64 {
 	lowest := 1.0
 	for _, known := range candidates {
 		lowest = min(lowest, known.failureRate(now))
@@ -232,16 +232,16 @@
 // placedWork is what a request brings to a worker.
 type placedWork struct {
 	priority int
-	// prefill is the prompt work, in tokens.
-	prefill int
-	need    memoryNeed
+	// prefillTokens is the prompt work, in tokens.
+	prefillTokens int
+	need          memoryNeed
 }
 
 // begin counts a request at a worker.
-func (r *Registry) begin(now time.Duration, chosen *state, candidates int, work placedWork) *Placement {
-	load := r.total(now, chosen)
+func (r *Registry) begin(now time.Duration, chosen *workerState, candidates int, work placedWork) *Placement {
+	load := r.totalLoad(now, chosen)
 	chosen.begin(work)
-	r.relevel(chosen)
+	r.updateLevel(chosen)
 	return &Placement{
 		Worker:        chosen.worker,
 		InFlight:      load.InFlight,
@@ -250,24 +250,24 @@
 		FailureRate:   chosen.failureRate(now),
 		registry:      r,
 		state:         chosen,
-		begun:         now,
+		chosenAt:      now,
 		work:          work,
 		MemoryTokens:  load.MemoryTokens,
 	}
 }
 
-// Prefill returns the prompt work of the request, in tokens.
-func (p *Placement) Prefill() int { return p.work.prefill }
+// UncachedTokens returns the prompt work of the request, in tokens.
+func (p *Placement) UncachedTokens() int { return p.work.prefillTokens }
 
-// Took returns the time from the choice until the answer began, or until now if it hasn't.
-func (p *Placement) Took(now time.Duration) time.Duration {
+// TimeToFirstByte returns the time from the choice until the answer began, or until now if it hasn't.
+func (p *Placement) TimeToFirstByte(now time.Duration) time.Duration {
 	r := p.registry
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !p.first {
-		return now - p.begun
+	if !p.hasFirstByte {
+		return now - p.chosenAt
 	}
-	return p.took
+	return p.timeToFirstByte
 }
 
 // FirstByte notes that the worker's answer has begun.
@@ -275,21 +275,21 @@
 	r := p.registry
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if p.first || p.ended {
+	if p.hasFirstByte || p.ended {
 		return
 	}
-	p.first = true
-	p.took = now - p.begun
+	p.hasFirstByte = true
+	p.timeToFirstByte = now - p.chosenAt
 	p.state.endPrefill(p.work)
-	r.relevel(p.state)
-	p.state.trust(now)
+	r.updateLevel(p.state)
+	p.state.recordContact(now)
 	if p.Engine == nil {
 		return
 	}
-	r.noteHeld(now, p)
+	r.recordHeldParts(now, p)
 	if !p.Limited {
-		p.state.measure(now-p.begun, p.Engine.Predicted)
-		r.noteSpeed(p, now-p.begun)
+		p.state.recordSlowness(now-p.chosenAt, p.Engine.Predicted)
+		r.recordSpeed(p, now-p.chosenAt)
 	}
 }
 
@@ -303,32 +303,32 @@
 	}
 	p.ended = true
 	known := p.state
-	if !p.first {
+	if !p.hasFirstByte {
 		known.endPrefill(p.work)
 	}
 	known.end(p.work)
-	r.relevel(known)
+	r.updateLevel(known)
 	switch {
 	case outcome == Refused && p.Limited:
 		return
 	case outcome == Succeeded && !p.Limited:
-		r.noteSlotTime(p, now-p.begun)
+		r.recordSlotTime(p, now-p.chosenAt)
 	default:
 	}
 	switch outcome {
 	case Succeeded:
-		known.note(now, false)
-		known.trust(now)
+		known.recordOutcome(now, false)
+		known.recordContact(now)
 	case Failed, Refused:
-		known.note(now, true)
+		known.recordOutcome(now, true)
 	case Mismatched:
-		known.doubtUntil = now + doubtFor
+		known.mismatchUntil = now + mismatchBackoff
 	case Unreachable:
-		known.note(now, true)
+		known.recordOutcome(now, true)
 		known.suspect(now)
 	case Lost:
-		known.note(now, true)
-		if !p.first {
+		known.recordOutcome(now, true)
+		if !p.hasFirstByte {
 			known.suspect(now)
 		}
 	case Cancelled, Deferred:
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -36,7 +36,7 @@
 	number int
 	open   []*Placement
 	// sorted holds the engines by load, own those of one node: for BenchmarkWays.
-	sorted, own []*state
+	sorted, own []*workerState
 }
 
 func newSimulatedFleet(engines int, busy float64, options Options) *simulatedFleet {
@@ -51,8 +51,8 @@
 		worker.Zone = fleet.ZoneName(fmt.Sprintf("z%d", number%simulatedZones))
 		f.registry.Observe(fleet.Revision(number+1), worker)
 	}
-	f.registry.SetCapacity("engines", 130_000)
-	f.registry.SetPeers(simulatedPeers)
+	f.registry.SetMemoryCapacity("engines", 130_000)
+	f.registry.SetPeerCount(simulatedPeers)
 	f.fillCaches()
 	f.hearPeers()
 	return f
@@ -122,7 +122,7 @@
 		engine.Parts = []Part{{fmt.Sprint("common-", f.random.IntN(commonPrefixes)), 92}, {own, 291}}
 		engine.PromptTokens = 383
 	}
-	return &Request{Service: "engines", Engine: engine, Free: func(*Worker) bool { return true }}
+	return &Request{Service: "engines", Engine: engine, HasConnection: func(*Worker) bool { return true }}
 }
 
 // step lets time pass: some requests end, a peer tells a change.
@@ -134,7 +134,7 @@
 		f.open = f.open[1:]
 	}
 	load, _ := f.peerLoad(f.random.IntN(f.engines))
-	f.registry.UpdatePeer(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
+	f.registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
 	if f.now%(600*time.Millisecond) == 0 {
 		f.hearPeers()
 	}
--- a/internal/backends/choose_ways_test.go
+++ b/internal/backends/choose_ways_test.go
@@ -28,15 +28,15 @@
 		{name: "whole", whole: true},
 		{name: "few"},
 		{name: "sorted", fill: func(f *simulatedFleet, s *search) {
-			s.lookAtHolders()
+			s.examineHolders()
 			for _, known := range f.sorted[:min(16, len(f.sorted))] {
-				s.look(known)
+				s.examine(known)
 			}
 		}},
 		{name: "partition", fill: func(f *simulatedFleet, s *search) {
-			s.lookAtHolders()
+			s.examineHolders()
 			for _, known := range f.own {
-				s.look(known)
+				s.examine(known)
 			}
 		}},
 	}
@@ -45,7 +45,7 @@
 // costs returns what a request costs at each engine, by the prices of a look at all.
 func (f *simulatedFleet) costs(request *Request) map[fleet.EngineRun]time.Duration {
 	s := f.registry.newSearch(f.now, request, nil)
-	s.whole = true
+	s.exhaustive = true
 	costs := make(map[fleet.EngineRun]time.Duration)
 	if reason := s.gather(); reason != "" {
 		return costs
@@ -71,13 +71,13 @@
 func (f *simulatedFleet) decideBy(by way, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
 	start := time.Now()
 	s := f.registry.newSearch(f.now, request, nil)
-	s.whole = by.whole
+	s.exhaustive = by.whole
 	if by.fill == nil {
 		s.gather()
 	} else {
 		by.fill(f, s)
-		s.keepBuffers()
-		s.outcome()
+		s.saveBuffers()
+		s.resolve()
 	}
 	prompt := f.registry.newPrompt(s)
 	if len(s.candidates()) == 0 {
@@ -85,7 +85,7 @@
 	}
 	decision = f.registry.decide(s, prompt)
 	if _, late := tooLate(prompt.engine, &decision); late && by.name == "few" {
-		if _, added := s.spareFor(allowedWait(prompt.engine, &decision)); added {
+		if _, added := s.addSpareEngines(allowedWait(prompt.engine, &decision)); added {
 			decision = f.registry.decide(s, prompt)
 		}
 	}
@@ -103,8 +103,8 @@
 			f.own = append(f.own, known)
 		}
 	}
-	slices.SortFunc(f.sorted, func(a, b *state) int {
-		return cmp.Or(cmp.Compare(f.registry.inFlight(f.now, a), f.registry.inFlight(f.now, b)), cmp.Compare(a.hash, b.hash))
+	slices.SortFunc(f.sorted, func(a, b *workerState) int {
+		return cmp.Or(cmp.Compare(f.registry.totalInFlight(f.now, a), f.registry.totalInFlight(f.now, b)), cmp.Compare(a.hash, b.hash))
 	})
 }
 
--- a/internal/backends/copies.go
+++ b/internal/backends/copies.go
@@ -6,26 +6,26 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// copySamples is the number of engines that are compared for a copy of a run: enough to
+// copySampleSize is the number of engines that are compared for a copy of a run: enough to
 // find one with room among thousands without looking at all of them.
-const copySamples = 6
+const copySampleSize = 6
 
 // copyTarget returns the engine that is to hold a copy of a run at another one: of a few
 // drawn at random the nearest, and of these the one whose memory has the most room, since
 // moves over a distance take longer. One with a limit may not take the run when it has to go on
 // there. It returns an empty worker if there is no other engine with the same weights; the mutex
 // is held.
-func (s *search) copyTarget(candidates []*state, chosen *state) Worker {
+func (s *search) copyTarget(candidates []*workerState, chosen *workerState) Worker {
 	model := s.request.Engine.Model
-	var best *state
+	var best *workerState
 	bestDistance, bestTokens := SameZone, 0
-	for range copySamples {
+	for range copySampleSize {
 		known := candidates[s.options.Random.IntN(len(candidates))]
-		if known == chosen || s.limited(known) || known.worker.Versions[model] != chosen.worker.Versions[model] {
+		if known == chosen || s.hasLimit(known) || known.worker.Versions[model] != chosen.worker.Versions[model] {
 			continue
 		}
 		distance := s.options.Regions.Between(known.worker.Zone, chosen.worker.Zone)
-		tokens := s.total(s.now, known).MemoryTokens
+		tokens := s.totalLoad(s.now, known).MemoryTokens
 		if best == nil || distance < bestDistance || (distance == bestDistance && tokens < bestTokens) {
 			best, bestDistance, bestTokens = known, distance, tokens
 		}
@@ -43,11 +43,11 @@
 	defer r.mutex.Unlock()
 	target := lost.Engine.CopyTo
 	known := r.workers[target.ID]
-	if known == nil || !known.listed() || known.worker.Versions[model] != lost.Engine.Version {
+	if known == nil || !known.isListed() || known.worker.Versions[model] != lost.Engine.Version {
 		return nil
 	}
 	work := lost.work
-	work.prefill = 0
+	work.prefillTokens = 0
 	placement := r.begin(now, known, 1, work)
 	placement.Engine = &EnginePlacement{
 		Version:    lost.Engine.Version,
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -65,7 +65,7 @@
 // other weights.
 func TestRunGoesOnOnlyWhereItsCopyCanBe(t *testing.T) {
 	for name, change := range map[string]func(*Registry, Worker){
-		"other weights": func(registry *Registry, target Worker) { registry.NoteVersion(target.ID, testModel, 2) },
+		"other weights": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
 		"gone":          func(registry *Registry, target Worker) { registry.ObserveGone(0, 100, target.ID) },
 		"draining": func(registry *Registry, target Worker) {
 			target.Draining = true
--- a/internal/backends/distance.go
+++ b/internal/backends/distance.go
@@ -16,7 +16,7 @@
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
-	distances
+	distanceCount
 )
 
 // Regions holds the region of each zone.
@@ -39,34 +39,34 @@
 // DistancePrices are what distance costs a request, by Distance.
 type DistancePrices struct {
 	// Delay is by how much later the first byte of an answer comes from there.
-	Delay [distances]time.Duration
+	Delay [distanceCount]time.Duration
 	// PerKilobyte is the price of a kilobyte of the request or its answer that crosses,
 	// in the time of an engine that it is worth.
-	PerKilobyte [distances]time.Duration
+	PerKilobyte [distanceCount]time.Duration
 	// MoveFactor is how many times as long a move of KV cache takes.
-	MoveFactor [distances]int
+	MoveFactor [distanceCount]int
 	// MovePrice is how many times as dear such a move is.
-	MovePrice [distances]int
+	MovePrice [distanceCount]int
 	// Plain is the price for a worker that isn't an engine, in requests in flight at one
 	// slot: 1 prefers a near worker until all its slots are taken.
-	Plain [distances]float64
+	Plain [distanceCount]float64
 }
 
 // DefaultDistancePrices returns prices for zones a millisecond and regions a dozen
 // milliseconds apart.
 func DefaultDistancePrices() DistancePrices {
 	return DistancePrices{
-		Delay:       [distances]time.Duration{0, 3 * time.Millisecond, 24 * time.Millisecond},
-		PerKilobyte: [distances]time.Duration{0, time.Millisecond, 2500 * time.Microsecond},
-		MoveFactor:  [distances]int{1, 2, 10},
-		MovePrice:   [distances]int{1, 2, 3},
-		Plain:       [distances]float64{0, 0.5, 1},
+		Delay:       [distanceCount]time.Duration{0, 3 * time.Millisecond, 24 * time.Millisecond},
+		PerKilobyte: [distanceCount]time.Duration{0, time.Millisecond, 2500 * time.Microsecond},
+		MoveFactor:  [distanceCount]int{1, 2, 10},
+		MovePrice:   [distanceCount]int{1, 2, 3},
+		Plain:       [distanceCount]float64{0, 0.5, 1},
 	}
 }
 
 // Validate returns an error if a price is negative, or a factor is below 1.
 func (p *DistancePrices) Validate() error {
-	for distance := range distances {
+	for distance := range distanceCount {
 		switch {
 		case p.Delay[distance] < 0 || p.PerKilobyte[distance] < 0 || p.Plain[distance] < 0:
 			return errors.Errorf("distance %d: a price is negative", distance)
@@ -77,13 +77,13 @@
 	return nil
 }
 
-// from returns the distance of a zone from this node.
-func (r *Registry) from(zone fleet.ZoneName) Distance {
+// distanceTo returns the distance of a zone distanceTo this node.
+func (r *Registry) distanceTo(zone fleet.ZoneName) Distance {
 	return r.options.Regions.Between(r.options.Zone, zone)
 }
 
-// crossing returns the price of a request's bytes from this node to a distance.
-func (p *DistancePrices) crossing(distance Distance, bytes int) time.Duration {
+// transferCost returns the price of a request's bytes from this node to a distance.
+func (p *DistancePrices) transferCost(distance Distance, bytes int) time.Duration {
 	const kilobyte = 1000
 	return p.PerKilobyte[distance] * time.Duration(bytes) / kilobyte
 }
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -89,8 +89,8 @@
 func queue(registry *Registry, zone fleet.ZoneName, tokens int) {
 	for _, known := range registry.workers {
 		if known.worker.Zone == zone && known.worker.Service == "engines" {
-			known.prefill, known.priorities[0].PrefillTokens = tokens, int32(tokens)
-			registry.relevel(known)
+			known.prefillTokens, known.priorities[0].PrefillTokens = tokens, int32(tokens)
+			registry.updateLevel(known)
 		}
 	}
 }
--- a/internal/backends/draining_test.go
+++ b/internal/backends/draining_test.go
@@ -14,13 +14,13 @@
 	registry := withPlain(2)
 	draining := plainWorker(0)
 	placement := choose(registry, &Request{Service: "plain"})
-	assert.Equal(t, Began, registry.ObserveDraining(DrainingRun{Worker: "p0"}))
+	assert.Equal(t, StartedDraining, registry.ObserveDraining(DrainingRun{Worker: "p0"}))
 	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0"}), "said again")
 	placement.End(0, Succeeded)
 	onlyTheOther := func(moment string) {
 		t.Helper()
-		assert.False(t, registry.Sendable(time.Minute, &draining), moment)
-		assert.True(t, registry.Draining("p0"), moment)
+		assert.False(t, registry.CanSend(time.Minute, &draining), moment)
+		assert.True(t, registry.IsDraining("p0"), moment)
 		for range 30 {
 			assert.Equal(t, "p1", string(choosePlain(t, registry, time.Minute).Worker.ID), moment)
 		}
@@ -33,40 +33,40 @@
 	onlyTheOther("a row that came back")
 	registry.ObserveGone(time.Second, 13, "p0")
 	require.Len(t, registry.Forget(time.Minute, time.Second), 1)
-	assert.True(t, registry.Draining("p0"), "forgotten")
+	assert.True(t, registry.IsDraining("p0"), "forgotten")
 	registry.Observe(14, draining)
 	onlyTheOther("a row after it was forgotten")
-	assert.Equal(t, []DrainingRun{{Worker: "p0"}}, registry.DrainingUnlisted())
+	assert.Equal(t, []DrainingRun{{Worker: "p0"}}, registry.UnpublishedDraining())
 	draining.Draining = true
 	registry.Observe(15, draining)
-	assert.Empty(t, registry.DrainingUnlisted(), "the row says so as well")
+	assert.Empty(t, registry.UnpublishedDraining(), "the row says so as well")
 }
 
 // TestDrainingEndsWithItsRun and only with a run that started later.
 func TestDrainingEndsWithItsRun(t *testing.T) {
 	registry := newTestRegistry()
 	worker := plainWorker(0)
-	worker.Born = 1000
+	worker.StartTime = 1000
 	registry.Observe(1, worker)
-	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", Born: 900}), "another run's word")
-	assert.Equal(t, Began, registry.ObserveDraining(DrainingRun{Worker: "p0", Born: 1000}))
-	worker.Born = 2000
+	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 900}), "another run's word")
+	assert.Equal(t, StartedDraining, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 1000}))
+	worker.StartTime = 2000
 	assert.Equal(t, Restarted, registry.Observe(2, worker))
-	assert.False(t, registry.Draining("p0"))
-	assert.True(t, registry.Sendable(0, &worker))
-	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", Born: 1000}), "late word of the former")
+	assert.False(t, registry.IsDraining("p0"))
+	assert.True(t, registry.CanSend(0, &worker))
+	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 1000}), "late word of the former")
 
-	registry.ObserveDraining(DrainingRun{Worker: "p0", Born: 2000})
+	registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 2000})
 	registry.ObserveGone(0, 3, "p0")
 	registry.Forget(time.Minute, time.Second)
-	worker.Born = 1500
+	worker.StartTime = 1500
 	registry.Observe(4, worker)
-	assert.True(t, registry.Draining("p0"), "an older run than the one that drained")
+	assert.True(t, registry.IsDraining("p0"), "an older run than the one that drained")
 	registry.ObserveGone(time.Minute, 5, "p0")
 	registry.Forget(time.Hour, time.Second)
-	worker.Born = 3000
+	worker.StartTime = 3000
 	registry.Observe(6, worker)
-	assert.False(t, registry.Draining("p0"))
+	assert.False(t, registry.IsDraining("p0"))
 }
 
 // TestDrainingOutlivesASubsetWithoutTheWorker since the row is read anew once it is in use again.
@@ -77,7 +77,7 @@
 	registry.drop("p0", registry.workers["p0"])
 	registry.mutex.Unlock()
 	registry.Observe(1, plainWorker(0))
-	assert.True(t, registry.Draining("p0"))
+	assert.True(t, registry.IsDraining("p0"))
 }
 
 // TestForgottenDrainingRunsStayBounded as workers come and go for ever.
@@ -87,9 +87,9 @@
 		registry.ObserveDraining(DrainingRun{Worker: plainWorker(number).ID})
 	}
 	registry.Forget(time.Second, time.Second)
-	assert.Len(t, registry.drained, 500)
-	registry.Forget(time.Second+drainedKept, time.Second)
-	assert.Empty(t, registry.drained)
+	assert.Len(t, registry.forgottenDraining, 500)
+	registry.Forget(time.Second+drainingRetention, time.Second)
+	assert.Empty(t, registry.forgottenDraining)
 }
 
 // TestServiceOfWhichAllDrainIsRefusedAtOnce rather than after a time in which nobody comes.
@@ -107,10 +107,10 @@
 func TestSendToAWorkerThatWentIsNotMade(t *testing.T) {
 	registry := withPlain(1)
 	worker := plainWorker(0)
-	assert.True(t, registry.Sendable(0, &worker))
+	assert.True(t, registry.CanSend(0, &worker))
 	registry.ObserveGone(time.Second, 5, "p0")
-	assert.True(t, registry.Sendable(time.Second+lapseGrace-1, &worker))
-	assert.False(t, registry.Sendable(time.Second+lapseGrace, &worker))
+	assert.True(t, registry.CanSend(time.Second+lapsedGracePeriod-1, &worker))
+	assert.False(t, registry.CanSend(time.Second+lapsedGracePeriod, &worker))
 }
 
 // TestPartsAreTakenFromAnEngineThatDrains until it has gone: nobody else may hold them.
@@ -134,7 +134,7 @@
 	registry := withPlain(1)
 	choosePlain(t, registry, 0).End(0, Deferred)
 	assert.Zero(t, registry.workers["p0"].failureRate(0))
-	assert.True(t, registry.workers["p0"].settled(0))
+	assert.True(t, registry.workers["p0"].isReady(0))
 	choosePlain(t, registry, 0).End(0, Refused)
 	assert.Positive(t, registry.workers["p0"].failureRate(0))
 }
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -7,23 +7,23 @@
 )
 
 // endpoint describes an engine to the scheduler.
-func (r *Registry) endpoint(found *search, prompt *prompt, known *state, parts *scoped) scheduling.Endpoint {
+func (r *Registry) endpoint(found *search, prompt *prompt, known *workerState, parts *promptScope) scheduling.Endpoint {
 	engine := prompt.engine
-	endpoint := r.loaded(found.now, engine, known)
+	endpoint := r.endpointLoad(found.now, engine, known)
 	endpoint.Address, endpoint.Zone = known.worker.Address, known.worker.Zone
-	distance := r.from(known.worker.Zone)
+	distance := r.distanceTo(known.worker.Zone)
 	endpoint.NetworkDelay = r.options.Distances.Delay[distance]
-	endpoint.TransferCost = r.options.Distances.crossing(distance, found.request.Bytes)
+	endpoint.TransferCost = r.options.Distances.transferCost(distance, found.request.Bytes)
 	endpoint.DecodingStreams = max(endpoint.InFlight-known.prefilling, 0)
 	endpoint.StepsPerEvent = engine.EventTokens
-	endpoint.FailureCost = time.Duration(known.failureRate(found.now) * float64(riskTime))
-	if capacity := r.capacities[known.worker.Service]; capacity > 0 {
+	endpoint.FailureCost = time.Duration(known.failureRate(found.now) * float64(failureCost))
+	if capacity := r.memoryCapacities[known.worker.Service]; capacity > 0 {
 		endpoint.MemoryTokens = capacity
-		endpoint.MemoryUsed = r.total(found.now, known).MemoryTokens - known.memory.tokens() + known.memory.with(needOf(engine, parts))
+		endpoint.MemoryUsed = r.totalLoad(found.now, known).MemoryTokens - known.memory.tokens() + known.memory.tokensWith(memoryNeedOf(engine, parts))
 	}
-	held := r.heldBy(parts, known)
+	held := r.heldParts(parts, known)
 	endpoint.CachedBlocks = held
-	from := r.sourceFor(prompt, parts, known, held)
+	from := r.bestSource(prompt, parts, known, held)
 	if from.parts > held {
 		endpoint.ImportBlocks = from.parts
 		endpoint.ImportSetup = importSetup
@@ -33,15 +33,15 @@
 	somewhere := sharedTokens(prompt.ends, max(held, from.parts))
 	endpoint.ColdTokens = max(engine.PromptTokens-somewhere, 0)
 	if known != prompt.home {
-		endpoint.DuplicateTokens = int(apartPart * float64(max(sharedTokens(prompt.ends, prompt.shared)-somewhere, 0)))
+		endpoint.DuplicateTokens = int(duplicatePrefillFraction * float64(max(sharedTokens(prompt.ends, prompt.shared)-somewhere, 0)))
 	}
 	return endpoint
 }
 
-// loaded describes an engine by its load alone.
-func (r *Registry) loaded(now time.Duration, engine *EngineRequest, known *state) scheduling.Endpoint {
-	load := r.total(now, known)
-	overtaken := r.overtaken(now, known, engine.Priority)
+// endpointLoad describes an engine by its load alone.
+func (r *Registry) endpointLoad(now time.Duration, engine *EngineRequest, known *workerState) scheduling.Endpoint {
+	load := r.totalLoad(now, known)
+	overtaken := r.lowerPriorityLoad(now, known, engine.Priority)
 	return scheduling.Endpoint{
 		Run:                  known.worker.Run(),
 		Pool:                 known.worker.Service,
@@ -59,8 +59,8 @@
 	}
 }
 
-// queuedPart is how many requests beyond its slots an engine may be sent, as a
+// queueDivisor is how many requests beyond its slots an engine may be sent, as a
 // part of the slots.
-const queuedPart = 2
+const queueDivisor = 2
 
-func maxStreams(slots int) int { return slots + slots/queuedPart }
+func maxStreams(slots int) int { return slots + slots/queueDivisor }
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -89,22 +89,22 @@
 	store  fleet.EngineRun
 }
 
-// outdatedPrice is the price of an engine whose weights have been replaced.
-const outdatedPrice = 250 * time.Millisecond
+// outdatedPenalty is the price of an engine whose weights have been replaced.
+const outdatedPenalty = 250 * time.Millisecond
 
 // Predictions of moves of KV cache.
 const (
 	importSetup = 5 * time.Millisecond
-	// importSharing is the part of an engine's link that a move is predicted to
+	// importLinkShare is the part of an engine's link that a move is predicted to
 	// get, storeSharing that of the store's, which all engines use.
-	importSharing = 0.5
-	storeSharing  = 0.4
-	// apartPart is the part of the price of reading a prefix again that is charged
+	importLinkShare = 0.5
+	storeLinkShare  = 0.4
+	// duplicatePrefillFraction is the part of the price of reading a prefix again that is charged
 	// for reading one that nobody holds elsewhere than at its home: another node
 	// may have it read there at the same time.
-	apartPart   = 0.2
-	bitsPerByte = 8
-	megabit     = 1e6
+	duplicatePrefillFraction = 0.2
+	bitsPerByte              = 8
+	megabit                  = 1e6
 )
 
 // chooseEngine lets the scheduler choose among what a search has found. Where the request
@@ -118,11 +118,11 @@
 		if !late {
 			return r.placeAt(found, prompt, &decision), Refusal{}
 		}
-		if found.whole {
+		if found.exhaustive {
 			return nil, refused
 		}
 		allowed := allowedWait(prompt.engine, &decision)
-		least, added := found.spareFor(allowed)
+		least, added := found.addSpareEngines(allowed)
 		if !added {
 			return nil, Refusal{Reason: ReasonLate, RetryAfter: least - allowed}
 		}
@@ -141,14 +141,14 @@
 	shared int
 	ends   []int
 	// home is where the shared parts are read first; nil if nowhere.
-	home *state
+	home *workerState
 }
 
 func (r *Registry) newPrompt(found *search) *prompt {
 	engine := found.request.Engine
-	p := &prompt{engine: engine, shared: max(len(engine.Parts)-1, 0), ends: cumulate(engine.Parts)}
+	p := &prompt{engine: engine, shared: max(len(engine.Parts)-1, 0), ends: cumulativeTokens(engine.Parts)}
 	p.home = found.home(p.shared)
-	found.keepBuffers()
+	found.saveBuffers()
 	return p
 }
 
@@ -159,11 +159,11 @@
 	for _, known := range found.candidates() {
 		version := known.worker.Versions[engine.Model]
 		endpoint := r.endpoint(found, prompt, known, found.scopeOf(version))
-		if found.kept(known) {
-			endpoint.ReservedPenalty = reservedPrice
+		if found.isReserved(known) {
+			endpoint.ReservedPenalty = reservedPenalty
 		}
 		if version < r.preferred[engine.Model] {
-			endpoint.OutdatedPenalty = outdatedPrice
+			endpoint.OutdatedPenalty = outdatedPenalty
 		}
 		r.endpoints = append(r.endpoints, endpoint)
 	}
@@ -184,12 +184,12 @@
 	version := chosen.worker.Versions[engine.Model]
 	known := found.scopeOf(version)
 	prefill := engine.PromptTokens - decision.CachedTokens - decision.ImportedTokens
-	r.noteWork(now, found.request.Service, engine, prefill)
+	r.recordWork(now, found.request.Service, engine, prefill)
 	placement := r.begin(now, chosen, len(candidates), placedWork{
-		priority: engine.Priority, prefill: prefill, need: needOf(engine, known),
+		priority: engine.Priority, prefillTokens: prefill, need: memoryNeedOf(engine, known),
 	})
-	placement.Looked = found.looked
-	placement.Limited = found.limited(chosen)
+	placement.Examined = found.examined
+	placement.Limited = found.hasLimit(chosen)
 	placement.Engine = &EnginePlacement{
 		Version:        version,
 		Scope:          known.scope,
@@ -200,15 +200,15 @@
 		Prefix:         PrefixName(engine.Parts),
 		SharedParts:    prompt.shared,
 		SharedTokens:   sharedTokens(prompt.ends, prompt.shared),
-		HeldParts:      r.heldBy(known, chosen),
-		StoredParts:    known.stored,
-		MostHeldParts:  known.most(),
+		HeldParts:      r.heldParts(known, chosen),
+		StoredParts:    known.storedParts,
+		MostHeldParts:  known.maxHeldParts(),
 		Home:           chosen == prompt.home,
 		hashes:         known.hashes,
 		store:          StoreRun(engine.Store),
 	}
-	placement.Engine.ImportFrom = r.importFrom(prompt, known, chosen)
-	if savesTo(engine, known, prompt.shared) {
+	placement.Engine.ImportFrom = r.importSource(prompt, known, chosen)
+	if shouldSave(engine, known, prompt.shared) {
 		placement.Engine.SaveTo = engine.Store
 	}
 	if engine.WantsCopy {
--- a/internal/backends/intake_test.go
+++ b/internal/backends/intake_test.go
@@ -11,10 +11,10 @@
 )
 
 // intakeOf has some workers name limits.
-func intakeOf(intakes map[fleet.EngineID]Intake, opensIn time.Duration) func(*Worker) (Intake, time.Duration) {
-	return func(worker *Worker) (Intake, time.Duration) {
-		if intakes[worker.ID] == IntakeClosed {
-			return IntakeClosed, opensIn
+func intakeOf(intakes map[fleet.EngineID]Admission, opensIn time.Duration) func(*Worker) (Admission, time.Duration) {
+	return func(worker *Worker) (Admission, time.Duration) {
+		if intakes[worker.ID] == AdmissionClosed {
+			return AdmissionClosed, opensIn
 		}
 		return intakes[worker.ID], 0
 	}
@@ -23,20 +23,20 @@
 // TestWorkerAtItsLimitGetsNothing, also if it is the only one; then it is told when there is room.
 func TestWorkerAtItsLimitGetsNothing(t *testing.T) {
 	registry := withEngines()
-	closed := make(map[fleet.EngineID]Intake)
+	closed := make(map[fleet.EngineID]Admission)
 	for number := range engineCount - 1 {
-		closed[engineWorker(number, 1).ID] = IntakeClosed
+		closed[engineWorker(number, 1).ID] = AdmissionClosed
 	}
 	open := engineWorker(engineCount-1, 1).ID
 	request := engineRequest("p")
-	request.Intake = intakeOf(closed, 3*time.Second)
+	request.Admission = intakeOf(closed, 3*time.Second)
 	for range 20 {
 		placement, refused := registry.Choose(0, request)
 		require.NotNil(t, placement, refused)
 		assert.Equal(t, open, placement.Worker.ID)
 		placement.End(0, Succeeded)
 	}
-	closed[open] = IntakeClosed
+	closed[open] = AdmissionClosed
 	placement, refused := registry.Choose(0, request)
 	assert.Nil(t, placement)
 	assert.Equal(t, Refusal{Reason: ReasonLimited, RetryAfter: 3 * time.Second}, refused)
@@ -46,11 +46,11 @@
 func TestWorkerWithALimitIsNotTakenForABadOne(t *testing.T) {
 	registry := withEngines()
 	request := engineRequest("p")
-	limited := make(map[fleet.EngineID]Intake)
+	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount {
-		limited[engineWorker(number, 1).ID] = IntakeLimited
+		limited[engineWorker(number, 1).ID] = AdmissionLimited
 	}
-	request.Intake = intakeOf(limited, 0)
+	request.Admission = intakeOf(limited, 0)
 	now := time.Second
 	for range 10 {
 		placement, refused := registry.Choose(now, request)
@@ -64,22 +64,22 @@
 		placement.End(now, Succeeded)
 		assert.InDelta(t, 1, registry.workers[placement.Worker.ID].slowness, 0.001)
 	}
-	assert.Zero(t, registry.speedOf(request.Service).slot)
+	assert.Zero(t, registry.speedEstimateOf(request.Service).slotTime)
 }
 
 // TestWorkerWithALimitHoldsNoCopy: it may have no room when the run has to go on there.
 func TestWorkerWithALimitHoldsNoCopy(t *testing.T) {
 	registry := withEngines()
 	request := copiedRequest()
-	limited := make(map[fleet.EngineID]Intake)
+	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount / 2 {
-		limited[engineWorker(number, 1).ID] = IntakeLimited
+		limited[engineWorker(number, 1).ID] = AdmissionLimited
 	}
-	request.Intake = intakeOf(limited, 0)
+	request.Admission = intakeOf(limited, 0)
 	for range 100 {
 		placement, refused := registry.Choose(0, request)
 		require.NotNil(t, placement, refused)
-		assert.Equal(t, IntakeFree, limited[placement.Engine.CopyTo.ID])
+		assert.Equal(t, AdmissionUnlimited, limited[placement.Engine.CopyTo.ID])
 		placement.End(0, Succeeded)
 	}
 }
--- a/internal/backends/levels.go
+++ b/internal/backends/levels.go
@@ -3,7 +3,7 @@
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
 const (
-	levels = 64
+	levelCount = 64
 	// levelTokens is the prompt work that counts for a level.
 	levelTokens = 300
 	// slotLevels are the levels over which an engine's slots fill, plainLevels those of
@@ -14,36 +14,36 @@
 	queuedLevels = 4
 )
 
-// levelled is a list of workers by load, so that a choice finds the least loaded of
+// loadLevels is a list of workers by load, so that a choice finds the least loaded of
 // thousands at once: with nearly all slots taken, workers drawn from the whole list are mostly
 // full.
-type levelled struct {
-	members [levels][]*state
+type loadLevels struct {
+	members [levelCount][]*workerState
 	count   int
 }
 
 // add puts a worker at its level.
-func (l *levelled) add(known *state, level int) {
-	known.level, known.at = level, len(l.members[level])
+func (l *loadLevels) add(known *workerState, level int) {
+	known.level, known.levelIndex = level, len(l.members[level])
 	l.members[level] = append(l.members[level], known)
 	l.count++
 }
 
 // remove takes a worker out.
-func (l *levelled) remove(known *state) {
+func (l *loadLevels) remove(known *workerState) {
 	members := l.members[known.level]
 	last := len(members) - 1
-	members[known.at] = members[last]
-	members[known.at].at = known.at
+	members[known.levelIndex] = members[last]
+	members[known.levelIndex].levelIndex = known.levelIndex
 	members[last] = nil
 	l.members[known.level] = members[:last]
 	l.count--
 }
 
 // levelOf returns the level of a worker by its load over the nodes that have told theirs.
-func (r *Registry) levelOf(known *state) int {
-	inFlight, prefill := known.inFlight, known.prefill
-	if others := r.peers.sum.worker(known.worker.ID); others != nil {
+func (r *Registry) levelOf(known *workerState) int {
+	inFlight, prefill := known.inFlight, known.prefillTokens
+	if others := r.peers.totals.worker(known.worker.ID); others != nil {
 		inFlight += others.InFlight
 		prefill += others.PrefillTokens
 	}
@@ -52,11 +52,11 @@
 		over = plainLevels
 	}
 	level := inFlight*over/slots + prefill/levelTokens + queuedLevels*max(inFlight+1-slots, 0)
-	return min(max(level, 0), levels-1)
+	return min(max(level, 0), levelCount-1)
 }
 
-// relevel puts a worker at its level after a change of its load; the mutex is held.
-func (r *Registry) relevel(known *state) {
+// updateLevel puts a worker at its level after a change of its load; the mutex is held.
+func (r *Registry) updateLevel(known *workerState) {
 	if known.pool == nil {
 		return
 	}
@@ -67,16 +67,16 @@
 	}
 }
 
-// relevelByID is relevel for a worker of which a peer has told.
-func (r *Registry) relevelByID(id fleet.EngineID) {
+// updateLevelByID is relevel for a worker of which a peer has told.
+func (r *Registry) updateLevelByID(id fleet.EngineID) {
 	if known := r.workers[id]; known != nil {
-		r.relevel(known)
+		r.updateLevel(known)
 	}
 }
 
-// relevelAll puts all workers at their levels.
-func (r *Registry) relevelAll() {
+// updateAllLevels puts all workers at their levels.
+func (r *Registry) updateAllLevels() {
 	for _, known := range r.workers {
-		r.relevel(known)
+		r.updateLevel(known)
 	}
 }
--- a/internal/backends/load.go
+++ b/internal/backends/load.go
@@ -18,11 +18,11 @@
 	// MemoryTokens is what the requests hold, or will hold, in the worker's memory.
 	MemoryTokens int
 	// Priorities holds the requests by priority, the most urgent first.
-	Priorities [Priorities]PriorityLoad
+	Priorities [PriorityCount]PriorityLoad
 }
 
-// Priorities is the number of priorities of requests at an engine, 0 the most urgent.
-const Priorities = 10
+// PriorityCount is the number of priorities of requests at an engine, 0 the most urgent.
+const PriorityCount = 10
 
 // PriorityLoad is the requests of one priority at a worker.
 type PriorityLoad struct {
@@ -41,10 +41,10 @@
 	}
 }
 
-// below returns the requests that are less urgent than a priority.
-func (l *Load) below(priority int) PriorityLoad {
+// lowerPriorityThan returns the requests that are less urgent than a priority.
+func (l *Load) lowerPriorityThan(priority int) PriorityLoad {
 	var sum PriorityLoad
-	for _, part := range l.Priorities[min(priority+1, Priorities):] {
+	for _, part := range l.Priorities[min(priority+1, PriorityCount):] {
 		sum.InFlight += part.InFlight
 		sum.PrefillTokens += part.PrefillTokens
 	}
@@ -59,7 +59,7 @@
 	for id, known := range r.workers {
 		if known.inFlight > 0 {
 			loads = append(loads, Load{
-				Engine: id, InFlight: known.inFlight, PrefillTokens: known.prefill, MemoryTokens: known.memory.tokens(),
+				Engine: id, InFlight: known.inFlight, PrefillTokens: known.prefillTokens, MemoryTokens: known.memory.tokens(),
 				Priorities: known.priorities,
 			})
 		}
@@ -76,13 +76,13 @@
 	if known == nil {
 		return 0
 	}
-	return r.total(now, known).InFlight
+	return r.totalLoad(now, known).InFlight
 }
 
-// MemoryUse returns the part of their memory that requests hold, over all nodes,
+// MemoryUtilization returns the part of their memory that requests hold, over all nodes,
 // at the engines of the service to which one belongs; of engines whose memory
 // isn't known, the part of their slots.
-func (r *Registry) MemoryUse(now time.Duration, of fleet.EngineID) float64 {
+func (r *Registry) MemoryUtilization(now time.Duration, of fleet.EngineID) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	reference := r.workers[of]
@@ -91,11 +91,11 @@
 	}
 	// What too old reports told leaves the levels here, not while they are walked, which
 	// would change the lists under the walk and end the process.
-	r.peers.told(now)
+	r.peers.totalsAt(now)
 	used, held := 0, 0
 	for _, known := range r.poolOf(reference.worker.Service).all() {
-		load := r.total(now, known)
-		if capacity := r.capacities[known.worker.Service]; capacity > 0 {
+		load := r.totalLoad(now, known)
+		if capacity := r.memoryCapacities[known.worker.Service]; capacity > 0 {
 			used, held = used+load.MemoryTokens, held+capacity
 			continue
 		}
@@ -104,11 +104,11 @@
 	return float64(used) / float64(max(held, 1))
 }
 
-// SetCapacity says what the engines of a service hold in memory, in tokens.
-func (r *Registry) SetCapacity(service fleet.PoolName, tokens int) {
+// SetMemoryCapacity says what the engines of a service hold in memory, in tokens.
+func (r *Registry) SetMemoryCapacity(service fleet.PoolName, tokens int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.capacities[service] = tokens
+	r.memoryCapacities[service] = tokens
 }
 
 // Suspects returns the workers that this node couldn't reach of late.
@@ -125,16 +125,16 @@
 	return suspects
 }
 
-// Doubtful returns the workers that this node, or any other by its word, couldn't
+// AllSuspects returns the workers that this node, or any other by its word, couldn't
 // reach of late.
-func (r *Registry) Doubtful(now time.Duration) map[fleet.EngineID]bool {
+func (r *Registry) AllSuspects(now time.Duration) map[fleet.EngineID]bool {
 	doubtful := make(map[fleet.EngineID]bool)
 	for _, suspect := range r.Suspects(now) {
 		doubtful[suspect] = true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	told := r.peers.told(now)
+	told := r.peers.totalsAt(now)
 	for id, at := range told.index {
 		if told.workers[at].suspecting > 0 {
 			doubtful[id] = true
@@ -143,58 +143,58 @@
 	return doubtful
 }
 
-// SetPeers says how many other nodes there are: where only some of them have
+// SetPeerCount says how many other nodes there are: where only some of them have
 // told their load lately, these stand for all.
-func (r *Registry) SetPeers(count int) {
+func (r *Registry) SetPeerCount(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.peers.count = count
+	r.peers.peerCount = count
 }
 
-// total returns the load of a worker over all nodes, without its parts by priority;
+// totalLoad returns the load of a worker over all nodes, without its parts by priority;
 // the mutex is held.
-func (r *Registry) total(now time.Duration, known *state) Load {
+func (r *Registry) totalLoad(now time.Duration, known *workerState) Load {
 	total := Load{
-		Engine: known.worker.ID, InFlight: known.inFlight, PrefillTokens: known.prefill, MemoryTokens: known.memory.tokens(),
+		Engine: known.worker.ID, InFlight: known.inFlight, PrefillTokens: known.prefillTokens, MemoryTokens: known.memory.tokens(),
 	}
-	told := r.peers.told(now)
+	told := r.peers.totalsAt(now)
 	if others := told.worker(known.worker.ID); others != nil {
-		total.InFlight += r.scaled(told, others.InFlight)
-		total.PrefillTokens += r.scaled(told, others.PrefillTokens)
-		total.MemoryTokens += r.scaled(told, others.MemoryTokens)
+		total.InFlight += r.extrapolate(told, others.InFlight)
+		total.PrefillTokens += r.extrapolate(told, others.PrefillTokens)
+		total.MemoryTokens += r.extrapolate(told, others.MemoryTokens)
 	}
 	return total
 }
 
-// inFlight returns the requests in flight at a worker over all nodes; the mutex is held.
-func (r *Registry) inFlight(now time.Duration, known *state) int {
-	told := r.peers.told(now)
+// totalInFlight returns the requests in flight at a worker over all nodes; the mutex is held.
+func (r *Registry) totalInFlight(now time.Duration, known *workerState) int {
+	told := r.peers.totalsAt(now)
 	others := told.worker(known.worker.ID)
 	if others == nil {
 		return known.inFlight
 	}
-	return known.inFlight + r.scaled(told, others.InFlight)
+	return known.inFlight + r.extrapolate(told, others.InFlight)
 }
 
-// overtaken returns the requests over all nodes at a worker that are less urgent than a
+// lowerPriorityLoad returns the requests over all nodes at a worker that are less urgent than a
 // priority; the mutex is held. They are summed before they are scaled: that is done for
 // each engine of each choice.
-func (r *Registry) overtaken(now time.Duration, known *state, priority int) PriorityLoad {
+func (r *Registry) lowerPriorityLoad(now time.Duration, known *workerState, priority int) PriorityLoad {
 	own := Load{Priorities: known.priorities}
-	sum := own.below(priority)
-	told := r.peers.told(now)
+	sum := own.lowerPriorityThan(priority)
+	told := r.peers.totalsAt(now)
 	if others := told.worker(known.worker.ID); others != nil {
-		part := others.below(priority)
-		sum.InFlight += int32(r.scaled(told, int(part.InFlight)))
-		sum.PrefillTokens += int32(r.scaled(told, int(part.PrefillTokens)))
+		part := others.lowerPriorityThan(priority)
+		sum.InFlight += int32(r.extrapolate(told, int(part.InFlight)))
+		sum.PrefillTokens += int32(r.extrapolate(told, int(part.PrefillTokens)))
 	}
 	return sum
 }
 
-// scaled has the nodes that have told their load of late stand for all.
-func (r *Registry) scaled(told *peerSum, units int) int {
+// extrapolate has the nodes that have told their load of late stand for all.
+func (r *Registry) extrapolate(told *peerTotals, units int) int {
 	if units == 0 {
 		return 0
 	}
-	return units * max(r.peers.count, told.heard) / told.heard
+	return units * max(r.peers.peerCount, told.reportCount) / told.reportCount
 }
--- a/internal/backends/memory.go
+++ b/internal/backends/memory.go
@@ -5,7 +5,7 @@
 // memoryUse is what this node's requests hold, or will hold, in one engine's
 // memory: the shared part of a prompt once for all requests that have it.
 type memoryUse struct {
-	own int
+	ownTokens int
 	// sharedTokens is the sum over shared.
 	sharedTokens int
 	shared       map[fleet.BlockHash]sharedUse
@@ -27,10 +27,10 @@
 }
 
 // tokens returns the sum.
-func (m *memoryUse) tokens() int { return m.own + m.sharedTokens }
+func (m *memoryUse) tokens() int { return m.ownTokens + m.sharedTokens }
 
-// with returns the sum with one more request.
-func (m *memoryUse) with(need memoryNeed) int {
+// tokensWith returns the sum tokensWith one more request.
+func (m *memoryUse) tokensWith(need memoryNeed) int {
 	total := m.tokens() + need.ownTokens
 	if m.shared[need.prefix].requests == 0 {
 		total += need.sharedTokens
@@ -40,7 +40,7 @@
 
 // add takes a request in.
 func (m *memoryUse) add(need memoryNeed) {
-	m.own += need.ownTokens
+	m.ownTokens += need.ownTokens
 	if need.sharedTokens == 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 
 // remove takes a request out.
 func (m *memoryUse) remove(need memoryNeed) {
-	m.own -= need.ownTokens
+	m.ownTokens -= need.ownTokens
 	if need.sharedTokens == 0 {
 		return
 	}
@@ -70,8 +70,8 @@
 	m.shared[need.prefix] = use
 }
 
-// needOf returns what a request needs of an engine's memory in a scope.
-func needOf(engine *EngineRequest, known *scoped) memoryNeed {
+// memoryNeedOf returns what a request needs of an engine's memory in a scope.
+func memoryNeedOf(engine *EngineRequest, known *promptScope) memoryNeed {
 	need := memoryNeed{ownTokens: engine.PromptTokens + engine.OutputTokens}
 	shared := len(engine.Parts) - 1
 	if shared <= 0 {
--- a/internal/backends/memoryuse_test.go
+++ b/internal/backends/memoryuse_test.go
@@ -30,6 +30,6 @@
 			registry.ObservePeer(at, node, report)
 		}
 		registry.InFlight(time.Second, "e0")
-		assert.NotPanics(t, func() { registry.MemoryUse(peerLoadValid+time.Millisecond, "e0") })
+		assert.NotPanics(t, func() { registry.MemoryUtilization(peerReportValidity+time.Millisecond, "e0") })
 	}
 }
--- a/internal/backends/partition.go
+++ b/internal/backends/partition.go
@@ -9,19 +9,19 @@
 
 // Constants of the partition.
 const (
-	// longPromptSteps is the part of a batch step that a prompt fills to count as
+	// longPromptFraction is the part of a batch step that a prompt fills to count as
 	// long.
-	longPromptSteps = 0.75
-	// outputTokenWork is the engine time that an output token takes: many streams
+	longPromptFraction = 0.75
+	// outputTokenTime is the engine time that an output token takes: many streams
 	// share a batch step.
-	outputTokenWork = 30 * time.Microsecond
+	outputTokenTime = 30 * time.Microsecond
 	// workHalfLife is the time in which what was seen of the work halves.
 	workHalfLife = 8 * time.Second
-	// leastShare is the share of the work below which a size gets no engines of
+	// minPartitionShare is the share of the work below which a size gets no engines of
 	// its own.
-	leastShare = 0.08
-	// reservedPrice is the price of an engine that is kept for the other size.
-	reservedPrice = 25 * time.Millisecond
+	minPartitionShare = 0.08
+	// reservedPenalty is the price of an engine that is kept for the other size.
+	reservedPenalty = 25 * time.Millisecond
 )
 
 // Work is the work of requests with long and with short prompts, as seen of late.
@@ -34,17 +34,17 @@
 	return Work{Long: w.Long + other.Long, Short: w.Short + other.Short}
 }
 
-// partition follows the work of this node's requests to a service. Some engines
+// workTracker follows the work of this node's requests to a service. Some engines
 // of a service are kept for long prompts and the others for short ones: a long
 // prompt holds up the streams of all requests beside it. The shares follow the
 // work of all nodes, and all order the engines alike, so that they agree.
-type partition struct {
+type workTracker struct {
 	long, short float64
 	at          time.Duration
 }
 
 // work returns what was seen of late.
-func (p *partition) work(now time.Duration) Work {
+func (p *workTracker) work(now time.Duration) Work {
 	if idle := now - p.at; idle > 0 {
 		kept := math.Exp2(-float64(idle) / float64(workHalfLife))
 		p.long *= kept
@@ -54,8 +54,8 @@
 	return Work{Long: time.Duration(p.long * float64(time.Second)), Short: time.Duration(p.short * float64(time.Second))}
 }
 
-// note takes the work of a request in.
-func (p *partition) note(now time.Duration, long bool, work time.Duration) {
+// record takes the work of a request in.
+func (p *workTracker) record(now time.Duration, long bool, work time.Duration) {
 	p.work(now)
 	if long {
 		p.long += work.Seconds()
@@ -64,15 +64,15 @@
 	}
 }
 
-// forLong returns how many of count engines are kept for long prompts, and
+// enginesForLong returns how many of count engines are kept for long prompts, and
 // whether any are kept for either size.
-func (w Work) forLong(count int) (kept int, apart bool) {
+func (w Work) enginesForLong(count int) (kept int, apart bool) {
 	total := w.Long + w.Short
 	if count < 2 || total <= 0 {
 		return 0, false
 	}
 	share := float64(w.Long) / float64(total)
-	if share < leastShare || share > 1-leastShare {
+	if share < minPartitionShare || share > 1-minPartitionShare {
 		return 0, false
 	}
 	return min(max(int(math.Round(share*float64(count))), 1), count-1), true
@@ -82,25 +82,25 @@
 func (r *Registry) OwnWork(now time.Duration) map[fleet.PoolName]Work {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	work := make(map[fleet.PoolName]Work, len(r.partitions))
-	for service, own := range r.partitions {
+	work := make(map[fleet.PoolName]Work, len(r.workTrackers))
+	for service, own := range r.workTrackers {
 		work[service] = own.work(now)
 	}
 	return work
 }
 
-// isLong tells whether a prompt counts as long.
-func (r *Registry) isLong(engine *EngineRequest) bool {
-	return float64(engine.PromptTokens) >= longPromptSteps*float64(r.options.StepTokens)
+// isLongPrompt tells whether a prompt counts as long.
+func (r *Registry) isLongPrompt(engine *EngineRequest) bool {
+	return float64(engine.PromptTokens) >= longPromptFraction*float64(r.options.StepTokens)
 }
 
-// noteWork takes a placed request into the partition; the mutex is held.
-func (r *Registry) noteWork(now time.Duration, service fleet.PoolName, engine *EngineRequest, uncached int) {
-	current := r.partitions[service]
+// recordWork takes a placed request into the partition; the mutex is held.
+func (r *Registry) recordWork(now time.Duration, service fleet.PoolName, engine *EngineRequest, uncached int) {
+	current := r.workTrackers[service]
 	if current == nil {
-		current = &partition{at: now}
-		r.partitions[service] = current
+		current = &workTracker{at: now}
+		r.workTrackers[service] = current
 	}
-	work := time.Duration(uncached)*r.perToken(service) + time.Duration(engine.OutputTokens)*outputTokenWork
-	current.note(now, r.isLong(engine), work)
+	work := time.Duration(uncached)*r.perToken(service) + time.Duration(engine.OutputTokens)*outputTokenTime
+	current.record(now, r.isLongPrompt(engine), work)
 }
--- a/internal/backends/partition_test.go
+++ b/internal/backends/partition_test.go
@@ -12,10 +12,10 @@
 // reservedFor returns the engines that are kept for long prompts; nil if none are kept for
 // either size.
 func (r *Registry) reservedFor(now time.Duration, service fleet.PoolName) map[fleet.EngineID]bool {
-	if _, apart := r.longSide(now, r.poolOf(service)); !apart {
+	if _, apart := r.longPromptBound(now, r.poolOf(service)); !apart {
 		return nil
 	}
-	forShort := r.keptForOthers(now, r.poolOf(service), &EngineRequest{PromptTokens: 1})
+	forShort := r.reservedForOtherSize(now, r.poolOf(service), &EngineRequest{PromptTokens: 1})
 	reserved := make(map[fleet.EngineID]bool)
 	for id, known := range r.workers {
 		if forShort(known) {
@@ -30,8 +30,8 @@
 func TestNodesWithDifferentRequestsAgreeOnTheEnginesForLongPrompts(t *testing.T) {
 	first, second := withEngines(), withEngines()
 	service := engineRequest("p").Service
-	first.noteWork(0, service, &EngineRequest{PromptTokens: 9000}, 3000)
-	second.noteWork(0, service, &EngineRequest{PromptTokens: 500}, 1000)
+	first.recordWork(0, service, &EngineRequest{PromptTokens: 9000}, 3000)
+	second.recordWork(0, service, &EngineRequest{PromptTokens: 500}, 1000)
 	assert.Nil(t, first.reservedFor(0, service), "it knows of one length only")
 	first.ObservePeer(0, "second", PeerReport{Work: second.OwnWork(0)})
 	second.ObservePeer(0, "first", PeerReport{Work: first.OwnWork(0)})
@@ -42,11 +42,11 @@
 }
 
 func TestWorkSeenHalvesWithTime(t *testing.T) {
-	own := &partition{}
-	own.note(0, true, 8*time.Second)
-	own.note(0, false, 4*time.Second)
+	own := &workTracker{}
+	own.record(0, true, 8*time.Second)
+	own.record(0, false, 4*time.Second)
 	assert.Equal(t, Work{Long: 4 * time.Second, Short: 2 * time.Second}, own.work(workHalfLife))
-	kept, apart := Work{Long: 4, Short: 2}.forLong(12)
+	kept, apart := Work{Long: 4, Short: 2}.enginesForLong(12)
 	assert.True(t, apart)
 	assert.Equal(t, 8, kept)
 }
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -26,11 +26,11 @@
 type partIndex struct {
 	index *prefixindex.Index
 	// uses is a queue of the uses in order of time, which expire counts down.
-	uses []partUse
-	last map[partKey]time.Duration
-	// followed holds the runs whose changes are followed, so that nothing of
+	uses    []partUse
+	lastUse map[partKey]time.Duration
+	// tracked holds the runs whose changes are tracked, so that nothing of
 	// theirs needs to run out.
-	followed map[fleet.EngineRun]bool
+	tracked map[fleet.EngineRun]bool
 }
 
 type partKey struct {
@@ -45,16 +45,16 @@
 
 func newPartIndex(maxParts int) *partIndex {
 	return &partIndex{
-		index:    prefixindex.New(prefixindex.Options{MaxBlocks: maxParts, Directory: true}),
-		last:     make(map[partKey]time.Duration),
-		followed: make(map[fleet.EngineRun]bool),
+		index:   prefixindex.New(prefixindex.Options{MaxBlocks: maxParts, Directory: true}),
+		lastUse: make(map[partKey]time.Duration),
+		tracked: make(map[fleet.EngineRun]bool),
 	}
 }
 
 func (p *partIndex) add(run fleet.EngineRun) { p.index.AddRun(run) }
 func (p *partIndex) remove(run fleet.EngineRun) {
 	p.index.RemoveRun(run)
-	delete(p.followed, run)
+	delete(p.tracked, run)
 }
 
 func (p *partIndex) clear(run fleet.EngineRun) { p.index.Clear(run) }
@@ -62,12 +62,12 @@
 // store notes that a run holds parts, used at now.
 func (p *partIndex) store(now time.Duration, run fleet.EngineRun, hashes []fleet.BlockHash) {
 	p.index.Store(run, hashes)
-	if p.followed[run] {
+	if p.tracked[run] {
 		return
 	}
 	for _, hash := range hashes {
 		key := partKey{run: run, hash: hash}
-		p.last[key] = now
+		p.lastUse[key] = now
 		p.uses = append(p.uses, partUse{key: key, at: now})
 	}
 	p.expire(now)
@@ -81,8 +81,8 @@
 			break
 		}
 		done++
-		if p.last[use.key] == use.at {
-			delete(p.last, use.key)
+		if p.lastUse[use.key] == use.at {
+			delete(p.lastUse, use.key)
 			p.index.Remove(use.key.run, []fleet.BlockHash{use.key.hash})
 		}
 	}
@@ -117,19 +117,19 @@
 	for index, change := range changes {
 		told[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
 	}
-	r.ObserveTold(run, anew, told)
+	r.ObserveRelayedCache(run, anew, told)
 	return told
 }
 
-// ObserveTold is ObserveCache for changes by another node's word.
-func (r *Registry) ObserveTold(run fleet.EngineRun, anew bool, changes []cachefeed.Change) {
+// ObserveRelayedCache is ObserveCache for changes by another node's word.
+func (r *Registry) ObserveRelayedCache(run fleet.EngineRun, anew bool, changes []cachefeed.Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.parts.add(run)
 	if anew {
 		r.parts.clear(run)
 	}
-	r.parts.followed[run] = true
+	r.parts.tracked[run] = true
 	var hash [1]fleet.BlockHash
 	for _, change := range changes {
 		hash[0] = change.Part
@@ -141,12 +141,12 @@
 	}
 }
 
-// LoseCache takes in that a cache can't be followed any more.
-func (r *Registry) LoseCache(run fleet.EngineRun) {
+// UntrackCache takes in that a cache can't be followed any more.
+func (r *Registry) UntrackCache(run fleet.EngineRun) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.parts.clear(run)
-	delete(r.parts.followed, run)
+	delete(r.parts.tracked, run)
 }
 
 func hashPart(scope, part string) fleet.BlockHash {
@@ -167,8 +167,8 @@
 	return hashes
 }
 
-// cumulate returns the tokens up to the end of each part.
-func cumulate(parts []Part) []int {
+// cumulativeTokens returns the tokens up to the end of each part.
+func cumulativeTokens(parts []Part) []int {
 	ends := make([]int, len(parts))
 	total := 0
 	for index, part := range parts {
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -22,62 +22,62 @@
 
 // peerReports are the newest reports of other nodes, and their sum.
 type peerReports struct {
-	reports map[fleet.NodeID]*heardReport
-	// count is the number of other nodes.
-	count int
-	sum   peerSum
+	reports map[fleet.NodeID]*receivedReport
+	// peerCount is the number of other nodes.
+	peerCount int
+	totals    peerTotals
 	// validUntil is when the first report of the sum is too old; 0 has it made anew.
 	validUntil time.Duration
-	// changed is called for each worker of which something else is told, and changedAll
+	// onChange is called for each worker of which something else is told, and changedAll
 	// when that may be any.
-	changed    func(fleet.EngineID)
-	changedAll func()
-	// mostTold is the number of workers in the sum from which on it is made anew, without
+	onChange    func(fleet.EngineID)
+	onChangeAll func()
+	// rebuildAbove is the number of workers in the sum from which on it is made anew, without
 	// those of which nothing is told any more.
-	mostTold int
+	rebuildAbove int
 }
 
-// heardReport is a report and when it came.
-type heardReport struct {
+// receivedReport is a report and when it came.
+type receivedReport struct {
 	PeerReport
-	at time.Duration
+	receivedAt time.Duration
 	// loads are the report's loads, with what was told since.
 	loads map[fleet.EngineID]Load
-	// counted is set if the sum has the report in it.
-	counted bool
+	// included is set if the sum has the report in it.
+	included bool
 }
 
-// peerSum is what the reports that count say together.
-type peerSum struct {
-	// heard counts the reports.
-	heard int
+// peerTotals is what the reports that count say together.
+type peerTotals struct {
+	// reportCount counts the reports.
+	reportCount int
 	// workers holds what is told of each worker, index where.
-	workers []toldWorker
+	workers []workerTotals
 	index   map[fleet.EngineID]int
 	work    map[fleet.PoolName]Work
 }
 
 // worker returns what other nodes say of a worker, or nil if they say nothing.
-func (s *peerSum) worker(id fleet.EngineID) *toldWorker {
-	if at, known := s.index[id]; known && s.workers[at] != (toldWorker{}) {
+func (s *peerTotals) worker(id fleet.EngineID) *workerTotals {
+	if at, known := s.index[id]; known && s.workers[at] != (workerTotals{}) {
 		return &s.workers[at]
 	}
 	return nil
 }
 
 // entry returns the place for what other nodes say of a worker.
-func (s *peerSum) entry(id fleet.EngineID) *toldWorker {
+func (s *peerTotals) entry(id fleet.EngineID) *workerTotals {
 	if at, known := s.index[id]; known {
 		return &s.workers[at]
 	}
 	s.index[id] = len(s.workers)
-	s.workers = append(s.workers, toldWorker{})
+	s.workers = append(s.workers, workerTotals{})
 	return &s.workers[len(s.workers)-1]
 }
 
 // reset empties the sum and keeps its memory.
-func (s *peerSum) reset() {
-	s.heard = 0
+func (s *peerTotals) reset() {
+	s.reportCount = 0
 	s.workers = s.workers[:0]
 	if s.index == nil {
 		s.index, s.work = make(map[fleet.EngineID]int), make(map[fleet.PoolName]Work)
@@ -86,8 +86,8 @@
 	clear(s.work)
 }
 
-// toldWorker is what other nodes say of one worker.
-type toldWorker struct {
+// workerTotals is what other nodes say of one worker.
+type workerTotals struct {
 	Load
 	// suspecting counts the nodes that couldn't reach it of late.
 	suspecting int
@@ -99,8 +99,8 @@
 
 func newPeerReports() *peerReports {
 	return &peerReports{
-		reports: make(map[fleet.NodeID]*heardReport),
-		changed: func(fleet.EngineID) {}, changedAll: func() {},
+		reports:  make(map[fleet.NodeID]*receivedReport),
+		onChange: func(fleet.EngineID) {}, onChangeAll: func() {},
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 	report.Loads = nil
 	p.forget(node)
-	heard := &heardReport{PeerReport: report, at: now, loads: loads}
+	heard := &receivedReport{PeerReport: report, receivedAt: now, loads: loads}
 	p.reports[node] = heard
 	if p.validUntil > 0 {
 		p.include(heard)
@@ -120,35 +120,35 @@
 }
 
 // include takes a report into the sum.
-func (p *peerReports) include(report *heardReport) {
-	report.counted = true
-	p.sum.add(report)
+func (p *peerReports) include(report *receivedReport) {
+	report.included = true
+	p.totals.add(report)
 	for id := range report.loads {
-		p.changed(id)
+		p.onChange(id)
 	}
-	p.validUntil = min(p.validUntil, report.at+peerLoadValid)
+	p.validUntil = min(p.validUntil, report.receivedAt+peerReportValidity)
 }
 
 // exclude takes a report out of the sum: a choice among thousands of engines has no time for a
 // sum made anew.
-func (p *peerReports) exclude(report *heardReport) {
-	report.counted = false
-	p.sum.heard--
+func (p *peerReports) exclude(report *receivedReport) {
+	report.included = false
+	p.totals.reportCount--
 	for id, load := range report.loads {
-		p.sum.entry(id).add(&load, -1)
-		p.changed(id)
+		p.totals.entry(id).add(&load, -1)
+		p.onChange(id)
 	}
 	for _, id := range report.Suspects {
-		p.sum.entry(id).suspecting--
+		p.totals.entry(id).suspecting--
 	}
 	for _, id := range report.Deferring {
-		p.sum.entry(id).deferred--
+		p.totals.entry(id).deferred--
 	}
 	for service, work := range report.Work {
-		p.sum.work[service] = p.sum.work[service].add(Work{Long: -work.Long, Short: -work.Short})
+		p.totals.work[service] = p.totals.work[service].add(Work{Long: -work.Long, Short: -work.Short})
 	}
 	for id := range report.Orders {
-		p.sum.entry(id).orderedUntil = p.orderedUntil(id)
+		p.totals.entry(id).orderedUntil = p.orderedUntil(id)
 	}
 }
 
@@ -157,7 +157,7 @@
 func (p *peerReports) orderedUntil(id fleet.EngineID) time.Duration {
 	latest := time.Duration(0)
 	for _, report := range p.reports {
-		if report.counted {
+		if report.included {
 			latest = max(latest, report.Orders[id])
 		}
 	}
@@ -175,11 +175,11 @@
 	for _, load := range loads {
 		before := report.loads[load.Engine]
 		report.loads[load.Engine] = load
-		if report.counted && p.validUntil > 0 {
-			entry := p.sum.entry(load.Engine)
+		if report.included && p.validUntil > 0 {
+			entry := p.totals.entry(load.Engine)
 			entry.add(&before, -1)
 			entry.add(&load, 1)
-			p.changed(load.Engine)
+			p.onChange(load.Engine)
 		}
 	}
 }
@@ -188,46 +188,46 @@
 func (p *peerReports) forget(node fleet.NodeID) {
 	report := p.reports[node]
 	delete(p.reports, node)
-	if report != nil && report.counted && p.validUntil > 0 {
+	if report != nil && report.included && p.validUntil > 0 {
 		p.exclude(report)
 	}
 }
 
-// told returns what the reports that aren't too old say together.
-func (p *peerReports) told(now time.Duration) *peerSum {
+// totalsAt returns what the reports that aren't too old say together.
+func (p *peerReports) totalsAt(now time.Duration) *peerTotals {
 	switch {
 	case now < p.validUntil:
-	case p.validUntil == 0 || len(p.sum.workers) > p.mostTold:
-		p.sumAnew(now)
+	case p.validUntil == 0 || len(p.totals.workers) > p.rebuildAbove:
+		p.rebuild(now)
 	default:
 		p.expire(now)
 	}
-	return &p.sum
+	return &p.totals
 }
 
-// spareTold is how many workers more than at first the sum may hold before it is made anew.
-const spareTold = 1024
+// rebuildSlack is how many workers more than at first the sum may hold before it is made anew.
+const rebuildSlack = 1024
 
-// sumAnew makes the sum of all reports that aren't too old.
-func (p *peerReports) sumAnew(now time.Duration) {
-	p.sum.reset()
-	p.validUntil = now + peerLoadValid
+// rebuild makes the sum of all reports that aren't too old.
+func (p *peerReports) rebuild(now time.Duration) {
+	p.totals.reset()
+	p.validUntil = now + peerReportValidity
 	for _, report := range p.reports {
-		report.counted = false
-		if now < report.at+peerLoadValid {
+		report.included = false
+		if now < report.receivedAt+peerReportValidity {
 			p.include(report)
 		}
 	}
-	p.changedAll()
-	p.mostTold = 2*len(p.sum.workers) + spareTold
+	p.onChangeAll()
+	p.rebuildAbove = 2*len(p.totals.workers) + rebuildSlack
 }
 
 // expire takes the reports out that are too old.
 func (p *peerReports) expire(now time.Duration) {
-	p.validUntil = now + peerLoadValid
+	p.validUntil = now + peerReportValidity
 	for _, report := range p.reports {
-		switch end := report.at + peerLoadValid; {
-		case !report.counted:
+		switch end := report.receivedAt + peerReportValidity; {
+		case !report.included:
 		case now >= end:
 			p.exclude(report)
 		default:
@@ -237,8 +237,8 @@
 }
 
 // add takes one report into the sum.
-func (s *peerSum) add(report *heardReport) {
-	s.heard++
+func (s *peerTotals) add(report *receivedReport) {
+	s.reportCount++
 	for id, load := range report.loads {
 		s.entry(id).add(&load, 1)
 	}
@@ -264,9 +264,9 @@
 	r.peers.observe(now, node, report)
 }
 
-// UpdatePeer takes another node's word on single workers in, which it has given
+// UpdatePeerLoads takes another node's word on single workers in, which it has given
 // between two reports.
-func (r *Registry) UpdatePeer(node fleet.NodeID, loads []Load) {
+func (r *Registry) UpdatePeerLoads(node fleet.NodeID, loads []Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.update(node, loads)
@@ -279,20 +279,20 @@
 	r.peers.forget(node)
 }
 
-// sharedDoubt is the number of other nodes whose word keeps requests away from a
+// suspicionQuorum is the number of other nodes whose word keeps requests away from a
 // worker: one may be cut off from it, or have its requests rejected, alone.
-const sharedDoubt = 2
+const suspicionQuorum = 2
 
-// settledByPeers tells whether other nodes say nothing that keeps requests away
+// isReadyByPeers tells whether other nodes say nothing that keeps requests away
 // from a worker; the mutex is held.
-func (r *Registry) settledByPeers(now time.Duration, known *state) bool {
-	told := r.peers.told(now).worker(known.worker.ID)
+func (r *Registry) isReadyByPeers(now time.Duration, known *workerState) bool {
+	told := r.peers.totalsAt(now).worker(known.worker.ID)
 	switch {
 	case told == nil:
 		return true
 	case now < told.orderedUntil:
 		return false
 	default:
-		return told.suspecting+told.deferred < sharedDoubt || known.trustedSince(now)
+		return told.suspecting+told.deferred < suspicionQuorum || known.hasRecentContact(now)
 	}
 }
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -38,16 +38,16 @@
 	registry.ObservePeer(0, "a", suspects)
 	one, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, home.Worker.ID, one.Worker.ID, "one node may be cut off alone")
-	assert.True(t, registry.Doubtful(0)[home.Worker.ID])
+	assert.True(t, registry.AllSuspects(0)[home.Worker.ID])
 	registry.ObservePeer(0, "b", suspects)
 	one.End(0, Cancelled)
 	two, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, home.Worker.ID, two.Worker.ID)
-	one.state.trust(time.Millisecond)
+	one.state.recordContact(time.Millisecond)
 	trusted, _ := registry.Choose(2*time.Millisecond, engineRequest("p"))
 	assert.Equal(t, home.Worker.ID, trusted.Worker.ID)
 	trusted.End(2*time.Millisecond, Cancelled)
-	late, _ := registry.Choose(peerLoadValid, engineRequest("p"))
+	late, _ := registry.Choose(peerReportValidity, engineRequest("p"))
 	assert.Equal(t, home.Worker.ID, late.Worker.ID, "old words don't count")
 }
 
@@ -65,7 +65,7 @@
 	for range 50 {
 		assert.EqualValues(t, "p1", choosePlain(t, registry, 0).Worker.ID)
 	}
-	assert.Empty(t, registry.Doubtful(0))
+	assert.Empty(t, registry.AllSuspects(0))
 	registry.ObserveDraining(DrainingRun{Worker: "p1"})
 	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "there is nobody else")
 }
@@ -74,24 +74,24 @@
 func TestPlacementToldAtOnceCountsUntilTheNextReport(t *testing.T) {
 	reports := newPeerReports()
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
-	assert.Zero(t, reports.told(0).heard, "nothing else is known of the node")
+	assert.Zero(t, reports.totalsAt(0).reportCount, "nothing else is known of the node")
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", PrefillTokens: 1}, {Engine: "f", PrefillTokens: 2}}})
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
-	assert.Equal(t, 9, reports.told(0).worker("e").PrefillTokens)
-	assert.Equal(t, 2, reports.told(0).worker("f").PrefillTokens)
+	assert.Equal(t, 9, reports.totalsAt(0).worker("e").PrefillTokens)
+	assert.Equal(t, 2, reports.totalsAt(0).worker("f").PrefillTokens)
 	reports.observe(0, "a", PeerReport{})
-	assert.Nil(t, reports.told(0).worker("e"), "nothing is told of it any more")
+	assert.Nil(t, reports.totalsAt(0).worker("e"), "nothing is told of it any more")
 }
 
 func TestReportsThatCountAreSummed(t *testing.T) {
 	reports := newPeerReports()
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", InFlight: 2, MemoryTokens: 10}}})
 	reports.observe(time.Second, "b", PeerReport{Loads: []Load{{Engine: "e", InFlight: 3, MemoryTokens: 5}}})
-	assert.Equal(t, 5, reports.told(time.Second).worker("e").InFlight)
-	assert.Equal(t, 15, reports.told(time.Second).worker("e").MemoryTokens)
-	assert.Equal(t, 3, reports.told(peerLoadValid).worker("e").InFlight, "the older report is too old")
+	assert.Equal(t, 5, reports.totalsAt(time.Second).worker("e").InFlight)
+	assert.Equal(t, 15, reports.totalsAt(time.Second).worker("e").MemoryTokens)
+	assert.Equal(t, 3, reports.totalsAt(peerReportValidity).worker("e").InFlight, "the older report is too old")
 	reports.forget("b")
-	assert.Zero(t, reports.told(peerLoadValid).heard)
+	assert.Zero(t, reports.totalsAt(peerReportValidity).reportCount)
 }
 
 // TestSumOfReportsIsKeptUp compares the sum that takes in single reports with one made
@@ -122,8 +122,8 @@
 			copied := *report
 			anew.reports[node] = &copied
 		}
-		one, other := kept.told(now), anew.told(now)
-		assert.Equal(t, other.heard, one.heard)
+		one, other := kept.totalsAt(now), anew.totalsAt(now)
+		assert.Equal(t, other.reportCount, one.reportCount)
 		assert.Equal(t, other.work["s"], one.work["s"])
 		for number := range 10 {
 			engine := fleet.EngineID(fmt.Sprint("e", number))
@@ -132,10 +132,10 @@
 			}
 			want, got := other.worker(engine), one.worker(engine)
 			if want == nil {
-				want = &toldWorker{}
+				want = &workerTotals{}
 			}
 			if got == nil {
-				got = &toldWorker{}
+				got = &workerTotals{}
 			}
 			require.Equal(t, *want, *got, "%s at %s", engine, now)
 		}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -11,7 +11,7 @@
 // lapsed is the tier of workers whose row went without word of draining; the tiers before
 // it are those of listed workers by their distance.
 const (
-	lapsedTier = int(distances)
+	lapsedTier = int(distanceCount)
 	tiers      = lapsedTier + 1
 	noTier     = -1
 )
@@ -20,12 +20,12 @@
 // of them without a look at all.
 type pool struct {
 	service fleet.PoolName
-	tiers   [tiers]levelled
+	tiers   [tiers]loadLevels
 	ring    ring
-	// weights counts the listed workers by model and version.
-	weights map[modelVersion]int
-	looks   map[lookKey]*look
-	buffer  []weighed
+	// versionCounts counts the listed workers by model and version.
+	versionCounts map[modelVersion]int
+	scans         map[scanKey]*scanResult
+	windowBuffer  []weightedEngine
 }
 
 // modelVersion is a version of a model's weights.
@@ -34,8 +34,8 @@
 	version WeightsVersion
 }
 
-// listed returns the number of listed workers.
-func (p *pool) listed() int {
+// listedCount returns the number of listedCount workers.
+func (p *pool) listedCount() int {
 	count := 0
 	for tier := range lapsedTier {
 		count += p.tiers[tier].count
@@ -44,8 +44,8 @@
 }
 
 // all returns the listed workers one after the other.
-func (p *pool) all() iter.Seq2[int, *state] {
-	return func(yield func(int, *state) bool) {
+func (p *pool) all() iter.Seq2[int, *workerState] {
+	return func(yield func(int, *workerState) bool) {
 		at := 0
 		for tier := range lapsedTier {
 			for _, members := range p.tiers[tier].members {
@@ -64,31 +64,31 @@
 func (r *Registry) poolOf(service fleet.PoolName) *pool {
 	known := r.pools[service]
 	if known == nil {
-		known = &pool{service: service, weights: make(map[modelVersion]int), looks: make(map[lookKey]*look)}
+		known = &pool{service: service, versionCounts: make(map[modelVersion]int), scans: make(map[scanKey]*scanResult)}
 		r.pools[service] = known
 	}
 	return known
 }
 
 // tierOf returns the tier where a worker belongs.
-func (r *Registry) tierOf(known *state) int {
+func (r *Registry) tierOf(known *workerState) int {
 	switch {
 	case known.worker.Draining, !r.subsets.contains(known.worker.Service, known.hash):
 		return noTier
 	case known.gone:
 		return lapsedTier
 	default:
-		return int(r.from(known.worker.Zone))
+		return int(r.distanceTo(known.worker.Zone))
 	}
 }
 
-// enlist puts a worker where it belongs after a change; the mutex is held.
-func (r *Registry) enlist(known *state) {
+// updatePool puts a worker where it belongs after a change; the mutex is held.
+func (r *Registry) updatePool(known *workerState) {
 	tier := r.tierOf(known)
 	if tier == known.tier && known.pool != nil && known.pool.service == known.worker.Service {
 		return
 	}
-	r.delist(known)
+	r.removeFromPool(known)
 	if tier == noTier {
 		return
 	}
@@ -97,12 +97,12 @@
 	into.tiers[tier].add(known, r.levelOf(known))
 	if tier != lapsedTier {
 		into.ring.add(known)
-		into.count(known.worker.Versions, 1)
+		into.countVersions(known.worker.Versions, 1)
 	}
 }
 
-// delist takes a worker out of its pool; the mutex is held.
-func (r *Registry) delist(known *state) {
+// removeFromPool takes a worker out of its pool; the mutex is held.
+func (r *Registry) removeFromPool(known *workerState) {
 	from := known.pool
 	if from == nil {
 		return
@@ -110,58 +110,58 @@
 	from.tiers[known.tier].remove(known)
 	if known.tier != lapsedTier {
 		from.ring.remove(known)
-		from.count(known.worker.Versions, -1)
+		from.countVersions(known.worker.Versions, -1)
 	}
 	known.pool, known.tier = nil, noTier
 }
 
 // setVersions changes what a worker runs; the mutex is held.
-func (r *Registry) setVersions(known *state, versions map[fleet.ModelName]WeightsVersion) {
+func (r *Registry) setVersions(known *workerState, versions map[fleet.ModelName]WeightsVersion) {
 	if known.pool != nil && known.tier != lapsedTier {
-		known.pool.count(known.worker.Versions, -1)
-		known.pool.count(versions, 1)
+		known.pool.countVersions(known.worker.Versions, -1)
+		known.pool.countVersions(versions, 1)
 	}
 	known.worker.Versions = versions
 }
 
-// count adds to the workers of versions.
-func (p *pool) count(versions map[fleet.ModelName]WeightsVersion, change int) {
+// countVersions adds to the workers of versions.
+func (p *pool) countVersions(versions map[fleet.ModelName]WeightsVersion, change int) {
 	for model, version := range versions {
 		key := modelVersion{model: model, version: version}
-		p.weights[key] += change
-		if p.weights[key] == 0 {
-			delete(p.weights, key)
+		p.versionCounts[key] += change
+		if p.versionCounts[key] == 0 {
+			delete(p.versionCounts, key)
 		}
 	}
 }
 
-// longSide returns the hash up to which engines are kept for long prompts, and whether any
+// longPromptBound returns the hash up to which engines are kept for long prompts, and whether any
 // are kept for either size; the mutex is held.
-func (r *Registry) longSide(now time.Duration, of *pool) (bound uint64, apart bool) {
-	work := r.peers.told(now).work[of.service]
-	if own := r.partitions[of.service]; own != nil {
+func (r *Registry) longPromptBound(now time.Duration, of *pool) (bound uint64, apart bool) {
+	work := r.peers.totalsAt(now).work[of.service]
+	if own := r.workTrackers[of.service]; own != nil {
 		work = work.add(own.work(now))
 	}
-	kept, apart := work.forLong(len(of.ring.sides))
+	kept, apart := work.enginesForLong(len(of.ring.hashes))
 	if !apart {
 		return 0, false
 	}
-	return of.ring.sides[kept-1], true
+	return of.ring.hashes[kept-1], true
 }
 
-// keptForOthers returns which engines are kept for prompts of another size than a
+// reservedForOtherSize returns which engines are kept for prompts of another size than a
 // request's; the mutex is held.
-func (r *Registry) keptForOthers(now time.Duration, of *pool, engine *EngineRequest) func(*state) bool {
+func (r *Registry) reservedForOtherSize(now time.Duration, of *pool, engine *EngineRequest) func(*workerState) bool {
 	if engine == nil {
-		return func(*state) bool { return false }
+		return func(*workerState) bool { return false }
 	}
-	bound, apart := r.longSide(now, of)
-	long := r.isLong(engine)
-	return func(known *state) bool { return apart && (known.hash <= bound) != long }
+	bound, apart := r.longPromptBound(now, of)
+	long := r.isLongPrompt(engine)
+	return func(known *workerState) bool { return apart && (known.hash <= bound) != long }
 }
 
 // homeIn returns the engine of a window with the highest weight that fits, or nil.
-func homeIn(window []weighed, fits func(*state) bool) *state {
+func homeIn(window []weightedEngine, fits func(*workerState) bool) *workerState {
 	for len(window) > 0 {
 		best := 0
 		for at := range window {
@@ -169,8 +169,8 @@
 				best = at
 			}
 		}
-		if fits(window[best].known) {
-			return window[best].known
+		if fits(window[best].state) {
+			return window[best].state
 		}
 		window = slices.Delete(window, best, best+1)
 	}
--- a/internal/backends/refuse.go
+++ b/internal/backends/refuse.go
@@ -6,9 +6,9 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// leastWaitPart is the part of a request's target that it may wait for others however
+// minWaitFraction is the part of a request's target that it may wait for others however
 // long it takes itself: a long prompt isn't refused for its length.
-const leastWaitPart = 0.5
+const minWaitFraction = 0.5
 
 // tooLate tells whether a request is to be refused, since it would wait for others for
 // longer than its target allows at each engine. Without that, a fleet that is asked for
@@ -26,5 +26,5 @@
 
 // allowedWait returns for how long a request may wait for others.
 func allowedWait(engine *EngineRequest, decision *scheduling.Decision) time.Duration {
-	return max(engine.Target-decision.ServiceTime, time.Duration(leastWaitPart*float64(engine.Target)))
+	return max(engine.Target-decision.ServiceTime, time.Duration(minWaitFraction*float64(engine.Target)))
 }
--- a/internal/backends/refuse_test.go
+++ b/internal/backends/refuse_test.go
@@ -25,7 +25,7 @@
 func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
 	registry := withEngines()
 	for _, known := range registry.workers {
-		known.prefill, known.priorities[1].PrefillTokens = 40_000, 40_000
+		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
 	}
 	request := targetedRequest("p", 1000, 1)
 	placement, refused := registry.Choose(0, request)
@@ -41,7 +41,7 @@
 func TestUrgentRequestIsNotRefusedForLessUrgentWork(t *testing.T) {
 	registry := withEngines()
 	for _, known := range registry.workers {
-		known.prefill, known.priorities[4].PrefillTokens = 40_000, 40_000
+		known.prefillTokens, known.priorities[4].PrefillTokens = 40_000, 40_000
 	}
 	placement, refused := registry.Choose(0, targetedRequest("p", 1000, 3))
 	assert.NotNil(t, placement, refused)
@@ -56,7 +56,7 @@
 	placement, refused := registry.Choose(0, targetedRequest("p", 40_000, 1))
 	require.NotNil(t, placement, refused)
 	for _, known := range registry.workers {
-		known.prefill, known.priorities[1].PrefillTokens = 8_000, 8_000
+		known.prefillTokens, known.priorities[1].PrefillTokens = 8_000, 8_000
 	}
 	placement, refused = registry.Choose(0, targetedRequest("q", 40_000, 1))
 	assert.NotNil(t, placement, refused)
@@ -66,7 +66,7 @@
 func TestRequestWithoutATargetIsNeverRefusedForLateness(t *testing.T) {
 	registry := withEngines()
 	for _, known := range registry.workers {
-		known.prefill, known.priorities[1].PrefillTokens = 40_000, 40_000
+		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
 	}
 	request := targetedRequest("p", 1000, 1)
 	request.Engine.Target, request.Engine.TimeLeft = 0, 0
@@ -78,19 +78,21 @@
 // requests, for those that told nothing too.
 func TestLoadByPriorityIsAddedUpOverNodes(t *testing.T) {
 	registry := withEngines()
-	registry.SetPeers(2)
+	registry.SetPeerCount(2)
 	told := Load{Engine: "e0", InFlight: 3, PrefillTokens: 300}
 	told.Priorities[2] = PriorityLoad{InFlight: 3, PrefillTokens: 300}
 	registry.ObservePeer(0, "other", PeerReport{Loads: []Load{told}})
-	registry.workers["e0"].begin(placedWork{priority: 1, prefill: 50})
-	overtaken := func(priority int) PriorityLoad { return registry.overtaken(0, registry.workers["e0"], priority) }
+	registry.workers["e0"].begin(placedWork{priority: 1, prefillTokens: 50})
+	overtaken := func(priority int) PriorityLoad {
+		return registry.lowerPriorityLoad(0, registry.workers["e0"], priority)
+	}
 	assert.Equal(t, PriorityLoad{InFlight: 6, PrefillTokens: 600}, overtaken(1))
 	assert.Equal(t, PriorityLoad{InFlight: 7, PrefillTokens: 650}, overtaken(0))
 	assert.Equal(t, PriorityLoad{}, overtaken(2))
 	told.InFlight, told.PrefillTokens, told.Priorities[2] = 1, 100, PriorityLoad{InFlight: 1, PrefillTokens: 100}
-	registry.UpdatePeer("other", []Load{told})
+	registry.UpdatePeerLoads("other", []Load{told})
 	assert.Equal(t, PriorityLoad{InFlight: 2, PrefillTokens: 200}, overtaken(1))
-	assert.Equal(t, 3, registry.total(0, registry.workers["e0"]).InFlight)
+	assert.Equal(t, 3, registry.totalLoad(0, registry.workers["e0"]).InFlight)
 	registry.ForgetPeer("other")
 	assert.Equal(t, PriorityLoad{}, overtaken(1))
 }
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -20,9 +20,9 @@
 	Regions Regions
 	// Distances are what distance costs; DefaultDistancePrices if all are 0.
 	Distances DistancePrices
-	// WholeUpTo is the number of a service's workers up to which a choice looks at all of
+	// ExhaustiveLimit is the number of a service's workers up to which a choice looks at all of
 	// them; 0 means DefaultWholeUpTo.
-	WholeUpTo int
+	ExhaustiveLimit int
 	// Random breaks ties; required.
 	Random *rand.Rand
 	// Scheduling sets the prices of a choice among engines.
@@ -52,24 +52,24 @@
 	scheduler *scheduling.Scheduler
 
 	mutex   sync.Mutex
-	workers map[fleet.EngineID]*state
+	workers map[fleet.EngineID]*workerState
 	names   shortNames
 	// tombstones holds the revision at which a row went, for workers forgotten.
 	tombstones map[fleet.EngineID]fleet.Revision
-	// unlisted holds the workers that have said that they drain and whose rows haven't, and
+	// unpublishedDraining holds the workers that have said that they drain and whose rows haven't, and
 	// drained the runs of those forgotten that were draining.
-	unlisted  map[fleet.EngineID]bool
-	drained   map[fleet.EngineID]drainedRun
-	peers     *peerReports
-	required  map[fleet.ModelName]WeightsVersion
-	preferred map[fleet.ModelName]WeightsVersion
-	// capacities holds, by service, the memory of an engine in tokens.
-	capacities map[fleet.PoolName]int
-	// speeds holds, by service, how fast its engines are.
-	speeds     map[fleet.PoolName]*speed
-	parts      *partIndex
-	partitions map[fleet.PoolName]*partition
-	pools      map[fleet.PoolName]*pool
+	unpublishedDraining map[fleet.EngineID]bool
+	forgottenDraining   map[fleet.EngineID]drainingRecord
+	peers               *peerReports
+	required            map[fleet.ModelName]WeightsVersion
+	preferred           map[fleet.ModelName]WeightsVersion
+	// memoryCapacities holds, by service, the memory of an engine in tokens.
+	memoryCapacities map[fleet.PoolName]int
+	// speedEstimates holds, by service, how fast its engines are.
+	speedEstimates map[fleet.PoolName]*speedEstimate
+	parts          *partIndex
+	workTrackers   map[fleet.PoolName]*workTracker
+	pools          map[fleet.PoolName]*pool
 	// subsets are those whose workers get requests, planned those that this node planned
 	// last, and shortages what it lacked. onlySubsets is set if nothing is to be known of
 	// other workers.
@@ -82,9 +82,9 @@
 	// searches counts the searches for candidates.
 	searches uint64
 	// endpoints, fits, doubts and matches are buffers of a choice.
-	endpoints    []scheduling.Endpoint
-	fits, doubts []*state
-	matches      []prefixindex.Match
+	endpoints                      []scheduling.Endpoint
+	eligibleBuffer, notReadyBuffer []*workerState
+	matches                        []prefixindex.Match
 }
 
 // New returns an empty registry.
@@ -101,31 +101,31 @@
 	if options.MaxParts <= 0 {
 		options.MaxParts = DefaultMaxParts
 	}
-	if options.WholeUpTo <= 0 {
-		options.WholeUpTo = DefaultWholeUpTo
+	if options.ExhaustiveLimit <= 0 {
+		options.ExhaustiveLimit = DefaultExhaustiveLimit
 	}
 	if options.Distances == (DistancePrices{}) {
 		options.Distances = DefaultDistancePrices()
 	}
 	registry := &Registry{
-		options:    options,
-		scheduler:  scheduling.New(options.Scheduling),
-		workers:    make(map[fleet.EngineID]*state),
-		names:      newShortNames(),
-		tombstones: make(map[fleet.EngineID]fleet.Revision),
-		unlisted:   make(map[fleet.EngineID]bool),
-		drained:    make(map[fleet.EngineID]drainedRun),
-		peers:      newPeerReports(),
-		required:   make(map[fleet.ModelName]WeightsVersion),
-		preferred:  make(map[fleet.ModelName]WeightsVersion),
-		capacities: make(map[fleet.PoolName]int),
-		speeds:     make(map[fleet.PoolName]*speed),
-		parts:      newPartIndex(options.MaxParts),
-		partitions: make(map[fleet.PoolName]*partition),
-		pools:      make(map[fleet.PoolName]*pool),
-		shortages:  make(map[fleet.PoolName]shortage),
+		options:             options,
+		scheduler:           scheduling.New(options.Scheduling),
+		workers:             make(map[fleet.EngineID]*workerState),
+		names:               newShortNames(),
+		tombstones:          make(map[fleet.EngineID]fleet.Revision),
+		unpublishedDraining: make(map[fleet.EngineID]bool),
+		forgottenDraining:   make(map[fleet.EngineID]drainingRecord),
+		peers:               newPeerReports(),
+		required:            make(map[fleet.ModelName]WeightsVersion),
+		preferred:           make(map[fleet.ModelName]WeightsVersion),
+		memoryCapacities:    make(map[fleet.PoolName]int),
+		speedEstimates:      make(map[fleet.PoolName]*speedEstimate),
+		parts:               newPartIndex(options.MaxParts),
+		workTrackers:        make(map[fleet.PoolName]*workTracker),
+		pools:               make(map[fleet.PoolName]*pool),
+		shortages:           make(map[fleet.PoolName]shortage),
 	}
-	registry.peers.changed, registry.peers.changedAll = registry.relevelByID, registry.relevelAll
+	registry.peers.onChange, registry.peers.onChangeAll = registry.updateLevelByID, registry.updateAllLevels
 	return registry
 }
 
@@ -134,12 +134,12 @@
 
 // Changes of a worker.
 const (
-	Unchanged  Change = ""
-	Added      Change = "added"
-	Returned   Change = "returned"
-	Began      Change = "draining"
-	Gone       Change = "gone"
-	NewVersion Change = "version"
+	Unchanged       Change = ""
+	Added           Change = "added"
+	Returned        Change = "returned"
+	StartedDraining Change = "draining"
+	Gone            Change = "gone"
+	NewVersion      Change = "version"
 	// Restarted means that another run has the worker's identifier.
 	Restarted Change = "restarted"
 	// Unusable means that the worker's row names no worker to use any more.
@@ -157,60 +157,60 @@
 			return Unchanged
 		}
 		known = newState(worker, revision)
-		if !worker.Draining && r.wasDraining(worker.ID, worker.Born) {
+		if !worker.Draining && r.wasDraining(worker.ID, worker.StartTime) {
 			known.worker.Draining = true
-			r.unlisted[worker.ID] = true
+			r.unpublishedDraining[worker.ID] = true
 		}
-		delete(r.drained, worker.ID)
+		delete(r.forgottenDraining, worker.ID)
 		r.workers[worker.ID] = known
-		r.enlist(known)
+		r.updatePool(known)
 		r.names.add(worker.ID)
 		r.parts.add(worker.Run())
 		return Added
 	}
-	if revision <= known.revision || worker.Born != 0 && worker.Born < known.worker.Born {
+	if revision <= known.revision || worker.StartTime != 0 && worker.StartTime < known.worker.StartTime {
 		return Unchanged
 	}
-	if startedAgain(&known.worker, worker.Born) {
+	if isRestart(&known.worker, worker.StartTime) {
 		r.replaceRun(known, worker, revision)
 		return Restarted
 	}
 	change := Unchanged
 	switch {
 	case worker.Draining && !known.worker.Draining:
-		change = Began
+		change = StartedDraining
 	case known.gone:
 		change = Returned
 	case !maps.Equal(known.worker.Versions, worker.Versions):
 		change = NewVersion
 	}
 	if worker.Draining {
-		delete(r.unlisted, worker.ID)
+		delete(r.unpublishedDraining, worker.ID)
 	}
 	worker.Draining = worker.Draining || known.worker.Draining
-	r.setVersions(known, r.newerVersions(known, worker.Versions))
+	r.setVersions(known, r.mergeVersions(known, worker.Versions))
 	worker.Versions = known.worker.Versions
-	worker.Born = max(worker.Born, known.worker.Born)
+	worker.StartTime = max(worker.StartTime, known.worker.StartTime)
 	known.worker, known.revision, known.gone = worker, revision, false
-	r.enlist(known)
+	r.updatePool(known)
 	return change
 }
 
-// startedAgain tells whether a start is that of another run than the one known. Where the
+// isRestart tells whether a start is that of another run than the one known. Where the
 // known one's start was never told, the first word on it says nothing of another run.
-func startedAgain(known *Worker, born StartTime) bool {
-	return known.Born != 0 && born > known.Born
+func isRestart(known *Worker, born StartTime) bool {
+	return known.StartTime != 0 && born > known.StartTime
 }
 
 // replaceRun has a new run take the place of the one known under the same identifier:
 // requests under way stay counted at the former one; the mutex is held.
-func (r *Registry) replaceRun(former *state, worker Worker, revision fleet.Revision) {
-	r.delist(former)
-	delete(r.unlisted, worker.ID)
+func (r *Registry) replaceRun(former *workerState, worker Worker, revision fleet.Revision) {
+	r.removeFromPool(former)
+	delete(r.unpublishedDraining, worker.ID)
 	r.parts.clear(worker.Run())
 	next := newState(worker, revision)
 	r.workers[worker.ID] = next
-	r.enlist(next)
+	r.updatePool(next)
 }
 
 // ObserveStart takes in when a worker says that it started, other than by its row. It tells
@@ -219,14 +219,14 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.workers[id]
-	if known == nil || !startedAgain(&known.worker, born) {
+	if known == nil || !isRestart(&known.worker, born) {
 		return false
 	}
 	worker := known.worker
-	worker.Born, worker.Draining = born, false
+	worker.StartTime, worker.Draining = born, false
 	r.replaceRun(known, worker, known.revision)
 	r.workers[id].gone, r.workers[id].goneAt = known.gone, known.goneAt
-	r.enlist(r.workers[id])
+	r.updatePool(r.workers[id])
 	return true
 }
 
@@ -243,15 +243,15 @@
 	if revision <= known.revision {
 		return Unchanged
 	}
-	known.gone, known.goneAt, known.revision = true, now-lapseGrace, revision
-	r.enlist(known)
+	known.gone, known.goneAt, known.revision = true, now-lapsedGracePeriod, revision
+	r.updatePool(known)
 	return Unusable
 }
 
-// newerVersions returns the versions of a row, except where a newer one was
+// mergeVersions returns the versions of a row, except where a newer one was
 // heard of before: rows lag behind. A newer version in the row drops what the
 // worker is believed to hold.
-func (r *Registry) newerVersions(known *state, row map[fleet.ModelName]WeightsVersion) map[fleet.ModelName]WeightsVersion {
+func (r *Registry) mergeVersions(known *workerState, row map[fleet.ModelName]WeightsVersion) map[fleet.ModelName]WeightsVersion {
 	if maps.Equal(known.worker.Versions, row) {
 		return row
 	}
@@ -260,7 +260,7 @@
 		newer[model] = max(version, known.worker.Versions[model])
 	}
 	if !maps.Equal(known.worker.Versions, newer) {
-		known.doubtUntil = 0
+		known.mismatchUntil = 0
 		r.parts.clear(known.worker.Run())
 	}
 	return newer
@@ -281,13 +281,13 @@
 	}
 	known.gone, known.goneAt, known.revision = true, now, revision
 	r.changes++
-	r.enlist(known)
+	r.updatePool(known)
 	return Gone
 }
 
-// ObserveAll takes in a whole read of the rows as of a revision: workers that it
+// ObserveSnapshot takes in a whole read of the rows as of a revision: workers that it
 // doesn't name, and whose rows are not newer than the read, are gone.
-func (r *Registry) ObserveAll(now time.Duration, revision fleet.Revision, named map[fleet.EngineID]bool) []fleet.EngineID {
+func (r *Registry) ObserveSnapshot(now time.Duration, revision fleet.Revision, named map[fleet.EngineID]bool) []fleet.EngineID {
 	r.mutex.Lock()
 	var missing []fleet.EngineID
 	for id, known := range r.workers {
@@ -311,14 +311,14 @@
 func (r *Registry) Forget(now, keep time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.sweepDrained(now)
+	r.expireForgottenDraining(now)
 	var forgotten []fleet.EngineID
 	for id, known := range r.workers {
 		if known.gone && known.inFlight == 0 && now >= known.goneAt+keep {
 			r.tombstones[id] = known.revision
 			r.drop(id, known)
 			forgotten = append(forgotten, id)
-		} else if r.superfluous(known) {
+		} else if r.isOutsideSubsets(known) {
 			r.drop(id, known)
 			forgotten = append(forgotten, id)
 		}
@@ -326,24 +326,24 @@
 	return forgotten
 }
 
-// Require says that requests of a model may begin on no older version.
-func (r *Registry) Require(model fleet.ModelName, version WeightsVersion) {
+// RequireVersion says that requests of a model may begin on no older version.
+func (r *Registry) RequireVersion(model fleet.ModelName, version WeightsVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.required[model] = max(r.required[model], version)
 }
 
-// Prefer says that requests of a model should begin on no older version where that
+// PreferVersion says that requests of a model should begin on no older version where that
 // costs little.
-func (r *Registry) Prefer(model fleet.ModelName, version WeightsVersion) {
+func (r *Registry) PreferVersion(model fleet.ModelName, version WeightsVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.preferred[model] = max(r.preferred[model], version)
 }
 
-// NoteVersion takes in a version that the worker, or whoever ordered it, was
+// ObserveVersion takes in a version that the worker, or whoever ordered it, was
 // heard to have. It never goes down, since rows lag behind.
-func (r *Registry) NoteVersion(id fleet.EngineID, model fleet.ModelName, version WeightsVersion) {
+func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version WeightsVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.workers[id]
@@ -357,14 +357,14 @@
 	versions[model] = version
 	r.changes++
 	r.setVersions(known, versions)
-	known.doubtUntil = 0
+	known.mismatchUntil = 0
 	// The order that brought the version is carried out.
 	known.orderedUntil = 0
 	r.parts.clear(known.worker.Run())
 }
 
-// NoteOrder says until when a worker counts as under an order.
-func (r *Registry) NoteOrder(id fleet.EngineID, until time.Duration) {
+// ObserveOrder says until when a worker counts as under an order.
+func (r *Registry) ObserveOrder(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.workers[id]; known != nil {
@@ -385,12 +385,12 @@
 
 // Workers returns the listed workers of all services, by identifier.
 func (r *Registry) Workers() []Worker {
-	return r.workersThat(func(known *state) bool { return !known.gone })
+	return r.filterWorkers(func(known *workerState) bool { return !known.gone })
 }
 
 // WorkersInUse returns the listed workers of the subsets in force, by identifier.
 func (r *Registry) WorkersInUse() []Worker {
-	return r.workersThat(func(known *state) bool {
+	return r.filterWorkers(func(known *workerState) bool {
 		return !known.gone && r.subsets.contains(known.worker.Service, known.hash)
 	})
 }
@@ -403,9 +403,9 @@
 	return r.changes
 }
 
-// workersThat returns the workers that are chosen, by identifier. The mutex is held while
+// filterWorkers returns the workers that are chosen, by identifier. The mutex is held while
 // it chooses.
-func (r *Registry) workersThat(chosen func(known *state) bool) []Worker {
+func (r *Registry) filterWorkers(chosen func(known *workerState) bool) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var workers []Worker
--- a/internal/backends/restart_test.go
+++ b/internal/backends/restart_test.go
@@ -15,7 +15,7 @@
 func TestRestartedWorkerIsAnotherRun(t *testing.T) {
 	registry := newTestRegistry()
 	first := engineWorker(1, 3)
-	first.Born = 1000
+	first.StartTime = 1000
 	registry.Observe(1, first)
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	placement.FirstByte(0)
@@ -25,9 +25,9 @@
 		return other.Engine.HeldParts
 	}
 	require.Positive(t, held())
-	registry.NoteOrder(first.ID, time.Hour)
+	registry.ObserveOrder(first.ID, time.Hour)
 	second := first
-	second.Born, second.Versions = 2000, map[fleet.ModelName]WeightsVersion{testModel: 1}
+	second.StartTime, second.Versions = 2000, map[fleet.ModelName]WeightsVersion{testModel: 1}
 	assert.Equal(t, Restarted, registry.Observe(5, second))
 	assert.Zero(t, registry.InFlight(0, first.ID), "the send under way was to the former")
 	assert.Zero(t, held())
@@ -37,7 +37,7 @@
 	late := first
 	late.Draining = true
 	assert.Equal(t, Unchanged, registry.Observe(6, late), "word of the former at a newer revision")
-	assert.False(t, registry.Draining(first.ID))
+	assert.False(t, registry.IsDraining(first.ID))
 	assert.Equal(t, Unchanged, registry.Observe(3, second), "a late row")
 }
 
@@ -53,14 +53,14 @@
 	worker := engineWorker(1, 1)
 	registry.Observe(1, worker)
 	assert.False(t, registry.ObserveStart(worker.ID, 0))
-	worker.Born = 1000
+	worker.StartTime = 1000
 	assert.Equal(t, Unchanged, registry.Observe(2, worker), "the first word on its start is no restart")
 	worker.Draining = true
-	assert.Equal(t, Began, registry.Observe(3, worker))
+	assert.Equal(t, StartedDraining, registry.Observe(3, worker))
 	assert.False(t, registry.ObserveStart(worker.ID, 1000))
 	assert.False(t, registry.ObserveStart(worker.ID, 900))
 	assert.True(t, registry.ObserveStart(worker.ID, 2000))
-	assert.False(t, registry.Draining(worker.ID))
+	assert.False(t, registry.IsDraining(worker.ID))
 	assert.NotNil(t, choose(registry, engineRequest("p")))
 	assert.Equal(t, Unchanged, registry.Observe(4, worker), "the former's row")
 	assert.False(t, registry.ObserveStart("unknown", 5))
--- a/internal/backends/ring.go
+++ b/internal/backends/ring.go
@@ -14,9 +14,9 @@
 	// up to this size choose among all; in larger ones an engine is the home of a share
 	// of the prompts that varies by an eighth of the mean.
 	homeWindow = 64
-	// homeWalk bounds the engines that are passed over since they are kept for prompts
+	// maxWindowSteps bounds the engines that are passed over since they are kept for prompts
 	// of the other size: a sixteenth of them is found within it.
-	homeWalk = 16 * homeWindow
+	maxWindowSteps = 16 * homeWindow
 	// ringSeed makes an engine's place independent of its weight for a prompt.
 	ringSeed = 0x5bd1e9955bd1e995
 )
@@ -24,56 +24,56 @@
 // ring holds a service's engines by place, so that nodes agree on the home of a prompt
 // without looking at all engines, and keep most homes when an engine comes or goes.
 type ring struct {
-	seats []seat
-	// sides holds the hashes of all engines in order, for the partition by prompt size.
-	sides []uint64
+	entries []ringEntry
+	// hashes holds the hashes of all engines in order, for the partition by prompt size.
+	hashes []uint64
 }
 
-// seat is one engine's place.
-type seat struct {
-	place uint64
-	known *state
+// ringEntry is one engine's place.
+type ringEntry struct {
+	position uint64
+	state    *workerState
 }
 
-func placeOf(hash uint64) uint64 { return membership.RendezvousMix(hash ^ ringSeed) }
+func ringPosition(hash uint64) uint64 { return membership.RendezvousMix(hash ^ ringSeed) }
 
-func compareSeats(a, b seat) int { return cmp.Compare(a.place, b.place) }
+func compareEntries(a, b ringEntry) int { return cmp.Compare(a.position, b.position) }
 
-func (g *ring) add(known *state) {
-	added := seat{place: placeOf(known.hash), known: known}
-	at, _ := slices.BinarySearchFunc(g.seats, added, compareSeats)
-	g.seats = slices.Insert(g.seats, at, added)
-	at, _ = slices.BinarySearch(g.sides, known.hash)
-	g.sides = slices.Insert(g.sides, at, known.hash)
+func (g *ring) add(known *workerState) {
+	added := ringEntry{position: ringPosition(known.hash), state: known}
+	at, _ := slices.BinarySearchFunc(g.entries, added, compareEntries)
+	g.entries = slices.Insert(g.entries, at, added)
+	at, _ = slices.BinarySearch(g.hashes, known.hash)
+	g.hashes = slices.Insert(g.hashes, at, known.hash)
 }
 
-func (g *ring) remove(known *state) {
-	at, _ := slices.BinarySearchFunc(g.seats, seat{place: placeOf(known.hash)}, compareSeats)
-	for at < len(g.seats) && g.seats[at].known != known {
+func (g *ring) remove(known *workerState) {
+	at, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(known.hash)}, compareEntries)
+	for at < len(g.entries) && g.entries[at].state != known {
 		at++
 	}
-	g.seats = slices.Delete(g.seats, at, at+1)
-	at, _ = slices.BinarySearch(g.sides, known.hash)
-	g.sides = slices.Delete(g.sides, at, at+1)
+	g.entries = slices.Delete(g.entries, at, at+1)
+	at, _ = slices.BinarySearch(g.hashes, known.hash)
+	g.hashes = slices.Delete(g.hashes, at, at+1)
 }
 
-// weighed is an engine with its weight for a prompt.
-type weighed struct {
-	known  *state
+// weightedEngine is an engine with its weight for a prompt.
+type weightedEngine struct {
+	state  *workerState
 	weight uint64
 }
 
 // window appends to into[:0] the engines from the place of a prompt on that are kept for
 // its size, at most homeWindow.
-func (g *ring) window(key uint64, kept func(*state) bool, into []weighed) []weighed {
+func (g *ring) window(key uint64, kept func(*workerState) bool, into []weightedEngine) []weightedEngine {
 	into = into[:0]
-	start, _ := slices.BinarySearchFunc(g.seats, seat{place: placeOf(key)}, compareSeats)
-	for step := range min(len(g.seats), homeWalk) {
-		known := g.seats[(start+step)%len(g.seats)].known
+	start, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(key)}, compareEntries)
+	for step := range min(len(g.entries), maxWindowSteps) {
+		known := g.entries[(start+step)%len(g.entries)].state
 		if kept(known) {
 			continue
 		}
-		into = append(into, weighed{known: known, weight: membership.RendezvousMix(key ^ known.hash)})
+		into = append(into, weightedEngine{state: known, weight: membership.RendezvousMix(key ^ known.hash)})
 		if len(into) == homeWindow {
 			break
 		}
--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -4,56 +4,56 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// scoped is what is known of a prompt's parts in one scope.
-type scoped struct {
+// promptScope is what is known of a prompt's parts in one scope.
+type promptScope struct {
 	version WeightsVersion
 	scope   string
 	hashes  []fleet.BlockHash
 	// holders are engines that hold leading parts, some of each number, those with the
 	// most first.
 	holders []holder
-	// stored counts the leading parts that the store is believed to hold.
-	stored int
+	// storedParts counts the leading parts that the store is believed to hold.
+	storedParts int
 }
 
 // holder is an engine with the number of leading parts that it is believed to hold.
 type holder struct {
 	id fleet.EngineID
-	// known is nil if no row has told of the engine.
-	known *state
+	// state is nil if no row has told of the engine.
+	state *workerState
 	parts int
 }
 
-// most returns the most leading parts that one engine is believed to hold.
-func (s *scoped) most() int {
+// maxHeldParts returns the maxHeldParts leading parts that one engine is believed to hold.
+func (s *promptScope) maxHeldParts() int {
 	if len(s.holders) == 0 {
 		return 0
 	}
 	return s.holders[0].parts
 }
 
-// anyHolds tells whether an engine is believed to hold so many leading parts.
+// isHeldByEngine tells whether an engine is believed to hold so many leading parts.
 // Where none is, all nodes send to the prompt's home, which reads them once.
-func (s *scoped) anyHolds(parts int) bool { return s.most() >= parts }
+func (s *promptScope) isHeldByEngine(parts int) bool { return s.maxHeldParts() >= parts }
 
-// lookUp returns what is known of a prompt's parts; the mutex is held.
-func (r *Registry) lookUp(engine *EngineRequest, version WeightsVersion) *scoped {
+// lookUpScope returns what is known of a prompt's parts; the mutex is held.
+func (r *Registry) lookUpScope(engine *EngineRequest, version WeightsVersion) *promptScope {
 	scope := Scope(engine.Model, version, engine.Tenant, engine.Isolated)
-	known := &scoped{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
+	known := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
 	store := StoreRun(engine.Store)
-	known.stored = r.parts.index.Held(store, known.hashes)
-	r.matches = r.parts.index.LookupFew(known.hashes, mostHolders+1, r.options.Random.IntN(1<<16), r.matches)
+	known.storedParts = r.parts.index.Held(store, known.hashes)
+	r.matches = r.parts.index.LookupFew(known.hashes, maxHolders+1, r.options.Random.IntN(1<<16), r.matches)
 	known.holders = make([]holder, 0, len(r.matches))
 	for _, match := range r.matches {
 		if match.Run != store {
 			id := match.Run.Engine
-			known.holders = append(known.holders, holder{id: id, known: r.workers[id], parts: match.Blocks})
+			known.holders = append(known.holders, holder{id: id, state: r.workers[id], parts: match.Blocks})
 		}
 	}
 	return known
 }
 
-// heldBy returns the leading parts that an engine is believed to hold.
-func (r *Registry) heldBy(parts *scoped, known *state) int {
+// heldParts returns the leading parts that an engine is believed to hold.
+func (r *Registry) heldParts(parts *promptScope, known *workerState) int {
 	return r.parts.index.Held(known.worker.Run(), parts.hashes)
 }
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -9,42 +9,42 @@
 
 // Sizes of a search.
 const (
-	// DefaultWholeUpTo is the number of a service's workers up to which a choice looks at
+	// DefaultExhaustiveLimit is the number of a service's workers up to which a choice looks at
 	// all of them.
-	DefaultWholeUpTo = 64
-	// mostHolders bounds the holders of each number of a prompt's parts that a choice
+	DefaultExhaustiveLimit = 64
+	// maxHolders bounds the holders of each number of a prompt's parts that a choice
 	// knows of, as candidates and as sources.
-	mostHolders = 8
-	// drawnTries is how many workers are looked at in a tier for each one wanted there
+	maxHolders = 8
+	// sampleAttempts is how many workers are looked at in a tier for each one wanted there
 	// before the next tier's turn.
-	drawnTries = 4
+	sampleAttempts = 4
 )
 
-// drawn is how many workers of each distance a choice draws. Near ones are most: what
+// sampleSizes is how many workers of each distance a choice draws. Near ones are most: what
 // crosses a zone or region is dearer, and far ones take over when the near ones are full.
-var drawn = [distances]int{SameZone: 8, SameRegion: 6, OtherRegion: 4}
+var sampleSizes = [distanceCount]int{SameZone: 8, SameRegion: 6, OtherRegion: 4}
 
 // verdict is what a look at a worker finds.
 type verdict uint8
 
 const (
-	// unfit is a worker of another software version than the request may go to.
-	unfit verdict = iota
-	// tried is one that has had the request, occupied one without a free connection.
-	tried
-	occupied
-	// outdated is one whose weights are too old, crowded one that has all the streams
+	// verdictWrongSoftware is a worker of another software version than the request may go to.
+	verdictWrongSoftware verdict = iota
+	// verdictTried is one that has had the request, occupied one without a free connection.
+	verdictTried
+	verdictNoConnection
+	// verdictOutdated is one whose weights are too old, crowded one that has all the streams
 	// that it may get.
-	outdated
-	crowded
-	// doubtful is one that something speaks against right now.
-	doubtful
-	// closed is one that takes no requests for a time.
-	closed
-	doubtfulOutdated
-	doubtfulCrowded
-	fit
-	verdicts
+	verdictOutdated
+	verdictFull
+	// verdictNotReady is one that something speaks against right now.
+	verdictNotReady
+	// verdictClosed is one that takes no requests for a time.
+	verdictClosed
+	verdictNotReadyOutdated
+	verdictNotReadyFull
+	verdictEligible
+	verdictCount
 )
 
 // search looks for the candidates of one choice. Each worker is looked at once; the
@@ -54,38 +54,38 @@
 
 	now      time.Duration
 	request  *Request
-	versions *delivery.Choice
+	software *delivery.Choice
 	pool     *pool
-	// whole is set if all workers are looked at.
-	whole bool
-	// number tells the workers that this search has looked at.
-	number uint64
-	counts [verdicts]int
-	looked int
-	fits   []*state
-	doubts []*state
-	draws  [tiers]draw
-	// kept tells which engines are kept for prompts of another size.
-	kept     func(*state) bool
-	scopes   []*scoped
-	accepted verdict
-	// opensIn is the least time until a worker that is closed takes one again.
-	opensIn time.Duration
+	// exhaustive is set if all workers are looked at.
+	exhaustive bool
+	// id tells the workers that this search has looked at.
+	id       uint64
+	counts   [verdictCount]int
+	examined int
+	eligible []*workerState
+	notReady []*workerState
+	samplers [tiers]sampler
+	// isReserved tells which engines are isReserved for prompts of another size.
+	isReserved func(*workerState) bool
+	scopes     []*promptScope
+	accepted   verdict
+	// reopensIn is the least time until a worker that is closed takes one again.
+	reopensIn time.Duration
 }
 
 // newSearch returns a search among the workers of some software versions.
 func (r *Registry) newSearch(now time.Duration, request *Request, versions *delivery.Choice) *search {
 	r.searches++
 	// What too old reports told leaves the levels here, not while they are drawn from.
-	r.peers.told(now)
+	r.peers.totalsAt(now)
 	known := r.poolOf(request.Service)
 	s := &search{
-		Registry: r, now: now, request: request, versions: versions, pool: known, number: r.searches,
-		whole: known.listed() <= r.options.WholeUpTo, fits: r.fits[:0], doubts: r.doubts[:0], accepted: fit,
+		Registry: r, now: now, request: request, software: versions, pool: known, id: r.searches,
+		exhaustive: known.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], accepted: verdictEligible,
 	}
-	s.kept = r.keptForOthers(now, known, request.Engine)
+	s.isReserved = r.reservedForOtherSize(now, known, request.Engine)
 	for tier := range known.tiers {
-		s.draws[tier] = draw{list: &known.tiers[tier], random: r.options.Random, unseen: known.tiers[tier].count, level: -1}
+		s.samplers[tier] = sampler{list: &known.tiers[tier], random: r.options.Random, remaining: known.tiers[tier].count, level: -1}
 	}
 	return s
 }
@@ -94,143 +94,143 @@
 // said once all workers have been looked at.
 func (s *search) gather() (reason string) {
 	switch {
-	case s.whole:
-		s.lookAtRest()
-	case len(s.versions.Canaries()) > 0:
-		s.lookAtCanaries()
+	case s.exhaustive:
+		s.scanListed()
+	case len(s.software.Canaries()) > 0:
+		s.examineCanaries()
 	default:
-		s.lookAtHolders()
-		s.lookAtDrawn()
-		if len(s.fits) == 0 && !s.knownFull() {
-			s.lookUntilFit()
-			s.noteFull()
+		s.examineHolders()
+		s.examineSample()
+		if len(s.eligible) == 0 && !s.isKnownFull() {
+			s.scanUntilEligible()
+			s.recordFull()
 		}
 	}
-	if s.looksLapsed() {
-		s.lookAll(lapsedTier)
+	if s.needsLapsed() {
+		s.scanTier(lapsedTier)
 	}
-	s.keepBuffers()
-	return s.outcome()
+	s.saveBuffers()
+	return s.resolve()
 }
 
-// keepBuffers hands the buffers on to the next search.
-func (s *search) keepBuffers() {
-	s.Registry.fits, s.Registry.doubts = s.fits, s.doubts
+// saveBuffers hands the buffers on to the next search.
+func (s *search) saveBuffers() {
+	s.Registry.eligibleBuffer, s.Registry.notReadyBuffer = s.eligible, s.notReady
 }
 
 // candidates returns what was found.
-func (s *search) candidates() []*state {
-	if s.accepted == doubtful {
-		return s.doubts
+func (s *search) candidates() []*workerState {
+	if s.accepted == verdictNotReady {
+		return s.notReady
 	}
-	return s.fits
+	return s.eligible
 }
 
-// looksLapsed tells whether nobody listed may get the request.
-func (s *search) looksLapsed() bool {
-	return s.counts[fit]+s.counts[doubtful]+s.counts[outdated]+s.counts[crowded]+s.counts[closed]+
-		s.counts[doubtfulOutdated]+s.counts[doubtfulCrowded] == 0
+// needsLapsed tells whether nobody listed may get the request.
+func (s *search) needsLapsed() bool {
+	return s.counts[verdictEligible]+s.counts[verdictNotReady]+s.counts[verdictOutdated]+s.counts[verdictFull]+s.counts[verdictClosed]+
+		s.counts[verdictNotReadyOutdated]+s.counts[verdictNotReadyFull] == 0
 }
 
-// outcome accepts workers in doubt if there are no others, or returns why there is none.
-func (s *search) outcome() string {
-	s.accepted = fit
+// resolve accepts workers in doubt if there are no others, or returns why there is none.
+func (s *search) resolve() string {
+	s.accepted = verdictEligible
 	switch counts := &s.counts; {
-	case counts[fit] > 0:
+	case counts[verdictEligible] > 0:
 		return ""
-	case counts[crowded] > 0:
+	case counts[verdictFull] > 0:
 		return ReasonFull
-	case counts[outdated] > 0:
+	case counts[verdictOutdated] > 0:
 		return ReasonVersion
-	case counts[doubtful] > 0:
-		s.accepted = doubtful
+	case counts[verdictNotReady] > 0:
+		s.accepted = verdictNotReady
 		return ""
-	case counts[closed] > 0:
+	case counts[verdictClosed] > 0:
 		return ReasonLimited
-	case counts[doubtfulCrowded]+counts[occupied] > 0:
+	case counts[verdictNotReadyFull]+counts[verdictNoConnection] > 0:
 		return ReasonFull
-	case counts[doubtfulOutdated] > 0:
+	case counts[verdictNotReadyOutdated] > 0:
 		return ReasonVersion
-	case counts[tried] > 0:
+	case counts[verdictTried] > 0:
 		return ReasonExcluded
 	default:
 		return ReasonNoWorker
 	}
 }
 
-// look takes a worker in by what speaks against it, unless it has been looked at.
-func (s *search) look(known *state) verdict {
-	if known.seenBy == s.number {
+// examine takes a worker in by what speaks against it, unless it has been looked at.
+func (s *search) examine(known *workerState) verdict {
+	if known.lastSearch == s.id {
 		return known.verdict
 	}
-	known.seenBy, known.verdict = s.number, s.judge(known)
-	s.looked++
+	known.lastSearch, known.verdict = s.id, s.assess(known)
+	s.examined++
 	s.counts[known.verdict]++
 	switch known.verdict {
-	case fit:
-		s.fits = append(s.fits, known)
-	case doubtful:
-		s.doubts = append(s.doubts, known)
+	case verdictEligible:
+		s.eligible = append(s.eligible, known)
+	case verdictNotReady:
+		s.notReady = append(s.notReady, known)
 	default:
 	}
 	return known.verdict
 }
 
-// judge tells what speaks against a worker.
-func (s *search) judge(known *state) verdict {
+// assess tells what speaks against a worker.
+func (s *search) assess(known *workerState) verdict {
 	switch {
-	case known.gone && !known.lapsed(s.now), !s.versions.Allows(known.worker.ID, known.worker.Software):
-		return unfit
+	case known.gone && !known.isLapsed(s.now), !s.software.Allows(known.worker.ID, known.worker.Software):
+		return verdictWrongSoftware
 	case slices.Contains(s.request.Excluded, known.worker.Run()):
-		return tried
-	case s.request.Free != nil && !s.request.Free(&known.worker):
-		return occupied
-	}
-	if intake, opensIn := s.request.intake(&known.worker); intake == IntakeClosed {
-		s.noteClosed(opensIn)
-		return closed
-	}
-	settled := s.settled(s.now, known)
-	switch s.judgeEngine(known) {
-	case outdated:
-		return settledElse(settled, outdated, doubtfulOutdated)
-	case crowded:
-		return settledElse(settled, crowded, doubtfulCrowded)
+		return verdictTried
+	case s.request.HasConnection != nil && !s.request.HasConnection(&known.worker):
+		return verdictNoConnection
+	}
+	if intake, opensIn := s.request.admission(&known.worker); intake == AdmissionClosed {
+		s.recordClosed(opensIn)
+		return verdictClosed
+	}
+	settled := s.isReady(s.now, known)
+	switch s.assessEngine(known) {
+	case verdictOutdated:
+		return readyVerdict(settled, verdictOutdated, verdictNotReadyOutdated)
+	case verdictFull:
+		return readyVerdict(settled, verdictFull, verdictNotReadyFull)
 	default:
-		return settledElse(settled, fit, doubtful)
+		return readyVerdict(settled, verdictEligible, verdictNotReady)
 	}
 }
 
-// noteClosed notes when a closed worker takes requests again.
-func (s *search) noteClosed(opensIn time.Duration) {
-	if s.opensIn == 0 || opensIn < s.opensIn {
-		s.opensIn = opensIn
+// recordClosed notes when a closed worker takes requests again.
+func (s *search) recordClosed(opensIn time.Duration) {
+	if s.reopensIn == 0 || opensIn < s.reopensIn {
+		s.reopensIn = opensIn
 	}
 }
 
-// limited tells whether a worker names a limit.
-func (s *search) limited(known *state) bool {
-	intake, _ := s.request.intake(&known.worker)
-	return intake != IntakeFree
+// hasLimit tells whether a worker names a limit.
+func (s *search) hasLimit(known *workerState) bool {
+	intake, _ := s.request.admission(&known.worker)
+	return intake != AdmissionUnlimited
 }
 
-// judgeEngine tells what speaks against an engine: its weights or its streams.
-func (s *search) judgeEngine(known *state) verdict {
+// assessEngine tells what speaks against an engine: its weights or its streams.
+func (s *search) assessEngine(known *workerState) verdict {
 	if s.request.Engine == nil {
-		return fit
+		return verdictEligible
 	}
 	model := s.request.Engine.Model
 	version, serves := known.worker.Versions[model]
 	if !serves || version < s.required[model] {
-		return outdated
+		return verdictOutdated
 	}
-	if most := maxStreams(known.worker.Slots); most > 0 && s.inFlight(s.now, known) >= most {
-		return crowded
+	if most := maxStreams(known.worker.Slots); most > 0 && s.totalInFlight(s.now, known) >= most {
+		return verdictFull
 	}
-	return fit
+	return verdictEligible
 }
 
-func settledElse(settled bool, verdict, otherwise verdict) verdict {
+func readyVerdict(settled bool, verdict, otherwise verdict) verdict {
 	if settled {
 		return verdict
 	}
--- a/internal/backends/search_draw.go
+++ b/internal/backends/search_draw.go
@@ -6,61 +6,61 @@
 // workers once, in an order that differs from choice to choice.
 var strides = [...]int{1_000_003, 1_299_709, 2_750_159, 4_256_233, 6_700_417, 7_368_787, 15_485_863, 32_452_843}
 
-// draw takes workers of a list one after the other, the least loaded first and in random
+// sampler takes workers of a list one after the other, the least loaded first and in random
 // order among those of a level. The list must not change meanwhile.
-type draw struct {
-	list   *levelled
+type sampler struct {
+	list   *loadLevels
 	random *rand.Rand
-	// unseen is the number of workers left, left that of the level; next and stride say
+	// remaining is the number of workers left, left that of the level; next and stride say
 	// which of the level follows.
-	unseen int
-	level  int
-	left   int
-	next   int
-	stride int
+	remaining      int
+	level          int
+	levelRemaining int
+	next           int
+	stride         int
 }
 
 // take returns the next worker, or nil after the last.
-func (d *draw) take() *state {
-	if d.unseen == 0 {
+func (d *sampler) take() *workerState {
+	if d.remaining == 0 {
 		return nil
 	}
-	for d.left == 0 {
+	for d.levelRemaining == 0 {
 		d.level++
-		d.begin(len(d.list.members[d.level]))
+		d.startLevel(len(d.list.members[d.level]))
 	}
 	members := d.list.members[d.level]
-	d.unseen--
-	d.left--
+	d.remaining--
+	d.levelRemaining--
 	taken := members[d.next]
 	d.next = (d.next + d.stride) % len(members)
 	return taken
 }
 
-// begin starts a level of so many workers anywhere in it.
-func (d *draw) begin(count int) {
-	d.left = count
+// startLevel starts a level of so many workers anywhere in it.
+func (d *sampler) startLevel(count int) {
+	d.levelRemaining = count
 	if count > 0 {
 		d.next, d.stride = d.random.IntN(count), strides[d.random.IntN(len(strides))]%count
 	}
 }
 
-// lookAtDrawn looks at workers drawn from each distance, near first; what a distance
+// examineSample looks at workers drawn from each distance, near first; what a distance
 // lacks is drawn from the next.
-func (s *search) lookAtDrawn() {
+func (s *search) examineSample() {
 	wanted := 0
-	for tier, most := range drawn {
+	for tier, most := range sampleSizes {
 		wanted += most
-		wanted -= s.lookAtSome(&s.draws[tier], wanted, wanted*drawnTries)
+		wanted -= s.examineUntil(&s.samplers[tier], wanted, wanted*sampleAttempts)
 	}
-	for tier := range drawn {
-		wanted -= s.lookAtSome(&s.draws[tier], wanted, wanted*drawnTries)
+	for tier := range sampleSizes {
+		wanted -= s.examineUntil(&s.samplers[tier], wanted, wanted*sampleAttempts)
 	}
 }
 
-// lookAtSome draws up to tries workers until as many as wanted fit, and returns how many
+// examineUntil draws up to tries workers until as many as wanted fit, and returns how many
 // do.
-func (s *search) lookAtSome(from *draw, wanted, tries int) (fitting int) {
+func (s *search) examineUntil(from *sampler, wanted, tries int) (fitting int) {
 	for range tries {
 		if fitting >= wanted {
 			break
@@ -69,35 +69,35 @@
 		if known == nil {
 			break
 		}
-		if known.seenBy != s.number && s.look(known) == fit {
+		if known.lastSearch != s.id && s.examine(known) == verdictEligible {
 			fitting++
 		}
 	}
 	return fitting
 }
 
-// fitsEnough is the number of workers after which a search through all ends.
-const fitsEnough = 4
+// minEligible is the number of workers after which a search through all ends.
+const minEligible = 4
 
-// lookUntilFit looks at the workers that are left until some fit: only a look at all of
+// scanUntilEligible looks at the workers that are left until some fit: only a look at all of
 // them shows that there is none.
-func (s *search) lookUntilFit() {
-	wanted := fitsEnough
-	for tier := range drawn {
-		wanted -= s.lookAtSome(&s.draws[tier], wanted, s.draws[tier].unseen)
+func (s *search) scanUntilEligible() {
+	wanted := minEligible
+	for tier := range sampleSizes {
+		wanted -= s.examineUntil(&s.samplers[tier], wanted, s.samplers[tier].remaining)
 	}
 }
 
-// lookAtRest looks at all listed workers that are left.
-func (s *search) lookAtRest() {
-	for tier := range drawn {
-		s.lookAll(tier)
+// scanListed looks at all listed workers that are left.
+func (s *search) scanListed() {
+	for tier := range sampleSizes {
+		s.scanTier(tier)
 	}
 }
 
-// lookAll looks at all workers of a tier that are left.
-func (s *search) lookAll(tier int) {
-	for known := s.draws[tier].take(); known != nil; known = s.draws[tier].take() {
-		s.look(known)
+// scanTier looks at all workers of a tier that are left.
+func (s *search) scanTier(tier int) {
+	for known := s.samplers[tier].take(); known != nil; known = s.samplers[tier].take() {
+		s.examine(known)
 	}
 }
--- a/internal/backends/search_holders.go
+++ b/internal/backends/search_holders.go
@@ -1,41 +1,41 @@
 package backends
 
-// lookAtHolders looks at some of the engines that hold the most of the prompt's parts, the
+// examineHolders looks at some of the engines that hold the most of the prompt's parts, the
 // last part among them, which is the request's session.
-func (s *search) lookAtHolders() {
+func (s *search) examineHolders() {
 	if s.request.Engine == nil {
 		return
 	}
-	for version := range s.pool.weights {
+	for version := range s.pool.versionCounts {
 		if version.model != s.request.Engine.Model || version.version < s.required[version.model] {
 			continue
 		}
 		for _, held := range s.scopeOf(version.version).holders {
-			if held.known != nil && held.known.listed() && held.known.pool == s.pool {
-				s.look(held.known)
+			if held.state != nil && held.state.isListed() && held.state.pool == s.pool {
+				s.examine(held.state)
 			}
 		}
 	}
 }
 
-// lookAtCanaries looks at the workers to which the request is limited by name; no other may
+// examineCanaries looks at the workers to which the request is limited by name; no other may
 // get it.
-func (s *search) lookAtCanaries() {
-	for id := range s.versions.Canaries() {
-		if known := s.workers[id]; known != nil && known.listed() && known.pool == s.pool {
-			s.look(known)
+func (s *search) examineCanaries() {
+	for id := range s.software.Canaries() {
+		if known := s.workers[id]; known != nil && known.isListed() && known.pool == s.pool {
+			s.examine(known)
 		}
 	}
 }
 
 // scopeOf returns what is known of the prompt's parts at a version of the weights.
-func (s *search) scopeOf(version WeightsVersion) *scoped {
+func (s *search) scopeOf(version WeightsVersion) *promptScope {
 	for _, known := range s.scopes {
 		if known.version == version {
 			return known
 		}
 	}
-	known := s.lookUp(s.request.Engine, version)
+	known := s.lookUpScope(s.request.Engine, version)
 	s.scopes = append(s.scopes, known)
 	return known
 }
--- a/internal/backends/search_home.go
+++ b/internal/backends/search_home.go
@@ -3,7 +3,7 @@
 // home returns the engine that every node chooses first for the shared parts of the
 // prompt, so that they are read at one engine without any talk; nil if there is none.
 // Engines that are kept for others come last. The engine is a candidate from then on.
-func (s *search) home(shared int) *state {
+func (s *search) home(shared int) *workerState {
 	if shared == 0 {
 		return nil
 	}
@@ -13,12 +13,12 @@
 		key += "/" + string(engine.Tenant)
 	}
 	hash := hashName(key)
-	fits := func(known *state) bool { return s.look(known) == s.accepted }
-	s.pool.buffer = s.pool.ring.window(hash, s.kept, s.pool.buffer)
-	if home := homeIn(s.pool.buffer, fits); home != nil {
+	fits := func(known *workerState) bool { return s.examine(known) == s.accepted }
+	s.pool.windowBuffer = s.pool.ring.window(hash, s.isReserved, s.pool.windowBuffer)
+	if home := homeIn(s.pool.windowBuffer, fits); home != nil {
 		return home
 	}
-	others := func(known *state) bool { return !s.kept(known) }
-	s.pool.buffer = s.pool.ring.window(hash, others, s.pool.buffer)
-	return homeIn(s.pool.buffer, fits)
+	others := func(known *workerState) bool { return !s.isReserved(known) }
+	s.pool.windowBuffer = s.pool.ring.window(hash, others, s.pool.windowBuffer)
+	return homeIn(s.pool.windowBuffer, fits)
 }
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -43,7 +43,7 @@
 			times[number] = time.Since(start)
 			require.NotNil(t, placement, refused)
 			simulated.open = append(simulated.open, placement)
-			looked[engines] += placement.Looked
+			looked[engines] += placement.Examined
 		}
 		slices.Sort(times)
 		took[engines] = times[choices/2]
@@ -68,7 +68,7 @@
 	for id, known := range registry.workers {
 		if id != "e77" {
 			known.inFlight = maxStreams(known.worker.Slots)
-			registry.relevel(known)
+			registry.updateLevel(known)
 		}
 	}
 	for range maxStreams(registry.workers["e77"].worker.Slots) {
@@ -82,7 +82,7 @@
 		assert.Equal(t, ReasonFull, refused.Reason)
 	}
 	registry.workers["e300"].inFlight--
-	valid := manyEngines * lookValidPerWorker
+	valid := manyEngines * scanValidityPerWorker
 	placement, refused := registry.Choose(valid, engineRequest("p"))
 	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refused)
 }
@@ -92,24 +92,24 @@
 func TestRequestIsRefusedAsLateByALookAtAll(t *testing.T) {
 	registry := withManyEngines()
 	for id, known := range registry.workers {
-		known.prefill, known.priorities[1].PrefillTokens = 40_000, 40_000
+		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
 		if id == "e77" {
-			known.prefill, known.priorities[1].PrefillTokens, known.priorities[5].PrefillTokens = 90_000, 0, 90_000
+			known.prefillTokens, known.priorities[1].PrefillTokens, known.priorities[5].PrefillTokens = 90_000, 0, 90_000
 		}
-		registry.relevel(known)
+		registry.updateLevel(known)
 	}
 	placement, refused := registry.Choose(0, targetedRequest("p", 1000, 1))
 	require.NotNil(t, placement, refused)
 	assert.Equal(t, fleet.EngineID("e77"), placement.Worker.ID)
 	placement.End(0, Succeeded)
-	registry.workers["e77"].priorities[1].PrefillTokens, registry.workers["e77"].prefill = 40_000, 130_000
-	later := time.Duration(manyEngines) * lookValidPerWorker
+	registry.workers["e77"].priorities[1].PrefillTokens, registry.workers["e77"].prefillTokens = 40_000, 130_000
+	later := time.Duration(manyEngines) * scanValidityPerWorker
 	placement, refused = registry.Choose(later, targetedRequest("p", 1000, 1))
 	require.Nil(t, placement)
 	assert.Equal(t, ReasonLate, refused.Reason)
 	assert.InDelta(t, 580, refused.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
-	registry.workers["e9"].prefill, registry.workers["e9"].priorities[1].PrefillTokens = 0, 0
-	registry.relevel(registry.workers["e9"])
+	registry.workers["e9"].prefillTokens, registry.workers["e9"].priorities[1].PrefillTokens = 0, 0
+	registry.updateLevel(registry.workers["e9"])
 	placement, refused = registry.Choose(later, targetedRequest("q", 1000, 1))
 	require.NotNil(t, placement, refused)
 }
@@ -124,7 +124,7 @@
 	}
 	choose := func(versions *delivery.Choice) (*Placement, Refusal) {
 		request := engineRequest("p")
-		request.Versions = versions
+		request.Software = versions
 		return registry.Choose(0, request)
 	}
 	for range 20 {
@@ -134,7 +134,7 @@
 		placement, refused = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
 		require.NotNil(t, placement, refused)
 		assert.Equal(t, fleet.EngineID("e400"), placement.Worker.ID)
-		assert.Less(t, placement.Looked, manyEngines/4)
+		assert.Less(t, placement.Examined, manyEngines/4)
 		placement.End(0, Cancelled)
 		placement, refused = choose(delivery.NewChoice("new", false, nil, nil))
 		require.NotNil(t, placement, refused)
--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -6,12 +6,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// savesTo tells whether the store should get a prompt's shared parts: only where
+// shouldSave tells whether the store should get a prompt's shared parts: only where
 // no engine holds them, so that they are about to be read. The store's memory is
 // for what engines don't keep: parts in use stay at engines, and would only make
 // the store drop what is nowhere else.
-func savesTo(engine *EngineRequest, known *scoped, shared int) bool {
-	return engine.Store != "" && known.stored < shared && !known.anyHolds(shared)
+func shouldSave(engine *EngineRequest, known *promptScope, shared int) bool {
+	return engine.Store != "" && known.storedParts < shared && !known.isHeldByEngine(shared)
 }
 
 // source is from where an engine takes what it lacks of a prompt's shared parts.
@@ -24,28 +24,28 @@
 	perToken time.Duration
 }
 
-// sourceFor returns the best source for an engine that holds some leading parts: the one
+// bestSource returns the best source for an engine that holds some leading parts: the one
 // with the most others, and of these the quickest; without one, no parts. An engine that
 // is as near as the store goes before it, since all share the store's link.
-func (r *Registry) sourceFor(prompt *prompt, parts *scoped, target *state, held int) source {
+func (r *Registry) bestSource(prompt *prompt, parts *promptScope, target *workerState, held int) source {
 	engine := prompt.engine
-	best := source{address: engine.Store, parts: min(parts.stored, prompt.shared)}
+	best := source{address: engine.Store, parts: min(parts.storedParts, prompt.shared)}
 	best.distance = r.options.Regions.Between(engine.StoreZone, target.worker.Zone)
 	if engine.StoreZone == "" {
 		best.distance = SameZone
 	}
-	best.perToken = r.movePerToken(engine, engine.StoreMegabits*storeSharing, best.distance)
+	best.perToken = r.transferPerToken(engine, engine.StoreMegabits*storeLinkShare, best.distance)
 	equal := 0
 	for _, from := range parts.holders {
 		count := min(from.parts, prompt.shared)
 		if count < max(held+1, best.parts) {
 			break
 		}
-		if !sourceFits(from.known, target, parts, engine.Model) {
+		if !canBeSource(from.state, target, parts, engine.Model) {
 			continue
 		}
-		distance := r.options.Regions.Between(from.known.worker.Zone, target.worker.Zone)
-		perToken := r.movePerToken(engine, engine.LinkMegabits*importSharing, distance)
+		distance := r.options.Regions.Between(from.state.worker.Zone, target.worker.Zone)
+		perToken := r.transferPerToken(engine, engine.LinkMegabits*importLinkShare, distance)
 		switch {
 		case count > best.parts || perToken < best.perToken || (equal == 0 && distance <= best.distance):
 			equal = 1
@@ -55,37 +55,37 @@
 			continue
 		}
 		if r.options.Random.IntN(equal) == 0 {
-			best = source{address: from.known.worker.Address, parts: count, distance: distance, perToken: perToken}
+			best = source{address: from.state.worker.Address, parts: count, distance: distance, perToken: perToken}
 		}
 	}
 	return best
 }
 
-// sourceFits tells whether an engine may be a source for another one. One that drains may be until
+// canBeSource tells whether an engine may be a source for another one. One that drains may be until
 // it has gone.
-func sourceFits(known, target *state, parts *scoped, model fleet.ModelName) bool {
+func canBeSource(known, target *workerState, parts *promptScope, model fleet.ModelName) bool {
 	return known != nil && known != target && !known.gone && known.worker.Versions[model] == parts.version
 }
 
-// movePerToken predicts the time to move a token's KV cache at a bandwidth in Mbit/s over
+// transferPerToken predicts the time to move a token's KV cache at a bandwidth in Mbit/s over
 // a distance.
-func (r *Registry) movePerToken(engine *EngineRequest, bandwidth float64, distance Distance) time.Duration {
+func (r *Registry) transferPerToken(engine *EngineRequest, bandwidth float64, distance Distance) time.Duration {
 	if bandwidth <= 0 {
-		bandwidth = max(engine.LinkMegabits*importSharing, 1)
+		bandwidth = max(engine.LinkMegabits*importLinkShare, 1)
 	}
 	bits := float64(engine.TokenBytes) * bitsPerByte * float64(r.options.Distances.MoveFactor[distance])
 	return time.Duration(bits / (bandwidth * megabit) * float64(time.Second))
 }
 
-// importFrom names the holder from which an engine takes what it lacks: an engine that
+// importSource names the holder from which an engine takes what it lacks: an engine that
 // holds as much of the shared parts as the store does, else the store, which gets all that
 // is read, else the prompt's home.
-func (r *Registry) importFrom(prompt *prompt, parts *scoped, chosen *state) fleet.Address {
-	held := min(r.heldBy(parts, chosen), prompt.shared)
+func (r *Registry) importSource(prompt *prompt, parts *promptScope, chosen *workerState) fleet.Address {
+	held := min(r.heldParts(parts, chosen), prompt.shared)
 	if held >= prompt.shared {
 		return ""
 	}
-	if best := r.sourceFor(prompt, parts, chosen, held); best.address != "" {
+	if best := r.bestSource(prompt, parts, chosen, held); best.address != "" {
 		return best.address
 	}
 	if prompt.home != nil && prompt.home != chosen {
@@ -94,8 +94,8 @@
 	return ""
 }
 
-// noteHeld records what the engine and the store hold once an answer has begun.
-func (r *Registry) noteHeld(now time.Duration, placement *Placement) {
+// recordHeldParts records what the engine and the store hold once an answer has begun.
+func (r *Registry) recordHeldParts(now time.Duration, placement *Placement) {
 	engine := placement.Engine
 	r.parts.store(now, placement.Worker.Run(), engine.hashes)
 	if engine.SaveTo != "" && len(engine.hashes) > 1 {
--- a/internal/backends/speed.go
+++ b/internal/backends/speed.go
@@ -13,50 +13,50 @@
 	// reading.
 	shortUncached = 400
 	longUncached  = 1500
-	// quickerWeight is the part of a sample in the estimate if it is quicker, and
+	// decreaseWeight is the part of a sample in the estimate if it is quicker, and
 	// slowerWeight if it is slower: what is believed of queues and caches is often
 	// wrong, and then the time is longer.
-	quickerWeight = 0.3
-	slowerWeight  = 0.01
-	// leastPerToken and mostPerToken bound the estimate of a token's time.
-	leastPerToken = time.Microsecond
-	// slotWeight is the part of one sample in the mean time at an engine.
-	slotWeight   = 0.02
-	mostPerToken = time.Millisecond
+	decreaseWeight = 0.3
+	increaseWeight = 0.01
+	// minPerToken and mostPerToken bound the estimate of a token's time.
+	minPerToken = time.Microsecond
+	// slotTimeWeight is the part of one sample in the mean time at an engine.
+	slotTimeWeight = 0.02
+	maxPerToken    = time.Millisecond
 )
 
-// speed is how fast the engines of a service are, by the first tokens of requests
+// speedEstimate is how fast the engines of a service are, by the first tokens of requests
 // at engines that had nothing else to read.
-type speed struct {
-	// first is the time of a first token without reading, perToken that of reading a
+type speedEstimate struct {
+	// firstToken is the time of a firstToken token without reading, perToken that of reading a
 	// prompt token.
-	first    time.Duration
-	perToken time.Duration
-	// slot is the mean time for which a request is at an engine.
-	slot time.Duration
+	firstToken time.Duration
+	perToken   time.Duration
+	// slotTime is the mean time for which a request is at an engine.
+	slotTime time.Duration
 }
 
-// note takes in how long the first token of a prompt with so many uncached tokens
+// record takes in how long the first token of a prompt with so many uncached tokens
 // took.
-func (s *speed) note(uncached int, took time.Duration) {
+func (s *speedEstimate) record(uncached int, took time.Duration) {
 	switch {
 	case uncached <= shortUncached:
-		s.first = approach(s.first, took-time.Duration(uncached)*s.perToken)
-	case uncached >= longUncached && s.first > 0:
-		sample := (took - s.first) / time.Duration(uncached)
-		s.perToken = approach(s.perToken, min(max(sample, leastPerToken), mostPerToken))
+		s.firstToken = updateEstimate(s.firstToken, took-time.Duration(uncached)*s.perToken)
+	case uncached >= longUncached && s.firstToken > 0:
+		sample := (took - s.firstToken) / time.Duration(uncached)
+		s.perToken = updateEstimate(s.perToken, min(max(sample, minPerToken), maxPerToken))
 	}
 }
 
-// approach moves an estimate towards a sample; 0 is no estimate.
-func approach(estimate, sample time.Duration) time.Duration {
+// updateEstimate moves an estimate towards a sample; 0 is no estimate.
+func updateEstimate(estimate, sample time.Duration) time.Duration {
 	sample = max(sample, 1)
 	if estimate == 0 {
 		return sample
 	}
-	weight := slowerWeight
+	weight := increaseWeight
 	if sample < estimate {
-		weight = quickerWeight
+		weight = decreaseWeight
 	}
 	return estimate + time.Duration(weight*float64(sample-estimate))
 }
@@ -64,7 +64,7 @@
 // perToken returns the time in which a service's engines read a prompt token; the
 // mutex is held.
 func (r *Registry) perToken(service fleet.PoolName) time.Duration {
-	if known := r.speeds[service]; known != nil {
+	if known := r.speedEstimates[service]; known != nil {
 		return known.perToken
 	}
 	return r.options.PrefillPerToken
@@ -73,38 +73,38 @@
 // slotTime returns the mean time for which a request is at a service's engines, 0 if
 // none has ended; the mutex is held.
 func (r *Registry) slotTime(service fleet.PoolName) time.Duration {
-	if known := r.speeds[service]; known != nil {
-		return known.slot
+	if known := r.speedEstimates[service]; known != nil {
+		return known.slotTime
 	}
 	return 0
 }
 
-// noteSlotTime takes in how long a request was at an engine; the mutex is held.
-func (r *Registry) noteSlotTime(placement *Placement, took time.Duration) {
+// recordSlotTime takes in how long a request was at an engine; the mutex is held.
+func (r *Registry) recordSlotTime(placement *Placement, took time.Duration) {
 	if placement.Engine == nil {
 		return
 	}
-	known := r.speedOf(placement.Worker.Service)
-	if known.slot == 0 {
-		known.slot = took
+	known := r.speedEstimateOf(placement.Worker.Service)
+	if known.slotTime == 0 {
+		known.slotTime = took
 	}
-	known.slot += time.Duration(slotWeight * float64(took-known.slot))
+	known.slotTime += time.Duration(slotTimeWeight * float64(took-known.slotTime))
 }
 
-// speedOf returns the estimates of a service's engines; the mutex is held.
-func (r *Registry) speedOf(service fleet.PoolName) *speed {
-	known := r.speeds[service]
+// speedEstimateOf returns the estimates of a service's engines; the mutex is held.
+func (r *Registry) speedEstimateOf(service fleet.PoolName) *speedEstimate {
+	known := r.speedEstimates[service]
 	if known == nil {
-		known = &speed{perToken: r.options.PrefillPerToken}
-		r.speeds[service] = known
+		known = &speedEstimate{perToken: r.options.PrefillPerToken}
+		r.speedEstimates[service] = known
 	}
 	return known
 }
 
-// noteSpeed takes in the first token of a request; the mutex is held.
-func (r *Registry) noteSpeed(placement *Placement, took time.Duration) {
+// recordSpeed takes in the first token of a request; the mutex is held.
+func (r *Registry) recordSpeed(placement *Placement, took time.Duration) {
 	if placement.PrefillTokens > 0 || placement.Engine.ImportFrom != "" {
 		return
 	}
-	r.speedOf(placement.Worker.Service).note(placement.work.prefill, took)
+	r.speedEstimateOf(placement.Worker.Service).record(placement.work.prefillTokens, took)
 }
--- a/internal/backends/speed_test.go
+++ b/internal/backends/speed_test.go
@@ -15,7 +15,7 @@
 func TestSpeedIsFoundThoughMostSamplesAreSlow(t *testing.T) {
 	const first, perToken = 16 * time.Millisecond, 18 * time.Microsecond
 	random := rand.New(rand.NewPCG(1, 2))
-	measured := &speed{perToken: DefaultPrefillPerToken}
+	measured := &speedEstimate{perToken: DefaultPrefillPerToken}
 	for number := range 300 {
 		uncached := random.IntN(6000)
 		if number%2 == 0 {
@@ -25,9 +25,9 @@
 		if random.IntN(3) > 0 {
 			took += time.Duration(random.IntN(200)) * time.Millisecond
 		}
-		measured.note(uncached, took)
+		measured.record(uncached, took)
 	}
-	assert.InDelta(t, float64(first), float64(measured.first), 0.5*float64(first))
+	assert.InDelta(t, float64(first), float64(measured.firstToken), 0.5*float64(first))
 	assert.InDelta(t, float64(perToken), float64(measured.perToken), 0.15*float64(perToken))
 }
 
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// subsetLeast is the number of workers of a service that requests are spread over at the
+	// minSubsetSize is the number of workers of a service that requests are spread over at the
 	// least, and subsetSlack how many times as many there must be for fewer to be used. The
 	// work of a fleet that rests is done by few workers, and a prompt's parts are found again
 	// the more often the fewer there are; 192 leave each of five zones some forty, so that
 	// the loss of a zone or of a tenth of them is borne.
-	subsetLeast = 192
-	subsetSlack = 1.5
-	// placesPerRequest are the places that are to be there for each request a second: one
+	minSubsetSize = 192
+	shrinkMargin  = 1.5
+	// slotsPerRequest are the places that are to be there for each request a second: one
 	// that takes a second needs one place, and three more are spare for bursts and uneven
 	// spreading.
-	placesPerRequest = 4
-	// widenPause is the least time between two doublings of a subset that lacked room: the
+	slotsPerRequest = 4
+	// minDoublingInterval is the least time between two doublings of a subset that lacked room: the
 	// next request must have had the chance to use the larger one.
-	widenPause = time.Second
-	// mostHalvings bounds the halvings: a subset of one in a million workers.
-	mostHalvings = 20
+	minDoublingInterval = time.Second
+	// maxHalvings bounds the halvings: a subset of one in a million workers.
+	maxHalvings = 20
 	// subsetSeed makes a worker's membership of subsets independent of its place on the
 	// ring and of its side.
 	subsetSeed = 0x9e3779b97f4a7c15
@@ -61,18 +61,18 @@
 // shortage is the want of room in a service's subset.
 type shortage struct {
 	doublings Halvings
-	// at is when the subset was last doubled.
-	at time.Duration
+	// doubledAt is when the subset was last doubled.
+	doubledAt time.Duration
 }
 
-// plannedHalvings returns by how much a service's workers are halved: as many are left as
+// planHalvings returns by how much a service's workers are halved: as many are left as
 // the demand asks for, and half of those in force stay until there is half as much again.
-func plannedHalvings(inForce Halvings, workers, least int) Halvings {
+func planHalvings(inForce Halvings, workers, least int) Halvings {
 	for inForce > 0 && workers>>inForce < least {
 		inForce--
 	}
-	enough := int(math.Ceil(float64(least) * subsetSlack))
-	for inForce < mostHalvings && workers>>(inForce+1) >= enough {
+	enough := int(math.Ceil(float64(least) * shrinkMargin))
+	for inForce < maxHalvings && workers>>(inForce+1) >= enough {
 		inForce++
 	}
 	return inForce
@@ -90,7 +90,7 @@
 		slots[worker.Service] = max(slots[worker.Service], worker.Slots)
 	}
 	for _, known := range r.workers {
-		if known.listed() {
+		if known.isListed() {
 			count(&known.worker)
 		}
 	}
@@ -101,8 +101,8 @@
 	}
 	planned := make(Subsets)
 	for service, workers := range counts {
-		needed := int(math.Ceil(rate * placesPerRequest / float64(max(slots[service], 1))))
-		if halvings := plannedHalvings(r.planned[service], workers, max(subsetLeast, needed)); halvings > 0 {
+		needed := int(math.Ceil(rate * slotsPerRequest / float64(max(slots[service], 1))))
+		if halvings := planHalvings(r.planned[service], workers, max(minSubsetSize, needed)); halvings > 0 {
 			planned[service] = halvings
 		}
 	}
@@ -127,13 +127,13 @@
 	return r.doublings()
 }
 
-// noteShortage takes in that a service's subset had no room for a request; the mutex is held.
-func (r *Registry) noteShortage(now time.Duration, service fleet.PoolName) {
+// recordShortage takes in that a service's subset had no room for a request; the mutex is held.
+func (r *Registry) recordShortage(now time.Duration, service fleet.PoolName) {
 	short := r.shortages[service]
-	if r.subsets[service] == 0 || (short.doublings > 0 && now < short.at+widenPause) {
+	if r.subsets[service] == 0 || (short.doublings > 0 && now < short.doubledAt+minDoublingInterval) {
 		return
 	}
-	r.shortages[service] = shortage{doublings: short.doublings + 1, at: now}
+	r.shortages[service] = shortage{doublings: short.doublings + 1, doubledAt: now}
 }
 
 // SetSubsets puts subsets in force: only their workers get requests. What is known of the
@@ -147,24 +147,24 @@
 	}
 	r.subsets, r.onlySubsets = subsets, !all
 	for id, known := range r.workers {
-		r.enlist(known)
-		if r.superfluous(known) {
+		r.updatePool(known)
+		if r.isOutsideSubsets(known) {
 			r.drop(id, known)
 		}
 	}
 	return true
 }
 
-// InForce returns the subsets in force. Callers must not write to them.
-func (r *Registry) InForce() Subsets {
+// ActiveSubsets returns the subsets in force. Callers must not write to them.
+func (r *Registry) ActiveSubsets() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.subsets
 }
 
-// Covers returns a function that tells whether a worker belongs to subsets. One that isn't
+// SubsetFilter returns a function that tells whether a worker belongs to subsets. One that isn't
 // known here does: who asks must hear of it.
-func (r *Registry) Covers(subsets Subsets) func(id string) bool {
+func (r *Registry) SubsetFilter(subsets Subsets) func(id string) bool {
 	return func(id string) bool {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -173,19 +173,19 @@
 	}
 }
 
-// superfluous tells whether nothing is to be known of a worker; the mutex is held.
-func (r *Registry) superfluous(known *state) bool {
+// isOutsideSubsets tells whether nothing is to be known of a worker; the mutex is held.
+func (r *Registry) isOutsideSubsets(known *workerState) bool {
 	return r.onlySubsets && known.inFlight == 0 && !r.subsets.contains(known.worker.Service, known.hash)
 }
 
 // drop forgets a worker; the mutex is held.
-func (r *Registry) drop(id fleet.EngineID, known *state) {
+func (r *Registry) drop(id fleet.EngineID, known *workerState) {
 	if known.worker.Draining {
-		r.drained[id] = drainedRun{born: known.worker.Born}
+		r.forgottenDraining[id] = drainingRecord{startTime: known.worker.StartTime}
 	}
-	delete(r.unlisted, id)
+	delete(r.unpublishedDraining, id)
 	r.parts.remove(known.worker.Run())
-	r.delist(known)
+	r.removeFromPool(known)
 	delete(r.workers, id)
 	r.names.remove(id)
 }
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -37,7 +37,7 @@
 		{workers: 9675, least: 2000, inForce: 5, want: 2},
 		{workers: 0, least: 192, inForce: 3, want: 0},
 	} {
-		assert.Equal(t, test.want, plannedHalvings(test.inForce, test.workers, test.least), "%+v", test)
+		assert.Equal(t, test.want, planHalvings(test.inForce, test.workers, test.least), "%+v", test)
 	}
 }
 
@@ -85,7 +85,7 @@
 func TestRequestsUnderWayOutlastTheirSubset(t *testing.T) {
 	registry := withSubset(1000, false)
 	placement, _ := registry.Choose(0, engineRequest("p"))
-	registry.SetSubsets(Subsets{"engines": mostHalvings}, false)
+	registry.SetSubsets(Subsets{"engines": maxHalvings}, false)
 	assert.Len(t, registry.Workers(), 1, "the others are dropped")
 	placement.End(0, Succeeded)
 	assert.Equal(t, []fleet.EngineID{placement.Worker.ID}, registry.Forget(0, time.Hour))
@@ -110,9 +110,9 @@
 func TestSubsetWithoutRoomIsDoubled(t *testing.T) {
 	registry := withSubset(10_000, true)
 	full := engineRequest("p")
-	full.Free = func(*Worker) bool { return false }
+	full.HasConnection = func(*Worker) bool { return false }
 	before := len(registry.WorkersInUse())
-	for now := time.Duration(0); now < 2*widenPause; now += widenPause / 4 {
+	for now := time.Duration(0); now < 2*minDoublingInterval; now += minDoublingInterval / 4 {
 		placement, _ := registry.Choose(now, full)
 		require.Nil(t, placement)
 		registry.SetSubsets(registry.PlanSubsets(0, nil), true)
@@ -125,7 +125,7 @@
 func TestRequestThatHasTriedAllAsksForNoMore(t *testing.T) {
 	registry := withSubset(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
-		registry.NoteOrder(worker.ID, time.Hour)
+		registry.ObserveOrder(worker.ID, time.Hour)
 	}
 	request := engineRequest("p")
 	for _, worker := range registry.WorkersInUse() {
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -73,7 +73,7 @@
 
 // announcePlacement has a placement of much prompt work told to other nodes.
 func (g *Gateway) announcePlacement(placement *backends.Placement) {
-	if placement.Engine != nil && placement.Prefill() >= announceTokens {
+	if placement.Engine != nil && placement.UncachedTokens() >= announceTokens {
 		g.announcer.note(placement.Worker.ID)
 	}
 }
@@ -183,7 +183,7 @@
 		MemoryTokens:  int(load.GetMemoryTokens()),
 	}
 	for parts := load.GetByPriority(); len(parts) >= priorityFields; parts = parts[priorityFields:] {
-		if parts[0] < backends.Priorities {
+		if parts[0] < backends.PriorityCount {
 			decoded.Priorities[parts[0]] = backends.PriorityLoad{InFlight: int32(parts[1]), PrefillTokens: int32(parts[2])}
 		}
 	}
--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -50,12 +50,12 @@
 		{Engine: "unknown-to-sender", InFlight: 1},
 	}
 	loads[0].Priorities[0] = backends.PriorityLoad{InFlight: 1, PrefillTokens: 1000}
-	loads[0].Priorities[backends.Priorities-1] = backends.PriorityLoad{InFlight: 2, PrefillTokens: 3000}
+	loads[0].Priorities[backends.PriorityCount-1] = backends.PriorityLoad{InFlight: 2, PrefillTokens: 3000}
 	encoded := sender.encodeLoads(append(loads, backends.Load{Engine: "unknown-to-receiver", InFlight: 1}))
 	assert.Empty(t, encoded[0].GetWorker())
 	assert.Equal(t, "unknown-to-sender", encoded[2].GetWorker())
 	assert.Equal(t, loads, receiver.decodeLoads(encoded))
 	assert.Empty(t, receiver.decodeLoads([]*rpc.WorkerLoad{{InFlight: 1}}))
-	truncated := []*rpc.WorkerLoad{{Worker: "a", ByPriority: []uint32{backends.Priorities, 1, 1, 0, 1}}}
+	truncated := []*rpc.WorkerLoad{{Worker: "a", ByPriority: []uint32{backends.PriorityCount, 1, 1, 0, 1}}}
 	assert.Equal(t, []backends.Load{{Engine: "a"}}, receiver.decodeLoads(truncated), "no such priority, and a part")
 }
--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -155,6 +155,6 @@
 // orderDelayOf returns how long a worker that is under order is to get no order or report yet.
 // since is when the first of these was due.
 func (g *Gateway) orderDelayOf(worker *backends.Worker, since time.Duration) time.Duration {
-	closed := g.backoffs.closed(g.now(), backoffRun(worker.ID, worker.Born))
+	closed := g.backoffs.closed(g.now(), backoffRun(worker.ID, worker.StartTime))
 	return min(closed, max(since+mostOrderDelay-g.now(), 0))
 }
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -108,7 +108,7 @@
 	for _, worker := range g.workers.WorkersInUse() {
 		service, known := held.Table.Service(worker.Service)
 		if known && len(worker.Versions) > 0 {
-			take(cacheRun{run: worker.Run(), born: worker.Born, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
+			take(cacheRun{run: worker.Run(), born: worker.StartTime, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
 		}
 	}
 	for _, store := range held.Table.Stores() {
@@ -173,7 +173,7 @@
 				g.logger.Warn().Str("dependency", string(cache.run.Engine)).Err(err).Msg("dependency_lost")
 			}
 			reachable = false
-			g.workers.LoseCache(cache.run)
+			g.workers.UntrackCache(cache.run)
 			g.cacheLog.lose(cache.run.Engine)
 			sleep(ctx, eventsRetry)
 			continue
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -76,7 +76,7 @@
 	}
 	g.requireDueSoon(now)
 	choice := g.choice(current)
-	current.forTarget = choice.Versions.WantsTarget()
+	current.forTarget = choice.Software.WantsTarget()
 	placement, refused := g.chooseWorker(ctx, current, choice)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
@@ -110,7 +110,7 @@
 	g.noteLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
-		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
+		g.workers.ObserveVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
 	if info.NotExecuted {
 		return g.rejected(current, placement, answer, info)
@@ -177,7 +177,7 @@
 		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	case errors.Is(err, errBackoff):
 		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
+		return current.machine.Withheld(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.StartTime)))
 	case errors.Is(err, errLimited):
 		g.ended(current, placement, backends.Cancelled, err.Error())
 		return current.machine.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
@@ -242,7 +242,7 @@
 
 func (g *Gateway) logPlacement(current *carried, placement *backends.Placement) {
 	line := g.events.line("placed").Str("request_id", current.metadata.RequestID).Str("worker", string(placement.Worker.ID)).
-		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Looked).Float64("failure_rate", placement.FailureRate)
+		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Examined).Float64("failure_rate", placement.FailureRate)
 	if engine := placement.Engine; engine != nil {
 		line = line.Uint64("version", uint64(engine.Version)).Int("cached", engine.CachedTokens).
 			Int("imported", engine.ImportedTokens).Int("prompt", current.metadata.PromptTokens).
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -19,21 +19,21 @@
 	request := &backends.Request{
 		Service:  current.service.Name,
 		Excluded: current.machine.Excluded(),
-		Free: func(worker *backends.Worker) bool {
+		HasConnection: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
 			return g.upstreams.Free(destination)
 		},
 		Bytes:    messageBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.versions(current, current.wasAtTarget),
+		Software: g.versions(current, current.wasAtTarget),
 	}
 	if g.limits.any.Load() || g.backoffs.any.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
-		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
+		request.Admission = func(worker *backends.Worker) (backends.Admission, time.Duration) {
 			intake, opensIn := g.limits.intake(now, worker, priority)
-			current.atLimit = current.atLimit || intake == backends.IntakeClosed
-			if closed := g.backoffs.closed(now, backoffRun(worker.ID, worker.Born)); closed > 0 {
-				return backends.IntakeClosed, max(closed, opensIn)
+			current.atLimit = current.atLimit || intake == backends.AdmissionClosed
+			if closed := g.backoffs.closed(now, backoffRun(worker.ID, worker.StartTime)); closed > 0 {
+				return backends.AdmissionClosed, max(closed, opensIn)
 			}
 			return intake, opensIn
 		}
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -120,7 +120,7 @@
 		return observation
 	}
 	_, observation.Known = held.Table.Service(service)
-	doubtful := g.workers.Doubtful(now)
+	doubtful := g.workers.AllSuspects(now)
 	for _, worker := range g.workers.WorkersInUse() {
 		isTarget := g.deliveries.targets(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -93,7 +93,7 @@
 	}
 	noted := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
-		Failed: failed, Took: placement.Took(g.now()),
+		Failed: failed, Took: placement.TimeToFirstByte(g.now()),
 	}
 	if placement.Engine != nil {
 		whole := g.now() - current.sentAt
@@ -109,7 +109,7 @@
 		result = "failed"
 	}
 	g.metrics.deliveryAnswers.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name, result).Inc()
-	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.Took(g.now()).Seconds())
+	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.TimeToFirstByte(g.now()).Seconds())
 	if g.deliveries.note(g.now(), noted) {
 		g.logger.Warn().Str("service", string(worker.Service)).Str("target", string(worker.Software)).
 			Str("route", current.route.Name).Str("worker", string(worker.ID)).Msg("delivery_stopped")
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -21,7 +21,7 @@
 	connectionSharers = 10
 	// tenantRanks is the width of one rank of tenants in an engine's priorities.
 	tenantRanks = 3
-	maxPriority = backends.Priorities - 1
+	maxPriority = backends.PriorityCount - 1
 	// defaultPriority is that of a tenant without one.
 	defaultPriority = 1
 )
@@ -113,7 +113,7 @@
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
-	if g.backoffs.begin(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
+	if g.backoffs.begin(g.now(), backoffRun(worker.ID, worker.StartTime)) > 0 {
 		return errBackoff
 	}
 	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftSlack {
@@ -126,10 +126,10 @@
 
 // permitWorker returns an error if a worker takes no requests of this node any more.
 func (g *Gateway) permitWorker(worker *backends.Worker) error {
-	if !g.workers.Sendable(g.now(), worker) {
+	if !g.workers.CanSend(g.now(), worker) {
 		return errDraining
 	}
-	if g.backoffs.closed(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
+	if g.backoffs.closed(g.now(), backoffRun(worker.ID, worker.StartTime)) > 0 {
 		return errBackoff
 	}
 	return nil
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -62,7 +62,7 @@
 // permitLimit asks for one request to a worker that names a limit. All that reaches a worker
 // passes here right before it is written: first sends, further ones, and runs that go on.
 func (g *Gateway) permitLimit(ctx context.Context, priority int, worker *backends.Worker) error {
-	observation, limited := g.limits.observation(worker.ID, worker.Born)
+	observation, limited := g.limits.observation(worker.ID, worker.StartTime)
 	if !limited {
 		return nil
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -124,19 +124,19 @@
 }
 
 // intake tells whether a worker takes a request of a priority, and for how long not.
-func (l *workerLimits) intake(now time.Duration, worker *backends.Worker, priority int) (backends.Intake, time.Duration) {
+func (l *workerLimits) intake(now time.Duration, worker *backends.Worker, priority int) (backends.Admission, time.Duration) {
 	if !l.any.Load() {
-		return backends.IntakeFree, 0
+		return backends.AdmissionUnlimited, 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, limited := l.ledger.Limit(worker.ID, uint64(worker.Born)); !limited {
-		return backends.IntakeFree, 0
+	if _, limited := l.ledger.Limit(worker.ID, uint64(worker.StartTime)); !limited {
+		return backends.AdmissionUnlimited, 0
 	}
 	if closed := l.ledger.Closed(now, worker.ID, priority); closed > 0 {
-		return backends.IntakeClosed, closed
+		return backends.AdmissionClosed, closed
 	}
-	return backends.IntakeLimited, 0
+	return backends.AdmissionLimited, 0
 }
 
 // close takes in that a worker had no room for a request of a priority.
@@ -215,7 +215,7 @@
 		return
 	}
 	observation := workerlimit.Observation{
-		Worker: worker.ID, Born: uint64(worker.Born),
+		Worker: worker.ID, Born: uint64(worker.StartTime),
 		Limited: info.Limit.Kind == workerlimit.Limited, Rate: info.Limit.Rate,
 		Asked: current.sentAt, Answered: g.now(),
 	}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -128,12 +128,12 @@
 // noteDraining takes in that a worker says in an answer that it shuts down.
 func (g *Gateway) noteDraining(about noticed) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(about.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: about.worker, Born: about.born}, string(about.kind))
+	g.observeDraining(backends.DrainingRun{Worker: about.worker, StartTime: about.born}, string(about.kind))
 }
 
 // observeDraining takes in that a worker shuts down, by the word of an answer or of a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
-	if g.workers.ObserveDraining(run) != backends.Began {
+	if g.workers.ObserveDraining(run) != backends.StartedDraining {
 		return
 	}
 	g.upstreams.Forget(run.Worker)
@@ -147,9 +147,9 @@
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.takeNotice(noticed{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
+	g.takeNotice(noticed{worker: worker.ID, born: worker.StartTime, kind: callRequest}, &info.Notice)
 	if info.RetryAfter == 0 && info.saysOf(worker.ID) {
-		g.backoffs.answered(backoffRun(worker.ID, worker.Born), sentAt)
+		g.backoffs.answered(backoffRun(worker.ID, worker.StartTime), sentAt)
 	}
 }
 
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -33,7 +33,7 @@
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
 			g.noteAnswerNotice(&worker, 0, test.info)
-			assert.Equal(t, test.tells, g.workers.Draining("w"))
+			assert.Equal(t, test.tells, g.workers.IsDraining("w"))
 		})
 	}
 }
@@ -54,7 +54,7 @@
 // TestNodeHearsFromAPeerThatAWorkerDrains before it sends there: a worker's end cuts streams, and
 // its row can't say anything while the store is away.
 func TestNodeHearsFromAPeerThatAWorkerDrains(t *testing.T) {
-	worker := backends.Worker{ID: "w", Born: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
+	worker := backends.Worker{ID: "w", StartTime: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	told, hears := idleGateway(t), idleGateway(t)
 	for _, g := range []*Gateway{told, hears} {
 		g.workers.Observe(1, worker)
@@ -63,14 +63,14 @@
 	told.noteAnswerNotice(&worker, 0, AnswerInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := told.loadReport("other")
 	hears.takeLoad(report)
-	assert.True(t, hears.workers.Draining("w"))
+	assert.True(t, hears.workers.IsDraining("w"))
 
-	worker.Born = 2000
+	worker.StartTime = 2000
 	hears.workers.Observe(2, worker)
 	hears.takeLoad(report)
-	assert.False(t, hears.workers.Draining("w"), "it was told of the run before")
+	assert.False(t, hears.workers.IsDraining("w"), "it was told of the run before")
 
-	worker.Born, worker.Draining = 1000, true
+	worker.StartTime, worker.Draining = 1000, true
 	told.workers.Observe(2, worker)
 	assert.Empty(t, told.loadReport("other").GetDraining(), "the row says so")
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -125,7 +125,7 @@
 			}
 		}
 		known = present
-		g.workers.SetPeers(len(peers))
+		g.workers.SetPeerCount(len(peers))
 		g.followUsers()
 	}
 	return nil
@@ -192,7 +192,7 @@
 func (g *Gateway) answerPartial(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
-		g.workers.UpdatePeer(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
+		g.workers.UpdatePeerLoads(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
 		return answer
 	}
 	g.quotas.take(g.now(), report)
@@ -227,8 +227,8 @@
 	for _, worker := range g.backoffs.closing(now) {
 		report.Deferring = append(report.Deferring, string(worker))
 	}
-	for _, run := range g.workers.DrainingUnlisted() {
-		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
+	for _, run := range g.workers.UnpublishedDraining() {
+		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.StartTime)})
 	}
 	if _, holds := g.keeper.Fence(); holds {
 		report.Weights = g.versionsFor(now, to)
@@ -308,7 +308,7 @@
 		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Orders: orders, Work: work, Deferring: g.deferringOf(report),
 	})
 	for _, run := range report.GetDraining() {
-		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeByPeer)
+		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), StartTime: backends.StartTime(run.GetBorn())}, noticeByPeer)
 	}
 	g.learnNamed(report.GetNamed())
 	g.quotas.take(now, report)
@@ -316,7 +316,7 @@
 	g.deliveries.observe(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	g.origins.press(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
-		g.workers.NoteVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
+		g.workers.ObserveVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
 			backends.WeightsVersion(versions.GetVersion()))
 	}
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -203,7 +203,7 @@
 
 // blame takes in the requests whose runs ended with their worker, unless it shut down.
 func (g *Gateway) blame(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
-	if g.workers.Draining(worker) {
+	if g.workers.IsDraining(worker) {
 		return
 	}
 	g.metrics.lostRuns.Add(float64(len(fingerprints)))
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -45,7 +45,7 @@
 			finished = mark
 			continue
 		}
-		for _, next := range g.weights.next(now, workers, g.workers.Doubtful(now)) {
+		for _, next := range g.weights.next(now, workers, g.workers.AllSuspects(now)) {
 			g.life.Go(func() error {
 				g.carryChange(next)
 				return nil
@@ -77,10 +77,10 @@
 func (g *Gateway) requireDue(now time.Duration) {
 	g.requiredAt.Store(int64(now))
 	for model, version := range g.weights.due(now, requireReserve) {
-		g.workers.Require(model, version)
+		g.workers.RequireVersion(model, version)
 	}
 	for model, version := range g.weights.replaced(now) {
-		g.workers.Prefer(model, version)
+		g.workers.PreferVersion(model, version)
 	}
 }
 
@@ -179,7 +179,7 @@
 
 // reportInterval returns the time between two questions to an engine under order.
 func (g *Gateway) reportInterval(worker *backends.Worker) time.Duration {
-	if g.limits.limited(worker.ID, worker.Born) {
+	if g.limits.limited(worker.ID, worker.StartTime) {
 		return limitedReportInterval
 	}
 	return reportInterval
@@ -192,7 +192,7 @@
 	if !g.pause(quiesceLeast) {
 		return false
 	}
-	most := quiesceMost(g.workers.MemoryUse(g.now(), id))
+	most := quiesceMost(g.workers.MemoryUtilization(g.now(), id))
 	for g.now() < begun+most && g.workers.InFlight(g.now(), id) > 0 {
 		g.keepAway(id)
 		if !g.pause(quiescePoll) {
@@ -213,7 +213,7 @@
 // for a while.
 func (g *Gateway) keepAway(id fleet.EngineID) {
 	until := g.now() + orderedFor
-	g.workers.NoteOrder(id, until)
+	g.workers.ObserveOrder(id, until)
 	if g.weights.announce(id, until) {
 		g.announcer.noteAll()
 	}
@@ -256,8 +256,8 @@
 
 // changed notes that an engine has its new version.
 func (g *Gateway) changed(done change, version backends.WeightsVersion, took time.Duration) {
-	g.workers.NoteVersion(done.worker.ID, done.model, version)
-	g.workers.NoteOrder(done.worker.ID, 0)
+	g.workers.ObserveVersion(done.worker.ID, done.model, version)
+	g.workers.ObserveOrder(done.worker.ID, 0)
 	g.weights.retract(done.worker.ID)
 	g.announcer.noteAll()
 	g.logger.Info().Str("worker", string(done.worker.ID)).Uint64("version", uint64(version)).Dur("took", took).Msg("weights_changed")
--- a/internal/gateway/standin.go
+++ b/internal/gateway/standin.go
@@ -95,7 +95,7 @@
 	if !g.duty.due(now) {
 		return g.duty.undone
 	}
-	seen := g.weights.seen(g.workers.Workers(), g.workers.Doubtful(now))
+	seen := g.weights.seen(g.workers.Workers(), g.workers.AllSuspects(now))
 	seen.undirected = g.deliveries.undirected(now)
 	return g.duty.observe(now, seen, g.settings().LeaseGap+undoneSlack)
 }
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -110,6 +110,6 @@
 	assert.True(t, step(6, false), "its proof is a second old")
 	assert.False(t, step(7, false), "it has lost the store itself")
 	assert.True(t, step(8, true))
-	g.workers.NoteVersion("engine", "model", 2)
+	g.workers.ObserveVersion("engine", "model", 2)
 	assert.False(t, step(9, true), "it is done")
 }
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -49,7 +49,7 @@
 
 // setSubsets puts subsets in force and logs them if they are others.
 func (g *Gateway) setSubsets(subsets backends.Subsets, all bool) {
-	before := g.workers.InForce()
+	before := g.workers.ActiveSubsets()
 	if !g.workers.SetSubsets(subsets, all) {
 		return
 	}
@@ -103,7 +103,7 @@
 	request.WorkersInUse = true
 	request.Doublings = encodeSubsets(g.workers.Doublings())
 	if !g.workersTable().cache.Whole() {
-		request.SubsetsDigest = digestOf(g.workers.InForce())
+		request.SubsetsDigest = digestOf(g.workers.ActiveSubsets())
 	}
 }
 
@@ -116,11 +116,11 @@
 	if !request.GetWorkersInUse() {
 		return followed.cache.After(seen), nil
 	}
-	subsets := g.workers.InForce().Widened(decodeSubsets(request.GetDoublings()))
+	subsets := g.workers.ActiveSubsets().Widened(decodeSubsets(request.GetDoublings()))
 	if request.GetSubsetsDigest() != digestOf(subsets) {
 		seen = 0
 	}
-	return followed.cache.AfterOf(seen, g.workers.Covers(subsets)), subsets
+	return followed.cache.AfterOf(seen, g.workers.SubsetFilter(subsets)), subsets
 }
 
 // applyWorkers takes a peer's word on the workers in: on all of them, or on those in use. What
@@ -131,7 +131,7 @@
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
-	update.Covers = g.workers.Covers(subsets)
+	update.Covers = g.workers.SubsetFilter(subsets)
 	followed.apply(update, gapUnreached)
 	g.setSubsets(subsets, false)
 }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -142,7 +142,7 @@
 	}
 	reader.workersTable().apply(update, gapNone)
 	assert.Less(t, watch(t, follower, reader), 1500, "two rows")
-	assert.True(t, follower.workers.Draining(drained))
+	assert.True(t, follower.workers.IsDraining(drained))
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
@@ -196,7 +196,7 @@
 	watch(t, follower, reader)
 	few := len(follower.workers.Workers())
 	_, refused := follower.workers.Choose(0, &backends.Request{
-		Service: "engines", Free: func(*backends.Worker) bool { return false },
+		Service: "engines", HasConnection: func(*backends.Worker) bool { return false },
 	})
 	require.Equal(t, backends.ReasonFull, refused.Reason)
 	watch(t, follower, reader)
@@ -211,7 +211,7 @@
 	response, _ := reader.watchResponse(request)
 	follower.takeWatch(reader.node, follower.now(), response)
 	assert.Len(t, follower.workers.Workers(), 5000)
-	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "it plans by itself")
+	assert.Equal(t, reader.workers.ActiveSubsets(), follower.workers.ActiveSubsets(), "it plans by itself")
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), len(reader.workers.WorkersInUse()))
 }
@@ -246,7 +246,7 @@
 	reader := readerOf(b, 10_000)
 	reader.weights.name(0, true, NamedWeights{Model: "m", Version: 1})
 	for b.Loop() {
-		reader.weights.next(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
+		reader.weights.next(reader.now(), reader.workers.Workers(), reader.workers.AllSuspects(reader.now()))
 	}
 }
 
@@ -287,7 +287,7 @@
 	feed.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
 	assert.Zero(t, store.whole)
-	assert.True(t, follower.workers.Draining(drained))
+	assert.True(t, follower.workers.IsDraining(drained))
 	follower.sources.watched(follower.now())
 	feed.step(t.Context())
 	assert.Equal(t, 1, store.whole, "others ask it")
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -142,7 +142,7 @@
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
-				g.workers.SetCapacity(service.Name, service.Engine.CapacityTokens)
+				g.workers.SetMemoryCapacity(service.Name, service.Engine.CapacityTokens)
 			}
 		}
 		g.logger.Info().Uint64("version", uint64(compiled.Version())).Uint64("revision", uint64(rows.DocumentRevision)).
@@ -169,7 +169,7 @@
 	}
 	if len(decoded) > mostNamedWorkers {
 		g.logger.Info().Int("rows", len(decoded)).Int("added", counts[backends.Added]).Int("gone", counts[backends.Gone]).
-			Int("draining", counts[backends.Began]).Int("restarted", counts[backends.Restarted]).
+			Int("draining", counts[backends.StartedDraining]).Int("restarted", counts[backends.Restarted]).
 			Int("unusable", counts[backends.Unusable]).Int("version", counts[backends.NewVersion]).Msg("workers_changed")
 	}
 	g.noteVersions(now, decoded)
@@ -214,7 +214,7 @@
 // noteWorker does what follows from a worker's change.
 func (g *Gateway) noteWorker(worker backends.Worker, change backends.Change) {
 	switch change {
-	case backends.Gone, backends.Began, backends.Unusable:
+	case backends.Gone, backends.StartedDraining, backends.Unusable:
 		g.upstreams.Forget(worker.ID)
 	case backends.Restarted:
 		g.forgetFormerRun(worker.ID)
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -33,7 +33,7 @@
 // workerCall counts a call to a worker for the gateway's own sake and returns its context.
 func (g *Gateway) workerCall(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
 	g.noteCall(worker.ID, kind)
-	ctx = g.noticesOf(ctx, noticed{worker: worker.ID, born: worker.Born, kind: kind})
+	ctx = g.noticesOf(ctx, noticed{worker: worker.ID, born: worker.StartTime, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
 }
 
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -211,9 +211,9 @@
 	for _, update := range updates {
 		run := fleet.EngineRun{Engine: update.Cache}
 		if update.Lost {
-			g.workers.LoseCache(run)
+			g.workers.UntrackCache(run)
 			continue
 		}
-		g.workers.ObserveTold(run, update.Anew, update.Changes())
+		g.workers.ObserveRelayedCache(run, update.Anew, update.Changes())
 	}
 }
