--- a/internal/backends/admission_test.go
+++ b/internal/backends/admission_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// intakeOf has some workers name limits.
-func intakeOf(intakes map[fleet.EngineID]Admission, opensIn time.Duration) func(*Worker) (Admission, time.Duration) {
+// admissionOf has some workers name limits.
+func admissionOf(intakes map[fleet.EngineID]Admission, opensIn time.Duration) func(*Worker) (Admission, time.Duration) {
 	return func(worker *Worker) (Admission, time.Duration) {
 		if intakes[worker.ID] == AdmissionClosed {
 			return AdmissionClosed, opensIn
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestWorkerAtItsLimitGetsNothing, also if it is the only one; then it is told when there is room.
-func TestWorkerAtItsLimitGetsNothing(t *testing.T) {
+// TestClosedWorkerGetsNoRequest, also if it is the only one; then it is told when there is room.
+func TestClosedWorkerGetsNoRequest(t *testing.T) {
 	registry := withEngines()
 	closed := make(map[fleet.EngineID]Admission)
 	for number := range engineCount - 1 {
@@ -29,7 +29,7 @@
 	}
 	open := engineWorker(engineCount-1, 1).ID
 	request := engineRequest("p")
-	request.Admission = intakeOf(closed, 3*time.Second)
+	request.Admission = admissionOf(closed, 3*time.Second)
 	for range 20 {
 		placement, refused := registry.Choose(0, request)
 		require.NotNil(t, placement, refused)
@@ -42,15 +42,15 @@
 	assert.Equal(t, Refusal{Reason: ReasonLimited, RetryAfter: 3 * time.Second}, refused)
 }
 
-// TestWorkerWithALimitIsNotTakenForABadOne, whatever it refuses and however slow it is.
-func TestWorkerWithALimitIsNotTakenForABadOne(t *testing.T) {
+// TestLimitedWorkerIsNotPenalized, whatever it refuses and however slow it is.
+func TestLimitedWorkerIsNotPenalized(t *testing.T) {
 	registry := withEngines()
 	request := engineRequest("p")
 	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount {
 		limited[engineWorker(number, 1).ID] = AdmissionLimited
 	}
-	request.Admission = intakeOf(limited, 0)
+	request.Admission = admissionOf(limited, 0)
 	now := time.Second
 	for range 10 {
 		placement, refused := registry.Choose(now, request)
@@ -67,15 +67,15 @@
 	assert.Zero(t, registry.speedEstimateOf(request.Service).slotTime)
 }
 
-// TestWorkerWithALimitHoldsNoCopy: it may have no room when the run has to go on there.
-func TestWorkerWithALimitHoldsNoCopy(t *testing.T) {
+// TestLimitedWorkerHoldsNoCopy: it may have no room when the run has to go on there.
+func TestLimitedWorkerHoldsNoCopy(t *testing.T) {
 	registry := withEngines()
 	request := copiedRequest()
 	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount / 2 {
 		limited[engineWorker(number, 1).ID] = AdmissionLimited
 	}
-	request.Admission = intakeOf(limited, 0)
+	request.Admission = admissionOf(limited, 0)
 	for range 100 {
 		placement, refused := registry.Choose(0, request)
 		require.NotNil(t, placement, refused)
--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -32,11 +32,11 @@
 	}
 }
 
-func engineWorker(number int, version WeightsVersion) Worker {
+func engineWorker(number int, version ModelVersion) Worker {
 	worker := plainWorker(number)
 	worker.ID = fleet.EngineID(fmt.Sprintf("e%d", number))
 	worker.Service, worker.Slots = "engines", 8
-	worker.Versions = map[fleet.ModelName]WeightsVersion{testModel: version}
+	worker.Versions = map[fleet.ModelName]ModelVersion{testModel: version}
 	return worker
 }
 
@@ -89,7 +89,7 @@
 	assert.Empty(t, registry.Workers())
 }
 
-func TestWholeReadRemovesWhatItDoesNotName(t *testing.T) {
+func TestSnapshotRemovesUnlistedWorkers(t *testing.T) {
 	registry := withPlain(3)
 	gone := registry.ObserveSnapshot(0, 2, map[fleet.EngineID]bool{"p0": true})
 	assert.Equal(t, []fleet.EngineID{"p1"}, gone, "p2's row is newer than the read")
@@ -112,9 +112,9 @@
 	assert.Equal(t, ReasonNoWorker, reason.Reason)
 }
 
-// TestLapsedWorkersAreUsedForAMomentIfNobodyElseIsThere covers rows that go
+// TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod covers rows that go
 // while the store is down.
-func TestLapsedWorkersAreUsedForAMomentIfNobodyElseIsThere(t *testing.T) {
+func TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod(t *testing.T) {
 	registry := withPlain(2)
 	registry.ObserveGone(time.Second, 10, "p0")
 	for range 20 {
@@ -126,7 +126,7 @@
 	assert.Nil(t, placement)
 }
 
-func TestPlainRequestsGoWhereTheLeastAreInFlight(t *testing.T) {
+func TestPlainRequestsGoToLeastLoadedWorker(t *testing.T) {
 	registry := withPlain(3)
 	registry.ObservePeer(0, "peer", PeerReport{Loads: []Load{{Engine: "p0", InFlight: 6}}})
 	counts := map[fleet.EngineID]int{}
@@ -141,7 +141,7 @@
 	assert.Equal(t, 6, counts["p0"], "an old word doesn't")
 }
 
-func TestUnreachableWorkerIsLeftAloneForLongerEachTime(t *testing.T) {
+func TestSuspicionOfUnreachableWorkerBacksOff(t *testing.T) {
 	registry := withPlain(2)
 	now := time.Duration(0)
 	state := registry.workers["p0"]
@@ -159,13 +159,13 @@
 	}
 }
 
-func TestOnlyWorkerIsUsedAlsoInDoubt(t *testing.T) {
+func TestOnlyWorkerIsUsedWhileSuspected(t *testing.T) {
 	registry := withPlain(1)
 	choosePlain(t, registry, 0).End(0, Unreachable)
 	choosePlain(t, registry, 0)
 }
 
-func TestWorkerThatFailsItsRequestsGetsFewer(t *testing.T) {
+func TestFailingWorkerGetsFewerRequests(t *testing.T) {
 	registry := withPlain(3)
 	counts := map[fleet.EngineID]int{}
 	for step := range 600 {
@@ -182,7 +182,7 @@
 	assert.Positive(t, counts["p0"], "it is tried again")
 }
 
-func TestSamePrefixGoesToTheSameEngineFromEveryNode(t *testing.T) {
+func TestNodesAgreeOnHomeEngine(t *testing.T) {
 	first, second := withEngines(), withEngines()
 	for number := range 20 {
 		prefix := fmt.Sprintf("prefix-%d", number)
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestMissingPartsComeFromAnEngineThatHoldsThemElseFromTheStore(t *testing.T) {
+func TestMissingPartsAreImportedFromEngineElseFromStore(t *testing.T) {
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, testStore, cold.Engine.ImportFrom)
@@ -217,9 +217,9 @@
 	assert.Equal(t, testStore, elsewhere.Engine.ImportFrom)
 }
 
-// TestStoreGetsOnlyWhatNoEngineHolds has the store drop parts that an engine
+// TestStoreSavesOnlyPartsThatNoEngineHolds has the store drop parts that an engine
 // still has, and then the engine too.
-func TestStoreGetsOnlyWhatNoEngineHolds(t *testing.T) {
+func TestStoreSavesOnlyPartsThatNoEngineHolds(t *testing.T) {
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
@@ -232,9 +232,9 @@
 	assert.Equal(t, testStore, again.Engine.SaveTo, "a part of them isn't enough")
 }
 
-// TestPartsAreNotTakenFromAnEngineOfAnotherVersion keeps cached parts of two
+// TestPartsAreNotImportedAcrossVersions keeps cached parts of two
 // versions apart, also where an engine has kept both.
-func TestPartsAreNotTakenFromAnEngineOfAnotherVersion(t *testing.T) {
+func TestPartsAreNotImportedAcrossVersions(t *testing.T) {
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
@@ -274,9 +274,9 @@
 	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a row that lags doesn't take a version back")
 }
 
-// TestReplacedWeightsAreLeftWhereThatCostsLittle has one engine of six with the
+// TestPreferredVersionIsChosenUnlessOverloaded has one engine of six with the
 // newest weights, idle first and then with a long queue.
-func TestReplacedWeightsAreLeftWhereThatCostsLittle(t *testing.T) {
+func TestPreferredVersionIsChosenUnlessOverloaded(t *testing.T) {
 	registry := withEngines()
 	registry.ObserveVersion("e3", testModel, 2)
 	registry.PreferVersion(testModel, 2)
@@ -292,7 +292,7 @@
 	assert.EqualValues(t, 2, registry.preferred[testModel], "it doesn't go back")
 }
 
-func TestEngineUnderOrderIsLeftOut(t *testing.T) {
+func TestEngineUnderOrderGetsNoRequest(t *testing.T) {
 	registry := withEngines()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	registry.ObserveOrder(home.Worker.ID, time.Second)
@@ -319,7 +319,7 @@
 	assert.Greater(t, len(used), 2)
 }
 
-func TestPartsRunOutUnused(t *testing.T) {
+func TestUnusedPartsExpire(t *testing.T) {
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
@@ -329,7 +329,7 @@
 	assert.NotEmpty(t, later.Engine.SaveTo)
 }
 
-func TestEndCountsOnce(t *testing.T) {
+func TestEndIsIdempotent(t *testing.T) {
 	registry := withEngines()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	require.Len(t, registry.OwnLoad(), 1)
@@ -341,9 +341,9 @@
 	assert.Zero(t, registry.workers[placement.Worker.ID].prefillTokens)
 }
 
-// TestLongAndShortPromptsKeepApart once both have been seen, as long as neither
+// TestLongAndShortPromptsUseSeparateEngines once both have been seen, as long as neither
 // queues.
-func TestLongAndShortPromptsKeepApart(t *testing.T) {
+func TestLongAndShortPromptsUseSeparateEngines(t *testing.T) {
 	registry := withEngines()
 	short := func(number int) *Request {
 		request := engineRequest(fmt.Sprint("short", number))
@@ -373,7 +373,7 @@
 	assert.NotEmpty(t, sides[false])
 }
 
-func TestOneSizeAloneUsesEveryEngine(t *testing.T) {
+func TestUniformPromptSizeUsesEveryEngine(t *testing.T) {
 	registry := withEngines()
 	used := map[fleet.EngineID]bool{}
 	for step := range 200 {
@@ -384,8 +384,8 @@
 	assert.Len(t, used, engineCount)
 }
 
-// TestObservedCacheReplacesBeliefs follows a cache's events through a restart.
-func TestObservedCacheReplacesBeliefs(t *testing.T) {
+// TestCacheEventsReplaceAssumedParts follows a cache's events through a restart.
+func TestCacheEventsReplaceAssumedParts(t *testing.T) {
 	registry := withEngines()
 	request := engineRequest("p")
 	scope := Scope(testModel, 1, "t", false)
@@ -410,8 +410,8 @@
 	assert.Zero(t, lost.Engine.MostHeldParts)
 }
 
-// TestHolderIsKeptToUntilItsQueueIsDearerThanAMove.
-func TestHolderIsKeptToUntilItsQueueIsDearerThanAMove(t *testing.T) {
+// TestHolderIsChosenUntilQueueOutweighsImport.
+func TestHolderIsChosenUntilQueueOutweighsImport(t *testing.T) {
 	options := scheduling.DefaultOptions()
 	options.TieFraction, options.ImportWeight = 0.02, 8*time.Microsecond
 	registry := New(Options{Zone: "a", Random: rand.New(rand.NewPCG(1, 2)), Scheduling: options})
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBaselineLeavesOutTheEnginesOwnSlowness and keeps what waits there.
-func TestBaselineLeavesOutTheEnginesOwnSlowness(t *testing.T) {
+// TestBaselineExcludesEngineSlowness and keeps what waits there.
+func TestBaselineExcludesEngineSlowness(t *testing.T) {
 	place := func(prefill int, slowness float64) *EnginePlacement {
 		registry := withEngines()
 		for _, known := range registry.workers {
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -18,8 +18,8 @@
 	simulatedSlots = 12
 	simulatedZones = 3
 	// prefixesPerEngine, holdersMost: long shared prefixes, each at some engines.
-	prefixesPerEngine = 4
-	holdersMost       = 6
+	prefixesPerEngine   = 4
+	maxHoldersPerPrefix = 6
 	// commonPrefixes are short and at all engines.
 	commonPrefixes = 16
 	longShare      = 0.08
@@ -31,10 +31,10 @@
 	random   *rand.Rand
 	engines  int
 	// busy is the mean number of requests of all nodes at an engine.
-	busy   float64
-	now    time.Duration
-	number int
-	open   []*Placement
+	busy     float64
+	now      time.Duration
+	requests int
+	open     []*Placement
 	// sorted holds the engines by load, own those of one node: for BenchmarkWays.
 	sorted, own []*workerState
 }
@@ -54,7 +54,7 @@
 	f.registry.SetMemoryCapacity("engines", 130_000)
 	f.registry.SetPeerCount(simulatedPeers)
 	f.fillCaches()
-	f.hearPeers()
+	f.reportPeers()
 	return f
 }
 
@@ -68,7 +68,7 @@
 		}
 	}
 	for prefix := range prefixesPerEngine * f.engines {
-		for range 1 + f.random.IntN(holdersMost) {
+		for range 1 + f.random.IntN(maxHoldersPerPrefix) {
 			at := f.random.IntN(f.engines)
 			changes[at] = append(changes[at], PartChange{true, scope, fmt.Sprint("long-", prefix)})
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// hearPeers has each other node report its requests.
-func (f *simulatedFleet) hearPeers() {
+// reportPeers has each other node report its requests.
+func (f *simulatedFleet) reportPeers() {
 	for peer := range simulatedPeers {
 		var report PeerReport
 		for number := range f.engines {
@@ -107,8 +107,8 @@
 
 // request returns the next request: a short prompt with a common prefix, or a long one.
 func (f *simulatedFleet) request() *Request {
-	f.number++
-	own := fmt.Sprint("own-", f.number)
+	f.requests++
+	own := fmt.Sprint("own-", f.requests)
 	engine := &EngineRequest{
 		Model: testModel, Tenant: "t", TokenBytes: 160_000, LinkMegabits: 550_000, OutputTokens: 40, Priority: 1,
 		Target: 500 * time.Millisecond, TimeLeft: 500 * time.Millisecond, MayRefuse: true, EventTokens: 7,
@@ -136,7 +136,7 @@
 	load, _ := f.peerLoad(f.random.IntN(f.engines))
 	f.registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
 	if f.now%(600*time.Millisecond) == 0 {
-		f.hearPeers()
+		f.reportPeers()
 	}
 }
 
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -14,26 +14,26 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// way finds the candidates of a choice.
-type way struct {
-	name  string
-	whole bool
-	// fill looks at workers; nil gathers as a choice does.
-	fill func(f *simulatedFleet, s *search)
+// strategy finds the candidates of a choice.
+type strategy struct {
+	name       string
+	exhaustive bool
+	// gather looks at workers; nil gathers as a choice does.
+	gather func(f *simulatedFleet, s *search)
 }
 
-// ways are those that were weighed against each other.
-func ways() []way {
-	return []way{
-		{name: "whole", whole: true},
+// strategies are those that were weighed against each other.
+func strategies() []strategy {
+	return []strategy{
+		{name: "whole", exhaustive: true},
 		{name: "few"},
-		{name: "sorted", fill: func(f *simulatedFleet, s *search) {
+		{name: "sorted", gather: func(f *simulatedFleet, s *search) {
 			s.examineHolders()
 			for _, known := range f.sorted[:min(16, len(f.sorted))] {
 				s.examine(known)
 			}
 		}},
-		{name: "partition", fill: func(f *simulatedFleet, s *search) {
+		{name: "partition", gather: func(f *simulatedFleet, s *search) {
 			s.examineHolders()
 			for _, known := range f.own {
 				s.examine(known)
@@ -67,15 +67,15 @@
 	return costs
 }
 
-// decideBy decides a request one way without placing it.
-func (f *simulatedFleet) decideBy(by way, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
+// decideWith decides a request one way without placing it.
+func (f *simulatedFleet) decideWith(by strategy, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
 	start := time.Now()
 	s := f.registry.newSearch(f.now, request, nil)
-	s.exhaustive = by.whole
-	if by.fill == nil {
+	s.exhaustive = by.exhaustive
+	if by.gather == nil {
 		s.gather()
 	} else {
-		by.fill(f, s)
+		by.gather(f, s)
 		s.saveBuffers()
 		s.resolve()
 	}
@@ -108,22 +108,22 @@
 	})
 }
 
-// BenchmarkWays compares ways to find candidates by the time of a choice and by what its
+// BenchmarkStrategies compares ways to find candidates by the time of a choice and by what its
 // decision costs beyond that of a look at all engines, at a third of the slots taken and at
 // nearly all.
-func BenchmarkWays(b *testing.B) {
+func BenchmarkStrategies(b *testing.B) {
 	for _, engines := range []int{12, 90, 1000, 3000, 10_000} {
 		for _, busy := range []float64{4, 13} {
 			b.Run(fmt.Sprintf("engines=%d/busy=%g", engines, busy), func(b *testing.B) {
-				benchmarkWays(b, newSimulatedFleet(engines, busy, Options{Zone: "z0"}))
+				benchmarkStrategies(b, newSimulatedFleet(engines, busy, Options{Zone: "z0"}))
 			})
 		}
 	}
 }
 
-func benchmarkWays(b *testing.B, f *simulatedFleet) {
+func benchmarkStrategies(b *testing.B, f *simulatedFleet) {
 	b.Helper()
-	all := ways()
+	all := strategies()
 	times := make([]*hdrhistogram.Histogram, len(all))
 	for at := range times {
 		times[at] = hdrhistogram.New(1, int64(100*time.Second), 3)
@@ -135,7 +135,7 @@
 		f.sortEngines()
 		request := f.request()
 		costs := f.costs(request)
-		best, never, took := f.decideBy(all[0], request)
+		best, never, took := f.decideWith(all[0], request)
 		_ = times[0].RecordValue(int64(took))
 		if never {
 			refusals[0]++
@@ -143,7 +143,7 @@
 			compared++
 		}
 		for at, by := range all[1:] {
-			decision, refused, took := f.decideBy(by, request)
+			decision, refused, took := f.decideWith(by, request)
 			_ = times[at+1].RecordValue(int64(took))
 			switch {
 			case refused:
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -14,8 +14,8 @@
 	return request
 }
 
-// TestCopyIsAtAnotherEngineOfTheSameWeights and the same zone, if there is one.
-func TestCopyIsAtAnotherEngineOfTheSameWeights(t *testing.T) {
+// TestCopyTargetRunsSameVersion and the same zone, if there is one.
+func TestCopyTargetRunsSameVersion(t *testing.T) {
 	registry := newTestRegistry()
 	for number := range engineCount {
 		worker := engineWorker(number, 1)
@@ -44,8 +44,8 @@
 	assert.Empty(t, placement.Engine.CopyTo.ID, "not asked for")
 }
 
-// TestRunGoesOnWhereItsCopyIs counts the request there.
-func TestRunGoesOnWhereItsCopyIs(t *testing.T) {
+// TestContinueUsesCopyTarget counts the request there.
+func TestContinueUsesCopyTarget(t *testing.T) {
 	registry := withEngines()
 	lost, _ := registry.Choose(0, copiedRequest())
 	target := lost.Engine.CopyTo
@@ -61,9 +61,9 @@
 	assert.Zero(t, registry.workers[target.ID].inFlight)
 }
 
-// TestRunGoesOnOnlyWhereItsCopyCanBe: not at an engine that is leaving, has gone or has
+// TestContinueRejectsUnusableCopyTarget: not at an engine that is leaving, has gone or has
 // other weights.
-func TestRunGoesOnOnlyWhereItsCopyCanBe(t *testing.T) {
+func TestContinueRejectsUnusableCopyTarget(t *testing.T) {
 	for name, change := range map[string]func(*Registry, Worker){
 		"other weights": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
 		"gone":          func(registry *Registry, target Worker) { registry.ObserveGone(0, 100, target.ID) },
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -30,7 +30,7 @@
 	return registry
 }
 
-func TestDistanceOfUnknownZonesIsThatOfOneRegion(t *testing.T) {
+func TestUnknownZonesCountAsSameRegion(t *testing.T) {
 	assert.Equal(t, SameZone, twoRegions.Between("a", "a"))
 	assert.Equal(t, SameRegion, twoRegions.Between("a", "b"))
 	assert.Equal(t, OtherRegion, twoRegions.Between("b", "c"))
@@ -39,8 +39,8 @@
 	assert.Equal(t, SameRegion, Regions(nil).Between("a", "c"))
 }
 
-// TestNextZoneTakesOverWhenTheNearOneIsFull fills a plain service zone by zone.
-func TestNextZoneTakesOverWhenTheNearOneIsFull(t *testing.T) {
+// TestNextZoneTakesOverWhenNearZoneIsFull fills a plain service zone by zone.
+func TestNextZoneTakesOverWhenNearZoneIsFull(t *testing.T) {
 	registry := withZones(3, "a", "b", "c")
 	counts := map[fleet.ZoneName]int{}
 	slots := plainWorker(0).Slots
@@ -59,9 +59,9 @@
 	assert.EqualValues(t, "c", choosePlain(t, registry, 0).Worker.Zone, "the near ones are gone")
 }
 
-// TestEnginesNearAreTakenFirst until their queues are dearer than the way, in a fleet that
+// TestNearEnginesAreChosenFirst until their queues are dearer than the way, in a fleet that
 // is looked at whole and in one that isn't.
-func TestEnginesNearAreTakenFirst(t *testing.T) {
+func TestNearEnginesAreChosenFirst(t *testing.T) {
 	for _, engines := range []int{9, 3 * manyEngines} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
 			registry := withZones(engines, "a", "b", "c")
@@ -74,19 +74,19 @@
 			}
 			placement, _ := registry.Choose(0, request(0))
 			assert.EqualValues(t, "a", placement.Worker.Zone)
-			queue(registry, "a", 2000)
+			setQueue(registry, "a", 2000)
 			placement, _ = registry.Choose(0, request(1))
 			assert.EqualValues(t, "b", placement.Worker.Zone)
-			queue(registry, "b", 8000)
-			queue(registry, "a", 8000)
+			setQueue(registry, "b", 8000)
+			setQueue(registry, "a", 8000)
 			placement, _ = registry.Choose(0, request(2))
 			assert.EqualValues(t, "c", placement.Worker.Zone)
 		})
 	}
 }
 
-// queue has each engine of a zone have prompt work.
-func queue(registry *Registry, zone fleet.ZoneName, tokens int) {
+// setQueue has each engine of a zone have prompt work.
+func setQueue(registry *Registry, zone fleet.ZoneName, tokens int) {
 	for _, known := range registry.workers {
 		if known.worker.Zone == zone && known.worker.Service == "engines" {
 			known.prefillTokens, known.priorities[0].PrefillTokens = tokens, int32(tokens)
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestPartsComeFromTheNearestHolder: another engine of the zone before one of the region,
+// TestPartsAreImportedFromNearestHolder: another engine of the zone before one of the region,
 // the store of the own region before an engine of another one.
-func TestPartsComeFromTheNearestHolder(t *testing.T) {
+func TestPartsAreImportedFromNearestHolder(t *testing.T) {
 	registry := withZones(6, "a", "b", "c")
 	scope := Scope(testModel, 1, "t", false)
 	parts := []PartChange{{true, scope, "common"}, {true, scope, "p"}}
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestCopyIsNear: in the zone of the run, else in its region.
-func TestCopyIsNear(t *testing.T) {
+// TestCopyTargetIsNear: in the zone of the run, else in its region.
+func TestCopyTargetIsNear(t *testing.T) {
 	registry := withZones(30, "a", "b", "c")
 	zones := map[Distance]int{}
 	for range 100 {
--- a/internal/backends/draining_test.go
+++ b/internal/backends/draining_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainingOfARunIsTakenBackByNothing in its run: no row, no return of a row that went, no
+// TestDrainingIsNotRevokedWithinRun in its run: no row, no return of a row that went, no
 // subset that lacked the worker for a time.
-func TestDrainingOfARunIsTakenBackByNothing(t *testing.T) {
+func TestDrainingIsNotRevokedWithinRun(t *testing.T) {
 	registry := withPlain(2)
 	draining := plainWorker(0)
 	placement := choose(registry, &Request{Service: "plain"})
@@ -69,8 +69,8 @@
 	assert.False(t, registry.IsDraining("p0"))
 }
 
-// TestDrainingOutlivesASubsetWithoutTheWorker since the row is read anew once it is in use again.
-func TestDrainingOutlivesASubsetWithoutTheWorker(t *testing.T) {
+// TestDrainingSurvivesDropFromSubset since the row is read anew once it is in use again.
+func TestDrainingSurvivesDropFromSubset(t *testing.T) {
 	registry := withPlain(2)
 	registry.ObserveDraining(DrainingRun{Worker: "p0"})
 	registry.mutex.Lock()
@@ -80,8 +80,8 @@
 	assert.True(t, registry.IsDraining("p0"))
 }
 
-// TestForgottenDrainingRunsStayBounded as workers come and go for ever.
-func TestForgottenDrainingRunsStayBounded(t *testing.T) {
+// TestForgottenDrainingRunsExpire as workers come and go for ever.
+func TestForgottenDrainingRunsExpire(t *testing.T) {
 	registry := newTestRegistry()
 	for number := range 500 {
 		registry.ObserveDraining(DrainingRun{Worker: plainWorker(number).ID})
@@ -92,8 +92,8 @@
 	assert.Empty(t, registry.forgottenDraining)
 }
 
-// TestServiceOfWhichAllDrainIsRefusedAtOnce rather than after a time in which nobody comes.
-func TestServiceOfWhichAllDrainIsRefusedAtOnce(t *testing.T) {
+// TestServiceWithAllWorkersDrainingIsRefused rather than after a time in which nobody comes.
+func TestServiceWithAllWorkersDrainingIsRefused(t *testing.T) {
 	registry := withPlain(2)
 	for number := range 2 {
 		registry.ObserveDraining(DrainingRun{Worker: plainWorker(number).ID})
@@ -103,8 +103,8 @@
 	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestSendToAWorkerThatWentIsNotMade after the moment for which rows may go by mistake.
-func TestSendToAWorkerThatWentIsNotMade(t *testing.T) {
+// TestCanSendEndsWithLapsedGracePeriod after the moment for which rows may go by mistake.
+func TestCanSendEndsWithLapsedGracePeriod(t *testing.T) {
 	registry := withPlain(1)
 	worker := plainWorker(0)
 	assert.True(t, registry.CanSend(0, &worker))
@@ -113,8 +113,8 @@
 	assert.False(t, registry.CanSend(time.Second+lapsedGracePeriod, &worker))
 }
 
-// TestPartsAreTakenFromAnEngineThatDrains until it has gone: nobody else may hold them.
-func TestPartsAreTakenFromAnEngineThatDrains(t *testing.T) {
+// TestPartsAreImportedFromDrainingEngine until it has gone: nobody else may hold them.
+func TestPartsAreImportedFromDrainingEngine(t *testing.T) {
 	registry := withEngines()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
@@ -129,8 +129,8 @@
 	assert.NotEqual(t, cold.Worker.Address, gone.Engine.ImportFrom)
 }
 
-// TestDeferredRequestIsNoEvidenceAgainstItsWorker, unlike other rejections: it says when to come again.
-func TestDeferredRequestIsNoEvidenceAgainstItsWorker(t *testing.T) {
+// TestDeferredRequestIsNotAFailure, unlike other rejections: it says when to come again.
+func TestDeferredRequestIsNotAFailure(t *testing.T) {
 	registry := withPlain(1)
 	choosePlain(t, registry, 0).End(0, Deferred)
 	assert.Zero(t, registry.workers["p0"].failureRate(0))
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -44,7 +44,7 @@
 // EnginePlacement is what a placement at an engine adds.
 type EnginePlacement struct {
 	// Version is the version of the weights that the engine is believed to run.
-	Version WeightsVersion
+	Version ModelVersion
 	// Scope separates the cached parts that may be shared from all others.
 	Scope string
 	// CachedTokens and ImportedTokens are the expected parts of the prompt that
--- a/internal/backends/late_test.go
+++ b/internal/backends/late_test.go
@@ -37,8 +37,8 @@
 	assert.NotNil(t, placement, refused, "what may have run elsewhere is carried on")
 }
 
-// TestUrgentRequestIsNotRefusedForLessUrgentWork has the engine take it first.
-func TestUrgentRequestIsNotRefusedForLessUrgentWork(t *testing.T) {
+// TestUrgentRequestIsNotRefusedForLowerPriorityWork has the engine take it first.
+func TestUrgentRequestIsNotRefusedForLowerPriorityWork(t *testing.T) {
 	registry := withEngines()
 	for _, known := range registry.workers {
 		known.prefillTokens, known.priorities[4].PrefillTokens = 40_000, 40_000
@@ -74,9 +74,9 @@
 	assert.NotNil(t, placement, refused)
 }
 
-// TestLoadByPriorityIsAddedUpOverNodes has what other nodes tell count like own
+// TestLoadByPriorityIsSummedOverNodes has what other nodes tell count like own
 // requests, for those that told nothing too.
-func TestLoadByPriorityIsAddedUpOverNodes(t *testing.T) {
+func TestLoadByPriorityIsSummedOverNodes(t *testing.T) {
 	registry := withEngines()
 	registry.SetPeerCount(2)
 	told := Load{Engine: "e0", InFlight: 3, PrefillTokens: 300}
--- a/internal/backends/memory_test.go
+++ b/internal/backends/memory_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSharedPartIsHeldOnceForAllItsRequests(t *testing.T) {
+func TestSharedPartIsCountedOnce(t *testing.T) {
 	var use memoryUse
 	need := memoryNeed{prefix: 7, sharedTokens: 100, ownTokens: 30}
 	assert.Equal(t, 130, use.tokensWith(need))
--- a/internal/backends/memory_utilization_test.go
+++ b/internal/backends/memory_utilization_test.go
@@ -13,7 +13,7 @@
 // ordered one to take new weights. Reports of other nodes that had become too old were taken
 // out of the sum in the middle of that look, which moved engines to other levels of the lists
 // that were being walked: the walk came to a place that had just been emptied.
-func TestMemoryUseBearsReportsThatBecomeTooOld(t *testing.T) {
+func TestMemoryUtilizationToleratesExpiringReports(t *testing.T) {
 	const workers = 40
 	for older := range 20 {
 		registry := newTestRegistry()
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -94,7 +94,7 @@
 // Scope returns the text that separates cached parts which must not meet: those
 // of different versions of a model's weights, and those of an isolated tenant
 // from all others'.
-func Scope(model fleet.ModelName, version WeightsVersion, tenant fleet.TenantName, isolated bool) string {
+func Scope(model fleet.ModelName, version ModelVersion, tenant fleet.TenantName, isolated bool) string {
 	scope := string(model) + "@" + strconv.FormatUint(uint64(version), 10)
 	if isolated {
 		scope += "/" + string(tenant)
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestOrderEndsWithThePeersNextReport has the holder of the lease tell first that
+// TestPeerOrderEndsWithNextReport has the holder of the lease tell first that
 // an engine is under order, and then no more.
-func TestOrderEndsWithThePeersNextReport(t *testing.T) {
+func TestPeerOrderEndsWithNextReport(t *testing.T) {
 	registry := withEngines()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Succeeded)
@@ -28,9 +28,9 @@
 	assert.Equal(t, home.Worker.ID, again.Worker.ID)
 }
 
-// TestWorkerThatSeveralNodesCannotReachIsLeftOut, unless this node has just heard
+// TestWorkerSuspectedBySeveralNodesIsAvoided, unless this node has just heard
 // from it.
-func TestWorkerThatSeveralNodesCannotReachIsLeftOut(t *testing.T) {
+func TestWorkerSuspectedBySeveralNodesIsAvoided(t *testing.T) {
 	registry := withEngines()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Cancelled)
@@ -51,8 +51,8 @@
 	assert.Equal(t, home.Worker.ID, late.Worker.ID, "old words don't count")
 }
 
-// TestWorkerThatDefersSeveralNodesIsTakenLast, but isn't taken for one that can't be reached.
-func TestWorkerThatDefersSeveralNodesIsTakenLast(t *testing.T) {
+// TestWorkerDeferringSeveralNodesIsChosenLast, but isn't taken for one that can't be reached.
+func TestWorkerDeferringSeveralNodesIsChosenLast(t *testing.T) {
 	registry := withPlain(2)
 	deferring := PeerReport{Deferring: []fleet.EngineID{"p0"}}
 	registry.ObservePeer(0, "a", deferring)
@@ -70,8 +70,8 @@
 	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "there is nobody else")
 }
 
-// TestPlacementToldAtOnceCountsUntilTheNextReport.
-func TestPlacementToldAtOnceCountsUntilTheNextReport(t *testing.T) {
+// TestLoadUpdateCountsUntilNextReport.
+func TestLoadUpdateCountsUntilNextReport(t *testing.T) {
 	reports := newPeerReports()
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
 	assert.Zero(t, reports.totalsAt(0).reportCount, "nothing else is known of the node")
@@ -83,7 +83,7 @@
 	assert.Nil(t, reports.totalsAt(0).worker("e"), "nothing is told of it any more")
 }
 
-func TestReportsThatCountAreSummed(t *testing.T) {
+func TestValidReportsAreSummed(t *testing.T) {
 	reports := newPeerReports()
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", InFlight: 2, MemoryTokens: 10}}})
 	reports.observe(time.Second, "b", PeerReport{Loads: []Load{{Engine: "e", InFlight: 3, MemoryTokens: 5}}})
@@ -94,9 +94,9 @@
 	assert.Zero(t, reports.totalsAt(peerReportValidity).reportCount)
 }
 
-// TestSumOfReportsIsKeptUp compares the sum that takes in single reports with one made
+// TestIncrementalTotalsMatchRebuild compares the sum that takes in single reports with one made
 // anew, over random reports, changes and departures of nodes.
-func TestSumOfReportsIsKeptUp(t *testing.T) {
+func TestIncrementalTotalsMatchRebuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	kept := newPeerReports()
 	now := time.Second
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -23,15 +23,15 @@
 	tiers   [tiers]loadLevels
 	ring    ring
 	// versionCounts counts the listed workers by model and version.
-	versionCounts map[modelVersion]int
+	versionCounts map[versionKey]int
 	scans         map[scanKey]*scanResult
 	windowBuffer  []weightedEngine
 }
 
-// modelVersion is a version of a model's weights.
-type modelVersion struct {
+// versionKey is a version of a model's weights.
+type versionKey struct {
 	model   fleet.ModelName
-	version WeightsVersion
+	version ModelVersion
 }
 
 // listedCount returns the number of listedCount workers.
@@ -64,7 +64,7 @@
 func (r *Registry) poolOf(service fleet.PoolName) *pool {
 	known := r.pools[service]
 	if known == nil {
-		known = &pool{service: service, versionCounts: make(map[modelVersion]int), scans: make(map[scanKey]*scanResult)}
+		known = &pool{service: service, versionCounts: make(map[versionKey]int), scans: make(map[scanKey]*scanResult)}
 		r.pools[service] = known
 	}
 	return known
@@ -116,7 +116,7 @@
 }
 
 // setVersions changes what a worker runs; the mutex is held.
-func (r *Registry) setVersions(known *workerState, versions map[fleet.ModelName]WeightsVersion) {
+func (r *Registry) setVersions(known *workerState, versions map[fleet.ModelName]ModelVersion) {
 	if known.pool != nil && known.tier != lapsedTier {
 		known.pool.countVersions(known.worker.Versions, -1)
 		known.pool.countVersions(versions, 1)
@@ -125,9 +125,9 @@
 }
 
 // countVersions adds to the workers of versions.
-func (p *pool) countVersions(versions map[fleet.ModelName]WeightsVersion, change int) {
+func (p *pool) countVersions(versions map[fleet.ModelName]ModelVersion, change int) {
 	for model, version := range versions {
-		key := modelVersion{model: model, version: version}
+		key := versionKey{model: model, version: version}
 		p.versionCounts[key] += change
 		if p.versionCounts[key] == 0 {
 			delete(p.versionCounts, key)
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -51,9 +51,9 @@
 	options   Options
 	scheduler *scheduling.Scheduler
 
-	mutex   sync.Mutex
-	workers map[fleet.EngineID]*workerState
-	names   shortNames
+	mutex      sync.Mutex
+	workers    map[fleet.EngineID]*workerState
+	shortNames shortNames
 	// tombstones holds the revision at which a row went, for workers forgotten.
 	tombstones map[fleet.EngineID]fleet.Revision
 	// unpublishedDraining holds the workers that have said that they drain and whose rows haven't, and
@@ -61,8 +61,8 @@
 	unpublishedDraining map[fleet.EngineID]bool
 	forgottenDraining   map[fleet.EngineID]drainingRecord
 	peers               *peerReports
-	required            map[fleet.ModelName]WeightsVersion
-	preferred           map[fleet.ModelName]WeightsVersion
+	required            map[fleet.ModelName]ModelVersion
+	preferred           map[fleet.ModelName]ModelVersion
 	// memoryCapacities holds, by service, the memory of an engine in tokens.
 	memoryCapacities map[fleet.PoolName]int
 	// speedEstimates holds, by service, how fast its engines are.
@@ -111,13 +111,13 @@
 		options:             options,
 		scheduler:           scheduling.New(options.Scheduling),
 		workers:             make(map[fleet.EngineID]*workerState),
-		names:               newShortNames(),
+		shortNames:          newShortNames(),
 		tombstones:          make(map[fleet.EngineID]fleet.Revision),
 		unpublishedDraining: make(map[fleet.EngineID]bool),
 		forgottenDraining:   make(map[fleet.EngineID]drainingRecord),
 		peers:               newPeerReports(),
-		required:            make(map[fleet.ModelName]WeightsVersion),
-		preferred:           make(map[fleet.ModelName]WeightsVersion),
+		required:            make(map[fleet.ModelName]ModelVersion),
+		preferred:           make(map[fleet.ModelName]ModelVersion),
 		memoryCapacities:    make(map[fleet.PoolName]int),
 		speedEstimates:      make(map[fleet.PoolName]*speedEstimate),
 		parts:               newPartIndex(options.MaxParts),
@@ -164,7 +164,7 @@
 		delete(r.forgottenDraining, worker.ID)
 		r.workers[worker.ID] = known
 		r.updatePool(known)
-		r.names.add(worker.ID)
+		r.shortNames.add(worker.ID)
 		r.parts.add(worker.Run())
 		return Added
 	}
@@ -251,11 +251,11 @@
 // mergeVersions returns the versions of a row, except where a newer one was
 // heard of before: rows lag behind. A newer version in the row drops what the
 // worker is believed to hold.
-func (r *Registry) mergeVersions(known *workerState, row map[fleet.ModelName]WeightsVersion) map[fleet.ModelName]WeightsVersion {
+func (r *Registry) mergeVersions(known *workerState, row map[fleet.ModelName]ModelVersion) map[fleet.ModelName]ModelVersion {
 	if maps.Equal(known.worker.Versions, row) {
 		return row
 	}
-	newer := make(map[fleet.ModelName]WeightsVersion, len(row))
+	newer := make(map[fleet.ModelName]ModelVersion, len(row))
 	for model, version := range row {
 		newer[model] = max(version, known.worker.Versions[model])
 	}
@@ -327,7 +327,7 @@
 }
 
 // RequireVersion says that requests of a model may begin on no older version.
-func (r *Registry) RequireVersion(model fleet.ModelName, version WeightsVersion) {
+func (r *Registry) RequireVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.required[model] = max(r.required[model], version)
@@ -335,7 +335,7 @@
 
 // PreferVersion says that requests of a model should begin on no older version where that
 // costs little.
-func (r *Registry) PreferVersion(model fleet.ModelName, version WeightsVersion) {
+func (r *Registry) PreferVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.preferred[model] = max(r.preferred[model], version)
@@ -343,7 +343,7 @@
 
 // ObserveVersion takes in a version that the worker, or whoever ordered it, was
 // heard to have. It never goes down, since rows lag behind.
-func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version WeightsVersion) {
+func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.workers[id]
@@ -352,7 +352,7 @@
 	}
 	versions := maps.Clone(known.worker.Versions)
 	if versions == nil {
-		versions = make(map[fleet.ModelName]WeightsVersion)
+		versions = make(map[fleet.ModelName]ModelVersion)
 	}
 	versions[model] = version
 	r.changes++
--- a/internal/backends/restart_test.go
+++ b/internal/backends/restart_test.go
@@ -10,9 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestRestartedWorkerIsAnotherRun has it come back under its identifier: nothing that was
+// TestRestartReplacesRun has it come back under its identifier: nothing that was
 // believed of the former run holds, and late word of that changes nothing.
-func TestRestartedWorkerIsAnotherRun(t *testing.T) {
+func TestRestartReplacesRun(t *testing.T) {
 	registry := newTestRegistry()
 	first := engineWorker(1, 3)
 	first.StartTime = 1000
@@ -27,7 +27,7 @@
 	require.Positive(t, held())
 	registry.ObserveOrder(first.ID, time.Hour)
 	second := first
-	second.StartTime, second.Versions = 2000, map[fleet.ModelName]WeightsVersion{testModel: 1}
+	second.StartTime, second.Versions = 2000, map[fleet.ModelName]ModelVersion{testModel: 1}
 	assert.Equal(t, Restarted, registry.Observe(5, second))
 	assert.Zero(t, registry.InFlight(0, first.ID), "the send under way was to the former")
 	assert.Zero(t, held())
@@ -47,8 +47,8 @@
 	return placement
 }
 
-// TestStartIsTakenFromAnyWord has a report tell of the restart before the row does.
-func TestStartIsTakenFromAnyWord(t *testing.T) {
+// TestObserveStartDetectsRestart has a report tell of the restart before the row does.
+func TestObserveStartDetectsRestart(t *testing.T) {
 	registry := newTestRegistry()
 	worker := engineWorker(1, 1)
 	registry.Observe(1, worker)
@@ -66,9 +66,9 @@
 	assert.False(t, registry.ObserveStart("unknown", 5))
 }
 
-// TestRowWithoutAUsableWorkerTakesItOutOfUse, also where nobody else is there, until a row
+// TestUnusableRowRemovesWorkerFromUse, also where nobody else is there, until a row
 // names it again.
-func TestRowWithoutAUsableWorkerTakesItOutOfUse(t *testing.T) {
+func TestUnusableRowRemovesWorkerFromUse(t *testing.T) {
 	registry := withPlain(1)
 	worker := plainWorker(0)
 	assert.Equal(t, Unusable, registry.ObserveUnusable(0, 5, worker.ID))
--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -6,7 +6,7 @@
 
 // promptScope is what is known of a prompt's parts in one scope.
 type promptScope struct {
-	version WeightsVersion
+	version ModelVersion
 	scope   string
 	hashes  []fleet.BlockHash
 	// holders are engines that hold leading parts, some of each number, those with the
@@ -37,7 +37,7 @@
 func (s *promptScope) isHeldByEngine(parts int) bool { return s.maxHeldParts() >= parts }
 
 // lookUpScope returns what is known of a prompt's parts; the mutex is held.
-func (r *Registry) lookUpScope(engine *EngineRequest, version WeightsVersion) *promptScope {
+func (r *Registry) lookUpScope(engine *EngineRequest, version ModelVersion) *promptScope {
 	scope := Scope(engine.Model, version, engine.Tenant, engine.Isolated)
 	known := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
 	store := StoreRun(engine.Store)
--- a/internal/backends/search_holders.go
+++ b/internal/backends/search_holders.go
@@ -29,7 +29,7 @@
 }
 
 // scopeOf returns what is known of the prompt's parts at a version of the weights.
-func (s *search) scopeOf(version WeightsVersion) *promptScope {
+func (s *search) scopeOf(version ModelVersion) *promptScope {
 	for _, known := range s.scopes {
 		if known.version == version {
 			return known
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -24,11 +24,11 @@
 	return registry
 }
 
-// TestChoiceLooksAtFewWorkersAtAnySize compares what a choice looks at, and the time of the
+// TestChoiceExaminesFewWorkersAtAnySize compares what a choice looks at, and the time of the
 // median one, in fleets of 100 and 10,000 engines. A look at all would take a hundred times
 // as many, and, where all hold a common prefix, ten thousand times as long if each was
 // compared with each.
-func TestChoiceLooksAtFewWorkersAtAnySize(t *testing.T) {
+func TestChoiceExaminesFewWorkersAtAnySize(t *testing.T) {
 	const choices = 400
 	looked, took := map[int]int{}, map[int]time.Duration{}
 	sizes := []int{100, 10_000}
@@ -54,16 +54,16 @@
 	assert.Less(t, took[large], 15*took[small], "%v and %v", took[small], took[large])
 }
 
-// TestSmallFleetIsLookedAtWhole.
-func TestSmallFleetIsLookedAtWhole(t *testing.T) {
+// TestSmallFleetIsSearchedExhaustively.
+func TestSmallFleetIsSearchedExhaustively(t *testing.T) {
 	registry := withEngines()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, engineCount, placement.Candidates)
 }
 
-// TestOnlyWorkerWithRoomIsFound has one of many engines take streams: requests are refused
+// TestOnlyWorkerWithCapacityIsFound has one of many engines take streams: requests are refused
 // as full only after its last place is taken.
-func TestOnlyWorkerWithRoomIsFound(t *testing.T) {
+func TestOnlyWorkerWithCapacityIsFound(t *testing.T) {
 	registry := withManyEngines()
 	for id, known := range registry.workers {
 		if id != "e77" {
@@ -87,9 +87,9 @@
 	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refused)
 }
 
-// TestRequestIsRefusedAsLateByALookAtAll has every engine hold up a request for longer than
+// TestLateRefusalRequiresFullScan has every engine hold up a request for longer than
 // its target, but one whose long queue is less urgent: what is drawn by load misses it.
-func TestRequestIsRefusedAsLateByALookAtAll(t *testing.T) {
+func TestLateRefusalRequiresFullScan(t *testing.T) {
 	registry := withManyEngines()
 	for id, known := range registry.workers {
 		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
@@ -114,8 +114,8 @@
 	require.NotNil(t, placement, refused)
 }
 
-// TestVersionLimitLeavesFewWorkers has two workers of many carry the target's version.
-func TestVersionLimitLeavesFewWorkers(t *testing.T) {
+// TestSoftwareVersionLimitsCandidates has two workers of many carry the target's version.
+func TestSoftwareVersionLimitsCandidates(t *testing.T) {
 	registry := withManyEngines()
 	for _, number := range []int{5, 400} {
 		worker := engineWorker(number, 1)
@@ -179,9 +179,9 @@
 	return homes
 }
 
-// TestHomesStayWhenEnginesComeAndGo, are the same wherever rows came in another order, and
+// TestHomesAreStableAcrossMembershipChanges, are the same wherever rows came in another order, and
 // are spread over the engines.
-func TestHomesStayWhenEnginesComeAndGo(t *testing.T) {
+func TestHomesAreStableAcrossMembershipChanges(t *testing.T) {
 	const prompts = 4000
 	first, second := withManyEngines(), newTestRegistry()
 	for number := range manyEngines {
--- a/internal/backends/short_names.go
+++ b/internal/backends/short_names.go
@@ -9,11 +9,11 @@
 // shortNames are 32-bit hashes of the workers' names, in whose place nodes send them: names
 // were a third of the bytes of a report. A hash that two known workers share stands for none.
 type shortNames struct {
-	workers map[uint32]map[fleet.EngineID]bool
+	byHash map[uint32]map[fleet.EngineID]bool
 }
 
 func newShortNames() shortNames {
-	return shortNames{workers: make(map[uint32]map[fleet.EngineID]bool)}
+	return shortNames{byHash: make(map[uint32]map[fleet.EngineID]bool)}
 }
 
 // shortName returns the hash of a name; it is never 0.
@@ -21,26 +21,26 @@
 
 func (s shortNames) add(id fleet.EngineID) {
 	short := shortName(id)
-	if s.workers[short] == nil {
-		s.workers[short] = make(map[fleet.EngineID]bool, 1)
+	if s.byHash[short] == nil {
+		s.byHash[short] = make(map[fleet.EngineID]bool, 1)
 	}
-	s.workers[short][id] = true
+	s.byHash[short][id] = true
 }
 
 func (s shortNames) remove(id fleet.EngineID) {
 	short := shortName(id)
-	delete(s.workers[short], id)
-	if len(s.workers[short]) == 0 {
-		delete(s.workers, short)
+	delete(s.byHash[short], id)
+	if len(s.byHash[short]) == 0 {
+		delete(s.byHash, short)
 	}
 }
 
 // find returns the worker for which a hash stands, if it stands for one.
 func (s shortNames) find(short uint32) (fleet.EngineID, bool) {
-	if len(s.workers[short]) != 1 {
+	if len(s.byHash[short]) != 1 {
 		return "", false
 	}
-	for id := range s.workers[short] {
+	for id := range s.byHash[short] {
 		return id, true
 	}
 	return "", false
@@ -54,7 +54,7 @@
 	short := make([]uint32, len(loads))
 	for index := range loads {
 		name := shortName(loads[index].Engine)
-		if found, only := r.names.find(name); only && found == loads[index].Engine {
+		if found, only := r.shortNames.find(name); only && found == loads[index].Engine {
 			short[index] = name
 		}
 	}
@@ -68,7 +68,7 @@
 	defer r.mutex.Unlock()
 	full := make([]fleet.EngineID, len(short))
 	for index, name := range short {
-		full[index], _ = r.names.find(name)
+		full[index], _ = r.shortNames.find(name)
 	}
 	return full
 }
--- a/internal/backends/short_names_test.go
+++ b/internal/backends/short_names_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// clash returns two names with the same hash.
-func clash(t *testing.T) (one, other fleet.EngineID) {
+// collidingNames returns two names with the same hash.
+func collidingNames(t *testing.T) (one, other fleet.EngineID) {
 	seen := make(map[uint32]fleet.EngineID)
 	for number := range 1 << 20 {
 		id := fleet.EngineID(fmt.Sprint("worker-", number))
@@ -25,8 +25,8 @@
 	return "", ""
 }
 
-func TestShortNameStandsForOneKnownWorker(t *testing.T) {
-	one, other := clash(t)
+func TestCollidingShortNamesAreNotUsed(t *testing.T) {
+	one, other := collidingNames(t)
 	registry := New(Options{})
 	loads := []Load{{Engine: one}, {Engine: other}, {Engine: "third"}, {Engine: "unknown"}}
 	registry.Observe(1, Worker{ID: one})
--- a/internal/backends/speed_test.go
+++ b/internal/backends/speed_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSpeedIsFoundThoughMostSamplesAreSlow has two of three requests wait for what
+// TestSpeedEstimateToleratesSlowSamples has two of three requests wait for what
 // isn't known, or read more than is believed.
-func TestSpeedIsFoundThoughMostSamplesAreSlow(t *testing.T) {
+func TestSpeedEstimateToleratesSlowSamples(t *testing.T) {
 	const first, perToken = 16 * time.Millisecond, 18 * time.Microsecond
 	random := rand.New(rand.NewPCG(1, 2))
 	measured := &speedEstimate{perToken: DefaultPrefillPerToken}
@@ -31,9 +31,9 @@
 	assert.InDelta(t, float64(perToken), float64(measured.perToken), 0.15*float64(perToken))
 }
 
-// TestSpeedOfAServiceIsMeasuredWhereNothingElseIsRead compares predictions before
+// TestSpeedIsMeasuredOnlyAtIdleEngines compares predictions before
 // and after some requests at a quicker engine than assumed.
-func TestSpeedOfAServiceIsMeasuredWhereNothingElseIsRead(t *testing.T) {
+func TestSpeedIsMeasuredOnlyAtIdleEngines(t *testing.T) {
 	registry := withEngines()
 	ask := func(number int, took time.Duration) *Placement {
 		request := engineRequest("p")
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -187,5 +187,5 @@
 	r.parts.remove(known.worker.Run())
 	r.removeFromPool(known)
 	delete(r.workers, id)
-	r.names.remove(id)
+	r.shortNames.remove(id)
 }
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -20,9 +20,9 @@
 	return registry
 }
 
-// TestHalvingsFollowTheFleetAndTheDemand, and change neither for a few workers more or less
+// TestHalvingsFollowFleetSizeAndDemand, and change neither for a few workers more or less
 // nor back and forth.
-func TestHalvingsFollowTheFleetAndTheDemand(t *testing.T) {
+func TestHalvingsFollowFleetSizeAndDemand(t *testing.T) {
 	for _, test := range []struct {
 		workers, least int
 		inForce, want  Halvings
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestSubsetsContainEachOther, so that nodes that differ by a doubling send to the same workers
+// TestSubsetsAreNested, so that nodes that differ by a doubling send to the same workers
 // mostly.
-func TestSubsetsContainEachOther(t *testing.T) {
+func TestSubsetsAreNested(t *testing.T) {
 	smaller, larger := Subsets{"s": 5}, Subsets{"s": 4}
 	inSmaller, inLarger := 0, 0
 	for number := range uint64(100_000) {
@@ -62,9 +62,9 @@
 	assert.Empty(t, smaller.Widened(Subsets{"s": 9}))
 }
 
-// TestOnlyWorkersOfTheSubsetGetRequests, and the same work needs no more of them in a fleet
+// TestOnlySubsetWorkersGetRequests, and the same work needs no more of them in a fleet
 // twice as large.
-func TestOnlyWorkersOfTheSubsetGetRequests(t *testing.T) {
+func TestOnlySubsetWorkersGetRequests(t *testing.T) {
 	for _, engines := range []int{10_000, 20_000} {
 		registry := withSubset(engines, true)
 		inUse := make(map[fleet.EngineID]bool)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestRequestsUnderWayOutlastTheirSubset has a worker leave the subset while it works.
-func TestRequestsUnderWayOutlastTheirSubset(t *testing.T) {
+// TestInFlightRequestsOutliveSubset has a worker leave the subset while it works.
+func TestInFlightRequestsOutliveSubset(t *testing.T) {
 	registry := withSubset(1000, false)
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	registry.SetSubsets(Subsets{"engines": maxHalvings}, false)
@@ -92,8 +92,8 @@
 	assert.Empty(t, registry.Workers())
 }
 
-// TestDroppedWorkerComesBackAtTheSameRevision.
-func TestDroppedWorkerComesBackAtTheSameRevision(t *testing.T) {
+// TestDroppedWorkerReturnsAtSameRevision.
+func TestDroppedWorkerReturnsAtSameRevision(t *testing.T) {
 	registry := withSubset(1000, false)
 	registry.SetSubsets(nil, true)
 	added := 0
@@ -106,8 +106,8 @@
 	assert.Len(t, registry.Workers(), 1000)
 }
 
-// TestSubsetWithoutRoomIsDoubled, once a second at most.
-func TestSubsetWithoutRoomIsDoubled(t *testing.T) {
+// TestSubsetWithoutCapacityIsDoubled, once a second at most.
+func TestSubsetWithoutCapacityIsDoubled(t *testing.T) {
 	registry := withSubset(10_000, true)
 	full := engineRequest("p")
 	full.HasConnection = func(*Worker) bool { return false }
@@ -121,8 +121,8 @@
 	assert.InDelta(t, 4*before, len(registry.WorkersInUse()), float64(before))
 }
 
-// TestRequestThatHasTriedAllAsksForNoMore.
-func TestRequestThatHasTriedAllAsksForNoMore(t *testing.T) {
+// TestExhaustedRequestDoesNotWidenSubset.
+func TestExhaustedRequestDoesNotWidenSubset(t *testing.T) {
 	registry := withSubset(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
 		registry.ObserveOrder(worker.ID, time.Hour)
--- a/internal/backends/work_test.go
+++ b/internal/backends/work_test.go
@@ -25,9 +25,9 @@
 	return reserved
 }
 
-// TestNodesWithDifferentRequestsAgreeOnTheEnginesForLongPrompts has one node see
+// TestNodesAgreeOnEnginesForLongPrompts has one node see
 // long prompts only and another short ones.
-func TestNodesWithDifferentRequestsAgreeOnTheEnginesForLongPrompts(t *testing.T) {
+func TestNodesAgreeOnEnginesForLongPrompts(t *testing.T) {
 	first, second := withEngines(), withEngines()
 	service := engineRequest("p").Service
 	first.recordWork(0, service, &EngineRequest{PromptTokens: 9000}, 3000)
@@ -41,7 +41,7 @@
 	assert.Len(t, reserved, 5, "three quarters of six engines, rounded")
 }
 
-func TestWorkSeenHalvesWithTime(t *testing.T) {
+func TestRecordedWorkDecays(t *testing.T) {
 	own := &workTracker{}
 	own.record(0, true, 8*time.Second)
 	own.record(0, false, 4*time.Second)
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -18,8 +18,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// WeightsVersion numbers the versions of a model's weights; a higher one is newer.
-type WeightsVersion uint64
+// ModelVersion numbers the versions of a model's weights; a higher one is newer.
+type ModelVersion uint64
 
 // StartTime is when a worker started, in milliseconds since 1970 by its own clock; 0 if
 // it didn't say.
@@ -43,7 +43,7 @@
 	Software fleet.SoftwareVersion
 	// Versions holds the version of each model that it serves; empty for
 	// services without models.
-	Versions map[fleet.ModelName]WeightsVersion
+	Versions map[fleet.ModelName]ModelVersion
 }
 
 // Run returns the worker's run.
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -62,7 +62,7 @@
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1", "somewhere": ""} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
-			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+			Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 		})
 	}
 	g.settled.Store(true)
@@ -95,7 +95,7 @@
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1"} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
-			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+			Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 		})
 	}
 	g.settled.Store(true)
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -57,7 +57,7 @@
 // NamedWeights is a version of a model's weights that an operator has named.
 type NamedWeights struct {
 	Model   fleet.ModelName
-	Version backends.WeightsVersion
+	Version backends.ModelVersion
 	// Revision is that of the row.
 	Revision fleet.Revision
 }
@@ -233,7 +233,7 @@
 	// NotExecuted is the worker's word that it did not run the request.
 	NotExecuted bool
 	// Version is the version of the weights, if HasVersion.
-	Version    backends.WeightsVersion
+	Version    backends.ModelVersion
 	HasVersion bool
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -317,7 +317,7 @@
 	g.origins.press(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
 		g.workers.ObserveVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
-			backends.WeightsVersion(versions.GetVersion()))
+			backends.ModelVersion(versions.GetVersion()))
 	}
 }
 
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -30,7 +30,7 @@
 type pendingSend struct {
 	// model and version are those that an engine is to run; empty for other workers.
 	model       fleet.ModelName
-	version     backends.WeightsVersion
+	version     backends.ModelVersion
 	fingerprint quarantine.Fingerprint
 	// trial is set if the request is held and this is the one time that it is tried.
 	trial  bool
@@ -52,7 +52,7 @@
 }
 
 // expire breaks the sends off that wait at an older version than required.
-func (p *pendingSends) expire(required map[fleet.ModelName]backends.WeightsVersion) {
+func (p *pendingSends) expire(required map[fleet.ModelName]backends.ModelVersion) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for send := range p.sends {
--- a/internal/gateway/pending_test.go
+++ b/internal/gateway/pending_test.go
@@ -13,7 +13,7 @@
 // TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff.
 func TestOnlySendsThatWaitAtOlderWeightsAreBrokenOff(t *testing.T) {
 	pending := newPendingSends()
-	begin := func(model fleet.ModelName, version backends.WeightsVersion) (context.Context, *pendingSend) {
+	begin := func(model fleet.ModelName, version backends.ModelVersion) (context.Context, *pendingSend) {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		send := &pendingSend{model: model, version: version, cancel: cancel}
 		pending.add(send)
@@ -24,7 +24,7 @@
 	other, _ := begin("n", 1)
 	answered, send := begin("m", 2)
 	pending.remove(send)
-	pending.expire(map[fleet.ModelName]backends.WeightsVersion{"m": 3})
+	pending.expire(map[fleet.ModelName]backends.ModelVersion{"m": 3})
 	assert.ErrorIs(t, context.Cause(older), errOutdated)
 	assert.NoError(t, newer.Err())
 	assert.NoError(t, other.Err())
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -98,7 +98,7 @@
 	g := idleGateway(t)
 	g.workers.Observe(1, backends.Worker{
 		ID: "engine", Service: "pool", Address: "127.0.0.1:9", Slots: 1,
-		Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+		Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 	})
 	require.True(t, g.weights.name(0, true, NamedWeights{Model: "model", Version: 2}))
 	request := &backends.Request{Service: "pool", Engine: &backends.EngineRequest{Model: "model", PromptTokens: 10}}
@@ -146,7 +146,7 @@
 	for number := range engines {
 		g.workers.Observe(1, backends.Worker{
 			ID: fleet.EngineID(fmt.Sprint("engine-", number)), Service: "pool", Address: "127.0.0.1:9",
-			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+			Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 		})
 	}
 	g.workersKnown.Store(true)
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -156,7 +156,7 @@
 			}
 		case report.Versions[next.model] >= next.version && !report.Busy:
 			took = g.now() - begun
-			g.changed(next, backends.WeightsVersion(report.Versions[next.model]), took)
+			g.changed(next, backends.ModelVersion(report.Versions[next.model]), took)
 			return
 		case !report.Busy && (report.Orders != orders || g.now() > repeatAt):
 			next.version = max(next.version, g.weights.newest(next.model))
@@ -255,7 +255,7 @@
 }
 
 // changed notes that an engine has its new version.
-func (g *Gateway) changed(done change, version backends.WeightsVersion, took time.Duration) {
+func (g *Gateway) changed(done change, version backends.ModelVersion, took time.Duration) {
 	g.workers.ObserveVersion(done.worker.ID, done.model, version)
 	g.workers.ObserveOrder(done.worker.ID, 0)
 	g.weights.retract(done.worker.ID)
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -90,7 +90,7 @@
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().candidate)
 	g.settled.Store(true)
-	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1}})
+	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1}})
 	g.weights.name(0, true, NamedWeights{Model: "model", Version: 2})
 	step := func(second int, proven bool) bool {
 		now := time.Duration(second) * time.Second
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -44,7 +44,7 @@
 	value, _ := json.Marshal(backends.Worker{
 		Address: fleet.Address(fmt.Sprintf("10.0.%d.%d:1%0*d", number/250, number%250, padding, number)), Service: "engines",
 		Zone: fleet.ZoneName(fmt.Sprint("z", number%5)), Slots: 16, Draining: draining,
-		Versions: map[fleet.ModelName]backends.WeightsVersion{"m": 1},
+		Versions: map[fleet.ModelName]backends.ModelVersion{"m": 1},
 	})
 	return watchcache.Row{Key: fmt.Sprintf("i-%05d", number), Revision: revision, Value: value}
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -176,18 +176,18 @@
 
 // due returns the versions older than which no request may begin from reserve
 // after now on.
-func (w *weights) due(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (w *weights) due(now, reserve time.Duration) map[fleet.ModelName]backends.ModelVersion {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	due := make(map[fleet.ModelName]backends.WeightsVersion, len(w.pacers))
+	due := make(map[fleet.ModelName]backends.ModelVersion, len(w.pacers))
 	for model, pacer := range w.pacers {
-		due[model] = backends.WeightsVersion(pacer.Due(now, w.within-reserve))
+		due[model] = backends.ModelVersion(pacer.Due(now, w.within-reserve))
 	}
 	return due
 }
 
 // replaced returns the newest versions that were named preferAfter ago.
-func (w *weights) replaced(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (w *weights) replaced(now time.Duration) map[fleet.ModelName]backends.ModelVersion {
 	return w.due(now, w.bound()-preferAfter)
 }
 
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -19,8 +19,8 @@
 	promptTokens = 32 << 10
 )
 
-// bench is an index of full size and a snapshot of engines, as a router has them.
-type bench struct {
+// benchmarkFixture is an index of full size and a snapshot of engines, as a router has them.
+type benchmarkFixture struct {
 	index     *prefixindex.Index
 	endpoints []scheduling.Endpoint
 	positions map[fleet.EngineRun]int
@@ -28,10 +28,10 @@
 	random    *rand.Rand
 }
 
-// newBench shares sharedBlocks among all engines and gives the other blocks to
+// newBenchmarkFixture shares sharedBlocks among all engines and gives the other blocks to
 // one engine each.
-func newBench(engines int) *bench {
-	result := &bench{
+func newBenchmarkFixture(engines int) *benchmarkFixture {
+	result := &benchmarkFixture{
 		index:     prefixindex.New(prefixindex.Options{}),
 		positions: make(map[fleet.EngineRun]int),
 		random:    rand.New(rand.NewPCG(1, uint64(engines))),
@@ -53,7 +53,7 @@
 	return result
 }
 
-func (b *bench) randomHashes(count int) []fleet.BlockHash {
+func (b *benchmarkFixture) randomHashes(count int) []fleet.BlockHash {
 	hashes := make([]fleet.BlockHash, count)
 	for position := range hashes {
 		hashes[position] = fleet.BlockHash(b.random.Uint64())
@@ -63,7 +63,7 @@
 
 // prompt returns a chain at another place of the index each time: nine tenths
 // shared by all engines, the end held by none.
-func (b *bench) prompt(blocks int) []fleet.BlockHash {
+func (b *benchmarkFixture) prompt(blocks int) []fleet.BlockHash {
 	start := b.random.IntN(sharedBlocks - blocks)
 	prompt := append([]fleet.BlockHash(nil), b.shared[start:start+blocks]...)
 	copy(prompt[blocks*9/10:], b.randomHashes(blocks-blocks*9/10))
@@ -71,7 +71,7 @@
 }
 
 // decide is one whole decision, from block hashes to an engine.
-func (b *bench) decide(scheduler *scheduling.Scheduler, request scheduling.Request, prompt []fleet.BlockHash, matches []prefixindex.Match) ([]prefixindex.Match, bool) {
+func (b *benchmarkFixture) decide(scheduler *scheduling.Scheduler, request scheduling.Request, prompt []fleet.BlockHash, matches []prefixindex.Match) ([]prefixindex.Match, bool) {
 	matches = b.index.Lookup(prompt, matches)
 	for position := range b.endpoints {
 		b.endpoints[position].CachedBlocks = 0
@@ -87,7 +87,7 @@
 // 32 Ki tokens over an index of 2.5 million blocks.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{16, 64} {
-		state := newBench(engines)
+		state := newBenchmarkFixture(engines)
 		for _, blockTokens := range []int{64, 16} {
 			name := fmt.Sprintf("engines=%d/blocks=%d", engines, promptTokens/blockTokens)
 			b.Run(name, func(b *testing.B) { benchmarkDecision(b, state, blockTokens) })
@@ -95,7 +95,7 @@
 	}
 }
 
-func benchmarkDecision(b *testing.B, state *bench, blockTokens int) {
+func benchmarkDecision(b *testing.B, state *benchmarkFixture, blockTokens int) {
 	scheduler := scheduling.New(scheduling.DefaultOptions())
 	request := scheduling.Request{
 		ModelVersion: fleet.Weights{Model: "m"}, Pool: "pool",
--- a/internal/scheduling/filter_test.go
+++ b/internal/scheduling/filter_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestExcludedNamesOneRunOnly(t *testing.T) {
+func TestExclusionAppliesToOneRun(t *testing.T) {
 	request, endpoint := testRequest(), testEndpoint(1)
 	request.Excluded = []fleet.EngineRun{endpoint.Run}
 	endpoint.Run.Incarnation++
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -46,10 +46,10 @@
 	return decision
 }
 
-// TestWarmQueueAgainstColdIdle moves the queue of a warm engine across the
+// TestQueueIsWeighedAgainstCachedPrefix moves the queue of a warm engine across the
 // point where recomputing elsewhere is as quick, without and with a price on
 // recomputing.
-func TestWarmQueueAgainstColdIdle(t *testing.T) {
+func TestQueueIsWeighedAgainstCachedPrefix(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	const saved = 960
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestColdHotPrefixIsComputedOnce sends a burst with one cold prefix: while it
+// TestBurstComputesColdPrefixOnce sends a burst with one cold prefix: while it
 // is being computed at one engine, the others follow it there.
-func TestColdHotPrefixIsComputedOnce(t *testing.T) {
+func TestBurstComputesColdPrefixOnce(t *testing.T) {
 	endpoints := make([]Endpoint, 12)
 	for number := range endpoints {
 		endpoints[number] = testEndpoint(number)
--- a/internal/scheduling/score_decode_stall_test.go
+++ b/internal/scheduling/score_decode_stall_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLongPromptGoesWhereItHoldsUpFewStreams compares an idle engine's streams
+// TestLongPromptGoesWhereItStallsFewestStreams compares an idle engine's streams
 // with those of another, for prompts on both sides of the bound.
-func TestLongPromptGoesWhereItHoldsUpFewStreams(t *testing.T) {
+func TestLongPromptGoesWhereItStallsFewestStreams(t *testing.T) {
 	busy, quiet := testEndpoint(0), testEndpoint(1)
 	busy.DecodingStreams, busy.StepsPerEvent = 5, 4
 	quiet.DecodingStreams, quiet.StepsPerEvent = 1, 4
--- a/internal/scheduling/score_import_test.go
+++ b/internal/scheduling/score_import_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// namedParts returns a request of three named parts.
-func namedParts() Request {
+// partRequest returns a request of three named parts.
+func partRequest() Request {
 	request := testRequest()
 	request.BlockTokens = 0
 	request.PartTokens = []int{500, 900, 1024}
 	return request
 }
 
-func TestNamedPartsCountByTheirSizes(t *testing.T) {
-	request, endpoint := namedParts(), testEndpoint(1)
+func TestPartTokensDetermineCachedTokens(t *testing.T) {
+	request, endpoint := partRequest(), testEndpoint(1)
 	for parts, want := range []int{0, 500, 900, 1023, 1023} {
 		endpoint.CachedBlocks = parts
 		assert.Equal(t, want, cachedTokens(&request, &endpoint), "%d parts", parts)
 	}
 }
 
-func TestImportIsTakenWhereItIsQuickerThanComputing(t *testing.T) {
-	request, endpoint := namedParts(), testEndpoint(1)
+func TestImportIsChosenOnlyIfFasterThanPrefill(t *testing.T) {
+	request, endpoint := partRequest(), testEndpoint(1)
 	endpoint.CachedBlocks, endpoint.ImportBlocks = 1, 2
 	endpoint.ImportPerToken, endpoint.ImportSetup = 10*time.Microsecond, time.Millisecond
 	tokens, took := importTime(&request, &endpoint, 500)
@@ -37,12 +37,12 @@
 	assert.Zero(t, tokens, "nobody holds more than the engine")
 }
 
-// TestImportLetsAnIdleEngineTakeAPrefixFromABusyOne has the holder queue for
+// TestIdleEngineImportsPrefixFromBusyHolder has the holder queue for
 // longer than a move takes.
-func TestImportLetsAnIdleEngineTakeAPrefixFromABusyOne(t *testing.T) {
+func TestIdleEngineImportsPrefixFromBusyHolder(t *testing.T) {
 	holder, idle := testEndpoint(0), testEndpoint(1)
 	holder.CachedBlocks, holder.PrefillTokens = 2, 600
-	request := namedParts()
+	request := partRequest()
 	request.PromptTokens = 1024
 	decision := scheduleOne(t, DefaultOptions(), request, holder, idle)
 	assert.Equal(t, 0, decision.Index, "without import the prefix is worth the queue")
--- a/internal/scheduling/score_memory_test.go
+++ b/internal/scheduling/score_memory_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestGoesWhereItFitsIntoMemory compares a warm engine that is full with a
+// TestRequestGoesWhereMemoryIsFree compares a warm engine that is full with a
 // cold one that has room.
-func TestRequestGoesWhereItFitsIntoMemory(t *testing.T) {
+func TestRequestGoesWhereMemoryIsFree(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	warm.MemoryTokens, cold.MemoryTokens = 10000, 10000
--- a/internal/scheduling/score_queue_test.go
+++ b/internal/scheduling/score_queue_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFullEngineIsWaitedFor has a warm engine whose slots are taken lose a request to a
+// TestSlotWaitDivertsRequest has a warm engine whose slots are taken lose a request to a
 // cold one with a free slot.
-func TestFullEngineIsWaitedFor(t *testing.T) {
+func TestSlotWaitDivertsRequest(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	warm.Slots, warm.InFlight, warm.SlotTime = 4, 3, 2*time.Second
@@ -21,9 +21,9 @@
 	assert.Zero(t, slotWait(&warm), "an engine of unknown slots")
 }
 
-// TestUrgentRequestOvertakes has a request reach its first token before what is less
+// TestUrgentRequestBypassesLowerPriorityWork has a request reach its first token before what is less
 // urgent, although its engine is as dear to others as before.
-func TestUrgentRequestOvertakes(t *testing.T) {
+func TestUrgentRequestBypassesLowerPriorityWork(t *testing.T) {
 	busy := testEndpoint(0)
 	busy.PrefillTokens = 10_000
 	busy.Slots, busy.InFlight, busy.SlotTime = 4, 7, time.Second
