--- a/internal/backends/admission_test.go
+++ b/internal/backends/admission_test.go
@@ -11,12 +11,12 @@
 )
 
 // admissionOf has some workers name limits.
-func admissionOf(intakes map[fleet.EngineID]Admission, opensIn time.Duration) func(*Worker) (Admission, time.Duration) {
+func admissionOf(admissions map[fleet.EngineID]Admission, reopensIn time.Duration) func(*Worker) (Admission, time.Duration) {
 	return func(worker *Worker) (Admission, time.Duration) {
-		if intakes[worker.ID] == AdmissionClosed {
-			return AdmissionClosed, opensIn
+		if admissions[worker.ID] == AdmissionClosed {
+			return AdmissionClosed, reopensIn
 		}
-		return intakes[worker.ID], 0
+		return admissions[worker.ID], 0
 	}
 }
 
@@ -31,15 +31,15 @@
 	request := engineRequest("p")
 	request.Admission = admissionOf(closed, 3*time.Second)
 	for range 20 {
-		placement, refused := registry.Choose(0, request)
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, request)
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, open, placement.Worker.ID)
 		placement.End(0, Succeeded)
 	}
 	closed[open] = AdmissionClosed
-	placement, refused := registry.Choose(0, request)
+	placement, refusal := registry.Choose(0, request)
 	assert.Nil(t, placement)
-	assert.Equal(t, Refusal{Reason: ReasonLimited, RetryAfter: 3 * time.Second}, refused)
+	assert.Equal(t, Refusal{Reason: ReasonLimited, RetryAfter: 3 * time.Second}, refusal)
 }
 
 // TestLimitedWorkerIsNotPenalized, whatever it refuses and however slow it is.
@@ -53,8 +53,8 @@
 	request.Admission = admissionOf(limited, 0)
 	now := time.Second
 	for range 10 {
-		placement, refused := registry.Choose(now, request)
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(now, request)
+		require.NotNil(t, placement, refusal)
 		assert.True(t, placement.Limited)
 		placement.End(now, Refused)
 		assert.Zero(t, registry.workers[placement.Worker.ID].failureRate(now))
@@ -77,8 +77,8 @@
 	}
 	request.Admission = admissionOf(limited, 0)
 	for range 100 {
-		placement, refused := registry.Choose(0, request)
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, request)
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, AdmissionUnlimited, limited[placement.Engine.CopyTo.ID])
 		placement.End(0, Succeeded)
 	}
--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -58,8 +58,8 @@
 
 func choosePlain(t *testing.T, registry *Registry, now time.Duration) *Placement {
 	t.Helper()
-	placement, reason := registry.Choose(now, &Request{Service: "plain"})
-	require.NotNil(t, placement, reason)
+	placement, refusal := registry.Choose(now, &Request{Service: "plain"})
+	require.NotNil(t, placement, refusal)
 	return placement
 }
 
@@ -107,9 +107,9 @@
 	}
 	registry.ObserveGone(0, 12, "p1")
 	registry.ObserveGone(0, 13, "p0")
-	placement, reason := registry.Choose(lapsedGracePeriod, &Request{Service: "plain"})
+	placement, refusal := registry.Choose(lapsedGracePeriod, &Request{Service: "plain"})
 	assert.Nil(t, placement)
-	assert.Equal(t, ReasonNoWorker, reason.Reason)
+	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
 // TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod covers rows that go
@@ -268,8 +268,8 @@
 		assert.EqualValues(t, 2, placement.Engine.Version)
 	}
 	registry.RequireVersion(testModel, 3)
-	_, reason := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, ReasonVersion, reason.Reason)
+	_, refusal := registry.Choose(0, engineRequest("p"))
+	assert.Equal(t, ReasonVersion, refusal.Reason)
 	registry.Observe(50, engineWorker(3, 1))
 	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a row that lags doesn't take a version back")
 }
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -11,11 +11,11 @@
 func TestBaselineExcludesEngineSlowness(t *testing.T) {
 	place := func(prefill int, slowness float64) *EnginePlacement {
 		registry := withEngines()
-		for _, known := range registry.workers {
-			known.prefillTokens, known.slowness = prefill, slowness
+		for _, state := range registry.workers {
+			state.prefillTokens, state.slowness = prefill, slowness
 		}
-		placement, refused := registry.Choose(0, engineRequest("p"))
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, engineRequest("p"))
+		require.NotNil(t, placement, refusal)
 		return placement.Engine
 	}
 	sound, slow, busy := place(0, 1), place(0, 4), place(20_000, 1)
--- a/internal/backends/benchmark_test.go
+++ b/internal/backends/benchmark_test.go
@@ -20,9 +20,9 @@
 	}
 	registry.SetPeerCount(peers)
 	load := func(number int) Load {
-		told := Load{Engine: fleet.EngineID(fmt.Sprintf("e%d", number)), InFlight: 3, PrefillTokens: 900, MemoryTokens: 9000}
-		told.Priorities[number%3] = PriorityLoad{InFlight: 3, PrefillTokens: 900}
-		return told
+		load := Load{Engine: fleet.EngineID(fmt.Sprintf("e%d", number)), InFlight: 3, PrefillTokens: 900, MemoryTokens: 9000}
+		load.Priorities[number%3] = PriorityLoad{InFlight: 3, PrefillTokens: 900}
+		return load
 	}
 	for peer := range peers {
 		report := PeerReport{}
--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -142,65 +142,65 @@
 		return placement, refusal
 	}
 	// A delivery's few target workers may be full or slow while others have room.
-	limited := *request
-	limited.Software = next
-	return r.choose(now, &limited)
+	fallback := *request
+	fallback.Software = next
+	return r.choose(now, &fallback)
 }
 
 // choose is Choose; the mutex is held.
 func (r *Registry) choose(now time.Duration, request *Request) (*Placement, Refusal) {
-	found, reason := r.candidates(now, request)
+	search, reason := r.candidates(now, request)
 	switch {
 	case reason == ReasonFull && request.Engine != nil:
 		return nil, Refusal{Reason: reason, RetryAfter: r.slotTime(request.Service)}
 	case reason == ReasonLimited:
-		return nil, Refusal{Reason: reason, RetryAfter: found.reopensIn}
+		return nil, Refusal{Reason: reason, RetryAfter: search.reopensIn}
 	case reason != "":
 		return nil, Refusal{Reason: reason}
 	case request.Engine != nil:
-		return r.chooseEngine(found)
+		return r.chooseEngine(search)
 	default:
-		return r.choosePlain(found), Refusal{}
+		return r.choosePlain(search), Refusal{}
 	}
 }
 
 // candidates returns the workers that may get a request, by the versions that it is
 // limited to; without one, by what holds then.
 func (r *Registry) candidates(now time.Duration, request *Request) (*search, string) {
-	versions := request.Software
+	software := request.Software
 	for {
-		found := r.newSearch(now, request, versions)
-		reason := found.gather()
-		next := versions.Fallback()
-		if reason == "" || next == nil || (reason != ReasonNoWorker && !versions.WantsTarget()) {
-			return found, reason
+		search := r.newSearch(now, request, software)
+		reason := search.gather()
+		next := software.Fallback()
+		if reason == "" || next == nil || (reason != ReasonNoWorker && !software.WantsTarget()) {
+			return search, reason
 		}
-		versions = next
+		software = next
 	}
 }
 
 // isReady tells whether neither this node nor enough others know anything against
 // a worker right now.
-func (r *Registry) isReady(now time.Duration, known *workerState) bool {
-	return known.isReady(now) && r.isReadyByPeers(now, known)
+func (r *Registry) isReady(now time.Duration, state *workerState) bool {
+	return state.isReady(now) && r.isReadyByPeers(now, state)
 }
 
 // choosePlain takes the worker with the least load by its slots, failures and
 // slowness; the own zone breaks ties.
-func (r *Registry) choosePlain(found *search) *Placement {
-	candidates := found.candidates()
-	mean := minFailureRate(found.now, candidates)
+func (r *Registry) choosePlain(search *search) *Placement {
+	candidates := search.candidates()
+	minFailures := minFailureRate(search.now, candidates)
 	var best *workerState
 	bestCost := math.Inf(1)
-	for _, known := range candidates {
-		cost := r.plainCost(found.now, known, mean)
+	for _, state := range candidates {
+		cost := r.plainCost(search.now, state, minFailures)
 		if cost < bestCost {
-			best, bestCost = known, cost
+			best, bestCost = state, cost
 		}
 	}
-	placement := r.begin(found.now, best, len(candidates), placedWork{})
-	placement.Examined = found.examined
-	placement.Limited = found.hasLimit(best)
+	placement := r.begin(search.now, best, len(candidates), placedWork{})
+	placement.Examined = search.examined
+	placement.Limited = search.hasLimit(best)
 	return placement
 }
 
@@ -208,14 +208,14 @@
 // one slot.
 const tieJitter = 0.02
 
-func (r *Registry) plainCost(now time.Duration, known *workerState, meanFailures float64) float64 {
-	load := r.totalLoad(now, known)
-	slots := float64(max(known.worker.Slots, 1))
+func (r *Registry) plainCost(now time.Duration, state *workerState, minFailures float64) float64 {
+	load := r.totalLoad(now, state)
+	slots := float64(max(state.worker.Slots, 1))
 	cost := (float64(load.InFlight) + 1) / slots
-	cost *= max(known.slowness, 1)
-	excess := max(known.failureRate(now)-meanFailures, 0)
+	cost *= max(state.slowness, 1)
+	excess := max(state.failureRate(now)-minFailures, 0)
 	cost *= 1 + excess*8
-	cost += r.options.Distances.Plain[r.distanceTo(known.worker.Zone)]
+	cost += r.options.Distances.Plain[r.distanceTo(state.worker.Zone)]
 	return cost + r.options.Random.Float64()*tieJitter
 }
 
@@ -223,8 +223,8 @@
 // for the request's own sake fail everywhere.
 func minFailureRate(now time.Duration, candidates []*workerState) float64 {
 	lowest := 1.0
-	for _, known := range candidates {
-		lowest = min(lowest, known.failureRate(now))
+	for _, state := range candidates {
+		lowest = min(lowest, state.failureRate(now))
 	}
 	return lowest
 }
@@ -302,12 +302,12 @@
 		return
 	}
 	p.ended = true
-	known := p.state
+	state := p.state
 	if !p.hasFirstByte {
-		known.endPrefill(p.work)
+		state.endPrefill(p.work)
 	}
-	known.end(p.work)
-	r.updateLevel(known)
+	state.end(p.work)
+	r.updateLevel(state)
 	switch {
 	case outcome == Refused && p.Limited:
 		return
@@ -317,19 +317,19 @@
 	}
 	switch outcome {
 	case Succeeded:
-		known.recordOutcome(now, false)
-		known.recordContact(now)
+		state.recordOutcome(now, false)
+		state.recordContact(now)
 	case Failed, Refused:
-		known.recordOutcome(now, true)
+		state.recordOutcome(now, true)
 	case Mismatched:
-		known.mismatchUntil = now + mismatchBackoff
+		state.mismatchUntil = now + mismatchBackoff
 	case Unreachable:
-		known.recordOutcome(now, true)
-		known.suspect(now)
+		state.recordOutcome(now, true)
+		state.suspect(now)
 	case Lost:
-		known.recordOutcome(now, true)
+		state.recordOutcome(now, true)
 		if !p.hasFirstByte {
-			known.suspect(now)
+			state.suspect(now)
 		}
 	case Cancelled, Deferred:
 	}
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -154,10 +154,10 @@
 				request := simulated.request()
 				b.StartTimer()
 				start := time.Now()
-				placement, refused := simulated.registry.Choose(simulated.now, request)
+				placement, refusal := simulated.registry.Choose(simulated.now, request)
 				elapsed := time.Since(start)
 				if placement == nil {
-					b.Fatal(refused)
+					b.Fatal(refusal)
 				}
 				_ = histogram.RecordValue(int64(elapsed))
 				simulated.open = append(simulated.open, placement)
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -29,14 +29,14 @@
 		{name: "few"},
 		{name: "sorted", gather: func(f *simulatedFleet, s *search) {
 			s.examineHolders()
-			for _, known := range f.sorted[:min(16, len(f.sorted))] {
-				s.examine(known)
+			for _, state := range f.sorted[:min(16, len(f.sorted))] {
+				s.examine(state)
 			}
 		}},
 		{name: "partition", gather: func(f *simulatedFleet, s *search) {
 			s.examineHolders()
-			for _, known := range f.own {
-				s.examine(known)
+			for _, state := range f.own {
+				s.examine(state)
 			}
 		}},
 	}
@@ -68,14 +68,14 @@
 }
 
 // decideWith decides a request one way without placing it.
-func (f *simulatedFleet) decideWith(by strategy, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
+func (f *simulatedFleet) decideWith(variant strategy, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
 	start := time.Now()
 	s := f.registry.newSearch(f.now, request, nil)
-	s.exhaustive = by.exhaustive
-	if by.gather == nil {
+	s.exhaustive = variant.exhaustive
+	if variant.gather == nil {
 		s.gather()
 	} else {
-		by.gather(f, s)
+		variant.gather(f, s)
 		s.saveBuffers()
 		s.resolve()
 	}
@@ -84,7 +84,7 @@
 		return decision, true, time.Since(start)
 	}
 	decision = f.registry.decide(s, prompt)
-	if _, late := tooLate(prompt.engine, &decision); late && by.name == "few" {
+	if _, late := tooLate(prompt.engine, &decision); late && variant.name == "few" {
 		if _, added := s.addSpareEngines(allowedWait(prompt.engine, &decision)); added {
 			decision = f.registry.decide(s, prompt)
 		}
@@ -97,10 +97,10 @@
 // itself.
 func (f *simulatedFleet) sortEngines() {
 	f.sorted, f.own = f.sorted[:0], f.own[:0]
-	for at, known := range f.registry.pools["engines"].all() {
-		f.sorted = append(f.sorted, known)
+	for at, state := range f.registry.pools["engines"].all() {
+		f.sorted = append(f.sorted, state)
 		if at%simulatedPeers == 0 {
-			f.own = append(f.own, known)
+			f.own = append(f.own, state)
 		}
 	}
 	slices.SortFunc(f.sorted, func(a, b *workerState) int {
@@ -135,20 +135,20 @@
 		f.sortEngines()
 		request := f.request()
 		costs := f.costs(request)
-		best, never, took := f.decideWith(all[0], request)
+		best, refusedByAll, took := f.decideWith(all[0], request)
 		_ = times[0].RecordValue(int64(took))
-		if never {
+		if refusedByAll {
 			refusals[0]++
 		} else {
 			compared++
 		}
-		for at, by := range all[1:] {
-			decision, refused, took := f.decideWith(by, request)
+		for at, variant := range all[1:] {
+			decision, refused, took := f.decideWith(variant, request)
 			_ = times[at+1].RecordValue(int64(took))
 			switch {
 			case refused:
 				refusals[at+1]++
-			case !never:
+			case !refusedByAll:
 				lost[at+1] += costs[decision.Endpoint.Run] - costs[best.Endpoint.Run]
 			}
 		}
@@ -156,10 +156,10 @@
 			f.open = append(f.open, placement)
 		}
 	}
-	for at, by := range all {
-		b.ReportMetric(float64(times[at].ValueAtQuantile(50))/1e3, by.name+"-p50-µs")
-		b.ReportMetric(float64(times[at].ValueAtQuantile(99))/1e3, by.name+"-p99-µs")
-		b.ReportMetric(lost[at].Seconds()*1e3/math.Max(float64(compared), 1), by.name+"-lost-ms")
-		b.ReportMetric(float64(refusals[at])/float64(b.N), by.name+"-refused")
+	for at, variant := range all {
+		b.ReportMetric(float64(times[at].ValueAtQuantile(50))/1e3, variant.name+"-p50-µs")
+		b.ReportMetric(float64(times[at].ValueAtQuantile(99))/1e3, variant.name+"-p99-µs")
+		b.ReportMetric(lost[at].Seconds()*1e3/math.Max(float64(compared), 1), variant.name+"-lost-ms")
+		b.ReportMetric(float64(refusals[at])/float64(b.N), variant.name+"-refused")
 	}
 }
--- a/internal/backends/copies.go
+++ b/internal/backends/copies.go
@@ -20,14 +20,14 @@
 	var best *workerState
 	bestDistance, bestTokens := SameZone, 0
 	for range copySampleSize {
-		known := candidates[s.options.Random.IntN(len(candidates))]
-		if known == chosen || s.hasLimit(known) || known.worker.Versions[model] != chosen.worker.Versions[model] {
+		state := candidates[s.options.Random.IntN(len(candidates))]
+		if state == chosen || s.hasLimit(state) || state.worker.Versions[model] != chosen.worker.Versions[model] {
 			continue
 		}
-		distance := s.options.Regions.Between(known.worker.Zone, chosen.worker.Zone)
-		tokens := s.totalLoad(s.now, known).MemoryTokens
+		distance := s.options.Regions.Between(state.worker.Zone, chosen.worker.Zone)
+		tokens := s.totalLoad(s.now, state).MemoryTokens
 		if best == nil || distance < bestDistance || (distance == bestDistance && tokens < bestTokens) {
-			best, bestDistance, bestTokens = known, distance, tokens
+			best, bestDistance, bestTokens = state, distance, tokens
 		}
 	}
 	if best == nil {
@@ -42,18 +42,18 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := lost.Engine.CopyTo
-	known := r.workers[target.ID]
-	if known == nil || !known.isListed() || known.worker.Versions[model] != lost.Engine.Version {
+	state := r.workers[target.ID]
+	if state == nil || !state.isListed() || state.worker.Versions[model] != lost.Engine.Version {
 		return nil
 	}
 	work := lost.work
 	work.prefillTokens = 0
-	placement := r.begin(now, known, 1, work)
+	placement := r.begin(now, state, 1, work)
 	placement.Engine = &EnginePlacement{
 		Version:    lost.Engine.Version,
 		Scope:      lost.Engine.Scope,
 		Prefix:     lost.Engine.Prefix,
-		ContinueAt: known.worker.Address,
+		ContinueAt: state.worker.Address,
 		hashes:     lost.Engine.hashes,
 	}
 	return placement
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -25,21 +25,21 @@
 		registry.Observe(1, worker)
 	}
 	registry.Observe(1, engineWorker(engineCount, 2))
-	apart := 0
+	otherZone := 0
 	for range 200 {
-		placement, refused := registry.Choose(0, copiedRequest())
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, copiedRequest())
+		require.NotNil(t, placement, refusal)
 		target := placement.Engine.CopyTo
 		if target.ID != "" {
 			assert.NotEqual(t, placement.Worker.ID, target.ID)
 			assert.Equal(t, placement.Engine.Version, target.Versions[testModel])
 			if target.Zone != placement.Worker.Zone {
-				apart++
+				otherZone++
 			}
 		}
 		placement.End(0, Succeeded)
 	}
-	assert.Less(t, apart, 40)
+	assert.Less(t, otherZone, 40)
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.Empty(t, placement.Engine.CopyTo.ID, "not asked for")
 }
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -87,10 +87,10 @@
 
 // setQueue has each engine of a zone have prompt work.
 func setQueue(registry *Registry, zone fleet.ZoneName, tokens int) {
-	for _, known := range registry.workers {
-		if known.worker.Zone == zone && known.worker.Service == "engines" {
-			known.prefillTokens, known.priorities[0].PrefillTokens = tokens, int32(tokens)
-			registry.updateLevel(known)
+	for _, state := range registry.workers {
+		if state.worker.Zone == zone && state.worker.Service == "engines" {
+			state.prefillTokens, state.priorities[0].PrefillTokens = tokens, int32(tokens)
+			registry.updateLevel(state)
 		}
 	}
 }
@@ -107,8 +107,8 @@
 		for _, id := range []fleet.EngineID{"e1", "e2", "e3", "e4", "e5"} {
 			request.Excluded = append(request.Excluded, fleet.EngineRun{Engine: id})
 		}
-		placement, refused := registry.Choose(0, request)
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, request)
+		require.NotNil(t, placement, refusal)
 		defer placement.End(0, Cancelled)
 		return placement.Engine.ImportFrom
 	}
@@ -138,8 +138,8 @@
 	}
 	assert.Greater(t, zones[SameZone], 4*zones[SameRegion])
 	assert.Greater(t, zones[SameRegion], zones[OtherRegion])
-	for id, known := range registry.workers {
-		if known.worker.Zone == "a" && id != "e0" {
+	for id, state := range registry.workers {
+		if state.worker.Zone == "a" && id != "e0" {
 			registry.ObserveGone(0, 100, id)
 		}
 	}
--- a/internal/backends/draining.go
+++ b/internal/backends/draining.go
@@ -30,39 +30,41 @@
 func (r *Registry) ObserveDraining(run DrainingRun) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[run.Worker]
-	if known == nil {
+	state := r.workers[run.Worker]
+	if state == nil {
 		r.forgottenDraining[run.Worker] = drainingRecord{startTime: max(r.forgottenDraining[run.Worker].startTime, run.StartTime)}
 		return Unchanged
 	}
-	if known.worker.Draining || isDifferentRun(known.worker.StartTime, run.StartTime) {
+	if state.worker.Draining || isDifferentRun(state.worker.StartTime, run.StartTime) {
 		return Unchanged
 	}
-	known.worker.Draining = true
+	state.worker.Draining = true
 	r.unpublishedDraining[run.Worker] = true
 	r.changes++
-	r.updatePool(known)
+	r.updatePool(state)
 	return StartedDraining
 }
 
 // isDifferentRun tells whether two starts, of which either may be unknown, are those of two runs.
-func isDifferentRun(one, another StartTime) bool { return one != 0 && another != 0 && one != another }
+func isDifferentRun(first, second StartTime) bool {
+	return first != 0 && second != 0 && first != second
+}
 
 // wasDraining tells whether a run was draining when it was forgotten, or is older than one that
 // was; the mutex is held.
-func (r *Registry) wasDraining(id fleet.EngineID, born StartTime) bool {
-	drained, found := r.forgottenDraining[id]
-	return found && (drained.startTime == 0 || born <= drained.startTime)
+func (r *Registry) wasDraining(id fleet.EngineID, startTime StartTime) bool {
+	record, found := r.forgottenDraining[id]
+	return found && (record.startTime == 0 || startTime <= record.startTime)
 }
 
 // expireForgottenDraining drops the runs that were forgotten long ago; the mutex is held.
 func (r *Registry) expireForgottenDraining(now time.Duration) {
-	for id, drained := range r.forgottenDraining {
+	for id, record := range r.forgottenDraining {
 		switch {
-		case drained.expiresAt == 0:
-			drained.expiresAt = now + drainingRetention
-			r.forgottenDraining[id] = drained
-		case now >= drained.expiresAt:
+		case record.expiresAt == 0:
+			record.expiresAt = now + drainingRetention
+			r.forgottenDraining[id] = record
+		case now >= record.expiresAt:
 			delete(r.forgottenDraining, id)
 		}
 	}
@@ -72,8 +74,8 @@
 func (r *Registry) IsDraining(id fleet.EngineID) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.workers[id]; known != nil {
-		return known.worker.Draining
+	if state := r.workers[id]; state != nil {
+		return state.worker.Draining
 	}
 	return r.wasDraining(id, 0)
 }
@@ -95,9 +97,9 @@
 func (r *Registry) CanSend(now time.Duration, worker *Worker) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[worker.ID]
-	if known == nil {
+	state := r.workers[worker.ID]
+	if state == nil {
 		return !r.wasDraining(worker.ID, worker.StartTime)
 	}
-	return !known.worker.Draining && (!known.gone || known.isLapsed(now))
+	return !state.worker.Draining && (!state.gone || state.isLapsed(now))
 }
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -7,53 +7,53 @@
 )
 
 // endpoint describes an engine to the scheduler.
-func (r *Registry) endpoint(found *search, prompt *prompt, known *workerState, parts *promptScope) scheduling.Endpoint {
+func (r *Registry) endpoint(search *search, prompt *prompt, state *workerState, parts *promptScope) scheduling.Endpoint {
 	engine := prompt.engine
-	endpoint := r.endpointLoad(found.now, engine, known)
-	endpoint.Address, endpoint.Zone = known.worker.Address, known.worker.Zone
-	distance := r.distanceTo(known.worker.Zone)
+	endpoint := r.endpointLoad(search.now, engine, state)
+	endpoint.Address, endpoint.Zone = state.worker.Address, state.worker.Zone
+	distance := r.distanceTo(state.worker.Zone)
 	endpoint.NetworkDelay = r.options.Distances.Delay[distance]
-	endpoint.TransferCost = r.options.Distances.transferCost(distance, found.request.Bytes)
-	endpoint.DecodingStreams = max(endpoint.InFlight-known.prefilling, 0)
+	endpoint.TransferCost = r.options.Distances.transferCost(distance, search.request.Bytes)
+	endpoint.DecodingStreams = max(endpoint.InFlight-state.prefilling, 0)
 	endpoint.StepsPerEvent = engine.EventTokens
-	endpoint.FailureCost = time.Duration(known.failureRate(found.now) * float64(failureCost))
-	if capacity := r.memoryCapacities[known.worker.Service]; capacity > 0 {
+	endpoint.FailureCost = time.Duration(state.failureRate(search.now) * float64(failureCost))
+	if capacity := r.memoryCapacities[state.worker.Service]; capacity > 0 {
 		endpoint.MemoryTokens = capacity
-		endpoint.MemoryUsed = r.totalLoad(found.now, known).MemoryTokens - known.memory.tokens() + known.memory.tokensWith(memoryNeedOf(engine, parts))
+		endpoint.MemoryUsed = r.totalLoad(search.now, state).MemoryTokens - state.memory.tokens() + state.memory.tokensWith(memoryNeedOf(engine, parts))
 	}
-	held := r.heldParts(parts, known)
+	held := r.heldParts(parts, state)
 	endpoint.CachedBlocks = held
-	from := r.bestSource(prompt, parts, known, held)
+	from := r.bestSource(prompt, parts, state, held)
 	if from.parts > held {
 		endpoint.ImportBlocks = from.parts
 		endpoint.ImportSetup = importSetup
 		endpoint.ImportPerToken = from.perToken
 		endpoint.ImportCostFactor = r.options.Distances.MovePrice[from.distance]
 	}
-	somewhere := sharedTokens(prompt.ends, max(held, from.parts))
-	endpoint.ColdTokens = max(engine.PromptTokens-somewhere, 0)
-	if known != prompt.home {
-		endpoint.DuplicateTokens = int(duplicatePrefillFraction * float64(max(sharedTokens(prompt.ends, prompt.shared)-somewhere, 0)))
+	heldAnywhere := sharedTokens(prompt.ends, max(held, from.parts))
+	endpoint.ColdTokens = max(engine.PromptTokens-heldAnywhere, 0)
+	if state != prompt.home {
+		endpoint.DuplicateTokens = int(duplicatePrefillFraction * float64(max(sharedTokens(prompt.ends, prompt.shared)-heldAnywhere, 0)))
 	}
 	return endpoint
 }
 
 // endpointLoad describes an engine by its load alone.
-func (r *Registry) endpointLoad(now time.Duration, engine *EngineRequest, known *workerState) scheduling.Endpoint {
-	load := r.totalLoad(now, known)
-	overtaken := r.lowerPriorityLoad(now, known, engine.Priority)
+func (r *Registry) endpointLoad(now time.Duration, engine *EngineRequest, state *workerState) scheduling.Endpoint {
+	load := r.totalLoad(now, state)
+	lowerPriority := r.lowerPriorityLoad(now, state, engine.Priority)
 	return scheduling.Endpoint{
-		Run:                  known.worker.Run(),
-		Pool:                 known.worker.Service,
+		Run:                  state.worker.Run(),
+		Pool:                 state.worker.Service,
 		Ready:                true,
 		InFlight:             load.InFlight,
-		MaxStreams:           maxStreams(known.worker.Slots),
-		Slots:                known.worker.Slots,
-		LowerPriorityStreams: int(overtaken.InFlight),
-		SlotTime:             r.slotTime(known.worker.Service),
+		MaxStreams:           maxStreams(state.worker.Slots),
+		Slots:                state.worker.Slots,
+		LowerPriorityStreams: int(lowerPriority.InFlight),
+		SlotTime:             r.slotTime(state.worker.Service),
 		PrefillTokens:        load.PrefillTokens,
-		LowerPriorityTokens:  int(overtaken.PrefillTokens),
-		PrefillPerToken:      time.Duration(float64(r.perToken(known.worker.Service)) * max(known.slowness, 1)),
+		LowerPriorityTokens:  int(lowerPriority.PrefillTokens),
+		PrefillPerToken:      time.Duration(float64(r.perToken(state.worker.Service)) * max(state.slowness, 1)),
 		Step:                 r.options.Step,
 		StepTokens:           r.options.StepTokens,
 	}
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -109,26 +109,26 @@
 
 // chooseEngine lets the scheduler choose among what a search has found. Where the request
 // would wait too long at each, it looks for engines with room before it refuses.
-func (r *Registry) chooseEngine(found *search) (*Placement, Refusal) {
-	r.parts.expire(found.now)
-	prompt := r.newPrompt(found)
-	decision := r.decide(found, prompt)
+func (r *Registry) chooseEngine(search *search) (*Placement, Refusal) {
+	r.parts.expire(search.now)
+	prompt := r.newPrompt(search)
+	decision := r.decide(search, prompt)
 	for {
-		refused, late := tooLate(prompt.engine, &decision)
+		refusal, late := tooLate(prompt.engine, &decision)
 		if !late {
-			return r.placeAt(found, prompt, &decision), Refusal{}
+			return r.placeAt(search, prompt, &decision), Refusal{}
 		}
-		if found.exhaustive {
-			return nil, refused
+		if search.exhaustive {
+			return nil, refusal
 		}
 		allowed := allowedWait(prompt.engine, &decision)
-		least, added := found.addSpareEngines(allowed)
+		shortestWait, added := search.addSpareEngines(allowed)
 		if !added {
-			return nil, Refusal{Reason: ReasonLate, RetryAfter: least - allowed}
+			return nil, Refusal{Reason: ReasonLate, RetryAfter: shortestWait - allowed}
 		}
 		before := len(r.endpoints)
-		if decision = r.decide(found, prompt); len(r.endpoints) == before {
-			return nil, refused
+		if decision = r.decide(search, prompt); len(r.endpoints) == before {
+			return nil, refusal
 		}
 	}
 }
@@ -144,22 +144,22 @@
 	home *workerState
 }
 
-func (r *Registry) newPrompt(found *search) *prompt {
-	engine := found.request.Engine
+func (r *Registry) newPrompt(search *search) *prompt {
+	engine := search.request.Engine
 	p := &prompt{engine: engine, shared: max(len(engine.Parts)-1, 0), ends: cumulativeTokens(engine.Parts)}
-	p.home = found.home(p.shared)
-	found.saveBuffers()
+	p.home = search.home(p.shared)
+	search.saveBuffers()
 	return p
 }
 
 // decide has the scheduler compare the candidates.
-func (r *Registry) decide(found *search, prompt *prompt) scheduling.Decision {
+func (r *Registry) decide(search *search, prompt *prompt) scheduling.Decision {
 	engine := prompt.engine
 	r.endpoints = r.endpoints[:0]
-	for _, known := range found.candidates() {
-		version := known.worker.Versions[engine.Model]
-		endpoint := r.endpoint(found, prompt, known, found.scopeOf(version))
-		if found.isReserved(known) {
+	for _, state := range search.candidates() {
+		version := state.worker.Versions[engine.Model]
+		endpoint := r.endpoint(search, prompt, state, search.scopeOf(version))
+		if search.isReserved(state) {
 			endpoint.ReservedPenalty = reservedPenalty
 		}
 		if version < r.preferred[engine.Model] {
@@ -169,7 +169,7 @@
 	}
 	return r.scheduler.ChooseAmong(scheduling.Request{
 		ID:           engine.ID,
-		Pool:         found.request.Service,
+		Pool:         search.request.Service,
 		PromptTokens: engine.PromptTokens,
 		PartTokens:   prompt.ends,
 		Deadline:     engine.TimeLeft,
@@ -177,22 +177,22 @@
 }
 
 // placeAt counts a request at the engine of a decision.
-func (r *Registry) placeAt(found *search, prompt *prompt, decision *scheduling.Decision) *Placement {
-	now, engine := found.now, prompt.engine
-	candidates := found.candidates()
+func (r *Registry) placeAt(search *search, prompt *prompt, decision *scheduling.Decision) *Placement {
+	now, engine := search.now, prompt.engine
+	candidates := search.candidates()
 	chosen := candidates[decision.Index]
 	version := chosen.worker.Versions[engine.Model]
-	known := found.scopeOf(version)
+	scoped := search.scopeOf(version)
 	prefill := engine.PromptTokens - decision.CachedTokens - decision.ImportedTokens
-	r.recordWork(now, found.request.Service, engine, prefill)
+	r.recordWork(now, search.request.Service, engine, prefill)
 	placement := r.begin(now, chosen, len(candidates), placedWork{
-		priority: engine.Priority, prefillTokens: prefill, need: memoryNeedOf(engine, known),
+		priority: engine.Priority, prefillTokens: prefill, need: memoryNeedOf(engine, scoped),
 	})
-	placement.Examined = found.examined
-	placement.Limited = found.hasLimit(chosen)
+	placement.Examined = search.examined
+	placement.Limited = search.hasLimit(chosen)
 	placement.Engine = &EnginePlacement{
 		Version:        version,
-		Scope:          known.scope,
+		Scope:          scoped.scope,
 		CachedTokens:   decision.CachedTokens,
 		ImportedTokens: decision.ImportedTokens,
 		Predicted:      decision.FirstToken,
@@ -200,19 +200,19 @@
 		Prefix:         PrefixName(engine.Parts),
 		SharedParts:    prompt.shared,
 		SharedTokens:   sharedTokens(prompt.ends, prompt.shared),
-		HeldParts:      r.heldParts(known, chosen),
-		StoredParts:    known.storedParts,
-		MostHeldParts:  known.maxHeldParts(),
+		HeldParts:      r.heldParts(scoped, chosen),
+		StoredParts:    scoped.storedParts,
+		MostHeldParts:  scoped.maxHeldParts(),
 		Home:           chosen == prompt.home,
-		hashes:         known.hashes,
+		hashes:         scoped.hashes,
 		store:          StoreRun(engine.Store),
 	}
-	placement.Engine.ImportFrom = r.importSource(prompt, known, chosen)
-	if shouldSave(engine, known, prompt.shared) {
+	placement.Engine.ImportFrom = r.importSource(prompt, scoped, chosen)
+	if shouldSave(engine, scoped, prompt.shared) {
 		placement.Engine.SaveTo = engine.Store
 	}
 	if engine.WantsCopy {
-		placement.Engine.CopyTo = found.copyTarget(candidates, chosen)
+		placement.Engine.CopyTo = search.copyTarget(candidates, chosen)
 	}
 	return placement
 }
--- a/internal/backends/late_test.go
+++ b/internal/backends/late_test.go
@@ -24,27 +24,27 @@
 // others for longer than its target at every engine, and told for how much longer.
 func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
 	registry := withEngines()
-	for _, known := range registry.workers {
-		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
+	for _, state := range registry.workers {
+		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 	}
 	request := targetedRequest("p", 1000, 1)
-	placement, refused := registry.Choose(0, request)
+	placement, refusal := registry.Choose(0, request)
 	require.Nil(t, placement)
-	assert.Equal(t, ReasonLate, refused.Reason)
-	assert.InDelta(t, 580, refused.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
+	assert.Equal(t, ReasonLate, refusal.Reason)
+	assert.InDelta(t, 580, refusal.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
 	request.Engine.MayRefuse = false
-	placement, refused = registry.Choose(0, request)
-	assert.NotNil(t, placement, refused, "what may have run elsewhere is carried on")
+	placement, refusal = registry.Choose(0, request)
+	assert.NotNil(t, placement, refusal, "what may have run elsewhere is carried on")
 }
 
 // TestUrgentRequestIsNotRefusedForLowerPriorityWork has the engine take it first.
 func TestUrgentRequestIsNotRefusedForLowerPriorityWork(t *testing.T) {
 	registry := withEngines()
-	for _, known := range registry.workers {
-		known.prefillTokens, known.priorities[4].PrefillTokens = 40_000, 40_000
+	for _, state := range registry.workers {
+		state.prefillTokens, state.priorities[4].PrefillTokens = 40_000, 40_000
 	}
-	placement, refused := registry.Choose(0, targetedRequest("p", 1000, 3))
-	assert.NotNil(t, placement, refused)
+	placement, refusal := registry.Choose(0, targetedRequest("p", 1000, 3))
+	assert.NotNil(t, placement, refusal)
 	placement, _ = registry.Choose(0, targetedRequest("p", 1000, 4))
 	assert.Nil(t, placement)
 }
@@ -53,25 +53,25 @@
 // its target go to an engine that is idle, or busy for less than half of the target.
 func TestLongPromptIsNotRefusedForItsLength(t *testing.T) {
 	registry := withEngines()
-	placement, refused := registry.Choose(0, targetedRequest("p", 40_000, 1))
-	require.NotNil(t, placement, refused)
-	for _, known := range registry.workers {
-		known.prefillTokens, known.priorities[1].PrefillTokens = 8_000, 8_000
+	placement, refusal := registry.Choose(0, targetedRequest("p", 40_000, 1))
+	require.NotNil(t, placement, refusal)
+	for _, state := range registry.workers {
+		state.prefillTokens, state.priorities[1].PrefillTokens = 8_000, 8_000
 	}
-	placement, refused = registry.Choose(0, targetedRequest("q", 40_000, 1))
-	assert.NotNil(t, placement, refused)
+	placement, refusal = registry.Choose(0, targetedRequest("q", 40_000, 1))
+	assert.NotNil(t, placement, refusal)
 }
 
 // TestRequestWithoutATargetIsNeverRefusedForLateness has it wait.
 func TestRequestWithoutATargetIsNeverRefusedForLateness(t *testing.T) {
 	registry := withEngines()
-	for _, known := range registry.workers {
-		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
+	for _, state := range registry.workers {
+		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 	}
 	request := targetedRequest("p", 1000, 1)
 	request.Engine.Target, request.Engine.TimeLeft = 0, 0
-	placement, refused := registry.Choose(0, request)
-	assert.NotNil(t, placement, refused)
+	placement, refusal := registry.Choose(0, request)
+	assert.NotNil(t, placement, refusal)
 }
 
 // TestLoadByPriorityIsSummedOverNodes has what other nodes tell count like own
@@ -79,20 +79,20 @@
 func TestLoadByPriorityIsSummedOverNodes(t *testing.T) {
 	registry := withEngines()
 	registry.SetPeerCount(2)
-	told := Load{Engine: "e0", InFlight: 3, PrefillTokens: 300}
-	told.Priorities[2] = PriorityLoad{InFlight: 3, PrefillTokens: 300}
-	registry.ObservePeer(0, "other", PeerReport{Loads: []Load{told}})
+	load := Load{Engine: "e0", InFlight: 3, PrefillTokens: 300}
+	load.Priorities[2] = PriorityLoad{InFlight: 3, PrefillTokens: 300}
+	registry.ObservePeer(0, "other", PeerReport{Loads: []Load{load}})
 	registry.workers["e0"].begin(placedWork{priority: 1, prefillTokens: 50})
-	overtaken := func(priority int) PriorityLoad {
+	lowerPriority := func(priority int) PriorityLoad {
 		return registry.lowerPriorityLoad(0, registry.workers["e0"], priority)
 	}
-	assert.Equal(t, PriorityLoad{InFlight: 6, PrefillTokens: 600}, overtaken(1))
-	assert.Equal(t, PriorityLoad{InFlight: 7, PrefillTokens: 650}, overtaken(0))
-	assert.Equal(t, PriorityLoad{}, overtaken(2))
-	told.InFlight, told.PrefillTokens, told.Priorities[2] = 1, 100, PriorityLoad{InFlight: 1, PrefillTokens: 100}
-	registry.UpdatePeerLoads("other", []Load{told})
-	assert.Equal(t, PriorityLoad{InFlight: 2, PrefillTokens: 200}, overtaken(1))
+	assert.Equal(t, PriorityLoad{InFlight: 6, PrefillTokens: 600}, lowerPriority(1))
+	assert.Equal(t, PriorityLoad{InFlight: 7, PrefillTokens: 650}, lowerPriority(0))
+	assert.Equal(t, PriorityLoad{}, lowerPriority(2))
+	load.InFlight, load.PrefillTokens, load.Priorities[2] = 1, 100, PriorityLoad{InFlight: 1, PrefillTokens: 100}
+	registry.UpdatePeerLoads("other", []Load{load})
+	assert.Equal(t, PriorityLoad{InFlight: 2, PrefillTokens: 200}, lowerPriority(1))
 	assert.Equal(t, 3, registry.totalLoad(0, registry.workers["e0"]).InFlight)
 	registry.ForgetPeer("other")
-	assert.Equal(t, PriorityLoad{}, overtaken(1))
+	assert.Equal(t, PriorityLoad{}, lowerPriority(1))
 }
--- a/internal/backends/levels.go
+++ b/internal/backends/levels.go
@@ -23,32 +23,32 @@
 }
 
 // add puts a worker at its level.
-func (l *loadLevels) add(known *workerState, level int) {
-	known.level, known.levelIndex = level, len(l.members[level])
-	l.members[level] = append(l.members[level], known)
+func (l *loadLevels) add(state *workerState, level int) {
+	state.level, state.levelIndex = level, len(l.members[level])
+	l.members[level] = append(l.members[level], state)
 	l.count++
 }
 
 // remove takes a worker out.
-func (l *loadLevels) remove(known *workerState) {
-	members := l.members[known.level]
+func (l *loadLevels) remove(state *workerState) {
+	members := l.members[state.level]
 	last := len(members) - 1
-	members[known.levelIndex] = members[last]
-	members[known.levelIndex].levelIndex = known.levelIndex
+	members[state.levelIndex] = members[last]
+	members[state.levelIndex].levelIndex = state.levelIndex
 	members[last] = nil
-	l.members[known.level] = members[:last]
+	l.members[state.level] = members[:last]
 	l.count--
 }
 
 // levelOf returns the level of a worker by its load over the nodes that have told theirs.
-func (r *Registry) levelOf(known *workerState) int {
-	inFlight, prefill := known.inFlight, known.prefillTokens
-	if others := r.peers.totals.worker(known.worker.ID); others != nil {
+func (r *Registry) levelOf(state *workerState) int {
+	inFlight, prefill := state.inFlight, state.prefillTokens
+	if others := r.peers.totals.worker(state.worker.ID); others != nil {
 		inFlight += others.InFlight
 		prefill += others.PrefillTokens
 	}
-	slots, over := max(known.worker.Slots, 1), slotLevels
-	if len(known.worker.Versions) == 0 {
+	slots, over := max(state.worker.Slots, 1), slotLevels
+	if len(state.worker.Versions) == 0 {
 		over = plainLevels
 	}
 	level := inFlight*over/slots + prefill/levelTokens + queuedLevels*max(inFlight+1-slots, 0)
@@ -56,27 +56,27 @@
 }
 
 // updateLevel puts a worker at its level after a change of its load; the mutex is held.
-func (r *Registry) updateLevel(known *workerState) {
-	if known.pool == nil {
+func (r *Registry) updateLevel(state *workerState) {
+	if state.pool == nil {
 		return
 	}
-	if level := r.levelOf(known); level != known.level {
-		list := &known.pool.tiers[known.tier]
-		list.remove(known)
-		list.add(known, level)
+	if level := r.levelOf(state); level != state.level {
+		list := &state.pool.tiers[state.tier]
+		list.remove(state)
+		list.add(state, level)
 	}
 }
 
 // updateLevelByID is relevel for a worker of which a peer has told.
 func (r *Registry) updateLevelByID(id fleet.EngineID) {
-	if known := r.workers[id]; known != nil {
-		r.updateLevel(known)
+	if state := r.workers[id]; state != nil {
+		r.updateLevel(state)
 	}
 }
 
 // updateAllLevels puts all workers at their levels.
 func (r *Registry) updateAllLevels() {
-	for _, known := range r.workers {
-		r.updateLevel(known)
+	for _, state := range r.workers {
+		r.updateLevel(state)
 	}
 }
--- a/internal/backends/load.go
+++ b/internal/backends/load.go
@@ -56,11 +56,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var loads []Load
-	for id, known := range r.workers {
-		if known.inFlight > 0 {
+	for id, state := range r.workers {
+		if state.inFlight > 0 {
 			loads = append(loads, Load{
-				Engine: id, InFlight: known.inFlight, PrefillTokens: known.prefillTokens, MemoryTokens: known.memory.tokens(),
-				Priorities: known.priorities,
+				Engine: id, InFlight: state.inFlight, PrefillTokens: state.prefillTokens, MemoryTokens: state.memory.tokens(),
+				Priorities: state.priorities,
 			})
 		}
 	}
@@ -72,20 +72,20 @@
 func (r *Registry) InFlight(now time.Duration, id fleet.EngineID) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		return 0
 	}
-	return r.totalLoad(now, known).InFlight
+	return r.totalLoad(now, state).InFlight
 }
 
 // MemoryUtilization returns the part of their memory that requests hold, over all nodes,
 // at the engines of the service to which one belongs; of engines whose memory
 // isn't known, the part of their slots.
-func (r *Registry) MemoryUtilization(now time.Duration, of fleet.EngineID) float64 {
+func (r *Registry) MemoryUtilization(now time.Duration, id fleet.EngineID) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	reference := r.workers[of]
+	reference := r.workers[id]
 	if reference == nil {
 		return 0
 	}
@@ -93,13 +93,13 @@
 	// would change the lists under the walk and end the process.
 	r.peers.totalsAt(now)
 	used, held := 0, 0
-	for _, known := range r.poolOf(reference.worker.Service).all() {
-		load := r.totalLoad(now, known)
-		if capacity := r.memoryCapacities[known.worker.Service]; capacity > 0 {
+	for _, state := range r.poolOf(reference.worker.Service).all() {
+		load := r.totalLoad(now, state)
+		if capacity := r.memoryCapacities[state.worker.Service]; capacity > 0 {
 			used, held = used+load.MemoryTokens, held+capacity
 			continue
 		}
-		used, held = used+load.InFlight, held+max(known.worker.Slots, 1)
+		used, held = used+load.InFlight, held+max(state.worker.Slots, 1)
 	}
 	return float64(used) / float64(max(held, 1))
 }
@@ -116,8 +116,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var suspects []fleet.EngineID
-	for id, known := range r.workers {
-		if now < known.suspectUntil && !known.gone {
+	for id, state := range r.workers {
+		if now < state.suspectUntil && !state.gone {
 			suspects = append(suspects, id)
 		}
 	}
@@ -134,9 +134,9 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	told := r.peers.totalsAt(now)
-	for id, at := range told.index {
-		if told.workers[at].suspecting > 0 {
+	totals := r.peers.totalsAt(now)
+	for id, at := range totals.index {
+		if totals.workers[at].suspecting > 0 {
 			doubtful[id] = true
 		}
 	}
@@ -153,48 +153,48 @@
 
 // totalLoad returns the load of a worker over all nodes, without its parts by priority;
 // the mutex is held.
-func (r *Registry) totalLoad(now time.Duration, known *workerState) Load {
+func (r *Registry) totalLoad(now time.Duration, state *workerState) Load {
 	total := Load{
-		Engine: known.worker.ID, InFlight: known.inFlight, PrefillTokens: known.prefillTokens, MemoryTokens: known.memory.tokens(),
+		Engine: state.worker.ID, InFlight: state.inFlight, PrefillTokens: state.prefillTokens, MemoryTokens: state.memory.tokens(),
 	}
-	told := r.peers.totalsAt(now)
-	if others := told.worker(known.worker.ID); others != nil {
-		total.InFlight += r.extrapolate(told, others.InFlight)
-		total.PrefillTokens += r.extrapolate(told, others.PrefillTokens)
-		total.MemoryTokens += r.extrapolate(told, others.MemoryTokens)
+	totals := r.peers.totalsAt(now)
+	if others := totals.worker(state.worker.ID); others != nil {
+		total.InFlight += r.extrapolate(totals, others.InFlight)
+		total.PrefillTokens += r.extrapolate(totals, others.PrefillTokens)
+		total.MemoryTokens += r.extrapolate(totals, others.MemoryTokens)
 	}
 	return total
 }
 
 // totalInFlight returns the requests in flight at a worker over all nodes; the mutex is held.
-func (r *Registry) totalInFlight(now time.Duration, known *workerState) int {
-	told := r.peers.totalsAt(now)
-	others := told.worker(known.worker.ID)
+func (r *Registry) totalInFlight(now time.Duration, state *workerState) int {
+	totals := r.peers.totalsAt(now)
+	others := totals.worker(state.worker.ID)
 	if others == nil {
-		return known.inFlight
+		return state.inFlight
 	}
-	return known.inFlight + r.extrapolate(told, others.InFlight)
+	return state.inFlight + r.extrapolate(totals, others.InFlight)
 }
 
 // lowerPriorityLoad returns the requests over all nodes at a worker that are less urgent than a
 // priority; the mutex is held. They are summed before they are scaled: that is done for
 // each engine of each choice.
-func (r *Registry) lowerPriorityLoad(now time.Duration, known *workerState, priority int) PriorityLoad {
-	own := Load{Priorities: known.priorities}
+func (r *Registry) lowerPriorityLoad(now time.Duration, state *workerState, priority int) PriorityLoad {
+	own := Load{Priorities: state.priorities}
 	sum := own.lowerPriorityThan(priority)
-	told := r.peers.totalsAt(now)
-	if others := told.worker(known.worker.ID); others != nil {
+	totals := r.peers.totalsAt(now)
+	if others := totals.worker(state.worker.ID); others != nil {
 		part := others.lowerPriorityThan(priority)
-		sum.InFlight += int32(r.extrapolate(told, int(part.InFlight)))
-		sum.PrefillTokens += int32(r.extrapolate(told, int(part.PrefillTokens)))
+		sum.InFlight += int32(r.extrapolate(totals, int(part.InFlight)))
+		sum.PrefillTokens += int32(r.extrapolate(totals, int(part.PrefillTokens)))
 	}
 	return sum
 }
 
 // extrapolate has the nodes that have told their load of late stand for all.
-func (r *Registry) extrapolate(told *peerTotals, units int) int {
+func (r *Registry) extrapolate(totals *peerTotals, units int) int {
 	if units == 0 {
 		return 0
 	}
-	return units * max(r.peers.peerCount, told.reportCount) / told.reportCount
+	return units * max(r.peers.peerCount, totals.reportCount) / totals.reportCount
 }
--- a/internal/backends/memory.go
+++ b/internal/backends/memory.go
@@ -71,7 +71,7 @@
 }
 
 // memoryNeedOf returns what a request needs of an engine's memory in a scope.
-func memoryNeedOf(engine *EngineRequest, known *promptScope) memoryNeed {
+func memoryNeedOf(engine *EngineRequest, scoped *promptScope) memoryNeed {
 	need := memoryNeed{ownTokens: engine.PromptTokens + engine.OutputTokens}
 	shared := len(engine.Parts) - 1
 	if shared <= 0 {
@@ -82,6 +82,6 @@
 	}
 	need.sharedTokens = min(need.sharedTokens, engine.PromptTokens)
 	need.ownTokens -= need.sharedTokens
-	need.prefix = known.hashes[shared-1]
+	need.prefix = scoped.hashes[shared-1]
 	return need
 }
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -112,21 +112,21 @@
 // ObserveCache takes in changes of a cache, in order. anew is set if what was
 // known of it before doesn't hold any more. It returns the changes as other nodes are told
 // them.
-func (r *Registry) ObserveCache(run fleet.EngineRun, anew bool, changes []PartChange) []cachefeed.Change {
-	told := make([]cachefeed.Change, len(changes))
+func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
+	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		told[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
+		relayed[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
 	}
-	r.ObserveRelayedCache(run, anew, told)
-	return told
+	r.ObserveRelayedCache(run, reset, relayed)
+	return relayed
 }
 
 // ObserveRelayedCache is ObserveCache for changes by another node's word.
-func (r *Registry) ObserveRelayedCache(run fleet.EngineRun, anew bool, changes []cachefeed.Change) {
+func (r *Registry) ObserveRelayedCache(run fleet.EngineRun, reset bool, changes []cachefeed.Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.parts.add(run)
-	if anew {
+	if reset {
 		r.parts.clear(run)
 	}
 	r.parts.tracked[run] = true
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -112,10 +112,10 @@
 	}
 	report.Loads = nil
 	p.forget(node)
-	heard := &receivedReport{PeerReport: report, receivedAt: now, loads: loads}
-	p.reports[node] = heard
+	received := &receivedReport{PeerReport: report, receivedAt: now, loads: loads}
+	p.reports[node] = received
 	if p.validUntil > 0 {
-		p.include(heard)
+		p.include(received)
 	}
 }
 
@@ -173,11 +173,11 @@
 		return
 	}
 	for _, load := range loads {
-		before := report.loads[load.Engine]
+		previous := report.loads[load.Engine]
 		report.loads[load.Engine] = load
 		if report.included && p.validUntil > 0 {
 			entry := p.totals.entry(load.Engine)
-			entry.add(&before, -1)
+			entry.add(&previous, -1)
 			entry.add(&load, 1)
 			p.onChange(load.Engine)
 		}
@@ -252,8 +252,8 @@
 		s.work[service] = s.work[service].add(work)
 	}
 	for id, until := range report.Orders {
-		told := s.entry(id)
-		told.orderedUntil = max(told.orderedUntil, until)
+		entry := s.entry(id)
+		entry.orderedUntil = max(entry.orderedUntil, until)
 	}
 }
 
@@ -285,14 +285,14 @@
 
 // isReadyByPeers tells whether other nodes say nothing that keeps requests away
 // from a worker; the mutex is held.
-func (r *Registry) isReadyByPeers(now time.Duration, known *workerState) bool {
-	told := r.peers.totalsAt(now).worker(known.worker.ID)
+func (r *Registry) isReadyByPeers(now time.Duration, state *workerState) bool {
+	entry := r.peers.totalsAt(now).worker(state.worker.ID)
 	switch {
-	case told == nil:
+	case entry == nil:
 		return true
-	case now < told.orderedUntil:
+	case now < entry.orderedUntil:
 		return false
 	default:
-		return told.suspecting+told.deferred < suspicionQuorum || known.hasRecentContact(now)
+		return entry.suspecting+entry.deferred < suspicionQuorum || state.hasRecentContact(now)
 	}
 }
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -98,7 +98,7 @@
 // anew, over random reports, changes and departures of nodes.
 func TestIncrementalTotalsMatchRebuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	kept := newPeerReports()
+	incremental := newPeerReports()
 	now := time.Second
 	id := func() fleet.EngineID { return fleet.EngineID(fmt.Sprint("e", random.IntN(9))) }
 	for range 5000 {
@@ -107,22 +107,22 @@
 		load := Load{Engine: id(), InFlight: random.IntN(5), PrefillTokens: random.IntN(900)}
 		switch random.IntN(4) {
 		case 0, 1:
-			kept.observe(now, node, PeerReport{
+			incremental.observe(now, node, PeerReport{
 				Loads: []Load{load, {Engine: "all", InFlight: 1}}, Suspects: []fleet.EngineID{id()}, Deferring: []fleet.EngineID{id()},
 				Orders: map[fleet.EngineID]time.Duration{id(): now + time.Duration(random.IntN(2000))*time.Millisecond},
 				Work:   map[fleet.PoolName]Work{"s": {Long: time.Duration(random.IntN(50)), Short: 1}},
 			})
 		case 2:
-			kept.update(node, []Load{load})
+			incremental.update(node, []Load{load})
 		case 3:
-			kept.forget(node)
+			incremental.forget(node)
 		}
-		anew := newPeerReports()
-		for node, report := range kept.reports {
+		rebuilt := newPeerReports()
+		for node, report := range incremental.reports {
 			copied := *report
-			anew.reports[node] = &copied
+			rebuilt.reports[node] = &copied
 		}
-		one, other := kept.totalsAt(now), anew.totalsAt(now)
+		one, other := incremental.totalsAt(now), rebuilt.totalsAt(now)
 		assert.Equal(t, other.reportCount, one.reportCount)
 		assert.Equal(t, other.work["s"], one.work["s"])
 		for number := range 10 {
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -49,8 +49,8 @@
 		at := 0
 		for tier := range lapsedTier {
 			for _, members := range p.tiers[tier].members {
-				for _, known := range members {
-					if !yield(at, known) {
+				for _, state := range members {
+					if !yield(at, state) {
 						return
 					}
 					at++
@@ -62,66 +62,66 @@
 
 // poolOf returns the pool of a service; the mutex is held.
 func (r *Registry) poolOf(service fleet.PoolName) *pool {
-	known := r.pools[service]
-	if known == nil {
-		known = &pool{service: service, versionCounts: make(map[versionKey]int), scans: make(map[scanKey]*scanResult)}
-		r.pools[service] = known
+	servicePool := r.pools[service]
+	if servicePool == nil {
+		servicePool = &pool{service: service, versionCounts: make(map[versionKey]int), scans: make(map[scanKey]*scanResult)}
+		r.pools[service] = servicePool
 	}
-	return known
+	return servicePool
 }
 
 // tierOf returns the tier where a worker belongs.
-func (r *Registry) tierOf(known *workerState) int {
+func (r *Registry) tierOf(state *workerState) int {
 	switch {
-	case known.worker.Draining, !r.subsets.contains(known.worker.Service, known.hash):
+	case state.worker.Draining, !r.subsets.contains(state.worker.Service, state.hash):
 		return noTier
-	case known.gone:
+	case state.gone:
 		return lapsedTier
 	default:
-		return int(r.distanceTo(known.worker.Zone))
+		return int(r.distanceTo(state.worker.Zone))
 	}
 }
 
 // updatePool puts a worker where it belongs after a change; the mutex is held.
-func (r *Registry) updatePool(known *workerState) {
-	tier := r.tierOf(known)
-	if tier == known.tier && known.pool != nil && known.pool.service == known.worker.Service {
+func (r *Registry) updatePool(state *workerState) {
+	tier := r.tierOf(state)
+	if tier == state.tier && state.pool != nil && state.pool.service == state.worker.Service {
 		return
 	}
-	r.removeFromPool(known)
+	r.removeFromPool(state)
 	if tier == noTier {
 		return
 	}
-	into := r.poolOf(known.worker.Service)
-	known.pool, known.tier = into, tier
-	into.tiers[tier].add(known, r.levelOf(known))
+	target := r.poolOf(state.worker.Service)
+	state.pool, state.tier = target, tier
+	target.tiers[tier].add(state, r.levelOf(state))
 	if tier != lapsedTier {
-		into.ring.add(known)
-		into.countVersions(known.worker.Versions, 1)
+		target.ring.add(state)
+		target.countVersions(state.worker.Versions, 1)
 	}
 }
 
 // removeFromPool takes a worker out of its pool; the mutex is held.
-func (r *Registry) removeFromPool(known *workerState) {
-	from := known.pool
-	if from == nil {
+func (r *Registry) removeFromPool(state *workerState) {
+	current := state.pool
+	if current == nil {
 		return
 	}
-	from.tiers[known.tier].remove(known)
-	if known.tier != lapsedTier {
-		from.ring.remove(known)
-		from.countVersions(known.worker.Versions, -1)
+	current.tiers[state.tier].remove(state)
+	if state.tier != lapsedTier {
+		current.ring.remove(state)
+		current.countVersions(state.worker.Versions, -1)
 	}
-	known.pool, known.tier = nil, noTier
+	state.pool, state.tier = nil, noTier
 }
 
 // setVersions changes what a worker runs; the mutex is held.
-func (r *Registry) setVersions(known *workerState, versions map[fleet.ModelName]ModelVersion) {
-	if known.pool != nil && known.tier != lapsedTier {
-		known.pool.countVersions(known.worker.Versions, -1)
-		known.pool.countVersions(versions, 1)
+func (r *Registry) setVersions(state *workerState, versions map[fleet.ModelName]ModelVersion) {
+	if state.pool != nil && state.tier != lapsedTier {
+		state.pool.countVersions(state.worker.Versions, -1)
+		state.pool.countVersions(versions, 1)
 	}
-	known.worker.Versions = versions
+	state.worker.Versions = versions
 }
 
 // countVersions adds to the workers of versions.
@@ -137,31 +137,31 @@
 
 // longPromptBound returns the hash up to which engines are kept for long prompts, and whether any
 // are kept for either size; the mutex is held.
-func (r *Registry) longPromptBound(now time.Duration, of *pool) (bound uint64, apart bool) {
-	work := r.peers.totalsAt(now).work[of.service]
-	if own := r.workTrackers[of.service]; own != nil {
+func (r *Registry) longPromptBound(now time.Duration, servicePool *pool) (bound uint64, partitioned bool) {
+	work := r.peers.totalsAt(now).work[servicePool.service]
+	if own := r.workTrackers[servicePool.service]; own != nil {
 		work = work.add(own.work(now))
 	}
-	kept, apart := work.enginesForLong(len(of.ring.hashes))
-	if !apart {
+	longEngines, partitioned := work.enginesForLong(len(servicePool.ring.hashes))
+	if !partitioned {
 		return 0, false
 	}
-	return of.ring.hashes[kept-1], true
+	return servicePool.ring.hashes[longEngines-1], true
 }
 
 // reservedForOtherSize returns which engines are kept for prompts of another size than a
 // request's; the mutex is held.
-func (r *Registry) reservedForOtherSize(now time.Duration, of *pool, engine *EngineRequest) func(*workerState) bool {
+func (r *Registry) reservedForOtherSize(now time.Duration, servicePool *pool, engine *EngineRequest) func(*workerState) bool {
 	if engine == nil {
 		return func(*workerState) bool { return false }
 	}
-	bound, apart := r.longPromptBound(now, of)
+	bound, partitioned := r.longPromptBound(now, servicePool)
 	long := r.isLongPrompt(engine)
-	return func(known *workerState) bool { return apart && (known.hash <= bound) != long }
+	return func(state *workerState) bool { return partitioned && (state.hash <= bound) != long }
 }
 
 // homeIn returns the engine of a window with the highest weight that fits, or nil.
-func homeIn(window []weightedEngine, fits func(*workerState) bool) *workerState {
+func homeIn(window []weightedEngine, isEligible func(*workerState) bool) *workerState {
 	for len(window) > 0 {
 		best := 0
 		for at := range window {
@@ -169,7 +169,7 @@
 				best = at
 			}
 		}
-		if fits(window[best].state) {
+		if isEligible(window[best].state) {
 			return window[best].state
 		}
 		window = slices.Delete(window, best, best+1)
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -151,81 +151,81 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes++
-	known := r.workers[worker.ID]
-	if known == nil {
+	state := r.workers[worker.ID]
+	if state == nil {
 		if revision <= r.tombstones[worker.ID] {
 			return Unchanged
 		}
-		known = newState(worker, revision)
+		state = newState(worker, revision)
 		if !worker.Draining && r.wasDraining(worker.ID, worker.StartTime) {
-			known.worker.Draining = true
+			state.worker.Draining = true
 			r.unpublishedDraining[worker.ID] = true
 		}
 		delete(r.forgottenDraining, worker.ID)
-		r.workers[worker.ID] = known
-		r.updatePool(known)
+		r.workers[worker.ID] = state
+		r.updatePool(state)
 		r.shortNames.add(worker.ID)
 		r.parts.add(worker.Run())
 		return Added
 	}
-	if revision <= known.revision || worker.StartTime != 0 && worker.StartTime < known.worker.StartTime {
+	if revision <= state.revision || worker.StartTime != 0 && worker.StartTime < state.worker.StartTime {
 		return Unchanged
 	}
-	if isRestart(&known.worker, worker.StartTime) {
-		r.replaceRun(known, worker, revision)
+	if isRestart(&state.worker, worker.StartTime) {
+		r.replaceRun(state, worker, revision)
 		return Restarted
 	}
 	change := Unchanged
 	switch {
-	case worker.Draining && !known.worker.Draining:
+	case worker.Draining && !state.worker.Draining:
 		change = StartedDraining
-	case known.gone:
+	case state.gone:
 		change = Returned
-	case !maps.Equal(known.worker.Versions, worker.Versions):
+	case !maps.Equal(state.worker.Versions, worker.Versions):
 		change = NewVersion
 	}
 	if worker.Draining {
 		delete(r.unpublishedDraining, worker.ID)
 	}
-	worker.Draining = worker.Draining || known.worker.Draining
-	r.setVersions(known, r.mergeVersions(known, worker.Versions))
-	worker.Versions = known.worker.Versions
-	worker.StartTime = max(worker.StartTime, known.worker.StartTime)
-	known.worker, known.revision, known.gone = worker, revision, false
-	r.updatePool(known)
+	worker.Draining = worker.Draining || state.worker.Draining
+	r.setVersions(state, r.mergeVersions(state, worker.Versions))
+	worker.Versions = state.worker.Versions
+	worker.StartTime = max(worker.StartTime, state.worker.StartTime)
+	state.worker, state.revision, state.gone = worker, revision, false
+	r.updatePool(state)
 	return change
 }
 
 // isRestart tells whether a start is that of another run than the one known. Where the
 // known one's start was never told, the first word on it says nothing of another run.
-func isRestart(known *Worker, born StartTime) bool {
-	return known.StartTime != 0 && born > known.StartTime
+func isRestart(current *Worker, startTime StartTime) bool {
+	return current.StartTime != 0 && startTime > current.StartTime
 }
 
 // replaceRun has a new run take the place of the one known under the same identifier:
 // requests under way stay counted at the former one; the mutex is held.
-func (r *Registry) replaceRun(former *workerState, worker Worker, revision fleet.Revision) {
-	r.removeFromPool(former)
+func (r *Registry) replaceRun(previous *workerState, worker Worker, revision fleet.Revision) {
+	r.removeFromPool(previous)
 	delete(r.unpublishedDraining, worker.ID)
 	r.parts.clear(worker.Run())
-	next := newState(worker, revision)
-	r.workers[worker.ID] = next
-	r.updatePool(next)
+	replacement := newState(worker, revision)
+	r.workers[worker.ID] = replacement
+	r.updatePool(replacement)
 }
 
 // ObserveStart takes in when a worker says that it started, other than by its row. It tells
 // whether that is another run than the one known.
-func (r *Registry) ObserveStart(id fleet.EngineID, born StartTime) bool {
+func (r *Registry) ObserveStart(id fleet.EngineID, startTime StartTime) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil || !isRestart(&known.worker, born) {
+	state := r.workers[id]
+	if state == nil || !isRestart(&state.worker, startTime) {
 		return false
 	}
-	worker := known.worker
-	worker.StartTime, worker.Draining = born, false
-	r.replaceRun(known, worker, known.revision)
-	r.workers[id].gone, r.workers[id].goneAt = known.gone, known.goneAt
+	worker := state.worker
+	worker.StartTime, worker.Draining = startTime, false
+	r.replaceRun(state, worker, state.revision)
+	r.workers[id].gone, r.workers[id].goneAt = state.gone, state.goneAt
 	r.updatePool(r.workers[id])
 	return true
 }
@@ -235,63 +235,63 @@
 func (r *Registry) ObserveUnusable(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		r.tombstones[id] = max(r.tombstones[id], revision)
 		return Unchanged
 	}
-	if revision <= known.revision {
+	if revision <= state.revision {
 		return Unchanged
 	}
-	known.gone, known.goneAt, known.revision = true, now-lapsedGracePeriod, revision
-	r.updatePool(known)
+	state.gone, state.goneAt, state.revision = true, now-lapsedGracePeriod, revision
+	r.updatePool(state)
 	return Unusable
 }
 
 // mergeVersions returns the versions of a row, except where a newer one was
 // heard of before: rows lag behind. A newer version in the row drops what the
 // worker is believed to hold.
-func (r *Registry) mergeVersions(known *workerState, row map[fleet.ModelName]ModelVersion) map[fleet.ModelName]ModelVersion {
-	if maps.Equal(known.worker.Versions, row) {
+func (r *Registry) mergeVersions(state *workerState, row map[fleet.ModelName]ModelVersion) map[fleet.ModelName]ModelVersion {
+	if maps.Equal(state.worker.Versions, row) {
 		return row
 	}
-	newer := make(map[fleet.ModelName]ModelVersion, len(row))
+	merged := make(map[fleet.ModelName]ModelVersion, len(row))
 	for model, version := range row {
-		newer[model] = max(version, known.worker.Versions[model])
+		merged[model] = max(version, state.worker.Versions[model])
 	}
-	if !maps.Equal(known.worker.Versions, newer) {
-		known.mismatchUntil = 0
-		r.parts.clear(known.worker.Run())
+	if !maps.Equal(state.worker.Versions, merged) {
+		state.mismatchUntil = 0
+		r.parts.clear(state.worker.Run())
 	}
-	return newer
+	return merged
 }
 
 // ObserveGone takes in that a worker's row went at a revision.
 func (r *Registry) ObserveGone(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		r.tombstones[id] = max(r.tombstones[id], revision)
 		return Unchanged
 	}
-	if revision <= known.revision || known.gone {
-		known.revision = max(known.revision, revision)
+	if revision <= state.revision || state.gone {
+		state.revision = max(state.revision, revision)
 		return Unchanged
 	}
-	known.gone, known.goneAt, known.revision = true, now, revision
+	state.gone, state.goneAt, state.revision = true, now, revision
 	r.changes++
-	r.updatePool(known)
+	r.updatePool(state)
 	return Gone
 }
 
 // ObserveSnapshot takes in a whole read of the rows as of a revision: workers that it
 // doesn't name, and whose rows are not newer than the read, are gone.
-func (r *Registry) ObserveSnapshot(now time.Duration, revision fleet.Revision, named map[fleet.EngineID]bool) []fleet.EngineID {
+func (r *Registry) ObserveSnapshot(now time.Duration, revision fleet.Revision, listed map[fleet.EngineID]bool) []fleet.EngineID {
 	r.mutex.Lock()
 	var missing []fleet.EngineID
-	for id, known := range r.workers {
-		if !known.gone && !named[id] && known.revision <= revision {
+	for id, state := range r.workers {
+		if !state.gone && !listed[id] && state.revision <= revision {
 			missing = append(missing, id)
 		}
 	}
@@ -308,18 +308,18 @@
 
 // Forget drops the workers that have been gone for keep and have no request in
 // flight, and returns them.
-func (r *Registry) Forget(now, keep time.Duration) []fleet.EngineID {
+func (r *Registry) Forget(now, retention time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expireForgottenDraining(now)
 	var forgotten []fleet.EngineID
-	for id, known := range r.workers {
-		if known.gone && known.inFlight == 0 && now >= known.goneAt+keep {
-			r.tombstones[id] = known.revision
-			r.drop(id, known)
+	for id, state := range r.workers {
+		if state.gone && state.inFlight == 0 && now >= state.goneAt+retention {
+			r.tombstones[id] = state.revision
+			r.drop(id, state)
 			forgotten = append(forgotten, id)
-		} else if r.isOutsideSubsets(known) {
-			r.drop(id, known)
+		} else if r.isOutsideSubsets(state) {
+			r.drop(id, state)
 			forgotten = append(forgotten, id)
 		}
 	}
@@ -346,29 +346,29 @@
 func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil || known.worker.Versions[model] >= version {
+	state := r.workers[id]
+	if state == nil || state.worker.Versions[model] >= version {
 		return
 	}
-	versions := maps.Clone(known.worker.Versions)
+	versions := maps.Clone(state.worker.Versions)
 	if versions == nil {
 		versions = make(map[fleet.ModelName]ModelVersion)
 	}
 	versions[model] = version
 	r.changes++
-	r.setVersions(known, versions)
-	known.mismatchUntil = 0
+	r.setVersions(state, versions)
+	state.mismatchUntil = 0
 	// The order that brought the version is carried out.
-	known.orderedUntil = 0
-	r.parts.clear(known.worker.Run())
+	state.orderedUntil = 0
+	r.parts.clear(state.worker.Run())
 }
 
 // ObserveOrder says until when a worker counts as under an order.
 func (r *Registry) ObserveOrder(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.workers[id]; known != nil {
-		known.orderedUntil = until
+	if state := r.workers[id]; state != nil {
+		state.orderedUntil = until
 	}
 }
 
@@ -376,22 +376,22 @@
 func (r *Registry) ZoneOf(id fleet.EngineID) fleet.ZoneName {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		return ""
 	}
-	return known.worker.Zone
+	return state.worker.Zone
 }
 
 // Workers returns the listed workers of all services, by identifier.
 func (r *Registry) Workers() []Worker {
-	return r.filterWorkers(func(known *workerState) bool { return !known.gone })
+	return r.filterWorkers(func(state *workerState) bool { return !state.gone })
 }
 
 // WorkersInUse returns the listed workers of the subsets in force, by identifier.
 func (r *Registry) WorkersInUse() []Worker {
-	return r.filterWorkers(func(known *workerState) bool {
-		return !known.gone && r.subsets.contains(known.worker.Service, known.hash)
+	return r.filterWorkers(func(state *workerState) bool {
+		return !state.gone && r.subsets.contains(state.worker.Service, state.hash)
 	})
 }
 
@@ -405,13 +405,13 @@
 
 // filterWorkers returns the workers that are chosen, by identifier. The mutex is held while
 // it chooses.
-func (r *Registry) filterWorkers(chosen func(known *workerState) bool) []Worker {
+func (r *Registry) filterWorkers(include func(state *workerState) bool) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var workers []Worker
-	for _, known := range r.workers {
-		if chosen(known) {
-			workers = append(workers, known.worker)
+	for _, state := range r.workers {
+		if include(state) {
+			workers = append(workers, state.worker)
 		}
 	}
 	slices.SortFunc(workers, func(a, b Worker) int {
--- a/internal/backends/ring.go
+++ b/internal/backends/ring.go
@@ -39,21 +39,21 @@
 
 func compareEntries(a, b ringEntry) int { return cmp.Compare(a.position, b.position) }
 
-func (g *ring) add(known *workerState) {
-	added := ringEntry{position: ringPosition(known.hash), state: known}
+func (g *ring) add(state *workerState) {
+	added := ringEntry{position: ringPosition(state.hash), state: state}
 	at, _ := slices.BinarySearchFunc(g.entries, added, compareEntries)
 	g.entries = slices.Insert(g.entries, at, added)
-	at, _ = slices.BinarySearch(g.hashes, known.hash)
-	g.hashes = slices.Insert(g.hashes, at, known.hash)
+	at, _ = slices.BinarySearch(g.hashes, state.hash)
+	g.hashes = slices.Insert(g.hashes, at, state.hash)
 }
 
-func (g *ring) remove(known *workerState) {
-	at, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(known.hash)}, compareEntries)
-	for at < len(g.entries) && g.entries[at].state != known {
+func (g *ring) remove(state *workerState) {
+	at, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(state.hash)}, compareEntries)
+	for at < len(g.entries) && g.entries[at].state != state {
 		at++
 	}
 	g.entries = slices.Delete(g.entries, at, at+1)
-	at, _ = slices.BinarySearch(g.hashes, known.hash)
+	at, _ = slices.BinarySearch(g.hashes, state.hash)
 	g.hashes = slices.Delete(g.hashes, at, at+1)
 }
 
@@ -65,15 +65,15 @@
 
 // window appends to into[:0] the engines from the place of a prompt on that are kept for
 // its size, at most homeWindow.
-func (g *ring) window(key uint64, kept func(*workerState) bool, into []weightedEngine) []weightedEngine {
+func (g *ring) window(key uint64, isReserved func(*workerState) bool, into []weightedEngine) []weightedEngine {
 	into = into[:0]
 	start, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(key)}, compareEntries)
 	for step := range min(len(g.entries), maxWindowSteps) {
-		known := g.entries[(start+step)%len(g.entries)].state
-		if kept(known) {
+		state := g.entries[(start+step)%len(g.entries)].state
+		if isReserved(state) {
 			continue
 		}
-		into = append(into, weightedEngine{state: known, weight: membership.RendezvousMix(key ^ known.hash)})
+		into = append(into, weightedEngine{state: state, weight: membership.RendezvousMix(key ^ state.hash)})
 		if len(into) == homeWindow {
 			break
 		}
--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -39,21 +39,21 @@
 // lookUpScope returns what is known of a prompt's parts; the mutex is held.
 func (r *Registry) lookUpScope(engine *EngineRequest, version ModelVersion) *promptScope {
 	scope := Scope(engine.Model, version, engine.Tenant, engine.Isolated)
-	known := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
+	scoped := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
 	store := StoreRun(engine.Store)
-	known.storedParts = r.parts.index.Held(store, known.hashes)
-	r.matches = r.parts.index.LookupFew(known.hashes, maxHolders+1, r.options.Random.IntN(1<<16), r.matches)
-	known.holders = make([]holder, 0, len(r.matches))
+	scoped.storedParts = r.parts.index.Held(store, scoped.hashes)
+	r.matches = r.parts.index.LookupFew(scoped.hashes, maxHolders+1, r.options.Random.IntN(1<<16), r.matches)
+	scoped.holders = make([]holder, 0, len(r.matches))
 	for _, match := range r.matches {
 		if match.Run != store {
 			id := match.Run.Engine
-			known.holders = append(known.holders, holder{id: id, state: r.workers[id], parts: match.Blocks})
+			scoped.holders = append(scoped.holders, holder{id: id, state: r.workers[id], parts: match.Blocks})
 		}
 	}
-	return known
+	return scoped
 }
 
 // heldParts returns the leading parts that an engine is believed to hold.
-func (r *Registry) heldParts(parts *promptScope, known *workerState) int {
-	return r.parts.index.Held(known.worker.Run(), parts.hashes)
+func (r *Registry) heldParts(parts *promptScope, state *workerState) int {
+	return r.parts.index.Held(state.worker.Run(), parts.hashes)
 }
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -74,18 +74,18 @@
 }
 
 // newSearch returns a search among the workers of some software versions.
-func (r *Registry) newSearch(now time.Duration, request *Request, versions *delivery.Choice) *search {
+func (r *Registry) newSearch(now time.Duration, request *Request, software *delivery.Choice) *search {
 	r.searches++
 	// What too old reports told leaves the levels here, not while they are drawn from.
 	r.peers.totalsAt(now)
-	known := r.poolOf(request.Service)
+	servicePool := r.poolOf(request.Service)
 	s := &search{
-		Registry: r, now: now, request: request, software: versions, pool: known, id: r.searches,
-		exhaustive: known.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], accepted: verdictEligible,
+		Registry: r, now: now, request: request, software: software, pool: servicePool, id: r.searches,
+		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], accepted: verdictEligible,
 	}
-	s.isReserved = r.reservedForOtherSize(now, known, request.Engine)
-	for tier := range known.tiers {
-		s.samplers[tier] = sampler{list: &known.tiers[tier], random: r.options.Random, remaining: known.tiers[tier].count, level: -1}
+	s.isReserved = r.reservedForOtherSize(now, servicePool, request.Engine)
+	for tier := range servicePool.tiers {
+		s.samplers[tier] = sampler{list: &servicePool.tiers[tier], random: r.options.Random, remaining: servicePool.tiers[tier].count, level: -1}
 	}
 	return s
 }
@@ -159,79 +159,79 @@
 }
 
 // examine takes a worker in by what speaks against it, unless it has been looked at.
-func (s *search) examine(known *workerState) verdict {
-	if known.lastSearch == s.id {
-		return known.verdict
+func (s *search) examine(state *workerState) verdict {
+	if state.lastSearch == s.id {
+		return state.verdict
 	}
-	known.lastSearch, known.verdict = s.id, s.assess(known)
+	state.lastSearch, state.verdict = s.id, s.assess(state)
 	s.examined++
-	s.counts[known.verdict]++
-	switch known.verdict {
+	s.counts[state.verdict]++
+	switch state.verdict {
 	case verdictEligible:
-		s.eligible = append(s.eligible, known)
+		s.eligible = append(s.eligible, state)
 	case verdictNotReady:
-		s.notReady = append(s.notReady, known)
+		s.notReady = append(s.notReady, state)
 	default:
 	}
-	return known.verdict
+	return state.verdict
 }
 
 // assess tells what speaks against a worker.
-func (s *search) assess(known *workerState) verdict {
+func (s *search) assess(state *workerState) verdict {
 	switch {
-	case known.gone && !known.isLapsed(s.now), !s.software.Allows(known.worker.ID, known.worker.Software):
+	case state.gone && !state.isLapsed(s.now), !s.software.Allows(state.worker.ID, state.worker.Software):
 		return verdictWrongSoftware
-	case slices.Contains(s.request.Excluded, known.worker.Run()):
+	case slices.Contains(s.request.Excluded, state.worker.Run()):
 		return verdictTried
-	case s.request.HasConnection != nil && !s.request.HasConnection(&known.worker):
+	case s.request.HasConnection != nil && !s.request.HasConnection(&state.worker):
 		return verdictNoConnection
 	}
-	if intake, opensIn := s.request.admission(&known.worker); intake == AdmissionClosed {
-		s.recordClosed(opensIn)
+	if admission, reopensIn := s.request.admission(&state.worker); admission == AdmissionClosed {
+		s.recordClosed(reopensIn)
 		return verdictClosed
 	}
-	settled := s.isReady(s.now, known)
-	switch s.assessEngine(known) {
+	ready := s.isReady(s.now, state)
+	switch s.assessEngine(state) {
 	case verdictOutdated:
-		return readyVerdict(settled, verdictOutdated, verdictNotReadyOutdated)
+		return readyVerdict(ready, verdictOutdated, verdictNotReadyOutdated)
 	case verdictFull:
-		return readyVerdict(settled, verdictFull, verdictNotReadyFull)
+		return readyVerdict(ready, verdictFull, verdictNotReadyFull)
 	default:
-		return readyVerdict(settled, verdictEligible, verdictNotReady)
+		return readyVerdict(ready, verdictEligible, verdictNotReady)
 	}
 }
 
 // recordClosed notes when a closed worker takes requests again.
-func (s *search) recordClosed(opensIn time.Duration) {
-	if s.reopensIn == 0 || opensIn < s.reopensIn {
-		s.reopensIn = opensIn
+func (s *search) recordClosed(reopensIn time.Duration) {
+	if s.reopensIn == 0 || reopensIn < s.reopensIn {
+		s.reopensIn = reopensIn
 	}
 }
 
 // hasLimit tells whether a worker names a limit.
-func (s *search) hasLimit(known *workerState) bool {
-	intake, _ := s.request.admission(&known.worker)
-	return intake != AdmissionUnlimited
+func (s *search) hasLimit(state *workerState) bool {
+	admission, _ := s.request.admission(&state.worker)
+	return admission != AdmissionUnlimited
 }
 
 // assessEngine tells what speaks against an engine: its weights or its streams.
-func (s *search) assessEngine(known *workerState) verdict {
+func (s *search) assessEngine(state *workerState) verdict {
 	if s.request.Engine == nil {
 		return verdictEligible
 	}
 	model := s.request.Engine.Model
-	version, serves := known.worker.Versions[model]
+	version, serves := state.worker.Versions[model]
 	if !serves || version < s.required[model] {
 		return verdictOutdated
 	}
-	if most := maxStreams(known.worker.Slots); most > 0 && s.totalInFlight(s.now, known) >= most {
+	if limit := maxStreams(state.worker.Slots); limit > 0 && s.totalInFlight(s.now, state) >= limit {
 		return verdictFull
 	}
 	return verdictEligible
 }
 
-func readyVerdict(settled bool, verdict, otherwise verdict) verdict {
-	if settled {
+func readyVerdict(ready bool, verdict, otherwise verdict) verdict {
+	if ready {
 		return verdict
 	}
 	return otherwise
--- a/internal/backends/search_holders.go
+++ b/internal/backends/search_holders.go
@@ -22,20 +22,20 @@
 // get it.
 func (s *search) examineCanaries() {
 	for id := range s.software.Canaries() {
-		if known := s.workers[id]; known != nil && known.isListed() && known.pool == s.pool {
-			s.examine(known)
+		if state := s.workers[id]; state != nil && state.isListed() && state.pool == s.pool {
+			s.examine(state)
 		}
 	}
 }
 
 // scopeOf returns what is known of the prompt's parts at a version of the weights.
 func (s *search) scopeOf(version ModelVersion) *promptScope {
-	for _, known := range s.scopes {
-		if known.version == version {
-			return known
+	for _, scoped := range s.scopes {
+		if scoped.version == version {
+			return scoped
 		}
 	}
-	known := s.lookUpScope(s.request.Engine, version)
-	s.scopes = append(s.scopes, known)
-	return known
+	scoped := s.lookUpScope(s.request.Engine, version)
+	s.scopes = append(s.scopes, scoped)
+	return scoped
 }
--- a/internal/backends/search_home.go
+++ b/internal/backends/search_home.go
@@ -13,12 +13,12 @@
 		key += "/" + string(engine.Tenant)
 	}
 	hash := hashName(key)
-	fits := func(known *workerState) bool { return s.examine(known) == s.accepted }
+	isEligible := func(state *workerState) bool { return s.examine(state) == s.accepted }
 	s.pool.windowBuffer = s.pool.ring.window(hash, s.isReserved, s.pool.windowBuffer)
-	if home := homeIn(s.pool.windowBuffer, fits); home != nil {
+	if home := homeIn(s.pool.windowBuffer, isEligible); home != nil {
 		return home
 	}
-	others := func(known *workerState) bool { return !s.isReserved(known) }
-	s.pool.windowBuffer = s.pool.ring.window(hash, others, s.pool.windowBuffer)
-	return homeIn(s.pool.windowBuffer, fits)
+	isUnreserved := func(state *workerState) bool { return !s.isReserved(state) }
+	s.pool.windowBuffer = s.pool.ring.window(hash, isUnreserved, s.pool.windowBuffer)
+	return homeIn(s.pool.windowBuffer, isEligible)
 }
--- a/internal/backends/search_sample.go
+++ b/internal/backends/search_sample.go
@@ -32,9 +32,9 @@
 	members := d.list.members[d.level]
 	d.remaining--
 	d.levelRemaining--
-	taken := members[d.next]
+	next := members[d.next]
 	d.next = (d.next + d.stride) % len(members)
-	return taken
+	return next
 }
 
 // startLevel starts a level of so many workers anywhere in it.
@@ -49,8 +49,8 @@
 // lacks is drawn from the next.
 func (s *search) examineSample() {
 	wanted := 0
-	for tier, most := range sampleSizes {
-		wanted += most
+	for tier, limit := range sampleSizes {
+		wanted += limit
 		wanted -= s.examineUntil(&s.samplers[tier], wanted, wanted*sampleAttempts)
 	}
 	for tier := range sampleSizes {
@@ -60,20 +60,20 @@
 
 // examineUntil draws up to tries workers until as many as wanted fit, and returns how many
 // do.
-func (s *search) examineUntil(from *sampler, wanted, tries int) (fitting int) {
-	for range tries {
-		if fitting >= wanted {
+func (s *search) examineUntil(from *sampler, wanted, attempts int) (eligible int) {
+	for range attempts {
+		if eligible >= wanted {
 			break
 		}
-		known := from.take()
-		if known == nil {
+		state := from.take()
+		if state == nil {
 			break
 		}
-		if known.lastSearch != s.id && s.examine(known) == verdictEligible {
-			fitting++
+		if state.lastSearch != s.id && s.examine(state) == verdictEligible {
+			eligible++
 		}
 	}
-	return fitting
+	return eligible
 }
 
 // minEligible is the number of workers after which a search through all ends.
@@ -97,7 +97,7 @@
 
 // scanTier looks at all workers of a tier that are left.
 func (s *search) scanTier(tier int) {
-	for known := s.samplers[tier].take(); known != nil; known = s.samplers[tier].take() {
-		s.examine(known)
+	for state := s.samplers[tier].take(); state != nil; state = s.samplers[tier].take() {
+		s.examine(state)
 	}
 }
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -50,7 +50,7 @@
 }
 
 // add takes an engine in if its wait is among the shortest.
-func (l *scanResult) add(known *workerState, wait time.Duration) {
+func (l *scanResult) add(state *workerState, wait time.Duration) {
 	l.shortestWait = min(l.shortestWait, wait)
 	if len(l.spare) == maxSpareEngines && wait >= l.spare[0].wait {
 		return
@@ -58,7 +58,7 @@
 	at, _ := slices.BinarySearchFunc(l.spare, wait, func(spare spareEngine, wait time.Duration) int {
 		return cmp.Compare(wait, spare.wait)
 	})
-	l.spare = slices.Insert(l.spare, at, spareEngine{state: known, wait: wait})
+	l.spare = slices.Insert(l.spare, at, spareEngine{state: state, wait: wait})
 	if len(l.spare) > maxSpareEngines {
 		l.spare = slices.Delete(l.spare, 0, 1)
 	}
@@ -67,24 +67,24 @@
 // addSpareEngines adds engines with room to the candidates of a request that would wait too long
 // at all of those looked at. It tells whether it has; if not, no engine of the service has
 // room, by a look at all of them that still counts, and least is the shortest wait.
-func (s *search) addSpareEngines(allowed time.Duration) (least time.Duration, added bool) {
+func (s *search) addSpareEngines(allowed time.Duration) (shortestWait time.Duration, added bool) {
 	key := s.scanKeyFor(s.request.Engine.Priority)
-	known := s.pool.scans[key]
-	if known != nil && s.now < known.validUntil && known.shortestWait > allowed {
-		return known.shortestWait, false
+	scan := s.pool.scans[key]
+	if scan != nil && s.now < scan.validUntil && scan.shortestWait > allowed {
+		return scan.shortestWait, false
 	}
-	if known == nil || s.now >= known.validUntil || len(known.spare) == 0 {
-		known = s.scanForSpare()
-		s.pool.scans[key] = known
+	if scan == nil || s.now >= scan.validUntil || len(scan.spare) == 0 {
+		scan = s.scanForSpare()
+		s.pool.scans[key] = scan
 	}
-	if known.shortestWait > allowed {
-		return known.shortestWait, false
+	if scan.shortestWait > allowed {
+		return scan.shortestWait, false
 	}
-	for _, spare := range known.take() {
+	for _, spare := range scan.take() {
 		s.examine(spare.state)
 	}
 	s.saveBuffers()
-	return known.shortestWait, true
+	return scan.shortestWait, true
 }
 
 // scanKeyFor returns what names the requests like this one of a priority.
@@ -103,8 +103,8 @@
 // isKnownFull tells whether a look at all workers that still counts has found them full. A
 // request that was sent before isn't judged by it, since it leaves workers out.
 func (s *search) isKnownFull() bool {
-	known := s.pool.scans[s.scanKeyFor(anyPriority)]
-	return len(s.request.Excluded) == 0 && known != nil && s.now < known.validUntil && s.resolve() == ReasonFull
+	scan := s.pool.scans[s.scanKeyFor(anyPriority)]
+	return len(s.request.Excluded) == 0 && scan != nil && s.now < scan.validUntil && s.resolve() == ReasonFull
 }
 
 // recordFull keeps that all workers have been looked at and are full.
@@ -121,13 +121,13 @@
 
 // scanForSpare looks at all engines for the shortest waits.
 func (s *search) scanForSpare() *scanResult {
-	found := &scanResult{validUntil: s.now + s.scanValidity(), shortestWait: math.MaxInt64}
-	for _, known := range s.pool.all() {
-		if known.lastSearch == s.id && known.verdict != verdictEligible || known.lastSearch != s.id && s.assess(known) != verdictEligible {
+	scan := &scanResult{validUntil: s.now + s.scanValidity(), shortestWait: math.MaxInt64}
+	for _, state := range s.pool.all() {
+		if state.lastSearch == s.id && state.verdict != verdictEligible || state.lastSearch != s.id && s.assess(state) != verdictEligible {
 			continue
 		}
-		endpoint := s.endpointLoad(s.now, s.request.Engine, known)
-		found.add(known, scheduling.PredictedWait(&endpoint))
+		endpoint := s.endpointLoad(s.now, s.request.Engine, state)
+		scan.add(state, scheduling.PredictedWait(&endpoint))
 	}
-	return found
+	return scan
 }
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -30,7 +30,7 @@
 // compared with each.
 func TestChoiceExaminesFewWorkersAtAnySize(t *testing.T) {
 	const choices = 400
-	looked, took := map[int]int{}, map[int]time.Duration{}
+	examined, took := map[int]int{}, map[int]time.Duration{}
 	sizes := []int{100, 10_000}
 	for _, engines := range sizes {
 		simulated := newSimulatedFleet(engines, simulatedSlots/3, Options{Zone: "z0"})
@@ -39,18 +39,18 @@
 			simulated.step()
 			request := simulated.request()
 			start := time.Now()
-			placement, refused := simulated.registry.Choose(simulated.now, request)
+			placement, refusal := simulated.registry.Choose(simulated.now, request)
 			times[number] = time.Since(start)
-			require.NotNil(t, placement, refused)
+			require.NotNil(t, placement, refusal)
 			simulated.open = append(simulated.open, placement)
-			looked[engines] += placement.Examined
+			examined[engines] += placement.Examined
 		}
 		slices.Sort(times)
 		took[engines] = times[choices/2]
 	}
 	small, large := sizes[0], sizes[1]
-	assert.Less(t, float64(looked[large]), 1.5*float64(looked[small]), "workers looked at")
-	assert.Less(t, looked[large], 60*choices)
+	assert.Less(t, float64(examined[large]), 1.5*float64(examined[small]), "workers looked at")
+	assert.Less(t, examined[large], 60*choices)
 	assert.Less(t, took[large], 15*took[small], "%v and %v", took[small], took[large])
 }
 
@@ -65,53 +65,53 @@
 // as full only after its last place is taken.
 func TestOnlyWorkerWithCapacityIsFound(t *testing.T) {
 	registry := withManyEngines()
-	for id, known := range registry.workers {
+	for id, state := range registry.workers {
 		if id != "e77" {
-			known.inFlight = maxStreams(known.worker.Slots)
-			registry.updateLevel(known)
+			state.inFlight = maxStreams(state.worker.Slots)
+			registry.updateLevel(state)
 		}
 	}
 	for range maxStreams(registry.workers["e77"].worker.Slots) {
-		placement, refused := registry.Choose(0, engineRequest("p"))
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, engineRequest("p"))
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, fleet.EngineID("e77"), placement.Worker.ID)
 	}
 	for range 3 {
-		placement, refused := registry.Choose(0, engineRequest("p"))
+		placement, refusal := registry.Choose(0, engineRequest("p"))
 		require.Nil(t, placement)
-		assert.Equal(t, ReasonFull, refused.Reason)
+		assert.Equal(t, ReasonFull, refusal.Reason)
 	}
 	registry.workers["e300"].inFlight--
 	valid := manyEngines * scanValidityPerWorker
-	placement, refused := registry.Choose(valid, engineRequest("p"))
-	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refused)
+	placement, refusal := registry.Choose(valid, engineRequest("p"))
+	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refusal)
 }
 
 // TestLateRefusalRequiresFullScan has every engine hold up a request for longer than
 // its target, but one whose long queue is less urgent: what is drawn by load misses it.
 func TestLateRefusalRequiresFullScan(t *testing.T) {
 	registry := withManyEngines()
-	for id, known := range registry.workers {
-		known.prefillTokens, known.priorities[1].PrefillTokens = 40_000, 40_000
+	for id, state := range registry.workers {
+		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 		if id == "e77" {
-			known.prefillTokens, known.priorities[1].PrefillTokens, known.priorities[5].PrefillTokens = 90_000, 0, 90_000
+			state.prefillTokens, state.priorities[1].PrefillTokens, state.priorities[5].PrefillTokens = 90_000, 0, 90_000
 		}
-		registry.updateLevel(known)
+		registry.updateLevel(state)
 	}
-	placement, refused := registry.Choose(0, targetedRequest("p", 1000, 1))
-	require.NotNil(t, placement, refused)
+	placement, refusal := registry.Choose(0, targetedRequest("p", 1000, 1))
+	require.NotNil(t, placement, refusal)
 	assert.Equal(t, fleet.EngineID("e77"), placement.Worker.ID)
 	placement.End(0, Succeeded)
 	registry.workers["e77"].priorities[1].PrefillTokens, registry.workers["e77"].prefillTokens = 40_000, 130_000
 	later := time.Duration(manyEngines) * scanValidityPerWorker
-	placement, refused = registry.Choose(later, targetedRequest("p", 1000, 1))
+	placement, refusal = registry.Choose(later, targetedRequest("p", 1000, 1))
 	require.Nil(t, placement)
-	assert.Equal(t, ReasonLate, refused.Reason)
-	assert.InDelta(t, 580, refused.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
+	assert.Equal(t, ReasonLate, refusal.Reason)
+	assert.InDelta(t, 580, refusal.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
 	registry.workers["e9"].prefillTokens, registry.workers["e9"].priorities[1].PrefillTokens = 0, 0
 	registry.updateLevel(registry.workers["e9"])
-	placement, refused = registry.Choose(later, targetedRequest("q", 1000, 1))
-	require.NotNil(t, placement, refused)
+	placement, refusal = registry.Choose(later, targetedRequest("q", 1000, 1))
+	require.NotNil(t, placement, refusal)
 }
 
 // TestSoftwareVersionLimitsCandidates has two workers of many carry the target's version.
@@ -122,29 +122,29 @@
 		worker.Software = "new"
 		registry.Observe(manyEngines+1, worker)
 	}
-	choose := func(versions *delivery.Choice) (*Placement, Refusal) {
+	choose := func(software *delivery.Choice) (*Placement, Refusal) {
 		request := engineRequest("p")
-		request.Software = versions
+		request.Software = software
 		return registry.Choose(0, request)
 	}
 	for range 20 {
-		placement, refused := choose(delivery.NewChoice("new", true, nil, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal := choose(delivery.NewChoice("new", true, nil, nil))
+		require.NotNil(t, placement, refusal)
 		assert.EqualValues(t, "new", placement.Worker.Software)
-		placement, refused = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, fleet.EngineID("e400"), placement.Worker.ID)
 		assert.Less(t, placement.Examined, manyEngines/4)
 		placement.End(0, Cancelled)
-		placement, refused = choose(delivery.NewChoice("new", false, nil, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal = choose(delivery.NewChoice("new", false, nil, nil))
+		require.NotNil(t, placement, refusal)
 		assert.Empty(t, placement.Worker.Software)
 	}
 	old := delivery.NewChoice("newer", false, nil, nil)
-	placement, refused := choose(delivery.NewChoice("newer", true, nil, old))
-	require.NotNil(t, placement, refused, "nobody has it: what holds then")
-	_, refused = choose(delivery.NewChoice("newer", true, nil, nil))
-	assert.Equal(t, ReasonNoWorker, refused.Reason)
+	placement, refusal := choose(delivery.NewChoice("newer", true, nil, old))
+	require.NotNil(t, placement, refusal, "nobody has it: what holds then")
+	_, refusal = choose(delivery.NewChoice("newer", true, nil, nil))
+	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
 // TestHolderAmongManyIsFound also the one of the request's session.
@@ -173,8 +173,8 @@
 func homesOf(registry *Registry, prompts int) []fleet.EngineID {
 	homes := make([]fleet.EngineID, prompts)
 	for number := range homes {
-		found, _ := registry.candidates(0, engineRequest(fmt.Sprint("p", number)))
-		homes[number] = found.home(2).worker.ID
+		search, _ := registry.candidates(0, engineRequest(fmt.Sprint("p", number)))
+		homes[number] = search.home(2).worker.ID
 	}
 	return homes
 }
--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -10,8 +10,8 @@
 // no engine holds them, so that they are about to be read. The store's memory is
 // for what engines don't keep: parts in use stay at engines, and would only make
 // the store drop what is nowhere else.
-func shouldSave(engine *EngineRequest, known *promptScope, shared int) bool {
-	return engine.Store != "" && known.storedParts < shared && !known.isHeldByEngine(shared)
+func shouldSave(engine *EngineRequest, scoped *promptScope, shared int) bool {
+	return engine.Store != "" && scoped.storedParts < shared && !scoped.isHeldByEngine(shared)
 }
 
 // source is from where an engine takes what it lacks of a prompt's shared parts.
@@ -63,8 +63,8 @@
 
 // canBeSource tells whether an engine may be a source for another one. One that drains may be until
 // it has gone.
-func canBeSource(known, target *workerState, parts *promptScope, model fleet.ModelName) bool {
-	return known != nil && known != target && !known.gone && known.worker.Versions[model] == parts.version
+func canBeSource(state, target *workerState, parts *promptScope, model fleet.ModelName) bool {
+	return state != nil && state != target && !state.gone && state.worker.Versions[model] == parts.version
 }
 
 // transferPerToken predicts the time to move a token's KV cache at a bandwidth in Mbit/s over
--- a/internal/backends/speed.go
+++ b/internal/backends/speed.go
@@ -64,8 +64,8 @@
 // perToken returns the time in which a service's engines read a prompt token; the
 // mutex is held.
 func (r *Registry) perToken(service fleet.PoolName) time.Duration {
-	if known := r.speedEstimates[service]; known != nil {
-		return known.perToken
+	if estimate := r.speedEstimates[service]; estimate != nil {
+		return estimate.perToken
 	}
 	return r.options.PrefillPerToken
 }
@@ -73,8 +73,8 @@
 // slotTime returns the mean time for which a request is at a service's engines, 0 if
 // none has ended; the mutex is held.
 func (r *Registry) slotTime(service fleet.PoolName) time.Duration {
-	if known := r.speedEstimates[service]; known != nil {
-		return known.slotTime
+	if estimate := r.speedEstimates[service]; estimate != nil {
+		return estimate.slotTime
 	}
 	return 0
 }
@@ -84,21 +84,21 @@
 	if placement.Engine == nil {
 		return
 	}
-	known := r.speedEstimateOf(placement.Worker.Service)
-	if known.slotTime == 0 {
-		known.slotTime = took
+	estimate := r.speedEstimateOf(placement.Worker.Service)
+	if estimate.slotTime == 0 {
+		estimate.slotTime = took
 	}
-	known.slotTime += time.Duration(slotTimeWeight * float64(took-known.slotTime))
+	estimate.slotTime += time.Duration(slotTimeWeight * float64(took-estimate.slotTime))
 }
 
 // speedEstimateOf returns the estimates of a service's engines; the mutex is held.
 func (r *Registry) speedEstimateOf(service fleet.PoolName) *speedEstimate {
-	known := r.speedEstimates[service]
-	if known == nil {
-		known = &speedEstimate{perToken: r.options.PrefillPerToken}
-		r.speedEstimates[service] = known
+	estimate := r.speedEstimates[service]
+	if estimate == nil {
+		estimate = &speedEstimate{perToken: r.options.PrefillPerToken}
+		r.speedEstimates[service] = estimate
 	}
-	return known
+	return estimate
 }
 
 // recordSpeed takes in the first token of a request; the mutex is held.
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -67,11 +67,11 @@
 
 // planHalvings returns by how much a service's workers are halved: as many are left as
 // the demand asks for, and half of those in force stay until there is half as much again.
-func planHalvings(inForce Halvings, workers, least int) Halvings {
-	for inForce > 0 && workers>>inForce < least {
+func planHalvings(inForce Halvings, workers, minimum int) Halvings {
+	for inForce > 0 && workers>>inForce < minimum {
 		inForce--
 	}
-	enough := int(math.Ceil(float64(least) * shrinkMargin))
+	enough := int(math.Ceil(float64(minimum) * shrinkMargin))
 	for inForce < maxHalvings && workers>>(inForce+1) >= enough {
 		inForce++
 	}
@@ -81,7 +81,7 @@
 // PlanSubsets returns the subsets for all workers known and for some that are about to be
 // observed, at a rate of requests a second over all nodes. Only a node that knows all
 // workers can plan.
-func (r *Registry) PlanSubsets(rate float64, coming []Worker) Subsets {
+func (r *Registry) PlanSubsets(rate float64, upcoming []Worker) Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts, slots := make(map[fleet.PoolName]int), make(map[fleet.PoolName]int)
@@ -89,14 +89,14 @@
 		counts[worker.Service]++
 		slots[worker.Service] = max(slots[worker.Service], worker.Slots)
 	}
-	for _, known := range r.workers {
-		if known.isListed() {
-			count(&known.worker)
+	for _, state := range r.workers {
+		if state.isListed() {
+			count(&state.worker)
 		}
 	}
-	for index := range coming {
-		if r.workers[coming[index].ID] == nil {
-			count(&coming[index])
+	for index := range upcoming {
+		if r.workers[upcoming[index].ID] == nil {
+			count(&upcoming[index])
 		}
 	}
 	planned := make(Subsets)
@@ -113,8 +113,8 @@
 // doublings returns by how much this node wants subsets larger; the mutex is held.
 func (r *Registry) doublings() Subsets {
 	doublings := make(Subsets, len(r.shortages))
-	for service, short := range r.shortages {
-		doublings[service] = short.doublings
+	for service, current := range r.shortages {
+		doublings[service] = current.doublings
 	}
 	return doublings
 }
@@ -129,11 +129,11 @@
 
 // recordShortage takes in that a service's subset had no room for a request; the mutex is held.
 func (r *Registry) recordShortage(now time.Duration, service fleet.PoolName) {
-	short := r.shortages[service]
-	if r.subsets[service] == 0 || (short.doublings > 0 && now < short.doubledAt+minDoublingInterval) {
+	current := r.shortages[service]
+	if r.subsets[service] == 0 || (current.doublings > 0 && now < current.doubledAt+minDoublingInterval) {
 		return
 	}
-	r.shortages[service] = shortage{doublings: short.doublings + 1, doubledAt: now}
+	r.shortages[service] = shortage{doublings: current.doublings + 1, doubledAt: now}
 }
 
 // SetSubsets puts subsets in force: only their workers get requests. What is known of the
@@ -146,10 +146,10 @@
 		return false
 	}
 	r.subsets, r.onlySubsets = subsets, !all
-	for id, known := range r.workers {
-		r.updatePool(known)
-		if r.isOutsideSubsets(known) {
-			r.drop(id, known)
+	for id, state := range r.workers {
+		r.updatePool(state)
+		if r.isOutsideSubsets(state) {
+			r.drop(id, state)
 		}
 	}
 	return true
@@ -168,24 +168,24 @@
 	return func(id string) bool {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		known := r.workers[fleet.EngineID(id)]
-		return known == nil || subsets.contains(known.worker.Service, known.hash)
+		state := r.workers[fleet.EngineID(id)]
+		return state == nil || subsets.contains(state.worker.Service, state.hash)
 	}
 }
 
 // isOutsideSubsets tells whether nothing is to be known of a worker; the mutex is held.
-func (r *Registry) isOutsideSubsets(known *workerState) bool {
-	return r.onlySubsets && known.inFlight == 0 && !r.subsets.contains(known.worker.Service, known.hash)
+func (r *Registry) isOutsideSubsets(state *workerState) bool {
+	return r.onlySubsets && state.inFlight == 0 && !r.subsets.contains(state.worker.Service, state.hash)
 }
 
 // drop forgets a worker; the mutex is held.
-func (r *Registry) drop(id fleet.EngineID, known *workerState) {
-	if known.worker.Draining {
-		r.forgottenDraining[id] = drainingRecord{startTime: known.worker.StartTime}
+func (r *Registry) drop(id fleet.EngineID, state *workerState) {
+	if state.worker.Draining {
+		r.forgottenDraining[id] = drainingRecord{startTime: state.worker.StartTime}
 	}
 	delete(r.unpublishedDraining, id)
-	r.parts.remove(known.worker.Run())
-	r.removeFromPool(known)
+	r.parts.remove(state.worker.Run())
+	r.removeFromPool(state)
 	delete(r.workers, id)
 	r.shortNames.remove(id)
 }
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -74,8 +74,8 @@
 		assert.Len(t, registry.Workers(), engines)
 		assert.InDelta(t, 300, len(inUse), 60)
 		for range 500 {
-			placement, refused := registry.Choose(0, engineRequest("p"))
-			require.NotNil(t, placement, refused)
+			placement, refusal := registry.Choose(0, engineRequest("p"))
+			require.NotNil(t, placement, refusal)
 			assert.True(t, inUse[placement.Worker.ID])
 		}
 	}
@@ -131,7 +131,7 @@
 	for _, worker := range registry.WorkersInUse() {
 		request.Excluded = append(request.Excluded, worker.Run())
 	}
-	_, refused := registry.Choose(0, request)
-	assert.Equal(t, ReasonExcluded, refused.Reason)
+	_, refusal := registry.Choose(0, request)
+	assert.Equal(t, ReasonExcluded, refusal.Reason)
 	assert.Empty(t, registry.Doublings())
 }
--- a/internal/backends/work.go
+++ b/internal/backends/work.go
@@ -46,9 +46,9 @@
 // work returns what was seen of late.
 func (p *workTracker) work(now time.Duration) Work {
 	if idle := now - p.at; idle > 0 {
-		kept := math.Exp2(-float64(idle) / float64(workHalfLife))
-		p.long *= kept
-		p.short *= kept
+		decay := math.Exp2(-float64(idle) / float64(workHalfLife))
+		p.long *= decay
+		p.short *= decay
 		p.at = now
 	}
 	return Work{Long: time.Duration(p.long * float64(time.Second)), Short: time.Duration(p.short * float64(time.Second))}
@@ -66,7 +66,7 @@
 
 // enginesForLong returns how many of count engines are kept for long prompts, and
 // whether any are kept for either size.
-func (w Work) enginesForLong(count int) (kept int, apart bool) {
+func (w Work) enginesForLong(count int) (longEngines int, partitioned bool) {
 	total := w.Long + w.Short
 	if count < 2 || total <= 0 {
 		return 0, false
--- a/internal/backends/work_test.go
+++ b/internal/backends/work_test.go
@@ -12,13 +12,13 @@
 // reservedFor returns the engines that are kept for long prompts; nil if none are kept for
 // either size.
 func (r *Registry) reservedFor(now time.Duration, service fleet.PoolName) map[fleet.EngineID]bool {
-	if _, apart := r.longPromptBound(now, r.poolOf(service)); !apart {
+	if _, partitioned := r.longPromptBound(now, r.poolOf(service)); !partitioned {
 		return nil
 	}
 	forShort := r.reservedForOtherSize(now, r.poolOf(service), &EngineRequest{PromptTokens: 1})
 	reserved := make(map[fleet.EngineID]bool)
-	for id, known := range r.workers {
-		if forShort(known) {
+	for id, state := range r.workers {
+		if forShort(state) {
 			reserved[id] = true
 		}
 	}
@@ -46,7 +46,7 @@
 	own.record(0, true, 8*time.Second)
 	own.record(0, false, 4*time.Second)
 	assert.Equal(t, Work{Long: 4 * time.Second, Short: 2 * time.Second}, own.work(workHalfLife))
-	kept, apart := Work{Long: 4, Short: 2}.enginesForLong(12)
-	assert.True(t, apart)
-	assert.Equal(t, 8, kept)
+	longEngines, partitioned := Work{Long: 4, Short: 2}.enginesForLong(12)
+	assert.True(t, partitioned)
+	assert.Equal(t, 8, longEngines)
 }
--- a/internal/scheduling/filter_test.go
+++ b/internal/scheduling/filter_test.go
@@ -10,7 +10,7 @@
 
 // TestFilters spoils one property of a good endpoint at a time.
 func TestFilters(t *testing.T) {
-	spoiled := map[string]func(*Request, *Endpoint){
+	mutations := map[string]func(*Request, *Endpoint){
 		"":                 func(*Request, *Endpoint) {},
 		FilterPool:         func(_ *Request, e *Endpoint) { e.Pool = "other" },
 		FilterReady:        func(_ *Request, e *Endpoint) { e.Ready = false },
@@ -19,10 +19,10 @@
 		FilterModelVersion: func(r *Request, _ *Endpoint) { r.ModelVersion.Version = "v2" },
 		FilterStreams:      func(_ *Request, e *Endpoint) { e.InFlight = e.MaxStreams },
 	}
-	for name, spoil := range spoiled {
+	for name, mutate := range mutations {
 		t.Run("removed by "+name, func(t *testing.T) {
 			request, endpoint := testRequest(), testEndpoint(1)
-			spoil(&request, &endpoint)
+			mutate(&request, &endpoint)
 			assert.Equal(t, name, removedBy(&request, &endpoint))
 		})
 	}
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -75,48 +75,48 @@
 
 // scoreAndPick scores the candidates, of a congestion together, and picks one.
 func (s *Scheduler) scoreAndPick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, congestion float64, explanation []Candidate, random *rand.Rand) Decision {
-	charged := s.recomputePricesAt(congestion/float64(len(candidates)), request.RecomputeDiscount)
+	prices := s.recomputePricesAt(congestion/float64(len(candidates)), request.RecomputeDiscount)
 	for position := range candidates {
 		candidate := &candidates[position]
-		candidate.scores = s.score(request, &endpoints[candidate.index], charged)
+		candidate.scores = s.score(request, &endpoints[candidate.index], prices)
 		if request.Explain {
 			explanation[candidate.index].Scores = candidate.scores
 		}
 	}
-	picked, late := s.pick(request, endpoints, candidates, random)
+	chosen, late := s.pick(request, endpoints, candidates, random)
 	if request.Explain {
-		explanation[picked.index].Chosen = true
+		explanation[chosen.index].Chosen = true
 	}
 	return Decision{
-		Index:          picked.index,
-		Endpoint:       endpoints[picked.index],
-		CachedTokens:   picked.scores.CachedTokens,
-		ImportedTokens: picked.scores.ImportedTokens,
-		FirstToken:     picked.scores.FirstToken(),
-		ServiceTime:    picked.scores.ServiceTime(),
-		WaitTime:       picked.scores.WaitTime(),
+		Index:          chosen.index,
+		Endpoint:       endpoints[chosen.index],
+		CachedTokens:   chosen.scores.CachedTokens,
+		ImportedTokens: chosen.scores.ImportedTokens,
+		FirstToken:     chosen.scores.FirstToken(),
+		ServiceTime:    chosen.scores.ServiceTime(),
+		WaitTime:       chosen.scores.WaitTime(),
 		Late:           late,
 		Candidates:     explanation,
 	}
 }
 
 // score predicts the costs of an endpoint, at the prices of a decision.
-func (s *Scheduler) score(request *Request, endpoint *Endpoint, charged recomputePrices) Scores {
+func (s *Scheduler) score(request *Request, endpoint *Endpoint, prices recomputePrices) Scores {
 	cached := cachedTokens(request, endpoint)
-	imported, importing := importTime(request, endpoint, cached)
+	imported, importDuration := importTime(request, endpoint, cached)
 	uncached := request.PromptTokens - cached - imported
-	unread := min(endpoint.ColdTokens, uncached)
+	cold := min(endpoint.ColdTokens, uncached)
 	return Scores{
 		CachedTokens:   cached,
 		ImportedTokens: imported,
-		Import:         importing,
+		Import:         importDuration,
 		Queue:          queueTime(endpoint),
 		LowerPriority:  prefillTime(endpoint, endpoint.LowerPriorityTokens),
 		Prefill:        prefillTime(endpoint, uncached),
 		Interference:   interferenceTime(endpoint, uncached),
 		Zone:           s.zonePenalty(request, endpoint) + endpoint.NetworkDelay,
 		Transfer:       endpoint.TransferCost,
-		Recompute:      charged.cost(uncached - unread + endpoint.DuplicateTokens),
+		Recompute:      prices.cost(uncached - cold + endpoint.DuplicateTokens),
 		ImportCost:     time.Duration(imported*max(endpoint.ImportCostFactor, 1)) * s.options.ImportWeight,
 		Failure:        endpoint.FailureCost,
 		Reserved:       endpoint.ReservedPenalty,
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -29,7 +29,7 @@
 		Zone:            "a",
 		Pool:            "pool",
 		Ready:           true,
-		Serves:          func(weights fleet.Weights) bool { return weights.Version == "v1" },
+		Serves:          func(version fleet.Weights) bool { return version.Version == "v1" },
 		MaxStreams:      8,
 		PrefillPerToken: 100 * time.Microsecond,
 		Step:            time.Millisecond,
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -24,7 +24,7 @@
 	// never becomes false again for the same run.
 	Draining bool
 	// Serves tells whether the run has the weights loaded and its role takes requests.
-	Serves func(weights fleet.Weights) bool
+	Serves func(version fleet.Weights) bool
 	// InFlight counts the streams placed here and not known to have ended.
 	InFlight int
 	// MaxStreams bounds InFlight; 0 means no bound.
--- a/internal/scheduling/score_recompute.go
+++ b/internal/scheduling/score_recompute.go
@@ -37,9 +37,9 @@
 // recomputePricesAt returns the recomputePricesAt at a mean congestion of the candidates, less the
 // request's discount.
 func (s *Scheduler) recomputePricesAt(congestion, discount float64) recomputePrices {
-	kept := 1 - discount*max(1-congestion/maxDiscountCongestion, 0)
+	factor := 1 - discount*max(1-congestion/maxDiscountCongestion, 0)
 	return recomputePrices{
-		perToken:           time.Duration(kept * float64(s.options.RecomputeWeight)),
-		congestionPerToken: time.Duration(kept * congestion * float64(s.options.CongestionWeight)),
+		perToken:           time.Duration(factor * float64(s.options.RecomputeWeight)),
+		congestionPerToken: time.Duration(factor * congestion * float64(s.options.CongestionWeight)),
 	}
 }
--- a/internal/scheduling/score_test.go
+++ b/internal/scheduling/score_test.go
@@ -75,8 +75,8 @@
 }
 
 func TestCongestionPriceIsBounded(t *testing.T) {
-	charged := recomputePrices{perToken: time.Microsecond, congestionPerToken: 2 * time.Microsecond}
-	assert.Zero(t, charged.cost(-1))
-	assert.Equal(t, 3*maxCongestionTokens*time.Microsecond, charged.cost(maxCongestionTokens))
-	assert.Equal(t, (3*maxCongestionTokens+100)*time.Microsecond, charged.cost(maxCongestionTokens+100))
+	prices := recomputePrices{perToken: time.Microsecond, congestionPerToken: 2 * time.Microsecond}
+	assert.Zero(t, prices.cost(-1))
+	assert.Equal(t, 3*maxCongestionTokens*time.Microsecond, prices.cost(maxCongestionTokens))
+	assert.Equal(t, (3*maxCongestionTokens+100)*time.Microsecond, prices.cost(maxCongestionTokens+100))
 }
