--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -19,7 +19,7 @@
 	promptTokens = 32 << 10
 )
 
-// benchmarkFixture is an index of full size and a snapshot of engines, as a router has them.
+// benchmarkFixture is a full-size prefix index and a snapshot of engines.
 type benchmarkFixture struct {
 	index     *prefixindex.Index
 	endpoints []scheduling.Endpoint
@@ -28,8 +28,8 @@
 	random    *rand.Rand
 }
 
-// newBenchmarkFixture shares sharedBlocks among all engines and gives the other blocks to
-// one engine each.
+// newBenchmarkFixture stores sharedBlocks at every engine and splits the remaining blocks among the
+// engines.
 func newBenchmarkFixture(engines int) *benchmarkFixture {
 	result := &benchmarkFixture{
 		index:     prefixindex.New(prefixindex.Options{}),
@@ -61,8 +61,8 @@
 	return hashes
 }
 
-// prompt returns a chain at another place of the index each time: nine tenths
-// shared by all engines, the end held by none.
+// prompt returns a chain at a random offset of the index: nine tenths are held by every engine, the
+// rest by none.
 func (b *benchmarkFixture) prompt(blocks int) []fleet.BlockHash {
 	start := b.random.IntN(sharedBlocks - blocks)
 	prompt := append([]fleet.BlockHash(nil), b.shared[start:start+blocks]...)
@@ -70,7 +70,7 @@
 	return prompt
 }
 
-// decide is one whole decision, from block hashes to an engine.
+// decide makes one decision, from block hashes to an engine.
 func (b *benchmarkFixture) decide(scheduler *scheduling.Scheduler, request scheduling.Request, prompt []fleet.BlockHash, matches []prefixindex.Match) ([]prefixindex.Match, bool) {
 	matches = b.index.Lookup(prompt, matches)
 	for position := range b.endpoints {
@@ -83,8 +83,8 @@
 	return matches, found
 }
 
-// BenchmarkDecision measures lookup and scheduling together for a prompt of
-// 32 Ki tokens over an index of 2.5 million blocks.
+// BenchmarkDecision measures prefix lookup and scheduling for a prompt of 32 Ki tokens over an
+// index of 2.5 million blocks.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{16, 64} {
 		state := newBenchmarkFixture(engines)
--- a/internal/scheduling/filter.go
+++ b/internal/scheduling/filter.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// Names of the filters in explanations.
+// Names of the filters, as reported in Candidate.RemovedBy.
 const (
 	FilterPool         = "pool"
 	FilterDraining     = "leaving"
@@ -10,10 +10,10 @@
 	FilterStreams      = "max_streams"
 )
 
-// removedBy runs the chain of filters and returns the name of the first that
-// removes an endpoint, or "". Lasting reasons come before passing ones, so that
-// an explanation names the reason that matters. The calls are direct: through
-// function values every decision would allocate its request.
+// removedBy returns the name of the first filter that removes an endpoint, or "" if it passes all
+// of them. Permanent reasons are checked before transient ones, so that an explanation names the
+// more useful one. The filters are called directly, since calls through function values would
+// allocate the request on the heap.
 func removedBy(request *Request, endpoint *Endpoint) string {
 	switch {
 	case !inPool(request, endpoint):
--- a/internal/scheduling/filter_draining.go
+++ b/internal/scheduling/filter_draining.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// notDraining removes the endpoints that get no new work any more.
+// notDraining reports whether the endpoint accepts new work.
 func notDraining(endpoint *Endpoint) bool {
 	return !endpoint.Draining
 }
--- a/internal/scheduling/filter_ready.go
+++ b/internal/scheduling/filter_ready.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// isReady keeps the endpoints that have answered lately.
+// isReady reports whether the endpoint has responded recently.
 func isReady(endpoint *Endpoint) bool {
 	return endpoint.Ready
 }
--- a/internal/scheduling/filter_streams.go
+++ b/internal/scheduling/filter_streams.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// belowMaxStreams removes the endpoints that are full.
+// belowMaxStreams reports whether the endpoint can take another stream.
 func belowMaxStreams(endpoint *Endpoint) bool {
 	return endpoint.MaxStreams <= 0 || endpoint.InFlight < endpoint.MaxStreams
 }
--- a/internal/scheduling/filter_test.go
+++ b/internal/scheduling/filter_test.go
@@ -8,7 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestFilters spoils one property of a good endpoint at a time.
+// TestFilters guards against a filter that doesn't remove an ineligible endpoint, or is reported
+// under the wrong name.
 func TestFilters(t *testing.T) {
 	mutations := map[string]func(*Request, *Endpoint){
 		"":                 func(*Request, *Endpoint) {},
--- a/internal/scheduling/filter_version.go
+++ b/internal/scheduling/filter_version.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// servesModelVersion keeps the endpoints with exactly the request's weights loaded.
+// servesModelVersion reports whether the endpoint has loaded exactly the requested model version.
 func servesModelVersion(request *Request, endpoint *Endpoint) bool {
 	return endpoint.Serves != nil && endpoint.Serves(request.ModelVersion)
 }
--- a/internal/scheduling/options.go
+++ b/internal/scheduling/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of Options, and of endpoints that haven't reported their speed.
+// Defaults of Options, and of endpoints that have not reported their speed.
 const (
 	DefaultZonePenalty       = 3 * time.Millisecond
 	DefaultRecomputeWeight   = 100 * time.Microsecond
@@ -16,42 +16,36 @@
 	DefaultStep              = 10 * time.Millisecond
 )
 
-// Options sets the prices that a scheduler compares engines by. A zero field
-// means what it says; DefaultOptions gives a start.
+// Options sets the weights of the cost function that engines are compared by. Zero fields are used
+// as they are; start from DefaultOptions for defaults.
 type Options struct {
-	// ZonePenalty is added for an engine outside the agent's zone. It covers
-	// the round trip there.
+	// ZonePenalty is added for an engine outside the agent's zone, to cover the round trip.
 	ZonePenalty time.Duration
-	// RecomputeWeight is the time of other requests' work that one recomputed
-	// prompt token is worth. Prefill takes shared capacity, so at 0 a request
-	// would recompute a long prefix to gain a moment for itself.
+	// RecomputeWeight is charged for each recomputed prompt token, since prefill takes capacity
+	// from other requests. At 0, a request recomputes a long prefix for any gain in its own
+	// latency.
 	RecomputeWeight time.Duration
-	// CongestionWeight is added to RecomputeWeight in proportion to the mean
-	// congestion of the candidates: the longer the queues, the more requests wait
-	// behind what is recomputed. Without it, recomputation could keep up the queues
-	// that it is meant to avoid. An engine is congested in full when its queue is
-	// CongestedQueue long.
+	// CongestionWeight is added to RecomputeWeight in proportion to the mean congestion of the
+	// candidates, so that recomputation does not sustain the queues that it is meant to avoid. An
+	// engine counts as fully congested when its queue is CongestedQueue long.
 	CongestionWeight time.Duration
 	CongestedQueue   time.Duration
-	// TieFraction is how much dearer than the cheapest, in parts of its cost, a
-	// candidate may be and still count as equal. Equal candidates are taken by
-	// the fewest streams in flight, then at random: routers that decide from
-	// the same late load reports then don't all choose the same engine.
+	// TieFraction is the fraction by which a candidate may cost more than the cheapest one and
+	// still count as equal. Among equal candidates, those with the fewest streams in flight are
+	// preferred, then one is picked at random, so that routers with the same stale load reports do
+	// not all choose the same engine.
 	TieFraction float64
-	// ImportWeight is charged for each token that is taken over from another
-	// holder: a move loads two links and may fail, and makes a second copy that
-	// takes the place of others.
+	// ImportWeight is charged for each token imported from another holder: a transfer loads two
+	// links, may fail, and its copy displaces other cached blocks.
 	ImportWeight time.Duration
-	// DecodeStallWeight is charged for each stream whose events a prompt holds up
-	// over all the steps between two of them.
+	// DecodeStallWeight is charged for each decoding stream whose next event the prompt delays.
 	DecodeStallWeight time.Duration
-	// MemoryWeight is charged for each token that doesn't fit into an endpoint's
-	// memory beside what its requests hold: an engine that runs out of memory puts
-	// a request back and computes its prompt anew.
+	// MemoryWeight is charged for each token that exceeds an endpoint's memory. An engine that runs
+	// out of memory preempts a request and recomputes its prompt.
 	MemoryWeight time.Duration
 }
 
-// DefaultOptions returns options that suit the stand-in engines.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	return Options{
 		ZonePenalty:      DefaultZonePenalty,
--- a/internal/scheduling/pick.go
+++ b/internal/scheduling/pick.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// pick takes the cheapest candidate among those predicted to meet the deadline,
-// with near-ties broken by load and chance. When none is, it takes the earliest
-// and returns true. candidates must not be empty; their order may change.
+// pick returns the cheapest candidate among those predicted to meet the deadline, and breaks
+// near-ties by load, then at random. If no candidate meets it, pick returns the one with the
+// earliest first token, and true. candidates must not be empty and may be reordered.
 func (s *Scheduler) pick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) (scoredEndpoint, bool) {
 	inTime := meetingDeadline(request.Deadline, candidates)
 	if len(inTime) == 0 {
@@ -16,8 +16,7 @@
 	return s.breakTies(endpoints, inTime, random), false
 }
 
-// meetingDeadline moves the candidates that meet a deadline to the front and
-// returns them.
+// meetingDeadline moves the candidates that meet the deadline to the front and returns them.
 func meetingDeadline(deadline time.Duration, candidates []scoredEndpoint) []scoredEndpoint {
 	if deadline <= 0 {
 		return candidates
@@ -42,9 +41,8 @@
 	return best
 }
 
-// breakTies chooses among the candidates within TieFraction of the cheapest:
-// the fewest streams in flight, then each with equal chance (reservoir
-// sampling, so that nothing is allocated).
+// breakTies chooses among the candidates within TieFraction of the cheapest: those with the fewest
+// streams in flight, then one at random. Reservoir sampling avoids an allocation.
 func (s *Scheduler) breakTies(endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) scoredEndpoint {
 	limit := s.tieLimit(candidates)
 	var best scoredEndpoint
@@ -67,7 +65,7 @@
 	return best
 }
 
-// tieLimit returns the highest cost that counts as equal to the lowest.
+// tieLimit returns the highest cost that still counts as equal to the lowest.
 func (s *Scheduler) tieLimit(candidates []scoredEndpoint) time.Duration {
 	lowest := candidates[0].scores.Cost()
 	for _, candidate := range candidates[1:] {
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// stackCandidates is the number of candidates up to which a decision allocates
-// nothing.
+// stackCandidates is the number of candidates up to which a decision does not allocate.
 const stackCandidates = 64
 
-// Scheduler places requests. It keeps no state between decisions and is safe
-// for concurrent use, as long as the random generators aren't shared.
+// Scheduler places requests on engines. It keeps no state between decisions and is safe for
+// concurrent use if each goroutine passes its own random generator.
 type Scheduler struct {
 	options Options
 }
 
-// New returns a scheduler.
+// New returns a scheduler with the given options.
 func New(options Options) *Scheduler {
 	return &Scheduler{options: options}
 }
 
-// scoredEndpoint is an endpoint that passed every filter.
+// scoredEndpoint is an endpoint that passed every filter, with its scores.
 type scoredEndpoint struct {
 	index  int
 	scores Scores
 }
 
-// Schedule chooses an endpoint for a request. It returns false when no endpoint
-// passes the filters; Candidates then still says why, if asked for. The
-// generator breaks ties only.
+// Schedule chooses an endpoint for a request. It returns false if no endpoint passes the filters;
+// Decision.Candidates still explains why if the request asks for it. random is only used to break
+// ties.
 func (s *Scheduler) Schedule(request Request, endpoints []Endpoint, random *rand.Rand) (Decision, bool) {
 	var buffer [stackCandidates]scoredEndpoint
 	candidates := buffer[:0]
@@ -57,8 +56,8 @@
 	return s.scoreAndPick(&request, endpoints, candidates, congestion, explanation, random), true
 }
 
-// ChooseAmong chooses among endpoints that may all get the request: whoever calls it has
-// filtered them. There must be one at least.
+// ChooseAmong chooses among endpoints that the caller has already filtered. endpoints must not be
+// empty.
 func (s *Scheduler) ChooseAmong(request Request, endpoints []Endpoint, random *rand.Rand) Decision {
 	var buffer [stackCandidates]scoredEndpoint
 	candidates := buffer[:0]
@@ -73,7 +72,7 @@
 	return s.scoreAndPick(&request, endpoints, candidates, congestion, nil, random)
 }
 
-// scoreAndPick scores the candidates, of a congestion together, and picks one.
+// scoreAndPick scores the candidates and picks one. congestion is the sum over the candidates.
 func (s *Scheduler) scoreAndPick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, congestion float64, explanation []Candidate, random *rand.Rand) Decision {
 	prices := s.recomputePricesAt(congestion/float64(len(candidates)), request.RecomputeDiscount)
 	for position := range candidates {
@@ -100,7 +99,7 @@
 	}
 }
 
-// score predicts the costs of an endpoint, at the prices of a decision.
+// score predicts the costs of serving the request at an endpoint.
 func (s *Scheduler) score(request *Request, endpoint *Endpoint, prices recomputePrices) Scores {
 	cached := cachedTokens(request, endpoint)
 	imported, importDuration := importTime(request, endpoint, cached)
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -46,9 +46,8 @@
 	return decision
 }
 
-// TestQueueIsWeighedAgainstCachedPrefix moves the queue of a warm engine across the
-// point where recomputing elsewhere is as quick, without and with a price on
-// recomputing.
+// TestQueueIsWeighedAgainstCachedPrefix guards against a warm engine being chosen although
+// recomputing elsewhere is cheaper, or the reverse, with and without a recomputation price.
 func TestQueueIsWeighedAgainstCachedPrefix(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
@@ -70,8 +69,8 @@
 	}
 }
 
-// TestBurstComputesColdPrefixOnce sends a burst with one cold prefix: while it
-// is being computed at one engine, the others follow it there.
+// TestBurstComputesColdPrefixOnce guards against a burst of requests computing the same prefix on
+// several engines.
 func TestBurstComputesColdPrefixOnce(t *testing.T) {
 	endpoints := make([]Endpoint, 12)
 	for number := range endpoints {
@@ -103,7 +102,7 @@
 		require.True(t, found)
 		counts[decision.Index]++
 	}
-	assert.Zero(t, counts[0], "a saving under the fraction doesn't outweigh load")
+	assert.Zero(t, counts[0], "a saving within the tie fraction must not outweigh load")
 	assert.InDelta(t, 100, counts[1], 30)
 }
 
@@ -115,7 +114,7 @@
 	assert.Equal(t, 0, scheduleOne(t, options, request, warm, cold).Index)
 	request.Deadline = 110 * time.Millisecond
 	decision := scheduleOne(t, options, request, warm, cold)
-	assert.Equal(t, 1, decision.Index, "the dearer engine meets the deadline")
+	assert.Equal(t, 1, decision.Index, "the more expensive engine meets the deadline")
 	assert.False(t, decision.Late)
 	request.Deadline = 50 * time.Millisecond
 	decision = scheduleOne(t, options, request, warm, cold)
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,9 +1,10 @@
-// Package scheduling decides which engine gets a request: filters remove the
-// engines that must not have it, scorers predict what each of the rest would
-// cost, a picker takes one. Each step reads an immutable snapshot and has no
-// I/O. The shape follows the endpoint picker of the Gateway API inference
-// extension; scores are predicted times instead of weighted points, so that a
-// long queue and a missing prefix are compared in one unit.
+// Package scheduling chooses an engine for a request: filters remove ineligible engines, scorers
+// predict the cost of each remaining one, and a picker selects one. All steps work on an immutable
+// snapshot and do no I/O.
+//
+// The structure follows the endpoint picker of the Gateway API Inference Extension. Scores are
+// predicted times rather than weighted points, so that queueing and missing prefixes are compared
+// in the same unit.
 package scheduling
 
 import (
@@ -12,86 +13,85 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Endpoint is what is known of one engine run at the moment of a decision.
+// Endpoint is the snapshot of one engine run that a decision is based on.
 type Endpoint struct {
 	Run     fleet.EngineRun
 	Address fleet.Address
 	Zone    fleet.ZoneName
 	Pool    fleet.PoolName
-	// Ready is false for an engine that hasn't answered lately.
+	// Ready reports whether the engine has responded recently.
 	Ready bool
-	// Draining is true once any source has said that this run is leaving; it
-	// never becomes false again for the same run.
+	// Draining is set once any source has reported that this run is shutting down. It is never
+	// reset for the same run.
 	Draining bool
-	// Serves tells whether the run has the weights loaded and its role takes requests.
+	// Serves reports whether the run has the model version loaded and its role accepts requests.
 	Serves func(version fleet.Weights) bool
-	// InFlight counts the streams placed here and not known to have ended.
+	// InFlight is the number of streams placed here that are not known to have ended.
 	InFlight int
-	// MaxStreams bounds InFlight; 0 means no bound.
+	// MaxStreams limits InFlight; 0 means no limit.
 	MaxStreams int
-	// Slots is the number of streams that the engine runs at once; 0 means any
-	// number. SlotTime is the mean time that a stream holds one.
+	// Slots is the number of streams that the engine runs concurrently; 0 means no limit. SlotTime
+	// is the mean time for which a stream occupies a slot.
 	Slots    int
 	SlotTime time.Duration
-	// PrefillTokens is the uncached prompt work ahead of a new request: the
-	// last load report plus what was placed since, less what has ended.
+	// PrefillTokens is the number of uncached prompt tokens queued ahead of a new request: the last
+	// load report, plus requests placed since, minus those that have ended.
 	PrefillTokens int
-	// LowerPriorityTokens and OvertakenStreams are the parts of PrefillTokens and InFlight
-	// that are less urgent than the request: the engine takes it before them.
+	// LowerPriorityTokens and LowerPriorityStreams are the parts of PrefillTokens and InFlight with
+	// a lower priority than the request. The engine serves the request before them.
 	LowerPriorityTokens  int
 	LowerPriorityStreams int
-	// PrefillPerToken and Step are the engine's measured speed: the time to
-	// compute a prompt token, and the time that a batch step takes besides.
+	// PrefillPerToken is the measured time to prefill one prompt token. Step is the time that a
+	// batch step takes in addition.
 	PrefillPerToken time.Duration
 	Step            time.Duration
-	// StepTokens is the most prompt tokens of one batch step; 0 means
+	// StepTokens is the maximum number of prompt tokens in one batch step; 0 means
 	// DefaultStepTokens.
 	StepTokens int
-	// CachedBlocks is the length of the request's prefix held here.
+	// CachedBlocks is the number of leading blocks of the request's prefix that are cached here.
 	CachedBlocks int
-	// PendingBlocks is the part of the prefix that a request placed here
-	// earlier is computing now, CachedBlocks included.
+	// PendingBlocks is the number of leading blocks, including CachedBlocks, that are cached here
+	// once the prefill of an earlier request completes.
 	PendingBlocks int
-	// PendingRemaining is the time until PendingBlocks are computed. The work
-	// is part of PrefillTokens too.
+	// PendingRemaining is the time until PendingBlocks are computed. The work is also part of
+	// PrefillTokens.
 	PendingRemaining time.Duration
-	// ImportBlocks is the length of the request's prefix that this engine can
-	// take over from another holder before it computes, at ImportPerToken and
-	// ImportSetup; 0 means that nobody is known to hold more.
+	// ImportBlocks is the number of leading blocks that this engine can import from another holder
+	// before prefill; 0 means that no holder with more blocks is known. An import takes ImportSetup
+	// plus ImportPerToken for each token.
 	ImportBlocks   int
 	ImportPerToken time.Duration
 	ImportSetup    time.Duration
-	// ImportCostFactor is how many times as dear the move is as one nearby; 0 counts as 1.
+	// ImportCostFactor multiplies the import weight for distant holders; 0 counts as 1.
 	ImportCostFactor int
-	// NetworkDelay is by how much later the first token comes from there, Crossing the price of
-	// the bytes that go there and back.
+	// NetworkDelay is the additional latency of the first token due to distance. TransferCost is
+	// the cost of the bytes transferred in both directions.
 	NetworkDelay time.Duration
 	TransferCost time.Duration
-	// ColdTokens is the end of the prompt that nobody holds: computing it is no
-	// recomputation.
+	// ColdTokens is the number of tokens at the end of the prompt that no engine has cached.
+	// Computing them does not count as recomputation.
 	ColdTokens int
-	// DuplicateTokens are charged like recomputed ones, since another request may have
-	// the unread prefix computed elsewhere at the same time.
+	// DuplicateTokens are charged like recomputed tokens, since a concurrent request may compute
+	// the same uncached prefix on another engine.
 	DuplicateTokens int
-	// FailureCost is the time that failures of this engine are expected to cost.
+	// FailureCost is the expected time lost to failures of this engine.
 	FailureCost time.Duration
-	// ReservedPenalty is the price of taking an engine that is kept for requests of
-	// another size.
+	// ReservedPenalty is the cost of using an engine that is reserved for prompts of another size.
 	ReservedPenalty time.Duration
-	// OutdatedPenalty is the price of weights that have been replaced.
+	// OutdatedPenalty is the cost of using an outdated model version.
 	OutdatedPenalty time.Duration
-	// MemoryTokens is the endpoint's memory for KV cache; 0 if it doesn't matter.
-	// MemoryUsed is what its requests would hold there with this one.
+	// MemoryTokens is the endpoint's KV cache capacity in tokens; 0 if unknown. MemoryUsed is what
+	// its requests would occupy, including this one.
 	MemoryTokens int
 	MemoryUsed   int
-	// DecodingStreams counts the streams that are past their prompts here.
+	// DecodingStreams is the number of streams that have completed prefill.
 	DecodingStreams int
-	// StepsPerEvent is the number of batch steps between two events of a stream; 0
-	// if the streams' pauses don't matter.
+	// StepsPerEvent is the number of batch steps between two events of a stream; 0 disables the
+	// decode stall cost.
 	StepsPerEvent int
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	ID           fleet.RequestID
 	Tenant       fleet.TenantName
@@ -102,108 +102,111 @@
 	AgentZone    fleet.ZoneName
 	PromptTokens int
 	MaxTokens    int
-	// BlockTokens is the size of every block of the prompt's prefix.
+	// BlockTokens is the number of tokens in a block of the prompt's prefix.
 	BlockTokens int
-	// PartTokens holds, for prompts of named parts of different sizes, the tokens
-	// up to the end of each part; nil for blocks of one size.
+	// PartTokens holds the cumulative token counts of a prompt whose parts differ in size; nil if
+	// all blocks have BlockTokens tokens.
 	PartTokens []int
 	Excluded   []fleet.EngineRun
-	// Deadline is the time left until the first token is of no use; 0 means none.
+	// Deadline is the time left until the first token is due; 0 means no deadline.
 	Deadline time.Duration
-	// RecomputeDiscount is the part of the price of recomputation, 0 to 1, that
-	// isn't charged to this request, because it has waited for a warm engine.
+	// RecomputeDiscount is the fraction of the recomputation price, from 0 to 1, that is waived
+	// because the request has waited for an engine with a warm cache.
 	RecomputeDiscount float64
-	// Explain asks for Decision.Candidates.
+	// Explain requests Decision.Candidates.
 	Explain bool
 }
 
 // Decision is the outcome of scheduling one request.
 type Decision struct {
-	// Index is the chosen endpoint's position in the snapshot.
+	// Index is the position of the chosen endpoint in the snapshot.
 	Index    int
 	Endpoint Endpoint
-	// CachedTokens is the expected part of the prompt that needs no prefill.
+	// CachedTokens is the number of prompt tokens expected to need no prefill.
 	CachedTokens int
-	// ImportedTokens is the part beyond it to be taken over from another holder.
+	// ImportedTokens is the number of further tokens to import from another holder.
 	ImportedTokens int
-	// FirstToken is the predicted time until the first token.
+	// FirstToken is the predicted time to the first token.
 	FirstToken time.Duration
-	// ServiceTime is the part of FirstToken that the request takes at an idle engine, and Wait
-	// the part for which it waits for others, without those that it overtakes.
+	// ServiceTime is the part of FirstToken that the request would take on an idle engine. WaitTime
+	// is the time for which it waits for requests of the same or a higher priority.
 	ServiceTime time.Duration
 	WaitTime    time.Duration
-	// Late is true when no candidate is predicted to meet the deadline; the
-	// chosen one is the earliest. The caller should refuse the request.
+	// Late is set if no candidate is predicted to meet the deadline; the chosen one is the
+	// earliest. The caller should refuse the request.
 	Late bool
-	// Candidates explains the decision, one element for each endpoint of the
-	// snapshot in its order, if the request asked for it.
+	// Candidates explains the decision if Request.Explain is set, with one element for each
+	// endpoint of the snapshot, in order.
 	Candidates []Candidate
 }
 
-// Candidate tells what a decision made of one endpoint.
+// Candidate explains how a decision treated one endpoint.
 type Candidate struct {
 	Run fleet.EngineRun
 	// RemovedBy names the filter that removed the endpoint; empty if none did.
 	RemovedBy string
-	// Scores are meaningful if no filter removed the endpoint.
+	// Scores is valid if RemovedBy is empty.
 	Scores Scores
 	Chosen bool
 }
 
-// Scores are the predicted costs of serving a request at one endpoint.
+// Scores holds the predicted costs of serving a request at one endpoint.
 type Scores struct {
-	// CachedTokens is the part of the prompt expected to need no prefill.
+	// CachedTokens is the number of prompt tokens expected to need no prefill.
 	CachedTokens int
-	// Queue is the time until the request's own prefill can begin.
+	// Queue is the time until the request's own prefill can begin if it waits for all queued prompt
+	// work.
 	Queue time.Duration
-	// LowerPriority is the part of Queue that doesn't delay the request, since the engine
-	// takes it before: what it holds up there counts all the same.
+	// LowerPriority is the part of Queue due to lower-priority requests. It does not delay this
+	// request, but counts in its cost because those requests are delayed instead.
 	LowerPriority time.Duration
-	// ImportedTokens is the part of the prompt that is cheaper to take over from
-	// another holder than to compute, and Import the time that this takes.
+	// ImportedTokens is the number of prompt tokens that are faster to import than to compute.
+	// Import is the time that this takes.
 	ImportedTokens int
 	Import         time.Duration
 	// Prefill is the time to compute the uncached part of the prompt.
 	Prefill time.Duration
-	// Interference is the time that decoding streams take out of both.
+	// Interference is the time that batch steps shared with decoding streams add.
 	Interference time.Duration
-	// Zone is the price of leaving the agent's zone, the delay from there included.
+	// Zone is the cost of leaving the agent's zone, including the network delay.
 	Zone time.Duration
-	// Transfer is the price of the bytes that leave the zone.
+	// Transfer is the cost of the bytes transferred to and from the endpoint.
 	Transfer time.Duration
-	// Recompute is the price of the capacity that recomputing takes from
-	// others. It doesn't delay this request.
+	// Recompute is the cost of the capacity that recomputation takes from other requests. It does
+	// not delay this request.
 	Recompute time.Duration
-	// ImportCost is the price of what is taken over besides the time that it takes.
+	// ImportCost is the cost of imported tokens beyond the time that the import takes.
 	ImportCost time.Duration
-	// Failure is the price of the engine's failures.
+	// Failure is the expected cost of the engine's failures.
 	Failure time.Duration
-	// Reserved is the price of an engine that is kept for others.
+	// Reserved is the cost of an engine that is reserved for prompts of another size.
 	Reserved time.Duration
-	// Outdated is the price of weights that have been replaced.
+	// Outdated is the cost of an outdated model version.
 	Outdated time.Duration
-	// DecodeStall is the price of the pauses that the prompt makes in the streams
-	// of others.
+	// DecodeStall is the cost of the pauses that the prompt causes in other streams.
 	DecodeStall time.Duration
-	// Memory is the price of what doesn't fit into the endpoint's memory.
+	// Memory is the cost of exceeding the endpoint's memory.
 	Memory time.Duration
 }
 
-// FirstToken is the predicted time until the first token.
+// FirstToken returns the predicted time to the first token if the request waits for all queued
+// prompt work.
 func (s Scores) FirstToken() time.Duration {
 	return s.Queue + s.ServiceTime()
 }
 
-// EarliestFirstToken is FirstToken for a request that overtakes all that it may.
+// EarliestFirstToken returns the predicted time to the first token if the request is served before
+// all lower-priority requests.
 func (s Scores) EarliestFirstToken() time.Duration { return s.WaitTime() + s.ServiceTime() }
 
-// WaitTime returns the time for which the request waits for others.
+// WaitTime returns the time for which the request waits for requests of the same or a higher
+// priority.
 func (s Scores) WaitTime() time.Duration { return s.Queue - s.LowerPriority }
 
-// ServiceTime returns the time that the request takes itself.
+// ServiceTime returns the time that the request takes on an idle engine.
 func (s Scores) ServiceTime() time.Duration { return s.Import + s.Prefill + s.Interference + s.Zone }
 
-// Cost is what the picker minimises.
+// Cost returns the total cost, which the picker minimizes.
 func (s Scores) Cost() time.Duration {
 	prices := s.Recompute + s.ImportCost + s.Failure + s.Reserved + s.Outdated + s.DecodeStall + s.Memory + s.Transfer
 	return s.FirstToken() + prices
--- a/internal/scheduling/score_decode_stall.go
+++ b/internal/scheduling/score_decode_stall.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// decodeStallCost returns the price of the pauses that a prompt makes in the streams
-// of others. An engine computes a part of the waiting prompts in each batch step,
-// so a stream's next event waits for EventSteps such parts. As long as the
-// waiting prompts fill fewer steps, the pause stays shorter.
+// decodeStallCost returns the cost of the pauses that a prompt causes in decoding streams. Each
+// batch step computes a chunk of the queued prompts, so that a stream's next event is delayed by up
+// to StepsPerEvent chunks. Prompts that fill fewer steps are not charged.
 func (s *Scheduler) decodeStallCost(endpoint *Endpoint, uncached int) time.Duration {
 	if endpoint.StepsPerEvent <= 0 || endpoint.DecodingStreams <= 0 {
 		return 0
--- a/internal/scheduling/score_decode_stall_test.go
+++ b/internal/scheduling/score_decode_stall_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLongPromptGoesWhereItStallsFewestStreams compares an idle engine's streams
-// with those of another, for prompts on both sides of the bound.
+// TestLongPromptGoesWhereItStallsFewestStreams guards against long prompts being placed where they
+// pause many decoding streams.
 func TestLongPromptGoesWhereItStallsFewestStreams(t *testing.T) {
 	busy, quiet := testEndpoint(0), testEndpoint(1)
 	busy.DecodingStreams, busy.StepsPerEvent = 5, 4
@@ -17,9 +17,9 @@
 	options := DefaultOptions()
 	options.TieFraction = 0
 	request.PromptTokens = 3 * 512
-	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "it fills three of four steps")
+	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "the prompt fills three of four steps")
 	request.PromptTokens++
 	assert.Equal(t, 1, scheduleOne(t, options, request, busy, quiet).Index)
 	busy.StepsPerEvent, quiet.StepsPerEvent = 0, 0
-	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "pauses don't matter")
+	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "no decode stall cost without steps per event")
 }
--- a/internal/scheduling/score_import.go
+++ b/internal/scheduling/score_import.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// importTime returns the tokens beyond the cached ones that an engine takes over
-// from another holder, and the time that this takes. Nothing is taken over
-// where computing is quicker.
+// importTime returns the number of tokens beyond the cached ones that an engine imports from
+// another holder, and the time that this takes. It returns zeros if prefill is faster.
 func importTime(request *Request, endpoint *Endpoint, cached int) (tokens int, took time.Duration) {
 	offered := min(prefixTokens(request, endpoint.ImportBlocks), request.PromptTokens-1)
 	tokens = offered - cached
--- a/internal/scheduling/score_import_test.go
+++ b/internal/scheduling/score_import_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// partRequest returns a request of three named parts.
+// partRequest returns a request with three prompt parts.
 func partRequest() Request {
 	request := testRequest()
 	request.BlockTokens = 0
@@ -34,18 +34,18 @@
 	tokens, _ = importTime(&request, &endpoint, 500)
 	assert.Zero(t, tokens, "computing 400 tokens takes 40 ms, importing 41 ms")
 	tokens, _ = importTime(&request, &endpoint, 900)
-	assert.Zero(t, tokens, "nobody holds more than the engine")
+	assert.Zero(t, tokens, "no holder has more than the engine")
 }
 
-// TestIdleEngineImportsPrefixFromBusyHolder has the holder queue for
-// longer than a move takes.
+// TestIdleEngineImportsPrefixFromBusyHolder guards against requests queueing at a busy holder when
+// importing the prefix elsewhere is faster.
 func TestIdleEngineImportsPrefixFromBusyHolder(t *testing.T) {
 	holder, idle := testEndpoint(0), testEndpoint(1)
 	holder.CachedBlocks, holder.PrefillTokens = 2, 600
 	request := partRequest()
 	request.PromptTokens = 1024
 	decision := scheduleOne(t, DefaultOptions(), request, holder, idle)
-	assert.Equal(t, 0, decision.Index, "without import the prefix is worth the queue")
+	assert.Equal(t, 0, decision.Index, "without an import the cached prefix outweighs the queue")
 	idle.ImportBlocks, idle.ImportPerToken = 2, time.Microsecond
 	decision = scheduleOne(t, DefaultOptions(), request, holder, idle)
 	assert.Equal(t, 1, decision.Index)
--- a/internal/scheduling/score_interference.go
+++ b/internal/scheduling/score_interference.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// interferenceTime returns what the batch steps take besides prefill: chunked
-// prefill shares every step with the streams that decode (Agrawal et al.,
-// "Sarathi-Serve", OSDI 2024). An idle engine has the one step that yields the
-// first token.
+// interferenceTime returns the time that batch steps take in addition to prefill: with chunked
+// prefill, every step is shared with the decoding streams (Agrawal et al., "Sarathi-Serve", OSDI
+// 2024). An idle engine takes one step, which yields the first token.
 func interferenceTime(endpoint *Endpoint, uncached int) time.Duration {
 	step := endpoint.Step
 	if step <= 0 {
--- a/internal/scheduling/score_memory.go
+++ b/internal/scheduling/score_memory.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// memoryCost returns the price of what doesn't fit into an endpoint's memory.
+// memoryCost returns the cost of exceeding an endpoint's memory.
 func (s *Scheduler) memoryCost(endpoint *Endpoint) time.Duration {
 	if endpoint.MemoryTokens <= 0 {
 		return 0
--- a/internal/scheduling/score_memory_test.go
+++ b/internal/scheduling/score_memory_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestGoesWhereMemoryIsFree compares a warm engine that is full with a
-// cold one that has room.
+// TestRequestGoesWhereMemoryIsFree guards against placing requests on a warm engine whose memory is
+// exhausted.
 func TestRequestGoesWhereMemoryIsFree(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
@@ -17,5 +17,5 @@
 	warm.MemoryUsed = 15000
 	assert.Equal(t, 1, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.MemoryTokens = 0
-	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index, "the memory isn't known")
+	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index, "unknown memory capacity")
 }
--- a/internal/scheduling/score_prefill.go
+++ b/internal/scheduling/score_prefill.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// prefillTime returns the time to compute a number of prompt tokens at an
-// endpoint's measured speed.
+// prefillTime returns the time to prefill the given number of tokens at the endpoint's measured
+// speed.
 func prefillTime(endpoint *Endpoint, tokens int) time.Duration {
 	perToken := endpoint.PrefillPerToken
 	if perToken <= 0 {
--- a/internal/scheduling/score_queue.go
+++ b/internal/scheduling/score_queue.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// queueTime returns the time until the request's own prefill can begin: the
-// prompt work ahead of it and the wait for a slot. A pending prefix that the request
-// would use may take longer; its computation is part of the work ahead, so the two
-// don't add.
+// queueTime returns the time until the request's own prefill can begin: the queued prompt work and
+// the wait for a slot. If the request depends on a pending prefix, it waits at least for that. The
+// pending prefix is part of the queued work, so the two are not added.
 func queueTime(endpoint *Endpoint) time.Duration {
 	ahead := prefillTime(endpoint, endpoint.PrefillTokens)
 	if endpoint.PendingBlocks > endpoint.CachedBlocks {
@@ -14,9 +13,8 @@
 	return ahead + slotWait(endpoint)
 }
 
-// slotWait predicts the time until a slot is free for the request, behind the streams
-// that wait for one and are as urgent. Slots become free one after the other, evenly
-// over the time that a stream holds one.
+// slotWait predicts the time until a slot is free for the request, after the waiting streams of the
+// same or a higher priority. Slots are assumed to become free at even intervals.
 func slotWait(endpoint *Endpoint) time.Duration {
 	if endpoint.Slots <= 0 || endpoint.InFlight < endpoint.Slots {
 		return 0
@@ -25,8 +23,8 @@
 	return time.Duration(waiting+1) * endpoint.SlotTime / time.Duration(endpoint.Slots)
 }
 
-// PredictedWait returns the time for which a request waits for others at an endpoint, without
-// those that it overtakes.
+// PredictedWait returns the time for which a new request waits at an endpoint for requests of the
+// same or a higher priority.
 func PredictedWait(endpoint *Endpoint) time.Duration {
 	return queueTime(endpoint) - prefillTime(endpoint, endpoint.LowerPriorityTokens)
 }
--- a/internal/scheduling/score_queue_test.go
+++ b/internal/scheduling/score_queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSlotWaitDivertsRequest has a warm engine whose slots are taken lose a request to a
+// TestSlotWaitDivertsRequest guards against a warm engine without a free slot being chosen over a
 // cold one with a free slot.
 func TestSlotWaitDivertsRequest(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
@@ -15,14 +15,14 @@
 	warm.Slots, warm.InFlight, warm.SlotTime = 4, 3, 2*time.Second
 	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.InFlight = 5
-	assert.Equal(t, time.Second, slotWait(&warm), "one stream waits, and a slot becomes free each half second")
+	assert.Equal(t, time.Second, slotWait(&warm), "one stream waits and a slot becomes free every half second")
 	assert.Equal(t, 1, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.Slots = 0
-	assert.Zero(t, slotWait(&warm), "an engine of unknown slots")
+	assert.Zero(t, slotWait(&warm), "unknown number of slots")
 }
 
-// TestUrgentRequestBypassesLowerPriorityWork has a request reach its first token before what is less
-// urgent, although its engine is as dear to others as before.
+// TestUrgentRequestBypassesLowerPriorityWork guards against counting lower-priority work in an
+// urgent request's wait.
 func TestUrgentRequestBypassesLowerPriorityWork(t *testing.T) {
 	busy := testEndpoint(0)
 	busy.PrefillTokens = 10_000
--- a/internal/scheduling/score_recompute.go
+++ b/internal/scheduling/score_recompute.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// maxCongestionTokens bounds the tokens of one prompt that are dearer in congestion:
-// the wait for a warm engine would else grow out of proportion for long prompts.
+// maxCongestionTokens limits the number of tokens of a prompt that are charged for congestion, to
+// bound the wait of long prompts for an engine with a warm cache.
 const maxCongestionTokens = 6000
 
-// maxDiscountCongestion is the congestion from which on waiting earns no discount: where
-// most engines are busy, all requests wait, and recomputing makes it worse.
+// maxDiscountCongestion is the congestion from which on no discount applies: if most engines are
+// busy, recomputation only adds to the load.
 const maxDiscountCongestion = 0.5
 
-// recomputePrices are what one decision charges for recomputation.
+// recomputePrices holds the prices of recomputation in one decision.
 type recomputePrices struct {
 	perToken time.Duration
-	// congestionPerToken is charged besides, for each of the first congestedTokens.
+	// congestionPerToken is charged in addition for each of the first maxCongestionTokens.
 	congestionPerToken time.Duration
 }
 
-// cost returns the price of the capacity that computing the uncached part
-// of a prompt takes from all other requests. Tokens that no engine holds are
-// priced alike everywhere and so don't change the order.
+// cost returns the cost of the capacity that computing uncached tokens takes from other requests.
+// Tokens that no engine has cached cost the same everywhere and do not affect the order.
 func (p recomputePrices) cost(uncached int) time.Duration {
 	uncached = max(uncached, 0)
 	return time.Duration(uncached)*p.perToken + time.Duration(min(uncached, maxCongestionTokens))*p.congestionPerToken
 }
 
-// congestionAt tells how busy an endpoint is, from 0 to 1.
+// congestionAt returns the congestion of an endpoint, from 0 to 1.
 func (s *Scheduler) congestionAt(endpoint *Endpoint) float64 {
 	if s.options.CongestionWeight <= 0 {
 		return 0
@@ -34,8 +33,7 @@
 	return min(float64(queueTime(endpoint))/full, 1)
 }
 
-// recomputePricesAt returns the recomputePricesAt at a mean congestion of the candidates, less the
-// request's discount.
+// recomputePricesAt returns the prices at the given mean congestion, less the request's discount.
 func (s *Scheduler) recomputePricesAt(congestion, discount float64) recomputePrices {
 	factor := 1 - discount*max(1-congestion/maxDiscountCongestion, 0)
 	return recomputePrices{
--- a/internal/scheduling/score_test.go
+++ b/internal/scheduling/score_test.go
@@ -66,11 +66,11 @@
 	}
 	assert.Equal(t, time.Microsecond, price(0, 0, 0))
 	assert.Equal(t, 2*time.Microsecond, price(0, 1000, 0), "half of the engines are congested")
-	assert.Equal(t, 2*time.Microsecond, price(0, 1000000, 0), "one long queue isn't congestion of all")
+	assert.Equal(t, 2*time.Microsecond, price(0, 1000000, 0), "one long queue counts for one engine only")
 	assert.Equal(t, 3*time.Microsecond, price(0, 1000, 1000))
-	assert.Zero(t, price(1, 0, 0), "a request that has waited long takes an idle engine")
-	assert.Equal(t, 750*time.Nanosecond, price(1, 500, 0), "a quarter of the congestion halves the discount")
-	assert.Equal(t, 2*time.Microsecond, price(1, 1000, 0), "where half of the engines are busy, recomputing doesn't help")
+	assert.Zero(t, price(1, 0, 0), "full discount without congestion")
+	assert.Equal(t, 750*time.Nanosecond, price(1, 500, 0), "a congestion of a quarter halves the discount")
+	assert.Equal(t, 2*time.Microsecond, price(1, 1000, 0), "no discount if half of the engines are congested")
 	assert.Equal(t, 3*time.Microsecond, price(1, 1000, 1000))
 }
 
