--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -8,39 +8,37 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that the choice of a worker depends on.
 type Request struct {
 	Service  fleet.PoolName
 	Excluded []fleet.EngineRun
-	// HasConnection tells whether this node has a connection left for a worker; nil
-	// means always.
+	// HasConnection reports whether this node has a free connection to a worker; nil means always.
 	HasConnection func(worker *Worker) bool
-	// Admission tells whether a worker takes more requests by what it says of that; nil means
-	// that no worker says anything.
+	// Admission returns whether a worker admits requests, and for how long not; nil means that all
+	// workers admit requests without a limit.
 	Admission func(worker *Worker) (Admission, time.Duration)
-	// Software limits the choice by the version of the workers' software; nil limits
-	// nothing.
+	// Software limits the choice by the workers' software version; nil means no limit.
 	Software *delivery.Choice
-	// Bytes is the size of the request and of the answer that is expected.
+	// Bytes is the size of the request and its expected response.
 	Bytes int
-	// Engine is set for requests to language-model engines.
+	// Engine is set for requests to language model engines.
 	Engine *EngineRequest
 }
 
-// Admission tells whether a worker takes more requests.
+// Admission is whether a worker admits requests.
 type Admission uint8
 
-// Intakes.
+// Admission states of a worker.
 const (
-	// AdmissionUnlimited is a worker that takes requests without a limit.
+	// AdmissionUnlimited means that the worker has no request limit.
 	AdmissionUnlimited Admission = iota
-	// AdmissionLimited is a worker with a limit that may have room.
+	// AdmissionLimited means that the worker has a request limit that it may not have reached.
 	AdmissionLimited
-	// AdmissionClosed is a worker that takes none for a time.
+	// AdmissionClosed means that the worker temporarily admits no requests.
 	AdmissionClosed
 )
 
-// admission returns whether a worker takes the request, and for how long not.
+// admission returns whether the worker admits the request, and for how long not.
 func (r *Request) admission(worker *Worker) (Admission, time.Duration) {
 	if r.Admission == nil {
 		return AdmissionUnlimited, 0
@@ -48,46 +46,44 @@
 	return r.Admission(worker)
 }
 
-// Refusal tells why no worker was chosen.
+// Refusal explains why no worker was chosen.
 type Refusal struct {
 	Reason string
-	// RetryAfter is when there is room by what is known; 0 if that isn't known.
+	// RetryAfter is the predicted time until capacity is available; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Reasons why no worker could be chosen.
+// Reasons of a refusal.
 const (
 	ReasonNoWorker = "no_worker"
 	ReasonExcluded = "all_tried"
 	ReasonNotReady = "none_ready"
 	ReasonFull     = "full"
 	ReasonVersion  = "none_at_version"
-	// ReasonLimited means that the workers that could get it take no requests for a time.
+	// ReasonLimited means that all remaining workers temporarily admit no requests.
 	ReasonLimited = "at_their_limits"
-	// ReasonLate means that each worker has more to do before the request than its
-	// target allows.
+	// ReasonLate means that the request would miss its target at every worker.
 	ReasonLate = "none_in_time"
 )
 
-// Placement is a chosen worker, with what the choice went by. Exactly one call
-// of End must follow.
+// Placement is a request placed at a worker. The caller must call End once the request has ended.
 type Placement struct {
 	Worker Worker
-	// InFlight, PrefillTokens and MemoryTokens are the worker's load over all nodes at
-	// the choice.
+	// InFlight, PrefillTokens and MemoryTokens are the worker's load over all nodes at the time of
+	// the choice, without this request.
 	InFlight      int
 	PrefillTokens int
 	MemoryTokens  int
-	// Candidates counts the workers that were compared, and Looked those that were looked
-	// at for it.
+	// Candidates is the number of workers that were compared, and Examined the number that were
+	// examined to find them.
 	Candidates int
 	Examined   int
-	// FailureRate is the worker's mean failure rate at the choice.
+	// FailureRate is the worker's failure rate at the time of the choice.
 	FailureRate float64
 	// Engine is set for engines.
 	Engine *EnginePlacement
-	// Limited is set if the worker has a limit on its requests: what it takes or refuses then
-	// tells nothing of how fast or how sound it is.
+	// Limited is set if the worker has a request limit. Its refusals and latency then say nothing
+	// about its health or speed.
 	Limited bool
 
 	registry     *Registry
@@ -96,40 +92,41 @@
 	work         placedWork
 	hasFirstByte bool
 	ended        bool
-	// timeToFirstByte is the time from the choice until the answer began.
+	// timeToFirstByte is the time from the choice until the response began.
 	timeToFirstByte time.Duration
 }
 
-// Outcome tells how a request at a worker went.
+// Outcome is the result of a request at a worker.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	// Succeeded means that the worker's whole answer came.
+	// Succeeded means that the complete response was received.
 	Succeeded Outcome = iota
-	// Failed means that the worker answered that it failed.
+	// Failed means that the worker responded with an error.
 	Failed
-	// Refused means that the worker didn't run the request because it was full
-	// or leaving.
+	// Refused means that the worker did not run the request because it was full or draining.
 	Refused
-	// Mismatched means that another run, or another version, was found there.
+	// Mismatched means that another run or another version was found at the worker's address.
 	Mismatched
-	// Unreachable means that nothing could be sent.
+	// Unreachable means that the request could not be sent.
 	Unreachable
-	// Lost means that no whole answer came.
+	// Lost means that the response was incomplete or missing.
 	Lost
-	// Cancelled means that this side ended the request.
+	// Cancelled means that this node ended the request.
 	Cancelled
-	// Deferred means that the worker didn't run the request and wants none for a time.
+	// Deferred means that the worker did not run the request and asked for no requests for some
+	// time.
 	Deferred
 )
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"succeeded", "failed", "refused", "mismatched", "unreachable", "lost", "cancelled", "deferred"}[o]
 }
 
-// Choose chooses a worker and counts the request there. Without one it says why.
+// Choose chooses a worker and counts the request there. If there is none, it returns a nil
+// placement and the reason.
 func (r *Registry) Choose(now time.Duration, request *Request) (*Placement, Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -141,13 +138,13 @@
 	if placement != nil || next == nil || !request.Software.WantsTarget() {
 		return placement, refusal
 	}
-	// A delivery's few target workers may be full or slow while others have room.
+	// The few workers with the target version may be full or slow while others have capacity.
 	fallback := *request
 	fallback.Software = next
 	return r.choose(now, &fallback)
 }
 
-// choose is Choose; the mutex is held.
+// choose implements Choose. The mutex must be held.
 func (r *Registry) choose(now time.Duration, request *Request) (*Placement, Refusal) {
 	search, reason := r.candidates(now, request)
 	switch {
@@ -164,8 +161,8 @@
 	}
 }
 
-// candidates returns the workers that may get a request, by the versions that it is
-// limited to; without one, by what holds then.
+// candidates searches for workers that may get the request. If the software versions that the
+// request is limited to yield none, it searches with the fallback versions.
 func (r *Registry) candidates(now time.Duration, request *Request) (*search, string) {
 	software := request.Software
 	for {
@@ -179,14 +176,14 @@
 	}
 }
 
-// isReady tells whether neither this node nor enough others know anything against
-// a worker right now.
+// isReady reports whether neither this node nor enough peers have reason to avoid the worker. The
+// mutex must be held.
 func (r *Registry) isReady(now time.Duration, state *workerState) bool {
 	return state.isReady(now) && r.isReadyByPeers(now, state)
 }
 
-// choosePlain takes the worker with the least load by its slots, failures and
-// slowness; the own zone breaks ties.
+// choosePlain chooses the worker with the lowest cost, based on its load, failures, slowness and
+// distance.
 func (r *Registry) choosePlain(search *search) *Placement {
 	candidates := search.candidates()
 	minFailures := minFailureRate(search.now, candidates)
@@ -204,8 +201,7 @@
 	return placement
 }
 
-// tieJitter is the part of a plain worker's cost that chance makes, in requests in flight at
-// one slot.
+// tieJitter is the range of the random term that breaks ties, in requests in flight per slot.
 const tieJitter = 0.02
 
 func (r *Registry) plainCost(now time.Duration, state *workerState, minFailures float64) float64 {
@@ -219,8 +215,8 @@
 	return cost + r.options.Random.Float64()*tieJitter
 }
 
-// minFailureRate returns the lowest rate among candidates: answers that fail
-// for the request's own sake fail everywhere.
+// minFailureRate returns the lowest failure rate among the candidates. Failures caused by the
+// requests themselves affect all workers alike and are not held against one.
 func minFailureRate(now time.Duration, candidates []*workerState) float64 {
 	lowest := 1.0
 	for _, state := range candidates {
@@ -229,15 +225,15 @@
 	return lowest
 }
 
-// placedWork is what a request brings to a worker.
+// placedWork is the load that a request adds to a worker.
 type placedWork struct {
 	priority int
-	// prefillTokens is the prompt work, in tokens.
+	// prefillTokens is the number of uncached prompt tokens.
 	prefillTokens int
 	need          memoryNeed
 }
 
-// begin counts a request at a worker.
+// begin counts a request at a worker. The mutex must be held.
 func (r *Registry) begin(now time.Duration, chosen *workerState, candidates int, work placedWork) *Placement {
 	load := r.totalLoad(now, chosen)
 	chosen.begin(work)
@@ -256,10 +252,11 @@
 	}
 }
 
-// UncachedTokens returns the prompt work of the request, in tokens.
+// UncachedTokens returns the number of the request's prompt tokens that need prefill.
 func (p *Placement) UncachedTokens() int { return p.work.prefillTokens }
 
-// TimeToFirstByte returns the time from the choice until the answer began, or until now if it hasn't.
+// TimeToFirstByte returns the time from the choice until the response began, or until now if it has
+// not begun.
 func (p *Placement) TimeToFirstByte(now time.Duration) time.Duration {
 	r := p.registry
 	r.mutex.Lock()
@@ -270,7 +267,7 @@
 	return p.timeToFirstByte
 }
 
-// FirstByte notes that the worker's answer has begun.
+// FirstByte records that the response has begun.
 func (p *Placement) FirstByte(now time.Duration) {
 	r := p.registry
 	r.mutex.Lock()
@@ -293,7 +290,7 @@
 	}
 }
 
-// End notes how the request went. Later calls do nothing.
+// End records the outcome of the request. Further calls have no effect.
 func (p *Placement) End(now time.Duration, outcome Outcome) {
 	r := p.registry
 	r.mutex.Lock()
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -69,8 +69,8 @@
 	}
 	for prefix := range prefixesPerEngine * f.engines {
 		for range 1 + f.random.IntN(maxHoldersPerPrefix) {
-			at := f.random.IntN(f.engines)
-			changes[at] = append(changes[at], PartChange{true, scope, fmt.Sprint("long-", prefix)})
+			index := f.random.IntN(f.engines)
+			changes[index] = append(changes[index], PartChange{true, scope, fmt.Sprint("long-", prefix)})
 		}
 	}
 	for number, held := range changes {
@@ -176,10 +176,10 @@
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			simulated := newSimulatedFleet(engines, simulatedSlots/3, Options{Zone: "z0"})
 			var reports [2]PeerReport
-			for at := range reports {
+			for index := range reports {
 				for number := range engines {
 					if load, any := simulated.peerLoad(number); any {
-						reports[at].Loads = append(reports[at].Loads, load)
+						reports[index].Loads = append(reports[index].Loads, load)
 					}
 				}
 			}
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -52,8 +52,8 @@
 	}
 	prompt := f.registry.newPrompt(s)
 	f.registry.decide(s, prompt)
-	for at := range f.registry.endpoints {
-		f.registry.endpoints[at].Serves = func(fleet.Weights) bool { return true }
+	for index := range f.registry.endpoints {
+		f.registry.endpoints[index].Serves = func(fleet.Weights) bool { return true }
 	}
 	decision, _ := f.registry.scheduler.Schedule(scheduling.Request{
 		Pool: request.Service, PromptTokens: prompt.engine.PromptTokens, PartTokens: prompt.ends,
@@ -68,7 +68,7 @@
 }
 
 // decideWith decides a request one way without placing it.
-func (f *simulatedFleet) decideWith(variant strategy, request *Request) (decision scheduling.Decision, refused bool, took time.Duration) {
+func (f *simulatedFleet) decideWith(variant strategy, request *Request) (decision scheduling.Decision, refused bool, elapsed time.Duration) {
 	start := time.Now()
 	s := f.registry.newSearch(f.now, request, nil)
 	s.exhaustive = variant.exhaustive
@@ -97,9 +97,9 @@
 // itself.
 func (f *simulatedFleet) sortEngines() {
 	f.sorted, f.own = f.sorted[:0], f.own[:0]
-	for at, state := range f.registry.pools["engines"].all() {
+	for index, state := range f.registry.pools["engines"].all() {
 		f.sorted = append(f.sorted, state)
-		if at%simulatedPeers == 0 {
+		if index%simulatedPeers == 0 {
 			f.own = append(f.own, state)
 		}
 	}
@@ -125,8 +125,8 @@
 	b.Helper()
 	all := strategies()
 	times := make([]*hdrhistogram.Histogram, len(all))
-	for at := range times {
-		times[at] = hdrhistogram.New(1, int64(100*time.Second), 3)
+	for index := range times {
+		times[index] = hdrhistogram.New(1, int64(100*time.Second), 3)
 	}
 	lost, refusals := make([]time.Duration, len(all)), make([]int, len(all))
 	compared := 0
@@ -135,31 +135,31 @@
 		f.sortEngines()
 		request := f.request()
 		costs := f.costs(request)
-		best, refusedByAll, took := f.decideWith(all[0], request)
-		_ = times[0].RecordValue(int64(took))
+		best, refusedByAll, elapsed := f.decideWith(all[0], request)
+		_ = times[0].RecordValue(int64(elapsed))
 		if refusedByAll {
 			refusals[0]++
 		} else {
 			compared++
 		}
-		for at, variant := range all[1:] {
-			decision, refused, took := f.decideWith(variant, request)
-			_ = times[at+1].RecordValue(int64(took))
+		for index, variant := range all[1:] {
+			decision, refused, elapsed := f.decideWith(variant, request)
+			_ = times[index+1].RecordValue(int64(elapsed))
 			switch {
 			case refused:
-				refusals[at+1]++
+				refusals[index+1]++
 			case !refusedByAll:
-				lost[at+1] += costs[decision.Endpoint.Run] - costs[best.Endpoint.Run]
+				lost[index+1] += costs[decision.Endpoint.Run] - costs[best.Endpoint.Run]
 			}
 		}
 		if placement, _ := f.registry.Choose(f.now, request); placement != nil {
 			f.open = append(f.open, placement)
 		}
 	}
-	for at, variant := range all {
-		b.ReportMetric(float64(times[at].ValueAtQuantile(50))/1e3, variant.name+"-p50-µs")
-		b.ReportMetric(float64(times[at].ValueAtQuantile(99))/1e3, variant.name+"-p99-µs")
-		b.ReportMetric(lost[at].Seconds()*1e3/math.Max(float64(compared), 1), variant.name+"-lost-ms")
-		b.ReportMetric(float64(refusals[at])/float64(b.N), variant.name+"-refused")
+	for index, variant := range all {
+		b.ReportMetric(float64(times[index].ValueAtQuantile(50))/1e3, variant.name+"-p50-µs")
+		b.ReportMetric(float64(times[index].ValueAtQuantile(99))/1e3, variant.name+"-p99-µs")
+		b.ReportMetric(lost[index].Seconds()*1e3/math.Max(float64(compared), 1), variant.name+"-lost-ms")
+		b.ReportMetric(float64(refusals[index])/float64(b.N), variant.name+"-refused")
 	}
 }
--- a/internal/backends/copies.go
+++ b/internal/backends/copies.go
@@ -6,15 +6,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// copySampleSize is the number of engines that are compared for a copy of a run: enough to
-// find one with room among thousands without looking at all of them.
+// copySampleSize is the number of engines that are sampled as targets for a copy of a run.
 const copySampleSize = 6
 
-// copyTarget returns the engine that is to hold a copy of a run at another one: of a few
-// drawn at random the nearest, and of these the one whose memory has the most room, since
-// moves over a distance take longer. One with a limit may not take the run when it has to go on
-// there. It returns an empty worker if there is no other engine with the same weights; the mutex
-// is held.
+// copyTarget returns the engine that is to keep a copy of a run. Of a random sample of engines with
+// the same model version, it takes the nearest, and among those the one with the most free memory.
+// Engines with a request limit are excluded, since they may not admit the run when it has to
+// continue there. It returns an empty worker if there is none. The mutex must be held.
 func (s *search) copyTarget(candidates []*workerState, chosen *workerState) Worker {
 	model := s.request.Engine.Model
 	var best *workerState
@@ -36,8 +34,8 @@
 	return best.worker
 }
 
-// Continue counts a request whose engine was lost at the one that should hold a copy of
-// its run. It returns nil if that engine is leaving or gone, or has other weights by now.
+// Continue places a request whose engine was lost at the engine that should hold the copy of its
+// run. It returns nil if that engine is draining, gone or has another model version.
 func (r *Registry) Continue(now time.Duration, lost *Placement, model fleet.ModelName) *Placement {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/distance.go
+++ b/internal/backends/distance.go
@@ -8,10 +8,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Distance is how far two places are apart.
+// Distance is the distance between two zones.
 type Distance int
 
-// Distances.
+// Distances, nearest first.
 const (
 	SameZone Distance = iota
 	SameRegion
@@ -22,8 +22,8 @@
 // Regions holds the region of each zone.
 type Regions map[fleet.ZoneName]fleet.RegionName
 
-// Between returns the distance of two zones. Zones count as in one region unless both
-// are known to be in different ones.
+// Between returns the distance between two zones. Different zones count as in the same region
+// unless they are known to be in different ones.
 func (r Regions) Between(one, other fleet.ZoneName) Distance {
 	if one == other {
 		return SameZone
@@ -36,23 +36,23 @@
 	return SameRegion
 }
 
-// DistancePrices are what distance costs a request, by Distance.
+// DistancePrices holds the costs of distance, indexed by Distance.
 type DistancePrices struct {
-	// Delay is by how much later the first byte of an answer comes from there.
+	// Delay is the additional latency of the first byte of a response.
 	Delay [distanceCount]time.Duration
-	// PerKilobyte is the price of a kilobyte of the request or its answer that crosses,
-	// in the time of an engine that it is worth.
+	// PerKilobyte is the cost of a kilobyte of the request or its response, in equivalent engine
+	// time.
 	PerKilobyte [distanceCount]time.Duration
-	// MoveFactor is how many times as long a move of KV cache takes.
+	// MoveFactor multiplies the time of a KV cache transfer.
 	MoveFactor [distanceCount]int
-	// MovePrice is how many times as dear such a move is.
+	// MovePrice multiplies the cost of a KV cache transfer.
 	MovePrice [distanceCount]int
-	// Plain is the price for a worker that isn't an engine, in requests in flight at one
-	// slot: 1 prefers a near worker until all its slots are taken.
+	// Plain is the cost for workers that are not engines, in requests in flight per slot. At 1, a
+	// near worker is preferred until all its slots are taken.
 	Plain [distanceCount]float64
 }
 
-// DefaultDistancePrices returns prices for zones a millisecond and regions a dozen
+// DefaultDistancePrices returns prices for zones about a millisecond apart and regions about twelve
 // milliseconds apart.
 func DefaultDistancePrices() DistancePrices {
 	return DistancePrices{
@@ -64,25 +64,25 @@
 	}
 }
 
-// Validate returns an error if a price is negative, or a factor is below 1.
+// Validate returns an error if a price is negative or a factor is below 1.
 func (p *DistancePrices) Validate() error {
 	for distance := range distanceCount {
 		switch {
 		case p.Delay[distance] < 0 || p.PerKilobyte[distance] < 0 || p.Plain[distance] < 0:
-			return errors.Errorf("distance %d: a price is negative", distance)
+			return errors.Errorf("distance %d: delays and prices must not be negative", distance)
 		case p.MoveFactor[distance] < 1 || p.MovePrice[distance] < 1:
-			return errors.Errorf("distance %d: a factor of moves is below 1", distance)
+			return errors.Errorf("distance %d: move factor and move price must be at least 1", distance)
 		}
 	}
 	return nil
 }
 
-// distanceTo returns the distance of a zone distanceTo this node.
+// distanceTo returns the distance between this node and a zone.
 func (r *Registry) distanceTo(zone fleet.ZoneName) Distance {
 	return r.options.Regions.Between(r.options.Zone, zone)
 }
 
-// transferCost returns the price of a request's bytes from this node to a distance.
+// transferCost returns the cost of transferring the given number of bytes over a distance.
 func (p *DistancePrices) transferCost(distance Distance, bytes int) time.Duration {
 	const kilobyte = 1000
 	return p.PerKilobyte[distance] * time.Duration(bytes) / kilobyte
--- a/internal/backends/draining.go
+++ b/internal/backends/draining.go
@@ -8,25 +8,25 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drainingRetention is how long a draining run is remembered once it is forgotten otherwise: by then it
-// has ended, also where it served on for long.
+// drainingRetention is how long a draining run is remembered after it was forgotten, long enough
+// for the run to end.
 const drainingRetention = time.Hour
 
-// drainingRecord is a run that was draining when it was forgotten. It is remembered until a time, 0 if
-// that isn't set yet.
+// drainingRecord remembers a run that was draining when it was forgotten. It expires at expiresAt;
+// 0 means that the time is not yet set.
 type drainingRecord struct {
 	startTime StartTime
 	expiresAt time.Duration
 }
 
-// DrainingRun names a run that shuts down. Born is 0 if its start isn't known.
+// DrainingRun identifies a run that is shutting down. StartTime is 0 if unknown.
 type DrainingRun struct {
 	Worker    fleet.EngineID
 	StartTime StartTime
 }
 
-// ObserveDraining takes in that a run has said, other than by its row, that it shuts down. No
-// row takes that back: the worker may not reach the store.
+// ObserveDraining records that a run has announced its shutdown by other means than its row. A row
+// does not revoke this, since a worker that cannot reach the store cannot update its row.
 func (r *Registry) ObserveDraining(run DrainingRun) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -45,19 +45,20 @@
 	return StartedDraining
 }
 
-// isDifferentRun tells whether two starts, of which either may be unknown, are those of two runs.
+// isDifferentRun reports whether two start times belong to different runs. An unknown start time
+// matches any run.
 func isDifferentRun(first, second StartTime) bool {
 	return first != 0 && second != 0 && first != second
 }
 
-// wasDraining tells whether a run was draining when it was forgotten, or is older than one that
-// was; the mutex is held.
+// wasDraining reports whether the run was draining when it was forgotten, or is older than one that
+// was. The mutex must be held.
 func (r *Registry) wasDraining(id fleet.EngineID, startTime StartTime) bool {
 	record, found := r.forgottenDraining[id]
 	return found && (record.startTime == 0 || startTime <= record.startTime)
 }
 
-// expireForgottenDraining drops the runs that were forgotten long ago; the mutex is held.
+// expireForgottenDraining drops expired records. The mutex must be held.
 func (r *Registry) expireForgottenDraining(now time.Duration) {
 	for id, record := range r.forgottenDraining {
 		switch {
@@ -70,7 +71,7 @@
 	}
 }
 
-// IsDraining tells whether a worker is known to shut down.
+// IsDraining reports whether a worker is shutting down.
 func (r *Registry) IsDraining(id fleet.EngineID) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,8 +81,8 @@
 	return r.wasDraining(id, 0)
 }
 
-// UnpublishedDraining returns the runs that are known to shut down and whose rows don't say so, by
-// identifier.
+// UnpublishedDraining returns the runs that are draining although their rows do not say so, sorted
+// by identifier.
 func (r *Registry) UnpublishedDraining() []DrainingRun {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,7 +94,7 @@
 	return runs
 }
 
-// CanSend tells whether a request may still be sent to a worker that was chosen before.
+// CanSend reports whether a request may still be sent to a worker that was chosen earlier.
 func (r *Registry) CanSend(now time.Duration, worker *Worker) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -6,7 +6,7 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// endpoint describes an engine to the scheduler.
+// endpoint returns the scheduler's view of an engine.
 func (r *Registry) endpoint(search *search, prompt *prompt, state *workerState, parts *promptScope) scheduling.Endpoint {
 	engine := prompt.engine
 	endpoint := r.endpointLoad(search.now, engine, state)
@@ -38,7 +38,7 @@
 	return endpoint
 }
 
-// endpointLoad describes an engine by its load alone.
+// endpointLoad returns the scheduler's view of an engine's load, without its cache.
 func (r *Registry) endpointLoad(now time.Duration, engine *EngineRequest, state *workerState) scheduling.Endpoint {
 	load := r.totalLoad(now, state)
 	lowerPriority := r.lowerPriorityLoad(now, state, engine.Priority)
@@ -59,8 +59,8 @@
 	}
 }
 
-// queueDivisor is how many requests beyond its slots an engine may be sent, as a
-// part of the slots.
+// queueDivisor sets the number of requests that may be queued at an engine: its slots divided by
+// queueDivisor.
 const queueDivisor = 2
 
 func maxStreams(slots int) int { return slots + slots/queueDivisor }
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -7,108 +7,106 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// EngineRequest is what a choice among engines needs besides.
+// EngineRequest holds the properties of a request that the choice among engines depends on.
 type EngineRequest struct {
 	ID       fleet.RequestID
 	Model    fleet.ModelName
 	Tenant   fleet.TenantName
 	Isolated bool
-	// Parts is the prompt; the last part belongs to the request or its session.
+	// Parts is the prompt. The last part is specific to the request or its session; the others are
+	// shared.
 	Parts        []Part
 	PromptTokens int
 	OutputTokens int
-	// Priority is the request's at the engine, 0 to Priorities - 1, 0 first.
+	// Priority is the request's priority at the engine, from 0, the most urgent, to PriorityCount -
+	// 1.
 	Priority int
-	// TimeLeft is the time within which the first event should come; 0 if unknown.
+	// TimeLeft is the time left until the first event is due; 0 if unknown.
 	TimeLeft time.Duration
-	// MayRefuse is set if the request is to be refused rather than made to wait for
-	// longer than its target allows.
+	// MayRefuse is set if the request may be refused because it would miss its target.
 	MayRefuse bool
-	// Target is the time within which the first event should come, from the start.
+	// Target is the target for the time to the first event, from the arrival of the request.
 	Target time.Duration
-	// WantsCopy has another engine hold a copy of the run as it grows.
+	// WantsCopy requests that another engine keeps a copy of the run as it grows.
 	WantsCopy bool
-	// EventTokens is the number of tokens in an event of a stream; 0 if unknown.
+	// EventTokens is the number of tokens in a stream event; 0 if unknown.
 	EventTokens int
-	// TokenBytes, LinkMegabits describe the engines, to predict moves of KV cache.
+	// TokenBytes is the KV cache size of a token, and LinkMegabits the bandwidth of an engine's
+	// link in Mbit/s. They predict the time of KV cache transfers.
 	TokenBytes   int
 	LinkMegabits float64
-	// Store is a store of kept KV cache that may hold the parts; empty if none.
-	// StoreZone is where it is, StoreMegabits the bandwidth of its link, which all engines
-	// share.
+	// Store is the address of a KV cache store that may hold the parts; empty if there is none.
+	// StoreZone is its zone, and StoreMegabits the bandwidth of its link in Mbit/s, which all
+	// engines share.
 	Store         fleet.Address
 	StoreZone     fleet.ZoneName
 	StoreMegabits float64
 }
 
-// EnginePlacement is what a placement at an engine adds.
+// EnginePlacement is the part of a placement that is specific to engines.
 type EnginePlacement struct {
-	// Version is the version of the weights that the engine is believed to run.
+	// Version is the model version that the engine is expected to run.
 	Version ModelVersion
-	// Scope separates the cached parts that may be shared from all others.
+	// Scope separates cached parts that must not be shared.
 	Scope string
-	// CachedTokens and ImportedTokens are the expected parts of the prompt that
-	// need no prefill.
+	// CachedTokens and ImportedTokens are the numbers of prompt tokens that are expected to need no
+	// prefill, because they are cached at the engine or imported.
 	CachedTokens   int
 	ImportedTokens int
-	// ImportFrom is the holder from which the engine should take over what it
-	// lacks; empty if it lacks nothing that somebody holds.
+	// ImportFrom is the holder from which the engine should import missing parts; empty if there is
+	// nothing to import.
 	ImportFrom fleet.Address
-	// CopyTo is the engine that should hold a copy of the run; without an identifier
-	// there is none.
+	// CopyTo is the engine that should keep a copy of the run; its ID is empty if there is none.
 	CopyTo Worker
-	// ContinueAt is set, to this engine's address, if the engine should go on from the
-	// copy that it holds.
+	// ContinueAt is set to this engine's address if the engine should continue from its copy of the
+	// run.
 	ContinueAt fleet.Address
-	// SaveTo is the store that should get the parts; empty if it or an engine has
-	// them.
+	// SaveTo is the store that should receive the shared parts; empty if the store or an engine
+	// already holds them.
 	SaveTo fleet.Address
-	// Predicted is the time until the first event.
+	// Predicted is the predicted time to the first event.
 	Predicted time.Duration
-	// Baseline is Predicted of an engine that isn't slower than the service's others: one
-	// version's times are compared with another's by it. What waits at the engine belongs
-	// to it: short prompts wait for long ones that an engine with an empty cache reads, which
-	// would have answers of a good version taken for slow.
+	// Baseline is Predicted without the engine's own slowness, as the reference for comparing the
+	// latency of software versions. It includes the wait for queued prompts, so that waiting does
+	// not make a version look slow.
 	Baseline time.Duration
-	// Prefix names the last shared part of the prompt.
+	// Prefix is the identifier of the last shared part of the prompt.
 	Prefix string
-	// SharedParts is the number of the prompt's shared parts, of SharedTokens
-	// together, of which the engine,
-	// the store and the engine with the most are believed to hold the first
-	// HeldParts, StoredParts and MostHeldParts.
+	// SharedParts is the number of shared parts of the prompt, and SharedTokens their total size.
+	// HeldParts, StoredParts and MostHeldParts are the numbers of leading parts expected at the
+	// engine, at the store, and at the engine that holds the most.
 	SharedParts   int
 	SharedTokens  int
 	HeldParts     int
 	StoredParts   int
 	MostHeldParts int
-	// Home is set when the engine is the one that all nodes choose first for
-	// the prompt's shared parts.
+	// Home is set if the engine is the home of the prompt's shared parts, which all nodes prefer.
 	Home bool
 
 	hashes []fleet.BlockHash
 	store  fleet.EngineRun
 }
 
-// outdatedPenalty is the price of an engine whose weights have been replaced.
+// outdatedPenalty is the cost of an engine with an outdated model version.
 const outdatedPenalty = 250 * time.Millisecond
 
-// Predictions of moves of KV cache.
+// Parameters for predicting KV cache transfers.
 const (
 	importSetup = 5 * time.Millisecond
-	// importLinkShare is the part of an engine's link that a move is predicted to
-	// get, storeSharing that of the store's, which all engines use.
+	// importLinkShare is the fraction of an engine's link that a transfer is predicted to get.
+	// storeLinkShare is that of the store's link, which all engines share.
 	importLinkShare = 0.5
 	storeLinkShare  = 0.4
-	// duplicatePrefillFraction is the part of the price of reading a prefix again that is charged
-	// for reading one that nobody holds elsewhere than at its home: another node
-	// may have it read there at the same time.
+	// duplicatePrefillFraction is the fraction of the recomputation price that is charged for
+	// computing a prefix that no engine holds anywhere but at its home, since another node may
+	// compute it there at the same time.
 	duplicatePrefillFraction = 0.2
 	bitsPerByte              = 8
 	megabit                  = 1e6
 )
 
-// chooseEngine lets the scheduler choose among what a search has found. Where the request
-// would wait too long at each, it looks for engines with room before it refuses.
+// chooseEngine lets the scheduler choose among the candidates of a search. If the request would
+// miss its target at all of them, it adds engines with spare capacity before it refuses.
 func (r *Registry) chooseEngine(search *search) (*Placement, Refusal) {
 	r.parts.expire(search.now)
 	prompt := r.newPrompt(search)
@@ -133,14 +131,13 @@
 	}
 }
 
-// prompt is what a choice works out of a request's prompt once.
+// prompt holds properties of a request's prompt that are computed once for each choice.
 type prompt struct {
 	engine *EngineRequest
-	// shared is the number of the prompt's shared parts, ends the tokens up to the end of
-	// each part.
+	// shared is the number of shared parts. ends holds the cumulative token counts of the parts.
 	shared int
 	ends   []int
-	// home is where the shared parts are read first; nil if nowhere.
+	// home is the engine that computes the shared parts first; nil if there is none.
 	home *workerState
 }
 
@@ -152,7 +149,7 @@
 	return p
 }
 
-// decide has the scheduler compare the candidates.
+// decide lets the scheduler compare the candidates.
 func (r *Registry) decide(search *search, prompt *prompt) scheduling.Decision {
 	engine := prompt.engine
 	r.endpoints = r.endpoints[:0]
@@ -176,7 +173,7 @@
 	}, r.endpoints, r.options.Random)
 }
 
-// placeAt counts a request at the engine of a decision.
+// placeAt counts the request at the engine that the decision has chosen.
 func (r *Registry) placeAt(search *search, prompt *prompt, decision *scheduling.Decision) *Placement {
 	now, engine := search.now, prompt.engine
 	candidates := search.candidates()
@@ -217,7 +214,7 @@
 	return placement
 }
 
-// sharedTokens returns the tokens of a prompt's first parts, by their ends.
+// sharedTokens returns the number of tokens in the first parts, from the cumulative token counts.
 func sharedTokens(ends []int, parts int) int {
 	if parts <= 0 {
 		return 0
@@ -225,7 +222,7 @@
 	return ends[parts-1]
 }
 
-// PrefixName returns the name of the last shared part of a prompt, or "".
+// PrefixName returns the identifier of the last shared part of a prompt, or "" if there is none.
 func PrefixName(parts []Part) string {
 	if len(parts) < 2 {
 		return ""
--- a/internal/backends/levels.go
+++ b/internal/backends/levels.go
@@ -4,32 +4,31 @@
 
 const (
 	levelCount = 64
-	// levelTokens is the prompt work that counts for a level.
+	// levelTokens is the number of prefill tokens for each level.
 	levelTokens = 300
-	// slotLevels are the levels over which an engine's slots fill, plainLevels those of
-	// another worker: a stream beside others costs an engine little until no slot is free.
+	// slotLevels is the number of levels over which an engine's slots fill, and plainLevels that of
+	// other workers. An engine's streams add little cost as long as slots are free.
 	slotLevels  = 1
 	plainLevels = 16
-	// queuedLevels are the levels for each request that waits for a slot.
+	// queuedLevels is the number of levels for each request that waits for a slot.
 	queuedLevels = 4
 )
 
-// loadLevels is a list of workers by load, so that a choice finds the least loaded of
-// thousands at once: with nearly all slots taken, workers drawn from the whole list are mostly
-// full.
+// loadLevels groups workers by load, so that a choice finds the least loaded ones without scanning
+// all.
 type loadLevels struct {
 	members [levelCount][]*workerState
 	count   int
 }
 
-// add puts a worker at its level.
+// add adds a worker at a level.
 func (l *loadLevels) add(state *workerState, level int) {
 	state.level, state.levelIndex = level, len(l.members[level])
 	l.members[level] = append(l.members[level], state)
 	l.count++
 }
 
-// remove takes a worker out.
+// remove removes a worker.
 func (l *loadLevels) remove(state *workerState) {
 	members := l.members[state.level]
 	last := len(members) - 1
@@ -40,7 +39,8 @@
 	l.count--
 }
 
-// levelOf returns the level of a worker by its load over the nodes that have told theirs.
+// levelOf returns the level of a worker, by the load of this node and the reported load of its
+// peers.
 func (r *Registry) levelOf(state *workerState) int {
 	inFlight, prefill := state.inFlight, state.prefillTokens
 	if others := r.peers.totals.worker(state.worker.ID); others != nil {
@@ -55,7 +55,7 @@
 	return min(max(level, 0), levelCount-1)
 }
 
-// updateLevel puts a worker at its level after a change of its load; the mutex is held.
+// updateLevel moves a worker to its level after a change of its load. The mutex must be held.
 func (r *Registry) updateLevel(state *workerState) {
 	if state.pool == nil {
 		return
@@ -67,14 +67,14 @@
 	}
 }
 
-// updateLevelByID is relevel for a worker of which a peer has told.
+// updateLevelByID is updateLevel for a worker that a peer has reported on.
 func (r *Registry) updateLevelByID(id fleet.EngineID) {
 	if state := r.workers[id]; state != nil {
 		r.updateLevel(state)
 	}
 }
 
-// updateAllLevels puts all workers at their levels.
+// updateAllLevels moves all workers to their levels.
 func (r *Registry) updateAllLevels() {
 	for _, state := range r.workers {
 		r.updateLevel(state)
--- a/internal/backends/load.go
+++ b/internal/backends/load.go
@@ -8,29 +8,29 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Load is one node's requests at one worker.
+// Load is the load that one node places on a worker.
 type Load struct {
 	Engine fleet.EngineID
-	// InFlight counts the requests sent and not ended.
+	// InFlight is the number of requests in flight.
 	InFlight int
-	// PrefillTokens is the prompt work of those that haven't begun to answer.
+	// PrefillTokens is the uncached prompt work of the requests that have not begun to respond.
 	PrefillTokens int
-	// MemoryTokens is what the requests hold, or will hold, in the worker's memory.
+	// MemoryTokens is the memory that the requests occupy or will occupy, in tokens.
 	MemoryTokens int
-	// Priorities holds the requests by priority, the most urgent first.
+	// Priorities holds the load by priority, the most urgent first.
 	Priorities [PriorityCount]PriorityLoad
 }
 
-// PriorityCount is the number of priorities of requests at an engine, 0 the most urgent.
+// PriorityCount is the number of request priorities; 0 is the most urgent.
 const PriorityCount = 10
 
-// PriorityLoad is the requests of one priority at a worker.
+// PriorityLoad is the load of the requests of one priority.
 type PriorityLoad struct {
 	InFlight      int32
 	PrefillTokens int32
 }
 
-// add adds another load, or takes it out if sign is -1.
+// add adds another load, or subtracts it if sign is -1.
 func (l *Load) add(other *Load, sign int) {
 	l.InFlight += sign * other.InFlight
 	l.PrefillTokens += sign * other.PrefillTokens
@@ -41,7 +41,7 @@
 	}
 }
 
-// lowerPriorityThan returns the requests that are less urgent than a priority.
+// lowerPriorityThan returns the load of the requests that are less urgent than a priority.
 func (l *Load) lowerPriorityThan(priority int) PriorityLoad {
 	var sum PriorityLoad
 	for _, part := range l.Priorities[min(priority+1, PriorityCount):] {
@@ -51,7 +51,7 @@
 	return sum
 }
 
-// OwnLoad returns this node's load, workers without any left out.
+// OwnLoad returns this node's load by worker, sorted by identifier. Idle workers are omitted.
 func (r *Registry) OwnLoad() []Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -68,7 +68,7 @@
 	return loads
 }
 
-// InFlight returns the requests in flight at a worker, over all nodes.
+// InFlight returns the number of requests in flight at a worker over all nodes.
 func (r *Registry) InFlight(now time.Duration, id fleet.EngineID) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -79,9 +79,9 @@
 	return r.totalLoad(now, state).InFlight
 }
 
-// MemoryUtilization returns the part of their memory that requests hold, over all nodes,
-// at the engines of the service to which one belongs; of engines whose memory
-// isn't known, the part of their slots.
+// MemoryUtilization returns the fraction of memory in use over all nodes at the engines of the
+// given worker's service. If their memory capacity is unknown, it returns the fraction of slots in
+// use.
 func (r *Registry) MemoryUtilization(now time.Duration, id fleet.EngineID) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,8 +89,8 @@
 	if reference == nil {
 		return 0
 	}
-	// What too old reports told leaves the levels here, not while they are walked, which
-	// would change the lists under the walk and end the process.
+	// Expire stale reports before the iteration: expiry moves workers between the lists that are
+	// being iterated over.
 	r.peers.totalsAt(now)
 	used, held := 0, 0
 	for _, state := range r.poolOf(reference.worker.Service).all() {
@@ -104,14 +104,14 @@
 	return float64(used) / float64(max(held, 1))
 }
 
-// SetMemoryCapacity says what the engines of a service hold in memory, in tokens.
+// SetMemoryCapacity sets the KV cache capacity of a service's engines, in tokens.
 func (r *Registry) SetMemoryCapacity(service fleet.PoolName, tokens int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.memoryCapacities[service] = tokens
 }
 
-// Suspects returns the workers that this node couldn't reach of late.
+// Suspects returns the workers that this node recently failed to reach, sorted by identifier.
 func (r *Registry) Suspects(now time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -125,8 +125,7 @@
 	return suspects
 }
 
-// AllSuspects returns the workers that this node, or any other by its word, couldn't
-// reach of late.
+// AllSuspects returns the workers that this node or any peer recently failed to reach.
 func (r *Registry) AllSuspects(now time.Duration) map[fleet.EngineID]bool {
 	doubtful := make(map[fleet.EngineID]bool)
 	for _, suspect := range r.Suspects(now) {
@@ -135,24 +134,23 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	totals := r.peers.totalsAt(now)
-	for id, at := range totals.index {
-		if totals.workers[at].suspecting > 0 {
+	for id, index := range totals.index {
+		if totals.workers[index].suspecting > 0 {
 			doubtful[id] = true
 		}
 	}
 	return doubtful
 }
 
-// SetPeerCount says how many other nodes there are: where only some of them have
-// told their load lately, these stand for all.
+// SetPeerCount sets the number of peers, to which the load in the valid reports is extrapolated.
 func (r *Registry) SetPeerCount(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.peerCount = count
 }
 
-// totalLoad returns the load of a worker over all nodes, without its parts by priority;
-// the mutex is held.
+// totalLoad returns the load of a worker over all nodes, without the load by priority. The mutex
+// must be held.
 func (r *Registry) totalLoad(now time.Duration, state *workerState) Load {
 	total := Load{
 		Engine: state.worker.ID, InFlight: state.inFlight, PrefillTokens: state.prefillTokens, MemoryTokens: state.memory.tokens(),
@@ -166,7 +164,8 @@
 	return total
 }
 
-// totalInFlight returns the requests in flight at a worker over all nodes; the mutex is held.
+// totalInFlight returns the number of requests in flight at a worker over all nodes. The mutex must
+// be held.
 func (r *Registry) totalInFlight(now time.Duration, state *workerState) int {
 	totals := r.peers.totalsAt(now)
 	others := totals.worker(state.worker.ID)
@@ -176,9 +175,9 @@
 	return state.inFlight + r.extrapolate(totals, others.InFlight)
 }
 
-// lowerPriorityLoad returns the requests over all nodes at a worker that are less urgent than a
-// priority; the mutex is held. They are summed before they are scaled: that is done for
-// each engine of each choice.
+// lowerPriorityLoad returns the load over all nodes of the requests at a worker that are less
+// urgent than a priority. It sums before it extrapolates, because it runs for every engine in every
+// choice. The mutex must be held.
 func (r *Registry) lowerPriorityLoad(now time.Duration, state *workerState, priority int) PriorityLoad {
 	own := Load{Priorities: state.priorities}
 	sum := own.lowerPriorityThan(priority)
@@ -191,7 +190,7 @@
 	return sum
 }
 
-// extrapolate has the nodes that have told their load of late stand for all.
+// extrapolate scales a sum over the peers with valid reports to all peers.
 func (r *Registry) extrapolate(totals *peerTotals, units int) int {
 	if units == 0 {
 		return 0
--- a/internal/backends/memory.go
+++ b/internal/backends/memory.go
@@ -2,34 +2,34 @@
 
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
-// memoryUse is what this node's requests hold, or will hold, in one engine's
-// memory: the shared part of a prompt once for all requests that have it.
+// memoryUse is the memory that this node's requests occupy, or will occupy, at an engine. A shared
+// prefix counts once for all requests that use it.
 type memoryUse struct {
 	ownTokens int
-	// sharedTokens is the sum over shared.
+	// sharedTokens is the total size of the prefixes in shared.
 	sharedTokens int
 	shared       map[fleet.BlockHash]sharedUse
 }
 
-// sharedUse is a shared part of prompts and the requests that hold it.
+// sharedUse is a shared prefix with the number of requests that use it.
 type sharedUse struct {
 	tokens   int
 	requests int
 }
 
-// memoryNeed is what one request needs.
+// memoryNeed is the memory that one request needs.
 type memoryNeed struct {
-	// prefix names the shared part of the prompt of sharedTokens; 0 means none.
+	// prefix identifies the shared prefix of sharedTokens tokens; 0 means none.
 	prefix       fleet.BlockHash
 	sharedTokens int
-	// ownTokens is the rest of the prompt and the output.
+	// ownTokens is the size of the remaining prompt and the output.
 	ownTokens int
 }
 
-// tokens returns the sum.
+// tokens returns the memory in use.
 func (m *memoryUse) tokens() int { return m.ownTokens + m.sharedTokens }
 
-// tokensWith returns the sum tokensWith one more request.
+// tokensWith returns the memory in use with one more request.
 func (m *memoryUse) tokensWith(need memoryNeed) int {
 	total := m.tokens() + need.ownTokens
 	if m.shared[need.prefix].requests == 0 {
@@ -38,7 +38,7 @@
 	return total
 }
 
-// add takes a request in.
+// add adds a request.
 func (m *memoryUse) add(need memoryNeed) {
 	m.ownTokens += need.ownTokens
 	if need.sharedTokens == 0 {
@@ -54,7 +54,7 @@
 	m.shared[need.prefix] = use
 }
 
-// remove takes a request out.
+// remove removes a request.
 func (m *memoryUse) remove(need memoryNeed) {
 	m.ownTokens -= need.ownTokens
 	if need.sharedTokens == 0 {
@@ -70,7 +70,7 @@
 	m.shared[need.prefix] = use
 }
 
-// memoryNeedOf returns what a request needs of an engine's memory in a scope.
+// memoryNeedOf returns the memory that a request needs at an engine.
 func memoryNeedOf(engine *EngineRequest, scoped *promptScope) memoryNeed {
 	need := memoryNeed{ownTokens: engine.PromptTokens + engine.OutputTokens}
 	shared := len(engine.Parts) - 1
--- a/internal/backends/memory_utilization_test.go
+++ b/internal/backends/memory_utilization_test.go
@@ -20,14 +20,14 @@
 		for number := range workers {
 			registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
 		}
-		for node, at := range map[fleet.NodeID]time.Duration{"one": 0, "other": time.Duration(older+1) * 20 * time.Millisecond} {
+		for node, receivedAt := range map[fleet.NodeID]time.Duration{"one": 0, "other": time.Duration(older+1) * 20 * time.Millisecond} {
 			report := PeerReport{}
 			for number := range workers {
 				report.Loads = append(report.Loads, Load{
 					Engine: engineWorker(number, 1).ID, InFlight: 1 + number%8, PrefillTokens: 300 * (number % 12), MemoryTokens: 100,
 				})
 			}
-			registry.ObservePeer(at, node, report)
+			registry.ObservePeer(receivedAt, node, report)
 		}
 		registry.InFlight(time.Second, "e0")
 		assert.NotPanics(t, func() { registry.MemoryUtilization(peerReportValidity+time.Millisecond, "e0") })
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -11,25 +11,23 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// Part is one named part of a prompt. Parts with the same identifier in the
-// same scope are the same text.
+// Part is a part of a prompt. Parts with the same identifier and scope have the same text.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// partLifetime is how long a part counts as held after its last use: a worker
-// drops the parts that were unused longest.
+// partLifetime is how long a part is assumed to stay cached after its last use. Workers evict the
+// least recently used parts.
 const partLifetime = 9 * time.Second
 
-// partIndex is a prefix index over named parts, whose entries run out.
+// partIndex is a prefix index of prompt parts with expiry.
 type partIndex struct {
 	index *prefixindex.Index
-	// uses is a queue of the uses in order of time, which expire counts down.
+	// uses is a queue of part uses in order of time, from which expire removes the oldest.
 	uses    []partUse
 	lastUse map[partKey]time.Duration
-	// tracked holds the runs whose changes are tracked, so that nothing of
-	// theirs needs to run out.
+	// tracked holds the runs whose caches report their changes. Their parts do not expire.
 	tracked map[fleet.EngineRun]bool
 }
 
@@ -59,7 +57,7 @@
 
 func (p *partIndex) clear(run fleet.EngineRun) { p.index.Clear(run) }
 
-// store notes that a run holds parts, used at now.
+// store records that a run holds parts that were used at now.
 func (p *partIndex) store(now time.Duration, run fleet.EngineRun, hashes []fleet.BlockHash) {
 	p.index.Store(run, hashes)
 	if p.tracked[run] {
@@ -73,7 +71,7 @@
 	p.expire(now)
 }
 
-// expire removes the parts that have not been used for their lifetime.
+// expire removes the parts that have not been used for partLifetime.
 func (p *partIndex) expire(now time.Duration) {
 	done := 0
 	for _, use := range p.uses {
@@ -91,9 +89,8 @@
 	}
 }
 
-// Scope returns the text that separates cached parts which must not meet: those
-// of different versions of a model's weights, and those of an isolated tenant
-// from all others'.
+// Scope returns a key that separates cached parts which must not be shared: those of different
+// model versions, and those of isolated tenants.
 func Scope(model fleet.ModelName, version ModelVersion, tenant fleet.TenantName, isolated bool) string {
 	scope := string(model) + "@" + strconv.FormatUint(uint64(version), 10)
 	if isolated {
@@ -102,16 +99,16 @@
 	return scope
 }
 
-// PartChange tells that a cache holds or has dropped a part.
+// PartChange reports that a cache has added or evicted a part.
 type PartChange struct {
 	Held  bool
 	Scope string
 	Part  string
 }
 
-// ObserveCache takes in changes of a cache, in order. anew is set if what was
-// known of it before doesn't hold any more. It returns the changes as other nodes are told
-// them.
+// ObserveCache applies changes of a run's cache, in order. If reset is set, the parts recorded
+// before are discarded first. It returns the changes in the form in which they are relayed to
+// peers.
 func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
 	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
@@ -121,7 +118,7 @@
 	return relayed
 }
 
-// ObserveRelayedCache is ObserveCache for changes by another node's word.
+// ObserveRelayedCache is like ObserveCache, for changes relayed by a peer.
 func (r *Registry) ObserveRelayedCache(run fleet.EngineRun, reset bool, changes []cachefeed.Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -141,7 +138,7 @@
 	}
 }
 
-// UntrackCache takes in that a cache can't be followed any more.
+// UntrackCache discards the parts of a run whose cache changes can no longer be followed.
 func (r *Registry) UntrackCache(run fleet.EngineRun) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -158,7 +155,7 @@
 	return fleet.BlockHash(digest.Sum64())
 }
 
-// hashParts returns the hashes of parts in a scope.
+// hashParts returns the hashes of the parts in a scope.
 func hashParts(scope string, parts []Part) []fleet.BlockHash {
 	hashes := make([]fleet.BlockHash, len(parts))
 	for index, part := range parts {
@@ -167,7 +164,7 @@
 	return hashes
 }
 
-// cumulativeTokens returns the tokens up to the end of each part.
+// cumulativeTokens returns the number of tokens up to the end of each part.
 func cumulativeTokens(parts []Part) []int {
 	ends := make([]int, len(parts))
 	total := 0
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -6,94 +6,94 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// PeerReport is another node's word on the workers.
+// PeerReport is a peer's report on its load and on the workers.
 type PeerReport struct {
 	Loads []Load
-	// Suspects are the workers that the node couldn't reach of late.
+	// Suspects are the workers that the peer recently failed to reach.
 	Suspects []fleet.EngineID
-	// Deferring are the workers that have asked the node for no requests, if a worker that does
-	// so is likely to ask this node as well.
+	// Deferring are the workers that have asked the peer for no requests, if they are likely to ask
+	// the same of this node.
 	Deferring []fleet.EngineID
-	// Orders holds, by worker under an order of the node, until when it counts as so.
+	// Orders holds, for each worker under an order of the peer, until when it counts as such.
 	Orders map[fleet.EngineID]time.Duration
-	// Work holds the work of the node's requests by service.
+	// Work holds the work of the peer's requests by service.
 	Work map[fleet.PoolName]Work
 }
 
-// peerReports are the newest reports of other nodes, and their sum.
+// peerReports holds the latest report of each peer, and their totals.
 type peerReports struct {
 	reports map[fleet.NodeID]*receivedReport
-	// peerCount is the number of other nodes.
+	// peerCount is the number of peers.
 	peerCount int
 	totals    peerTotals
-	// validUntil is when the first report of the sum is too old; 0 has it made anew.
+	// validUntil is the time at which the first included report expires; 0 forces a rebuild.
 	validUntil time.Duration
-	// onChange is called for each worker of which something else is told, and changedAll
-	// when that may be any.
+	// onChange is called for each worker whose totals change, and onChangeAll if any of them may
+	// have changed.
 	onChange    func(fleet.EngineID)
 	onChangeAll func()
-	// rebuildAbove is the number of workers in the sum from which on it is made anew, without
-	// those of which nothing is told any more.
+	// rebuildAbove is the number of workers in the totals above which they are rebuilt, to remove
+	// workers without load.
 	rebuildAbove int
 }
 
-// receivedReport is a report and when it came.
+// receivedReport is a report with the time at which it was received.
 type receivedReport struct {
 	PeerReport
 	receivedAt time.Duration
-	// loads are the report's loads, with what was told since.
+	// loads holds the report's loads, including later updates.
 	loads map[fleet.EngineID]Load
-	// included is set if the sum has the report in it.
+	// included is set if the totals include the report.
 	included bool
 }
 
-// peerTotals is what the reports that count say together.
+// peerTotals is the sum of the valid reports.
 type peerTotals struct {
-	// reportCount counts the reports.
+	// reportCount is the number of included reports.
 	reportCount int
-	// workers holds what is told of each worker, index where.
+	// workers holds the totals of each worker, and index their positions.
 	workers []workerTotals
 	index   map[fleet.EngineID]int
 	work    map[fleet.PoolName]Work
 }
 
-// worker returns what other nodes say of a worker, or nil if they say nothing.
-func (s *peerTotals) worker(id fleet.EngineID) *workerTotals {
-	if at, known := s.index[id]; known && s.workers[at] != (workerTotals{}) {
-		return &s.workers[at]
+// worker returns the totals of a worker, or nil if they are zero.
+func (t *peerTotals) worker(id fleet.EngineID) *workerTotals {
+	if index, known := t.index[id]; known && t.workers[index] != (workerTotals{}) {
+		return &t.workers[index]
 	}
 	return nil
 }
 
-// entry returns the place for what other nodes say of a worker.
-func (s *peerTotals) entry(id fleet.EngineID) *workerTotals {
-	if at, known := s.index[id]; known {
-		return &s.workers[at]
+// entry returns the totals of a worker and adds them if needed.
+func (t *peerTotals) entry(id fleet.EngineID) *workerTotals {
+	if index, known := t.index[id]; known {
+		return &t.workers[index]
 	}
-	s.index[id] = len(s.workers)
-	s.workers = append(s.workers, workerTotals{})
-	return &s.workers[len(s.workers)-1]
+	t.index[id] = len(t.workers)
+	t.workers = append(t.workers, workerTotals{})
+	return &t.workers[len(t.workers)-1]
 }
 
-// reset empties the sum and keeps its memory.
-func (s *peerTotals) reset() {
-	s.reportCount = 0
-	s.workers = s.workers[:0]
-	if s.index == nil {
-		s.index, s.work = make(map[fleet.EngineID]int), make(map[fleet.PoolName]Work)
+// reset clears the totals but keeps the allocated memory.
+func (t *peerTotals) reset() {
+	t.reportCount = 0
+	t.workers = t.workers[:0]
+	if t.index == nil {
+		t.index, t.work = make(map[fleet.EngineID]int), make(map[fleet.PoolName]Work)
 	}
-	clear(s.index)
-	clear(s.work)
+	clear(t.index)
+	clear(t.work)
 }
 
-// workerTotals is what other nodes say of one worker.
+// workerTotals is the sum of the peers' reports on one worker.
 type workerTotals struct {
 	Load
-	// suspecting counts the nodes that couldn't reach it of late.
+	// suspecting is the number of peers that recently failed to reach the worker.
 	suspecting int
-	// deferred counts the nodes that it has asked for no requests.
+	// deferred is the number of peers that the worker has asked for no requests.
 	deferred int
-	// orderedUntil is until when it counts as under an order.
+	// orderedUntil is the time until which the worker counts as under an order.
 	orderedUntil time.Duration
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// observe takes a report in place of the node's one before.
+// observe replaces the report of a peer.
 func (p *peerReports) observe(now time.Duration, node fleet.NodeID, report PeerReport) {
 	loads := make(map[fleet.EngineID]Load, len(report.Loads))
 	for _, load := range report.Loads {
@@ -119,7 +119,7 @@
 	}
 }
 
-// include takes a report into the sum.
+// include adds a report to the totals.
 func (p *peerReports) include(report *receivedReport) {
 	report.included = true
 	p.totals.add(report)
@@ -129,8 +129,7 @@
 	p.validUntil = min(p.validUntil, report.receivedAt+peerReportValidity)
 }
 
-// exclude takes a report out of the sum: a choice among thousands of engines has no time for a
-// sum made anew.
+// exclude subtracts a report from the totals, which is faster than a rebuild.
 func (p *peerReports) exclude(report *receivedReport) {
 	report.included = false
 	p.totals.reportCount--
@@ -152,8 +151,8 @@
 	}
 }
 
-// orderedUntil returns until when a worker counts as under an order, by the reports that
-// count.
+// orderedUntil returns the time until which a worker counts as under an order, by the included
+// reports.
 func (p *peerReports) orderedUntil(id fleet.EngineID) time.Duration {
 	latest := time.Duration(0)
 	for _, report := range p.reports {
@@ -164,9 +163,8 @@
 	return latest
 }
 
-// update takes changed loads into a node's report; without one before, it does
-// nothing. The sum takes in what has changed: nodes tell of each long prompt that they
-// place, and a sum made anew each time would take most of the time of a choice among thousands.
+// update applies changed loads to the report of a peer, if there is one. The totals are updated
+// incrementally, since peers send an update for each long prompt that they place.
 func (p *peerReports) update(node fleet.NodeID, loads []Load) {
 	report := p.reports[node]
 	if report == nil {
@@ -184,7 +182,7 @@
 	}
 }
 
-// forget drops a node's report.
+// forget drops the report of a peer.
 func (p *peerReports) forget(node fleet.NodeID) {
 	report := p.reports[node]
 	delete(p.reports, node)
@@ -193,7 +191,7 @@
 	}
 }
 
-// totalsAt returns what the reports that aren't too old say together.
+// totalsAt returns the sum of the reports that are valid at now.
 func (p *peerReports) totalsAt(now time.Duration) *peerTotals {
 	switch {
 	case now < p.validUntil:
@@ -205,10 +203,11 @@
 	return &p.totals
 }
 
-// rebuildSlack is how many workers more than at first the sum may hold before it is made anew.
+// rebuildSlack is the number of workers that the totals may gain, beyond doubling, before a
+// rebuild.
 const rebuildSlack = 1024
 
-// rebuild makes the sum of all reports that aren't too old.
+// rebuild recomputes the totals from the valid reports.
 func (p *peerReports) rebuild(now time.Duration) {
 	p.totals.reset()
 	p.validUntil = now + peerReportValidity
@@ -222,7 +221,7 @@
 	p.rebuildAbove = 2*len(p.totals.workers) + rebuildSlack
 }
 
-// expire takes the reports out that are too old.
+// expire excludes the reports that are no longer valid.
 func (p *peerReports) expire(now time.Duration) {
 	p.validUntil = now + peerReportValidity
 	for _, report := range p.reports {
@@ -236,55 +235,54 @@
 	}
 }
 
-// add takes one report into the sum.
-func (s *peerTotals) add(report *receivedReport) {
-	s.reportCount++
+// add adds a report.
+func (t *peerTotals) add(report *receivedReport) {
+	t.reportCount++
 	for id, load := range report.loads {
-		s.entry(id).add(&load, 1)
+		t.entry(id).add(&load, 1)
 	}
 	for _, id := range report.Suspects {
-		s.entry(id).suspecting++
+		t.entry(id).suspecting++
 	}
 	for _, id := range report.Deferring {
-		s.entry(id).deferred++
+		t.entry(id).deferred++
 	}
 	for service, work := range report.Work {
-		s.work[service] = s.work[service].add(work)
+		t.work[service] = t.work[service].add(work)
 	}
 	for id, until := range report.Orders {
-		entry := s.entry(id)
+		entry := t.entry(id)
 		entry.orderedUntil = max(entry.orderedUntil, until)
 	}
 }
 
-// ObservePeer takes in another node's report.
+// ObservePeer records a peer's report.
 func (r *Registry) ObservePeer(now time.Duration, node fleet.NodeID, report PeerReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.observe(now, node, report)
 }
 
-// UpdatePeerLoads takes another node's word on single workers in, which it has given
-// between two reports.
+// UpdatePeerLoads applies a peer's changes to single loads between two reports.
 func (r *Registry) UpdatePeerLoads(node fleet.NodeID, loads []Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.update(node, loads)
 }
 
-// ForgetPeer drops what a node that is gone has said.
+// ForgetPeer drops the report of a peer that has left.
 func (r *Registry) ForgetPeer(node fleet.NodeID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.forget(node)
 }
 
-// suspicionQuorum is the number of other nodes whose word keeps requests away from a
-// worker: one may be cut off from it, or have its requests rejected, alone.
+// suspicionQuorum is the number of peers that must suspect or be deferred by a worker before this
+// node avoids it. A single peer may be partitioned from the worker, or rejected by it, alone.
 const suspicionQuorum = 2
 
-// isReadyByPeers tells whether other nodes say nothing that keeps requests away
-// from a worker; the mutex is held.
+// isReadyByPeers reports whether the peers give no reason to avoid a worker. The mutex must be
+// held.
 func (r *Registry) isReadyByPeers(now time.Duration, state *workerState) bool {
 	entry := r.peers.totalsAt(now).worker(state.worker.ID)
 	switch {
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -8,33 +8,33 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// lapsed is the tier of workers whose row went without word of draining; the tiers before
-// it are those of listed workers by their distance.
+// lapsedTier is the tier of workers whose row was deleted without the worker draining. The tiers
+// before it hold the listed workers by distance.
 const (
 	lapsedTier = int(distanceCount)
 	tiers      = lapsedTier + 1
 	noTier     = -1
 )
 
-// pool holds the workers of one service that may get requests, so that a choice finds few
-// of them without a look at all.
+// pool holds the workers of one service that may get requests, indexed so that a choice need not
+// scan all of them.
 type pool struct {
 	service fleet.PoolName
 	tiers   [tiers]loadLevels
 	ring    ring
-	// versionCounts counts the listed workers by model and version.
+	// versionCounts counts the listed workers by model version.
 	versionCounts map[versionKey]int
 	scans         map[scanKey]*scanResult
 	windowBuffer  []weightedEngine
 }
 
-// versionKey is a version of a model's weights.
+// versionKey identifies a version of a model.
 type versionKey struct {
 	model   fleet.ModelName
 	version ModelVersion
 }
 
-// listedCount returns the number of listedCount workers.
+// listedCount returns the number of listed workers.
 func (p *pool) listedCount() int {
 	count := 0
 	for tier := range lapsedTier {
@@ -43,24 +43,24 @@
 	return count
 }
 
-// all returns the listed workers one after the other.
+// all iterates over the listed workers.
 func (p *pool) all() iter.Seq2[int, *workerState] {
 	return func(yield func(int, *workerState) bool) {
-		at := 0
+		index := 0
 		for tier := range lapsedTier {
 			for _, members := range p.tiers[tier].members {
 				for _, state := range members {
-					if !yield(at, state) {
+					if !yield(index, state) {
 						return
 					}
-					at++
+					index++
 				}
 			}
 		}
 	}
 }
 
-// poolOf returns the pool of a service; the mutex is held.
+// poolOf returns the pool of a service and creates it if needed. The mutex must be held.
 func (r *Registry) poolOf(service fleet.PoolName) *pool {
 	servicePool := r.pools[service]
 	if servicePool == nil {
@@ -70,7 +70,7 @@
 	return servicePool
 }
 
-// tierOf returns the tier where a worker belongs.
+// tierOf returns the tier that a worker belongs to.
 func (r *Registry) tierOf(state *workerState) int {
 	switch {
 	case state.worker.Draining, !r.subsets.contains(state.worker.Service, state.hash):
@@ -82,7 +82,7 @@
 	}
 }
 
-// updatePool puts a worker where it belongs after a change; the mutex is held.
+// updatePool moves a worker to the pool and tier that it belongs to. The mutex must be held.
 func (r *Registry) updatePool(state *workerState) {
 	tier := r.tierOf(state)
 	if tier == state.tier && state.pool != nil && state.pool.service == state.worker.Service {
@@ -101,7 +101,7 @@
 	}
 }
 
-// removeFromPool takes a worker out of its pool; the mutex is held.
+// removeFromPool removes a worker from its pool. The mutex must be held.
 func (r *Registry) removeFromPool(state *workerState) {
 	current := state.pool
 	if current == nil {
@@ -115,7 +115,7 @@
 	state.pool, state.tier = nil, noTier
 }
 
-// setVersions changes what a worker runs; the mutex is held.
+// setVersions updates the versions of a worker and the counts of its pool. The mutex must be held.
 func (r *Registry) setVersions(state *workerState, versions map[fleet.ModelName]ModelVersion) {
 	if state.pool != nil && state.tier != lapsedTier {
 		state.pool.countVersions(state.worker.Versions, -1)
@@ -124,7 +124,7 @@
 	state.worker.Versions = versions
 }
 
-// countVersions adds to the workers of versions.
+// countVersions adds change to the count of each version.
 func (p *pool) countVersions(versions map[fleet.ModelName]ModelVersion, change int) {
 	for model, version := range versions {
 		key := versionKey{model: model, version: version}
@@ -135,8 +135,8 @@
 	}
 }
 
-// longPromptBound returns the hash up to which engines are kept for long prompts, and whether any
-// are kept for either size; the mutex is held.
+// longPromptBound returns the highest hash of the engines reserved for long prompts, and whether
+// the pool is partitioned by prompt size. The mutex must be held.
 func (r *Registry) longPromptBound(now time.Duration, servicePool *pool) (bound uint64, partitioned bool) {
 	work := r.peers.totalsAt(now).work[servicePool.service]
 	if own := r.workTrackers[servicePool.service]; own != nil {
@@ -149,8 +149,8 @@
 	return servicePool.ring.hashes[longEngines-1], true
 }
 
-// reservedForOtherSize returns which engines are kept for prompts of another size than a
-// request's; the mutex is held.
+// reservedForOtherSize returns a predicate that reports whether an engine is reserved for prompts
+// of another size than the request's. The mutex must be held.
 func (r *Registry) reservedForOtherSize(now time.Duration, servicePool *pool, engine *EngineRequest) func(*workerState) bool {
 	if engine == nil {
 		return func(*workerState) bool { return false }
@@ -160,13 +160,13 @@
 	return func(state *workerState) bool { return partitioned && (state.hash <= bound) != long }
 }
 
-// homeIn returns the engine of a window with the highest weight that fits, or nil.
+// homeIn returns the eligible engine with the highest weight in a window, or nil.
 func homeIn(window []weightedEngine, isEligible func(*workerState) bool) *workerState {
 	for len(window) > 0 {
 		best := 0
-		for at := range window {
-			if window[at].weight > window[best].weight {
-				best = at
+		for index := range window {
+			if window[index].weight > window[best].weight {
+				best = index
 			}
 		}
 		if isEligible(window[best].state) {
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -12,29 +12,28 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Options sets up a Registry.
+// Options configures a Registry.
 type Options struct {
-	// Zone is where this node is.
+	// Zone is the zone of this node.
 	Zone fleet.ZoneName
-	// Regions holds the region of each zone; zones that it lacks count as near ones.
+	// Regions holds the region of each zone. Zones without an entry count as in the same region.
 	Regions Regions
-	// Distances are what distance costs; DefaultDistancePrices if all are 0.
+	// Distances sets the cost of distance; the zero value means DefaultDistancePrices.
 	Distances DistancePrices
-	// ExhaustiveLimit is the number of a service's workers up to which a choice looks at all of
-	// them; 0 means DefaultWholeUpTo.
+	// ExhaustiveLimit is the number of workers of a service up to which a choice examines all of
+	// them; 0 means DefaultExhaustiveLimit.
 	ExhaustiveLimit int
-	// Random breaks ties; required.
+	// Random breaks ties and draws samples; required.
 	Random *rand.Rand
-	// Scheduling sets the prices of a choice among engines.
+	// Scheduling sets the cost weights for the choice among engines.
 	Scheduling scheduling.Options
-	// PrefillPerToken is the time that an engine takes for a prompt token before
-	// any was measured.
+	// PrefillPerToken is the assumed time to prefill a prompt token until it has been measured.
 	PrefillPerToken time.Duration
-	// Step is the time of an engine's batch step, StepTokens the most prompt
-	// tokens that one computes.
+	// Step is the duration of an engine's batch step. StepTokens is the maximum number of prompt
+	// tokens computed in one step.
 	Step       time.Duration
 	StepTokens int
-	// MaxParts bounds the remembered cached parts.
+	// MaxParts limits the number of cached parts in the index.
 	MaxParts int
 }
 
@@ -46,7 +45,8 @@
 	DefaultMaxParts        = 1 << 16
 )
 
-// Registry is what a node knows of the workers.
+// Registry tracks the workers of all services and chooses among them. It is safe for concurrent
+// use.
 type Registry struct {
 	options   Options
 	scheduler *scheduling.Scheduler
@@ -54,34 +54,34 @@
 	mutex      sync.Mutex
 	workers    map[fleet.EngineID]*workerState
 	shortNames shortNames
-	// tombstones holds the revision at which a row went, for workers forgotten.
+	// tombstones holds, for forgotten workers, the revision at which their row was deleted.
 	tombstones map[fleet.EngineID]fleet.Revision
-	// unpublishedDraining holds the workers that have said that they drain and whose rows haven't, and
-	// drained the runs of those forgotten that were draining.
+	// unpublishedDraining holds the workers that are draining although their rows do not say so.
+	// forgottenDraining holds the runs that were draining when they were forgotten.
 	unpublishedDraining map[fleet.EngineID]bool
 	forgottenDraining   map[fleet.EngineID]drainingRecord
 	peers               *peerReports
 	required            map[fleet.ModelName]ModelVersion
 	preferred           map[fleet.ModelName]ModelVersion
-	// memoryCapacities holds, by service, the memory of an engine in tokens.
+	// memoryCapacities holds, by service, the KV cache capacity of an engine in tokens.
 	memoryCapacities map[fleet.PoolName]int
-	// speedEstimates holds, by service, how fast its engines are.
+	// speedEstimates holds, by service, the measured speed of its engines.
 	speedEstimates map[fleet.PoolName]*speedEstimate
 	parts          *partIndex
 	workTrackers   map[fleet.PoolName]*workTracker
 	pools          map[fleet.PoolName]*pool
-	// subsets are those whose workers get requests, planned those that this node planned
-	// last, and shortages what it lacked. onlySubsets is set if nothing is to be known of
-	// other workers.
+	// subsets are the active subsets, planned the last ones that this node planned, and shortages
+	// the capacity that they lacked. With onlySubsets, workers outside the active subsets are not
+	// tracked.
 	subsets     Subsets
 	planned     Subsets
 	shortages   map[fleet.PoolName]shortage
 	onlySubsets bool
-	// changes counts the changes of the workers that are listed and of their versions.
+	// changes counts the changes to the set of listed workers and to their versions.
 	changes uint64
-	// searches counts the searches for candidates.
+	// searches counts the searches for candidates and provides their identifiers.
 	searches uint64
-	// endpoints, fits, doubts and matches are buffers of a choice.
+	// endpoints, eligibleBuffer, notReadyBuffer and matches are buffers reused by choices.
 	endpoints                      []scheduling.Endpoint
 	eligibleBuffer, notReadyBuffer []*workerState
 	matches                        []prefixindex.Match
@@ -129,10 +129,10 @@
 	return registry
 }
 
-// Change tells what an observation changed.
+// Change is the effect of an observation on a worker.
 type Change string
 
-// Changes of a worker.
+// Effects of an observation.
 const (
 	Unchanged       Change = ""
 	Added           Change = "added"
@@ -140,13 +140,14 @@
 	StartedDraining Change = "draining"
 	Gone            Change = "gone"
 	NewVersion      Change = "version"
-	// Restarted means that another run has the worker's identifier.
+	// Restarted means that a new run has taken the worker's identifier.
 	Restarted Change = "restarted"
-	// Unusable means that the worker's row names no worker to use any more.
+	// Unusable means that the worker's row no longer describes a usable worker.
 	Unusable Change = "unusable"
 )
 
-// Observe takes in a worker's row at a revision of the store.
+// Observe records a worker's row at a revision of the store. Rows that are not newer than the last
+// one are ignored.
 func (r *Registry) Observe(revision fleet.Revision, worker Worker) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -196,14 +197,14 @@
 	return change
 }
 
-// isRestart tells whether a start is that of another run than the one known. Where the
-// known one's start was never told, the first word on it says nothing of another run.
+// isRestart reports whether the start time belongs to a later run than the current one. If the
+// current run's start time is unknown, it is not a restart.
 func isRestart(current *Worker, startTime StartTime) bool {
 	return current.StartTime != 0 && startTime > current.StartTime
 }
 
-// replaceRun has a new run take the place of the one known under the same identifier:
-// requests under way stay counted at the former one; the mutex is held.
+// replaceRun replaces a run by a new one with the same identifier. Requests in flight remain
+// counted at the previous run. The mutex must be held.
 func (r *Registry) replaceRun(previous *workerState, worker Worker, revision fleet.Revision) {
 	r.removeFromPool(previous)
 	delete(r.unpublishedDraining, worker.ID)
@@ -213,8 +214,8 @@
 	r.updatePool(replacement)
 }
 
-// ObserveStart takes in when a worker says that it started, other than by its row. It tells
-// whether that is another run than the one known.
+// ObserveStart records a worker's start time from a source other than its row, and reports whether
+// the worker has restarted.
 func (r *Registry) ObserveStart(id fleet.EngineID, startTime StartTime) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -230,8 +231,8 @@
 	return true
 }
 
-// ObserveUnusable takes in that a worker's row names no worker to use from a revision on:
-// it gets no requests, also where nobody else is there, until a newer row names one again.
+// ObserveUnusable records that, as of a revision, a worker's row does not describe a usable worker.
+// The worker gets no requests, not even as a last resort, until a newer row describes a usable one.
 func (r *Registry) ObserveUnusable(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -248,9 +249,8 @@
 	return Unusable
 }
 
-// mergeVersions returns the versions of a row, except where a newer one was
-// heard of before: rows lag behind. A newer version in the row drops what the
-// worker is believed to hold.
+// mergeVersions returns the versions in a row, or the known ones where these are newer, since rows
+// may be stale. If any version changes, the cached parts of the run are discarded.
 func (r *Registry) mergeVersions(state *workerState, row map[fleet.ModelName]ModelVersion) map[fleet.ModelName]ModelVersion {
 	if maps.Equal(state.worker.Versions, row) {
 		return row
@@ -266,7 +266,7 @@
 	return merged
 }
 
-// ObserveGone takes in that a worker's row went at a revision.
+// ObserveGone records that a worker's row was deleted at a revision.
 func (r *Registry) ObserveGone(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -285,8 +285,8 @@
 	return Gone
 }
 
-// ObserveSnapshot takes in a whole read of the rows as of a revision: workers that it
-// doesn't name, and whose rows are not newer than the read, are gone.
+// ObserveSnapshot records a complete read of the rows at a revision. Workers that are not listed
+// and whose rows are not newer than the snapshot count as gone. It returns those workers in order.
 func (r *Registry) ObserveSnapshot(now time.Duration, revision fleet.Revision, listed map[fleet.EngineID]bool) []fleet.EngineID {
 	r.mutex.Lock()
 	var missing []fleet.EngineID
@@ -306,8 +306,8 @@
 	return gone
 }
 
-// Forget drops the workers that have been gone for keep and have no request in
-// flight, and returns them.
+// Forget drops the workers that have been gone for the retention time and have no request in
+// flight, and those outside the active subsets. It returns the dropped workers.
 func (r *Registry) Forget(now, retention time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -326,23 +326,23 @@
 	return forgotten
 }
 
-// RequireVersion says that requests of a model may begin on no older version.
+// RequireVersion sets the minimum version for new requests of a model. It never decreases.
 func (r *Registry) RequireVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.required[model] = max(r.required[model], version)
 }
 
-// PreferVersion says that requests of a model should begin on no older version where that
-// costs little.
+// PreferVersion sets the minimum preferred version for new requests of a model: older versions are
+// penalized. It never decreases.
 func (r *Registry) PreferVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.preferred[model] = max(r.preferred[model], version)
 }
 
-// ObserveVersion takes in a version that the worker, or whoever ordered it, was
-// heard to have. It never goes down, since rows lag behind.
+// ObserveVersion records that a worker has loaded a version of a model. Older versions are ignored,
+// since reports may be stale.
 func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -358,12 +358,12 @@
 	r.changes++
 	r.setVersions(state, versions)
 	state.mismatchUntil = 0
-	// The order that brought the version is carried out.
+	// The order to load this version has been carried out.
 	state.orderedUntil = 0
 	r.parts.clear(state.worker.Run())
 }
 
-// ObserveOrder says until when a worker counts as under an order.
+// ObserveOrder records until when a worker counts as under an order.
 func (r *Registry) ObserveOrder(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -372,7 +372,7 @@
 	}
 }
 
-// ZoneOf returns where a worker is; empty if it isn't known.
+// ZoneOf returns the zone of a worker, or "" if the worker is unknown.
 func (r *Registry) ZoneOf(id fleet.EngineID) fleet.ZoneName {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -383,19 +383,19 @@
 	return state.worker.Zone
 }
 
-// Workers returns the listed workers of all services, by identifier.
+// Workers returns the listed workers of all services, sorted by identifier.
 func (r *Registry) Workers() []Worker {
 	return r.filterWorkers(func(state *workerState) bool { return !state.gone })
 }
 
-// WorkersInUse returns the listed workers of the subsets in force, by identifier.
+// WorkersInUse returns the listed workers in the active subsets, sorted by identifier.
 func (r *Registry) WorkersInUse() []Worker {
 	return r.filterWorkers(func(state *workerState) bool {
 		return !state.gone && r.subsets.contains(state.worker.Service, state.hash)
 	})
 }
 
-// Changes returns a number that rises with each change of the workers that are listed and of
+// Changes returns a counter that increases with each change to the set of listed workers or to
 // their versions.
 func (r *Registry) Changes() uint64 {
 	r.mutex.Lock()
@@ -403,8 +403,8 @@
 	return r.changes
 }
 
-// filterWorkers returns the workers that are chosen, by identifier. The mutex is held while
-// it chooses.
+// filterWorkers returns the workers that include accepts, sorted by identifier. include is called
+// with the mutex held.
 func (r *Registry) filterWorkers(include func(state *workerState) bool) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/ring.go
+++ b/internal/backends/ring.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// homeWindow is the number of engines among which a prompt's home is chosen. Fleets
-	// up to this size choose among all; in larger ones an engine is the home of a share
-	// of the prompts that varies by an eighth of the mean.
+	// homeWindow is the number of engines among which a prompt's home is chosen by rendezvous
+	// hashing. Smaller fleets are considered in full. In larger ones, the share of prompts for
+	// which an engine is the home varies by about an eighth of the mean.
 	homeWindow = 64
-	// maxWindowSteps bounds the engines that are passed over since they are kept for prompts
-	// of the other size: a sixteenth of them is found within it.
+	// maxWindowSteps limits the number of ring entries visited to fill a window, since engines
+	// reserved for the other prompt size are skipped.
 	maxWindowSteps = 16 * homeWindow
-	// ringSeed makes an engine's place independent of its weight for a prompt.
+	// ringSeed makes an engine's position independent of its weight for a prompt.
 	ringSeed = 0x5bd1e9955bd1e995
 )
 
-// ring holds a service's engines by place, so that nodes agree on the home of a prompt
-// without looking at all engines, and keep most homes when an engine comes or goes.
+// ring is a consistent hash ring of a service's engines. Nodes agree on a prompt's home without
+// considering all engines, and few homes change when an engine joins or leaves.
 type ring struct {
 	entries []ringEntry
 	// hashes holds the hashes of all engines in order, for the partition by prompt size.
 	hashes []uint64
 }
 
-// ringEntry is one engine's place.
+// ringEntry is an engine with its position on the ring.
 type ringEntry struct {
 	position uint64
 	state    *workerState
@@ -39,37 +39,37 @@
 
 func compareEntries(a, b ringEntry) int { return cmp.Compare(a.position, b.position) }
 
-func (g *ring) add(state *workerState) {
+func (r *ring) add(state *workerState) {
 	added := ringEntry{position: ringPosition(state.hash), state: state}
-	at, _ := slices.BinarySearchFunc(g.entries, added, compareEntries)
-	g.entries = slices.Insert(g.entries, at, added)
-	at, _ = slices.BinarySearch(g.hashes, state.hash)
-	g.hashes = slices.Insert(g.hashes, at, state.hash)
+	index, _ := slices.BinarySearchFunc(r.entries, added, compareEntries)
+	r.entries = slices.Insert(r.entries, index, added)
+	index, _ = slices.BinarySearch(r.hashes, state.hash)
+	r.hashes = slices.Insert(r.hashes, index, state.hash)
 }
 
-func (g *ring) remove(state *workerState) {
-	at, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(state.hash)}, compareEntries)
-	for at < len(g.entries) && g.entries[at].state != state {
-		at++
+func (r *ring) remove(state *workerState) {
+	index, _ := slices.BinarySearchFunc(r.entries, ringEntry{position: ringPosition(state.hash)}, compareEntries)
+	for index < len(r.entries) && r.entries[index].state != state {
+		index++
 	}
-	g.entries = slices.Delete(g.entries, at, at+1)
-	at, _ = slices.BinarySearch(g.hashes, state.hash)
-	g.hashes = slices.Delete(g.hashes, at, at+1)
+	r.entries = slices.Delete(r.entries, index, index+1)
+	index, _ = slices.BinarySearch(r.hashes, state.hash)
+	r.hashes = slices.Delete(r.hashes, index, index+1)
 }
 
-// weightedEngine is an engine with its weight for a prompt.
+// weightedEngine is an engine with its rendezvous weight for a prompt.
 type weightedEngine struct {
 	state  *workerState
 	weight uint64
 }
 
-// window appends to into[:0] the engines from the place of a prompt on that are kept for
-// its size, at most homeWindow.
-func (g *ring) window(key uint64, isReserved func(*workerState) bool, into []weightedEngine) []weightedEngine {
+// window appends to into[:0] up to homeWindow engines that follow the position of a prompt and are
+// not reserved for the other size.
+func (r *ring) window(key uint64, isReserved func(*workerState) bool, into []weightedEngine) []weightedEngine {
 	into = into[:0]
-	start, _ := slices.BinarySearchFunc(g.entries, ringEntry{position: ringPosition(key)}, compareEntries)
-	for step := range min(len(g.entries), maxWindowSteps) {
-		state := g.entries[(start+step)%len(g.entries)].state
+	start, _ := slices.BinarySearchFunc(r.entries, ringEntry{position: ringPosition(key)}, compareEntries)
+	for step := range min(len(r.entries), maxWindowSteps) {
+		state := r.entries[(start+step)%len(r.entries)].state
 		if isReserved(state) {
 			continue
 		}
--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -4,27 +4,27 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// promptScope is what is known of a prompt's parts in one scope.
+// promptScope is the cache state of a prompt's parts in one scope.
 type promptScope struct {
 	version ModelVersion
 	scope   string
 	hashes  []fleet.BlockHash
-	// holders are engines that hold leading parts, some of each number, those with the
-	// most first.
+	// holders are engines that hold leading parts, those with the most parts first. Their number is
+	// limited for each number of parts.
 	holders []holder
-	// storedParts counts the leading parts that the store is believed to hold.
+	// storedParts is the number of leading parts expected in the store.
 	storedParts int
 }
 
-// holder is an engine with the number of leading parts that it is believed to hold.
+// holder is an engine with the number of leading parts that it is expected to hold.
 type holder struct {
 	id fleet.EngineID
-	// state is nil if no row has told of the engine.
+	// state is nil if the engine is not a known worker.
 	state *workerState
 	parts int
 }
 
-// maxHeldParts returns the maxHeldParts leading parts that one engine is believed to hold.
+// maxHeldParts returns the largest number of leading parts that one engine is expected to hold.
 func (s *promptScope) maxHeldParts() int {
 	if len(s.holders) == 0 {
 		return 0
@@ -32,11 +32,11 @@
 	return s.holders[0].parts
 }
 
-// isHeldByEngine tells whether an engine is believed to hold so many leading parts.
-// Where none is, all nodes send to the prompt's home, which reads them once.
+// isHeldByEngine reports whether an engine is expected to hold the given number of leading parts.
 func (s *promptScope) isHeldByEngine(parts int) bool { return s.maxHeldParts() >= parts }
 
-// lookUpScope returns what is known of a prompt's parts; the mutex is held.
+// lookUpScope looks up the cache state of a prompt's parts for a model version. The mutex must be
+// held.
 func (r *Registry) lookUpScope(engine *EngineRequest, version ModelVersion) *promptScope {
 	scope := Scope(engine.Model, version, engine.Tenant, engine.Isolated)
 	scoped := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
@@ -53,7 +53,7 @@
 	return scoped
 }
 
-// heldParts returns the leading parts that an engine is believed to hold.
+// heldParts returns the number of leading parts that an engine is expected to hold.
 func (r *Registry) heldParts(parts *promptScope, state *workerState) int {
 	return r.parts.index.Held(state.worker.Run(), parts.hashes)
 }
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -7,39 +7,39 @@
 	"github.com/tillerfall/tillerfall/internal/delivery"
 )
 
-// Sizes of a search.
+// Limits of a search.
 const (
-	// DefaultExhaustiveLimit is the number of a service's workers up to which a choice looks at
-	// all of them.
+	// DefaultExhaustiveLimit is the default of Options.ExhaustiveLimit.
 	DefaultExhaustiveLimit = 64
-	// maxHolders bounds the holders of each number of a prompt's parts that a choice
-	// knows of, as candidates and as sources.
+	// maxHolders limits the number of holders, for each number of leading parts, that a choice
+	// considers as candidates and import sources.
 	maxHolders = 8
-	// sampleAttempts is how many workers are looked at in a tier for each one wanted there
-	// before the next tier's turn.
+	// sampleAttempts is the maximum number of workers examined in a tier for each eligible one
+	// wanted, before the search moves to the next tier.
 	sampleAttempts = 4
 )
 
-// sampleSizes is how many workers of each distance a choice draws. Near ones are most: what
-// crosses a zone or region is dearer, and far ones take over when the near ones are full.
+// sampleSizes is the number of eligible workers that a choice samples at each distance. Distant
+// workers are sampled to take over when the near ones are full.
 var sampleSizes = [distanceCount]int{SameZone: 8, SameRegion: 6, OtherRegion: 4}
 
-// verdict is what a look at a worker finds.
+// verdict is the result of examining a worker.
 type verdict uint8
 
 const (
-	// verdictWrongSoftware is a worker of another software version than the request may go to.
+	// verdictWrongSoftware: the request may not go to the worker's software version.
 	verdictWrongSoftware verdict = iota
-	// verdictTried is one that has had the request, occupied one without a free connection.
+	// verdictTried: the request was already sent to the run. verdictNoConnection: this node has no
+	// free connection to the worker.
 	verdictTried
 	verdictNoConnection
-	// verdictOutdated is one whose weights are too old, crowded one that has all the streams
-	// that it may get.
+	// verdictOutdated: the model version is too old. verdictFull: the worker has reached its
+	// maximum number of streams.
 	verdictOutdated
 	verdictFull
-	// verdictNotReady is one that something speaks against right now.
+	// verdictNotReady: this node or its peers have reason to avoid the worker for now.
 	verdictNotReady
-	// verdictClosed is one that takes no requests for a time.
+	// verdictClosed: the worker temporarily admits no requests.
 	verdictClosed
 	verdictNotReadyOutdated
 	verdictNotReadyFull
@@ -47,8 +47,8 @@
 	verdictCount
 )
 
-// search looks for the candidates of one choice. Each worker is looked at once; the
-// registry's mutex is held.
+// search collects the candidates of one choice. Each worker is examined at most once. The
+// registry's mutex must be held.
 type search struct {
 	*Registry
 
@@ -56,27 +56,28 @@
 	request  *Request
 	software *delivery.Choice
 	pool     *pool
-	// exhaustive is set if all workers are looked at.
+	// exhaustive is set if all workers are examined.
 	exhaustive bool
-	// id tells the workers that this search has looked at.
+	// id marks the workers that this search has examined.
 	id       uint64
 	counts   [verdictCount]int
 	examined int
 	eligible []*workerState
 	notReady []*workerState
 	samplers [tiers]sampler
-	// isReserved tells which engines are isReserved for prompts of another size.
+	// isReserved reports whether an engine is reserved for prompts of another size.
 	isReserved func(*workerState) bool
 	scopes     []*promptScope
 	accepted   verdict
-	// reopensIn is the least time until a worker that is closed takes one again.
+	// reopensIn is the shortest time until a closed worker admits requests again.
 	reopensIn time.Duration
 }
 
-// newSearch returns a search among the workers of some software versions.
+// newSearch returns a search among the workers that the software choice allows.
 func (r *Registry) newSearch(now time.Duration, request *Request, software *delivery.Choice) *search {
 	r.searches++
-	// What too old reports told leaves the levels here, not while they are drawn from.
+	// Expire stale reports before sampling: expiry moves workers between the lists that are
+	// sampled.
 	r.peers.totalsAt(now)
 	servicePool := r.poolOf(request.Service)
 	s := &search{
@@ -90,8 +91,8 @@
 	return s
 }
 
-// gather collects candidates. It returns the reason if there are none, which is only
-// said once all workers have been looked at.
+// gather collects candidates, or returns the reason why there are none. It only returns a reason
+// after all workers have been examined.
 func (s *search) gather() (reason string) {
 	switch {
 	case s.exhaustive:
@@ -113,12 +114,12 @@
 	return s.resolve()
 }
 
-// saveBuffers hands the buffers on to the next search.
+// saveBuffers returns the buffers to the registry for the next search.
 func (s *search) saveBuffers() {
 	s.Registry.eligibleBuffer, s.Registry.notReadyBuffer = s.eligible, s.notReady
 }
 
-// candidates returns what was found.
+// candidates returns the accepted workers.
 func (s *search) candidates() []*workerState {
 	if s.accepted == verdictNotReady {
 		return s.notReady
@@ -126,13 +127,15 @@
 	return s.eligible
 }
 
-// needsLapsed tells whether nobody listed may get the request.
+// needsLapsed reports whether no listed worker may get the request, not even once it has capacity
+// or is ready.
 func (s *search) needsLapsed() bool {
 	return s.counts[verdictEligible]+s.counts[verdictNotReady]+s.counts[verdictOutdated]+s.counts[verdictFull]+s.counts[verdictClosed]+
 		s.counts[verdictNotReadyOutdated]+s.counts[verdictNotReadyFull] == 0
 }
 
-// resolve accepts workers in doubt if there are no others, or returns why there is none.
+// resolve accepts the eligible workers, or those that are not ready if no other reason takes
+// precedence. If there is none, it returns the reason.
 func (s *search) resolve() string {
 	s.accepted = verdictEligible
 	switch counts := &s.counts; {
@@ -158,7 +161,8 @@
 	}
 }
 
-// examine takes a worker in by what speaks against it, unless it has been looked at.
+// examine assesses a worker unless this search has already done so, adds it to the candidates if
+// possible, and returns the verdict.
 func (s *search) examine(state *workerState) verdict {
 	if state.lastSearch == s.id {
 		return state.verdict
@@ -176,7 +180,7 @@
 	return state.verdict
 }
 
-// assess tells what speaks against a worker.
+// assess returns the verdict on a worker.
 func (s *search) assess(state *workerState) verdict {
 	switch {
 	case state.gone && !state.isLapsed(s.now), !s.software.Allows(state.worker.ID, state.worker.Software):
@@ -201,20 +205,20 @@
 	}
 }
 
-// recordClosed notes when a closed worker takes requests again.
+// recordClosed records after what time a closed worker admits requests again.
 func (s *search) recordClosed(reopensIn time.Duration) {
 	if s.reopensIn == 0 || reopensIn < s.reopensIn {
 		s.reopensIn = reopensIn
 	}
 }
 
-// hasLimit tells whether a worker names a limit.
+// hasLimit reports whether a worker has a request limit.
 func (s *search) hasLimit(state *workerState) bool {
 	admission, _ := s.request.admission(&state.worker)
 	return admission != AdmissionUnlimited
 }
 
-// assessEngine tells what speaks against an engine: its weights or its streams.
+// assessEngine returns the verdict on an engine's model version and number of streams.
 func (s *search) assessEngine(state *workerState) verdict {
 	if s.request.Engine == nil {
 		return verdictEligible
--- a/internal/backends/search_holders.go
+++ b/internal/backends/search_holders.go
@@ -1,7 +1,7 @@
 package backends
 
-// examineHolders looks at some of the engines that hold the most of the prompt's parts, the
-// last part among them, which is the request's session.
+// examineHolders examines engines that hold the most leading parts of the prompt. The last part,
+// which is specific to the session, counts as well.
 func (s *search) examineHolders() {
 	if s.request.Engine == nil {
 		return
@@ -18,8 +18,7 @@
 	}
 }
 
-// examineCanaries looks at the workers to which the request is limited by name; no other may
-// get it.
+// examineCanaries examines the canaries that the request is limited to.
 func (s *search) examineCanaries() {
 	for id := range s.software.Canaries() {
 		if state := s.workers[id]; state != nil && state.isListed() && state.pool == s.pool {
@@ -28,7 +27,7 @@
 	}
 }
 
-// scopeOf returns what is known of the prompt's parts at a version of the weights.
+// scopeOf returns the cache state of the prompt's parts for a model version.
 func (s *search) scopeOf(version ModelVersion) *promptScope {
 	for _, scoped := range s.scopes {
 		if scoped.version == version {
--- a/internal/backends/search_home.go
+++ b/internal/backends/search_home.go
@@ -1,8 +1,8 @@
 package backends
 
-// home returns the engine that every node chooses first for the shared parts of the
-// prompt, so that they are read at one engine without any talk; nil if there is none.
-// Engines that are kept for others come last. The engine is a candidate from then on.
+// home returns the home of a prompt's shared parts: the engine that all nodes choose first, so that
+// the parts are computed at one engine without coordination. It returns nil if there is none.
+// Engines reserved for prompts of another size are considered last. The home becomes a candidate.
 func (s *search) home(shared int) *workerState {
 	if shared == 0 {
 		return nil
--- a/internal/backends/search_sample.go
+++ b/internal/backends/search_sample.go
@@ -2,17 +2,17 @@
 
 import "math/rand/v2"
 
-// strides are primes greater than any fleet; a step by one of them visits each of a list's
-// workers once, in an order that differs from choice to choice.
+// strides are primes greater than any fleet size. Stepping by one of them visits every worker of a
+// list once, in an order that varies from choice to choice.
 var strides = [...]int{1_000_003, 1_299_709, 2_750_159, 4_256_233, 6_700_417, 7_368_787, 15_485_863, 32_452_843}
 
-// sampler takes workers of a list one after the other, the least loaded first and in random
-// order among those of a level. The list must not change meanwhile.
+// sampler draws workers from a list without replacement: by increasing load level, and in random
+// order within a level. The list must not change meanwhile.
 type sampler struct {
 	list   *loadLevels
 	random *rand.Rand
-	// remaining is the number of workers left, left that of the level; next and stride say
-	// which of the level follows.
+	// remaining is the number of workers left in the list, and levelRemaining in the current level.
+	// next and stride determine the next worker of the level.
 	remaining      int
 	level          int
 	levelRemaining int
@@ -20,33 +20,33 @@
 	stride         int
 }
 
-// take returns the next worker, or nil after the last.
-func (d *sampler) take() *workerState {
-	if d.remaining == 0 {
+// take returns the next worker, or nil if none is left.
+func (s *sampler) take() *workerState {
+	if s.remaining == 0 {
 		return nil
 	}
-	for d.levelRemaining == 0 {
-		d.level++
-		d.startLevel(len(d.list.members[d.level]))
+	for s.levelRemaining == 0 {
+		s.level++
+		s.startLevel(len(s.list.members[s.level]))
 	}
-	members := d.list.members[d.level]
-	d.remaining--
-	d.levelRemaining--
-	next := members[d.next]
-	d.next = (d.next + d.stride) % len(members)
+	members := s.list.members[s.level]
+	s.remaining--
+	s.levelRemaining--
+	next := members[s.next]
+	s.next = (s.next + s.stride) % len(members)
 	return next
 }
 
-// startLevel starts a level of so many workers anywhere in it.
-func (d *sampler) startLevel(count int) {
-	d.levelRemaining = count
+// startLevel starts a level with the given number of workers at a random position.
+func (s *sampler) startLevel(count int) {
+	s.levelRemaining = count
 	if count > 0 {
-		d.next, d.stride = d.random.IntN(count), strides[d.random.IntN(len(strides))]%count
+		s.next, s.stride = s.random.IntN(count), strides[s.random.IntN(len(strides))]%count
 	}
 }
 
-// examineSample looks at workers drawn from each distance, near first; what a distance
-// lacks is drawn from the next.
+// examineSample examines a sample of workers from each distance, nearest first. If a distance
+// yields too few eligible workers, the next one makes up for them.
 func (s *search) examineSample() {
 	wanted := 0
 	for tier, limit := range sampleSizes {
@@ -58,8 +58,8 @@
 	}
 }
 
-// examineUntil draws up to tries workers until as many as wanted fit, and returns how many
-// do.
+// examineUntil draws up to attempts workers until the wanted number is eligible, and returns the
+// number of eligible ones.
 func (s *search) examineUntil(from *sampler, wanted, attempts int) (eligible int) {
 	for range attempts {
 		if eligible >= wanted {
@@ -76,11 +76,11 @@
 	return eligible
 }
 
-// minEligible is the number of workers after which a search through all ends.
+// minEligible is the number of eligible workers that ends a full scan.
 const minEligible = 4
 
-// scanUntilEligible looks at the workers that are left until some fit: only a look at all of
-// them shows that there is none.
+// scanUntilEligible examines the remaining workers until some are eligible. Only a full scan proves
+// that there is none.
 func (s *search) scanUntilEligible() {
 	wanted := minEligible
 	for tier := range sampleSizes {
@@ -88,14 +88,14 @@
 	}
 }
 
-// scanListed looks at all listed workers that are left.
+// scanListed examines all remaining listed workers.
 func (s *search) scanListed() {
 	for tier := range sampleSizes {
 		s.scanTier(tier)
 	}
 }
 
-// scanTier looks at all workers of a tier that are left.
+// scanTier examines all remaining workers of a tier.
 func (s *search) scanTier(tier int) {
 	for state := s.samplers[tier].take(); state != nil; state = s.samplers[tier].take() {
 		s.examine(state)
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// scanValidityPerWorker is how long a look at all workers of a service counts, for each
-	// of them, so that looks take a small part of the time at any number of workers.
+	// scanValidityPerWorker is how long the result of a full scan is valid, for each worker of the
+	// service. It bounds the share of time spent on scans at any fleet size.
 	scanValidityPerWorker = 40 * time.Microsecond
-	// maxSpareEngines is the number of engines with the shortest waits that such a look keeps,
-	// spareTaken how many of them a choice takes at once.
+	// maxSpareEngines is the number of engines with the shortest waits that a scan keeps.
+	// spareBatch is the number that a choice takes at once.
 	maxSpareEngines = 32
 	spareBatch      = 4
 )
 
-// scanKey names the requests for which a look at all workers counts alike.
+// scanKey identifies requests that can share the result of a full scan.
 type scanKey struct {
 	model                fleet.ModelName
 	priority             int
 	limited, wantsTarget bool
 }
 
-// scanResult is what a scanResult at all workers of a service has found.
+// scanResult is the result of a full scan of a service's workers.
 type scanResult struct {
 	validUntil time.Duration
-	// shortestWait is the shortest wait for others at any engine that may get a request.
+	// shortestWait is the shortest wait at any eligible engine.
 	shortestWait time.Duration
-	// spare holds engines with short waits, the shortest last.
+	// spare holds the engines with the shortest waits, in decreasing order of their waits.
 	spare []spareEngine
 }
 
@@ -41,32 +41,32 @@
 	wait  time.Duration
 }
 
-// take returns some of the engines with the shortest waits, which are not returned again.
-func (l *scanResult) take() []spareEngine {
-	from := max(len(l.spare)-spareBatch, 0)
-	taken := l.spare[from:]
-	l.spare = l.spare[:from]
+// take removes and returns the engines with the shortest waits.
+func (r *scanResult) take() []spareEngine {
+	from := max(len(r.spare)-spareBatch, 0)
+	taken := r.spare[from:]
+	r.spare = r.spare[:from]
 	return taken
 }
 
-// add takes an engine in if its wait is among the shortest.
-func (l *scanResult) add(state *workerState, wait time.Duration) {
-	l.shortestWait = min(l.shortestWait, wait)
-	if len(l.spare) == maxSpareEngines && wait >= l.spare[0].wait {
+// add adds an engine if its wait is among the shortest.
+func (r *scanResult) add(state *workerState, wait time.Duration) {
+	r.shortestWait = min(r.shortestWait, wait)
+	if len(r.spare) == maxSpareEngines && wait >= r.spare[0].wait {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(l.spare, wait, func(spare spareEngine, wait time.Duration) int {
+	index, _ := slices.BinarySearchFunc(r.spare, wait, func(spare spareEngine, wait time.Duration) int {
 		return cmp.Compare(wait, spare.wait)
 	})
-	l.spare = slices.Insert(l.spare, at, spareEngine{state: state, wait: wait})
-	if len(l.spare) > maxSpareEngines {
-		l.spare = slices.Delete(l.spare, 0, 1)
+	r.spare = slices.Insert(r.spare, index, spareEngine{state: state, wait: wait})
+	if len(r.spare) > maxSpareEngines {
+		r.spare = slices.Delete(r.spare, 0, 1)
 	}
 }
 
-// addSpareEngines adds engines with room to the candidates of a request that would wait too long
-// at all of those looked at. It tells whether it has; if not, no engine of the service has
-// room, by a look at all of them that still counts, and least is the shortest wait.
+// addSpareEngines adds engines with spare capacity to the candidates of a request that would wait
+// too long at all of them, and reports whether it did. If not, a valid full scan shows that the
+// wait exceeds allowed at every engine; shortestWait is the shortest one.
 func (s *search) addSpareEngines(allowed time.Duration) (shortestWait time.Duration, added bool) {
 	key := s.scanKeyFor(s.request.Engine.Priority)
 	scan := s.pool.scans[key]
@@ -87,7 +87,7 @@
 	return scan.shortestWait, true
 }
 
-// scanKeyFor returns what names the requests like this one of a priority.
+// scanKeyFor returns the scan key of the request at a priority.
 func (s *search) scanKeyFor(priority int) scanKey {
 	key := scanKey{priority: priority, limited: s.software != nil, wantsTarget: s.software.WantsTarget()}
 	if s.request.Engine != nil {
@@ -96,30 +96,30 @@
 	return key
 }
 
-// anyPriority stands in a lookKey for all priorities: workers that are full are full for
-// all.
+// anyPriority is used in a scanKey when the result does not depend on the priority, as for full
+// workers.
 const anyPriority = -1
 
-// isKnownFull tells whether a look at all workers that still counts has found them full. A
-// request that was sent before isn't judged by it, since it leaves workers out.
+// isKnownFull reports whether a valid full scan has found all workers full. It is false for retried
+// requests, which exclude some workers.
 func (s *search) isKnownFull() bool {
 	scan := s.pool.scans[s.scanKeyFor(anyPriority)]
 	return len(s.request.Excluded) == 0 && scan != nil && s.now < scan.validUntil && s.resolve() == ReasonFull
 }
 
-// recordFull keeps that all workers have been looked at and are full.
+// recordFull records that a full scan has found all workers full.
 func (s *search) recordFull() {
 	if len(s.request.Excluded) == 0 && s.resolve() == ReasonFull {
 		s.pool.scans[s.scanKeyFor(anyPriority)] = &scanResult{validUntil: s.now + s.scanValidity()}
 	}
 }
 
-// scanValidity returns for how long a look at all workers counts.
+// scanValidity returns how long the result of a full scan is valid.
 func (s *search) scanValidity() time.Duration {
 	return time.Duration(s.pool.listedCount()) * scanValidityPerWorker
 }
 
-// scanForSpare looks at all engines for the shortest waits.
+// scanForSpare scans all engines for the shortest waits.
 func (s *search) scanForSpare() *scanResult {
 	scan := &scanResult{validUntil: s.now + s.scanValidity(), shortestWait: math.MaxInt64}
 	for _, state := range s.pool.all() {
--- a/internal/backends/short_names.go
+++ b/internal/backends/short_names.go
@@ -6,8 +6,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// shortNames are 32-bit hashes of the workers' names, in whose place nodes send them: names
-// were a third of the bytes of a report. A hash that two known workers share stands for none.
+// shortNames maps 32-bit hashes to worker identifiers. Peers exchange the hashes instead of the
+// identifiers to shorten reports. A hash that several known workers share is not used.
 type shortNames struct {
 	byHash map[uint32]map[fleet.EngineID]bool
 }
@@ -16,7 +16,7 @@
 	return shortNames{byHash: make(map[uint32]map[fleet.EngineID]bool)}
 }
 
-// shortName returns the hash of a name; it is never 0.
+// shortName returns the hash of an identifier. It is never 0.
 func shortName(id fleet.EngineID) uint32 { return uint32(xxhash.Sum64String(string(id))) | 1 }
 
 func (s shortNames) add(id fleet.EngineID) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// find returns the worker for which a hash stands, if it stands for one.
+// find returns the only worker with the given hash.
 func (s shortNames) find(short uint32) (fleet.EngineID, bool) {
 	if len(s.byHash[short]) != 1 {
 		return "", false
@@ -46,8 +46,8 @@
 	return "", false
 }
 
-// ShortNames returns what other nodes that know the same workers take for the workers of
-// some loads; 0 for one that has no name of its own.
+// ShortNames returns the short name of the worker of each load; 0 if the worker is unknown or its
+// short name is ambiguous.
 func (r *Registry) ShortNames(loads []Load) []uint32 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -61,8 +61,7 @@
 	return short
 }
 
-// FullNames returns the workers for which short names stand; "" for one that stands for no
-// worker known here, or for several.
+// FullNames returns the worker of each short name; "" if the short name is unknown or ambiguous.
 func (r *Registry) FullNames(short []uint32) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -6,27 +6,26 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// shouldSave tells whether the store should get a prompt's shared parts: only where
-// no engine holds them, so that they are about to be read. The store's memory is
-// for what engines don't keep: parts in use stay at engines, and would only make
-// the store drop what is nowhere else.
+// shouldSave reports whether the store should receive a prompt's shared parts. It should only if no
+// engine holds them: parts in use are cached at engines, and would evict parts that only the store
+// holds.
 func shouldSave(engine *EngineRequest, scoped *promptScope, shared int) bool {
 	return engine.Store != "" && scoped.storedParts < shared && !scoped.isHeldByEngine(shared)
 }
 
-// source is from where an engine takes what it lacks of a prompt's shared parts.
+// source is where an engine can import missing shared parts from.
 type source struct {
 	address fleet.Address
-	// parts is how many leading parts are there, distance how far it is.
+	// parts is the number of leading parts at the source, and distance the distance to it.
 	parts    int
 	distance Distance
-	// perToken is the time to move a token's KV cache.
+	// perToken is the time to transfer a token's KV cache.
 	perToken time.Duration
 }
 
-// bestSource returns the best source for an engine that holds some leading parts: the one
-// with the most others, and of these the quickest; without one, no parts. An engine that
-// is as near as the store goes before it, since all share the store's link.
+// bestSource returns the best import source for an engine that holds some leading parts: the one
+// with the most parts, and among those the fastest. It has no parts if there is none. An engine at
+// most as distant as the store takes precedence over it, since all engines share the store's link.
 func (r *Registry) bestSource(prompt *prompt, parts *promptScope, target *workerState, held int) source {
 	engine := prompt.engine
 	best := source{address: engine.Store, parts: min(parts.storedParts, prompt.shared)}
@@ -61,14 +60,14 @@
 	return best
 }
 
-// canBeSource tells whether an engine may be a source for another one. One that drains may be until
-// it has gone.
+// canBeSource reports whether the target can import parts from an engine. A draining engine can be
+// a source until it is gone.
 func canBeSource(state, target *workerState, parts *promptScope, model fleet.ModelName) bool {
 	return state != nil && state != target && !state.gone && state.worker.Versions[model] == parts.version
 }
 
-// transferPerToken predicts the time to move a token's KV cache at a bandwidth in Mbit/s over
-// a distance.
+// transferPerToken predicts the time to transfer a token's KV cache over a distance, at a bandwidth
+// in Mbit/s.
 func (r *Registry) transferPerToken(engine *EngineRequest, bandwidth float64, distance Distance) time.Duration {
 	if bandwidth <= 0 {
 		bandwidth = max(engine.LinkMegabits*importLinkShare, 1)
@@ -77,9 +76,8 @@
 	return time.Duration(bits / (bandwidth * megabit) * float64(time.Second))
 }
 
-// importSource names the holder from which an engine takes what it lacks: an engine that
-// holds as much of the shared parts as the store does, else the store, which gets all that
-// is read, else the prompt's home.
+// importSource returns the address from which an engine should import missing parts: the best
+// source or else the prompt's home. It returns "" if the engine needs no import.
 func (r *Registry) importSource(prompt *prompt, parts *promptScope, chosen *workerState) fleet.Address {
 	held := min(r.heldParts(parts, chosen), prompt.shared)
 	if held >= prompt.shared {
@@ -94,7 +92,8 @@
 	return ""
 }
 
-// recordHeldParts records what the engine and the store hold once an answer has begun.
+// recordHeldParts records that the engine, and the store if it receives them, hold the parts once
+// the response has begun.
 func (r *Registry) recordHeldParts(now time.Duration, placement *Placement) {
 	engine := placement.Engine
 	r.parts.store(now, placement.Worker.Run(), engine.hashes)
@@ -104,7 +103,7 @@
 	}
 }
 
-// StoreRun is the name under which the index holds a store's parts.
+// StoreRun returns the run under which the index tracks the parts of a store.
 func StoreRun(address fleet.Address) fleet.EngineRun {
 	return fleet.EngineRun{Engine: fleet.EngineID("store:" + address)}
 }
--- a/internal/backends/speed.go
+++ b/internal/backends/speed.go
@@ -6,49 +6,47 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Constants of the measurement of engines' speed.
+// Parameters of the speed estimates.
 const (
-	// shortUncached and longUncached are the numbers of prompt tokens up to and from
-	// which a first token's time tells the time of a first token alone, or that of
-	// reading.
+	// Prompts with at most shortUncached uncached tokens are samples of the base time to the first
+	// token. Those with at least longUncached uncached tokens are samples of the prefill time per
+	// token.
 	shortUncached = 400
 	longUncached  = 1500
-	// decreaseWeight is the part of a sample in the estimate if it is quicker, and
-	// slowerWeight if it is slower: what is believed of queues and caches is often
-	// wrong, and then the time is longer.
+	// decreaseWeight is the weight of a sample below the estimate, and increaseWeight of one above
+	// it: queued work or cache misses that this node does not know of only make samples slower.
 	decreaseWeight = 0.3
 	increaseWeight = 0.01
-	// minPerToken and mostPerToken bound the estimate of a token's time.
+	// minPerToken and maxPerToken bound the samples of the prefill time per token.
 	minPerToken = time.Microsecond
-	// slotTimeWeight is the part of one sample in the mean time at an engine.
+	// slotTimeWeight is the weight of one sample in the mean slot time.
 	slotTimeWeight = 0.02
 	maxPerToken    = time.Millisecond
 )
 
-// speedEstimate is how fast the engines of a service are, by the first tokens of requests
-// at engines that had nothing else to read.
+// speedEstimate is the measured speed of a service's engines, from the first tokens of requests at
+// engines without other prefill work.
 type speedEstimate struct {
-	// firstToken is the time of a firstToken token without reading, perToken that of reading a
-	// prompt token.
+	// firstToken is the time to the first token without prefill, and perToken the prefill time per
+	// token.
 	firstToken time.Duration
 	perToken   time.Duration
-	// slotTime is the mean time for which a request is at an engine.
+	// slotTime is the mean time for which a request occupies an engine.
 	slotTime time.Duration
 }
 
-// record takes in how long the first token of a prompt with so many uncached tokens
-// took.
-func (s *speedEstimate) record(uncached int, took time.Duration) {
+// record adds the time to the first token of a prompt with the given number of uncached tokens.
+func (s *speedEstimate) record(uncached int, elapsed time.Duration) {
 	switch {
 	case uncached <= shortUncached:
-		s.firstToken = updateEstimate(s.firstToken, took-time.Duration(uncached)*s.perToken)
+		s.firstToken = updateEstimate(s.firstToken, elapsed-time.Duration(uncached)*s.perToken)
 	case uncached >= longUncached && s.firstToken > 0:
-		sample := (took - s.firstToken) / time.Duration(uncached)
+		sample := (elapsed - s.firstToken) / time.Duration(uncached)
 		s.perToken = updateEstimate(s.perToken, min(max(sample, minPerToken), maxPerToken))
 	}
 }
 
-// updateEstimate moves an estimate towards a sample; 0 is no estimate.
+// updateEstimate moves an estimate towards a sample. An estimate of 0 is replaced.
 func updateEstimate(estimate, sample time.Duration) time.Duration {
 	sample = max(sample, 1)
 	if estimate == 0 {
@@ -61,8 +59,7 @@
 	return estimate + time.Duration(weight*float64(sample-estimate))
 }
 
-// perToken returns the time in which a service's engines read a prompt token; the
-// mutex is held.
+// perToken returns the prefill time per token of a service's engines. The mutex must be held.
 func (r *Registry) perToken(service fleet.PoolName) time.Duration {
 	if estimate := r.speedEstimates[service]; estimate != nil {
 		return estimate.perToken
@@ -70,8 +67,8 @@
 	return r.options.PrefillPerToken
 }
 
-// slotTime returns the mean time for which a request is at a service's engines, 0 if
-// none has ended; the mutex is held.
+// slotTime returns the mean time for which a request occupies an engine of a service, or 0 if
+// unknown. The mutex must be held.
 func (r *Registry) slotTime(service fleet.PoolName) time.Duration {
 	if estimate := r.speedEstimates[service]; estimate != nil {
 		return estimate.slotTime
@@ -79,19 +76,20 @@
 	return 0
 }
 
-// recordSlotTime takes in how long a request was at an engine; the mutex is held.
-func (r *Registry) recordSlotTime(placement *Placement, took time.Duration) {
+// recordSlotTime adds the time for which a request occupied an engine. The mutex must be held.
+func (r *Registry) recordSlotTime(placement *Placement, elapsed time.Duration) {
 	if placement.Engine == nil {
 		return
 	}
 	estimate := r.speedEstimateOf(placement.Worker.Service)
 	if estimate.slotTime == 0 {
-		estimate.slotTime = took
+		estimate.slotTime = elapsed
 	}
-	estimate.slotTime += time.Duration(slotTimeWeight * float64(took-estimate.slotTime))
+	estimate.slotTime += time.Duration(slotTimeWeight * float64(elapsed-estimate.slotTime))
 }
 
-// speedEstimateOf returns the estimates of a service's engines; the mutex is held.
+// speedEstimateOf returns the estimate of a service's engines and creates it if needed. The mutex
+// must be held.
 func (r *Registry) speedEstimateOf(service fleet.PoolName) *speedEstimate {
 	estimate := r.speedEstimates[service]
 	if estimate == nil {
@@ -101,10 +99,11 @@
 	return estimate
 }
 
-// recordSpeed takes in the first token of a request; the mutex is held.
-func (r *Registry) recordSpeed(placement *Placement, took time.Duration) {
+// recordSpeed adds the time to the first token of a request. Requests that waited for other prefill
+// work or imported parts are ignored. The mutex must be held.
+func (r *Registry) recordSpeed(placement *Placement, elapsed time.Duration) {
 	if placement.PrefillTokens > 0 || placement.Engine.ImportFrom != "" {
 		return
 	}
-	r.speedEstimateOf(placement.Worker.Service).record(placement.work.prefillTokens, took)
+	r.speedEstimateOf(placement.Worker.Service).record(placement.work.prefillTokens, elapsed)
 }
--- a/internal/backends/speed_test.go
+++ b/internal/backends/speed_test.go
@@ -21,11 +21,11 @@
 		if number%2 == 0 {
 			uncached = random.IntN(shortUncached)
 		}
-		took := first + time.Duration(uncached)*perToken
+		elapsed := first + time.Duration(uncached)*perToken
 		if random.IntN(3) > 0 {
-			took += time.Duration(random.IntN(200)) * time.Millisecond
+			elapsed += time.Duration(random.IntN(200)) * time.Millisecond
 		}
-		measured.record(uncached, took)
+		measured.record(uncached, elapsed)
 	}
 	assert.InDelta(t, float64(first), float64(measured.firstToken), 0.5*float64(first))
 	assert.InDelta(t, float64(perToken), float64(measured.perToken), 0.15*float64(perToken))
@@ -35,7 +35,7 @@
 // and after some requests at a quicker engine than assumed.
 func TestSpeedIsMeasuredOnlyAtIdleEngines(t *testing.T) {
 	registry := withEngines()
-	ask := func(number int, took time.Duration) *Placement {
+	ask := func(number int, elapsed time.Duration) *Placement {
 		request := engineRequest("p")
 		request.Engine.Store = ""
 		request.Engine.Parts[2].ID = fmt.Sprint("own", number)
@@ -44,8 +44,8 @@
 		}
 		placement, _ := registry.Choose(0, request)
 		require.NotNil(t, placement)
-		placement.FirstByte(took)
-		placement.End(took, Succeeded)
+		placement.FirstByte(elapsed)
+		placement.End(elapsed, Succeeded)
 		return placement
 	}
 	for number := range 40 {
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -10,44 +10,41 @@
 )
 
 const (
-	// minSubsetSize is the number of workers of a service that requests are spread over at the
-	// least, and subsetSlack how many times as many there must be for fewer to be used. The
-	// work of a fleet that rests is done by few workers, and a prompt's parts are found again
-	// the more often the fewer there are; 192 leave each of five zones some forty, so that
-	// the loss of a zone or of a tenth of them is borne.
+	// minSubsetSize is the minimum number of workers in a subset. Small subsets improve the reuse
+	// of cached parts; the minimum leaves enough workers in each zone to tolerate the loss of a
+	// zone. A subset is halved only if at least shrinkMargin times the required number of workers
+	// remains.
 	minSubsetSize = 192
 	shrinkMargin  = 1.5
-	// slotsPerRequest are the places that are to be there for each request a second: one
-	// that takes a second needs one place, and three more are spare for bursts and uneven
-	// spreading.
+	// slotsPerRequest is the number of slots required for each request per second: one for a
+	// request that takes a second, and three for bursts and uneven distribution.
 	slotsPerRequest = 4
-	// minDoublingInterval is the least time between two doublings of a subset that lacked room: the
-	// next request must have had the chance to use the larger one.
+	// minDoublingInterval is the minimum time between two doublings of a subset, so that the effect
+	// of a doubling is seen before the next one.
 	minDoublingInterval = time.Second
-	// maxHalvings bounds the halvings: a subset of one in a million workers.
+	// maxHalvings limits the number of halvings.
 	maxHalvings = 20
-	// subsetSeed makes a worker's membership of subsets independent of its place on the
-	// ring and of its side.
+	// subsetSeed makes subset membership independent of the position on the ring and of the
+	// partition by prompt size.
 	subsetSeed = 0x9e3779b97f4a7c15
 )
 
-// Halvings says how often a service's workers are halved for its subset: a worker belongs
-// to the subset of h halvings if the first h bits of its hash are 0. So nodes agree on it
-// without a word, it changes with no worker that comes or goes, and each subset contains the
-// next smaller one.
+// Halvings is the number of times a service's workers are halved to form its subset. A worker
+// belongs to the subset of h halvings if the first h bits of its seeded hash are 0. All nodes
+// therefore agree on the subset without coordination, other workers do not affect a worker's
+// membership, and each subset contains the next smaller one.
 type Halvings uint8
 
-// Subsets holds the halvings of services; a service that isn't named has none, so that all
-// of its workers are used.
+// Subsets holds the halvings by service. All workers of a service without an entry are used.
 type Subsets map[fleet.PoolName]Halvings
 
-// contains tells whether a worker with a hash belongs to a service's subset.
+// contains reports whether the worker with the given hash belongs to a service's subset.
 func (s Subsets) contains(service fleet.PoolName, hash uint64) bool {
 	halvings := s[service]
 	return halvings == 0 || membership.RendezvousMix(hash^subsetSeed)>>(64-halvings) == 0
 }
 
-// Widened returns the subsets that are larger by some doublings.
+// Widened returns the subsets enlarged by the given doublings.
 func (s Subsets) Widened(doublings Subsets) Subsets {
 	widened := make(Subsets, len(s))
 	for service, halvings := range s {
@@ -58,28 +55,29 @@
 	return widened
 }
 
-// shortage is the want of room in a service's subset.
+// shortage records that a service's subset lacked capacity.
 type shortage struct {
 	doublings Halvings
-	// doubledAt is when the subset was last doubled.
+	// doubledAt is the time of the last doubling.
 	doubledAt time.Duration
 }
 
-// planHalvings returns by how much a service's workers are halved: as many are left as
-// the demand asks for, and half of those in force stay until there is half as much again.
-func planHalvings(inForce Halvings, workers, minimum int) Halvings {
-	for inForce > 0 && workers>>inForce < minimum {
-		inForce--
+// planHalvings returns the number of halvings for the given number of workers, so that at least
+// minimum workers remain. It halves further only with the margin shrinkMargin, to avoid
+// oscillation.
+func planHalvings(current Halvings, workers, minimum int) Halvings {
+	for current > 0 && workers>>current < minimum {
+		current--
 	}
 	enough := int(math.Ceil(float64(minimum) * shrinkMargin))
-	for inForce < maxHalvings && workers>>(inForce+1) >= enough {
-		inForce++
+	for current < maxHalvings && workers>>(current+1) >= enough {
+		current++
 	}
-	return inForce
+	return current
 }
 
-// PlanSubsets returns the subsets for all workers known and for some that are about to be
-// observed, at a rate of requests a second over all nodes. Only a node that knows all
+// PlanSubsets returns the subsets for all known workers and the upcoming ones, which are about to
+// be observed, at a total rate of requests per second over all nodes. Only a node that tracks all
 // workers can plan.
 func (r *Registry) PlanSubsets(rate float64, upcoming []Worker) Subsets {
 	r.mutex.Lock()
@@ -110,7 +108,7 @@
 	return planned.Widened(r.doublings())
 }
 
-// doublings returns by how much this node wants subsets larger; the mutex is held.
+// doublings returns the number of doublings that this node requests. The mutex must be held.
 func (r *Registry) doublings() Subsets {
 	doublings := make(Subsets, len(r.shortages))
 	for service, current := range r.shortages {
@@ -119,15 +117,16 @@
 	return doublings
 }
 
-// Doublings returns by how much this node wants subsets larger than planned, since they
-// lacked room for its requests.
+// Doublings returns, by service, the number of doublings that this node requests because the
+// planned subsets lacked capacity for its requests.
 func (r *Registry) Doublings() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.doublings()
 }
 
-// recordShortage takes in that a service's subset had no room for a request; the mutex is held.
+// recordShortage records that a service's subset had no capacity for a request. The mutex must be
+// held.
 func (r *Registry) recordShortage(now time.Duration, service fleet.PoolName) {
 	current := r.shortages[service]
 	if r.subsets[service] == 0 || (current.doublings > 0 && now < current.doubledAt+minDoublingInterval) {
@@ -136,9 +135,9 @@
 	r.shortages[service] = shortage{doublings: current.doublings + 1, doubledAt: now}
 }
 
-// SetSubsets puts subsets in force: only their workers get requests. What is known of the
-// others is dropped, as soon as none of their requests is under way, unless all are to be
-// known. It tells whether that changes anything.
+// SetSubsets activates subsets: only their workers get requests. Unless all is set, workers outside
+// them are no longer tracked once they have no request in flight. It reports whether anything
+// changed.
 func (r *Registry) SetSubsets(subsets Subsets, all bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -155,15 +154,15 @@
 	return true
 }
 
-// ActiveSubsets returns the subsets in force. Callers must not write to them.
+// ActiveSubsets returns the active subsets. Callers must not modify them.
 func (r *Registry) ActiveSubsets() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.subsets
 }
 
-// SubsetFilter returns a function that tells whether a worker belongs to subsets. One that isn't
-// known here does: who asks must hear of it.
+// SubsetFilter returns a function that reports whether a worker belongs to the subsets. It returns
+// true for unknown workers, so that the caller is informed of them.
 func (r *Registry) SubsetFilter(subsets Subsets) func(id string) bool {
 	return func(id string) bool {
 		r.mutex.Lock()
@@ -173,12 +172,12 @@
 	}
 }
 
-// isOutsideSubsets tells whether nothing is to be known of a worker; the mutex is held.
+// isOutsideSubsets reports whether a worker need not be tracked. The mutex must be held.
 func (r *Registry) isOutsideSubsets(state *workerState) bool {
 	return r.onlySubsets && state.inFlight == 0 && !r.subsets.contains(state.worker.Service, state.hash)
 }
 
-// drop forgets a worker; the mutex is held.
+// drop removes a worker from the registry. The mutex must be held.
 func (r *Registry) drop(id fleet.EngineID, state *workerState) {
 	if state.worker.Draining {
 		r.forgottenDraining[id] = drainingRecord{startTime: state.worker.StartTime}
--- a/internal/backends/work.go
+++ b/internal/backends/work.go
@@ -7,65 +7,64 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Constants of the partition.
+// Parameters of the partition by prompt size.
 const (
-	// longPromptFraction is the part of a batch step that a prompt fills to count as
-	// long.
+	// longPromptFraction is the fraction of a batch step that a long prompt fills at least.
 	longPromptFraction = 0.75
-	// outputTokenTime is the engine time that an output token takes: many streams
-	// share a batch step.
+	// outputTokenTime is the engine time for an output token. It is short since many streams share
+	// a batch step.
 	outputTokenTime = 30 * time.Microsecond
-	// workHalfLife is the time in which what was seen of the work halves.
+	// workHalfLife is the time in which recorded work decays by half.
 	workHalfLife = 8 * time.Second
-	// minPartitionShare is the share of the work below which a size gets no engines of
+	// minPartitionShare is the minimum share of the work for which a prompt size gets engines of
 	// its own.
 	minPartitionShare = 0.08
-	// reservedPenalty is the price of an engine that is kept for the other size.
+	// reservedPenalty is the cost of an engine that is reserved for the other prompt size.
 	reservedPenalty = 25 * time.Millisecond
 )
 
-// Work is the work of requests with long and with short prompts, as seen of late.
+// Work is the recent work of requests with long and with short prompts, in engine time.
 type Work struct {
 	Long, Short time.Duration
 }
 
-// add returns the sum of two.
+// add returns the sum of two amounts of work.
 func (w Work) add(other Work) Work {
 	return Work{Long: w.Long + other.Long, Short: w.Short + other.Short}
 }
 
-// workTracker follows the work of this node's requests to a service. Some engines
-// of a service are kept for long prompts and the others for short ones: a long
-// prompt holds up the streams of all requests beside it. The shares follow the
-// work of all nodes, and all order the engines alike, so that they agree.
+// workTracker tracks the work of this node's requests to a service. The engines of a service are
+// partitioned between long and short prompts, since long prompts delay the streams of other
+// requests at the same engine. All nodes derive the shares from their total work and order the
+// engines alike, so that they agree on the partition.
 type workTracker struct {
 	long, short float64
 	at          time.Duration
 }
 
-// work returns what was seen of late.
-func (p *workTracker) work(now time.Duration) Work {
-	if idle := now - p.at; idle > 0 {
+// work returns the decayed work.
+func (t *workTracker) work(now time.Duration) Work {
+	if idle := now - t.at; idle > 0 {
 		decay := math.Exp2(-float64(idle) / float64(workHalfLife))
-		p.long *= decay
-		p.short *= decay
-		p.at = now
+		t.long *= decay
+		t.short *= decay
+		t.at = now
 	}
-	return Work{Long: time.Duration(p.long * float64(time.Second)), Short: time.Duration(p.short * float64(time.Second))}
+	return Work{Long: time.Duration(t.long * float64(time.Second)), Short: time.Duration(t.short * float64(time.Second))}
 }
 
-// record takes the work of a request in.
-func (p *workTracker) record(now time.Duration, long bool, work time.Duration) {
-	p.work(now)
+// record adds the work of a request.
+func (t *workTracker) record(now time.Duration, long bool, work time.Duration) {
+	t.work(now)
 	if long {
-		p.long += work.Seconds()
+		t.long += work.Seconds()
 	} else {
-		p.short += work.Seconds()
+		t.short += work.Seconds()
 	}
 }
 
-// enginesForLong returns how many of count engines are kept for long prompts, and
-// whether any are kept for either size.
+// enginesForLong returns how many of count engines are reserved for long prompts, and whether the
+// engines are partitioned at all.
 func (w Work) enginesForLong(count int) (longEngines int, partitioned bool) {
 	total := w.Long + w.Short
 	if count < 2 || total <= 0 {
@@ -78,7 +77,7 @@
 	return min(max(int(math.Round(share*float64(count))), 1), count-1), true
 }
 
-// OwnWork returns the work of this node's requests, by service.
+// OwnWork returns the work of this node's requests by service.
 func (r *Registry) OwnWork(now time.Duration) map[fleet.PoolName]Work {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,12 +88,12 @@
 	return work
 }
 
-// isLongPrompt tells whether a prompt counts as long.
+// isLongPrompt reports whether the prompt counts as long.
 func (r *Registry) isLongPrompt(engine *EngineRequest) bool {
 	return float64(engine.PromptTokens) >= longPromptFraction*float64(r.options.StepTokens)
 }
 
-// recordWork takes a placed request into the partition; the mutex is held.
+// recordWork adds the work of a placed request. The mutex must be held.
 func (r *Registry) recordWork(now time.Duration, service fleet.PoolName, engine *EngineRequest, uncached int) {
 	current := r.workTrackers[service]
 	if current == nil {
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -1,15 +1,13 @@
-// Package backends knows the workers behind the gateway: which there are, how
-// loaded and how sound each is, which version of the weights it runs and which
-// prompt parts it holds. From that it chooses a worker for each request.
+// Package backends tracks the workers behind a gateway, with their load, health, model versions and
+// cached prompt parts, and chooses a worker for each request.
 //
-// The registry has no I/O and no clock: time is passed in, on the process's
-// steady clock. It is safe for concurrent use.
+// The registry has no I/O and no clock: callers pass in the monotonic time. It is safe for
+// concurrent use.
 //
-// Invariants. A row that is older than one already seen changes nothing, a
-// worker that is gone stays gone unless a newer row brings it back, and a
-// worker that was ever seen draining gets no new request in the same run. A later start
-// under the same identifier is another run, of which nothing is believed that was true of
-// the one before; word of an earlier start changes nothing.
+// Invariants: a row that is older than the last one observed has no effect. A worker whose row was
+// deleted stays gone until a newer row lists it again. A run that was ever seen draining gets no
+// new requests. A later start time under the same identifier is a new run, which inherits no state
+// from the previous one; reports with an earlier start time are ignored.
 package backends
 
 import (
@@ -18,112 +16,114 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// ModelVersion numbers the versions of a model's weights; a higher one is newer.
+// ModelVersion is the version of a model's weights. Higher versions are newer.
 type ModelVersion uint64
 
-// StartTime is when a worker started, in milliseconds since 1970 by its own clock; 0 if
-// it didn't say.
+// StartTime is the time at which a worker started, in milliseconds since the Unix epoch by the
+// worker's clock; 0 if unknown.
 type StartTime uint64
 
-// Worker is one run of one worker as its row in the store describes it.
+// Worker is one run of a worker, as described by its row in the store.
 type Worker struct {
-	// ID names the worker. A restarted one mostly has another; where it has the same, Born
-	// tells the runs apart.
+	// ID identifies the worker. A restarted worker usually has a new identifier; if it reuses the
+	// old one, StartTime distinguishes the runs.
 	ID fleet.EngineID
-	// StartTime is when the run started.
+	// StartTime is the start time of the run.
 	StartTime StartTime
 	Address   fleet.Address
 	Zone      fleet.ZoneName
 	Service   fleet.PoolName
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the worker processes concurrently.
 	Slots int
-	// Draining is set once the run has said, in its row or in an answer, that it shuts down.
+	// Draining is set once the run has reported, in its row or in a response, that it is shutting
+	// down.
 	Draining bool
-	// Software is the version of the worker's software; empty if its row names none.
+	// Software is the version of the worker's software; empty if unknown.
 	Software fleet.SoftwareVersion
-	// Versions holds the version of each model that it serves; empty for
-	// services without models.
+	// Versions holds the loaded version of each model; empty for services without models.
 	Versions map[fleet.ModelName]ModelVersion
 }
 
-// Run returns the worker's run.
+// Run returns the identity of the worker's run.
 func (w *Worker) Run() fleet.EngineRun { return fleet.EngineRun{Engine: w.ID} }
 
-// Constants of the judgement of workers.
+// Parameters of worker health.
 const (
-	// lapsedGracePeriod is how long a worker whose row went is still used if nobody
-	// else is there: rows also go while the store is down.
+	// lapsedGracePeriod is how long a worker whose row was deleted is still used as a last resort,
+	// since rows also expire while the store is unavailable.
 	lapsedGracePeriod = 1200 * time.Millisecond
-	// minSuspicion and maxSuspicion bound the time that a worker which could
-	// not be reached gets no request; it doubles with each failure in a row.
+	// minSuspicion and maxSuspicion bound the time for which an unreachable worker gets no
+	// requests. It doubles with each consecutive failure.
 	minSuspicion = 400 * time.Millisecond
 	maxSuspicion = 4 * time.Second
-	// failureWeight is the part of one outcome in a worker's mean failure rate.
+	// failureWeight is the weight of one outcome in the moving average of failures.
 	failureWeight = 0.15
-	// failureHalfLife is the time in which the failure rate of a worker that
-	// gets no requests halves, so that it is tried again.
+	// failureHalfLife is the time in which the failure rate of an idle worker halves, so that it is
+	// tried again.
 	failureHalfLife = 3 * time.Second
-	// failureCost is the time that a sure failure is worth in a choice.
+	// failureCost is the cost of a certain failure.
 	failureCost = 2 * time.Second
-	// mismatchBackoff is how long a worker whose version was found to differ from the
-	// one believed gets no request, unless its version is heard of before.
+	// mismatchBackoff is how long a worker gets no requests after an unexpected run or model
+	// version was found there, unless its version is observed earlier.
 	mismatchBackoff = 400 * time.Millisecond
-	// peerReportValidity is how long another node's word on its load counts.
+	// peerReportValidity is how long a peer's report counts.
 	peerReportValidity = 1500 * time.Millisecond
-	// slownessWeight is the part of one measurement in a worker's slowness.
+	// slownessWeight is the weight of one sample in a worker's slowness.
 	slownessWeight = 0.1
 	// maxSlowness bounds the slowness.
 	maxSlowness = 8
 )
 
-// workerState is what is known of one worker.
+// workerState is the state tracked for one run of a worker.
 type workerState struct {
 	worker   Worker
 	revision fleet.Revision
-	// gone is set when the row went, at goneAt.
+	// gone is set when the row has been deleted. goneAt is the time of the deletion.
 	gone   bool
 	goneAt time.Duration
 
-	// inFlight counts this node's requests, prefill the prompt tokens of those
-	// that haven't begun to answer.
+	// inFlight counts this node's requests in flight. prefillTokens is the uncached prompt work of
+	// those that have not begun to respond.
 	inFlight      int
 	prefillTokens int
-	// prefilling counts this node's requests that haven't begun to answer.
+	// prefilling counts this node's requests that have not begun to respond.
 	prefilling int
-	// priorities holds this node's requests by priority.
+	// priorities holds this node's load by priority.
 	priorities [PriorityCount]PriorityLoad
-	// memory is what this node's requests hold in an engine's memory.
+	// memory is the memory that this node's requests occupy at an engine.
 	memory memoryUse
 
 	suspectUntil    time.Duration
 	lastContact     time.Duration
 	suspicionPeriod time.Duration
 	mismatchUntil   time.Duration
-	// orderedUntil is until when the worker counts as under an order.
+	// orderedUntil is the time until which the worker counts as under an order.
 	orderedUntil time.Duration
 
 	failureMean   float64
 	failureMeanAt time.Duration
-	// slowness is the mean of measured over predicted time to the first byte.
+	// slowness is the moving average of the ratio of measured to predicted time to first byte.
 	slowness float64
 
-	// hash is that of the identifier; pool, tier, level and at are where the worker is listed.
+	// hash is the hash of the identifier. pool, tier, level and levelIndex are the worker's
+	// position in its pool.
 	hash       uint64
 	pool       *pool
 	tier       int
 	level      int
 	levelIndex int
-	// lastSearch is the last search that looked at the worker, and verdict what it found.
+	// lastSearch is the identifier of the last search that examined the worker, and verdict its
+	// result.
 	lastSearch uint64
 	verdict    verdict
 }
 
-// newState returns what is known of a run by its first row alone.
+// newState returns the initial state of a run.
 func newState(worker Worker, revision fleet.Revision) *workerState {
 	return &workerState{worker: worker, revision: revision, slowness: 1, tier: noTier, hash: hashName(string(worker.ID))}
 }
 
-// begin counts a request.
+// begin counts a request that is placed at the worker.
 func (s *workerState) begin(work placedWork) {
 	s.inFlight++
 	s.prefilling++
@@ -133,34 +133,36 @@
 	s.priorities[work.priority].PrefillTokens += int32(work.prefillTokens)
 }
 
-// endPrefill notes that a counted request has begun to answer, or never will.
+// endPrefill removes a request from the prefill load, when its response begins or the request ends
+// without one.
 func (s *workerState) endPrefill(work placedWork) {
 	s.prefilling--
 	s.prefillTokens -= work.prefillTokens
 	s.priorities[work.priority].PrefillTokens -= int32(work.prefillTokens)
 }
 
-// end notes that a counted request has ended.
+// end removes a request that has ended.
 func (s *workerState) end(work placedWork) {
 	s.inFlight--
 	s.memory.remove(work.need)
 	s.priorities[work.priority].InFlight--
 }
 
-// isListed tells whether the worker may get requests by its row.
+// isListed reports whether the worker's row exists and the worker is not draining.
 func (s *workerState) isListed() bool { return !s.gone && !s.worker.Draining }
 
-// isLapsed tells whether the row went a short while ago without word of draining.
+// isLapsed reports whether the row was deleted within the grace period, without the worker
+// draining.
 func (s *workerState) isLapsed(now time.Duration) bool {
 	return s.gone && !s.worker.Draining && now < s.goneAt+lapsedGracePeriod
 }
 
-// isReady tells whether nothing speaks against the worker right now.
+// isReady reports whether the worker is not suspected, not mismatched and not under an order.
 func (s *workerState) isReady(now time.Duration) bool {
 	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.orderedUntil
 }
 
-// failureRate returns the mean failure rate at now, between 0 and 1.
+// failureRate returns the failure rate at now, from 0 to 1.
 func (s *workerState) failureRate(now time.Duration) float64 {
 	idle := now - s.failureMeanAt
 	if idle <= 0 {
@@ -170,7 +172,7 @@
 	return s.failureMean / (1 + halvings*halvings)
 }
 
-// recordOutcome takes the outcome of a request into the failure rate.
+// recordOutcome adds the outcome of a request to the failure rate.
 func (s *workerState) recordOutcome(now time.Duration, failed bool) {
 	rate := s.failureRate(now)
 	outcome := 0.0
@@ -181,34 +183,33 @@
 	s.failureMeanAt = now
 }
 
-// suspect keeps requests away for a while that doubles with each failure.
+// suspect suspends requests to the worker, for twice as long with each consecutive failure.
 func (s *workerState) suspect(now time.Duration) {
 	s.suspicionPeriod = min(max(s.suspicionPeriod*2, minSuspicion), maxSuspicion)
 	s.suspectUntil = now + s.suspicionPeriod
 }
 
-// contactValidity is how long this node's own sign of life from a worker counts more than
-// what others say.
+// contactValidity is how long this node's own contact with a worker outweighs the reports of peers.
 const contactValidity = time.Second
 
-// hasRecentContact tells whether this node has had a sign of life of late.
+// hasRecentContact reports whether the worker has recently responded to this node.
 func (s *workerState) hasRecentContact(now time.Duration) bool {
 	return s.lastContact > 0 && now < s.lastContact+contactValidity
 }
 
-// recordContact ends a suspicion after a sign of life.
+// recordContact ends the suspicion of a worker that has responded.
 func (s *workerState) recordContact(now time.Duration) {
 	s.lastContact = now
 	s.suspicionPeriod = 0
 	s.suspectUntil = 0
 }
 
-// recordSlowness takes the time to the first byte into the slowness.
-func (s *workerState) recordSlowness(took, predicted time.Duration) {
+// recordSlowness adds a time to first byte to the slowness.
+func (s *workerState) recordSlowness(elapsed, predicted time.Duration) {
 	if predicted <= 0 {
 		return
 	}
-	ratio := min(max(float64(took)/float64(predicted), 1), maxSlowness)
+	ratio := min(max(float64(elapsed)/float64(predicted), 1), maxSlowness)
 	if s.slowness == 0 {
 		s.slowness = 1
 	}
