--- a/internal/backends/admission_test.go
+++ b/internal/backends/admission_test.go
@@ -22,7 +22,7 @@
 
 // TestClosedWorkerGetsNoRequest, also if it is the only one; then it is told when there is room.
 func TestClosedWorkerGetsNoRequest(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	closed := make(map[fleet.EngineID]Admission)
 	for number := range engineCount - 1 {
 		closed[engineWorker(number, 1).ID] = AdmissionClosed
@@ -44,7 +44,7 @@
 
 // TestLimitedWorkerIsNotPenalized, whatever it refuses and however slow it is.
 func TestLimitedWorkerIsNotPenalized(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	request := engineRequest("p")
 	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount {
@@ -69,7 +69,7 @@
 
 // TestLimitedWorkerHoldsNoCopy: it may have no room when the run has to go on there.
 func TestLimitedWorkerHoldsNoCopy(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	request := copiedRequest()
 	limited := make(map[fleet.EngineID]Admission)
 	for number := range engineCount / 2 {
--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -40,7 +40,7 @@
 	return worker
 }
 
-func withPlain(count int) *Registry {
+func newPlainRegistry(count int) *Registry {
 	registry := newTestRegistry()
 	for number := range count {
 		registry.Observe(fleet.Revision(number+1), plainWorker(number))
@@ -48,7 +48,7 @@
 	return registry
 }
 
-func withEngines() *Registry {
+func newEngineRegistry() *Registry {
 	registry := newTestRegistry()
 	for number := range engineCount {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
@@ -72,7 +72,7 @@
 }
 
 func TestStaleRowsChangeNothing(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
 	assert.Equal(t, Gone, registry.ObserveGone(0, 10, worker.ID))
 	assert.Equal(t, Unchanged, registry.Observe(9, worker), "a late row doesn't bring a worker back")
@@ -82,7 +82,7 @@
 }
 
 func TestForgottenWorkerIsNotRevivedByALateRow(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	registry.ObserveGone(0, 10, "p0")
 	assert.Equal(t, []fleet.EngineID{"p0"}, registry.Forget(time.Minute, time.Second))
 	assert.Equal(t, Unchanged, registry.Observe(9, plainWorker(0)))
@@ -90,14 +90,14 @@
 }
 
 func TestSnapshotRemovesUnlistedWorkers(t *testing.T) {
-	registry := withPlain(3)
+	registry := newPlainRegistry(3)
 	gone := registry.ObserveSnapshot(0, 2, map[fleet.EngineID]bool{"p0": true})
 	assert.Equal(t, []fleet.EngineID{"p1"}, gone, "p2's row is newer than the read")
 }
 
 // TestDrainingWorkerGetsNoRequest also once a row has called it ready again.
 func TestDrainingWorkerGetsNoRequest(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	draining := plainWorker(0)
 	draining.Draining = true
 	assert.Equal(t, StartedDraining, registry.Observe(10, draining))
@@ -115,7 +115,7 @@
 // TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod covers rows that go
 // while the store is down.
 func TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	registry.ObserveGone(time.Second, 10, "p0")
 	for range 20 {
 		assert.Equal(t, fleet.EngineID("p1"), choosePlain(t, registry, time.Second).Worker.ID)
@@ -127,7 +127,7 @@
 }
 
 func TestPlainRequestsGoToLeastLoadedWorker(t *testing.T) {
-	registry := withPlain(3)
+	registry := newPlainRegistry(3)
 	registry.ObservePeer(0, "peer", PeerReport{Loads: []Load{{Engine: "p0", InFlight: 6}}})
 	counts := map[fleet.EngineID]int{}
 	for range 12 {
@@ -142,7 +142,7 @@
 }
 
 func TestSuspicionOfUnreachableWorkerBacksOff(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	now := time.Duration(0)
 	state := registry.workers["p0"]
 	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion} {
@@ -160,13 +160,13 @@
 }
 
 func TestOnlyWorkerIsUsedWhileSuspected(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	choosePlain(t, registry, 0).End(0, Unreachable)
 	choosePlain(t, registry, 0)
 }
 
 func TestFailingWorkerGetsFewerRequests(t *testing.T) {
-	registry := withPlain(3)
+	registry := newPlainRegistry(3)
 	counts := map[fleet.EngineID]int{}
 	for step := range 600 {
 		now := time.Duration(step) * 20 * time.Millisecond
@@ -183,7 +183,7 @@
 }
 
 func TestNodesAgreeOnHomeEngine(t *testing.T) {
-	first, second := withEngines(), withEngines()
+	first, second := newEngineRegistry(), newEngineRegistry()
 	for number := range 20 {
 		prefix := fmt.Sprintf("prefix-%d", number)
 		one, _ := first.Choose(0, engineRequest(prefix))
@@ -198,7 +198,7 @@
 }
 
 func TestMissingPartsAreImportedFromEngineElseFromStore(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, testStore, cold.Engine.ImportFrom)
 	assert.Equal(t, testStore, cold.Engine.SaveTo)
@@ -220,7 +220,7 @@
 // TestStoreSavesOnlyPartsThatNoEngineHolds has the store drop parts that an engine
 // still has, and then the engine too.
 func TestStoreSavesOnlyPartsThatNoEngineHolds(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	registry.parts.clear(StoreRun(testStore))
@@ -235,7 +235,7 @@
 // TestPartsAreNotImportedAcrossVersions keeps cached parts of two
 // versions apart, also where an engine has kept both.
 func TestPartsAreNotImportedAcrossVersions(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	registry.ObserveVersion(cold.Worker.ID, testModel, 2)
@@ -258,7 +258,7 @@
 }
 
 func TestRequiredVersionExcludesOlderEngines(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	registry.ObserveVersion("e3", testModel, 2)
 	registry.RequireVersion(testModel, 2)
 	for range 10 {
@@ -277,7 +277,7 @@
 // TestPreferredVersionIsChosenUnlessOverloaded has one engine of six with the
 // newest weights, idle first and then with a long queue.
 func TestPreferredVersionIsChosenUnlessOverloaded(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	registry.ObserveVersion("e3", testModel, 2)
 	registry.PreferVersion(testModel, 2)
 	for number := range 10 {
@@ -293,7 +293,7 @@
 }
 
 func TestEngineUnderOrderGetsNoRequest(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	registry.ObserveOrder(home.Worker.ID, time.Second)
 	other, _ := registry.Choose(0, engineRequest("p"))
@@ -305,7 +305,7 @@
 // TestHotPrefixSpreadsOverEngines sends many requests for one prefix at once:
 // the queue at its home grows dearer than a move of the prefix.
 func TestHotPrefixSpreadsOverEngines(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	first, _ := registry.Choose(0, engineRequest("hot"))
 	first.FirstByte(0)
 	used := map[fleet.EngineID]bool{}
@@ -320,7 +320,7 @@
 }
 
 func TestUnusedPartsExpire(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	cold.End(0, Succeeded)
@@ -330,7 +330,7 @@
 }
 
 func TestEndIsIdempotent(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	require.Len(t, registry.OwnLoad(), 1)
 	assert.Equal(t, 9000, registry.OwnLoad()[0].PrefillTokens, "nobody holds the shared parts")
@@ -344,7 +344,7 @@
 // TestLongAndShortPromptsUseSeparateEngines once both have been seen, as long as neither
 // queues.
 func TestLongAndShortPromptsUseSeparateEngines(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	short := func(number int) *Request {
 		request := engineRequest(fmt.Sprint("short", number))
 		request.Engine.PromptTokens = 300
@@ -374,7 +374,7 @@
 }
 
 func TestUniformPromptSizeUsesEveryEngine(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	used := map[fleet.EngineID]bool{}
 	for step := range 200 {
 		placement, _ := registry.Choose(time.Duration(step)*100*time.Millisecond, engineRequest(fmt.Sprint("p", step)))
@@ -386,7 +386,7 @@
 
 // TestCacheEventsReplaceAssumedParts follows a cache's events through a restart.
 func TestCacheEventsReplaceAssumedParts(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	request := engineRequest("p")
 	scope := Scope(testModel, 1, "t", false)
 	run := fleet.EngineRun{Engine: "e2"}
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -10,7 +10,7 @@
 // TestBaselineExcludesEngineSlowness and keeps what waits there.
 func TestBaselineExcludesEngineSlowness(t *testing.T) {
 	place := func(prefill int, slowness float64) *EnginePlacement {
-		registry := withEngines()
+		registry := newEngineRegistry()
 		for _, state := range registry.workers {
 			state.prefillTokens, state.slowness = prefill, slowness
 		}
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -30,13 +30,13 @@
 	registry *Registry
 	random   *rand.Rand
 	engines  int
-	// busy is the mean number of requests of all nodes at an engine.
-	busy     float64
-	now      time.Duration
-	requests int
-	open     []*Placement
-	// sorted holds the engines by load, own those of one node: for BenchmarkWays.
-	sorted, own []*workerState
+	// meanInFlight is the mean number of requests of all nodes at an engine.
+	meanInFlight float64
+	now          time.Duration
+	requests     int
+	placements   []*Placement
+	// sorted holds the engines by load, nodeEngines those of one node: for BenchmarkWays.
+	sorted, nodeEngines []*workerState
 }
 
 func newSimulatedFleet(engines int, busy float64, options Options) *simulatedFleet {
@@ -44,7 +44,7 @@
 	options.Scheduling = scheduling.DefaultOptions()
 	options.Scheduling.TieFraction, options.Scheduling.ImportWeight = 0.02, 45*time.Microsecond
 	options.MaxParts = 1 << 21
-	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, busy: busy}
+	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, meanInFlight: busy}
 	for number := range engines {
 		worker := engineWorker(number, 1)
 		worker.Slots = simulatedSlots
@@ -94,7 +94,7 @@
 // peerLoad returns what one other node has at an engine.
 func (f *simulatedFleet) peerLoad(number int) (Load, bool) {
 	load := Load{Engine: engineWorker(number, 1).ID}
-	for f.random.Float64() < f.busy/simulatedPeers/(1+f.busy/simulatedPeers) {
+	for f.random.Float64() < f.meanInFlight/simulatedPeers/(1+f.meanInFlight/simulatedPeers) {
 		load.InFlight++
 		load.MemoryTokens += 2000
 		if f.random.IntN(4) == 0 {
@@ -128,10 +128,10 @@
 // step lets time pass: some requests end, a peer tells a change.
 func (f *simulatedFleet) step() {
 	f.now += time.Millisecond
-	if len(f.open) > 64 {
-		f.open[0].FirstByte(f.now)
-		f.open[0].End(f.now, Succeeded)
-		f.open = f.open[1:]
+	if len(f.placements) > 64 {
+		f.placements[0].FirstByte(f.now)
+		f.placements[0].End(f.now, Succeeded)
+		f.placements = f.placements[1:]
 	}
 	load, _ := f.peerLoad(f.random.IntN(f.engines))
 	f.registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
@@ -160,7 +160,7 @@
 					b.Fatal(refusal)
 				}
 				_ = histogram.RecordValue(int64(elapsed))
-				simulated.open = append(simulated.open, placement)
+				simulated.placements = append(simulated.placements, placement)
 			}
 			const nanosPerMicro = 1e3
 			b.ReportMetric(float64(histogram.ValueAtQuantile(50))/nanosPerMicro, "p50-µs")
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -35,7 +35,7 @@
 		}},
 		{name: "partition", gather: func(f *simulatedFleet, s *search) {
 			s.examineHolders()
-			for _, state := range f.own {
+			for _, state := range f.nodeEngines {
 				s.examine(state)
 			}
 		}},
@@ -96,11 +96,11 @@
 // sortEngines keeps the engines by load, and those that one of the nodes would have for
 // itself.
 func (f *simulatedFleet) sortEngines() {
-	f.sorted, f.own = f.sorted[:0], f.own[:0]
+	f.sorted, f.nodeEngines = f.sorted[:0], f.nodeEngines[:0]
 	for index, state := range f.registry.pools["engines"].all() {
 		f.sorted = append(f.sorted, state)
 		if index%simulatedPeers == 0 {
-			f.own = append(f.own, state)
+			f.nodeEngines = append(f.nodeEngines, state)
 		}
 	}
 	slices.SortFunc(f.sorted, func(a, b *workerState) int {
@@ -153,7 +153,7 @@
 			}
 		}
 		if placement, _ := f.registry.Choose(f.now, request); placement != nil {
-			f.open = append(f.open, placement)
+			f.placements = append(f.placements, placement)
 		}
 	}
 	for index, variant := range all {
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -46,7 +46,7 @@
 
 // TestContinueUsesCopyTarget counts the request there.
 func TestContinueUsesCopyTarget(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	lost, _ := registry.Choose(0, copiedRequest())
 	target := lost.Engine.CopyTo
 	require.NotEmpty(t, target.ID)
@@ -73,7 +73,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := withEngines()
+			registry := newEngineRegistry()
 			lost, _ := registry.Choose(0, copiedRequest())
 			require.NotEmpty(t, lost.Engine.CopyTo.ID)
 			lost.End(0, Lost)
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -14,8 +14,8 @@
 // twoRegions has zones a and b in the north and c in the south.
 var twoRegions = Regions{"a": "north", "b": "north", "c": "south"}
 
-// withZones returns a registry in zone a with engines in zones in turn.
-func withZones(engines int, zones ...fleet.ZoneName) *Registry {
+// newZonedRegistry returns a registry in zone a with engines in zones in turn.
+func newZonedRegistry(engines int, zones ...fleet.ZoneName) *Registry {
 	registry := New(Options{
 		Zone: "a", Regions: twoRegions, Random: newTestRegistry().options.Random, Scheduling: scheduling.DefaultOptions(),
 	})
@@ -41,7 +41,7 @@
 
 // TestNextZoneTakesOverWhenNearZoneIsFull fills a plain service zone by zone.
 func TestNextZoneTakesOverWhenNearZoneIsFull(t *testing.T) {
-	registry := withZones(3, "a", "b", "c")
+	registry := newZonedRegistry(3, "a", "b", "c")
 	counts := map[fleet.ZoneName]int{}
 	slots := plainWorker(0).Slots
 	for range slots / 2 {
@@ -64,7 +64,7 @@
 func TestNearEnginesAreChosenFirst(t *testing.T) {
 	for _, engines := range []int{9, 3 * manyEngines} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
-			registry := withZones(engines, "a", "b", "c")
+			registry := newZonedRegistry(engines, "a", "b", "c")
 			request := func(number int) *Request {
 				request := engineRequest(fmt.Sprint("p", number))
 				request.Engine.Parts = request.Engine.Parts[2:]
@@ -98,7 +98,7 @@
 // TestPartsAreImportedFromNearestHolder: another engine of the zone before one of the region,
 // the store of the own region before an engine of another one.
 func TestPartsAreImportedFromNearestHolder(t *testing.T) {
-	registry := withZones(6, "a", "b", "c")
+	registry := newZonedRegistry(6, "a", "b", "c")
 	scope := Scope(testModel, 1, "t", false)
 	parts := []PartChange{{true, scope, "common"}, {true, scope, "p"}}
 	from := func(storeZone fleet.ZoneName) fleet.Address {
@@ -127,7 +127,7 @@
 
 // TestCopyTargetIsNear: in the zone of the run, else in its region.
 func TestCopyTargetIsNear(t *testing.T) {
-	registry := withZones(30, "a", "b", "c")
+	registry := newZonedRegistry(30, "a", "b", "c")
 	zones := map[Distance]int{}
 	for range 100 {
 		placement, _ := registry.Choose(0, copiedRequest())
--- a/internal/backends/draining_test.go
+++ b/internal/backends/draining_test.go
@@ -11,7 +11,7 @@
 // TestDrainingIsNotRevokedWithinRun in its run: no row, no return of a row that went, no
 // subset that lacked the worker for a time.
 func TestDrainingIsNotRevokedWithinRun(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	draining := plainWorker(0)
 	placement := choose(registry, &Request{Service: "plain"})
 	assert.Equal(t, StartedDraining, registry.ObserveDraining(DrainingRun{Worker: "p0"}))
@@ -71,7 +71,7 @@
 
 // TestDrainingSurvivesDropFromSubset since the row is read anew once it is in use again.
 func TestDrainingSurvivesDropFromSubset(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	registry.ObserveDraining(DrainingRun{Worker: "p0"})
 	registry.mutex.Lock()
 	registry.drop("p0", registry.workers["p0"])
@@ -94,7 +94,7 @@
 
 // TestServiceWithAllWorkersDrainingIsRefused rather than after a time in which nobody comes.
 func TestServiceWithAllWorkersDrainingIsRefused(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	for number := range 2 {
 		registry.ObserveDraining(DrainingRun{Worker: plainWorker(number).ID})
 	}
@@ -105,7 +105,7 @@
 
 // TestCanSendEndsWithLapsedGracePeriod after the moment for which rows may go by mistake.
 func TestCanSendEndsWithLapsedGracePeriod(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
 	assert.True(t, registry.CanSend(0, &worker))
 	registry.ObserveGone(time.Second, 5, "p0")
@@ -115,7 +115,7 @@
 
 // TestPartsAreImportedFromDrainingEngine until it has gone: nobody else may hold them.
 func TestPartsAreImportedFromDrainingEngine(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	registry.parts.clear(StoreRun(testStore))
@@ -131,7 +131,7 @@
 
 // TestDeferredRequestIsNotAFailure, unlike other rejections: it says when to come again.
 func TestDeferredRequestIsNotAFailure(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	choosePlain(t, registry, 0).End(0, Deferred)
 	assert.Zero(t, registry.workers["p0"].failureRate(0))
 	assert.True(t, registry.workers["p0"].isReady(0))
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// queueDivisor sets the number of requests that may be queued at an engine: its slots divided by
-// queueDivisor.
-const queueDivisor = 2
+// slotsPerQueuedRequest sets the number of requests that may be queued at an engine: its slots divided by
+// slotsPerQueuedRequest.
+const slotsPerQueuedRequest = 2
 
-func maxStreams(slots int) int { return slots + slots/queueDivisor }
+func maxStreams(slots int) int { return slots + slots/slotsPerQueuedRequest }
--- a/internal/backends/late_test.go
+++ b/internal/backends/late_test.go
@@ -23,7 +23,7 @@
 // TestRequestThatWouldWaitTooLongIsRefused has a request refused that would wait for
 // others for longer than its target at every engine, and told for how much longer.
 func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	for _, state := range registry.workers {
 		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 	}
@@ -39,7 +39,7 @@
 
 // TestUrgentRequestIsNotRefusedForLowerPriorityWork has the engine take it first.
 func TestUrgentRequestIsNotRefusedForLowerPriorityWork(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	for _, state := range registry.workers {
 		state.prefillTokens, state.priorities[4].PrefillTokens = 40_000, 40_000
 	}
@@ -52,7 +52,7 @@
 // TestLongPromptIsNotRefusedForItsLength has a prompt that takes longer to read than
 // its target go to an engine that is idle, or busy for less than half of the target.
 func TestLongPromptIsNotRefusedForItsLength(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	placement, refusal := registry.Choose(0, targetedRequest("p", 40_000, 1))
 	require.NotNil(t, placement, refusal)
 	for _, state := range registry.workers {
@@ -64,7 +64,7 @@
 
 // TestRequestWithoutATargetIsNeverRefusedForLateness has it wait.
 func TestRequestWithoutATargetIsNeverRefusedForLateness(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	for _, state := range registry.workers {
 		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 	}
@@ -77,7 +77,7 @@
 // TestLoadByPriorityIsSummedOverNodes has what other nodes tell count like own
 // requests, for those that told nothing too.
 func TestLoadByPriorityIsSummedOverNodes(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	registry.SetPeerCount(2)
 	load := Load{Engine: "e0", InFlight: 3, PrefillTokens: 300}
 	load.Priorities[2] = PriorityLoad{InFlight: 3, PrefillTokens: 300}
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -37,8 +37,8 @@
 }
 
 type partUse struct {
-	key partKey
-	at  time.Duration
+	key    partKey
+	usedAt time.Duration
 }
 
 func newPartIndex(maxParts int) *partIndex {
@@ -66,7 +66,7 @@
 	for _, hash := range hashes {
 		key := partKey{run: run, hash: hash}
 		p.lastUse[key] = now
-		p.uses = append(p.uses, partUse{key: key, at: now})
+		p.uses = append(p.uses, partUse{key: key, usedAt: now})
 	}
 	p.expire(now)
 }
@@ -75,11 +75,11 @@
 func (p *partIndex) expire(now time.Duration) {
 	done := 0
 	for _, use := range p.uses {
-		if use.at+partLifetime > now {
+		if use.usedAt+partLifetime > now {
 			break
 		}
 		done++
-		if p.lastUse[use.key] == use.at {
+		if p.lastUse[use.key] == use.usedAt {
 			delete(p.lastUse, use.key)
 			p.index.Remove(use.key.run, []fleet.BlockHash{use.key.hash})
 		}
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -91,8 +91,8 @@
 	Load
 	// suspecting is the number of peers that recently failed to reach the worker.
 	suspecting int
-	// deferred is the number of peers that the worker has asked for no requests.
-	deferred int
+	// deferring is the number of peers that the worker has asked for no requests.
+	deferring int
 	// orderedUntil is the time until which the worker counts as under an order.
 	orderedUntil time.Duration
 }
@@ -141,7 +141,7 @@
 		p.totals.entry(id).suspecting--
 	}
 	for _, id := range report.Deferring {
-		p.totals.entry(id).deferred--
+		p.totals.entry(id).deferring--
 	}
 	for service, work := range report.Work {
 		p.totals.work[service] = p.totals.work[service].add(Work{Long: -work.Long, Short: -work.Short})
@@ -245,7 +245,7 @@
 		t.entry(id).suspecting++
 	}
 	for _, id := range report.Deferring {
-		t.entry(id).deferred++
+		t.entry(id).deferring++
 	}
 	for service, work := range report.Work {
 		t.work[service] = t.work[service].add(work)
@@ -291,6 +291,6 @@
 	case now < entry.orderedUntil:
 		return false
 	default:
-		return entry.suspecting+entry.deferred < suspicionQuorum || state.hasRecentContact(now)
+		return entry.suspecting+entry.deferring < suspicionQuorum || state.hasRecentContact(now)
 	}
 }
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -15,7 +15,7 @@
 // TestPeerOrderEndsWithNextReport has the holder of the lease tell first that
 // an engine is under order, and then no more.
 func TestPeerOrderEndsWithNextReport(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Succeeded)
 	registry.ObservePeer(0, "holder", PeerReport{Orders: map[fleet.EngineID]time.Duration{home.Worker.ID: 2 * time.Second}})
@@ -31,7 +31,7 @@
 // TestWorkerSuspectedBySeveralNodesIsAvoided, unless this node has just heard
 // from it.
 func TestWorkerSuspectedBySeveralNodesIsAvoided(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Cancelled)
 	suspects := PeerReport{Suspects: []fleet.EngineID{home.Worker.ID}}
@@ -53,7 +53,7 @@
 
 // TestWorkerDeferringSeveralNodesIsChosenLast, but isn't taken for one that can't be reached.
 func TestWorkerDeferringSeveralNodesIsChosenLast(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	deferring := PeerReport{Deferring: []fleet.EngineID{"p0"}}
 	registry.ObservePeer(0, "a", deferring)
 	chosen := make(map[fleet.EngineID]bool)
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -165,7 +165,7 @@
 	for len(window) > 0 {
 		best := 0
 		for index := range window {
-			if window[index].weight > window[best].weight {
+			if window[index].rendezvousWeight > window[best].rendezvousWeight {
 				best = index
 			}
 		}
--- a/internal/backends/restart_test.go
+++ b/internal/backends/restart_test.go
@@ -69,7 +69,7 @@
 // TestUnusableRowRemovesWorkerFromUse, also where nobody else is there, until a row
 // names it again.
 func TestUnusableRowRemovesWorkerFromUse(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
 	assert.Equal(t, Unusable, registry.ObserveUnusable(0, 5, worker.ID))
 	_, refusal := registry.Choose(0, &Request{Service: "plain"})
--- a/internal/backends/ring.go
+++ b/internal/backends/ring.go
@@ -59,8 +59,8 @@
 
 // weightedEngine is an engine with its rendezvous weight for a prompt.
 type weightedEngine struct {
-	state  *workerState
-	weight uint64
+	state            *workerState
+	rendezvousWeight uint64
 }
 
 // window appends to into[:0] up to homeWindow engines that follow the position of a prompt and are
@@ -73,7 +73,7 @@
 		if isReserved(state) {
 			continue
 		}
-		into = append(into, weightedEngine{state: state, weight: membership.RendezvousMix(key ^ state.hash)})
+		into = append(into, weightedEngine{state: state, rendezvousWeight: membership.RendezvousMix(key ^ state.hash)})
 		if len(into) == homeWindow {
 			break
 		}
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -66,9 +66,9 @@
 	notReady []*workerState
 	samplers [tiers]sampler
 	// isReserved reports whether an engine is reserved for prompts of another size.
-	isReserved func(*workerState) bool
-	scopes     []*promptScope
-	accepted   verdict
+	isReserved      func(*workerState) bool
+	scopes          []*promptScope
+	acceptedVerdict verdict
 	// reopensIn is the shortest time until a closed worker admits requests again.
 	reopensIn time.Duration
 }
@@ -82,7 +82,7 @@
 	servicePool := r.poolOf(request.Service)
 	s := &search{
 		Registry: r, now: now, request: request, software: software, pool: servicePool, id: r.searches,
-		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], accepted: verdictEligible,
+		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], acceptedVerdict: verdictEligible,
 	}
 	s.isReserved = r.reservedForOtherSize(now, servicePool, request.Engine)
 	for tier := range servicePool.tiers {
@@ -121,7 +121,7 @@
 
 // candidates returns the accepted workers.
 func (s *search) candidates() []*workerState {
-	if s.accepted == verdictNotReady {
+	if s.acceptedVerdict == verdictNotReady {
 		return s.notReady
 	}
 	return s.eligible
@@ -137,7 +137,7 @@
 // resolve accepts the eligible workers, or those that are not ready if no other reason takes
 // precedence. If there is none, it returns the reason.
 func (s *search) resolve() string {
-	s.accepted = verdictEligible
+	s.acceptedVerdict = verdictEligible
 	switch counts := &s.counts; {
 	case counts[verdictEligible] > 0:
 		return ""
@@ -146,7 +146,7 @@
 	case counts[verdictOutdated] > 0:
 		return ReasonVersion
 	case counts[verdictNotReady] > 0:
-		s.accepted = verdictNotReady
+		s.acceptedVerdict = verdictNotReady
 		return ""
 	case counts[verdictClosed] > 0:
 		return ReasonLimited
--- a/internal/backends/search_home.go
+++ b/internal/backends/search_home.go
@@ -13,7 +13,7 @@
 		key += "/" + string(engine.Tenant)
 	}
 	hash := hashName(key)
-	isEligible := func(state *workerState) bool { return s.examine(state) == s.accepted }
+	isEligible := func(state *workerState) bool { return s.examine(state) == s.acceptedVerdict }
 	s.pool.windowBuffer = s.pool.ring.window(hash, s.isReserved, s.pool.windowBuffer)
 	if home := homeIn(s.pool.windowBuffer, isEligible); home != nil {
 		return home
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -16,7 +16,7 @@
 // manyEngines is more than a choice looks at.
 const manyEngines = 500
 
-func withManyEngines() *Registry {
+func newLargeRegistry() *Registry {
 	registry := newTestRegistry()
 	for number := range manyEngines {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
@@ -42,7 +42,7 @@
 			placement, refusal := simulated.registry.Choose(simulated.now, request)
 			times[number] = time.Since(start)
 			require.NotNil(t, placement, refusal)
-			simulated.open = append(simulated.open, placement)
+			simulated.placements = append(simulated.placements, placement)
 			examined[engines] += placement.Examined
 		}
 		slices.Sort(times)
@@ -56,7 +56,7 @@
 
 // TestSmallFleetIsSearchedExhaustively.
 func TestSmallFleetIsSearchedExhaustively(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, engineCount, placement.Candidates)
 }
@@ -64,7 +64,7 @@
 // TestOnlyWorkerWithCapacityIsFound has one of many engines take streams: requests are refused
 // as full only after its last place is taken.
 func TestOnlyWorkerWithCapacityIsFound(t *testing.T) {
-	registry := withManyEngines()
+	registry := newLargeRegistry()
 	for id, state := range registry.workers {
 		if id != "e77" {
 			state.inFlight = maxStreams(state.worker.Slots)
@@ -90,7 +90,7 @@
 // TestLateRefusalRequiresFullScan has every engine hold up a request for longer than
 // its target, but one whose long queue is less urgent: what is drawn by load misses it.
 func TestLateRefusalRequiresFullScan(t *testing.T) {
-	registry := withManyEngines()
+	registry := newLargeRegistry()
 	for id, state := range registry.workers {
 		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 		if id == "e77" {
@@ -116,7 +116,7 @@
 
 // TestSoftwareVersionLimitsCandidates has two workers of many carry the target's version.
 func TestSoftwareVersionLimitsCandidates(t *testing.T) {
-	registry := withManyEngines()
+	registry := newLargeRegistry()
 	for _, number := range []int{5, 400} {
 		worker := engineWorker(number, 1)
 		worker.Software = "new"
@@ -149,7 +149,7 @@
 
 // TestHolderAmongManyIsFound also the one of the request's session.
 func TestHolderAmongManyIsFound(t *testing.T) {
-	registry := withManyEngines()
+	registry := newLargeRegistry()
 	scope := Scope(testModel, 1, "t", false)
 	shared := []PartChange{{true, scope, "common"}, {true, scope, "p"}}
 	registry.ObserveCache(fleet.EngineRun{Engine: "e200"}, true, shared)
@@ -169,8 +169,8 @@
 	}
 }
 
-// homesOf returns the home of many prompts.
-func homesOf(registry *Registry, prompts int) []fleet.EngineID {
+// promptHomes returns the home of many prompts.
+func promptHomes(registry *Registry, prompts int) []fleet.EngineID {
 	homes := make([]fleet.EngineID, prompts)
 	for number := range homes {
 		search, _ := registry.candidates(0, engineRequest(fmt.Sprint("p", number)))
@@ -183,12 +183,12 @@
 // are spread over the engines.
 func TestHomesAreStableAcrossMembershipChanges(t *testing.T) {
 	const prompts = 4000
-	first, second := withManyEngines(), newTestRegistry()
+	first, second := newLargeRegistry(), newTestRegistry()
 	for number := range manyEngines {
 		second.Observe(1, engineWorker(manyEngines-1-number, 1))
 	}
-	homes := homesOf(first, prompts)
-	assert.Equal(t, homes, homesOf(second, prompts))
+	homes := promptHomes(first, prompts)
+	assert.Equal(t, homes, promptHomes(second, prompts))
 	counts := make(map[fleet.EngineID]int)
 	for _, home := range homes {
 		counts[home]++
@@ -199,7 +199,7 @@
 	first.ObserveGone(0, manyEngines+1, "e3")
 	first.Observe(manyEngines+2, engineWorker(manyEngines, 1))
 	moved := 0
-	for number, home := range homesOf(first, prompts) {
+	for number, home := range promptHomes(first, prompts) {
 		if home != homes[number] {
 			moved++
 		}
--- a/internal/backends/speed_test.go
+++ b/internal/backends/speed_test.go
@@ -34,7 +34,7 @@
 // TestSpeedIsMeasuredOnlyAtIdleEngines compares predictions before
 // and after some requests at a quicker engine than assumed.
 func TestSpeedIsMeasuredOnlyAtIdleEngines(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	ask := func(number int, elapsed time.Duration) *Placement {
 		request := engineRequest("p")
 		request.Engine.Store = ""
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// withSubset returns a registry of many engines in a subset.
-func withSubset(engines int, all bool) *Registry {
+// newSubsetRegistry returns a registry of many engines in a subset.
+func newSubsetRegistry(engines int, all bool) *Registry {
 	registry := newTestRegistry()
 	for number := range engines {
 		registry.Observe(1, engineWorker(number, 1))
@@ -66,7 +66,7 @@
 // twice as large.
 func TestOnlySubsetWorkersGetRequests(t *testing.T) {
 	for _, engines := range []int{10_000, 20_000} {
-		registry := withSubset(engines, true)
+		registry := newSubsetRegistry(engines, true)
 		inUse := make(map[fleet.EngineID]bool)
 		for _, worker := range registry.WorkersInUse() {
 			inUse[worker.ID] = true
@@ -83,7 +83,7 @@
 
 // TestInFlightRequestsOutliveSubset has a worker leave the subset while it works.
 func TestInFlightRequestsOutliveSubset(t *testing.T) {
-	registry := withSubset(1000, false)
+	registry := newSubsetRegistry(1000, false)
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	registry.SetSubsets(Subsets{"engines": maxHalvings}, false)
 	assert.Len(t, registry.Workers(), 1, "the others are dropped")
@@ -94,7 +94,7 @@
 
 // TestDroppedWorkerReturnsAtSameRevision.
 func TestDroppedWorkerReturnsAtSameRevision(t *testing.T) {
-	registry := withSubset(1000, false)
+	registry := newSubsetRegistry(1000, false)
 	registry.SetSubsets(nil, true)
 	added := 0
 	for number := range 1000 {
@@ -108,7 +108,7 @@
 
 // TestSubsetWithoutCapacityIsDoubled, once a second at most.
 func TestSubsetWithoutCapacityIsDoubled(t *testing.T) {
-	registry := withSubset(10_000, true)
+	registry := newSubsetRegistry(10_000, true)
 	full := engineRequest("p")
 	full.HasConnection = func(*Worker) bool { return false }
 	before := len(registry.WorkersInUse())
@@ -123,7 +123,7 @@
 
 // TestExhaustedRequestDoesNotWidenSubset.
 func TestExhaustedRequestDoesNotWidenSubset(t *testing.T) {
-	registry := withSubset(10_000, true)
+	registry := newSubsetRegistry(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
 		registry.ObserveOrder(worker.ID, time.Hour)
 	}
--- a/internal/backends/work.go
+++ b/internal/backends/work.go
@@ -39,16 +39,16 @@
 // engines alike, so that they agree on the partition.
 type workTracker struct {
 	long, short float64
-	at          time.Duration
+	updatedAt   time.Duration
 }
 
 // work returns the decayed work.
 func (t *workTracker) work(now time.Duration) Work {
-	if idle := now - t.at; idle > 0 {
+	if idle := now - t.updatedAt; idle > 0 {
 		decay := math.Exp2(-float64(idle) / float64(workHalfLife))
 		t.long *= decay
 		t.short *= decay
-		t.at = now
+		t.updatedAt = now
 	}
 	return Work{Long: time.Duration(t.long * float64(time.Second)), Short: time.Duration(t.short * float64(time.Second))}
 }
@@ -97,7 +97,7 @@
 func (r *Registry) recordWork(now time.Duration, service fleet.PoolName, engine *EngineRequest, uncached int) {
 	current := r.workTrackers[service]
 	if current == nil {
-		current = &workTracker{at: now}
+		current = &workTracker{updatedAt: now}
 		r.workTrackers[service] = current
 	}
 	work := time.Duration(uncached)*r.perToken(service) + time.Duration(engine.OutputTokens)*outputTokenTime
--- a/internal/backends/work_test.go
+++ b/internal/backends/work_test.go
@@ -28,7 +28,7 @@
 // TestNodesAgreeOnEnginesForLongPrompts has one node see
 // long prompts only and another short ones.
 func TestNodesAgreeOnEnginesForLongPrompts(t *testing.T) {
-	first, second := withEngines(), withEngines()
+	first, second := newEngineRegistry(), newEngineRegistry()
 	service := engineRequest("p").Service
 	first.recordWork(0, service, &EngineRequest{PromptTokens: 9000}, 3000)
 	second.recordWork(0, service, &EngineRequest{PromptTokens: 500}, 1000)
