--- a/internal/backends/admission_test.go
+++ b/internal/backends/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// admissionOf has some workers name limits.
+// admissionOf returns an admission function with a fixed state for each worker.
 func admissionOf(admissions map[fleet.EngineID]Admission, reopensIn time.Duration) func(*Worker) (Admission, time.Duration) {
 	return func(worker *Worker) (Admission, time.Duration) {
 		if admissions[worker.ID] == AdmissionClosed {
@@ -20,7 +20,8 @@
 	}
 }
 
-// TestClosedWorkerGetsNoRequest, also if it is the only one; then it is told when there is room.
+// TestClosedWorkerGetsNoRequest guards against sending requests to a worker that admits none, and
+// against a refusal without the time at which it reopens.
 func TestClosedWorkerGetsNoRequest(t *testing.T) {
 	registry := newEngineRegistry()
 	closed := make(map[fleet.EngineID]Admission)
@@ -42,7 +43,8 @@
 	assert.Equal(t, Refusal{Reason: ReasonLimited, RetryAfter: 3 * time.Second}, refusal)
 }
 
-// TestLimitedWorkerIsNotPenalized, whatever it refuses and however slow it is.
+// TestLimitedWorkerIsNotPenalized guards against counting refusals and latency of a worker with a
+// request limit as failures or slowness.
 func TestLimitedWorkerIsNotPenalized(t *testing.T) {
 	registry := newEngineRegistry()
 	request := engineRequest("p")
@@ -67,7 +69,8 @@
 	assert.Zero(t, registry.speedEstimateOf(request.Service).slotTime)
 }
 
-// TestLimitedWorkerHoldsNoCopy: it may have no room when the run has to go on there.
+// TestLimitedWorkerHoldsNoCopy guards against copies at engines that may not admit the run when it
+// has to continue there.
 func TestLimitedWorkerHoldsNoCopy(t *testing.T) {
 	registry := newEngineRegistry()
 	request := copiedRequest()
--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -75,7 +75,7 @@
 	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
 	assert.Equal(t, Gone, registry.ObserveGone(0, 10, worker.ID))
-	assert.Equal(t, Unchanged, registry.Observe(9, worker), "a late row doesn't bring a worker back")
+	assert.Equal(t, Unchanged, registry.Observe(9, worker), "a stale row must not bring a worker back")
 	assert.Equal(t, Returned, registry.Observe(11, worker))
 	assert.Equal(t, Unchanged, registry.ObserveGone(0, 10, worker.ID))
 	assert.Len(t, registry.Workers(), 1)
@@ -95,7 +95,8 @@
 	assert.Equal(t, []fleet.EngineID{"p1"}, gone, "p2's row is newer than the read")
 }
 
-// TestDrainingWorkerGetsNoRequest also once a row has called it ready again.
+// TestDrainingWorkerGetsNoRequest guards against a later row making a draining worker available
+// again.
 func TestDrainingWorkerGetsNoRequest(t *testing.T) {
 	registry := newPlainRegistry(2)
 	draining := plainWorker(0)
@@ -112,8 +113,8 @@
 	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod covers rows that go
-// while the store is down.
+// TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod guards against refusing all requests while
+// rows expire because the store is unavailable.
 func TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod(t *testing.T) {
 	registry := newPlainRegistry(2)
 	registry.ObserveGone(time.Second, 10, "p0")
@@ -133,12 +134,12 @@
 	for range 12 {
 		counts[choosePlain(t, registry, 0).Worker.ID]++
 	}
-	assert.Equal(t, map[fleet.EngineID]int{"p1": 6, "p2": 6}, counts, "another node's requests count")
+	assert.Equal(t, map[fleet.EngineID]int{"p1": 6, "p2": 6}, counts, "requests of peers count")
 	counts = map[fleet.EngineID]int{}
 	for range 6 {
 		counts[choosePlain(t, registry, 2*peerReportValidity).Worker.ID]++
 	}
-	assert.Equal(t, 6, counts["p0"], "an old word doesn't")
+	assert.Equal(t, 6, counts["p0"], "expired reports don't count")
 }
 
 func TestSuspicionOfUnreachableWorkerBacksOff(t *testing.T) {
@@ -179,7 +180,7 @@
 		placement.End(now, outcome)
 	}
 	assert.Less(t, counts["p0"], 120)
-	assert.Positive(t, counts["p0"], "it is tried again")
+	assert.Positive(t, counts["p0"], "a failing worker must be tried again")
 }
 
 func TestNodesAgreeOnHomeEngine(t *testing.T) {
@@ -205,20 +206,20 @@
 	cold.FirstByte(0)
 	warm, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, cold.Worker.ID, warm.Worker.ID)
-	assert.Empty(t, warm.Engine.ImportFrom, "it holds the shared parts")
-	assert.Empty(t, warm.Engine.SaveTo, "the store has them")
+	assert.Empty(t, warm.Engine.ImportFrom, "the engine holds the shared parts")
+	assert.Empty(t, warm.Engine.SaveTo, "the store holds the parts")
 	request := engineRequest("p")
 	request.Excluded = []fleet.EngineRun{cold.Worker.Run()}
 	elsewhere, _ := registry.Choose(0, request)
 	assert.NotEqual(t, cold.Worker.ID, elsewhere.Worker.ID)
-	assert.Equal(t, cold.Worker.Address, elsewhere.Engine.ImportFrom, "all share the store's link")
+	assert.Equal(t, cold.Worker.Address, elsewhere.Engine.ImportFrom, "engines take precedence over the store, whose link is shared")
 	registry.parts.clear(cold.Worker.Run())
 	elsewhere, _ = registry.Choose(0, request)
 	assert.Equal(t, testStore, elsewhere.Engine.ImportFrom)
 }
 
-// TestStoreSavesOnlyPartsThatNoEngineHolds has the store drop parts that an engine
-// still has, and then the engine too.
+// TestStoreSavesOnlyPartsThatNoEngineHolds guards against saving parts to the store that an engine
+// still holds, and against not saving those that no engine holds completely.
 func TestStoreSavesOnlyPartsThatNoEngineHolds(t *testing.T) {
 	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
@@ -229,11 +230,11 @@
 	registry.parts.clear(cold.Worker.Run())
 	registry.ObserveCache(cold.Worker.Run(), false, []PartChange{{true, cold.Engine.Scope, "common"}})
 	again, _ := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, testStore, again.Engine.SaveTo, "a part of them isn't enough")
+	assert.Equal(t, testStore, again.Engine.SaveTo, "the engine holds only some of the parts")
 }
 
-// TestPartsAreNotImportedAcrossVersions keeps cached parts of two
-// versions apart, also where an engine has kept both.
+// TestPartsAreNotImportedAcrossVersions guards against sharing cached parts between two model
+// versions.
 func TestPartsAreNotImportedAcrossVersions(t *testing.T) {
 	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
@@ -271,11 +272,11 @@
 	_, refusal := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, ReasonVersion, refusal.Reason)
 	registry.Observe(50, engineWorker(3, 1))
-	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a row that lags doesn't take a version back")
+	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a stale row must not revert the version")
 }
 
-// TestPreferredVersionIsChosenUnlessOverloaded has one engine of six with the
-// newest weights, idle first and then with a long queue.
+// TestPreferredVersionIsChosenUnlessOverloaded guards against outdated versions being chosen
+// without need, and against overloading the engines with the preferred one.
 func TestPreferredVersionIsChosenUnlessOverloaded(t *testing.T) {
 	registry := newEngineRegistry()
 	registry.ObserveVersion("e3", testModel, 2)
@@ -289,7 +290,7 @@
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, fleet.EngineID("e3"), placement.Worker.ID)
 	registry.PreferVersion(testModel, 1)
-	assert.EqualValues(t, 2, registry.preferred[testModel], "it doesn't go back")
+	assert.EqualValues(t, 2, registry.preferred[testModel], "the preferred version must not decrease")
 }
 
 func TestEngineUnderOrderGetsNoRequest(t *testing.T) {
@@ -302,8 +303,8 @@
 	require.NotNil(t, again)
 }
 
-// TestHotPrefixSpreadsOverEngines sends many requests for one prefix at once:
-// the queue at its home grows dearer than a move of the prefix.
+// TestHotPrefixSpreadsOverEngines guards against all requests for a popular prefix queueing at its
+// home.
 func TestHotPrefixSpreadsOverEngines(t *testing.T) {
 	registry := newEngineRegistry()
 	first, _ := registry.Choose(0, engineRequest("hot"))
@@ -333,7 +334,7 @@
 	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	require.Len(t, registry.OwnLoad(), 1)
-	assert.Equal(t, 9000, registry.OwnLoad()[0].PrefillTokens, "nobody holds the shared parts")
+	assert.Equal(t, 9000, registry.OwnLoad()[0].PrefillTokens, "no engine holds the shared parts")
 	placement.End(0, Lost)
 	placement.End(0, Lost)
 	placement.FirstByte(0)
@@ -341,8 +342,8 @@
 	assert.Zero(t, registry.workers[placement.Worker.ID].prefillTokens)
 }
 
-// TestLongAndShortPromptsUseSeparateEngines once both have been seen, as long as neither
-// queues.
+// TestLongAndShortPromptsUseSeparateEngines guards against long prompts delaying short ones while
+// neither has to queue.
 func TestLongAndShortPromptsUseSeparateEngines(t *testing.T) {
 	registry := newEngineRegistry()
 	short := func(number int) *Request {
@@ -352,7 +353,7 @@
 		request.Engine.Parts = []Part{{"s", 100}, {fmt.Sprint("own", number), 200}}
 		return request
 	}
-	sides := map[bool]map[fleet.EngineID]int{true: {}, false: {}}
+	usedBySize := map[bool]map[fleet.EngineID]int{true: {}, false: {}}
 	for step := range 400 {
 		now := time.Duration(step) * 100 * time.Millisecond
 		request := short(step)
@@ -363,14 +364,14 @@
 		require.NotNil(t, placement)
 		placement.End(now, Succeeded)
 		if step > 40 {
-			sides[step%4 == 0][placement.Worker.ID]++
+			usedBySize[step%4 == 0][placement.Worker.ID]++
 		}
 	}
-	for id := range sides[true] {
-		assert.Zero(t, sides[false][id], "engine %s takes both", id)
+	for id := range usedBySize[true] {
+		assert.Zero(t, usedBySize[false][id], "engine %s takes both sizes", id)
 	}
-	assert.NotEmpty(t, sides[true])
-	assert.NotEmpty(t, sides[false])
+	assert.NotEmpty(t, usedBySize[true])
+	assert.NotEmpty(t, usedBySize[false])
 }
 
 func TestUniformPromptSizeUsesEveryEngine(t *testing.T) {
@@ -384,7 +385,8 @@
 	assert.Len(t, used, engineCount)
 }
 
-// TestCacheEventsReplaceAssumedParts follows a cache's events through a restart.
+// TestCacheEventsReplaceAssumedParts guards against assuming parts that the cache events of a run
+// contradict.
 func TestCacheEventsReplaceAssumedParts(t *testing.T) {
 	registry := newEngineRegistry()
 	request := engineRequest("p")
@@ -396,11 +398,11 @@
 	assert.Equal(t, 2, placement.Engine.HeldParts)
 	placement.End(0, Cancelled)
 	later, _ := registry.Choose(2*partLifetime, request)
-	assert.Equal(t, 2, later.Engine.HeldParts, "what is followed doesn't run out")
+	assert.Equal(t, 2, later.Engine.HeldParts, "parts of a tracked cache don't expire")
 	later.End(0, Cancelled)
 	registry.ObserveCache(run, false, []PartChange{{false, scope, "common"}})
 	dropped, _ := registry.Choose(0, request)
-	assert.Zero(t, dropped.Engine.MostHeldParts, "a part is of no use without the one before")
+	assert.Zero(t, dropped.Engine.MostHeldParts, "a part without the preceding one doesn't count")
 	registry.ObserveCache(run, true, nil)
 	registry.ObserveCache(run, false, []PartChange{{true, scope, "common"}})
 	again, _ := registry.Choose(0, request)
@@ -410,7 +412,8 @@
 	assert.Zero(t, lost.Engine.MostHeldParts)
 }
 
-// TestHolderIsChosenUntilQueueOutweighsImport.
+// TestHolderIsChosenUntilQueueOutweighsImport guards against leaving a holder too early or queueing
+// at it for too long.
 func TestHolderIsChosenUntilQueueOutweighsImport(t *testing.T) {
 	options := scheduling.DefaultOptions()
 	options.TieFraction, options.ImportWeight = 0.02, 8*time.Microsecond
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBaselineExcludesEngineSlowness and keeps what waits there.
+// TestBaselineExcludesEngineSlowness guards against an engine's own slowness in the baseline, and
+// against a baseline without the wait for queued prompts.
 func TestBaselineExcludesEngineSlowness(t *testing.T) {
 	place := func(prefill int, slowness float64) *EnginePlacement {
 		registry := newEngineRegistry()
--- a/internal/backends/benchmark_test.go
+++ b/internal/backends/benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// BenchmarkChooseWithManyPeers places a request among 3,000 engines after each of a dozen
-// peers, of which each has requests at 600 of them, has told a change.
+// BenchmarkChooseWithManyPeers measures a choice among 3,000 engines after each load update, with a
+// dozen peers that each use 600 of them.
 func BenchmarkChooseWithManyPeers(b *testing.B) {
 	const engines, peers, used = 3000, 12, 600
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -12,30 +12,32 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Sizes and shares of a simulated fleet of engines, seen by one of a dozen nodes.
+// Parameters of a simulated fleet of engines, as seen by one of a dozen nodes.
 const (
 	simulatedPeers = 12
 	simulatedSlots = 12
 	simulatedZones = 3
-	// prefixesPerEngine, holdersMost: long shared prefixes, each at some engines.
+	// prefixesPerEngine is the number of long shared prefixes for each engine, and
+	// maxHoldersPerPrefix the maximum number of engines that hold one of them.
 	prefixesPerEngine   = 4
 	maxHoldersPerPrefix = 6
-	// commonPrefixes are short and at all engines.
+	// commonPrefixes is the number of short prefixes that every engine holds.
 	commonPrefixes = 16
 	longShare      = 0.08
 )
 
-// simulatedFleet is a registry with engines under load, and a stream of requests.
+// simulatedFleet is a registry of engines under load, with a stream of requests.
 type simulatedFleet struct {
 	registry *Registry
 	random   *rand.Rand
 	engines  int
-	// meanInFlight is the mean number of requests of all nodes at an engine.
+	// meanInFlight is the mean number of requests in flight at an engine over all nodes.
 	meanInFlight float64
 	now          time.Duration
 	requests     int
 	placements   []*Placement
-	// sorted holds the engines by load, nodeEngines those of one node: for BenchmarkWays.
+	// sorted holds the engines by load, and nodeEngines those assigned to one node, for
+	// BenchmarkStrategies.
 	sorted, nodeEngines []*workerState
 }
 
@@ -58,7 +60,7 @@
 	return f
 }
 
-// fillCaches has all engines hold the common prefixes and a few each long one.
+// fillCaches stores the common prefixes at all engines and each long prefix at a few.
 func (f *simulatedFleet) fillCaches() {
 	scope := Scope(testModel, 1, "t", false)
 	changes := make([][]PartChange, f.engines)
@@ -78,7 +80,7 @@
 	}
 }
 
-// reportPeers has each other node report its requests.
+// reportPeers observes a report of each peer.
 func (f *simulatedFleet) reportPeers() {
 	for peer := range simulatedPeers {
 		var report PeerReport
@@ -91,7 +93,7 @@
 	}
 }
 
-// peerLoad returns what one other node has at an engine.
+// peerLoad returns a random load of one peer at an engine, and whether it is not empty.
 func (f *simulatedFleet) peerLoad(number int) (Load, bool) {
 	load := Load{Engine: engineWorker(number, 1).ID}
 	for f.random.Float64() < f.meanInFlight/simulatedPeers/(1+f.meanInFlight/simulatedPeers) {
@@ -125,7 +127,7 @@
 	return &Request{Service: "engines", Engine: engine, HasConnection: func(*Worker) bool { return true }}
 }
 
-// step lets time pass: some requests end, a peer tells a change.
+// step advances the time, ends requests and applies a load update of a peer.
 func (f *simulatedFleet) step() {
 	f.now += time.Millisecond
 	if len(f.placements) > 64 {
@@ -140,7 +142,7 @@
 	}
 }
 
-// BenchmarkChoose measures one choice of an engine, by the number of engines.
+// BenchmarkChoose measures the choice of an engine for several fleet sizes.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{12, 90, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -169,8 +171,8 @@
 	}
 }
 
-// BenchmarkObservePeer takes a report in, of requests at a quarter of the engines, in place
-// of the one before: choices wait meanwhile.
+// BenchmarkObservePeer measures replacing a peer's report with requests at a quarter of the
+// engines, during which choices are blocked.
 func BenchmarkObservePeer(b *testing.B) {
 	for _, engines := range []int{90, 1000, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -14,15 +14,15 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// strategy finds the candidates of a choice.
+// strategy is a way to find the candidates of a choice.
 type strategy struct {
 	name       string
 	exhaustive bool
-	// gather looks at workers; nil gathers as a choice does.
+	// gather examines workers; nil means search.gather.
 	gather func(f *simulatedFleet, s *search)
 }
 
-// strategies are those that were weighed against each other.
+// strategies returns the strategies to compare; the first one is the reference.
 func strategies() []strategy {
 	return []strategy{
 		{name: "whole", exhaustive: true},
@@ -42,7 +42,7 @@
 	}
 }
 
-// costs returns what a request costs at each engine, by the prices of a look at all.
+// costs returns the cost of a request at each engine, from an exhaustive search.
 func (f *simulatedFleet) costs(request *Request) map[fleet.EngineRun]time.Duration {
 	s := f.registry.newSearch(f.now, request, nil)
 	s.exhaustive = true
@@ -67,7 +67,7 @@
 	return costs
 }
 
-// decideWith decides a request one way without placing it.
+// decideWith decides on a request with a strategy, without placing it.
 func (f *simulatedFleet) decideWith(variant strategy, request *Request) (decision scheduling.Decision, refused bool, elapsed time.Duration) {
 	start := time.Now()
 	s := f.registry.newSearch(f.now, request, nil)
@@ -93,8 +93,7 @@
 	return decision, refused, time.Since(start)
 }
 
-// sortEngines keeps the engines by load, and those that one of the nodes would have for
-// itself.
+// sortEngines sorts the engines by load, and selects those assigned to one node.
 func (f *simulatedFleet) sortEngines() {
 	f.sorted, f.nodeEngines = f.sorted[:0], f.nodeEngines[:0]
 	for index, state := range f.registry.pools["engines"].all() {
@@ -108,9 +107,9 @@
 	})
 }
 
-// BenchmarkStrategies compares ways to find candidates by the time of a choice and by what its
-// decision costs beyond that of a look at all engines, at a third of the slots taken and at
-// nearly all.
+// BenchmarkStrategies compares strategies by the duration of a choice and by the additional cost of
+// their decisions over an exhaustive search, with a third of the slots and with nearly all slots in
+// use.
 func BenchmarkStrategies(b *testing.B) {
 	for _, engines := range []int{12, 90, 1000, 3000, 10_000} {
 		for _, busy := range []float64{4, 13} {
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -14,7 +14,8 @@
 	return request
 }
 
-// TestCopyTargetRunsSameVersion and the same zone, if there is one.
+// TestCopyTargetRunsSameVersion guards against copies at the engine itself, at engines with another
+// model version, or mostly in another zone.
 func TestCopyTargetRunsSameVersion(t *testing.T) {
 	registry := newTestRegistry()
 	for number := range engineCount {
@@ -41,10 +42,11 @@
 	}
 	assert.Less(t, otherZone, 40)
 	placement, _ := registry.Choose(0, engineRequest("p"))
-	assert.Empty(t, placement.Engine.CopyTo.ID, "not asked for")
+	assert.Empty(t, placement.Engine.CopyTo.ID, "no copy was requested")
 }
 
-// TestContinueUsesCopyTarget counts the request there.
+// TestContinueUsesCopyTarget guards against continuing a run elsewhere than at its copy, or without
+// counting the request there.
 func TestContinueUsesCopyTarget(t *testing.T) {
 	registry := newEngineRegistry()
 	lost, _ := registry.Choose(0, copiedRequest())
@@ -61,11 +63,11 @@
 	assert.Zero(t, registry.workers[target.ID].inFlight)
 }
 
-// TestContinueRejectsUnusableCopyTarget: not at an engine that is leaving, has gone or has
-// other weights.
+// TestContinueRejectsUnusableCopyTarget guards against continuing at an engine that is draining,
+// gone or has another model version.
 func TestContinueRejectsUnusableCopyTarget(t *testing.T) {
 	for name, change := range map[string]func(*Registry, Worker){
-		"other weights": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
+		"other version": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
 		"gone":          func(registry *Registry, target Worker) { registry.ObserveGone(0, 100, target.ID) },
 		"draining": func(registry *Registry, target Worker) {
 			target.Draining = true
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -11,10 +11,11 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// twoRegions has zones a and b in the north and c in the south.
+// twoRegions has zones a and b in one region and zone c in another.
 var twoRegions = Regions{"a": "north", "b": "north", "c": "south"}
 
-// newZonedRegistry returns a registry in zone a with engines in zones in turn.
+// newZonedRegistry returns a registry in zone a with engines and plain workers spread over the
+// zones.
 func newZonedRegistry(engines int, zones ...fleet.ZoneName) *Registry {
 	registry := New(Options{
 		Zone: "a", Regions: twoRegions, Random: newTestRegistry().options.Random, Scheduling: scheduling.DefaultOptions(),
@@ -39,7 +40,8 @@
 	assert.Equal(t, SameRegion, Regions(nil).Between("a", "c"))
 }
 
-// TestNextZoneTakesOverWhenNearZoneIsFull fills a plain service zone by zone.
+// TestNextZoneTakesOverWhenNearZoneIsFull guards against using distant plain workers too early, or
+// not at all under load.
 func TestNextZoneTakesOverWhenNearZoneIsFull(t *testing.T) {
 	registry := newZonedRegistry(3, "a", "b", "c")
 	counts := map[fleet.ZoneName]int{}
@@ -56,11 +58,11 @@
 	assert.Positive(t, counts["c"])
 	registry.ObserveGone(0, 100, "p0")
 	registry.ObserveGone(0, 100, "p1")
-	assert.EqualValues(t, "c", choosePlain(t, registry, 0).Worker.Zone, "the near ones are gone")
+	assert.EqualValues(t, "c", choosePlain(t, registry, 0).Worker.Zone, "the near workers are gone")
 }
 
-// TestNearEnginesAreChosenFirst until their queues are dearer than the way, in a fleet that
-// is looked at whole and in one that isn't.
+// TestNearEnginesAreChosenFirst guards against using distant engines before queues at near ones
+// outweigh the distance, in exhaustive and in sampled searches.
 func TestNearEnginesAreChosenFirst(t *testing.T) {
 	for _, engines := range []int{9, 3 * manyEngines} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// setQueue has each engine of a zone have prompt work.
+// setQueue gives each engine of a zone the same prefill load.
 func setQueue(registry *Registry, zone fleet.ZoneName, tokens int) {
 	for _, state := range registry.workers {
 		if state.worker.Zone == zone && state.worker.Service == "engines" {
@@ -95,8 +97,8 @@
 	}
 }
 
-// TestPartsAreImportedFromNearestHolder: another engine of the zone before one of the region,
-// the store of the own region before an engine of another one.
+// TestPartsAreImportedFromNearestHolder guards against importing parts over a longer distance than
+// necessary.
 func TestPartsAreImportedFromNearestHolder(t *testing.T) {
 	registry := newZonedRegistry(6, "a", "b", "c")
 	scope := Scope(testModel, 1, "t", false)
@@ -113,10 +115,10 @@
 		return placement.Engine.ImportFrom
 	}
 	registry.ObserveCache(fleet.EngineRun{Engine: "e2"}, true, parts)
-	assert.Equal(t, registry.workers["e2"].worker.Address, from("a"), "nobody else holds them")
+	assert.Equal(t, registry.workers["e2"].worker.Address, from("a"), "no other holder")
 	registry.ObserveCache(StoreRun(testStore), true, parts)
 	assert.Equal(t, testStore, from("b"))
-	assert.Equal(t, registry.workers["e2"].worker.Address, from("c"), "as far as the engine: its link is the store's only")
+	assert.Equal(t, registry.workers["e2"].worker.Address, from("c"), "the engine is as near as the store, whose link is shared")
 	registry.ObserveCache(fleet.EngineRun{Engine: "e4"}, true, parts)
 	assert.Equal(t, registry.workers["e4"].worker.Address, from("b"))
 	registry.ObserveCache(fleet.EngineRun{Engine: "e3"}, true, parts)
@@ -125,7 +127,8 @@
 	}
 }
 
-// TestCopyTargetIsNear: in the zone of the run, else in its region.
+// TestCopyTargetIsNear guards against copies in another zone or region although a nearer engine is
+// available.
 func TestCopyTargetIsNear(t *testing.T) {
 	registry := newZonedRegistry(30, "a", "b", "c")
 	zones := map[Distance]int{}
@@ -143,13 +146,13 @@
 			registry.ObserveGone(0, 100, id)
 		}
 	}
-	far := 0
+	otherRegion := 0
 	for range 50 {
 		placement, _ := registry.Choose(0, copiedRequest())
 		if placement.Worker.ID == "e0" && placement.Engine.CopyTo.Zone == "c" {
-			far++
+			otherRegion++
 		}
 		placement.End(0, Succeeded)
 	}
-	assert.Less(t, far, 5, "the other zone of the region is nearer")
+	assert.Less(t, otherRegion, 5, "the other zone of the same region is nearer")
 }
--- a/internal/backends/draining_test.go
+++ b/internal/backends/draining_test.go
@@ -8,60 +8,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainingIsNotRevokedWithinRun in its run: no row, no return of a row that went, no
-// subset that lacked the worker for a time.
+// TestDrainingIsNotRevokedWithinRun guards against a draining run getting requests again after a
+// later row, after its row returns, or after it was forgotten.
 func TestDrainingIsNotRevokedWithinRun(t *testing.T) {
 	registry := newPlainRegistry(2)
 	draining := plainWorker(0)
 	placement := choose(registry, &Request{Service: "plain"})
 	assert.Equal(t, StartedDraining, registry.ObserveDraining(DrainingRun{Worker: "p0"}))
-	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0"}), "said again")
+	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0"}), "announced again")
 	placement.End(0, Succeeded)
-	onlyTheOther := func(moment string) {
+	assertAvoided := func(situation string) {
 		t.Helper()
-		assert.False(t, registry.CanSend(time.Minute, &draining), moment)
-		assert.True(t, registry.IsDraining("p0"), moment)
+		assert.False(t, registry.CanSend(time.Minute, &draining), situation)
+		assert.True(t, registry.IsDraining("p0"), situation)
 		for range 30 {
-			assert.Equal(t, "p1", string(choosePlain(t, registry, time.Minute).Worker.ID), moment)
+			assert.Equal(t, "p1", string(choosePlain(t, registry, time.Minute).Worker.ID), situation)
 		}
 	}
-	onlyTheOther("said in an answer")
+	assertAvoided("announced in a response")
 	registry.Observe(10, draining)
-	onlyTheOther("a later row")
+	assertAvoided("later row")
 	registry.ObserveGone(time.Second, 11, "p0")
 	registry.Observe(12, draining)
-	onlyTheOther("a row that came back")
+	assertAvoided("row that returned")
 	registry.ObserveGone(time.Second, 13, "p0")
 	require.Len(t, registry.Forget(time.Minute, time.Second), 1)
 	assert.True(t, registry.IsDraining("p0"), "forgotten")
 	registry.Observe(14, draining)
-	onlyTheOther("a row after it was forgotten")
+	assertAvoided("row after the worker was forgotten")
 	assert.Equal(t, []DrainingRun{{Worker: "p0"}}, registry.UnpublishedDraining())
 	draining.Draining = true
 	registry.Observe(15, draining)
-	assert.Empty(t, registry.UnpublishedDraining(), "the row says so as well")
+	assert.Empty(t, registry.UnpublishedDraining(), "the row is draining as well")
 }
 
-// TestDrainingEndsWithItsRun and only with a run that started later.
+// TestDrainingEndsWithItsRun guards against applying the draining state to a later run, or losing
+// it to an earlier one.
 func TestDrainingEndsWithItsRun(t *testing.T) {
 	registry := newTestRegistry()
 	worker := plainWorker(0)
 	worker.StartTime = 1000
 	registry.Observe(1, worker)
-	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 900}), "another run's word")
+	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 900}), "start time of another run")
 	assert.Equal(t, StartedDraining, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 1000}))
 	worker.StartTime = 2000
 	assert.Equal(t, Restarted, registry.Observe(2, worker))
 	assert.False(t, registry.IsDraining("p0"))
 	assert.True(t, registry.CanSend(0, &worker))
-	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 1000}), "late word of the former")
+	assert.Equal(t, Unchanged, registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 1000}), "stale report on the previous run")
 
 	registry.ObserveDraining(DrainingRun{Worker: "p0", StartTime: 2000})
 	registry.ObserveGone(0, 3, "p0")
 	registry.Forget(time.Minute, time.Second)
 	worker.StartTime = 1500
 	registry.Observe(4, worker)
-	assert.True(t, registry.IsDraining("p0"), "an older run than the one that drained")
+	assert.True(t, registry.IsDraining("p0"), "run older than the draining one")
 	registry.ObserveGone(time.Minute, 5, "p0")
 	registry.Forget(time.Hour, time.Second)
 	worker.StartTime = 3000
@@ -69,7 +70,8 @@
 	assert.False(t, registry.IsDraining("p0"))
 }
 
-// TestDrainingSurvivesDropFromSubset since the row is read anew once it is in use again.
+// TestDrainingSurvivesDropFromSubset guards against losing the draining state of a worker that
+// leaves the subset and is observed again.
 func TestDrainingSurvivesDropFromSubset(t *testing.T) {
 	registry := newPlainRegistry(2)
 	registry.ObserveDraining(DrainingRun{Worker: "p0"})
@@ -80,7 +82,7 @@
 	assert.True(t, registry.IsDraining("p0"))
 }
 
-// TestForgottenDrainingRunsExpire as workers come and go for ever.
+// TestForgottenDrainingRunsExpire guards against unbounded growth of the records of forgotten runs.
 func TestForgottenDrainingRunsExpire(t *testing.T) {
 	registry := newTestRegistry()
 	for number := range 500 {
@@ -92,7 +94,8 @@
 	assert.Empty(t, registry.forgottenDraining)
 }
 
-// TestServiceWithAllWorkersDrainingIsRefused rather than after a time in which nobody comes.
+// TestServiceWithAllWorkersDrainingIsRefused guards against waiting for a worker although all of
+// them are draining.
 func TestServiceWithAllWorkersDrainingIsRefused(t *testing.T) {
 	registry := newPlainRegistry(2)
 	for number := range 2 {
@@ -103,7 +106,8 @@
 	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestCanSendEndsWithLapsedGracePeriod after the moment for which rows may go by mistake.
+// TestCanSendEndsWithLapsedGracePeriod guards against sending to a worker whose row was deleted
+// longer ago than the grace period.
 func TestCanSendEndsWithLapsedGracePeriod(t *testing.T) {
 	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
@@ -113,7 +117,8 @@
 	assert.False(t, registry.CanSend(time.Second+lapsedGracePeriod, &worker))
 }
 
-// TestPartsAreImportedFromDrainingEngine until it has gone: nobody else may hold them.
+// TestPartsAreImportedFromDrainingEngine guards against recomputing parts that a draining engine
+// still holds.
 func TestPartsAreImportedFromDrainingEngine(t *testing.T) {
 	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
@@ -129,7 +134,8 @@
 	assert.NotEqual(t, cold.Worker.Address, gone.Engine.ImportFrom)
 }
 
-// TestDeferredRequestIsNotAFailure, unlike other rejections: it says when to come again.
+// TestDeferredRequestIsNotAFailure guards against counting a deferral, unlike a refusal, as a
+// failure.
 func TestDeferredRequestIsNotAFailure(t *testing.T) {
 	registry := newPlainRegistry(1)
 	choosePlain(t, registry, 0).End(0, Deferred)
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -59,8 +59,7 @@
 	}
 }
 
-// slotsPerQueuedRequest sets the number of requests that may be queued at an engine: its slots divided by
-// slotsPerQueuedRequest.
+// slotsPerQueuedRequest is the number of slots for which one request may be queued at an engine.
 const slotsPerQueuedRequest = 2
 
 func maxStreams(slots int) int { return slots + slots/slotsPerQueuedRequest }
--- a/internal/backends/late_test.go
+++ b/internal/backends/late_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// targetedRequest returns a request that is to begin within half a second.
+// targetedRequest returns a request with a target of half a second.
 func targetedRequest(prefix string, tokens, priority int) *Request {
 	request := engineRequest(prefix)
 	request.Engine.PromptTokens = tokens
@@ -20,8 +20,8 @@
 	return request
 }
 
-// TestRequestThatWouldWaitTooLongIsRefused has a request refused that would wait for
-// others for longer than its target at every engine, and told for how much longer.
+// TestRequestThatWouldWaitTooLongIsRefused guards against accepting a request that would miss its
+// target at every engine, and against a wrong retry time.
 func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
 	registry := newEngineRegistry()
 	for _, state := range registry.workers {
@@ -34,10 +34,11 @@
 	assert.InDelta(t, 580, refusal.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
 	request.Engine.MayRefuse = false
 	placement, refusal = registry.Choose(0, request)
-	assert.NotNil(t, placement, refusal, "what may have run elsewhere is carried on")
+	assert.NotNil(t, placement, refusal, "a request that may have run elsewhere is not refused")
 }
 
-// TestUrgentRequestIsNotRefusedForLowerPriorityWork has the engine take it first.
+// TestUrgentRequestIsNotRefusedForLowerPriorityWork guards against counting lower-priority work in
+// an urgent request's wait.
 func TestUrgentRequestIsNotRefusedForLowerPriorityWork(t *testing.T) {
 	registry := newEngineRegistry()
 	for _, state := range registry.workers {
@@ -49,8 +50,8 @@
 	assert.Nil(t, placement)
 }
 
-// TestLongPromptIsNotRefusedForItsLength has a prompt that takes longer to read than
-// its target go to an engine that is idle, or busy for less than half of the target.
+// TestLongPromptIsNotRefusedForItsLength guards against refusing a prompt whose own prefill exceeds
+// its target, unless it would also wait for more than half of the target.
 func TestLongPromptIsNotRefusedForItsLength(t *testing.T) {
 	registry := newEngineRegistry()
 	placement, refusal := registry.Choose(0, targetedRequest("p", 40_000, 1))
@@ -62,7 +63,8 @@
 	assert.NotNil(t, placement, refusal)
 }
 
-// TestRequestWithoutATargetIsNeverRefusedForLateness has it wait.
+// TestRequestWithoutATargetIsNeverRefusedForLateness guards against refusing requests that have no
+// target.
 func TestRequestWithoutATargetIsNeverRefusedForLateness(t *testing.T) {
 	registry := newEngineRegistry()
 	for _, state := range registry.workers {
@@ -74,8 +76,8 @@
 	assert.NotNil(t, placement, refusal)
 }
 
-// TestLoadByPriorityIsSummedOverNodes has what other nodes tell count like own
-// requests, for those that told nothing too.
+// TestLoadByPriorityIsSummedOverNodes guards against ignoring the load of peers by priority, or not
+// extrapolating it to peers without a report.
 func TestLoadByPriorityIsSummedOverNodes(t *testing.T) {
 	registry := newEngineRegistry()
 	registry.SetPeerCount(2)
--- a/internal/backends/memory_utilization_test.go
+++ b/internal/backends/memory_utilization_test.go
@@ -9,10 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// A gateway ended by itself on a day of 40, while it asked how busy the engines are before it
-// ordered one to take new weights. Reports of other nodes that had become too old were taken
-// out of the sum in the middle of that look, which moved engines to other levels of the lists
-// that were being walked: the walk came to a place that had just been emptied.
+// TestMemoryUtilizationToleratesExpiringReports guards against a panic when peer reports expire
+// while MemoryUtilization iterates over the workers, which moves workers between the lists.
 func TestMemoryUtilizationToleratesExpiringReports(t *testing.T) {
 	const workers = 40
 	for older := range 20 {
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestPeerOrderEndsWithNextReport has the holder of the lease tell first that
-// an engine is under order, and then no more.
+// TestPeerOrderEndsWithNextReport guards against avoiding an engine after its order no longer
+// appears in the peer's report.
 func TestPeerOrderEndsWithNextReport(t *testing.T) {
 	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
@@ -28,8 +28,8 @@
 	assert.Equal(t, home.Worker.ID, again.Worker.ID)
 }
 
-// TestWorkerSuspectedBySeveralNodesIsAvoided, unless this node has just heard
-// from it.
+// TestWorkerSuspectedBySeveralNodesIsAvoided guards against sending to a worker that several peers
+// cannot reach, unless this node has recent contact, and against relying on a single peer.
 func TestWorkerSuspectedBySeveralNodesIsAvoided(t *testing.T) {
 	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
@@ -37,7 +37,7 @@
 	suspects := PeerReport{Suspects: []fleet.EngineID{home.Worker.ID}}
 	registry.ObservePeer(0, "a", suspects)
 	one, _ := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, home.Worker.ID, one.Worker.ID, "one node may be cut off alone")
+	assert.Equal(t, home.Worker.ID, one.Worker.ID, "a single peer may be partitioned")
 	assert.True(t, registry.AllSuspects(0)[home.Worker.ID])
 	registry.ObservePeer(0, "b", suspects)
 	one.End(0, Cancelled)
@@ -48,10 +48,11 @@
 	assert.Equal(t, home.Worker.ID, trusted.Worker.ID)
 	trusted.End(2*time.Millisecond, Cancelled)
 	late, _ := registry.Choose(peerReportValidity, engineRequest("p"))
-	assert.Equal(t, home.Worker.ID, late.Worker.ID, "old words don't count")
+	assert.Equal(t, home.Worker.ID, late.Worker.ID, "expired reports don't count")
 }
 
-// TestWorkerDeferringSeveralNodesIsChosenLast, but isn't taken for one that can't be reached.
+// TestWorkerDeferringSeveralNodesIsChosenLast guards against preferring a worker that defers
+// several peers, and against treating it as unreachable.
 func TestWorkerDeferringSeveralNodesIsChosenLast(t *testing.T) {
 	registry := newPlainRegistry(2)
 	deferring := PeerReport{Deferring: []fleet.EngineID{"p0"}}
@@ -60,27 +61,28 @@
 	for range 50 {
 		chosen[choosePlain(t, registry, 0).Worker.ID] = true
 	}
-	assert.Len(t, chosen, 2, "it may reject the requests of one node alone")
+	assert.Len(t, chosen, 2, "the worker may reject the requests of a single peer")
 	registry.ObservePeer(0, "b", deferring)
 	for range 50 {
 		assert.EqualValues(t, "p1", choosePlain(t, registry, 0).Worker.ID)
 	}
 	assert.Empty(t, registry.AllSuspects(0))
 	registry.ObserveDraining(DrainingRun{Worker: "p1"})
-	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "there is nobody else")
+	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "no other worker is left")
 }
 
-// TestLoadUpdateCountsUntilNextReport.
+// TestLoadUpdateCountsUntilNextReport guards against ignoring load updates between reports, or
+// keeping them after the next report.
 func TestLoadUpdateCountsUntilNextReport(t *testing.T) {
 	reports := newPeerReports()
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
-	assert.Zero(t, reports.totalsAt(0).reportCount, "nothing else is known of the node")
+	assert.Zero(t, reports.totalsAt(0).reportCount, "update without a report")
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", PrefillTokens: 1}, {Engine: "f", PrefillTokens: 2}}})
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
 	assert.Equal(t, 9, reports.totalsAt(0).worker("e").PrefillTokens)
 	assert.Equal(t, 2, reports.totalsAt(0).worker("f").PrefillTokens)
 	reports.observe(0, "a", PeerReport{})
-	assert.Nil(t, reports.totalsAt(0).worker("e"), "nothing is told of it any more")
+	assert.Nil(t, reports.totalsAt(0).worker("e"), "the load is no longer reported")
 }
 
 func TestValidReportsAreSummed(t *testing.T) {
@@ -89,13 +91,13 @@
 	reports.observe(time.Second, "b", PeerReport{Loads: []Load{{Engine: "e", InFlight: 3, MemoryTokens: 5}}})
 	assert.Equal(t, 5, reports.totalsAt(time.Second).worker("e").InFlight)
 	assert.Equal(t, 15, reports.totalsAt(time.Second).worker("e").MemoryTokens)
-	assert.Equal(t, 3, reports.totalsAt(peerReportValidity).worker("e").InFlight, "the older report is too old")
+	assert.Equal(t, 3, reports.totalsAt(peerReportValidity).worker("e").InFlight, "the older report has expired")
 	reports.forget("b")
 	assert.Zero(t, reports.totalsAt(peerReportValidity).reportCount)
 }
 
-// TestIncrementalTotalsMatchRebuild compares the sum that takes in single reports with one made
-// anew, over random reports, changes and departures of nodes.
+// TestIncrementalTotalsMatchRebuild guards against incremental totals that drift from rebuilt ones,
+// over random reports, updates and departures.
 func TestIncrementalTotalsMatchRebuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	incremental := newPeerReports()
--- a/internal/backends/restart_test.go
+++ b/internal/backends/restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestRestartReplacesRun has it come back under its identifier: nothing that was
-// believed of the former run holds, and late word of that changes nothing.
+// TestRestartReplacesRun guards against a new run inheriting state from the previous run with the
+// same identifier, and against stale reports on the previous run.
 func TestRestartReplacesRun(t *testing.T) {
 	registry := newTestRegistry()
 	first := engineWorker(1, 3)
@@ -29,32 +29,33 @@
 	second := first
 	second.StartTime, second.Versions = 2000, map[fleet.ModelName]ModelVersion{testModel: 1}
 	assert.Equal(t, Restarted, registry.Observe(5, second))
-	assert.Zero(t, registry.InFlight(0, first.ID), "the send under way was to the former")
+	assert.Zero(t, registry.InFlight(0, first.ID), "the request in flight belongs to the previous run")
 	assert.Zero(t, held())
-	assert.EqualValues(t, 1, registry.Workers()[0].Versions[testModel], "it has what it says, not what the former had")
+	assert.EqualValues(t, 1, registry.Workers()[0].Versions[testModel], "the version is taken from the new row")
 	placement.End(0, Lost)
-	assert.NotNil(t, choose(registry, engineRequest("q")), "the end of the former's run isn't the new one's failure")
+	assert.NotNil(t, choose(registry, engineRequest("q")), "a failure of the previous run doesn't count for the new one")
 	late := first
 	late.Draining = true
-	assert.Equal(t, Unchanged, registry.Observe(6, late), "word of the former at a newer revision")
+	assert.Equal(t, Unchanged, registry.Observe(6, late), "report on the previous run at a newer revision")
 	assert.False(t, registry.IsDraining(first.ID))
-	assert.Equal(t, Unchanged, registry.Observe(3, second), "a late row")
+	assert.Equal(t, Unchanged, registry.Observe(3, second), "stale row")
 }
 
-// choose returns where a request would go.
+// choose returns the placement of a request, or nil.
 func choose(registry *Registry, request *Request) *Placement {
 	placement, _ := registry.Choose(0, request)
 	return placement
 }
 
-// TestObserveStartDetectsRestart has a report tell of the restart before the row does.
+// TestObserveStartDetectsRestart guards against missing a restart that is reported before the row
+// changes, and against stale start times.
 func TestObserveStartDetectsRestart(t *testing.T) {
 	registry := newTestRegistry()
 	worker := engineWorker(1, 1)
 	registry.Observe(1, worker)
 	assert.False(t, registry.ObserveStart(worker.ID, 0))
 	worker.StartTime = 1000
-	assert.Equal(t, Unchanged, registry.Observe(2, worker), "the first word on its start is no restart")
+	assert.Equal(t, Unchanged, registry.Observe(2, worker), "the first known start time is not a restart")
 	worker.Draining = true
 	assert.Equal(t, StartedDraining, registry.Observe(3, worker))
 	assert.False(t, registry.ObserveStart(worker.ID, 1000))
@@ -62,12 +63,12 @@
 	assert.True(t, registry.ObserveStart(worker.ID, 2000))
 	assert.False(t, registry.IsDraining(worker.ID))
 	assert.NotNil(t, choose(registry, engineRequest("p")))
-	assert.Equal(t, Unchanged, registry.Observe(4, worker), "the former's row")
+	assert.Equal(t, Unchanged, registry.Observe(4, worker), "row of the previous run")
 	assert.False(t, registry.ObserveStart("unknown", 5))
 }
 
-// TestUnusableRowRemovesWorkerFromUse, also where nobody else is there, until a row
-// names it again.
+// TestUnusableRowRemovesWorkerFromUse guards against using a worker with an unusable row as a last
+// resort, and against not using it again after a newer row.
 func TestUnusableRowRemovesWorkerFromUse(t *testing.T) {
 	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// manyEngines is more than a choice looks at.
+// manyEngines exceeds the number of engines that a choice examines.
 const manyEngines = 500
 
 func newLargeRegistry() *Registry {
@@ -24,10 +24,8 @@
 	return registry
 }
 
-// TestChoiceExaminesFewWorkersAtAnySize compares what a choice looks at, and the time of the
-// median one, in fleets of 100 and 10,000 engines. A look at all would take a hundred times
-// as many, and, where all hold a common prefix, ten thousand times as long if each was
-// compared with each.
+// TestChoiceExaminesFewWorkersAtAnySize guards against choices whose number of examined workers, or
+// duration, grows with the fleet.
 func TestChoiceExaminesFewWorkersAtAnySize(t *testing.T) {
 	const choices = 400
 	examined, took := map[int]int{}, map[int]time.Duration{}
@@ -49,20 +47,21 @@
 		took[engines] = times[choices/2]
 	}
 	small, large := sizes[0], sizes[1]
-	assert.Less(t, float64(examined[large]), 1.5*float64(examined[small]), "workers looked at")
+	assert.Less(t, float64(examined[large]), 1.5*float64(examined[small]), "workers examined")
 	assert.Less(t, examined[large], 60*choices)
 	assert.Less(t, took[large], 15*took[small], "%v and %v", took[small], took[large])
 }
 
-// TestSmallFleetIsSearchedExhaustively.
+// TestSmallFleetIsSearchedExhaustively guards against sampling in fleets that are small enough to
+// compare all workers.
 func TestSmallFleetIsSearchedExhaustively(t *testing.T) {
 	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, engineCount, placement.Candidates)
 }
 
-// TestOnlyWorkerWithCapacityIsFound has one of many engines take streams: requests are refused
-// as full only after its last place is taken.
+// TestOnlyWorkerWithCapacityIsFound guards against refusing requests as full while one of many
+// engines has capacity.
 func TestOnlyWorkerWithCapacityIsFound(t *testing.T) {
 	registry := newLargeRegistry()
 	for id, state := range registry.workers {
@@ -84,11 +83,11 @@
 	registry.workers["e300"].inFlight--
 	valid := manyEngines * scanValidityPerWorker
 	placement, refusal := registry.Choose(valid, engineRequest("p"))
-	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refusal)
+	require.NotNil(t, placement, "%v: the result of a full scan must expire", refusal)
 }
 
-// TestLateRefusalRequiresFullScan has every engine hold up a request for longer than
-// its target, but one whose long queue is less urgent: what is drawn by load misses it.
+// TestLateRefusalRequiresFullScan guards against refusing a request as late when a sample misses
+// the only engine that could meet its target.
 func TestLateRefusalRequiresFullScan(t *testing.T) {
 	registry := newLargeRegistry()
 	for id, state := range registry.workers {
@@ -114,7 +113,8 @@
 	require.NotNil(t, placement, refusal)
 }
 
-// TestSoftwareVersionLimitsCandidates has two workers of many carry the target's version.
+// TestSoftwareVersionLimitsCandidates guards against choosing a worker with another software
+// version than the request is limited to, or missing the few workers that have it.
 func TestSoftwareVersionLimitsCandidates(t *testing.T) {
 	registry := newLargeRegistry()
 	for _, number := range []int{5, 400} {
@@ -142,12 +142,13 @@
 	}
 	old := delivery.NewChoice("newer", false, nil, nil)
 	placement, refusal := choose(delivery.NewChoice("newer", true, nil, old))
-	require.NotNil(t, placement, refusal, "nobody has it: what holds then")
+	require.NotNil(t, placement, refusal, "the fallback applies if no worker has the version")
 	_, refusal = choose(delivery.NewChoice("newer", true, nil, nil))
 	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestHolderAmongManyIsFound also the one of the request's session.
+// TestHolderAmongManyIsFound guards against missing an engine that holds the shared parts, or the
+// session's own part, in a large fleet.
 func TestHolderAmongManyIsFound(t *testing.T) {
 	registry := newLargeRegistry()
 	scope := Scope(testModel, 1, "t", false)
@@ -169,7 +170,7 @@
 	}
 }
 
-// promptHomes returns the home of many prompts.
+// promptHomes returns the homes of the given number of prompts.
 func promptHomes(registry *Registry, prompts int) []fleet.EngineID {
 	homes := make([]fleet.EngineID, prompts)
 	for number := range homes {
@@ -179,8 +180,8 @@
 	return homes
 }
 
-// TestHomesAreStableAcrossMembershipChanges, are the same wherever rows came in another order, and
-// are spread over the engines.
+// TestHomesAreStableAcrossMembershipChanges guards against homes that depend on the order of the
+// rows, are spread unevenly, or move unnecessarily when engines join and leave.
 func TestHomesAreStableAcrossMembershipChanges(t *testing.T) {
 	const prompts = 4000
 	first, second := newLargeRegistry(), newTestRegistry()
--- a/internal/backends/speed_test.go
+++ b/internal/backends/speed_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSpeedEstimateToleratesSlowSamples has two of three requests wait for what
-// isn't known, or read more than is believed.
+// TestSpeedEstimateToleratesSlowSamples guards against overestimates when most samples include
+// unknown waits.
 func TestSpeedEstimateToleratesSlowSamples(t *testing.T) {
 	const first, perToken = 16 * time.Millisecond, 18 * time.Microsecond
 	random := rand.New(rand.NewPCG(1, 2))
@@ -31,11 +31,11 @@
 	assert.InDelta(t, float64(perToken), float64(measured.perToken), 0.15*float64(perToken))
 }
 
-// TestSpeedIsMeasuredOnlyAtIdleEngines compares predictions before
-// and after some requests at a quicker engine than assumed.
+// TestSpeedIsMeasuredOnlyAtIdleEngines guards against not adapting to faster engines than assumed,
+// and against using samples from busy engines.
 func TestSpeedIsMeasuredOnlyAtIdleEngines(t *testing.T) {
 	registry := newEngineRegistry()
-	ask := func(number int, elapsed time.Duration) *Placement {
+	serve := func(number int, elapsed time.Duration) *Placement {
 		request := engineRequest("p")
 		request.Engine.Store = ""
 		request.Engine.Parts[2].ID = fmt.Sprint("own", number)
@@ -49,11 +49,11 @@
 		return placement
 	}
 	for number := range 40 {
-		ask(number, 10*time.Millisecond+time.Duration((number%2)*30)*time.Millisecond)
+		serve(number, 10*time.Millisecond+time.Duration((number%2)*30)*time.Millisecond)
 	}
 	assert.InDelta(t, float64(10*time.Microsecond), float64(registry.perToken("engines")), float64(2*time.Microsecond))
 	busy, _ := registry.Choose(0, engineRequest("q"))
 	busy.PrefillTokens = 5000
 	busy.FirstByte(time.Microsecond)
-	assert.Greater(t, registry.perToken("engines"), 8*time.Microsecond, "its time tells nothing")
+	assert.Greater(t, registry.perToken("engines"), 8*time.Microsecond, "samples at busy engines don't count")
 }
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// newSubsetRegistry returns a registry of many engines in a subset.
+// newSubsetRegistry returns a registry of engines with planned subsets.
 func newSubsetRegistry(engines int, all bool) *Registry {
 	registry := newTestRegistry()
 	for number := range engines {
@@ -20,8 +20,8 @@
 	return registry
 }
 
-// TestHalvingsFollowFleetSizeAndDemand, and change neither for a few workers more or less
-// nor back and forth.
+// TestHalvingsFollowFleetSizeAndDemand guards against subsets of the wrong size, and against
+// oscillation after small changes.
 func TestHalvingsFollowFleetSizeAndDemand(t *testing.T) {
 	for _, test := range []struct {
 		workers, least int
@@ -41,8 +41,7 @@
 	}
 }
 
-// TestSubsetsAreNested, so that nodes that differ by a doubling send to the same workers
-// mostly.
+// TestSubsetsAreNested guards against disjoint workers on nodes whose subsets differ by a doubling.
 func TestSubsetsAreNested(t *testing.T) {
 	smaller, larger := Subsets{"s": 5}, Subsets{"s": 4}
 	inSmaller, inLarger := 0, 0
@@ -62,8 +61,8 @@
 	assert.Empty(t, smaller.Widened(Subsets{"s": 9}))
 }
 
-// TestOnlySubsetWorkersGetRequests, and the same work needs no more of them in a fleet
-// twice as large.
+// TestOnlySubsetWorkersGetRequests guards against using workers outside the subset, and against
+// subsets that grow with the fleet at the same demand.
 func TestOnlySubsetWorkersGetRequests(t *testing.T) {
 	for _, engines := range []int{10_000, 20_000} {
 		registry := newSubsetRegistry(engines, true)
@@ -81,18 +80,20 @@
 	}
 }
 
-// TestInFlightRequestsOutliveSubset has a worker leave the subset while it works.
+// TestInFlightRequestsOutliveSubset guards against dropping a worker with requests in flight when
+// it leaves the subset.
 func TestInFlightRequestsOutliveSubset(t *testing.T) {
 	registry := newSubsetRegistry(1000, false)
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	registry.SetSubsets(Subsets{"engines": maxHalvings}, false)
-	assert.Len(t, registry.Workers(), 1, "the others are dropped")
+	assert.Len(t, registry.Workers(), 1, "the other workers are dropped")
 	placement.End(0, Succeeded)
 	assert.Equal(t, []fleet.EngineID{placement.Worker.ID}, registry.Forget(0, time.Hour))
 	assert.Empty(t, registry.Workers())
 }
 
-// TestDroppedWorkerReturnsAtSameRevision.
+// TestDroppedWorkerReturnsAtSameRevision guards against ignoring the unchanged row of a worker that
+// returns to the subset.
 func TestDroppedWorkerReturnsAtSameRevision(t *testing.T) {
 	registry := newSubsetRegistry(1000, false)
 	registry.SetSubsets(nil, true)
@@ -106,7 +107,8 @@
 	assert.Len(t, registry.Workers(), 1000)
 }
 
-// TestSubsetWithoutCapacityIsDoubled, once a second at most.
+// TestSubsetWithoutCapacityIsDoubled guards against a subset that is not enlarged when it lacks
+// capacity, or is enlarged more than once in the minimum interval.
 func TestSubsetWithoutCapacityIsDoubled(t *testing.T) {
 	registry := newSubsetRegistry(10_000, true)
 	full := engineRequest("p")
@@ -121,7 +123,8 @@
 	assert.InDelta(t, 4*before, len(registry.WorkersInUse()), float64(before))
 }
 
-// TestExhaustedRequestDoesNotWidenSubset.
+// TestExhaustedRequestDoesNotWidenSubset guards against enlarging a subset for a request that has
+// already tried all of its workers.
 func TestExhaustedRequestDoesNotWidenSubset(t *testing.T) {
 	registry := newSubsetRegistry(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
--- a/internal/backends/work_test.go
+++ b/internal/backends/work_test.go
@@ -9,8 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// reservedFor returns the engines that are kept for long prompts; nil if none are kept for
-// either size.
+// reservedFor returns the engines reserved for long prompts, or nil if the pool is not partitioned.
 func (r *Registry) reservedFor(now time.Duration, service fleet.PoolName) map[fleet.EngineID]bool {
 	if _, partitioned := r.longPromptBound(now, r.poolOf(service)); !partitioned {
 		return nil
@@ -25,14 +24,14 @@
 	return reserved
 }
 
-// TestNodesAgreeOnEnginesForLongPrompts has one node see
-// long prompts only and another short ones.
+// TestNodesAgreeOnEnginesForLongPrompts guards against different partitions on nodes that receive
+// different prompt sizes.
 func TestNodesAgreeOnEnginesForLongPrompts(t *testing.T) {
 	first, second := newEngineRegistry(), newEngineRegistry()
 	service := engineRequest("p").Service
 	first.recordWork(0, service, &EngineRequest{PromptTokens: 9000}, 3000)
 	second.recordWork(0, service, &EngineRequest{PromptTokens: 500}, 1000)
-	assert.Nil(t, first.reservedFor(0, service), "it knows of one length only")
+	assert.Nil(t, first.reservedFor(0, service), "only one prompt size is known")
 	first.ObservePeer(0, "second", PeerReport{Work: second.OwnWork(0)})
 	second.ObservePeer(0, "first", PeerReport{Work: first.OwnWork(0)})
 	reserved := first.reservedFor(0, service)
