--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -82,9 +82,9 @@
 	// searches counts the searches for candidates and provides their identifiers.
 	searches uint64
 	// endpoints, eligibleBuffer, notReadyBuffer and matches are buffers reused by choices.
-	endpoints                      []scheduling.Endpoint
-	eligibleBuffer, notReadyBuffer []*workerState
-	matches                        []prefixindex.Match
+	endpoints          []scheduling.Endpoint
+	eligible, notReady []*workerState
+	matches            []prefixindex.Match
 }
 
 // New returns an empty registry.
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -82,7 +82,7 @@
 	servicePool := r.poolOf(request.Service)
 	s := &search{
 		Registry: r, now: now, request: request, software: software, pool: servicePool, id: r.searches,
-		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligibleBuffer[:0], notReady: r.notReadyBuffer[:0], acceptedVerdict: verdictEligible,
+		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligible[:0], notReady: r.notReady[:0], acceptedVerdict: verdictEligible,
 	}
 	s.isReserved = r.reservedForOtherSize(now, servicePool, request.Engine)
 	for tier := range servicePool.tiers {
@@ -116,7 +116,7 @@
 
 // saveBuffers returns the buffers to the registry for the next search.
 func (s *search) saveBuffers() {
-	s.Registry.eligibleBuffer, s.Registry.notReadyBuffer = s.eligible, s.notReady
+	s.Registry.eligible, s.Registry.notReady = s.eligible, s.notReady
 }
 
 // candidates returns the accepted workers.
