--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -27,8 +27,8 @@
 type verdict uint8
 
 const (
-	// verdictWrongSoftware: the request may not go to the worker's software version.
-	verdictWrongSoftware verdict = iota
+	// verdictIneligible: the request may not go to the worker's software version.
+	verdictIneligible verdict = iota
 	// verdictTried: the request was already sent to the run. verdictNoConnection: this node has no
 	// free connection to the worker.
 	verdictTried
@@ -184,7 +184,7 @@
 func (s *search) assess(state *workerState) verdict {
 	switch {
 	case state.gone && !state.isLapsed(s.now), !s.software.Allows(state.worker.ID, state.worker.Software):
-		return verdictWrongSoftware
+		return verdictIneligible
 	case slices.Contains(s.request.Excluded, state.worker.Run()):
 		return verdictTried
 	case s.request.HasConnection != nil && !s.request.HasConnection(&state.worker):
