--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -18,8 +18,8 @@
 	Parts        []Part
 	PromptTokens int
 	OutputTokens int
-	// Priority is the request's priority at the engine, from 0, the most urgent, to PriorityCount -
-	// 1.
+	// Priority is the request's priority at the engine, less than PriorityCount; 0 is the most
+	// urgent.
 	Priority int
 	// TimeLeft is the time left until the first event is due; 0 if unknown.
 	TimeLeft time.Duration
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -77,11 +77,11 @@
 	planned     Subsets
 	shortages   map[fleet.PoolName]shortage
 	onlySubsets bool
-	// changes counts the changes to the set of listed workers and to their versions.
+	// changes counts the changes to the set of workers and to their versions.
 	changes uint64
 	// searches counts the searches for candidates and provides their identifiers.
 	searches uint64
-	// endpoints, eligibleBuffer, notReadyBuffer and matches are buffers reused by choices.
+	// endpoints, eligible, notReady and matches are buffers reused by choices.
 	endpoints          []scheduling.Endpoint
 	eligible, notReady []*workerState
 	matches            []prefixindex.Match
@@ -383,20 +383,20 @@
 	return state.worker.Zone
 }
 
-// Workers returns the listed workers of all services, sorted by identifier.
+// Workers returns the workers of all services whose rows exist, sorted by identifier.
 func (r *Registry) Workers() []Worker {
 	return r.filterWorkers(func(state *workerState) bool { return !state.gone })
 }
 
-// WorkersInUse returns the listed workers in the active subsets, sorted by identifier.
+// WorkersInUse returns the workers in the active subsets whose rows exist, sorted by identifier.
 func (r *Registry) WorkersInUse() []Worker {
 	return r.filterWorkers(func(state *workerState) bool {
 		return !state.gone && r.subsets.contains(state.worker.Service, state.hash)
 	})
 }
 
-// Changes returns a counter that increases with each change to the set of listed workers or to
-// their versions.
+// Changes returns a counter that increases when a worker is observed or gone, or its version
+// changes.
 func (r *Registry) Changes() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -27,7 +27,7 @@
 type verdict uint8
 
 const (
-	// verdictIneligible: the request may not go to the worker's software version.
+	// verdictIneligible: the worker is gone, or the request may not go to its software version.
 	verdictIneligible verdict = iota
 	// verdictTried: the request was already sent to the run. verdictNoConnection: this node has no
 	// free connection to the worker.
@@ -91,8 +91,9 @@
 	return s
 }
 
-// gather collects candidates, or returns the reason why there are none. It only returns a reason
-// after all workers have been examined.
+// gather collects candidates, or returns the reason why there are none. Unless a valid full scan
+// has found all workers full, it only returns a reason after examining all workers that may get the
+// request.
 func (s *search) gather() (reason string) {
 	switch {
 	case s.exhaustive:
--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -77,7 +77,8 @@
 }
 
 // importSource returns the address from which an engine should import missing parts: the best
-// source or else the prompt's home. It returns "" if the engine needs no import.
+// source, which is the store if no engine is better, or the prompt's home if there is no store. It
+// returns "" if the engine needs no import.
 func (r *Registry) importSource(prompt *prompt, parts *promptScope, chosen *workerState) fleet.Address {
 	held := min(r.heldParts(parts, chosen), prompt.shared)
 	if held >= prompt.shared {
