--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -32,15 +32,15 @@
 	}
 }
 
-func engineWorker(number int, version WeightsVersion) Worker {
+func engineWorker(number int, version ModelVersion) Worker {
 	worker := plainWorker(number)
 	worker.ID = fleet.EngineID(fmt.Sprintf("e%d", number))
 	worker.Service, worker.Slots = "engines", 8
-	worker.Versions = map[fleet.ModelName]WeightsVersion{testModel: version}
+	worker.Versions = map[fleet.ModelName]ModelVersion{testModel: version}
 	return worker
 }
 
-func withPlain(count int) *Registry {
+func newPlainRegistry(count int) *Registry {
 	registry := newTestRegistry()
 	for number := range count {
 		registry.Observe(fleet.Revision(number+1), plainWorker(number))
@@ -48,7 +48,7 @@
 	return registry
 }
 
-func withEngines() *Registry {
+func newEngineRegistry() *Registry {
 	registry := newTestRegistry()
 	for number := range engineCount {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
@@ -58,8 +58,8 @@
 
 func choosePlain(t *testing.T, registry *Registry, now time.Duration) *Placement {
 	t.Helper()
-	placement, reason := registry.Choose(now, &Request{Service: "plain"})
-	require.NotNil(t, placement, reason)
+	placement, refusal := registry.Choose(now, &Request{Service: "plain"})
+	require.NotNil(t, placement, refusal)
 	return placement
 }
 
@@ -72,80 +72,81 @@
 }
 
 func TestStaleRowsChangeNothing(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	worker := plainWorker(0)
 	assert.Equal(t, Gone, registry.ObserveGone(0, 10, worker.ID))
-	assert.Equal(t, Unchanged, registry.Observe(9, worker), "a late row doesn't bring a worker back")
+	assert.Equal(t, Unchanged, registry.Observe(9, worker), "a stale row must not bring a worker back")
 	assert.Equal(t, Returned, registry.Observe(11, worker))
 	assert.Equal(t, Unchanged, registry.ObserveGone(0, 10, worker.ID))
 	assert.Len(t, registry.Workers(), 1)
 }
 
 func TestForgottenWorkerIsNotRevivedByALateRow(t *testing.T) {
-	registry := withPlain(1)
+	registry := newPlainRegistry(1)
 	registry.ObserveGone(0, 10, "p0")
 	assert.Equal(t, []fleet.EngineID{"p0"}, registry.Forget(time.Minute, time.Second))
 	assert.Equal(t, Unchanged, registry.Observe(9, plainWorker(0)))
 	assert.Empty(t, registry.Workers())
 }
 
-func TestWholeReadRemovesWhatItDoesNotName(t *testing.T) {
-	registry := withPlain(3)
-	gone := registry.ObserveAll(0, 2, map[fleet.EngineID]bool{"p0": true})
+func TestSnapshotRemovesUnlistedWorkers(t *testing.T) {
+	registry := newPlainRegistry(3)
+	gone := registry.ObserveSnapshot(0, 2, map[fleet.EngineID]bool{"p0": true})
 	assert.Equal(t, []fleet.EngineID{"p1"}, gone, "p2's row is newer than the read")
 }
 
-// TestDrainingWorkerGetsNoRequest also once a row has called it ready again.
+// TestDrainingWorkerGetsNoRequest guards against a later row making a draining worker available
+// again.
 func TestDrainingWorkerGetsNoRequest(t *testing.T) {
-	registry := withPlain(2)
+	registry := newPlainRegistry(2)
 	draining := plainWorker(0)
 	draining.Draining = true
-	assert.Equal(t, Began, registry.Observe(10, draining))
+	assert.Equal(t, StartedDraining, registry.Observe(10, draining))
 	registry.Observe(11, plainWorker(0))
 	for range 50 {
 		assert.Equal(t, fleet.EngineID("p1"), choosePlain(t, registry, 0).Worker.ID)
 	}
 	registry.ObserveGone(0, 12, "p1")
 	registry.ObserveGone(0, 13, "p0")
-	placement, reason := registry.Choose(lapseGrace, &Request{Service: "plain"})
+	placement, refusal := registry.Choose(lapsedGracePeriod, &Request{Service: "plain"})
 	assert.Nil(t, placement)
-	assert.Equal(t, ReasonNoWorker, reason.Reason)
+	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestLapsedWorkersAreUsedForAMomentIfNobodyElseIsThere covers rows that go
-// while the store is down.
-func TestLapsedWorkersAreUsedForAMomentIfNobodyElseIsThere(t *testing.T) {
-	registry := withPlain(2)
+// TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod guards against refusing all requests while
+// rows expire because the store is unavailable.
+func TestLapsedWorkersAreUsedAsLastResortWithinGracePeriod(t *testing.T) {
+	registry := newPlainRegistry(2)
 	registry.ObserveGone(time.Second, 10, "p0")
 	for range 20 {
 		assert.Equal(t, fleet.EngineID("p1"), choosePlain(t, registry, time.Second).Worker.ID)
 	}
 	registry.ObserveGone(time.Second, 11, "p1")
-	choosePlain(t, registry, time.Second+lapseGrace-1)
-	placement, _ := registry.Choose(time.Second+lapseGrace, &Request{Service: "plain"})
+	choosePlain(t, registry, time.Second+lapsedGracePeriod-1)
+	placement, _ := registry.Choose(time.Second+lapsedGracePeriod, &Request{Service: "plain"})
 	assert.Nil(t, placement)
 }
 
-func TestPlainRequestsGoWhereTheLeastAreInFlight(t *testing.T) {
-	registry := withPlain(3)
+func TestPlainRequestsGoToLeastLoadedWorker(t *testing.T) {
+	registry := newPlainRegistry(3)
 	registry.ObservePeer(0, "peer", PeerReport{Loads: []Load{{Engine: "p0", InFlight: 6}}})
 	counts := map[fleet.EngineID]int{}
 	for range 12 {
 		counts[choosePlain(t, registry, 0).Worker.ID]++
 	}
-	assert.Equal(t, map[fleet.EngineID]int{"p1": 6, "p2": 6}, counts, "another node's requests count")
+	assert.Equal(t, map[fleet.EngineID]int{"p1": 6, "p2": 6}, counts, "requests of peers count")
 	counts = map[fleet.EngineID]int{}
 	for range 6 {
-		counts[choosePlain(t, registry, 2*peerLoadValid).Worker.ID]++
+		counts[choosePlain(t, registry, 2*peerReportValidity).Worker.ID]++
 	}
-	assert.Equal(t, 6, counts["p0"], "an old word doesn't")
+	assert.Equal(t, 6, counts["p0"], "expired reports don't count")
 }
 
-func TestUnreachableWorkerIsLeftAloneForLongerEachTime(t *testing.T) {
-	registry := withPlain(2)
+func TestSuspicionOfUnreachableWorkerBacksOff(t *testing.T) {
+	registry := newPlainRegistry(2)
 	now := time.Duration(0)
 	state := registry.workers["p0"]
-	for _, want := range []time.Duration{firstSuspicion, 2 * firstSuspicion, 4 * firstSuspicion} {
+	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion} {
 		for {
 			placement := choosePlain(t, registry, now)
 			if placement.Worker.ID == "p0" {
@@ -159,14 +160,14 @@
 	}
 }
 
-func TestOnlyWorkerIsUsedAlsoInDoubt(t *testing.T) {
-	registry := withPlain(1)
+func TestOnlyWorkerIsUsedWhileSuspected(t *testing.T) {
+	registry := newPlainRegistry(1)
 	choosePlain(t, registry, 0).End(0, Unreachable)
 	choosePlain(t, registry, 0)
 }
 
-func TestWorkerThatFailsItsRequestsGetsFewer(t *testing.T) {
-	registry := withPlain(3)
+func TestFailingWorkerGetsFewerRequests(t *testing.T) {
+	registry := newPlainRegistry(3)
 	counts := map[fleet.EngineID]int{}
 	for step := range 600 {
 		now := time.Duration(step) * 20 * time.Millisecond
@@ -179,11 +180,11 @@
 		placement.End(now, outcome)
 	}
 	assert.Less(t, counts["p0"], 120)
-	assert.Positive(t, counts["p0"], "it is tried again")
+	assert.Positive(t, counts["p0"], "a failing worker must be tried again")
 }
 
-func TestSamePrefixGoesToTheSameEngineFromEveryNode(t *testing.T) {
-	first, second := withEngines(), withEngines()
+func TestNodesAgreeOnHomeEngine(t *testing.T) {
+	first, second := newEngineRegistry(), newEngineRegistry()
 	for number := range 20 {
 		prefix := fmt.Sprintf("prefix-%d", number)
 		one, _ := first.Choose(0, engineRequest(prefix))
@@ -197,30 +198,30 @@
 	}
 }
 
-func TestMissingPartsComeFromAnEngineThatHoldsThemElseFromTheStore(t *testing.T) {
-	registry := withEngines()
+func TestMissingPartsAreImportedFromEngineElseFromStore(t *testing.T) {
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, testStore, cold.Engine.ImportFrom)
 	assert.Equal(t, testStore, cold.Engine.SaveTo)
 	cold.FirstByte(0)
 	warm, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, cold.Worker.ID, warm.Worker.ID)
-	assert.Empty(t, warm.Engine.ImportFrom, "it holds the shared parts")
-	assert.Empty(t, warm.Engine.SaveTo, "the store has them")
+	assert.Empty(t, warm.Engine.ImportFrom, "the engine holds the shared parts")
+	assert.Empty(t, warm.Engine.SaveTo, "the store holds the parts")
 	request := engineRequest("p")
 	request.Excluded = []fleet.EngineRun{cold.Worker.Run()}
 	elsewhere, _ := registry.Choose(0, request)
 	assert.NotEqual(t, cold.Worker.ID, elsewhere.Worker.ID)
-	assert.Equal(t, cold.Worker.Address, elsewhere.Engine.ImportFrom, "all share the store's link")
+	assert.Equal(t, cold.Worker.Address, elsewhere.Engine.ImportFrom, "engines take precedence over the store, whose link is shared")
 	registry.parts.clear(cold.Worker.Run())
 	elsewhere, _ = registry.Choose(0, request)
 	assert.Equal(t, testStore, elsewhere.Engine.ImportFrom)
 }
 
-// TestStoreGetsOnlyWhatNoEngineHolds has the store drop parts that an engine
-// still has, and then the engine too.
-func TestStoreGetsOnlyWhatNoEngineHolds(t *testing.T) {
-	registry := withEngines()
+// TestStoreSavesOnlyPartsThatNoEngineHolds guards against saving parts to the store that an engine
+// still holds, and against not saving those that no engine holds completely.
+func TestStoreSavesOnlyPartsThatNoEngineHolds(t *testing.T) {
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	registry.parts.clear(StoreRun(testStore))
@@ -229,16 +230,16 @@
 	registry.parts.clear(cold.Worker.Run())
 	registry.ObserveCache(cold.Worker.Run(), false, []PartChange{{true, cold.Engine.Scope, "common"}})
 	again, _ := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, testStore, again.Engine.SaveTo, "a part of them isn't enough")
+	assert.Equal(t, testStore, again.Engine.SaveTo, "the engine holds only some of the parts")
 }
 
-// TestPartsAreNotTakenFromAnEngineOfAnotherVersion keeps cached parts of two
-// versions apart, also where an engine has kept both.
-func TestPartsAreNotTakenFromAnEngineOfAnotherVersion(t *testing.T) {
-	registry := withEngines()
+// TestPartsAreNotImportedAcrossVersions guards against sharing cached parts between two model
+// versions.
+func TestPartsAreNotImportedAcrossVersions(t *testing.T) {
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
-	registry.NoteVersion(cold.Worker.ID, testModel, 2)
+	registry.ObserveVersion(cold.Worker.ID, testModel, 2)
 	old := Scope(testModel, 1, "t", false)
 	registry.ObserveCache(cold.Worker.Run(), false, []PartChange{{true, old, "common"}, {true, old, "p"}})
 	request := engineRequest("p")
@@ -258,28 +259,28 @@
 }
 
 func TestRequiredVersionExcludesOlderEngines(t *testing.T) {
-	registry := withEngines()
-	registry.NoteVersion("e3", testModel, 2)
-	registry.Require(testModel, 2)
+	registry := newEngineRegistry()
+	registry.ObserveVersion("e3", testModel, 2)
+	registry.RequireVersion(testModel, 2)
 	for range 10 {
 		placement, _ := registry.Choose(0, engineRequest("p"))
 		require.NotNil(t, placement)
 		assert.Equal(t, fleet.EngineID("e3"), placement.Worker.ID)
 		assert.EqualValues(t, 2, placement.Engine.Version)
 	}
-	registry.Require(testModel, 3)
-	_, reason := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, ReasonVersion, reason.Reason)
+	registry.RequireVersion(testModel, 3)
+	_, refusal := registry.Choose(0, engineRequest("p"))
+	assert.Equal(t, ReasonVersion, refusal.Reason)
 	registry.Observe(50, engineWorker(3, 1))
-	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a row that lags doesn't take a version back")
+	assert.EqualValues(t, 2, registry.workers["e3"].worker.Versions[testModel], "a stale row must not revert the version")
 }
 
-// TestReplacedWeightsAreLeftWhereThatCostsLittle has one engine of six with the
-// newest weights, idle first and then with a long queue.
-func TestReplacedWeightsAreLeftWhereThatCostsLittle(t *testing.T) {
-	registry := withEngines()
-	registry.NoteVersion("e3", testModel, 2)
-	registry.Prefer(testModel, 2)
+// TestPreferredVersionIsChosenUnlessOverloaded guards against outdated versions being chosen
+// without need, and against overloading the engines with the preferred one.
+func TestPreferredVersionIsChosenUnlessOverloaded(t *testing.T) {
+	registry := newEngineRegistry()
+	registry.ObserveVersion("e3", testModel, 2)
+	registry.PreferVersion(testModel, 2)
 	for number := range 10 {
 		placement, _ := registry.Choose(0, engineRequest(fmt.Sprint("p", number)))
 		assert.Equal(t, fleet.EngineID("e3"), placement.Worker.ID)
@@ -288,24 +289,24 @@
 	registry.ObservePeer(0, "peer", PeerReport{Loads: []Load{{Engine: "e3", PrefillTokens: 30000}}})
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, fleet.EngineID("e3"), placement.Worker.ID)
-	registry.Prefer(testModel, 1)
-	assert.EqualValues(t, 2, registry.preferred[testModel], "it doesn't go back")
+	registry.PreferVersion(testModel, 1)
+	assert.EqualValues(t, 2, registry.preferred[testModel], "the preferred version must not decrease")
 }
 
-func TestEngineUnderOrderIsLeftOut(t *testing.T) {
-	registry := withEngines()
+func TestEngineUnderOrderGetsNoRequest(t *testing.T) {
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
-	registry.NoteOrder(home.Worker.ID, time.Second)
+	registry.ObserveOrder(home.Worker.ID, time.Second)
 	other, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, home.Worker.ID, other.Worker.ID)
 	again, _ := registry.Choose(time.Second, engineRequest("q"))
 	require.NotNil(t, again)
 }
 
-// TestHotPrefixSpreadsOverEngines sends many requests for one prefix at once:
-// the queue at its home grows dearer than a move of the prefix.
+// TestHotPrefixSpreadsOverEngines guards against all requests for a popular prefix queueing at its
+// home.
 func TestHotPrefixSpreadsOverEngines(t *testing.T) {
-	registry := withEngines()
+	registry := newEngineRegistry()
 	first, _ := registry.Choose(0, engineRequest("hot"))
 	first.FirstByte(0)
 	used := map[fleet.EngineID]bool{}
@@ -319,8 +320,8 @@
 	assert.Greater(t, len(used), 2)
 }
 
-func TestPartsRunOutUnused(t *testing.T) {
-	registry := withEngines()
+func TestUnusedPartsExpire(t *testing.T) {
+	registry := newEngineRegistry()
 	cold, _ := registry.Choose(0, engineRequest("p"))
 	cold.FirstByte(0)
 	cold.End(0, Succeeded)
@@ -329,22 +330,22 @@
 	assert.NotEmpty(t, later.Engine.SaveTo)
 }
 
-func TestEndCountsOnce(t *testing.T) {
-	registry := withEngines()
+func TestEndIsIdempotent(t *testing.T) {
+	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	require.Len(t, registry.OwnLoad(), 1)
-	assert.Equal(t, 9000, registry.OwnLoad()[0].PrefillTokens, "nobody holds the shared parts")
+	assert.Equal(t, 9000, registry.OwnLoad()[0].PrefillTokens, "no engine holds the shared parts")
 	placement.End(0, Lost)
 	placement.End(0, Lost)
 	placement.FirstByte(0)
 	assert.Empty(t, registry.OwnLoad())
-	assert.Zero(t, registry.workers[placement.Worker.ID].prefill)
+	assert.Zero(t, registry.workers[placement.Worker.ID].prefillTokens)
 }
 
-// TestLongAndShortPromptsKeepApart once both have been seen, as long as neither
-// queues.
-func TestLongAndShortPromptsKeepApart(t *testing.T) {
-	registry := withEngines()
+// TestLongAndShortPromptsUseSeparateEngines guards against long prompts delaying short ones while
+// neither has to queue.
+func TestLongAndShortPromptsUseSeparateEngines(t *testing.T) {
+	registry := newEngineRegistry()
 	short := func(number int) *Request {
 		request := engineRequest(fmt.Sprint("short", number))
 		request.Engine.PromptTokens = 300
@@ -352,7 +353,7 @@
 		request.Engine.Parts = []Part{{"s", 100}, {fmt.Sprint("own", number), 200}}
 		return request
 	}
-	sides := map[bool]map[fleet.EngineID]int{true: {}, false: {}}
+	usedBySize := map[bool]map[fleet.EngineID]int{true: {}, false: {}}
 	for step := range 400 {
 		now := time.Duration(step) * 100 * time.Millisecond
 		request := short(step)
@@ -363,18 +364,18 @@
 		require.NotNil(t, placement)
 		placement.End(now, Succeeded)
 		if step > 40 {
-			sides[step%4 == 0][placement.Worker.ID]++
+			usedBySize[step%4 == 0][placement.Worker.ID]++
 		}
 	}
-	for id := range sides[true] {
-		assert.Zero(t, sides[false][id], "engine %s takes both", id)
+	for id := range usedBySize[true] {
+		assert.Zero(t, usedBySize[false][id], "engine %s takes both sizes", id)
 	}
-	assert.NotEmpty(t, sides[true])
-	assert.NotEmpty(t, sides[false])
+	assert.NotEmpty(t, usedBySize[true])
+	assert.NotEmpty(t, usedBySize[false])
 }
 
-func TestOneSizeAloneUsesEveryEngine(t *testing.T) {
-	registry := withEngines()
+func TestUniformPromptSizeUsesEveryEngine(t *testing.T) {
+	registry := newEngineRegistry()
 	used := map[fleet.EngineID]bool{}
 	for step := range 200 {
 		placement, _ := registry.Choose(time.Duration(step)*100*time.Millisecond, engineRequest(fmt.Sprint("p", step)))
@@ -384,9 +385,10 @@
 	assert.Len(t, used, engineCount)
 }
 
-// TestObservedCacheReplacesBeliefs follows a cache's events through a restart.
-func TestObservedCacheReplacesBeliefs(t *testing.T) {
-	registry := withEngines()
+// TestCacheEventsReplaceAssumedParts guards against assuming parts that the cache events of a run
+// contradict.
+func TestCacheEventsReplaceAssumedParts(t *testing.T) {
+	registry := newEngineRegistry()
 	request := engineRequest("p")
 	scope := Scope(testModel, 1, "t", false)
 	run := fleet.EngineRun{Engine: "e2"}
@@ -396,22 +398,23 @@
 	assert.Equal(t, 2, placement.Engine.HeldParts)
 	placement.End(0, Cancelled)
 	later, _ := registry.Choose(2*partLifetime, request)
-	assert.Equal(t, 2, later.Engine.HeldParts, "what is followed doesn't run out")
+	assert.Equal(t, 2, later.Engine.HeldParts, "parts of a tracked cache don't expire")
 	later.End(0, Cancelled)
 	registry.ObserveCache(run, false, []PartChange{{false, scope, "common"}})
 	dropped, _ := registry.Choose(0, request)
-	assert.Zero(t, dropped.Engine.MostHeldParts, "a part is of no use without the one before")
+	assert.Zero(t, dropped.Engine.MostHeldParts, "a part without the preceding one doesn't count")
 	registry.ObserveCache(run, true, nil)
 	registry.ObserveCache(run, false, []PartChange{{true, scope, "common"}})
 	again, _ := registry.Choose(0, request)
 	assert.Equal(t, 1, again.Engine.MostHeldParts)
-	registry.LoseCache(run)
+	registry.UntrackCache(run)
 	lost, _ := registry.Choose(0, request)
 	assert.Zero(t, lost.Engine.MostHeldParts)
 }
 
-// TestHolderIsKeptToUntilItsQueueIsDearerThanAMove.
-func TestHolderIsKeptToUntilItsQueueIsDearerThanAMove(t *testing.T) {
+// TestHolderIsChosenUntilQueueOutweighsImport guards against leaving a holder too early or queueing
+// at it for too long.
+func TestHolderIsChosenUntilQueueOutweighsImport(t *testing.T) {
 	options := scheduling.DefaultOptions()
 	options.TieFraction, options.ImportWeight = 0.02, 8*time.Microsecond
 	registry := New(Options{Zone: "a", Random: rand.New(rand.NewPCG(1, 2)), Scheduling: options})
--- a/internal/backends/baseline_test.go
+++ b/internal/backends/baseline_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBaselineLeavesOutTheEnginesOwnSlowness and keeps what waits there.
-func TestBaselineLeavesOutTheEnginesOwnSlowness(t *testing.T) {
+// TestBaselineExcludesEngineSlowness guards against an engine's own slowness in the baseline, and
+// against a baseline without the wait for queued prompts.
+func TestBaselineExcludesEngineSlowness(t *testing.T) {
 	place := func(prefill int, slowness float64) *EnginePlacement {
-		registry := withEngines()
-		for _, known := range registry.workers {
-			known.prefill, known.slowness = prefill, slowness
+		registry := newEngineRegistry()
+		for _, state := range registry.workers {
+			state.prefillTokens, state.slowness = prefill, slowness
 		}
-		placement, refused := registry.Choose(0, engineRequest("p"))
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, engineRequest("p"))
+		require.NotNil(t, placement, refusal)
 		return placement.Engine
 	}
 	sound, slow, busy := place(0, 1), place(0, 4), place(20_000, 1)
--- a/internal/backends/benchmark_test.go
+++ b/internal/backends/benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// BenchmarkChooseWithManyPeers places a request among 3,000 engines after each of a dozen
-// peers, of which each has requests at 600 of them, has told a change.
+// BenchmarkChooseWithManyPeers measures a choice among 3,000 engines after each load update, with a
+// dozen peers that each use 600 of them.
 func BenchmarkChooseWithManyPeers(b *testing.B) {
 	const engines, peers, used = 3000, 12, 600
 	random := rand.New(rand.NewPCG(1, 2))
@@ -18,11 +18,11 @@
 	for number := range engines {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
 	}
-	registry.SetPeers(peers)
+	registry.SetPeerCount(peers)
 	load := func(number int) Load {
-		told := Load{Engine: fleet.EngineID(fmt.Sprintf("e%d", number)), InFlight: 3, PrefillTokens: 900, MemoryTokens: 9000}
-		told.Priorities[number%3] = PriorityLoad{InFlight: 3, PrefillTokens: 900}
-		return told
+		load := Load{Engine: fleet.EngineID(fmt.Sprintf("e%d", number)), InFlight: 3, PrefillTokens: 900, MemoryTokens: 9000}
+		load.Priorities[number%3] = PriorityLoad{InFlight: 3, PrefillTokens: 900}
+		return load
 	}
 	for peer := range peers {
 		report := PeerReport{}
@@ -33,7 +33,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		registry.UpdatePeer(fleet.NodeID(fmt.Sprint(random.IntN(peers))), []Load{load(random.IntN(engines))})
+		registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(random.IntN(peers))), []Load{load(random.IntN(engines))})
 		placement, _ := registry.Choose(0, engineRequest("p"))
 		placement.End(0, Succeeded)
 	}
--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -8,240 +8,236 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that the choice of a worker depends on.
 type Request struct {
 	Service  fleet.PoolName
 	Excluded []fleet.EngineRun
-	// Free tells whether this node has a connection left for a worker; nil
-	// means always.
-	Free func(worker *Worker) bool
-	// Intake tells whether a worker takes more requests by what it says of that; nil means
-	// that no worker says anything.
-	Intake func(worker *Worker) (Intake, time.Duration)
-	// Versions limits the choice by the version of the workers' software; nil limits
-	// nothing.
-	Versions *delivery.Choice
-	// Bytes is the size of the request and of the answer that is expected.
+	// HasConnection reports whether this node has a free connection to a worker; nil means always.
+	HasConnection func(worker *Worker) bool
+	// Admission returns whether a worker admits requests, and for how long not; nil means that all
+	// workers admit requests without a limit.
+	Admission func(worker *Worker) (Admission, time.Duration)
+	// Software limits the choice by the workers' software version; nil means no limit.
+	Software *delivery.Choice
+	// Bytes is the size of the request and its expected response.
 	Bytes int
-	// Engine is set for requests to language-model engines.
+	// Engine is set for requests to language model engines.
 	Engine *EngineRequest
 }
 
-// Intake tells whether a worker takes more requests.
-type Intake uint8
+// Admission is whether a worker admits requests.
+type Admission uint8
 
-// Intakes.
+// Admission states of a worker.
 const (
-	// IntakeFree is a worker that takes requests without a limit.
-	IntakeFree Intake = iota
-	// IntakeLimited is a worker with a limit that may have room.
-	IntakeLimited
-	// IntakeClosed is a worker that takes none for a time.
-	IntakeClosed
+	// AdmissionUnlimited means that the worker has no request limit.
+	AdmissionUnlimited Admission = iota
+	// AdmissionLimited means that the worker has a request limit that it may not have reached.
+	AdmissionLimited
+	// AdmissionClosed means that the worker temporarily admits no requests.
+	AdmissionClosed
 )
 
-// intake returns whether a worker takes the request, and for how long not.
-func (r *Request) intake(worker *Worker) (Intake, time.Duration) {
-	if r.Intake == nil {
-		return IntakeFree, 0
+// admission returns whether the worker admits the request, and for how long not.
+func (r *Request) admission(worker *Worker) (Admission, time.Duration) {
+	if r.Admission == nil {
+		return AdmissionUnlimited, 0
 	}
-	return r.Intake(worker)
+	return r.Admission(worker)
 }
 
-// Refusal tells why no worker was chosen.
+// Refusal explains why no worker was chosen.
 type Refusal struct {
 	Reason string
-	// RetryAfter is when there is room by what is known; 0 if that isn't known.
+	// RetryAfter is the predicted time until capacity is available; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Reasons why no worker could be chosen.
+// Reasons of a refusal.
 const (
-	ReasonNoWorker  = "no_worker"
-	ReasonExcluded  = "all_tried"
-	ReasonUnsettled = "none_ready"
-	ReasonFull      = "full"
-	ReasonVersion   = "none_at_version"
-	// ReasonLimited means that the workers that could get it take no requests for a time.
+	ReasonNoWorker = "no_worker"
+	ReasonExcluded = "all_tried"
+	ReasonNotReady = "none_ready"
+	ReasonFull     = "full"
+	ReasonVersion  = "none_at_version"
+	// ReasonLimited means that all remaining workers temporarily admit no requests.
 	ReasonLimited = "at_their_limits"
-	// ReasonLate means that each worker has more to do before the request than its
-	// target allows.
+	// ReasonLate means that the request would miss its target at every worker.
 	ReasonLate = "none_in_time"
 )
 
-// Placement is a chosen worker, with what the choice went by. Exactly one call
-// of End must follow.
+// Placement is a request placed at a worker. The caller must call End once the request has ended.
 type Placement struct {
 	Worker Worker
-	// InFlight, PrefillTokens and MemoryTokens are the worker's load over all nodes at
-	// the choice.
+	// InFlight, PrefillTokens and MemoryTokens are the worker's load over all nodes at the time of
+	// the choice, without this request.
 	InFlight      int
 	PrefillTokens int
 	MemoryTokens  int
-	// Candidates counts the workers that were compared, and Looked those that were looked
-	// at for it.
+	// Candidates is the number of workers that were compared, and Examined the number that were
+	// examined to find them.
 	Candidates int
-	Looked     int
-	// FailureRate is the worker's mean failure rate at the choice.
+	Examined   int
+	// FailureRate is the worker's failure rate at the time of the choice.
 	FailureRate float64
 	// Engine is set for engines.
 	Engine *EnginePlacement
-	// Limited is set if the worker has a limit on its requests: what it takes or refuses then
-	// tells nothing of how fast or how sound it is.
+	// Limited is set if the worker has a request limit. Its refusals and latency then say nothing
+	// about its health or speed.
 	Limited bool
 
-	registry *Registry
-	state    *state
-	begun    time.Duration
-	work     placedWork
-	first    bool
-	ended    bool
-	// took is the time from the choice until the answer began.
-	took time.Duration
+	registry     *Registry
+	state        *workerState
+	chosenAt     time.Duration
+	work         placedWork
+	hasFirstByte bool
+	ended        bool
+	// timeToFirstByte is the time from the choice until the response began.
+	timeToFirstByte time.Duration
 }
 
-// Outcome tells how a request at a worker went.
+// Outcome is the result of a request at a worker.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	// Succeeded means that the worker's whole answer came.
+	// Succeeded means that the complete response was received.
 	Succeeded Outcome = iota
-	// Failed means that the worker answered that it failed.
+	// Failed means that the worker responded with an error.
 	Failed
-	// Refused means that the worker didn't run the request because it was full
-	// or leaving.
+	// Refused means that the worker did not run the request because it was full or draining.
 	Refused
-	// Mismatched means that another run, or another version, was found there.
+	// Mismatched means that another run or another version was found at the worker's address.
 	Mismatched
-	// Unreachable means that nothing could be sent.
+	// Unreachable means that the request could not be sent.
 	Unreachable
-	// Lost means that no whole answer came.
+	// Lost means that the response was incomplete or missing.
 	Lost
-	// Cancelled means that this side ended the request.
+	// Cancelled means that this node ended the request.
 	Cancelled
-	// Deferred means that the worker didn't run the request and wants none for a time.
+	// Deferred means that the worker did not run the request and asked for no requests for some
+	// time.
 	Deferred
 )
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"succeeded", "failed", "refused", "mismatched", "unreachable", "lost", "cancelled", "deferred"}[o]
 }
 
-// Choose chooses a worker and counts the request there. Without one it says why.
+// Choose chooses a worker and counts the request there. If there is none, it returns a nil
+// placement and the reason.
 func (r *Registry) Choose(now time.Duration, request *Request) (*Placement, Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	placement, refusal := r.choose(now, request)
 	if placement == nil && refusal.Reason != ReasonExcluded {
-		r.noteShortage(now, request.Service)
+		r.recordShortage(now, request.Service)
 	}
-	next := request.Versions.Fallback()
-	if placement != nil || next == nil || !request.Versions.WantsTarget() {
+	next := request.Software.Fallback()
+	if placement != nil || next == nil || !request.Software.WantsTarget() {
 		return placement, refusal
 	}
-	// A delivery's few target workers may be full or slow while others have room.
-	limited := *request
-	limited.Versions = next
-	return r.choose(now, &limited)
+	// The few workers with the target version may be full or slow while others have capacity.
+	fallback := *request
+	fallback.Software = next
+	return r.choose(now, &fallback)
 }
 
-// choose is Choose; the mutex is held.
+// choose implements Choose. The mutex must be held.
 func (r *Registry) choose(now time.Duration, request *Request) (*Placement, Refusal) {
-	found, reason := r.candidates(now, request)
+	search, reason := r.candidates(now, request)
 	switch {
 	case reason == ReasonFull && request.Engine != nil:
 		return nil, Refusal{Reason: reason, RetryAfter: r.slotTime(request.Service)}
 	case reason == ReasonLimited:
-		return nil, Refusal{Reason: reason, RetryAfter: found.opensIn}
+		return nil, Refusal{Reason: reason, RetryAfter: search.reopensIn}
 	case reason != "":
 		return nil, Refusal{Reason: reason}
 	case request.Engine != nil:
-		return r.chooseEngine(found)
+		return r.chooseEngine(search)
 	default:
-		return r.choosePlain(found), Refusal{}
+		return r.choosePlain(search), Refusal{}
 	}
 }
 
-// candidates returns the workers that may get a request, by the versions that it is
-// limited to; without one, by what holds then.
+// candidates searches for workers that may get the request. If the software versions that the
+// request is limited to yield none, it searches with the fallback versions.
 func (r *Registry) candidates(now time.Duration, request *Request) (*search, string) {
-	versions := request.Versions
+	software := request.Software
 	for {
-		found := r.newSearch(now, request, versions)
-		reason := found.gather()
-		next := versions.Fallback()
-		if reason == "" || next == nil || (reason != ReasonNoWorker && !versions.WantsTarget()) {
-			return found, reason
+		search := r.newSearch(now, request, software)
+		reason := search.gather()
+		next := software.Fallback()
+		if reason == "" || next == nil || (reason != ReasonNoWorker && !software.WantsTarget()) {
+			return search, reason
 		}
-		versions = next
+		software = next
 	}
 }
 
-// settled tells whether neither this node nor enough others know anything against
-// a worker right now.
-func (r *Registry) settled(now time.Duration, known *state) bool {
-	return known.settled(now) && r.settledByPeers(now, known)
+// isReady reports whether neither this node nor enough peers have reason to avoid the worker. The
+// mutex must be held.
+func (r *Registry) isReady(now time.Duration, state *workerState) bool {
+	return state.isReady(now) && r.isReadyByPeers(now, state)
 }
 
-// choosePlain takes the worker with the least load by its slots, failures and
-// slowness; the own zone breaks ties.
-func (r *Registry) choosePlain(found *search) *Placement {
-	candidates := found.candidates()
-	mean := meanFailureRate(found.now, candidates)
-	var best *state
+// choosePlain chooses the worker with the lowest cost, based on its load, failures, slowness and
+// distance.
+func (r *Registry) choosePlain(search *search) *Placement {
+	candidates := search.candidates()
+	minFailures := minFailureRate(search.now, candidates)
+	var best *workerState
 	bestCost := math.Inf(1)
-	for _, known := range candidates {
-		cost := r.plainCost(found.now, known, mean)
+	for _, state := range candidates {
+		cost := r.plainCost(search.now, state, minFailures)
 		if cost < bestCost {
-			best, bestCost = known, cost
+			best, bestCost = state, cost
 		}
 	}
-	placement := r.begin(found.now, best, len(candidates), placedWork{})
-	placement.Looked = found.looked
-	placement.Limited = found.limited(best)
+	placement := r.begin(search.now, best, len(candidates), placedWork{})
+	placement.Examined = search.examined
+	placement.Limited = search.hasLimit(best)
 	return placement
 }
 
-// tieCost is the part of a plain worker's cost that chance makes, in requests in flight at
-// one slot.
-const tieCost = 0.02
+// tieJitter is the range of the random term that breaks ties, in requests in flight per slot.
+const tieJitter = 0.02
 
-func (r *Registry) plainCost(now time.Duration, known *state, meanFailures float64) float64 {
-	load := r.total(now, known)
-	slots := float64(max(known.worker.Slots, 1))
+func (r *Registry) plainCost(now time.Duration, state *workerState, minFailures float64) float64 {
+	load := r.totalLoad(now, state)
+	slots := float64(max(state.worker.Slots, 1))
 	cost := (float64(load.InFlight) + 1) / slots
-	cost *= max(known.slowness, 1)
-	excess := max(known.failureRate(now)-meanFailures, 0)
+	cost *= max(state.slowness, 1)
+	excess := max(state.failureRate(now)-minFailures, 0)
 	cost *= 1 + excess*8
-	cost += r.options.Distances.Plain[r.from(known.worker.Zone)]
-	return cost + r.options.Random.Float64()*tieCost
+	cost += r.options.Distances.Plain[r.distanceTo(state.worker.Zone)]
+	return cost + r.options.Random.Float64()*tieJitter
 }
 
-// meanFailureRate returns the lowest rate among candidates: answers that fail
-// for the request's own sake fail everywhere.
-func meanFailureRate(now time.Duration, candidates []*state) float64 {
+// minFailureRate returns the lowest failure rate among the candidates. Failures caused by the
+// requests themselves affect all workers alike and are not held against one.
+func minFailureRate(now time.Duration, candidates []*workerState) float64 {
 	lowest := 1.0
-	for _, known := range candidates {
-		lowest = min(lowest, known.failureRate(now))
+	for _, state := range candidates {
+		lowest = min(lowest, state.failureRate(now))
 	}
 	return lowest
 }
 
-// placedWork is what a request brings to a worker.
+// placedWork is the load that a request adds to a worker.
 type placedWork struct {
 	priority int
-	// prefill is the prompt work, in tokens.
-	prefill int
-	need    memoryNeed
+	// prefillTokens is the number of uncached prompt tokens.
+	prefillTokens int
+	need          memoryNeed
 }
 
-// begin counts a request at a worker.
-func (r *Registry) begin(now time.Duration, chosen *state, candidates int, work placedWork) *Placement {
-	load := r.total(now, chosen)
+// begin counts a request at a worker. The mutex must be held.
+func (r *Registry) begin(now time.Duration, chosen *workerState, candidates int, work placedWork) *Placement {
+	load := r.totalLoad(now, chosen)
 	chosen.begin(work)
-	r.relevel(chosen)
+	r.updateLevel(chosen)
 	return &Placement{
 		Worker:        chosen.worker,
 		InFlight:      load.InFlight,
@@ -250,50 +246,51 @@
 		FailureRate:   chosen.failureRate(now),
 		registry:      r,
 		state:         chosen,
-		begun:         now,
+		chosenAt:      now,
 		work:          work,
 		MemoryTokens:  load.MemoryTokens,
 	}
 }
 
-// Prefill returns the prompt work of the request, in tokens.
-func (p *Placement) Prefill() int { return p.work.prefill }
+// UncachedTokens returns the number of the request's prompt tokens that need prefill.
+func (p *Placement) UncachedTokens() int { return p.work.prefillTokens }
 
-// Took returns the time from the choice until the answer began, or until now if it hasn't.
-func (p *Placement) Took(now time.Duration) time.Duration {
+// TimeToFirstByte returns the time from the choice until the response began, or until now if it has
+// not begun.
+func (p *Placement) TimeToFirstByte(now time.Duration) time.Duration {
 	r := p.registry
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !p.first {
-		return now - p.begun
+	if !p.hasFirstByte {
+		return now - p.chosenAt
 	}
-	return p.took
+	return p.timeToFirstByte
 }
 
-// FirstByte notes that the worker's answer has begun.
+// FirstByte records that the response has begun.
 func (p *Placement) FirstByte(now time.Duration) {
 	r := p.registry
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if p.first || p.ended {
+	if p.hasFirstByte || p.ended {
 		return
 	}
-	p.first = true
-	p.took = now - p.begun
+	p.hasFirstByte = true
+	p.timeToFirstByte = now - p.chosenAt
 	p.state.endPrefill(p.work)
-	r.relevel(p.state)
-	p.state.trust(now)
+	r.updateLevel(p.state)
+	p.state.recordContact(now)
 	if p.Engine == nil {
 		return
 	}
-	r.noteHeld(now, p)
+	r.recordHeldParts(now, p)
 	if !p.Limited {
-		p.state.measure(now-p.begun, p.Engine.Predicted)
-		r.noteSpeed(p, now-p.begun)
+		p.state.recordSlowness(now-p.chosenAt, p.Engine.Predicted)
+		r.recordSpeed(p, now-p.chosenAt)
 	}
 }
 
-// End notes how the request went. Later calls do nothing.
+// End records the outcome of the request. Further calls have no effect.
 func (p *Placement) End(now time.Duration, outcome Outcome) {
 	r := p.registry
 	r.mutex.Lock()
@@ -302,34 +299,34 @@
 		return
 	}
 	p.ended = true
-	known := p.state
-	if !p.first {
-		known.endPrefill(p.work)
+	state := p.state
+	if !p.hasFirstByte {
+		state.endPrefill(p.work)
 	}
-	known.end(p.work)
-	r.relevel(known)
+	state.end(p.work)
+	r.updateLevel(state)
 	switch {
 	case outcome == Refused && p.Limited:
 		return
 	case outcome == Succeeded && !p.Limited:
-		r.noteSlotTime(p, now-p.begun)
+		r.recordSlotTime(p, now-p.chosenAt)
 	default:
 	}
 	switch outcome {
 	case Succeeded:
-		known.note(now, false)
-		known.trust(now)
+		state.recordOutcome(now, false)
+		state.recordContact(now)
 	case Failed, Refused:
-		known.note(now, true)
+		state.recordOutcome(now, true)
 	case Mismatched:
-		known.doubtUntil = now + doubtFor
+		state.mismatchUntil = now + mismatchBackoff
 	case Unreachable:
-		known.note(now, true)
-		known.suspect(now)
+		state.recordOutcome(now, true)
+		state.suspect(now)
 	case Lost:
-		known.note(now, true)
-		if !p.first {
-			known.suspect(now)
+		state.recordOutcome(now, true)
+		if !p.hasFirstByte {
+			state.suspect(now)
 		}
 	case Cancelled, Deferred:
 	}
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -12,31 +12,33 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Sizes and shares of a simulated fleet of engines, seen by one of a dozen nodes.
+// Parameters of a simulated fleet of engines, as seen by one of a dozen nodes.
 const (
 	simulatedPeers = 12
 	simulatedSlots = 12
 	simulatedZones = 3
-	// prefixesPerEngine, holdersMost: long shared prefixes, each at some engines.
-	prefixesPerEngine = 4
-	holdersMost       = 6
-	// commonPrefixes are short and at all engines.
+	// prefixesPerEngine is the number of long shared prefixes for each engine, and
+	// maxHoldersPerPrefix the maximum number of engines that hold one of them.
+	prefixesPerEngine   = 4
+	maxHoldersPerPrefix = 6
+	// commonPrefixes is the number of short prefixes that every engine holds.
 	commonPrefixes = 16
 	longShare      = 0.08
 )
 
-// simulatedFleet is a registry with engines under load, and a stream of requests.
+// simulatedFleet is a registry of engines under load, with a stream of requests.
 type simulatedFleet struct {
 	registry *Registry
 	random   *rand.Rand
 	engines  int
-	// busy is the mean number of requests of all nodes at an engine.
-	busy   float64
-	now    time.Duration
-	number int
-	open   []*Placement
-	// sorted holds the engines by load, own those of one node: for BenchmarkWays.
-	sorted, own []*state
+	// meanInFlight is the mean number of requests in flight at an engine over all nodes.
+	meanInFlight float64
+	now          time.Duration
+	requests     int
+	placements   []*Placement
+	// sorted holds the engines by load, and nodeEngines those assigned to one node, for
+	// BenchmarkStrategies.
+	sorted, nodeEngines []*workerState
 }
 
 func newSimulatedFleet(engines int, busy float64, options Options) *simulatedFleet {
@@ -44,21 +46,21 @@
 	options.Scheduling = scheduling.DefaultOptions()
 	options.Scheduling.TieFraction, options.Scheduling.ImportWeight = 0.02, 45*time.Microsecond
 	options.MaxParts = 1 << 21
-	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, busy: busy}
+	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, meanInFlight: busy}
 	for number := range engines {
 		worker := engineWorker(number, 1)
 		worker.Slots = simulatedSlots
 		worker.Zone = fleet.ZoneName(fmt.Sprintf("z%d", number%simulatedZones))
 		f.registry.Observe(fleet.Revision(number+1), worker)
 	}
-	f.registry.SetCapacity("engines", 130_000)
-	f.registry.SetPeers(simulatedPeers)
+	f.registry.SetMemoryCapacity("engines", 130_000)
+	f.registry.SetPeerCount(simulatedPeers)
 	f.fillCaches()
-	f.hearPeers()
+	f.reportPeers()
 	return f
 }
 
-// fillCaches has all engines hold the common prefixes and a few each long one.
+// fillCaches stores the common prefixes at all engines and each long prefix at a few.
 func (f *simulatedFleet) fillCaches() {
 	scope := Scope(testModel, 1, "t", false)
 	changes := make([][]PartChange, f.engines)
@@ -68,9 +70,9 @@
 		}
 	}
 	for prefix := range prefixesPerEngine * f.engines {
-		for range 1 + f.random.IntN(holdersMost) {
-			at := f.random.IntN(f.engines)
-			changes[at] = append(changes[at], PartChange{true, scope, fmt.Sprint("long-", prefix)})
+		for range 1 + f.random.IntN(maxHoldersPerPrefix) {
+			index := f.random.IntN(f.engines)
+			changes[index] = append(changes[index], PartChange{true, scope, fmt.Sprint("long-", prefix)})
 		}
 	}
 	for number, held := range changes {
@@ -78,8 +80,8 @@
 	}
 }
 
-// hearPeers has each other node report its requests.
-func (f *simulatedFleet) hearPeers() {
+// reportPeers observes a report of each peer.
+func (f *simulatedFleet) reportPeers() {
 	for peer := range simulatedPeers {
 		var report PeerReport
 		for number := range f.engines {
@@ -91,10 +93,10 @@
 	}
 }
 
-// peerLoad returns what one other node has at an engine.
+// peerLoad returns a random load of one peer at an engine, and whether it is not empty.
 func (f *simulatedFleet) peerLoad(number int) (Load, bool) {
 	load := Load{Engine: engineWorker(number, 1).ID}
-	for f.random.Float64() < f.busy/simulatedPeers/(1+f.busy/simulatedPeers) {
+	for f.random.Float64() < f.meanInFlight/simulatedPeers/(1+f.meanInFlight/simulatedPeers) {
 		load.InFlight++
 		load.MemoryTokens += 2000
 		if f.random.IntN(4) == 0 {
@@ -107,8 +109,8 @@
 
 // request returns the next request: a short prompt with a common prefix, or a long one.
 func (f *simulatedFleet) request() *Request {
-	f.number++
-	own := fmt.Sprint("own-", f.number)
+	f.requests++
+	own := fmt.Sprint("own-", f.requests)
 	engine := &EngineRequest{
 		Model: testModel, Tenant: "t", TokenBytes: 160_000, LinkMegabits: 550_000, OutputTokens: 40, Priority: 1,
 		Target: 500 * time.Millisecond, TimeLeft: 500 * time.Millisecond, MayRefuse: true, EventTokens: 7,
@@ -122,25 +124,25 @@
 		engine.Parts = []Part{{fmt.Sprint("common-", f.random.IntN(commonPrefixes)), 92}, {own, 291}}
 		engine.PromptTokens = 383
 	}
-	return &Request{Service: "engines", Engine: engine, Free: func(*Worker) bool { return true }}
+	return &Request{Service: "engines", Engine: engine, HasConnection: func(*Worker) bool { return true }}
 }
 
-// step lets time pass: some requests end, a peer tells a change.
+// step advances the time, ends requests and applies a load update of a peer.
 func (f *simulatedFleet) step() {
 	f.now += time.Millisecond
-	if len(f.open) > 64 {
-		f.open[0].FirstByte(f.now)
-		f.open[0].End(f.now, Succeeded)
-		f.open = f.open[1:]
+	if len(f.placements) > 64 {
+		f.placements[0].FirstByte(f.now)
+		f.placements[0].End(f.now, Succeeded)
+		f.placements = f.placements[1:]
 	}
 	load, _ := f.peerLoad(f.random.IntN(f.engines))
-	f.registry.UpdatePeer(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
+	f.registry.UpdatePeerLoads(fleet.NodeID(fmt.Sprint(f.random.IntN(simulatedPeers))), []Load{load})
 	if f.now%(600*time.Millisecond) == 0 {
-		f.hearPeers()
+		f.reportPeers()
 	}
 }
 
-// BenchmarkChoose measures one choice of an engine, by the number of engines.
+// BenchmarkChoose measures the choice of an engine for several fleet sizes.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{12, 90, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -154,13 +156,13 @@
 				request := simulated.request()
 				b.StartTimer()
 				start := time.Now()
-				placement, refused := simulated.registry.Choose(simulated.now, request)
+				placement, refusal := simulated.registry.Choose(simulated.now, request)
 				elapsed := time.Since(start)
 				if placement == nil {
-					b.Fatal(refused)
+					b.Fatal(refusal)
 				}
 				_ = histogram.RecordValue(int64(elapsed))
-				simulated.open = append(simulated.open, placement)
+				simulated.placements = append(simulated.placements, placement)
 			}
 			const nanosPerMicro = 1e3
 			b.ReportMetric(float64(histogram.ValueAtQuantile(50))/nanosPerMicro, "p50-µs")
@@ -169,17 +171,17 @@
 	}
 }
 
-// BenchmarkObservePeer takes a report in, of requests at a quarter of the engines, in place
-// of the one before: choices wait meanwhile.
+// BenchmarkObservePeer measures replacing a peer's report with requests at a quarter of the
+// engines, during which choices are blocked.
 func BenchmarkObservePeer(b *testing.B) {
 	for _, engines := range []int{90, 1000, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			simulated := newSimulatedFleet(engines, simulatedSlots/3, Options{Zone: "z0"})
 			var reports [2]PeerReport
-			for at := range reports {
+			for index := range reports {
 				for number := range engines {
 					if load, any := simulated.peerLoad(number); any {
-						reports[at].Loads = append(reports[at].Loads, load)
+						reports[index].Loads = append(reports[index].Loads, load)
 					}
 				}
 			}
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -14,8 +14,9 @@
 	return request
 }
 
-// TestCopyIsAtAnotherEngineOfTheSameWeights and the same zone, if there is one.
-func TestCopyIsAtAnotherEngineOfTheSameWeights(t *testing.T) {
+// TestCopyTargetRunsSameVersion guards against copies at the engine itself, at engines with another
+// model version, or mostly in another zone.
+func TestCopyTargetRunsSameVersion(t *testing.T) {
 	registry := newTestRegistry()
 	for number := range engineCount {
 		worker := engineWorker(number, 1)
@@ -25,28 +26,29 @@
 		registry.Observe(1, worker)
 	}
 	registry.Observe(1, engineWorker(engineCount, 2))
-	apart := 0
+	otherZone := 0
 	for range 200 {
-		placement, refused := registry.Choose(0, copiedRequest())
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, copiedRequest())
+		require.NotNil(t, placement, refusal)
 		target := placement.Engine.CopyTo
 		if target.ID != "" {
 			assert.NotEqual(t, placement.Worker.ID, target.ID)
 			assert.Equal(t, placement.Engine.Version, target.Versions[testModel])
 			if target.Zone != placement.Worker.Zone {
-				apart++
+				otherZone++
 			}
 		}
 		placement.End(0, Succeeded)
 	}
-	assert.Less(t, apart, 40)
+	assert.Less(t, otherZone, 40)
 	placement, _ := registry.Choose(0, engineRequest("p"))
-	assert.Empty(t, placement.Engine.CopyTo.ID, "not asked for")
+	assert.Empty(t, placement.Engine.CopyTo.ID, "no copy was requested")
 }
 
-// TestRunGoesOnWhereItsCopyIs counts the request there.
-func TestRunGoesOnWhereItsCopyIs(t *testing.T) {
-	registry := withEngines()
+// TestContinueUsesCopyTarget guards against continuing a run elsewhere than at its copy, or without
+// counting the request there.
+func TestContinueUsesCopyTarget(t *testing.T) {
+	registry := newEngineRegistry()
 	lost, _ := registry.Choose(0, copiedRequest())
 	target := lost.Engine.CopyTo
 	require.NotEmpty(t, target.ID)
@@ -61,11 +63,11 @@
 	assert.Zero(t, registry.workers[target.ID].inFlight)
 }
 
-// TestRunGoesOnOnlyWhereItsCopyCanBe: not at an engine that is leaving, has gone or has
-// other weights.
-func TestRunGoesOnOnlyWhereItsCopyCanBe(t *testing.T) {
+// TestContinueRejectsUnusableCopyTarget guards against continuing at an engine that is draining,
+// gone or has another model version.
+func TestContinueRejectsUnusableCopyTarget(t *testing.T) {
 	for name, change := range map[string]func(*Registry, Worker){
-		"other weights": func(registry *Registry, target Worker) { registry.NoteVersion(target.ID, testModel, 2) },
+		"other version": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
 		"gone":          func(registry *Registry, target Worker) { registry.ObserveGone(0, 100, target.ID) },
 		"draining": func(registry *Registry, target Worker) {
 			target.Draining = true
@@ -73,7 +75,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := withEngines()
+			registry := newEngineRegistry()
 			lost, _ := registry.Choose(0, copiedRequest())
 			require.NotEmpty(t, lost.Engine.CopyTo.ID)
 			lost.End(0, Lost)
--- a/internal/backends/distance_test.go
+++ b/internal/backends/distance_test.go
@@ -11,11 +11,12 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// twoRegions has zones a and b in the north and c in the south.
+// twoRegions has zones a and b in one region and zone c in another.
 var twoRegions = Regions{"a": "north", "b": "north", "c": "south"}
 
-// withZones returns a registry in zone a with engines in zones in turn.
-func withZones(engines int, zones ...fleet.ZoneName) *Registry {
+// newZonedRegistry returns a registry in zone a with engines and plain workers spread over the
+// zones.
+func newZonedRegistry(engines int, zones ...fleet.ZoneName) *Registry {
 	registry := New(Options{
 		Zone: "a", Regions: twoRegions, Random: newTestRegistry().options.Random, Scheduling: scheduling.DefaultOptions(),
 	})
@@ -30,7 +31,7 @@
 	return registry
 }
 
-func TestDistanceOfUnknownZonesIsThatOfOneRegion(t *testing.T) {
+func TestUnknownZonesCountAsSameRegion(t *testing.T) {
 	assert.Equal(t, SameZone, twoRegions.Between("a", "a"))
 	assert.Equal(t, SameRegion, twoRegions.Between("a", "b"))
 	assert.Equal(t, OtherRegion, twoRegions.Between("b", "c"))
@@ -39,9 +40,10 @@
 	assert.Equal(t, SameRegion, Regions(nil).Between("a", "c"))
 }
 
-// TestNextZoneTakesOverWhenTheNearOneIsFull fills a plain service zone by zone.
-func TestNextZoneTakesOverWhenTheNearOneIsFull(t *testing.T) {
-	registry := withZones(3, "a", "b", "c")
+// TestNextZoneTakesOverWhenNearZoneIsFull guards against using distant plain workers too early, or
+// not at all under load.
+func TestNextZoneTakesOverWhenNearZoneIsFull(t *testing.T) {
+	registry := newZonedRegistry(3, "a", "b", "c")
 	counts := map[fleet.ZoneName]int{}
 	slots := plainWorker(0).Slots
 	for range slots / 2 {
@@ -56,15 +58,15 @@
 	assert.Positive(t, counts["c"])
 	registry.ObserveGone(0, 100, "p0")
 	registry.ObserveGone(0, 100, "p1")
-	assert.EqualValues(t, "c", choosePlain(t, registry, 0).Worker.Zone, "the near ones are gone")
+	assert.EqualValues(t, "c", choosePlain(t, registry, 0).Worker.Zone, "the near workers are gone")
 }
 
-// TestEnginesNearAreTakenFirst until their queues are dearer than the way, in a fleet that
-// is looked at whole and in one that isn't.
-func TestEnginesNearAreTakenFirst(t *testing.T) {
+// TestNearEnginesAreChosenFirst guards against using distant engines before queues at near ones
+// outweigh the distance, in exhaustive and in sampled searches.
+func TestNearEnginesAreChosenFirst(t *testing.T) {
 	for _, engines := range []int{9, 3 * manyEngines} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
-			registry := withZones(engines, "a", "b", "c")
+			registry := newZonedRegistry(engines, "a", "b", "c")
 			request := func(number int) *Request {
 				request := engineRequest(fmt.Sprint("p", number))
 				request.Engine.Parts = request.Engine.Parts[2:]
@@ -74,31 +76,31 @@
 			}
 			placement, _ := registry.Choose(0, request(0))
 			assert.EqualValues(t, "a", placement.Worker.Zone)
-			queue(registry, "a", 2000)
+			setQueue(registry, "a", 2000)
 			placement, _ = registry.Choose(0, request(1))
 			assert.EqualValues(t, "b", placement.Worker.Zone)
-			queue(registry, "b", 8000)
-			queue(registry, "a", 8000)
+			setQueue(registry, "b", 8000)
+			setQueue(registry, "a", 8000)
 			placement, _ = registry.Choose(0, request(2))
 			assert.EqualValues(t, "c", placement.Worker.Zone)
 		})
 	}
 }
 
-// queue has each engine of a zone have prompt work.
-func queue(registry *Registry, zone fleet.ZoneName, tokens int) {
-	for _, known := range registry.workers {
-		if known.worker.Zone == zone && known.worker.Service == "engines" {
-			known.prefill, known.priorities[0].PrefillTokens = tokens, int32(tokens)
-			registry.relevel(known)
+// setQueue gives each engine of a zone the same prefill load.
+func setQueue(registry *Registry, zone fleet.ZoneName, tokens int) {
+	for _, state := range registry.workers {
+		if state.worker.Zone == zone && state.worker.Service == "engines" {
+			state.prefillTokens, state.priorities[0].PrefillTokens = tokens, int32(tokens)
+			registry.updateLevel(state)
 		}
 	}
 }
 
-// TestPartsComeFromTheNearestHolder: another engine of the zone before one of the region,
-// the store of the own region before an engine of another one.
-func TestPartsComeFromTheNearestHolder(t *testing.T) {
-	registry := withZones(6, "a", "b", "c")
+// TestPartsAreImportedFromNearestHolder guards against importing parts over a longer distance than
+// necessary.
+func TestPartsAreImportedFromNearestHolder(t *testing.T) {
+	registry := newZonedRegistry(6, "a", "b", "c")
 	scope := Scope(testModel, 1, "t", false)
 	parts := []PartChange{{true, scope, "common"}, {true, scope, "p"}}
 	from := func(storeZone fleet.ZoneName) fleet.Address {
@@ -107,16 +109,16 @@
 		for _, id := range []fleet.EngineID{"e1", "e2", "e3", "e4", "e5"} {
 			request.Excluded = append(request.Excluded, fleet.EngineRun{Engine: id})
 		}
-		placement, refused := registry.Choose(0, request)
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, request)
+		require.NotNil(t, placement, refusal)
 		defer placement.End(0, Cancelled)
 		return placement.Engine.ImportFrom
 	}
 	registry.ObserveCache(fleet.EngineRun{Engine: "e2"}, true, parts)
-	assert.Equal(t, registry.workers["e2"].worker.Address, from("a"), "nobody else holds them")
+	assert.Equal(t, registry.workers["e2"].worker.Address, from("a"), "no other holder")
 	registry.ObserveCache(StoreRun(testStore), true, parts)
 	assert.Equal(t, testStore, from("b"))
-	assert.Equal(t, registry.workers["e2"].worker.Address, from("c"), "as far as the engine: its link is the store's only")
+	assert.Equal(t, registry.workers["e2"].worker.Address, from("c"), "the engine is as near as the store, whose link is shared")
 	registry.ObserveCache(fleet.EngineRun{Engine: "e4"}, true, parts)
 	assert.Equal(t, registry.workers["e4"].worker.Address, from("b"))
 	registry.ObserveCache(fleet.EngineRun{Engine: "e3"}, true, parts)
@@ -125,9 +127,10 @@
 	}
 }
 
-// TestCopyIsNear: in the zone of the run, else in its region.
-func TestCopyIsNear(t *testing.T) {
-	registry := withZones(30, "a", "b", "c")
+// TestCopyTargetIsNear guards against copies in another zone or region although a nearer engine is
+// available.
+func TestCopyTargetIsNear(t *testing.T) {
+	registry := newZonedRegistry(30, "a", "b", "c")
 	zones := map[Distance]int{}
 	for range 100 {
 		placement, _ := registry.Choose(0, copiedRequest())
@@ -138,18 +141,18 @@
 	}
 	assert.Greater(t, zones[SameZone], 4*zones[SameRegion])
 	assert.Greater(t, zones[SameRegion], zones[OtherRegion])
-	for id, known := range registry.workers {
-		if known.worker.Zone == "a" && id != "e0" {
+	for id, state := range registry.workers {
+		if state.worker.Zone == "a" && id != "e0" {
 			registry.ObserveGone(0, 100, id)
 		}
 	}
-	far := 0
+	otherRegion := 0
 	for range 50 {
 		placement, _ := registry.Choose(0, copiedRequest())
 		if placement.Worker.ID == "e0" && placement.Engine.CopyTo.Zone == "c" {
-			far++
+			otherRegion++
 		}
 		placement.End(0, Succeeded)
 	}
-	assert.Less(t, far, 5, "the other zone of the region is nearer")
+	assert.Less(t, otherRegion, 5, "the other zone of the same region is nearer")
 }
--- a/internal/backends/draining.go
+++ b/internal/backends/draining.go
@@ -8,96 +8,99 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drainedKept is how long a draining run is remembered once it is forgotten otherwise: by then it
-// has ended, also where it served on for long.
-const drainedKept = time.Hour
+// drainingRetention is how long a draining run is remembered after it was forgotten, long enough
+// for the run to end.
+const drainingRetention = time.Hour
 
-// drainedRun is a run that was draining when it was forgotten. It is remembered until a time, 0 if
-// that isn't set yet.
-type drainedRun struct {
-	born  StartTime
-	until time.Duration
+// drainingRecord remembers a run that was draining when it was forgotten. It expires at expiresAt;
+// 0 means that the time is not yet set.
+type drainingRecord struct {
+	startTime StartTime
+	expiresAt time.Duration
 }
 
-// DrainingRun names a run that shuts down. Born is 0 if its start isn't known.
+// DrainingRun identifies a run that is shutting down. StartTime is 0 if unknown.
 type DrainingRun struct {
-	Worker fleet.EngineID
-	Born   StartTime
+	Worker    fleet.EngineID
+	StartTime StartTime
 }
 
-// ObserveDraining takes in that a run has said, other than by its row, that it shuts down. No
-// row takes that back: the worker may not reach the store.
+// ObserveDraining records that a run has announced its shutdown by other means than its row. A row
+// does not revoke this, since a worker that cannot reach the store cannot update its row.
 func (r *Registry) ObserveDraining(run DrainingRun) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[run.Worker]
-	if known == nil {
-		r.drained[run.Worker] = drainedRun{born: max(r.drained[run.Worker].born, run.Born)}
+	state := r.workers[run.Worker]
+	if state == nil {
+		r.forgottenDraining[run.Worker] = drainingRecord{startTime: max(r.forgottenDraining[run.Worker].startTime, run.StartTime)}
 		return Unchanged
 	}
-	if known.worker.Draining || otherRun(known.worker.Born, run.Born) {
+	if state.worker.Draining || isDifferentRun(state.worker.StartTime, run.StartTime) {
 		return Unchanged
 	}
-	known.worker.Draining = true
-	r.unlisted[run.Worker] = true
+	state.worker.Draining = true
+	r.unpublishedDraining[run.Worker] = true
 	r.changes++
-	r.enlist(known)
-	return Began
+	r.updatePool(state)
+	return StartedDraining
 }
 
-// otherRun tells whether two starts, of which either may be unknown, are those of two runs.
-func otherRun(one, another StartTime) bool { return one != 0 && another != 0 && one != another }
+// isDifferentRun reports whether two start times belong to different runs. An unknown start time
+// matches any run.
+func isDifferentRun(first, second StartTime) bool {
+	return first != 0 && second != 0 && first != second
+}
 
-// wasDraining tells whether a run was draining when it was forgotten, or is older than one that
-// was; the mutex is held.
-func (r *Registry) wasDraining(id fleet.EngineID, born StartTime) bool {
-	drained, found := r.drained[id]
-	return found && (drained.born == 0 || born <= drained.born)
+// wasDraining reports whether the run was draining when it was forgotten, or is older than one that
+// was. The mutex must be held.
+func (r *Registry) wasDraining(id fleet.EngineID, startTime StartTime) bool {
+	record, found := r.forgottenDraining[id]
+	return found && (record.startTime == 0 || startTime <= record.startTime)
 }
 
-// sweepDrained drops the runs that were forgotten long ago; the mutex is held.
-func (r *Registry) sweepDrained(now time.Duration) {
-	for id, drained := range r.drained {
+// expireForgottenDraining drops expired records. The mutex must be held.
+func (r *Registry) expireForgottenDraining(now time.Duration) {
+	for id, record := range r.forgottenDraining {
 		switch {
-		case drained.until == 0:
-			drained.until = now + drainedKept
-			r.drained[id] = drained
-		case now >= drained.until:
-			delete(r.drained, id)
+		case record.expiresAt == 0:
+			record.expiresAt = now + drainingRetention
+			r.forgottenDraining[id] = record
+		case now >= record.expiresAt:
+			delete(r.forgottenDraining, id)
 		}
 	}
 }
 
-// Draining tells whether a worker is known to shut down.
-func (r *Registry) Draining(id fleet.EngineID) bool {
+// IsDraining reports whether a worker is shutting down.
+func (r *Registry) IsDraining(id fleet.EngineID) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.workers[id]; known != nil {
-		return known.worker.Draining
+	if state := r.workers[id]; state != nil {
+		return state.worker.Draining
 	}
 	return r.wasDraining(id, 0)
 }
 
-// DrainingUnlisted returns the runs that are known to shut down and whose rows don't say so, by
-// identifier.
-func (r *Registry) DrainingUnlisted() []DrainingRun {
+// UnpublishedDraining returns the runs that are draining although their rows do not say so, sorted
+// by identifier.
+func (r *Registry) UnpublishedDraining() []DrainingRun {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	runs := make([]DrainingRun, 0, len(r.unlisted))
-	for id := range r.unlisted {
-		runs = append(runs, DrainingRun{Worker: id, Born: r.workers[id].worker.Born})
+	runs := make([]DrainingRun, 0, len(r.unpublishedDraining))
+	for id := range r.unpublishedDraining {
+		runs = append(runs, DrainingRun{Worker: id, StartTime: r.workers[id].worker.StartTime})
 	}
 	slices.SortFunc(runs, func(a, b DrainingRun) int { return strings.Compare(string(a.Worker), string(b.Worker)) })
 	return runs
 }
 
-// Sendable tells whether a request may still be sent to a worker that was chosen before.
-func (r *Registry) Sendable(now time.Duration, worker *Worker) bool {
+// CanSend reports whether a request may still be sent to a worker that was chosen earlier.
+func (r *Registry) CanSend(now time.Duration, worker *Worker) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[worker.ID]
-	if known == nil {
-		return !r.wasDraining(worker.ID, worker.Born)
+	state := r.workers[worker.ID]
+	if state == nil {
+		return !r.wasDraining(worker.ID, worker.StartTime)
 	}
-	return !known.worker.Draining && (!known.gone || known.lapsed(now))
+	return !state.worker.Draining && (!state.gone || state.isLapsed(now))
 }
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -7,192 +7,189 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// EngineRequest is what a choice among engines needs besides.
+// EngineRequest holds the properties of a request that the choice among engines depends on.
 type EngineRequest struct {
 	ID       fleet.RequestID
 	Model    fleet.ModelName
 	Tenant   fleet.TenantName
 	Isolated bool
-	// Parts is the prompt; the last part belongs to the request or its session.
+	// Parts is the prompt. The last part is specific to the request or its session; the others are
+	// shared.
 	Parts        []Part
 	PromptTokens int
 	OutputTokens int
-	// Priority is the request's at the engine, 0 to Priorities - 1, 0 first.
+	// Priority is the request's priority at the engine, less than PriorityCount; 0 is the most
+	// urgent.
 	Priority int
-	// TimeLeft is the time within which the first event should come; 0 if unknown.
+	// TimeLeft is the time left until the first event is due; 0 if unknown.
 	TimeLeft time.Duration
-	// MayRefuse is set if the request is to be refused rather than made to wait for
-	// longer than its target allows.
+	// MayRefuse is set if the request may be refused because it would miss its target.
 	MayRefuse bool
-	// Target is the time within which the first event should come, from the start.
+	// Target is the target for the time to the first event, from the arrival of the request.
 	Target time.Duration
-	// WantsCopy has another engine hold a copy of the run as it grows.
+	// WantsCopy requests that another engine keeps a copy of the run as it grows.
 	WantsCopy bool
-	// EventTokens is the number of tokens in an event of a stream; 0 if unknown.
+	// EventTokens is the number of tokens in a stream event; 0 if unknown.
 	EventTokens int
-	// TokenBytes, LinkMegabits describe the engines, to predict moves of KV cache.
+	// TokenBytes is the KV cache size of a token, and LinkMegabits the bandwidth of an engine's
+	// link in Mbit/s. They predict the time of KV cache transfers.
 	TokenBytes   int
 	LinkMegabits float64
-	// Store is a store of kept KV cache that may hold the parts; empty if none.
-	// StoreZone is where it is, StoreMegabits the bandwidth of its link, which all engines
-	// share.
+	// Store is the address of a KV cache store that may hold the parts; empty if there is none.
+	// StoreZone is its zone, and StoreMegabits the bandwidth of its link in Mbit/s, which all
+	// engines share.
 	Store         fleet.Address
 	StoreZone     fleet.ZoneName
 	StoreMegabits float64
 }
 
-// EnginePlacement is what a placement at an engine adds.
+// EnginePlacement is the part of a placement that is specific to engines.
 type EnginePlacement struct {
-	// Version is the version of the weights that the engine is believed to run.
-	Version WeightsVersion
-	// Scope separates the cached parts that may be shared from all others.
+	// Version is the model version that the engine is expected to run.
+	Version ModelVersion
+	// Scope separates cached parts that must not be shared.
 	Scope string
-	// CachedTokens and ImportedTokens are the expected parts of the prompt that
-	// need no prefill.
+	// CachedTokens and ImportedTokens are the numbers of prompt tokens that are expected to need no
+	// prefill, because they are cached at the engine or imported.
 	CachedTokens   int
 	ImportedTokens int
-	// ImportFrom is the holder from which the engine should take over what it
-	// lacks; empty if it lacks nothing that somebody holds.
+	// ImportFrom is the holder from which the engine should import missing parts; empty if there is
+	// nothing to import.
 	ImportFrom fleet.Address
-	// CopyTo is the engine that should hold a copy of the run; without an identifier
-	// there is none.
+	// CopyTo is the engine that should keep a copy of the run; its ID is empty if there is none.
 	CopyTo Worker
-	// ContinueAt is set, to this engine's address, if the engine should go on from the
-	// copy that it holds.
+	// ContinueAt is set to this engine's address if the engine should continue from its copy of the
+	// run.
 	ContinueAt fleet.Address
-	// SaveTo is the store that should get the parts; empty if it or an engine has
-	// them.
+	// SaveTo is the store that should receive the shared parts; empty if the store or an engine
+	// already holds them.
 	SaveTo fleet.Address
-	// Predicted is the time until the first event.
+	// Predicted is the predicted time to the first event.
 	Predicted time.Duration
-	// Baseline is Predicted of an engine that isn't slower than the service's others: one
-	// version's times are compared with another's by it. What waits at the engine belongs
-	// to it: short prompts wait for long ones that an engine with an empty cache reads, which
-	// would have answers of a good version taken for slow.
+	// Baseline is Predicted without the engine's own slowness, as the reference for comparing the
+	// latency of software versions. It includes the wait for queued prompts, so that waiting does
+	// not make a version look slow.
 	Baseline time.Duration
-	// Prefix names the last shared part of the prompt.
+	// Prefix is the identifier of the last shared part of the prompt.
 	Prefix string
-	// SharedParts is the number of the prompt's shared parts, of SharedTokens
-	// together, of which the engine,
-	// the store and the engine with the most are believed to hold the first
-	// HeldParts, StoredParts and MostHeldParts.
+	// SharedParts is the number of shared parts of the prompt, and SharedTokens their total size.
+	// HeldParts, StoredParts and MostHeldParts are the numbers of leading parts expected at the
+	// engine, at the store, and at the engine that holds the most.
 	SharedParts   int
 	SharedTokens  int
 	HeldParts     int
 	StoredParts   int
 	MostHeldParts int
-	// Home is set when the engine is the one that all nodes choose first for
-	// the prompt's shared parts.
+	// Home is set if the engine is the home of the prompt's shared parts, which all nodes prefer.
 	Home bool
 
 	hashes []fleet.BlockHash
 	store  fleet.EngineRun
 }
 
-// outdatedPrice is the price of an engine whose weights have been replaced.
-const outdatedPrice = 250 * time.Millisecond
+// outdatedPenalty is the cost of an engine with an outdated model version.
+const outdatedPenalty = 250 * time.Millisecond
 
-// Predictions of moves of KV cache.
+// Parameters for predicting KV cache transfers.
 const (
 	importSetup = 5 * time.Millisecond
-	// importSharing is the part of an engine's link that a move is predicted to
-	// get, storeSharing that of the store's, which all engines use.
-	importSharing = 0.5
-	storeSharing  = 0.4
-	// apartPart is the part of the price of reading a prefix again that is charged
-	// for reading one that nobody holds elsewhere than at its home: another node
-	// may have it read there at the same time.
-	apartPart   = 0.2
-	bitsPerByte = 8
-	megabit     = 1e6
+	// importLinkShare is the fraction of an engine's link that a transfer is predicted to get.
+	// storeLinkShare is that of the store's link, which all engines share.
+	importLinkShare = 0.5
+	storeLinkShare  = 0.4
+	// duplicatePrefillFraction is the fraction of the recomputation price that is charged for
+	// computing a prefix that no engine holds anywhere but at its home, since another node may
+	// compute it there at the same time.
+	duplicatePrefillFraction = 0.2
+	bitsPerByte              = 8
+	megabit                  = 1e6
 )
 
-// chooseEngine lets the scheduler choose among what a search has found. Where the request
-// would wait too long at each, it looks for engines with room before it refuses.
-func (r *Registry) chooseEngine(found *search) (*Placement, Refusal) {
-	r.parts.expire(found.now)
-	prompt := r.newPrompt(found)
-	decision := r.decide(found, prompt)
+// chooseEngine lets the scheduler choose among the candidates of a search. If the request would
+// miss its target at all of them, it adds engines with spare capacity before it refuses.
+func (r *Registry) chooseEngine(search *search) (*Placement, Refusal) {
+	r.parts.expire(search.now)
+	prompt := r.newPrompt(search)
+	decision := r.decide(search, prompt)
 	for {
-		refused, late := tooLate(prompt.engine, &decision)
+		refusal, late := tooLate(prompt.engine, &decision)
 		if !late {
-			return r.placeAt(found, prompt, &decision), Refusal{}
+			return r.placeAt(search, prompt, &decision), Refusal{}
 		}
-		if found.whole {
-			return nil, refused
+		if search.exhaustive {
+			return nil, refusal
 		}
 		allowed := allowedWait(prompt.engine, &decision)
-		least, added := found.spareFor(allowed)
+		shortestWait, added := search.addSpareEngines(allowed)
 		if !added {
-			return nil, Refusal{Reason: ReasonLate, RetryAfter: least - allowed}
+			return nil, Refusal{Reason: ReasonLate, RetryAfter: shortestWait - allowed}
 		}
 		before := len(r.endpoints)
-		if decision = r.decide(found, prompt); len(r.endpoints) == before {
-			return nil, refused
+		if decision = r.decide(search, prompt); len(r.endpoints) == before {
+			return nil, refusal
 		}
 	}
 }
 
-// prompt is what a choice works out of a request's prompt once.
+// prompt holds properties of a request's prompt that are computed once for each choice.
 type prompt struct {
 	engine *EngineRequest
-	// shared is the number of the prompt's shared parts, ends the tokens up to the end of
-	// each part.
+	// shared is the number of shared parts. ends holds the cumulative token counts of the parts.
 	shared int
 	ends   []int
-	// home is where the shared parts are read first; nil if nowhere.
-	home *state
+	// home is the engine that computes the shared parts first; nil if there is none.
+	home *workerState
 }
 
-func (r *Registry) newPrompt(found *search) *prompt {
-	engine := found.request.Engine
-	p := &prompt{engine: engine, shared: max(len(engine.Parts)-1, 0), ends: cumulate(engine.Parts)}
-	p.home = found.home(p.shared)
-	found.keepBuffers()
+func (r *Registry) newPrompt(search *search) *prompt {
+	engine := search.request.Engine
+	p := &prompt{engine: engine, shared: max(len(engine.Parts)-1, 0), ends: cumulativeTokens(engine.Parts)}
+	p.home = search.home(p.shared)
+	search.saveBuffers()
 	return p
 }
 
-// decide has the scheduler compare the candidates.
-func (r *Registry) decide(found *search, prompt *prompt) scheduling.Decision {
+// decide lets the scheduler compare the candidates.
+func (r *Registry) decide(search *search, prompt *prompt) scheduling.Decision {
 	engine := prompt.engine
 	r.endpoints = r.endpoints[:0]
-	for _, known := range found.candidates() {
-		version := known.worker.Versions[engine.Model]
-		endpoint := r.endpoint(found, prompt, known, found.scopeOf(version))
-		if found.kept(known) {
-			endpoint.Reserved = reservedPrice
+	for _, state := range search.candidates() {
+		version := state.worker.Versions[engine.Model]
+		endpoint := r.endpoint(search, prompt, state, search.scopeOf(version))
+		if search.isReserved(state) {
+			endpoint.ReservedPenalty = reservedPenalty
 		}
 		if version < r.preferred[engine.Model] {
-			endpoint.Outdated = outdatedPrice
+			endpoint.OutdatedPenalty = outdatedPenalty
 		}
 		r.endpoints = append(r.endpoints, endpoint)
 	}
-	return r.scheduler.Compare(scheduling.Request{
+	return r.scheduler.ChooseAmong(scheduling.Request{
 		ID:           engine.ID,
-		Pool:         found.request.Service,
+		Pool:         search.request.Service,
 		PromptTokens: engine.PromptTokens,
 		PartTokens:   prompt.ends,
 		Deadline:     engine.TimeLeft,
 	}, r.endpoints, r.options.Random)
 }
 
-// placeAt counts a request at the engine of a decision.
-func (r *Registry) placeAt(found *search, prompt *prompt, decision *scheduling.Decision) *Placement {
-	now, engine := found.now, prompt.engine
-	candidates := found.candidates()
+// placeAt counts the request at the engine that the decision has chosen.
+func (r *Registry) placeAt(search *search, prompt *prompt, decision *scheduling.Decision) *Placement {
+	now, engine := search.now, prompt.engine
+	candidates := search.candidates()
 	chosen := candidates[decision.Index]
 	version := chosen.worker.Versions[engine.Model]
-	known := found.scopeOf(version)
+	scoped := search.scopeOf(version)
 	prefill := engine.PromptTokens - decision.CachedTokens - decision.ImportedTokens
-	r.noteWork(now, found.request.Service, engine, prefill)
+	r.recordWork(now, search.request.Service, engine, prefill)
 	placement := r.begin(now, chosen, len(candidates), placedWork{
-		priority: engine.Priority, prefill: prefill, need: needOf(engine, known),
+		priority: engine.Priority, prefillTokens: prefill, need: memoryNeedOf(engine, scoped),
 	})
-	placement.Looked = found.looked
-	placement.Limited = found.limited(chosen)
+	placement.Examined = search.examined
+	placement.Limited = search.hasLimit(chosen)
 	placement.Engine = &EnginePlacement{
 		Version:        version,
-		Scope:          known.scope,
+		Scope:          scoped.scope,
 		CachedTokens:   decision.CachedTokens,
 		ImportedTokens: decision.ImportedTokens,
 		Predicted:      decision.FirstToken,
@@ -200,24 +197,24 @@
 		Prefix:         PrefixName(engine.Parts),
 		SharedParts:    prompt.shared,
 		SharedTokens:   sharedTokens(prompt.ends, prompt.shared),
-		HeldParts:      r.heldBy(known, chosen),
-		StoredParts:    known.stored,
-		MostHeldParts:  known.most(),
+		HeldParts:      r.heldParts(scoped, chosen),
+		StoredParts:    scoped.storedParts,
+		MostHeldParts:  scoped.maxHeldParts(),
 		Home:           chosen == prompt.home,
-		hashes:         known.hashes,
+		hashes:         scoped.hashes,
 		store:          StoreRun(engine.Store),
 	}
-	placement.Engine.ImportFrom = r.importFrom(prompt, known, chosen)
-	if savesTo(engine, known, prompt.shared) {
+	placement.Engine.ImportFrom = r.importSource(prompt, scoped, chosen)
+	if shouldSave(engine, scoped, prompt.shared) {
 		placement.Engine.SaveTo = engine.Store
 	}
 	if engine.WantsCopy {
-		placement.Engine.CopyTo = found.copyTarget(candidates, chosen)
+		placement.Engine.CopyTo = search.copyTarget(candidates, chosen)
 	}
 	return placement
 }
 
-// sharedTokens returns the tokens of a prompt's first parts, by their ends.
+// sharedTokens returns the number of tokens in the first parts, from the cumulative token counts.
 func sharedTokens(ends []int, parts int) int {
 	if parts <= 0 {
 		return 0
@@ -225,7 +222,7 @@
 	return ends[parts-1]
 }
 
-// PrefixName returns the name of the last shared part of a prompt, or "".
+// PrefixName returns the identifier of the last shared part of a prompt, or "" if there is none.
 func PrefixName(parts []Part) string {
 	if len(parts) < 2 {
 		return ""
--- a/internal/backends/levels.go
+++ b/internal/backends/levels.go
@@ -3,80 +3,80 @@
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
 const (
-	levels = 64
-	// levelTokens is the prompt work that counts for a level.
+	levelCount = 64
+	// levelTokens is the number of prefill tokens for each level.
 	levelTokens = 300
-	// slotLevels are the levels over which an engine's slots fill, plainLevels those of
-	// another worker: a stream beside others costs an engine little until no slot is free.
+	// slotLevels is the number of levels over which an engine's slots fill, and plainLevels that of
+	// other workers. An engine's streams add little cost as long as slots are free.
 	slotLevels  = 1
 	plainLevels = 16
-	// queuedLevels are the levels for each request that waits for a slot.
+	// queuedLevels is the number of levels for each request that waits for a slot.
 	queuedLevels = 4
 )
 
-// levelled is a list of workers by load, so that a choice finds the least loaded of
-// thousands at once: with nearly all slots taken, workers drawn from the whole list are mostly
-// full.
-type levelled struct {
-	members [levels][]*state
+// loadLevels groups workers by load, so that a choice finds the least loaded ones without scanning
+// all.
+type loadLevels struct {
+	members [levelCount][]*workerState
 	count   int
 }
 
-// add puts a worker at its level.
-func (l *levelled) add(known *state, level int) {
-	known.level, known.at = level, len(l.members[level])
-	l.members[level] = append(l.members[level], known)
+// add adds a worker at a level.
+func (l *loadLevels) add(state *workerState, level int) {
+	state.level, state.levelIndex = level, len(l.members[level])
+	l.members[level] = append(l.members[level], state)
 	l.count++
 }
 
-// remove takes a worker out.
-func (l *levelled) remove(known *state) {
-	members := l.members[known.level]
+// remove removes a worker.
+func (l *loadLevels) remove(state *workerState) {
+	members := l.members[state.level]
 	last := len(members) - 1
-	members[known.at] = members[last]
-	members[known.at].at = known.at
+	members[state.levelIndex] = members[last]
+	members[state.levelIndex].levelIndex = state.levelIndex
 	members[last] = nil
-	l.members[known.level] = members[:last]
+	l.members[state.level] = members[:last]
 	l.count--
 }
 
-// levelOf returns the level of a worker by its load over the nodes that have told theirs.
-func (r *Registry) levelOf(known *state) int {
-	inFlight, prefill := known.inFlight, known.prefill
-	if others := r.peers.sum.worker(known.worker.ID); others != nil {
+// levelOf returns the level of a worker, by the load of this node and the reported load of its
+// peers.
+func (r *Registry) levelOf(state *workerState) int {
+	inFlight, prefill := state.inFlight, state.prefillTokens
+	if others := r.peers.totals.worker(state.worker.ID); others != nil {
 		inFlight += others.InFlight
 		prefill += others.PrefillTokens
 	}
-	slots, over := max(known.worker.Slots, 1), slotLevels
-	if len(known.worker.Versions) == 0 {
+	slots, over := max(state.worker.Slots, 1), slotLevels
+	if len(state.worker.Versions) == 0 {
 		over = plainLevels
 	}
 	level := inFlight*over/slots + prefill/levelTokens + queuedLevels*max(inFlight+1-slots, 0)
-	return min(max(level, 0), levels-1)
+	return min(max(level, 0), levelCount-1)
 }
 
-// relevel puts a worker at its level after a change of its load; the mutex is held.
-func (r *Registry) relevel(known *state) {
-	if known.pool == nil {
+// updateLevel moves a worker to its level after a change of its load. The mutex must be held.
+func (r *Registry) updateLevel(state *workerState) {
+	if state.pool == nil {
 		return
 	}
-	if level := r.levelOf(known); level != known.level {
-		list := &known.pool.tiers[known.tier]
-		list.remove(known)
-		list.add(known, level)
+	if level := r.levelOf(state); level != state.level {
+		list := &state.pool.tiers[state.tier]
+		list.remove(state)
+		list.add(state, level)
 	}
 }
 
-// relevelByID is relevel for a worker of which a peer has told.
-func (r *Registry) relevelByID(id fleet.EngineID) {
-	if known := r.workers[id]; known != nil {
-		r.relevel(known)
+// updateLevelByID is updateLevel for a worker that a peer has reported on.
+func (r *Registry) updateLevelByID(id fleet.EngineID) {
+	if state := r.workers[id]; state != nil {
+		r.updateLevel(state)
 	}
 }
 
-// relevelAll puts all workers at their levels.
-func (r *Registry) relevelAll() {
-	for _, known := range r.workers {
-		r.relevel(known)
+// updateAllLevels moves all workers to their levels.
+func (r *Registry) updateAllLevels() {
+	for _, state := range r.workers {
+		r.updateLevel(state)
 	}
 }
--- a/internal/backends/load.go
+++ b/internal/backends/load.go
@@ -8,29 +8,29 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Load is one node's requests at one worker.
+// Load is the load that one node places on a worker.
 type Load struct {
 	Engine fleet.EngineID
-	// InFlight counts the requests sent and not ended.
+	// InFlight is the number of requests in flight.
 	InFlight int
-	// PrefillTokens is the prompt work of those that haven't begun to answer.
+	// PrefillTokens is the uncached prompt work of the requests that have not begun to respond.
 	PrefillTokens int
-	// MemoryTokens is what the requests hold, or will hold, in the worker's memory.
+	// MemoryTokens is the memory that the requests occupy or will occupy, in tokens.
 	MemoryTokens int
-	// Priorities holds the requests by priority, the most urgent first.
-	Priorities [Priorities]PriorityLoad
+	// Priorities holds the load by priority, the most urgent first.
+	Priorities [PriorityCount]PriorityLoad
 }
 
-// Priorities is the number of priorities of requests at an engine, 0 the most urgent.
-const Priorities = 10
+// PriorityCount is the number of request priorities; 0 is the most urgent.
+const PriorityCount = 10
 
-// PriorityLoad is the requests of one priority at a worker.
+// PriorityLoad is the load of the requests of one priority.
 type PriorityLoad struct {
 	InFlight      int32
 	PrefillTokens int32
 }
 
-// add adds another load, or takes it out if sign is -1.
+// add adds another load, or subtracts it if sign is -1.
 func (l *Load) add(other *Load, sign int) {
 	l.InFlight += sign * other.InFlight
 	l.PrefillTokens += sign * other.PrefillTokens
@@ -41,26 +41,26 @@
 	}
 }
 
-// below returns the requests that are less urgent than a priority.
-func (l *Load) below(priority int) PriorityLoad {
+// lowerPriorityThan returns the load of the requests that are less urgent than a priority.
+func (l *Load) lowerPriorityThan(priority int) PriorityLoad {
 	var sum PriorityLoad
-	for _, part := range l.Priorities[min(priority+1, Priorities):] {
+	for _, part := range l.Priorities[min(priority+1, PriorityCount):] {
 		sum.InFlight += part.InFlight
 		sum.PrefillTokens += part.PrefillTokens
 	}
 	return sum
 }
 
-// OwnLoad returns this node's load, workers without any left out.
+// OwnLoad returns this node's load by worker, sorted by identifier. Idle workers are omitted.
 func (r *Registry) OwnLoad() []Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var loads []Load
-	for id, known := range r.workers {
-		if known.inFlight > 0 {
+	for id, state := range r.workers {
+		if state.inFlight > 0 {
 			loads = append(loads, Load{
-				Engine: id, InFlight: known.inFlight, PrefillTokens: known.prefill, MemoryTokens: known.memory.tokens(),
-				Priorities: known.priorities,
+				Engine: id, InFlight: state.inFlight, PrefillTokens: state.prefillTokens, MemoryTokens: state.memory.tokens(),
+				Priorities: state.priorities,
 			})
 		}
 	}
@@ -68,56 +68,56 @@
 	return loads
 }
 
-// InFlight returns the requests in flight at a worker, over all nodes.
+// InFlight returns the number of requests in flight at a worker over all nodes.
 func (r *Registry) InFlight(now time.Duration, id fleet.EngineID) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		return 0
 	}
-	return r.total(now, known).InFlight
+	return r.totalLoad(now, state).InFlight
 }
 
-// MemoryUse returns the part of their memory that requests hold, over all nodes,
-// at the engines of the service to which one belongs; of engines whose memory
-// isn't known, the part of their slots.
-func (r *Registry) MemoryUse(now time.Duration, of fleet.EngineID) float64 {
+// MemoryUtilization returns the fraction of memory in use over all nodes at the engines of the
+// given worker's service. If their memory capacity is unknown, it returns the fraction of slots in
+// use.
+func (r *Registry) MemoryUtilization(now time.Duration, id fleet.EngineID) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	reference := r.workers[of]
+	reference := r.workers[id]
 	if reference == nil {
 		return 0
 	}
-	// What too old reports told leaves the levels here, not while they are walked, which
-	// would change the lists under the walk and end the process.
-	r.peers.told(now)
+	// Expire stale reports before the iteration: expiry moves workers between the lists that are
+	// being iterated over.
+	r.peers.totalsAt(now)
 	used, held := 0, 0
-	for _, known := range r.poolOf(reference.worker.Service).all() {
-		load := r.total(now, known)
-		if capacity := r.capacities[known.worker.Service]; capacity > 0 {
+	for _, state := range r.poolOf(reference.worker.Service).all() {
+		load := r.totalLoad(now, state)
+		if capacity := r.memoryCapacities[state.worker.Service]; capacity > 0 {
 			used, held = used+load.MemoryTokens, held+capacity
 			continue
 		}
-		used, held = used+load.InFlight, held+max(known.worker.Slots, 1)
+		used, held = used+load.InFlight, held+max(state.worker.Slots, 1)
 	}
 	return float64(used) / float64(max(held, 1))
 }
 
-// SetCapacity says what the engines of a service hold in memory, in tokens.
-func (r *Registry) SetCapacity(service fleet.PoolName, tokens int) {
+// SetMemoryCapacity sets the KV cache capacity of a service's engines, in tokens.
+func (r *Registry) SetMemoryCapacity(service fleet.PoolName, tokens int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.capacities[service] = tokens
+	r.memoryCapacities[service] = tokens
 }
 
-// Suspects returns the workers that this node couldn't reach of late.
+// Suspects returns the workers that this node recently failed to reach, sorted by identifier.
 func (r *Registry) Suspects(now time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var suspects []fleet.EngineID
-	for id, known := range r.workers {
-		if now < known.suspectUntil && !known.gone {
+	for id, state := range r.workers {
+		if now < state.suspectUntil && !state.gone {
 			suspects = append(suspects, id)
 		}
 	}
@@ -125,76 +125,75 @@
 	return suspects
 }
 
-// Doubtful returns the workers that this node, or any other by its word, couldn't
-// reach of late.
-func (r *Registry) Doubtful(now time.Duration) map[fleet.EngineID]bool {
+// AllSuspects returns the workers that this node or any peer recently failed to reach.
+func (r *Registry) AllSuspects(now time.Duration) map[fleet.EngineID]bool {
 	doubtful := make(map[fleet.EngineID]bool)
 	for _, suspect := range r.Suspects(now) {
 		doubtful[suspect] = true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	told := r.peers.told(now)
-	for id, at := range told.index {
-		if told.workers[at].suspecting > 0 {
+	totals := r.peers.totalsAt(now)
+	for id, index := range totals.index {
+		if totals.workers[index].suspecting > 0 {
 			doubtful[id] = true
 		}
 	}
 	return doubtful
 }
 
-// SetPeers says how many other nodes there are: where only some of them have
-// told their load lately, these stand for all.
-func (r *Registry) SetPeers(count int) {
+// SetPeerCount sets the number of peers, to which the load in the valid reports is extrapolated.
+func (r *Registry) SetPeerCount(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.peers.count = count
+	r.peers.peerCount = count
 }
 
-// total returns the load of a worker over all nodes, without its parts by priority;
-// the mutex is held.
-func (r *Registry) total(now time.Duration, known *state) Load {
+// totalLoad returns the load of a worker over all nodes, without the load by priority. The mutex
+// must be held.
+func (r *Registry) totalLoad(now time.Duration, state *workerState) Load {
 	total := Load{
-		Engine: known.worker.ID, InFlight: known.inFlight, PrefillTokens: known.prefill, MemoryTokens: known.memory.tokens(),
+		Engine: state.worker.ID, InFlight: state.inFlight, PrefillTokens: state.prefillTokens, MemoryTokens: state.memory.tokens(),
 	}
-	told := r.peers.told(now)
-	if others := told.worker(known.worker.ID); others != nil {
-		total.InFlight += r.scaled(told, others.InFlight)
-		total.PrefillTokens += r.scaled(told, others.PrefillTokens)
-		total.MemoryTokens += r.scaled(told, others.MemoryTokens)
+	totals := r.peers.totalsAt(now)
+	if others := totals.worker(state.worker.ID); others != nil {
+		total.InFlight += r.extrapolate(totals, others.InFlight)
+		total.PrefillTokens += r.extrapolate(totals, others.PrefillTokens)
+		total.MemoryTokens += r.extrapolate(totals, others.MemoryTokens)
 	}
 	return total
 }
 
-// inFlight returns the requests in flight at a worker over all nodes; the mutex is held.
-func (r *Registry) inFlight(now time.Duration, known *state) int {
-	told := r.peers.told(now)
-	others := told.worker(known.worker.ID)
+// totalInFlight returns the number of requests in flight at a worker over all nodes. The mutex must
+// be held.
+func (r *Registry) totalInFlight(now time.Duration, state *workerState) int {
+	totals := r.peers.totalsAt(now)
+	others := totals.worker(state.worker.ID)
 	if others == nil {
-		return known.inFlight
+		return state.inFlight
 	}
-	return known.inFlight + r.scaled(told, others.InFlight)
+	return state.inFlight + r.extrapolate(totals, others.InFlight)
 }
 
-// overtaken returns the requests over all nodes at a worker that are less urgent than a
-// priority; the mutex is held. They are summed before they are scaled: that is done for
-// each engine of each choice.
-func (r *Registry) overtaken(now time.Duration, known *state, priority int) PriorityLoad {
-	own := Load{Priorities: known.priorities}
-	sum := own.below(priority)
-	told := r.peers.told(now)
-	if others := told.worker(known.worker.ID); others != nil {
-		part := others.below(priority)
-		sum.InFlight += int32(r.scaled(told, int(part.InFlight)))
-		sum.PrefillTokens += int32(r.scaled(told, int(part.PrefillTokens)))
+// lowerPriorityLoad returns the load over all nodes of the requests at a worker that are less
+// urgent than a priority. It sums before it extrapolates, because it runs for every engine in every
+// choice. The mutex must be held.
+func (r *Registry) lowerPriorityLoad(now time.Duration, state *workerState, priority int) PriorityLoad {
+	own := Load{Priorities: state.priorities}
+	sum := own.lowerPriorityThan(priority)
+	totals := r.peers.totalsAt(now)
+	if others := totals.worker(state.worker.ID); others != nil {
+		part := others.lowerPriorityThan(priority)
+		sum.InFlight += int32(r.extrapolate(totals, int(part.InFlight)))
+		sum.PrefillTokens += int32(r.extrapolate(totals, int(part.PrefillTokens)))
 	}
 	return sum
 }
 
-// scaled has the nodes that have told their load of late stand for all.
-func (r *Registry) scaled(told *peerSum, units int) int {
+// extrapolate scales a sum over the peers with valid reports to all peers.
+func (r *Registry) extrapolate(totals *peerTotals, units int) int {
 	if units == 0 {
 		return 0
 	}
-	return units * max(r.peers.count, told.heard) / told.heard
+	return units * max(r.peers.peerCount, totals.reportCount) / totals.reportCount
 }
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -11,26 +11,24 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// Part is one named part of a prompt. Parts with the same identifier in the
-// same scope are the same text.
+// Part is a part of a prompt. Parts with the same identifier and scope have the same text.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// partLifetime is how long a part counts as held after its last use: a worker
-// drops the parts that were unused longest.
+// partLifetime is how long a part is assumed to stay cached after its last use. Workers evict the
+// least recently used parts.
 const partLifetime = 9 * time.Second
 
-// partIndex is a prefix index over named parts, whose entries run out.
+// partIndex is a prefix index of prompt parts with expiry.
 type partIndex struct {
 	index *prefixindex.Index
-	// uses is a queue of the uses in order of time, which expire counts down.
-	uses []partUse
-	last map[partKey]time.Duration
-	// followed holds the runs whose changes are followed, so that nothing of
-	// theirs needs to run out.
-	followed map[fleet.EngineRun]bool
+	// uses is a queue of part uses in order of time, from which expire removes the oldest.
+	uses    []partUse
+	lastUse map[partKey]time.Duration
+	// tracked holds the runs whose caches report their changes. Their parts do not expire.
+	tracked map[fleet.EngineRun]bool
 }
 
 type partKey struct {
@@ -39,50 +37,50 @@
 }
 
 type partUse struct {
-	key partKey
-	at  time.Duration
+	key    partKey
+	usedAt time.Duration
 }
 
 func newPartIndex(maxParts int) *partIndex {
 	return &partIndex{
-		index:    prefixindex.New(prefixindex.Options{MaxBlocks: maxParts, Directory: true}),
-		last:     make(map[partKey]time.Duration),
-		followed: make(map[fleet.EngineRun]bool),
+		index:   prefixindex.New(prefixindex.Options{MaxBlocks: maxParts, Directory: true}),
+		lastUse: make(map[partKey]time.Duration),
+		tracked: make(map[fleet.EngineRun]bool),
 	}
 }
 
 func (p *partIndex) add(run fleet.EngineRun) { p.index.AddRun(run) }
 func (p *partIndex) remove(run fleet.EngineRun) {
 	p.index.RemoveRun(run)
-	delete(p.followed, run)
+	delete(p.tracked, run)
 }
 
 func (p *partIndex) clear(run fleet.EngineRun) { p.index.Clear(run) }
 
-// store notes that a run holds parts, used at now.
+// store records that a run holds parts that were used at now.
 func (p *partIndex) store(now time.Duration, run fleet.EngineRun, hashes []fleet.BlockHash) {
 	p.index.Store(run, hashes)
-	if p.followed[run] {
+	if p.tracked[run] {
 		return
 	}
 	for _, hash := range hashes {
 		key := partKey{run: run, hash: hash}
-		p.last[key] = now
-		p.uses = append(p.uses, partUse{key: key, at: now})
+		p.lastUse[key] = now
+		p.uses = append(p.uses, partUse{key: key, usedAt: now})
 	}
 	p.expire(now)
 }
 
-// expire removes the parts that have not been used for their lifetime.
+// expire removes the parts that have not been used for partLifetime.
 func (p *partIndex) expire(now time.Duration) {
 	done := 0
 	for _, use := range p.uses {
-		if use.at+partLifetime > now {
+		if use.usedAt+partLifetime > now {
 			break
 		}
 		done++
-		if p.last[use.key] == use.at {
-			delete(p.last, use.key)
+		if p.lastUse[use.key] == use.usedAt {
+			delete(p.lastUse, use.key)
 			p.index.Remove(use.key.run, []fleet.BlockHash{use.key.hash})
 		}
 	}
@@ -91,10 +89,9 @@
 	}
 }
 
-// Scope returns the text that separates cached parts which must not meet: those
-// of different versions of a model's weights, and those of an isolated tenant
-// from all others'.
-func Scope(model fleet.ModelName, version WeightsVersion, tenant fleet.TenantName, isolated bool) string {
+// Scope returns a key that separates cached parts which must not be shared: those of different
+// model versions, and those of isolated tenants.
+func Scope(model fleet.ModelName, version ModelVersion, tenant fleet.TenantName, isolated bool) string {
 	scope := string(model) + "@" + strconv.FormatUint(uint64(version), 10)
 	if isolated {
 		scope += "/" + string(tenant)
@@ -102,34 +99,34 @@
 	return scope
 }
 
-// PartChange tells that a cache holds or has dropped a part.
+// PartChange reports that a cache has added or evicted a part.
 type PartChange struct {
 	Held  bool
 	Scope string
 	Part  string
 }
 
-// ObserveCache takes in changes of a cache, in order. anew is set if what was
-// known of it before doesn't hold any more. It returns the changes as other nodes are told
-// them.
-func (r *Registry) ObserveCache(run fleet.EngineRun, anew bool, changes []PartChange) []cachefeed.Change {
-	told := make([]cachefeed.Change, len(changes))
+// ObserveCache applies changes of a run's cache, in order. If reset is set, the parts recorded
+// before are discarded first. It returns the changes in the form in which they are relayed to
+// peers.
+func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
+	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		told[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
+		relayed[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
 	}
-	r.ObserveTold(run, anew, told)
-	return told
+	r.ObserveRelayedCache(run, reset, relayed)
+	return relayed
 }
 
-// ObserveTold is ObserveCache for changes by another node's word.
-func (r *Registry) ObserveTold(run fleet.EngineRun, anew bool, changes []cachefeed.Change) {
+// ObserveRelayedCache is like ObserveCache, for changes relayed by a peer.
+func (r *Registry) ObserveRelayedCache(run fleet.EngineRun, reset bool, changes []cachefeed.Change) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.parts.add(run)
-	if anew {
+	if reset {
 		r.parts.clear(run)
 	}
-	r.parts.followed[run] = true
+	r.parts.tracked[run] = true
 	var hash [1]fleet.BlockHash
 	for _, change := range changes {
 		hash[0] = change.Part
@@ -141,12 +138,12 @@
 	}
 }
 
-// LoseCache takes in that a cache can't be followed any more.
-func (r *Registry) LoseCache(run fleet.EngineRun) {
+// UntrackCache discards the parts of a run whose cache changes can no longer be followed.
+func (r *Registry) UntrackCache(run fleet.EngineRun) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.parts.clear(run)
-	delete(r.parts.followed, run)
+	delete(r.parts.tracked, run)
 }
 
 func hashPart(scope, part string) fleet.BlockHash {
@@ -158,7 +155,7 @@
 	return fleet.BlockHash(digest.Sum64())
 }
 
-// hashParts returns the hashes of parts in a scope.
+// hashParts returns the hashes of the parts in a scope.
 func hashParts(scope string, parts []Part) []fleet.BlockHash {
 	hashes := make([]fleet.BlockHash, len(parts))
 	for index, part := range parts {
@@ -167,8 +164,8 @@
 	return hashes
 }
 
-// cumulate returns the tokens up to the end of each part.
-func cumulate(parts []Part) []int {
+// cumulativeTokens returns the number of tokens up to the end of each part.
+func cumulativeTokens(parts []Part) []int {
 	ends := make([]int, len(parts))
 	total := 0
 	for index, part := range parts {
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -6,105 +6,105 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// PeerReport is another node's word on the workers.
+// PeerReport is a peer's report on its load and on the workers.
 type PeerReport struct {
 	Loads []Load
-	// Suspects are the workers that the node couldn't reach of late.
+	// Suspects are the workers that the peer recently failed to reach.
 	Suspects []fleet.EngineID
-	// Deferring are the workers that have asked the node for no requests, if a worker that does
-	// so is likely to ask this node as well.
+	// Deferring are the workers that have asked the peer for no requests, if they are likely to ask
+	// the same of this node.
 	Deferring []fleet.EngineID
-	// Orders holds, by worker under an order of the node, until when it counts as so.
+	// Orders holds, for each worker under an order of the peer, until when it counts as such.
 	Orders map[fleet.EngineID]time.Duration
-	// Work holds the work of the node's requests by service.
+	// Work holds the work of the peer's requests by service.
 	Work map[fleet.PoolName]Work
 }
 
-// peerReports are the newest reports of other nodes, and their sum.
+// peerReports holds the latest report of each peer, and their totals.
 type peerReports struct {
-	reports map[fleet.NodeID]*heardReport
-	// count is the number of other nodes.
-	count int
-	sum   peerSum
-	// validUntil is when the first report of the sum is too old; 0 has it made anew.
+	reports map[fleet.NodeID]*receivedReport
+	// peerCount is the number of peers.
+	peerCount int
+	totals    peerTotals
+	// validUntil is the time at which the first included report expires; 0 forces a rebuild.
 	validUntil time.Duration
-	// changed is called for each worker of which something else is told, and changedAll
-	// when that may be any.
-	changed    func(fleet.EngineID)
-	changedAll func()
-	// mostTold is the number of workers in the sum from which on it is made anew, without
-	// those of which nothing is told any more.
-	mostTold int
+	// onChange is called for each worker whose totals change, and onChangeAll if any of them may
+	// have changed.
+	onChange    func(fleet.EngineID)
+	onChangeAll func()
+	// rebuildAbove is the number of workers in the totals above which they are rebuilt, to remove
+	// workers without load.
+	rebuildAbove int
 }
 
-// heardReport is a report and when it came.
-type heardReport struct {
+// receivedReport is a report with the time at which it was received.
+type receivedReport struct {
 	PeerReport
-	at time.Duration
-	// loads are the report's loads, with what was told since.
+	receivedAt time.Duration
+	// loads holds the report's loads, including later updates.
 	loads map[fleet.EngineID]Load
-	// counted is set if the sum has the report in it.
-	counted bool
+	// included is set if the totals include the report.
+	included bool
 }
 
-// peerSum is what the reports that count say together.
-type peerSum struct {
-	// heard counts the reports.
-	heard int
-	// workers holds what is told of each worker, index where.
-	workers []toldWorker
+// peerTotals is the sum of the valid reports.
+type peerTotals struct {
+	// reportCount is the number of included reports.
+	reportCount int
+	// workers holds the totals of each worker, and index their positions.
+	workers []workerTotals
 	index   map[fleet.EngineID]int
 	work    map[fleet.PoolName]Work
 }
 
-// worker returns what other nodes say of a worker, or nil if they say nothing.
-func (s *peerSum) worker(id fleet.EngineID) *toldWorker {
-	if at, known := s.index[id]; known && s.workers[at] != (toldWorker{}) {
-		return &s.workers[at]
+// worker returns the totals of a worker, or nil if they are zero.
+func (t *peerTotals) worker(id fleet.EngineID) *workerTotals {
+	if index, known := t.index[id]; known && t.workers[index] != (workerTotals{}) {
+		return &t.workers[index]
 	}
 	return nil
 }
 
-// entry returns the place for what other nodes say of a worker.
-func (s *peerSum) entry(id fleet.EngineID) *toldWorker {
-	if at, known := s.index[id]; known {
-		return &s.workers[at]
+// entry returns the totals of a worker and adds them if needed.
+func (t *peerTotals) entry(id fleet.EngineID) *workerTotals {
+	if index, known := t.index[id]; known {
+		return &t.workers[index]
 	}
-	s.index[id] = len(s.workers)
-	s.workers = append(s.workers, toldWorker{})
-	return &s.workers[len(s.workers)-1]
+	t.index[id] = len(t.workers)
+	t.workers = append(t.workers, workerTotals{})
+	return &t.workers[len(t.workers)-1]
 }
 
-// reset empties the sum and keeps its memory.
-func (s *peerSum) reset() {
-	s.heard = 0
-	s.workers = s.workers[:0]
-	if s.index == nil {
-		s.index, s.work = make(map[fleet.EngineID]int), make(map[fleet.PoolName]Work)
+// reset clears the totals but keeps the allocated memory.
+func (t *peerTotals) reset() {
+	t.reportCount = 0
+	t.workers = t.workers[:0]
+	if t.index == nil {
+		t.index, t.work = make(map[fleet.EngineID]int), make(map[fleet.PoolName]Work)
 	}
-	clear(s.index)
-	clear(s.work)
+	clear(t.index)
+	clear(t.work)
 }
 
-// toldWorker is what other nodes say of one worker.
-type toldWorker struct {
+// workerTotals is the sum of the peers' reports on one worker.
+type workerTotals struct {
 	Load
-	// suspecting counts the nodes that couldn't reach it of late.
+	// suspecting is the number of peers that recently failed to reach the worker.
 	suspecting int
-	// deferred counts the nodes that it has asked for no requests.
-	deferred int
-	// orderedUntil is until when it counts as under an order.
+	// deferring is the number of peers that the worker has asked for no requests.
+	deferring int
+	// orderedUntil is the time until which the worker counts as under an order.
 	orderedUntil time.Duration
 }
 
 func newPeerReports() *peerReports {
 	return &peerReports{
-		reports: make(map[fleet.NodeID]*heardReport),
-		changed: func(fleet.EngineID) {}, changedAll: func() {},
+		reports:  make(map[fleet.NodeID]*receivedReport),
+		onChange: func(fleet.EngineID) {}, onChangeAll: func() {},
 	}
 }
 
-// observe takes a report in place of the node's one before.
+// observe replaces the report of a peer.
 func (p *peerReports) observe(now time.Duration, node fleet.NodeID, report PeerReport) {
 	loads := make(map[fleet.EngineID]Load, len(report.Loads))
 	for _, load := range report.Loads {
@@ -112,122 +112,121 @@
 	}
 	report.Loads = nil
 	p.forget(node)
-	heard := &heardReport{PeerReport: report, at: now, loads: loads}
-	p.reports[node] = heard
+	received := &receivedReport{PeerReport: report, receivedAt: now, loads: loads}
+	p.reports[node] = received
 	if p.validUntil > 0 {
-		p.include(heard)
+		p.include(received)
 	}
 }
 
-// include takes a report into the sum.
-func (p *peerReports) include(report *heardReport) {
-	report.counted = true
-	p.sum.add(report)
+// include adds a report to the totals.
+func (p *peerReports) include(report *receivedReport) {
+	report.included = true
+	p.totals.add(report)
 	for id := range report.loads {
-		p.changed(id)
+		p.onChange(id)
 	}
-	p.validUntil = min(p.validUntil, report.at+peerLoadValid)
+	p.validUntil = min(p.validUntil, report.receivedAt+peerReportValidity)
 }
 
-// exclude takes a report out of the sum: a choice among thousands of engines has no time for a
-// sum made anew.
-func (p *peerReports) exclude(report *heardReport) {
-	report.counted = false
-	p.sum.heard--
+// exclude subtracts a report from the totals, which is faster than a rebuild.
+func (p *peerReports) exclude(report *receivedReport) {
+	report.included = false
+	p.totals.reportCount--
 	for id, load := range report.loads {
-		p.sum.entry(id).add(&load, -1)
-		p.changed(id)
+		p.totals.entry(id).add(&load, -1)
+		p.onChange(id)
 	}
 	for _, id := range report.Suspects {
-		p.sum.entry(id).suspecting--
+		p.totals.entry(id).suspecting--
 	}
 	for _, id := range report.Deferring {
-		p.sum.entry(id).deferred--
+		p.totals.entry(id).deferring--
 	}
 	for service, work := range report.Work {
-		p.sum.work[service] = p.sum.work[service].add(Work{Long: -work.Long, Short: -work.Short})
+		p.totals.work[service] = p.totals.work[service].add(Work{Long: -work.Long, Short: -work.Short})
 	}
 	for id := range report.Orders {
-		p.sum.entry(id).orderedUntil = p.orderedUntil(id)
+		p.totals.entry(id).orderedUntil = p.orderedUntil(id)
 	}
 }
 
-// orderedUntil returns until when a worker counts as under an order, by the reports that
-// count.
+// orderedUntil returns the time until which a worker counts as under an order, by the included
+// reports.
 func (p *peerReports) orderedUntil(id fleet.EngineID) time.Duration {
 	latest := time.Duration(0)
 	for _, report := range p.reports {
-		if report.counted {
+		if report.included {
 			latest = max(latest, report.Orders[id])
 		}
 	}
 	return latest
 }
 
-// update takes changed loads into a node's report; without one before, it does
-// nothing. The sum takes in what has changed: nodes tell of each long prompt that they
-// place, and a sum made anew each time would take most of the time of a choice among thousands.
+// update applies changed loads to the report of a peer, if there is one. The totals are updated
+// incrementally, since peers send an update for each long prompt that they place.
 func (p *peerReports) update(node fleet.NodeID, loads []Load) {
 	report := p.reports[node]
 	if report == nil {
 		return
 	}
 	for _, load := range loads {
-		before := report.loads[load.Engine]
+		previous := report.loads[load.Engine]
 		report.loads[load.Engine] = load
-		if report.counted && p.validUntil > 0 {
-			entry := p.sum.entry(load.Engine)
-			entry.add(&before, -1)
+		if report.included && p.validUntil > 0 {
+			entry := p.totals.entry(load.Engine)
+			entry.add(&previous, -1)
 			entry.add(&load, 1)
-			p.changed(load.Engine)
+			p.onChange(load.Engine)
 		}
 	}
 }
 
-// forget drops a node's report.
+// forget drops the report of a peer.
 func (p *peerReports) forget(node fleet.NodeID) {
 	report := p.reports[node]
 	delete(p.reports, node)
-	if report != nil && report.counted && p.validUntil > 0 {
+	if report != nil && report.included && p.validUntil > 0 {
 		p.exclude(report)
 	}
 }
 
-// told returns what the reports that aren't too old say together.
-func (p *peerReports) told(now time.Duration) *peerSum {
+// totalsAt returns the sum of the reports that are valid at now.
+func (p *peerReports) totalsAt(now time.Duration) *peerTotals {
 	switch {
 	case now < p.validUntil:
-	case p.validUntil == 0 || len(p.sum.workers) > p.mostTold:
-		p.sumAnew(now)
+	case p.validUntil == 0 || len(p.totals.workers) > p.rebuildAbove:
+		p.rebuild(now)
 	default:
 		p.expire(now)
 	}
-	return &p.sum
+	return &p.totals
 }
 
-// spareTold is how many workers more than at first the sum may hold before it is made anew.
-const spareTold = 1024
+// rebuildSlack is the number of workers that the totals may gain, beyond doubling, before a
+// rebuild.
+const rebuildSlack = 1024
 
-// sumAnew makes the sum of all reports that aren't too old.
-func (p *peerReports) sumAnew(now time.Duration) {
-	p.sum.reset()
-	p.validUntil = now + peerLoadValid
+// rebuild recomputes the totals from the valid reports.
+func (p *peerReports) rebuild(now time.Duration) {
+	p.totals.reset()
+	p.validUntil = now + peerReportValidity
 	for _, report := range p.reports {
-		report.counted = false
-		if now < report.at+peerLoadValid {
+		report.included = false
+		if now < report.receivedAt+peerReportValidity {
 			p.include(report)
 		}
 	}
-	p.changedAll()
-	p.mostTold = 2*len(p.sum.workers) + spareTold
+	p.onChangeAll()
+	p.rebuildAbove = 2*len(p.totals.workers) + rebuildSlack
 }
 
-// expire takes the reports out that are too old.
+// expire excludes the reports that are no longer valid.
 func (p *peerReports) expire(now time.Duration) {
-	p.validUntil = now + peerLoadValid
+	p.validUntil = now + peerReportValidity
 	for _, report := range p.reports {
-		switch end := report.at + peerLoadValid; {
-		case !report.counted:
+		switch end := report.receivedAt + peerReportValidity; {
+		case !report.included:
 		case now >= end:
 			p.exclude(report)
 		default:
@@ -236,63 +235,62 @@
 	}
 }
 
-// add takes one report into the sum.
-func (s *peerSum) add(report *heardReport) {
-	s.heard++
+// add adds a report.
+func (t *peerTotals) add(report *receivedReport) {
+	t.reportCount++
 	for id, load := range report.loads {
-		s.entry(id).add(&load, 1)
+		t.entry(id).add(&load, 1)
 	}
 	for _, id := range report.Suspects {
-		s.entry(id).suspecting++
+		t.entry(id).suspecting++
 	}
 	for _, id := range report.Deferring {
-		s.entry(id).deferred++
+		t.entry(id).deferring++
 	}
 	for service, work := range report.Work {
-		s.work[service] = s.work[service].add(work)
+		t.work[service] = t.work[service].add(work)
 	}
 	for id, until := range report.Orders {
-		told := s.entry(id)
-		told.orderedUntil = max(told.orderedUntil, until)
+		entry := t.entry(id)
+		entry.orderedUntil = max(entry.orderedUntil, until)
 	}
 }
 
-// ObservePeer takes in another node's report.
+// ObservePeer records a peer's report.
 func (r *Registry) ObservePeer(now time.Duration, node fleet.NodeID, report PeerReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.observe(now, node, report)
 }
 
-// UpdatePeer takes another node's word on single workers in, which it has given
-// between two reports.
-func (r *Registry) UpdatePeer(node fleet.NodeID, loads []Load) {
+// UpdatePeerLoads applies a peer's changes to single loads between two reports.
+func (r *Registry) UpdatePeerLoads(node fleet.NodeID, loads []Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.update(node, loads)
 }
 
-// ForgetPeer drops what a node that is gone has said.
+// ForgetPeer drops the report of a peer that has left.
 func (r *Registry) ForgetPeer(node fleet.NodeID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers.forget(node)
 }
 
-// sharedDoubt is the number of other nodes whose word keeps requests away from a
-// worker: one may be cut off from it, or have its requests rejected, alone.
-const sharedDoubt = 2
+// suspicionQuorum is the number of peers that must suspect or be deferred by a worker before this
+// node avoids it. A single peer may be partitioned from the worker, or rejected by it, alone.
+const suspicionQuorum = 2
 
-// settledByPeers tells whether other nodes say nothing that keeps requests away
-// from a worker; the mutex is held.
-func (r *Registry) settledByPeers(now time.Duration, known *state) bool {
-	told := r.peers.told(now).worker(known.worker.ID)
+// isReadyByPeers reports whether the peers give no reason to avoid a worker. The mutex must be
+// held.
+func (r *Registry) isReadyByPeers(now time.Duration, state *workerState) bool {
+	entry := r.peers.totalsAt(now).worker(state.worker.ID)
 	switch {
-	case told == nil:
+	case entry == nil:
 		return true
-	case now < told.orderedUntil:
+	case now < entry.orderedUntil:
 		return false
 	default:
-		return told.suspecting+told.deferred < sharedDoubt || known.trustedSince(now)
+		return entry.suspecting+entry.deferring < suspicionQuorum || state.hasRecentContact(now)
 	}
 }
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -12,10 +12,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestOrderEndsWithThePeersNextReport has the holder of the lease tell first that
-// an engine is under order, and then no more.
-func TestOrderEndsWithThePeersNextReport(t *testing.T) {
-	registry := withEngines()
+// TestPeerOrderEndsWithNextReport guards against avoiding an engine after its order no longer
+// appears in the peer's report.
+func TestPeerOrderEndsWithNextReport(t *testing.T) {
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Succeeded)
 	registry.ObservePeer(0, "holder", PeerReport{Orders: map[fleet.EngineID]time.Duration{home.Worker.ID: 2 * time.Second}})
@@ -28,77 +28,79 @@
 	assert.Equal(t, home.Worker.ID, again.Worker.ID)
 }
 
-// TestWorkerThatSeveralNodesCannotReachIsLeftOut, unless this node has just heard
-// from it.
-func TestWorkerThatSeveralNodesCannotReachIsLeftOut(t *testing.T) {
-	registry := withEngines()
+// TestWorkerSuspectedBySeveralNodesIsAvoided guards against sending to a worker that several peers
+// cannot reach, unless this node has recent contact, and against relying on a single peer.
+func TestWorkerSuspectedBySeveralNodesIsAvoided(t *testing.T) {
+	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Cancelled)
 	suspects := PeerReport{Suspects: []fleet.EngineID{home.Worker.ID}}
 	registry.ObservePeer(0, "a", suspects)
 	one, _ := registry.Choose(0, engineRequest("p"))
-	assert.Equal(t, home.Worker.ID, one.Worker.ID, "one node may be cut off alone")
-	assert.True(t, registry.Doubtful(0)[home.Worker.ID])
+	assert.Equal(t, home.Worker.ID, one.Worker.ID, "a single peer may be partitioned")
+	assert.True(t, registry.AllSuspects(0)[home.Worker.ID])
 	registry.ObservePeer(0, "b", suspects)
 	one.End(0, Cancelled)
 	two, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, home.Worker.ID, two.Worker.ID)
-	one.state.trust(time.Millisecond)
+	one.state.recordContact(time.Millisecond)
 	trusted, _ := registry.Choose(2*time.Millisecond, engineRequest("p"))
 	assert.Equal(t, home.Worker.ID, trusted.Worker.ID)
 	trusted.End(2*time.Millisecond, Cancelled)
-	late, _ := registry.Choose(peerLoadValid, engineRequest("p"))
-	assert.Equal(t, home.Worker.ID, late.Worker.ID, "old words don't count")
+	late, _ := registry.Choose(peerReportValidity, engineRequest("p"))
+	assert.Equal(t, home.Worker.ID, late.Worker.ID, "expired reports don't count")
 }
 
-// TestWorkerThatDefersSeveralNodesIsTakenLast, but isn't taken for one that can't be reached.
-func TestWorkerThatDefersSeveralNodesIsTakenLast(t *testing.T) {
-	registry := withPlain(2)
+// TestWorkerDeferringSeveralNodesIsChosenLast guards against preferring a worker that defers
+// several peers, and against treating it as unreachable.
+func TestWorkerDeferringSeveralNodesIsChosenLast(t *testing.T) {
+	registry := newPlainRegistry(2)
 	deferring := PeerReport{Deferring: []fleet.EngineID{"p0"}}
 	registry.ObservePeer(0, "a", deferring)
 	chosen := make(map[fleet.EngineID]bool)
 	for range 50 {
 		chosen[choosePlain(t, registry, 0).Worker.ID] = true
 	}
-	assert.Len(t, chosen, 2, "it may reject the requests of one node alone")
+	assert.Len(t, chosen, 2, "the worker may reject the requests of a single peer")
 	registry.ObservePeer(0, "b", deferring)
 	for range 50 {
 		assert.EqualValues(t, "p1", choosePlain(t, registry, 0).Worker.ID)
 	}
-	assert.Empty(t, registry.Doubtful(0))
+	assert.Empty(t, registry.AllSuspects(0))
 	registry.ObserveDraining(DrainingRun{Worker: "p1"})
-	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "there is nobody else")
+	assert.EqualValues(t, "p0", choosePlain(t, registry, 0).Worker.ID, "no other worker is left")
 }
 
-// TestPlacementToldAtOnceCountsUntilTheNextReport.
-func TestPlacementToldAtOnceCountsUntilTheNextReport(t *testing.T) {
+// TestLoadUpdateCountsUntilNextReport guards against ignoring load updates between reports, or
+// keeping them after the next report.
+func TestLoadUpdateCountsUntilNextReport(t *testing.T) {
 	reports := newPeerReports()
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
-	assert.Zero(t, reports.told(0).heard, "nothing else is known of the node")
+	assert.Zero(t, reports.totalsAt(0).reportCount, "update without a report")
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", PrefillTokens: 1}, {Engine: "f", PrefillTokens: 2}}})
 	reports.update("a", []Load{{Engine: "e", PrefillTokens: 9}})
-	assert.Equal(t, 9, reports.told(0).worker("e").PrefillTokens)
-	assert.Equal(t, 2, reports.told(0).worker("f").PrefillTokens)
+	assert.Equal(t, 9, reports.totalsAt(0).worker("e").PrefillTokens)
+	assert.Equal(t, 2, reports.totalsAt(0).worker("f").PrefillTokens)
 	reports.observe(0, "a", PeerReport{})
-	assert.Nil(t, reports.told(0).worker("e"), "nothing is told of it any more")
+	assert.Nil(t, reports.totalsAt(0).worker("e"), "the load is no longer reported")
 }
 
-func TestReportsThatCountAreSummed(t *testing.T) {
+func TestValidReportsAreSummed(t *testing.T) {
 	reports := newPeerReports()
 	reports.observe(0, "a", PeerReport{Loads: []Load{{Engine: "e", InFlight: 2, MemoryTokens: 10}}})
 	reports.observe(time.Second, "b", PeerReport{Loads: []Load{{Engine: "e", InFlight: 3, MemoryTokens: 5}}})
-	assert.Equal(t, 5, reports.told(time.Second).worker("e").InFlight)
-	assert.Equal(t, 15, reports.told(time.Second).worker("e").MemoryTokens)
-	assert.Equal(t, 3, reports.told(peerLoadValid).worker("e").InFlight, "the older report is too old")
+	assert.Equal(t, 5, reports.totalsAt(time.Second).worker("e").InFlight)
+	assert.Equal(t, 15, reports.totalsAt(time.Second).worker("e").MemoryTokens)
+	assert.Equal(t, 3, reports.totalsAt(peerReportValidity).worker("e").InFlight, "the older report has expired")
 	reports.forget("b")
-	assert.Zero(t, reports.told(peerLoadValid).heard)
+	assert.Zero(t, reports.totalsAt(peerReportValidity).reportCount)
 }
 
-// TestSumOfReportsIsKeptUp compares the sum that takes in single reports with one made
-// anew, over random reports, changes and departures of nodes.
-func TestSumOfReportsIsKeptUp(t *testing.T) {
+// TestIncrementalTotalsMatchRebuild guards against incremental totals that drift from rebuilt ones,
+// over random reports, updates and departures.
+func TestIncrementalTotalsMatchRebuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	kept := newPeerReports()
+	incremental := newPeerReports()
 	now := time.Second
 	id := func() fleet.EngineID { return fleet.EngineID(fmt.Sprint("e", random.IntN(9))) }
 	for range 5000 {
@@ -107,23 +109,23 @@
 		load := Load{Engine: id(), InFlight: random.IntN(5), PrefillTokens: random.IntN(900)}
 		switch random.IntN(4) {
 		case 0, 1:
-			kept.observe(now, node, PeerReport{
+			incremental.observe(now, node, PeerReport{
 				Loads: []Load{load, {Engine: "all", InFlight: 1}}, Suspects: []fleet.EngineID{id()}, Deferring: []fleet.EngineID{id()},
 				Orders: map[fleet.EngineID]time.Duration{id(): now + time.Duration(random.IntN(2000))*time.Millisecond},
 				Work:   map[fleet.PoolName]Work{"s": {Long: time.Duration(random.IntN(50)), Short: 1}},
 			})
 		case 2:
-			kept.update(node, []Load{load})
+			incremental.update(node, []Load{load})
 		case 3:
-			kept.forget(node)
+			incremental.forget(node)
 		}
-		anew := newPeerReports()
-		for node, report := range kept.reports {
+		rebuilt := newPeerReports()
+		for node, report := range incremental.reports {
 			copied := *report
-			anew.reports[node] = &copied
+			rebuilt.reports[node] = &copied
 		}
-		one, other := kept.told(now), anew.told(now)
-		assert.Equal(t, other.heard, one.heard)
+		one, other := incremental.totalsAt(now), rebuilt.totalsAt(now)
+		assert.Equal(t, other.reportCount, one.reportCount)
 		assert.Equal(t, other.work["s"], one.work["s"])
 		for number := range 10 {
 			engine := fleet.EngineID(fmt.Sprint("e", number))
@@ -132,10 +134,10 @@
 			}
 			want, got := other.worker(engine), one.worker(engine)
 			if want == nil {
-				want = &toldWorker{}
+				want = &workerTotals{}
 			}
 			if got == nil {
-				got = &toldWorker{}
+				got = &workerTotals{}
 			}
 			require.Equal(t, *want, *got, "%s at %s", engine, now)
 		}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -8,34 +8,34 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// lapsed is the tier of workers whose row went without word of draining; the tiers before
-// it are those of listed workers by their distance.
+// lapsedTier is the tier of workers whose row was deleted without the worker draining. The tiers
+// before it hold the listed workers by distance.
 const (
-	lapsedTier = int(distances)
+	lapsedTier = int(distanceCount)
 	tiers      = lapsedTier + 1
 	noTier     = -1
 )
 
-// pool holds the workers of one service that may get requests, so that a choice finds few
-// of them without a look at all.
+// pool holds the workers of one service that may get requests, indexed so that a choice need not
+// scan all of them.
 type pool struct {
 	service fleet.PoolName
-	tiers   [tiers]levelled
+	tiers   [tiers]loadLevels
 	ring    ring
-	// weights counts the listed workers by model and version.
-	weights map[modelVersion]int
-	looks   map[lookKey]*look
-	buffer  []weighed
+	// versionCounts counts the listed workers by model version.
+	versionCounts map[versionKey]int
+	scans         map[scanKey]*scanResult
+	windowBuffer  []weightedEngine
 }
 
-// modelVersion is a version of a model's weights.
-type modelVersion struct {
+// versionKey identifies a version of a model.
+type versionKey struct {
 	model   fleet.ModelName
-	version WeightsVersion
+	version ModelVersion
 }
 
-// listed returns the number of listed workers.
-func (p *pool) listed() int {
+// listedCount returns the number of listed workers.
+func (p *pool) listedCount() int {
 	count := 0
 	for tier := range lapsedTier {
 		count += p.tiers[tier].count
@@ -43,134 +43,134 @@
 	return count
 }
 
-// all returns the listed workers one after the other.
-func (p *pool) all() iter.Seq2[int, *state] {
-	return func(yield func(int, *state) bool) {
-		at := 0
+// all iterates over the listed workers.
+func (p *pool) all() iter.Seq2[int, *workerState] {
+	return func(yield func(int, *workerState) bool) {
+		index := 0
 		for tier := range lapsedTier {
 			for _, members := range p.tiers[tier].members {
-				for _, known := range members {
-					if !yield(at, known) {
+				for _, state := range members {
+					if !yield(index, state) {
 						return
 					}
-					at++
+					index++
 				}
 			}
 		}
 	}
 }
 
-// poolOf returns the pool of a service; the mutex is held.
+// poolOf returns the pool of a service and creates it if needed. The mutex must be held.
 func (r *Registry) poolOf(service fleet.PoolName) *pool {
-	known := r.pools[service]
-	if known == nil {
-		known = &pool{service: service, weights: make(map[modelVersion]int), looks: make(map[lookKey]*look)}
-		r.pools[service] = known
+	servicePool := r.pools[service]
+	if servicePool == nil {
+		servicePool = &pool{service: service, versionCounts: make(map[versionKey]int), scans: make(map[scanKey]*scanResult)}
+		r.pools[service] = servicePool
 	}
-	return known
+	return servicePool
 }
 
-// tierOf returns the tier where a worker belongs.
-func (r *Registry) tierOf(known *state) int {
+// tierOf returns the tier that a worker belongs to.
+func (r *Registry) tierOf(state *workerState) int {
 	switch {
-	case known.worker.Draining, !r.subsets.contains(known.worker.Service, known.hash):
+	case state.worker.Draining, !r.subsets.contains(state.worker.Service, state.hash):
 		return noTier
-	case known.gone:
+	case state.gone:
 		return lapsedTier
 	default:
-		return int(r.from(known.worker.Zone))
+		return int(r.distanceTo(state.worker.Zone))
 	}
 }
 
-// enlist puts a worker where it belongs after a change; the mutex is held.
-func (r *Registry) enlist(known *state) {
-	tier := r.tierOf(known)
-	if tier == known.tier && known.pool != nil && known.pool.service == known.worker.Service {
+// updatePool moves a worker to the pool and tier that it belongs to. The mutex must be held.
+func (r *Registry) updatePool(state *workerState) {
+	tier := r.tierOf(state)
+	if tier == state.tier && state.pool != nil && state.pool.service == state.worker.Service {
 		return
 	}
-	r.delist(known)
+	r.removeFromPool(state)
 	if tier == noTier {
 		return
 	}
-	into := r.poolOf(known.worker.Service)
-	known.pool, known.tier = into, tier
-	into.tiers[tier].add(known, r.levelOf(known))
+	target := r.poolOf(state.worker.Service)
+	state.pool, state.tier = target, tier
+	target.tiers[tier].add(state, r.levelOf(state))
 	if tier != lapsedTier {
-		into.ring.add(known)
-		into.count(known.worker.Versions, 1)
+		target.ring.add(state)
+		target.countVersions(state.worker.Versions, 1)
 	}
 }
 
-// delist takes a worker out of its pool; the mutex is held.
-func (r *Registry) delist(known *state) {
-	from := known.pool
-	if from == nil {
+// removeFromPool removes a worker from its pool. The mutex must be held.
+func (r *Registry) removeFromPool(state *workerState) {
+	current := state.pool
+	if current == nil {
 		return
 	}
-	from.tiers[known.tier].remove(known)
-	if known.tier != lapsedTier {
-		from.ring.remove(known)
-		from.count(known.worker.Versions, -1)
+	current.tiers[state.tier].remove(state)
+	if state.tier != lapsedTier {
+		current.ring.remove(state)
+		current.countVersions(state.worker.Versions, -1)
 	}
-	known.pool, known.tier = nil, noTier
+	state.pool, state.tier = nil, noTier
 }
 
-// setVersions changes what a worker runs; the mutex is held.
-func (r *Registry) setVersions(known *state, versions map[fleet.ModelName]WeightsVersion) {
-	if known.pool != nil && known.tier != lapsedTier {
-		known.pool.count(known.worker.Versions, -1)
-		known.pool.count(versions, 1)
+// setVersions updates the versions of a worker and the counts of its pool. The mutex must be held.
+func (r *Registry) setVersions(state *workerState, versions map[fleet.ModelName]ModelVersion) {
+	if state.pool != nil && state.tier != lapsedTier {
+		state.pool.countVersions(state.worker.Versions, -1)
+		state.pool.countVersions(versions, 1)
 	}
-	known.worker.Versions = versions
+	state.worker.Versions = versions
 }
 
-// count adds to the workers of versions.
-func (p *pool) count(versions map[fleet.ModelName]WeightsVersion, change int) {
+// countVersions adds change to the count of each version.
+func (p *pool) countVersions(versions map[fleet.ModelName]ModelVersion, change int) {
 	for model, version := range versions {
-		key := modelVersion{model: model, version: version}
-		p.weights[key] += change
-		if p.weights[key] == 0 {
-			delete(p.weights, key)
+		key := versionKey{model: model, version: version}
+		p.versionCounts[key] += change
+		if p.versionCounts[key] == 0 {
+			delete(p.versionCounts, key)
 		}
 	}
 }
 
-// longSide returns the hash up to which engines are kept for long prompts, and whether any
-// are kept for either size; the mutex is held.
-func (r *Registry) longSide(now time.Duration, of *pool) (bound uint64, apart bool) {
-	work := r.peers.told(now).work[of.service]
-	if own := r.partitions[of.service]; own != nil {
+// longPromptBound returns the highest hash of the engines reserved for long prompts, and whether
+// the pool is partitioned by prompt size. The mutex must be held.
+func (r *Registry) longPromptBound(now time.Duration, servicePool *pool) (bound uint64, partitioned bool) {
+	work := r.peers.totalsAt(now).work[servicePool.service]
+	if own := r.workTrackers[servicePool.service]; own != nil {
 		work = work.add(own.work(now))
 	}
-	kept, apart := work.forLong(len(of.ring.sides))
-	if !apart {
+	longEngines, partitioned := work.enginesForLong(len(servicePool.ring.hashes))
+	if !partitioned {
 		return 0, false
 	}
-	return of.ring.sides[kept-1], true
+	return servicePool.ring.hashes[longEngines-1], true
 }
 
-// keptForOthers returns which engines are kept for prompts of another size than a
-// request's; the mutex is held.
-func (r *Registry) keptForOthers(now time.Duration, of *pool, engine *EngineRequest) func(*state) bool {
+// reservedForOtherSize returns a predicate that reports whether an engine is reserved for prompts
+// of another size than the request's. The mutex must be held.
+func (r *Registry) reservedForOtherSize(now time.Duration, servicePool *pool, engine *EngineRequest) func(*workerState) bool {
 	if engine == nil {
-		return func(*state) bool { return false }
+		return func(*workerState) bool { return false }
 	}
-	bound, apart := r.longSide(now, of)
-	long := r.isLong(engine)
-	return func(known *state) bool { return apart && (known.hash <= bound) != long }
+	bound, partitioned := r.longPromptBound(now, servicePool)
+	long := r.isLongPrompt(engine)
+	return func(state *workerState) bool { return partitioned && (state.hash <= bound) != long }
 }
 
-// homeIn returns the engine of a window with the highest weight that fits, or nil.
-func homeIn(window []weighed, fits func(*state) bool) *state {
+// homeIn returns the eligible engine with the highest weight in a window, or nil.
+func homeIn(window []weightedEngine, isEligible func(*workerState) bool) *workerState {
 	for len(window) > 0 {
 		best := 0
-		for at := range window {
-			if window[at].weight > window[best].weight {
-				best = at
+		for index := range window {
+			if window[index].rendezvousWeight > window[best].rendezvousWeight {
+				best = index
 			}
 		}
-		if fits(window[best].known) {
-			return window[best].known
+		if isEligible(window[best].state) {
+			return window[best].state
 		}
 		window = slices.Delete(window, best, best+1)
 	}
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -12,29 +12,28 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Options sets up a Registry.
+// Options configures a Registry.
 type Options struct {
-	// Zone is where this node is.
+	// Zone is the zone of this node.
 	Zone fleet.ZoneName
-	// Regions holds the region of each zone; zones that it lacks count as near ones.
+	// Regions holds the region of each zone. Zones without an entry count as in the same region.
 	Regions Regions
-	// Distances are what distance costs; DefaultDistancePrices if all are 0.
+	// Distances sets the cost of distance; the zero value means DefaultDistancePrices.
 	Distances DistancePrices
-	// WholeUpTo is the number of a service's workers up to which a choice looks at all of
-	// them; 0 means DefaultWholeUpTo.
-	WholeUpTo int
-	// Random breaks ties; required.
+	// ExhaustiveLimit is the number of workers of a service up to which a choice examines all of
+	// them; 0 means DefaultExhaustiveLimit.
+	ExhaustiveLimit int
+	// Random breaks ties and draws samples; required.
 	Random *rand.Rand
-	// Scheduling sets the prices of a choice among engines.
+	// Scheduling sets the cost weights for the choice among engines.
 	Scheduling scheduling.Options
-	// PrefillPerToken is the time that an engine takes for a prompt token before
-	// any was measured.
+	// PrefillPerToken is the assumed time to prefill a prompt token until it has been measured.
 	PrefillPerToken time.Duration
-	// Step is the time of an engine's batch step, StepTokens the most prompt
-	// tokens that one computes.
+	// Step is the duration of an engine's batch step. StepTokens is the maximum number of prompt
+	// tokens computed in one step.
 	Step       time.Duration
 	StepTokens int
-	// MaxParts bounds the remembered cached parts.
+	// MaxParts limits the number of cached parts in the index.
 	MaxParts int
 }
 
@@ -46,45 +45,46 @@
 	DefaultMaxParts        = 1 << 16
 )
 
-// Registry is what a node knows of the workers.
+// Registry tracks the workers of all services and chooses among them. It is safe for concurrent
+// use.
 type Registry struct {
 	options   Options
 	scheduler *scheduling.Scheduler
 
-	mutex   sync.Mutex
-	workers map[fleet.EngineID]*state
-	names   shortNames
-	// tombstones holds the revision at which a row went, for workers forgotten.
+	mutex      sync.Mutex
+	workers    map[fleet.EngineID]*workerState
+	shortNames shortNames
+	// tombstones holds, for forgotten workers, the revision at which their row was deleted.
 	tombstones map[fleet.EngineID]fleet.Revision
-	// unlisted holds the workers that have said that they drain and whose rows haven't, and
-	// drained the runs of those forgotten that were draining.
-	unlisted  map[fleet.EngineID]bool
-	drained   map[fleet.EngineID]drainedRun
-	peers     *peerReports
-	required  map[fleet.ModelName]WeightsVersion
-	preferred map[fleet.ModelName]WeightsVersion
-	// capacities holds, by service, the memory of an engine in tokens.
-	capacities map[fleet.PoolName]int
-	// speeds holds, by service, how fast its engines are.
-	speeds     map[fleet.PoolName]*speed
-	parts      *partIndex
-	partitions map[fleet.PoolName]*partition
-	pools      map[fleet.PoolName]*pool
-	// subsets are those whose workers get requests, planned those that this node planned
-	// last, and shortages what it lacked. onlySubsets is set if nothing is to be known of
-	// other workers.
+	// unpublishedDraining holds the workers that are draining although their rows do not say so.
+	// forgottenDraining holds the runs that were draining when they were forgotten.
+	unpublishedDraining map[fleet.EngineID]bool
+	forgottenDraining   map[fleet.EngineID]drainingRecord
+	peers               *peerReports
+	required            map[fleet.ModelName]ModelVersion
+	preferred           map[fleet.ModelName]ModelVersion
+	// memoryCapacities holds, by service, the KV cache capacity of an engine in tokens.
+	memoryCapacities map[fleet.PoolName]int
+	// speedEstimates holds, by service, the measured speed of its engines.
+	speedEstimates map[fleet.PoolName]*speedEstimate
+	parts          *partIndex
+	workTrackers   map[fleet.PoolName]*workTracker
+	pools          map[fleet.PoolName]*pool
+	// subsets are the active subsets, planned the last ones that this node planned, and shortages
+	// the capacity that they lacked. With onlySubsets, workers outside the active subsets are not
+	// tracked.
 	subsets     Subsets
 	planned     Subsets
 	shortages   map[fleet.PoolName]shortage
 	onlySubsets bool
-	// changes counts the changes of the workers that are listed and of their versions.
+	// changes counts the changes to the set of workers and to their versions.
 	changes uint64
-	// searches counts the searches for candidates.
+	// searches counts the searches for candidates and provides their identifiers.
 	searches uint64
-	// endpoints, fits, doubts and matches are buffers of a choice.
-	endpoints    []scheduling.Endpoint
-	fits, doubts []*state
-	matches      []prefixindex.Match
+	// endpoints, eligible, notReady and matches are buffers reused by choices.
+	endpoints          []scheduling.Endpoint
+	eligible, notReady []*workerState
+	matches            []prefixindex.Match
 }
 
 // New returns an empty registry.
@@ -101,197 +101,197 @@
 	if options.MaxParts <= 0 {
 		options.MaxParts = DefaultMaxParts
 	}
-	if options.WholeUpTo <= 0 {
-		options.WholeUpTo = DefaultWholeUpTo
+	if options.ExhaustiveLimit <= 0 {
+		options.ExhaustiveLimit = DefaultExhaustiveLimit
 	}
 	if options.Distances == (DistancePrices{}) {
 		options.Distances = DefaultDistancePrices()
 	}
 	registry := &Registry{
-		options:    options,
-		scheduler:  scheduling.New(options.Scheduling),
-		workers:    make(map[fleet.EngineID]*state),
-		names:      newShortNames(),
-		tombstones: make(map[fleet.EngineID]fleet.Revision),
-		unlisted:   make(map[fleet.EngineID]bool),
-		drained:    make(map[fleet.EngineID]drainedRun),
-		peers:      newPeerReports(),
-		required:   make(map[fleet.ModelName]WeightsVersion),
-		preferred:  make(map[fleet.ModelName]WeightsVersion),
-		capacities: make(map[fleet.PoolName]int),
-		speeds:     make(map[fleet.PoolName]*speed),
-		parts:      newPartIndex(options.MaxParts),
-		partitions: make(map[fleet.PoolName]*partition),
-		pools:      make(map[fleet.PoolName]*pool),
-		shortages:  make(map[fleet.PoolName]shortage),
+		options:             options,
+		scheduler:           scheduling.New(options.Scheduling),
+		workers:             make(map[fleet.EngineID]*workerState),
+		shortNames:          newShortNames(),
+		tombstones:          make(map[fleet.EngineID]fleet.Revision),
+		unpublishedDraining: make(map[fleet.EngineID]bool),
+		forgottenDraining:   make(map[fleet.EngineID]drainingRecord),
+		peers:               newPeerReports(),
+		required:            make(map[fleet.ModelName]ModelVersion),
+		preferred:           make(map[fleet.ModelName]ModelVersion),
+		memoryCapacities:    make(map[fleet.PoolName]int),
+		speedEstimates:      make(map[fleet.PoolName]*speedEstimate),
+		parts:               newPartIndex(options.MaxParts),
+		workTrackers:        make(map[fleet.PoolName]*workTracker),
+		pools:               make(map[fleet.PoolName]*pool),
+		shortages:           make(map[fleet.PoolName]shortage),
 	}
-	registry.peers.changed, registry.peers.changedAll = registry.relevelByID, registry.relevelAll
+	registry.peers.onChange, registry.peers.onChangeAll = registry.updateLevelByID, registry.updateAllLevels
 	return registry
 }
 
-// Change tells what an observation changed.
+// Change is the effect of an observation on a worker.
 type Change string
 
-// Changes of a worker.
+// Effects of an observation.
 const (
-	Unchanged  Change = ""
-	Added      Change = "added"
-	Returned   Change = "returned"
-	Began      Change = "draining"
-	Gone       Change = "gone"
-	NewVersion Change = "version"
-	// Restarted means that another run has the worker's identifier.
+	Unchanged       Change = ""
+	Added           Change = "added"
+	Returned        Change = "returned"
+	StartedDraining Change = "draining"
+	Gone            Change = "gone"
+	NewVersion      Change = "version"
+	// Restarted means that a new run has taken the worker's identifier.
 	Restarted Change = "restarted"
-	// Unusable means that the worker's row names no worker to use any more.
+	// Unusable means that the worker's row no longer describes a usable worker.
 	Unusable Change = "unusable"
 )
 
-// Observe takes in a worker's row at a revision of the store.
+// Observe records a worker's row at a revision of the store. Rows that are not newer than the last
+// one are ignored.
 func (r *Registry) Observe(revision fleet.Revision, worker Worker) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes++
-	known := r.workers[worker.ID]
-	if known == nil {
+	state := r.workers[worker.ID]
+	if state == nil {
 		if revision <= r.tombstones[worker.ID] {
 			return Unchanged
 		}
-		known = newState(worker, revision)
-		if !worker.Draining && r.wasDraining(worker.ID, worker.Born) {
-			known.worker.Draining = true
-			r.unlisted[worker.ID] = true
+		state = newState(worker, revision)
+		if !worker.Draining && r.wasDraining(worker.ID, worker.StartTime) {
+			state.worker.Draining = true
+			r.unpublishedDraining[worker.ID] = true
 		}
-		delete(r.drained, worker.ID)
-		r.workers[worker.ID] = known
-		r.enlist(known)
-		r.names.add(worker.ID)
+		delete(r.forgottenDraining, worker.ID)
+		r.workers[worker.ID] = state
+		r.updatePool(state)
+		r.shortNames.add(worker.ID)
 		r.parts.add(worker.Run())
 		return Added
 	}
-	if revision <= known.revision || worker.Born != 0 && worker.Born < known.worker.Born {
+	if revision <= state.revision || worker.StartTime != 0 && worker.StartTime < state.worker.StartTime {
 		return Unchanged
 	}
-	if startedAgain(&known.worker, worker.Born) {
-		r.replaceRun(known, worker, revision)
+	if isRestart(&state.worker, worker.StartTime) {
+		r.replaceRun(state, worker, revision)
 		return Restarted
 	}
 	change := Unchanged
 	switch {
-	case worker.Draining && !known.worker.Draining:
-		change = Began
-	case known.gone:
+	case worker.Draining && !state.worker.Draining:
+		change = StartedDraining
+	case state.gone:
 		change = Returned
-	case !maps.Equal(known.worker.Versions, worker.Versions):
+	case !maps.Equal(state.worker.Versions, worker.Versions):
 		change = NewVersion
 	}
 	if worker.Draining {
-		delete(r.unlisted, worker.ID)
+		delete(r.unpublishedDraining, worker.ID)
 	}
-	worker.Draining = worker.Draining || known.worker.Draining
-	r.setVersions(known, r.newerVersions(known, worker.Versions))
-	worker.Versions = known.worker.Versions
-	worker.Born = max(worker.Born, known.worker.Born)
-	known.worker, known.revision, known.gone = worker, revision, false
-	r.enlist(known)
+	worker.Draining = worker.Draining || state.worker.Draining
+	r.setVersions(state, r.mergeVersions(state, worker.Versions))
+	worker.Versions = state.worker.Versions
+	worker.StartTime = max(worker.StartTime, state.worker.StartTime)
+	state.worker, state.revision, state.gone = worker, revision, false
+	r.updatePool(state)
 	return change
 }
 
-// startedAgain tells whether a start is that of another run than the one known. Where the
-// known one's start was never told, the first word on it says nothing of another run.
-func startedAgain(known *Worker, born StartTime) bool {
-	return known.Born != 0 && born > known.Born
+// isRestart reports whether the start time belongs to a later run than the current one. If the
+// current run's start time is unknown, it is not a restart.
+func isRestart(current *Worker, startTime StartTime) bool {
+	return current.StartTime != 0 && startTime > current.StartTime
 }
 
-// replaceRun has a new run take the place of the one known under the same identifier:
-// requests under way stay counted at the former one; the mutex is held.
-func (r *Registry) replaceRun(former *state, worker Worker, revision fleet.Revision) {
-	r.delist(former)
-	delete(r.unlisted, worker.ID)
+// replaceRun replaces a run by a new one with the same identifier. Requests in flight remain
+// counted at the previous run. The mutex must be held.
+func (r *Registry) replaceRun(previous *workerState, worker Worker, revision fleet.Revision) {
+	r.removeFromPool(previous)
+	delete(r.unpublishedDraining, worker.ID)
 	r.parts.clear(worker.Run())
-	next := newState(worker, revision)
-	r.workers[worker.ID] = next
-	r.enlist(next)
+	replacement := newState(worker, revision)
+	r.workers[worker.ID] = replacement
+	r.updatePool(replacement)
 }
 
-// ObserveStart takes in when a worker says that it started, other than by its row. It tells
-// whether that is another run than the one known.
-func (r *Registry) ObserveStart(id fleet.EngineID, born StartTime) bool {
+// ObserveStart records a worker's start time from a source other than its row, and reports whether
+// the worker has restarted.
+func (r *Registry) ObserveStart(id fleet.EngineID, startTime StartTime) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil || !startedAgain(&known.worker, born) {
+	state := r.workers[id]
+	if state == nil || !isRestart(&state.worker, startTime) {
 		return false
 	}
-	worker := known.worker
-	worker.Born, worker.Draining = born, false
-	r.replaceRun(known, worker, known.revision)
-	r.workers[id].gone, r.workers[id].goneAt = known.gone, known.goneAt
-	r.enlist(r.workers[id])
+	worker := state.worker
+	worker.StartTime, worker.Draining = startTime, false
+	r.replaceRun(state, worker, state.revision)
+	r.workers[id].gone, r.workers[id].goneAt = state.gone, state.goneAt
+	r.updatePool(r.workers[id])
 	return true
 }
 
-// ObserveUnusable takes in that a worker's row names no worker to use from a revision on:
-// it gets no requests, also where nobody else is there, until a newer row names one again.
+// ObserveUnusable records that, as of a revision, a worker's row does not describe a usable worker.
+// The worker gets no requests, not even as a last resort, until a newer row describes a usable one.
 func (r *Registry) ObserveUnusable(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		r.tombstones[id] = max(r.tombstones[id], revision)
 		return Unchanged
 	}
-	if revision <= known.revision {
+	if revision <= state.revision {
 		return Unchanged
 	}
-	known.gone, known.goneAt, known.revision = true, now-lapseGrace, revision
-	r.enlist(known)
+	state.gone, state.goneAt, state.revision = true, now-lapsedGracePeriod, revision
+	r.updatePool(state)
 	return Unusable
 }
 
-// newerVersions returns the versions of a row, except where a newer one was
-// heard of before: rows lag behind. A newer version in the row drops what the
-// worker is believed to hold.
-func (r *Registry) newerVersions(known *state, row map[fleet.ModelName]WeightsVersion) map[fleet.ModelName]WeightsVersion {
-	if maps.Equal(known.worker.Versions, row) {
+// mergeVersions returns the versions in a row, or the known ones where these are newer, since rows
+// may be stale. If any version changes, the cached parts of the run are discarded.
+func (r *Registry) mergeVersions(state *workerState, row map[fleet.ModelName]ModelVersion) map[fleet.ModelName]ModelVersion {
+	if maps.Equal(state.worker.Versions, row) {
 		return row
 	}
-	newer := make(map[fleet.ModelName]WeightsVersion, len(row))
+	merged := make(map[fleet.ModelName]ModelVersion, len(row))
 	for model, version := range row {
-		newer[model] = max(version, known.worker.Versions[model])
+		merged[model] = max(version, state.worker.Versions[model])
 	}
-	if !maps.Equal(known.worker.Versions, newer) {
-		known.doubtUntil = 0
-		r.parts.clear(known.worker.Run())
+	if !maps.Equal(state.worker.Versions, merged) {
+		state.mismatchUntil = 0
+		r.parts.clear(state.worker.Run())
 	}
-	return newer
+	return merged
 }
 
-// ObserveGone takes in that a worker's row went at a revision.
+// ObserveGone records that a worker's row was deleted at a revision.
 func (r *Registry) ObserveGone(now time.Duration, revision fleet.Revision, id fleet.EngineID) Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		r.tombstones[id] = max(r.tombstones[id], revision)
 		return Unchanged
 	}
-	if revision <= known.revision || known.gone {
-		known.revision = max(known.revision, revision)
+	if revision <= state.revision || state.gone {
+		state.revision = max(state.revision, revision)
 		return Unchanged
 	}
-	known.gone, known.goneAt, known.revision = true, now, revision
+	state.gone, state.goneAt, state.revision = true, now, revision
 	r.changes++
-	r.enlist(known)
+	r.updatePool(state)
 	return Gone
 }
 
-// ObserveAll takes in a whole read of the rows as of a revision: workers that it
-// doesn't name, and whose rows are not newer than the read, are gone.
-func (r *Registry) ObserveAll(now time.Duration, revision fleet.Revision, named map[fleet.EngineID]bool) []fleet.EngineID {
+// ObserveSnapshot records a complete read of the rows at a revision. Workers that are not listed
+// and whose rows are not newer than the snapshot count as gone. It returns those workers in order.
+func (r *Registry) ObserveSnapshot(now time.Duration, revision fleet.Revision, listed map[fleet.EngineID]bool) []fleet.EngineID {
 	r.mutex.Lock()
 	var missing []fleet.EngineID
-	for id, known := range r.workers {
-		if !known.gone && !named[id] && known.revision <= revision {
+	for id, state := range r.workers {
+		if !state.gone && !listed[id] && state.revision <= revision {
 			missing = append(missing, id)
 		}
 	}
@@ -306,112 +306,112 @@
 	return gone
 }
 
-// Forget drops the workers that have been gone for keep and have no request in
-// flight, and returns them.
-func (r *Registry) Forget(now, keep time.Duration) []fleet.EngineID {
+// Forget drops the workers that have been gone for the retention time and have no request in
+// flight, and those outside the active subsets. It returns the dropped workers.
+func (r *Registry) Forget(now, retention time.Duration) []fleet.EngineID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.sweepDrained(now)
+	r.expireForgottenDraining(now)
 	var forgotten []fleet.EngineID
-	for id, known := range r.workers {
-		if known.gone && known.inFlight == 0 && now >= known.goneAt+keep {
-			r.tombstones[id] = known.revision
-			r.drop(id, known)
+	for id, state := range r.workers {
+		if state.gone && state.inFlight == 0 && now >= state.goneAt+retention {
+			r.tombstones[id] = state.revision
+			r.drop(id, state)
 			forgotten = append(forgotten, id)
-		} else if r.superfluous(known) {
-			r.drop(id, known)
+		} else if r.isOutsideSubsets(state) {
+			r.drop(id, state)
 			forgotten = append(forgotten, id)
 		}
 	}
 	return forgotten
 }
 
-// Require says that requests of a model may begin on no older version.
-func (r *Registry) Require(model fleet.ModelName, version WeightsVersion) {
+// RequireVersion sets the minimum version for new requests of a model. It never decreases.
+func (r *Registry) RequireVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.required[model] = max(r.required[model], version)
 }
 
-// Prefer says that requests of a model should begin on no older version where that
-// costs little.
-func (r *Registry) Prefer(model fleet.ModelName, version WeightsVersion) {
+// PreferVersion sets the minimum preferred version for new requests of a model: older versions are
+// penalized. It never decreases.
+func (r *Registry) PreferVersion(model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.preferred[model] = max(r.preferred[model], version)
 }
 
-// NoteVersion takes in a version that the worker, or whoever ordered it, was
-// heard to have. It never goes down, since rows lag behind.
-func (r *Registry) NoteVersion(id fleet.EngineID, model fleet.ModelName, version WeightsVersion) {
+// ObserveVersion records that a worker has loaded a version of a model. Older versions are ignored,
+// since reports may be stale.
+func (r *Registry) ObserveVersion(id fleet.EngineID, model fleet.ModelName, version ModelVersion) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil || known.worker.Versions[model] >= version {
+	state := r.workers[id]
+	if state == nil || state.worker.Versions[model] >= version {
 		return
 	}
-	versions := maps.Clone(known.worker.Versions)
+	versions := maps.Clone(state.worker.Versions)
 	if versions == nil {
-		versions = make(map[fleet.ModelName]WeightsVersion)
+		versions = make(map[fleet.ModelName]ModelVersion)
 	}
 	versions[model] = version
 	r.changes++
-	r.setVersions(known, versions)
-	known.doubtUntil = 0
-	// The order that brought the version is carried out.
-	known.orderedUntil = 0
-	r.parts.clear(known.worker.Run())
+	r.setVersions(state, versions)
+	state.mismatchUntil = 0
+	// The order to load this version has been carried out.
+	state.orderedUntil = 0
+	r.parts.clear(state.worker.Run())
 }
 
-// NoteOrder says until when a worker counts as under an order.
-func (r *Registry) NoteOrder(id fleet.EngineID, until time.Duration) {
+// ObserveOrder records until when a worker counts as under an order.
+func (r *Registry) ObserveOrder(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.workers[id]; known != nil {
-		known.orderedUntil = until
+	if state := r.workers[id]; state != nil {
+		state.orderedUntil = until
 	}
 }
 
-// ZoneOf returns where a worker is; empty if it isn't known.
+// ZoneOf returns the zone of a worker, or "" if the worker is unknown.
 func (r *Registry) ZoneOf(id fleet.EngineID) fleet.ZoneName {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.workers[id]
-	if known == nil {
+	state := r.workers[id]
+	if state == nil {
 		return ""
 	}
-	return known.worker.Zone
+	return state.worker.Zone
 }
 
-// Workers returns the listed workers of all services, by identifier.
+// Workers returns the workers of all services whose rows exist, sorted by identifier.
 func (r *Registry) Workers() []Worker {
-	return r.workersThat(func(known *state) bool { return !known.gone })
+	return r.filterWorkers(func(state *workerState) bool { return !state.gone })
 }
 
-// WorkersInUse returns the listed workers of the subsets in force, by identifier.
+// WorkersInUse returns the workers in the active subsets whose rows exist, sorted by identifier.
 func (r *Registry) WorkersInUse() []Worker {
-	return r.workersThat(func(known *state) bool {
-		return !known.gone && r.subsets.contains(known.worker.Service, known.hash)
+	return r.filterWorkers(func(state *workerState) bool {
+		return !state.gone && r.subsets.contains(state.worker.Service, state.hash)
 	})
 }
 
-// Changes returns a number that rises with each change of the workers that are listed and of
-// their versions.
+// Changes returns a counter that increases when a worker is observed or gone, or its version
+// changes.
 func (r *Registry) Changes() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.changes
 }
 
-// workersThat returns the workers that are chosen, by identifier. The mutex is held while
-// it chooses.
-func (r *Registry) workersThat(chosen func(known *state) bool) []Worker {
+// filterWorkers returns the workers that include accepts, sorted by identifier. include is called
+// with the mutex held.
+func (r *Registry) filterWorkers(include func(state *workerState) bool) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var workers []Worker
-	for _, known := range r.workers {
-		if chosen(known) {
-			workers = append(workers, known.worker)
+	for _, state := range r.workers {
+		if include(state) {
+			workers = append(workers, state.worker)
 		}
 	}
 	slices.SortFunc(workers, func(a, b Worker) int {
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -7,231 +7,236 @@
 	"github.com/tillerfall/tillerfall/internal/delivery"
 )
 
-// Sizes of a search.
+// Limits of a search.
 const (
-	// DefaultWholeUpTo is the number of a service's workers up to which a choice looks at
-	// all of them.
-	DefaultWholeUpTo = 64
-	// mostHolders bounds the holders of each number of a prompt's parts that a choice
-	// knows of, as candidates and as sources.
-	mostHolders = 8
-	// drawnTries is how many workers are looked at in a tier for each one wanted there
-	// before the next tier's turn.
-	drawnTries = 4
+	// DefaultExhaustiveLimit is the default of Options.ExhaustiveLimit.
+	DefaultExhaustiveLimit = 64
+	// maxHolders limits the number of holders, for each number of leading parts, that a choice
+	// considers as candidates and import sources.
+	maxHolders = 8
+	// sampleAttempts is the maximum number of workers examined in a tier for each eligible one
+	// wanted, before the search moves to the next tier.
+	sampleAttempts = 4
 )
 
-// drawn is how many workers of each distance a choice draws. Near ones are most: what
-// crosses a zone or region is dearer, and far ones take over when the near ones are full.
-var drawn = [distances]int{SameZone: 8, SameRegion: 6, OtherRegion: 4}
+// sampleSizes is the number of eligible workers that a choice samples at each distance. Distant
+// workers are sampled to take over when the near ones are full.
+var sampleSizes = [distanceCount]int{SameZone: 8, SameRegion: 6, OtherRegion: 4}
 
-// verdict is what a look at a worker finds.
+// verdict is the result of examining a worker.
 type verdict uint8
 
 const (
-	// unfit is a worker of another software version than the request may go to.
-	unfit verdict = iota
-	// tried is one that has had the request, occupied one without a free connection.
-	tried
-	occupied
-	// outdated is one whose weights are too old, crowded one that has all the streams
-	// that it may get.
-	outdated
-	crowded
-	// doubtful is one that something speaks against right now.
-	doubtful
-	// closed is one that takes no requests for a time.
-	closed
-	doubtfulOutdated
-	doubtfulCrowded
-	fit
-	verdicts
+	// verdictIneligible: the worker is gone, or the request may not go to its software version.
+	verdictIneligible verdict = iota
+	// verdictTried: the request was already sent to the run. verdictNoConnection: this node has no
+	// free connection to the worker.
+	verdictTried
+	verdictNoConnection
+	// verdictOutdated: the model version is too old. verdictFull: the worker has reached its
+	// maximum number of streams.
+	verdictOutdated
+	verdictFull
+	// verdictNotReady: this node or its peers have reason to avoid the worker for now.
+	verdictNotReady
+	// verdictClosed: the worker temporarily admits no requests.
+	verdictClosed
+	verdictNotReadyOutdated
+	verdictNotReadyFull
+	verdictEligible
+	verdictCount
 )
 
-// search looks for the candidates of one choice. Each worker is looked at once; the
-// registry's mutex is held.
+// search collects the candidates of one choice. Each worker is examined at most once. The
+// registry's mutex must be held.
 type search struct {
 	*Registry
 
 	now      time.Duration
 	request  *Request
-	versions *delivery.Choice
+	software *delivery.Choice
 	pool     *pool
-	// whole is set if all workers are looked at.
-	whole bool
-	// number tells the workers that this search has looked at.
-	number uint64
-	counts [verdicts]int
-	looked int
-	fits   []*state
-	doubts []*state
-	draws  [tiers]draw
-	// kept tells which engines are kept for prompts of another size.
-	kept     func(*state) bool
-	scopes   []*scoped
-	accepted verdict
-	// opensIn is the least time until a worker that is closed takes one again.
-	opensIn time.Duration
+	// exhaustive is set if all workers are examined.
+	exhaustive bool
+	// id marks the workers that this search has examined.
+	id       uint64
+	counts   [verdictCount]int
+	examined int
+	eligible []*workerState
+	notReady []*workerState
+	samplers [tiers]sampler
+	// isReserved reports whether an engine is reserved for prompts of another size.
+	isReserved      func(*workerState) bool
+	scopes          []*promptScope
+	acceptedVerdict verdict
+	// reopensIn is the shortest time until a closed worker admits requests again.
+	reopensIn time.Duration
 }
 
-// newSearch returns a search among the workers of some software versions.
-func (r *Registry) newSearch(now time.Duration, request *Request, versions *delivery.Choice) *search {
+// newSearch returns a search among the workers that the software choice allows.
+func (r *Registry) newSearch(now time.Duration, request *Request, software *delivery.Choice) *search {
 	r.searches++
-	// What too old reports told leaves the levels here, not while they are drawn from.
-	r.peers.told(now)
-	known := r.poolOf(request.Service)
+	// Expire stale reports before sampling: expiry moves workers between the lists that are
+	// sampled.
+	r.peers.totalsAt(now)
+	servicePool := r.poolOf(request.Service)
 	s := &search{
-		Registry: r, now: now, request: request, versions: versions, pool: known, number: r.searches,
-		whole: known.listed() <= r.options.WholeUpTo, fits: r.fits[:0], doubts: r.doubts[:0], accepted: fit,
+		Registry: r, now: now, request: request, software: software, pool: servicePool, id: r.searches,
+		exhaustive: servicePool.listedCount() <= r.options.ExhaustiveLimit, eligible: r.eligible[:0], notReady: r.notReady[:0], acceptedVerdict: verdictEligible,
 	}
-	s.kept = r.keptForOthers(now, known, request.Engine)
-	for tier := range known.tiers {
-		s.draws[tier] = draw{list: &known.tiers[tier], random: r.options.Random, unseen: known.tiers[tier].count, level: -1}
+	s.isReserved = r.reservedForOtherSize(now, servicePool, request.Engine)
+	for tier := range servicePool.tiers {
+		s.samplers[tier] = sampler{list: &servicePool.tiers[tier], random: r.options.Random, remaining: servicePool.tiers[tier].count, level: -1}
 	}
 	return s
 }
 
-// gather collects candidates. It returns the reason if there are none, which is only
-// said once all workers have been looked at.
+// gather collects candidates, or returns the reason why there are none. Unless a valid full scan
+// has found all workers full, it only returns a reason after examining all workers that may get the
+// request.
 func (s *search) gather() (reason string) {
 	switch {
-	case s.whole:
-		s.lookAtRest()
-	case len(s.versions.Canaries()) > 0:
-		s.lookAtCanaries()
+	case s.exhaustive:
+		s.scanListed()
+	case len(s.software.Canaries()) > 0:
+		s.examineCanaries()
 	default:
-		s.lookAtHolders()
-		s.lookAtDrawn()
-		if len(s.fits) == 0 && !s.knownFull() {
-			s.lookUntilFit()
-			s.noteFull()
+		s.examineHolders()
+		s.examineSample()
+		if len(s.eligible) == 0 && !s.isKnownFull() {
+			s.scanUntilEligible()
+			s.recordFull()
 		}
 	}
-	if s.looksLapsed() {
-		s.lookAll(lapsedTier)
+	if s.needsLapsed() {
+		s.scanTier(lapsedTier)
 	}
-	s.keepBuffers()
-	return s.outcome()
+	s.saveBuffers()
+	return s.resolve()
 }
 
-// keepBuffers hands the buffers on to the next search.
-func (s *search) keepBuffers() {
-	s.Registry.fits, s.Registry.doubts = s.fits, s.doubts
+// saveBuffers returns the buffers to the registry for the next search.
+func (s *search) saveBuffers() {
+	s.Registry.eligible, s.Registry.notReady = s.eligible, s.notReady
 }
 
-// candidates returns what was found.
-func (s *search) candidates() []*state {
-	if s.accepted == doubtful {
-		return s.doubts
+// candidates returns the accepted workers.
+func (s *search) candidates() []*workerState {
+	if s.acceptedVerdict == verdictNotReady {
+		return s.notReady
 	}
-	return s.fits
+	return s.eligible
 }
 
-// looksLapsed tells whether nobody listed may get the request.
-func (s *search) looksLapsed() bool {
-	return s.counts[fit]+s.counts[doubtful]+s.counts[outdated]+s.counts[crowded]+s.counts[closed]+
-		s.counts[doubtfulOutdated]+s.counts[doubtfulCrowded] == 0
+// needsLapsed reports whether no listed worker may get the request, not even once it has capacity
+// or is ready.
+func (s *search) needsLapsed() bool {
+	return s.counts[verdictEligible]+s.counts[verdictNotReady]+s.counts[verdictOutdated]+s.counts[verdictFull]+s.counts[verdictClosed]+
+		s.counts[verdictNotReadyOutdated]+s.counts[verdictNotReadyFull] == 0
 }
 
-// outcome accepts workers in doubt if there are no others, or returns why there is none.
-func (s *search) outcome() string {
-	s.accepted = fit
+// resolve accepts the eligible workers, or those that are not ready if no other reason takes
+// precedence. If there is none, it returns the reason.
+func (s *search) resolve() string {
+	s.acceptedVerdict = verdictEligible
 	switch counts := &s.counts; {
-	case counts[fit] > 0:
+	case counts[verdictEligible] > 0:
 		return ""
-	case counts[crowded] > 0:
+	case counts[verdictFull] > 0:
 		return ReasonFull
-	case counts[outdated] > 0:
+	case counts[verdictOutdated] > 0:
 		return ReasonVersion
-	case counts[doubtful] > 0:
-		s.accepted = doubtful
+	case counts[verdictNotReady] > 0:
+		s.acceptedVerdict = verdictNotReady
 		return ""
-	case counts[closed] > 0:
+	case counts[verdictClosed] > 0:
 		return ReasonLimited
-	case counts[doubtfulCrowded]+counts[occupied] > 0:
+	case counts[verdictNotReadyFull]+counts[verdictNoConnection] > 0:
 		return ReasonFull
-	case counts[doubtfulOutdated] > 0:
+	case counts[verdictNotReadyOutdated] > 0:
 		return ReasonVersion
-	case counts[tried] > 0:
+	case counts[verdictTried] > 0:
 		return ReasonExcluded
 	default:
 		return ReasonNoWorker
 	}
 }
 
-// look takes a worker in by what speaks against it, unless it has been looked at.
-func (s *search) look(known *state) verdict {
-	if known.seenBy == s.number {
-		return known.verdict
-	}
-	known.seenBy, known.verdict = s.number, s.judge(known)
-	s.looked++
-	s.counts[known.verdict]++
-	switch known.verdict {
-	case fit:
-		s.fits = append(s.fits, known)
-	case doubtful:
-		s.doubts = append(s.doubts, known)
+// examine assesses a worker unless this search has already done so, adds it to the candidates if
+// possible, and returns the verdict.
+func (s *search) examine(state *workerState) verdict {
+	if state.lastSearch == s.id {
+		return state.verdict
+	}
+	state.lastSearch, state.verdict = s.id, s.assess(state)
+	s.examined++
+	s.counts[state.verdict]++
+	switch state.verdict {
+	case verdictEligible:
+		s.eligible = append(s.eligible, state)
+	case verdictNotReady:
+		s.notReady = append(s.notReady, state)
 	default:
 	}
-	return known.verdict
+	return state.verdict
 }
 
-// judge tells what speaks against a worker.
-func (s *search) judge(known *state) verdict {
+// assess returns the verdict on a worker.
+func (s *search) assess(state *workerState) verdict {
 	switch {
-	case known.gone && !known.lapsed(s.now), !s.versions.Allows(known.worker.ID, known.worker.Software):
-		return unfit
-	case slices.Contains(s.request.Excluded, known.worker.Run()):
-		return tried
-	case s.request.Free != nil && !s.request.Free(&known.worker):
-		return occupied
-	}
-	if intake, opensIn := s.request.intake(&known.worker); intake == IntakeClosed {
-		s.noteClosed(opensIn)
-		return closed
-	}
-	settled := s.settled(s.now, known)
-	switch s.judgeEngine(known) {
-	case outdated:
-		return settledElse(settled, outdated, doubtfulOutdated)
-	case crowded:
-		return settledElse(settled, crowded, doubtfulCrowded)
+	case state.gone && !state.isLapsed(s.now), !s.software.Allows(state.worker.ID, state.worker.Software):
+		return verdictIneligible
+	case slices.Contains(s.request.Excluded, state.worker.Run()):
+		return verdictTried
+	case s.request.HasConnection != nil && !s.request.HasConnection(&state.worker):
+		return verdictNoConnection
+	}
+	if admission, reopensIn := s.request.admission(&state.worker); admission == AdmissionClosed {
+		s.recordClosed(reopensIn)
+		return verdictClosed
+	}
+	ready := s.isReady(s.now, state)
+	switch s.assessEngine(state) {
+	case verdictOutdated:
+		return readyVerdict(ready, verdictOutdated, verdictNotReadyOutdated)
+	case verdictFull:
+		return readyVerdict(ready, verdictFull, verdictNotReadyFull)
 	default:
-		return settledElse(settled, fit, doubtful)
+		return readyVerdict(ready, verdictEligible, verdictNotReady)
 	}
 }
 
-// noteClosed notes when a closed worker takes requests again.
-func (s *search) noteClosed(opensIn time.Duration) {
-	if s.opensIn == 0 || opensIn < s.opensIn {
-		s.opensIn = opensIn
+// recordClosed records after what time a closed worker admits requests again.
+func (s *search) recordClosed(reopensIn time.Duration) {
+	if s.reopensIn == 0 || reopensIn < s.reopensIn {
+		s.reopensIn = reopensIn
 	}
 }
 
-// limited tells whether a worker names a limit.
-func (s *search) limited(known *state) bool {
-	intake, _ := s.request.intake(&known.worker)
-	return intake != IntakeFree
+// hasLimit reports whether a worker has a request limit.
+func (s *search) hasLimit(state *workerState) bool {
+	admission, _ := s.request.admission(&state.worker)
+	return admission != AdmissionUnlimited
 }
 
-// judgeEngine tells what speaks against an engine: its weights or its streams.
-func (s *search) judgeEngine(known *state) verdict {
+// assessEngine returns the verdict on an engine's model version and number of streams.
+func (s *search) assessEngine(state *workerState) verdict {
 	if s.request.Engine == nil {
-		return fit
+		return verdictEligible
 	}
 	model := s.request.Engine.Model
-	version, serves := known.worker.Versions[model]
+	version, serves := state.worker.Versions[model]
 	if !serves || version < s.required[model] {
-		return outdated
+		return verdictOutdated
 	}
-	if most := maxStreams(known.worker.Slots); most > 0 && s.inFlight(s.now, known) >= most {
-		return crowded
+	if limit := maxStreams(state.worker.Slots); limit > 0 && s.totalInFlight(s.now, state) >= limit {
+		return verdictFull
 	}
-	return fit
+	return verdictEligible
 }
 
-func settledElse(settled bool, verdict, otherwise verdict) verdict {
-	if settled {
+func readyVerdict(ready bool, verdict, otherwise verdict) verdict {
+	if ready {
 		return verdict
 	}
 	return otherwise
--- a/internal/backends/search_holders.go
+++ b/internal/backends/search_holders.go
@@ -1,41 +1,40 @@
 package backends
 
-// lookAtHolders looks at some of the engines that hold the most of the prompt's parts, the
-// last part among them, which is the request's session.
-func (s *search) lookAtHolders() {
+// examineHolders examines engines that hold the most leading parts of the prompt. The last part,
+// which is specific to the session, counts as well.
+func (s *search) examineHolders() {
 	if s.request.Engine == nil {
 		return
 	}
-	for version := range s.pool.weights {
+	for version := range s.pool.versionCounts {
 		if version.model != s.request.Engine.Model || version.version < s.required[version.model] {
 			continue
 		}
 		for _, held := range s.scopeOf(version.version).holders {
-			if held.known != nil && held.known.listed() && held.known.pool == s.pool {
-				s.look(held.known)
+			if held.state != nil && held.state.isListed() && held.state.pool == s.pool {
+				s.examine(held.state)
 			}
 		}
 	}
 }
 
-// lookAtCanaries looks at the workers to which the request is limited by name; no other may
-// get it.
-func (s *search) lookAtCanaries() {
-	for id := range s.versions.Canaries() {
-		if known := s.workers[id]; known != nil && known.listed() && known.pool == s.pool {
-			s.look(known)
+// examineCanaries examines the canaries that the request is limited to.
+func (s *search) examineCanaries() {
+	for id := range s.software.Canaries() {
+		if state := s.workers[id]; state != nil && state.isListed() && state.pool == s.pool {
+			s.examine(state)
 		}
 	}
 }
 
-// scopeOf returns what is known of the prompt's parts at a version of the weights.
-func (s *search) scopeOf(version WeightsVersion) *scoped {
-	for _, known := range s.scopes {
-		if known.version == version {
-			return known
+// scopeOf returns the cache state of the prompt's parts for a model version.
+func (s *search) scopeOf(version ModelVersion) *promptScope {
+	for _, scoped := range s.scopes {
+		if scoped.version == version {
+			return scoped
 		}
 	}
-	known := s.lookUp(s.request.Engine, version)
-	s.scopes = append(s.scopes, known)
-	return known
+	scoped := s.lookUpScope(s.request.Engine, version)
+	s.scopes = append(s.scopes, scoped)
+	return scoped
 }
--- a/internal/backends/search_home.go
+++ b/internal/backends/search_home.go
@@ -1,9 +1,9 @@
 package backends
 
-// home returns the engine that every node chooses first for the shared parts of the
-// prompt, so that they are read at one engine without any talk; nil if there is none.
-// Engines that are kept for others come last. The engine is a candidate from then on.
-func (s *search) home(shared int) *state {
+// home returns the home of a prompt's shared parts: the engine that all nodes choose first, so that
+// the parts are computed at one engine without coordination. It returns nil if there is none.
+// Engines reserved for prompts of another size are considered last. The home becomes a candidate.
+func (s *search) home(shared int) *workerState {
 	if shared == 0 {
 		return nil
 	}
@@ -13,12 +13,12 @@
 		key += "/" + string(engine.Tenant)
 	}
 	hash := hashName(key)
-	fits := func(known *state) bool { return s.look(known) == s.accepted }
-	s.pool.buffer = s.pool.ring.window(hash, s.kept, s.pool.buffer)
-	if home := homeIn(s.pool.buffer, fits); home != nil {
+	isEligible := func(state *workerState) bool { return s.examine(state) == s.acceptedVerdict }
+	s.pool.windowBuffer = s.pool.ring.window(hash, s.isReserved, s.pool.windowBuffer)
+	if home := homeIn(s.pool.windowBuffer, isEligible); home != nil {
 		return home
 	}
-	others := func(known *state) bool { return !s.kept(known) }
-	s.pool.buffer = s.pool.ring.window(hash, others, s.pool.buffer)
-	return homeIn(s.pool.buffer, fits)
+	isUnreserved := func(state *workerState) bool { return !s.isReserved(state) }
+	s.pool.windowBuffer = s.pool.ring.window(hash, isUnreserved, s.pool.windowBuffer)
+	return homeIn(s.pool.windowBuffer, isEligible)
 }
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -11,123 +11,123 @@
 )
 
 const (
-	// lookValidPerWorker is how long a look at all workers of a service counts, for each
-	// of them, so that looks take a small part of the time at any number of workers.
-	lookValidPerWorker = 40 * time.Microsecond
-	// spares is the number of engines with the shortest waits that such a look keeps,
-	// spareTaken how many of them a choice takes at once.
-	spares     = 32
-	spareTaken = 4
+	// scanValidityPerWorker is how long the result of a full scan is valid, for each worker of the
+	// service. It bounds the share of time spent on scans at any fleet size.
+	scanValidityPerWorker = 40 * time.Microsecond
+	// maxSpareEngines is the number of engines with the shortest waits that a scan keeps.
+	// spareBatch is the number that a choice takes at once.
+	maxSpareEngines = 32
+	spareBatch      = 4
 )
 
-// lookKey names the requests for which a look at all workers counts alike.
-type lookKey struct {
+// scanKey identifies requests that can share the result of a full scan.
+type scanKey struct {
 	model                fleet.ModelName
 	priority             int
 	limited, wantsTarget bool
 }
 
-// look is what a look at all workers of a service has found.
-type look struct {
-	until time.Duration
-	// least is the shortest wait for others at any engine that may get a request.
-	least time.Duration
-	// spare holds engines with short waits, the shortest last.
+// scanResult is the result of a full scan of a service's workers.
+type scanResult struct {
+	validUntil time.Duration
+	// shortestWait is the shortest wait at any eligible engine.
+	shortestWait time.Duration
+	// spare holds the engines with the shortest waits, in decreasing order of their waits.
 	spare []spareEngine
 }
 
 type spareEngine struct {
-	known *state
+	state *workerState
 	wait  time.Duration
 }
 
-// take returns some of the engines with the shortest waits, which are not returned again.
-func (l *look) take() []spareEngine {
-	from := max(len(l.spare)-spareTaken, 0)
-	taken := l.spare[from:]
-	l.spare = l.spare[:from]
+// take removes and returns the engines with the shortest waits.
+func (r *scanResult) take() []spareEngine {
+	from := max(len(r.spare)-spareBatch, 0)
+	taken := r.spare[from:]
+	r.spare = r.spare[:from]
 	return taken
 }
 
-// note takes an engine in if its wait is among the shortest.
-func (l *look) note(known *state, wait time.Duration) {
-	l.least = min(l.least, wait)
-	if len(l.spare) == spares && wait >= l.spare[0].wait {
+// add adds an engine if its wait is among the shortest.
+func (r *scanResult) add(state *workerState, wait time.Duration) {
+	r.shortestWait = min(r.shortestWait, wait)
+	if len(r.spare) == maxSpareEngines && wait >= r.spare[0].wait {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(l.spare, wait, func(spare spareEngine, wait time.Duration) int {
+	index, _ := slices.BinarySearchFunc(r.spare, wait, func(spare spareEngine, wait time.Duration) int {
 		return cmp.Compare(wait, spare.wait)
 	})
-	l.spare = slices.Insert(l.spare, at, spareEngine{known: known, wait: wait})
-	if len(l.spare) > spares {
-		l.spare = slices.Delete(l.spare, 0, 1)
+	r.spare = slices.Insert(r.spare, index, spareEngine{state: state, wait: wait})
+	if len(r.spare) > maxSpareEngines {
+		r.spare = slices.Delete(r.spare, 0, 1)
 	}
 }
 
-// spareFor adds engines with room to the candidates of a request that would wait too long
-// at all of those looked at. It tells whether it has; if not, no engine of the service has
-// room, by a look at all of them that still counts, and least is the shortest wait.
-func (s *search) spareFor(allowed time.Duration) (least time.Duration, added bool) {
-	key := s.lookKey(s.request.Engine.Priority)
-	known := s.pool.looks[key]
-	if known != nil && s.now < known.until && known.least > allowed {
-		return known.least, false
+// addSpareEngines adds engines with spare capacity to the candidates of a request that would wait
+// too long at all of them, and reports whether it did. If not, a valid full scan shows that the
+// wait exceeds allowed at every engine; shortestWait is the shortest one.
+func (s *search) addSpareEngines(allowed time.Duration) (shortestWait time.Duration, added bool) {
+	key := s.scanKeyFor(s.request.Engine.Priority)
+	scan := s.pool.scans[key]
+	if scan != nil && s.now < scan.validUntil && scan.shortestWait > allowed {
+		return scan.shortestWait, false
 	}
-	if known == nil || s.now >= known.until || len(known.spare) == 0 {
-		known = s.lookForSpare()
-		s.pool.looks[key] = known
+	if scan == nil || s.now >= scan.validUntil || len(scan.spare) == 0 {
+		scan = s.scanForSpare()
+		s.pool.scans[key] = scan
 	}
-	if known.least > allowed {
-		return known.least, false
+	if scan.shortestWait > allowed {
+		return scan.shortestWait, false
 	}
-	for _, spare := range known.take() {
-		s.look(spare.known)
+	for _, spare := range scan.take() {
+		s.examine(spare.state)
 	}
-	s.keepBuffers()
-	return known.least, true
+	s.saveBuffers()
+	return scan.shortestWait, true
 }
 
-// lookKey returns what names the requests like this one of a priority.
-func (s *search) lookKey(priority int) lookKey {
-	key := lookKey{priority: priority, limited: s.versions != nil, wantsTarget: s.versions.WantsTarget()}
+// scanKeyFor returns the scan key of the request at a priority.
+func (s *search) scanKeyFor(priority int) scanKey {
+	key := scanKey{priority: priority, limited: s.software != nil, wantsTarget: s.software.WantsTarget()}
 	if s.request.Engine != nil {
 		key.model = s.request.Engine.Model
 	}
 	return key
 }
 
-// fullPriority stands in a lookKey for all priorities: workers that are full are full for
-// all.
-const fullPriority = -1
+// anyPriority is used in a scanKey when the result does not depend on the priority, as for full
+// workers.
+const anyPriority = -1
 
-// knownFull tells whether a look at all workers that still counts has found them full. A
-// request that was sent before isn't judged by it, since it leaves workers out.
-func (s *search) knownFull() bool {
-	known := s.pool.looks[s.lookKey(fullPriority)]
-	return len(s.request.Excluded) == 0 && known != nil && s.now < known.until && s.outcome() == ReasonFull
+// isKnownFull reports whether a valid full scan has found all workers full. It is false for retried
+// requests, which exclude some workers.
+func (s *search) isKnownFull() bool {
+	scan := s.pool.scans[s.scanKeyFor(anyPriority)]
+	return len(s.request.Excluded) == 0 && scan != nil && s.now < scan.validUntil && s.resolve() == ReasonFull
 }
 
-// noteFull keeps that all workers have been looked at and are full.
-func (s *search) noteFull() {
-	if len(s.request.Excluded) == 0 && s.outcome() == ReasonFull {
-		s.pool.looks[s.lookKey(fullPriority)] = &look{until: s.now + s.lookValid()}
+// recordFull records that a full scan has found all workers full.
+func (s *search) recordFull() {
+	if len(s.request.Excluded) == 0 && s.resolve() == ReasonFull {
+		s.pool.scans[s.scanKeyFor(anyPriority)] = &scanResult{validUntil: s.now + s.scanValidity()}
 	}
 }
 
-// lookValid returns for how long a look at all workers counts.
-func (s *search) lookValid() time.Duration {
-	return time.Duration(s.pool.listed()) * lookValidPerWorker
+// scanValidity returns how long the result of a full scan is valid.
+func (s *search) scanValidity() time.Duration {
+	return time.Duration(s.pool.listedCount()) * scanValidityPerWorker
 }
 
-// lookForSpare looks at all engines for the shortest waits.
-func (s *search) lookForSpare() *look {
-	found := &look{until: s.now + s.lookValid(), least: math.MaxInt64}
-	for _, known := range s.pool.all() {
-		if known.seenBy == s.number && known.verdict != fit || known.seenBy != s.number && s.judge(known) != fit {
+// scanForSpare scans all engines for the shortest waits.
+func (s *search) scanForSpare() *scanResult {
+	scan := &scanResult{validUntil: s.now + s.scanValidity(), shortestWait: math.MaxInt64}
+	for _, state := range s.pool.all() {
+		if state.lastSearch == s.id && state.verdict != verdictEligible || state.lastSearch != s.id && s.assess(state) != verdictEligible {
 			continue
 		}
-		endpoint := s.loaded(s.now, s.request.Engine, known)
-		found.note(known, scheduling.WaitAt(&endpoint))
+		endpoint := s.endpointLoad(s.now, s.request.Engine, state)
+		scan.add(state, scheduling.PredictedWait(&endpoint))
 	}
-	return found
+	return scan
 }
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -13,10 +13,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// manyEngines is more than a choice looks at.
+// manyEngines exceeds the number of engines that a choice examines.
 const manyEngines = 500
 
-func withManyEngines() *Registry {
+func newLargeRegistry() *Registry {
 	registry := newTestRegistry()
 	for number := range manyEngines {
 		registry.Observe(fleet.Revision(number+1), engineWorker(number, 1))
@@ -24,13 +24,11 @@
 	return registry
 }
 
-// TestChoiceLooksAtFewWorkersAtAnySize compares what a choice looks at, and the time of the
-// median one, in fleets of 100 and 10,000 engines. A look at all would take a hundred times
-// as many, and, where all hold a common prefix, ten thousand times as long if each was
-// compared with each.
-func TestChoiceLooksAtFewWorkersAtAnySize(t *testing.T) {
+// TestChoiceExaminesFewWorkersAtAnySize guards against choices whose number of examined workers, or
+// duration, grows with the fleet.
+func TestChoiceExaminesFewWorkersAtAnySize(t *testing.T) {
 	const choices = 400
-	looked, took := map[int]int{}, map[int]time.Duration{}
+	examined, took := map[int]int{}, map[int]time.Duration{}
 	sizes := []int{100, 10_000}
 	for _, engines := range sizes {
 		simulated := newSimulatedFleet(engines, simulatedSlots/3, Options{Zone: "z0"})
@@ -39,117 +37,120 @@
 			simulated.step()
 			request := simulated.request()
 			start := time.Now()
-			placement, refused := simulated.registry.Choose(simulated.now, request)
+			placement, refusal := simulated.registry.Choose(simulated.now, request)
 			times[number] = time.Since(start)
-			require.NotNil(t, placement, refused)
-			simulated.open = append(simulated.open, placement)
-			looked[engines] += placement.Looked
+			require.NotNil(t, placement, refusal)
+			simulated.placements = append(simulated.placements, placement)
+			examined[engines] += placement.Examined
 		}
 		slices.Sort(times)
 		took[engines] = times[choices/2]
 	}
 	small, large := sizes[0], sizes[1]
-	assert.Less(t, float64(looked[large]), 1.5*float64(looked[small]), "workers looked at")
-	assert.Less(t, looked[large], 60*choices)
+	assert.Less(t, float64(examined[large]), 1.5*float64(examined[small]), "workers examined")
+	assert.Less(t, examined[large], 60*choices)
 	assert.Less(t, took[large], 15*took[small], "%v and %v", took[small], took[large])
 }
 
-// TestSmallFleetIsLookedAtWhole.
-func TestSmallFleetIsLookedAtWhole(t *testing.T) {
-	registry := withEngines()
+// TestSmallFleetIsSearchedExhaustively guards against sampling in fleets that are small enough to
+// compare all workers.
+func TestSmallFleetIsSearchedExhaustively(t *testing.T) {
+	registry := newEngineRegistry()
 	placement, _ := registry.Choose(0, engineRequest("p"))
 	assert.Equal(t, engineCount, placement.Candidates)
 }
 
-// TestOnlyWorkerWithRoomIsFound has one of many engines take streams: requests are refused
-// as full only after its last place is taken.
-func TestOnlyWorkerWithRoomIsFound(t *testing.T) {
-	registry := withManyEngines()
-	for id, known := range registry.workers {
+// TestOnlyWorkerWithCapacityIsFound guards against refusing requests as full while one of many
+// engines has capacity.
+func TestOnlyWorkerWithCapacityIsFound(t *testing.T) {
+	registry := newLargeRegistry()
+	for id, state := range registry.workers {
 		if id != "e77" {
-			known.inFlight = maxStreams(known.worker.Slots)
-			registry.relevel(known)
+			state.inFlight = maxStreams(state.worker.Slots)
+			registry.updateLevel(state)
 		}
 	}
 	for range maxStreams(registry.workers["e77"].worker.Slots) {
-		placement, refused := registry.Choose(0, engineRequest("p"))
-		require.NotNil(t, placement, refused)
+		placement, refusal := registry.Choose(0, engineRequest("p"))
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, fleet.EngineID("e77"), placement.Worker.ID)
 	}
 	for range 3 {
-		placement, refused := registry.Choose(0, engineRequest("p"))
+		placement, refusal := registry.Choose(0, engineRequest("p"))
 		require.Nil(t, placement)
-		assert.Equal(t, ReasonFull, refused.Reason)
+		assert.Equal(t, ReasonFull, refusal.Reason)
 	}
 	registry.workers["e300"].inFlight--
-	valid := manyEngines * lookValidPerWorker
-	placement, refused := registry.Choose(valid, engineRequest("p"))
-	require.NotNil(t, placement, "%v: the look at all counts for a moment only", refused)
+	valid := manyEngines * scanValidityPerWorker
+	placement, refusal := registry.Choose(valid, engineRequest("p"))
+	require.NotNil(t, placement, "%v: the result of a full scan must expire", refusal)
 }
 
-// TestRequestIsRefusedAsLateByALookAtAll has every engine hold up a request for longer than
-// its target, but one whose long queue is less urgent: what is drawn by load misses it.
-func TestRequestIsRefusedAsLateByALookAtAll(t *testing.T) {
-	registry := withManyEngines()
-	for id, known := range registry.workers {
-		known.prefill, known.priorities[1].PrefillTokens = 40_000, 40_000
+// TestLateRefusalRequiresFullScan guards against refusing a request as late when a sample misses
+// the only engine that could meet its target.
+func TestLateRefusalRequiresFullScan(t *testing.T) {
+	registry := newLargeRegistry()
+	for id, state := range registry.workers {
+		state.prefillTokens, state.priorities[1].PrefillTokens = 40_000, 40_000
 		if id == "e77" {
-			known.prefill, known.priorities[1].PrefillTokens, known.priorities[5].PrefillTokens = 90_000, 0, 90_000
+			state.prefillTokens, state.priorities[1].PrefillTokens, state.priorities[5].PrefillTokens = 90_000, 0, 90_000
 		}
-		registry.relevel(known)
+		registry.updateLevel(state)
 	}
-	placement, refused := registry.Choose(0, targetedRequest("p", 1000, 1))
-	require.NotNil(t, placement, refused)
+	placement, refusal := registry.Choose(0, targetedRequest("p", 1000, 1))
+	require.NotNil(t, placement, refusal)
 	assert.Equal(t, fleet.EngineID("e77"), placement.Worker.ID)
 	placement.End(0, Succeeded)
-	registry.workers["e77"].priorities[1].PrefillTokens, registry.workers["e77"].prefill = 40_000, 130_000
-	later := time.Duration(manyEngines) * lookValidPerWorker
-	placement, refused = registry.Choose(later, targetedRequest("p", 1000, 1))
+	registry.workers["e77"].priorities[1].PrefillTokens, registry.workers["e77"].prefillTokens = 40_000, 130_000
+	later := time.Duration(manyEngines) * scanValidityPerWorker
+	placement, refusal = registry.Choose(later, targetedRequest("p", 1000, 1))
 	require.Nil(t, placement)
-	assert.Equal(t, ReasonLate, refused.Reason)
-	assert.InDelta(t, 580, refused.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
-	registry.workers["e9"].prefill, registry.workers["e9"].priorities[1].PrefillTokens = 0, 0
-	registry.relevel(registry.workers["e9"])
-	placement, refused = registry.Choose(later, targetedRequest("q", 1000, 1))
-	require.NotNil(t, placement, refused)
+	assert.Equal(t, ReasonLate, refusal.Reason)
+	assert.InDelta(t, 580, refusal.RetryAfter.Milliseconds(), 60, "40,000 tokens take 1,040 ms")
+	registry.workers["e9"].prefillTokens, registry.workers["e9"].priorities[1].PrefillTokens = 0, 0
+	registry.updateLevel(registry.workers["e9"])
+	placement, refusal = registry.Choose(later, targetedRequest("q", 1000, 1))
+	require.NotNil(t, placement, refusal)
 }
 
-// TestVersionLimitLeavesFewWorkers has two workers of many carry the target's version.
-func TestVersionLimitLeavesFewWorkers(t *testing.T) {
-	registry := withManyEngines()
+// TestSoftwareVersionLimitsCandidates guards against choosing a worker with another software
+// version than the request is limited to, or missing the few workers that have it.
+func TestSoftwareVersionLimitsCandidates(t *testing.T) {
+	registry := newLargeRegistry()
 	for _, number := range []int{5, 400} {
 		worker := engineWorker(number, 1)
 		worker.Software = "new"
 		registry.Observe(manyEngines+1, worker)
 	}
-	choose := func(versions *delivery.Choice) (*Placement, Refusal) {
+	choose := func(software *delivery.Choice) (*Placement, Refusal) {
 		request := engineRequest("p")
-		request.Versions = versions
+		request.Software = software
 		return registry.Choose(0, request)
 	}
 	for range 20 {
-		placement, refused := choose(delivery.NewChoice("new", true, nil, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal := choose(delivery.NewChoice("new", true, nil, nil))
+		require.NotNil(t, placement, refusal)
 		assert.EqualValues(t, "new", placement.Worker.Software)
-		placement, refused = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
+		require.NotNil(t, placement, refusal)
 		assert.Equal(t, fleet.EngineID("e400"), placement.Worker.ID)
-		assert.Less(t, placement.Looked, manyEngines/4)
+		assert.Less(t, placement.Examined, manyEngines/4)
 		placement.End(0, Cancelled)
-		placement, refused = choose(delivery.NewChoice("new", false, nil, nil))
-		require.NotNil(t, placement, refused)
+		placement, refusal = choose(delivery.NewChoice("new", false, nil, nil))
+		require.NotNil(t, placement, refusal)
 		assert.Empty(t, placement.Worker.Software)
 	}
 	old := delivery.NewChoice("newer", false, nil, nil)
-	placement, refused := choose(delivery.NewChoice("newer", true, nil, old))
-	require.NotNil(t, placement, refused, "nobody has it: what holds then")
-	_, refused = choose(delivery.NewChoice("newer", true, nil, nil))
-	assert.Equal(t, ReasonNoWorker, refused.Reason)
+	placement, refusal := choose(delivery.NewChoice("newer", true, nil, old))
+	require.NotNil(t, placement, refusal, "the fallback applies if no worker has the version")
+	_, refusal = choose(delivery.NewChoice("newer", true, nil, nil))
+	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
-// TestHolderAmongManyIsFound also the one of the request's session.
+// TestHolderAmongManyIsFound guards against missing an engine that holds the shared parts, or the
+// session's own part, in a large fleet.
 func TestHolderAmongManyIsFound(t *testing.T) {
-	registry := withManyEngines()
+	registry := newLargeRegistry()
 	scope := Scope(testModel, 1, "t", false)
 	shared := []PartChange{{true, scope, "common"}, {true, scope, "p"}}
 	registry.ObserveCache(fleet.EngineRun{Engine: "e200"}, true, shared)
@@ -169,26 +170,26 @@
 	}
 }
 
-// homesOf returns the home of many prompts.
-func homesOf(registry *Registry, prompts int) []fleet.EngineID {
+// promptHomes returns the homes of the given number of prompts.
+func promptHomes(registry *Registry, prompts int) []fleet.EngineID {
 	homes := make([]fleet.EngineID, prompts)
 	for number := range homes {
-		found, _ := registry.candidates(0, engineRequest(fmt.Sprint("p", number)))
-		homes[number] = found.home(2).worker.ID
+		search, _ := registry.candidates(0, engineRequest(fmt.Sprint("p", number)))
+		homes[number] = search.home(2).worker.ID
 	}
 	return homes
 }
 
-// TestHomesStayWhenEnginesComeAndGo, are the same wherever rows came in another order, and
-// are spread over the engines.
-func TestHomesStayWhenEnginesComeAndGo(t *testing.T) {
+// TestHomesAreStableAcrossMembershipChanges guards against homes that depend on the order of the
+// rows, are spread unevenly, or move unnecessarily when engines join and leave.
+func TestHomesAreStableAcrossMembershipChanges(t *testing.T) {
 	const prompts = 4000
-	first, second := withManyEngines(), newTestRegistry()
+	first, second := newLargeRegistry(), newTestRegistry()
 	for number := range manyEngines {
 		second.Observe(1, engineWorker(manyEngines-1-number, 1))
 	}
-	homes := homesOf(first, prompts)
-	assert.Equal(t, homes, homesOf(second, prompts))
+	homes := promptHomes(first, prompts)
+	assert.Equal(t, homes, promptHomes(second, prompts))
 	counts := make(map[fleet.EngineID]int)
 	for _, home := range homes {
 		counts[home]++
@@ -199,7 +200,7 @@
 	first.ObserveGone(0, manyEngines+1, "e3")
 	first.Observe(manyEngines+2, engineWorker(manyEngines, 1))
 	moved := 0
-	for number, home := range homesOf(first, prompts) {
+	for number, home := range promptHomes(first, prompts) {
 		if home != homes[number] {
 			moved++
 		}
