--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -6,46 +6,45 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// savesTo tells whether the store should get a prompt's shared parts: only where
-// no engine holds them, so that they are about to be read. The store's memory is
-// for what engines don't keep: parts in use stay at engines, and would only make
-// the store drop what is nowhere else.
-func savesTo(engine *EngineRequest, known *scoped, shared int) bool {
-	return engine.Store != "" && known.stored < shared && !known.anyHolds(shared)
+// shouldSave reports whether the store should receive a prompt's shared parts. It should only if no
+// engine holds them: parts in use are cached at engines, and would evict parts that only the store
+// holds.
+func shouldSave(engine *EngineRequest, scoped *promptScope, shared int) bool {
+	return engine.Store != "" && scoped.storedParts < shared && !scoped.isHeldByEngine(shared)
 }
 
-// source is from where an engine takes what it lacks of a prompt's shared parts.
+// source is where an engine can import missing shared parts from.
 type source struct {
 	address fleet.Address
-	// parts is how many leading parts are there, distance how far it is.
+	// parts is the number of leading parts at the source, and distance the distance to it.
 	parts    int
 	distance Distance
-	// perToken is the time to move a token's KV cache.
+	// perToken is the time to transfer a token's KV cache.
 	perToken time.Duration
 }
 
-// sourceFor returns the best source for an engine that holds some leading parts: the one
-// with the most others, and of these the quickest; without one, no parts. An engine that
-// is as near as the store goes before it, since all share the store's link.
-func (r *Registry) sourceFor(prompt *prompt, parts *scoped, target *state, held int) source {
+// bestSource returns the best import source for an engine that holds some leading parts: the one
+// with the most parts, and among those the fastest. It has no parts if there is none. An engine at
+// most as distant as the store takes precedence over it, since all engines share the store's link.
+func (r *Registry) bestSource(prompt *prompt, parts *promptScope, target *workerState, held int) source {
 	engine := prompt.engine
-	best := source{address: engine.Store, parts: min(parts.stored, prompt.shared)}
+	best := source{address: engine.Store, parts: min(parts.storedParts, prompt.shared)}
 	best.distance = r.options.Regions.Between(engine.StoreZone, target.worker.Zone)
 	if engine.StoreZone == "" {
 		best.distance = SameZone
 	}
-	best.perToken = r.movePerToken(engine, engine.StoreMegabits*storeSharing, best.distance)
+	best.perToken = r.transferPerToken(engine, engine.StoreMegabits*storeLinkShare, best.distance)
 	equal := 0
 	for _, from := range parts.holders {
 		count := min(from.parts, prompt.shared)
 		if count < max(held+1, best.parts) {
 			break
 		}
-		if !sourceFits(from.known, target, parts, engine.Model) {
+		if !canBeSource(from.state, target, parts, engine.Model) {
 			continue
 		}
-		distance := r.options.Regions.Between(from.known.worker.Zone, target.worker.Zone)
-		perToken := r.movePerToken(engine, engine.LinkMegabits*importSharing, distance)
+		distance := r.options.Regions.Between(from.state.worker.Zone, target.worker.Zone)
+		perToken := r.transferPerToken(engine, engine.LinkMegabits*importLinkShare, distance)
 		switch {
 		case count > best.parts || perToken < best.perToken || (equal == 0 && distance <= best.distance):
 			equal = 1
@@ -55,37 +54,37 @@
 			continue
 		}
 		if r.options.Random.IntN(equal) == 0 {
-			best = source{address: from.known.worker.Address, parts: count, distance: distance, perToken: perToken}
+			best = source{address: from.state.worker.Address, parts: count, distance: distance, perToken: perToken}
 		}
 	}
 	return best
 }
 
-// sourceFits tells whether an engine may be a source for another one. One that drains may be until
-// it has gone.
-func sourceFits(known, target *state, parts *scoped, model fleet.ModelName) bool {
-	return known != nil && known != target && !known.gone && known.worker.Versions[model] == parts.version
+// canBeSource reports whether the target can import parts from an engine. A draining engine can be
+// a source until it is gone.
+func canBeSource(state, target *workerState, parts *promptScope, model fleet.ModelName) bool {
+	return state != nil && state != target && !state.gone && state.worker.Versions[model] == parts.version
 }
 
-// movePerToken predicts the time to move a token's KV cache at a bandwidth in Mbit/s over
-// a distance.
-func (r *Registry) movePerToken(engine *EngineRequest, bandwidth float64, distance Distance) time.Duration {
+// transferPerToken predicts the time to transfer a token's KV cache over a distance, at a bandwidth
+// in Mbit/s.
+func (r *Registry) transferPerToken(engine *EngineRequest, bandwidth float64, distance Distance) time.Duration {
 	if bandwidth <= 0 {
-		bandwidth = max(engine.LinkMegabits*importSharing, 1)
+		bandwidth = max(engine.LinkMegabits*importLinkShare, 1)
 	}
 	bits := float64(engine.TokenBytes) * bitsPerByte * float64(r.options.Distances.MoveFactor[distance])
 	return time.Duration(bits / (bandwidth * megabit) * float64(time.Second))
 }
 
-// importFrom names the holder from which an engine takes what it lacks: an engine that
-// holds as much of the shared parts as the store does, else the store, which gets all that
-// is read, else the prompt's home.
-func (r *Registry) importFrom(prompt *prompt, parts *scoped, chosen *state) fleet.Address {
-	held := min(r.heldBy(parts, chosen), prompt.shared)
+// importSource returns the address from which an engine should import missing parts: the best
+// source, which is the store if no engine is better, or the prompt's home if there is no store. It
+// returns "" if the engine needs no import.
+func (r *Registry) importSource(prompt *prompt, parts *promptScope, chosen *workerState) fleet.Address {
+	held := min(r.heldParts(parts, chosen), prompt.shared)
 	if held >= prompt.shared {
 		return ""
 	}
-	if best := r.sourceFor(prompt, parts, chosen, held); best.address != "" {
+	if best := r.bestSource(prompt, parts, chosen, held); best.address != "" {
 		return best.address
 	}
 	if prompt.home != nil && prompt.home != chosen {
@@ -94,8 +93,9 @@
 	return ""
 }
 
-// noteHeld records what the engine and the store hold once an answer has begun.
-func (r *Registry) noteHeld(now time.Duration, placement *Placement) {
+// recordHeldParts records that the engine, and the store if it receives them, hold the parts once
+// the response has begun.
+func (r *Registry) recordHeldParts(now time.Duration, placement *Placement) {
 	engine := placement.Engine
 	r.parts.store(now, placement.Worker.Run(), engine.hashes)
 	if engine.SaveTo != "" && len(engine.hashes) > 1 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// StoreRun is the name under which the index holds a store's parts.
+// StoreRun returns the run under which the index tracks the parts of a store.
 func StoreRun(address fleet.Address) fleet.EngineRun {
 	return fleet.EngineRun{Engine: fleet.EngineID("store:" + address)}
 }
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -10,44 +10,41 @@
 )
 
 const (
-	// subsetLeast is the number of workers of a service that requests are spread over at the
-	// least, and subsetSlack how many times as many there must be for fewer to be used. The
-	// work of a fleet that rests is done by few workers, and a prompt's parts are found again
-	// the more often the fewer there are; 192 leave each of five zones some forty, so that
-	// the loss of a zone or of a tenth of them is borne.
-	subsetLeast = 192
-	subsetSlack = 1.5
-	// placesPerRequest are the places that are to be there for each request a second: one
-	// that takes a second needs one place, and three more are spare for bursts and uneven
-	// spreading.
-	placesPerRequest = 4
-	// widenPause is the least time between two doublings of a subset that lacked room: the
-	// next request must have had the chance to use the larger one.
-	widenPause = time.Second
-	// mostHalvings bounds the halvings: a subset of one in a million workers.
-	mostHalvings = 20
-	// subsetSeed makes a worker's membership of subsets independent of its place on the
-	// ring and of its side.
+	// minSubsetSize is the minimum number of workers in a subset. Small subsets improve the reuse
+	// of cached parts; the minimum leaves enough workers in each zone to tolerate the loss of a
+	// zone. A subset is halved only if at least shrinkMargin times the required number of workers
+	// remains.
+	minSubsetSize = 192
+	shrinkMargin  = 1.5
+	// slotsPerRequest is the number of slots required for each request per second: one for a
+	// request that takes a second, and three for bursts and uneven distribution.
+	slotsPerRequest = 4
+	// minDoublingInterval is the minimum time between two doublings of a subset, so that the effect
+	// of a doubling is seen before the next one.
+	minDoublingInterval = time.Second
+	// maxHalvings limits the number of halvings.
+	maxHalvings = 20
+	// subsetSeed makes subset membership independent of the position on the ring and of the
+	// partition by prompt size.
 	subsetSeed = 0x9e3779b97f4a7c15
 )
 
-// Halvings says how often a service's workers are halved for its subset: a worker belongs
-// to the subset of h halvings if the first h bits of its hash are 0. So nodes agree on it
-// without a word, it changes with no worker that comes or goes, and each subset contains the
-// next smaller one.
+// Halvings is the number of times a service's workers are halved to form its subset. A worker
+// belongs to the subset of h halvings if the first h bits of its seeded hash are 0. All nodes
+// therefore agree on the subset without coordination, other workers do not affect a worker's
+// membership, and each subset contains the next smaller one.
 type Halvings uint8
 
-// Subsets holds the halvings of services; a service that isn't named has none, so that all
-// of its workers are used.
+// Subsets holds the halvings by service. All workers of a service without an entry are used.
 type Subsets map[fleet.PoolName]Halvings
 
-// contains tells whether a worker with a hash belongs to a service's subset.
+// contains reports whether the worker with the given hash belongs to a service's subset.
 func (s Subsets) contains(service fleet.PoolName, hash uint64) bool {
 	halvings := s[service]
 	return halvings == 0 || membership.RendezvousMix(hash^subsetSeed)>>(64-halvings) == 0
 }
 
-// Widened returns the subsets that are larger by some doublings.
+// Widened returns the subsets enlarged by the given doublings.
 func (s Subsets) Widened(doublings Subsets) Subsets {
 	widened := make(Subsets, len(s))
 	for service, halvings := range s {
@@ -58,30 +55,31 @@
 	return widened
 }
 
-// shortage is the want of room in a service's subset.
+// shortage records that a service's subset lacked capacity.
 type shortage struct {
 	doublings Halvings
-	// at is when the subset was last doubled.
-	at time.Duration
+	// doubledAt is the time of the last doubling.
+	doubledAt time.Duration
 }
 
-// plannedHalvings returns by how much a service's workers are halved: as many are left as
-// the demand asks for, and half of those in force stay until there is half as much again.
-func plannedHalvings(inForce Halvings, workers, least int) Halvings {
-	for inForce > 0 && workers>>inForce < least {
-		inForce--
+// planHalvings returns the number of halvings for the given number of workers, so that at least
+// minimum workers remain. It halves further only with the margin shrinkMargin, to avoid
+// oscillation.
+func planHalvings(current Halvings, workers, minimum int) Halvings {
+	for current > 0 && workers>>current < minimum {
+		current--
 	}
-	enough := int(math.Ceil(float64(least) * subsetSlack))
-	for inForce < mostHalvings && workers>>(inForce+1) >= enough {
-		inForce++
+	enough := int(math.Ceil(float64(minimum) * shrinkMargin))
+	for current < maxHalvings && workers>>(current+1) >= enough {
+		current++
 	}
-	return inForce
+	return current
 }
 
-// PlanSubsets returns the subsets for all workers known and for some that are about to be
-// observed, at a rate of requests a second over all nodes. Only a node that knows all
+// PlanSubsets returns the subsets for all known workers and the upcoming ones, which are about to
+// be observed, at a total rate of requests per second over all nodes. Only a node that tracks all
 // workers can plan.
-func (r *Registry) PlanSubsets(rate float64, coming []Worker) Subsets {
+func (r *Registry) PlanSubsets(rate float64, upcoming []Worker) Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts, slots := make(map[fleet.PoolName]int), make(map[fleet.PoolName]int)
@@ -89,20 +87,20 @@
 		counts[worker.Service]++
 		slots[worker.Service] = max(slots[worker.Service], worker.Slots)
 	}
-	for _, known := range r.workers {
-		if known.listed() {
-			count(&known.worker)
+	for _, state := range r.workers {
+		if state.isListed() {
+			count(&state.worker)
 		}
 	}
-	for index := range coming {
-		if r.workers[coming[index].ID] == nil {
-			count(&coming[index])
+	for index := range upcoming {
+		if r.workers[upcoming[index].ID] == nil {
+			count(&upcoming[index])
 		}
 	}
 	planned := make(Subsets)
 	for service, workers := range counts {
-		needed := int(math.Ceil(rate * placesPerRequest / float64(max(slots[service], 1))))
-		if halvings := plannedHalvings(r.planned[service], workers, max(subsetLeast, needed)); halvings > 0 {
+		needed := int(math.Ceil(rate * slotsPerRequest / float64(max(slots[service], 1))))
+		if halvings := planHalvings(r.planned[service], workers, max(minSubsetSize, needed)); halvings > 0 {
 			planned[service] = halvings
 		}
 	}
@@ -110,35 +108,36 @@
 	return planned.Widened(r.doublings())
 }
 
-// doublings returns by how much this node wants subsets larger; the mutex is held.
+// doublings returns the number of doublings that this node requests. The mutex must be held.
 func (r *Registry) doublings() Subsets {
 	doublings := make(Subsets, len(r.shortages))
-	for service, short := range r.shortages {
-		doublings[service] = short.doublings
+	for service, current := range r.shortages {
+		doublings[service] = current.doublings
 	}
 	return doublings
 }
 
-// Doublings returns by how much this node wants subsets larger than planned, since they
-// lacked room for its requests.
+// Doublings returns, by service, the number of doublings that this node requests because the
+// planned subsets lacked capacity for its requests.
 func (r *Registry) Doublings() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.doublings()
 }
 
-// noteShortage takes in that a service's subset had no room for a request; the mutex is held.
-func (r *Registry) noteShortage(now time.Duration, service fleet.PoolName) {
-	short := r.shortages[service]
-	if r.subsets[service] == 0 || (short.doublings > 0 && now < short.at+widenPause) {
+// recordShortage records that a service's subset had no capacity for a request. The mutex must be
+// held.
+func (r *Registry) recordShortage(now time.Duration, service fleet.PoolName) {
+	current := r.shortages[service]
+	if r.subsets[service] == 0 || (current.doublings > 0 && now < current.doubledAt+minDoublingInterval) {
 		return
 	}
-	r.shortages[service] = shortage{doublings: short.doublings + 1, at: now}
+	r.shortages[service] = shortage{doublings: current.doublings + 1, doubledAt: now}
 }
 
-// SetSubsets puts subsets in force: only their workers get requests. What is known of the
-// others is dropped, as soon as none of their requests is under way, unless all are to be
-// known. It tells whether that changes anything.
+// SetSubsets activates subsets: only their workers get requests. Unless all is set, workers outside
+// them are no longer tracked once they have no request in flight. It reports whether anything
+// changed.
 func (r *Registry) SetSubsets(subsets Subsets, all bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -146,46 +145,46 @@
 		return false
 	}
 	r.subsets, r.onlySubsets = subsets, !all
-	for id, known := range r.workers {
-		r.enlist(known)
-		if r.superfluous(known) {
-			r.drop(id, known)
+	for id, state := range r.workers {
+		r.updatePool(state)
+		if r.isOutsideSubsets(state) {
+			r.drop(id, state)
 		}
 	}
 	return true
 }
 
-// InForce returns the subsets in force. Callers must not write to them.
-func (r *Registry) InForce() Subsets {
+// ActiveSubsets returns the active subsets. Callers must not modify them.
+func (r *Registry) ActiveSubsets() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.subsets
 }
 
-// Covers returns a function that tells whether a worker belongs to subsets. One that isn't
-// known here does: who asks must hear of it.
-func (r *Registry) Covers(subsets Subsets) func(id string) bool {
+// SubsetFilter returns a function that reports whether a worker belongs to the subsets. It returns
+// true for unknown workers, so that the caller is informed of them.
+func (r *Registry) SubsetFilter(subsets Subsets) func(id string) bool {
 	return func(id string) bool {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		known := r.workers[fleet.EngineID(id)]
-		return known == nil || subsets.contains(known.worker.Service, known.hash)
+		state := r.workers[fleet.EngineID(id)]
+		return state == nil || subsets.contains(state.worker.Service, state.hash)
 	}
 }
 
-// superfluous tells whether nothing is to be known of a worker; the mutex is held.
-func (r *Registry) superfluous(known *state) bool {
-	return r.onlySubsets && known.inFlight == 0 && !r.subsets.contains(known.worker.Service, known.hash)
+// isOutsideSubsets reports whether a worker need not be tracked. The mutex must be held.
+func (r *Registry) isOutsideSubsets(state *workerState) bool {
+	return r.onlySubsets && state.inFlight == 0 && !r.subsets.contains(state.worker.Service, state.hash)
 }
 
-// drop forgets a worker; the mutex is held.
-func (r *Registry) drop(id fleet.EngineID, known *state) {
-	if known.worker.Draining {
-		r.drained[id] = drainedRun{born: known.worker.Born}
+// drop removes a worker from the registry. The mutex must be held.
+func (r *Registry) drop(id fleet.EngineID, state *workerState) {
+	if state.worker.Draining {
+		r.forgottenDraining[id] = drainingRecord{startTime: state.worker.StartTime}
 	}
-	delete(r.unlisted, id)
-	r.parts.remove(known.worker.Run())
-	r.delist(known)
+	delete(r.unpublishedDraining, id)
+	r.parts.remove(state.worker.Run())
+	r.removeFromPool(state)
 	delete(r.workers, id)
-	r.names.remove(id)
+	r.shortNames.remove(id)
 }
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// withSubset returns a registry of many engines in a subset.
-func withSubset(engines int, all bool) *Registry {
+// newSubsetRegistry returns a registry of engines with planned subsets.
+func newSubsetRegistry(engines int, all bool) *Registry {
 	registry := newTestRegistry()
 	for number := range engines {
 		registry.Observe(1, engineWorker(number, 1))
@@ -20,9 +20,9 @@
 	return registry
 }
 
-// TestHalvingsFollowTheFleetAndTheDemand, and change neither for a few workers more or less
-// nor back and forth.
-func TestHalvingsFollowTheFleetAndTheDemand(t *testing.T) {
+// TestHalvingsFollowFleetSizeAndDemand guards against subsets of the wrong size, and against
+// oscillation after small changes.
+func TestHalvingsFollowFleetSizeAndDemand(t *testing.T) {
 	for _, test := range []struct {
 		workers, least int
 		inForce, want  Halvings
@@ -37,13 +37,12 @@
 		{workers: 9675, least: 2000, inForce: 5, want: 2},
 		{workers: 0, least: 192, inForce: 3, want: 0},
 	} {
-		assert.Equal(t, test.want, plannedHalvings(test.inForce, test.workers, test.least), "%+v", test)
+		assert.Equal(t, test.want, planHalvings(test.inForce, test.workers, test.least), "%+v", test)
 	}
 }
 
-// TestSubsetsContainEachOther, so that nodes that differ by a doubling send to the same workers
-// mostly.
-func TestSubsetsContainEachOther(t *testing.T) {
+// TestSubsetsAreNested guards against disjoint workers on nodes whose subsets differ by a doubling.
+func TestSubsetsAreNested(t *testing.T) {
 	smaller, larger := Subsets{"s": 5}, Subsets{"s": 4}
 	inSmaller, inLarger := 0, 0
 	for number := range uint64(100_000) {
@@ -62,11 +61,11 @@
 	assert.Empty(t, smaller.Widened(Subsets{"s": 9}))
 }
 
-// TestOnlyWorkersOfTheSubsetGetRequests, and the same work needs no more of them in a fleet
-// twice as large.
-func TestOnlyWorkersOfTheSubsetGetRequests(t *testing.T) {
+// TestOnlySubsetWorkersGetRequests guards against using workers outside the subset, and against
+// subsets that grow with the fleet at the same demand.
+func TestOnlySubsetWorkersGetRequests(t *testing.T) {
 	for _, engines := range []int{10_000, 20_000} {
-		registry := withSubset(engines, true)
+		registry := newSubsetRegistry(engines, true)
 		inUse := make(map[fleet.EngineID]bool)
 		for _, worker := range registry.WorkersInUse() {
 			inUse[worker.ID] = true
@@ -74,27 +73,29 @@
 		assert.Len(t, registry.Workers(), engines)
 		assert.InDelta(t, 300, len(inUse), 60)
 		for range 500 {
-			placement, refused := registry.Choose(0, engineRequest("p"))
-			require.NotNil(t, placement, refused)
+			placement, refusal := registry.Choose(0, engineRequest("p"))
+			require.NotNil(t, placement, refusal)
 			assert.True(t, inUse[placement.Worker.ID])
 		}
 	}
 }
 
-// TestRequestsUnderWayOutlastTheirSubset has a worker leave the subset while it works.
-func TestRequestsUnderWayOutlastTheirSubset(t *testing.T) {
-	registry := withSubset(1000, false)
+// TestInFlightRequestsOutliveSubset guards against dropping a worker with requests in flight when
+// it leaves the subset.
+func TestInFlightRequestsOutliveSubset(t *testing.T) {
+	registry := newSubsetRegistry(1000, false)
 	placement, _ := registry.Choose(0, engineRequest("p"))
-	registry.SetSubsets(Subsets{"engines": mostHalvings}, false)
-	assert.Len(t, registry.Workers(), 1, "the others are dropped")
+	registry.SetSubsets(Subsets{"engines": maxHalvings}, false)
+	assert.Len(t, registry.Workers(), 1, "the other workers are dropped")
 	placement.End(0, Succeeded)
 	assert.Equal(t, []fleet.EngineID{placement.Worker.ID}, registry.Forget(0, time.Hour))
 	assert.Empty(t, registry.Workers())
 }
 
-// TestDroppedWorkerComesBackAtTheSameRevision.
-func TestDroppedWorkerComesBackAtTheSameRevision(t *testing.T) {
-	registry := withSubset(1000, false)
+// TestDroppedWorkerReturnsAtSameRevision guards against ignoring the unchanged row of a worker that
+// returns to the subset.
+func TestDroppedWorkerReturnsAtSameRevision(t *testing.T) {
+	registry := newSubsetRegistry(1000, false)
 	registry.SetSubsets(nil, true)
 	added := 0
 	for number := range 1000 {
@@ -106,13 +107,14 @@
 	assert.Len(t, registry.Workers(), 1000)
 }
 
-// TestSubsetWithoutRoomIsDoubled, once a second at most.
-func TestSubsetWithoutRoomIsDoubled(t *testing.T) {
-	registry := withSubset(10_000, true)
+// TestSubsetWithoutCapacityIsDoubled guards against a subset that is not enlarged when it lacks
+// capacity, or is enlarged more than once in the minimum interval.
+func TestSubsetWithoutCapacityIsDoubled(t *testing.T) {
+	registry := newSubsetRegistry(10_000, true)
 	full := engineRequest("p")
-	full.Free = func(*Worker) bool { return false }
+	full.HasConnection = func(*Worker) bool { return false }
 	before := len(registry.WorkersInUse())
-	for now := time.Duration(0); now < 2*widenPause; now += widenPause / 4 {
+	for now := time.Duration(0); now < 2*minDoublingInterval; now += minDoublingInterval / 4 {
 		placement, _ := registry.Choose(now, full)
 		require.Nil(t, placement)
 		registry.SetSubsets(registry.PlanSubsets(0, nil), true)
@@ -121,17 +123,18 @@
 	assert.InDelta(t, 4*before, len(registry.WorkersInUse()), float64(before))
 }
 
-// TestRequestThatHasTriedAllAsksForNoMore.
-func TestRequestThatHasTriedAllAsksForNoMore(t *testing.T) {
-	registry := withSubset(10_000, true)
+// TestExhaustedRequestDoesNotWidenSubset guards against enlarging a subset for a request that has
+// already tried all of its workers.
+func TestExhaustedRequestDoesNotWidenSubset(t *testing.T) {
+	registry := newSubsetRegistry(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
-		registry.NoteOrder(worker.ID, time.Hour)
+		registry.ObserveOrder(worker.ID, time.Hour)
 	}
 	request := engineRequest("p")
 	for _, worker := range registry.WorkersInUse() {
 		request.Excluded = append(request.Excluded, worker.Run())
 	}
-	_, refused := registry.Choose(0, request)
-	assert.Equal(t, ReasonExcluded, refused.Reason)
+	_, refusal := registry.Choose(0, request)
+	assert.Equal(t, ReasonExcluded, refusal.Reason)
 	assert.Empty(t, registry.Doublings())
 }
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -72,7 +72,7 @@
 
 // announcePlacement announces a placement with much prompt work.
 func (g *Gateway) announcePlacement(placement *backends.Placement) {
-	if placement.Engine != nil && placement.Prefill() >= announceMinTokens {
+	if placement.Engine != nil && placement.UncachedTokens() >= announceMinTokens {
 		g.announcer.addEngine(placement.Worker.ID)
 	}
 }
@@ -182,7 +182,7 @@
 		MemoryTokens:  int(load.GetMemoryTokens()),
 	}
 	for parts := load.GetByPriority(); len(parts) >= priorityFields; parts = parts[priorityFields:] {
-		if parts[0] < backends.Priorities {
+		if parts[0] < backends.PriorityCount {
 			decoded.Priorities[parts[0]] = backends.PriorityLoad{InFlight: int32(parts[1]), PrefillTokens: int32(parts[2])}
 		}
 	}
--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -156,6 +156,6 @@
 // remainingOrderDelay returns how long orders and reports to a worker are still held back by its backoff.
 // since is when the first of these was due.
 func (g *Gateway) remainingOrderDelay(worker *backends.Worker, since time.Duration) time.Duration {
-	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.Born))
+	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.StartTime))
 	return min(closed, max(since+maxOrderDelay-g.now(), 0))
 }
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -107,7 +107,7 @@
 	for _, worker := range g.workers.WorkersInUse() {
 		service, known := held.Table.Service(worker.Service)
 		if known && len(worker.Versions) > 0 {
-			add(followedCache{run: worker.Run(), born: worker.Born, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
+			add(followedCache{run: worker.Run(), born: worker.StartTime, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
 		}
 	}
 	for _, store := range held.Table.Stores() {
@@ -172,7 +172,7 @@
 				g.logger.Warn().Str("dependency", string(cache.run.Engine)).Err(err).Msg("dependency_lost")
 			}
 			reachable = false
-			g.workers.LoseCache(cache.run)
+			g.workers.UntrackCache(cache.run)
 			g.cacheLog.markLost(cache.run.Engine)
 			sleep(ctx, cacheEventsRetryDelay)
 			continue
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -57,7 +57,7 @@
 // DesiredVersion is the version of a model's weights that an operator requests.
 type DesiredVersion struct {
 	Model   fleet.ModelName
-	Version backends.WeightsVersion
+	Version backends.ModelVersion
 	// Revision is the revision of the row.
 	Revision fleet.Revision
 }
@@ -233,7 +233,7 @@
 	// NotExecuted is set if the worker states that it did not execute the request.
 	NotExecuted bool
 	// Version is the model version, valid if HasVersion is set.
-	Version    backends.WeightsVersion
+	Version    backends.ModelVersion
 	HasVersion bool
 }
 
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -119,7 +119,7 @@
 		return observation
 	}
 	_, observation.Known = held.Table.Service(service)
-	doubtful := g.workers.Doubtful(now)
+	doubtful := g.workers.AllSuspects(now)
 	for _, worker := range g.workers.WorkersInUse() {
 		isTarget := g.deliveries.isTarget(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -95,7 +95,7 @@
 	}
 	recorded := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
-		Failed: failed, Took: placement.Took(g.now()),
+		Failed: failed, Took: placement.TimeToFirstByte(g.now()),
 	}
 	if placement.Engine != nil {
 		total := g.now() - current.sentAt
@@ -111,7 +111,7 @@
 		result = "failed"
 	}
 	g.metrics.deliveryAnswers.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name, result).Inc()
-	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.Took(g.now()).Seconds())
+	g.metrics.deliveryLatency.WithLabelValues(string(worker.Service), string(worker.Software), current.route.Name).Observe(placement.TimeToFirstByte(g.now()).Seconds())
 	if g.deliveries.recordOutcome(g.now(), recorded) {
 		g.logger.Warn().Str("service", string(worker.Service)).Str("target", string(worker.Software)).
 			Str("route", current.route.Name).Str("worker", string(worker.ID)).Msg("delivery_stopped")
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -20,7 +20,7 @@
 	minConnectionSharers = 10
 	// tenantRankWidth is the number of engine priorities per tenant rank.
 	tenantRankWidth = 3
-	maxPriority     = backends.Priorities - 1
+	maxPriority     = backends.PriorityCount - 1
 	// defaultPriority is the rank of a tenant without a priority.
 	defaultPriority = 1
 )
@@ -110,7 +110,7 @@
 	if err := g.permitWorker(worker); err != nil {
 		return err
 	}
-	if g.backoffs.begin(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
+	if g.backoffs.begin(g.now(), backoffRun(worker.ID, worker.StartTime)) > 0 {
 		return errBackoff
 	}
 	if left := current.timeLeft(g.now()); left < dispatch.TimeLeft-timeLeftTolerance {
@@ -123,10 +123,10 @@
 
 // permitWorker returns an error if a worker takes no more requests from this node.
 func (g *Gateway) permitWorker(worker *backends.Worker) error {
-	if !g.workers.Sendable(g.now(), worker) {
+	if !g.workers.CanSend(g.now(), worker) {
 		return errDraining
 	}
-	if g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.Born)) > 0 {
+	if g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.StartTime)) > 0 {
 		return errBackoff
 	}
 	return nil
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -91,7 +91,7 @@
 	if !g.progress.isDue(now) {
 		return g.progress.stalled
 	}
-	progress := g.rollout.observeProgress(g.workers.Workers(), g.workers.Doubtful(now))
+	progress := g.rollout.observeProgress(g.workers.Workers(), g.workers.AllSuspects(now))
 	progress.undirected = g.deliveries.hasUndirected(now)
 	return g.progress.observe(now, progress, g.settings().LeaseGap+stallSlack)
 }
--- a/internal/gateway/fallback_test.go
+++ b/internal/gateway/fallback_test.go
@@ -91,7 +91,7 @@
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.roles.Load().isCandidate)
 	g.roleSettled.Store(true)
-	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1}})
+	g.workers.Observe(1, backends.Worker{ID: "engine", Service: "pool", Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1}})
 	g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2})
 	step := func(second int, proven bool) bool {
 		now := time.Duration(second) * time.Second
@@ -111,6 +111,6 @@
 	assert.True(t, step(6, false), "proof is 1 s old")
 	assert.False(t, step(7, false), "no store access")
 	assert.True(t, step(8, true))
-	g.workers.NoteVersion("engine", "model", 2)
+	g.workers.ObserveVersion("engine", "model", 2)
 	assert.False(t, step(9, true), "engine is up to date")
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -76,7 +76,7 @@
 	}
 	g.refreshDueVersions(now)
 	request := g.placementRequest(current)
-	current.placedForTarget = request.Versions.WantsTarget()
+	current.placedForTarget = request.Software.WantsTarget()
 	placement, refused := g.chooseWorker(ctx, current, request)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
@@ -110,7 +110,7 @@
 	g.observeLimit(current, &placement.Worker, info)
 	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
-		g.workers.NoteVersion(placement.Worker.ID, current.metadata.Model, info.Version)
+		g.workers.ObserveVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
 	if info.NotExecuted {
 		return g.handleRejection(current, placement, answer, info)
@@ -177,7 +177,7 @@
 		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	case errors.Is(err, errBackoff):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
-		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
+		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.StartTime)))
 	case errors.Is(err, errLimited):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		return current.attempts.Withheld(g.now(), g.limits.closedFor(g.now(), placement.Worker.ID, limitPriority(current)))
@@ -242,7 +242,7 @@
 
 func (g *Gateway) logPlacement(current *callerRequest, placement *backends.Placement) {
 	line := g.events.line("placed").Str("request_id", current.metadata.RequestID).Str("worker", string(placement.Worker.ID)).
-		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Looked).Float64("failure_rate", placement.FailureRate)
+		Int("in_flight", placement.InFlight).Int("candidates", placement.Candidates).Int("looked_at", placement.Examined).Float64("failure_rate", placement.FailureRate)
 	if engine := placement.Engine; engine != nil {
 		line = line.Uint64("version", uint64(engine.Version)).Int("cached", engine.CachedTokens).
 			Int("imported", engine.ImportedTokens).Int("prompt", current.metadata.PromptTokens).
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -60,7 +60,7 @@
 // acquireLimitGrant asks for a grant to send one request to a worker with a limit. It is called
 // right before each write to a worker: first sends, retries and continued runs.
 func (g *Gateway) acquireLimitGrant(ctx context.Context, priority int, worker *backends.Worker) error {
-	observation, limited := g.limits.observation(worker.ID, worker.Born)
+	observation, limited := g.limits.observation(worker.ID, worker.StartTime)
 	if !limited {
 		return nil
 	}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -131,12 +131,12 @@
 // noteDraining records that a worker's answer announces its shutdown.
 func (g *Gateway) noteDraining(source noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: source.worker, Born: source.born}, string(source.kind))
+	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.born}, string(source.kind))
 }
 
 // observeDraining records that a worker is draining, as reported by an answer or a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
-	if g.workers.ObserveDraining(run) != backends.Began {
+	if g.workers.ObserveDraining(run) != backends.StartedDraining {
 		return
 	}
 	g.upstreams.Forget(run.Worker)
@@ -150,9 +150,9 @@
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.applyNotice(noticeSource{worker: worker.ID, born: worker.Born, kind: callRequest}, &info.Notice)
+	g.applyNotice(noticeSource{worker: worker.ID, born: worker.StartTime, kind: callRequest}, &info.Notice)
 	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
-		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.Born), sentAt)
+		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.StartTime), sentAt)
 	}
 }
 
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -33,7 +33,7 @@
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
 			g.noteAnswerNotice(&worker, 0, test.info)
-			assert.Equal(t, test.wantDraining, g.workers.Draining("w"))
+			assert.Equal(t, test.wantDraining, g.workers.IsDraining("w"))
 		})
 	}
 }
@@ -55,7 +55,7 @@
 // TestDrainingNoticeIsForwardedToPeers guards against sends to a draining worker whose row can't be
 // updated while the store is unavailable.
 func TestDrainingNoticeIsForwardedToPeers(t *testing.T) {
-	worker := backends.Worker{ID: "w", Born: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
+	worker := backends.Worker{ID: "w", StartTime: 1000, Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	sender, receiver := newTestGateway(t), newTestGateway(t)
 	for _, g := range []*Gateway{sender, receiver} {
 		g.workers.Observe(1, worker)
@@ -64,14 +64,14 @@
 	sender.noteAnswerNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := sender.loadReport("other")
 	receiver.applyLoadReport(report)
-	assert.True(t, receiver.workers.Draining("w"))
+	assert.True(t, receiver.workers.IsDraining("w"))
 
-	worker.Born = 2000
+	worker.StartTime = 2000
 	receiver.workers.Observe(2, worker)
 	receiver.applyLoadReport(report)
-	assert.False(t, receiver.workers.Draining("w"), "the report is about the previous run")
+	assert.False(t, receiver.workers.IsDraining("w"), "the report is about the previous run")
 
-	worker.Born, worker.Draining = 1000, true
+	worker.StartTime, worker.Draining = 1000, true
 	sender.workers.Observe(2, worker)
 	assert.Empty(t, sender.loadReport("other").GetDraining(), "the worker's row already says so")
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -124,7 +124,7 @@
 			}
 		}
 		known = present
-		g.workers.SetPeers(len(peers))
+		g.workers.SetPeerCount(len(peers))
 		g.updateUsagePeers()
 	}
 	return nil
@@ -191,7 +191,7 @@
 func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
-		g.workers.UpdatePeer(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
+		g.workers.UpdatePeerLoads(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
 		return answer
 	}
 	g.quotas.applyReport(g.now(), report)
@@ -226,8 +226,8 @@
 	for _, worker := range g.backoffs.workersInBackoff(now) {
 		report.Deferring = append(report.Deferring, string(worker))
 	}
-	for _, run := range g.workers.DrainingUnlisted() {
-		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.Born)})
+	for _, run := range g.workers.UnpublishedDraining() {
+		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.StartTime)})
 	}
 	if _, holds := g.lease.Fence(); holds {
 		report.Weights = g.dueVersions(now, to)
@@ -307,7 +307,7 @@
 		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Orders: orders, Work: work, Deferring: g.deferringWorkers(report),
 	})
 	for _, run := range report.GetDraining() {
-		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), Born: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
+		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), StartTime: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
 	g.applyNamedVersions(report.GetNamed())
 	g.quotas.applyReport(now, report)
@@ -315,8 +315,8 @@
 	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
 	g.origins.setPressure(now, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
 	for _, versions := range report.GetWeights() {
-		g.workers.NoteVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
-			backends.WeightsVersion(versions.GetVersion()))
+		g.workers.ObserveVersion(fleet.EngineID(versions.GetWorker()), fleet.ModelName(versions.GetModel()),
+			backends.ModelVersion(versions.GetVersion()))
 	}
 }
 
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -31,7 +31,7 @@
 type pendingSend struct {
 	// model and version are those that the engine is expected to run; empty for other workers.
 	model       fleet.ModelName
-	version     backends.WeightsVersion
+	version     backends.ModelVersion
 	fingerprint quarantine.Fingerprint
 	// quarantineTrial is set if the request is quarantined and this is its single trial.
 	quarantineTrial bool
@@ -53,7 +53,7 @@
 }
 
 // cancelStale cancels the sends that wait at an older version than required.
-func (p *pendingSends) cancelStale(required map[fleet.ModelName]backends.WeightsVersion) {
+func (p *pendingSends) cancelStale(required map[fleet.ModelName]backends.ModelVersion) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for send := range p.sends {
--- a/internal/gateway/pending_test.go
+++ b/internal/gateway/pending_test.go
@@ -14,7 +14,7 @@
 // version, for another model, or whose answer has begun.
 func TestOnlyPendingSendsAtOlderVersionsAreCancelled(t *testing.T) {
 	pending := newPendingSends()
-	begin := func(model fleet.ModelName, version backends.WeightsVersion) (context.Context, *pendingSend) {
+	begin := func(model fleet.ModelName, version backends.ModelVersion) (context.Context, *pendingSend) {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		send := &pendingSend{model: model, version: version, cancel: cancel}
 		pending.add(send)
@@ -25,7 +25,7 @@
 	other, _ := begin("n", 1)
 	answered, send := begin("m", 2)
 	pending.remove(send)
-	pending.cancelStale(map[fleet.ModelName]backends.WeightsVersion{"m": 3})
+	pending.cancelStale(map[fleet.ModelName]backends.ModelVersion{"m": 3})
 	assert.ErrorIs(t, context.Cause(older), errStaleVersion)
 	assert.NoError(t, newer.Err())
 	assert.NoError(t, other.Err())
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -19,21 +19,21 @@
 	request := &backends.Request{
 		Service:  current.service.Name,
 		Excluded: current.attempts.Excluded(),
-		Free: func(worker *backends.Worker) bool {
+		HasConnection: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
 			return g.upstreams.Free(destination)
 		},
 		Bytes:    exchangeOverheadBytes + int(max(current.request.ContentLength, 0)),
-		Versions: g.allowedVersions(current, current.sentToTarget),
+		Software: g.allowedVersions(current, current.sentToTarget),
 	}
 	if g.limits.active.Load() || g.backoffs.active.Load() {
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
-		request.Intake = func(worker *backends.Worker) (backends.Intake, time.Duration) {
+		request.Admission = func(worker *backends.Worker) (backends.Admission, time.Duration) {
 			intake, opensIn := g.limits.intake(now, worker, priority)
-			current.atLimit = current.atLimit || intake == backends.IntakeClosed
-			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.Born)); backoff > 0 {
-				return backends.IntakeClosed, max(backoff, opensIn)
+			current.atLimit = current.atLimit || intake == backends.AdmissionClosed
+			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.StartTime)); backoff > 0 {
+				return backends.AdmissionClosed, max(backoff, opensIn)
 			}
 			return intake, opensIn
 		}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -207,7 +207,7 @@
 // recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
 // draining.
 func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
-	if g.workers.Draining(worker) {
+	if g.workers.IsDraining(worker) {
 		return
 	}
 	g.metrics.runsEndedWithWorker.Add(float64(len(fingerprints)))
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -98,7 +98,7 @@
 	g := newTestGateway(t)
 	g.workers.Observe(1, backends.Worker{
 		ID: "engine", Service: "pool", Address: "127.0.0.1:9", Slots: 1,
-		Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+		Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 	})
 	require.True(t, g.rollout.setDesired(0, true, DesiredVersion{Model: "model", Version: 2}))
 	request := &backends.Request{Service: "pool", Engine: &backends.EngineRequest{Model: "model", PromptTokens: 10}}
@@ -146,7 +146,7 @@
 	for number := range engines {
 		g.workers.Observe(1, backends.Worker{
 			ID: fleet.EngineID(fmt.Sprint("engine-", number)), Service: "pool", Address: "127.0.0.1:9",
-			Versions: map[fleet.ModelName]backends.WeightsVersion{"model": 1},
+			Versions: map[fleet.ModelName]backends.ModelVersion{"model": 1},
 		})
 	}
 	g.workersKnown.Store(true)
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -45,7 +45,7 @@
 			upToDate = current
 			continue
 		}
-		for _, update := range g.rollout.startUpdates(now, workers, g.workers.Doubtful(now)) {
+		for _, update := range g.rollout.startUpdates(now, workers, g.workers.AllSuspects(now)) {
 			g.life.Go(func() error {
 				g.updateEngine(update)
 				return nil
@@ -77,10 +77,10 @@
 func (g *Gateway) enforceDueVersions(now time.Duration) {
 	g.versionsEnforcedAt.Store(int64(now))
 	for model, version := range g.rollout.dueVersions(now, enforceReserve) {
-		g.workers.Require(model, version)
+		g.workers.RequireVersion(model, version)
 	}
 	for model, version := range g.rollout.preferredVersions(now) {
-		g.workers.Prefer(model, version)
+		g.workers.PreferVersion(model, version)
 	}
 }
 
@@ -156,7 +156,7 @@
 			}
 		case report.Versions[update.model] >= update.version && !report.Busy:
 			duration = g.now() - start
-			g.recordUpdated(update, backends.WeightsVersion(report.Versions[update.model]), duration)
+			g.recordUpdated(update, backends.ModelVersion(report.Versions[update.model]), duration)
 			return
 		case !report.Busy && (report.Orders != lastOrders || g.now() > repeatAt):
 			update.version = max(update.version, g.rollout.newestVersion(update.model))
@@ -179,7 +179,7 @@
 
 // reportIntervalFor returns the interval at which an engine that was given an order is polled.
 func (g *Gateway) reportIntervalFor(worker *backends.Worker) time.Duration {
-	if g.limits.isLimited(worker.ID, worker.Born) {
+	if g.limits.isLimited(worker.ID, worker.StartTime) {
 		return limitedReportInterval
 	}
 	return reportInterval
@@ -192,7 +192,7 @@
 	if !g.pause(minQuiesce) {
 		return false
 	}
-	limit := quiesceLimit(g.workers.MemoryUse(g.now(), engine))
+	limit := quiesceLimit(g.workers.MemoryUtilization(g.now(), engine))
 	for g.now() < start+limit && g.workers.InFlight(g.now(), engine) > 0 {
 		g.cordonEngine(engine)
 		if !g.pause(quiescePollInterval) {
@@ -213,7 +213,7 @@
 // cordonDuration.
 func (g *Gateway) cordonEngine(engine fleet.EngineID) {
 	until := g.now() + cordonDuration
-	g.workers.NoteOrder(engine, until)
+	g.workers.ObserveOrder(engine, until)
 	if g.rollout.cordon(engine, until) {
 		g.announcer.addAll()
 	}
@@ -255,9 +255,9 @@
 }
 
 // recordUpdated records that an engine has its new version.
-func (g *Gateway) recordUpdated(update engineUpdate, version backends.WeightsVersion, duration time.Duration) {
-	g.workers.NoteVersion(update.worker.ID, update.model, version)
-	g.workers.NoteOrder(update.worker.ID, 0)
+func (g *Gateway) recordUpdated(update engineUpdate, version backends.ModelVersion, duration time.Duration) {
+	g.workers.ObserveVersion(update.worker.ID, update.model, version)
+	g.workers.ObserveOrder(update.worker.ID, 0)
 	g.rollout.uncordon(update.worker.ID)
 	g.announcer.addAll()
 	g.logger.Info().Str("worker", string(update.worker.ID)).Uint64("version", uint64(version)).Dur("took", duration).Msg("weights_changed")
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -176,19 +176,19 @@
 
 // dueVersions returns, by model, the version that every request beginning later than now plus
 // reserve must have at least.
-func (s *rolloutState) dueVersions(now, reserve time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (s *rolloutState) dueVersions(now, reserve time.Duration) map[fleet.ModelName]backends.ModelVersion {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	due := make(map[fleet.ModelName]backends.WeightsVersion, len(s.pacers))
+	due := make(map[fleet.ModelName]backends.ModelVersion, len(s.pacers))
 	for model, pacer := range s.pacers {
-		due[model] = backends.WeightsVersion(pacer.Due(now, s.updateWithin-reserve))
+		due[model] = backends.ModelVersion(pacer.Due(now, s.updateWithin-reserve))
 	}
 	return due
 }
 
 // preferredVersions returns, by model, the newest version that was requested at least preferDelay
 // ago.
-func (s *rolloutState) preferredVersions(now time.Duration) map[fleet.ModelName]backends.WeightsVersion {
+func (s *rolloutState) preferredVersions(now time.Duration) map[fleet.ModelName]backends.ModelVersion {
 	return s.dueVersions(now, s.updateBound()-preferDelay)
 }
 
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -47,7 +47,7 @@
 
 // setSubsets applies subsets and logs those that changed.
 func (g *Gateway) setSubsets(subsets backends.Subsets, all bool) {
-	previous := g.workers.InForce()
+	previous := g.workers.ActiveSubsets()
 	if !g.workers.SetSubsets(subsets, all) {
 		return
 	}
@@ -101,7 +101,7 @@
 	request.WorkersInUse = true
 	request.Doublings = encodeSubsets(g.workers.Doublings())
 	if !g.workersTable().cache.Whole() {
-		request.SubsetsDigest = subsetsDigest(g.workers.InForce())
+		request.SubsetsDigest = subsetsDigest(g.workers.ActiveSubsets())
 	}
 }
 
@@ -114,11 +114,11 @@
 	if !request.GetWorkersInUse() {
 		return followed.cache.After(seen), nil
 	}
-	subsets := g.workers.InForce().Widened(decodeSubsets(request.GetDoublings()))
+	subsets := g.workers.ActiveSubsets().Widened(decodeSubsets(request.GetDoublings()))
 	if request.GetSubsetsDigest() != subsetsDigest(subsets) {
 		seen = 0
 	}
-	return followed.cache.AfterOf(seen, g.workers.Covers(subsets)), subsets
+	return followed.cache.AfterOf(seen, g.workers.SubsetFilter(subsets)), subsets
 }
 
 // applyWorkersUpdate applies a peer's update of all workers or of those in use. The rows tell which
@@ -129,7 +129,7 @@
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
-	update.Covers = g.workers.Covers(subsets)
+	update.Covers = g.workers.SubsetFilter(subsets)
 	followed.apply(update, gapUnreachable)
 	g.setSubsets(subsets, false)
 }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -44,7 +44,7 @@
 	value, _ := json.Marshal(backends.Worker{
 		Address: fleet.Address(fmt.Sprintf("10.0.%d.%d:1%0*d", number/250, number%250, padding, number)), Service: "engines",
 		Zone: fleet.ZoneName(fmt.Sprint("z", number%5)), Slots: 16, Draining: draining,
-		Versions: map[fleet.ModelName]backends.WeightsVersion{"m": 1},
+		Versions: map[fleet.ModelName]backends.ModelVersion{"m": 1},
 	})
 	return watchcache.Row{Key: fmt.Sprintf("i-%05d", number), Revision: revision, Value: value}
 }
@@ -139,7 +139,7 @@
 	}
 	reader.workersTable().apply(update, gapNone)
 	assert.Less(t, watch(t, follower, reader), 1500, "two changed rows")
-	assert.True(t, follower.workers.Draining(drained))
+	assert.True(t, follower.workers.IsDraining(drained))
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
@@ -190,7 +190,7 @@
 	watch(t, follower, reader)
 	inUse := len(follower.workers.Workers())
 	_, refused := follower.workers.Choose(0, &backends.Request{
-		Service: "engines", Free: func(*backends.Worker) bool { return false },
+		Service: "engines", HasConnection: func(*backends.Worker) bool { return false },
 	})
 	require.Equal(t, backends.ReasonFull, refused.Reason)
 	watch(t, follower, reader)
@@ -205,7 +205,7 @@
 	response, _ := reader.buildWatchResponse(request)
 	follower.applyWatchResponse(reader.node, follower.now(), response)
 	assert.Len(t, follower.workers.Workers(), 5000)
-	assert.Equal(t, reader.workers.InForce(), follower.workers.InForce(), "watcher plans its own subsets")
+	assert.Equal(t, reader.workers.ActiveSubsets(), follower.workers.ActiveSubsets(), "watcher plans its own subsets")
 	watch(t, follower, reader)
 	assert.Len(t, follower.workers.Workers(), len(reader.workers.WorkersInUse()))
 }
@@ -240,7 +240,7 @@
 	reader := readerGateway(b, 10_000)
 	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
 	for b.Loop() {
-		reader.rollout.startUpdates(reader.now(), reader.workers.Workers(), reader.workers.Doubtful(reader.now()))
+		reader.rollout.startUpdates(reader.now(), reader.workers.Workers(), reader.workers.AllSuspects(reader.now()))
 	}
 }
 
@@ -281,7 +281,7 @@
 	feed.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
 	assert.Zero(t, store.whole)
-	assert.True(t, follower.workers.Draining(drained))
+	assert.True(t, follower.workers.IsDraining(drained))
 	follower.sources.recordWatcher(follower.now())
 	feed.step(t.Context())
 	assert.Equal(t, 1, store.whole, "gateway is watched by others")
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -142,7 +142,7 @@
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
-				g.workers.SetCapacity(service.Name, service.Engine.CapacityTokens)
+				g.workers.SetMemoryCapacity(service.Name, service.Engine.CapacityTokens)
 			}
 		}
 		g.logger.Info().Uint64("version", uint64(compiled.Version())).Uint64("revision", uint64(rows.DocumentRevision)).
@@ -169,7 +169,7 @@
 	}
 	if len(decoded) > maxLoggedWorkers {
 		g.logger.Info().Int("rows", len(decoded)).Int("added", counts[backends.Added]).Int("gone", counts[backends.Gone]).
-			Int("draining", counts[backends.Began]).Int("restarted", counts[backends.Restarted]).
+			Int("draining", counts[backends.StartedDraining]).Int("restarted", counts[backends.Restarted]).
 			Int("unusable", counts[backends.Unusable]).Int("version", counts[backends.NewVersion]).Msg("workers_changed")
 	}
 	g.observeVersions(now, decoded)
@@ -213,7 +213,7 @@
 // handleWorkerChange updates the state that depends on a worker after a change of its row.
 func (g *Gateway) handleWorkerChange(worker backends.Worker, change backends.Change) {
 	switch change {
-	case backends.Gone, backends.Began, backends.Unusable:
+	case backends.Gone, backends.StartedDraining, backends.Unusable:
 		g.upstreams.Forget(worker.ID)
 	case backends.Restarted:
 		g.forgetPreviousRun(worker.ID)
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -110,7 +110,7 @@
 	assert.Equal(t, resultcode.QueueTimeout, refusalCode(t, b.advance(4*time.Second)))
 }
 
-func TestColdHotPrefixIsComputedOnce(t *testing.T) {
+func TestBurstComputesColdPrefixOnce(t *testing.T) {
 	b := newBench(t, 12)
 	first := b.submitGranted(request("r0", urgent, "circular", 200))
 	for number := 1; number < 30; number++ {
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -19,8 +19,8 @@
 	promptTokens = 32 << 10
 )
 
-// bench is an index of full size and a snapshot of engines, as a router has them.
-type bench struct {
+// benchmarkFixture is a full-size prefix index and a snapshot of engines.
+type benchmarkFixture struct {
 	index     *prefixindex.Index
 	endpoints []scheduling.Endpoint
 	positions map[fleet.EngineRun]int
@@ -28,10 +28,10 @@
 	random    *rand.Rand
 }
 
-// newBench shares sharedBlocks among all engines and gives the other blocks to
-// one engine each.
-func newBench(engines int) *bench {
-	result := &bench{
+// newBenchmarkFixture stores sharedBlocks at every engine and splits the remaining blocks among the
+// engines.
+func newBenchmarkFixture(engines int) *benchmarkFixture {
+	result := &benchmarkFixture{
 		index:     prefixindex.New(prefixindex.Options{}),
 		positions: make(map[fleet.EngineRun]int),
 		random:    rand.New(rand.NewPCG(1, uint64(engines))),
@@ -53,7 +53,7 @@
 	return result
 }
 
-func (b *bench) randomHashes(count int) []fleet.BlockHash {
+func (b *benchmarkFixture) randomHashes(count int) []fleet.BlockHash {
 	hashes := make([]fleet.BlockHash, count)
 	for position := range hashes {
 		hashes[position] = fleet.BlockHash(b.random.Uint64())
@@ -61,17 +61,17 @@
 	return hashes
 }
 
-// prompt returns a chain at another place of the index each time: nine tenths
-// shared by all engines, the end held by none.
-func (b *bench) prompt(blocks int) []fleet.BlockHash {
+// prompt returns a chain at a random offset of the index: nine tenths are held by every engine, the
+// rest by none.
+func (b *benchmarkFixture) prompt(blocks int) []fleet.BlockHash {
 	start := b.random.IntN(sharedBlocks - blocks)
 	prompt := append([]fleet.BlockHash(nil), b.shared[start:start+blocks]...)
 	copy(prompt[blocks*9/10:], b.randomHashes(blocks-blocks*9/10))
 	return prompt
 }
 
-// decide is one whole decision, from block hashes to an engine.
-func (b *bench) decide(scheduler *scheduling.Scheduler, request scheduling.Request, prompt []fleet.BlockHash, matches []prefixindex.Match) ([]prefixindex.Match, bool) {
+// decide makes one decision, from block hashes to an engine.
+func (b *benchmarkFixture) decide(scheduler *scheduling.Scheduler, request scheduling.Request, prompt []fleet.BlockHash, matches []prefixindex.Match) ([]prefixindex.Match, bool) {
 	matches = b.index.Lookup(prompt, matches)
 	for position := range b.endpoints {
 		b.endpoints[position].CachedBlocks = 0
@@ -83,11 +83,11 @@
 	return matches, found
 }
 
-// BenchmarkDecision measures lookup and scheduling together for a prompt of
-// 32 Ki tokens over an index of 2.5 million blocks.
+// BenchmarkDecision measures prefix lookup and scheduling for a prompt of 32 Ki tokens over an
+// index of 2.5 million blocks.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{16, 64} {
-		state := newBench(engines)
+		state := newBenchmarkFixture(engines)
 		for _, blockTokens := range []int{64, 16} {
 			name := fmt.Sprintf("engines=%d/blocks=%d", engines, promptTokens/blockTokens)
 			b.Run(name, func(b *testing.B) { benchmarkDecision(b, state, blockTokens) })
@@ -95,10 +95,10 @@
 	}
 }
 
-func benchmarkDecision(b *testing.B, state *bench, blockTokens int) {
+func benchmarkDecision(b *testing.B, state *benchmarkFixture, blockTokens int) {
 	scheduler := scheduling.New(scheduling.DefaultOptions())
 	request := scheduling.Request{
-		Weights: fleet.Weights{Model: "m"}, Pool: "pool",
+		ModelVersion: fleet.Weights{Model: "m"}, Pool: "pool",
 		PromptTokens: promptTokens, BlockTokens: blockTokens,
 	}
 	histogram := hdrhistogram.New(1, int64(time.Second), 3)
--- a/internal/scheduling/filter.go
+++ b/internal/scheduling/filter.go
@@ -1,31 +1,31 @@
 package scheduling
 
-// Names of the filters in explanations.
+// Names of the filters, as reported in Candidate.RemovedBy.
 const (
-	FilterPool     = "pool"
-	FilterLeaving  = "leaving"
-	FilterReady    = "ready"
-	FilterExcluded = "excluded"
-	FilterWeights  = "weights"
-	FilterStreams  = "max_streams"
+	FilterPool         = "pool"
+	FilterDraining     = "leaving"
+	FilterReady        = "ready"
+	FilterExcluded     = "excluded"
+	FilterModelVersion = "weights"
+	FilterStreams      = "max_streams"
 )
 
-// removedBy runs the chain of filters and returns the name of the first that
-// removes an endpoint, or "". Lasting reasons come before passing ones, so that
-// an explanation names the reason that matters. The calls are direct: through
-// function values every decision would allocate its request.
+// removedBy returns the name of the first filter that removes an endpoint, or "" if it passes all
+// of them. Permanent reasons are checked before transient ones, so that an explanation names the
+// more useful one. The filters are called directly, since calls through function values would
+// allocate the request on the heap.
 func removedBy(request *Request, endpoint *Endpoint) string {
 	switch {
 	case !inPool(request, endpoint):
 		return FilterPool
-	case !notLeaving(endpoint):
-		return FilterLeaving
-	case !ready(endpoint):
+	case !notDraining(endpoint):
+		return FilterDraining
+	case !isReady(endpoint):
 		return FilterReady
 	case !notExcluded(request, endpoint):
 		return FilterExcluded
-	case !servesWeights(request, endpoint):
-		return FilterWeights
+	case !servesModelVersion(request, endpoint):
+		return FilterModelVersion
 	case !belowMaxStreams(endpoint):
 		return FilterStreams
 	default:
--- /dev/null
+++ b/internal/scheduling/filter_draining.go
@@ -0,0 +1,6 @@
+package scheduling
+
+// notDraining reports whether the endpoint accepts new work.
+func notDraining(endpoint *Endpoint) bool {
+	return !endpoint.Draining
+}
--- a/internal/scheduling/pick.go
+++ b/internal/scheduling/pick.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// pick takes the cheapest candidate among those predicted to meet the deadline,
-// with near-ties broken by load and chance. When none is, it takes the earliest
-// and returns true. candidates must not be empty; their order may change.
-func (s *Scheduler) pick(request *Request, endpoints []Endpoint, candidates []rated, random *rand.Rand) (rated, bool) {
+// pick returns the cheapest candidate among those predicted to meet the deadline, and breaks
+// near-ties by load, then at random. If no candidate meets it, pick returns the one with the
+// earliest first token, and true. candidates must not be empty and may be reordered.
+func (s *Scheduler) pick(request *Request, endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) (scoredEndpoint, bool) {
 	inTime := meetingDeadline(request.Deadline, candidates)
 	if len(inTime) == 0 {
 		return earliest(candidates), true
@@ -16,15 +16,14 @@
 	return s.breakTies(endpoints, inTime, random), false
 }
 
-// meetingDeadline moves the candidates that meet a deadline to the front and
-// returns them.
-func meetingDeadline(deadline time.Duration, candidates []rated) []rated {
+// meetingDeadline moves the candidates that meet the deadline to the front and returns them.
+func meetingDeadline(deadline time.Duration, candidates []scoredEndpoint) []scoredEndpoint {
 	if deadline <= 0 {
 		return candidates
 	}
 	kept := candidates[:0:len(candidates)]
 	for position := range candidates {
-		if candidates[position].scores.Soonest() <= deadline {
+		if candidates[position].scores.EarliestFirstToken() <= deadline {
 			candidates[len(kept)], candidates[position] = candidates[position], candidates[len(kept)]
 			kept = candidates[:len(kept)+1]
 		}
@@ -32,22 +31,21 @@
 	return kept
 }
 
-func earliest(candidates []rated) rated {
+func earliest(candidates []scoredEndpoint) scoredEndpoint {
 	best := candidates[0]
 	for _, candidate := range candidates[1:] {
-		if candidate.scores.Soonest() < best.scores.Soonest() {
+		if candidate.scores.EarliestFirstToken() < best.scores.EarliestFirstToken() {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// breakTies chooses among the candidates within TieFraction of the cheapest:
-// the fewest streams in flight, then each with equal chance (reservoir
-// sampling, so that nothing is allocated).
-func (s *Scheduler) breakTies(endpoints []Endpoint, candidates []rated, random *rand.Rand) rated {
+// breakTies chooses among the candidates within TieFraction of the cheapest: those with the fewest
+// streams in flight, then one at random. Reservoir sampling avoids an allocation.
+func (s *Scheduler) breakTies(endpoints []Endpoint, candidates []scoredEndpoint, random *rand.Rand) scoredEndpoint {
 	limit := s.tieLimit(candidates)
-	var best rated
+	var best scoredEndpoint
 	equal := 0
 	for _, candidate := range candidates {
 		if candidate.scores.Cost() > limit {
@@ -67,8 +65,8 @@
 	return best
 }
 
-// tieLimit returns the highest cost that counts as equal to the lowest.
-func (s *Scheduler) tieLimit(candidates []rated) time.Duration {
+// tieLimit returns the highest cost that still counts as equal to the lowest.
+func (s *Scheduler) tieLimit(candidates []scoredEndpoint) time.Duration {
 	lowest := candidates[0].scores.Cost()
 	for _, candidate := range candidates[1:] {
 		lowest = min(lowest, candidate.scores.Cost())
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -14,7 +14,7 @@
 
 func testRequest() Request {
 	return Request{
-		Weights:      fleet.Weights{Model: "m", Version: "v1"},
+		ModelVersion: fleet.Weights{Model: "m", Version: "v1"},
 		Pool:         "pool",
 		AgentZone:    "a",
 		PromptTokens: 1024,
@@ -29,7 +29,7 @@
 		Zone:            "a",
 		Pool:            "pool",
 		Ready:           true,
-		Serves:          func(weights fleet.Weights) bool { return weights.Version == "v1" },
+		Serves:          func(version fleet.Weights) bool { return version.Version == "v1" },
 		MaxStreams:      8,
 		PrefillPerToken: 100 * time.Microsecond,
 		Step:            time.Millisecond,
@@ -46,10 +46,9 @@
 	return decision
 }
 
-// TestWarmQueueAgainstColdIdle moves the queue of a warm engine across the
-// point where recomputing elsewhere is as quick, without and with a price on
-// recomputing.
-func TestWarmQueueAgainstColdIdle(t *testing.T) {
+// TestQueueIsWeighedAgainstCachedPrefix guards against a warm engine being chosen although
+// recomputing elsewhere is cheaper, or the reverse, with and without a recomputation price.
+func TestQueueIsWeighedAgainstCachedPrefix(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	const saved = 960
@@ -70,9 +69,9 @@
 	}
 }
 
-// TestColdHotPrefixIsComputedOnce sends a burst with one cold prefix: while it
-// is being computed at one engine, the others follow it there.
-func TestColdHotPrefixIsComputedOnce(t *testing.T) {
+// TestBurstComputesColdPrefixOnce guards against a burst of requests computing the same prefix on
+// several engines.
+func TestBurstComputesColdPrefixOnce(t *testing.T) {
 	endpoints := make([]Endpoint, 12)
 	for number := range endpoints {
 		endpoints[number] = testEndpoint(number)
@@ -103,7 +102,7 @@
 		require.True(t, found)
 		counts[decision.Index]++
 	}
-	assert.Zero(t, counts[0], "a saving under the fraction doesn't outweigh load")
+	assert.Zero(t, counts[0], "a saving within the tie fraction must not outweigh load")
 	assert.InDelta(t, 100, counts[1], 30)
 }
 
@@ -115,7 +114,7 @@
 	assert.Equal(t, 0, scheduleOne(t, options, request, warm, cold).Index)
 	request.Deadline = 110 * time.Millisecond
 	decision := scheduleOne(t, options, request, warm, cold)
-	assert.Equal(t, 1, decision.Index, "the dearer engine meets the deadline")
+	assert.Equal(t, 1, decision.Index, "the more expensive engine meets the deadline")
 	assert.False(t, decision.Late)
 	request.Deadline = 50 * time.Millisecond
 	decision = scheduleOne(t, options, request, warm, cold)
@@ -126,20 +125,20 @@
 
 func TestExplainListsEveryEndpoint(t *testing.T) {
 	endpoints := []Endpoint{testEndpoint(0), testEndpoint(1), testEndpoint(2)}
-	endpoints[0].Leaving = true
+	endpoints[0].Draining = true
 	endpoints[2].CachedBlocks = 32
 	request := testRequest()
 	request.Explain = true
 	decision := scheduleOne(t, Options{}, request, endpoints...)
 	require.Len(t, decision.Candidates, 3)
-	assert.Equal(t, FilterLeaving, decision.Candidates[0].RemovedBy)
+	assert.Equal(t, FilterDraining, decision.Candidates[0].RemovedBy)
 	assert.True(t, decision.Candidates[2].Chosen)
 	assert.Equal(t, 512, decision.Candidates[2].Scores.CachedTokens)
 	assert.Equal(t, decision.FirstToken, decision.Candidates[2].Scores.FirstToken())
 
 	decision, found := New(Options{}).Schedule(request, endpoints[:1], testRandom())
 	assert.False(t, found)
-	assert.Equal(t, FilterLeaving, decision.Candidates[0].RemovedBy)
+	assert.Equal(t, FilterDraining, decision.Candidates[0].RemovedBy)
 }
 
 func TestScheduleAllocatesNothing(t *testing.T) {
--- a/internal/scheduling/score_disturbance_test.go
+++ b/internal/scheduling/score_decode_stall_test.go
@@ -6,20 +6,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLongPromptGoesWhereItHoldsUpFewStreams compares an idle engine's streams
-// with those of another, for prompts on both sides of the bound.
-func TestLongPromptGoesWhereItHoldsUpFewStreams(t *testing.T) {
+// TestLongPromptGoesWhereItStallsFewestStreams guards against long prompts being placed where they
+// pause many decoding streams.
+func TestLongPromptGoesWhereItStallsFewestStreams(t *testing.T) {
 	busy, quiet := testEndpoint(0), testEndpoint(1)
-	busy.Decoding, busy.EventSteps = 5, 4
-	quiet.Decoding, quiet.EventSteps = 1, 4
+	busy.DecodingStreams, busy.StepsPerEvent = 5, 4
+	quiet.DecodingStreams, quiet.StepsPerEvent = 1, 4
 	quiet.PrefillTokens = 100
 	request := testRequest()
 	options := DefaultOptions()
 	options.TieFraction = 0
 	request.PromptTokens = 3 * 512
-	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "it fills three of four steps")
+	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "the prompt fills three of four steps")
 	request.PromptTokens++
 	assert.Equal(t, 1, scheduleOne(t, options, request, busy, quiet).Index)
-	busy.EventSteps, quiet.EventSteps = 0, 0
-	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "pauses don't matter")
+	busy.StepsPerEvent, quiet.StepsPerEvent = 0, 0
+	assert.Equal(t, 0, scheduleOne(t, options, request, busy, quiet).Index, "no decode stall cost without steps per event")
 }
--- a/internal/scheduling/score_memory_test.go
+++ b/internal/scheduling/score_memory_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRequestGoesWhereItFitsIntoMemory compares a warm engine that is full with a
-// cold one that has room.
-func TestRequestGoesWhereItFitsIntoMemory(t *testing.T) {
+// TestRequestGoesWhereMemoryIsFree guards against placing requests on a warm engine whose memory is
+// exhausted.
+func TestRequestGoesWhereMemoryIsFree(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	warm.MemoryTokens, cold.MemoryTokens = 10000, 10000
@@ -17,5 +17,5 @@
 	warm.MemoryUsed = 15000
 	assert.Equal(t, 1, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.MemoryTokens = 0
-	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index, "the memory isn't known")
+	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index, "unknown memory capacity")
 }
--- a/internal/scheduling/score_queue_test.go
+++ b/internal/scheduling/score_queue_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFullEngineIsWaitedFor has a warm engine whose slots are taken lose a request to a
+// TestSlotWaitDivertsRequest guards against a warm engine without a free slot being chosen over a
 // cold one with a free slot.
-func TestFullEngineIsWaitedFor(t *testing.T) {
+func TestSlotWaitDivertsRequest(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks = 60
 	warm.Slots, warm.InFlight, warm.SlotTime = 4, 3, 2*time.Second
 	assert.Equal(t, 0, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.InFlight = 5
-	assert.Equal(t, time.Second, slotWait(&warm), "one stream waits, and a slot becomes free each half second")
+	assert.Equal(t, time.Second, slotWait(&warm), "one stream waits and a slot becomes free every half second")
 	assert.Equal(t, 1, scheduleOne(t, DefaultOptions(), testRequest(), warm, cold).Index)
 	warm.Slots = 0
-	assert.Zero(t, slotWait(&warm), "an engine of unknown slots")
+	assert.Zero(t, slotWait(&warm), "unknown number of slots")
 }
 
-// TestUrgentRequestOvertakes has a request reach its first token before what is less
-// urgent, although its engine is as dear to others as before.
-func TestUrgentRequestOvertakes(t *testing.T) {
+// TestUrgentRequestBypassesLowerPriorityWork guards against counting lower-priority work in an
+// urgent request's wait.
+func TestUrgentRequestBypassesLowerPriorityWork(t *testing.T) {
 	busy := testEndpoint(0)
 	busy.PrefillTokens = 10_000
 	busy.Slots, busy.InFlight, busy.SlotTime = 4, 7, time.Second
@@ -31,10 +31,10 @@
 	request.Deadline = 700 * time.Millisecond
 	assert.True(t, scheduleOne(t, DefaultOptions(), request, busy).Late)
 	all := scheduleOne(t, DefaultOptions(), request, busy)
-	busy.OvertakenTokens, busy.OvertakenStreams = 9_000, 3
+	busy.LowerPriorityTokens, busy.LowerPriorityStreams = 9_000, 3
 	urgent := scheduleOne(t, DefaultOptions(), request, busy)
 	assert.False(t, urgent.Late)
-	assert.Equal(t, 350*time.Millisecond, urgent.Wait, "1,000 tokens and the next free slot")
-	assert.Equal(t, all.Own, urgent.Own)
-	assert.Greater(t, urgent.FirstToken, urgent.Wait+urgent.Own)
+	assert.Equal(t, 350*time.Millisecond, urgent.WaitTime, "1,000 tokens and the next free slot")
+	assert.Equal(t, all.ServiceTime, urgent.ServiceTime)
+	assert.Greater(t, urgent.FirstToken, urgent.WaitTime+urgent.ServiceTime)
 }
--- a/internal/scheduling/score_test.go
+++ b/internal/scheduling/score_test.go
@@ -37,9 +37,9 @@
 func TestZoneAndRecomputePrices(t *testing.T) {
 	scheduler := New(Options{ZonePenalty: time.Millisecond, RecomputeWeight: time.Microsecond})
 	request, endpoint := testRequest(), testEndpoint(1)
-	assert.Zero(t, scheduler.zonePrice(&request, &endpoint))
+	assert.Zero(t, scheduler.zonePenalty(&request, &endpoint))
 	request.AgentZone = "b"
-	assert.Equal(t, time.Millisecond, scheduler.zonePrice(&request, &endpoint))
+	assert.Equal(t, time.Millisecond, scheduler.zonePenalty(&request, &endpoint))
 	decision := scheduleOne(t, scheduler.options, explained(request), endpoint)
 	assert.Equal(t, 1024*time.Microsecond, decision.Candidates[0].Scores.Recompute)
 }
@@ -66,17 +66,17 @@
 	}
 	assert.Equal(t, time.Microsecond, price(0, 0, 0))
 	assert.Equal(t, 2*time.Microsecond, price(0, 1000, 0), "half of the engines are congested")
-	assert.Equal(t, 2*time.Microsecond, price(0, 1000000, 0), "one long queue isn't congestion of all")
+	assert.Equal(t, 2*time.Microsecond, price(0, 1000000, 0), "one long queue counts for one engine only")
 	assert.Equal(t, 3*time.Microsecond, price(0, 1000, 1000))
-	assert.Zero(t, price(1, 0, 0), "a request that has waited long takes an idle engine")
-	assert.Equal(t, 750*time.Nanosecond, price(1, 500, 0), "a quarter of the congestion halves the discount")
-	assert.Equal(t, 2*time.Microsecond, price(1, 1000, 0), "where half of the engines are busy, recomputing doesn't help")
+	assert.Zero(t, price(1, 0, 0), "full discount without congestion")
+	assert.Equal(t, 750*time.Nanosecond, price(1, 500, 0), "a congestion of a quarter halves the discount")
+	assert.Equal(t, 2*time.Microsecond, price(1, 1000, 0), "no discount if half of the engines are congested")
 	assert.Equal(t, 3*time.Microsecond, price(1, 1000, 1000))
 }
 
 func TestCongestionPriceIsBounded(t *testing.T) {
-	charged := prices{perToken: time.Microsecond, congested: 2 * time.Microsecond}
-	assert.Zero(t, charged.recompute(-1))
-	assert.Equal(t, 3*congestedTokens*time.Microsecond, charged.recompute(congestedTokens))
-	assert.Equal(t, (3*congestedTokens+100)*time.Microsecond, charged.recompute(congestedTokens+100))
+	prices := recomputePrices{perToken: time.Microsecond, congestionPerToken: 2 * time.Microsecond}
+	assert.Zero(t, prices.cost(-1))
+	assert.Equal(t, 3*maxCongestionTokens*time.Microsecond, prices.cost(maxCongestionTokens))
+	assert.Equal(t, (3*maxCongestionTokens+100)*time.Microsecond, prices.cost(maxCongestionTokens+100))
 }
