--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -237,7 +237,7 @@
 		g.logger.Warn().Str("worker", string(next.worker.ID)).Msg("order_dropped_without_lease")
 		return rollout.OrderUncertain, false
 	}
-	g.keeper.NoteUse()
+	g.keeper.RecordUse()
 	ctx, cancel := context.WithTimeout(g.workerCall(g.context(), callOrder, &next.worker), orderTimeout)
 	defer cancel()
 	result, err := g.outside.Engines.OrderVersion(ctx, next.worker, rollout.VersionOrder{
--- a/internal/lease/election.go
+++ b/internal/lease/election.go
@@ -36,16 +36,16 @@
 type observation struct {
 	record   Record
 	revision uint64
-	// since is when this revision was first seen, at the end of the call that
+	// firstSeenAt is when this revision was first seen, at the end of the call that
 	// showed it: the write can't have been later.
-	since time.Duration
+	firstSeenAt time.Duration
 }
 
 // commit is a write that was sent.
 type commit struct {
-	record   Record
-	compared uint64
-	start    time.Duration
+	record           Record
+	expectedRevision uint64
+	startedAt        time.Duration
 }
 
 // Election is one process's part in a lease. It has no I/O and no clock; now is
@@ -61,29 +61,29 @@
 	highestToken fleet.FencingToken
 	// mustRead is set while the row's state isn't known.
 	mustRead bool
-	// sent is the commit in progress.
-	sent *commit
-	// unresolved is the earliest commit on its revision whose outcome is
+	// pendingCommit is the commit in progress.
+	pendingCommit *commit
+	// unresolvedCommit is the earliest commit on its revision whose outcome is
 	// unknown. It may still take effect while the row is at that revision.
-	unresolved *commit
+	unresolvedCommit *commit
 
 	// predecessor is whom the row named when this process last took it over.
 	predecessor HolderID
 	// idleAtTakeover is how long the lease had not been used when it was released
 	// to this process.
 	idleAtTakeover time.Duration
-	usedAt         time.Duration
+	lastUsedAt     time.Duration
 
-	// readBegun is when the last read began, reference the last answer that told the
+	// readStartedAt is when the last read began, reference the last answer that told the
 	// store's time.
-	readBegun time.Duration
-	reference storeReference
-
-	nextAt        time.Duration
-	believedUntil time.Duration
-	ineligible    bool
-	resigning     bool
-	resigned      bool
+	readStartedAt time.Duration
+	storeClock    storeClockSample
+
+	nextActionAt time.Duration
+	validUntil   time.Duration
+	ineligible   bool
+	resigning    bool
+	resigned     bool
 }
 
 // NewElection returns an election that hasn't read its row. The holder must be
@@ -101,14 +101,14 @@
 // Fence returns the token to send with an order, and whether the lease is held
 // at now. It must be called right before each order.
 func (e *Election) Fence(now time.Duration) (fleet.FencingToken, bool) {
-	if !e.Valid(now) {
+	if !e.IsHeld(now) {
 		return 0, false
 	}
 	return e.row.record.Token, true
 }
 
-// Valid tells whether the lease is held at now.
-func (e *Election) Valid(now time.Duration) bool { return !e.resigning && now < e.believedUntil }
+// IsHeld tells whether the lease is held at now.
+func (e *Election) IsHeld(now time.Duration) bool { return !e.resigning && now < e.validUntil }
 
 // Observed returns the lease's record as last seen; false before the first read.
 func (e *Election) Observed() (Record, bool) { return e.row.record, e.row.revision != 0 }
@@ -123,15 +123,15 @@
 // released to this process.
 func (e *Election) IdleAtTakeover() time.Duration { return e.idleAtTakeover }
 
-// NoteUse notes that the lease was used, such as for an order.
-func (e *Election) NoteUse(now time.Duration) { e.usedAt = max(e.usedAt, now) }
+// RecordUse notes that the lease was used, such as for an order.
+func (e *Election) RecordUse(now time.Duration) { e.lastUsedAt = max(e.lastUsedAt, now) }
 
 // SetEligible tells whether the process takes the lease when it is free. In a
 // large fleet only a few processes need to poll. A holder stays one.
 func (e *Election) SetEligible(eligible bool) { e.ineligible = !eligible }
 
-// Eligible tells what SetEligible was last told; true before.
-func (e *Election) Eligible() bool { return !e.ineligible }
+// IsEligible tells what SetEligible was last told; true before.
+func (e *Election) IsEligible() bool { return !e.ineligible }
 
 // Resign ends the process's part: it stops believing at once, and Next asks for
 // the lease's release if it is held for certain. Else the lease runs out.
@@ -142,52 +142,52 @@
 	if e.resigning {
 		return e.nextRelease(now)
 	}
-	if now < e.nextAt {
-		return Action{Kind: ActionWait, Until: e.nextAt}
+	if now < e.nextActionAt {
+		return Action{Kind: ActionWait, Until: e.nextActionAt}
 	}
-	if e.ineligible && !e.mustRead && !e.mine() && !e.earlierRun() {
-		e.nextAt = now + e.pollInterval()
-		return Action{Kind: ActionWait, Until: e.nextAt}
+	if e.ineligible && !e.mustRead && !e.isRecordedHolder() && !e.isHeldByEarlierRun() {
+		e.nextActionAt = now + e.pollInterval()
+		return Action{Kind: ActionWait, Until: e.nextActionAt}
 	}
-	if e.mustRead || !e.mayWrite(now) || e.referenceTooOld(now) {
-		e.readBegun = now
+	if e.mustRead || !e.canWrite(now) || e.isStoreClockStale(now) {
+		e.readStartedAt = now
 		return Action{Kind: ActionRead}
 	}
 	return e.startCommit(now, e.claim())
 }
 
 func (e *Election) nextRelease(now time.Duration) Action {
-	if e.resigned || e.mustRead || !e.mine() {
+	if e.resigned || e.mustRead || !e.isRecordedHolder() {
 		return Action{Kind: ActionDone}
 	}
 	e.resigned = true
 	released := e.row.record
 	released.Holder = ""
-	released.IdleMillis = max(now-e.usedAt, 0).Milliseconds()
+	released.IdleMillis = max(now-e.lastUsedAt, 0).Milliseconds()
 	return e.startCommit(now, released)
 }
 
-// mine tells whether the row as last seen names this process.
-func (e *Election) mine() bool { return e.row.record.Holder == e.holder }
+// isRecordedHolder tells whether the row as last seen names this process.
+func (e *Election) isRecordedHolder() bool { return e.row.record.Holder == e.holder }
 
-// mayWrite tells whether the row is this process's, free or run out.
-func (e *Election) mayWrite(now time.Duration) bool {
-	if e.mine() || e.row.record.Holder == "" || e.earlierRun() {
+// canWrite tells whether the row is this process's, free or run out.
+func (e *Election) canWrite(now time.Duration) bool {
+	if e.isRecordedHolder() || e.row.record.Holder == "" || e.isHeldByEarlierRun() {
 		return true
 	}
-	return now >= e.runsOutAt()
+	return now >= e.expiresAt()
 }
 
-// earlierRun tells whether the row names an earlier run on this machine, which
+// isHeldByEarlierRun tells whether the row names an earlier run on this machine, which
 // has ended.
-func (e *Election) earlierRun() bool {
-	return e.settings.Exclusive && !e.mine() && e.row.record.Holder.Machine() == e.holder.Machine()
+func (e *Election) isHeldByEarlierRun() bool {
+	return e.settings.Exclusive && !e.isRecordedHolder() && e.row.record.Holder.Machine() == e.holder.Machine()
 }
 
 // claim returns the record that makes or keeps this process the holder.
 func (e *Election) claim() Record {
 	token := e.highestToken
-	if !e.mine() {
+	if !e.isRecordedHolder() {
 		token++
 		e.predecessor = e.row.record.Holder
 		e.idleAtTakeover = time.Duration(e.row.record.IdleMillis) * time.Millisecond
@@ -196,8 +196,8 @@
 }
 
 func (e *Election) startCommit(now time.Duration, record Record) Action {
-	record.WrittenMillis = e.writtenMillis(now)
-	e.sent = &commit{record: record, compared: e.row.revision, start: now}
+	record.WrittenMillis = e.storeTimeMillis(now)
+	e.pendingCommit = &commit{record: record, expectedRevision: e.row.revision, startedAt: now}
 	return Action{
 		Kind: ActionCommit,
 		Transaction: platform.Transaction{
@@ -209,15 +209,15 @@
 
 // pollInterval is the time between a challenger's reads.
 func (e *Election) pollInterval() time.Duration {
-	return e.jitter(e.settings.Duration / pollFraction)
+	return e.jitter(e.settings.Duration / pollsPerDuration)
 }
 
 // retryInterval is the time until a holder repeats what failed.
 func (e *Election) retryInterval() time.Duration {
-	if !e.mine() {
+	if !e.isRecordedHolder() {
 		return e.pollInterval()
 	}
-	return e.jitter(e.settings.Duration / retryFraction)
+	return e.jitter(e.settings.Duration / retriesPerDuration)
 }
 
 // jitter returns a time between half of mean and one and a half of it.
--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -22,25 +22,25 @@
 	return election
 }
 
-// world drives elections on one virtual clock against a model of the platform.
-type world struct {
+// harness drives elections on one virtual clock against a model of the platform.
+type harness struct {
 	t     *testing.T
 	now   time.Duration
 	model *platformmodel.Platform
-	// down makes each call fail without effect; lose loses commit answers after
+	// unavailable makes each call fail without effect; loseAnswers loses commit answers after
 	// their effect.
-	down, lose bool
+	unavailable, loseAnswers bool
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{t: t, model: platformmodel.New(platformmodel.Options{})}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, model: platformmodel.New(platformmodel.Options{})}
 }
 
 // step performs the election's next action at once; false if it waits.
-func (w *world) step(election *Election) bool {
+func (w *harness) step(election *Election) bool {
 	switch action := election.Next(w.now); action.Kind {
 	case ActionRead:
-		if w.down {
+		if w.unavailable {
 			require.NoError(w.t, election.ReadDone(w.now, platform.Row{}, platform.ErrUnavailable))
 			return true
 		}
@@ -54,19 +54,19 @@
 	return true
 }
 
-func (w *world) commit(transaction platform.Transaction) error {
-	if w.down {
+func (w *harness) commit(transaction platform.Transaction) error {
+	if w.unavailable {
 		return errors.Wrap(platform.ErrUnavailable, "commit")
 	}
 	err := w.model.Commit(w.now, transaction)
-	if w.lose {
+	if w.loseAnswers {
 		return errors.Wrap(platform.ErrUnknownOutcome, "commit")
 	}
 	return err
 }
 
 // run advances the clock by duration, with the elections awake.
-func (w *world) run(duration time.Duration, elections ...*Election) {
+func (w *harness) run(duration time.Duration, elections ...*Election) {
 	for end := w.now + duration; w.now < end; w.now += 100 * time.Millisecond {
 		for _, election := range elections {
 			for w.step(election) {
@@ -75,25 +75,25 @@
 	}
 }
 
-func (w *world) token(election *Election) fleet.FencingToken {
+func (w *harness) token(election *Election) fleet.FencingToken {
 	token, held := election.Fence(w.now)
 	require.True(w.t, held)
 	return token
 }
 
 func TestHolderRenewsAndChallengerWaits(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	w.run(time.Second, a)
 	for range 600 {
 		w.run(100*time.Millisecond, a, b)
 		require.EqualValues(t, 1, w.token(a))
-		require.False(t, b.Valid(w.now))
+		require.False(t, b.IsHeld(w.now))
 	}
 }
 
 func TestChallengerWaitsForDurationAndMargin(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.run(time.Second, newElection(t, "a", 1))
 	b := newElection(t, "b", 2)
 	require.True(t, w.step(b))
@@ -102,41 +102,41 @@
 	assert.Equal(t, ActionCommit, b.Next(runsOut).Kind)
 }
 
-func TestFrozenHolderStopsBelievingBeforeTakeoverAndLearnsOnThaw(t *testing.T) {
-	w := newWorld(t)
+func TestFrozenHolderLosesLeaseBeforeTakeover(t *testing.T) {
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	w.run(time.Second, a, b)
-	require.True(t, a.Valid(w.now))
-	for !b.Valid(w.now) {
+	require.True(t, a.IsHeld(w.now))
+	for !b.IsHeld(w.now) {
 		w.run(100*time.Millisecond, b)
-		require.False(t, a.Valid(w.now) && b.Valid(w.now))
+		require.False(t, a.IsHeld(w.now) && b.IsHeld(w.now))
 		require.Less(t, w.now, time.Minute)
 	}
 	_, held := a.Fence(w.now)
 	assert.False(t, held, "the thawed holder's first check fails, before any call")
 	w.run(time.Second, a, b)
-	assert.False(t, a.Valid(w.now))
+	assert.False(t, a.IsHeld(w.now))
 	assert.EqualValues(t, 2, w.token(b))
 }
 
-func TestLostAnswerIsResolvedByReadingAndCountsFromTheCommitsStart(t *testing.T) {
-	w := newWorld(t)
+func TestLostCommitAnswerIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
+	w := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, w.step(a)) // reads: the row doesn't exist
-	w.lose = true
+	w.loseAnswers = true
 	start := w.now
 	require.True(t, w.step(a))
-	require.False(t, a.Valid(w.now))
+	require.False(t, a.IsHeld(w.now))
 	w.now += 5 * time.Second
 	require.True(t, w.step(a)) // reads back
 	assert.EqualValues(t, 1, w.token(a))
 	lapse := start + testSettings.Duration - testSettings.Margin
-	assert.True(t, a.Valid(lapse-1))
-	assert.False(t, a.Valid(lapse))
+	assert.True(t, a.IsHeld(lapse-1))
+	assert.False(t, a.IsHeld(lapse))
 }
 
-func TestTwoLostAnswersOnOneRevisionCountFromTheEarlier(t *testing.T) {
-	w := newWorld(t)
+func TestTwoLostCommitAnswersOnOneRevisionCountFromEarlier(t *testing.T) {
+	w := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, w.step(a))
 	first := a.Next(w.now)
@@ -146,16 +146,16 @@
 	require.True(t, w.step(a)) // reads: still no row
 	require.NoError(t, w.commit(first.Transaction), "the first arrives late")
 	w.now += time.Second
-	w.lose = true
+	w.loseAnswers = true
 	require.True(t, w.step(a)) // the second commit conflicts, unseen
 	w.now += 2 * time.Second
 	require.True(t, w.step(a)) // reads its own row
-	assert.True(t, a.Valid(9*time.Second-1))
-	assert.False(t, a.Valid(9*time.Second))
+	assert.True(t, a.IsHeld(9*time.Second-1))
+	assert.False(t, a.IsHeld(9*time.Second))
 }
 
-func TestSlowRenewalCountsFromItsStart(t *testing.T) {
-	w := newWorld(t)
+func TestSlowRenewalCountsFromCommitStart(t *testing.T) {
+	w := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, w.step(a))
 	action := a.Next(w.now)
@@ -163,26 +163,26 @@
 	require.NoError(t, w.commit(action.Transaction))
 	w.now += 9 * time.Second
 	a.CommitDone(w.now, nil)
-	assert.False(t, a.Valid(w.now), "the answer came when the lease had run out")
+	assert.False(t, a.IsHeld(w.now), "the answer came when the lease had run out")
 }
 
-func TestPlatformDownEndsBeliefAndKeepsTheTokenOnReturn(t *testing.T) {
-	w := newWorld(t)
+func TestStoreOutageEndsLeaseAndKeepsTokenOnRecovery(t *testing.T) {
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	w.run(time.Second, a, b)
-	w.down = true
+	w.unavailable = true
 	w.run(9*time.Second, a, b)
-	assert.False(t, a.Valid(w.now))
+	assert.False(t, a.IsHeld(w.now))
 	w.run(time.Hour, a, b)
-	w.down = false
+	w.unavailable = false
 	w.run(time.Minute, a, b)
-	assert.NotEqual(t, a.Valid(w.now), b.Valid(w.now), "exactly one holds it again")
+	assert.NotEqual(t, a.IsHeld(w.now), b.IsHeld(w.now), "exactly one holds it again")
 	record, _ := a.Observed()
 	assert.LessOrEqual(t, record.Token, fleet.FencingToken(2))
 }
 
-func TestTwoChallengersRaceAndOneWins(t *testing.T) {
-	w := newWorld(t)
+func TestOneOfTwoRacingChallengersWins(t *testing.T) {
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	require.True(t, w.step(a))
 	require.True(t, w.step(b))
@@ -193,32 +193,32 @@
 	b.CommitDone(w.now, w.commit(second.Transaction))
 	w.run(time.Second, b)
 	assert.EqualValues(t, 1, w.token(a))
-	assert.False(t, b.Valid(w.now))
+	assert.False(t, b.IsHeld(w.now))
 }
 
-func TestNewRunOfTheSameNodeIsAnotherHolder(t *testing.T) {
-	w := newWorld(t)
+func TestRestartedProcessIsANewHolder(t *testing.T) {
+	w := newHarness(t)
 	before, after := newElection(t, "a", 1), newElection(t, "a", 2)
 	w.run(time.Second, before)
 	w.run(5*time.Second, after)
-	assert.False(t, after.Valid(w.now))
+	assert.False(t, after.IsHeld(w.now))
 	w.run(15*time.Second, after)
 	assert.EqualValues(t, 2, w.token(after))
 }
 
-func TestReleaseLetsAnotherTakeOverAtOnce(t *testing.T) {
-	w := newWorld(t)
+func TestReleasedLeaseIsTakenOverImmediately(t *testing.T) {
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	w.run(time.Second, a, b)
 	a.Resign()
-	require.False(t, a.Valid(w.now))
+	require.False(t, a.IsHeld(w.now))
 	w.run(5*time.Second, a, b)
 	assert.Equal(t, ActionDone, a.Next(w.now).Kind)
 	assert.EqualValues(t, 2, w.token(b))
 }
 
 func TestIneligibleProcessMakesNoCalls(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	a := newElection(t, "a", 1)
 	a.SetEligible(false)
 	w.run(time.Minute, a)
@@ -226,7 +226,7 @@
 	assert.False(t, observed)
 }
 
-func TestMalformedRowIsNeitherTakenNorBelieved(t *testing.T) {
+func TestMalformedRowIsNeverOverwritten(t *testing.T) {
 	a := newElection(t, "a", 1)
 	for _, value := range []string{"", "{}", `{"token":1}`, `{"token":-1,"duration_ms":1}`, `{"token":1,"duration_ms":9223372036854775807}`} {
 		err := a.ReadDone(0, platform.Row{Key: testSettings.Key, Value: []byte(value), Revision: 3}, nil)
@@ -254,7 +254,7 @@
 	})
 }
 
-func TestSettingsThatCannotKeepHoldersApartAreRejected(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, settings := range []Settings{
 		{Duration: time.Second, Margin: time.Millisecond},
 		{Key: "k", Duration: time.Second},
@@ -267,10 +267,10 @@
 	assert.NoError(t, Settings{Key: "k", Duration: DefaultDuration, Margin: DefaultMargin}.Validate())
 }
 
-// TestLaterRunOnTheSameMachineTakesOverAtOnce where a machine runs one process at
+// TestExclusiveRestartTakesOverImmediately where a machine runs one process at
 // a time, also if it isn't eligible; others wait.
-func TestLaterRunOnTheSameMachineTakesOverAtOnce(t *testing.T) {
-	w := newWorld(t)
+func TestExclusiveRestartTakesOverImmediately(t *testing.T) {
+	w := newHarness(t)
 	settings := testSettings
 	settings.Exclusive = true
 	elect := func(name string, seed uint64) *Election {
@@ -287,58 +287,58 @@
 	assert.EqualValues(t, 2, w.token(after))
 	assert.Equal(t, "a", after.Predecessor().Machine())
 	w.run(5*time.Second, other, after)
-	assert.False(t, other.Valid(w.now))
+	assert.False(t, other.IsHeld(w.now))
 }
 
-// TestReleaseTellsHowLongTheLeaseWasUnused.
-func TestReleaseTellsHowLongTheLeaseWasUnused(t *testing.T) {
-	w := newWorld(t)
+// TestReleaseRecordsIdleTime.
+func TestReleaseRecordsIdleTime(t *testing.T) {
+	w := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
 	w.run(time.Second, a)
-	a.NoteUse(w.now)
+	a.RecordUse(w.now)
 	w.run(2*time.Second, a)
 	a.Resign()
 	w.run(time.Second, a, b)
-	require.True(t, b.Valid(w.now))
+	require.True(t, b.IsHeld(w.now))
 	assert.Empty(t, b.Predecessor())
 	assert.InDelta(t, 2*time.Second, b.IdleAtTakeover(), float64(200*time.Millisecond))
 }
 
-// readAt reports a read of the row at now, which began as long ago as the read took.
-func (w *world) readAt(election *Election, storeTime time.Duration) {
+// reportRead reports a read of the row at now, which began as long ago as the read took.
+func (w *harness) reportRead(election *Election, storeTime time.Duration) {
 	row, err := w.model.Get(w.now, testSettings.Key)
 	row.StoreTime = storeTime
 	require.NoError(w.t, election.ReadDone(w.now, row, err))
 }
 
-// TestLeaseThatRanOutUnseenIsTakenAtOnce has a process look for the first time when the
+// TestExpiredLeaseIsTakenOnFirstReadByStoreTime has a process look for the first time when the
 // holder, which renewed unseen, has been gone for longer than its lease.
-func TestLeaseThatRanOutUnseenIsTakenAtOnce(t *testing.T) {
+func TestExpiredLeaseIsTakenOnFirstReadByStoreTime(t *testing.T) {
 	const epoch = time.Hour
-	w := newWorld(t)
+	w := newHarness(t)
 	holder := newElection(t, "holder", 1)
 	require.Equal(t, ActionRead, holder.Next(w.now).Kind)
-	w.readAt(holder, epoch+w.now)
+	w.reportRead(holder, epoch+w.now)
 	require.True(t, w.step(holder))
-	require.True(t, holder.Valid(w.now))
+	require.True(t, holder.IsHeld(w.now))
 
 	late := newElection(t, "late", 2)
 	runOut := testSettings.Duration + testSettings.Margin
 	w.now = runOut - time.Second
 	require.Equal(t, ActionRead, late.Next(w.now).Kind)
-	w.readAt(late, epoch+w.now)
+	w.reportRead(late, epoch+w.now)
 	assert.NotEqual(t, ActionCommit, late.Next(w.now).Kind, "it may still be believed in")
 	w.now = runOut + time.Millisecond
 	action := late.Next(w.now)
 	require.Equal(t, ActionCommit, action.Kind, "nothing more to wait for, though the row was first seen a second ago")
 	late.CommitDone(w.now, w.commit(action.Transaction))
-	assert.True(t, late.Valid(w.now))
+	assert.True(t, late.IsHeld(w.now))
 }
 
-// TestLeaseIsWaitedForWhereTheStoreTellsNoTime falls back to the time since the row
+// TestChallengerWaitsWithoutStoreTime falls back to the time since the row
 // was first seen.
-func TestLeaseIsWaitedForWhereTheStoreTellsNoTime(t *testing.T) {
-	w := newWorld(t)
+func TestChallengerWaitsWithoutStoreTime(t *testing.T) {
+	w := newHarness(t)
 	holder := newElection(t, "holder", 1)
 	for w.step(holder) {
 	}
@@ -348,18 +348,18 @@
 	assert.Equal(t, ActionWait, late.Next(w.now).Kind)
 }
 
-// TestHolderKnowsTheStoresTimeNearly has a holder read now and then, since its clock
+// TestHolderResamplesStoreTime has a holder read now and then, since its clock
 // may run at another speed than the store's.
-func TestHolderKnowsTheStoresTimeNearly(t *testing.T) {
+func TestHolderResamplesStoreTime(t *testing.T) {
 	const epoch = time.Hour
-	w := newWorld(t)
+	w := newHarness(t)
 	holder := newElection(t, "holder", 1)
 	reads := 0
 	for w.now < 10*testSettings.Duration {
 		switch action := holder.Next(w.now); action.Kind {
 		case ActionRead:
 			reads++
-			w.readAt(holder, epoch+w.now)
+			w.reportRead(holder, epoch+w.now)
 		case ActionCommit:
 			holder.CommitDone(w.now, w.commit(action.Transaction))
 			record, _ := holder.Observed()
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// callFraction is the part of a lease's duration that bounds one call: an
+// callTimeoutDivisor is the part of a lease's duration that bounds one call: an
 // answer that comes later leaves too little time to believe.
-const callFraction = 3
+const callTimeoutDivisor = 3
 
 // Keeper runs an Election against the table service on real time. Its methods
 // are safe for concurrent use.
@@ -23,9 +23,9 @@
 	tables platform.Tables
 	clock  fleet.Clock
 	logger zerolog.Logger
-	life   tomb.Tomb
-	// changed wakes the loop.
-	changed chan struct{}
+	tomb   tomb.Tomb
+	// wake wakes the loop.
+	wake chan struct{}
 
 	mutex    sync.Mutex
 	election *Election
@@ -38,13 +38,13 @@
 		tables:   tables,
 		clock:    clock,
 		logger:   logger.With().Str("lease", election.settings.Key).Logger(),
-		changed:  make(chan struct{}, 1),
+		wake:     make(chan struct{}, 1),
 		election: election,
 	}
 }
 
 // Start begins to read, take and renew the lease.
-func (k *Keeper) Start() { k.life.Go(k.run) }
+func (k *Keeper) Start() { k.tomb.Go(k.run) }
 
 // Stop makes Fence fail at once, releases the lease if it can, and waits for
 // the calls in progress, which are bounded by a part of the lease's duration.
@@ -52,12 +52,12 @@
 	k.mutex.Lock()
 	k.election.Resign()
 	k.mutex.Unlock()
-	k.life.Kill(nil)
-	return k.life.Wait()
+	k.tomb.Kill(nil)
+	return k.tomb.Wait()
 }
 
 // Dead is closed when the keeper has ended.
-func (k *Keeper) Dead() <-chan struct{} { return k.life.Dead() }
+func (k *Keeper) Dead() <-chan struct{} { return k.tomb.Dead() }
 
 // Fence returns the token to send with an order, and whether the lease is held
 // at this moment. It must be called right before each order.
@@ -89,25 +89,25 @@
 	return k.election.IdleAtTakeover()
 }
 
-// NoteUse notes that the lease is used at this moment.
-func (k *Keeper) NoteUse() {
+// RecordUse notes that the lease is used at this moment.
+func (k *Keeper) RecordUse() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.election.NoteUse(k.clock.Now())
+	k.election.RecordUse(k.clock.Now())
 }
 
 // SetEligible tells whether this process takes the lease when it is free. Only a
 // change wakes the loop.
 func (k *Keeper) SetEligible(eligible bool) {
 	k.mutex.Lock()
-	changed := k.election.Eligible() != eligible
+	changed := k.election.IsEligible() != eligible
 	k.election.SetEligible(eligible)
 	k.mutex.Unlock()
 	if !changed {
 		return
 	}
 	select {
-	case k.changed <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
@@ -166,7 +166,7 @@
 // callContext bounds one call. It doesn't end with the keeper: a commit that is
 // cut off would only leave its outcome unknown.
 func (k *Keeper) callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), k.election.settings.Duration/callFraction)
+	return context.WithTimeout(context.Background(), k.election.settings.Duration/callTimeoutDivisor)
 }
 
 func (k *Keeper) wait(until time.Duration) {
@@ -174,8 +174,8 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.changed:
-	case <-k.life.Dying():
+	case <-k.wake:
+	case <-k.tomb.Dying():
 	}
 }
 
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestKeeperStopsWhileThePlatformHangs(t *testing.T) {
+func TestKeeperStopsWhileStoreHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := fleet.NewRuntimeClock()
 		service := &tables{clock: clock, model: platformmodel.New(platformmodel.Options{})}
@@ -95,11 +95,11 @@
 		assert.False(t, held, "no renewal came back")
 		before := clock.Now()
 		require.NoError(t, keeper.Stop())
-		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callFraction)
+		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callTimeoutDivisor)
 	})
 }
 
-func TestLostRaceIsNoWarning(t *testing.T) {
+func TestLostRaceIsLoggedAtDebugLevel(t *testing.T) {
 	lost := errors.Wrap(platform.ErrConflict, "commit")
 	assert.Equal(t, zerolog.DebugLevel, commitFailureLevel(lost))
 	assert.Equal(t, zerolog.WarnLevel, commitFailureLevel(errors.Wrap(platform.ErrUnknownOutcome, "commit")))
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -22,9 +22,9 @@
 	election *Election
 	offset   time.Duration
 	// ratePercent is the clock's speed; the margin covers 91 to 109.
-	ratePercent int64
-	thawsAt     time.Duration
-	call        *Action // in progress
+	ratePercent   int64
+	resumesAt     time.Duration
+	pendingAction *Action // in progress
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
@@ -37,36 +37,36 @@
 	token  fleet.FencingToken
 }
 
-// history is a random run: calls, lost answers, late effects, freezes and
+// simulation is a random run: calls, lost answers, late effects, freezes and
 // delayed orders, with the checks made on the way.
-type history struct {
+type simulation struct {
 	t *rapid.T
 	// random is uniform, where rapid's own numbers lean to the small ones.
-	random    *rand.Rand
-	now       time.Duration
-	model     *platformmodel.Platform
-	processes []*process
-	late      []platform.Transaction // whose sender has given up
-	orders    []order
+	random         *rand.Rand
+	now            time.Duration
+	model          *platformmodel.Platform
+	processes      []*process
+	delayedCommits []platform.Transaction // whose sender has given up
+	orders         []order
 
 	last Record
 	// holders is who was given each token.
-	holders map[fleet.FencingToken]HolderID
-	engine  fleet.FencingToken
-	// newest is the token of the newest holder of which an order was executed.
-	newest   fleet.FencingToken
-	restarts uint64
+	holders     map[fleet.FencingToken]HolderID
+	engineToken fleet.FencingToken
+	// newestExecuted is the token of the newestExecuted holder of which an order was executed.
+	newestExecuted fleet.FencingToken
+	restarts       uint64
 }
 
-func (h *history) chance(percent int) bool {
+func (h *simulation) chance(percent int) bool {
 	return h.random.IntN(100) < percent
 }
 
-func (h *history) upTo(limit time.Duration) time.Duration {
+func (h *simulation) upTo(limit time.Duration) time.Duration {
 	return time.Duration(h.random.Int64N(int64(limit)))
 }
 
-func (h *history) commit(transaction platform.Transaction) error {
+func (h *simulation) commit(transaction platform.Transaction) error {
 	err := h.model.Commit(h.now, transaction)
 	if err == nil {
 		h.checkRecord()
@@ -75,7 +75,7 @@
 }
 
 // checkRecord holds each written record against the one before.
-func (h *history) checkRecord() {
+func (h *simulation) checkRecord() {
 	row, err := h.model.Get(h.now, testSettings.Key)
 	require.NoError(h.t, err)
 	record, err := decodeRecord(row.Value)
@@ -89,11 +89,11 @@
 	h.last = record
 }
 
-func (h *history) step(p *process) {
-	if h.now < p.thawsAt {
+func (h *simulation) step(p *process) {
+	if h.now < p.resumesAt {
 		return
 	}
-	if p.call == nil {
+	if p.pendingAction == nil {
 		h.begin(p)
 		return
 	}
@@ -102,10 +102,10 @@
 	}
 }
 
-func (h *history) begin(p *process) {
+func (h *simulation) begin(p *process) {
 	action := p.election.Next(p.clock(h.now))
 	if action.Kind == ActionRead || action.Kind == ActionCommit {
-		p.call = &action
+		p.pendingAction = &action
 	}
 	if action.Kind == ActionDone || h.chance(1) {
 		h.restart(p)
@@ -122,29 +122,29 @@
 
 // restart replaces a process by a new run, which knows nothing. Its commit in
 // progress may still take effect.
-func (h *history) restart(p *process) {
-	if p.call != nil && p.call.Kind == ActionCommit {
-		h.late = append(h.late, p.call.Transaction)
+func (h *simulation) restart(p *process) {
+	if p.pendingAction != nil && p.pendingAction.Kind == ActionCommit {
+		h.delayedCommits = append(h.delayedCommits, p.pendingAction.Transaction)
 	}
 	h.restarts++
-	p.call = nil
+	p.pendingAction = nil
 	p.election = newElection(h.t, "restarted", 100+h.restarts)
 }
 
-func (h *history) finish(p *process) {
-	call := p.call
-	p.call = nil
+func (h *simulation) finish(p *process) {
+	call := p.pendingAction
+	p.pendingAction = nil
 	if call.Kind == ActionRead {
 		row, err := h.model.Get(h.now, testSettings.Key)
 		row.StoreTime = storeEpoch + h.now
 		h.freezeSometimes(p)
-		require.NoError(h.t, p.election.ReadDone(p.clock(max(h.now, p.thawsAt)), row, err))
+		require.NoError(h.t, p.election.ReadDone(p.clock(max(h.now, p.resumesAt)), row, err))
 		return
 	}
 	var err error
 	switch {
 	case h.chance(10): // not applied yet, and the sender gives up
-		h.late = append(h.late, call.Transaction)
+		h.delayedCommits = append(h.delayedCommits, call.Transaction)
 		err = platform.ErrUnknownOutcome
 	case h.chance(10):
 		err = platform.ErrUnavailable
@@ -155,21 +155,21 @@
 		}
 	}
 	h.freezeSometimes(p)
-	p.election.CommitDone(p.clock(max(h.now, p.thawsAt)), err)
+	p.election.CommitDone(p.clock(max(h.now, p.resumesAt)), err)
 }
 
-func (h *history) freezeSometimes(p *process) {
+func (h *simulation) freezeSometimes(p *process) {
 	if h.chance(8) {
-		p.thawsAt = h.now + h.upTo(40*time.Second)
+		p.resumesAt = h.now + h.upTo(40*time.Second)
 	}
 }
 
-// deliver lets one delayed commit and one delayed order arrive, in any order.
-func (h *history) deliver() {
-	if len(h.late) > 0 && h.chance(20) {
-		index := h.random.IntN(len(h.late))
-		_ = h.commit(h.late[index])
-		h.late = slices.Delete(h.late, index, index+1)
+// deliverDelayed lets one delayed commit and one delayed order arrive, in any order.
+func (h *simulation) deliverDelayed() {
+	if len(h.delayedCommits) > 0 && h.chance(20) {
+		index := h.random.IntN(len(h.delayedCommits))
+		_ = h.commit(h.delayedCommits[index])
+		h.delayedCommits = slices.Delete(h.delayedCommits, index, index+1)
 	}
 	if len(h.orders) == 0 || !h.chance(50) {
 		return
@@ -177,16 +177,16 @@
 	index := h.random.IntN(len(h.orders))
 	arrived := h.orders[index]
 	h.orders = slices.Delete(h.orders, index, index+1)
-	if arrived.token >= h.engine {
-		h.engine = arrived.token
+	if arrived.token >= h.engineToken {
+		h.engineToken = arrived.token
 		generation := h.generation(arrived.holder)
-		require.GreaterOrEqual(h.t, generation, h.newest, "order of %s after one of a newer holder", arrived.holder)
-		h.newest = generation
+		require.GreaterOrEqual(h.t, generation, h.newestExecuted, "order of %s after one of a newer holder", arrived.holder)
+		h.newestExecuted = generation
 	}
 }
 
 // generation returns the last token that a holder was given.
-func (h *history) generation(holder HolderID) fleet.FencingToken {
+func (h *simulation) generation(holder HolderID) fleet.FencingToken {
 	var generation fleet.FencingToken
 	for token, given := range h.holders {
 		if given == holder {
@@ -196,20 +196,20 @@
 	return generation
 }
 
-func (h *history) checkHolders() {
+func (h *simulation) checkHolders() {
 	var holders []HolderID
 	for _, p := range h.processes {
-		if p.election.Valid(p.clock(h.now)) {
+		if p.election.IsHeld(p.clock(h.now)) {
 			holders = append(holders, p.election.holder)
 		}
 	}
 	require.LessOrEqual(h.t, len(holders), 1, "holders at %s: %v", h.now, holders)
 }
 
-func TestNoTwoHoldersAndTokensRise(t *testing.T) {
+func TestAtMostOneHolderAndTokensIncrease(t *testing.T) {
 	changes := 0
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{
+		h := &simulation{
 			t:       t,
 			random:  rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 			model:   platformmodel.New(platformmodel.Options{}),
@@ -228,7 +228,7 @@
 				h.step(p)
 				h.checkHolders()
 			}
-			h.deliver()
+			h.deliverDelayed()
 		}
 		changes += len(h.holders)
 	})
--- a/internal/lease/settings.go
+++ b/internal/lease/settings.go
@@ -18,9 +18,9 @@
 
 // Fractions of a lease's duration.
 const (
-	renewFraction = 3  // a holder renews three times within a duration
-	pollFraction  = 4  // a challenger reads four times within a duration
-	retryFraction = 10 // a holder retries a failed renewal after this part
+	renewalsPerDuration = 3  // a holder renews three times within a duration
+	pollsPerDuration    = 4  // a challenger reads four times within a duration
+	retriesPerDuration  = 10 // a holder retries a failed renewal after this part
 )
 
 // Settings sets up an Election.
