--- a/internal/lease/election.go
+++ b/internal/lease/election.go
@@ -10,22 +10,22 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// ActionKind tells what an election needs next.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // Kinds of actions.
 const (
-	// ActionWait asks for Next again at Until.
+	// ActionWait means that Next must be called again at Until.
 	ActionWait ActionKind = iota
-	// ActionRead asks for a read of Settings.Key, then ReadDone.
+	// ActionRead means that the caller must read Settings.Key and then call ReadDone.
 	ActionRead
-	// ActionCommit asks for a commit of Transaction, then CommitDone.
+	// ActionCommit means that the caller must commit Transaction and then call CommitDone.
 	ActionCommit
 	// ActionDone means that the election has ended after Resign.
 	ActionDone
 )
 
-// Action is what an election needs next.
+// Action is the next step that an Election requires of its caller.
 type Action struct {
 	Kind        ActionKind
 	Until       time.Duration
@@ -36,8 +36,8 @@
 type observation struct {
 	record   Record
 	revision uint64
-	// firstSeenAt is when this revision was first seen, at the end of the call that
-	// showed it: the write can't have been later.
+	// firstSeenAt is the end of the call that first returned this revision. The write happened no
+	// later.
 	firstSeenAt time.Duration
 }
 
@@ -48,10 +48,9 @@
 	startedAt        time.Duration
 }
 
-// Election is one process's part in a lease. It has no I/O and no clock; now is
-// the process's elapsed time. At most one read or commit is in progress: after
-// such an action the caller reports its end before it calls Next again. It
-// isn't safe for concurrent use.
+// Election is one process's participation in a lease. It performs no I/O and reads no clock; now is
+// the process's elapsed time. At most one read or commit is in flight: after such an action the
+// caller reports its result before it calls Next again. An Election is not safe for concurrent use.
 type Election struct {
 	settings Settings
 	holder   HolderID
@@ -59,23 +58,22 @@
 
 	row          observation
 	highestToken fleet.FencingToken
-	// mustRead is set while the row's state isn't known.
+	// mustRead is set while the state of the row is unknown.
 	mustRead bool
-	// pendingCommit is the commit in progress.
+	// pendingCommit is the commit in flight.
 	pendingCommit *commit
-	// unresolvedCommit is the earliest commit on its revision whose outcome is
-	// unknown. It may still take effect while the row is at that revision.
+	// unresolvedCommit is the earliest commit on its revision whose outcome is unknown. It may
+	// still take effect while the row is at that revision.
 	unresolvedCommit *commit
 
-	// predecessor is whom the row named when this process last took it over.
+	// predecessor is the row's holder when this process last took the lease over.
 	predecessor HolderID
-	// idleAtTakeover is how long the lease had not been used when it was released
-	// to this process.
+	// idleAtTakeover is how long the lease had been unused when its previous holder released it.
 	idleAtTakeover time.Duration
 	lastUsedAt     time.Duration
 
-	// readStartedAt is when the last read began, reference the last answer that told the
-	// store's time.
+	// readStartedAt is the start of the last read. storeClock is the last sample of the store's
+	// time.
 	readStartedAt time.Duration
 	storeClock    storeClockSample
 
@@ -86,20 +84,20 @@
 	resigned     bool
 }
 
-// NewElection returns an election that hasn't read its row. The holder must be
-// unique to the process's run; random spreads retries and polls.
+// NewElection returns an election that has not read its row yet. The holder must be unique to this
+// run of the process; random jitters retries and polls.
 func NewElection(settings Settings, holder HolderID, random *rand.Rand) (*Election, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	if holder == "" {
-		return nil, errors.New("lease needs a holder")
+		return nil, errors.New("lease holder is empty")
 	}
 	return &Election{settings: settings, holder: holder, random: random, mustRead: true}, nil
 }
 
-// Fence returns the token to send with an order, and whether the lease is held
-// at now. It must be called right before each order.
+// Fence returns the token to send with a command and whether the lease is held at now. It must be
+// called immediately before each command.
 func (e *Election) Fence(now time.Duration) (fleet.FencingToken, bool) {
 	if !e.IsHeld(now) {
 		return 0, false
@@ -107,37 +105,35 @@
 	return e.row.record.Token, true
 }
 
-// IsHeld tells whether the lease is held at now.
+// IsHeld reports whether this process holds the lease at now.
 func (e *Election) IsHeld(now time.Duration) bool { return !e.resigning && now < e.validUntil }
 
-// Observed returns the lease's record as last seen; false before the first read.
+// Observed returns the lease record as last seen, or false before the first read.
 func (e *Election) Observed() (Record, bool) { return e.row.record, e.row.revision != 0 }
 
-// Predecessor returns whom the row named when this process last took it over:
-// nobody, if the lease had been released or never held. A lease that ran out
-// has been without a holder for twice the margin when it is taken over; a
-// released one may be taken over at once.
+// Predecessor returns the row's holder when this process last took the lease over. It is empty if
+// the lease had been released or never held. An expired lease has been without a holder for at
+// least twice the margin when it is taken over; a released lease can be taken over immediately.
 func (e *Election) Predecessor() HolderID { return e.predecessor }
 
-// IdleAtTakeover returns how long the lease had not been used when it was
-// released to this process.
+// IdleAtTakeover returns how long the lease had been unused when its previous holder released it.
 func (e *Election) IdleAtTakeover() time.Duration { return e.idleAtTakeover }
 
-// RecordUse notes that the lease was used, such as for an order.
+// RecordUse records that the lease was used at now, for example for a command.
 func (e *Election) RecordUse(now time.Duration) { e.lastUsedAt = max(e.lastUsedAt, now) }
 
-// SetEligible tells whether the process takes the lease when it is free. In a
-// large fleet only a few processes need to poll. A holder stays one.
+// SetEligible sets whether the process takes the lease when it is free. In a large fleet only a few
+// processes need to poll. It does not affect a current holder.
 func (e *Election) SetEligible(eligible bool) { e.ineligible = !eligible }
 
-// IsEligible tells what SetEligible was last told; true before.
+// IsEligible reports whether the process takes the lease when it is free. The default is true.
 func (e *Election) IsEligible() bool { return !e.ineligible }
 
-// Resign ends the process's part: it stops believing at once, and Next asks for
-// the lease's release if it is held for certain. Else the lease runs out.
+// Resign ends the process's participation: the lease is no longer held locally, and Next returns a
+// commit that releases it if the process is certain to hold it. Otherwise the lease expires.
 func (e *Election) Resign() { e.resigning = true }
 
-// Next returns what to do at now.
+// Next returns the action to perform at now.
 func (e *Election) Next(now time.Duration) Action {
 	if e.resigning {
 		return e.nextRelease(now)
@@ -167,10 +163,10 @@
 	return e.startCommit(now, released)
 }
 
-// isRecordedHolder tells whether the row as last seen names this process.
+// isRecordedHolder reports whether the row as last seen names this process.
 func (e *Election) isRecordedHolder() bool { return e.row.record.Holder == e.holder }
 
-// canWrite tells whether the row is this process's, free or run out.
+// canWrite reports whether the row is held by this process, free or expired.
 func (e *Election) canWrite(now time.Duration) bool {
 	if e.isRecordedHolder() || e.row.record.Holder == "" || e.isHeldByEarlierRun() {
 		return true
@@ -178,8 +174,7 @@
 	return now >= e.expiresAt()
 }
 
-// isHeldByEarlierRun tells whether the row names an earlier run on this machine, which
-// has ended.
+// isHeldByEarlierRun reports whether the row names an earlier run on this machine, which has ended.
 func (e *Election) isHeldByEarlierRun() bool {
 	return e.settings.Exclusive && !e.isRecordedHolder() && e.row.record.Holder.Machine() == e.holder.Machine()
 }
@@ -207,12 +202,12 @@
 	}
 }
 
-// pollInterval is the time between a challenger's reads.
+// pollInterval returns the jittered time between two reads by a challenger.
 func (e *Election) pollInterval() time.Duration {
 	return e.jitter(e.settings.Duration / pollsPerDuration)
 }
 
-// retryInterval is the time until a holder repeats what failed.
+// retryInterval returns the jittered time after which a failed call is retried.
 func (e *Election) retryInterval() time.Duration {
 	if !e.isRecordedHolder() {
 		return e.pollInterval()
@@ -220,7 +215,7 @@
 	return e.jitter(e.settings.Duration / retriesPerDuration)
 }
 
-// jitter returns a time between half of mean and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times mean.
 func (e *Election) jitter(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(e.random.Int64N(int64(mean)+1))
 }
--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -22,13 +22,13 @@
 	return election
 }
 
-// harness drives elections on one virtual clock against a model of the platform.
+// harness drives elections on a virtual clock against a model of the table service.
 type harness struct {
 	t     *testing.T
 	now   time.Duration
 	model *platformmodel.Platform
-	// unavailable makes each call fail without effect; loseAnswers loses commit answers after
-	// their effect.
+	// unavailable makes every call fail without effect. loseAnswers drops commit answers after the
+	// commit took effect.
 	unavailable, loseAnswers bool
 }
 
@@ -36,192 +36,192 @@
 	return &harness{t: t, model: platformmodel.New(platformmodel.Options{})}
 }
 
-// step performs the election's next action at once; false if it waits.
-func (w *harness) step(election *Election) bool {
-	switch action := election.Next(w.now); action.Kind {
+// step performs the election's next action and reports whether there was one.
+func (h *harness) step(election *Election) bool {
+	switch action := election.Next(h.now); action.Kind {
 	case ActionRead:
-		if w.unavailable {
-			require.NoError(w.t, election.ReadDone(w.now, platform.Row{}, platform.ErrUnavailable))
+		if h.unavailable {
+			require.NoError(h.t, election.ReadDone(h.now, platform.Row{}, platform.ErrUnavailable))
 			return true
 		}
-		row, err := w.model.Get(w.now, testSettings.Key)
-		require.NoError(w.t, election.ReadDone(w.now, row, err))
+		row, err := h.model.Get(h.now, testSettings.Key)
+		require.NoError(h.t, election.ReadDone(h.now, row, err))
 	case ActionCommit:
-		election.CommitDone(w.now, w.commit(action.Transaction))
+		election.CommitDone(h.now, h.commit(action.Transaction))
 	default:
 		return false
 	}
 	return true
 }
 
-func (w *harness) commit(transaction platform.Transaction) error {
-	if w.unavailable {
+func (h *harness) commit(transaction platform.Transaction) error {
+	if h.unavailable {
 		return errors.Wrap(platform.ErrUnavailable, "commit")
 	}
-	err := w.model.Commit(w.now, transaction)
-	if w.loseAnswers {
+	err := h.model.Commit(h.now, transaction)
+	if h.loseAnswers {
 		return errors.Wrap(platform.ErrUnknownOutcome, "commit")
 	}
 	return err
 }
 
-// run advances the clock by duration, with the elections awake.
-func (w *harness) run(duration time.Duration, elections ...*Election) {
-	for end := w.now + duration; w.now < end; w.now += 100 * time.Millisecond {
+// run advances the clock by duration while the elections act.
+func (h *harness) run(duration time.Duration, elections ...*Election) {
+	for end := h.now + duration; h.now < end; h.now += 100 * time.Millisecond {
 		for _, election := range elections {
-			for w.step(election) {
+			for h.step(election) {
 			}
 		}
 	}
 }
 
-func (w *harness) token(election *Election) fleet.FencingToken {
-	token, held := election.Fence(w.now)
-	require.True(w.t, held)
+func (h *harness) token(election *Election) fleet.FencingToken {
+	token, held := election.Fence(h.now)
+	require.True(h.t, held)
 	return token
 }
 
 func TestHolderRenewsAndChallengerWaits(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	w.run(time.Second, a)
+	h.run(time.Second, a)
 	for range 600 {
-		w.run(100*time.Millisecond, a, b)
-		require.EqualValues(t, 1, w.token(a))
-		require.False(t, b.IsHeld(w.now))
+		h.run(100*time.Millisecond, a, b)
+		require.EqualValues(t, 1, h.token(a))
+		require.False(t, b.IsHeld(h.now))
 	}
 }
 
 func TestChallengerWaitsForDurationAndMargin(t *testing.T) {
-	w := newHarness(t)
-	w.run(time.Second, newElection(t, "a", 1))
+	h := newHarness(t)
+	h.run(time.Second, newElection(t, "a", 1))
 	b := newElection(t, "b", 2)
-	require.True(t, w.step(b))
-	runsOut := w.now + testSettings.Duration + testSettings.Margin
-	assert.Equal(t, ActionRead, b.Next(runsOut-1).Kind)
-	assert.Equal(t, ActionCommit, b.Next(runsOut).Kind)
+	require.True(t, h.step(b))
+	expiry := h.now + testSettings.Duration + testSettings.Margin
+	assert.Equal(t, ActionRead, b.Next(expiry-1).Kind)
+	assert.Equal(t, ActionCommit, b.Next(expiry).Kind)
 }
 
 func TestFrozenHolderLosesLeaseBeforeTakeover(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	w.run(time.Second, a, b)
-	require.True(t, a.IsHeld(w.now))
-	for !b.IsHeld(w.now) {
-		w.run(100*time.Millisecond, b)
-		require.False(t, a.IsHeld(w.now) && b.IsHeld(w.now))
-		require.Less(t, w.now, time.Minute)
+	h.run(time.Second, a, b)
+	require.True(t, a.IsHeld(h.now))
+	for !b.IsHeld(h.now) {
+		h.run(100*time.Millisecond, b)
+		require.False(t, a.IsHeld(h.now) && b.IsHeld(h.now))
+		require.Less(t, h.now, time.Minute)
 	}
-	_, held := a.Fence(w.now)
-	assert.False(t, held, "the thawed holder's first check fails, before any call")
-	w.run(time.Second, a, b)
-	assert.False(t, a.IsHeld(w.now))
-	assert.EqualValues(t, 2, w.token(b))
+	_, held := a.Fence(h.now)
+	assert.False(t, held, "the lease has expired when the holder resumes, before any call")
+	h.run(time.Second, a, b)
+	assert.False(t, a.IsHeld(h.now))
+	assert.EqualValues(t, 2, h.token(b))
 }
 
 func TestLostCommitAnswerIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a := newElection(t, "a", 1)
-	require.True(t, w.step(a)) // reads: the row doesn't exist
-	w.loseAnswers = true
-	start := w.now
-	require.True(t, w.step(a))
-	require.False(t, a.IsHeld(w.now))
-	w.now += 5 * time.Second
-	require.True(t, w.step(a)) // reads back
-	assert.EqualValues(t, 1, w.token(a))
+	require.True(t, h.step(a)) // reads: there is no row
+	h.loseAnswers = true
+	start := h.now
+	require.True(t, h.step(a))
+	require.False(t, a.IsHeld(h.now))
+	h.now += 5 * time.Second
+	require.True(t, h.step(a)) // reads back
+	assert.EqualValues(t, 1, h.token(a))
 	lapse := start + testSettings.Duration - testSettings.Margin
 	assert.True(t, a.IsHeld(lapse-1))
 	assert.False(t, a.IsHeld(lapse))
 }
 
 func TestTwoLostCommitAnswersOnOneRevisionCountFromEarlier(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a := newElection(t, "a", 1)
-	require.True(t, w.step(a))
-	first := a.Next(w.now)
+	require.True(t, h.step(a))
+	first := a.Next(h.now)
 	require.Equal(t, ActionCommit, first.Kind)
-	a.CommitDone(w.now, platform.ErrUnknownOutcome)
-	w.now += 4 * time.Second
-	require.True(t, w.step(a)) // reads: still no row
-	require.NoError(t, w.commit(first.Transaction), "the first arrives late")
-	w.now += time.Second
-	w.loseAnswers = true
-	require.True(t, w.step(a)) // the second commit conflicts, unseen
-	w.now += 2 * time.Second
-	require.True(t, w.step(a)) // reads its own row
+	a.CommitDone(h.now, platform.ErrUnknownOutcome)
+	h.now += 4 * time.Second
+	require.True(t, h.step(a)) // reads: still no row
+	require.NoError(t, h.commit(first.Transaction), "the first commit takes effect late")
+	h.now += time.Second
+	h.loseAnswers = true
+	require.True(t, h.step(a)) // the second commit conflicts, and its answer is lost
+	h.now += 2 * time.Second
+	require.True(t, h.step(a)) // reads its own row
 	assert.True(t, a.IsHeld(9*time.Second-1))
 	assert.False(t, a.IsHeld(9*time.Second))
 }
 
 func TestSlowRenewalCountsFromCommitStart(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a := newElection(t, "a", 1)
-	require.True(t, w.step(a))
-	action := a.Next(w.now)
+	require.True(t, h.step(a))
+	action := a.Next(h.now)
 	require.Equal(t, ActionCommit, action.Kind)
-	require.NoError(t, w.commit(action.Transaction))
-	w.now += 9 * time.Second
-	a.CommitDone(w.now, nil)
-	assert.False(t, a.IsHeld(w.now), "the answer came when the lease had run out")
+	require.NoError(t, h.commit(action.Transaction))
+	h.now += 9 * time.Second
+	a.CommitDone(h.now, nil)
+	assert.False(t, a.IsHeld(h.now), "the answer arrived after the lease had expired")
 }
 
 func TestStoreOutageEndsLeaseAndKeepsTokenOnRecovery(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	w.run(time.Second, a, b)
-	w.unavailable = true
-	w.run(9*time.Second, a, b)
-	assert.False(t, a.IsHeld(w.now))
-	w.run(time.Hour, a, b)
-	w.unavailable = false
-	w.run(time.Minute, a, b)
-	assert.NotEqual(t, a.IsHeld(w.now), b.IsHeld(w.now), "exactly one holds it again")
+	h.run(time.Second, a, b)
+	h.unavailable = true
+	h.run(9*time.Second, a, b)
+	assert.False(t, a.IsHeld(h.now))
+	h.run(time.Hour, a, b)
+	h.unavailable = false
+	h.run(time.Minute, a, b)
+	assert.NotEqual(t, a.IsHeld(h.now), b.IsHeld(h.now), "exactly one process must hold the lease again")
 	record, _ := a.Observed()
 	assert.LessOrEqual(t, record.Token, fleet.FencingToken(2))
 }
 
 func TestOneOfTwoRacingChallengersWins(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	require.True(t, w.step(a))
-	require.True(t, w.step(b))
-	first, second := a.Next(w.now), b.Next(w.now)
+	require.True(t, h.step(a))
+	require.True(t, h.step(b))
+	first, second := a.Next(h.now), b.Next(h.now)
 	require.Equal(t, ActionCommit, first.Kind)
 	require.Equal(t, ActionCommit, second.Kind)
-	a.CommitDone(w.now, w.commit(first.Transaction))
-	b.CommitDone(w.now, w.commit(second.Transaction))
-	w.run(time.Second, b)
-	assert.EqualValues(t, 1, w.token(a))
-	assert.False(t, b.IsHeld(w.now))
+	a.CommitDone(h.now, h.commit(first.Transaction))
+	b.CommitDone(h.now, h.commit(second.Transaction))
+	h.run(time.Second, b)
+	assert.EqualValues(t, 1, h.token(a))
+	assert.False(t, b.IsHeld(h.now))
 }
 
 func TestRestartedProcessIsANewHolder(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	before, after := newElection(t, "a", 1), newElection(t, "a", 2)
-	w.run(time.Second, before)
-	w.run(5*time.Second, after)
-	assert.False(t, after.IsHeld(w.now))
-	w.run(15*time.Second, after)
-	assert.EqualValues(t, 2, w.token(after))
+	h.run(time.Second, before)
+	h.run(5*time.Second, after)
+	assert.False(t, after.IsHeld(h.now))
+	h.run(15*time.Second, after)
+	assert.EqualValues(t, 2, h.token(after))
 }
 
 func TestReleasedLeaseIsTakenOverImmediately(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	w.run(time.Second, a, b)
+	h.run(time.Second, a, b)
 	a.Resign()
-	require.False(t, a.IsHeld(w.now))
-	w.run(5*time.Second, a, b)
-	assert.Equal(t, ActionDone, a.Next(w.now).Kind)
-	assert.EqualValues(t, 2, w.token(b))
+	require.False(t, a.IsHeld(h.now))
+	h.run(5*time.Second, a, b)
+	assert.Equal(t, ActionDone, a.Next(h.now).Kind)
+	assert.EqualValues(t, 2, h.token(b))
 }
 
 func TestIneligibleProcessMakesNoCalls(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a := newElection(t, "a", 1)
 	a.SetEligible(false)
-	w.run(time.Minute, a)
+	h.run(time.Minute, a)
 	_, observed := a.Observed()
 	assert.False(t, observed)
 }
@@ -246,7 +246,7 @@
 		action := a.Next(0)
 		record, _ := a.Observed()
 		if action.Kind == ActionCommit {
-			assert.Empty(t, record.Holder, "a lease that hasn't run out is taken over")
+			assert.Empty(t, record.Holder, "took over a lease that has not expired")
 			written, err := decodeRecord(action.Transaction.Writes[0].Value)
 			require.NoError(t, err)
 			assert.Greater(t, written.Token, record.Token)
@@ -267,10 +267,10 @@
 	assert.NoError(t, Settings{Key: "k", Duration: DefaultDuration, Margin: DefaultMargin}.Validate())
 }
 
-// TestExclusiveRestartTakesOverImmediately where a machine runs one process at
-// a time, also if it isn't eligible; others wait.
+// Guards against a restarted process waiting for its own earlier run's lease to expire on an
+// exclusive machine, even if it is not eligible. Other machines must still wait.
 func TestExclusiveRestartTakesOverImmediately(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	settings := testSettings
 	settings.Exclusive = true
 	elect := func(name string, seed uint64) *Election {
@@ -279,95 +279,94 @@
 		return election
 	}
 	before, other, after := elect("a", 1), elect("b", 2), elect("a", 3)
-	w.run(time.Second, before)
+	h.run(time.Second, before)
 	after.SetEligible(false)
-	w.run(500*time.Millisecond, other)
-	require.True(t, w.step(after))
-	require.True(t, w.step(after))
-	assert.EqualValues(t, 2, w.token(after))
+	h.run(500*time.Millisecond, other)
+	require.True(t, h.step(after))
+	require.True(t, h.step(after))
+	assert.EqualValues(t, 2, h.token(after))
 	assert.Equal(t, "a", after.Predecessor().Machine())
-	w.run(5*time.Second, other, after)
-	assert.False(t, other.IsHeld(w.now))
+	h.run(5*time.Second, other, after)
+	assert.False(t, other.IsHeld(h.now))
 }
 
-// TestReleaseRecordsIdleTime.
 func TestReleaseRecordsIdleTime(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	a, b := newElection(t, "a", 1), newElection(t, "b", 2)
-	w.run(time.Second, a)
-	a.RecordUse(w.now)
-	w.run(2*time.Second, a)
+	h.run(time.Second, a)
+	a.RecordUse(h.now)
+	h.run(2*time.Second, a)
 	a.Resign()
-	w.run(time.Second, a, b)
-	require.True(t, b.IsHeld(w.now))
+	h.run(time.Second, a, b)
+	require.True(t, b.IsHeld(h.now))
 	assert.Empty(t, b.Predecessor())
 	assert.InDelta(t, 2*time.Second, b.IdleAtTakeover(), float64(200*time.Millisecond))
 }
 
-// reportRead reports a read of the row at now, which began as long ago as the read took.
-func (w *harness) reportRead(election *Election, storeTime time.Duration) {
-	row, err := w.model.Get(w.now, testSettings.Key)
+// reportRead reads the row and reports it to the election with the given store time.
+func (h *harness) reportRead(election *Election, storeTime time.Duration) {
+	row, err := h.model.Get(h.now, testSettings.Key)
 	row.StoreTime = storeTime
-	require.NoError(w.t, election.ReadDone(w.now, row, err))
+	require.NoError(h.t, election.ReadDone(h.now, row, err))
 }
 
-// TestExpiredLeaseIsTakenOnFirstReadByStoreTime has a process look for the first time when the
-// holder, which renewed unseen, has been gone for longer than its lease.
+// Guards against a new process waiting for a whole duration when the store's time shows that the
+// lease has already expired.
 func TestExpiredLeaseIsTakenOnFirstReadByStoreTime(t *testing.T) {
 	const epoch = time.Hour
-	w := newHarness(t)
+	h := newHarness(t)
 	holder := newElection(t, "holder", 1)
-	require.Equal(t, ActionRead, holder.Next(w.now).Kind)
-	w.reportRead(holder, epoch+w.now)
-	require.True(t, w.step(holder))
-	require.True(t, holder.IsHeld(w.now))
-
-	late := newElection(t, "late", 2)
-	runOut := testSettings.Duration + testSettings.Margin
-	w.now = runOut - time.Second
-	require.Equal(t, ActionRead, late.Next(w.now).Kind)
-	w.reportRead(late, epoch+w.now)
-	assert.NotEqual(t, ActionCommit, late.Next(w.now).Kind, "it may still be believed in")
-	w.now = runOut + time.Millisecond
-	action := late.Next(w.now)
-	require.Equal(t, ActionCommit, action.Kind, "nothing more to wait for, though the row was first seen a second ago")
-	late.CommitDone(w.now, w.commit(action.Transaction))
-	assert.True(t, late.IsHeld(w.now))
+	require.Equal(t, ActionRead, holder.Next(h.now).Kind)
+	h.reportRead(holder, epoch+h.now)
+	require.True(t, h.step(holder))
+	require.True(t, holder.IsHeld(h.now))
+
+	challenger := newElection(t, "late", 2)
+	expiry := testSettings.Duration + testSettings.Margin
+	h.now = expiry - time.Second
+	require.Equal(t, ActionRead, challenger.Next(h.now).Kind)
+	h.reportRead(challenger, epoch+h.now)
+	assert.NotEqual(t, ActionCommit, challenger.Next(h.now).Kind, "the lease may still be held")
+	h.now = expiry + time.Millisecond
+	action := challenger.Next(h.now)
+	require.Equal(t, ActionCommit, action.Kind, "the lease has expired by the store's time, though the row was first seen a second ago")
+	challenger.CommitDone(h.now, h.commit(action.Transaction))
+	assert.True(t, challenger.IsHeld(h.now))
 }
 
-// TestChallengerWaitsWithoutStoreTime falls back to the time since the row
-// was first seen.
+// Guards against an early takeover when the store reports no time: the wait then counts from the
+// first read of the row.
 func TestChallengerWaitsWithoutStoreTime(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	holder := newElection(t, "holder", 1)
-	for w.step(holder) {
+	for h.step(holder) {
 	}
-	w.now = time.Minute
-	late := newElection(t, "late", 2)
-	require.True(t, w.step(late))
-	assert.Equal(t, ActionWait, late.Next(w.now).Kind)
+	h.now = time.Minute
+	challenger := newElection(t, "late", 2)
+	require.True(t, h.step(challenger))
+	assert.Equal(t, ActionWait, challenger.Next(h.now).Kind)
 }
 
-// TestHolderResamplesStoreTime has a holder read now and then, since its clock
-// may run at another speed than the store's.
+// Guards against drift between the holder's clock and the store's: the holder must read the store's
+// time regularly, and write a close upper bound of it.
 func TestHolderResamplesStoreTime(t *testing.T) {
 	const epoch = time.Hour
-	w := newHarness(t)
+	h := newHarness(t)
 	holder := newElection(t, "holder", 1)
 	reads := 0
-	for w.now < 10*testSettings.Duration {
-		switch action := holder.Next(w.now); action.Kind {
+	for h.now < 10*testSettings.Duration {
+		switch action := holder.Next(h.now); action.Kind {
 		case ActionRead:
 			reads++
-			w.reportRead(holder, epoch+w.now)
+			h.reportRead(holder, epoch+h.now)
 		case ActionCommit:
-			holder.CommitDone(w.now, w.commit(action.Transaction))
+			holder.CommitDone(h.now, h.commit(action.Transaction))
 			record, _ := holder.Observed()
 			written := time.Duration(record.WrittenMillis) * time.Millisecond
-			assert.GreaterOrEqual(t, written, epoch+w.now)
-			assert.Less(t, written, epoch+w.now+testSettings.Duration/2)
+			assert.GreaterOrEqual(t, written, epoch+h.now)
+			assert.Less(t, written, epoch+h.now+testSettings.Duration/2)
 		default:
-			w.now = action.Until
+			h.now = action.Until
 		}
 	}
 	assert.GreaterOrEqual(t, reads, 4)
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,18 +13,17 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// callTimeoutDivisor is the part of a lease's duration that bounds one call: an
-// answer that comes later leaves too little time to believe.
+// callTimeoutDivisor is the part of a lease's duration that bounds one call. A later answer would
+// leave too little of the lease.
 const callTimeoutDivisor = 3
 
-// Keeper runs an Election against the table service on real time. Its methods
-// are safe for concurrent use.
+// Keeper runs an Election against the table service in real time. It is safe for concurrent use.
 type Keeper struct {
 	tables platform.Tables
 	clock  fleet.Clock
 	logger zerolog.Logger
 	tomb   tomb.Tomb
-	// wake wakes the loop.
+	// wake interrupts the wait of the run loop.
 	wake chan struct{}
 
 	mutex    sync.Mutex
@@ -32,7 +31,7 @@
 	wasHeld  bool
 }
 
-// NewKeeper returns a keeper that owns the election from now on.
+// NewKeeper returns a keeper, which takes ownership of the election.
 func NewKeeper(election *Election, tables platform.Tables, clock fleet.Clock, logger zerolog.Logger) *Keeper {
 	return &Keeper{
 		tables:   tables,
@@ -43,11 +42,11 @@
 	}
 }
 
-// Start begins to read, take and renew the lease.
+// Start begins to read, acquire and renew the lease.
 func (k *Keeper) Start() { k.tomb.Go(k.run) }
 
-// Stop makes Fence fail at once, releases the lease if it can, and waits for
-// the calls in progress, which are bounded by a part of the lease's duration.
+// Stop makes Fence fail immediately, releases the lease if possible, and waits for the calls in
+// flight, each of which is bounded by a part of the lease's duration.
 func (k *Keeper) Stop() error {
 	k.mutex.Lock()
 	k.election.Resign()
@@ -56,48 +55,47 @@
 	return k.tomb.Wait()
 }
 
-// Dead is closed when the keeper has ended.
+// Dead returns a channel that is closed when the keeper has stopped.
 func (k *Keeper) Dead() <-chan struct{} { return k.tomb.Dead() }
 
-// Fence returns the token to send with an order, and whether the lease is held
-// at this moment. It must be called right before each order.
+// Fence returns the token to send with a command and whether the lease is held now. It must be
+// called immediately before each command.
 func (k *Keeper) Fence() (fleet.FencingToken, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Fence(k.clock.Now())
 }
 
-// Observed returns the lease's record as last seen; false before the first read.
+// Observed returns the lease record as last seen, or false before the first read.
 func (k *Keeper) Observed() (Record, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Observed()
 }
 
-// Predecessor returns whom the row named when this process last took it over.
+// Predecessor returns the row's holder when this process last took the lease over.
 func (k *Keeper) Predecessor() HolderID {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Predecessor()
 }
 
-// IdleAtTakeover returns how long the lease had not been used when it was
-// released to this process.
+// IdleAtTakeover returns how long the lease had been unused when its previous holder released it.
 func (k *Keeper) IdleAtTakeover() time.Duration {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.IdleAtTakeover()
 }
 
-// RecordUse notes that the lease is used at this moment.
+// RecordUse records that the lease is used now.
 func (k *Keeper) RecordUse() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.election.RecordUse(k.clock.Now())
 }
 
-// SetEligible tells whether this process takes the lease when it is free. Only a
-// change wakes the loop.
+// SetEligible sets whether this process takes the lease when it is free. Only a change wakes the
+// run loop.
 func (k *Keeper) SetEligible(eligible bool) {
 	k.mutex.Lock()
 	changed := k.election.IsEligible() != eligible
@@ -163,8 +161,8 @@
 	k.logChange(now)
 }
 
-// callContext bounds one call. It doesn't end with the keeper: a commit that is
-// cut off would only leave its outcome unknown.
+// callContext returns a context that bounds one call. Stopping the keeper does not cancel it, since
+// a canceled commit would have an unknown outcome.
 func (k *Keeper) callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), k.election.settings.Duration/callTimeoutDivisor)
 }
@@ -179,7 +177,7 @@
 	}
 }
 
-// logChange logs when the lease is won or lost; the mutex is held.
+// logChange logs when the lease is acquired or lost. The caller holds the mutex.
 func (k *Keeper) logChange(now time.Duration) {
 	token, held := k.election.Fence(now)
 	if held == k.wasHeld {
@@ -194,7 +192,8 @@
 	k.logger.Warn().Str("holder", string(record.Holder)).Uint64("token", uint64(record.Token)).Msg("lease_lost")
 }
 
-// commitFailureLevel is debug for a lost race: some candidate always loses.
+// commitFailureLevel returns the log level of a failed commit: debug for a lost race, which is
+// normal among candidates.
 func commitFailureLevel(err error) zerolog.Level {
 	if errors.Is(err, platform.ErrConflict) {
 		return zerolog.DebugLevel
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -18,12 +18,12 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// tables serves the model in process.
+// tables serves the platform model in process.
 type tables struct {
 	mutex sync.Mutex
 	clock fleet.Clock
 	model *platformmodel.Platform
-	// hang makes calls last until their context ends.
+	// hang makes calls block until their context ends.
 	hang atomic.Bool
 }
 
@@ -92,7 +92,7 @@
 		service.hang.Store(true)
 		time.Sleep(testSettings.Duration)
 		_, held := keeper.Fence()
-		assert.False(t, held, "no renewal came back")
+		assert.False(t, held, "no renewal was answered")
 		before := clock.Now()
 		require.NoError(t, keeper.Stop())
 		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callTimeoutDivisor)
--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -8,9 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// ReadDone reports the end of an ActionRead: the row, or the error of the read.
-// It returns ErrMalformedRecord if the row can't be understood, which a person
-// must mend.
+// ReadDone reports the result of an ActionRead: the row or the read error. It returns
+// ErrMalformedRecord if the row cannot be decoded, which requires an operator to repair it.
 func (e *Election) ReadDone(now time.Duration, row platform.Row, err error) error {
 	e.recordStoreTime(now, row.StoreTime)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -30,7 +29,7 @@
 	return nil
 }
 
-// observe takes in the row as a read showed it.
+// observe records the row as returned by a read.
 func (e *Election) observe(now time.Duration, revision uint64, record Record) {
 	changed := revision != e.row.revision
 	if changed {
@@ -49,7 +48,8 @@
 	e.nextActionAt = max(now, min(now+e.pollInterval(), e.expiresAt()))
 }
 
-// resolveCommit settles the commit whose answer was lost, by the row that was read.
+// resolveCommit determines from the row just read whether the commit with an unknown outcome took
+// effect.
 func (e *Election) resolveCommit() {
 	if e.unresolvedCommit == nil || e.unresolvedCommit.expectedRevision == e.row.revision {
 		return
@@ -61,13 +61,13 @@
 	e.unresolvedCommit = nil
 }
 
-// extendFrom counts the lease as held from a commit's start: the write took effect
-// no earlier, so no challenger began to wait before.
+// extendFrom extends the lease from a commit's start. The write took effect no earlier, so no
+// challenger's wait began before it.
 func (e *Election) extendFrom(start time.Duration) {
 	e.validUntil = start + e.settings.Duration - e.settings.Margin
 }
 
-// CommitDone reports the end of an ActionCommit.
+// CommitDone reports the result of an ActionCommit.
 func (e *Election) CommitDone(now time.Duration, err error) {
 	done := e.pendingCommit
 	e.pendingCommit = nil
@@ -97,8 +97,8 @@
 	e.nextActionAt = max(now, done.startedAt+e.settings.Duration/renewalsPerDuration)
 }
 
-// keepUnresolved keeps the earliest start among commits on one revision: the
-// row can't tell which of them took effect.
+// keepUnresolved remembers a commit with an unknown outcome. Among commits on the same revision it
+// keeps the earliest, because the row does not show which of them took effect.
 func (e *Election) keepUnresolved(done *commit) {
 	if e.unresolvedCommit == nil || e.unresolvedCommit.expectedRevision != done.expectedRevision {
 		e.unresolvedCommit = done
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -14,181 +14,182 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// storeEpoch is the store's clock when a history begins.
+// storeEpoch is the store's time at the start of a simulation.
 const storeEpoch = 3 * time.Hour
 
-// process is an election on its own clock, whose call travels with delays.
+// process is an election with its own clock and at most one delayed call in flight.
 type process struct {
 	election *Election
 	offset   time.Duration
-	// ratePercent is the clock's speed; the margin covers 91 to 109.
+	// ratePercent is the clock's rate; the margin covers 91 to 109.
 	ratePercent   int64
 	resumesAt     time.Duration
-	pendingAction *Action // in progress
+	pendingAction *Action // in flight
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
 	return p.offset + now*time.Duration(p.ratePercent)/100
 }
 
-// order is on its way to the engine.
+// order is a command in flight to the engine.
 type order struct {
 	holder HolderID
 	token  fleet.FencingToken
 }
 
-// simulation is a random run: calls, lost answers, late effects, freezes and
-// delayed orders, with the checks made on the way.
+// simulation is a random run with lost answers, late commits, pauses and delayed commands. It
+// checks the lease's invariants at each step.
 type simulation struct {
 	t *rapid.T
-	// random is uniform, where rapid's own numbers lean to the small ones.
+	// random is uniform, whereas rapid's generators favour small numbers.
 	random         *rand.Rand
 	now            time.Duration
 	model          *platformmodel.Platform
 	processes      []*process
-	delayedCommits []platform.Transaction // whose sender has given up
+	delayedCommits []platform.Transaction // of senders that have timed out
 	orders         []order
 
 	last Record
-	// holders is who was given each token.
+	// holders maps each token to the holder that received it.
 	holders     map[fleet.FencingToken]HolderID
 	engineToken fleet.FencingToken
-	// newestExecuted is the token of the newestExecuted holder of which an order was executed.
+	// newestExecuted is the last token of the newest holder whose command was executed.
 	newestExecuted fleet.FencingToken
 	restarts       uint64
 }
 
-func (h *simulation) chance(percent int) bool {
-	return h.random.IntN(100) < percent
+func (s *simulation) chance(percent int) bool {
+	return s.random.IntN(100) < percent
 }
 
-func (h *simulation) upTo(limit time.Duration) time.Duration {
-	return time.Duration(h.random.Int64N(int64(limit)))
+func (s *simulation) upTo(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-func (h *simulation) commit(transaction platform.Transaction) error {
-	err := h.model.Commit(h.now, transaction)
+func (s *simulation) commit(transaction platform.Transaction) error {
+	err := s.model.Commit(s.now, transaction)
 	if err == nil {
-		h.checkRecord()
+		s.checkRecord()
 	}
 	return err
 }
 
-// checkRecord holds each written record against the one before.
-func (h *simulation) checkRecord() {
-	row, err := h.model.Get(h.now, testSettings.Key)
-	require.NoError(h.t, err)
+// checkRecord checks the written record against the previous one.
+func (s *simulation) checkRecord() {
+	row, err := s.model.Get(s.now, testSettings.Key)
+	require.NoError(s.t, err)
 	record, err := decodeRecord(row.Value)
-	require.NoError(h.t, err)
-	if record.Holder == h.last.Holder || record.Holder == "" {
-		require.Equal(h.t, h.last.Token, record.Token)
+	require.NoError(s.t, err)
+	if record.Holder == s.last.Holder || record.Holder == "" {
+		require.Equal(s.t, s.last.Token, record.Token)
 	} else {
-		require.Equal(h.t, h.last.Token+1, record.Token, "a change of holder raises the token by one")
-		h.holders[record.Token] = record.Holder
+		require.Equal(s.t, s.last.Token+1, record.Token, "a change of holder must increment the token")
+		s.holders[record.Token] = record.Holder
 	}
-	h.last = record
+	s.last = record
 }
 
-func (h *simulation) step(p *process) {
-	if h.now < p.resumesAt {
+func (s *simulation) step(p *process) {
+	if s.now < p.resumesAt {
 		return
 	}
 	if p.pendingAction == nil {
-		h.begin(p)
+		s.begin(p)
 		return
 	}
-	if h.chance(70) {
-		h.finish(p)
+	if s.chance(70) {
+		s.finish(p)
 	}
 }
 
-func (h *simulation) begin(p *process) {
-	action := p.election.Next(p.clock(h.now))
+func (s *simulation) begin(p *process) {
+	action := p.election.Next(p.clock(s.now))
 	if action.Kind == ActionRead || action.Kind == ActionCommit {
 		p.pendingAction = &action
 	}
-	if action.Kind == ActionDone || h.chance(1) {
-		h.restart(p)
+	if action.Kind == ActionDone || s.chance(1) {
+		s.restart(p)
 		return
 	}
-	if token, held := p.election.Fence(p.clock(h.now)); held && h.chance(50) {
-		require.Equal(h.t, h.holders[token], p.election.holder, "holder of token %d", token)
-		h.orders = append(h.orders, order{p.election.holder, token})
+	if token, held := p.election.Fence(p.clock(s.now)); held && s.chance(50) {
+		require.Equal(s.t, s.holders[token], p.election.holder, "holder of token %d", token)
+		s.orders = append(s.orders, order{p.election.holder, token})
 	}
-	if h.chance(1) {
+	if s.chance(1) {
 		p.election.Resign()
 	}
 }
 
-// restart replaces a process by a new run, which knows nothing. Its commit in
-// progress may still take effect.
-func (h *simulation) restart(p *process) {
+// restart replaces a process by a new run without state. Its commit in flight may still take
+// effect.
+func (s *simulation) restart(p *process) {
 	if p.pendingAction != nil && p.pendingAction.Kind == ActionCommit {
-		h.delayedCommits = append(h.delayedCommits, p.pendingAction.Transaction)
+		s.delayedCommits = append(s.delayedCommits, p.pendingAction.Transaction)
 	}
-	h.restarts++
+	s.restarts++
 	p.pendingAction = nil
-	p.election = newElection(h.t, "restarted", 100+h.restarts)
+	p.election = newElection(s.t, "restarted", 100+s.restarts)
 }
 
-func (h *simulation) finish(p *process) {
+func (s *simulation) finish(p *process) {
 	call := p.pendingAction
 	p.pendingAction = nil
 	if call.Kind == ActionRead {
-		row, err := h.model.Get(h.now, testSettings.Key)
-		row.StoreTime = storeEpoch + h.now
-		h.freezeSometimes(p)
-		require.NoError(h.t, p.election.ReadDone(p.clock(max(h.now, p.resumesAt)), row, err))
+		row, err := s.model.Get(s.now, testSettings.Key)
+		row.StoreTime = storeEpoch + s.now
+		s.freezeSometimes(p)
+		require.NoError(s.t, p.election.ReadDone(p.clock(max(s.now, p.resumesAt)), row, err))
 		return
 	}
 	var err error
 	switch {
-	case h.chance(10): // not applied yet, and the sender gives up
-		h.delayedCommits = append(h.delayedCommits, call.Transaction)
+	case s.chance(10): // applied later, after the sender has timed out
+		s.delayedCommits = append(s.delayedCommits, call.Transaction)
 		err = platform.ErrUnknownOutcome
-	case h.chance(10):
+	case s.chance(10):
 		err = platform.ErrUnavailable
 	default:
-		err = h.commit(call.Transaction)
-		if h.chance(15) {
+		err = s.commit(call.Transaction)
+		if s.chance(15) {
 			err = platform.ErrUnknownOutcome
 		}
 	}
-	h.freezeSometimes(p)
-	p.election.CommitDone(p.clock(max(h.now, p.resumesAt)), err)
+	s.freezeSometimes(p)
+	p.election.CommitDone(p.clock(max(s.now, p.resumesAt)), err)
 }
 
-func (h *simulation) freezeSometimes(p *process) {
-	if h.chance(8) {
-		p.resumesAt = h.now + h.upTo(40*time.Second)
+func (s *simulation) freezeSometimes(p *process) {
+	if s.chance(8) {
+		p.resumesAt = s.now + s.upTo(40*time.Second)
 	}
 }
 
-// deliverDelayed lets one delayed commit and one delayed order arrive, in any order.
-func (h *simulation) deliverDelayed() {
-	if len(h.delayedCommits) > 0 && h.chance(20) {
-		index := h.random.IntN(len(h.delayedCommits))
-		_ = h.commit(h.delayedCommits[index])
-		h.delayedCommits = slices.Delete(h.delayedCommits, index, index+1)
+// deliverDelayed delivers at most one delayed commit and one delayed command, each picked at
+// random.
+func (s *simulation) deliverDelayed() {
+	if len(s.delayedCommits) > 0 && s.chance(20) {
+		index := s.random.IntN(len(s.delayedCommits))
+		_ = s.commit(s.delayedCommits[index])
+		s.delayedCommits = slices.Delete(s.delayedCommits, index, index+1)
 	}
-	if len(h.orders) == 0 || !h.chance(50) {
+	if len(s.orders) == 0 || !s.chance(50) {
 		return
 	}
-	index := h.random.IntN(len(h.orders))
-	arrived := h.orders[index]
-	h.orders = slices.Delete(h.orders, index, index+1)
-	if arrived.token >= h.engineToken {
-		h.engineToken = arrived.token
-		generation := h.generation(arrived.holder)
-		require.GreaterOrEqual(h.t, generation, h.newestExecuted, "order of %s after one of a newer holder", arrived.holder)
-		h.newestExecuted = generation
+	index := s.random.IntN(len(s.orders))
+	delivered := s.orders[index]
+	s.orders = slices.Delete(s.orders, index, index+1)
+	if delivered.token >= s.engineToken {
+		s.engineToken = delivered.token
+		generation := s.generation(delivered.holder)
+		require.GreaterOrEqual(s.t, generation, s.newestExecuted, "executed a command of %s after one of a newer holder", delivered.holder)
+		s.newestExecuted = generation
 	}
 }
 
-// generation returns the last token that a holder was given.
-func (h *simulation) generation(holder HolderID) fleet.FencingToken {
+// generation returns the last token of a holder.
+func (s *simulation) generation(holder HolderID) fleet.FencingToken {
 	var generation fleet.FencingToken
-	for token, given := range h.holders {
+	for token, given := range s.holders {
 		if given == holder {
 			generation = max(generation, token)
 		}
@@ -196,42 +197,42 @@
 	return generation
 }
 
-func (h *simulation) checkHolders() {
+func (s *simulation) checkHolders() {
 	var holders []HolderID
-	for _, p := range h.processes {
-		if p.election.IsHeld(p.clock(h.now)) {
+	for _, p := range s.processes {
+		if p.election.IsHeld(p.clock(s.now)) {
 			holders = append(holders, p.election.holder)
 		}
 	}
-	require.LessOrEqual(h.t, len(holders), 1, "holders at %s: %v", h.now, holders)
+	require.LessOrEqual(s.t, len(holders), 1, "holders at %s: %v", s.now, holders)
 }
 
 func TestAtMostOneHolderAndTokensIncrease(t *testing.T) {
 	changes := 0
 	rapid.Check(t, func(t *rapid.T) {
-		h := &simulation{
+		s := &simulation{
 			t:       t,
 			random:  rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 			model:   platformmodel.New(platformmodel.Options{}),
 			holders: make(map[fleet.FencingToken]HolderID),
 		}
 		for index, name := range []string{"a", "b", "c"} {
-			h.processes = append(h.processes, &process{
+			s.processes = append(s.processes, &process{
 				election:    newElection(t, name, uint64(index)+1),
 				offset:      time.Duration(index) * time.Hour,
-				ratePercent: 91 + h.random.Int64N(19),
+				ratePercent: 91 + s.random.Int64N(19),
 			})
 		}
 		for range 250 {
-			h.now += h.upTo(1500 * time.Millisecond)
-			for _, p := range h.processes {
-				h.step(p)
-				h.checkHolders()
+			s.now += s.upTo(1500 * time.Millisecond)
+			for _, p := range s.processes {
+				s.step(p)
+				s.checkHolders()
 			}
-			h.deliverDelayed()
+			s.deliverDelayed()
 		}
-		changes += len(h.holders)
+		changes += len(s.holders)
 	})
-	t.Logf("changes of holder: %d", changes)
-	require.Greater(t, changes, 300, "the histories must contain changes of holder")
+	t.Logf("holder changes: %d", changes)
+	require.Greater(t, changes, 300, "the simulations must contain holder changes")
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -12,43 +12,43 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// ErrMalformedRecord means that the lease's row can't be read, so that the
-// lease can neither be challenged nor taken.
+// ErrMalformedRecord reports a lease row that cannot be decoded. The lease can then be neither
+// challenged nor taken.
 var ErrMalformedRecord = errors.New("malformed lease record")
 
-// HolderID names one run of one process. Empty means that nobody holds the lease.
+// HolderID identifies one run of one process. The empty value means that the lease has no holder.
 type HolderID string
 
-// NewHolderID joins a node's name to a random nonce of the process, so that a
-// process never takes an earlier run's lease for its own.
+// NewHolderID combines a node name with a random nonce, so that a restarted process does not
+// mistake the lease of its previous run for its own.
 func NewHolderID(node fleet.NodeID, nonce uint64) HolderID {
 	return HolderID(fmt.Sprintf("%s/%016x", node, nonce))
 }
 
-// Machine returns the part of the identifier that names the machine: all runs of
-// a process on it share it.
+// Machine returns the machine part of the identifier, which all runs of a process on that machine
+// share.
 func (h HolderID) Machine() string {
 	machine, _, _ := strings.Cut(string(h), "/")
 	return machine
 }
 
-// Record is the value of a lease's row.
+// Record is the value of a lease row.
 type Record struct {
 	// Holder is empty after a release.
 	Holder HolderID `json:"holder"`
-	// Token rises by one with each change of holder. A release keeps it.
+	// Token increases by one with each change of holder. A release keeps it.
 	Token fleet.FencingToken `json:"token"`
-	// DurationMillis is the time that the holder counts on, in milliseconds.
+	// DurationMillis is the lease duration, in milliseconds.
 	DurationMillis int64 `json:"duration_ms"`
-	// IdleMillis is, in a released record, for how long at the release the holder
-	// had not used the lease, in milliseconds.
+	// IdleMillis is set in a released record: the time since the lease was last used, in
+	// milliseconds.
 	IdleMillis int64 `json:"idle_ms,omitempty"`
-	// WrittenMillis is the store's time at the most when the record was written, in
-	// milliseconds; 0 if the writer didn't know it.
+	// WrittenMillis is an upper bound of the store's time when the record was written, in
+	// milliseconds, or 0 if the writer did not know the store's time.
 	WrittenMillis int64 `json:"written_ms,omitempty"`
 }
 
-// Duration returns the time that the holder counts on.
+// Duration returns the lease duration.
 func (r Record) Duration() time.Duration { return time.Duration(r.DurationMillis) * time.Millisecond }
 
 func decodeRecord(value []byte) (Record, error) {
--- a/internal/lease/settings.go
+++ b/internal/lease/settings.go
@@ -12,43 +12,44 @@
 	DefaultMargin   = time.Second
 )
 
-// MaxDuration bounds a lease's duration: a row that names a longer one is
-// malformed, and would overflow a time.Duration.
+// MaxDuration is the longest allowed lease duration. A row with a longer one is malformed.
 const MaxDuration = time.Hour
 
-// Fractions of a lease's duration.
+// Calls per lease duration.
 const (
-	renewalsPerDuration = 3  // a holder renews three times within a duration
-	pollsPerDuration    = 4  // a challenger reads four times within a duration
-	retriesPerDuration  = 10 // a holder retries a failed renewal after this part
+	renewalsPerDuration = 3  // renewals by a holder
+	pollsPerDuration    = 4  // reads by a challenger
+	retriesPerDuration  = 10 // retries of a failed renewal by a holder
 )
 
-// Settings sets up an Election.
+// Settings configures an Election.
 type Settings struct {
-	// Key is the lease's row in the table service.
+	// Key is the key of the lease row in the table service.
 	Key string
-	// Duration is how long a holder may rely on one renewal, less Margin.
+	// Duration is the lease duration, in whole milliseconds. A holder relies on one renewal for
+	// Duration minus Margin.
 	Duration time.Duration
-	// Margin covers the differences between the rates of the machines' clocks.
+	// Margin allows for differences between the rates of the machines' clocks. It must be less than
+	// half of Duration.
 	Margin time.Duration
-	// Exclusive says that a machine runs one process at a time that takes part: a
-	// lease held by an earlier run on the same machine is then free at once.
+	// Exclusive declares that at most one participating process runs on a machine at a time. A
+	// lease held by an earlier run on the same machine is then free immediately.
 	Exclusive bool
 }
 
-// Validate returns an error if the settings can't keep two holders apart.
+// Validate returns an error if the settings cannot guarantee a single holder.
 func (s Settings) Validate() error {
 	if s.Key == "" {
-		return errors.New("lease needs a key")
+		return errors.New("lease key is empty")
 	}
 	if s.Duration < time.Millisecond || s.Duration%time.Millisecond != 0 {
-		return errors.Errorf("lease duration %s isn't a whole number of milliseconds", s.Duration)
+		return errors.Errorf("lease duration %s is not a positive whole number of milliseconds", s.Duration)
 	}
 	if s.Duration > MaxDuration {
 		return errors.Errorf("lease duration %s exceeds %s", s.Duration, MaxDuration)
 	}
 	if s.Margin <= 0 || s.Margin >= s.Duration/2 {
-		return errors.Errorf("lease margin %s isn't within 0 and half the duration %s", s.Margin, s.Duration)
+		return errors.Errorf("lease margin %s is not between 0 and half of the duration %s", s.Margin, s.Duration)
 	}
 	return nil
 }
--- a/internal/lease/storetime.go
+++ b/internal/lease/storetime.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// The time of the store decides when a record runs out for a process that sees it
-// for the first time: whoever renewed it wrote down until when it counts at the most. So
-// a process that saw nothing of the last renewal, since it has just started or the
-// store was out of reach, need not wait for the whole duration from its first look.
+// The store's clock lets a process that reads the row for the first time compute when the record
+// expires: each renewal writes an upper bound of the store's time into it. A process that has just
+// started, or could not reach the store, then need not wait for a whole duration after its first
+// read.
 
-// clockErrorDivisor is the part of a time by which a process's clock may be wrong: a
-// process that translates the store's time allows for it, as Margin does for holders.
+// clockErrorDivisor is the inverse of the relative error allowed for a process's clock when it
+// extrapolates the store's time.
 const clockErrorDivisor = 10
 
-// storeClockMaxAge is how many durations of the lease a holder translates the store's time
-// by the same answer, before it reads again.
+// storeClockMaxAge is the age, in lease durations, at which a holder reads the store's time again.
 const storeClockMaxAge = 2
 
-// storeClockSample is an answer of the store by which its time is translated: it was
-// given between the start and the end of a call, on the process's clock.
+// storeClockSample is the store's time as returned by a call, with the start and the end of that
+// call on the process's clock.
 type storeClockSample struct {
 	time                                 time.Duration
 	requestStartedAt, responseReceivedAt time.Duration
 }
 
-// isKnown tells whether there was such an answer.
+// isKnown reports whether the sample holds a store time.
 func (r storeClockSample) isKnown() bool { return r.time > 0 }
 
-// upperBound returns a time that the store's clock doesn't exceed at now.
+// upperBound returns an upper bound of the store's time at now.
 func (r storeClockSample) upperBound(now time.Duration) time.Duration {
 	elapsed := now - r.requestStartedAt
 	return r.time + elapsed + elapsed/clockErrorDivisor
 }
 
-// recordStoreTime takes in the store's time in an answer that came at now.
+// recordStoreTime records the store's time from a response received at now. Zero is ignored.
 func (e *Election) recordStoreTime(now, storeTime time.Duration) {
 	if storeTime > 0 {
 		e.storeClock = storeClockSample{time: storeTime, requestStartedAt: e.readStartedAt, responseReceivedAt: now}
 	}
 }
 
-// isStoreClockStale tells whether a holder must read again to write the store's time.
+// isStoreClockStale reports whether a holder must read the row again to refresh the store's time.
 func (e *Election) isStoreClockStale(now time.Duration) bool {
 	return e.storeClock.isKnown() && now > e.storeClock.requestStartedAt+storeClockMaxAge*e.settings.Duration
 }
 
-// storeTimeMillis returns the store's time at the most at now, for a record; 0 if it
-// isn't known.
+// storeTimeMillis returns an upper bound of the store's time at now, in milliseconds, or 0 if it is
+// not known.
 func (e *Election) storeTimeMillis(now time.Duration) int64 {
 	if !e.storeClock.isKnown() {
 		return 0
@@ -52,10 +51,9 @@
 	return e.storeClock.upperBound(now).Milliseconds() + 1
 }
 
-// expiresAt returns when the row as last seen has run out, if its holder doesn't renew
-// it: the duration after it was first seen, or after the time at which it was written by
-// the store's clock, whichever is sooner. Margin allows for the error of this process's
-// clock in both.
+// expiresAt returns when the observed row expires unless its holder renews it: the duration plus
+// Margin after it was first seen or, if sooner, after it was written by the store's clock. Margin
+// covers the error of this process's clock in both cases.
 func (e *Election) expiresAt() time.Duration {
 	record := e.row.record
 	wait := record.Duration() + e.settings.Margin
