--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -31,8 +31,8 @@
 	return p.offset + now*time.Duration(p.ratePercent)/100
 }
 
-// order is a command in flight to the engine.
-type order struct {
+// command is a command in flight to the engine.
+type command struct {
 	holder HolderID
 	token  fleet.FencingToken
 }
@@ -42,12 +42,12 @@
 type simulation struct {
 	t *rapid.T
 	// random is uniform, whereas rapid's generators favour small numbers.
-	random         *rand.Rand
-	now            time.Duration
-	model          *platformmodel.Platform
-	processes      []*process
-	delayedCommits []platform.Transaction // of senders that have timed out
-	orders         []order
+	random          *rand.Rand
+	now             time.Duration
+	model           *platformmodel.Platform
+	processes       []*process
+	delayedCommits  []platform.Transaction // of senders that have timed out
+	pendingCommands []command
 
 	last Record
 	// holders maps each token to the holder that received it.
@@ -62,7 +62,7 @@
 	return s.random.IntN(100) < percent
 }
 
-func (s *simulation) upTo(limit time.Duration) time.Duration {
+func (s *simulation) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
@@ -94,15 +94,15 @@
 		return
 	}
 	if p.pendingAction == nil {
-		s.begin(p)
+		s.startCall(p)
 		return
 	}
 	if s.chance(70) {
-		s.finish(p)
+		s.finishCall(p)
 	}
 }
 
-func (s *simulation) begin(p *process) {
+func (s *simulation) startCall(p *process) {
 	action := p.election.Next(p.clock(s.now))
 	if action.Kind == ActionRead || action.Kind == ActionCommit {
 		p.pendingAction = &action
@@ -113,7 +113,7 @@
 	}
 	if token, held := p.election.Fence(p.clock(s.now)); held && s.chance(50) {
 		require.Equal(s.t, s.holders[token], p.election.holder, "holder of token %d", token)
-		s.orders = append(s.orders, order{p.election.holder, token})
+		s.pendingCommands = append(s.pendingCommands, command{p.election.holder, token})
 	}
 	if s.chance(1) {
 		p.election.Resign()
@@ -131,13 +131,13 @@
 	p.election = newElection(s.t, "restarted", 100+s.restarts)
 }
 
-func (s *simulation) finish(p *process) {
+func (s *simulation) finishCall(p *process) {
 	call := p.pendingAction
 	p.pendingAction = nil
 	if call.Kind == ActionRead {
 		row, err := s.model.Get(s.now, testSettings.Key)
 		row.StoreTime = storeEpoch + s.now
-		s.freezeSometimes(p)
+		s.pauseSometimes(p)
 		require.NoError(s.t, p.election.ReadDone(p.clock(max(s.now, p.resumesAt)), row, err))
 		return
 	}
@@ -154,13 +154,13 @@
 			err = platform.ErrUnknownOutcome
 		}
 	}
-	s.freezeSometimes(p)
+	s.pauseSometimes(p)
 	p.election.CommitDone(p.clock(max(s.now, p.resumesAt)), err)
 }
 
-func (s *simulation) freezeSometimes(p *process) {
+func (s *simulation) pauseSometimes(p *process) {
 	if s.chance(8) {
-		p.resumesAt = s.now + s.upTo(40*time.Second)
+		p.resumesAt = s.now + s.randomBelow(40*time.Second)
 	}
 }
 
@@ -172,12 +172,12 @@
 		_ = s.commit(s.delayedCommits[index])
 		s.delayedCommits = slices.Delete(s.delayedCommits, index, index+1)
 	}
-	if len(s.orders) == 0 || !s.chance(50) {
+	if len(s.pendingCommands) == 0 || !s.chance(50) {
 		return
 	}
-	index := s.random.IntN(len(s.orders))
-	delivered := s.orders[index]
-	s.orders = slices.Delete(s.orders, index, index+1)
+	index := s.random.IntN(len(s.pendingCommands))
+	delivered := s.pendingCommands[index]
+	s.pendingCommands = slices.Delete(s.pendingCommands, index, index+1)
 	if delivered.token >= s.engineToken {
 		s.engineToken = delivered.token
 		generation := s.generation(delivered.holder)
@@ -224,7 +224,7 @@
 			})
 		}
 		for range 250 {
-			s.now += s.upTo(1500 * time.Millisecond)
+			s.now += s.randomBelow(1500 * time.Millisecond)
 			for _, p := range s.processes {
 				s.step(p)
 				s.checkHolders()
