--- a/internal/membership/belief_test.go
+++ b/internal/membership/belief_test.go
@@ -74,7 +74,7 @@
 	unknown, missing := network.all[2], network.all[1]
 	delete(missing.core.table.byNode, unknown.core.Self().Node)
 	missing.core.table.sorted = []*record{missing.core.table.sorted[0]}
-	missing.core.countLive(unknown.core.Self().Region, -1)
+	missing.core.adjustLive(unknown.core.Self().Region, -1)
 	network.blocked = func(from, to Member) bool {
 		return from.Node != network.all[0].core.Self().Node && to.Node != network.all[0].core.Self().Node
 	}
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -8,8 +8,8 @@
 
 // broadcast is one record that is still passed on.
 type broadcast struct {
-	node      fleet.NodeID
-	transmits int
+	node          fleet.NodeID
+	transmissions int
 }
 
 // broadcastQueue holds the records to piggyback, most often sent first: the
@@ -43,8 +43,8 @@
 	var again []broadcast
 	for _, entry := range q.entries[len(rest):] {
 		taken = append(taken, entry.node)
-		entry.transmits++
-		if entry.transmits < limit {
+		entry.transmissions++
+		if entry.transmissions < limit {
 			again = append(again, entry)
 		} else {
 			delete(q.queued, entry.node)
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -26,25 +26,25 @@
 	version uint64
 	view    *View
 
-	probe     pendingProbe
-	probes    int
-	nextProbe time.Duration
-	local     probeRing
-	remote    probeRing
-	relays    []relay
-	contested []fleet.NodeID
-
-	join         joinState
-	outreach     []outreach
-	nextDead     time.Duration
-	nextSeed     time.Duration
-	nextExchange time.Duration
-	// rejoins counts the whole exchanges that a node which has just joined still makes
+	probe      pendingProbe
+	probeCount int
+	nextProbe  time.Duration
+	localRing  probeRing
+	remoteRing probeRing
+	relays     []relay
+	contested  []fleet.NodeID
+
+	join            joinState
+	reconnectProbes []reconnectProbe
+	nextDeadProbe   time.Duration
+	nextSeedProbe   time.Duration
+	nextExchange    time.Duration
+	// remainingRejoins counts the whole exchanges that a node which has just joined still makes
 	// soon, rejoinLive is the number of members at the last one that knew of more than
 	// the one before, and quietRejoins counts those since.
-	rejoins      int
-	rejoinLive   int
-	quietRejoins int
+	remainingRejoins int
+	rejoinLiveTotal  int
+	unchangedRejoins int
 }
 
 // New returns a core that knows itself alone.
@@ -61,8 +61,8 @@
 		liveTotal: 1,
 		version:   1,
 	}
-	core.local.member = func(r *record) bool { return r.Region == self.Region }
-	core.remote.member = func(r *record) bool { return r.Region != self.Region }
+	core.localRing.matches = func(r *record) bool { return r.Region == self.Region }
+	core.remoteRing.matches = func(r *record) bool { return r.Region != self.Region }
 	return core
 }
 
@@ -72,8 +72,8 @@
 // Version rises with each change of the membership.
 func (c *Core) Version() uint64 { return c.version }
 
-// Updated tells whether the membership has changed since the given version.
-func (c *Core) Updated(since uint64) bool { return c.version > since }
+// HasChangedSince tells whether the membership has changed since the given version.
+func (c *Core) HasChangedSince(since uint64) bool { return c.version > since }
 
 // Members returns all members that aren't dead, self included, sorted by node.
 func (c *Core) Members() []Member { return c.View().Members() }
@@ -90,13 +90,13 @@
 // of Tick, Receive, Join and Leave.
 func (c *Core) NextWake() time.Duration {
 	wake := c.nextProbe
-	if c.probe.active && !c.probe.indirect {
+	if c.probe.active && !c.probe.indirectSent {
 		wake = min(wake, c.probe.indirectAt)
 	}
 	if c.join.pending {
 		wake = min(wake, c.join.retryAt)
 	}
-	if c.rejoins > 0 {
+	if c.remainingRejoins > 0 {
 		wake = min(wake, c.nextExchange)
 	}
 	return wake
@@ -104,15 +104,15 @@
 
 // Tick does what is due and returns the messages to send. Calling it early is harmless.
 func (c *Core) Tick(now time.Duration) []Message {
-	c.absorbStall(now)
+	c.compensateStall(now)
 	c.retryJoin(now)
 	c.advanceProbe(now)
-	if c.rejoins > 0 {
+	if c.remainingRejoins > 0 {
 		c.exchange(now)
 	}
 	if now >= c.nextProbe {
 		c.confirmSuspects(now)
-		c.dropRelays(now)
+		c.expireRelays(now)
 		c.reconnect(now)
 		c.exchange(now)
 		c.probeContested()
@@ -138,11 +138,11 @@
 	case Probe:
 		c.answerProbe(message)
 	case Ack:
-		c.takeAck(now, message, known)
+		c.handleAck(now, message, known)
 	case IndirectProbe:
 		c.relayProbe(now, message)
 	case Nack:
-		c.takeNack(now, message)
+		c.handleNack(now, message)
 	case Join:
 		c.answerJoin(now, sender, len(message.Updates))
 	}
@@ -162,9 +162,9 @@
 	return c.flush()
 }
 
-// absorbStall moves the deadlines of others by the time that this process was
+// compensateStall moves the deadlines of others by the time that this process was
 // frozen, so that a thawed node doesn't blame its peers.
-func (c *Core) absorbStall(now time.Duration) {
+func (c *Core) compensateStall(now time.Duration) {
 	stall := now - c.NextWake()
 	if c.nextProbe == 0 || stall <= c.options.ProbeInterval {
 		return
@@ -172,7 +172,7 @@
 	c.probe = pendingProbe{}
 	for _, record := range c.table.sorted {
 		if record.State == Suspect {
-			record.deadline += stall
+			record.suspicionDeadline += stall
 		}
 	}
 }
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -145,7 +145,7 @@
 	core.merge(time.Second, dead, near)
 	core.merge(2*time.Second, gone, near)
 	assert.False(t, core.isLive(gone.Node), "an equal incarnation came back")
-	core.table.forgetDead(24 * time.Hour)
+	core.table.expireDead(24 * time.Hour)
 	require.NotContains(t, core.table.byNode, gone.Node)
 	for incarnation := range gone.Incarnation + 1 {
 		claim := gone
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -58,7 +58,7 @@
 	seen = network.until(10*time.Minute, func() bool {
 		return len(network.all[0].core.Members()) == inside && len(network.all[1].core.Members()) == count-inside
 	})
-	network.pass(deadShareTime)
+	network.pass(deadExchangeDuration)
 	network.blocked = nil
 	network.startCount()
 	healed = network.until(2*time.Minute, network.converged)
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -35,13 +35,13 @@
 
 // Defaults of DisseminationOptions.
 const (
-	DefaultFanout        = 5
-	DefaultRepushDelay   = 700 * time.Millisecond
-	DefaultRetransmits   = 4
-	DefaultPullInterval  = 300 * time.Millisecond
-	DefaultMaxPull       = 900 * time.Millisecond
-	DefaultPersistence   = 16
-	DefaultMaxPatchBytes = 8 << 10
+	DefaultFanout          = 5
+	DefaultRepushDelay     = 700 * time.Millisecond
+	DefaultRetransmits     = 4
+	DefaultPullInterval    = 300 * time.Millisecond
+	DefaultMaxPullInterval = 900 * time.Millisecond
+	DefaultPersistentPulls = 16
+	DefaultMaxPatchBytes   = 8 << 10
 )
 
 // Dissemination spreads configuration changes epidemically (Demers et al.,
@@ -57,17 +57,17 @@
 	fresh    []freshChange
 	sources  pullSources
 	nextPull time.Duration
-	// pulls counts those in a row that brought nothing.
-	pulls int
-	// repush is set while a second push is due at repushAt.
-	repush   bool
-	repushAt time.Duration
+	// pullsWithoutProgress counts those in a row that brought nothing.
+	pullsWithoutProgress int
+	// secondPushPending is set while a second push is due at repushAt.
+	secondPushPending bool
+	secondPushAt      time.Duration
 }
 
 // freshChange is a change that is still passed on.
 type freshChange struct {
 	Change
-	transmits int
+	transmissions int
 }
 
 // Pull asks the member at an address for the changes after a revision.
@@ -82,22 +82,22 @@
 	setDefault(&options.RepushDelay, DefaultRepushDelay)
 	setDefault(&options.Retransmits, DefaultRetransmits)
 	setDefault(&options.PullInterval, DefaultPullInterval)
-	setDefault(&options.MaxPullInterval, DefaultMaxPull)
+	setDefault(&options.MaxPullInterval, DefaultMaxPullInterval)
 	setDefault(&options.MaxPatchBytes, DefaultMaxPatchBytes)
-	setDefault(&options.PersistentPulls, DefaultPersistence)
+	setDefault(&options.PersistentPulls, DefaultPersistentPulls)
 	return &Dissemination{options: options}
 }
 
 // Held returns the highest revision that this node holds.
 func (d *Dissemination) Held() fleet.Revision { return d.held }
 
-// Hold says that this node now holds a revision, whichever way it came.
+// RecordHeld says that this node now holds a revision, whichever way it came.
 // Lower revisions than the held one are ignored.
-func (d *Dissemination) Hold(revision fleet.Revision) {
+func (d *Dissemination) RecordHeld(revision fleet.Revision) {
 	if revision > d.held {
 		d.held = revision
 		d.sources.drop(revision)
-		d.pulls = 0
+		d.pullsWithoutProgress = 0
 	}
 }
 
@@ -110,32 +110,32 @@
 		if change.Revision <= d.held {
 			continue
 		}
-		d.Hold(change.Revision)
+		d.RecordHeld(change.Revision)
 		d.fresh = append(d.fresh, freshChange{Change: change})
 		pushed = append(pushed, change)
 	}
 	if len(pushed) == 0 {
 		return nil
 	}
-	d.repush = true
-	d.repushAt = now + d.options.RepushDelay
+	d.secondPushPending = true
+	d.secondPushAt = now + d.options.RepushDelay
 	return d.push(view)
 }
 
 // Tick returns the second push of fresh changes once it is due.
 func (d *Dissemination) Tick(now time.Duration, view *View) []Message {
-	if !d.repush || now < d.repushAt {
+	if !d.secondPushPending || now < d.secondPushAt {
 		return nil
 	}
-	d.repush = false
+	d.secondPushPending = false
 	return d.push(view)
 }
 
 // push sends the freshest changes to random members.
 func (d *Dissemination) push(view *View) []Message {
-	changes := d.latest()
+	changes := d.latestChanges()
 	var messages []Message
-	for _, peer := range d.pick(view) {
+	for _, peer := range d.pickRandom(view) {
 		messages = append(messages, Message{
 			Kind: Ack, To: peer.Address, Sender: view.Self, Target: view.Self.Node,
 			KnownRevision: d.held, Changes: changes,
@@ -144,9 +144,9 @@
 	return messages
 }
 
-// latest returns the newest fresh changes within the bound of bytes, oldest first.
+// latestChanges returns the newest fresh changes within the bound of bytes, oldest first.
 // A change beyond the bound isn't carried: members see the higher revision and pull.
-func (d *Dissemination) latest() []Change {
+func (d *Dissemination) latestChanges() []Change {
 	first, size := len(d.fresh), 0
 	for first > 0 {
 		size += len(d.fresh[first-1].Patch)
@@ -162,8 +162,8 @@
 	return changes
 }
 
-// pick returns random live members other than this node.
-func (d *Dissemination) pick(view *View) []Member {
+// pickRandom returns random live members other than this node.
+func (d *Dissemination) pickRandom(view *View) []Member {
 	peers := make([]Member, 0, len(view.Members()))
 	for _, member := range view.Members() {
 		if member.Node != view.Self.Node {
@@ -178,25 +178,25 @@
 	return peers[:count]
 }
 
-// Decorate adds the held revision and fresh changes to a message that is about
+// Piggyback adds the held revision and fresh changes to a message that is about
 // to be sent. Messages that carry changes already are left alone.
-func (d *Dissemination) Decorate(message *Message) {
+func (d *Dissemination) Piggyback(message *Message) {
 	message.KnownRevision = d.held
 	if len(message.Changes) > 0 || len(d.fresh) == 0 {
 		return
 	}
-	message.Changes = d.latest()
+	message.Changes = d.latestChanges()
 	for i := range d.fresh {
-		d.fresh[i].transmits++
+		d.fresh[i].transmissions++
 	}
 	d.fresh = slices.DeleteFunc(d.fresh, func(change freshChange) bool {
-		return change.transmits >= d.options.Retransmits
+		return change.transmissions >= d.options.Retransmits
 	})
 }
 
-// Next returns the changes of a message that directly follow the held
+// NextChanges returns the changes of a message that directly follow the held
 // revision, in order. The caller applies them and then calls Publish.
-func (d *Dissemination) Next(changes []Change) []Change {
+func (d *Dissemination) NextChanges(changes []Change) []Change {
 	var next []Change
 	expected := d.held + 1
 	for _, change := range changes {
@@ -211,26 +211,26 @@
 // Observe takes note of the revision that a member holds.
 func (d *Dissemination) Observe(address fleet.Address, revision fleet.Revision) {
 	if revision > d.held {
-		d.sources.note(address, revision)
+		d.sources.add(address, revision)
 	}
 }
 
-// Pull returns the pull that is due, if this node is behind. While it goes
+// NextPull returns the pull that is due, if this node is behind. While it goes
 // unanswered, others follow after bounded pauses, each from another member that
 // was seen ahead, if there is one.
-func (d *Dissemination) Pull(now time.Duration) (Pull, bool) {
-	if d.sources.empty() || now < d.nextPull {
+func (d *Dissemination) NextPull(now time.Duration) (Pull, bool) {
+	if d.sources.isEmpty() || now < d.nextPull {
 		return Pull{}, false
 	}
-	d.nextPull = now + d.pullPause()
-	d.pulls++
+	d.nextPull = now + d.pullDelay()
+	d.pullsWithoutProgress++
 	return Pull{From: d.sources.next(), After: d.held}, true
 }
 
-// pullPause draws the pause after a pull.
-func (d *Dissemination) pullPause() time.Duration {
+// pullDelay draws the pause after a pull.
+func (d *Dissemination) pullDelay() time.Duration {
 	longest := d.options.PullInterval
-	if d.pulls >= d.options.PersistentPulls {
+	if d.pullsWithoutProgress >= d.options.PersistentPulls {
 		longest = d.options.MaxPullInterval
 	}
 	return longest - time.Duration(d.options.Random.Int64N(int64(longest)/4+1))
@@ -239,12 +239,12 @@
 // NextWake returns when Tick or Pull has something to do next; pending is
 // false if nothing is due at any time.
 func (d *Dissemination) NextWake() (at time.Duration, pending bool) {
-	behind := !d.sources.empty()
+	behind := !d.sources.isEmpty()
 	switch {
-	case d.repush && behind:
-		return min(d.repushAt, d.nextPull), true
-	case d.repush:
-		return d.repushAt, true
+	case d.secondPushPending && behind:
+		return min(d.secondPushAt, d.nextPull), true
+	case d.secondPushPending:
+		return d.secondPushAt, true
 	default:
 		return d.nextPull, behind
 	}
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -111,43 +111,43 @@
 
 func TestNextTakesOnlyWhatFollows(t *testing.T) {
 	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	spread.Hold(4)
-	spread.Hold(2)
+	spread.RecordHeld(4)
+	spread.RecordHeld(2)
 	assert.EqualValues(t, 4, spread.Held())
-	assert.Empty(t, spread.Next([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
-	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, spread.Next([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
+	assert.Empty(t, spread.NextChanges([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
+	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, spread.NextChanges([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
 }
 
 func TestPullIsRepeatedUntilAnswered(t *testing.T) {
 	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	_, due := spread.Pull(0)
+	_, due := spread.NextPull(0)
 	assert.False(t, due)
 	spread.Observe("10.0.0.1:1", 3)
 	spread.Observe("10.0.0.2:1", 2)
-	pull, due := spread.Pull(time.Second)
+	pull, due := spread.NextPull(time.Second)
 	require.True(t, due)
 	assert.Equal(t, Pull{From: "10.0.0.1:1"}, pull)
-	_, due = spread.Pull(time.Second)
+	_, due = spread.NextPull(time.Second)
 	assert.False(t, due)
-	pull, due = spread.Pull(time.Second + DefaultPullInterval)
+	pull, due = spread.NextPull(time.Second + DefaultPullInterval)
 	assert.True(t, due)
 	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "not from another member")
 	at := time.Second + DefaultPullInterval
-	for range DefaultPersistence - 1 {
-		_, due = spread.Pull(at + DefaultPullInterval/2)
+	for range DefaultPersistentPulls - 1 {
+		_, due = spread.NextPull(at + DefaultPullInterval/2)
 		require.False(t, due, "no pause")
 		at += DefaultPullInterval
-		_, due = spread.Pull(at)
+		_, due = spread.NextPull(at)
 		require.True(t, due, "a pause has grown too early")
 	}
 	for range 100 {
-		at += DefaultMaxPull
-		_, due = spread.Pull(at - DefaultMaxPull/2)
+		at += DefaultMaxPullInterval
+		_, due = spread.NextPull(at - DefaultMaxPullInterval/2)
 		require.False(t, due, "the pause is not longer")
-		_, due = spread.Pull(at)
+		_, due = spread.NextPull(at)
 		require.True(t, due, "a pause has grown beyond its bound")
 	}
-	spread.Hold(3)
-	_, due = spread.Pull(time.Hour)
+	spread.RecordHeld(3)
+	_, due = spread.NextPull(time.Hour)
 	assert.False(t, due)
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -128,7 +128,7 @@
 		}
 		started.core.queue = broadcastQueue{}
 		started.core.join.pending = false
-		started.core.nextExchange = n.now + started.core.spread(started.core.options.exchangeDelay(count))
+		started.core.nextExchange = n.now + started.core.randomDelay(started.core.options.exchangeDelay(count))
 	}
 	n.queue = slices.DeleteFunc(n.queue, func(d delivery) bool { return !d.wake })
 	heap.Init(&n.queue)
@@ -149,7 +149,7 @@
 
 func (n *network) send(from *node, messages []Message) {
 	for _, message := range messages {
-		from.spread.Decorate(&message)
+		from.spread.Piggyback(&message)
 		if n.count {
 			from.sent++
 			from.bytes += proto.Size(message.Encode())
@@ -211,7 +211,7 @@
 // takeChanges applies the changes of a message and passes them on.
 func (n *network) takeChanges(x *node, message Message) []Message {
 	x.spread.Observe(message.Sender.Address, message.KnownRevision)
-	next := x.spread.Next(message.Changes)
+	next := x.spread.NextChanges(message.Changes)
 	x.log = append(x.log, next...)
 	if len(next) == 0 {
 		return nil
@@ -221,7 +221,7 @@
 
 // pull sends the pull that is due, if any.
 func (n *network) pull(from *node) {
-	pull, due := from.spread.Pull(n.now)
+	pull, due := from.spread.NextPull(n.now)
 	if !due || n.random.Float64() < n.loss {
 		return
 	}
--- a/internal/membership/herd_test.go
+++ b/internal/membership/herd_test.go
@@ -76,5 +76,5 @@
 	}
 	assert.Less(t, float64(sent[600]), 2.2*float64(sent[300]))
 	// 600 joins of 96 members of 85 bytes, and eight exchanges of all.
-	assert.Less(t, sent[600], 600*joinSample*85+8*2*600*85)
+	assert.Less(t, sent[600], 600*joinSampleSize*85+8*2*600*85)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -57,8 +57,8 @@
 	State       State
 }
 
-// Routable tells whether new work may go to the member.
-func (m Member) Routable() bool { return m.State == Alive || m.State == Suspect }
+// IsRoutable tells whether new work may go to the member.
+func (m Member) IsRoutable() bool { return m.State == Alive || m.State == Suspect }
 
 // supersedes tells whether claim m replaces claim other about the same node.
 func (m Member) supersedes(other Member) bool {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -25,17 +25,17 @@
 	}
 	current, known := c.table.byNode[claim.Node]
 	if !known {
-		c.learn(now, claim, source)
+		c.addMember(now, claim, source)
 		return
 	}
 	if !claim.supersedes(current.Member) {
 		if source.complete && current.State == Dead && claim.Incarnation == current.Incarnation && claim.State != Dead {
-			c.contest(claim.Node)
+			c.queueContested(claim.Node)
 		}
 		return
 	}
-	if claim.State == Dead && c.contestable(current, source) {
-		c.contest(claim.Node)
+	if claim.State == Dead && c.isContestable(current, source) {
+		c.queueContested(claim.Node)
 		claim.State = Suspect
 		if !claim.supersedes(current.Member) {
 			return
@@ -44,17 +44,17 @@
 	c.apply(now, current, claim)
 }
 
-// contestable tells whether a death may be hearsay from across a lost link:
+// isContestable tells whether a death may be hearsay from across a lost link:
 // the member then becomes suspect and gets the time to refute.
-func (c *Core) contestable(current *record, source claimSource) bool {
+func (c *Core) isContestable(current *record, source claimSource) bool {
 	if current.State == Leaving || current.State == Dead {
 		return false
 	}
 	return source.complete || (current.Region == c.self.Region && source.region != c.self.Region)
 }
 
-// contest has the member probed soon: the probe tells it what is believed of it.
-func (c *Core) contest(node fleet.NodeID) {
+// queueContested has the member probed soon: the probe tells it what is believed of it.
+func (c *Core) queueContested(node fleet.NodeID) {
 	for _, other := range c.contested {
 		if other == node {
 			return
@@ -66,26 +66,26 @@
 	c.contested[position], c.contested[last] = c.contested[last], c.contested[position]
 }
 
-// learn adds a member that wasn't in the table. One that is alive by a whole list isn't passed
+// addMember adds a member that wasn't in the table. One that is alive by a whole list isn't passed
 // on: who heard of it at first hand does, and lists bring it to the others. Passed on by all who
 // have just learnt of all, n members would be sent n squared times over for minutes.
-func (c *Core) learn(now time.Duration, claim Member, source claimSource) {
+func (c *Core) addMember(now time.Duration, claim Member, source claimSource) {
 	if buried, found := c.table.tombstones[claim.Node]; found {
 		if claim.Incarnation <= buried {
 			return
 		}
-		c.table.unbury(claim.Node)
+		c.table.removeTombstone(claim.Node)
 	}
 	added := c.table.insert(claim, now)
 	if claim.State == Dead {
 		return
 	}
-	c.countLive(claim.Region, 1)
+	c.adjustLive(claim.Region, 1)
 	if source.complete && claim.State == Alive {
 		c.version++
 		return
 	}
-	c.entered(now, added, Dead)
+	c.stateChanged(now, added, Dead)
 }
 
 // apply replaces a record by a claim that supersedes it.
@@ -100,25 +100,25 @@
 		c.suspects--
 	}
 	if previous != claim.State {
-		current.since = now
+		current.stateSince = now
 	}
 	switch {
 	case previous == Dead && claim.State != Dead:
-		c.countLive(claim.Region, 1)
+		c.adjustLive(claim.Region, 1)
 	case previous != Dead && claim.State == Dead:
-		c.countLive(claim.Region, -1)
+		c.adjustLive(claim.Region, -1)
 	}
-	c.entered(now, current, previous)
+	c.stateChanged(now, current, previous)
 }
 
-// entered does what follows a changed record: it is passed on and its timer started.
-func (c *Core) entered(now time.Duration, current *record, previous State) {
+// stateChanged does what follows a changed record: it is passed on and its timer started.
+func (c *Core) stateChanged(now time.Duration, current *record, previous State) {
 	c.version++
 	c.queue.push(current.Node)
 	switch current.State {
 	case Suspect:
 		c.suspects++
-		current.deadline = now + c.options.suspicionTimeout(c.liveTotal)
+		current.suspicionDeadline = now + c.options.suspicionTimeout(c.liveTotal)
 	case Leaving:
 		if previous != Leaving && previous != Dead {
 			c.announce(current.Member, leaveFanout)
@@ -126,7 +126,7 @@
 	}
 }
 
-func (c *Core) countLive(region fleet.RegionName, change int) {
+func (c *Core) adjustLive(region fleet.RegionName, change int) {
 	c.live[region] += change
 	c.liveTotal += change
 }
@@ -145,7 +145,7 @@
 func (c *Core) confirmSuspects(now time.Duration) {
 	if c.suspects > 0 {
 		for _, record := range c.table.sorted {
-			if record.State == Suspect && now >= record.deadline {
+			if record.State == Suspect && now >= record.suspicionDeadline {
 				c.declare(now, record, Dead)
 			}
 		}
@@ -163,7 +163,7 @@
 
 // announce tells a few random members at once of a changed record.
 func (c *Core) announce(member Member, fanout int) {
-	for _, peer := range c.pick(fanout, func(r *record) bool { return r.Node != member.Node }) {
+	for _, peer := range c.pickRandom(fanout, func(r *record) bool { return r.Node != member.Node }) {
 		message := Message{Kind: Ack, To: peer.Address, Target: c.self.Node}
 		if member.Node != c.self.Node {
 			message.Updates = []Member{member}
@@ -172,8 +172,8 @@
 	}
 }
 
-// pick returns up to count random live members that match.
-func (c *Core) pick(count int, matches func(*record) bool) []Member {
+// pickRandom returns up to count random live members that match.
+func (c *Core) pickRandom(count int, matches func(*record) bool) []Member {
 	var candidates []Member
 	for _, record := range c.table.sorted {
 		if record.State != Dead && matches(record) {
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -68,26 +68,26 @@
 	approximateMemberBytes = 80
 	// leaveFanout is how many members are told at once of a planned stop.
 	leaveFanout = 4
-	// deadShareTime is how long a death is part of whole exchanges.
-	deadShareTime = 2 * time.Minute
-	// contestedPerInterval bounds the extra probes of members that another
+	// deadExchangeDuration is how long a death is part of whole exchanges.
+	deadExchangeDuration = 2 * time.Minute
+	// contestedProbesPerInterval bounds the extra probes of members that another
 	// node holds for dead, or alive, against this node's belief.
-	contestedPerInterval = 20
-	// rejoinDelay is the mean time between the whole exchanges of a node that has just
+	contestedProbesPerInterval = 20
+	// rejoinInterval is the mean time between the whole exchanges of a node that has just
 	// joined, until quietRejoins in a row have brought no new member, and at most
 	// maxRejoins of them: in a herd nobody knows all at first, and each exchange squares
 	// the part that is missing, while gossip alone takes half a minute for 195 members.
 	// settledDelay is the mean time to the exchange after these.
-	rejoinDelay  = 400 * time.Millisecond
-	quietRejoins = 2
-	maxRejoins   = 8
-	settledDelay = 5 * time.Second
-	// outreachMemory is how long the answer to a reconnecting probe is awaited.
-	outreachMemory = 5 * time.Second
-	// joinSeeds is how many seeds are asked at a time.
-	joinSeeds = 3
-	// maxJoinDelay bounds the back-off between two attempts to join.
-	maxJoinDelay = 10 * time.Second
+	rejoinInterval      = 400 * time.Millisecond
+	maxUnchangedRejoins = 2
+	maxRejoins          = 8
+	postRejoinInterval  = 5 * time.Second
+	// reconnectProbeTimeout is how long the answer to a reconnecting probe is awaited.
+	reconnectProbeTimeout = 5 * time.Second
+	// seedsPerJoinAttempt is how many seeds are asked at a time.
+	seedsPerJoinAttempt = 3
+	// maxJoinBackoff bounds the back-off between two attempts to join.
+	maxJoinBackoff = 10 * time.Second
 )
 
 func setDefault[T comparable](field *T, value T) {
--- a/internal/membership/poolmap.go
+++ b/internal/membership/poolmap.go
@@ -55,7 +55,7 @@
 		pools:    make(map[fleet.PoolName][]share),
 	}
 	for _, member := range members {
-		if member.Routable() {
+		if member.IsRoutable() {
 			m.members = append(m.members, member)
 		}
 	}
--- a/internal/membership/poolmap_test.go
+++ b/internal/membership/poolmap_test.go
@@ -48,7 +48,7 @@
 				list[i].State = Dead
 			}
 		}
-		routable := slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return !m.Routable() })
+		routable := slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return !m.IsRoutable() })
 		shared := mapOf(sites, list, replicas)
 		for id, site := range sites {
 			owners := shared.Owners(id, site)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,10 +9,10 @@
 
 // pendingProbe is the probe that waits for an answer.
 type pendingProbe struct {
-	active     bool
-	target     fleet.NodeID
-	indirect   bool
-	indirectAt time.Duration
+	active       bool
+	target       fleet.NodeID
+	indirectSent bool
+	indirectAt   time.Duration
 }
 
 // relay is a probe sent on behalf of another member.
@@ -25,8 +25,8 @@
 // probeRing visits all matching live members in random order before it visits
 // one again, which bounds the time to detection (section 4.3 of the SWIM paper).
 type probeRing struct {
-	member func(*record) bool
-	order  []fleet.NodeID
+	matches func(*record) bool
+	order   []fleet.NodeID
 }
 
 func (c *Core) nextInRing(ring *probeRing) (*record, bool) {
@@ -38,7 +38,7 @@
 				return record, true
 			}
 		}
-		for _, member := range c.pick(len(c.table.sorted), ring.member) {
+		for _, member := range c.pickRandom(len(c.table.sorted), ring.matches) {
 			ring.order = append(ring.order, member.Node)
 		}
 	}
@@ -59,9 +59,9 @@
 }
 
 func (c *Core) nextTarget() (*record, bool) {
-	c.probes++
-	first, second := &c.local, &c.remote
-	if c.probes%c.options.RemoteEvery == 0 {
+	c.probeCount++
+	first, second := &c.localRing, &c.remoteRing
+	if c.probeCount%c.options.RemoteEvery == 0 {
 		first, second = second, first
 	}
 	if target, found := c.nextInRing(first); found {
@@ -72,23 +72,23 @@
 
 // advanceProbe asks other members to probe a target that doesn't answer.
 func (c *Core) advanceProbe(now time.Duration) {
-	if !c.probe.active || c.probe.indirect || now < c.probe.indirectAt {
+	if !c.probe.active || c.probe.indirectSent || now < c.probe.indirectAt {
 		return
 	}
-	c.probe.indirect = true
-	for _, helper := range c.helpers(c.probe.target) {
+	c.probe.indirectSent = true
+	for _, helper := range c.pickIndirectProbers(c.probe.target) {
 		c.send(IndirectProbe, helper, c.probe.target)
 	}
 }
 
-// helpers picks members of this node's region and, for at least one, of
+// pickIndirectProbers picks members of this node's region and, for at least one, of
 // another, so that a cut between two regions alone suspects nobody.
-func (c *Core) helpers(target fleet.NodeID) []Member {
+func (c *Core) pickIndirectProbers(target fleet.NodeID) []Member {
 	count := c.options.IndirectProbes
-	others := c.pick(max(1, count/2), func(r *record) bool {
+	others := c.pickRandom(max(1, count/2), func(r *record) bool {
 		return r.Region != c.self.Region && r.Node != target && r.State == Alive
 	})
-	near := c.pick(count-len(others), func(r *record) bool {
+	near := c.pickRandom(count-len(others), func(r *record) bool {
 		return r.Region == c.self.Region && r.Node != target && r.State == Alive
 	})
 	return append(others, near...)
@@ -112,7 +112,7 @@
 
 // probeContested probes members about which beliefs differ.
 func (c *Core) probeContested() {
-	for range min(contestedPerInterval, len(c.contested)) {
+	for range min(contestedProbesPerInterval, len(c.contested)) {
 		last := len(c.contested) - 1
 		node := c.contested[last]
 		c.contested = c.contested[:last]
@@ -131,7 +131,7 @@
 	c.send(Ack, message.Sender, c.self.Node)
 }
 
-func (c *Core) takeAck(now time.Duration, message Message, known bool) {
+func (c *Core) handleAck(now time.Duration, message Message, known bool) {
 	if c.probe.active && c.probe.target == message.Target {
 		c.probe.active = false
 	}
@@ -139,9 +139,9 @@
 		return
 	}
 	if message.Complete {
-		c.exchanged(now)
+		c.exchangeAnswered(now)
 	}
-	c.joined()
+	c.endJoin()
 	c.relays = slices.DeleteFunc(c.relays, func(pending relay) bool {
 		if pending.target != message.Target {
 			return false
@@ -149,11 +149,11 @@
 		c.send(Ack, pending.requester, message.Target)
 		return true
 	})
-	c.reached(now, message.Sender, known)
+	c.handleReconnectAnswer(now, message.Sender, known)
 }
 
-// takeNack learns that another node has taken a member's address: the member is gone.
-func (c *Core) takeNack(now time.Duration, message Message) {
+// handleNack learns that another node has taken a member's address: the member is gone.
+func (c *Core) handleNack(now time.Duration, message Message) {
 	record, known := c.table.byNode[message.Target]
 	if known && record.Address == message.Sender.Address && message.Target != message.Sender.Node {
 		c.declare(now, record, Dead)
@@ -170,6 +170,6 @@
 	c.send(Probe, record.Member, message.Target)
 }
 
-func (c *Core) dropRelays(now time.Duration) {
+func (c *Core) expireRelays(now time.Duration) {
 	c.relays = slices.DeleteFunc(c.relays, func(pending relay) bool { return now >= pending.expires })
 }
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -12,11 +12,11 @@
 	seeds   []fleet.Address
 	pending bool
 	retryAt time.Duration
-	delay   time.Duration
+	backoff time.Duration
 }
 
-// outreach is a probe of an address that may answer with a lost member.
-type outreach struct {
+// reconnectProbe is a probe of an address that may answer with a lost member.
+type reconnectProbe struct {
 	address fleet.Address
 	expires time.Duration
 }
@@ -28,29 +28,29 @@
 	c.join.seeds = slices.DeleteFunc(slices.Clone(seeds), func(address fleet.Address) bool {
 		return address == c.self.Address
 	})
-	c.setTimers(now)
+	c.startTimers(now)
 	if c.liveTotal == 1 && len(c.join.seeds) > 0 {
 		c.join.pending = true
-		c.join.delay = c.options.ProbeInterval / 2
+		c.join.backoff = c.options.ProbeInterval / 2
 		c.join.retryAt = now
 		c.retryJoin(now)
 	}
 	return c.flush()
 }
 
-// setTimers starts the periodic work, spread over time against a herd.
-func (c *Core) setTimers(now time.Duration) {
+// startTimers starts the periodic work, spread over time against a herd.
+func (c *Core) startTimers(now time.Duration) {
 	if c.nextProbe != 0 {
 		return
 	}
-	c.nextProbe = now + 1 + c.spread(c.options.ProbeInterval)
-	c.nextDead = now + c.spread(c.options.ReconnectInterval)
-	c.nextSeed = now + c.spread(c.options.SeedInterval)
-	c.nextExchange = now + c.spread(c.options.ExchangeInterval)
+	c.nextProbe = now + 1 + c.randomDelay(c.options.ProbeInterval)
+	c.nextDeadProbe = now + c.randomDelay(c.options.ReconnectInterval)
+	c.nextSeedProbe = now + c.randomDelay(c.options.SeedInterval)
+	c.nextExchange = now + c.randomDelay(c.options.ExchangeInterval)
 }
 
-// spread returns a random time from zero up to the given one.
-func (c *Core) spread(upTo time.Duration) time.Duration {
+// randomDelay returns a random time from zero up to the given one.
+func (c *Core) randomDelay(upTo time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(upTo) + 1))
 }
 
@@ -58,56 +58,56 @@
 	if !c.join.pending || now < c.join.retryAt {
 		return
 	}
-	c.join.retryAt = now + c.join.delay + c.spread(c.join.delay)
-	c.join.delay = min(c.join.delay*2, maxJoinDelay)
+	c.join.retryAt = now + c.join.backoff + c.randomDelay(c.join.backoff)
+	c.join.backoff = min(c.join.backoff*2, maxJoinBackoff)
 	seeds := slices.Clone(c.join.seeds)
 	c.random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
-	for _, address := range seeds[:min(joinSeeds, len(seeds))] {
-		c.sendAll(now, Join, address, "")
+	for _, address := range seeds[:min(seedsPerJoinAttempt, len(seeds))] {
+		c.sendFullState(now, Join, address, "")
 	}
 }
 
-// joined ends the attempts to join: a member has answered.
-func (c *Core) joined() { c.join.pending = false }
+// endJoin ends the attempts to join: a member has answered.
+func (c *Core) endJoin() { c.join.pending = false }
 
-// joinSample is the number of members that a node is told which knows few itself, and
-// fewKnown the part of the members, as a divisor, under which it does. A seed of a fleet that
+// joinSampleSize is the number of members that a node is told which knows few itself, and
+// fewKnownDivisor the part of the members, as a divisor, under which it does. A seed of a fleet that
 // starts at once is asked by all: told everything, n nodes are n squared records over one
 // link. The samples of three seeds and two
 // exchanges with drawn members bring all as well.
 const (
-	joinSample = 96
-	fewKnown   = 4
+	joinSampleSize  = 96
+	fewKnownDivisor = 4
 )
 
 // answerJoin answers a member that has told so many others.
 func (c *Core) answerJoin(now time.Duration, sender Member, told int) {
-	c.joined()
-	c.setTimers(now)
-	if c.liveTotal <= 2*joinSample || told >= c.liveTotal/fewKnown {
-		c.sendAll(now, Ack, sender.Address, sender.Node)
+	c.endJoin()
+	c.startTimers(now)
+	if c.liveTotal <= 2*joinSampleSize || told >= c.liveTotal/fewKnownDivisor {
+		c.sendFullState(now, Ack, sender.Address, sender.Node)
 		return
 	}
-	updates := c.pick(joinSample, func(r *record) bool { return r.Node != sender.Node })
-	c.sendList(Ack, sender.Address, sender.Node, updates)
+	updates := c.pickRandom(joinSampleSize, func(r *record) bool { return r.Node != sender.Node })
+	c.sendMembers(Ack, sender.Address, sender.Node, updates)
 }
 
-// sendAll queues a message with the whole membership. The receiver is told if
+// sendFullState queues a message with the whole membership. The receiver is told if
 // this node holds it for dead.
-func (c *Core) sendAll(now time.Duration, kind Kind, to fleet.Address, receiver fleet.NodeID) {
+func (c *Core) sendFullState(now time.Duration, kind Kind, to fleet.Address, receiver fleet.NodeID) {
 	updates := make([]Member, 0, c.liveTotal)
 	for _, record := range c.table.sorted {
-		recent := now-record.since < deadShareTime
+		recent := now-record.stateSince < deadExchangeDuration
 		if (record.State != Dead || recent) && record.Node != receiver {
 			updates = append(updates, record.Member)
 		}
 	}
-	c.sendList(kind, to, receiver, updates)
+	c.sendMembers(kind, to, receiver, updates)
 }
 
-// sendList queues a message with some members. The receiver is told what is believed of it
+// sendMembers queues a message with some members. The receiver is told what is believed of it
 // besides.
-func (c *Core) sendList(kind Kind, to fleet.Address, receiver fleet.NodeID, updates []Member) {
+func (c *Core) sendMembers(kind Kind, to fleet.Address, receiver fleet.NodeID, updates []Member) {
 	if record, known := c.table.byNode[receiver]; known {
 		updates = append(updates, record.Member)
 	}
@@ -124,24 +124,24 @@
 // reconnect probes one member believed dead and one seed that isn't a member,
 // each in its own interval, and forgets the long dead.
 func (c *Core) reconnect(now time.Duration) {
-	c.outreach = slices.DeleteFunc(c.outreach, func(o outreach) bool { return now >= o.expires })
-	if now >= c.nextDead {
-		c.nextDead = now + c.options.ReconnectInterval/2 + c.spread(c.options.ReconnectInterval)
-		c.table.forgetDead(now - c.options.DeadRetention)
+	c.reconnectProbes = slices.DeleteFunc(c.reconnectProbes, func(o reconnectProbe) bool { return now >= o.expires })
+	if now >= c.nextDeadProbe {
+		c.nextDeadProbe = now + c.options.ReconnectInterval/2 + c.randomDelay(c.options.ReconnectInterval)
+		c.table.expireDead(now - c.options.DeadRetention)
 		if target, found := c.deadCandidate(); found {
-			c.reach(now, target)
+			c.sendReconnectProbe(now, target)
 		}
 	}
-	if now >= c.nextSeed {
-		c.nextSeed = now + c.options.SeedInterval/2 + c.spread(c.options.SeedInterval)
+	if now >= c.nextSeedProbe {
+		c.nextSeedProbe = now + c.options.SeedInterval/2 + c.randomDelay(c.options.SeedInterval)
 		if address, found := c.seedCandidate(); found {
-			c.reach(now, Member{Address: address})
+			c.sendReconnectProbe(now, Member{Address: address})
 		}
 	}
 }
 
-func (c *Core) reach(now time.Duration, target Member) {
-	c.outreach = append(c.outreach, outreach{address: target.Address, expires: now + outreachMemory})
+func (c *Core) sendReconnectProbe(now time.Duration, target Member) {
+	c.reconnectProbes = append(c.reconnectProbes, reconnectProbe{address: target.Address, expires: now + reconnectProbeTimeout})
 	c.send(Probe, target, target.Node)
 }
 
@@ -185,16 +185,16 @@
 	return unknown[c.random.IntN(len(unknown))], true
 }
 
-// reached starts a whole exchange with a lost member that answered.
-func (c *Core) reached(now time.Duration, sender Member, known bool) {
-	for i, pending := range c.outreach {
+// handleReconnectAnswer starts a whole exchange with a lost member that answered.
+func (c *Core) handleReconnectAnswer(now time.Duration, sender Member, known bool) {
+	for i, pending := range c.reconnectProbes {
 		if pending.address != sender.Address {
 			continue
 		}
-		c.outreach = slices.Delete(c.outreach, i, i+1)
+		c.reconnectProbes = slices.Delete(c.reconnectProbes, i, i+1)
 		if !known {
-			c.postponeExchange(now)
-			c.sendAll(now, Join, sender.Address, sender.Node)
+			c.scheduleExchange(now)
+			c.sendFullState(now, Join, sender.Address, sender.Node)
 		}
 		return
 	}
@@ -205,50 +205,50 @@
 	if now < c.nextExchange {
 		return
 	}
-	c.postponeExchange(now)
-	near := c.planRejoin(now)
-	for _, peer := range c.pick(1, func(r *record) bool { return !near || r.Zone == c.self.Zone }) {
-		c.sendAll(now, Join, peer.Address, peer.Node)
+	c.scheduleExchange(now)
+	near := c.scheduleRejoin(now)
+	for _, peer := range c.pickRandom(1, func(r *record) bool { return !near || r.Zone == c.self.Zone }) {
+		c.sendFullState(now, Join, peer.Address, peer.Node)
 	}
 }
 
-// exchanged sets the next whole exchange after one was answered. A member that
+// exchangeAnswered sets the next whole exchange after one was answered. A member that
 // has just joined repeats it soon.
-func (c *Core) exchanged(now time.Duration) {
+func (c *Core) exchangeAnswered(now time.Duration) {
 	if c.join.pending {
-		c.rejoins = maxRejoins
-		c.nextExchange = now + rejoinDelay/2 + c.spread(rejoinDelay)
+		c.remainingRejoins = maxRejoins
+		c.nextExchange = now + rejoinInterval/2 + c.randomDelay(rejoinInterval)
 	}
-	if c.rejoins == 0 {
-		c.postponeExchange(now)
+	if c.remainingRejoins == 0 {
+		c.scheduleExchange(now)
 	}
 }
 
-// planRejoin sets the exchange after the one that begins now, if this node has just
+// scheduleRejoin sets the exchange after the one that begins now, if this node has just
 // joined: soon again, until two in a row have found no new member, since in a herd
 // the first answers are incomplete. It tells whether the one that begins is to stay
 // within the zone, as every second one does: bytes between zones are dear.
-func (c *Core) planRejoin(now time.Duration) bool {
-	if c.rejoins == 0 {
+func (c *Core) scheduleRejoin(now time.Duration) bool {
+	if c.remainingRejoins == 0 {
 		return false
 	}
-	c.rejoins--
-	c.quietRejoins++
-	if c.liveTotal > c.rejoinLive {
-		c.rejoinLive, c.quietRejoins = c.liveTotal, 0
+	c.remainingRejoins--
+	c.unchangedRejoins++
+	if c.liveTotal > c.rejoinLiveTotal {
+		c.rejoinLiveTotal, c.unchangedRejoins = c.liveTotal, 0
 	}
-	delay := rejoinDelay
-	if c.quietRejoins >= quietRejoins {
-		c.rejoins = 0
+	delay := rejoinInterval
+	if c.unchangedRejoins >= maxUnchangedRejoins {
+		c.remainingRejoins = 0
 	}
-	if c.rejoins == 0 {
-		delay = settledDelay
+	if c.remainingRejoins == 0 {
+		delay = postRejoinInterval
 	}
-	c.nextExchange = now + delay/2 + c.spread(delay)
-	return c.rejoins%2 == 1
+	c.nextExchange = now + delay/2 + c.randomDelay(delay)
+	return c.remainingRejoins%2 == 1
 }
 
-func (c *Core) postponeExchange(now time.Duration) {
+func (c *Core) scheduleExchange(now time.Duration) {
 	delay := c.options.exchangeDelay(c.liveTotal)
-	c.nextExchange = now + delay/2 + c.spread(delay)
+	c.nextExchange = now + delay/2 + c.randomDelay(delay)
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -61,7 +61,7 @@
 func Rank(key uint64, zone fleet.ZoneName, members []Member) []Member {
 	scored := make([]scoredMember, 0, len(members))
 	for _, member := range members {
-		if !member.Routable() {
+		if !member.IsRoutable() {
 			continue
 		}
 		weight := 1.0
@@ -83,7 +83,7 @@
 	key := xxhash.Sum64String(string(pool))
 	scored := make([]scoredMember, 0, len(members))
 	for _, member := range members {
-		if !member.Routable() {
+		if !member.IsRoutable() {
 			continue
 		}
 		entry := share{member: member, weight: 1}.score(key, 1)
@@ -105,7 +105,7 @@
 	key := xxhash.Sum64String(string(engine))
 	scored := make([]scoredMember, 0, len(members))
 	for _, member := range members {
-		if !member.Routable() {
+		if !member.IsRoutable() {
 			continue
 		}
 		entry := scoredMember{member: member}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,10 +10,10 @@
 // record is a member with what this node alone knows of it.
 type record struct {
 	Member
-	// since is when the present state was entered.
-	since time.Duration
-	// deadline is when a suspect is confirmed dead.
-	deadline time.Duration
+	// stateSince is when the present state was entered.
+	stateSince time.Duration
+	// suspicionDeadline is when a suspect is confirmed dead.
+	suspicionDeadline time.Duration
 }
 
 // table holds the records, in order of node, and the tombstones of forgotten ones.
@@ -40,26 +40,26 @@
 }
 
 func (t *table) insert(member Member, now time.Duration) *record {
-	added := &record{Member: member, since: now}
+	added := &record{Member: member, stateSince: now}
 	index, _ := slices.BinarySearchFunc(t.sorted, member.Node, compareRecordNode)
 	t.sorted = slices.Insert(t.sorted, index, added)
 	t.byNode[member.Node] = added
 	return added
 }
 
-// forgetDead turns the records that died before the given time into tombstones.
-func (t *table) forgetDead(before time.Duration) {
+// expireDead turns the records that died before the given time into tombstones.
+func (t *table) expireDead(before time.Duration) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(r *record) bool {
-		if r.State != Dead || r.since >= before {
+		if r.State != Dead || r.stateSince >= before {
 			return false
 		}
 		delete(t.byNode, r.Node)
-		t.bury(r.Member)
+		t.addTombstone(r.Member)
 		return true
 	})
 }
 
-func (t *table) bury(member Member) {
+func (t *table) addTombstone(member Member) {
 	if _, known := t.tombstones[member.Node]; !known {
 		t.tombstoneOrder = append(t.tombstoneOrder, member.Node)
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// unbury removes the tombstone of a member that came back with a higher incarnation.
-func (t *table) unbury(node fleet.NodeID) {
+// removeTombstone removes the tombstone of a member that came back with a higher incarnation.
+func (t *table) removeTombstone(node fleet.NodeID) {
 	if _, known := t.tombstones[node]; !known {
 		return
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -28,7 +28,7 @@
 func newSortedView(version uint64, self Member, members []Member) *View {
 	view := &View{Version: version, Self: self, members: members, routable: make([]Member, 0, len(members))}
 	for _, member := range view.members {
-		if member.Routable() {
+		if member.IsRoutable() {
 			view.routable = append(view.routable, member)
 		}
 	}
--- a/internal/peer/drive.go
+++ b/internal/peer/drive.go
@@ -46,7 +46,7 @@
 	var due bool
 	p.send(p.step(func(now time.Duration) []membership.Message {
 		messages := p.core.Tick(now)
-		pull, due = p.spread.Pull(now)
+		pull, due = p.spread.NextPull(now)
 		return append(messages, p.spread.Tick(now, p.View())...)
 	}))
 	if due {
@@ -83,13 +83,13 @@
 	revision := p.options.Holder.Revision()
 	changes, known := p.options.Holder.ChangesAfter(p.spread.Held())
 	if !known {
-		p.spread.Hold(revision)
+		p.spread.RecordHeld(revision)
 		return nil
 	}
 	encoded, err := encodeChanges(changes)
 	if err != nil {
 		p.options.Logger.Error().Err(err).Msg("configuration_encode_failed")
-		p.spread.Hold(revision)
+		p.spread.RecordHeld(revision)
 		return nil
 	}
 	return p.spread.Publish(now, encoded, p.View())
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -175,7 +175,7 @@
 	now := p.clock.Now()
 	messages := action(now)
 	for i := range messages {
-		p.spread.Decorate(&messages[i])
+		p.spread.Piggyback(&messages[i])
 	}
 	if p.outdated() && now >= p.publishAt() {
 		p.published = now
@@ -190,7 +190,7 @@
 const viewPause = 50 * time.Microsecond
 
 // outdated tells whether the membership has changed since the view in force; the mutex is held.
-func (p *Peer) outdated() bool { return p.core.Updated(p.view.Load().Version) }
+func (p *Peer) outdated() bool { return p.core.HasChangedSince(p.view.Load().Version) }
 
 // publishAt returns when the next view may be put in force; the mutex is held.
 func (p *Peer) publishAt() time.Duration {
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -190,7 +190,7 @@
 // send begins an exchange for each message.
 func (node *networkNode) send(messages []membership.Message) {
 	for _, message := range messages {
-		node.spread.Decorate(&message)
+		node.spread.Piggyback(&message)
 		node.exchange(message)
 	}
 	node.plan()
@@ -233,7 +233,7 @@
 		}
 		answer := messages[i]
 		node.send(append(messages[:i:i], messages[i+1:]...))
-		node.spread.Decorate(&answer)
+		node.spread.Piggyback(&answer)
 		return node.transmit(answer)
 	}
 	node.send(messages)
@@ -248,7 +248,7 @@
 	now := node.network.now()
 	node.spread.Observe(message.Sender.Address, message.KnownRevision)
 	messages := node.core.Receive(now, message)
-	next := node.spread.Next(message.Changes)
+	next := node.spread.NextChanges(message.Changes)
 	if len(next) == 0 {
 		return messages
 	}
@@ -301,7 +301,7 @@
 func (node *networkNode) tick() {
 	now := node.network.now()
 	messages := node.core.Tick(now)
-	if pull, due := node.spread.Pull(now); due {
+	if pull, due := node.spread.NextPull(now); due {
 		node.pull(pull)
 	}
 	node.send(append(messages, node.spread.Tick(now, node.core.View())...))
@@ -331,7 +331,7 @@
 	if node.down {
 		return
 	}
-	next := node.spread.Next(changes)
+	next := node.spread.NextChanges(changes)
 	if len(next) == 0 {
 		return
 	}
--- a/lab/simulation/configuration.go
+++ b/lab/simulation/configuration.go
@@ -102,7 +102,7 @@
 	r.step(func(now time.Duration) { r.core.ApplyConfig(now, r.applied(view)) })
 	changes, known := r.holder.ChangesAfter(r.spread.Held())
 	if !known {
-		r.spread.Hold(view.Revision())
+		r.spread.RecordHeld(view.Revision())
 		return
 	}
 	r.sendPeers(r.spread.Publish(r.now(), encodeChanges(changes), r.members.View()))
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -25,7 +25,7 @@
 // sendPeers sends messages to other routers and plans the next tick.
 func (r *router) sendPeers(messages []membership.Message) {
 	for _, message := range messages {
-		r.spread.Decorate(&message)
+		r.spread.Piggyback(&message)
 		target := r.world.routerAt(message.To)
 		if target == nil || target == r {
 			continue
@@ -52,7 +52,7 @@
 		}
 		r.memberWake = 0
 		messages := r.members.Tick(r.now())
-		pull, due := r.spread.Pull(r.now())
+		pull, due := r.spread.NextPull(r.now())
 		messages = append(messages, r.spread.Tick(r.now(), r.members.View())...)
 		r.sendPeers(messages)
 		if due {
@@ -65,7 +65,7 @@
 func (r *router) receive(message membership.Message) {
 	messages := r.members.Receive(r.now(), message)
 	r.spread.Observe(message.Sender.Address, message.KnownRevision)
-	if next := r.spread.Next(message.Changes); len(next) > 0 {
+	if next := r.spread.NextChanges(message.Changes); len(next) > 0 {
 		r.offerChanges(decodeChanges(next))
 	}
 	r.sendPeers(messages)
