--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -34,7 +34,7 @@
 	// sharing is set while this node shares loads with those that serve.
 	sharing bool
 	source  toldRate
-	level   membership.Demand
+	level   membership.DemandTracker
 }
 
 // toldRate is another node's word on a rate.
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -22,7 +22,7 @@
 	}
 	var addresses []fleet.Address
 	from := membership.Location{Region: query.Region, Zone: query.Zone}
-	for _, member := range g.roles.Load().Answer(from, g.node, g.reachable) {
+	for _, member := range g.roles.Load().RoutersFor(from, g.node, g.reachable) {
 		if member.Node == g.node && !g.ready() {
 			continue
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
 	// sizes and joined are used by assign alone; settled is set once this node knows its role.
-	sizes   membership.SizeHold
+	sizes   membership.SizeHysteresis
 	joined  joinedMembers
 	settled atomic.Bool
 	// versionsSeen belongs to who takes the workers' table in.
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -185,7 +185,7 @@
 		}
 	}
 	if roles := g.roles.Load(); roles != nil {
-		return roles.Origins(taken)
+		return roles.DemandByOrigin(taken)
 	}
 	return taken
 }
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinetalk.go
@@ -80,7 +80,7 @@
 	}
 	var peers []membership.Member
 	for _, member := range g.peers.View().Routable() {
-		if member.Node != g.node && (sharing[member.Node] || roles.Serves(member.Node) || roles.Reads(member.Node)) {
+		if member.Node != g.node && (sharing[member.Node] || roles.IsServing(member.Node) || roles.IsReader(member.Node)) {
 			peers = append(peers, member)
 		}
 	}
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -97,20 +97,20 @@
 	candidates := all.Candidates(rolloutLease)
 	roles := &nodeRoles{
 		Roles: all, view: view, demand: demand, standsIn: standsIn,
-		origins: options.Origins, weights: options.Weights, least: options.Least,
-		reader:      all.Reads(self),
+		origins: options.DemandByLocation, weights: options.CapacityFactors, least: options.MinServingByLocation,
+		reader:      all.IsReader(self),
 		candidate:   slices.Contains(candidates, self),
 		readerOrder: all.ReaderOrder(zone, self),
 	}
-	if !all.Serves(self) {
+	if !all.IsServing(self) {
 		roles.others = len(view.Routable()) - len(all.Serving)
 	}
-	roles.sharesLoads = roles.candidate || standsIn || all.Serves(self)
+	roles.sharesLoads = roles.candidate || standsIn || all.IsServing(self)
 	if !roles.sharesLoads {
 		return roles
 	}
 	for _, member := range view.Routable() {
-		if member.Node != self && (all.Serves(member.Node) || slices.Contains(candidates, member.Node)) {
+		if member.Node != self && (all.IsServing(member.Node) || slices.Contains(candidates, member.Node)) {
 			roles.loadPeers = append(roles.loadPeers, member)
 		}
 	}
@@ -121,19 +121,19 @@
 // hears of a few nodes' requests first: it would take one place for the origin of all, and
 // keep a group for it that is far too large.
 func (g *Gateway) roleOptions(now time.Duration, demand float64, before *nodeRoles) membership.RoleOptions {
-	options := membership.RoleOptions{Weights: g.origins.planWeights(now)}
+	options := membership.RoleOptions{CapacityFactors: g.origins.planWeights(now)}
 	origins := g.origins.plan(g.originRates(now))
 	if before == nil || now < planAfter {
 		return options
 	}
-	options.Origins = origins
-	options.Least = g.sizes.Observe(now, demand, before.Needed())
+	options.DemandByLocation = origins
+	options.MinServingByLocation = g.sizes.Observe(now, demand, before.Needed())
 	return options
 }
 
 // plannedOtherwise tells whether other roles may follow from the options.
 func (r *nodeRoles) plannedOtherwise(options membership.RoleOptions) bool {
-	return !maps.Equal(r.origins, options.Origins) || !maps.Equal(r.weights, options.Weights) || !maps.Equal(r.least, options.Least)
+	return !maps.Equal(r.origins, options.DemandByLocation) || !maps.Equal(r.weights, options.CapacityFactors) || !maps.Equal(r.least, options.MinServingByLocation)
 }
 
 // driveRoles keeps this node's part up to date with the membership and the demand.
@@ -163,7 +163,7 @@
 	settled := !g.joining(now)
 	reader := roles.reader && settled
 	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, others: roles.others})
-	if serves := roles.Serves(g.node); before == nil || before.Serves(g.node) != serves || len(before.Serving) != len(roles.Serving) {
+	if serves := roles.IsServing(g.node); before == nil || before.IsServing(g.node) != serves || len(before.Serving) != len(roles.Serving) {
 		g.logger.Info().Bool("serves", serves).Int("serving", len(roles.Serving)).Bool("reads", reader).
 			Int("members", len(view.Routable())).Float64("request_rate", g.demand.total(now)).Msg("roles_changed")
 	}
@@ -174,7 +174,7 @@
 func (g *Gateway) loadPeers() []membership.Member { return g.roles.Load().loadPeers }
 
 // serves tells whether callers are sent to this node.
-func (g *Gateway) serves() bool { return g.roles.Load().Serves(g.node) }
+func (g *Gateway) serves() bool { return g.roles.Load().IsServing(g.node) }
 
 // servingCount returns how many nodes callers are sent to, at least 1.
 func (g *Gateway) servingCount() int { return max(len(g.roles.Load().Serving), 1) }
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -202,10 +202,10 @@
 	}
 	for now := time.Duration(0); now < planAfter; now += rolesInterval {
 		options := first(now)
-		require.Empty(t, options.Origins)
-		require.Empty(t, options.Least)
+		require.Empty(t, options.DemandByLocation)
+		require.Empty(t, options.MinServingByLocation)
 	}
-	assert.NotEmpty(t, first(planAfter).Origins)
+	assert.NotEmpty(t, first(planAfter).DemandByLocation)
 }
 
 // present returns the caches that a gateway follows itself.
--- a/internal/gateway/storefeed.go
+++ b/internal/gateway/storefeed.go
@@ -119,7 +119,7 @@
 		f.table.cache.Advance(update.Revision)
 		f.table.proven(provenAt)
 	}
-	if g.roles.Load().Small {
+	if g.roles.Load().SmallFleet {
 		return 0
 	}
 	return f.table.pause
--- a/internal/membership/answer_test.go
+++ b/internal/membership/answer_test.go
@@ -10,9 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestSamplesHoldEachCandidateByItsShare counts over evenly spaced answerers how often
+// TestSamplesIncludeCandidatesInProportionToShare counts over evenly spaced answerers how often
 // each candidate is named.
-func TestSamplesHoldEachCandidateByItsShare(t *testing.T) {
+func TestSamplesIncludeCandidatesInProportionToShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	const answerers = 2000
 	for range 50 {
@@ -24,14 +24,14 @@
 			total += candidates[index].share
 			largest = max(largest, candidates[index].share)
 		}
-		if largest/total > 1.0/leastNear {
+		if largest/total > 1.0/minGroupServing {
 			continue
 		}
 		named := make([]float64, len(candidates))
 		for number := range answerers {
 			sample := systematicSample(candidates, (float64(number)+0.5)/answerers)
-			require.LessOrEqual(t, len(sample), MaxAnswer)
-			require.GreaterOrEqual(t, len(sample), leastNear)
+			require.LessOrEqual(t, len(sample), MaxRouters)
+			require.GreaterOrEqual(t, len(sample), minGroupServing)
 			for _, candidate := range sample {
 				named[candidate.member.Incarnation] += 1 / float64(len(sample)) / answerers
 			}
@@ -42,42 +42,42 @@
 	}
 }
 
-func TestSampleOfFewCandidatesHoldsAll(t *testing.T) {
+func TestSampleOfFewCandidatesIncludesAll(t *testing.T) {
 	two := []candidateShare{{share: 0.9}, {share: 0.1}}
 	assert.Len(t, systematicSample(two, 0.3), 2, "a caller whose address fails has another one")
 	assert.Len(t, systematicSample(append(two, candidateShare{}), 0.3), 2)
 	assert.Empty(t, systematicSample(nil, 0.3))
 }
 
-func TestAnswersStayTheSameWhileNothingChanges(t *testing.T) {
-	view := fleetOf(zoned{northA, append(equal(2, 800), equal(20, 200)...)}, zoned{northB, equal(20, 200)}, zoned{southC, equal(20, 200)})
+func TestRoutersForIsStable(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, append(equal(2, 800), equal(20, 200)...)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	roles := Assign(view, 1500, RoleOptions{})
 	node := view.Members()[7].Node
-	assert.Equal(t, roles.Answer(northA, node, always), Assign(view, 1500, RoleOptions{}).Answer(northA, node, always))
+	assert.Equal(t, roles.RoutersFor(northA, node, always), Assign(view, 1500, RoleOptions{}).RoutersFor(northA, node, always))
 }
 
-// TestAnswerNamesWhatTheAskerReaches cuts a zone's serving members, and then the answerer.
-func TestAnswerNamesWhatTheAskerReaches(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(5, 200)}, zoned{northB, equal(5, 200)}, zoned{southC, equal(5, 200)})
+// TestRoutersForLeavesOutUnreachableMembers cuts a zone's serving members, and then the answerer.
+func TestRoutersForLeavesOutUnreachableMembers(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
 	node := view.Members()[0].Node
 	outsideA := func(member Member) bool { return member.Zone != "a" }
-	answer := roles.Answer(northA, node, outsideA)
+	answer := roles.RoutersFor(northA, node, outsideA)
 	require.Len(t, answer, 4)
 	for _, named := range answer {
 		assert.NotEqual(t, fleet.ZoneName("a"), named.Zone)
 	}
 	onlyA := func(member Member) bool { return member.Zone == "a" }
-	for _, named := range roles.Answer(northA, node, onlyA) {
+	for _, named := range roles.RoutersFor(northA, node, onlyA) {
 		assert.Equal(t, fleet.ZoneName("a"), named.Zone, "a zone that is cut off keeps to itself")
 	}
-	assert.Len(t, roles.Answer(northB, node, onlyA), 2, "the answerer is cut off: its word on others doesn't count")
-	assert.Empty(t, (&Roles{}).Answer(northA, node, always))
+	assert.Len(t, roles.RoutersFor(northB, node, onlyA), 2, "the answerer is cut off: its word on others doesn't count")
+	assert.Empty(t, (&Roles{}).RoutersFor(northA, node, always))
 }
 
-// TestAnswerWithOneAddressGetsANearReserve has one of a zone's two serving members fail.
-func TestAnswerWithOneAddressGetsANearReserve(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(5, 200)}, zoned{northB, equal(5, 200)}, zoned{southC, equal(5, 200)})
+// TestSingleRouterGetsNearbyFallback has one of a zone's two serving members fail.
+func TestSingleRouterGetsNearbyFallback(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
 	var failed fleet.NodeID
 	for _, member := range roles.Serving {
@@ -87,8 +87,8 @@
 	}
 	reserves := map[fleet.NodeID]bool{}
 	for _, answerer := range view.Members() {
-		answer := roles.Answer(northA, answerer.Node, func(member Member) bool { return member.Node != failed })
-		require.Len(t, answer, leastNear)
+		answer := roles.RoutersFor(northA, answerer.Node, func(member Member) bool { return member.Node != failed })
+		require.Len(t, answer, minGroupServing)
 		assert.Equal(t, fleet.ZoneName("a"), answer[0].Zone)
 		assert.Equal(t, fleet.ZoneName("b"), answer[1].Zone, "of the same region")
 		reserves[answer[1].Node] = true
@@ -96,18 +96,18 @@
 	assert.Len(t, reserves, 2, "answerers differ in whom they add")
 }
 
-// TestEveryMemberOfASmallFleetIsNamed as before there were places.
-func TestEveryMemberOfASmallFleetIsNamed(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(3, 200)}, zoned{northB, equal(2, 200)}, zoned{southC, equal(2, 200)})
+// TestSmallFleetReturnsAllMembers as before there were places.
+func TestSmallFleetReturnsAllMembers(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(3, 200)}, zoneMembers{northB, equal(2, 200)}, zoneMembers{southC, equal(2, 200)})
 	roles := Assign(view, 60, RoleOptions{})
-	assert.Len(t, roles.Answer(northA, view.Members()[0].Node, always), 7)
-	assert.Len(t, roles.Answer(Location{}, "", always), 7)
+	assert.Len(t, roles.RoutersFor(northA, view.Members()[0].Node, always), 7)
+	assert.Len(t, roles.RoutersFor(Location{}, "", always), 7)
 }
 
-func TestCallersOfAnUnknownPlaceGoToAll(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(5, 200)}, zoned{northB, equal(5, 200)}, zoned{southC, equal(5, 200)})
+func TestCallersOfUnknownLocationUseAllGroups(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
-	assert.Len(t, roles.Answer(Location{}, view.Members()[0].Node, always), 6)
-	named := roles.Answer(Location{Region: "north"}, view.Members()[0].Node, always)
+	assert.Len(t, roles.RoutersFor(Location{}, view.Members()[0].Node, always), 6)
+	named := roles.RoutersFor(Location{Region: "north"}, view.Members()[0].Node, always)
 	assert.Len(t, named, 4, "a zone that nobody knows, of a known region")
 }
--- a/internal/membership/belief_test.go
+++ b/internal/membership/belief_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns a core and a member of its region that it holds alive.
-func pair(t *testing.T) (*Core, Member) {
+// newCoreWithMember returns a core and a member of its region that it holds alive.
+func newCoreWithMember(t *testing.T) (*Core, Member) {
 	network := newNetwork(t, 41, 1)
-	core := network.run(network.member(0)).core
+	core := network.startNode(network.member(0)).core
 	other := network.member(1)
 	other.State = Alive
 	core.Receive(0, Message{Kind: Ack, Sender: other, Target: other.Node})
@@ -19,8 +19,8 @@
 	return core, other
 }
 
-func TestDeathHeardFromAnotherRegionIsContested(t *testing.T) {
-	core, other := pair(t)
+func TestRemoteDeathClaimMakesMemberSuspect(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	stranger := Member{Node: "stranger", Address: "10.9.9.9:1", Region: "elsewhere", State: Alive}
 	dead := other
 	dead.State = Dead
@@ -36,8 +36,8 @@
 	assert.Equal(t, Alive, core.table.byNode[other.Node].State)
 }
 
-func TestDeathHeardInOwnRegionIsTaken(t *testing.T) {
-	core, other := pair(t)
+func TestDeathClaimFromSameRegionIsAccepted(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	neighbour := Member{Node: "neighbour", Address: "10.9.9.9:1", Region: other.Region, State: Alive}
 	dead := other
 	dead.State = Dead
@@ -45,8 +45,8 @@
 	assert.False(t, core.isLive(other.Node))
 }
 
-func TestThawedNodeGivesSuspectsTheirTime(t *testing.T) {
-	core, other := pair(t)
+func TestResumedNodeExtendsSuspicionDeadlines(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	other.State = Suspect
 	core.merge(time.Second, other, claimSource{region: other.Region})
 	thaw := core.NextWake() + time.Hour
@@ -58,8 +58,8 @@
 	}
 }
 
-func TestNodeAtTakenOverAddressDiesAtOnce(t *testing.T) {
-	core, other := pair(t)
+func TestNackFromNewOwnerOfAddressDeclaresMemberDead(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	successor := other
 	successor.Node += "-second"
 	core.Receive(time.Second, Message{Kind: Nack, Sender: successor, Target: other.Node})
@@ -67,10 +67,10 @@
 	assert.True(t, core.isLive(successor.Node))
 }
 
-func TestExchangeBringsWhatGossipMissed(t *testing.T) {
+func TestExchangeRepairsMissingMember(t *testing.T) {
 	network := newNetwork(t, 42, 1)
-	network.startKnown(3)
-	network.forgetSeeds()
+	network.startConverged(3)
+	network.clearSeeds()
 	unknown, missing := network.all[2], network.all[1]
 	delete(missing.core.table.byNode, unknown.core.Self().Node)
 	missing.core.table.sorted = []*record{missing.core.table.sorted[0]}
@@ -79,19 +79,19 @@
 		return from.Node != network.all[0].core.Self().Node && to.Node != network.all[0].core.Self().Node
 	}
 	require.False(t, missing.core.isLive(unknown.core.Self().Node))
-	network.until(3*DefaultExchangeInterval, func() bool { return missing.core.isLive(unknown.core.Self().Node) })
+	network.advanceUntil(3*DefaultExchangeInterval, func() bool { return missing.core.isLive(unknown.core.Self().Node) })
 }
 
-func TestCutOfTwoRegionsKillsNobodyInside(t *testing.T) {
+func TestRegionPartitionDeclaresNoLocalMemberDead(t *testing.T) {
 	network := newNetwork(t, 43, 2)
-	network.startKnown(24)
-	network.forgetSeeds()
+	network.startConverged(24)
+	network.clearSeeds()
 	network.blocked = func(from, to Member) bool { return from.Region != to.Region }
-	network.pass(20 * time.Second)
+	network.advance(20 * time.Second)
 	network.blocked = nil
 	for !network.converged() {
 		require.Less(t, network.now, 2*time.Minute)
-		network.pass(100 * time.Millisecond)
+		network.advance(100 * time.Millisecond)
 		for _, x := range network.all {
 			for _, record := range x.core.table.sorted {
 				require.False(t, record.State == Dead && record.Region == x.core.Self().Region, "%s of the own region is dead", record.Node)
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -11,130 +11,130 @@
 func TestMembersConvergeAfterJoin(t *testing.T) {
 	network := newNetwork(t, 1, 3)
 	network.start(30)
-	took := network.until(30*time.Second, network.converged)
+	took := network.advanceUntil(30*time.Second, network.converged)
 	t.Logf("30 members joined in %s", took)
 }
 
 func TestCrashIsDetected(t *testing.T) {
 	network := newNetwork(t, 2, 2)
-	network.startKnown(50)
-	network.pass(5 * time.Second)
+	network.startConverged(50)
+	network.advance(5 * time.Second)
 	crashed := network.all[7]
 	crashed.down = true
-	took := network.until(30*time.Second, func() bool { return network.believe(crashed, Dead) })
+	took := network.advanceUntil(30*time.Second, func() bool { return network.allSee(crashed, Dead) })
 	t.Logf("crash known to all of 50 after %s", took)
 	assert.True(t, network.converged())
 }
 
-func TestRackOfMembersIsDetected(t *testing.T) {
+func TestRackFailureIsDetected(t *testing.T) {
 	network := newNetwork(t, 3, 6)
-	network.startKnown(120)
-	network.pass(5 * time.Second)
+	network.startConverged(120)
+	network.advance(5 * time.Second)
 	for index := 0; index < 60; index += 6 {
 		network.all[index].down = true
 	}
-	took := network.until(time.Minute, network.converged)
+	took := network.advanceUntil(time.Minute, network.converged)
 	t.Logf("10 of 120 members lost at once, known to all after %s", took)
 }
 
-func TestOneWayCutKillsNobody(t *testing.T) {
+func TestOneWayPartitionDeclaresNoMemberDead(t *testing.T) {
 	network := newNetwork(t, 4, 2)
-	network.startKnown(12)
+	network.startConverged(12)
 	from, to := network.all[0].core.Self().Node, network.all[2].core.Self().Node
 	network.blocked = func(sender, receiver Member) bool { return sender.Node == from && receiver.Node == to }
 	for range 600 {
-		network.pass(time.Second)
+		network.advance(time.Second)
 		for _, x := range network.all {
-			require.True(t, network.believe(x, Alive, Suspect))
+			require.True(t, network.allSee(x, Alive, Suspect))
 		}
 	}
 }
 
-func TestLossKillsNobody(t *testing.T) {
+func TestPacketLossDeclaresNoMemberDead(t *testing.T) {
 	network := newNetwork(t, 5, 2)
-	network.startKnown(40)
+	network.startConverged(40)
 	network.loss = 0.05
 	for range 300 {
-		network.pass(time.Second)
+		network.advance(time.Second)
 		for _, x := range network.all {
-			require.True(t, network.believe(x, Alive, Suspect))
+			require.True(t, network.allSee(x, Alive, Suspect))
 		}
 	}
 }
 
-func TestPlannedLeaveIsSeenAtOnce(t *testing.T) {
+func TestPlannedLeaveSpreadsQuickly(t *testing.T) {
 	network := newNetwork(t, 6, 6)
-	network.startKnown(200)
-	network.pass(5 * time.Second)
+	network.startConverged(200)
+	network.advance(5 * time.Second)
 	leaving := network.all[11]
 	network.send(leaving, leaving.core.Leave(network.now))
-	knows := func() bool { return network.believe(leaving, Leaving, Dead) }
-	took := network.until(2*time.Second, knows)
+	knows := func() bool { return network.allSee(leaving, Leaving, Dead) }
+	took := network.advanceUntil(2*time.Second, knows)
 	t.Logf("planned leave known to all of 200 after %s", took)
 	leaving.down = true
-	network.until(time.Minute, func() bool { return network.believe(leaving, Dead) })
+	network.advanceUntil(time.Minute, func() bool { return network.allSee(leaving, Dead) })
 }
 
-func TestFrozenMemberBlamesNobodyAndReturns(t *testing.T) {
+func TestPausedMemberSuspectsNobodyAndRejoins(t *testing.T) {
 	network := newNetwork(t, 7, 2)
-	network.startKnown(20)
-	network.pass(5 * time.Second)
+	network.startConverged(20)
+	network.advance(5 * time.Second)
 	frozen := network.all[4]
-	frozen.frozen = true
-	network.until(time.Minute, func() bool { return network.believe(frozen, Dead) })
-	network.pass(time.Minute)
+	frozen.paused = true
+	network.advanceUntil(time.Minute, func() bool { return network.allSee(frozen, Dead) })
+	network.advance(time.Minute)
 	before := frozen.core.Self().Incarnation
-	network.thaw(frozen)
+	network.resume(frozen)
 	for range 300 {
-		network.pass(100 * time.Millisecond)
+		network.advance(100 * time.Millisecond)
 		for _, x := range network.all {
-			require.True(t, x == frozen || network.believe(x, Alive, Suspect))
+			require.True(t, x == frozen || network.allSee(x, Alive, Suspect))
 		}
 	}
 	require.True(t, network.converged())
 	assert.Greater(t, frozen.core.Self().Incarnation, before)
 }
 
-func TestHerdRestartConverges(t *testing.T) {
+func TestSimultaneousRestartConverges(t *testing.T) {
 	network := newNetwork(t, 8, 3)
-	network.startKnown(60)
-	network.pass(5 * time.Second)
+	network.startConverged(60)
+	network.advance(5 * time.Second)
 	for index := range 60 {
 		network.restart(index, "-second")
 	}
-	took := network.until(time.Minute, network.converged)
+	took := network.advanceUntil(time.Minute, network.converged)
 	t.Logf("60 members restarted at once, converged after %s", took)
 }
 
-func TestAddressTakenOverEndsOldMember(t *testing.T) {
+func TestReplacedMemberIsDeclaredDead(t *testing.T) {
 	network := newNetwork(t, 9, 1)
-	network.startKnown(10)
-	network.pass(5 * time.Second)
+	network.startConverged(10)
+	network.advance(5 * time.Second)
 	old := network.all[5]
 	network.restart(5, "-second")
-	took := network.until(20*time.Second, func() bool { return network.believe(old, Dead) })
+	took := network.advanceUntil(20*time.Second, func() bool { return network.allSee(old, Dead) })
 	t.Logf("replacement known to all of 10 after %s", took)
 }
 
-func TestRegionHealsAfterAnHour(t *testing.T) {
+func TestRegionPartitionHealsAfterAnHour(t *testing.T) {
 	network := newNetwork(t, 10, 6)
-	network.startKnown(36)
-	network.forgetSeeds()
-	network.pass(5 * time.Second)
+	network.startConverged(36)
+	network.clearSeeds()
+	network.advance(5 * time.Second)
 	cut := network.all[0].core.Self().Region
 	network.blocked = func(from, to Member) bool { return (from.Region == cut) != (to.Region == cut) }
 	separated := func() bool {
 		return len(network.all[0].core.Members()) == 6 && len(network.all[1].core.Members()) == 30
 	}
-	t.Logf("cut seen after %s", network.until(5*time.Minute, separated))
-	network.pass(time.Hour)
+	t.Logf("cut seen after %s", network.advanceUntil(5*time.Minute, separated))
+	network.advance(time.Hour)
 	network.blocked = nil
-	t.Logf("healed %s after the cut ended", network.until(time.Minute, network.converged))
+	t.Logf("healed %s after the cut ended", network.advanceUntil(time.Minute, network.converged))
 }
 
-func TestOldIncarnationNeverReturns(t *testing.T) {
+func TestOldIncarnationIsRejected(t *testing.T) {
 	network := newNetwork(t, 11, 1)
-	core := network.run(network.member(0)).core
+	core := network.startNode(network.member(0)).core
 	gone := network.member(1)
 	gone.Incarnation, gone.State = 5, Alive
 	near := claimSource{region: gone.Region}
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// controlBytes is the budget of a node for control, in bytes a second.
-const controlBytes = 13000
+// controlBudgetBytes is the budget of a node for control, in bytes a second.
+const controlBudgetBytes = 13000
 
 // measure returns the mean messages and protocol bytes that a node sends a
 // second, with the transport's own bytes left out.
 func (n *network) measure(duration time.Duration) (messages, bytes float64) {
 	n.startCount()
-	n.pass(duration)
+	n.advance(duration)
 	return n.stopCount(duration)
 }
 
@@ -36,41 +36,41 @@
 	return messages / nodeSeconds, bytes / nodeSeconds
 }
 
-func TestSteadyCostStaysUnderBudget(t *testing.T) {
+func TestSteadyTrafficStaysUnderBudget(t *testing.T) {
 	for _, count := range []int{50, 200, 680} {
 		network := newNetwork(t, 31, fleetRegions)
-		network.startKnown(count)
-		network.pass(2 * time.Second)
+		network.startConverged(count)
+		network.advance(2 * time.Second)
 		messages, bytes := network.measure(30 * time.Second)
 		t.Logf("members=%d state=steady messages_per_node_second=%.2f bytes_per_node_second=%.0f", count, messages, bytes)
-		assert.Less(t, bytes, float64(controlBytes)/4)
+		assert.Less(t, bytes, float64(controlBudgetBytes)/4)
 	}
 }
 
-// regionReturn cuts one region off, ends the cut and returns the times until
+// healRegion cuts one region off, ends the cut and returns the times until
 // both were seen by all, and the bytes that this cost a node.
-func regionReturn(network *network, count int) (seen, healed time.Duration, mean, worst int) {
-	network.startKnown(count)
-	network.forgetSeeds()
+func healRegion(network *network, count int) (seen, healed time.Duration, mean, worst int) {
+	network.startConverged(count)
+	network.clearSeeds()
 	cut := network.all[0].core.Self().Region
 	network.blocked = func(from, to Member) bool { return (from.Region == cut) != (to.Region == cut) }
 	inside := (count + fleetRegions - 1) / fleetRegions
-	seen = network.until(10*time.Minute, func() bool {
+	seen = network.advanceUntil(10*time.Minute, func() bool {
 		return len(network.all[0].core.Members()) == inside && len(network.all[1].core.Members()) == count-inside
 	})
-	network.pass(deadExchangeDuration)
+	network.advance(deadExchangeDuration)
 	network.blocked = nil
 	network.startCount()
-	healed = network.until(2*time.Minute, network.converged)
+	healed = network.advanceUntil(2*time.Minute, network.converged)
 	for _, x := range network.all {
 		worst, mean = max(worst, x.bytes), mean+x.bytes/count
 	}
 	return seen, healed, mean, worst
 }
 
-func TestRegionReturnsWithinAMinute(t *testing.T) {
+func TestRegionHealsWithinAMinute(t *testing.T) {
 	const count = 120
-	seen, healed, mean, worst := regionReturn(newNetwork(t, 32, fleetRegions), count)
+	seen, healed, mean, worst := healRegion(newNetwork(t, 32, fleetRegions), count)
 	t.Logf("members=%d region cut seen after %s, healed after %s, bytes_per_node mean=%d worst=%d", count, seen, healed, mean, worst)
 	assert.Less(t, healed, time.Minute)
 }
@@ -80,7 +80,7 @@
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			for i := range b.N {
-				seen, healed, mean, worst := regionReturn(newNetwork(b, uint64(i), fleetRegions), count)
+				seen, healed, mean, worst := healRegion(newNetwork(b, uint64(i), fleetRegions), count)
 				b.ReportMetric(seen.Seconds(), "seen-s")
 				b.ReportMetric(healed.Seconds(), "healed-s")
 				b.ReportMetric(float64(mean), "mean-bytes/node")
@@ -96,8 +96,8 @@
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			network := newNetwork(nil, 33, fleetRegions)
-			network.startKnown(count)
-			network.pass(time.Second)
+			network.startConverged(count)
+			network.advance(time.Second)
 			b.ResetTimer()
 			messages, bytes := network.measure(time.Duration(b.N) * time.Second)
 			b.ReportMetric(messages, "messages/node-s")
@@ -116,12 +116,12 @@
 				var total, slowest time.Duration
 				for i := range b.N {
 					network := newNetwork(b, uint64(i), fleetRegions)
-					network.startKnown(count)
-					network.pass(3 * time.Second)
+					network.startConverged(count)
+					network.advance(3 * time.Second)
 					for index := range crashes {
 						network.all[index*2].down = true
 					}
-					took := network.until(5*time.Minute, network.converged)
+					took := network.advanceUntil(5*time.Minute, network.converged)
 					total, slowest = total+took, max(slowest, took)
 				}
 				b.ReportMetric(total.Seconds()/float64(b.N), "mean-s")
@@ -138,17 +138,17 @@
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			network := newNetwork(b, 34, fleetRegions)
-			network.startKnown(count)
-			network.pass(time.Second)
+			network.startConverged(count)
+			network.advance(time.Second)
 			steadyMessages, steadyBytes := network.measure(settle)
 			var slowest time.Duration
 			var messages, bytes float64
 			for i := range b.N {
 				network.startCount()
-				network.offer(network.all[i%count], string(make([]byte, 500)))
+				network.publishChange(network.all[i%count], string(make([]byte, 500)))
 				start := network.now
-				slowest = max(slowest, network.until(changeLimit, network.allHold(i+1)))
-				network.pass(settle - (network.now - start))
+				slowest = max(slowest, network.advanceUntil(propagationLimit, network.allHold(i+1)))
+				network.advance(settle - (network.now - start))
 				m, v := network.stopCount(settle)
 				messages, bytes = messages+(m-steadyMessages)*settle.Seconds(), bytes+(v-steadyBytes)*settle.Seconds()
 			}
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	fleetSize    = 680
-	fleetRegions = 6
-	changeLimit  = 4 * time.Second
+	fleetSize        = 680
+	fleetRegions     = 6
+	propagationLimit = 4 * time.Second
 )
 
-// offer gives one node a change, as an operator's command does.
-func (n *network) offer(to *node, patch string) {
+// publishChange gives one node a change, as an operator's command does.
+func (n *network) publishChange(to *node, patch string) {
 	change := Change{Revision: to.spread.Held() + 1, Patch: []byte(patch)}
 	to.log = append(to.log, change)
 	n.send(to, to.spread.Publish(n.now, []Change{change}, to.core.View()))
@@ -38,12 +38,12 @@
 
 func TestChangeReachesWholeFleetUnderLoss(t *testing.T) {
 	network := newNetwork(t, 21, fleetRegions)
-	network.startKnown(fleetSize)
+	network.startConverged(fleetSize)
 	network.loss = 0.3
-	network.pass(time.Second)
+	network.advance(time.Second)
 	for revision := 1; revision <= 3; revision++ {
-		network.offer(network.all[revision*97], "patch")
-		took := network.until(changeLimit, network.allHold(revision))
+		network.publishChange(network.all[revision*97], "patch")
+		took := network.advanceUntil(propagationLimit, network.allHold(revision))
 		t.Logf("change %d held by all of %d after %s with 30%% loss", revision, fleetSize, took)
 	}
 	for _, x := range network.all {
@@ -53,18 +53,18 @@
 	}
 }
 
-// lossyChanges offers many changes, each once the one before is held by all,
+// publishUnderLoss offers many changes, each once the one before is held by all,
 // and returns how long each took. A router that every push has missed is rare,
 // so a few changes show nothing of it.
-func lossyChanges(t testing.TB, seed uint64, members, changes int) []time.Duration {
+func publishUnderLoss(t testing.TB, seed uint64, members, changes int) []time.Duration {
 	network := newNetwork(t, seed, fleetRegions)
-	network.startKnown(members)
+	network.startConverged(members)
 	network.loss = 0.3
-	network.pass(time.Second)
+	network.advance(time.Second)
 	took := make([]time.Duration, 0, changes)
 	for revision := 1; revision <= changes; revision++ {
-		network.offer(network.all[revision*97%members], "patch")
-		took = append(took, network.until(time.Minute, network.allHold(revision)))
+		network.publishChange(network.all[revision*97%members], "patch")
+		took = append(took, network.advanceUntil(time.Minute, network.allHold(revision)))
 	}
 	slices.Sort(took)
 	return took
@@ -72,16 +72,16 @@
 
 func TestSlowestOfManyChangesUnderLoss(t *testing.T) {
 	const changes = 150
-	took := lossyChanges(t, 24, 100, changes)
+	took := publishUnderLoss(t, 24, 100, changes)
 	t.Logf("changes=%d median=%s slowest=%s", changes, took[changes/2], took[changes-1])
-	assert.Less(t, took[changes-1], changeLimit)
+	assert.Less(t, took[changes-1], propagationLimit)
 }
 
 // BenchmarkLossyChanges reports the tail of many changes at the target's size.
 func BenchmarkLossyChanges(b *testing.B) {
 	const changes = 150
 	for seed := range b.N {
-		took := lossyChanges(b, uint64(seed), fleetSize, changes)
+		took := publishUnderLoss(b, uint64(seed), fleetSize, changes)
 		b.ReportMetric(took[changes/2].Seconds(), "median-s")
 		b.ReportMetric(took[changes*9/10].Seconds(), "p90-s")
 		b.ReportMetric(took[changes-2].Seconds(), "second-slowest-s")
@@ -89,27 +89,27 @@
 	}
 }
 
-func TestRestartedNodePullsWhatItLacks(t *testing.T) {
+func TestRestartedNodePullsMissingChanges(t *testing.T) {
 	network := newNetwork(t, 22, 2)
-	network.startKnown(20)
+	network.startConverged(20)
 	for range 5 {
-		network.offer(network.all[0], "patch")
-		network.until(changeLimit, network.allHold(int(network.all[0].spread.Held())))
+		network.publishChange(network.all[0], "patch")
+		network.advanceUntil(propagationLimit, network.allHold(int(network.all[0].spread.Held())))
 	}
-	network.pass(time.Minute)
+	network.advance(time.Minute)
 	network.restart(6, "-second")
-	network.until(changeLimit, network.allHold(5))
+	network.advanceUntil(propagationLimit, network.allHold(5))
 }
 
 func TestOversizedChangeIsPulled(t *testing.T) {
 	network := newNetwork(t, 23, 2)
-	network.startKnown(20)
-	network.pass(time.Second)
-	network.offer(network.all[0], string(make([]byte, DefaultMaxPatchBytes+1)))
-	network.until(changeLimit, network.allHold(1))
+	network.startConverged(20)
+	network.advance(time.Second)
+	network.publishChange(network.all[0], string(make([]byte, DefaultMaxPatchBytes+1)))
+	network.advanceUntil(propagationLimit, network.allHold(1))
 }
 
-func TestNextTakesOnlyWhatFollows(t *testing.T) {
+func TestNextChangesReturnsOnlyConsecutiveRevisions(t *testing.T) {
 	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
 	spread.RecordHeld(4)
 	spread.RecordHeld(2)
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -47,15 +47,15 @@
 
 // node is one core with its place in the simulated network.
 type node struct {
-	core   *Core
-	spread *Dissemination
-	down   bool
-	frozen bool
-	wakeAt time.Duration
-	held   []delivery
-	log    []Change
-	bytes  int
-	sent   int
+	core     *Core
+	spread   *Dissemination
+	down     bool
+	paused   bool
+	wakeAt   time.Duration
+	deferred []delivery
+	log      []Change
+	bytes    int
+	sent     int
 }
 
 // network is a seeded network on a virtual clock.
@@ -94,11 +94,11 @@
 // start adds nodes up to the given count; each joins by the first three.
 func (n *network) start(count int) {
 	for index := len(n.all); index < count; index++ {
-		n.run(n.member(index))
+		n.startNode(n.member(index))
 	}
 }
 
-func (n *network) run(self Member) *node {
+func (n *network) startNode(self Member) *node {
 	seed := n.random.Uint64()
 	started := &node{
 		core:   New(Options{Self: self, Random: rand.New(rand.NewPCG(seed, 2))}),
@@ -114,15 +114,15 @@
 	return []fleet.Address{n.member(0).Address, n.member(1).Address, n.member(2).Address}
 }
 
-// startKnown adds nodes that know each other from the start, to save the joins.
-func (n *network) startKnown(count int) {
+// startConverged adds nodes that know each other from the start, to save the joins.
+func (n *network) startConverged(count int) {
 	members := make([]Member, count)
 	for index := range members {
 		members[index] = n.member(index)
 		members[index].State = Alive
 	}
 	for _, self := range members {
-		started := n.run(self)
+		started := n.startNode(self)
 		for _, member := range members {
 			started.core.merge(n.now, member, claimSource{complete: true})
 		}
@@ -134,8 +134,8 @@
 	heap.Init(&n.queue)
 }
 
-// forgetSeeds leaves the members with nothing but what they know of each other.
-func (n *network) forgetSeeds() {
+// clearSeeds leaves the members with nothing but what they know of each other.
+func (n *network) clearSeeds() {
 	for _, x := range n.all {
 		x.core.Join(n.now, nil)
 	}
@@ -172,8 +172,8 @@
 	}
 }
 
-// pass lets virtual time pass.
-func (n *network) pass(duration time.Duration) {
+// advance lets virtual time advance.
+func (n *network) advance(duration time.Duration) {
 	until := n.now + duration
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		next := heap.Pop(&n.queue).(delivery)
@@ -187,8 +187,8 @@
 
 func (n *network) deliver(target *node, next delivery) {
 	switch {
-	case target.frozen:
-		target.held = append(target.held, next)
+	case target.paused:
+		target.deferred = append(target.deferred, next)
 	case next.pull != nil:
 		changes := target.log[min(int(next.pull.after), len(target.log)):]
 		answer := Message{Kind: Ack, To: next.pull.from, Sender: target.core.Self(), Changes: changes}
@@ -229,18 +229,18 @@
 	n.push(delivery{at: n.now + time.Millisecond, to: pull.From, pull: request})
 }
 
-// thaw delivers to a frozen node what has reached it meanwhile.
-func (n *network) thaw(target *node) {
-	target.frozen = false
+// resume delivers to a frozen node what has reached it meanwhile.
+func (n *network) resume(target *node) {
+	target.paused = false
 	target.wakeAt = -1
 	n.send(target, target.core.Tick(n.now))
-	for _, held := range target.held {
+	for _, held := range target.deferred {
 		if !held.wake {
 			held.at = n.now
 			n.push(held)
 		}
 	}
-	target.held = nil
+	target.deferred = nil
 }
 
 // restart replaces the process at a node's address by a new one.
@@ -249,7 +249,7 @@
 	old.down = true
 	self := n.member(index)
 	self.Node += fleet.NodeID(generation)
-	return n.run(self)
+	return n.startNode(self)
 }
 
 // live returns the nodes that run.
@@ -257,13 +257,13 @@
 	return slices.DeleteFunc(slices.Clone(n.all), func(x *node) bool { return x.down })
 }
 
-// until passes time until the condition holds and returns how long it took.
-func (n *network) until(limit time.Duration, condition func() bool) time.Duration {
+// advanceUntil passes time advanceUntil the condition holds and returns how long it took.
+func (n *network) advanceUntil(limit time.Duration, condition func() bool) time.Duration {
 	n.t.Helper()
 	start := n.now
 	for !condition() {
 		require.Less(n.t, n.now-start, limit, "condition not met in time")
-		n.pass(100 * time.Millisecond)
+		n.advance(100 * time.Millisecond)
 	}
 	return n.now - start
 }
@@ -293,8 +293,8 @@
 	return 0
 }
 
-// believe tells whether all other running nodes hold a node in one of the states.
-func (n *network) believe(of *node, states ...State) bool {
+// allSee tells whether all other running nodes hold a node in one of the states.
+func (n *network) allSee(of *node, states ...State) bool {
 	for _, x := range n.running() {
 		if x != of && !slices.Contains(states, x.state(of)) {
 			return false
--- a/internal/membership/herd_test.go
+++ b/internal/membership/herd_test.go
@@ -10,19 +10,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// herdStart starts many nodes within a spread of time, each with three seeds, and
+// simultaneousStart starts many nodes within a spread of time, each with three seeds, and
 // returns how long after the last start all know each other, and the bytes that all and the
 // busiest of them sent until then.
-func herdStart(t testing.TB, seed uint64, nodes int, spread time.Duration) (took time.Duration, bytes, busiest int) {
+func simultaneousStart(t testing.TB, seed uint64, nodes int, spread time.Duration) (took time.Duration, bytes, busiest int) {
 	network := newNetwork(t, seed, 1)
 	network.count = true
 	for index := range nodes {
 		member := network.member(index)
 		member.Zone = fleet.ZoneName(fmt.Sprint("zone-", index%5))
-		network.run(member)
-		network.pass(spread / time.Duration(nodes))
+		network.startNode(member)
+		network.advance(spread / time.Duration(nodes))
 	}
-	took = network.until(time.Minute, func() bool {
+	took = network.advanceUntil(time.Minute, func() bool {
 		for _, started := range network.running() {
 			if len(started.core.Members()) != nodes {
 				return false
@@ -37,39 +37,39 @@
 	return took, bytes, busiest
 }
 
-// TestHerdKnowsAllMembersSoon starts a whole fleet at once: until nodes know each
+// TestSimultaneousStartConverges starts a whole fleet at once: until nodes know each
 // other, they don't agree on who reads the store and who serves.
-func TestHerdKnowsAllMembersSoon(t *testing.T) {
+func TestSimultaneousStartConverges(t *testing.T) {
 	for seed := range uint64(5) {
-		took, bytes, _ := herdStart(t, seed, 195, 300*time.Millisecond)
+		took, bytes, _ := simultaneousStart(t, seed, 195, 300*time.Millisecond)
 		t.Logf("seed %d: %s, %d bytes a node", seed, took, bytes/195)
 		assert.Less(t, took, 2500*time.Millisecond, "seed %d", seed)
 		assert.Less(t, bytes/195, 200_000, "seed %d", seed)
 	}
 }
 
-// TestNothingIsPassedOnForLongAfterAStartOfMany counts what nodes send once all know each other:
+// TestGossipSubsidesAfterMassStart counts what nodes send once all know each other:
 // news is over, and a probe carries little.
-func TestNothingIsPassedOnForLongAfterAStartOfMany(t *testing.T) {
+func TestGossipSubsidesAfterMassStart(t *testing.T) {
 	const nodes, probes = 300, 20
 	network := newNetwork(t, 1, 1)
 	for index := range nodes {
-		network.run(network.member(index))
-		network.pass(time.Millisecond)
+		network.startNode(network.member(index))
+		network.advance(time.Millisecond)
 	}
-	network.pass(10 * time.Second)
+	network.advance(10 * time.Second)
 	_, bytes := network.measure(probes * time.Second)
 	t.Logf("%.0f bytes a node and second", bytes)
 	assert.Less(t, bytes, 1000.0)
 }
 
-// TestSeedsAreNotSwampedAtAStartOfMany starts fleets of which one is twice as large: what the
+// TestSeedTrafficGrowsLinearlyAtMassStart starts fleets of which one is twice as large: what the
 // busiest node, a seed, sends grows no faster than the fleet. Told everything, each node that
 // joins would make it grow with its square.
-func TestSeedsAreNotSwampedAtAStartOfMany(t *testing.T) {
+func TestSeedTrafficGrowsLinearlyAtMassStart(t *testing.T) {
 	sent := make(map[int]int)
 	for _, nodes := range []int{300, 600} {
-		took, bytes, busiest := herdStart(t, 1, nodes, 300*time.Millisecond)
+		took, bytes, busiest := simultaneousStart(t, 1, nodes, 300*time.Millisecond)
 		t.Logf("%d nodes: %s, %d bytes a node, %d at the busiest", nodes, took, bytes/nodes, busiest)
 		assert.Less(t, took, 4*time.Second)
 		sent[nodes] = busiest
--- a/internal/membership/poolmap.go
+++ b/internal/membership/poolmap.go
@@ -10,10 +10,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// leastShare is the least part of a pool's largest share of one router that
+// minRelativeShare is the least part of a pool's largest share of one router that
 // another router's share may be. A smaller one would own an engine too seldom
 // to be asked for the pool.
-const leastShare = 0.125
+const minRelativeShare = 0.125
 
 // EngineSite is where an engine stands and what it serves.
 type EngineSite struct {
@@ -59,7 +59,7 @@
 			m.members = append(m.members, member)
 		}
 	}
-	slices.SortFunc(m.members, compareIdentities)
+	slices.SortFunc(m.members, comparePlacementKeys)
 	counts := make(map[Location]map[fleet.PoolName]int)
 	for _, engine := range engines {
 		if counts[engine.Location] == nil {
@@ -68,14 +68,14 @@
 		counts[engine.Location][engine.Pool]++
 	}
 	for _, location := range slices.SortedFunc(maps.Keys(counts), compareLocations) {
-		m.shareLocation(location, counts[location])
+		m.assignZone(location, counts[location])
 	}
 	return m
 }
 
-// shareLocation lays out one zone's line.
-func (m *PoolMap) shareLocation(location Location, counts map[fleet.PoolName]int) {
-	routers := m.near(location)
+// assignZone lays out one zone's line.
+func (m *PoolMap) assignZone(location Location, counts map[fleet.PoolName]int) {
+	routers := m.routersFor(location)
 	if len(routers) == 0 {
 		return
 	}
@@ -87,17 +87,17 @@
 	start := 0.0
 	for _, pool := range slices.Sorted(maps.Keys(counts)) {
 		end := start + float64(counts[pool])/unit
-		shares := m.cover(routers, start, end, unit)
+		shares := m.coveringRouters(routers, start, end, unit)
 		m.sites[EngineSite{Pool: pool, Location: location}] = shares
 		m.pools[pool] = append(m.pools[pool], shares...)
 		start = end
 	}
 }
 
-// near returns the routers that share the engines of a zone.
-func (m *PoolMap) near(location Location) []Member {
+// routersFor returns the routers that share the engines of a zone.
+func (m *PoolMap) routersFor(location Location) []Member {
 	var chosen []Member
-	for distance := range proximities {
+	for distance := range proximityLevels {
 		for _, member := range m.members {
 			if location.proximity(member) == distance {
 				chosen = append(chosen, member)
@@ -110,29 +110,31 @@
 	return chosen
 }
 
-// cover returns the routers that cover a stretch of the line.
-func (m *PoolMap) cover(routers []Member, start, end, unit float64) []share {
+// coveringRouters returns the routers that coveringRouters a stretch of the line.
+func (m *PoolMap) coveringRouters(routers []Member, start, end, unit float64) []share {
 	count := float64(len(routers))
 	replicas := min(float64(m.replicas), count)
 	var shares []share
 	largest := 0.0
 	for position, member := range routers {
 		from := float64(position)
-		overlap := overlapOf(start, end, from, from+replicas) + overlapOf(start, end, from-count, from-count+replicas)
+		overlap := overlapLength(start, end, from, from+replicas) + overlapLength(start, end, from-count, from-count+replicas)
 		if overlap <= 0 {
 			continue
 		}
 		shares = append(shares, share{member: member, weight: overlap * unit})
 		largest = max(largest, overlap*unit)
 	}
-	kept := slices.DeleteFunc(slices.Clone(shares), func(s share) bool { return s.weight < leastShare*largest })
+	kept := slices.DeleteFunc(slices.Clone(shares), func(s share) bool { return s.weight < minRelativeShare*largest })
 	if len(kept) < int(replicas) {
 		return shares
 	}
 	return kept
 }
 
-func overlapOf(start, end, from, to float64) float64 { return max(min(end, to)-max(start, from), 0) }
+func overlapLength(start, end, from, to float64) float64 {
+	return max(min(end, to)-max(start, from), 0)
+}
 
 // Owners returns the routers that index an engine, best first, by weighted
 // rendezvous among those that take part in its pool in its zone.
@@ -155,9 +157,9 @@
 	scored := make([]scoredMember, 0, len(m.members))
 	serving := make(map[fleet.NodeID]bool)
 	local := 0
-	for _, part := range m.merged(pool) {
+	for _, part := range m.mergedShares(pool) {
 		serving[part.member.Node] = true
-		entry := rankEntry(key, part, near)
+		entry := scoreRouter(key, part, near)
 		if entry.proximity == 0 {
 			local++
 		}
@@ -168,16 +170,16 @@
 	}
 	for _, member := range m.members {
 		if !serving[member.Node] {
-			entry := rankEntry(key, share{member: member, weight: 1}, near)
-			entry.proximity += proximities
+			entry := scoreRouter(key, share{member: member, weight: 1}, near)
+			entry.proximity += proximityLevels
 			scored = append(scored, entry)
 		}
 	}
 	return sortScored(scored), local
 }
 
-// merged returns one share of the pool for each router.
-func (m *PoolMap) merged(pool fleet.PoolName) []share {
+// mergedShares returns one share of the pool for each router.
+func (m *PoolMap) mergedShares(pool fleet.PoolName) []share {
 	total := make(map[fleet.NodeID]float64)
 	for _, part := range m.pools[pool] {
 		total[part.member.Node] += part.weight
@@ -191,37 +193,37 @@
 	return merged
 }
 
-// rankEntry scores a router for a prefix key. Routers of other regions come
+// scoreRouter scores a router for a prefix key. Routers of other regions come
 // last; the agent's zone is preferred within bounds, see Rank.
-func rankEntry(key uint64, part share, near Location) scoredMember {
+func scoreRouter(key uint64, part share, near Location) scoredMember {
 	distance := near.proximity(part.member)
 	preference := 1.0
 	if distance == 0 {
-		preference = zoneWeight
+		preference = localZoneWeight
 	}
 	entry := part.score(key, preference)
-	if distance == proximities-1 {
+	if distance == proximityLevels-1 {
 		entry.proximity = 1
 	}
 	return entry
 }
 
 func (s share) score(key uint64, preference float64) scoredMember {
-	hash := mix(key ^ xxhash.Sum64String(s.member.identity()))
+	hash := mix(key ^ xxhash.Sum64String(s.member.placementKey()))
 	return scoredMember{member: s.member, score: weightedScore(hash, s.weight*preference)}
 }
 
-// identity is what a router's place in the map follows from. An address
+// placementKey is what a router's place in the map follows from. An address
 // outlives a restart, which a node identifier doesn't.
-func (m Member) identity() string {
+func (m Member) placementKey() string {
 	if m.Address != "" {
 		return string(m.Address)
 	}
 	return string(m.Node)
 }
 
-func compareIdentities(a, b Member) int {
-	if order := cmp.Compare(xxhash.Sum64String(a.identity()), xxhash.Sum64String(b.identity())); order != 0 {
+func comparePlacementKeys(a, b Member) int {
+	if order := cmp.Compare(xxhash.Sum64String(a.placementKey()), xxhash.Sum64String(b.placementKey())); order != 0 {
 		return order
 	}
 	return compareNodes(a, b)
--- a/internal/membership/poolmap_test.go
+++ b/internal/membership/poolmap_test.go
@@ -35,9 +35,9 @@
 	return NewPoolMap(engines, list, replicas)
 }
 
-// TestEveryEngineHasItsOwnersNearby checks that owners are routable, distinct
+// TestEngineOwnersAreDistinctAndLocal checks that owners are routable, distinct
 // and of the engine's zone while it has routers, for fleets of any shape.
-func TestEveryEngineHasItsOwnersNearby(t *testing.T) {
+func TestEngineOwnersAreDistinctAndLocal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := members(rapid.IntRange(1, 24).Draw(t, "routers"), rapid.IntRange(1, 4).Draw(t, "zones"))
 		replicas := rapid.IntRange(1, 3).Draw(t, "replicas")
@@ -94,9 +94,9 @@
 	assert.Greater(t, len(first), 1)
 }
 
-// TestRestartKeepsEnginesAndRank gives a router a new node identifier at its
+// TestRouterRestartKeepsEngineOwnership gives a router a new node identifier at its
 // old address.
-func TestRestartKeepsEnginesAndRank(t *testing.T) {
+func TestRouterRestartKeepsEngineOwnership(t *testing.T) {
 	list := members(12, 3)
 	sites := sitesAt(list, 3, 20)
 	before := mapOf(sites, list, 2)
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -10,11 +10,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// zoneWeight is how much likelier a router of the caller's own zone is to come
+// localZoneWeight is how much likelier a router of the caller's own zone is to come
 // first in Rank than a router elsewhere. It is bounded so that callers of
 // different zones still mostly agree on the router of a prefix when the zone
 // has few routers.
-const zoneWeight = 2.0
+const localZoneWeight = 2.0
 
 // Location is a zone of a region: where a member is, or where callers come from.
 type Location struct {
@@ -22,8 +22,8 @@
 	Zone   fleet.ZoneName
 }
 
-// proximities is the number of values of proximity.
-const proximities = 3
+// proximityLevels is the number of values of proximity.
+const proximityLevels = 3
 
 // proximity orders a member by its distance: 0 same zone, 1 same region, 2
 // elsewhere. A location without a region may be in any.
@@ -66,7 +66,7 @@
 		}
 		weight := 1.0
 		if zone != "" && member.Zone == zone {
-			weight = zoneWeight
+			weight = localZoneWeight
 		}
 		hash := mix(key ^ xxhash.Sum64String(string(member.Node)))
 		scored = append(scored, scoredMember{member: member, score: weightedScore(hash, weight)})
@@ -87,7 +87,7 @@
 			continue
 		}
 		entry := share{member: member, weight: 1}.score(key, 1)
-		if near.proximity(member) == proximities-1 {
+		if near.proximity(member) == proximityLevels-1 {
 			entry.proximity = 1
 		}
 		scored = append(scored, entry)
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, []int{0, 0, 1, 1, 2, 2, 2, 2}, distances)
 }
 
-func TestRankPrefersOwnZoneWithinBounds(t *testing.T) {
+func TestRankPrefersLocalZoneByWeight(t *testing.T) {
 	list := members(12, 3)
 	const keys = 6000
 	own, moved := 0, 0
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -24,32 +24,32 @@
 	SmallFleet int
 	// Candidates is the number of nodes that take a duty's lease.
 	Candidates int
-	// ReaderDepth is the number of readers of each zone that others ask in turn.
-	ReaderDepth int
-	// Origins is from which places the demand comes, in requests a second; empty if
+	// ReadersPerZone is the number of readers of each zone that others ask in turn.
+	ReadersPerZone int
+	// DemandByLocation is from which places the demand comes, in requests a second; empty if
 	// that isn't known.
-	Origins map[Location]float64
-	// Weights is by which part of their capacity members under pressure count; all others
+	DemandByLocation map[Location]float64
+	// CapacityFactors is by which part of their capacity members under pressure count; all others
 	// count whole.
-	Weights map[fleet.NodeID]float64
-	// Least is the least number of serving members of groups, by the group's place.
-	Least map[Location]int
-	// Together has all callers sent to all serving members, wherever they are.
-	Together bool
-	// CacheDepth is the number of nodes of each zone that follow its caches for others,
+	CapacityFactors map[fleet.NodeID]float64
+	// MinServingByLocation is the least number of serving members of groups, by the group's place.
+	MinServingByLocation map[Location]int
+	// SingleGroup has all callers sent to all serving members, wherever they are.
+	SingleGroup bool
+	// CacheSourcesPerZone is the number of nodes of each zone that follow its caches for others,
 	// in turn.
-	CacheDepth int
+	CacheSourcesPerZone int
 }
 
 // Defaults of RoleOptions.
 const (
-	DefaultRequestCost = 2
-	DefaultUtilization = 0.7
-	DefaultMinServing  = 6
-	DefaultSmallFleet  = 8
-	DefaultCandidates  = 3
-	DefaultReaderDepth = 3
-	DefaultCacheDepth  = 3
+	DefaultRequestCost         = 2
+	DefaultUtilization         = 0.7
+	DefaultMinServing          = 6
+	DefaultSmallFleet          = 8
+	DefaultCandidates          = 3
+	DefaultReadersPerZone      = 3
+	DefaultCacheSourcesPerZone = 3
 )
 
 // Names by which nodes are ordered for a role.
@@ -65,8 +65,8 @@
 	setDefault(&o.MinServing, DefaultMinServing)
 	setDefault(&o.SmallFleet, DefaultSmallFleet)
 	setDefault(&o.Candidates, DefaultCandidates)
-	setDefault(&o.ReaderDepth, DefaultReaderDepth)
-	setDefault(&o.CacheDepth, DefaultCacheDepth)
+	setDefault(&o.ReadersPerZone, DefaultReadersPerZone)
+	setDefault(&o.CacheSourcesPerZone, DefaultCacheSourcesPerZone)
 }
 
 // Roles says which members do what. All nodes with the same members and demand
@@ -76,8 +76,8 @@
 type Roles struct {
 	// Serving are the members that callers are sent to, sorted by node.
 	Serving []Member
-	// Small is set in a small fleet, in which all members serve and read the store.
-	Small bool
+	// SmallFleet is set in a small fleet, in which all members serve and read the store.
+	SmallFleet bool
 
 	options  RoleOptions
 	routable []Member
@@ -105,7 +105,7 @@
 	roles := &Roles{
 		options:    options,
 		routable:   view.Routable(),
-		Small:      len(view.Routable()) <= options.SmallFleet,
+		SmallFleet: len(view.Routable()) <= options.SmallFleet,
 		serving:    make(map[fleet.NodeID]bool),
 		candidates: make(map[string][]fleet.NodeID),
 	}
@@ -118,27 +118,27 @@
 	return roles
 }
 
-// weighted is a member with its rendezvous weight for a role, so that ranking
+// weightedMember is a member with its rendezvous weight for a role, so that ranking
 // hashes each name once instead of twice a comparison.
-type weighted struct {
+type weightedMember struct {
 	*Member
 	weight uint64
 }
 
-// weigh returns the members with their weights for a role.
-func weigh(role string, members []Member) []weighted {
+// withWeights returns the members with their weights for a role.
+func withWeights(role string, members []Member) []weightedMember {
 	key := xxhash.Sum64String(role)
-	all := make([]weighted, len(members))
+	all := make([]weightedMember, len(members))
 	for index := range members {
 		member := &members[index]
-		all[index] = weighted{Member: member, weight: mix(key ^ xxhash.Sum64String(string(member.Node)))}
+		all[index] = weightedMember{Member: member, weight: mix(key ^ xxhash.Sum64String(string(member.Node)))}
 	}
 	return all
 }
 
 // assignServing chooses the serving members.
 func (r *Roles) assignServing(demand float64) {
-	if r.Small {
+	if r.SmallFleet {
 		r.Serving = r.routable
 		return
 	}
@@ -151,8 +151,8 @@
 	slices.SortFunc(r.Serving, compareNodes)
 }
 
-// Serves tells whether callers are sent to a node.
-func (r *Roles) Serves(node fleet.NodeID) bool { return r.serving[node] }
+// IsServing tells whether callers are sent to a node.
+func (r *Roles) IsServing(node fleet.NodeID) bool { return r.serving[node] }
 
 // Candidates returns the nodes that take the lease of a duty: nodes outside of
 // the serving set if there are enough, so that their loss cuts no request.
@@ -162,16 +162,16 @@
 	defer r.candidatesMutex.Unlock()
 	candidates, known := r.candidates[duty]
 	if !known {
-		candidates = Owners(duty, largest(r.preferIdle(r.options.Candidates), r.options.Candidates), r.options.Candidates)
+		candidates = Owners(duty, largestMembers(r.preferNonServing(r.options.Candidates), r.options.Candidates), r.options.Candidates)
 		r.candidates[duty] = candidates
 	}
 	return candidates
 }
 
-// largest returns the members of the greatest capacity, and of the next ones until there are
+// largestMembers returns the members of the greatest capacity, and of the next ones until there are
 // so many: a holder of a duty knows all workers and gives orders to them, of which the smallest
 // machines of a large fleet can carry neither.
-func largest(members []Member, least int) []Member {
+func largestMembers(members []Member, least int) []Member {
 	ranked := slices.SortedStableFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(b.Capacity, a.Capacity) })
 	count := min(least, len(ranked))
 	for count > 0 && count < len(ranked) && ranked[count].Capacity == ranked[count-1].Capacity {
@@ -180,9 +180,9 @@
 	return ranked[:count]
 }
 
-// preferIdle returns the members outside of the serving set if there are least
+// preferNonServing returns the members outside of the serving set if there are least
 // of them, else all.
-func (r *Roles) preferIdle(least int) []Member {
+func (r *Roles) preferNonServing(least int) []Member {
 	var idle []Member
 	for _, member := range r.routable {
 		if !r.serving[member.Node] {
@@ -195,10 +195,10 @@
 	return idle
 }
 
-// Reads tells whether it is a node's role to read the store: every node of a
+// IsReader tells whether it is a node's role to read the store: every node of a
 // small fleet, else the first of each zone.
-func (r *Roles) Reads(node fleet.NodeID) bool {
-	if r.Small {
+func (r *Roles) IsReader(node fleet.NodeID) bool {
+	if r.SmallFleet {
 		return true
 	}
 	for _, ranked := range r.readers {
@@ -217,7 +217,7 @@
 	var order []fleet.NodeID
 	start := int(xxhash.Sum64String(string(self)) % uint64(max(len(r.zones), 1)))
 	zones := slices.Concat(r.zones[start:], r.zones[:start])
-	for rank := range r.options.ReaderDepth {
+	for rank := range r.options.ReadersPerZone {
 		if own := r.readers[zone]; rank < len(own) {
 			order = append(order, own[rank])
 		}
@@ -234,13 +234,13 @@
 // serving set first, the largest of them first: after a start of all, a reader tells all rows to
 // each node of its zone, and the smallest machines have a twentieth of the largest's link.
 func (r *Roles) rankReaders() {
-	byZone := make(map[fleet.ZoneName][]weighted)
-	for _, entry := range weigh(readerKey, r.routable) {
+	byZone := make(map[fleet.ZoneName][]weightedMember)
+	for _, entry := range withWeights(readerKey, r.routable) {
 		byZone[entry.Zone] = append(byZone[entry.Zone], entry)
 	}
 	r.readers = make(map[fleet.ZoneName][]fleet.NodeID, len(byZone))
 	for zone, members := range byZone {
-		slices.SortFunc(members, func(a, b weighted) int {
+		slices.SortFunc(members, func(a, b weightedMember) int {
 			if r.serving[a.Node] != r.serving[b.Node] {
 				if r.serving[b.Node] {
 					return -1
@@ -249,7 +249,7 @@
 			}
 			return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.weight, a.weight))
 		})
-		for _, entry := range members[:min(len(members), r.options.ReaderDepth)] {
+		for _, entry := range members[:min(len(members), r.options.ReadersPerZone)] {
 			r.readers[zone] = append(r.readers[zone], entry.Node)
 		}
 		r.zones = append(r.zones, zone)
@@ -262,9 +262,9 @@
 // not write to the slice.
 func (r *Roles) CacheSources(zone fleet.ZoneName) []fleet.NodeID { return r.cacheSources[zone] }
 
-// cacheMirrors is the number of nodes of a region that tell the others of it, in turn, what
+// mirrorsPerRegion is the number of nodes of a region that tell the others of it, in turn, what
 // changes in the caches of another region's zone.
-const cacheMirrors = 2
+const mirrorsPerRegion = 2
 
 // CacheMirrors returns the nodes of a region that tell the others of it, in turn, what changes
 // in the caches of a zone of another region: of those that serve, since they need it themselves.
@@ -275,18 +275,18 @@
 			near = append(near, member)
 		}
 	}
-	return Owners(fleet.EngineID(zone), near, cacheMirrors)
+	return Owners(fleet.EngineID(zone), near, mirrorsPerRegion)
 }
 
 // rankCacheSources ranks the members of each zone as sources of what its caches hold.
 func (r *Roles) rankCacheSources() {
-	byZone := make(map[fleet.ZoneName][]weighted)
-	for _, entry := range weigh(cacheKey, r.routable) {
+	byZone := make(map[fleet.ZoneName][]weightedMember)
+	for _, entry := range withWeights(cacheKey, r.routable) {
 		byZone[entry.Zone] = append(byZone[entry.Zone], entry)
 	}
 	r.cacheSources = make(map[fleet.ZoneName][]fleet.NodeID, len(byZone))
 	for zone, members := range byZone {
-		slices.SortFunc(members, func(a, b weighted) int {
+		slices.SortFunc(members, func(a, b weightedMember) int {
 			if r.serving[a.Node] != r.serving[b.Node] {
 				if r.serving[a.Node] {
 					return -1
@@ -295,39 +295,39 @@
 			}
 			return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.weight, a.weight))
 		})
-		for _, entry := range members[:min(len(members), r.options.CacheDepth)] {
+		for _, entry := range members[:min(len(members), r.options.CacheSourcesPerZone)] {
 			r.cacheSources[zone] = append(r.cacheSources[zone], entry.Node)
 		}
 	}
 }
 
-// Demand follows a rate so that the roles change seldom: up at once, down only
+// DemandTracker follows a rate so that the roles change seldom: up at once, down only
 // after the rate has been well below for a while.
-type Demand struct {
-	level   float64
-	belowAt time.Duration
-	below   bool
+type DemandTracker struct {
+	level      float64
+	belowSince time.Duration
+	below      bool
 }
 
 // Parts of Demand's hysteresis.
 const (
-	// demandStep is the factor between two levels.
-	demandStep = 1.25
-	// demandHold is how long the rate must be below before the level falls.
-	demandHold = 10 * time.Second
+	// demandLevelFactor is the factor between two levels.
+	demandLevelFactor = 1.25
+	// demandFallDelay is how long the rate must be below before the level falls.
+	demandFallDelay = 10 * time.Second
 )
 
 // Observe takes in the rate at now and returns the level to plan for.
-func (d *Demand) Observe(now time.Duration, rate float64) float64 {
+func (d *DemandTracker) Observe(now time.Duration, rate float64) float64 {
 	switch {
 	case rate > d.level:
-		d.level, d.below = rate*demandStep, false
-	case rate*demandStep*demandStep >= d.level:
+		d.level, d.below = rate*demandLevelFactor, false
+	case rate*demandLevelFactor*demandLevelFactor >= d.level:
 		d.below = false
 	case !d.below:
-		d.below, d.belowAt = true, now
-	case now >= d.belowAt+demandHold:
-		d.level, d.below = rate*demandStep, false
+		d.below, d.belowSince = true, now
+	case now >= d.belowSince+demandFallDelay:
+		d.level, d.below = rate*demandLevelFactor, false
 	}
 	return d.level
 }
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -27,13 +27,13 @@
 	return NewView(1, members[0], members)
 }
 
-func TestLargestMembersServeUntilTheirSharesAreTooLarge(t *testing.T) {
+func TestLargestMembersServeFirst(t *testing.T) {
 	view := mixedFleet(6, 73)
 	roles := Assign(view, 1650, RoleOptions{})
 	require.Len(t, roles.Serving, 6)
 	for _, member := range roles.Serving {
 		assert.EqualValues(t, 800, member.Capacity)
-		assert.True(t, roles.Serves(member.Node))
+		assert.True(t, roles.IsServing(member.Node))
 	}
 	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "before any request")
 	more := Assign(view, 1750, RoleOptions{})
@@ -54,40 +54,40 @@
 	assert.Len(t, Assign(mixedFleet(0, 5), 1e6, RoleOptions{}).Serving, 5)
 }
 
-func TestDutiesStayOutsideOfTheServingSet(t *testing.T) {
+func TestCandidatesAndReadersAreNonServing(t *testing.T) {
 	roles := Assign(mixedFleet(6, 73), 300, RoleOptions{})
 	candidates := roles.Candidates("duty")
 	require.Len(t, candidates, DefaultCandidates)
 	for _, node := range candidates {
-		assert.False(t, roles.Serves(node))
+		assert.False(t, roles.IsServing(node))
 	}
 	order := roles.ReaderOrder("z1", "self")
 	require.Len(t, order, 9)
 	readers := 0
 	for _, node := range order {
-		assert.False(t, roles.Serves(node))
+		assert.False(t, roles.IsServing(node))
 	}
 	for number := range 79 {
-		if roles.Reads(fleet.NodeID(fmt.Sprintf("node-%03d", number))) {
+		if roles.IsReader(fleet.NodeID(fmt.Sprintf("node-%03d", number))) {
 			readers++
 		}
 	}
 	assert.Equal(t, 3, readers, "one a zone")
-	assert.True(t, roles.Reads(order[0]))
+	assert.True(t, roles.IsReader(order[0]))
 	assert.ElementsMatch(t, order, roles.ReaderOrder("z2", "self"))
 	assert.NotEqual(t, order[0], roles.ReaderOrder("z2", "self")[0], "the own zone first")
 }
 
-func TestSmallFleetReadsAndServesWithAllMembers(t *testing.T) {
+func TestSmallFleetUsesAllMembers(t *testing.T) {
 	roles := Assign(mixedFleet(0, 7), 100, RoleOptions{})
-	assert.True(t, roles.Small)
-	assert.True(t, roles.Reads("node-000"))
+	assert.True(t, roles.SmallFleet)
+	assert.True(t, roles.IsReader("node-000"))
 	assert.Len(t, roles.Serving, 7)
 	assert.Len(t, roles.Candidates("duty"), DefaultCandidates)
 }
 
-func TestDemandRisesAtOnceAndFallsLate(t *testing.T) {
-	var demand Demand
+func TestDemandRisesImmediatelyAndFallsDelayed(t *testing.T) {
+	var demand DemandTracker
 	assert.Equal(t, 125.0, demand.Observe(0, 100))
 	assert.Equal(t, 125.0, demand.Observe(time.Second, 120))
 	assert.Equal(t, 250.0, demand.Observe(2*time.Second, 200))
@@ -111,14 +111,14 @@
 	assert.Empty(t, Difference(before, before))
 }
 
-// TestLargestMembersTakeDuties: among hundreds of small ones that rest, the few large ones do.
-func TestLargestMembersTakeDuties(t *testing.T) {
+// TestCandidatesAreLargestMembers: among hundreds of small ones that rest, the few large ones do.
+func TestCandidatesAreLargestMembers(t *testing.T) {
 	for _, large := range []int{12, 40} {
 		roles := Assign(mixedFleet(large, 300), 100, RoleOptions{})
 		candidates := roles.Candidates("duty")
 		require.Len(t, candidates, DefaultCandidates)
 		for _, candidate := range candidates {
-			assert.False(t, roles.Serves(candidate))
+			assert.False(t, roles.IsServing(candidate))
 			found := 0
 			for _, member := range roles.routable {
 				if member.Node == candidate {
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestNodesWhoseReaderFailsAskDifferentOnes: each other zone's reader gets a like part of them,
+// TestFallbackReadersAreSpread: each other zone's reader gets a like part of them,
 // and each node keeps to its order.
-func TestNodesWhoseReaderFailsAskDifferentOnes(t *testing.T) {
+func TestFallbackReadersAreSpread(t *testing.T) {
 	var members []Member
 	for number := range 500 {
 		members = append(members, Member{
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -12,14 +12,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// zoned is the members of one zone by their capacities in thousandths of a core.
-type zoned struct {
+// zoneMembers is the members of one zone by their capacities in thousandths of a core.
+type zoneMembers struct {
 	place      Location
 	capacities []uint32
 }
 
 // fleetOf returns a view of members of zones.
-func fleetOf(zones ...zoned) *View {
+func fleetOf(zones ...zoneMembers) *View {
 	var members []Member
 	for _, zone := range zones {
 		for number, capacity := range zone.capacities {
@@ -49,13 +49,13 @@
 	shares := make(map[fleet.NodeID]float64)
 	answerers := 0.0
 	for _, member := range roles.routable {
-		if member.place() != from {
+		if member.location() != from {
 			continue
 		}
 		answerers++
-		answer := roles.Answer(from, member.Node, always)
+		answer := roles.RoutersFor(from, member.Node, always)
 		require.NotEmpty(t, answer)
-		require.LessOrEqual(t, len(answer), MaxAnswer)
+		require.LessOrEqual(t, len(answer), MaxRouters)
 		for _, named := range answer {
 			shares[named.Node] += 1 / float64(len(answer))
 		}
@@ -83,21 +83,21 @@
 	southD = Location{"south", "d"}
 )
 
-func TestCallersAreSentToTheirZoneWhileItCarriesThem(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(10, 200)}, zoned{northB, equal(10, 200)}, zoned{southC, equal(10, 200)})
-	roles := Assign(view, 150, RoleOptions{Utilization: 0.5, Origins: map[Location]float64{northA: 90, northB: 40, southC: 20}})
+func TestCallersStayInZoneWithinCapacity(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
+	roles := Assign(view, 150, RoleOptions{Utilization: 0.5, DemandByLocation: map[Location]float64{northA: 90, northB: 40, southC: 20}})
 	assert.Len(t, roles.Serving, 6, "two of 200 carry 100 requests a second")
 	for _, from := range []Location{northA, northB, southC} {
 		assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, from))[from.Zone], 1e-9)
 	}
 }
 
-func TestCallersOfManyZonesAreSentToTheirRegion(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(5, 200)}, zoned{northB, equal(5, 200)}, zoned{southC, equal(5, 200)}, zoned{southD, equal(5, 200)})
+func TestCallersStayInRegionWhenZonesAreTooMany(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)}, zoneMembers{southD, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{Utilization: 0.5})
 	assert.Len(t, roles.Serving, 6, "four zones with two each would be eight")
 	for _, from := range []Location{northA, northB, southC, southD} {
-		for _, named := range roles.Answer(from, roles.Serving[0].Node, always) {
+		for _, named := range roles.RoutersFor(from, roles.Serving[0].Node, always) {
 			assert.Equal(t, from.Region, named.Region)
 		}
 	}
@@ -112,12 +112,12 @@
 	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northA))["a"], 1e-9, "enough serve for each zone")
 }
 
-// TestZoneThatIsFullIsRelievedByItsRegion has a zone's callers ask for more than all its
+// TestZoneOverflowGoesToSameRegion has a zone's callers ask for more than all its
 // members carry.
-func TestZoneThatIsFullIsRelievedByItsRegion(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(4, 200)}, zoned{northB, equal(20, 200)}, zoned{southC, equal(20, 200)})
+func TestZoneOverflowGoesToSameRegion(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
-	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, Origins: origins})
+	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	byZone := sharesByZone(view, expectedShares(t, roles, northA))
 	assert.InDelta(t, 0.5, byZone["a"], 0.02, "four carry 200 of 400")
 	assert.InDelta(t, 0.5, byZone["b"], 0.02)
@@ -132,27 +132,27 @@
 	assert.GreaterOrEqual(t, carried, 300.0, "its own and those that come")
 }
 
-// TestRelievedZoneDoesNotSeemToNeedLess has the part that others take stay the zone's own.
-func TestRelievedZoneDoesNotSeemToNeedLess(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(4, 200)}, zoned{northB, equal(20, 200)}, zoned{southC, equal(20, 200)})
+// TestOverflowIsAttributedToOriginZone has the part that others take stay the zone's own.
+func TestOverflowIsAttributedToOriginZone(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
-	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, Origins: origins})
-	again := roles.Origins(map[Location]float64{northA: 200, northB: 300, southC: 100})
+	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
+	again := roles.DemandByOrigin(map[Location]float64{northA: 200, northB: 300, southC: 100})
 	for place, rate := range origins {
 		assert.InDelta(t, rate, again[place], 1, place)
 	}
-	unplanned := roles.Origins(map[Location]float64{{"east", "e"}: 5})
+	unplanned := roles.DemandByOrigin(map[Location]float64{{"east", "e"}: 5})
 	assert.Equal(t, map[Location]float64{{"east", "e"}: 5}, unplanned)
 }
 
-// TestLostRegionIsTakenOverByRoom has a region's members vanish while its callers go on.
-func TestLostRegionIsTakenOverByRoom(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(20, 200)}, zoned{northB, equal(8, 200)})
+// TestLostRegionOverflowsBySpareCapacity has a region's members vanish while its callers go on.
+func TestLostRegionOverflowsBySpareCapacity(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(20, 200)}, zoneMembers{northB, equal(8, 200)})
 	origins := map[Location]float64{northA: 100, northB: 350, southC: 500}
-	roles := Assign(view, 950, RoleOptions{Utilization: 0.5, Origins: origins})
+	roles := Assign(view, 950, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	parts := map[fleet.ZoneName]float64{}
 	for _, member := range view.Members() {
-		answer := roles.Answer(southC, member.Node, always)
+		answer := roles.RoutersFor(southC, member.Node, always)
 		require.NotEmpty(t, answer)
 		for _, named := range answer {
 			parts[named.Zone] += 1 / float64(len(answer)*len(view.Members()))
@@ -161,19 +161,19 @@
 	assert.InDelta(t, 0.9, parts["a"], 0.05, "900 free there, 50 in the other")
 	flow := 0.0
 	for from, group := range roles.plan.groups {
-		if to, found := roles.plan.byPlace[northB]; found {
+		if to, found := roles.plan.byLocation[northB]; found {
 			flow += group.demand * roles.plan.flows[from][to]
 		}
 	}
 	assert.LessOrEqual(t, flow, 400.0, "no zone gets more than it carries")
 }
 
-// TestPlanKeepsItsBounds plans for random fleets: each caller goes somewhere, nobody gets
+// TestPlanRespectsCapacity plans for random fleets: each caller goes somewhere, nobody gets
 // more than it carries while others have room, and all that is asked for is carried.
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanRespectsCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 500 {
-		var zones []zoned
+		var zones []zoneMembers
 		origins := map[Location]float64{}
 		members, total := 0, 0.0
 		for zone := range 1 + random.IntN(6) {
@@ -181,14 +181,14 @@
 			origins[place] = random.Float64() * 500
 			total += origins[place]
 			if count := random.IntN(20); count > 0 {
-				zones = append(zones, zoned{place, equal(count, uint32(100+random.IntN(800)))})
+				zones = append(zones, zoneMembers{place, equal(count, uint32(100+random.IntN(800)))})
 				members += count
 			}
 		}
 		if members <= DefaultSmallFleet {
 			continue
 		}
-		plan := Assign(fleetOf(zones...), total, RoleOptions{Utilization: 0.5, Origins: origins}).plan
+		plan := Assign(fleetOf(zones...), total, RoleOptions{Utilization: 0.5, DemandByLocation: origins}).plan
 		capacity := 0.0
 		for _, group := range plan.groups {
 			capacity += group.capacity
@@ -199,7 +199,7 @@
 				incoming += plan.groups[from].demand * plan.flows[from][to]
 			}
 			for _, entry := range group.members[:group.serving] {
-				carried += plan.options.carries(entry.Member)
+				carried += plan.options.sustainableRate(entry.Member)
 			}
 			if total <= capacity {
 				require.LessOrEqual(t, incoming, group.capacity+0.01)
@@ -214,23 +214,23 @@
 	}
 }
 
-func TestMembersUnderPressureCountLess(t *testing.T) {
-	view := fleetOf(zoned{northA, equal(10, 200)}, zoned{northB, equal(10, 200)}, zoned{southC, equal(10, 200)})
+func TestMembersUnderPressureGetFewerCallers(t *testing.T) {
+	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
 	before := Assign(view, 90, RoleOptions{Utilization: 0.5})
-	busy := before.Answer(northA, view.Members()[0].Node, always)[0].Node
-	after := Assign(view, 240, RoleOptions{Utilization: 0.5, Weights: map[fleet.NodeID]float64{busy: 0.5}})
+	busy := before.RoutersFor(northA, view.Members()[0].Node, always)[0].Node
+	after := Assign(view, 240, RoleOptions{Utilization: 0.5, CapacityFactors: map[fleet.NodeID]float64{busy: 0.5}})
 	shares := expectedShares(t, after, northA)
 	assert.Less(t, shares[busy], 0.51*0.5, "a half of what it got")
-	assert.True(t, after.Serves(busy), "it isn't replaced: that would move all that it knows")
+	assert.True(t, after.IsServing(busy), "it isn't replaced: that would move all that it knows")
 	for _, member := range before.Serving {
-		assert.True(t, after.Serves(member.Node))
+		assert.True(t, after.IsServing(member.Node))
 	}
 }
 
 func BenchmarkPlanServing(b *testing.B) {
-	var zones []zoned
+	var zones []zoneMembers
 	for zone := range 13 {
-		zones = append(zones, zoned{Location{fleet.RegionName(fmt.Sprint("r", zone%6)), fleet.ZoneName(fmt.Sprint("z", zone))}, equal(52, 200)})
+		zones = append(zones, zoneMembers{Location{fleet.RegionName(fmt.Sprint("r", zone%6)), fleet.ZoneName(fmt.Sprint("z", zone))}, equal(52, 200)})
 	}
 	view := fleetOf(zones...)
 	b.Run("assign at 676 members", func(b *testing.B) {
@@ -241,14 +241,14 @@
 	roles := Assign(view, 5000, RoleOptions{Utilization: 0.5})
 	b.Run("answer at 676 members", func(b *testing.B) {
 		for b.Loop() {
-			roles.Answer(Location{"r0", "z0"}, view.Members()[3].Node, always)
+			roles.RoutersFor(Location{"r0", "z0"}, view.Members()[3].Node, always)
 		}
 	})
 }
 
-// TestGroupsGrowAtOnceAndShrinkLate has a zone's need vary by chance.
-func TestGroupsGrowAtOnceAndShrinkLate(t *testing.T) {
-	var hold SizeHold
+// TestGroupsGrowImmediatelyAndShrinkDelayed has a zone's need vary by chance.
+func TestGroupsGrowImmediatelyAndShrinkDelayed(t *testing.T) {
+	var hold SizeHysteresis
 	at := func(now time.Duration, need int) int {
 		return hold.Observe(now, 100, map[Location]int{northA: need})[northA]
 	}
@@ -264,8 +264,8 @@
 	assert.Equal(t, 7, at(43*time.Second, 7))
 	assert.Equal(t, 2, hold.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "the demand has been lower for a while")
 	assert.NotContains(t, hold.Observe(45*time.Second, 50, nil), northA, "a group that is gone is forgotten")
-	view := fleetOf(zoned{northA, equal(10, 200)}, zoned{northB, equal(10, 200)}, zoned{southC, equal(10, 200)})
-	roles := Assign(view, 60, RoleOptions{Least: map[Location]int{northA: 4, southC: 99}})
+	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
+	roles := Assign(view, 60, RoleOptions{MinServingByLocation: map[Location]int{northA: 4, southC: 99}})
 	assert.Equal(t, map[Location]int{northA: 2, northB: 2, southC: 2}, roles.Needed())
 	assert.Len(t, roles.Serving, 4+2+10)
 }
--- a/internal/membership/sizehold.go
+++ b/internal/membership/sizehold.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// SizeHold keeps groups from shrinking soon: a member that begins to serve reads what all
+// SizeHysteresis keeps groups from shrinking soon: a member that begins to serve reads what all
 // caches hold, and its callers leave it when it ends. Its zero value holds nothing. It isn't
 // safe for concurrent use.
-type SizeHold struct {
+type SizeHysteresis struct {
 	sizes  map[Location]heldSize
 	demand float64
 }
 
 // heldSize is a group's size, and the largest need since it was last as large.
 type heldSize struct {
-	size, lower int
-	lowerSince  time.Duration
+	size, maxNeed int
+	windowStart   time.Duration
 }
 
-// sizeHold is how long a group's need must have been lower until it shrinks to the largest
+// shrinkDelay is how long a group's need must have been lower until it shrinks to the largest
 // need of that time.
-const sizeHold = 20 * time.Second
+const shrinkDelay = 20 * time.Second
 
 // Observe takes in at now what groups need at a planned demand, and returns the least sizes to
 // keep. The map isn't written to again. A planned demand that falls has been lower for a while
 // already: nothing is kept then.
-func (h *SizeHold) Observe(now time.Duration, demand float64, needed map[Location]int) map[Location]int {
+func (h *SizeHysteresis) Observe(now time.Duration, demand float64, needed map[Location]int) map[Location]int {
 	if demand < h.demand {
 		h.sizes = nil
 	}
@@ -34,11 +34,11 @@
 		held := h.sizes[place]
 		switch {
 		case need >= held.size:
-			held = heldSize{size: need, lowerSince: now}
-		case now >= held.lowerSince+sizeHold:
-			held = heldSize{size: max(held.lower, need), lowerSince: now}
+			held = heldSize{size: need, windowStart: now}
+		case now >= held.windowStart+shrinkDelay:
+			held = heldSize{size: max(held.maxNeed, need), windowStart: now}
 		default:
-			held.lower = max(held.lower, need)
+			held.maxNeed = max(held.maxNeed, need)
 		}
 		kept[place], least[place] = held, held.size
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -35,13 +35,13 @@
 	}
 }
 
-func compareRecordNode(r *record, node fleet.NodeID) int {
+func compareRecordToNode(r *record, node fleet.NodeID) int {
 	return compareNodes(r.Member, Member{Node: node})
 }
 
 func (t *table) insert(member Member, now time.Duration) *record {
 	added := &record{Member: member, stateSince: now}
-	index, _ := slices.BinarySearchFunc(t.sorted, member.Node, compareRecordNode)
+	index, _ := slices.BinarySearchFunc(t.sorted, member.Node, compareRecordToNode)
 	t.sorted = slices.Insert(t.sorted, index, added)
 	t.byNode[member.Node] = added
 	return added
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -16,9 +16,9 @@
 // maxNameBytes bounds every name taken from a message.
 const maxNameBytes = 256
 
-// packedFrom is the number of updates from which on they are packed: a message with news
+// minPackedUpdates is the number of updates from which on they are packed: a message with news
 // carries no more than DefaultMaxUpdates, and is too short to gain by it.
-const packedFrom = DefaultMaxUpdates + 1
+const minPackedUpdates = DefaultMaxUpdates + 1
 
 // maxListBytes bounds a list of members, uncompressed: some 40,000.
 const maxListBytes = 4 << 20
@@ -45,7 +45,7 @@
 // doesn't passes them over, and learns of the members by the answers to its own messages.
 func (m *Message) EncodePacked() (*rpc.GossipMessage, error) {
 	encoded := m.Encode()
-	if len(encoded.GetUpdates()) < packedFrom {
+	if len(encoded.GetUpdates()) < minPackedUpdates {
 		return encoded, nil
 	}
 	content, err := packed.Pack(&rpc.MemberList{Members: encoded.GetUpdates()})
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -21,14 +21,14 @@
 	}
 }
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	sent := sampleMessage()
 	received, err := DecodeMessage(sent.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, sent, received)
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*rpc.GossipMessage){
 		"no sender":    func(m *rpc.GossipMessage) { m.Sender = nil },
 		"dead sender":  func(m *rpc.GossipMessage) { m.Sender.State = rpc.MemberState_MEMBER_STATE_DEAD },
@@ -60,15 +60,15 @@
 		if err != nil {
 			return
 		}
-		core := newNetwork(t, 1, 2).run(members(1, 2)[0]).core
+		core := newNetwork(t, 1, 2).startNode(members(1, 2)[0]).core
 		for _, answer := range core.Receive(1, message) {
 			assert.NotEmpty(t, answer.To)
 		}
 	})
 }
 
-// TestLongListsTravelPacked, and short ones as before, also to nodes that know nothing of it.
-func TestLongListsTravelPacked(t *testing.T) {
+// TestLongMemberListsArePacked, and short ones as before, also to nodes that know nothing of it.
+func TestLongMemberListsArePacked(t *testing.T) {
 	message := Message{Kind: Join, Sender: Member{Node: "n", Address: "127.0.0.1:1", State: Alive}}
 	for number := range 1000 {
 		message.Updates = append(message.Updates, Member{
