--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -6,20 +6,20 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// broadcast is one record that is still passed on.
+// broadcast is a record that is still being piggybacked.
 type broadcast struct {
 	node          fleet.NodeID
 	transmissions int
 }
 
-// broadcastQueue holds the records to piggyback, most often sent first: the
-// end of the slice is sent next.
+// broadcastQueue holds the records to piggyback, those sent most often first. The end of the slice
+// is sent next.
 type broadcastQueue struct {
 	entries []broadcast
 	queued  map[fleet.NodeID]bool
 }
 
-// push makes a changed record the next to be sent and starts its count anew.
+// push makes a changed record the next to be sent and resets its number of transmissions.
 func (q *broadcastQueue) push(node fleet.NodeID) {
 	if q.queued == nil {
 		q.queued = make(map[fleet.NodeID]bool)
@@ -31,8 +31,8 @@
 	q.entries = append(q.entries, broadcast{node: node})
 }
 
-// take returns up to count nodes and counts a transmission of each; a node
-// sent limit times is dropped.
+// take returns up to count nodes and counts a transmission of each. Nodes sent limit times are
+// removed.
 func (q *broadcastQueue) take(count, limit int) []fleet.NodeID {
 	count = min(count, len(q.entries))
 	if count <= 0 {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Core is the membership state machine of one node. It isn't safe for
-// concurrent use; its views are.
+// Core is the membership state machine of one node. It is not safe for concurrent use; its views
+// are.
 type Core struct {
 	options Options
 	random  *rand.Rand
@@ -18,7 +18,7 @@
 	queue   broadcastQueue
 	outbox  []Message
 
-	// live counts the members that aren't dead, self included, by region.
+	// live counts the members that are not dead, including self, by region. liveTotal is their sum.
 	live      map[fleet.RegionName]int
 	liveTotal int
 	suspects  int
@@ -39,15 +39,15 @@
 	nextDeadProbe   time.Duration
 	nextSeedProbe   time.Duration
 	nextExchange    time.Duration
-	// remainingRejoins counts the whole exchanges that a node which has just joined still makes
-	// soon, rejoinLive is the number of members at the last one that knew of more than
-	// the one before, and quietRejoins counts those since.
+	// remainingRejoins is the number of early full exchanges that are left after a join.
+	// rejoinLiveTotal is the largest number of live members seen by them, and unchangedRejoins
+	// counts the latest of them that found no more.
 	remainingRejoins int
 	rejoinLiveTotal  int
 	unchangedRejoins int
 }
 
-// New returns a core that knows itself alone.
+// New returns a core whose only member is the node itself.
 func New(options Options) *Core {
 	options.setDefaults()
 	self := options.Self
@@ -66,16 +66,16 @@
 	return core
 }
 
-// Self returns this node's own record.
+// Self returns the record of this node.
 func (c *Core) Self() Member { return c.self }
 
-// Version rises with each change of the membership.
+// Version returns a number that increases with each change of the membership.
 func (c *Core) Version() uint64 { return c.version }
 
-// HasChangedSince tells whether the membership has changed since the given version.
+// HasChangedSince reports whether the membership has changed since the given version.
 func (c *Core) HasChangedSince(since uint64) bool { return c.version > since }
 
-// Members returns all members that aren't dead, self included, sorted by node.
+// Members returns all members that are not dead, including self, sorted by node.
 func (c *Core) Members() []Member { return c.View().Members() }
 
 // View returns a snapshot of the membership.
@@ -86,8 +86,8 @@
 	return c.view
 }
 
-// NextWake returns when Tick has to be called next. It changes with every call
-// of Tick, Receive, Join and Leave.
+// NextWake returns when Tick must be called next. Every call of Tick, Receive, Join and Leave may
+// change it.
 func (c *Core) NextWake() time.Duration {
 	wake := c.nextProbe
 	if c.probe.active && !c.probe.indirectSent {
@@ -102,7 +102,8 @@
 	return wake
 }
 
-// Tick does what is due and returns the messages to send. Calling it early is harmless.
+// Tick performs the work that is due and returns the messages to send. Calling it early is
+// harmless.
 func (c *Core) Tick(now time.Duration) []Message {
 	c.compensateStall(now)
 	c.retryJoin(now)
@@ -121,8 +122,8 @@
 	return c.flush()
 }
 
-// Receive takes one message in and returns the messages to send. The last one
-// that goes to the sender answers it.
+// Receive processes one message and returns the messages to send. The last one addressed to the
+// sender is the answer.
 func (c *Core) Receive(now time.Duration, message Message) []Message {
 	sender := message.Sender
 	if sender.Node == "" || sender.Node == c.self.Node {
@@ -149,7 +150,7 @@
 	return c.flush()
 }
 
-// Leave announces a planned stop. The node goes on answering until it exits.
+// Leave announces a planned stop. The node continues to answer until it exits.
 func (c *Core) Leave(now time.Duration) []Message {
 	if c.self.State == Leaving {
 		return nil
@@ -162,8 +163,8 @@
 	return c.flush()
 }
 
-// compensateStall moves the deadlines of others by the time that this process was
-// frozen, so that a thawed node doesn't blame its peers.
+// compensateStall extends suspicion deadlines by the time that this process was paused, so that a
+// resumed node does not declare its peers dead.
 func (c *Core) compensateStall(now time.Duration) {
 	stall := now - c.NextWake()
 	if c.nextProbe == 0 || stall <= c.options.ProbeInterval {
@@ -182,7 +183,7 @@
 	return known && record.State != Dead
 }
 
-// liveMembers returns the members that aren't dead, self included, sorted by node.
+// liveMembers returns the members that are not dead, including self, sorted by node.
 func (c *Core) liveMembers() []Member {
 	members := make([]Member, 0, c.liveTotal)
 	position := 0
@@ -198,13 +199,13 @@
 	return slices.Insert(members, position, c.self)
 }
 
-// send queues a message with piggybacked updates. The receiver is told first
-// what is believed of it, so that it can refute.
+// send queues a message with piggybacked updates. The receiver's own record comes first unless it
+// is alive, so that the receiver can refute it.
 func (c *Core) send(kind Kind, to Member, target fleet.NodeID) {
 	var updates []Member
 	if record, known := c.table.byNode[to.Node]; known && record.State != Alive {
 		updates = append(updates, record.Member)
-	} else if incarnation, buried := c.table.tombstones[to.Node]; buried && !known {
+	} else if incarnation, hasTombstone := c.table.tombstones[to.Node]; hasTombstone && !known {
 		to.Incarnation, to.State = incarnation, Dead
 		updates = append(updates, to)
 	}
@@ -220,7 +221,7 @@
 	c.outbox = append(c.outbox, Message{Kind: kind, To: to.Address, Target: target, Updates: updates})
 }
 
-// flush returns the queued messages, each with this node's newest own record.
+// flush returns the queued messages, each with this node's current record as the sender.
 func (c *Core) flush() []Message {
 	messages := c.outbox
 	c.outbox = nil
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -22,7 +22,7 @@
 	crashed := network.all[7]
 	crashed.down = true
 	took := network.advanceUntil(30*time.Second, func() bool { return network.allSee(crashed, Dead) })
-	t.Logf("crash known to all of 50 after %s", took)
+	t.Logf("crash detected by all 50 members after %s", took)
 	assert.True(t, network.converged())
 }
 
@@ -34,7 +34,7 @@
 		network.all[index].down = true
 	}
 	took := network.advanceUntil(time.Minute, network.converged)
-	t.Logf("10 of 120 members lost at once, known to all after %s", took)
+	t.Logf("simultaneous loss of 10 of 120 members detected by all after %s", took)
 }
 
 func TestOneWayPartitionDeclaresNoMemberDead(t *testing.T) {
@@ -68,9 +68,9 @@
 	network.advance(5 * time.Second)
 	leaving := network.all[11]
 	network.send(leaving, leaving.core.Leave(network.now))
-	knows := func() bool { return network.allSee(leaving, Leaving, Dead) }
-	took := network.advanceUntil(2*time.Second, knows)
-	t.Logf("planned leave known to all of 200 after %s", took)
+	allNotified := func() bool { return network.allSee(leaving, Leaving, Dead) }
+	took := network.advanceUntil(2*time.Second, allNotified)
+	t.Logf("planned leave known to all 200 members after %s", took)
 	leaving.down = true
 	network.advanceUntil(time.Minute, func() bool { return network.allSee(leaving, Dead) })
 }
@@ -79,20 +79,20 @@
 	network := newNetwork(t, 7, 2)
 	network.startConverged(20)
 	network.advance(5 * time.Second)
-	frozen := network.all[4]
-	frozen.paused = true
-	network.advanceUntil(time.Minute, func() bool { return network.allSee(frozen, Dead) })
+	paused := network.all[4]
+	paused.paused = true
+	network.advanceUntil(time.Minute, func() bool { return network.allSee(paused, Dead) })
 	network.advance(time.Minute)
-	before := frozen.core.Self().Incarnation
-	network.resume(frozen)
+	before := paused.core.Self().Incarnation
+	network.resume(paused)
 	for range 300 {
 		network.advance(100 * time.Millisecond)
 		for _, x := range network.all {
-			require.True(t, x == frozen || network.allSee(x, Alive, Suspect))
+			require.True(t, x == paused || network.allSee(x, Alive, Suspect))
 		}
 	}
 	require.True(t, network.converged())
-	assert.Greater(t, frozen.core.Self().Incarnation, before)
+	assert.Greater(t, paused.core.Self().Incarnation, before)
 }
 
 func TestSimultaneousRestartConverges(t *testing.T) {
@@ -113,7 +113,7 @@
 	old := network.all[5]
 	network.restart(5, "-second")
 	took := network.advanceUntil(20*time.Second, func() bool { return network.allSee(old, Dead) })
-	t.Logf("replacement known to all of 10 after %s", took)
+	t.Logf("replacement known to all 10 members after %s", took)
 }
 
 func TestRegionPartitionHealsAfterAnHour(t *testing.T) {
@@ -121,15 +121,15 @@
 	network.startConverged(36)
 	network.clearSeeds()
 	network.advance(5 * time.Second)
-	cut := network.all[0].core.Self().Region
-	network.blocked = func(from, to Member) bool { return (from.Region == cut) != (to.Region == cut) }
+	partitioned := network.all[0].core.Self().Region
+	network.blocked = func(from, to Member) bool { return (from.Region == partitioned) != (to.Region == partitioned) }
 	separated := func() bool {
 		return len(network.all[0].core.Members()) == 6 && len(network.all[1].core.Members()) == 30
 	}
-	t.Logf("cut seen after %s", network.advanceUntil(5*time.Minute, separated))
+	t.Logf("partition detected after %s", network.advanceUntil(5*time.Minute, separated))
 	network.advance(time.Hour)
 	network.blocked = nil
-	t.Logf("healed %s after the cut ended", network.advanceUntil(time.Minute, network.converged))
+	t.Logf("membership converged %s after the partition ended", network.advanceUntil(time.Minute, network.converged))
 }
 
 func TestOldIncarnationIsRejected(t *testing.T) {
@@ -144,14 +144,14 @@
 	dead.State = Dead
 	core.merge(time.Second, dead, near)
 	core.merge(2*time.Second, gone, near)
-	assert.False(t, core.isLive(gone.Node), "an equal incarnation came back")
+	assert.False(t, core.isLive(gone.Node), "an equal incarnation resurrected the member")
 	core.table.expireDead(24 * time.Hour)
 	require.NotContains(t, core.table.byNode, gone.Node)
 	for incarnation := range gone.Incarnation + 1 {
 		claim := gone
 		claim.Incarnation = incarnation
 		core.merge(25*time.Hour, claim, claimSource{complete: true})
-		require.False(t, core.isLive(gone.Node), "an old incarnation came back after it was forgotten")
+		require.False(t, core.isLive(gone.Node), "an old incarnation resurrected an expired member")
 	}
 	gone.Incarnation++
 	core.merge(25*time.Hour, gone, near)
--- a/internal/membership/answer.go
+++ b/internal/membership/discovery.go
@@ -8,22 +8,24 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// MaxRouters bounds the addresses of one answer to a caller.
+// MaxRouters is the maximum number of routers returned to a caller.
 const MaxRouters = 64
 
-// candidateShare is a serving member and the part of the callers that are to go to it.
+// candidateShare is a serving member and the fraction of callers to send to it.
 type candidateShare struct {
 	member Member
 	share  float64
 }
 
-// RoutersFor returns the members that a caller of a place is told by the member answerer.
-// Callers take one of them by chance for each connection. So a member with a smaller share
-// is in the answers of fewer answerers: those of a place divide the shares among themselves
-// evenly, and each gives the same answer as long as nothing changes, since a caller leaves
-// connections to a member that a new answer lacks. alive tells whether a serving member can
-// be reached; where fewer than half of all can, and none of those that the caller is sent to,
-// the answerer itself is taken to be cut off, and its word on others doesn't count.
+// RoutersFor returns the members that answerer returns to a caller at the given location. A caller
+// picks one of them at random for each connection, so a member with a smaller share is returned by
+// fewer answerers: the answerers of a zone divide the shares evenly among themselves. An answerer
+// returns the same members while nothing changes, because callers close connections to members that
+// are missing from a new answer.
+//
+// alive reports whether a serving member is reachable. If fewer than half of all serving members
+// are, and none of those selected for the caller, the answerer assumes that it is partitioned
+// itself and ignores alive.
 func (r *Roles) RoutersFor(from Location, answerer fleet.NodeID, alive func(Member) bool) []Member {
 	shares := r.filterReachable(r.callerShares(from), alive)
 	chosen := systematicSample(shares, r.sampleOffset(answerer))
@@ -37,9 +39,8 @@
 	return answer
 }
 
-// withFallback adds the nearest other serving member to an answer that is too short: a caller
-// whose only address fails would have none until it asks again. Answerers differ in whom they
-// add, so that nobody is flooded.
+// withFallback adds the nearest other reachable serving member to an answer that is too short for a
+// caller to fail over. Different answerers add different members, to spread the load.
 func (r *Roles) withFallback(answer []Member, from Location, answerer fleet.NodeID, alive func(Member) bool) []Member {
 	var reserve *Member
 	distance := func(member *Member) int {
@@ -70,10 +71,11 @@
 	return append(answer, *reserve)
 }
 
-// filterReachable leaves out the members that can't be reached.
+// filterReachable returns the shares of reachable members. If there are none, it returns all
+// reachable serving members or, if these are fewer than half of all, the shares unfiltered.
 func (r *Roles) filterReachable(shares []candidateShare, alive func(Member) bool) []candidateShare {
-	if near := slices.DeleteFunc(slices.Clone(shares), func(c candidateShare) bool { return !alive(c.member) }); hasShare(near) {
-		return near
+	if kept := slices.DeleteFunc(slices.Clone(shares), func(c candidateShare) bool { return !alive(c.member) }); hasShare(kept) {
+		return kept
 	}
 	var others []candidateShare
 	for _, member := range r.Serving {
@@ -91,13 +93,13 @@
 	return slices.ContainsFunc(shares, func(c candidateShare) bool { return c.share > 0 })
 }
 
-// memberWeight returns a member's weight among all; equal ones as long as no capacity is known.
+// memberWeight returns a positive weight that is proportional to a member's effective capacity.
 func (r *Roles) memberWeight(member Member) float64 {
 	return max(r.options.effectiveCapacity(&member), math.SmallestNonzeroFloat32)
 }
 
-// callerShares returns the serving members with the parts of a place's callers that go to them,
-// sorted by node.
+// callerShares returns the serving members with their shares of a location's callers, sorted by
+// node.
 func (r *Roles) callerShares(from Location) []candidateShare {
 	shares := make([]candidateShare, 0, len(r.Serving))
 	if r.plan == nil {
@@ -106,27 +108,28 @@
 		}
 		return shares
 	}
-	parts := r.plan.callerFractions(from)
+	fractions := r.plan.callerFractions(from)
 	for index, group := range r.plan.groups {
 		total := 0.0
 		for _, entry := range group.members[:group.serving] {
 			total += r.memberWeight(*entry.Member)
 		}
 		for _, entry := range group.members[:group.serving] {
-			shares = append(shares, candidateShare{member: *entry.Member, share: parts[index] * r.memberWeight(*entry.Member) / total})
+			shares = append(shares, candidateShare{member: *entry.Member, share: fractions[index] * r.memberWeight(*entry.Member) / total})
 		}
 	}
 	slices.SortFunc(shares, func(a, b candidateShare) int { return compareNodes(a.member, b.member) })
 	return shares
 }
 
-// callerFractions returns which part of a place's callers go to each group. Callers of a place that
-// nobody knows go to their region's groups, or to all, by capacity.
+// callerFractions returns the fraction of a location's callers to send to each group. Callers of an
+// unknown location are spread by capacity over the groups of their region or, if there are none,
+// over all groups.
 func (p *servingPlan) callerFractions(from Location) []float64 {
 	if group, found := p.findGroup(from); found {
 		return p.flows[group]
 	}
-	parts := make([]float64, len(p.groups))
+	fractions := make([]float64, len(p.groups))
 	near := p.byRegion[from.Region]
 	if len(near) == 0 {
 		for group := range p.groups {
@@ -134,12 +137,13 @@
 		}
 	}
 	for _, group := range near {
-		parts[group] = max(p.groups[group].capacity, math.SmallestNonzeroFloat32)
+		fractions[group] = max(p.groups[group].capacity, math.SmallestNonzeroFloat32)
 	}
-	return parts
+	return fractions
 }
 
-// sampleOffset returns where in [0, 1) an answerer begins to sample: those of one zone lie evenly.
+// sampleOffset returns the sampling offset of an answerer in [0, 1). The offsets of a zone's
+// members are evenly spaced.
 func (r *Roles) sampleOffset(answerer fleet.NodeID) float64 {
 	position, neighbours := 0, 0
 	index, found := slices.BinarySearchFunc(r.routable, Member{Node: answerer}, compareNodes)
@@ -158,9 +162,10 @@
 	return (float64(position) + 0.5) / float64(neighbours)
 }
 
-// systematicSample returns candidates of which each is in a part of all samples, by offset
-// in [0, 1), in proportion to its share: as many as allow that, at least leastNear and at
-// most MaxAnswer. A share of over 1/leastNear can't be kept: the rest goes to the others.
+// systematicSample returns a sample that includes each candidate with a probability proportional to
+// its share, over a uniform offset in [0, 1). The sample is as large as that permits, but at least
+// minGroupServing and at most MaxRouters. The excess of a share above 1/minGroupServing goes to the
+// others.
 func systematicSample(candidates []candidateShare, offset float64) []candidateShare {
 	candidates = slices.DeleteFunc(slices.Clone(candidates), func(c candidateShare) bool { return c.share <= 0 })
 	if len(candidates) <= minGroupServing {
@@ -173,12 +178,12 @@
 	}
 	length := int(total/largest + roundingTolerance)
 	length = min(max(length, minGroupServing), MaxRouters, len(candidates))
-	chances := inclusionProbabilities(candidates, length)
+	probabilities := inclusionProbabilities(candidates, length)
 	chosen := make([]candidateShare, 0, length)
 	sum := 0.0
-	for index, chance := range chances {
+	for index, probability := range probabilities {
 		before := sum
-		sum += chance
+		sum += probability
 		if math.Floor(sum-offset+roundingTolerance) > math.Floor(before-offset+roundingTolerance) {
 			chosen = append(chosen, candidates[index])
 		}
@@ -186,25 +191,25 @@
 	return chosen
 }
 
-// roundingTolerance takes up rounding errors of sums of shares.
+// roundingTolerance absorbs rounding errors in sums of shares.
 const roundingTolerance = 1e-9
 
-// inclusionProbabilities returns in which part of all samples of a length each candidate is: in
-// proportion to its share, at most 1.
+// inclusionProbabilities returns the probability with which a sample of the given length includes
+// each candidate: proportional to its share, at most 1.
 func inclusionProbabilities(candidates []candidateShare, length int) []float64 {
-	chances := make([]float64, len(candidates))
+	probabilities := make([]float64, len(candidates))
 	order := make([]int, len(candidates))
-	rest := 0.0
+	remainingShare := 0.0
 	for index, candidate := range candidates {
 		order[index] = index
-		rest += candidate.share
+		remainingShare += candidate.share
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(candidates[b].share, candidates[a].share) })
-	places := float64(length)
+	remainingLength := float64(length)
 	for _, index := range order {
-		chances[index] = min(1, places*candidates[index].share/rest)
-		places -= chances[index]
-		rest -= candidates[index].share
+		probabilities[index] = min(1, remainingLength*candidates[index].share/remainingShare)
+		remainingLength -= probabilities[index]
+		remainingShare -= candidates[index].share
 	}
-	return chances
+	return probabilities
 }
--- a/internal/membership/answer_test.go
+++ b/internal/membership/discovery_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestSamplesIncludeCandidatesInProportionToShare counts over evenly spaced answerers how often
-// each candidate is named.
+// Guards against samples that favour some candidates: over evenly spaced answerers, each candidate
+// must be returned in proportion to its share.
 func TestSamplesIncludeCandidatesInProportionToShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	const answerers = 2000
@@ -44,7 +44,7 @@
 
 func TestSampleOfFewCandidatesIncludesAll(t *testing.T) {
 	two := []candidateShare{{share: 0.9}, {share: 0.1}}
-	assert.Len(t, systematicSample(two, 0.3), 2, "a caller whose address fails has another one")
+	assert.Len(t, systematicSample(two, 0.3), 2, "a caller needs a second router to fail over to")
 	assert.Len(t, systematicSample(append(two, candidateShare{}), 0.3), 2)
 	assert.Empty(t, systematicSample(nil, 0.3))
 }
@@ -56,7 +56,8 @@
 	assert.Equal(t, roles.RoutersFor(northA, node, always), Assign(view, 1500, RoleOptions{}).RoutersFor(northA, node, always))
 }
 
-// TestRoutersForLeavesOutUnreachableMembers cuts a zone's serving members, and then the answerer.
+// Guards against returning unreachable members, and against an answerer that is itself partitioned
+// leaving out all the others.
 func TestRoutersForLeavesOutUnreachableMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
@@ -69,13 +70,13 @@
 	}
 	onlyA := func(member Member) bool { return member.Zone == "a" }
 	for _, named := range roles.RoutersFor(northA, node, onlyA) {
-		assert.Equal(t, fleet.ZoneName("a"), named.Zone, "a zone that is cut off keeps to itself")
+		assert.Equal(t, fleet.ZoneName("a"), named.Zone, "a partitioned zone must use its own members")
 	}
-	assert.Len(t, roles.RoutersFor(northB, node, onlyA), 2, "the answerer is cut off: its word on others doesn't count")
+	assert.Len(t, roles.RoutersFor(northB, node, onlyA), 2, "the answerer is partitioned and must ignore reachability")
 	assert.Empty(t, (&Roles{}).RoutersFor(northA, node, always))
 }
 
-// TestSingleRouterGetsNearbyFallback has one of a zone's two serving members fail.
+// Guards against answers without a second router when one of a zone's two serving members fails.
 func TestSingleRouterGetsNearbyFallback(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
@@ -90,13 +91,13 @@
 		answer := roles.RoutersFor(northA, answerer.Node, func(member Member) bool { return member.Node != failed })
 		require.Len(t, answer, minGroupServing)
 		assert.Equal(t, fleet.ZoneName("a"), answer[0].Zone)
-		assert.Equal(t, fleet.ZoneName("b"), answer[1].Zone, "of the same region")
+		assert.Equal(t, fleet.ZoneName("b"), answer[1].Zone, "the fallback must be of the same region")
 		reserves[answer[1].Node] = true
 	}
-	assert.Len(t, reserves, 2, "answerers differ in whom they add")
+	assert.Len(t, reserves, 2, "answerers must add different fallbacks")
 }
 
-// TestSmallFleetReturnsAllMembers as before there were places.
+// Guards against a small fleet directing callers to only some of its members.
 func TestSmallFleetReturnsAllMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(3, 200)}, zoneMembers{northB, equal(2, 200)}, zoneMembers{southC, equal(2, 200)})
 	roles := Assign(view, 60, RoleOptions{})
@@ -109,5 +110,5 @@
 	roles := Assign(view, 60, RoleOptions{})
 	assert.Len(t, roles.RoutersFor(Location{}, view.Members()[0].Node, always), 6)
 	named := roles.RoutersFor(Location{Region: "north"}, view.Members()[0].Node, always)
-	assert.Len(t, named, 4, "a zone that nobody knows, of a known region")
+	assert.Len(t, named, 4, "callers of an unknown zone use the groups of their region")
 }
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -8,28 +8,26 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DisseminationOptions sets up a Dissemination. Zero counts and durations take
-// the defaults.
+// DisseminationOptions configures a Dissemination. Zero counts and durations are replaced by the
+// defaults.
 type DisseminationOptions struct {
-	// Random drives every choice.
+	// Random is the source of all random choices.
 	Random *rand.Rand
-	// Fanout is how many members get a fresh change at once, and again after
-	// RepushDelay.
+	// Fanout is the number of members that each of the two pushes of a new change is sent to.
 	Fanout int
 	// RepushDelay is the time from the first push of a change to the second.
 	RepushDelay time.Duration
-	// Retransmits is how often a change is piggybacked after that.
+	// Retransmits is how often a new change is piggybacked besides the pushes.
 	Retransmits int
-	// PullInterval is the longest pause between two pulls. It decides when the
-	// slowest member holds a change: under loss several pulls in a row bring
-	// nothing. Each pause is shortened by up to a quarter at random.
+	// PullInterval is the longest delay between two pulls. Each delay is shortened by a random part
+	// of up to a quarter.
 	PullInterval time.Duration
-	// MaxPullInterval takes its place once PersistentPulls in a row have brought
-	// nothing, as when this node can't use what the others send.
+	// MaxPullInterval replaces PullInterval after PersistentPulls consecutive pulls without
+	// progress.
 	MaxPullInterval time.Duration
-	// PersistentPulls is the number of pulls in a row at PullInterval.
+	// PersistentPulls is the number of consecutive pulls without progress at PullInterval.
 	PersistentPulls int
-	// MaxPatchBytes bounds the patches carried by one message.
+	// MaxPatchBytes bounds the total size of the patches in one message.
 	MaxPatchBytes int
 }
 
@@ -44,33 +42,33 @@
 	DefaultMaxPatchBytes   = 8 << 10
 )
 
-// Dissemination spreads configuration changes epidemically (Demers et al.,
-// "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987): a
-// fresh change is pushed to a few random members at once, pushed to others a
-// little later, and piggybacked meanwhile;
-// a node that hears of a higher revision than it holds pulls what it lacks.
-// It does no I/O. What the changes contain, and whether they may be applied,
-// is the caller's business.
+// Dissemination spreads configuration changes epidemically (Demers et al., "Epidemic Algorithms for
+// Replicated Database Maintenance", PODC 1987). A new change is pushed to a few random members
+// immediately and again after a delay, and piggybacked on other messages meanwhile. A node that
+// observes a higher revision than its own pulls the missing changes.
+//
+// It performs no I/O. The caller interprets the changes and decides whether to apply them. It is
+// not safe for concurrent use.
 type Dissemination struct {
 	options  DisseminationOptions
 	held     fleet.Revision
 	fresh    []freshChange
 	sources  pullSources
 	nextPull time.Duration
-	// pullsWithoutProgress counts those in a row that brought nothing.
+	// pullsWithoutProgress counts consecutive pulls after which the held revision was the same.
 	pullsWithoutProgress int
-	// secondPushPending is set while a second push is due at repushAt.
+	// secondPushPending is set while a second push is due at secondPushAt.
 	secondPushPending bool
 	secondPushAt      time.Duration
 }
 
-// freshChange is a change that is still passed on.
+// freshChange is a change that is still being piggybacked.
 type freshChange struct {
 	Change
 	transmissions int
 }
 
-// Pull asks the member at an address for the changes after a revision.
+// Pull is a request to the member at an address for the changes after a revision.
 type Pull struct {
 	From  fleet.Address
 	After fleet.Revision
@@ -91,8 +89,8 @@
 // Held returns the highest revision that this node holds.
 func (d *Dissemination) Held() fleet.Revision { return d.held }
 
-// RecordHeld says that this node now holds a revision, whichever way it came.
-// Lower revisions than the held one are ignored.
+// RecordHeld records that this node holds a revision, regardless of how it was received. A revision
+// that is not higher than the held one is ignored.
 func (d *Dissemination) RecordHeld(revision fleet.Revision) {
 	if revision > d.held {
 		d.held = revision
@@ -101,9 +99,8 @@
 	}
 }
 
-// Publish takes changes that this node has just begun to hold and returns the
-// messages that push them to random members. Changes must follow each other;
-// those already held are left out.
+// Publish records changes that this node has just applied and returns the messages that push them
+// to random members. The changes must be consecutive; those already held are skipped.
 func (d *Dissemination) Publish(now time.Duration, changes []Change, view *View) []Message {
 	var pushed []Change
 	for _, change := range changes {
@@ -122,7 +119,7 @@
 	return d.push(view)
 }
 
-// Tick returns the second push of fresh changes once it is due.
+// Tick returns the second push of recent changes once it is due.
 func (d *Dissemination) Tick(now time.Duration, view *View) []Message {
 	if !d.secondPushPending || now < d.secondPushAt {
 		return nil
@@ -131,7 +128,7 @@
 	return d.push(view)
 }
 
-// push sends the freshest changes to random members.
+// push returns messages with the latest changes to random members.
 func (d *Dissemination) push(view *View) []Message {
 	changes := d.latestChanges()
 	var messages []Message
@@ -144,8 +141,8 @@
 	return messages
 }
 
-// latestChanges returns the newest fresh changes within the bound of bytes, oldest first.
-// A change beyond the bound isn't carried: members see the higher revision and pull.
+// latestChanges returns the newest recent changes within MaxPatchBytes, oldest first. Members that
+// receive a higher revision without its change pull it.
 func (d *Dissemination) latestChanges() []Change {
 	first, size := len(d.fresh), 0
 	for first > 0 {
@@ -178,8 +175,8 @@
 	return peers[:count]
 }
 
-// Piggyback adds the held revision and fresh changes to a message that is about
-// to be sent. Messages that carry changes already are left alone.
+// Piggyback adds the held revision and recent changes to a message about to be sent. It does not
+// replace changes that the message already carries.
 func (d *Dissemination) Piggyback(message *Message) {
 	message.KnownRevision = d.held
 	if len(message.Changes) > 0 || len(d.fresh) == 0 {
@@ -194,8 +191,8 @@
 	})
 }
 
-// NextChanges returns the changes of a message that directly follow the held
-// revision, in order. The caller applies them and then calls Publish.
+// NextChanges returns the changes of a message that directly follow the held revision, in order.
+// The caller applies them and then calls Publish.
 func (d *Dissemination) NextChanges(changes []Change) []Change {
 	var next []Change
 	expected := d.held + 1
@@ -208,16 +205,15 @@
 	return next
 }
 
-// Observe takes note of the revision that a member holds.
+// Observe records the revision that a member holds.
 func (d *Dissemination) Observe(address fleet.Address, revision fleet.Revision) {
 	if revision > d.held {
 		d.sources.add(address, revision)
 	}
 }
 
-// NextPull returns the pull that is due, if this node is behind. While it goes
-// unanswered, others follow after bounded pauses, each from another member that
-// was seen ahead, if there is one.
+// NextPull returns the pull that is due, if this node is behind. While it makes no progress,
+// further pulls follow after bounded delays, rotating among the members that are ahead.
 func (d *Dissemination) NextPull(now time.Duration) (Pull, bool) {
 	if d.sources.isEmpty() || now < d.nextPull {
 		return Pull{}, false
@@ -227,7 +223,7 @@
 	return Pull{From: d.sources.next(), After: d.held}, true
 }
 
-// pullDelay draws the pause after a pull.
+// pullDelay returns a random delay after a pull.
 func (d *Dissemination) pullDelay() time.Duration {
 	longest := d.options.PullInterval
 	if d.pullsWithoutProgress >= d.options.PersistentPulls {
@@ -236,8 +232,8 @@
 	return longest - time.Duration(d.options.Random.Int64N(int64(longest)/4+1))
 }
 
-// NextWake returns when Tick or Pull has something to do next; pending is
-// false if nothing is due at any time.
+// NextWake returns when Tick or NextPull has work to do next. pending is false if nothing is
+// scheduled.
 func (d *Dissemination) NextWake() (at time.Duration, pending bool) {
 	behind := !d.sources.isEmpty()
 	switch {
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -18,7 +18,7 @@
 	propagationLimit = 4 * time.Second
 )
 
-// publishChange gives one node a change, as an operator's command does.
+// publishChange applies a change at one node, as an operator's command does, and publishes it.
 func (n *network) publishChange(to *node, patch string) {
 	change := Change{Revision: to.spread.Held() + 1, Patch: []byte(patch)}
 	to.log = append(to.log, change)
@@ -44,7 +44,7 @@
 	for revision := 1; revision <= 3; revision++ {
 		network.publishChange(network.all[revision*97], "patch")
 		took := network.advanceUntil(propagationLimit, network.allHold(revision))
-		t.Logf("change %d held by all of %d after %s with 30%% loss", revision, fleetSize, took)
+		t.Logf("change %d held by all %d members after %s with 30%% loss", revision, fleetSize, took)
 	}
 	for _, x := range network.all {
 		for i, change := range x.log {
@@ -53,9 +53,9 @@
 	}
 }
 
-// publishUnderLoss offers many changes, each once the one before is held by all,
-// and returns how long each took. A router that every push has missed is rare,
-// so a few changes show nothing of it.
+// publishUnderLoss publishes changes one after another under message loss and returns the sorted
+// times until all members held each. It takes many changes to observe a member that every push has
+// missed.
 func publishUnderLoss(t testing.TB, seed uint64, members, changes int) []time.Duration {
 	network := newNetwork(t, seed, fleetRegions)
 	network.startConverged(members)
@@ -77,7 +77,7 @@
 	assert.Less(t, took[changes-1], propagationLimit)
 }
 
-// BenchmarkLossyChanges reports the tail of many changes at the target's size.
+// BenchmarkLossyChanges reports the tail of the propagation times in a full-size fleet.
 func BenchmarkLossyChanges(b *testing.B) {
 	const changes = 150
 	for seed := range b.N {
@@ -131,21 +131,21 @@
 	assert.False(t, due)
 	pull, due = spread.NextPull(time.Second + DefaultPullInterval)
 	assert.True(t, due)
-	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "not from another member")
+	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "the second pull must go to another member")
 	at := time.Second + DefaultPullInterval
 	for range DefaultPersistentPulls - 1 {
 		_, due = spread.NextPull(at + DefaultPullInterval/2)
-		require.False(t, due, "no pause")
+		require.False(t, due, "the pull followed without a delay")
 		at += DefaultPullInterval
 		_, due = spread.NextPull(at)
-		require.True(t, due, "a pause has grown too early")
+		require.True(t, due, "the delay grew too early")
 	}
 	for range 100 {
 		at += DefaultMaxPullInterval
 		_, due = spread.NextPull(at - DefaultMaxPullInterval/2)
-		require.False(t, due, "the pause is not longer")
+		require.False(t, due, "the delay did not grow")
 		_, due = spread.NextPull(at)
-		require.True(t, due, "a pause has grown beyond its bound")
+		require.True(t, due, "the delay exceeds its maximum")
 	}
 	spread.RecordHeld(3)
 	_, due = spread.NextPull(time.Hour)
--- a/internal/membership/flows.go
+++ b/internal/membership/flows.go
@@ -1,72 +1,73 @@
 package membership
 
-// computeFlows returns which part of each group's callers go to which group: as many as the
-// own group can carry stay, what is left goes to groups of the same region as far as they have
-// room, by that room, then to all others likewise. Where nobody has room left, the rest is
-// spread by capacity.
+// computeFlows returns the fraction of each group's callers to send to each group. Callers stay in
+// their group up to its capacity. The rest goes to the spare capacity of the same region's groups,
+// then to that of all others, in proportion to it. Demand beyond all spare capacity is spread by
+// capacity.
 func computeFlows(groups []servingGroup) [][]float64 {
 	flows := make([][]float64, len(groups))
-	left := make([]float64, len(groups))
-	room := make([]float64, len(groups))
+	excess := make([]float64, len(groups))
+	spare := make([]float64, len(groups))
 	for index, group := range groups {
 		flows[index] = make([]float64, len(groups))
-		// A group without callers keeps a place for the first one.
+		// A group without callers reserves capacity for the first one.
 		demand := max(group.demand, minDemand)
-		stays := min(1, group.capacity/demand)
-		flows[index][index] = stays
-		left[index] = demand * (1 - stays)
-		room[index] = max(group.capacity-demand, 0)
+		staying := min(1, group.capacity/demand)
+		flows[index][index] = staying
+		excess[index] = demand * (1 - staying)
+		spare[index] = max(group.capacity-demand, 0)
 	}
-	moveOverflow(groups, flows, left, room, func(from, to Location) bool { return from.Region == to.Region })
-	moveOverflow(groups, flows, left, room, func(Location, Location) bool { return true })
+	moveOverflow(groups, flows, excess, spare, func(from, to Location) bool { return from.Region == to.Region })
+	moveOverflow(groups, flows, excess, spare, func(Location, Location) bool { return true })
 	capacity := 0.0
 	for _, group := range groups {
 		capacity += group.capacity
 	}
 	for from, group := range groups {
-		rest := left[from] / max(group.demand, minDemand)
+		remainder := excess[from] / max(group.demand, minDemand)
 		for to := range groups {
 			if capacity > 0 {
-				flows[from][to] += rest * groups[to].capacity / capacity
+				flows[from][to] += remainder * groups[to].capacity / capacity
 			} else {
-				flows[from][to] += rest / float64(len(groups))
+				flows[from][to] += remainder / float64(len(groups))
 			}
 		}
 	}
 	return flows
 }
 
-// minDemand is what a group without callers counts as, in requests a second.
+// minDemand is the demand assumed of a group without callers, in requests per second.
 const minDemand = 1e-6
 
-// moveOverflow moves what is left of groups' callers to the room of groups near enough.
-func moveOverflow(groups []servingGroup, flows [][]float64, left, room []float64, near func(from, to Location) bool) {
-	type wish struct{ left, room float64 }
-	wishes := make([]wish, len(groups))
+// moveOverflow moves excess demand of groups to the spare capacity of those groups for which near
+// returns true.
+func moveOverflow(groups []servingGroup, flows [][]float64, excess, spare []float64, near func(from, to Location) bool) {
+	type totals struct{ excess, spare float64 }
+	nearby := make([]totals, len(groups))
 	for from := range groups {
 		for to := range groups {
 			if near(groups[from].location, groups[to].location) {
-				wishes[from].left += left[to]
-				wishes[from].room += room[to]
+				nearby[from].excess += excess[to]
+				nearby[from].spare += spare[to]
 			}
 		}
 	}
-	taken := make([]float64, len(groups))
-	for from, wish := range wishes {
-		if left[from] <= 0 || wish.room <= 0 {
+	used := make([]float64, len(groups))
+	for from, total := range nearby {
+		if excess[from] <= 0 || total.spare <= 0 {
 			continue
 		}
-		moved := left[from] * min(1, wish.room/wish.left)
+		moved := excess[from] * min(1, total.spare/total.excess)
 		for to := range groups {
 			if near(groups[from].location, groups[to].location) {
-				part := moved * room[to] / wish.room
-				flows[from][to] += part / max(groups[from].demand, minDemand)
-				taken[to] += part
+				received := moved * spare[to] / total.spare
+				flows[from][to] += received / max(groups[from].demand, minDemand)
+				used[to] += received
 			}
 		}
-		left[from] -= moved
+		excess[from] -= moved
 	}
-	for to := range room {
-		room[to] = max(room[to]-taken[to], 0)
+	for to := range spare {
+		spare[to] = max(spare[to]-used[to], 0)
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// delivery is a message on its way, or with an empty kind the wake-up of a node.
+// delivery is a message or pull in flight, or the wake-up of a node.
 type delivery struct {
 	at      time.Duration
 	order   uint64
@@ -45,7 +45,7 @@
 	return last
 }
 
-// node is one core with its place in the simulated network.
+// node is one core in the simulated network.
 type node struct {
 	core     *Core
 	spread   *Dissemination
@@ -58,7 +58,7 @@
 	sent     int
 }
 
-// network is a seeded network on a virtual clock.
+// network simulates a network on a virtual clock with seeded randomness.
 type network struct {
 	t       testing.TB
 	random  *rand.Rand
@@ -70,7 +70,7 @@
 	loss    float64
 	count   bool
 	regions int
-	// blocked tells whether a message from one member to another is lost.
+	// blocked reports whether messages from one member to another are lost.
 	blocked func(from, to Member) bool
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// start adds nodes up to the given count; each joins by the first three.
+// start adds nodes up to the given count, which join through the seeds.
 func (n *network) start(count int) {
 	for index := len(n.all); index < count; index++ {
 		n.startNode(n.member(index))
@@ -114,7 +114,7 @@
 	return []fleet.Address{n.member(0).Address, n.member(1).Address, n.member(2).Address}
 }
 
-// startConverged adds nodes that know each other from the start, to save the joins.
+// startConverged adds nodes that already have the full membership, which saves the joins.
 func (n *network) startConverged(count int) {
 	members := make([]Member, count)
 	for index := range members {
@@ -134,7 +134,7 @@
 	heap.Init(&n.queue)
 }
 
-// clearSeeds leaves the members with nothing but what they know of each other.
+// clearSeeds removes the seeds of all nodes, so that they depend on their membership alone.
 func (n *network) clearSeeds() {
 	for _, x := range n.all {
 		x.core.Join(n.now, nil)
@@ -172,7 +172,7 @@
 	}
 }
 
-// advance lets virtual time advance.
+// advance advances the virtual clock and delivers what is due.
 func (n *network) advance(duration time.Duration) {
 	until := n.now + duration
 	for len(n.queue) > 0 && n.queue[0].at <= until {
@@ -208,7 +208,7 @@
 	}
 }
 
-// takeChanges applies the changes of a message and passes them on.
+// takeChanges applies the changes of a message and publishes them.
 func (n *network) takeChanges(x *node, message Message) []Message {
 	x.spread.Observe(message.Sender.Address, message.KnownRevision)
 	next := x.spread.NextChanges(message.Changes)
@@ -229,7 +229,7 @@
 	n.push(delivery{at: n.now + time.Millisecond, to: pull.From, pull: request})
 }
 
-// resume delivers to a frozen node what has reached it meanwhile.
+// resume ends the pause of a node and delivers the messages received meanwhile.
 func (n *network) resume(target *node) {
 	target.paused = false
 	target.wakeAt = -1
@@ -252,12 +252,12 @@
 	return n.startNode(self)
 }
 
-// live returns the nodes that run.
+// running returns the nodes that run.
 func (n *network) running() []*node {
 	return slices.DeleteFunc(slices.Clone(n.all), func(x *node) bool { return x.down })
 }
 
-// advanceUntil passes time advanceUntil the condition holds and returns how long it took.
+// advanceUntil advances the clock until the condition holds and returns how long it took.
 func (n *network) advanceUntil(limit time.Duration, condition func() bool) time.Duration {
 	n.t.Helper()
 	start := n.now
@@ -268,7 +268,7 @@
 	return n.now - start
 }
 
-// converged tells whether all running nodes know exactly each other as alive.
+// converged reports whether each running node sees exactly the running nodes, all as alive.
 func (n *network) converged() bool {
 	running := n.running()
 	for _, x := range running {
@@ -285,7 +285,7 @@
 	return true
 }
 
-// state returns what one node believes of another.
+// state returns the state that this node records for another, or 0.
 func (x *node) state(of *node) State {
 	if record, known := x.core.table.byNode[of.core.Self().Node]; known {
 		return record.State
@@ -293,7 +293,7 @@
 	return 0
 }
 
-// allSee tells whether all other running nodes hold a node in one of the states.
+// allSee reports whether all other running nodes see a node in one of the states.
 func (n *network) allSee(of *node, states ...State) bool {
 	for _, x := range n.running() {
 		if x != of && !slices.Contains(states, x.state(of)) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,11 +1,10 @@
-// Package membership tells a router which other routers are alive, where they
-// are and which of them owns an engine. Its core is the SWIM protocol (Das,
-// Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
-// Group Membership Protocol", DSN 2002) with suspicion, incarnations and
-// indirect probes, extended by regions that lose and regain contact.
+// Package membership tracks which routers are alive and where they are, and assigns roles and
+// engines to them. Its core is the SWIM protocol (Das, Gupta and Motivala, "SWIM: Scalable
+// Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002) with suspicion,
+// incarnations and indirect probes, extended to reconnect partitioned regions.
 //
-// The package does no I/O, starts no goroutine and reads no clock: a caller
-// passes the elapsed time in and sends the messages that come out.
+// The package performs no I/O, starts no goroutines and reads no clock: the caller passes the
+// elapsed time and sends the messages that are returned.
 package membership
 
 import (
@@ -14,14 +13,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// State is what a node believes of a member. Of two claims with the same
-// incarnation the higher state wins.
+// State is the state of a member as seen by a node. Of two claims with the same incarnation the one
+// with the higher state wins.
 type State uint8
 
 // States of a member, in order of precedence.
 const (
 	Alive State = iota + 1
-	// Suspect members have missed a probe; they count as live until confirmed dead.
+	// Suspect members have failed a probe. They count as live until their suspicion times out.
 	Suspect
 	// Leaving members have announced a planned stop.
 	Leaving
@@ -44,23 +43,23 @@
 	}
 }
 
-// Member is one router as its peers know it.
+// Member is one router as its peers see it.
 type Member struct {
 	Node    fleet.NodeID
 	Address fleet.Address
 	Region  fleet.RegionName
 	Zone    fleet.ZoneName
-	// Capacity is the node's processor, in thousandths of a core; 0 if unknown.
+	// Capacity is the node's processor capacity in thousandths of a core, or 0 if unknown.
 	Capacity uint32
-	// Incarnation is raised by the member alone, to refute a claim about it.
+	// Incarnation is incremented only by the member itself, to refute a claim about it.
 	Incarnation fleet.Incarnation
 	State       State
 }
 
-// IsRoutable tells whether new work may go to the member.
+// IsRoutable reports whether new work may be sent to the member.
 func (m Member) IsRoutable() bool { return m.State == Alive || m.State == Suspect }
 
-// supersedes tells whether claim m replaces claim other about the same node.
+// supersedes reports whether claim m replaces claim other about the same node.
 func (m Member) supersedes(other Member) bool {
 	if m.Incarnation != other.Incarnation {
 		return m.Incarnation > other.Incarnation
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,15 +6,15 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// claimSource tells where a claim about a member comes from.
+// claimSource describes the origin of a claim about a member.
 type claimSource struct {
-	// region is the region of the node that passed the claim on.
+	// region is the region of the node that forwarded the claim.
 	region fleet.RegionName
-	// complete claims are part of a whole exchange and may be old.
+	// complete is set for claims from a full exchange, which may be stale.
 	complete bool
 }
 
-// merge takes one claim about a member into the table.
+// merge applies one claim about a member to the table.
 func (c *Core) merge(now time.Duration, claim Member, source claimSource) {
 	if claim.Node == "" || claim.State < Alive || claim.State > Dead {
 		return
@@ -44,8 +44,8 @@
 	c.apply(now, current, claim)
 }
 
-// isContestable tells whether a death may be hearsay from across a lost link:
-// the member then becomes suspect and gets the time to refute.
+// isContestable reports whether a death claim may result from a partition. The member then becomes
+// suspect instead, which gives it time to refute.
 func (c *Core) isContestable(current *record, source claimSource) bool {
 	if current.State == Leaving || current.State == Dead {
 		return false
@@ -53,7 +53,7 @@
 	return source.complete || (current.Region == c.self.Region && source.region != c.self.Region)
 }
 
-// queueContested has the member probed soon: the probe tells it what is believed of it.
+// queueContested schedules a probe of the member, which informs it of the claim about it.
 func (c *Core) queueContested(node fleet.NodeID) {
 	for _, other := range c.contested {
 		if other == node {
@@ -66,12 +66,12 @@
 	c.contested[position], c.contested[last] = c.contested[last], c.contested[position]
 }
 
-// addMember adds a member that wasn't in the table. One that is alive by a whole list isn't passed
-// on: who heard of it at first hand does, and lists bring it to the others. Passed on by all who
-// have just learnt of all, n members would be sent n squared times over for minutes.
+// addMember adds a member that is not in the table. A member reported alive by a full exchange is
+// not gossiped further: the nodes that it contacted directly do so. Otherwise n nodes that learn
+// the full membership at once would each gossip all n records.
 func (c *Core) addMember(now time.Duration, claim Member, source claimSource) {
-	if buried, found := c.table.tombstones[claim.Node]; found {
-		if claim.Incarnation <= buried {
+	if tombstone, found := c.table.tombstones[claim.Node]; found {
+		if claim.Incarnation <= tombstone {
 			return
 		}
 		c.table.removeTombstone(claim.Node)
@@ -111,7 +111,7 @@
 	c.stateChanged(now, current, previous)
 }
 
-// stateChanged does what follows a changed record: it is passed on and its timer started.
+// stateChanged gossips a changed record and starts its suspicion timer if it is suspect.
 func (c *Core) stateChanged(now time.Duration, current *record, previous State) {
 	c.version++
 	c.queue.push(current.Node)
@@ -131,7 +131,7 @@
 	c.liveTotal += change
 }
 
-// refute answers a claim about this node that isn't true.
+// refute overrides a false claim about this node by a higher incarnation.
 func (c *Core) refute(claim Member) {
 	if !claim.supersedes(c.self) {
 		return
@@ -141,7 +141,7 @@
 	c.queue.push(c.self.Node)
 }
 
-// confirmSuspects declares dead the suspects whose time to refute is over.
+// confirmSuspects declares suspects dead whose suspicion has timed out.
 func (c *Core) confirmSuspects(now time.Duration) {
 	if c.suspects > 0 {
 		for _, record := range c.table.sorted {
@@ -152,7 +152,7 @@
 	}
 }
 
-// declare changes a member's state on this node's own findings.
+// declare changes a member's state because of this node's own observation.
 func (c *Core) declare(now time.Duration, current *record, state State) {
 	claim := current.Member
 	claim.State = state
@@ -161,7 +161,7 @@
 	}
 }
 
-// announce tells a few random members at once of a changed record.
+// announce sends a changed record to a few random members immediately.
 func (c *Core) announce(member Member, fanout int) {
 	for _, peer := range c.pickRandom(fanout, func(r *record) bool { return r.Node != member.Node }) {
 		message := Message{Kind: Ack, To: peer.Address, Target: c.self.Node}
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -6,43 +6,42 @@
 	"time"
 )
 
-// Options sets up a Core. Zero durations and counts take the defaults.
+// Options configures a Core. Zero durations and counts are replaced by the defaults.
 type Options struct {
-	// Self is this node; its State is ignored.
+	// Self is this node. Its State is ignored.
 	Self Member
-	// Random drives every choice; two cores with equal seeds and inputs act alike.
+	// Random is the source of all random choices. Cores with equal seeds and inputs behave alike.
 	Random *rand.Rand
-	// ProbeInterval is the time between two probes of this node.
+	// ProbeInterval is the mean time between two probes by this node.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before indirect ones
-	// start. It must be shorter than ProbeInterval.
+	// ProbeTimeout is the time to wait for a direct probe before indirect ones are sent. It is
+	// limited to half of ProbeInterval.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many members are asked to probe a silent one.
+	// IndirectProbes is the number of members asked to probe a member that does not answer.
 	IndirectProbes int
-	// SuspicionMultiplier times log10(members) probe intervals is the time a
-	// suspect has to refute.
+	// SuspicionMultiplier times log10(members) probe intervals is the suspicion timeout.
 	SuspicionMultiplier float64
-	// RetransmitMultiplier times log10(members) is how often a node passes one
-	// update on: the λ of the SWIM paper.
+	// RetransmitMultiplier times log10(members) is the number of times that a node sends one
+	// update: the λ of the SWIM paper.
 	RetransmitMultiplier int
-	// MaxUpdates bounds the updates in one message.
+	// MaxUpdates bounds the piggybacked updates of one message.
 	MaxUpdates int
-	// RemoteEvery makes one in so many probes go to another region.
+	// RemoteEvery sends every RemoteEvery-th probe to another region.
 	RemoteEvery int
-	// ReconnectInterval is the time between two probes of members believed dead.
+	// ReconnectInterval is the mean time between two probes of dead members.
 	ReconnectInterval time.Duration
-	// SeedInterval is the time between two probes of seeds that aren't known members.
+	// SeedInterval is the mean time between two probes of seeds that are not known members.
 	SeedInterval time.Duration
-	// ExchangeInterval is the least time between two whole exchanges with a
-	// random member; ExchangeRate stretches it in a large fleet.
+	// ExchangeInterval is the minimum mean time between two full exchanges (push-pull) with a
+	// random member. ExchangeRate lengthens it in a large fleet.
 	ExchangeInterval time.Duration
-	// ExchangeRate bounds the mean bytes a second that this node starts in
-	// whole exchanges.
+	// ExchangeRate bounds the mean traffic of the full exchanges that this node starts, in bytes
+	// per second.
 	ExchangeRate int
-	// DeadRetention is how long a dead member is remembered and probed. It
-	// should exceed the longest loss of contact between regions.
+	// DeadRetention is how long a dead member is kept and probed. It should exceed the longest
+	// expected partition between regions.
 	DeadRetention time.Duration
-	// MaxTombstones bounds the incarnations remembered of forgotten members.
+	// MaxTombstones bounds the tombstones of expired members.
 	MaxTombstones int
 }
 
@@ -64,29 +63,28 @@
 )
 
 const (
-	// approximateMemberBytes is the encoded size of a record, for ExchangeRate.
+	// approximateMemberBytes is the encoded size of a record, used for ExchangeRate.
 	approximateMemberBytes = 80
-	// leaveFanout is how many members are told at once of a planned stop.
+	// leaveFanout is the number of members that are notified immediately of a planned stop.
 	leaveFanout = 4
-	// deadExchangeDuration is how long a death is part of whole exchanges.
+	// deadExchangeDuration is how long a dead member is included in full exchanges.
 	deadExchangeDuration = 2 * time.Minute
-	// contestedProbesPerInterval bounds the extra probes of members that another
-	// node holds for dead, or alive, against this node's belief.
+	// contestedProbesPerInterval bounds the extra probes, per probe interval, of members on whose
+	// state this node and another one disagree.
 	contestedProbesPerInterval = 20
-	// rejoinInterval is the mean time between the whole exchanges of a node that has just
-	// joined, until quietRejoins in a row have brought no new member, and at most
-	// maxRejoins of them: in a herd nobody knows all at first, and each exchange squares
-	// the part that is missing, while gossip alone takes half a minute for 195 members.
-	// settledDelay is the mean time to the exchange after these.
+	// rejoinInterval is the mean time between the full exchanges of a node that has just joined.
+	// They end after maxUnchangedRejoins in a row without a new member, or after maxRejoins.
+	// postRejoinInterval is the mean time to the next exchange. They speed up convergence when many
+	// nodes start at once, since the first answers are then incomplete.
 	rejoinInterval      = 400 * time.Millisecond
 	maxUnchangedRejoins = 2
 	maxRejoins          = 8
 	postRejoinInterval  = 5 * time.Second
 	// reconnectProbeTimeout is how long the answer to a reconnecting probe is awaited.
 	reconnectProbeTimeout = 5 * time.Second
-	// seedsPerJoinAttempt is how many seeds are asked at a time.
+	// seedsPerJoinAttempt is the number of seeds asked in one attempt to join.
 	seedsPerJoinAttempt = 3
-	// maxJoinBackoff bounds the back-off between two attempts to join.
+	// maxJoinBackoff bounds the backoff between two attempts to join, without jitter.
 	maxJoinBackoff = 10 * time.Second
 )
 
@@ -114,18 +112,18 @@
 	o.ProbeTimeout = min(o.ProbeTimeout, o.ProbeInterval/2)
 }
 
-// retransmitLimit is how often one update is passed on among that many members.
+// retransmitLimit returns how often one update is sent in a fleet of the given size.
 func (o *Options) retransmitLimit(members int) int {
 	return o.RetransmitMultiplier * int(math.Ceil(math.Log10(float64(members)+1)))
 }
 
-// suspicionTimeout is the time a suspect has to refute among that many members.
+// suspicionTimeout returns the time that a suspect has to refute in a fleet of the given size.
 func (o *Options) suspicionTimeout(members int) time.Duration {
 	scale := max(1, math.Log10(float64(members)))
 	return time.Duration(o.SuspicionMultiplier * scale * float64(o.ProbeInterval))
 }
 
-// exchangeDelay is the mean time between two whole exchanges this node starts.
+// exchangeDelay returns the mean time between two full exchanges that this node starts.
 func (o *Options) exchangeDelay(members int) time.Duration {
 	bytes := 2 * members * approximateMemberBytes
 	return max(o.ExchangeInterval, time.Duration(bytes/o.ExchangeRate)*time.Second)
--- a/internal/membership/poolmap.go
+++ b/internal/membership/poolmap.go
@@ -10,34 +10,31 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// minRelativeShare is the least part of a pool's largest share of one router that
-// another router's share may be. A smaller one would own an engine too seldom
-// to be asked for the pool.
+// minRelativeShare is the smallest share of a pool that a router may have, relative to the pool's
+// largest share. A router with a smaller one would own too few of its engines to be worth asking.
 const minRelativeShare = 0.125
 
-// EngineSite is where an engine stands and what it serves.
+// EngineSite is the location of an engine and the pool that it serves.
 type EngineSite struct {
 	Pool     fleet.PoolName
 	Location Location
 }
 
-// share is a router's part in a pool: the number of engines that it owns of it,
-// on average.
+// share is a router's share of a pool: the mean number of the pool's engines that it owns.
 type share struct {
 	member Member
 	weight float64
 }
 
-// PoolMap shares the engines among routers so that each router owns engines of
-// few pools. In each zone the pools lie side by side on a line, each as long as
-// its part of the zone's engines, and the zone's routers stand on the line at
-// equal distances in the order of their hashes. A router covers the stretch to
-// the next one, or to the one after more of them if engines have several owners;
-// it takes part in the pools that it covers, in proportion. A zone with too few
-// routers is shared by those of its region, then by all.
+// PoolMap assigns engines to routers so that each router owns engines of few pools. In each zone
+// the pools form adjacent intervals of a line, with lengths in proportion to their numbers of
+// engines, and the zone's routers are placed on the line at equal distances in the order of their
+// hashes. A router covers the line up to the next router or, with several owners per engine, up to
+// as many routers further. It shares the pools that it covers in proportion to the overlap. A zone
+// with too few routers uses those of its region, then all.
 //
-// Routers and agents that know the same engines and routers build the same map,
-// so that nothing about it is sent. It is immutable.
+// Routers and agents that know the same engines and routers build the same map, so it need not be
+// transmitted. It is immutable.
 type PoolMap struct {
 	replicas int
 	members  []Member
@@ -45,9 +42,8 @@
 	pools    map[fleet.PoolName][]share
 }
 
-// NewPoolMap builds the map from the sites of all live engines, one entry for
-// each engine. Each engine gets the given number of owners, at least 1, as far
-// as there are routers.
+// NewPoolMap builds the map from the sites of all live engines, one entry per engine. Each engine
+// gets the given number of owners, at least 1, or as many as there are routers.
 func NewPoolMap(engines []EngineSite, members []Member, replicas int) *PoolMap {
 	m := &PoolMap{
 		replicas: max(replicas, 1),
@@ -73,7 +69,7 @@
 	return m
 }
 
-// assignZone lays out one zone's line.
+// assignZone assigns the engines of one zone, given their number in each pool.
 func (m *PoolMap) assignZone(location Location, counts map[fleet.PoolName]int) {
 	routers := m.routersFor(location)
 	if len(routers) == 0 {
@@ -110,7 +106,7 @@
 	return chosen
 }
 
-// coveringRouters returns the routers that coveringRouters a stretch of the line.
+// coveringRouters returns the routers that cover the interval from start to end.
 func (m *PoolMap) coveringRouters(routers []Member, start, end, unit float64) []share {
 	count := float64(len(routers))
 	replicas := min(float64(m.replicas), count)
@@ -136,30 +132,30 @@
 	return max(min(end, to)-max(start, from), 0)
 }
 
-// Owners returns the routers that index an engine, best first, by weighted
-// rendezvous among those that take part in its pool in its zone.
+// Owners returns the routers that index an engine, best first, by weighted rendezvous hashing among
+// those that share its pool in its zone.
 func (m *PoolMap) Owners(engine fleet.EngineID, site EngineSite) []fleet.NodeID {
 	key := xxhash.Sum64String(string(engine))
 	scored := make([]scoredMember, 0, len(m.sites[site]))
-	for _, part := range m.sites[site] {
-		scored = append(scored, part.score(key, 1))
+	for _, poolShare := range m.sites[site] {
+		scored = append(scored, poolShare.score(key, 1))
 	}
 	ranked := sortScored(scored)
 	return firstOwners(ranked, min(m.replicas, len(ranked)))
 }
 
-// Rank returns the routers in the order in which an agent tries them for a
-// prefix key of a pool. Those of the agent's region that own engines of the
-// pool come first, the likelier the more they own, and likelier in the agent's
-// zone; then those of other regions; then the routers that own none. The number
-// is that of the first group, or of the second if the first is empty.
+// Rank returns the routers in the order in which an agent tries them for a prefix key of a pool.
+// First come those of the agent's region that own engines of the pool, ranked by weighted
+// rendezvous hashing with more weight for more engines and for the agent's zone; then owners in
+// other regions; then routers that own none. The number is the size of the first group, or of the
+// second if the first is empty.
 func (m *PoolMap) Rank(key uint64, pool fleet.PoolName, near Location) ([]Member, int) {
 	scored := make([]scoredMember, 0, len(m.members))
 	serving := make(map[fleet.NodeID]bool)
 	local := 0
-	for _, part := range m.mergedShares(pool) {
-		serving[part.member.Node] = true
-		entry := scoreRouter(key, part, near)
+	for _, poolShare := range m.mergedShares(pool) {
+		serving[poolShare.member.Node] = true
+		entry := scoreRouter(key, poolShare, near)
 		if entry.proximity == 0 {
 			local++
 		}
@@ -178,11 +174,11 @@
 	return sortScored(scored), local
 }
 
-// mergedShares returns one share of the pool for each router.
+// mergedShares returns one share of the pool for each router, over all zones.
 func (m *PoolMap) mergedShares(pool fleet.PoolName) []share {
 	total := make(map[fleet.NodeID]float64)
-	for _, part := range m.pools[pool] {
-		total[part.member.Node] += part.weight
+	for _, poolShare := range m.pools[pool] {
+		total[poolShare.member.Node] += poolShare.weight
 	}
 	var merged []share
 	for _, member := range m.members {
@@ -193,15 +189,15 @@
 	return merged
 }
 
-// scoreRouter scores a router for a prefix key. Routers of other regions come
-// last; the agent's zone is preferred within bounds, see Rank.
-func scoreRouter(key uint64, part share, near Location) scoredMember {
-	distance := near.proximity(part.member)
+// scoreRouter scores a router for a prefix key. Routers of other regions come last, and the agent's
+// zone is preferred by localZoneWeight.
+func scoreRouter(key uint64, poolShare share, near Location) scoredMember {
+	distance := near.proximity(poolShare.member)
 	preference := 1.0
 	if distance == 0 {
 		preference = localZoneWeight
 	}
-	entry := part.score(key, preference)
+	entry := poolShare.score(key, preference)
 	if distance == proximityLevels-1 {
 		entry.proximity = 1
 	}
@@ -213,8 +209,8 @@
 	return scoredMember{member: s.member, score: weightedScore(hash, s.weight*preference)}
 }
 
-// placementKey is what a router's place in the map follows from. An address
-// outlives a restart, which a node identifier doesn't.
+// placementKey returns the string that determines a router's place in the map. It is the address,
+// which survives a restart, whereas the node identifier does not.
 func (m Member) placementKey() string {
 	if m.Address != "" {
 		return string(m.Address)
--- a/internal/membership/poolmap_test.go
+++ b/internal/membership/poolmap_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// sitesAt gives every zone of the members the same number of engines a pool.
+// sitesAt returns engines in every zone of the members, the same number for each pool.
 func sitesAt(list []Member, pools, engines int) map[fleet.EngineID]EngineSite {
 	sites := make(map[fleet.EngineID]EngineSite)
 	for _, member := range list {
@@ -35,8 +35,8 @@
 	return NewPoolMap(engines, list, replicas)
 }
 
-// TestEngineOwnersAreDistinctAndLocal checks that owners are routable, distinct
-// and of the engine's zone while it has routers, for fleets of any shape.
+// Guards against owners that are not routable, not distinct, or outside the engine's zone although
+// the zone has enough routers, for fleets of any shape.
 func TestEngineOwnersAreDistinctAndLocal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := members(rapid.IntRange(1, 24).Draw(t, "routers"), rapid.IntRange(1, 4).Draw(t, "zones"))
@@ -57,7 +57,7 @@
 			for position, owner := range owners {
 				require.NotContains(t, owners[:position], owner)
 				isLocal := slices.ContainsFunc(local, func(m Member) bool { return m.Node == owner })
-				require.True(t, isLocal || len(local) < replicas, "%s is owned from afar", id)
+				require.True(t, isLocal || len(local) < replicas, "%s has an owner outside its zone", id)
 			}
 		}
 		ranked, serving := shared.Rank(7, "pool-00", Location{Zone: dead.Zone})
@@ -66,8 +66,7 @@
 	})
 }
 
-// TestPoolMapRanksOwnersOfThePoolFirst asks for a pool that a quarter of the
-// routers serves.
+// Guards against agents asking routers that own no engines of the pool before those that do.
 func TestPoolMapRanksOwnersOfThePoolFirst(t *testing.T) {
 	list := members(24, 2)
 	sites := sitesAt(list, 4, 30)
@@ -78,7 +77,7 @@
 			owned[shared.Owners(id, site)[0]]++
 		}
 	}
-	require.LessOrEqual(t, len(owned), 8, "few routers serve a pool")
+	require.LessOrEqual(t, len(owned), 8, "only a few routers must own a pool's engines")
 	near := Location{Region: list[0].Region, Zone: list[0].Zone}
 	first := make(map[fleet.NodeID]int)
 	for key := range uint64(2000) {
@@ -94,8 +93,8 @@
 	assert.Greater(t, len(first), 1)
 }
 
-// TestRouterRestartKeepsEngineOwnership gives a router a new node identifier at its
-// old address.
+// Guards against a restarted router, which has a new node identifier at its old address, losing its
+// engines.
 func TestRouterRestartKeepsEngineOwnership(t *testing.T) {
 	list := members(12, 3)
 	sites := sitesAt(list, 3, 20)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// pendingProbe is the probe that waits for an answer.
+// pendingProbe is the direct probe in flight and its indirect probes.
 type pendingProbe struct {
 	active       bool
 	target       fleet.NodeID
@@ -22,8 +22,8 @@
 	expires   time.Duration
 }
 
-// probeRing visits all matching live members in random order before it visits
-// one again, which bounds the time to detection (section 4.3 of the SWIM paper).
+// probeRing visits all matching live members in random order before it visits one again, which
+// bounds the detection time (section 4.3 of the SWIM paper).
 type probeRing struct {
 	matches func(*record) bool
 	order   []fleet.NodeID
@@ -45,7 +45,7 @@
 	return nil, false
 }
 
-// startProbe probes the next member; the last one that didn't answer becomes suspect.
+// startProbe probes the next member and suspects the previous one if it did not answer.
 func (c *Core) startProbe(now time.Duration) {
 	c.endProbe(now)
 	jitter := time.Duration(c.random.Int64N(int64(c.options.ProbeInterval)/5+1)) - c.options.ProbeInterval/10
@@ -70,19 +70,19 @@
 	return c.nextInRing(second)
 }
 
-// advanceProbe asks other members to probe a target that doesn't answer.
+// advanceProbe sends indirect probes if the direct probe has timed out.
 func (c *Core) advanceProbe(now time.Duration) {
 	if !c.probe.active || c.probe.indirectSent || now < c.probe.indirectAt {
 		return
 	}
 	c.probe.indirectSent = true
-	for _, helper := range c.pickIndirectProbers(c.probe.target) {
-		c.send(IndirectProbe, helper, c.probe.target)
+	for _, prober := range c.pickIndirectProbers(c.probe.target) {
+		c.send(IndirectProbe, prober, c.probe.target)
 	}
 }
 
-// pickIndirectProbers picks members of this node's region and, for at least one, of
-// another, so that a cut between two regions alone suspects nobody.
+// pickIndirectProbers picks members of this node's region and at least one of another, if there is
+// one, so that a partition between two regions alone causes no suspicion.
 func (c *Core) pickIndirectProbers(target fleet.NodeID) []Member {
 	count := c.options.IndirectProbes
 	others := c.pickRandom(max(1, count/2), func(r *record) bool {
@@ -110,7 +110,7 @@
 	c.declare(now, record, Suspect)
 }
 
-// probeContested probes members about which beliefs differ.
+// probeContested probes members on whose state this node and another one disagree.
 func (c *Core) probeContested() {
 	for range min(contestedProbesPerInterval, len(c.contested)) {
 		last := len(c.contested) - 1
@@ -152,7 +152,7 @@
 	c.handleReconnectAnswer(now, message.Sender, known)
 }
 
-// handleNack learns that another node has taken a member's address: the member is gone.
+// handleNack declares a member dead whose address is used by another node now.
 func (c *Core) handleNack(now time.Duration, message Message) {
 	record, known := c.table.byNode[message.Target]
 	if known && record.Address == message.Sender.Address && message.Target != message.Sender.Node {
--- a/internal/membership/pullsources.go
+++ b/internal/membership/pullsources.go
@@ -10,15 +10,15 @@
 // maxPullSources bounds the members remembered as ahead of this node.
 const maxPullSources = 8
 
-// pullSource is a member that was seen to hold more than this node.
+// pullSource is a member that holds a higher revision than this node.
 type pullSource struct {
 	address  fleet.Address
 	revision fleet.Revision
-	// lastPull is the number of the last pull from it; 0 means none.
+	// lastPull is the number of the last pull from the member, or 0.
 	lastPull uint64
 }
 
-// pullSources are the members to pull from, the one seen last at the end.
+// pullSources holds the members to pull from, the most recently observed last.
 type pullSources struct {
 	sources   []pullSource
 	pullCount uint64
@@ -26,8 +26,8 @@
 
 func (s *pullSources) isEmpty() bool { return len(s.sources) == 0 }
 
-// add remembers a member that is ahead. Of too many, the one that holds least
-// and was seen first is forgotten.
+// add records a member that is ahead. Beyond maxPullSources it evicts the member with the lowest
+// revision, and of several the least recently observed.
 func (s *pullSources) add(address fleet.Address, revision fleet.Revision) {
 	seen := pullSource{address: address, revision: revision}
 	if index := slices.IndexFunc(s.sources, func(k pullSource) bool { return k.address == address }); index >= 0 {
@@ -48,13 +48,13 @@
 	s.sources = slices.Delete(s.sources, least, least+1)
 }
 
-// drop forgets the members that hold no more than a revision.
+// drop removes the members that hold no more than the given revision.
 func (s *pullSources) drop(held fleet.Revision) {
 	s.sources = slices.DeleteFunc(s.sources, func(source pullSource) bool { return source.revision <= held })
 }
 
-// next returns the member to ask: of those asked the longest ago, or never, the
-// one that holds most. There must be one.
+// next returns the address of the member that was asked least recently, and of several the one with
+// the highest revision. There must be at least one.
 func (s *pullSources) next() fleet.Address {
 	chosen := 0
 	for index, source := range s.sources {
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// joinState is the attempt to find a first member.
+// joinState is the state of the attempts to contact a first member.
 type joinState struct {
 	seeds   []fleet.Address
 	pending bool
@@ -15,15 +15,14 @@
 	backoff time.Duration
 }
 
-// reconnectProbe is a probe of an address that may answer with a lost member.
+// reconnectProbe is a pending probe of an address where a lost member may answer.
 type reconnectProbe struct {
 	address fleet.Address
 	expires time.Duration
 }
 
-// Join sets the addresses of possible members and asks some of them for the
-// whole membership, again and again until one answers. Seeds that aren't
-// members are probed now and then for ever.
+// Join sets the addresses of possible members and asks some of them for the full membership,
+// repeatedly until one answers. Seeds that are not members continue to be probed at SeedInterval.
 func (c *Core) Join(now time.Duration, seeds []fleet.Address) []Message {
 	c.join.seeds = slices.DeleteFunc(slices.Clone(seeds), func(address fleet.Address) bool {
 		return address == c.self.Address
@@ -38,7 +37,8 @@
 	return c.flush()
 }
 
-// startTimers starts the periodic work, spread over time against a herd.
+// startTimers schedules the periodic work at random times, so that nodes which start together do
+// not act together.
 func (c *Core) startTimers(now time.Duration) {
 	if c.nextProbe != 0 {
 		return
@@ -49,7 +49,7 @@
 	c.nextExchange = now + c.randomDelay(c.options.ExchangeInterval)
 }
 
-// randomDelay returns a random time from zero up to the given one.
+// randomDelay returns a random duration between zero and upTo.
 func (c *Core) randomDelay(upTo time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(upTo) + 1))
 }
@@ -67,24 +67,22 @@
 	}
 }
 
-// endJoin ends the attempts to join: a member has answered.
+// endJoin ends the attempts to join because a member has answered.
 func (c *Core) endJoin() { c.join.pending = false }
 
-// joinSampleSize is the number of members that a node is told which knows few itself, and
-// fewKnownDivisor the part of the members, as a divisor, under which it does. A seed of a fleet that
-// starts at once is asked by all: told everything, n nodes are n squared records over one
-// link. The samples of three seeds and two
-// exchanges with drawn members bring all as well.
+// joinSampleSize is the number of members sent to a joining node that itself knows less than one
+// part in fewKnownDivisor of the fleet. It bounds the traffic of a seed when many nodes start at
+// once; the answers of several seeds and later exchanges complete the membership.
 const (
 	joinSampleSize  = 96
 	fewKnownDivisor = 4
 )
 
-// answerJoin answers a member that has told so many others.
-func (c *Core) answerJoin(now time.Duration, sender Member, told int) {
+// answerJoin answers a Join that carried the given number of members.
+func (c *Core) answerJoin(now time.Duration, sender Member, carried int) {
 	c.endJoin()
 	c.startTimers(now)
-	if c.liveTotal <= 2*joinSampleSize || told >= c.liveTotal/fewKnownDivisor {
+	if c.liveTotal <= 2*joinSampleSize || carried >= c.liveTotal/fewKnownDivisor {
 		c.sendFullState(now, Ack, sender.Address, sender.Node)
 		return
 	}
@@ -92,8 +90,8 @@
 	c.sendMembers(Ack, sender.Address, sender.Node, updates)
 }
 
-// sendFullState queues a message with the whole membership. The receiver is told if
-// this node holds it for dead.
+// sendFullState queues a message with the full membership, including recent deaths. The receiver's
+// own record is included so that the receiver can refute it.
 func (c *Core) sendFullState(now time.Duration, kind Kind, to fleet.Address, receiver fleet.NodeID) {
 	updates := make([]Member, 0, c.liveTotal)
 	for _, record := range c.table.sorted {
@@ -105,13 +103,12 @@
 	c.sendMembers(kind, to, receiver, updates)
 }
 
-// sendMembers queues a message with some members. The receiver is told what is believed of it
-// besides.
+// sendMembers queues a message with the given members and the receiver's own record or tombstone.
 func (c *Core) sendMembers(kind Kind, to fleet.Address, receiver fleet.NodeID, updates []Member) {
 	if record, known := c.table.byNode[receiver]; known {
 		updates = append(updates, record.Member)
 	}
-	if incarnation, buried := c.table.tombstones[receiver]; buried {
+	if incarnation, hasTombstone := c.table.tombstones[receiver]; hasTombstone {
 		updates = append(updates, Member{Node: receiver, Address: to, Incarnation: incarnation, State: Dead})
 	}
 	message := Message{Kind: kind, To: to, Updates: updates, Complete: true}
@@ -121,8 +118,8 @@
 	c.outbox = append(c.outbox, message)
 }
 
-// reconnect probes one member believed dead and one seed that isn't a member,
-// each in its own interval, and forgets the long dead.
+// reconnect probes one dead member and one seed that is not a member, each at its own interval, and
+// expires records of members that have been dead for DeadRetention.
 func (c *Core) reconnect(now time.Duration) {
 	c.reconnectProbes = slices.DeleteFunc(c.reconnectProbes, func(o reconnectProbe) bool { return now >= o.expires })
 	if now >= c.nextDeadProbe {
@@ -145,7 +142,7 @@
 	c.send(Probe, target, target.Node)
 }
 
-// deadCandidate picks a random dead member, of a lost region if there is one.
+// deadCandidate picks a random dead member, preferably of a region without live members.
 func (c *Core) deadCandidate() (Member, bool) {
 	var lost, others []Member
 	for _, record := range c.table.sorted {
@@ -185,7 +182,8 @@
 	return unknown[c.random.IntN(len(unknown))], true
 }
 
-// handleReconnectAnswer starts a whole exchange with a lost member that answered.
+// handleReconnectAnswer starts a full exchange with a lost member that answered a reconnecting
+// probe.
 func (c *Core) handleReconnectAnswer(now time.Duration, sender Member, known bool) {
 	for i, pending := range c.reconnectProbes {
 		if pending.address != sender.Address {
@@ -200,20 +198,20 @@
 	}
 }
 
-// exchange starts a whole exchange with a random member now and then.
+// exchange starts a full exchange with a random member if one is due.
 func (c *Core) exchange(now time.Duration) {
 	if now < c.nextExchange {
 		return
 	}
 	c.scheduleExchange(now)
-	near := c.scheduleRejoin(now)
-	for _, peer := range c.pickRandom(1, func(r *record) bool { return !near || r.Zone == c.self.Zone }) {
+	withinZone := c.scheduleRejoin(now)
+	for _, peer := range c.pickRandom(1, func(r *record) bool { return !withinZone || r.Zone == c.self.Zone }) {
 		c.sendFullState(now, Join, peer.Address, peer.Node)
 	}
 }
 
-// exchangeAnswered sets the next whole exchange after one was answered. A member that
-// has just joined repeats it soon.
+// exchangeAnswered schedules the next full exchange after one was answered. A member that has just
+// joined repeats it soon.
 func (c *Core) exchangeAnswered(now time.Duration) {
 	if c.join.pending {
 		c.remainingRejoins = maxRejoins
@@ -224,10 +222,9 @@
 	}
 }
 
-// scheduleRejoin sets the exchange after the one that begins now, if this node has just
-// joined: soon again, until two in a row have found no new member, since in a herd
-// the first answers are incomplete. It tells whether the one that begins is to stay
-// within the zone, as every second one does: bytes between zones are dear.
+// scheduleRejoin schedules the exchange after the one that starts now, if this node has just
+// joined. It reports whether the one that starts now must stay within the zone, as every second one
+// does to limit traffic between zones.
 func (c *Core) scheduleRejoin(now time.Duration) bool {
 	if c.remainingRejoins == 0 {
 		return false
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -10,13 +10,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// localZoneWeight is how much likelier a router of the caller's own zone is to come
-// first in Rank than a router elsewhere. It is bounded so that callers of
-// different zones still mostly agree on the router of a prefix when the zone
-// has few routers.
+// localZoneWeight is the weight in Rank of a router in the caller's zone relative to one elsewhere.
+// It is small, so that callers of different zones mostly agree on the router of a prefix when the
+// zone has few routers.
 const localZoneWeight = 2.0
 
-// Location is a zone of a region: where a member is, or where callers come from.
+// Location is a zone of a region, such as that of a member or a caller.
 type Location struct {
 	Region fleet.RegionName
 	Zone   fleet.ZoneName
@@ -25,8 +24,8 @@
 // proximityLevels is the number of values of proximity.
 const proximityLevels = 3
 
-// proximity orders a member by its distance: 0 same zone, 1 same region, 2
-// elsewhere. A location without a region may be in any.
+// proximity returns the distance of a member: 0 for the same zone, 1 for the same region, 2 for
+// elsewhere. A location without a region matches any region.
 func (l Location) proximity(member Member) int {
 	sameRegion := l.Region == "" || member.Region == l.Region
 	switch {
@@ -39,25 +38,22 @@
 	}
 }
 
-// Owners returns the routers that own what the name stands for, an engine or a
-// task such as a lease, best first, by rendezvous hashing (Thaler and
-// Ravishankar 1998): when a member comes or goes, only what it gains or loses
-// changes owner. Members that aren't routable own nothing. With 0 replicas every
-// routable member is an owner.
+// Owners returns the routers that own the engine or task of the given name, such as a lease, best
+// first, by rendezvous hashing (Thaler and Ravishankar 1998): when a member joins or leaves, only
+// what it gains or loses changes owner. Members that are not routable own nothing. With 0 replicas
+// every routable member is an owner.
 func Owners[Name ~string](name Name, members []Member, replicas int) []fleet.NodeID {
 	return firstOwners(rankEngine(fleet.EngineID(name), members, nil), replicas)
 }
 
-// OwnersNear is Owners that takes routers of the engine's zone first, then of
-// its region, then others.
+// OwnersNear is like Owners but prefers routers of the engine's zone, then of its region.
 func OwnersNear(engine fleet.EngineID, location Location, members []Member, replicas int) []fleet.NodeID {
 	return firstOwners(rankEngine(engine, members, &location), replicas)
 }
 
-// Rank returns the routable members in the order in which an agent in the
-// given zone tries them for a prefix key. All agents of a zone agree on it.
-// The weights follow Schindelhauer and Schomaker, "Weighted Distributed Hash
-// Tables" (SPAA 2005).
+// Rank returns the routable members in the order in which an agent in the given zone tries them for
+// a prefix key. All agents of a zone agree on it. The weights follow Schindelhauer and Schomaker,
+// "Weighted Distributed Hash Tables" (SPAA 2005).
 func Rank(key uint64, zone fleet.ZoneName, members []Member) []Member {
 	scored := make([]scoredMember, 0, len(members))
 	for _, member := range members {
@@ -74,11 +70,10 @@
 	return sortScored(scored)
 }
 
-// RankForPool returns the routable members in the order in which agents ask them
-// for a pool whose engines every router owns: those of the agent's region first,
-// and by rendezvous hashing of the pool's name. All agents of a region agree on
-// it, and different pools have different first routers. A restarted router takes
-// its place again, since the order follows from addresses.
+// RankForPool returns the routable members in the order in which agents ask them for a pool whose
+// engines every router owns: those of the agent's region first, then by rendezvous hashing of the
+// pool's name. All agents of a region agree on it, and different pools have different first
+// routers. A restarted router keeps its position, since the order depends on addresses.
 func RankForPool(pool fleet.PoolName, near Location, members []Member) []Member {
 	key := xxhash.Sum64String(string(pool))
 	scored := make([]scoredMember, 0, len(members))
@@ -118,7 +113,7 @@
 	return sortScored(scored)
 }
 
-// sortScored orders by proximity, then by falling score, then by node.
+// sortScored sorts by ascending proximity, then descending score, then node.
 func sortScored(scored []scoredMember) []Member {
 	slices.SortFunc(scored, func(a, b scoredMember) int {
 		if order := cmp.Compare(a.proximity, b.proximity); order != 0 {
@@ -147,15 +142,14 @@
 	return owners
 }
 
-// RendezvousWeight returns the weight of a candidate for a key: all processes
-// that take the candidate of the highest weight agree, and when candidates come
-// or go only the keys that they win or held change hands.
+// RendezvousWeight returns the weight of a candidate for a key. Processes that choose the candidate
+// with the highest weight agree, and when a candidate joins or leaves only its own keys move.
 func RendezvousWeight(key, candidate string) uint64 {
 	return mix(xxhash.Sum64String(key) ^ xxhash.Sum64String(candidate))
 }
 
-// RendezvousMix spreads a hash over all bits: RendezvousWeight of two names is that of
-// their hashes combined by exclusive or.
+// RendezvousMix distributes a hash over all bits. RendezvousWeight of two names equals
+// RendezvousMix of the exclusive or of their hashes.
 func RendezvousMix(hash uint64) uint64 { return mix(hash) }
 
 // weightedScore maps a uniform hash to -weight/ln(u) with u in (0, 1).
@@ -165,7 +159,7 @@
 	return -weight / math.Log(uniform)
 }
 
-// mix spreads a hash over all bits (the finalizer of SplitMix64).
+// mix distributes a hash over all bits (the finalizer of SplitMix64).
 func mix(hash uint64) uint64 {
 	hash += 0x9e3779b97f4a7c15
 	hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -85,7 +85,7 @@
 			moved++
 		}
 	}
-	// Two routers of weight 2 among ten of weight 1 hold 4/14 of the keys.
+	// Two routers of weight 2 among ten of weight 1 own 4/14 of the keys.
 	assert.InDelta(t, keys*4/14, own, 150)
-	assert.Zero(t, moved, "keys of other routers moved")
+	assert.Zero(t, moved, "keys of the remaining routers moved")
 }
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -11,33 +11,32 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// RoleOptions sets up Assign. Zero fields take the defaults.
+// RoleOptions configures Assign. Zero fields are replaced by the defaults where there is one.
 type RoleOptions struct {
-	// RequestCost is the processor time that a request takes of the node that
-	// carries it, in thousandths of a core and second.
+	// RequestCost is the processor time that a request takes on its node, in thousandths of a
+	// core-second.
 	RequestCost float64
-	// Utilization is the part of a node's processor that requests may take.
+	// Utilization is the fraction of a node's processor that requests may use.
 	Utilization float64
-	// MinServing is the least size of the serving set.
+	// MinServing is the minimum size of the serving set.
 	MinServing int
 	// SmallFleet is the size up to which every node serves and reads the store.
 	SmallFleet int
-	// Candidates is the number of nodes that take a duty's lease.
+	// Candidates is the number of nodes that compete for a duty's lease.
 	Candidates int
-	// ReadersPerZone is the number of readers of each zone that others ask in turn.
+	// ReadersPerZone is the number of store readers in each zone that others ask in turn.
 	ReadersPerZone int
-	// DemandByLocation is from which places the demand comes, in requests a second; empty if
-	// that isn't known.
+	// DemandByLocation is the demand by its origin, in requests per second, or empty if unknown.
 	DemandByLocation map[Location]float64
-	// CapacityFactors is by which part of their capacity members under pressure count; all others
-	// count whole.
+	// CapacityFactors holds the fraction of their capacity to use for members under pressure. It is
+	// 1 for all others.
 	CapacityFactors map[fleet.NodeID]float64
-	// MinServingByLocation is the least number of serving members of groups, by the group's place.
+	// MinServingByLocation holds minimum numbers of serving members, by the location of the group.
 	MinServingByLocation map[Location]int
-	// SingleGroup has all callers sent to all serving members, wherever they are.
+	// SingleGroup sends all callers to all serving members, regardless of location.
 	SingleGroup bool
-	// CacheSourcesPerZone is the number of nodes of each zone that follow its caches for others,
-	// in turn.
+	// CacheSourcesPerZone is the number of nodes in each zone that subscribe to its caches on
+	// behalf of others and are asked in turn.
 	CacheSourcesPerZone int
 }
 
@@ -52,7 +51,7 @@
 	DefaultCacheSourcesPerZone = 3
 )
 
-// Names by which nodes are ordered for a role.
+// Hash keys by which nodes are ranked for a role.
 const (
 	servingKey = "serving"
 	readerKey  = "reader"
@@ -69,14 +68,13 @@
 	setDefault(&o.CacheSourcesPerZone, DefaultCacheSourcesPerZone)
 }
 
-// Roles says which members do what. All nodes with the same members and demand
-// agree; while they differ, each can still do everything. Roles is immutable and
-// safe for concurrent use: everything is worked out when the members or the demand
-// change, and only looked up in between.
+// Roles is the assignment of roles to members. Nodes with the same members and demand compute the
+// same roles; while they differ, every node can still perform any role. Roles is immutable apart
+// from a cache and safe for concurrent use.
 type Roles struct {
 	// Serving are the members that callers are sent to, sorted by node.
 	Serving []Member
-	// SmallFleet is set in a small fleet, in which all members serve and read the store.
+	// SmallFleet is set in a small fleet, where all members serve and read the store.
 	SmallFleet bool
 
 	options  RoleOptions
@@ -84,22 +82,22 @@
 	// plan is nil in a small fleet.
 	plan    *servingPlan
 	serving map[fleet.NodeID]bool
-	// readers holds, by zone, the first ReaderDepth readers, best first; zones are
-	// its keys in order.
+	// readers holds the first ReadersPerZone readers of each zone, best first. zones holds its
+	// keys, sorted.
 	readers map[fleet.ZoneName][]fleet.NodeID
 	zones   []fleet.ZoneName
 
-	// cacheSources holds, by zone, the nodes that follow the zone's caches for others, best
-	// first.
+	// cacheSources holds the nodes of each zone that subscribe to its caches on behalf of others,
+	// best first.
 	cacheSources map[fleet.ZoneName][]fleet.NodeID
 
-	// candidates keeps what Candidates has worked out, by duty.
+	// candidates caches the results of Candidates by duty.
 	candidatesMutex sync.Mutex
 	candidates      map[string][]fleet.NodeID
 }
 
-// Assign divides the roles among the members of a view. demand is the requests
-// per second that callers send to all members together.
+// Assign assigns roles to the members of a view. demand is the total rate of requests from callers,
+// in requests per second.
 func Assign(view *View, demand float64, options RoleOptions) *Roles {
 	options.setDefaults()
 	roles := &Roles{
@@ -118,8 +116,7 @@
 	return roles
 }
 
-// weightedMember is a member with its rendezvous weight for a role, so that ranking
-// hashes each name once instead of twice a comparison.
+// weightedMember is a member with its rendezvous weight for a role, computed once for sorting.
 type weightedMember struct {
 	*Member
 	weight uint64
@@ -136,7 +133,7 @@
 	return all
 }
 
-// assignServing chooses the serving members.
+// assignServing selects the serving members.
 func (r *Roles) assignServing(demand float64) {
 	if r.SmallFleet {
 		r.Serving = r.routable
@@ -151,12 +148,12 @@
 	slices.SortFunc(r.Serving, compareNodes)
 }
 
-// IsServing tells whether callers are sent to a node.
+// IsServing reports whether callers are sent to a node.
 func (r *Roles) IsServing(node fleet.NodeID) bool { return r.serving[node] }
 
-// Candidates returns the nodes that take the lease of a duty: nodes outside of
-// the serving set if there are enough, so that their loss cuts no request.
-// Callers must not write to the slice.
+// Candidates returns the nodes that compete for the lease of a duty: nodes outside the serving set
+// if there are enough, so that their failure interrupts no request. Callers must not modify the
+// slice.
 func (r *Roles) Candidates(duty string) []fleet.NodeID {
 	r.candidatesMutex.Lock()
 	defer r.candidatesMutex.Unlock()
@@ -168,35 +165,35 @@
 	return candidates
 }
 
-// largestMembers returns the members of the greatest capacity, and of the next ones until there are
-// so many: a holder of a duty knows all workers and gives orders to them, of which the smallest
-// machines of a large fleet can carry neither.
-func largestMembers(members []Member, least int) []Member {
+// largestMembers returns the members of the highest capacities, at least the given number,
+// including all with the same capacity as the last one. A duty's holder tracks all workers, which
+// the smallest machines of a large fleet cannot handle.
+func largestMembers(members []Member, minimum int) []Member {
 	ranked := slices.SortedStableFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(b.Capacity, a.Capacity) })
-	count := min(least, len(ranked))
+	count := min(minimum, len(ranked))
 	for count > 0 && count < len(ranked) && ranked[count].Capacity == ranked[count-1].Capacity {
 		count++
 	}
 	return ranked[:count]
 }
 
-// preferNonServing returns the members outside of the serving set if there are least
-// of them, else all.
-func (r *Roles) preferNonServing(least int) []Member {
+// preferNonServing returns the members outside the serving set if there are at least the given
+// number, else all.
+func (r *Roles) preferNonServing(minimum int) []Member {
 	var idle []Member
 	for _, member := range r.routable {
 		if !r.serving[member.Node] {
 			idle = append(idle, member)
 		}
 	}
-	if len(idle) < least {
+	if len(idle) < minimum {
 		return r.routable
 	}
 	return idle
 }
 
-// IsReader tells whether it is a node's role to read the store: every node of a
-// small fleet, else the first of each zone.
+// IsReader reports whether a node reads the store: every node of a small fleet, else the first
+// reader of each zone.
 func (r *Roles) IsReader(node fleet.NodeID) bool {
 	if r.SmallFleet {
 		return true
@@ -209,10 +206,10 @@
 	return false
 }
 
-// ReaderOrder returns the nodes that a node of a zone asks for the store's rows,
-// best first: by rank within each zone, and of each rank the own zone first. The others follow
-// in an order that starts elsewhere for each node, so that those who asked a reader that fails
-// don't all ask the same next one.
+// ReaderOrder returns the nodes that a node of a zone asks for the store's rows, best first: by
+// rank within each zone, and the own zone first at each rank. The other zones follow in an order
+// that starts at a different zone for each node, which spreads the nodes over them when a reader
+// fails.
 func (r *Roles) ReaderOrder(zone fleet.ZoneName, self fleet.NodeID) []fleet.NodeID {
 	var order []fleet.NodeID
 	start := int(xxhash.Sum64String(string(self)) % uint64(max(len(r.zones), 1)))
@@ -230,9 +227,8 @@
 	return order
 }
 
-// rankReaders ranks the members of each zone as readers, those outside of the
-// serving set first, the largest of them first: after a start of all, a reader tells all rows to
-// each node of its zone, and the smallest machines have a twentieth of the largest's link.
+// rankReaders ranks the members of each zone as readers: those outside the serving set first, and
+// the largest first among them, since a reader may send all rows to each node of its zone.
 func (r *Roles) rankReaders() {
 	byZone := make(map[fleet.ZoneName][]weightedMember)
 	for _, entry := range withWeights(readerKey, r.routable) {
@@ -257,17 +253,16 @@
 	slices.Sort(r.zones)
 }
 
-// CacheSources returns the nodes of a zone that are asked, in turn, what changes in the
-// zone's caches: those that serve first, since they follow them for themselves. Callers must
-// not write to the slice.
+// CacheSources returns the nodes of a zone to ask, in turn, for changes in the zone's caches.
+// Serving members come first, since they subscribe to the caches anyway. Callers must not modify
+// the slice.
 func (r *Roles) CacheSources(zone fleet.ZoneName) []fleet.NodeID { return r.cacheSources[zone] }
 
-// mirrorsPerRegion is the number of nodes of a region that tell the others of it, in turn, what
-// changes in the caches of another region's zone.
+// mirrorsPerRegion is the number of nodes returned by CacheMirrors.
 const mirrorsPerRegion = 2
 
-// CacheMirrors returns the nodes of a region that tell the others of it, in turn, what changes
-// in the caches of a zone of another region: of those that serve, since they need it themselves.
+// CacheMirrors returns the nodes of a region to ask, in turn, for changes in the caches of a zone
+// of another region. They are serving members, which need the changes themselves.
 func (r *Roles) CacheMirrors(zone fleet.ZoneName, region fleet.RegionName) []fleet.NodeID {
 	var near []Member
 	for _, member := range r.Serving {
@@ -278,7 +273,7 @@
 	return Owners(fleet.EngineID(zone), near, mirrorsPerRegion)
 }
 
-// rankCacheSources ranks the members of each zone as sources of what its caches hold.
+// rankCacheSources ranks the members of each zone as sources of cache changes.
 func (r *Roles) rankCacheSources() {
 	byZone := make(map[fleet.ZoneName][]weightedMember)
 	for _, entry := range withWeights(cacheKey, r.routable) {
@@ -301,23 +296,23 @@
 	}
 }
 
-// DemandTracker follows a rate so that the roles change seldom: up at once, down only
-// after the rate has been well below for a while.
+// DemandTracker smooths a request rate with hysteresis, so that roles change rarely: the level
+// rises immediately and falls only after the rate has been well below it for a while. The zero
+// value is ready to use. It is not safe for concurrent use.
 type DemandTracker struct {
 	level      float64
 	belowSince time.Duration
 	below      bool
 }
 
-// Parts of Demand's hysteresis.
 const (
-	// demandLevelFactor is the factor between two levels.
+	// demandLevelFactor is the ratio of the planned level to the observed rate.
 	demandLevelFactor = 1.25
-	// demandFallDelay is how long the rate must be below before the level falls.
+	// demandFallDelay is how long the rate must be lower before the level falls.
 	demandFallDelay = 10 * time.Second
 )
 
-// Observe takes in the rate at now and returns the level to plan for.
+// Observe records the rate at now and returns the level to plan for.
 func (d *DemandTracker) Observe(now time.Duration, rate float64) float64 {
 	switch {
 	case rate > d.level:
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -35,16 +35,16 @@
 		assert.EqualValues(t, 800, member.Capacity)
 		assert.True(t, roles.IsServing(member.Node))
 	}
-	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "before any request")
+	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "the minimum serves without demand")
 	more := Assign(view, 1750, RoleOptions{})
-	assert.Len(t, more.Serving, 9, "a small one more in each zone")
+	assert.Len(t, more.Serving, 9, "one more small member in each zone")
 	for _, zone := range []fleet.ZoneName{"z0", "z1", "z2"} {
 		shares := expectedShares(t, more, Location{Zone: zone})
 		carried := 0.0
 		for node, share := range shares {
 			member, _ := view.Find(node)
 			assert.Equal(t, zone, member.Zone)
-			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "by weight, as near as two addresses allow")
+			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "shares follow capacity as closely as two routers per answer allow")
 			carried += float64(member.Capacity)
 		}
 		assert.EqualValues(t, 1800, carried)
@@ -72,10 +72,10 @@
 			readers++
 		}
 	}
-	assert.Equal(t, 3, readers, "one a zone")
+	assert.Equal(t, 3, readers, "one reader per zone")
 	assert.True(t, roles.IsReader(order[0]))
 	assert.ElementsMatch(t, order, roles.ReaderOrder("z2", "self"))
-	assert.NotEqual(t, order[0], roles.ReaderOrder("z2", "self")[0], "the own zone first")
+	assert.NotEqual(t, order[0], roles.ReaderOrder("z2", "self")[0], "the own zone's reader must come first")
 }
 
 func TestSmallFleetUsesAllMembers(t *testing.T) {
@@ -96,7 +96,7 @@
 	assert.Equal(t, 125.0, demand.Observe(13*time.Second, 100))
 }
 
-// TestDifferenceOfTwoViews names who came, went and changed state.
+// Guards against missed members that joined, left or changed state between two views.
 func TestDifferenceOfTwoViews(t *testing.T) {
 	named := func(state State, nodes ...fleet.NodeID) []Member {
 		var members []Member
@@ -111,7 +111,7 @@
 	assert.Empty(t, Difference(before, before))
 }
 
-// TestCandidatesAreLargestMembers: among hundreds of small ones that rest, the few large ones do.
+// Guards against duties going to small members when larger ones do not serve.
 func TestCandidatesAreLargestMembers(t *testing.T) {
 	for _, large := range []int{12, 40} {
 		roles := Assign(mixedFleet(large, 300), 100, RoleOptions{})
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestFallbackReadersAreSpread: each other zone's reader gets a like part of them,
-// and each node keeps to its order.
+// Guards against all nodes of a zone asking the same fallback when their reader fails, and against
+// the order of a node changing between calls.
 func TestFallbackReadersAreSpread(t *testing.T) {
 	var members []Member
 	for number := range 500 {
@@ -146,12 +146,12 @@
 	for number := 1; number < 500; number += 5 {
 		self := members[number].Node
 		order := roles.ReaderOrder("z1", self)
-		require.Equal(t, first, order[0], "the own zone's reader is first")
+		require.Equal(t, first, order[0], "the zone's own reader must come first")
 		require.Equal(t, order, roles.ReaderOrder("z1", self))
 		next[order[1]]++
 	}
 	assert.Len(t, next, 4)
 	for _, count := range next {
-		assert.Less(t, count, 60, "of 100")
+		assert.Less(t, count, 60, "nodes of 100 with the same fallback")
 	}
 }
--- a/internal/membership/serving.go
+++ b/internal/membership/serving.go
@@ -7,53 +7,52 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// location returns where a member is.
 func (m Member) location() Location { return Location{Region: m.Region, Zone: m.Zone} }
 
-// minGroupServing is the number of serving members of a group at the least: a caller whose
-// address fails takes another one of its answer at once, and must have one.
+// minGroupServing is the minimum number of serving members of a group, so that a caller has another
+// router to fail over to.
 const minGroupServing = 2
 
-// servingGroup is the serving members of one zone, of one region, or of all: callers
-// of its places are sent to it first.
+// servingGroup is the group of members of a zone, of a region, or of all, to which the callers of
+// its locations are sent first.
 type servingGroup struct {
-	// location is without zone if the group is a region's, and empty if it holds all.
+	// location has no zone if the group is a region, and is empty if it contains all members.
 	location Location
 	members  []weightedMember
-	// needed is how many of the members, the first ones, the demand asks for, and serving
-	// how many serve.
+	// needed is the number of members that the demand requires, and serving the number that serve.
+	// They are the first ones of members.
 	needed  int
 	serving int
-	// capacity is the requests a second that all members can carry together, demand
-	// what its places' callers send.
+	// capacity is the request rate that all members can sustain together, and demand the rate of
+	// the callers of the group's locations, both in requests per second.
 	capacity float64
 	demand   float64
 }
 
-// servingPlan says which members serve, and which part of each group's callers go to
-// which other group.
+// servingPlan defines which members serve and which fraction of each group's callers goes to each
+// group.
 type servingPlan struct {
 	options RoleOptions
 	groups  []servingGroup
-	// flows[from][to] is the part of a group's callers that go to a group; the parts of
+	// flows[from][to] is the fraction of group from's callers sent to group to. The fractions of
 	// one group add up to 1.
 	flows [][]float64
-	// byLocation finds the group of a zone and, if groups are of zones, byRegion those of a
-	// region.
+	// byLocation maps the location of a group to its index. byRegion maps a region to the indexes
+	// of its groups.
 	byLocation map[Location]int
 	byRegion   map[fleet.RegionName][]int
 }
 
-// planServing divides the members into groups, spreads the demand over them and takes as
-// many members of each as its part asks for.
+// planServing divides the members into groups, distributes the demand over them and selects as many
+// members of each as its part of the demand requires.
 func planServing(members []Member, demand float64, options RoleOptions) *servingPlan {
 	plan := &servingPlan{options: options, byLocation: make(map[Location]int), byRegion: make(map[fleet.RegionName][]int)}
 	ranked := rankServing(members)
-	level := chooseGrouping(ranked, demand, options)
+	groupLocation := chooseGrouping(ranked, demand, options)
 	for _, entry := range ranked {
-		plan.addMember(level(entry.location()), entry)
+		plan.addMember(groupLocation(entry.location()), entry)
 	}
-	plan.distributeDemand(demand, level)
+	plan.distributeDemand(demand, groupLocation)
 	plan.flows = computeFlows(plan.groups)
 	for to := range plan.groups {
 		incoming := 0.0
@@ -65,16 +64,17 @@
 	return plan
 }
 
-// rankServing orders members for serving: the largest first, those of equal size zone by
-// zone in turn, so that a group's first ones aren't all in one zone. Pressure changes no
-// rank: a busy member gets fewer callers beside others, and isn't replaced.
+// rankServing sorts members by preference for serving: by falling capacity, alternating between
+// zones among members of equal capacity, so that the first members of a group are spread over its
+// zones. Pressure does not affect the rank: a member under pressure gets fewer callers, but is not
+// replaced.
 func rankServing(members []Member) []weightedMember {
 	ranked := withWeights(servingKey, members)
 	slices.SortFunc(ranked, func(a, b weightedMember) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(b.weight, a.weight))
 	})
 	type rank struct {
-		place    Location
+		location Location
 		capacity uint32
 	}
 	seen := make(map[rank]int)
@@ -92,32 +92,34 @@
 	return ranked
 }
 
-// effectiveCapacity returns the thousandths of a core of a member that count when callers are spread.
+// effectiveCapacity returns a member's capacity reduced by its capacity factor, in thousandths of a
+// core.
 func (o *RoleOptions) effectiveCapacity(member *Member) float64 {
 	weight := float64(member.Capacity)
-	if part, told := o.CapacityFactors[member.Node]; told {
-		weight *= part
+	if factor, found := o.CapacityFactors[member.Node]; found {
+		weight *= factor
 	}
 	return weight
 }
 
-// sustainableRate returns the requests a second that a member can carry.
+// sustainableRate returns the requests per second that a member can sustain.
 func (o *RoleOptions) sustainableRate(member *Member) float64 {
 	return o.effectiveCapacity(member) * o.Utilization / o.RequestCost
 }
 
-// chooseGrouping returns how places are put together to groups: by zones, if the members that
-// the demand asks for are enough to have two in each, else by regions, else all in one.
-// Fewer than that aren't worth the bytes: each serving member tells each other one its loads.
+// chooseGrouping returns the mapping of locations to groups: by zone if the members that the demand
+// requires suffice for minGroupServing in each zone, else by region on the same condition, else a
+// single group. It does not add serving members for smaller groups, because all serving members
+// exchange load reports with each other.
 func chooseGrouping(ranked []weightedMember, demand float64, options RoleOptions) func(Location) Location {
 	zones := make(map[Location]bool)
 	regions := make(map[fleet.RegionName]bool)
-	needed, carried := 0, 0.0
+	needed, sustained := 0, 0.0
 	for index := range ranked {
 		zones[ranked[index].location()] = true
 		regions[ranked[index].Region] = true
-		if carried < demand {
-			carried += options.sustainableRate(ranked[index].Member)
+		if sustained < demand {
+			sustained += options.sustainableRate(ranked[index].Member)
 			needed++
 		}
 	}
@@ -126,41 +128,40 @@
 	case options.SingleGroup:
 		return func(Location) Location { return Location{} }
 	case minGroupServing*len(zones) <= needed:
-		return func(place Location) Location { return place }
+		return func(location Location) Location { return location }
 	case minGroupServing*len(regions) <= needed:
-		return func(place Location) Location { return Location{Region: place.Region} }
+		return func(location Location) Location { return Location{Region: location.Region} }
 	default:
 		return func(Location) Location { return Location{} }
 	}
 }
 
-// addMember adds a member to the group of a place.
-func (p *servingPlan) addMember(place Location, entry weightedMember) {
-	group, found := p.byLocation[place]
+// addMember adds a member to the group of a location.
+func (p *servingPlan) addMember(location Location, entry weightedMember) {
+	group, found := p.byLocation[location]
 	if !found {
-		group = p.addGroup(place)
+		group = p.addGroup(location)
 	}
 	p.groups[group].members = append(p.groups[group].members, entry)
 	p.groups[group].capacity += p.options.sustainableRate(entry.Member)
 }
 
-func (p *servingPlan) addGroup(place Location) int {
+func (p *servingPlan) addGroup(location Location) int {
 	group := len(p.groups)
-	p.groups = append(p.groups, servingGroup{location: place})
-	p.byLocation[place] = group
-	p.byRegion[place.Region] = append(p.byRegion[place.Region], group)
+	p.groups = append(p.groups, servingGroup{location: location})
+	p.byLocation[location] = group
+	p.byRegion[location.Region] = append(p.byRegion[location.Region], group)
 	return group
 }
 
-// distributeDemand divides the demand over the groups as it comes from their places; equally
-// as long as that isn't known. A place without members keeps a group of its own, from
-// which all callers go to others.
-func (p *servingPlan) distributeDemand(demand float64, level func(Location) Location) {
+// distributeDemand distributes the demand over the groups by its origin, or equally if the origin
+// is unknown. A location without members gets a group of its own, whose callers all go to others.
+func (p *servingPlan) distributeDemand(demand float64, groupLocation func(Location) Location) {
 	total := 0.0
-	for place, rate := range p.options.DemandByLocation {
-		group, found := p.byLocation[level(place)]
+	for location, rate := range p.options.DemandByLocation {
+		group, found := p.byLocation[groupLocation(location)]
 		if !found {
-			group = p.addGroup(level(place))
+			group = p.addGroup(groupLocation(location))
 		}
 		p.groups[group].demand += rate
 		total += rate
@@ -175,8 +176,8 @@
 	}
 }
 
-// sizeGroup takes as many members of a group as carry its demand, and its part of the least
-// sizeGroup of the serving set.
+// sizeGroup sets how many members of a group serve: enough for its demand, and its part of
+// MinServing.
 func (p *servingPlan) sizeGroup(group *servingGroup, demand float64) {
 	populated := 0
 	for index := range p.groups {
@@ -184,16 +185,16 @@
 			populated++
 		}
 	}
-	least := max(minGroupServing, (p.options.MinServing+populated-1)/max(populated, 1))
-	carried := 0.0
-	for group.needed < len(group.members) && (group.needed < least || carried < demand) {
-		carried += p.options.sustainableRate(group.members[group.needed].Member)
+	minimum := max(minGroupServing, (p.options.MinServing+populated-1)/max(populated, 1))
+	sustained := 0.0
+	for group.needed < len(group.members) && (group.needed < minimum || sustained < demand) {
+		sustained += p.options.sustainableRate(group.members[group.needed].Member)
 		group.needed++
 	}
 	group.serving = min(max(group.needed, p.options.MinServingByLocation[group.location]), len(group.members))
 }
 
-// Needed returns how many members of each group the demand asks for.
+// Needed returns the number of members that the demand requires, by the location of the group.
 func (r *Roles) Needed() map[Location]int {
 	needed := make(map[Location]int)
 	if r.plan == nil {
@@ -205,19 +206,19 @@
 	return needed
 }
 
-// DemandByOrigin returns from which places the requests come that members of places take, in
-// requests a second: what a group takes is divided among the groups whose callers are sent
-// to it. Without that, a place whose callers are partly sent elsewhere would seem to need
-// less, and they would all be sent back.
-func (r *Roles) DemandByOrigin(taken map[Location]float64) map[Location]float64 {
+// DemandByOrigin converts the request rates that members serve, by their location, to rates by the
+// callers' location. The rate of a group is divided among the groups whose callers it serves.
+// Otherwise a location that overflows to others would seem to need less, and its callers would be
+// sent back.
+func (r *Roles) DemandByOrigin(served map[Location]float64) map[Location]float64 {
 	if r.plan == nil {
-		return taken
+		return served
 	}
-	origins := make(map[Location]float64, len(taken))
-	for place, rate := range taken {
-		to, found := r.plan.findGroup(place)
+	byOrigin := make(map[Location]float64, len(served))
+	for location, rate := range served {
+		to, found := r.plan.findGroup(location)
 		if !found {
-			origins[place] += rate
+			byOrigin[location] += rate
 			continue
 		}
 		incoming := 0.0
@@ -225,23 +226,23 @@
 			incoming += r.plan.groups[from].demand * r.plan.flows[from][to]
 		}
 		for from, group := range r.plan.groups {
-			part := group.demand * r.plan.flows[from][to]
+			inflow := group.demand * r.plan.flows[from][to]
 			switch {
 			case from == to && incoming <= 0:
-				origins[place] += rate
+				byOrigin[location] += rate
 			case from == to:
-				origins[place] += rate * part / incoming
-			case part > 0:
-				origins[group.location] += rate * part / incoming
+				byOrigin[location] += rate * inflow / incoming
+			case inflow > 0:
+				byOrigin[group.location] += rate * inflow / incoming
 			}
 		}
 	}
-	return origins
+	return byOrigin
 }
 
-// findGroup returns the group of a place.
-func (p *servingPlan) findGroup(place Location) (int, bool) {
-	for _, key := range []Location{place, {Region: place.Region}, {}} {
+// findGroup returns the group of a location.
+func (p *servingPlan) findGroup(location Location) (int, bool) {
+	for _, key := range []Location{location, {Region: location.Region}, {}} {
 		if group, found := p.byLocation[key]; found {
 			return group, true
 		}
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -12,13 +12,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// zoneMembers is the members of one zone by their capacities in thousandths of a core.
+// zoneMembers describes the members of a zone by their capacities in thousandths of a core.
 type zoneMembers struct {
 	place      Location
 	capacities []uint32
 }
 
-// fleetOf returns a view of members of zones.
+// fleetOf returns a view of the members of the given zones.
 func fleetOf(zones ...zoneMembers) *View {
 	var members []Member
 	for _, zone := range zones {
@@ -32,7 +32,7 @@
 	return NewView(1, members[0], members)
 }
 
-// equal returns capacities of as many members.
+// equal returns the given number of equal capacities.
 func equal(count int, capacity uint32) []uint32 {
 	capacities := make([]uint32, count)
 	for index := range capacities {
@@ -43,8 +43,8 @@
 
 func always(Member) bool { return true }
 
-// expectedShares returns the part of a place's callers that each member gets, if its callers
-// ask its members evenly and take one address of an answer by chance.
+// expectedShares returns the fraction of a location's callers that each member gets, if they ask
+// the location's members evenly and pick one router of the answer at random.
 func expectedShares(t *testing.T, roles *Roles, from Location) map[fleet.NodeID]float64 {
 	shares := make(map[fleet.NodeID]float64)
 	answerers := 0.0
@@ -66,7 +66,7 @@
 	return shares
 }
 
-// sharesByZone adds up shares by zone.
+// sharesByZone sums shares by zone.
 func sharesByZone(view *View, shares map[fleet.NodeID]float64) map[fleet.ZoneName]float64 {
 	byZone := make(map[fleet.ZoneName]float64)
 	for node, share := range shares {
@@ -86,7 +86,7 @@
 func TestCallersStayInZoneWithinCapacity(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
 	roles := Assign(view, 150, RoleOptions{Utilization: 0.5, DemandByLocation: map[Location]float64{northA: 90, northB: 40, southC: 20}})
-	assert.Len(t, roles.Serving, 6, "two of 200 carry 100 requests a second")
+	assert.Len(t, roles.Serving, 6, "two members of capacity 200 sustain 100 requests per second")
 	for _, from := range []Location{northA, northB, southC} {
 		assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, from))[from.Zone], 1e-9)
 	}
@@ -95,7 +95,7 @@
 func TestCallersStayInRegionWhenZonesAreTooMany(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)}, zoneMembers{southD, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{Utilization: 0.5})
-	assert.Len(t, roles.Serving, 6, "four zones with two each would be eight")
+	assert.Len(t, roles.Serving, 6, "four zones with two members each would need eight")
 	for _, from := range []Location{northA, northB, southC, southD} {
 		for _, named := range roles.RoutersFor(from, roles.Serving[0].Node, always) {
 			assert.Equal(t, from.Region, named.Region)
@@ -106,20 +106,20 @@
 		zones[member.Zone]++
 	}
 	for _, zone := range []fleet.ZoneName{"a", "b", "c", "d"} {
-		assert.Positive(t, zones[zone], "spread over the region's zones")
+		assert.Positive(t, zones[zone], "serving members must be spread over the region's zones")
 	}
 	roles = Assign(view, 380, RoleOptions{Utilization: 0.5})
-	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northA))["a"], 1e-9, "enough serve for each zone")
+	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northA))["a"], 1e-9, "enough members serve to group by zone")
 }
 
-// TestZoneOverflowGoesToSameRegion has a zone's callers ask for more than all its
-// members carry.
+// Guards against a zone whose callers exceed its capacity being overloaded, or overflowing to
+// another region while its own has spare capacity.
 func TestZoneOverflowGoesToSameRegion(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
 	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	byZone := sharesByZone(view, expectedShares(t, roles, northA))
-	assert.InDelta(t, 0.5, byZone["a"], 0.02, "four carry 200 of 400")
+	assert.InDelta(t, 0.5, byZone["a"], 0.02, "four members sustain 200 of 400")
 	assert.InDelta(t, 0.5, byZone["b"], 0.02)
 	assert.Zero(t, byZone["c"])
 	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northB))["b"], 1e-9)
@@ -129,10 +129,11 @@
 			carried += float64(member.Capacity) * 0.5 / DefaultRequestCost
 		}
 	}
-	assert.GreaterOrEqual(t, carried, 300.0, "its own and those that come")
+	assert.GreaterOrEqual(t, carried, 300.0, "its own callers and the overflow")
 }
 
-// TestOverflowIsAttributedToOriginZone has the part that others take stay the zone's own.
+// Guards against overflow being attributed to the zone that serves it: the origin would seem to
+// need less.
 func TestOverflowIsAttributedToOriginZone(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
@@ -145,7 +146,8 @@
 	assert.Equal(t, map[Location]float64{{"east", "e"}: 5}, unplanned)
 }
 
-// TestLostRegionOverflowsBySpareCapacity has a region's members vanish while its callers go on.
+// Guards against overload when a region's members are lost while its callers remain: they must
+// spread by spare capacity.
 func TestLostRegionOverflowsBySpareCapacity(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(20, 200)}, zoneMembers{northB, equal(8, 200)})
 	origins := map[Location]float64{northA: 100, northB: 350, southC: 500}
@@ -158,18 +160,18 @@
 			parts[named.Zone] += 1 / float64(len(answer)*len(view.Members()))
 		}
 	}
-	assert.InDelta(t, 0.9, parts["a"], 0.05, "900 free there, 50 in the other")
+	assert.InDelta(t, 0.9, parts["a"], 0.05, "spare capacity is 900 in this zone and 50 in the other")
 	flow := 0.0
 	for from, group := range roles.plan.groups {
 		if to, found := roles.plan.byLocation[northB]; found {
 			flow += group.demand * roles.plan.flows[from][to]
 		}
 	}
-	assert.LessOrEqual(t, flow, 400.0, "no zone gets more than it carries")
+	assert.LessOrEqual(t, flow, 400.0, "no zone may exceed its capacity")
 }
 
-// TestPlanRespectsCapacity plans for random fleets: each caller goes somewhere, nobody gets
-// more than it carries while others have room, and all that is asked for is carried.
+// Guards against plans, for random fleets, that lose callers, overload a group while others have
+// spare capacity, or select too few members for the demand.
 func TestPlanRespectsCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 500 {
@@ -220,8 +222,8 @@
 	busy := before.RoutersFor(northA, view.Members()[0].Node, always)[0].Node
 	after := Assign(view, 240, RoleOptions{Utilization: 0.5, CapacityFactors: map[fleet.NodeID]float64{busy: 0.5}})
 	shares := expectedShares(t, after, northA)
-	assert.Less(t, shares[busy], 0.51*0.5, "a half of what it got")
-	assert.True(t, after.IsServing(busy), "it isn't replaced: that would move all that it knows")
+	assert.Less(t, shares[busy], 0.51*0.5, "at most half of its earlier share")
+	assert.True(t, after.IsServing(busy), "a member under pressure must not be replaced")
 	for _, member := range before.Serving {
 		assert.True(t, after.IsServing(member.Node))
 	}
@@ -233,20 +235,20 @@
 		zones = append(zones, zoneMembers{Location{fleet.RegionName(fmt.Sprint("r", zone%6)), fleet.ZoneName(fmt.Sprint("z", zone))}, equal(52, 200)})
 	}
 	view := fleetOf(zones...)
-	b.Run("assign at 676 members", func(b *testing.B) {
+	b.Run("assign, 676 members", func(b *testing.B) {
 		for b.Loop() {
 			Assign(view, 5000, RoleOptions{Utilization: 0.5})
 		}
 	})
 	roles := Assign(view, 5000, RoleOptions{Utilization: 0.5})
-	b.Run("answer at 676 members", func(b *testing.B) {
+	b.Run("routers for caller, 676 members", func(b *testing.B) {
 		for b.Loop() {
 			roles.RoutersFor(Location{"r0", "z0"}, view.Members()[3].Node, always)
 		}
 	})
 }
 
-// TestGroupsGrowImmediatelyAndShrinkDelayed has a zone's need vary by chance.
+// Guards against groups that shrink as soon as their need varies, or do not grow with it.
 func TestGroupsGrowImmediatelyAndShrinkDelayed(t *testing.T) {
 	var hold SizeHysteresis
 	at := func(now time.Duration, need int) int {
@@ -257,13 +259,13 @@
 	assert.Equal(t, 4, at(2*time.Second, 2))
 	assert.Equal(t, 4, at(10*time.Second, 3))
 	assert.Equal(t, 4, at(20*time.Second, 2))
-	assert.Equal(t, 3, at(21*time.Second, 2), "the largest need since")
+	assert.Equal(t, 3, at(21*time.Second, 2), "the largest need since the last change of size")
 	assert.Equal(t, 5, at(22*time.Second, 5))
 	assert.Equal(t, 5, at(41*time.Second, 1))
 	assert.Equal(t, 1, at(42*time.Second, 1))
 	assert.Equal(t, 7, at(43*time.Second, 7))
-	assert.Equal(t, 2, hold.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "the demand has been lower for a while")
-	assert.NotContains(t, hold.Observe(45*time.Second, 50, nil), northA, "a group that is gone is forgotten")
+	assert.Equal(t, 2, hold.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "lower planned demand must reset the sizes")
+	assert.NotContains(t, hold.Observe(45*time.Second, 50, nil), northA, "a group that no longer exists must be removed")
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
 	roles := Assign(view, 60, RoleOptions{MinServingByLocation: map[Location]int{northA: 4, southC: 99}})
 	assert.Equal(t, map[Location]int{northA: 2, northB: 2, southC: 2}, roles.Needed())
--- a/internal/membership/belief_test.go
+++ b/internal/membership/suspicion_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newCoreWithMember returns a core and a member of its region that it holds alive.
+// newCoreWithMember returns a core and a member of its region that it sees as alive.
 func newCoreWithMember(t *testing.T) (*Core, Member) {
 	network := newNetwork(t, 41, 1)
 	core := network.startNode(network.member(0)).core
@@ -26,11 +26,11 @@
 	dead.State = Dead
 	core.Receive(time.Second, Message{Kind: Ack, Sender: stranger, Target: stranger.Node, Updates: []Member{dead}})
 	require.Equal(t, Suspect, core.table.byNode[other.Node].State)
-	var told bool
+	var informed bool
 	for _, message := range core.Tick(core.NextWake()) {
-		told = told || (message.Kind == Probe && message.To == other.Address && message.Updates[0].State == Suspect)
+		informed = informed || (message.Kind == Probe && message.To == other.Address && message.Updates[0].State == Suspect)
 	}
-	assert.True(t, told, "the member isn't told that it is suspected")
+	assert.True(t, informed, "the member must be informed that it is suspected")
 	other.Incarnation++
 	core.Receive(core.NextWake(), Message{Kind: Ack, Sender: other, Target: other.Node})
 	assert.Equal(t, Alive, core.table.byNode[other.Node].State)
@@ -49,11 +49,11 @@
 	core, other := newCoreWithMember(t)
 	other.State = Suspect
 	core.merge(time.Second, other, claimSource{region: other.Region})
-	thaw := core.NextWake() + time.Hour
-	core.Tick(thaw)
-	require.True(t, core.isLive(other.Node), "a suspect died while this node was frozen")
-	for now := thaw; core.isLive(other.Node); now = core.NextWake() {
-		require.Less(t, now, thaw+time.Minute)
+	resumedAt := core.NextWake() + time.Hour
+	core.Tick(resumedAt)
+	require.True(t, core.isLive(other.Node), "a suspect was declared dead while this node was paused")
+	for now := resumedAt; core.isLive(other.Node); now = core.NextWake() {
+		require.Less(t, now, resumedAt+time.Minute)
 		core.Tick(now)
 	}
 }
@@ -94,7 +94,7 @@
 		network.advance(100 * time.Millisecond)
 		for _, x := range network.all {
 			for _, record := range x.core.table.sorted {
-				require.False(t, record.State == Dead && record.Region == x.core.Self().Region, "%s of the own region is dead", record.Node)
+				require.False(t, record.State == Dead && record.Region == x.core.Self().Region, "%s of the same region was declared dead", record.Node)
 			}
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,21 +7,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// record is a member with what this node alone knows of it.
+// record is a member with this node's local state about it.
 type record struct {
 	Member
-	// stateSince is when the present state was entered.
+	// stateSince is when the current state was entered.
 	stateSince time.Duration
-	// suspicionDeadline is when a suspect is confirmed dead.
+	// suspicionDeadline is when a suspect is declared dead.
 	suspicionDeadline time.Duration
 }
 
-// table holds the records, in order of node, and the tombstones of forgotten ones.
+// table holds the records sorted by node and the tombstones of expired ones.
 type table struct {
 	byNode map[fleet.NodeID]*record
 	sorted []*record
-	// tombstones holds the last incarnation of forgotten members, so that a
-	// stale claim never brings one back; tombstoneOrder is oldest first.
+	// tombstones holds the last incarnation of expired members, so that a stale claim cannot
+	// resurrect one. tombstoneOrder lists them from the oldest.
 	tombstones     map[fleet.NodeID]fleet.Incarnation
 	tombstoneOrder []fleet.NodeID
 	maxTombstones  int
@@ -47,7 +47,7 @@
 	return added
 }
 
-// expireDead turns the records that died before the given time into tombstones.
+// expireDead replaces the records that died before the given time by tombstones.
 func (t *table) expireDead(before time.Duration) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(r *record) bool {
 		if r.State != Dead || r.stateSince >= before {
@@ -70,7 +70,7 @@
 	}
 }
 
-// removeTombstone removes the tombstone of a member that came back with a higher incarnation.
+// removeTombstone removes the tombstone of a member that returned with a higher incarnation.
 func (t *table) removeTombstone(node fleet.NodeID) {
 	if _, known := t.tombstones[node]; !known {
 		return
--- a/internal/membership/cost_test.go
+++ b/internal/membership/traffic_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// controlBudgetBytes is the budget of a node for control, in bytes a second.
+// controlBudgetBytes is a node's budget for control traffic, in bytes per second.
 const controlBudgetBytes = 13000
 
-// measure returns the mean messages and protocol bytes that a node sends a
-// second, with the transport's own bytes left out.
+// measure returns the mean messages and bytes that a node sends per second, without the transport's
+// overhead.
 func (n *network) measure(duration time.Duration) (messages, bytes float64) {
 	n.startCount()
 	n.advance(duration)
@@ -47,13 +47,13 @@
 	}
 }
 
-// healRegion cuts one region off, ends the cut and returns the times until
-// both were seen by all, and the bytes that this cost a node.
+// healRegion partitions one region, ends the partition, and returns the times until all nodes
+// detected each, and the mean and worst bytes that a node sent while the membership converged.
 func healRegion(network *network, count int) (seen, healed time.Duration, mean, worst int) {
 	network.startConverged(count)
 	network.clearSeeds()
-	cut := network.all[0].core.Self().Region
-	network.blocked = func(from, to Member) bool { return (from.Region == cut) != (to.Region == cut) }
+	partitioned := network.all[0].core.Self().Region
+	network.blocked = func(from, to Member) bool { return (from.Region == partitioned) != (to.Region == partitioned) }
 	inside := (count + fleetRegions - 1) / fleetRegions
 	seen = network.advanceUntil(10*time.Minute, func() bool {
 		return len(network.all[0].core.Members()) == inside && len(network.all[1].core.Members()) == count-inside
@@ -71,11 +71,11 @@
 func TestRegionHealsWithinAMinute(t *testing.T) {
 	const count = 120
 	seen, healed, mean, worst := healRegion(newNetwork(t, 32, fleetRegions), count)
-	t.Logf("members=%d region cut seen after %s, healed after %s, bytes_per_node mean=%d worst=%d", count, seen, healed, mean, worst)
+	t.Logf("members=%d partition detected after %s, healed after %s, bytes_per_node mean=%d worst=%d", count, seen, healed, mean, worst)
 	assert.Less(t, healed, time.Minute)
 }
 
-// BenchmarkRegionReturn reports what the return of one region costs.
+// BenchmarkRegionReturn reports the cost of healing a partition of one region.
 func BenchmarkRegionReturn(b *testing.B) {
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkControl reports what one node sends a second, and what a second of
-// one node's membership costs in processor time.
+// BenchmarkControl reports the control messages and bytes that a node sends per second, and the
+// processor time that a second of one node's membership takes.
 func BenchmarkControl(b *testing.B) {
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// BenchmarkCrash reports how long it takes until all know of a crash, and of
-// twenty members that crash at once.
+// BenchmarkCrash reports the time until all nodes have detected a crash, and until they have
+// detected twenty simultaneous ones.
 func BenchmarkCrash(b *testing.B) {
 	for _, count := range []int{50, 200, 680} {
 		for _, crashes := range []int{1, 20} {
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkChange reports what one configuration change of 500 bytes costs
-// beyond the steady messages, and when the last member holds it.
+// BenchmarkChange reports the cost of one configuration change of 500 bytes beyond the steady
+// traffic, and when the last member holds it.
 func BenchmarkChange(b *testing.B) {
 	const settle = 5 * time.Second
 	for _, count := range []int{50, 200, 680} {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,9 +8,9 @@
 
 // View is an immutable snapshot of the membership. It is safe for concurrent use.
 type View struct {
-	// Version is the core's version at which the snapshot was taken.
+	// Version is the version of the Core when the snapshot was taken.
 	Version uint64
-	// Self is the node that took it.
+	// Self is the node that took the snapshot.
 	Self Member
 
 	members  []Member
@@ -24,7 +24,7 @@
 	return newSortedView(version, self, sorted)
 }
 
-// newSortedView returns a view that keeps the given sorted slice.
+// newSortedView returns a view of the given sorted members. It keeps the slice.
 func newSortedView(version uint64, self Member, members []Member) *View {
 	view := &View{Version: version, Self: self, members: members, routable: make([]Member, 0, len(members))}
 	for _, member := range view.members {
@@ -35,12 +35,12 @@
 	return view
 }
 
-// Members returns all members that aren't dead, self included, sorted by node.
-// Callers must not write to the slice.
+// Members returns all members that are not dead, including self, sorted by node. Callers must not
+// modify the slice.
 func (v *View) Members() []Member { return v.members }
 
-// Routable returns the members that may get new work, sorted by node. Callers
-// must not write to the slice.
+// Routable returns the members that may receive new work, sorted by node. Callers must not modify
+// the slice.
 func (v *View) Routable() []Member { return v.routable }
 
 // Find returns the member with the given node identifier.
@@ -52,8 +52,8 @@
 	return v.members[index], true
 }
 
-// Difference returns the members whose state differs between two views, as of the second,
-// and those that it lacks as dead, in the order of nodes.
+// Difference returns the members whose state differs between two views, sorted by node: those of
+// the second view with their new state, and those that it no longer contains as dead.
 func Difference(before, after *View) []Member {
 	var changed []Member
 	old, current := before.members, after.members
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -10,17 +10,17 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// ErrMalformed means that a message from another node can't be used.
+// ErrMalformed reports a message from another node that cannot be used.
 var ErrMalformed = errors.New("malformed membership message")
 
-// maxNameBytes bounds every name taken from a message.
+// maxNameBytes bounds every name in a message.
 const maxNameBytes = 256
 
-// minPackedUpdates is the number of updates from which on they are packed: a message with news
-// carries no more than DefaultMaxUpdates, and is too short to gain by it.
+// minPackedUpdates is the number of updates from which they are packed. Messages with piggybacked
+// updates alone are below it, and too short to benefit.
 const minPackedUpdates = DefaultMaxUpdates + 1
 
-// maxListBytes bounds a list of members, uncompressed: some 40,000.
+// maxListBytes bounds an unpacked list of members.
 const maxListBytes = 4 << 20
 
 // Encode returns the message in its transmitted form.
@@ -41,8 +41,8 @@
 	return encoded
 }
 
-// EncodePacked is Encode for a receiver that takes packed lists. A node of a release that
-// doesn't passes them over, and learns of the members by the answers to its own messages.
+// EncodePacked is like Encode but packs long lists of members. A receiver that does not support
+// packed lists ignores them and learns of the members from the answers to its own messages.
 func (m *Message) EncodePacked() (*rpc.GossipMessage, error) {
 	encoded := m.Encode()
 	if len(encoded.GetUpdates()) < minPackedUpdates {
@@ -56,8 +56,7 @@
 	return encoded, nil
 }
 
-// DecodeMessage reads a message from its transmitted form. It returns
-// ErrMalformed for a message that no member sends.
+// DecodeMessage decodes a message. It returns ErrMalformed for a message that no member sends.
 func DecodeMessage(encoded *rpc.GossipMessage) (Message, error) {
 	sender, err := DecodeMember(encoded.GetSender())
 	if err != nil {
@@ -94,7 +93,7 @@
 	return message, nil
 }
 
-// DecodeChanges reads configuration changes from their transmitted form.
+// DecodeChanges decodes configuration changes.
 func DecodeChanges(encoded []*rpc.ConfigChange) []Change {
 	var changes []Change
 	for _, change := range encoded {
@@ -116,8 +115,7 @@
 	}
 }
 
-// DecodeMember reads a member from its transmitted form. It returns
-// ErrMalformed for one without a usable name, address or state.
+// DecodeMember decodes a member. It returns ErrMalformed if its name, address or state is invalid.
 func DecodeMember(encoded *rpc.Member) (Member, error) {
 	member := Member{
 		Node:        fleet.NodeID(encoded.GetNode()),
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(*rpc.GossipMessage){
+	for name, corrupt := range map[string]func(*rpc.GossipMessage){
 		"no sender":    func(m *rpc.GossipMessage) { m.Sender = nil },
 		"dead sender":  func(m *rpc.GossipMessage) { m.Sender.State = rpc.MemberState_MEMBER_STATE_DEAD },
 		"no kind":      func(m *rpc.GossipMessage) { m.Kind = 0 },
@@ -40,7 +40,7 @@
 	} {
 		sample := sampleMessage()
 		encoded := sample.Encode()
-		spoil(encoded)
+		corrupt(encoded)
 		_, err := DecodeMessage(encoded)
 		assert.ErrorIs(t, err, ErrMalformed, name)
 	}
@@ -67,7 +67,7 @@
 	})
 }
 
-// TestLongMemberListsArePacked, and short ones as before, also to nodes that know nothing of it.
+// Guards against long member lists being sent unpacked, and short ones packed.
 func TestLongMemberListsArePacked(t *testing.T) {
 	message := Message{Kind: Join, Sender: Member{Node: "n", Address: "127.0.0.1:1", State: Alive}}
 	for number := range 1000 {
