--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -100,7 +100,7 @@
 	asking, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	begun := g.now()
-	answer, err := g.peers.AskGrant(asking, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(begun, &observation), Priority: uint32(max(priority, 0))})
+	answer, err := g.peers.RequestGrant(asking, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(begun, &observation), Priority: uint32(max(priority, 0))})
 	if err != nil {
 		g.noteSilentGranter(ctx, granter, err)
 		return workerlimit.Grant{Wait: askAgain, Refill: askAgain}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -162,7 +162,7 @@
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
 	ctx, stop := g.resumptions.bind(g.peerCall(traffic.Watches, member))
 	defer stop()
-	response, err := g.peers.AskWatch(ctx, member.Address, firstByte, request)
+	response, err := g.peers.RequestWatch(ctx, member.Address, firstByte, request)
 	if g.context().Err() != nil {
 		return watchQuiet
 	}
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -199,7 +199,7 @@
 	if source.Zone != zone {
 		request.Zone = string(zone)
 	}
-	response, err := g.peers.AskCaches(ctx, source.Address, request)
+	response, err := g.peers.RequestCaches(ctx, source.Address, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/peer/drive.go
+++ b/internal/peer/drive.go
@@ -7,21 +7,21 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// drive calls the core when it is due.
-func (p *Peer) drive() error {
+// driveLoop calls the core when it is due.
+func (p *Peer) driveLoop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	refresh := time.NewTicker(seedRefresh)
+	refresh := time.NewTicker(seedRefreshInterval)
 	defer refresh.Stop()
 	for {
 		select {
-		case <-p.life.Dying():
+		case <-p.tomb.Dying():
 			return nil
 		case <-refresh.C:
 			p.refreshSeeds()
 		case <-timer.C:
 			p.tick()
-		case <-p.kick:
+		case <-p.wakeDriver:
 		}
 		timer.Reset(p.untilWake())
 	}
@@ -32,11 +32,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	wake := p.core.NextWake()
-	if at, pending := p.spread.NextWake(); pending {
+	if at, pending := p.dissemination.NextWake(); pending {
 		wake = min(wake, at)
 	}
-	if p.outdated() {
-		wake = min(wake, p.publishAt())
+	if p.isViewStale() {
+		wake = min(wake, p.nextViewAt())
 	}
 	return max(0, wake-p.clock.Now())
 }
@@ -46,8 +46,8 @@
 	var due bool
 	p.send(p.step(func(now time.Duration) []membership.Message {
 		messages := p.core.Tick(now)
-		pull, due = p.spread.NextPull(now)
-		return append(messages, p.spread.Tick(now, p.View())...)
+		pull, due = p.dissemination.NextPull(now)
+		return append(messages, p.dissemination.Tick(now, p.View())...)
 	}))
 	if due {
 		p.enqueue(call{pull: &pull})
@@ -57,40 +57,40 @@
 // refreshSeeds gives the core all addresses at which routers may be found.
 func (p *Peer) refreshSeeds() {
 	seeds := append([]fleet.Address(nil), p.options.Seeds...)
-	if p.options.Machines != nil {
-		seeds = append(seeds, p.options.Machines()...)
+	if p.options.DiscoverSeeds != nil {
+		seeds = append(seeds, p.options.DiscoverSeeds()...)
 	}
 	p.send(p.step(func(now time.Duration) []membership.Message { return p.core.Join(now, seeds) }))
 }
 
-// followHolder spreads each new revision that the holder accepts, whichever
+// watchHolder spreads each new revision that the holder accepts, whichever
 // way it came.
-func (p *Peer) followHolder() error {
+func (p *Peer) watchHolder() error {
 	for {
 		updated := p.options.Holder.Updated()
-		p.send(p.step(p.spreadHeld))
+		p.send(p.step(p.publishHeld))
 		select {
-		case <-p.life.Dying():
+		case <-p.tomb.Dying():
 			return nil
 		case <-updated:
 		}
 	}
 }
 
-// spreadHeld publishes the changes up to the held revision. When they are not
+// publishHeld publishes the changes up to the held revision. When they are not
 // known one by one, the revision in each header has the others pull.
-func (p *Peer) spreadHeld(now time.Duration) []membership.Message {
+func (p *Peer) publishHeld(now time.Duration) []membership.Message {
 	revision := p.options.Holder.Revision()
-	changes, known := p.options.Holder.ChangesAfter(p.spread.Held())
+	changes, known := p.options.Holder.ChangesAfter(p.dissemination.Held())
 	if !known {
-		p.spread.RecordHeld(revision)
+		p.dissemination.RecordHeld(revision)
 		return nil
 	}
 	encoded, err := encodeChanges(changes)
 	if err != nil {
 		p.options.Logger.Error().Err(err).Msg("configuration_encode_failed")
-		p.spread.RecordHeld(revision)
+		p.dissemination.RecordHeld(revision)
 		return nil
 	}
-	return p.spread.Publish(now, encoded, p.View())
+	return p.dissemination.Publish(now, encoded, p.View())
 }
--- a/internal/peer/firstbyte_test.go
+++ b/internal/peer/firstbyte_test.go
@@ -11,17 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongAnswerIsNotSilence has an answer begin in time and go on for longer, another not
+// TestLongAnswerIsNotTimedOutAsSilent has an answer begin in time and go on for longer, another not
 // begin, and a third not end.
-func TestLongAnswerIsNotSilence(t *testing.T) {
+func TestLongAnswerIsNotTimedOutAsSilent(t *testing.T) {
 	const first, whole = 100 * time.Millisecond, 400 * time.Millisecond
 	for name, test := range map[string]struct {
 		before, after time.Duration
 		cause         error
 	}{
 		"long":   {before: 0, after: 2 * first},
-		"silent": {before: 3 * first, cause: errSilent},
-		"slow":   {before: 0, after: 3 * whole, cause: errSlow},
+		"silent": {before: 3 * first, cause: errFirstByteTimeout},
+		"slow":   {before: 0, after: 3 * whole, cause: errBodyTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -32,7 +32,7 @@
 				_, _ = writer.Write([]byte("end"))
 			}))
 			t.Cleanup(server.Close)
-			ctx, cancel := awaitFirstByte(t.Context(), first, whole)
+			ctx, cancel := withAnswerTimeouts(t.Context(), first, whole)
 			defer cancel()
 			request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, http.NoBody)
 			require.NoError(t, err)
--- a/internal/peer/heads.go
+++ b/internal/peer/heads.go
@@ -9,14 +9,14 @@
 	headerDate        = "Date"
 )
 
-// shortHeads makes calls whose heads hold only what the other side reads. Most calls are as
+// minimalHeaders makes calls whose heads hold only what the other side reads. Most calls are as
 // short as their heads: of 350 bytes of heads a call and its answer, 180 say nothing.
-type shortHeads struct {
+type minimalHeaders struct {
 	next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s shortHeads) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s minimalHeaders) RoundTrip(request *http.Request) (*http.Response, error) {
 	short := *request
 	short.Header = http.Header{
 		headerContentType: request.Header[headerContentType],
@@ -27,27 +27,27 @@
 }
 
 // CloseIdleConnections closes the kept connections, as http.Client has it done.
-func (s shortHeads) CloseIdleConnections() {
+func (s minimalHeaders) CloseIdleConnections() {
 	if closer, ok := s.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// ShortAnswers has a handler answer with the same in mind: a success names neither its type,
+// MinimalResponseHeaders has a handler answer with the same in mind: a success names neither its type,
 // which is the call's, nor the date.
-func ShortAnswers(handler http.Handler) http.Handler {
+func MinimalResponseHeaders(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		handler.ServeHTTP(&shortWriter{ResponseWriter: writer}, request)
+		handler.ServeHTTP(&minimalHeaderWriter{ResponseWriter: writer}, request)
 	})
 }
 
-// shortWriter leaves out headers that nobody reads.
-type shortWriter struct {
+// minimalHeaderWriter leaves out headers that nobody reads.
+type minimalHeaderWriter struct {
 	http.ResponseWriter
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *shortWriter) WriteHeader(status int) {
+func (w *minimalHeaderWriter) WriteHeader(status int) {
 	header := w.Header()
 	header[headerDate] = nil
 	if status == http.StatusOK {
--- a/internal/peer/heads_test.go
+++ b/internal/peer/heads_test.go
@@ -17,11 +17,11 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// maxHeads is the most bytes that the heads of a call and of its answer may take.
-const maxHeads = 190
+// maxHeaderBytes is the most bytes that the heads of a call and of its answer may take.
+const maxHeaderBytes = 190
 
-// TestCallsHaveShortHeads counts what a call and its answer take besides their content.
-func TestCallsHaveShortHeads(t *testing.T) {
+// TestCallsHaveMinimalHeaders counts what a call and its answer take besides their content.
+func TestCallsHaveMinimalHeaders(t *testing.T) {
 	answered := &rpc.LoadReport{Node: "other", Partial: true}
 	options := Options{
 		Membership: membership.Options{Self: membership.Member{Node: "self", Address: "127.0.0.1:1"}},
@@ -29,7 +29,7 @@
 	}
 	peer, err := New(options)
 	require.NoError(t, err)
-	server := httptest.NewServer(ShortAnswers(rpc.NewPeerServer(&answeringPeer{Peer: peer, answer: answered})))
+	server := httptest.NewServer(MinimalResponseHeaders(rpc.NewPeerServer(&answeringPeer{Peer: peer, answer: answered})))
 	t.Cleanup(server.Close)
 	meter := &traffic.Meter{}
 	options.Traffic = meter
@@ -45,18 +45,18 @@
 	}
 	content := uint64(len("self") + len("other") + 2*len("nnpp"))
 	assert.Greater(t, total, content)
-	assert.Less(t, total, content+maxHeads)
+	assert.Less(t, total, content+maxHeaderBytes)
 }
 
-// TestFailuresKeepTheirType has a call fail: the answer tells its type and the caller reads it.
-func TestFailuresKeepTheirType(t *testing.T) {
+// TestErrorResponsesKeepContentType has a call fail: the answer tells its type and the caller reads it.
+func TestErrorResponsesKeepContentType(t *testing.T) {
 	options := Options{
 		Membership: membership.Options{Self: membership.Member{Node: "self", Address: "127.0.0.1:1"}},
 		Holder:     config.NewHolder(),
 	}
 	peer, err := New(options)
 	require.NoError(t, err)
-	server := httptest.NewServer(ShortAnswers(rpc.NewPeerServer(peer)))
+	server := httptest.NewServer(MinimalResponseHeaders(rpc.NewPeerServer(peer)))
 	t.Cleanup(server.Close)
 	_, err = peer.ExchangeLoad(t.Context(), address(server), &rpc.LoadReport{})
 	require.ErrorContains(t, err, "this process shares no load")
--- a/internal/peer/manymembers_test.go
+++ b/internal/peer/manymembers_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// peerAt returns a peer that isn't started, on a clock that the test moves.
-func peerAt(t *testing.T, now *time.Duration, lines *lineCounter) *Peer {
+// newManualPeer returns a peer that isn't started, on a clock that the test moves.
+func newManualPeer(t *testing.T, now *time.Duration, lines *lineCounter) *Peer {
 	p, err := New(Options{
 		Membership: membership.Options{Self: memberNamed(0)},
 		Holder:     config.NewHolder(),
@@ -45,15 +45,15 @@
 
 func (c clockFunc) Now() time.Duration { return c() }
 
-// TestViewsAndLinesAtAStartOfMany counts the views and the log lines that a node makes while
+// TestViewsAndLogLinesAreBoundedAtMassStart counts the views and the log lines that a node makes while
 // members become known one a message, as at a start of all: of twice as many members, twice as
 // many messages make no more views in the same time, and each view names few changes.
-func TestViewsAndLinesAtAStartOfMany(t *testing.T) {
+func TestViewsAndLogLinesAreBoundedAtMassStart(t *testing.T) {
 	const took = 2 * time.Second
 	made := make(map[int]int)
 	for _, members := range []int{1000, 2000} {
 		now, lines := time.Duration(0), &lineCounter{}
-		p := peerAt(t, &now, lines)
+		p := newManualPeer(t, &now, lines)
 		views, before := 0, p.View()
 		for number := 1; number < members; number++ {
 			now += took / time.Duration(members)
@@ -65,7 +65,7 @@
 		t.Logf("%d members: %d views, %d lines", members, views, lines.lines)
 		made[members] = views
 		assert.Less(t, views, members/4)
-		assert.Less(t, lines.lines, views+3*mostNamedMembers)
+		assert.Less(t, lines.lines, views+3*maxMemberLinesPerSecond)
 		now += time.Second
 		p.tick()
 		assert.Len(t, p.Members(), members)
@@ -73,11 +73,11 @@
 	assert.LessOrEqual(t, made[2000], made[1000])
 }
 
-// TestChangeInALargeFleetIsSeenSoon has a member change state right after a view was made: the
+// TestChangeInLargeFleetIsPublishedSoon has a member change state right after a view was made: the
 // next one follows without another message.
-func TestChangeInALargeFleetIsSeenSoon(t *testing.T) {
+func TestChangeInLargeFleetIsPublishedSoon(t *testing.T) {
 	now := time.Duration(0)
-	p := peerAt(t, &now, &lineCounter{})
+	p := newManualPeer(t, &now, &lineCounter{})
 	var updates []membership.Member
 	for number := 1; number < 1000; number++ {
 		updates = append(updates, memberNamed(number))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -30,70 +30,70 @@
 	Membership membership.Options
 	// Seeds are addresses at which other routers may be found.
 	Seeds []fleet.Address
-	// Machines returns further such addresses, such as the routers in the
+	// DiscoverSeeds returns further such addresses, such as the routers in the
 	// platform's list of machines; nil means none. It must not block.
-	Machines func() []fleet.Address
+	DiscoverSeeds func() []fleet.Address
 	// Holder keeps the configuration.
 	Holder *config.Holder
 	// Logger gets one line for each change of the membership.
 	Logger zerolog.Logger
 	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Loads answers another process's report on the workers with this one's; nil
+	// HandleLoadReport answers another process's report on the workers with this one's; nil
 	// means that this process shares no load.
-	Loads func(ctx context.Context, report *rpc.LoadReport) *rpc.LoadReport
-	// Watch answers another process that asks what changed in the store's tables;
+	HandleLoadReport func(ctx context.Context, report *rpc.LoadReport) *rpc.LoadReport
+	// HandleWatch answers another process that asks what changed in the store's tables;
 	// nil means that this process tells nobody.
-	Watch func(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse
-	// Caches answers another process that asks what changed in the caches of this
+	HandleWatch func(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse
+	// HandleCaches answers another process that asks what changed in the caches of this
 	// one's zone, or fails if it doesn't follow them; nil means that it follows none.
-	Caches func(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error)
-	// Limits answers another process that asks for a request to a worker with a limit, or
+	HandleCaches func(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error)
+	// HandleLimitQuestion answers another process that asks for a request to a worker with a limit, or
 	// fails if this one doesn't grant any; nil means that it never does.
-	Limits func(ctx context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error)
+	HandleLimitQuestion func(ctx context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error)
 	// Traffic counts the bytes of calls to other processes; nil counts none.
 	Traffic *traffic.Meter
 }
 
 const (
-	// senders bounds the calls to other routers at a time.
-	senders = 16
-	// queuedCalls bounds the calls that wait for a sender; more are dropped, as
+	// maxConcurrentCalls bounds the calls to other routers at a time.
+	maxConcurrentCalls = 16
+	// maxQueuedCalls bounds the calls that wait for a sender; more are dropped, as
 	// the network may drop any message.
-	queuedCalls = 256
+	maxQueuedCalls = 256
 	// probeTimeout bounds one call of a few hundred bytes.
 	probeTimeout = time.Second
 	// transferTimeout bounds one call that moves a whole membership or configuration.
-	transferTimeout = 5 * time.Second
-	connectTimeout  = 500 * time.Millisecond
-	idleTimeout     = 30 * time.Second
-	idleConnections = 64
-	// seedRefresh is the time between two looks at the list of machines.
-	seedRefresh = 2 * time.Second
+	transferTimeout    = 5 * time.Second
+	connectTimeout     = 500 * time.Millisecond
+	idleTimeout        = 30 * time.Second
+	maxIdleConnections = 64
+	// seedRefreshInterval is the time between two looks at the list of machines.
+	seedRefreshInterval = 2 * time.Second
 )
 
 // Peer is one router among the others. Its methods may be called from any goroutine.
 type Peer struct {
 	options Options
 	clock   fleet.Clock
-	// http keeps connections, single makes one for each call.
-	http    *http.Client
-	single  *http.Client
-	metrics *metrics
-	life    tomb.Tomb
-	calls   chan call
-	kick    chan struct{}
-	view    atomic.Pointer[membership.View]
-
-	mutex   sync.Mutex
-	core    *membership.Core
-	spread  *membership.Dissemination
-	changed chan struct{}
-	// published is when the view in force was made. named counts the changes logged one by
+	// pooledClient keeps connections, single makes one for each call.
+	pooledClient    *http.Client
+	singleUseClient *http.Client
+	metrics         *metrics
+	tomb            tomb.Tomb
+	calls           chan call
+	wakeDriver      chan struct{}
+	view            atomic.Pointer[membership.View]
+
+	mutex         sync.Mutex
+	core          *membership.Core
+	dissemination *membership.Dissemination
+	changed       chan struct{}
+	// viewPublishedAt is when the view in force was made. named counts the changes logged one by
 	// one since namedSince.
-	published  time.Duration
-	namedSince time.Duration
-	named      int
+	viewPublishedAt time.Duration
+	loggedSince     time.Duration
+	loggedChanges   int
 }
 
 // New returns a peer that knows itself alone and isn't started. It fails if the
@@ -103,16 +103,16 @@
 		options.Membership.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	p := &Peer{
-		options: options,
-		clock:   fleet.NewClock(),
-		http:    newHTTPClient(options.Traffic, true),
-		single:  newHTTPClient(options.Traffic, false),
-		metrics: newMetrics(),
-		calls:   make(chan call, queuedCalls),
-		kick:    make(chan struct{}, 1),
-		core:    membership.New(options.Membership),
-		spread:  membership.NewDissemination(membership.DisseminationOptions{Random: options.Membership.Random}),
-		changed: make(chan struct{}),
+		options:         options,
+		clock:           fleet.NewClock(),
+		pooledClient:    newHTTPClient(options.Traffic, true),
+		singleUseClient: newHTTPClient(options.Traffic, false),
+		metrics:         newMetrics(),
+		calls:           make(chan call, maxQueuedCalls),
+		wakeDriver:      make(chan struct{}, 1),
+		core:            membership.New(options.Membership),
+		dissemination:   membership.NewDissemination(membership.DisseminationOptions{Random: options.Membership.Random}),
+		changed:         make(chan struct{}),
 	}
 	p.view.Store(p.core.View())
 	if err := p.metrics.register(options.Registerer); err != nil {
@@ -124,23 +124,23 @@
 // Start joins the other routers and keeps the membership until Stop.
 func (p *Peer) Start() {
 	p.refreshSeeds()
-	p.life.Go(p.drive)
-	p.life.Go(p.followHolder)
-	for range senders {
-		p.life.Go(p.carry)
+	p.tomb.Go(p.driveLoop)
+	p.tomb.Go(p.watchHolder)
+	for range maxConcurrentCalls {
+		p.tomb.Go(p.sendLoop)
 	}
 }
 
 // Stop ends the peer at once; Leave should come first in a planned stop.
 func (p *Peer) Stop() error {
-	p.life.Kill(nil)
-	err := p.life.Wait()
-	p.http.CloseIdleConnections()
+	p.tomb.Kill(nil)
+	err := p.tomb.Wait()
+	p.pooledClient.CloseIdleConnections()
 	return err
 }
 
 // CloseIdle closes the connections to other routers that aren't in use.
-func (p *Peer) CloseIdle() { p.http.CloseIdleConnections() }
+func (p *Peer) CloseIdle() { p.pooledClient.CloseIdleConnections() }
 
 // View returns a snapshot of the membership.
 func (p *Peer) View() *membership.View { return p.view.Load() }
@@ -175,38 +175,38 @@
 	now := p.clock.Now()
 	messages := action(now)
 	for i := range messages {
-		p.spread.Piggyback(&messages[i])
+		p.dissemination.Piggyback(&messages[i])
 	}
-	if p.outdated() && now >= p.publishAt() {
-		p.published = now
-		p.publish(p.view.Load(), p.core.View())
+	if p.isViewStale() && now >= p.nextViewAt() {
+		p.viewPublishedAt = now
+		p.publishView(p.view.Load(), p.core.View())
 	}
-	p.wake()
+	p.notifyDriver()
 	return messages
 }
 
-// viewPause is the least time between two views for each member. A view takes time and memory
+// viewIntervalPerMember is the least time between two views for each member. A view takes time and memory
 // for all members, and while many join or leave nearly each message changes one of them.
-const viewPause = 50 * time.Microsecond
+const viewIntervalPerMember = 50 * time.Microsecond
 
-// outdated tells whether the membership has changed since the view in force; the mutex is held.
-func (p *Peer) outdated() bool { return p.core.HasChangedSince(p.view.Load().Version) }
+// isViewStale tells whether the membership has changed since the view in force; the mutex is held.
+func (p *Peer) isViewStale() bool { return p.core.HasChangedSince(p.view.Load().Version) }
 
-// publishAt returns when the next view may be put in force; the mutex is held.
-func (p *Peer) publishAt() time.Duration {
+// nextViewAt returns when the next view may be put in force; the mutex is held.
+func (p *Peer) nextViewAt() time.Duration {
 	members := len(p.view.Load().Members())
-	if members < manyMembers {
+	if members < viewThrottleThreshold {
 		return 0
 	}
-	return p.published + time.Duration(members)*viewPause
+	return p.viewPublishedAt + time.Duration(members)*viewIntervalPerMember
 }
 
-// manyMembers is the size from which on views aren't made at each change: below it one takes
+// viewThrottleThreshold is the size from which on views aren't made at each change: below it one takes
 // microseconds.
-const manyMembers = 64
+const viewThrottleThreshold = 64
 
-// publish puts a new view in force; the mutex is held.
-func (p *Peer) publish(before, view *membership.View) {
+// publishView puts a new view in force; the mutex is held.
+func (p *Peer) publishView(before, view *membership.View) {
 	p.view.Store(view)
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -214,23 +214,23 @@
 	p.logChanges(membership.Difference(before, view))
 }
 
-// mostNamedMembers is the number of changes a second up to which each has a log line of its
+// maxMemberLinesPerSecond is the number of changes a second up to which each has a log line of its
 // own: in a fleet of n nodes that starts, n squared lines would say the same.
-const mostNamedMembers = 32
+const maxMemberLinesPerSecond = 32
 
-// names tells whether so many changes are to be named in the log, and counts them; the mutex
+// canLogEach tells whether so many changes are to be named in the log, and counts them; the mutex
 // is held.
-func (p *Peer) names(changes int) bool {
-	if p.published >= p.namedSince+time.Second {
-		p.namedSince, p.named = p.published, 0
+func (p *Peer) canLogEach(changes int) bool {
+	if p.viewPublishedAt >= p.loggedSince+time.Second {
+		p.loggedSince, p.loggedChanges = p.viewPublishedAt, 0
 	}
-	p.named += changes
-	return p.named <= mostNamedMembers
+	p.loggedChanges += changes
+	return p.loggedChanges <= maxMemberLinesPerSecond
 }
 
 // logChanges logs members that have changed, those that are gone as dead; the mutex is held.
 func (p *Peer) logChanges(changed []membership.Member) {
-	if !p.names(len(changed)) {
+	if !p.canLogEach(len(changed)) {
 		states := make(map[membership.State]int)
 		for _, member := range changed {
 			states[member.State]++
@@ -246,10 +246,10 @@
 	}
 }
 
-// wake has the driving goroutine look anew at what is due.
-func (p *Peer) wake() {
+// notifyDriver has the driving goroutine look anew at what is due.
+func (p *Peer) notifyDriver() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeDriver <- struct{}{}:
 	default:
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	patience = 30 * time.Second
-	poll     = 5 * time.Millisecond
+	waitTimeout  = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 // testPeer is a peer with its own listener and configuration.
@@ -44,21 +44,21 @@
 			ProbeInterval:     100 * time.Millisecond,
 			ReconnectInterval: 500 * time.Millisecond,
 		},
-		Machines:   func() []fleet.Address { return seeds },
-		Holder:     started.holder,
-		Logger:     zerolog.Nop(),
-		Registerer: prometheus.NewRegistry(),
+		DiscoverSeeds: func() []fleet.Address { return seeds },
+		Holder:        started.holder,
+		Logger:        zerolog.Nop(),
+		Registerer:    prometheus.NewRegistry(),
 	})
 	require.NoError(t, err)
 	started.server = &http.Server{Handler: rpc.NewPeerServer(started.Peer)}
 	go func() { _ = started.server.Serve(listener) }()
 	started.Start()
-	t.Cleanup(started.kill)
+	t.Cleanup(started.close)
 	return started
 }
 
-// kill ends the peer without a word to the others.
-func (p *testPeer) kill() {
+// close ends the peer without a word to the others.
+func (p *testPeer) close() {
 	if !p.stopped {
 		p.stopped = true
 		_ = p.server.Close()
@@ -72,7 +72,7 @@
 	require.Eventually(t, func() bool {
 		member, known := by.View().Find(fleet.NodeID(node))
 		return (known && member.State == state) || (!known && state == 0)
-	}, patience, poll, "%s doesn't see %s as %s", by.address, node, state)
+	}, waitTimeout, pollInterval, "%s doesn't see %s as %s", by.address, node, state)
 }
 
 func document(revision fleet.Revision, weight float64) config.Document {
@@ -94,11 +94,11 @@
 func awaitRevision(t *testing.T, revision fleet.Revision, peers ...*testPeer) {
 	t.Helper()
 	for _, p := range peers {
-		require.Eventually(t, func() bool { return p.holder.Revision() == revision }, patience, poll)
+		require.Eventually(t, func() bool { return p.holder.Revision() == revision }, waitTimeout, pollInterval)
 	}
 }
 
-func TestPeersOverLoopback(t *testing.T) {
+func TestPeersShareMembershipAndConfigurationOverLoopback(t *testing.T) {
 	first := startPeer(t, "first")
 	second := startPeer(t, "second", first.address)
 	third := startPeer(t, "third", first.address)
@@ -122,23 +122,23 @@
 	assert.InDelta(t, 2, tenant.Weight, 0)
 
 	changed := second.Changed()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	require.NoError(t, third.Leave(ctx))
 	awaitState(t, first, "third", membership.Leaving)
 	awaitState(t, second, "third", membership.Leaving)
 	<-changed
-	third.kill()
+	third.close()
 	awaitState(t, first, "third", 0)
 
-	second.kill()
+	second.close()
 	awaitState(t, first, "second", 0)
 	assert.Len(t, first.Members(), 1)
 	assert.Positive(t, testutil.ToFloat64(first.metrics.bytes.WithLabelValues(directionSent)))
 	assert.Positive(t, testutil.ToFloat64(first.metrics.messages.WithLabelValues(directionReceived, "GOSSIP_KIND_JOIN")))
 }
 
-func TestHerdOfPeersTakesConfigurationFromOne(t *testing.T) {
+func TestStartingPeersPullConfigurationFromOne(t *testing.T) {
 	first := startPeer(t, "first")
 	_, err := first.holder.OfferSnapshot(document(9, 1))
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 	awaitRevision(t, 9, herd...)
 }
 
-func TestUnusableMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	first := startPeer(t, "first")
 	_, err := first.Gossip(t.Context(), &rpc.GossipMessage{Kind: rpc.GossipKind_GOSSIP_KIND_PROBE})
 	assert.Error(t, err)
@@ -165,16 +165,16 @@
 	assert.Zero(t, first.holder.Revision())
 }
 
-func TestAcceptedAnswersGiveNoError(t *testing.T) {
+func TestPullAnswersAreApplied(t *testing.T) {
 	first := startPeer(t, "first")
 	snapshot, err := config.SnapshotMessage(document(1, 1))
 	require.NoError(t, err)
-	require.NoError(t, first.takeAnswer(&rpc.ChangesResponse{Snapshot: snapshot}))
+	require.NoError(t, first.applyPullAnswer(&rpc.ChangesResponse{Snapshot: snapshot}))
 	change, err := config.Diff(document(1, 1), document(2, 2))
 	require.NoError(t, err)
 	changes, err := config.ChangeMessages([]config.Change{change})
 	require.NoError(t, err)
-	require.NoError(t, first.takeAnswer(&rpc.ChangesResponse{Changes: changes}))
+	require.NoError(t, first.applyPullAnswer(&rpc.ChangesResponse{Changes: changes}))
 	assert.EqualValues(t, 2, first.holder.Revision())
-	assert.Error(t, first.takeAnswer(&rpc.ChangesResponse{Snapshot: &rpc.ConfigSnapshot{Revision: 3, Document: []byte("no JSON")}}))
+	assert.Error(t, first.applyPullAnswer(&rpc.ChangesResponse{Snapshot: &rpc.ConfigSnapshot{Revision: 3, Document: []byte("no JSON")}}))
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -66,26 +66,26 @@
 
 // ShareLoad implements rpc.Peer for processes that share load.
 func (p *Peer) ShareLoad(ctx context.Context, request *rpc.LoadReport) (*rpc.LoadReport, error) {
-	if p.options.Loads == nil {
+	if p.options.HandleLoadReport == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process shares no load")
 	}
-	return p.options.Loads(ctx, request), nil
+	return p.options.HandleLoadReport(ctx, request), nil
 }
 
 // Watch implements rpc.Peer for processes that keep the store's tables.
 func (p *Peer) Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	if p.options.Watch == nil {
+	if p.options.HandleWatch == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process keeps no tables")
 	}
-	return p.options.Watch(ctx, request), nil
+	return p.options.HandleWatch(ctx, request), nil
 }
 
 // Caches implements rpc.Peer for processes that follow caches.
 func (p *Peer) Caches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
-	if p.options.Caches == nil {
+	if p.options.HandleCaches == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process follows no caches")
 	}
-	response, err := p.options.Caches(ctx, request)
+	response, err := p.options.HandleCaches(ctx, request)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
@@ -94,10 +94,10 @@
 
 // GrantSend implements rpc.Peer for processes that grant requests to workers with limits.
 func (p *Peer) GrantSend(ctx context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
-	if p.options.Limits == nil {
+	if p.options.HandleLimitQuestion == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process grants no requests")
 	}
-	answer, err := p.options.Limits(ctx, question)
+	answer, err := p.options.HandleLimitQuestion(ctx, question)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -28,9 +28,9 @@
 // newHTTPClient returns a client that keeps its connections, or makes one for each call.
 func newHTTPClient(meter *traffic.Meter, keep bool) *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
-	return &http.Client{Transport: shortHeads{next: traffic.RoundTripper{Next: &http.Transport{
+	return &http.Client{Transport: minimalHeaders{next: traffic.RoundTripper{Next: &http.Transport{
 		DialContext:         meter.Dial(dialer.DialContext),
-		MaxIdleConns:        idleConnections,
+		MaxIdleConns:        maxIdleConnections,
 		MaxIdleConnsPerHost: 2,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
@@ -38,22 +38,22 @@
 	}}}}
 }
 
-// seldomMet is the number of members from which on a kept connection to a random one is hardly
+// pooledMembersLimit is the number of members from which on a kept connection to a random one is hardly
 // used again: a node probes one a second, and of 128 it meets a fifth again within idleTimeout.
 // Kept all the same, such connections are most of what a node holds that does nothing else:
 // two, with buffers of some 25 KB, for each second of idleTimeout.
-const seldomMet = 128
+const pooledMembersLimit = 128
 
 func (p *Peer) client(address fleet.Address) rpc.Peer {
-	return rpc.NewPeerProtobufClient("http://"+string(address), p.http)
+	return rpc.NewPeerProtobufClient("http://"+string(address), p.pooledClient)
 }
 
 // gossipClient returns a client for calls to members that were drawn.
 func (p *Peer) gossipClient(address fleet.Address) rpc.Peer {
-	if len(p.Members()) < seldomMet {
+	if len(p.Members()) < pooledMembersLimit {
 		return p.client(address)
 	}
-	return rpc.NewPeerProtobufClient("http://"+string(address), p.single)
+	return rpc.NewPeerProtobufClient("http://"+string(address), p.singleUseClient)
 }
 
 // ExchangeLoad gives one member this process's report on the workers and returns
@@ -62,29 +62,29 @@
 	return p.client(address).ShareLoad(ctx, report)
 }
 
-// wholeAnswer bounds the time from the first byte of an answer to its last: a node that tells
+// answerBodyTimeout bounds the time from the first byte of an answer to its last: a node that tells
 // the rows of 3,000 workers to fifty others at once takes a second over 200 Mbit/s.
-const wholeAnswer = 3 * time.Second
+const answerBodyTimeout = 3 * time.Second
 
-// errSilent is the cause of a call whose answer didn't begin in time, errSlow of one whose
+// errFirstByteTimeout is the cause of a call whose answer didn't begin in time, errBodyTimeout of one whose
 // answer didn't end in time.
 var (
-	errSilent = errors.New("no answer has begun")
-	errSlow   = errors.New("the answer didn't end")
+	errFirstByteTimeout = errors.New("no answer has begun")
+	errBodyTimeout      = errors.New("the answer didn't end")
 )
 
-// awaitFirstByte returns a context that ends if an answer doesn't begin within a time, or
+// withAnswerTimeouts returns a context that ends if an answer doesn't begin within a time, or
 // doesn't end within another after that. One time for both would have a node that sends a long
 // answer over a busy link taken for silent, and another asked for all of it again.
-func awaitFirstByte(ctx context.Context, first, whole time.Duration) (context.Context, context.CancelFunc) {
+func withAnswerTimeouts(ctx context.Context, first, whole time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var begun atomic.Bool
 	timer := time.AfterFunc(first, func() {
 		if begun.Load() {
-			cancel(errSlow)
+			cancel(errBodyTimeout)
 			return
 		}
-		cancel(errSilent)
+		cancel(errFirstByteTimeout)
 	})
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() {
 		begun.Store(true)
@@ -97,10 +97,10 @@
 	return httptrace.WithClientTrace(ctx, trace), stop
 }
 
-// AskWatch asks one member what changed in the store's tables. firstByte bounds the time until
+// RequestWatch asks one member what changed in the store's tables. firstByte bounds the time until
 // its answer begins.
-func (p *Peer) AskWatch(ctx context.Context, address fleet.Address, firstByte time.Duration, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	ctx, cancel := awaitFirstByte(ctx, firstByte, wholeAnswer)
+func (p *Peer) RequestWatch(ctx context.Context, address fleet.Address, firstByte time.Duration, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
+	ctx, cancel := withAnswerTimeouts(ctx, firstByte, answerBodyTimeout)
 	defer cancel()
 	return p.client(address).Watch(ctx, request)
 }
@@ -110,22 +110,22 @@
 	view := p.View()
 	for _, member := range view.Members() {
 		if member.Address == address {
-			return traffic.Between(place(view.Self), place(member))
+			return traffic.Between(location(view.Self), location(member))
 		}
 	}
 	return traffic.Unknown
 }
 
-// place returns where a member is.
-func place(member membership.Member) membership.Location {
+// location returns where a member is.
+func location(member membership.Member) membership.Location {
 	return membership.Location{Zone: member.Zone, Region: member.Region}
 }
 
 // ErrUnavailable says that the other side can't tell what it was asked for now.
 var ErrUnavailable = errors.New("unavailable")
 
-// AskCaches asks one member what changed in the caches of its zone.
-func (p *Peer) AskCaches(ctx context.Context, address fleet.Address, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
+// RequestCaches asks one member what changed in the caches of its zone.
+func (p *Peer) RequestCaches(ctx context.Context, address fleet.Address, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	response, err := p.client(address).Caches(ctx, request)
 	var failure twirp.Error
 	if errors.As(err, &failure) && failure.Code() == twirp.Unavailable {
@@ -134,8 +134,8 @@
 	return response, err
 }
 
-// AskGrant asks one member whether a request may be sent to a worker with a limit.
-func (p *Peer) AskGrant(ctx context.Context, address fleet.Address, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
+// RequestGrant asks one member whether a request may be sent to a worker with a limit.
+func (p *Peer) RequestGrant(ctx context.Context, address fleet.Address, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	return p.client(address).GrantSend(ctx, question)
 }
 
@@ -153,16 +153,16 @@
 	}
 }
 
-// carry makes queued calls, one at a time.
-func (p *Peer) carry() error {
-	ctx := p.life.Context(context.Background())
+// sendLoop makes queued calls, one at a time.
+func (p *Peer) sendLoop() error {
+	ctx := p.tomb.Context(context.Background())
 	for {
 		select {
-		case <-p.life.Dying():
+		case <-p.tomb.Dying():
 			return nil
 		case next := <-p.calls:
 			if next.pull != nil {
-				p.fetch(ctx, *next.pull)
+				p.pullChanges(ctx, *next.pull)
 			} else {
 				p.deliver(ctx, next.message)
 			}
@@ -207,9 +207,9 @@
 
 // receive takes one message in and returns what is to be sent.
 func (p *Peer) receive(message membership.Message) []membership.Message {
-	p.offer(message.Sender.Address, message.Changes)
+	p.applyChanges(message.Sender.Address, message.Changes)
 	return p.step(func(now time.Duration) []membership.Message {
-		p.spread.Observe(message.Sender.Address, message.KnownRevision)
+		p.dissemination.Observe(message.Sender.Address, message.KnownRevision)
 		return p.core.Receive(now, message)
 	})
 }
@@ -217,14 +217,14 @@
 // observe takes note of the revision in a header.
 func (p *Peer) observe(address fleet.Address, header *rpc.Header) {
 	p.step(func(time.Duration) []membership.Message {
-		p.spread.Observe(address, fleet.Revision(header.GetKnownRevision()))
+		p.dissemination.Observe(address, fleet.Revision(header.GetKnownRevision()))
 		return nil
 	})
 }
 
-// offer gives the holder the changes of another router. Those that don't
+// applyChanges gives the holder the changes of another router. Those that don't
 // follow its revision are pulled later.
-func (p *Peer) offer(from fleet.Address, changes []membership.Change) {
+func (p *Peer) applyChanges(from fleet.Address, changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -237,8 +237,8 @@
 	}
 }
 
-// fetch pulls the changes that this router lacks.
-func (p *Peer) fetch(ctx context.Context, pull membership.Pull) {
+// pullChanges pulls the changes that this router lacks.
+func (p *Peer) pullChanges(ctx context.Context, pull membership.Pull) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	request := &rpc.ChangesRequest{Header: p.header(), After: uint64(pull.After)}
@@ -250,12 +250,12 @@
 		return
 	}
 	p.metrics.count(directionReceived, kindPull, proto.Size(answer))
-	if err := p.takeAnswer(answer); err != nil {
+	if err := p.applyPullAnswer(answer); err != nil {
 		p.options.Logger.Warn().Err(err).Str("address", string(pull.From)).Msg("configuration_refused")
 	}
 }
 
-func (p *Peer) takeAnswer(answer *rpc.ChangesResponse) error {
+func (p *Peer) applyPullAnswer(answer *rpc.ChangesResponse) error {
 	if snapshot := answer.GetSnapshot(); snapshot != nil {
 		document, err := config.DocumentFromMessage(snapshot)
 		if err != nil {
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -23,11 +23,11 @@
 			Self:   membership.Member{Node: r.node, Address: r.address, Region: node.Region, Zone: node.Zone},
 			Random: newRandom(),
 		},
-		Seeds:      r.options.Settings.Peers,
-		Machines:   r.listedRouters,
-		Holder:     r.holder,
-		Logger:     r.logger,
-		Registerer: r.metrics.registry,
+		Seeds:         r.options.Settings.Peers,
+		DiscoverSeeds: r.listedRouters,
+		Holder:        r.holder,
+		Logger:        r.logger,
+		Registerer:    r.metrics.registry,
 	})
 }
 
