--- a/internal/peer/drive.go
+++ b/internal/peer/drive.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// driveLoop calls the core when it is due.
+// driveLoop calls the core whenever work is due.
 func (p *Peer) driveLoop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// untilWake returns the time until something is due.
+// untilWake returns the time until the next work is due.
 func (p *Peer) untilWake() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// refreshSeeds gives the core all addresses at which routers may be found.
+// refreshSeeds passes all known addresses of possible routers to the core.
 func (p *Peer) refreshSeeds() {
 	seeds := append([]fleet.Address(nil), p.options.Seeds...)
 	if p.options.DiscoverSeeds != nil {
@@ -63,8 +63,7 @@
 	p.send(p.step(func(now time.Duration) []membership.Message { return p.core.Join(now, seeds) }))
 }
 
-// watchHolder spreads each new revision that the holder accepts, whichever
-// way it came.
+// watchHolder publishes each new revision that the holder accepts, regardless of its source.
 func (p *Peer) watchHolder() error {
 	for {
 		updated := p.options.Holder.Updated()
@@ -77,8 +76,8 @@
 	}
 }
 
-// publishHeld publishes the changes up to the held revision. When they are not
-// known one by one, the revision in each header has the others pull.
+// publishHeld publishes the changes up to the held revision. If they are not available
+// individually, the other routers pull because of the revision in each header.
 func (p *Peer) publishHeld(now time.Duration) []membership.Message {
 	revision := p.options.Holder.Revision()
 	changes, known := p.options.Holder.ChangesAfter(p.dissemination.Held())
--- a/internal/peer/heads.go
+++ b/internal/peer/headers.go
@@ -2,46 +2,46 @@
 
 import "net/http"
 
-// Names of headers.
+// Header names.
 const (
 	headerContentType = "Content-Type"
 	headerUserAgent   = "User-Agent"
 	headerDate        = "Date"
 )
 
-// minimalHeaders makes calls whose heads hold only what the other side reads. Most calls are as
-// short as their heads: of 350 bytes of heads a call and its answer, 180 say nothing.
+// minimalHeaders sends requests with only the headers that the server reads, since most calls are
+// as small as their headers.
 type minimalHeaders struct {
 	next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s minimalHeaders) RoundTrip(request *http.Request) (*http.Response, error) {
-	short := *request
-	short.Header = http.Header{
+func (m minimalHeaders) RoundTrip(request *http.Request) (*http.Response, error) {
+	minimal := *request
+	minimal.Header = http.Header{
 		headerContentType: request.Header[headerContentType],
-		// An empty value keeps net/http from sending its own.
+		// An empty value keeps net/http from sending its default.
 		headerUserAgent: {""},
 	}
-	return s.next.RoundTrip(&short)
+	return m.next.RoundTrip(&minimal)
 }
 
-// CloseIdleConnections closes the kept connections, as http.Client has it done.
-func (s minimalHeaders) CloseIdleConnections() {
-	if closer, ok := s.next.(interface{ CloseIdleConnections() }); ok {
+// CloseIdleConnections closes idle connections. http.Client calls it.
+func (m minimalHeaders) CloseIdleConnections() {
+	if closer, ok := m.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// MinimalResponseHeaders has a handler answer with the same in mind: a success names neither its type,
-// which is the call's, nor the date.
+// MinimalResponseHeaders wraps a handler to omit headers that the callers do not read: the date,
+// and the content type of a successful response, which is fixed for each call.
 func MinimalResponseHeaders(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(&minimalHeaderWriter{ResponseWriter: writer}, request)
 	})
 }
 
-// minimalHeaderWriter leaves out headers that nobody reads.
+// minimalHeaderWriter omits headers that the callers do not read.
 type minimalHeaderWriter struct {
 	http.ResponseWriter
 }
--- a/internal/peer/heads_test.go
+++ b/internal/peer/headers_test.go
@@ -17,10 +17,10 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// maxHeaderBytes is the most bytes that the heads of a call and of its answer may take.
+// maxHeaderBytes is the maximum size of the headers of a request and its response.
 const maxHeaderBytes = 190
 
-// TestCallsHaveMinimalHeaders counts what a call and its answer take besides their content.
+// Guards against headers that make small calls much larger than their content.
 func TestCallsHaveMinimalHeaders(t *testing.T) {
 	answered := &rpc.LoadReport{Node: "other", Partial: true}
 	options := Options{
@@ -48,7 +48,7 @@
 	assert.Less(t, total, content+maxHeaderBytes)
 }
 
-// TestErrorResponsesKeepContentType has a call fail: the answer tells its type and the caller reads it.
+// Guards against error responses without a content type, which callers need to decode them.
 func TestErrorResponsesKeepContentType(t *testing.T) {
 	options := Options{
 		Membership: membership.Options{Self: membership.Member{Node: "self", Address: "127.0.0.1:1"}},
@@ -68,7 +68,7 @@
 	assert.Equal(t, "application/json", response.Header.Get(headerContentType))
 }
 
-// answeringPeer answers each report the same.
+// answeringPeer answers each load report with the same report.
 type answeringPeer struct {
 	*Peer
 	answer *rpc.LoadReport
--- a/internal/peer/manymembers_test.go
+++ b/internal/peer/massstart_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// newManualPeer returns a peer that isn't started, on a clock that the test moves.
+// newManualPeer returns a peer that is not started and uses the test's clock.
 func newManualPeer(t *testing.T, now *time.Duration, lines *lineCounter) *Peer {
 	p, err := New(Options{
 		Membership: membership.Options{Self: memberNamed(0)},
@@ -45,36 +45,34 @@
 
 func (c clockFunc) Now() time.Duration { return c() }
 
-// TestViewsAndLogLinesAreBoundedAtMassStart counts the views and the log lines that a node makes while
-// members become known one a message, as at a start of all: of twice as many members, twice as
-// many messages make no more views in the same time, and each view names few changes.
+// Guards against building a view and logging a line for almost every message while members join one
+// by one: twice as many members must not cause more views in the same time.
 func TestViewsAndLogLinesAreBoundedAtMassStart(t *testing.T) {
-	const took = 2 * time.Second
-	made := make(map[int]int)
+	const duration = 2 * time.Second
+	viewCounts := make(map[int]int)
 	for _, members := range []int{1000, 2000} {
 		now, lines := time.Duration(0), &lineCounter{}
 		p := newManualPeer(t, &now, lines)
 		views, before := 0, p.View()
 		for number := 1; number < members; number++ {
-			now += took / time.Duration(members)
+			now += duration / time.Duration(members)
 			p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(number)})
 			if view := p.View(); view != before {
 				views, before = views+1, view
 			}
 		}
 		t.Logf("%d members: %d views, %d lines", members, views, lines.lines)
-		made[members] = views
+		viewCounts[members] = views
 		assert.Less(t, views, members/4)
 		assert.Less(t, lines.lines, views+3*maxMemberLinesPerSecond)
 		now += time.Second
 		p.tick()
 		assert.Len(t, p.Members(), members)
 	}
-	assert.LessOrEqual(t, made[2000], made[1000])
+	assert.LessOrEqual(t, viewCounts[2000], viewCounts[1000])
 }
 
-// TestChangeInLargeFleetIsPublishedSoon has a member change state right after a view was made: the
-// next one follows without another message.
+// Guards against a change right after a view staying unpublished until the next message.
 func TestChangeInLargeFleetIsPublishedSoon(t *testing.T) {
 	now := time.Duration(0)
 	p := newManualPeer(t, &now, &lineCounter{})
@@ -89,13 +87,13 @@
 	leaving := memberNamed(7)
 	leaving.State = membership.Leaving
 	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{leaving}})
-	again := memberNamed(8)
-	again.State = membership.Leaving
-	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{again}})
+	another := memberNamed(8)
+	another.State = membership.Leaving
+	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{another}})
 	assert.LessOrEqual(t, p.untilWake(), 60*time.Millisecond)
 	now += 60 * time.Millisecond
 	p.tick()
-	for _, node := range []fleet.NodeID{leaving.Node, again.Node} {
+	for _, node := range []fleet.NodeID{leaving.Node, another.Node} {
 		member, _ := p.View().Find(node)
 		assert.Equal(t, membership.Leaving, member.State)
 	}
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -2,15 +2,14 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Values of the labels.
+// Label values.
 const (
 	directionSent     = "sent"
 	directionReceived = "received"
 	kindPull          = "PULL"
 )
 
-// metrics counts what a peer sends and receives. Bytes are those of the
-// protocol, without HTTP's.
+// metrics counts the messages of a peer. Bytes are those of the protocol, without HTTP's overhead.
 type metrics struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer is a router's place among the routers: it drives the membership
-// core in real time, carries its messages over twirp and spreads changes of
-// the configuration with them.
+// Package peer connects a router to the other routers: it runs the membership protocol in real
+// time, sends its messages over twirp and disseminates configuration changes with them.
 package peer
 
 import (
@@ -23,60 +22,62 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// Options sets up a Peer.
+// Options configures a Peer.
 type Options struct {
-	// Membership sets up the core; its Self names this router, and its Random
-	// is used by this peer alone.
+	// Membership configures the membership core. Its Self is this router, and its Random is used
+	// only by this peer.
 	Membership membership.Options
-	// Seeds are addresses at which other routers may be found.
+	// Seeds are addresses of possible other routers.
 	Seeds []fleet.Address
-	// DiscoverSeeds returns further such addresses, such as the routers in the
-	// platform's list of machines; nil means none. It must not block.
+	// DiscoverSeeds returns further seeds, such as the routers in the platform's list of machines,
+	// or is nil. It must not block.
 	DiscoverSeeds func() []fleet.Address
-	// Holder keeps the configuration.
+	// Holder holds the configuration.
 	Holder *config.Holder
-	// Logger gets one line for each change of the membership.
+	// Logger receives membership changes and failed calls.
 	Logger zerolog.Logger
-	// Registerer registers the metrics; nil leaves them unregistered.
+	// Registerer registers the metrics. If it is nil, they are not registered.
 	Registerer prometheus.Registerer
-	// HandleLoadReport answers another process's report on the workers with this one's; nil
-	// means that this process shares no load.
+	// HandleLoadReport answers another process's load report with this process's own. If it is nil,
+	// such calls fail as unimplemented.
 	HandleLoadReport func(ctx context.Context, report *rpc.LoadReport) *rpc.LoadReport
-	// HandleWatch answers another process that asks what changed in the store's tables;
-	// nil means that this process tells nobody.
+	// HandleWatch answers a request for changes in the store's tables. If it is nil, such calls
+	// fail as unimplemented.
 	HandleWatch func(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse
-	// HandleCaches answers another process that asks what changed in the caches of this
-	// one's zone, or fails if it doesn't follow them; nil means that it follows none.
+	// HandleCaches answers a request for changes in the caches of this process's zone. It returns
+	// an error if this process does not subscribe to them. If it is nil, such calls fail as
+	// unimplemented.
 	HandleCaches func(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error)
-	// HandleLimitQuestion answers another process that asks for a request to a worker with a limit, or
-	// fails if this one doesn't grant any; nil means that it never does.
+	// HandleLimitQuestion decides whether another process may send a request to a worker with a
+	// limit. It returns an error if this process does not grant requests. If it is nil, such calls
+	// fail as unimplemented.
 	HandleLimitQuestion func(ctx context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error)
-	// Traffic counts the bytes of calls to other processes; nil counts none.
+	// Traffic counts the bytes of calls to other processes, unless it is nil.
 	Traffic *traffic.Meter
 }
 
 const (
-	// maxConcurrentCalls bounds the calls to other routers at a time.
+	// maxConcurrentCalls bounds the concurrent queued calls to other routers.
 	maxConcurrentCalls = 16
-	// maxQueuedCalls bounds the calls that wait for a sender; more are dropped, as
-	// the network may drop any message.
+	// maxQueuedCalls bounds the calls waiting to be sent. Further calls are dropped, which the
+	// protocol tolerates like a lost message.
 	maxQueuedCalls = 256
-	// probeTimeout bounds one call of a few hundred bytes.
+	// probeTimeout bounds a call of a few hundred bytes.
 	probeTimeout = time.Second
-	// transferTimeout bounds one call that moves a whole membership or configuration.
+	// transferTimeout bounds a call that transfers a full membership or configuration.
 	transferTimeout    = 5 * time.Second
 	connectTimeout     = 500 * time.Millisecond
 	idleTimeout        = 30 * time.Second
 	maxIdleConnections = 64
-	// seedRefreshInterval is the time between two looks at the list of machines.
+	// seedRefreshInterval is the time between two refreshes of the seeds.
 	seedRefreshInterval = 2 * time.Second
 )
 
-// Peer is one router among the others. Its methods may be called from any goroutine.
+// Peer is this router's connection to the other routers. It is safe for concurrent use.
 type Peer struct {
 	options Options
 	clock   fleet.Clock
-	// pooledClient keeps connections, single makes one for each call.
+	// pooledClient keeps connections open. singleUseClient opens one for each call.
 	pooledClient    *http.Client
 	singleUseClient *http.Client
 	metrics         *metrics
@@ -89,15 +90,15 @@
 	core          *membership.Core
 	dissemination *membership.Dissemination
 	changed       chan struct{}
-	// viewPublishedAt is when the view in force was made. named counts the changes logged one by
-	// one since namedSince.
+	// viewPublishedAt is when the current view was published. loggedChanges counts the membership
+	// changes since loggedSince, to limit log lines.
 	viewPublishedAt time.Duration
 	loggedSince     time.Duration
 	loggedChanges   int
 }
 
-// New returns a peer that knows itself alone and isn't started. It fails if the
-// metrics can't be registered.
+// New returns a peer that is not started and whose only member is itself. It returns an error if
+// the metrics cannot be registered.
 func New(options Options) (*Peer, error) {
 	if options.Membership.Random == nil {
 		options.Membership.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -121,7 +122,7 @@
 	return p, nil
 }
 
-// Start joins the other routers and keeps the membership until Stop.
+// Start joins the other routers and maintains the membership until Stop.
 func (p *Peer) Start() {
 	p.refreshSeeds()
 	p.tomb.Go(p.driveLoop)
@@ -131,7 +132,7 @@
 	}
 }
 
-// Stop ends the peer at once; Leave should come first in a planned stop.
+// Stop stops the peer immediately. For a planned stop, call Leave first.
 func (p *Peer) Stop() error {
 	p.tomb.Kill(nil)
 	err := p.tomb.Wait()
@@ -139,25 +140,25 @@
 	return err
 }
 
-// CloseIdle closes the connections to other routers that aren't in use.
+// CloseIdle closes idle connections to other routers.
 func (p *Peer) CloseIdle() { p.pooledClient.CloseIdleConnections() }
 
 // View returns a snapshot of the membership.
 func (p *Peer) View() *membership.View { return p.view.Load() }
 
-// Members returns the members that aren't dead, self included, sorted by node.
+// Members returns the members that are not dead, including self, sorted by node.
 func (p *Peer) Members() []membership.Member { return p.View().Members() }
 
-// Changed returns a channel that is closed at the next change of the
-// membership. Take the channel before reading View, so that no change is missed.
+// Changed returns a channel that is closed at the next change of the membership. Callers must get
+// the channel before they read View, so that they miss no change.
 func (p *Peer) Changed() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.changed
 }
 
-// Leave tells other routers that this one is about to stop, and returns when
-// those told at once have answered or the context ends. The peer goes on.
+// Leave announces a planned stop to some other routers and returns when they have answered or the
+// context ends. The peer continues to run.
 func (p *Peer) Leave(ctx context.Context) error {
 	messages := p.step(p.core.Leave)
 	var group sync.WaitGroup
@@ -168,7 +169,7 @@
 	return ctx.Err()
 }
 
-// step runs one step of the core under the lock and returns what is to be sent.
+// step runs one step of the core under the mutex and returns the messages to send.
 func (p *Peer) step(action func(now time.Duration) []membership.Message) []membership.Message {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -185,14 +186,16 @@
 	return messages
 }
 
-// viewIntervalPerMember is the least time between two views for each member. A view takes time and memory
-// for all members, and while many join or leave nearly each message changes one of them.
+// viewIntervalPerMember times the number of members is the minimum time between two views. Building
+// a view takes time and memory in proportion to the members, and while many of them join or leave,
+// almost every message changes one.
 const viewIntervalPerMember = 50 * time.Microsecond
 
-// isViewStale tells whether the membership has changed since the view in force; the mutex is held.
+// isViewStale reports whether the membership has changed since the current view. The caller holds
+// the mutex.
 func (p *Peer) isViewStale() bool { return p.core.HasChangedSince(p.view.Load().Version) }
 
-// nextViewAt returns when the next view may be put in force; the mutex is held.
+// nextViewAt returns the earliest time of the next view. The caller holds the mutex.
 func (p *Peer) nextViewAt() time.Duration {
 	members := len(p.view.Load().Members())
 	if members < viewThrottleThreshold {
@@ -201,11 +204,10 @@
 	return p.viewPublishedAt + time.Duration(members)*viewIntervalPerMember
 }
 
-// viewThrottleThreshold is the size from which on views aren't made at each change: below it one takes
-// microseconds.
+// viewThrottleThreshold is the number of members below which a view is built at each change.
 const viewThrottleThreshold = 64
 
-// publishView puts a new view in force; the mutex is held.
+// publishView replaces the current view and notifies waiters. The caller holds the mutex.
 func (p *Peer) publishView(before, view *membership.View) {
 	p.view.Store(view)
 	close(p.changed)
@@ -214,12 +216,12 @@
 	p.logChanges(membership.Difference(before, view))
 }
 
-// maxMemberLinesPerSecond is the number of changes a second up to which each has a log line of its
-// own: in a fleet of n nodes that starts, n squared lines would say the same.
+// maxMemberLinesPerSecond bounds the membership changes per second that are logged individually.
+// Otherwise the simultaneous start of n nodes would log n squared lines.
 const maxMemberLinesPerSecond = 32
 
-// canLogEach tells whether so many changes are to be named in the log, and counts them; the mutex
-// is held.
+// canLogEach reports whether the given number of changes can be logged individually, and counts
+// them. The caller holds the mutex.
 func (p *Peer) canLogEach(changes int) bool {
 	if p.viewPublishedAt >= p.loggedSince+time.Second {
 		p.loggedSince, p.loggedChanges = p.viewPublishedAt, 0
@@ -228,7 +230,7 @@
 	return p.loggedChanges <= maxMemberLinesPerSecond
 }
 
-// logChanges logs members that have changed, those that are gone as dead; the mutex is held.
+// logChanges logs changed members, with removed ones as dead. The caller holds the mutex.
 func (p *Peer) logChanges(changed []membership.Member) {
 	if !p.canLogEach(len(changed)) {
 		states := make(map[membership.State]int)
@@ -246,7 +248,7 @@
 	}
 }
 
-// notifyDriver has the driving goroutine look anew at what is due.
+// notifyDriver makes driveLoop recompute when work is due.
 func (p *Peer) notifyDriver() {
 	select {
 	case p.wakeDriver <- struct{}{}:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -57,7 +57,7 @@
 	return started
 }
 
-// close ends the peer without a word to the others.
+// close stops the peer without notifying the others.
 func (p *testPeer) close() {
 	if !p.stopped {
 		p.stopped = true
@@ -66,13 +66,13 @@
 	}
 }
 
-// awaitState waits until a peer holds a node in one state; 0 stands for gone.
+// awaitState waits until a peer sees a node in the given state, or not at all if it is 0.
 func awaitState(t *testing.T, by *testPeer, node string, state membership.State) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		member, known := by.View().Find(fleet.NodeID(node))
 		return (known && member.State == state) || (!known && state == 0)
-	}, waitTimeout, pollInterval, "%s doesn't see %s as %s", by.address, node, state)
+	}, waitTimeout, pollInterval, "%s does not see %s as %s", by.address, node, state)
 }
 
 func document(revision fleet.Revision, weight float64) config.Document {
@@ -142,11 +142,11 @@
 	first := startPeer(t, "first")
 	_, err := first.holder.OfferSnapshot(document(9, 1))
 	require.NoError(t, err)
-	var herd []*testPeer
+	var routers []*testPeer
 	for i := range 6 {
-		herd = append(herd, startPeer(t, fmt.Sprintf("router-%d", i), first.address))
+		routers = append(routers, startPeer(t, fmt.Sprintf("router-%d", i), first.address))
 	}
-	awaitRevision(t, 9, herd...)
+	awaitRevision(t, 9, routers...)
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
--- a/internal/peer/wire_test.go
+++ b/internal/peer/probe_test.go
@@ -16,8 +16,8 @@
 	"github.com/tillerfall/tillerfall/lab/bytecount"
 )
 
-// BenchmarkProbe reports what a probe and its answer cost in bytes of the TCP
-// stream and in time, on a connection that is kept.
+// BenchmarkProbe reports the time and the TCP stream bytes of a probe and its answer on a kept
+// connection.
 func BenchmarkProbe(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,7 +14,8 @@
 
 var _ rpc.Peer = (*Peer)(nil)
 
-// Gossip implements rpc.Peer. The answer of unspecified kind carries a header alone.
+// Gossip implements rpc.Peer. If there is no message to answer with, the response has an
+// unspecified kind and only a header.
 func (p *Peer) Gossip(_ context.Context, request *rpc.GossipMessage) (*rpc.GossipMessage, error) {
 	p.metrics.count(directionReceived, request.GetKind().String(), proto.Size(request))
 	message, err := membership.DecodeMessage(request)
@@ -36,7 +37,7 @@
 	return encoded, nil
 }
 
-// splitAnswer takes out the last message that goes to the sender.
+// splitAnswer removes the last message to the sender and returns it and the others.
 func splitAnswer(messages []membership.Message, sender fleet.Address) (*membership.Message, []membership.Message) {
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].To == sender {
@@ -47,8 +48,8 @@
 	return nil, messages
 }
 
-// Changes implements rpc.Peer. It sends the whole document when the changes
-// after the asked revision are no longer held.
+// Changes implements rpc.Peer. It returns the full document if the changes after the requested
+// revision are no longer held.
 func (p *Peer) Changes(_ context.Context, request *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
 	response := &rpc.ChangesResponse{Header: p.header()}
 	changes, held := p.options.Holder.ChangesAfter(fleet.Revision(request.GetAfter()))
@@ -64,7 +65,7 @@
 	return response, nil
 }
 
-// ShareLoad implements rpc.Peer for processes that share load.
+// ShareLoad implements rpc.Peer.
 func (p *Peer) ShareLoad(ctx context.Context, request *rpc.LoadReport) (*rpc.LoadReport, error) {
 	if p.options.HandleLoadReport == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process shares no load")
@@ -72,7 +73,7 @@
 	return p.options.HandleLoadReport(ctx, request), nil
 }
 
-// Watch implements rpc.Peer for processes that keep the store's tables.
+// Watch implements rpc.Peer.
 func (p *Peer) Watch(ctx context.Context, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	if p.options.HandleWatch == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process keeps no tables")
@@ -80,7 +81,7 @@
 	return p.options.HandleWatch(ctx, request), nil
 }
 
-// Caches implements rpc.Peer for processes that follow caches.
+// Caches implements rpc.Peer.
 func (p *Peer) Caches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	if p.options.HandleCaches == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process follows no caches")
@@ -92,7 +93,7 @@
 	return response, nil
 }
 
-// GrantSend implements rpc.Peer for processes that grant requests to workers with limits.
+// GrantSend implements rpc.Peer.
 func (p *Peer) GrantSend(ctx context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	if p.options.HandleLimitQuestion == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this process grants no requests")
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -19,13 +19,14 @@
 	"github.com/tillerfall/tillerfall/internal/traffic"
 )
 
-// call is one call to make: a message or, if set, a pull.
+// call is a queued call: a pull if one is set, else a message.
 type call struct {
 	message membership.Message
 	pull    *membership.Pull
 }
 
-// newHTTPClient returns a client that keeps its connections, or makes one for each call.
+// newHTTPClient returns a client that keeps connections open or, without keep, opens one for each
+// call.
 func newHTTPClient(meter *traffic.Meter, keep bool) *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Client{Transport: minimalHeaders{next: traffic.RoundTripper{Next: &http.Transport{
@@ -38,17 +39,16 @@
 	}}}}
 }
 
-// pooledMembersLimit is the number of members from which on a kept connection to a random one is hardly
-// used again: a node probes one a second, and of 128 it meets a fifth again within idleTimeout.
-// Kept all the same, such connections are most of what a node holds that does nothing else:
-// two, with buffers of some 25 KB, for each second of idleTimeout.
+// pooledMembersLimit is the number of members from which gossip uses single-use connections. In a
+// larger fleet a kept connection to a random member is rarely used again within idleTimeout, but
+// its buffers take memory.
 const pooledMembersLimit = 128
 
 func (p *Peer) client(address fleet.Address) rpc.Peer {
 	return rpc.NewPeerProtobufClient("http://"+string(address), p.pooledClient)
 }
 
-// gossipClient returns a client for calls to members that were drawn.
+// gossipClient returns a client for calls to randomly chosen members.
 func (p *Peer) gossipClient(address fleet.Address) rpc.Peer {
 	if len(p.Members()) < pooledMembersLimit {
 		return p.client(address)
@@ -56,26 +56,24 @@
 	return rpc.NewPeerProtobufClient("http://"+string(address), p.singleUseClient)
 }
 
-// ExchangeLoad gives one member this process's report on the workers and returns
-// the member's own.
+// ExchangeLoad sends this process's load report to a member and returns the member's own.
 func (p *Peer) ExchangeLoad(ctx context.Context, address fleet.Address, report *rpc.LoadReport) (*rpc.LoadReport, error) {
 	return p.client(address).ShareLoad(ctx, report)
 }
 
-// answerBodyTimeout bounds the time from the first byte of an answer to its last: a node that tells
-// the rows of 3,000 workers to fifty others at once takes a second over 200 Mbit/s.
+// answerBodyTimeout bounds the time from the first byte of a response to its last. A member may
+// send large responses to many others at once.
 const answerBodyTimeout = 3 * time.Second
 
-// errFirstByteTimeout is the cause of a call whose answer didn't begin in time, errBodyTimeout of one whose
-// answer didn't end in time.
+// Causes of a canceled call: the response did not begin, or did not end, in time.
 var (
-	errFirstByteTimeout = errors.New("no answer has begun")
-	errBodyTimeout      = errors.New("the answer didn't end")
+	errFirstByteTimeout = errors.New("response did not begin in time")
+	errBodyTimeout      = errors.New("response did not end in time")
 )
 
-// withAnswerTimeouts returns a context that ends if an answer doesn't begin within a time, or
-// doesn't end within another after that. One time for both would have a node that sends a long
-// answer over a busy link taken for silent, and another asked for all of it again.
+// withAnswerTimeouts returns a context that ends if a response does not begin within first, or does
+// not end within whole after that. With a single timeout, a member that sends a long response over
+// a busy link would be taken for unresponsive, and another one asked for the same data.
 func withAnswerTimeouts(ctx context.Context, first, whole time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var begun atomic.Bool
@@ -97,15 +95,15 @@
 	return httptrace.WithClientTrace(ctx, trace), stop
 }
 
-// RequestWatch asks one member what changed in the store's tables. firstByte bounds the time until
-// its answer begins.
+// RequestWatch asks a member for changes in the store's tables. firstByte bounds the time until the
+// response begins.
 func (p *Peer) RequestWatch(ctx context.Context, address fleet.Address, firstByte time.Duration, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	ctx, cancel := withAnswerTimeouts(ctx, firstByte, answerBodyTimeout)
 	defer cancel()
 	return p.client(address).Watch(ctx, request)
 }
 
-// distance returns how far it is to the member at an address.
+// distance returns the network distance to the member at an address.
 func (p *Peer) distance(address fleet.Address) traffic.Distance {
 	view := p.View()
 	for _, member := range view.Members() {
@@ -116,15 +114,16 @@
 	return traffic.Unknown
 }
 
-// location returns where a member is.
+// location returns the location of a member.
 func location(member membership.Member) membership.Location {
 	return membership.Location{Zone: member.Zone, Region: member.Region}
 }
 
-// ErrUnavailable says that the other side can't tell what it was asked for now.
+// ErrUnavailable reports that a member cannot answer a request at the moment.
 var ErrUnavailable = errors.New("unavailable")
 
-// RequestCaches asks one member what changed in the caches of its zone.
+// RequestCaches asks a member for changes in the caches of its zone. It returns ErrUnavailable if
+// the member cannot provide them.
 func (p *Peer) RequestCaches(ctx context.Context, address fleet.Address, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	response, err := p.client(address).Caches(ctx, request)
 	var failure twirp.Error
@@ -134,7 +133,7 @@
 	return response, err
 }
 
-// RequestGrant asks one member whether a request may be sent to a worker with a limit.
+// RequestGrant asks a member whether a request may be sent to a worker with a limit.
 func (p *Peer) RequestGrant(ctx context.Context, address fleet.Address, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	return p.client(address).GrantSend(ctx, question)
 }
@@ -153,7 +152,7 @@
 	}
 }
 
-// sendLoop makes queued calls, one at a time.
+// sendLoop performs queued calls, one at a time.
 func (p *Peer) sendLoop() error {
 	ctx := p.tomb.Context(context.Background())
 	for {
@@ -170,7 +169,7 @@
 	}
 }
 
-// deliver sends one message and takes the answer in.
+// deliver sends a message and processes the answer.
 func (p *Peer) deliver(ctx context.Context, message membership.Message) {
 	timeout, purpose := probeTimeout, traffic.Probes
 	if message.Kind == membership.Join {
@@ -205,7 +204,7 @@
 	p.send(p.receive(received))
 }
 
-// receive takes one message in and returns what is to be sent.
+// receive processes a message and returns the messages to send.
 func (p *Peer) receive(message membership.Message) []membership.Message {
 	p.applyChanges(message.Sender.Address, message.Changes)
 	return p.step(func(now time.Duration) []membership.Message {
@@ -214,7 +213,7 @@
 	})
 }
 
-// observe takes note of the revision in a header.
+// observe records the configuration revision of a header.
 func (p *Peer) observe(address fleet.Address, header *rpc.Header) {
 	p.step(func(time.Duration) []membership.Message {
 		p.dissemination.Observe(address, fleet.Revision(header.GetKnownRevision()))
@@ -222,8 +221,8 @@
 	})
 }
 
-// applyChanges gives the holder the changes of another router. Those that don't
-// follow its revision are pulled later.
+// applyChanges applies another router's configuration changes. Those that do not directly follow
+// the held revision are pulled later.
 func (p *Peer) applyChanges(from fleet.Address, changes []membership.Change) {
 	if len(changes) == 0 {
 		return
@@ -237,7 +236,7 @@
 	}
 }
 
-// pullChanges pulls the changes that this router lacks.
+// pullChanges pulls the configuration changes that this router is missing.
 func (p *Peer) pullChanges(ctx context.Context, pull membership.Pull) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -262,7 +261,7 @@
 			return err
 		}
 		if _, err = p.options.Holder.OfferSnapshot(document); err != nil {
-			return errors.Wrap(err, "snapshot")
+			return errors.Wrap(err, "apply snapshot")
 		}
 		return nil
 	}
@@ -271,7 +270,7 @@
 		return err
 	}
 	if _, _, err = p.options.Holder.OfferChanges(changes); err != nil {
-		return errors.Wrap(err, "changes")
+		return errors.Wrap(err, "apply changes")
 	}
 	return nil
 }
@@ -283,7 +282,7 @@
 	}
 }
 
-// encodeChanges returns changes as the membership messages carry them.
+// encodeChanges encodes changes for membership messages.
 func encodeChanges(changes []config.Change) ([]membership.Change, error) {
 	encoded, err := config.ChangeMessages(changes)
 	if err != nil {
