--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -76,7 +76,7 @@
 	}
 	switch {
 	case err == nil:
-		e.committed(now, done)
+		e.applyCommit(now, done)
 	case errors.Is(err, platform.ErrConflict):
 		e.mustRead = true
 		e.nextActionAt = now
@@ -89,7 +89,7 @@
 	}
 }
 
-func (e *Election) committed(now time.Duration, done *commit) {
+func (e *Election) applyCommit(now time.Duration, done *commit) {
 	e.row = observation{record: done.record, revision: done.expectedRevision + 1, firstSeenAt: now}
 	e.highestToken = max(e.highestToken, done.record.Token)
 	e.unresolvedCommit = nil
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -21,14 +21,14 @@
 // publishChange applies a change at one node, as an operator's command does, and publishes it.
 func (n *network) publishChange(to *node, patch string) {
 	change := Change{Revision: to.spread.Held() + 1, Patch: []byte(patch)}
-	to.log = append(to.log, change)
+	to.changes = append(to.changes, change)
 	n.send(to, to.spread.Publish(n.now, []Change{change}, to.core.View()))
 }
 
 func (n *network) allHold(revision int) func() bool {
 	return func() bool {
 		for _, x := range n.running() {
-			if len(x.log) < revision {
+			if len(x.changes) < revision {
 				return false
 			}
 		}
@@ -47,7 +47,7 @@
 		t.Logf("change %d held by all %d members after %s with 30%% loss", revision, fleetSize, took)
 	}
 	for _, x := range network.all {
-		for i, change := range x.log {
+		for i, change := range x.changes {
 			require.EqualValues(t, i+1, change.Revision)
 		}
 	}
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -53,23 +53,23 @@
 	paused   bool
 	wakeAt   time.Duration
 	deferred []delivery
-	log      []Change
+	changes  []Change
 	bytes    int
 	sent     int
 }
 
 // network simulates a network on a virtual clock with seeded randomness.
 type network struct {
-	t       testing.TB
-	random  *rand.Rand
-	now     time.Duration
-	order   uint64
-	queue   deliveries
-	nodes   map[fleet.Address]*node
-	all     []*node
-	loss    float64
-	count   bool
-	regions int
+	t        testing.TB
+	random   *rand.Rand
+	now      time.Duration
+	order    uint64
+	queue    deliveries
+	nodes    map[fleet.Address]*node
+	all      []*node
+	loss     float64
+	counting bool
+	regions  int
 	// blocked reports whether messages from one member to another are lost.
 	blocked func(from, to Member) bool
 }
@@ -150,7 +150,7 @@
 func (n *network) send(from *node, messages []Message) {
 	for _, message := range messages {
 		from.spread.Piggyback(&message)
-		if n.count {
+		if n.counting {
 			from.sent++
 			from.bytes += proto.Size(message.Encode())
 		}
@@ -190,7 +190,7 @@
 	case target.paused:
 		target.deferred = append(target.deferred, next)
 	case next.pull != nil:
-		changes := target.log[min(int(next.pull.after), len(target.log)):]
+		changes := target.changes[min(int(next.pull.after), len(target.changes)):]
 		answer := Message{Kind: Ack, To: next.pull.from, Sender: target.core.Self(), Changes: changes}
 		n.send(target, []Message{answer})
 	case !next.wake:
@@ -212,7 +212,7 @@
 func (n *network) takeChanges(x *node, message Message) []Message {
 	x.spread.Observe(message.Sender.Address, message.KnownRevision)
 	next := x.spread.NextChanges(message.Changes)
-	x.log = append(x.log, next...)
+	x.changes = append(x.changes, next...)
 	if len(next) == 0 {
 		return nil
 	}
--- a/internal/membership/massstart_test.go
+++ b/internal/membership/massstart_test.go
@@ -15,7 +15,7 @@
 // the busiest one have sent by then.
 func simultaneousStart(t testing.TB, seed uint64, nodes int, spread time.Duration) (took time.Duration, bytes, busiest int) {
 	network := newNetwork(t, seed, 1)
-	network.count = true
+	network.counting = true
 	for index := range nodes {
 		member := network.member(index)
 		member.Zone = fleet.ZoneName(fmt.Sprint("zone-", index%5))
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -85,7 +85,7 @@
 		c.version++
 		return
 	}
-	c.stateChanged(now, added, Dead)
+	c.handleStateChange(now, added, Dead)
 }
 
 // apply replaces a record by a claim that supersedes it.
@@ -108,11 +108,11 @@
 	case previous != Dead && claim.State == Dead:
 		c.adjustLive(claim.Region, -1)
 	}
-	c.stateChanged(now, current, previous)
+	c.handleStateChange(now, current, previous)
 }
 
-// stateChanged gossips a changed record and starts its suspicion timer if it is suspect.
-func (c *Core) stateChanged(now time.Duration, current *record, previous State) {
+// handleStateChange gossips a changed record and starts its suspicion timer if it is suspect.
+func (c *Core) handleStateChange(now time.Duration, current *record, previous State) {
 	c.version++
 	c.queue.push(current.Node)
 	switch current.State {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -139,7 +139,7 @@
 		return
 	}
 	if message.Complete {
-		c.exchangeAnswered(now)
+		c.handleExchangeAnswer(now)
 	}
 	c.endJoin()
 	c.relays = slices.DeleteFunc(c.relays, func(pending relay) bool {
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -210,9 +210,9 @@
 	}
 }
 
-// exchangeAnswered schedules the next full exchange after one was answered. A member that has just
+// handleExchangeAnswer schedules the next full exchange after one was answered. A member that has just
 // joined repeats it soon.
-func (c *Core) exchangeAnswered(now time.Duration) {
+func (c *Core) handleExchangeAnswer(now time.Duration) {
 	if c.join.pending {
 		c.remainingRejoins = maxRejoins
 		c.nextExchange = now + rejoinInterval/2 + c.randomDelay(rejoinInterval)
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -14,7 +14,7 @@
 
 // zoneMembers describes the members of a zone by their capacities in thousandths of a core.
 type zoneMembers struct {
-	place      Location
+	location   Location
 	capacities []uint32
 }
 
@@ -24,8 +24,8 @@
 	for _, zone := range zones {
 		for number, capacity := range zone.capacities {
 			members = append(members, Member{
-				Node:   fleet.NodeID(fmt.Sprintf("%s-%s-%03d", zone.place.Region, zone.place.Zone, number)),
-				Region: zone.place.Region, Zone: zone.place.Zone, State: Alive, Capacity: capacity,
+				Node:   fleet.NodeID(fmt.Sprintf("%s-%s-%03d", zone.location.Region, zone.location.Zone, number)),
+				Region: zone.location.Region, Zone: zone.location.Zone, State: Alive, Capacity: capacity,
 			})
 		}
 	}
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -20,14 +20,14 @@
 }
 
 func (n *network) startCount() {
-	n.count = true
+	n.counting = true
 	for _, x := range n.all {
 		x.sent, x.bytes = 0, 0
 	}
 }
 
 func (n *network) stopCount(duration time.Duration) (messages, bytes float64) {
-	n.count = false
+	n.counting = false
 	for _, x := range n.all {
 		messages += float64(x.sent)
 		bytes += float64(x.bytes)
@@ -75,8 +75,8 @@
 	assert.Less(t, healed, time.Minute)
 }
 
-// BenchmarkRegionReturn reports the cost of healing a partition of one region.
-func BenchmarkRegionReturn(b *testing.B) {
+// BenchmarkRegionHeal reports the cost of healing a partition of one region.
+func BenchmarkRegionHeal(b *testing.B) {
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			for i := range b.N {
