--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -267,8 +267,9 @@
 	assert.NoError(t, Settings{Key: "k", Duration: DefaultDuration, Margin: DefaultMargin}.Validate())
 }
 
-// Guards against a restarted process waiting for its own earlier run's lease to expire on an
-// exclusive machine, even if it is not eligible. Other machines must still wait.
+// TestExclusiveRestartTakesOverImmediately guards against a restarted process waiting for its own
+// earlier run's lease to expire on an exclusive machine, even if it is not eligible. Other machines
+// must still wait.
 func TestExclusiveRestartTakesOverImmediately(t *testing.T) {
 	h := newHarness(t)
 	settings := testSettings
@@ -310,8 +311,8 @@
 	require.NoError(h.t, election.ReadDone(h.now, row, err))
 }
 
-// Guards against a new process waiting for a whole duration when the store's time shows that the
-// lease has already expired.
+// TestExpiredLeaseIsTakenOnFirstReadByStoreTime guards against a new process waiting for a whole
+// duration when the store's time shows that the lease has already expired.
 func TestExpiredLeaseIsTakenOnFirstReadByStoreTime(t *testing.T) {
 	const epoch = time.Hour
 	h := newHarness(t)
@@ -334,8 +335,8 @@
 	assert.True(t, challenger.IsHeld(h.now))
 }
 
-// Guards against an early takeover when the store reports no time: the wait then counts from the
-// first read of the row.
+// TestChallengerWaitsWithoutStoreTime guards against an early takeover when the store reports no
+// time: the wait then counts from the first read of the row.
 func TestChallengerWaitsWithoutStoreTime(t *testing.T) {
 	h := newHarness(t)
 	holder := newElection(t, "holder", 1)
@@ -347,8 +348,8 @@
 	assert.Equal(t, ActionWait, challenger.Next(h.now).Kind)
 }
 
-// Guards against drift between the holder's clock and the store's: the holder must read the store's
-// time regularly, and write a close upper bound of it.
+// TestHolderResamplesStoreTime guards against drift between the holder's clock and the store's: the
+// holder must read the store's time regularly, and write a close upper bound of it.
 func TestHolderResamplesStoreTime(t *testing.T) {
 	const epoch = time.Hour
 	h := newHarness(t)
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -24,7 +24,7 @@
 	// ratePercent is the clock's rate; the margin covers 91 to 109.
 	ratePercent   int64
 	resumesAt     time.Duration
-	pendingAction *Action // in flight
+	pendingAction *Action
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -19,8 +19,8 @@
 // HolderID identifies one run of one process. The empty value means that the lease has no holder.
 type HolderID string
 
-// NewHolderID combines a node name with a random nonce, so that a restarted process does not
-// mistake the lease of its previous run for its own.
+// NewHolderID combines a node name with a random nonce, which prevents a restarted process from
+// mistaking the lease of its previous run for its own.
 func NewHolderID(node fleet.NodeID, nonce uint64) HolderID {
 	return HolderID(fmt.Sprintf("%s/%016x", node, nonce))
 }
--- a/internal/lease/storetime.go
+++ b/internal/lease/storetime.go
@@ -22,12 +22,12 @@
 }
 
 // isKnown reports whether the sample holds a store time.
-func (r storeClockSample) isKnown() bool { return r.time > 0 }
+func (s storeClockSample) isKnown() bool { return s.time > 0 }
 
 // upperBound returns an upper bound of the store's time at now.
-func (r storeClockSample) upperBound(now time.Duration) time.Duration {
-	elapsed := now - r.requestStartedAt
-	return r.time + elapsed + elapsed/clockErrorDivisor
+func (s storeClockSample) upperBound(now time.Duration) time.Duration {
+	elapsed := now - s.requestStartedAt
+	return s.time + elapsed + elapsed/clockErrorDivisor
 }
 
 // recordStoreTime records the store's time from a response received at now. Zero is ignored.
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -163,8 +163,8 @@
 	return c.flush()
 }
 
-// compensateStall extends suspicion deadlines by the time that this process was paused, so that a
-// resumed node does not declare its peers dead.
+// compensateStall extends suspicion deadlines by the time that this process was paused. Otherwise a
+// resumed node would declare its peers dead.
 func (c *Core) compensateStall(now time.Duration) {
 	stall := now - c.NextWake()
 	if c.nextProbe == 0 || stall <= c.options.ProbeInterval {
@@ -199,8 +199,8 @@
 	return slices.Insert(members, position, c.self)
 }
 
-// send queues a message with piggybacked updates. The receiver's own record comes first unless it
-// is alive, so that the receiver can refute it.
+// send queues a message with piggybacked updates. Unless the receiver is alive by this node's
+// table, its own record comes first, which lets it refute the claim.
 func (c *Core) send(kind Kind, to Member, target fleet.NodeID) {
 	var updates []Member
 	if record, known := c.table.byNode[to.Node]; known && record.State != Alive {
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -42,7 +42,7 @@
 // withFallback adds the nearest other reachable serving member to an answer that is too short for a
 // caller to fail over. Different answerers add different members, to spread the load.
 func (r *Roles) withFallback(answer []Member, from Location, answerer fleet.NodeID, alive func(Member) bool) []Member {
-	var reserve *Member
+	var fallback *Member
 	distance := func(member *Member) int {
 		switch {
 		case member.location() == from:
@@ -58,17 +58,17 @@
 		if !alive(*member) || slices.ContainsFunc(answer, func(named Member) bool { return named.Node == member.Node }) {
 			continue
 		}
-		if reserve == nil || cmp.Or(
-			cmp.Compare(distance(member), distance(reserve)),
-			cmp.Compare(RendezvousWeight(string(answerer), string(reserve.Node)), RendezvousWeight(string(answerer), string(member.Node))),
+		if fallback == nil || cmp.Or(
+			cmp.Compare(distance(member), distance(fallback)),
+			cmp.Compare(RendezvousWeight(string(answerer), string(fallback.Node)), RendezvousWeight(string(answerer), string(member.Node))),
 		) < 0 {
-			reserve = member
+			fallback = member
 		}
 	}
-	if reserve == nil {
+	if fallback == nil {
 		return answer
 	}
-	return append(answer, *reserve)
+	return append(answer, *fallback)
 }
 
 // filterReachable returns the shares of reachable members. If there are none, it returns all
--- a/internal/membership/discovery_test.go
+++ b/internal/membership/discovery_test.go
@@ -10,8 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Guards against samples that favour some candidates: over evenly spaced answerers, each candidate
-// must be returned in proportion to its share.
+// TestSamplesIncludeCandidatesInProportionToShare guards against samples that favour some
+// candidates: over evenly spaced answerers, each candidate must be returned in proportion to its
+// share.
 func TestSamplesIncludeCandidatesInProportionToShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	const answerers = 2000
@@ -56,8 +57,8 @@
 	assert.Equal(t, roles.RoutersFor(northA, node, always), Assign(view, 1500, RoleOptions{}).RoutersFor(northA, node, always))
 }
 
-// Guards against returning unreachable members, and against an answerer that is itself partitioned
-// leaving out all the others.
+// TestRoutersForLeavesOutUnreachableMembers guards against returning unreachable members, and
+// against an answerer that is itself partitioned leaving out all the others.
 func TestRoutersForLeavesOutUnreachableMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
@@ -76,7 +77,8 @@
 	assert.Empty(t, (&Roles{}).RoutersFor(northA, node, always))
 }
 
-// Guards against answers without a second router when one of a zone's two serving members fails.
+// TestSingleRouterGetsNearbyFallback guards against answers without a second router when one of a
+// zone's two serving members fails.
 func TestSingleRouterGetsNearbyFallback(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
@@ -97,7 +99,8 @@
 	assert.Len(t, reserves, 2, "answerers must add different fallbacks")
 }
 
-// Guards against a small fleet directing callers to only some of its members.
+// TestSmallFleetReturnsAllMembers guards against a small fleet directing callers to only some of
+// its members.
 func TestSmallFleetReturnsAllMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(3, 200)}, zoneMembers{northB, equal(2, 200)}, zoneMembers{southC, equal(2, 200)})
 	roles := Assign(view, 60, RoleOptions{})
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -110,44 +110,44 @@
 }
 
 func TestNextChangesReturnsOnlyConsecutiveRevisions(t *testing.T) {
-	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	spread.RecordHeld(4)
-	spread.RecordHeld(2)
-	assert.EqualValues(t, 4, spread.Held())
-	assert.Empty(t, spread.NextChanges([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
-	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, spread.NextChanges([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
+	dissemination := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
+	dissemination.RecordHeld(4)
+	dissemination.RecordHeld(2)
+	assert.EqualValues(t, 4, dissemination.Held())
+	assert.Empty(t, dissemination.NextChanges([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
+	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, dissemination.NextChanges([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
 }
 
 func TestPullIsRepeatedUntilAnswered(t *testing.T) {
-	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	_, due := spread.NextPull(0)
+	dissemination := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
+	_, due := dissemination.NextPull(0)
 	assert.False(t, due)
-	spread.Observe("10.0.0.1:1", 3)
-	spread.Observe("10.0.0.2:1", 2)
-	pull, due := spread.NextPull(time.Second)
+	dissemination.Observe("10.0.0.1:1", 3)
+	dissemination.Observe("10.0.0.2:1", 2)
+	pull, due := dissemination.NextPull(time.Second)
 	require.True(t, due)
 	assert.Equal(t, Pull{From: "10.0.0.1:1"}, pull)
-	_, due = spread.NextPull(time.Second)
+	_, due = dissemination.NextPull(time.Second)
 	assert.False(t, due)
-	pull, due = spread.NextPull(time.Second + DefaultPullInterval)
+	pull, due = dissemination.NextPull(time.Second + DefaultPullInterval)
 	assert.True(t, due)
 	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "the second pull must go to another member")
 	at := time.Second + DefaultPullInterval
 	for range DefaultPersistentPulls - 1 {
-		_, due = spread.NextPull(at + DefaultPullInterval/2)
+		_, due = dissemination.NextPull(at + DefaultPullInterval/2)
 		require.False(t, due, "the pull followed without a delay")
 		at += DefaultPullInterval
-		_, due = spread.NextPull(at)
+		_, due = dissemination.NextPull(at)
 		require.True(t, due, "the delay grew too early")
 	}
 	for range 100 {
 		at += DefaultMaxPullInterval
-		_, due = spread.NextPull(at - DefaultMaxPullInterval/2)
+		_, due = dissemination.NextPull(at - DefaultMaxPullInterval/2)
 		require.False(t, due, "the delay did not grow")
-		_, due = spread.NextPull(at)
+		_, due = dissemination.NextPull(at)
 		require.True(t, due, "the delay exceeds its maximum")
 	}
-	spread.RecordHeld(3)
-	_, due = spread.NextPull(time.Hour)
+	dissemination.RecordHeld(3)
+	_, due = dissemination.NextPull(time.Hour)
 	assert.False(t, due)
 }
--- a/internal/membership/massstart_test.go
+++ b/internal/membership/massstart_test.go
@@ -37,8 +37,8 @@
 	return took, bytes, busiest
 }
 
-// Guards against slow convergence when a whole fleet starts at once: until then nodes disagree on
-// who reads the store and who serves.
+// TestSimultaneousStartConverges guards against slow convergence when a whole fleet starts at once:
+// until then nodes disagree on who reads the store and who serves.
 func TestSimultaneousStartConverges(t *testing.T) {
 	for seed := range uint64(5) {
 		took, bytes, _ := simultaneousStart(t, seed, 195, 300*time.Millisecond)
@@ -48,7 +48,8 @@
 	}
 }
 
-// Guards against members being gossiped for long after a mass start has converged.
+// TestGossipSubsidesAfterMassStart guards against members being gossiped for long after a mass
+// start has converged.
 func TestGossipSubsidesAfterMassStart(t *testing.T) {
 	const nodes, probes = 300, 20
 	network := newNetwork(t, 1, 1)
@@ -62,8 +63,8 @@
 	assert.Less(t, bytes, 1000.0)
 }
 
-// Guards against seed traffic that grows with the square of the fleet size at a mass start, as it
-// would if each joining node received the full membership.
+// TestSeedTrafficGrowsLinearlyAtMassStart guards against seed traffic that grows with the square of
+// the fleet size at a mass start, as it would if each joining node received the full membership.
 func TestSeedTrafficGrowsLinearlyAtMassStart(t *testing.T) {
 	sent := make(map[int]int)
 	for _, nodes := range []int{300, 600} {
--- a/internal/membership/poolmap_test.go
+++ b/internal/membership/poolmap_test.go
@@ -35,8 +35,8 @@
 	return NewPoolMap(engines, list, replicas)
 }
 
-// Guards against owners that are not routable, not distinct, or outside the engine's zone although
-// the zone has enough routers, for fleets of any shape.
+// TestEngineOwnersAreDistinctAndLocal guards against owners that are not routable, not distinct, or
+// outside the engine's zone although the zone has enough routers, for fleets of any shape.
 func TestEngineOwnersAreDistinctAndLocal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := members(rapid.IntRange(1, 24).Draw(t, "routers"), rapid.IntRange(1, 4).Draw(t, "zones"))
@@ -66,7 +66,8 @@
 	})
 }
 
-// Guards against agents asking routers that own no engines of the pool before those that do.
+// TestPoolMapRanksOwnersOfThePoolFirst guards against agents asking routers that own no engines of
+// the pool before those that do.
 func TestPoolMapRanksOwnersOfThePoolFirst(t *testing.T) {
 	list := members(24, 2)
 	sites := sitesAt(list, 4, 30)
@@ -93,8 +94,8 @@
 	assert.Greater(t, len(first), 1)
 }
 
-// Guards against a restarted router, which has a new node identifier at its old address, losing its
-// engines.
+// TestRouterRestartKeepsEngineOwnership guards against a restarted router, which has a new node
+// identifier at its old address, losing its engines.
 func TestRouterRestartKeepsEngineOwnership(t *testing.T) {
 	list := members(12, 3)
 	sites := sitesAt(list, 3, 20)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -82,7 +82,7 @@
 }
 
 // pickIndirectProbers picks members of this node's region and at least one of another, if there is
-// one, so that a partition between two regions alone causes no suspicion.
+// one. A partition between two regions alone then causes no suspicion.
 func (c *Core) pickIndirectProbers(target fleet.NodeID) []Member {
 	count := c.options.IndirectProbes
 	others := c.pickRandom(max(1, count/2), func(r *record) bool {
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -37,8 +37,8 @@
 	return c.flush()
 }
 
-// startTimers schedules the periodic work at random times, so that nodes which start together do
-// not act together.
+// startTimers schedules the periodic work at random times, to keep nodes that start together from
+// acting together.
 func (c *Core) startTimers(now time.Duration) {
 	if c.nextProbe != 0 {
 		return
@@ -91,7 +91,7 @@
 }
 
 // sendFullState queues a message with the full membership, including recent deaths. The receiver's
-// own record is included so that the receiver can refute it.
+// own record is included for it to refute.
 func (c *Core) sendFullState(now time.Duration, kind Kind, to fleet.Address, receiver fleet.NodeID) {
 	updates := make([]Member, 0, c.liveTotal)
 	for _, record := range c.table.sorted {
@@ -210,8 +210,8 @@
 	}
 }
 
-// handleExchangeAnswer schedules the next full exchange after one was answered. A member that has just
-// joined repeats it soon.
+// handleExchangeAnswer schedules the next full exchange after one was answered. A member that has
+// just joined repeats it soon.
 func (c *Core) handleExchangeAnswer(now time.Duration) {
 	if c.join.pending {
 		c.remainingRejoins = maxRejoins
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -11,8 +11,8 @@
 )
 
 // localZoneWeight is the weight in Rank of a router in the caller's zone relative to one elsewhere.
-// It is small, so that callers of different zones mostly agree on the router of a prefix when the
-// zone has few routers.
+// With a small weight, callers of different zones mostly agree on the router of a prefix even when
+// the zone has few routers.
 const localZoneWeight = 2.0
 
 // Location is a zone of a region, such as that of a member or a caller.
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -151,9 +151,8 @@
 // IsServing reports whether callers are sent to a node.
 func (r *Roles) IsServing(node fleet.NodeID) bool { return r.serving[node] }
 
-// Candidates returns the nodes that compete for the lease of a duty: nodes outside the serving set
-// if there are enough, so that their failure interrupts no request. Callers must not modify the
-// slice.
+// Candidates returns the nodes that compete for the lease of a duty: nodes outside the serving set,
+// whose failure interrupts no request, if there are enough. Callers must not modify the slice.
 func (r *Roles) Candidates(duty string) []fleet.NodeID {
 	r.candidatesMutex.Lock()
 	defer r.candidatesMutex.Unlock()
@@ -296,9 +295,9 @@
 	}
 }
 
-// DemandTracker smooths a request rate with hysteresis, so that roles change rarely: the level
-// rises immediately and falls only after the rate has been well below it for a while. The zero
-// value is ready to use. It is not safe for concurrent use.
+// DemandTracker smooths a request rate with hysteresis to keep roles stable: the level rises
+// immediately and falls only after the rate has been well below it for a while. The zero value is
+// ready to use. It is not safe for concurrent use.
 type DemandTracker struct {
 	level      float64
 	belowSince time.Duration
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -96,7 +96,8 @@
 	assert.Equal(t, 125.0, demand.Observe(13*time.Second, 100))
 }
 
-// Guards against missed members that joined, left or changed state between two views.
+// TestDifferenceOfTwoViews guards against missed members that joined, left or changed state between
+// two views.
 func TestDifferenceOfTwoViews(t *testing.T) {
 	named := func(state State, nodes ...fleet.NodeID) []Member {
 		var members []Member
@@ -111,7 +112,8 @@
 	assert.Empty(t, Difference(before, before))
 }
 
-// Guards against duties going to small members when larger ones do not serve.
+// TestCandidatesAreLargestMembers guards against duties going to small members when larger ones do
+// not serve.
 func TestCandidatesAreLargestMembers(t *testing.T) {
 	for _, large := range []int{12, 40} {
 		roles := Assign(mixedFleet(large, 300), 100, RoleOptions{})
@@ -130,8 +132,8 @@
 	}
 }
 
-// Guards against all nodes of a zone asking the same fallback when their reader fails, and against
-// the order of a node changing between calls.
+// TestFallbackReadersAreSpread guards against all nodes of a zone asking the same fallback when
+// their reader fails, and against the order of a node changing between calls.
 func TestFallbackReadersAreSpread(t *testing.T) {
 	var members []Member
 	for number := range 500 {
--- a/internal/membership/serving.go
+++ b/internal/membership/serving.go
@@ -95,11 +95,11 @@
 // effectiveCapacity returns a member's capacity reduced by its capacity factor, in thousandths of a
 // core.
 func (o *RoleOptions) effectiveCapacity(member *Member) float64 {
-	weight := float64(member.Capacity)
+	capacity := float64(member.Capacity)
 	if factor, found := o.CapacityFactors[member.Node]; found {
-		weight *= factor
+		capacity *= factor
 	}
-	return weight
+	return capacity
 }
 
 // sustainableRate returns the requests per second that a member can sustain.
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -112,8 +112,8 @@
 	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northA))["a"], 1e-9, "enough members serve to group by zone")
 }
 
-// Guards against a zone whose callers exceed its capacity being overloaded, or overflowing to
-// another region while its own has spare capacity.
+// TestZoneOverflowGoesToSameRegion guards against a zone whose callers exceed its capacity being
+// overloaded, or overflowing to another region while its own has spare capacity.
 func TestZoneOverflowGoesToSameRegion(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
@@ -132,8 +132,8 @@
 	assert.GreaterOrEqual(t, carried, 300.0, "its own callers and the overflow")
 }
 
-// Guards against overflow being attributed to the zone that serves it: the origin would seem to
-// need less.
+// TestOverflowIsAttributedToOriginZone guards against overflow being attributed to the zone that
+// serves it: the origin would seem to need less.
 func TestOverflowIsAttributedToOriginZone(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
@@ -146,8 +146,8 @@
 	assert.Equal(t, map[Location]float64{{"east", "e"}: 5}, unplanned)
 }
 
-// Guards against overload when a region's members are lost while its callers remain: they must
-// spread by spare capacity.
+// TestLostRegionOverflowsBySpareCapacity guards against overload when a region's members are lost
+// while its callers remain: they must spread by spare capacity.
 func TestLostRegionOverflowsBySpareCapacity(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(20, 200)}, zoneMembers{northB, equal(8, 200)})
 	origins := map[Location]float64{northA: 100, northB: 350, southC: 500}
@@ -170,8 +170,8 @@
 	assert.LessOrEqual(t, flow, 400.0, "no zone may exceed its capacity")
 }
 
-// Guards against plans, for random fleets, that lose callers, overload a group while others have
-// spare capacity, or select too few members for the demand.
+// TestPlanRespectsCapacity guards against plans, for random fleets, that lose callers, overload a
+// group while others have spare capacity, or select too few members for the demand.
 func TestPlanRespectsCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 500 {
@@ -248,7 +248,8 @@
 	})
 }
 
-// Guards against groups that shrink as soon as their need varies, or do not grow with it.
+// TestGroupsGrowImmediatelyAndShrinkDelayed guards against groups that shrink as soon as their need
+// varies, or do not grow with it.
 func TestGroupsGrowImmediatelyAndShrinkDelayed(t *testing.T) {
 	var hold SizeHysteresis
 	at := func(now time.Duration, need int) int {
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -21,10 +21,10 @@
 
 func TestRemoteDeathClaimMakesMemberSuspect(t *testing.T) {
 	core, other := newCoreWithMember(t)
-	stranger := Member{Node: "stranger", Address: "10.9.9.9:1", Region: "elsewhere", State: Alive}
+	remote := Member{Node: "stranger", Address: "10.9.9.9:1", Region: "elsewhere", State: Alive}
 	dead := other
 	dead.State = Dead
-	core.Receive(time.Second, Message{Kind: Ack, Sender: stranger, Target: stranger.Node, Updates: []Member{dead}})
+	core.Receive(time.Second, Message{Kind: Ack, Sender: remote, Target: remote.Node, Updates: []Member{dead}})
 	require.Equal(t, Suspect, core.table.byNode[other.Node].State)
 	var informed bool
 	for _, message := range core.Tick(core.NextWake()) {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -20,8 +20,8 @@
 type table struct {
 	byNode map[fleet.NodeID]*record
 	sorted []*record
-	// tombstones holds the last incarnation of expired members, so that a stale claim cannot
-	// resurrect one. tombstoneOrder lists them from the oldest.
+	// tombstones holds the last incarnation of expired members, which keeps stale claims from
+	// resurrecting them. tombstoneOrder lists them from the oldest.
 	tombstones     map[fleet.NodeID]fleet.Incarnation
 	tombstoneOrder []fleet.NodeID
 	maxTombstones  int
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -67,7 +67,8 @@
 	})
 }
 
-// Guards against long member lists being sent unpacked, and short ones packed.
+// TestLongMemberListsArePacked guards against long member lists being sent unpacked, and short ones
+// packed.
 func TestLongMemberListsArePacked(t *testing.T) {
 	message := Message{Kind: Join, Sender: Member{Node: "n", Address: "127.0.0.1:1", State: Alive}}
 	for number := range 1000 {
--- a/internal/peer/headers_test.go
+++ b/internal/peer/headers_test.go
@@ -20,7 +20,8 @@
 // maxHeaderBytes is the maximum size of the headers of a request and its response.
 const maxHeaderBytes = 190
 
-// Guards against headers that make small calls much larger than their content.
+// TestCallsHaveMinimalHeaders guards against headers that make small calls much larger than their
+// content.
 func TestCallsHaveMinimalHeaders(t *testing.T) {
 	answered := &rpc.LoadReport{Node: "other", Partial: true}
 	options := Options{
@@ -48,7 +49,8 @@
 	assert.Less(t, total, content+maxHeaderBytes)
 }
 
-// Guards against error responses without a content type, which callers need to decode them.
+// TestErrorResponsesKeepContentType guards against error responses without a content type, which
+// callers need to decode them.
 func TestErrorResponsesKeepContentType(t *testing.T) {
 	options := Options{
 		Membership: membership.Options{Self: membership.Member{Node: "self", Address: "127.0.0.1:1"}},
--- a/internal/peer/massstart_test.go
+++ b/internal/peer/massstart_test.go
@@ -45,8 +45,9 @@
 
 func (c clockFunc) Now() time.Duration { return c() }
 
-// Guards against building a view and logging a line for almost every message while members join one
-// by one: twice as many members must not cause more views in the same time.
+// TestViewsAndLogLinesAreBoundedAtMassStart guards against building a view and logging a line for
+// almost every message while members join one by one: twice as many members must not cause more
+// views in the same time.
 func TestViewsAndLogLinesAreBoundedAtMassStart(t *testing.T) {
 	const duration = 2 * time.Second
 	viewCounts := make(map[int]int)
@@ -72,7 +73,8 @@
 	assert.LessOrEqual(t, viewCounts[2000], viewCounts[1000])
 }
 
-// Guards against a change right after a view staying unpublished until the next message.
+// TestChangeInLargeFleetIsPublishedSoon guards against a change right after a view staying
+// unpublished until the next message.
 func TestChangeInLargeFleetIsPublishedSoon(t *testing.T) {
 	now := time.Duration(0)
 	p := newManualPeer(t, &now, &lineCounter{})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -149,8 +149,8 @@
 // Members returns the members that are not dead, including self, sorted by node.
 func (p *Peer) Members() []membership.Member { return p.View().Members() }
 
-// Changed returns a channel that is closed at the next change of the membership. Callers must get
-// the channel before they read View, so that they miss no change.
+// Changed returns a channel that is closed at the next change of the membership. To miss no change,
+// callers must get the channel before they read View.
 func (p *Peer) Changed() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/peer/timeouts_test.go
+++ b/internal/peer/timeouts_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a long response that began in time being canceled, and against wrong causes for
-// responses that do not begin or do not end.
+// TestLongAnswerIsNotTimedOutAsSilent guards against a long response that began in time being
+// canceled, and against wrong causes for responses that do not begin or do not end.
 func TestLongAnswerIsNotTimedOutAsSilent(t *testing.T) {
 	const first, whole = 100 * time.Millisecond, 400 * time.Millisecond
 	for name, test := range map[string]struct {
