--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -20,9 +20,9 @@
 
 // publishChange applies a change at one node, as an operator's command does, and publishes it.
 func (n *network) publishChange(to *node, patch string) {
-	change := Change{Revision: to.spread.Held() + 1, Patch: []byte(patch)}
+	change := Change{Revision: to.dissemination.Held() + 1, Patch: []byte(patch)}
 	to.changes = append(to.changes, change)
-	n.send(to, to.spread.Publish(n.now, []Change{change}, to.core.View()))
+	n.send(to, to.dissemination.Publish(n.now, []Change{change}, to.core.View()))
 }
 
 func (n *network) allHold(revision int) func() bool {
@@ -94,7 +94,7 @@
 	network.startConverged(20)
 	for range 5 {
 		network.publishChange(network.all[0], "patch")
-		network.advanceUntil(propagationLimit, network.allHold(int(network.all[0].spread.Held())))
+		network.advanceUntil(propagationLimit, network.allHold(int(network.all[0].dissemination.Held())))
 	}
 	network.advance(time.Minute)
 	network.restart(6, "-second")
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -47,15 +47,15 @@
 
 // node is one core in the simulated network.
 type node struct {
-	core     *Core
-	spread   *Dissemination
-	down     bool
-	paused   bool
-	wakeAt   time.Duration
-	deferred []delivery
-	changes  []Change
-	bytes    int
-	sent     int
+	core          *Core
+	dissemination *Dissemination
+	down          bool
+	paused        bool
+	wakeAt        time.Duration
+	deferred      []delivery
+	changes       []Change
+	bytes         int
+	sent          int
 }
 
 // network simulates a network on a virtual clock with seeded randomness.
@@ -101,8 +101,8 @@
 func (n *network) startNode(self Member) *node {
 	seed := n.random.Uint64()
 	started := &node{
-		core:   New(Options{Self: self, Random: rand.New(rand.NewPCG(seed, 2))}),
-		spread: NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 3))}),
+		core:          New(Options{Self: self, Random: rand.New(rand.NewPCG(seed, 2))}),
+		dissemination: NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 3))}),
 	}
 	n.nodes[self.Address] = started
 	n.all = append(n.all, started)
@@ -149,7 +149,7 @@
 
 func (n *network) send(from *node, messages []Message) {
 	for _, message := range messages {
-		from.spread.Piggyback(&message)
+		from.dissemination.Piggyback(&message)
 		if n.counting {
 			from.sent++
 			from.bytes += proto.Size(message.Encode())
@@ -163,7 +163,7 @@
 		n.push(delivery{at: n.now + delay, to: message.To, message: message})
 	}
 	wake := from.core.NextWake()
-	if at, pending := from.spread.NextWake(); pending {
+	if at, pending := from.dissemination.NextWake(); pending {
 		wake = max(n.now, min(wake, at))
 	}
 	if wake != from.wakeAt {
@@ -200,8 +200,8 @@
 		n.send(target, messages)
 	case next.at == target.wakeAt:
 		messages := target.core.Tick(n.now)
-		if _, pending := target.spread.NextWake(); pending {
-			messages = append(messages, target.spread.Tick(n.now, target.core.View())...)
+		if _, pending := target.dissemination.NextWake(); pending {
+			messages = append(messages, target.dissemination.Tick(n.now, target.core.View())...)
 		}
 		n.pull(target)
 		n.send(target, messages)
@@ -210,18 +210,18 @@
 
 // takeChanges applies the changes of a message and publishes them.
 func (n *network) takeChanges(x *node, message Message) []Message {
-	x.spread.Observe(message.Sender.Address, message.KnownRevision)
-	next := x.spread.NextChanges(message.Changes)
+	x.dissemination.Observe(message.Sender.Address, message.KnownRevision)
+	next := x.dissemination.NextChanges(message.Changes)
 	x.changes = append(x.changes, next...)
 	if len(next) == 0 {
 		return nil
 	}
-	return x.spread.Publish(n.now, next, x.core.View())
+	return x.dissemination.Publish(n.now, next, x.core.View())
 }
 
 // pull sends the pull that is due, if any.
 func (n *network) pull(from *node) {
-	pull, due := from.spread.NextPull(n.now)
+	pull, due := from.dissemination.NextPull(n.now)
 	if !due || n.random.Float64() < n.loss {
 		return
 	}
