--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -34,7 +34,7 @@
 	// sharing is set while this node shares loads with the serving nodes.
 	sharing       bool
 	reportedTotal reportedRate
-	plannedLevel  membership.Demand
+	plannedLevel  membership.DemandTracker
 }
 
 // reportedRate is a rate reported by another node.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 	roles           atomic.Pointer[nodeRoles]
 	// groupSizes and join are used by updateRoles alone. roleSettled is set once this node knows
 	// its role.
-	groupSizes  membership.SizeHold
+	groupSizes  membership.SizeHysteresis
 	join        joinState
 	roleSettled atomic.Bool
 	// softwareVersions is only accessed while the workers table is applied.
@@ -227,15 +227,15 @@
 			},
 			Random: random,
 		},
-		Seeds:    g.settings().Seeds,
-		Machines: g.seeds.addresses,
-		Holder:   config.NewHolder(),
-		Logger:   g.logger,
-		Loads:    g.answerLoad,
-		Traffic:  g.dependencies.Traffic,
-		Watch:    g.answerWatch,
-		Caches:   g.answerCaches,
-		Limits:   g.answerGrant,
+		Seeds:               g.settings().Seeds,
+		DiscoverSeeds:       g.seeds.addresses,
+		Holder:              config.NewHolder(),
+		Logger:              g.logger,
+		HandleLoadReport:    g.answerLoad,
+		Traffic:             g.dependencies.Traffic,
+		HandleWatch:         g.answerWatch,
+		HandleCaches:        g.answerCaches,
+		HandleLimitQuestion: g.answerGrant,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -98,7 +98,7 @@
 	callCtx, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	start := g.now()
-	answer, err := g.peers.AskGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(start, &observation), Priority: uint32(max(priority, 0))})
+	answer, err := g.peers.RequestGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(start, &observation), Priority: uint32(max(priority, 0))})
 	if err != nil {
 		g.markGranterUnavailable(ctx, granter, err)
 		return workerlimit.Grant{Wait: nextGranterDelay, Refill: nextGranterDelay}
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -187,7 +187,7 @@
 		}
 	}
 	if roles := g.roles.Load(); roles != nil {
-		return roles.Origins(byLocation)
+		return roles.DemandByOrigin(byLocation)
 	}
 	return byLocation
 }
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -92,20 +92,20 @@
 	candidates := all.Candidates(rolloutLease)
 	roles := &nodeRoles{
 		Roles: all, view: view, demand: demand, fallbackCandidate: fallback,
-		origins: options.Origins, pressureWeights: options.Weights, minSizes: options.Least,
-		isReader:    all.Reads(self),
+		origins: options.DemandByLocation, pressureWeights: options.CapacityFactors, minSizes: options.MinServingByLocation,
+		isReader:    all.IsReader(self),
 		isCandidate: slices.Contains(candidates, self),
 		readerOrder: all.ReaderOrder(zone, self),
 	}
-	if !all.Serves(self) {
+	if !all.IsServing(self) {
 		roles.standbyCount = len(view.Routable()) - len(all.Serving)
 	}
-	roles.sharesLoads = roles.isCandidate || fallback || all.Serves(self)
+	roles.sharesLoads = roles.isCandidate || fallback || all.IsServing(self)
 	if !roles.sharesLoads {
 		return roles
 	}
 	for _, member := range view.Routable() {
-		if member.Node != self && (all.Serves(member.Node) || slices.Contains(candidates, member.Node)) {
+		if member.Node != self && (all.IsServing(member.Node) || slices.Contains(candidates, member.Node)) {
 			roles.loadPeers = append(roles.loadPeers, member)
 		}
 	}
@@ -116,19 +116,19 @@
 // receives reports of a few nodes first. It would take a single location for the origin of all
 // requests and hold a group size that is far too large.
 func (g *Gateway) roleOptions(now time.Duration, demand float64, previous *nodeRoles) membership.RoleOptions {
-	options := membership.RoleOptions{Weights: g.origins.capacityWeights(now)}
+	options := membership.RoleOptions{CapacityFactors: g.origins.capacityWeights(now)}
 	origins := g.origins.plan(g.originRates(now))
 	if previous == nil || now < planningDelay {
 		return options
 	}
-	options.Origins = origins
-	options.Least = g.groupSizes.Observe(now, demand, previous.Needed())
+	options.DemandByLocation = origins
+	options.MinServingByLocation = g.groupSizes.Observe(now, demand, previous.Needed())
 	return options
 }
 
 // optionsChanged reports whether the options differ from those that the roles were derived from.
 func (r *nodeRoles) optionsChanged(options membership.RoleOptions) bool {
-	return !maps.Equal(r.origins, options.Origins) || !maps.Equal(r.pressureWeights, options.Weights) || !maps.Equal(r.minSizes, options.Least)
+	return !maps.Equal(r.origins, options.DemandByLocation) || !maps.Equal(r.pressureWeights, options.CapacityFactors) || !maps.Equal(r.minSizes, options.MinServingByLocation)
 }
 
 // maintainRoles keeps this node's roles up to date with the membership and the demand.
@@ -158,7 +158,7 @@
 	settled := !g.isJoining(now)
 	reader := roles.isReader && settled
 	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, standbyCount: roles.standbyCount})
-	if serves := roles.Serves(g.node); previous == nil || previous.Serves(g.node) != serves || len(previous.Serving) != len(roles.Serving) {
+	if serves := roles.IsServing(g.node); previous == nil || previous.IsServing(g.node) != serves || len(previous.Serving) != len(roles.Serving) {
 		g.logger.Info().Bool("serves", serves).Int("serving", len(roles.Serving)).Bool("reads", reader).
 			Int("members", len(view.Routable())).Float64("request_rate", g.demand.total(now)).Msg("roles_changed")
 	}
@@ -169,7 +169,7 @@
 func (g *Gateway) loadPeers() []membership.Member { return g.roles.Load().loadPeers }
 
 // isServing reports whether callers are sent to this node.
-func (g *Gateway) isServing() bool { return g.roles.Load().Serves(g.node) }
+func (g *Gateway) isServing() bool { return g.roles.Load().IsServing(g.node) }
 
 // servingCount returns the number of serving nodes, at least 1.
 func (g *Gateway) servingCount() int { return max(len(g.roles.Load().Serving), 1) }
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -202,10 +202,10 @@
 	}
 	for now := time.Duration(0); now < planningDelay; now += rolesInterval {
 		options := first(now)
-		require.Empty(t, options.Origins)
-		require.Empty(t, options.Least)
+		require.Empty(t, options.DemandByLocation)
+		require.Empty(t, options.MinServingByLocation)
 	}
-	assert.NotEmpty(t, first(planningDelay).Origins)
+	assert.NotEmpty(t, first(planningDelay).DemandByLocation)
 }
 
 // followedCaches returns the caches that a gateway follows itself.
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -237,7 +237,7 @@
 		g.logger.Warn().Str("worker", string(update.worker.ID)).Msg("order_dropped_without_lease")
 		return rollout.OrderUncertain, false
 	}
-	g.lease.NoteUse()
+	g.lease.RecordUse()
 	ctx, cancel := context.WithTimeout(g.workerCallContext(g.context(), callOrder, &update.worker), orderTimeout)
 	defer cancel()
 	result, err := g.dependencies.Engines.OrderVersion(ctx, update.worker, rollout.VersionOrder{
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -118,7 +118,7 @@
 		f.table.cache.Advance(update.Revision)
 		f.table.onProof(provenAt)
 	}
-	if g.roles.Load().Small {
+	if g.roles.Load().SmallFleet {
 		return 0
 	}
 	return f.table.pause
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -159,7 +159,7 @@
 	firstByte := time.Duration(request.GetWaitMillis())*time.Millisecond + watchSlack
 	ctx, stop := g.suspensionSignal.bind(g.peerCallContext(traffic.Watches, member))
 	defer stop()
-	response, err := g.peers.AskWatch(ctx, member.Address, firstByte, request)
+	response, err := g.peers.RequestWatch(ctx, member.Address, firstByte, request)
 	if g.context().Err() != nil {
 		return watchUnchanged
 	}
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -198,7 +198,7 @@
 	if source.Zone != zone {
 		request.Zone = string(zone)
 	}
-	response, err := g.peers.AskCaches(ctx, source.Address, request)
+	response, err := g.peers.RequestCaches(ctx, source.Address, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lease/election.go
+++ b/internal/lease/election.go
@@ -10,22 +10,22 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// ActionKind tells what an election needs next.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // Kinds of actions.
 const (
-	// ActionWait asks for Next again at Until.
+	// ActionWait means that Next must be called again at Until.
 	ActionWait ActionKind = iota
-	// ActionRead asks for a read of Settings.Key, then ReadDone.
+	// ActionRead means that the caller must read Settings.Key and then call ReadDone.
 	ActionRead
-	// ActionCommit asks for a commit of Transaction, then CommitDone.
+	// ActionCommit means that the caller must commit Transaction and then call CommitDone.
 	ActionCommit
 	// ActionDone means that the election has ended after Resign.
 	ActionDone
 )
 
-// Action is what an election needs next.
+// Action is the next step that an Election requires of its caller.
 type Action struct {
 	Kind        ActionKind
 	Until       time.Duration
@@ -36,22 +36,21 @@
 type observation struct {
 	record   Record
 	revision uint64
-	// since is when this revision was first seen, at the end of the call that
-	// showed it: the write can't have been later.
-	since time.Duration
+	// firstSeenAt is the end of the call that first returned this revision. The write happened no
+	// later.
+	firstSeenAt time.Duration
 }
 
 // commit is a write that was sent.
 type commit struct {
-	record   Record
-	compared uint64
-	start    time.Duration
+	record           Record
+	expectedRevision uint64
+	startedAt        time.Duration
 }
 
-// Election is one process's part in a lease. It has no I/O and no clock; now is
-// the process's elapsed time. At most one read or commit is in progress: after
-// such an action the caller reports its end before it calls Next again. It
-// isn't safe for concurrent use.
+// Election is one process's participation in a lease. It performs no I/O and reads no clock; now is
+// the process's elapsed time. At most one read or commit is in flight: after such an action the
+// caller reports its result before it calls Next again. An Election is not safe for concurrent use.
 type Election struct {
 	settings Settings
 	holder   HolderID
@@ -59,135 +58,131 @@
 
 	row          observation
 	highestToken fleet.FencingToken
-	// mustRead is set while the row's state isn't known.
+	// mustRead is set while the state of the row is unknown.
 	mustRead bool
-	// sent is the commit in progress.
-	sent *commit
-	// unresolved is the earliest commit on its revision whose outcome is
-	// unknown. It may still take effect while the row is at that revision.
-	unresolved *commit
+	// pendingCommit is the commit in flight.
+	pendingCommit *commit
+	// unresolvedCommit is the earliest commit on its revision whose outcome is unknown. It may
+	// still take effect while the row is at that revision.
+	unresolvedCommit *commit
 
-	// predecessor is whom the row named when this process last took it over.
+	// predecessor is the row's holder when this process last took the lease over.
 	predecessor HolderID
-	// idleAtTakeover is how long the lease had not been used when it was released
-	// to this process.
+	// idleAtTakeover is how long the lease had been unused when its previous holder released it.
 	idleAtTakeover time.Duration
-	usedAt         time.Duration
-
-	// readBegun is when the last read began, reference the last answer that told the
-	// store's time.
-	readBegun time.Duration
-	reference storeReference
-
-	nextAt        time.Duration
-	believedUntil time.Duration
-	ineligible    bool
-	resigning     bool
-	resigned      bool
+	lastUsedAt     time.Duration
+
+	// readStartedAt is the start of the last read. storeClock is the last sample of the store's
+	// time.
+	readStartedAt time.Duration
+	storeClock    storeClockSample
+
+	nextActionAt time.Duration
+	validUntil   time.Duration
+	ineligible   bool
+	resigning    bool
+	resigned     bool
 }
 
-// NewElection returns an election that hasn't read its row. The holder must be
-// unique to the process's run; random spreads retries and polls.
+// NewElection returns an election that has not read its row yet. The holder must be unique to this
+// run of the process; random jitters retries and polls.
 func NewElection(settings Settings, holder HolderID, random *rand.Rand) (*Election, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	if holder == "" {
-		return nil, errors.New("lease needs a holder")
+		return nil, errors.New("lease holder is empty")
 	}
 	return &Election{settings: settings, holder: holder, random: random, mustRead: true}, nil
 }
 
-// Fence returns the token to send with an order, and whether the lease is held
-// at now. It must be called right before each order.
+// Fence returns the token to send with a command and whether the lease is held at now. It must be
+// called immediately before each command.
 func (e *Election) Fence(now time.Duration) (fleet.FencingToken, bool) {
-	if !e.Valid(now) {
+	if !e.IsHeld(now) {
 		return 0, false
 	}
 	return e.row.record.Token, true
 }
 
-// Valid tells whether the lease is held at now.
-func (e *Election) Valid(now time.Duration) bool { return !e.resigning && now < e.believedUntil }
+// IsHeld reports whether this process holds the lease at now.
+func (e *Election) IsHeld(now time.Duration) bool { return !e.resigning && now < e.validUntil }
 
-// Observed returns the lease's record as last seen; false before the first read.
+// Observed returns the lease record as last seen, or false before the first read.
 func (e *Election) Observed() (Record, bool) { return e.row.record, e.row.revision != 0 }
 
-// Predecessor returns whom the row named when this process last took it over:
-// nobody, if the lease had been released or never held. A lease that ran out
-// has been without a holder for twice the margin when it is taken over; a
-// released one may be taken over at once.
+// Predecessor returns the row's holder when this process last took the lease over. It is empty if
+// the lease had been released or never held. An expired lease has been without a holder for at
+// least twice the margin when it is taken over; a released lease can be taken over immediately.
 func (e *Election) Predecessor() HolderID { return e.predecessor }
 
-// IdleAtTakeover returns how long the lease had not been used when it was
-// released to this process.
+// IdleAtTakeover returns how long the lease had been unused when its previous holder released it.
 func (e *Election) IdleAtTakeover() time.Duration { return e.idleAtTakeover }
 
-// NoteUse notes that the lease was used, such as for an order.
-func (e *Election) NoteUse(now time.Duration) { e.usedAt = max(e.usedAt, now) }
+// RecordUse records that the lease was used at now, for example for a command.
+func (e *Election) RecordUse(now time.Duration) { e.lastUsedAt = max(e.lastUsedAt, now) }
 
-// SetEligible tells whether the process takes the lease when it is free. In a
-// large fleet only a few processes need to poll. A holder stays one.
+// SetEligible sets whether the process takes the lease when it is free. In a large fleet only a few
+// processes need to poll. It does not affect a current holder.
 func (e *Election) SetEligible(eligible bool) { e.ineligible = !eligible }
 
-// Eligible tells what SetEligible was last told; true before.
-func (e *Election) Eligible() bool { return !e.ineligible }
+// IsEligible reports whether the process takes the lease when it is free. The default is true.
+func (e *Election) IsEligible() bool { return !e.ineligible }
 
-// Resign ends the process's part: it stops believing at once, and Next asks for
-// the lease's release if it is held for certain. Else the lease runs out.
+// Resign ends the process's participation: the lease is no longer held locally, and Next returns a
+// commit that releases it if the process is certain to hold it. Otherwise the lease expires.
 func (e *Election) Resign() { e.resigning = true }
 
-// Next returns what to do at now.
+// Next returns the action to perform at now.
 func (e *Election) Next(now time.Duration) Action {
 	if e.resigning {
 		return e.nextRelease(now)
 	}
-	if now < e.nextAt {
-		return Action{Kind: ActionWait, Until: e.nextAt}
+	if now < e.nextActionAt {
+		return Action{Kind: ActionWait, Until: e.nextActionAt}
 	}
-	if e.ineligible && !e.mustRead && !e.mine() && !e.earlierRun() {
-		e.nextAt = now + e.pollInterval()
-		return Action{Kind: ActionWait, Until: e.nextAt}
+	if e.ineligible && !e.mustRead && !e.isRecordedHolder() && !e.isHeldByEarlierRun() {
+		e.nextActionAt = now + e.pollInterval()
+		return Action{Kind: ActionWait, Until: e.nextActionAt}
 	}
-	if e.mustRead || !e.mayWrite(now) || e.referenceTooOld(now) {
-		e.readBegun = now
+	if e.mustRead || !e.canWrite(now) || e.isStoreClockStale(now) {
+		e.readStartedAt = now
 		return Action{Kind: ActionRead}
 	}
 	return e.startCommit(now, e.claim())
 }
 
 func (e *Election) nextRelease(now time.Duration) Action {
-	if e.resigned || e.mustRead || !e.mine() {
+	if e.resigned || e.mustRead || !e.isRecordedHolder() {
 		return Action{Kind: ActionDone}
 	}
 	e.resigned = true
 	released := e.row.record
 	released.Holder = ""
-	released.IdleMillis = max(now-e.usedAt, 0).Milliseconds()
+	released.IdleMillis = max(now-e.lastUsedAt, 0).Milliseconds()
 	return e.startCommit(now, released)
 }
 
-// mine tells whether the row as last seen names this process.
-func (e *Election) mine() bool { return e.row.record.Holder == e.holder }
+// isRecordedHolder reports whether the row as last seen names this process.
+func (e *Election) isRecordedHolder() bool { return e.row.record.Holder == e.holder }
 
-// mayWrite tells whether the row is this process's, free or run out.
-func (e *Election) mayWrite(now time.Duration) bool {
-	if e.mine() || e.row.record.Holder == "" || e.earlierRun() {
+// canWrite reports whether the row is held by this process, free or expired.
+func (e *Election) canWrite(now time.Duration) bool {
+	if e.isRecordedHolder() || e.row.record.Holder == "" || e.isHeldByEarlierRun() {
 		return true
 	}
-	return now >= e.runsOutAt()
+	return now >= e.expiresAt()
 }
 
-// earlierRun tells whether the row names an earlier run on this machine, which
-// has ended.
-func (e *Election) earlierRun() bool {
-	return e.settings.Exclusive && !e.mine() && e.row.record.Holder.Machine() == e.holder.Machine()
+// isHeldByEarlierRun reports whether the row names an earlier run on this machine, which has ended.
+func (e *Election) isHeldByEarlierRun() bool {
+	return e.settings.Exclusive && !e.isRecordedHolder() && e.row.record.Holder.Machine() == e.holder.Machine()
 }
 
 // claim returns the record that makes or keeps this process the holder.
 func (e *Election) claim() Record {
 	token := e.highestToken
-	if !e.mine() {
+	if !e.isRecordedHolder() {
 		token++
 		e.predecessor = e.row.record.Holder
 		e.idleAtTakeover = time.Duration(e.row.record.IdleMillis) * time.Millisecond
@@ -196,8 +191,8 @@
 }
 
 func (e *Election) startCommit(now time.Duration, record Record) Action {
-	record.WrittenMillis = e.writtenMillis(now)
-	e.sent = &commit{record: record, compared: e.row.revision, start: now}
+	record.WrittenMillis = e.storeTimeMillis(now)
+	e.pendingCommit = &commit{record: record, expectedRevision: e.row.revision, startedAt: now}
 	return Action{
 		Kind: ActionCommit,
 		Transaction: platform.Transaction{
@@ -207,20 +202,20 @@
 	}
 }
 
-// pollInterval is the time between a challenger's reads.
+// pollInterval returns the jittered time between two reads by a challenger.
 func (e *Election) pollInterval() time.Duration {
-	return e.jitter(e.settings.Duration / pollFraction)
+	return e.jitter(e.settings.Duration / pollsPerDuration)
 }
 
-// retryInterval is the time until a holder repeats what failed.
+// retryInterval returns the jittered time after which a failed call is retried.
 func (e *Election) retryInterval() time.Duration {
-	if !e.mine() {
+	if !e.isRecordedHolder() {
 		return e.pollInterval()
 	}
-	return e.jitter(e.settings.Duration / retryFraction)
+	return e.jitter(e.settings.Duration / retriesPerDuration)
 }
 
-// jitter returns a time between half of mean and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times mean.
 func (e *Election) jitter(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(e.random.Int64N(int64(mean)+1))
 }
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,101 +13,99 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// callFraction is the part of a lease's duration that bounds one call: an
-// answer that comes later leaves too little time to believe.
-const callFraction = 3
+// callTimeoutDivisor is the part of a lease's duration that bounds one call. A later answer would
+// leave too little of the lease.
+const callTimeoutDivisor = 3
 
-// Keeper runs an Election against the table service on real time. Its methods
-// are safe for concurrent use.
+// Keeper runs an Election against the table service in real time. It is safe for concurrent use.
 type Keeper struct {
 	tables platform.Tables
 	clock  fleet.Clock
 	logger zerolog.Logger
-	life   tomb.Tomb
-	// changed wakes the loop.
-	changed chan struct{}
+	tomb   tomb.Tomb
+	// wake interrupts the wait of the run loop.
+	wake chan struct{}
 
 	mutex    sync.Mutex
 	election *Election
 	wasHeld  bool
 }
 
-// NewKeeper returns a keeper that owns the election from now on.
+// NewKeeper returns a keeper, which takes ownership of the election.
 func NewKeeper(election *Election, tables platform.Tables, clock fleet.Clock, logger zerolog.Logger) *Keeper {
 	return &Keeper{
 		tables:   tables,
 		clock:    clock,
 		logger:   logger.With().Str("lease", election.settings.Key).Logger(),
-		changed:  make(chan struct{}, 1),
+		wake:     make(chan struct{}, 1),
 		election: election,
 	}
 }
 
-// Start begins to read, take and renew the lease.
-func (k *Keeper) Start() { k.life.Go(k.run) }
+// Start begins to read, acquire and renew the lease.
+func (k *Keeper) Start() { k.tomb.Go(k.run) }
 
-// Stop makes Fence fail at once, releases the lease if it can, and waits for
-// the calls in progress, which are bounded by a part of the lease's duration.
+// Stop makes Fence fail immediately, releases the lease if possible, and waits for the calls in
+// flight, each of which is bounded by a part of the lease's duration.
 func (k *Keeper) Stop() error {
 	k.mutex.Lock()
 	k.election.Resign()
 	k.mutex.Unlock()
-	k.life.Kill(nil)
-	return k.life.Wait()
+	k.tomb.Kill(nil)
+	return k.tomb.Wait()
 }
 
-// Dead is closed when the keeper has ended.
-func (k *Keeper) Dead() <-chan struct{} { return k.life.Dead() }
+// Dead returns a channel that is closed when the keeper has stopped.
+func (k *Keeper) Dead() <-chan struct{} { return k.tomb.Dead() }
 
-// Fence returns the token to send with an order, and whether the lease is held
-// at this moment. It must be called right before each order.
+// Fence returns the token to send with a command and whether the lease is held now. It must be
+// called immediately before each command.
 func (k *Keeper) Fence() (fleet.FencingToken, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Fence(k.clock.Now())
 }
 
-// Observed returns the lease's record as last seen; false before the first read.
+// Observed returns the lease record as last seen, or false before the first read.
 func (k *Keeper) Observed() (Record, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Observed()
 }
 
-// Predecessor returns whom the row named when this process last took it over.
+// Predecessor returns the row's holder when this process last took the lease over.
 func (k *Keeper) Predecessor() HolderID {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.Predecessor()
 }
 
-// IdleAtTakeover returns how long the lease had not been used when it was
-// released to this process.
+// IdleAtTakeover returns how long the lease had been unused when its previous holder released it.
 func (k *Keeper) IdleAtTakeover() time.Duration {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.election.IdleAtTakeover()
 }
 
-// NoteUse notes that the lease is used at this moment.
-func (k *Keeper) NoteUse() {
+// RecordUse records that the lease is used now.
+func (k *Keeper) RecordUse() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.election.NoteUse(k.clock.Now())
+	k.election.RecordUse(k.clock.Now())
 }
 
-// SetEligible tells whether this process takes the lease when it is free. Only a
-// change wakes the loop.
+// SetEligible sets whether this process takes the lease when it is free. Only a change wakes the
+// run loop.
 func (k *Keeper) SetEligible(eligible bool) {
 	k.mutex.Lock()
-	changed := k.election.Eligible() != eligible
+	changed := k.election.IsEligible() != eligible
 	k.election.SetEligible(eligible)
 	k.mutex.Unlock()
 	if !changed {
 		return
 	}
 	select {
-	case k.changed <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
@@ -163,10 +161,10 @@
 	k.logChange(now)
 }
 
-// callContext bounds one call. It doesn't end with the keeper: a commit that is
-// cut off would only leave its outcome unknown.
+// callContext returns a context that bounds one call. Stopping the keeper does not cancel it, since
+// a canceled commit would have an unknown outcome.
 func (k *Keeper) callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), k.election.settings.Duration/callFraction)
+	return context.WithTimeout(context.Background(), k.election.settings.Duration/callTimeoutDivisor)
 }
 
 func (k *Keeper) wait(until time.Duration) {
@@ -174,12 +172,12 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.changed:
-	case <-k.life.Dying():
+	case <-k.wake:
+	case <-k.tomb.Dying():
 	}
 }
 
-// logChange logs when the lease is won or lost; the mutex is held.
+// logChange logs when the lease is acquired or lost. The caller holds the mutex.
 func (k *Keeper) logChange(now time.Duration) {
 	token, held := k.election.Fence(now)
 	if held == k.wasHeld {
@@ -194,7 +192,8 @@
 	k.logger.Warn().Str("holder", string(record.Holder)).Uint64("token", uint64(record.Token)).Msg("lease_lost")
 }
 
-// commitFailureLevel is debug for a lost race: some candidate always loses.
+// commitFailureLevel returns the log level of a failed commit: debug for a lost race, which is
+// normal among candidates.
 func commitFailureLevel(err error) zerolog.Level {
 	if errors.Is(err, platform.ErrConflict) {
 		return zerolog.DebugLevel
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -18,12 +18,12 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// tables serves the model in process.
+// tables serves the platform model in process.
 type tables struct {
 	mutex sync.Mutex
 	clock fleet.Clock
 	model *platformmodel.Platform
-	// hang makes calls last until their context ends.
+	// hang makes calls block until their context ends.
 	hang atomic.Bool
 }
 
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestKeeperStopsWhileThePlatformHangs(t *testing.T) {
+func TestKeeperStopsWhileStoreHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := fleet.NewRuntimeClock()
 		service := &tables{clock: clock, model: platformmodel.New(platformmodel.Options{})}
@@ -92,14 +92,14 @@
 		service.hang.Store(true)
 		time.Sleep(testSettings.Duration)
 		_, held := keeper.Fence()
-		assert.False(t, held, "no renewal came back")
+		assert.False(t, held, "no renewal was answered")
 		before := clock.Now()
 		require.NoError(t, keeper.Stop())
-		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callFraction)
+		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callTimeoutDivisor)
 	})
 }
 
-func TestLostRaceIsNoWarning(t *testing.T) {
+func TestLostRaceIsLoggedAtDebugLevel(t *testing.T) {
 	lost := errors.Wrap(platform.ErrConflict, "commit")
 	assert.Equal(t, zerolog.DebugLevel, commitFailureLevel(lost))
 	assert.Equal(t, zerolog.WarnLevel, commitFailureLevel(errors.Wrap(platform.ErrUnknownOutcome, "commit")))
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -14,181 +14,182 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// storeEpoch is the store's clock when a history begins.
+// storeEpoch is the store's time at the start of a simulation.
 const storeEpoch = 3 * time.Hour
 
-// process is an election on its own clock, whose call travels with delays.
+// process is an election with its own clock and at most one delayed call in flight.
 type process struct {
 	election *Election
 	offset   time.Duration
-	// ratePercent is the clock's speed; the margin covers 91 to 109.
-	ratePercent int64
-	thawsAt     time.Duration
-	call        *Action // in progress
+	// ratePercent is the clock's rate; the margin covers 91 to 109.
+	ratePercent   int64
+	resumesAt     time.Duration
+	pendingAction *Action
 }
 
 func (p *process) clock(now time.Duration) time.Duration {
 	return p.offset + now*time.Duration(p.ratePercent)/100
 }
 
-// order is on its way to the engine.
-type order struct {
+// command is a command in flight to the engine.
+type command struct {
 	holder HolderID
 	token  fleet.FencingToken
 }
 
-// history is a random run: calls, lost answers, late effects, freezes and
-// delayed orders, with the checks made on the way.
-type history struct {
+// simulation is a random run with lost answers, late commits, pauses and delayed commands. It
+// checks the lease's invariants at each step.
+type simulation struct {
 	t *rapid.T
-	// random is uniform, where rapid's own numbers lean to the small ones.
-	random    *rand.Rand
-	now       time.Duration
-	model     *platformmodel.Platform
-	processes []*process
-	late      []platform.Transaction // whose sender has given up
-	orders    []order
+	// random is uniform, whereas rapid's generators favour small numbers.
+	random          *rand.Rand
+	now             time.Duration
+	model           *platformmodel.Platform
+	processes       []*process
+	delayedCommits  []platform.Transaction // of senders that have timed out
+	pendingCommands []command
 
 	last Record
-	// holders is who was given each token.
-	holders map[fleet.FencingToken]HolderID
-	engine  fleet.FencingToken
-	// newest is the token of the newest holder of which an order was executed.
-	newest   fleet.FencingToken
-	restarts uint64
+	// holders maps each token to the holder that received it.
+	holders     map[fleet.FencingToken]HolderID
+	engineToken fleet.FencingToken
+	// newestExecuted is the last token of the newest holder whose command was executed.
+	newestExecuted fleet.FencingToken
+	restarts       uint64
 }
 
-func (h *history) chance(percent int) bool {
-	return h.random.IntN(100) < percent
+func (s *simulation) chance(percent int) bool {
+	return s.random.IntN(100) < percent
 }
 
-func (h *history) upTo(limit time.Duration) time.Duration {
-	return time.Duration(h.random.Int64N(int64(limit)))
+func (s *simulation) randomBelow(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-func (h *history) commit(transaction platform.Transaction) error {
-	err := h.model.Commit(h.now, transaction)
+func (s *simulation) commit(transaction platform.Transaction) error {
+	err := s.model.Commit(s.now, transaction)
 	if err == nil {
-		h.checkRecord()
+		s.checkRecord()
 	}
 	return err
 }
 
-// checkRecord holds each written record against the one before.
-func (h *history) checkRecord() {
-	row, err := h.model.Get(h.now, testSettings.Key)
-	require.NoError(h.t, err)
+// checkRecord checks the written record against the previous one.
+func (s *simulation) checkRecord() {
+	row, err := s.model.Get(s.now, testSettings.Key)
+	require.NoError(s.t, err)
 	record, err := decodeRecord(row.Value)
-	require.NoError(h.t, err)
-	if record.Holder == h.last.Holder || record.Holder == "" {
-		require.Equal(h.t, h.last.Token, record.Token)
+	require.NoError(s.t, err)
+	if record.Holder == s.last.Holder || record.Holder == "" {
+		require.Equal(s.t, s.last.Token, record.Token)
 	} else {
-		require.Equal(h.t, h.last.Token+1, record.Token, "a change of holder raises the token by one")
-		h.holders[record.Token] = record.Holder
+		require.Equal(s.t, s.last.Token+1, record.Token, "a change of holder must increment the token")
+		s.holders[record.Token] = record.Holder
 	}
-	h.last = record
+	s.last = record
 }
 
-func (h *history) step(p *process) {
-	if h.now < p.thawsAt {
+func (s *simulation) step(p *process) {
+	if s.now < p.resumesAt {
 		return
 	}
-	if p.call == nil {
-		h.begin(p)
+	if p.pendingAction == nil {
+		s.startCall(p)
 		return
 	}
-	if h.chance(70) {
-		h.finish(p)
+	if s.chance(70) {
+		s.finishCall(p)
 	}
 }
 
-func (h *history) begin(p *process) {
-	action := p.election.Next(p.clock(h.now))
+func (s *simulation) startCall(p *process) {
+	action := p.election.Next(p.clock(s.now))
 	if action.Kind == ActionRead || action.Kind == ActionCommit {
-		p.call = &action
+		p.pendingAction = &action
 	}
-	if action.Kind == ActionDone || h.chance(1) {
-		h.restart(p)
+	if action.Kind == ActionDone || s.chance(1) {
+		s.restart(p)
 		return
 	}
-	if token, held := p.election.Fence(p.clock(h.now)); held && h.chance(50) {
-		require.Equal(h.t, h.holders[token], p.election.holder, "holder of token %d", token)
-		h.orders = append(h.orders, order{p.election.holder, token})
+	if token, held := p.election.Fence(p.clock(s.now)); held && s.chance(50) {
+		require.Equal(s.t, s.holders[token], p.election.holder, "holder of token %d", token)
+		s.pendingCommands = append(s.pendingCommands, command{p.election.holder, token})
 	}
-	if h.chance(1) {
+	if s.chance(1) {
 		p.election.Resign()
 	}
 }
 
-// restart replaces a process by a new run, which knows nothing. Its commit in
-// progress may still take effect.
-func (h *history) restart(p *process) {
-	if p.call != nil && p.call.Kind == ActionCommit {
-		h.late = append(h.late, p.call.Transaction)
+// restart replaces a process by a new run without state. Its commit in flight may still take
+// effect.
+func (s *simulation) restart(p *process) {
+	if p.pendingAction != nil && p.pendingAction.Kind == ActionCommit {
+		s.delayedCommits = append(s.delayedCommits, p.pendingAction.Transaction)
 	}
-	h.restarts++
-	p.call = nil
-	p.election = newElection(h.t, "restarted", 100+h.restarts)
+	s.restarts++
+	p.pendingAction = nil
+	p.election = newElection(s.t, "restarted", 100+s.restarts)
 }
 
-func (h *history) finish(p *process) {
-	call := p.call
-	p.call = nil
+func (s *simulation) finishCall(p *process) {
+	call := p.pendingAction
+	p.pendingAction = nil
 	if call.Kind == ActionRead {
-		row, err := h.model.Get(h.now, testSettings.Key)
-		row.StoreTime = storeEpoch + h.now
-		h.freezeSometimes(p)
-		require.NoError(h.t, p.election.ReadDone(p.clock(max(h.now, p.thawsAt)), row, err))
+		row, err := s.model.Get(s.now, testSettings.Key)
+		row.StoreTime = storeEpoch + s.now
+		s.pauseSometimes(p)
+		require.NoError(s.t, p.election.ReadDone(p.clock(max(s.now, p.resumesAt)), row, err))
 		return
 	}
 	var err error
 	switch {
-	case h.chance(10): // not applied yet, and the sender gives up
-		h.late = append(h.late, call.Transaction)
+	case s.chance(10): // applied later, after the sender has timed out
+		s.delayedCommits = append(s.delayedCommits, call.Transaction)
 		err = platform.ErrUnknownOutcome
-	case h.chance(10):
+	case s.chance(10):
 		err = platform.ErrUnavailable
 	default:
-		err = h.commit(call.Transaction)
-		if h.chance(15) {
+		err = s.commit(call.Transaction)
+		if s.chance(15) {
 			err = platform.ErrUnknownOutcome
 		}
 	}
-	h.freezeSometimes(p)
-	p.election.CommitDone(p.clock(max(h.now, p.thawsAt)), err)
+	s.pauseSometimes(p)
+	p.election.CommitDone(p.clock(max(s.now, p.resumesAt)), err)
 }
 
-func (h *history) freezeSometimes(p *process) {
-	if h.chance(8) {
-		p.thawsAt = h.now + h.upTo(40*time.Second)
+func (s *simulation) pauseSometimes(p *process) {
+	if s.chance(8) {
+		p.resumesAt = s.now + s.randomBelow(40*time.Second)
 	}
 }
 
-// deliver lets one delayed commit and one delayed order arrive, in any order.
-func (h *history) deliver() {
-	if len(h.late) > 0 && h.chance(20) {
-		index := h.random.IntN(len(h.late))
-		_ = h.commit(h.late[index])
-		h.late = slices.Delete(h.late, index, index+1)
+// deliverDelayed delivers at most one delayed commit and one delayed command, each picked at
+// random.
+func (s *simulation) deliverDelayed() {
+	if len(s.delayedCommits) > 0 && s.chance(20) {
+		index := s.random.IntN(len(s.delayedCommits))
+		_ = s.commit(s.delayedCommits[index])
+		s.delayedCommits = slices.Delete(s.delayedCommits, index, index+1)
 	}
-	if len(h.orders) == 0 || !h.chance(50) {
+	if len(s.pendingCommands) == 0 || !s.chance(50) {
 		return
 	}
-	index := h.random.IntN(len(h.orders))
-	arrived := h.orders[index]
-	h.orders = slices.Delete(h.orders, index, index+1)
-	if arrived.token >= h.engine {
-		h.engine = arrived.token
-		generation := h.generation(arrived.holder)
-		require.GreaterOrEqual(h.t, generation, h.newest, "order of %s after one of a newer holder", arrived.holder)
-		h.newest = generation
+	index := s.random.IntN(len(s.pendingCommands))
+	delivered := s.pendingCommands[index]
+	s.pendingCommands = slices.Delete(s.pendingCommands, index, index+1)
+	if delivered.token >= s.engineToken {
+		s.engineToken = delivered.token
+		generation := s.generation(delivered.holder)
+		require.GreaterOrEqual(s.t, generation, s.newestExecuted, "executed a command of %s after one of a newer holder", delivered.holder)
+		s.newestExecuted = generation
 	}
 }
 
-// generation returns the last token that a holder was given.
-func (h *history) generation(holder HolderID) fleet.FencingToken {
+// generation returns the last token of a holder.
+func (s *simulation) generation(holder HolderID) fleet.FencingToken {
 	var generation fleet.FencingToken
-	for token, given := range h.holders {
+	for token, given := range s.holders {
 		if given == holder {
 			generation = max(generation, token)
 		}
@@ -196,42 +197,42 @@
 	return generation
 }
 
-func (h *history) checkHolders() {
+func (s *simulation) checkHolders() {
 	var holders []HolderID
-	for _, p := range h.processes {
-		if p.election.Valid(p.clock(h.now)) {
+	for _, p := range s.processes {
+		if p.election.IsHeld(p.clock(s.now)) {
 			holders = append(holders, p.election.holder)
 		}
 	}
-	require.LessOrEqual(h.t, len(holders), 1, "holders at %s: %v", h.now, holders)
+	require.LessOrEqual(s.t, len(holders), 1, "holders at %s: %v", s.now, holders)
 }
 
-func TestNoTwoHoldersAndTokensRise(t *testing.T) {
+func TestAtMostOneHolderAndTokensIncrease(t *testing.T) {
 	changes := 0
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{
+		s := &simulation{
 			t:       t,
 			random:  rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 			model:   platformmodel.New(platformmodel.Options{}),
 			holders: make(map[fleet.FencingToken]HolderID),
 		}
 		for index, name := range []string{"a", "b", "c"} {
-			h.processes = append(h.processes, &process{
+			s.processes = append(s.processes, &process{
 				election:    newElection(t, name, uint64(index)+1),
 				offset:      time.Duration(index) * time.Hour,
-				ratePercent: 91 + h.random.Int64N(19),
+				ratePercent: 91 + s.random.Int64N(19),
 			})
 		}
 		for range 250 {
-			h.now += h.upTo(1500 * time.Millisecond)
-			for _, p := range h.processes {
-				h.step(p)
-				h.checkHolders()
+			s.now += s.randomBelow(1500 * time.Millisecond)
+			for _, p := range s.processes {
+				s.step(p)
+				s.checkHolders()
 			}
-			h.deliver()
+			s.deliverDelayed()
 		}
-		changes += len(h.holders)
+		changes += len(s.holders)
 	})
-	t.Logf("changes of holder: %d", changes)
-	require.Greater(t, changes, 300, "the histories must contain changes of holder")
+	t.Logf("holder changes: %d", changes)
+	require.Greater(t, changes, 300, "the simulations must contain holder changes")
 }
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -8,69 +8,67 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DisseminationOptions sets up a Dissemination. Zero counts and durations take
-// the defaults.
+// DisseminationOptions configures a Dissemination. Zero counts and durations are replaced by the
+// defaults.
 type DisseminationOptions struct {
-	// Random drives every choice.
+	// Random is the source of all random choices.
 	Random *rand.Rand
-	// Fanout is how many members get a fresh change at once, and again after
-	// RepushDelay.
+	// Fanout is the number of members that each of the two pushes of a new change is sent to.
 	Fanout int
 	// RepushDelay is the time from the first push of a change to the second.
 	RepushDelay time.Duration
-	// Retransmits is how often a change is piggybacked after that.
+	// Retransmits is how often a new change is piggybacked besides the pushes.
 	Retransmits int
-	// PullInterval is the longest pause between two pulls. It decides when the
-	// slowest member holds a change: under loss several pulls in a row bring
-	// nothing. Each pause is shortened by up to a quarter at random.
+	// PullInterval is the longest delay between two pulls. Each delay is shortened by a random part
+	// of up to a quarter.
 	PullInterval time.Duration
-	// MaxPullInterval takes its place once PersistentPulls in a row have brought
-	// nothing, as when this node can't use what the others send.
+	// MaxPullInterval replaces PullInterval after PersistentPulls consecutive pulls without
+	// progress.
 	MaxPullInterval time.Duration
-	// PersistentPulls is the number of pulls in a row at PullInterval.
+	// PersistentPulls is the number of consecutive pulls without progress at PullInterval.
 	PersistentPulls int
-	// MaxPatchBytes bounds the patches carried by one message.
+	// MaxPatchBytes bounds the total size of the patches in one message.
 	MaxPatchBytes int
 }
 
 // Defaults of DisseminationOptions.
 const (
-	DefaultFanout        = 5
-	DefaultRepushDelay   = 700 * time.Millisecond
-	DefaultRetransmits   = 4
-	DefaultPullInterval  = 300 * time.Millisecond
-	DefaultMaxPull       = 900 * time.Millisecond
-	DefaultPersistence   = 16
-	DefaultMaxPatchBytes = 8 << 10
+	DefaultFanout          = 5
+	DefaultRepushDelay     = 700 * time.Millisecond
+	DefaultRetransmits     = 4
+	DefaultPullInterval    = 300 * time.Millisecond
+	DefaultMaxPullInterval = 900 * time.Millisecond
+	DefaultPersistentPulls = 16
+	DefaultMaxPatchBytes   = 8 << 10
 )
 
-// Dissemination spreads configuration changes epidemically (Demers et al.,
-// "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987): a
-// fresh change is pushed to a few random members at once, pushed to others a
-// little later, and piggybacked meanwhile;
-// a node that hears of a higher revision than it holds pulls what it lacks.
-// It does no I/O. What the changes contain, and whether they may be applied,
-// is the caller's business.
+// Dissemination spreads configuration changes epidemically (Demers et al., "Epidemic Algorithms for
+// Replicated Database Maintenance", PODC 1987). A new change is pushed to a few random members
+// immediately and again after a delay, and piggybacked on other messages meanwhile. A node that
+// observes a higher revision than its own pulls the missing changes.
+//
+// It performs no I/O. The caller interprets the changes and decides whether to apply them. It is
+// not safe for concurrent use.
 type Dissemination struct {
 	options  DisseminationOptions
 	held     fleet.Revision
 	fresh    []freshChange
 	sources  pullSources
 	nextPull time.Duration
-	// pulls counts those in a row that brought nothing.
-	pulls int
-	// repush is set while a second push is due at repushAt.
-	repush   bool
-	repushAt time.Duration
+	// pullsWithoutProgress counts consecutive pulls after which the held revision was the same.
+	pullsWithoutProgress int
+	// secondPushPending is set while a second push is due at secondPushAt.
+	secondPushPending bool
+	secondPushAt      time.Duration
 }
 
-// freshChange is a change that is still passed on.
+// freshChange is a change that is still being piggybacked.
 type freshChange struct {
 	Change
-	transmits int
+	transmissions int
 }
 
-// Pull asks the member at an address for the changes after a revision.
+// Pull is a request to the member at an address for the changes after a revision.
 type Pull struct {
 	From  fleet.Address
 	After fleet.Revision
@@ -82,60 +80,59 @@
 	setDefault(&options.RepushDelay, DefaultRepushDelay)
 	setDefault(&options.Retransmits, DefaultRetransmits)
 	setDefault(&options.PullInterval, DefaultPullInterval)
-	setDefault(&options.MaxPullInterval, DefaultMaxPull)
+	setDefault(&options.MaxPullInterval, DefaultMaxPullInterval)
 	setDefault(&options.MaxPatchBytes, DefaultMaxPatchBytes)
-	setDefault(&options.PersistentPulls, DefaultPersistence)
+	setDefault(&options.PersistentPulls, DefaultPersistentPulls)
 	return &Dissemination{options: options}
 }
 
 // Held returns the highest revision that this node holds.
 func (d *Dissemination) Held() fleet.Revision { return d.held }
 
-// Hold says that this node now holds a revision, whichever way it came.
-// Lower revisions than the held one are ignored.
-func (d *Dissemination) Hold(revision fleet.Revision) {
+// RecordHeld records that this node holds a revision, regardless of how it was received. A revision
+// that is not higher than the held one is ignored.
+func (d *Dissemination) RecordHeld(revision fleet.Revision) {
 	if revision > d.held {
 		d.held = revision
 		d.sources.drop(revision)
-		d.pulls = 0
+		d.pullsWithoutProgress = 0
 	}
 }
 
-// Publish takes changes that this node has just begun to hold and returns the
-// messages that push them to random members. Changes must follow each other;
-// those already held are left out.
+// Publish records changes that this node has just applied and returns the messages that push them
+// to random members. The changes must be consecutive; those already held are skipped.
 func (d *Dissemination) Publish(now time.Duration, changes []Change, view *View) []Message {
 	var pushed []Change
 	for _, change := range changes {
 		if change.Revision <= d.held {
 			continue
 		}
-		d.Hold(change.Revision)
+		d.RecordHeld(change.Revision)
 		d.fresh = append(d.fresh, freshChange{Change: change})
 		pushed = append(pushed, change)
 	}
 	if len(pushed) == 0 {
 		return nil
 	}
-	d.repush = true
-	d.repushAt = now + d.options.RepushDelay
+	d.secondPushPending = true
+	d.secondPushAt = now + d.options.RepushDelay
 	return d.push(view)
 }
 
-// Tick returns the second push of fresh changes once it is due.
+// Tick returns the second push of recent changes once it is due.
 func (d *Dissemination) Tick(now time.Duration, view *View) []Message {
-	if !d.repush || now < d.repushAt {
+	if !d.secondPushPending || now < d.secondPushAt {
 		return nil
 	}
-	d.repush = false
+	d.secondPushPending = false
 	return d.push(view)
 }
 
-// push sends the freshest changes to random members.
+// push returns messages with the latest changes to random members.
 func (d *Dissemination) push(view *View) []Message {
-	changes := d.latest()
+	changes := d.latestChanges()
 	var messages []Message
-	for _, peer := range d.pick(view) {
+	for _, peer := range d.pickRandom(view) {
 		messages = append(messages, Message{
 			Kind: Ack, To: peer.Address, Sender: view.Self, Target: view.Self.Node,
 			KnownRevision: d.held, Changes: changes,
@@ -144,9 +141,9 @@
 	return messages
 }
 
-// latest returns the newest fresh changes within the bound of bytes, oldest first.
-// A change beyond the bound isn't carried: members see the higher revision and pull.
-func (d *Dissemination) latest() []Change {
+// latestChanges returns the newest recent changes within MaxPatchBytes, oldest first. Members that
+// receive a higher revision without its change pull it.
+func (d *Dissemination) latestChanges() []Change {
 	first, size := len(d.fresh), 0
 	for first > 0 {
 		size += len(d.fresh[first-1].Patch)
@@ -162,8 +159,8 @@
 	return changes
 }
 
-// pick returns random live members other than this node.
-func (d *Dissemination) pick(view *View) []Member {
+// pickRandom returns random live members other than this node.
+func (d *Dissemination) pickRandom(view *View) []Member {
 	peers := make([]Member, 0, len(view.Members()))
 	for _, member := range view.Members() {
 		if member.Node != view.Self.Node {
@@ -178,25 +175,25 @@
 	return peers[:count]
 }
 
-// Decorate adds the held revision and fresh changes to a message that is about
-// to be sent. Messages that carry changes already are left alone.
-func (d *Dissemination) Decorate(message *Message) {
+// Piggyback adds the held revision and recent changes to a message about to be sent. It does not
+// replace changes that the message already carries.
+func (d *Dissemination) Piggyback(message *Message) {
 	message.KnownRevision = d.held
 	if len(message.Changes) > 0 || len(d.fresh) == 0 {
 		return
 	}
-	message.Changes = d.latest()
+	message.Changes = d.latestChanges()
 	for i := range d.fresh {
-		d.fresh[i].transmits++
+		d.fresh[i].transmissions++
 	}
 	d.fresh = slices.DeleteFunc(d.fresh, func(change freshChange) bool {
-		return change.transmits >= d.options.Retransmits
+		return change.transmissions >= d.options.Retransmits
 	})
 }
 
-// Next returns the changes of a message that directly follow the held
-// revision, in order. The caller applies them and then calls Publish.
-func (d *Dissemination) Next(changes []Change) []Change {
+// NextChanges returns the changes of a message that directly follow the held revision, in order.
+// The caller applies them and then calls Publish.
+func (d *Dissemination) NextChanges(changes []Change) []Change {
 	var next []Change
 	expected := d.held + 1
 	for _, change := range changes {
@@ -208,43 +205,42 @@
 	return next
 }
 
-// Observe takes note of the revision that a member holds.
+// Observe records the revision that a member holds.
 func (d *Dissemination) Observe(address fleet.Address, revision fleet.Revision) {
 	if revision > d.held {
-		d.sources.note(address, revision)
+		d.sources.add(address, revision)
 	}
 }
 
-// Pull returns the pull that is due, if this node is behind. While it goes
-// unanswered, others follow after bounded pauses, each from another member that
-// was seen ahead, if there is one.
-func (d *Dissemination) Pull(now time.Duration) (Pull, bool) {
-	if d.sources.empty() || now < d.nextPull {
+// NextPull returns the pull that is due, if this node is behind. While it makes no progress,
+// further pulls follow after bounded delays, rotating among the members that are ahead.
+func (d *Dissemination) NextPull(now time.Duration) (Pull, bool) {
+	if d.sources.isEmpty() || now < d.nextPull {
 		return Pull{}, false
 	}
-	d.nextPull = now + d.pullPause()
-	d.pulls++
+	d.nextPull = now + d.pullDelay()
+	d.pullsWithoutProgress++
 	return Pull{From: d.sources.next(), After: d.held}, true
 }
 
-// pullPause draws the pause after a pull.
-func (d *Dissemination) pullPause() time.Duration {
+// pullDelay returns a random delay after a pull.
+func (d *Dissemination) pullDelay() time.Duration {
 	longest := d.options.PullInterval
-	if d.pulls >= d.options.PersistentPulls {
+	if d.pullsWithoutProgress >= d.options.PersistentPulls {
 		longest = d.options.MaxPullInterval
 	}
 	return longest - time.Duration(d.options.Random.Int64N(int64(longest)/4+1))
 }
 
-// NextWake returns when Tick or Pull has something to do next; pending is
-// false if nothing is due at any time.
+// NextWake returns when Tick or NextPull has work to do next. pending is false if nothing is
+// scheduled.
 func (d *Dissemination) NextWake() (at time.Duration, pending bool) {
-	behind := !d.sources.empty()
+	behind := !d.sources.isEmpty()
 	switch {
-	case d.repush && behind:
-		return min(d.repushAt, d.nextPull), true
-	case d.repush:
-		return d.repushAt, true
+	case d.secondPushPending && behind:
+		return min(d.secondPushAt, d.nextPull), true
+	case d.secondPushPending:
+		return d.secondPushAt, true
 	default:
 		return d.nextPull, behind
 	}
--- a/internal/membership/dissemination_test.go
+++ b/internal/membership/dissemination_test.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	fleetSize    = 680
-	fleetRegions = 6
-	changeLimit  = 4 * time.Second
+	fleetSize        = 680
+	fleetRegions     = 6
+	propagationLimit = 4 * time.Second
 )
 
-// offer gives one node a change, as an operator's command does.
-func (n *network) offer(to *node, patch string) {
-	change := Change{Revision: to.spread.Held() + 1, Patch: []byte(patch)}
-	to.log = append(to.log, change)
-	n.send(to, to.spread.Publish(n.now, []Change{change}, to.core.View()))
+// publishChange applies a change at one node, as an operator's command does, and publishes it.
+func (n *network) publishChange(to *node, patch string) {
+	change := Change{Revision: to.dissemination.Held() + 1, Patch: []byte(patch)}
+	to.changes = append(to.changes, change)
+	n.send(to, to.dissemination.Publish(n.now, []Change{change}, to.core.View()))
 }
 
 func (n *network) allHold(revision int) func() bool {
 	return func() bool {
 		for _, x := range n.running() {
-			if len(x.log) < revision {
+			if len(x.changes) < revision {
 				return false
 			}
 		}
@@ -38,33 +38,33 @@
 
 func TestChangeReachesWholeFleetUnderLoss(t *testing.T) {
 	network := newNetwork(t, 21, fleetRegions)
-	network.startKnown(fleetSize)
+	network.startConverged(fleetSize)
 	network.loss = 0.3
-	network.pass(time.Second)
+	network.advance(time.Second)
 	for revision := 1; revision <= 3; revision++ {
-		network.offer(network.all[revision*97], "patch")
-		took := network.until(changeLimit, network.allHold(revision))
-		t.Logf("change %d held by all of %d after %s with 30%% loss", revision, fleetSize, took)
+		network.publishChange(network.all[revision*97], "patch")
+		took := network.advanceUntil(propagationLimit, network.allHold(revision))
+		t.Logf("change %d held by all %d members after %s with 30%% loss", revision, fleetSize, took)
 	}
 	for _, x := range network.all {
-		for i, change := range x.log {
+		for i, change := range x.changes {
 			require.EqualValues(t, i+1, change.Revision)
 		}
 	}
 }
 
-// lossyChanges offers many changes, each once the one before is held by all,
-// and returns how long each took. A router that every push has missed is rare,
-// so a few changes show nothing of it.
-func lossyChanges(t testing.TB, seed uint64, members, changes int) []time.Duration {
+// publishUnderLoss publishes changes one after another under message loss and returns the sorted
+// times until all members held each. It takes many changes to observe a member that every push has
+// missed.
+func publishUnderLoss(t testing.TB, seed uint64, members, changes int) []time.Duration {
 	network := newNetwork(t, seed, fleetRegions)
-	network.startKnown(members)
+	network.startConverged(members)
 	network.loss = 0.3
-	network.pass(time.Second)
+	network.advance(time.Second)
 	took := make([]time.Duration, 0, changes)
 	for revision := 1; revision <= changes; revision++ {
-		network.offer(network.all[revision*97%members], "patch")
-		took = append(took, network.until(time.Minute, network.allHold(revision)))
+		network.publishChange(network.all[revision*97%members], "patch")
+		took = append(took, network.advanceUntil(time.Minute, network.allHold(revision)))
 	}
 	slices.Sort(took)
 	return took
@@ -72,16 +72,16 @@
 
 func TestSlowestOfManyChangesUnderLoss(t *testing.T) {
 	const changes = 150
-	took := lossyChanges(t, 24, 100, changes)
+	took := publishUnderLoss(t, 24, 100, changes)
 	t.Logf("changes=%d median=%s slowest=%s", changes, took[changes/2], took[changes-1])
-	assert.Less(t, took[changes-1], changeLimit)
+	assert.Less(t, took[changes-1], propagationLimit)
 }
 
-// BenchmarkLossyChanges reports the tail of many changes at the target's size.
+// BenchmarkLossyChanges reports the tail of the propagation times in a full-size fleet.
 func BenchmarkLossyChanges(b *testing.B) {
 	const changes = 150
 	for seed := range b.N {
-		took := lossyChanges(b, uint64(seed), fleetSize, changes)
+		took := publishUnderLoss(b, uint64(seed), fleetSize, changes)
 		b.ReportMetric(took[changes/2].Seconds(), "median-s")
 		b.ReportMetric(took[changes*9/10].Seconds(), "p90-s")
 		b.ReportMetric(took[changes-2].Seconds(), "second-slowest-s")
@@ -89,65 +89,65 @@
 	}
 }
 
-func TestRestartedNodePullsWhatItLacks(t *testing.T) {
+func TestRestartedNodePullsMissingChanges(t *testing.T) {
 	network := newNetwork(t, 22, 2)
-	network.startKnown(20)
+	network.startConverged(20)
 	for range 5 {
-		network.offer(network.all[0], "patch")
-		network.until(changeLimit, network.allHold(int(network.all[0].spread.Held())))
+		network.publishChange(network.all[0], "patch")
+		network.advanceUntil(propagationLimit, network.allHold(int(network.all[0].dissemination.Held())))
 	}
-	network.pass(time.Minute)
+	network.advance(time.Minute)
 	network.restart(6, "-second")
-	network.until(changeLimit, network.allHold(5))
+	network.advanceUntil(propagationLimit, network.allHold(5))
 }
 
 func TestOversizedChangeIsPulled(t *testing.T) {
 	network := newNetwork(t, 23, 2)
-	network.startKnown(20)
-	network.pass(time.Second)
-	network.offer(network.all[0], string(make([]byte, DefaultMaxPatchBytes+1)))
-	network.until(changeLimit, network.allHold(1))
+	network.startConverged(20)
+	network.advance(time.Second)
+	network.publishChange(network.all[0], string(make([]byte, DefaultMaxPatchBytes+1)))
+	network.advanceUntil(propagationLimit, network.allHold(1))
 }
 
-func TestNextTakesOnlyWhatFollows(t *testing.T) {
-	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	spread.Hold(4)
-	spread.Hold(2)
-	assert.EqualValues(t, 4, spread.Held())
-	assert.Empty(t, spread.Next([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
-	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, spread.Next([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
+func TestNextChangesReturnsOnlyConsecutiveRevisions(t *testing.T) {
+	dissemination := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
+	dissemination.RecordHeld(4)
+	dissemination.RecordHeld(2)
+	assert.EqualValues(t, 4, dissemination.Held())
+	assert.Empty(t, dissemination.NextChanges([]Change{{Revision: 3}, {Revision: 4}, {Revision: 6}}))
+	assert.Equal(t, []Change{{Revision: 5}, {Revision: 6}}, dissemination.NextChanges([]Change{{Revision: 4}, {Revision: 5}, {Revision: 6}}))
 }
 
 func TestPullIsRepeatedUntilAnswered(t *testing.T) {
-	spread := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
-	_, due := spread.Pull(0)
+	dissemination := NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(1, 1))})
+	_, due := dissemination.NextPull(0)
 	assert.False(t, due)
-	spread.Observe("10.0.0.1:1", 3)
-	spread.Observe("10.0.0.2:1", 2)
-	pull, due := spread.Pull(time.Second)
+	dissemination.Observe("10.0.0.1:1", 3)
+	dissemination.Observe("10.0.0.2:1", 2)
+	pull, due := dissemination.NextPull(time.Second)
 	require.True(t, due)
 	assert.Equal(t, Pull{From: "10.0.0.1:1"}, pull)
-	_, due = spread.Pull(time.Second)
+	_, due = dissemination.NextPull(time.Second)
 	assert.False(t, due)
-	pull, due = spread.Pull(time.Second + DefaultPullInterval)
+	pull, due = dissemination.NextPull(time.Second + DefaultPullInterval)
 	assert.True(t, due)
-	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "not from another member")
+	assert.Equal(t, fleet.Address("10.0.0.2:1"), pull.From, "the second pull must go to another member")
 	at := time.Second + DefaultPullInterval
-	for range DefaultPersistence - 1 {
-		_, due = spread.Pull(at + DefaultPullInterval/2)
-		require.False(t, due, "no pause")
+	for range DefaultPersistentPulls - 1 {
+		_, due = dissemination.NextPull(at + DefaultPullInterval/2)
+		require.False(t, due, "the pull followed without a delay")
 		at += DefaultPullInterval
-		_, due = spread.Pull(at)
-		require.True(t, due, "a pause has grown too early")
+		_, due = dissemination.NextPull(at)
+		require.True(t, due, "the delay grew too early")
 	}
 	for range 100 {
-		at += DefaultMaxPull
-		_, due = spread.Pull(at - DefaultMaxPull/2)
-		require.False(t, due, "the pause is not longer")
-		_, due = spread.Pull(at)
-		require.True(t, due, "a pause has grown beyond its bound")
+		at += DefaultMaxPullInterval
+		_, due = dissemination.NextPull(at - DefaultMaxPullInterval/2)
+		require.False(t, due, "the delay did not grow")
+		_, due = dissemination.NextPull(at)
+		require.True(t, due, "the delay exceeds its maximum")
 	}
-	spread.Hold(3)
-	_, due = spread.Pull(time.Hour)
+	dissemination.RecordHeld(3)
+	_, due = dissemination.NextPull(time.Hour)
 	assert.False(t, due)
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// delivery is a message on its way, or with an empty kind the wake-up of a node.
+// delivery is a message or pull in flight, or the wake-up of a node.
 type delivery struct {
 	at      time.Duration
 	order   uint64
@@ -45,32 +45,32 @@
 	return last
 }
 
-// node is one core with its place in the simulated network.
+// node is one core in the simulated network.
 type node struct {
-	core   *Core
-	spread *Dissemination
-	down   bool
-	frozen bool
-	wakeAt time.Duration
-	held   []delivery
-	log    []Change
-	bytes  int
-	sent   int
+	core          *Core
+	dissemination *Dissemination
+	down          bool
+	paused        bool
+	wakeAt        time.Duration
+	deferred      []delivery
+	changes       []Change
+	bytes         int
+	sent          int
 }
 
-// network is a seeded network on a virtual clock.
+// network simulates a network on a virtual clock with seeded randomness.
 type network struct {
-	t       testing.TB
-	random  *rand.Rand
-	now     time.Duration
-	order   uint64
-	queue   deliveries
-	nodes   map[fleet.Address]*node
-	all     []*node
-	loss    float64
-	count   bool
-	regions int
-	// blocked tells whether a message from one member to another is lost.
+	t        testing.TB
+	random   *rand.Rand
+	now      time.Duration
+	order    uint64
+	queue    deliveries
+	nodes    map[fleet.Address]*node
+	all      []*node
+	loss     float64
+	counting bool
+	regions  int
+	// blocked reports whether messages from one member to another are lost.
 	blocked func(from, to Member) bool
 }
 
@@ -91,18 +91,18 @@
 	}
 }
 
-// start adds nodes up to the given count; each joins by the first three.
+// start adds nodes up to the given count, which join through the seeds.
 func (n *network) start(count int) {
 	for index := len(n.all); index < count; index++ {
-		n.run(n.member(index))
+		n.startNode(n.member(index))
 	}
 }
 
-func (n *network) run(self Member) *node {
+func (n *network) startNode(self Member) *node {
 	seed := n.random.Uint64()
 	started := &node{
-		core:   New(Options{Self: self, Random: rand.New(rand.NewPCG(seed, 2))}),
-		spread: NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 3))}),
+		core:          New(Options{Self: self, Random: rand.New(rand.NewPCG(seed, 2))}),
+		dissemination: NewDissemination(DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 3))}),
 	}
 	n.nodes[self.Address] = started
 	n.all = append(n.all, started)
@@ -114,28 +114,28 @@
 	return []fleet.Address{n.member(0).Address, n.member(1).Address, n.member(2).Address}
 }
 
-// startKnown adds nodes that know each other from the start, to save the joins.
-func (n *network) startKnown(count int) {
+// startConverged adds nodes that already have the full membership, which saves the joins.
+func (n *network) startConverged(count int) {
 	members := make([]Member, count)
 	for index := range members {
 		members[index] = n.member(index)
 		members[index].State = Alive
 	}
 	for _, self := range members {
-		started := n.run(self)
+		started := n.startNode(self)
 		for _, member := range members {
 			started.core.merge(n.now, member, claimSource{complete: true})
 		}
 		started.core.queue = broadcastQueue{}
 		started.core.join.pending = false
-		started.core.nextExchange = n.now + started.core.spread(started.core.options.exchangeDelay(count))
+		started.core.nextExchange = n.now + started.core.randomDelay(started.core.options.exchangeDelay(count))
 	}
 	n.queue = slices.DeleteFunc(n.queue, func(d delivery) bool { return !d.wake })
 	heap.Init(&n.queue)
 }
 
-// forgetSeeds leaves the members with nothing but what they know of each other.
-func (n *network) forgetSeeds() {
+// clearSeeds removes the seeds of all nodes, so that they depend on their membership alone.
+func (n *network) clearSeeds() {
 	for _, x := range n.all {
 		x.core.Join(n.now, nil)
 	}
@@ -149,8 +149,8 @@
 
 func (n *network) send(from *node, messages []Message) {
 	for _, message := range messages {
-		from.spread.Decorate(&message)
-		if n.count {
+		from.dissemination.Piggyback(&message)
+		if n.counting {
 			from.sent++
 			from.bytes += proto.Size(message.Encode())
 		}
@@ -163,7 +163,7 @@
 		n.push(delivery{at: n.now + delay, to: message.To, message: message})
 	}
 	wake := from.core.NextWake()
-	if at, pending := from.spread.NextWake(); pending {
+	if at, pending := from.dissemination.NextWake(); pending {
 		wake = max(n.now, min(wake, at))
 	}
 	if wake != from.wakeAt {
@@ -172,8 +172,8 @@
 	}
 }
 
-// pass lets virtual time pass.
-func (n *network) pass(duration time.Duration) {
+// advance advances the virtual clock and delivers what is due.
+func (n *network) advance(duration time.Duration) {
 	until := n.now + duration
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		next := heap.Pop(&n.queue).(delivery)
@@ -187,10 +187,10 @@
 
 func (n *network) deliver(target *node, next delivery) {
 	switch {
-	case target.frozen:
-		target.held = append(target.held, next)
+	case target.paused:
+		target.deferred = append(target.deferred, next)
 	case next.pull != nil:
-		changes := target.log[min(int(next.pull.after), len(target.log)):]
+		changes := target.changes[min(int(next.pull.after), len(target.changes)):]
 		answer := Message{Kind: Ack, To: next.pull.from, Sender: target.core.Self(), Changes: changes}
 		n.send(target, []Message{answer})
 	case !next.wake:
@@ -200,28 +200,28 @@
 		n.send(target, messages)
 	case next.at == target.wakeAt:
 		messages := target.core.Tick(n.now)
-		if _, pending := target.spread.NextWake(); pending {
-			messages = append(messages, target.spread.Tick(n.now, target.core.View())...)
+		if _, pending := target.dissemination.NextWake(); pending {
+			messages = append(messages, target.dissemination.Tick(n.now, target.core.View())...)
 		}
 		n.pull(target)
 		n.send(target, messages)
 	}
 }
 
-// takeChanges applies the changes of a message and passes them on.
+// takeChanges applies the changes of a message and publishes them.
 func (n *network) takeChanges(x *node, message Message) []Message {
-	x.spread.Observe(message.Sender.Address, message.KnownRevision)
-	next := x.spread.Next(message.Changes)
-	x.log = append(x.log, next...)
+	x.dissemination.Observe(message.Sender.Address, message.KnownRevision)
+	next := x.dissemination.NextChanges(message.Changes)
+	x.changes = append(x.changes, next...)
 	if len(next) == 0 {
 		return nil
 	}
-	return x.spread.Publish(n.now, next, x.core.View())
+	return x.dissemination.Publish(n.now, next, x.core.View())
 }
 
 // pull sends the pull that is due, if any.
 func (n *network) pull(from *node) {
-	pull, due := from.spread.Pull(n.now)
+	pull, due := from.dissemination.NextPull(n.now)
 	if !due || n.random.Float64() < n.loss {
 		return
 	}
@@ -229,18 +229,18 @@
 	n.push(delivery{at: n.now + time.Millisecond, to: pull.From, pull: request})
 }
 
-// thaw delivers to a frozen node what has reached it meanwhile.
-func (n *network) thaw(target *node) {
-	target.frozen = false
+// resume ends the pause of a node and delivers the messages received meanwhile.
+func (n *network) resume(target *node) {
+	target.paused = false
 	target.wakeAt = -1
 	n.send(target, target.core.Tick(n.now))
-	for _, held := range target.held {
+	for _, held := range target.deferred {
 		if !held.wake {
 			held.at = n.now
 			n.push(held)
 		}
 	}
-	target.held = nil
+	target.deferred = nil
 }
 
 // restart replaces the process at a node's address by a new one.
@@ -249,26 +249,26 @@
 	old.down = true
 	self := n.member(index)
 	self.Node += fleet.NodeID(generation)
-	return n.run(self)
+	return n.startNode(self)
 }
 
-// live returns the nodes that run.
+// running returns the nodes that run.
 func (n *network) running() []*node {
 	return slices.DeleteFunc(slices.Clone(n.all), func(x *node) bool { return x.down })
 }
 
-// until passes time until the condition holds and returns how long it took.
-func (n *network) until(limit time.Duration, condition func() bool) time.Duration {
+// advanceUntil advances the clock until the condition holds and returns how long it took.
+func (n *network) advanceUntil(limit time.Duration, condition func() bool) time.Duration {
 	n.t.Helper()
 	start := n.now
 	for !condition() {
 		require.Less(n.t, n.now-start, limit, "condition not met in time")
-		n.pass(100 * time.Millisecond)
+		n.advance(100 * time.Millisecond)
 	}
 	return n.now - start
 }
 
-// converged tells whether all running nodes know exactly each other as alive.
+// converged reports whether each running node sees exactly the running nodes, all as alive.
 func (n *network) converged() bool {
 	running := n.running()
 	for _, x := range running {
@@ -285,7 +285,7 @@
 	return true
 }
 
-// state returns what one node believes of another.
+// state returns the state that this node records for another, or 0.
 func (x *node) state(of *node) State {
 	if record, known := x.core.table.byNode[of.core.Self().Node]; known {
 		return record.State
@@ -293,8 +293,8 @@
 	return 0
 }
 
-// believe tells whether all other running nodes hold a node in one of the states.
-func (n *network) believe(of *node, states ...State) bool {
+// allSee reports whether all other running nodes see a node in one of the states.
+func (n *network) allSee(of *node, states ...State) bool {
 	for _, x := range n.running() {
 		if x != of && !slices.Contains(states, x.state(of)) {
 			return false
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, []int{0, 0, 1, 1, 2, 2, 2, 2}, distances)
 }
 
-func TestRankPrefersOwnZoneWithinBounds(t *testing.T) {
+func TestRankPrefersLocalZoneByWeight(t *testing.T) {
 	list := members(12, 3)
 	const keys = 6000
 	own, moved := 0, 0
@@ -85,7 +85,7 @@
 			moved++
 		}
 	}
-	// Two routers of weight 2 among ten of weight 1 hold 4/14 of the keys.
+	// Two routers of weight 2 among ten of weight 1 own 4/14 of the keys.
 	assert.InDelta(t, keys*4/14, own, 150)
-	assert.Zero(t, moved, "keys of other routers moved")
+	assert.Zero(t, moved, "keys of the remaining routers moved")
 }
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -27,24 +27,24 @@
 	return NewView(1, members[0], members)
 }
 
-func TestLargestMembersServeUntilTheirSharesAreTooLarge(t *testing.T) {
+func TestLargestMembersServeFirst(t *testing.T) {
 	view := mixedFleet(6, 73)
 	roles := Assign(view, 1650, RoleOptions{})
 	require.Len(t, roles.Serving, 6)
 	for _, member := range roles.Serving {
 		assert.EqualValues(t, 800, member.Capacity)
-		assert.True(t, roles.Serves(member.Node))
+		assert.True(t, roles.IsServing(member.Node))
 	}
-	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "before any request")
+	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "the minimum serves without demand")
 	more := Assign(view, 1750, RoleOptions{})
-	assert.Len(t, more.Serving, 9, "a small one more in each zone")
+	assert.Len(t, more.Serving, 9, "one more small member in each zone")
 	for _, zone := range []fleet.ZoneName{"z0", "z1", "z2"} {
 		shares := expectedShares(t, more, Location{Zone: zone})
 		carried := 0.0
 		for node, share := range shares {
 			member, _ := view.Find(node)
 			assert.Equal(t, zone, member.Zone)
-			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "by weight, as near as two addresses allow")
+			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "shares follow capacity as closely as two routers per answer allow")
 			carried += float64(member.Capacity)
 		}
 		assert.EqualValues(t, 1800, carried)
@@ -54,40 +54,40 @@
 	assert.Len(t, Assign(mixedFleet(0, 5), 1e6, RoleOptions{}).Serving, 5)
 }
 
-func TestDutiesStayOutsideOfTheServingSet(t *testing.T) {
+func TestCandidatesAndReadersAreNonServing(t *testing.T) {
 	roles := Assign(mixedFleet(6, 73), 300, RoleOptions{})
 	candidates := roles.Candidates("duty")
 	require.Len(t, candidates, DefaultCandidates)
 	for _, node := range candidates {
-		assert.False(t, roles.Serves(node))
+		assert.False(t, roles.IsServing(node))
 	}
 	order := roles.ReaderOrder("z1", "self")
 	require.Len(t, order, 9)
 	readers := 0
 	for _, node := range order {
-		assert.False(t, roles.Serves(node))
+		assert.False(t, roles.IsServing(node))
 	}
 	for number := range 79 {
-		if roles.Reads(fleet.NodeID(fmt.Sprintf("node-%03d", number))) {
+		if roles.IsReader(fleet.NodeID(fmt.Sprintf("node-%03d", number))) {
 			readers++
 		}
 	}
-	assert.Equal(t, 3, readers, "one a zone")
-	assert.True(t, roles.Reads(order[0]))
+	assert.Equal(t, 3, readers, "one reader per zone")
+	assert.True(t, roles.IsReader(order[0]))
 	assert.ElementsMatch(t, order, roles.ReaderOrder("z2", "self"))
-	assert.NotEqual(t, order[0], roles.ReaderOrder("z2", "self")[0], "the own zone first")
+	assert.NotEqual(t, order[0], roles.ReaderOrder("z2", "self")[0], "the own zone's reader must come first")
 }
 
-func TestSmallFleetReadsAndServesWithAllMembers(t *testing.T) {
+func TestSmallFleetUsesAllMembers(t *testing.T) {
 	roles := Assign(mixedFleet(0, 7), 100, RoleOptions{})
-	assert.True(t, roles.Small)
-	assert.True(t, roles.Reads("node-000"))
+	assert.True(t, roles.SmallFleet)
+	assert.True(t, roles.IsReader("node-000"))
 	assert.Len(t, roles.Serving, 7)
 	assert.Len(t, roles.Candidates("duty"), DefaultCandidates)
 }
 
-func TestDemandRisesAtOnceAndFallsLate(t *testing.T) {
-	var demand Demand
+func TestDemandRisesImmediatelyAndFallsDelayed(t *testing.T) {
+	var demand DemandTracker
 	assert.Equal(t, 125.0, demand.Observe(0, 100))
 	assert.Equal(t, 125.0, demand.Observe(time.Second, 120))
 	assert.Equal(t, 250.0, demand.Observe(2*time.Second, 200))
@@ -96,7 +96,8 @@
 	assert.Equal(t, 125.0, demand.Observe(13*time.Second, 100))
 }
 
-// TestDifferenceOfTwoViews names who came, went and changed state.
+// TestDifferenceOfTwoViews guards against missed members that joined, left or changed state between
+// two views.
 func TestDifferenceOfTwoViews(t *testing.T) {
 	named := func(state State, nodes ...fleet.NodeID) []Member {
 		var members []Member
@@ -111,14 +112,15 @@
 	assert.Empty(t, Difference(before, before))
 }
 
-// TestLargestMembersTakeDuties: among hundreds of small ones that rest, the few large ones do.
-func TestLargestMembersTakeDuties(t *testing.T) {
+// TestCandidatesAreLargestMembers guards against duties going to small members when larger ones do
+// not serve.
+func TestCandidatesAreLargestMembers(t *testing.T) {
 	for _, large := range []int{12, 40} {
 		roles := Assign(mixedFleet(large, 300), 100, RoleOptions{})
 		candidates := roles.Candidates("duty")
 		require.Len(t, candidates, DefaultCandidates)
 		for _, candidate := range candidates {
-			assert.False(t, roles.Serves(candidate))
+			assert.False(t, roles.IsServing(candidate))
 			found := 0
 			for _, member := range roles.routable {
 				if member.Node == candidate {
@@ -130,9 +132,9 @@
 	}
 }
 
-// TestNodesWhoseReaderFailsAskDifferentOnes: each other zone's reader gets a like part of them,
-// and each node keeps to its order.
-func TestNodesWhoseReaderFailsAskDifferentOnes(t *testing.T) {
+// TestFallbackReadersAreSpread guards against all nodes of a zone asking the same fallback when
+// their reader fails, and against the order of a node changing between calls.
+func TestFallbackReadersAreSpread(t *testing.T) {
 	var members []Member
 	for number := range 500 {
 		members = append(members, Member{
@@ -146,12 +148,12 @@
 	for number := 1; number < 500; number += 5 {
 		self := members[number].Node
 		order := roles.ReaderOrder("z1", self)
-		require.Equal(t, first, order[0], "the own zone's reader is first")
+		require.Equal(t, first, order[0], "the zone's own reader must come first")
 		require.Equal(t, order, roles.ReaderOrder("z1", self))
 		next[order[1]]++
 	}
 	assert.Len(t, next, 4)
 	for _, count := range next {
-		assert.Less(t, count, 60, "of 100")
+		assert.Less(t, count, 60, "nodes of 100 with the same fallback")
 	}
 }
--- a/internal/membership/belief_test.go
+++ b/internal/membership/suspicion_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns a core and a member of its region that it holds alive.
-func pair(t *testing.T) (*Core, Member) {
+// newCoreWithMember returns a core and a member of its region that it sees as alive.
+func newCoreWithMember(t *testing.T) (*Core, Member) {
 	network := newNetwork(t, 41, 1)
-	core := network.run(network.member(0)).core
+	core := network.startNode(network.member(0)).core
 	other := network.member(1)
 	other.State = Alive
 	core.Receive(0, Message{Kind: Ack, Sender: other, Target: other.Node})
@@ -19,25 +19,25 @@
 	return core, other
 }
 
-func TestDeathHeardFromAnotherRegionIsContested(t *testing.T) {
-	core, other := pair(t)
-	stranger := Member{Node: "stranger", Address: "10.9.9.9:1", Region: "elsewhere", State: Alive}
+func TestRemoteDeathClaimMakesMemberSuspect(t *testing.T) {
+	core, other := newCoreWithMember(t)
+	remote := Member{Node: "stranger", Address: "10.9.9.9:1", Region: "elsewhere", State: Alive}
 	dead := other
 	dead.State = Dead
-	core.Receive(time.Second, Message{Kind: Ack, Sender: stranger, Target: stranger.Node, Updates: []Member{dead}})
+	core.Receive(time.Second, Message{Kind: Ack, Sender: remote, Target: remote.Node, Updates: []Member{dead}})
 	require.Equal(t, Suspect, core.table.byNode[other.Node].State)
-	var told bool
+	var informed bool
 	for _, message := range core.Tick(core.NextWake()) {
-		told = told || (message.Kind == Probe && message.To == other.Address && message.Updates[0].State == Suspect)
+		informed = informed || (message.Kind == Probe && message.To == other.Address && message.Updates[0].State == Suspect)
 	}
-	assert.True(t, told, "the member isn't told that it is suspected")
+	assert.True(t, informed, "the member must be informed that it is suspected")
 	other.Incarnation++
 	core.Receive(core.NextWake(), Message{Kind: Ack, Sender: other, Target: other.Node})
 	assert.Equal(t, Alive, core.table.byNode[other.Node].State)
 }
 
-func TestDeathHeardInOwnRegionIsTaken(t *testing.T) {
-	core, other := pair(t)
+func TestDeathClaimFromSameRegionIsAccepted(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	neighbour := Member{Node: "neighbour", Address: "10.9.9.9:1", Region: other.Region, State: Alive}
 	dead := other
 	dead.State = Dead
@@ -45,21 +45,21 @@
 	assert.False(t, core.isLive(other.Node))
 }
 
-func TestThawedNodeGivesSuspectsTheirTime(t *testing.T) {
-	core, other := pair(t)
+func TestResumedNodeExtendsSuspicionDeadlines(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	other.State = Suspect
 	core.merge(time.Second, other, claimSource{region: other.Region})
-	thaw := core.NextWake() + time.Hour
-	core.Tick(thaw)
-	require.True(t, core.isLive(other.Node), "a suspect died while this node was frozen")
-	for now := thaw; core.isLive(other.Node); now = core.NextWake() {
-		require.Less(t, now, thaw+time.Minute)
+	resumedAt := core.NextWake() + time.Hour
+	core.Tick(resumedAt)
+	require.True(t, core.isLive(other.Node), "a suspect was declared dead while this node was paused")
+	for now := resumedAt; core.isLive(other.Node); now = core.NextWake() {
+		require.Less(t, now, resumedAt+time.Minute)
 		core.Tick(now)
 	}
 }
 
-func TestNodeAtTakenOverAddressDiesAtOnce(t *testing.T) {
-	core, other := pair(t)
+func TestNackFromNewOwnerOfAddressDeclaresMemberDead(t *testing.T) {
+	core, other := newCoreWithMember(t)
 	successor := other
 	successor.Node += "-second"
 	core.Receive(time.Second, Message{Kind: Nack, Sender: successor, Target: other.Node})
@@ -67,34 +67,34 @@
 	assert.True(t, core.isLive(successor.Node))
 }
 
-func TestExchangeBringsWhatGossipMissed(t *testing.T) {
+func TestExchangeRepairsMissingMember(t *testing.T) {
 	network := newNetwork(t, 42, 1)
-	network.startKnown(3)
-	network.forgetSeeds()
+	network.startConverged(3)
+	network.clearSeeds()
 	unknown, missing := network.all[2], network.all[1]
 	delete(missing.core.table.byNode, unknown.core.Self().Node)
 	missing.core.table.sorted = []*record{missing.core.table.sorted[0]}
-	missing.core.countLive(unknown.core.Self().Region, -1)
+	missing.core.adjustLive(unknown.core.Self().Region, -1)
 	network.blocked = func(from, to Member) bool {
 		return from.Node != network.all[0].core.Self().Node && to.Node != network.all[0].core.Self().Node
 	}
 	require.False(t, missing.core.isLive(unknown.core.Self().Node))
-	network.until(3*DefaultExchangeInterval, func() bool { return missing.core.isLive(unknown.core.Self().Node) })
+	network.advanceUntil(3*DefaultExchangeInterval, func() bool { return missing.core.isLive(unknown.core.Self().Node) })
 }
 
-func TestCutOfTwoRegionsKillsNobodyInside(t *testing.T) {
+func TestRegionPartitionDeclaresNoLocalMemberDead(t *testing.T) {
 	network := newNetwork(t, 43, 2)
-	network.startKnown(24)
-	network.forgetSeeds()
+	network.startConverged(24)
+	network.clearSeeds()
 	network.blocked = func(from, to Member) bool { return from.Region != to.Region }
-	network.pass(20 * time.Second)
+	network.advance(20 * time.Second)
 	network.blocked = nil
 	for !network.converged() {
 		require.Less(t, network.now, 2*time.Minute)
-		network.pass(100 * time.Millisecond)
+		network.advance(100 * time.Millisecond)
 		for _, x := range network.all {
 			for _, record := range x.core.table.sorted {
-				require.False(t, record.State == Dead && record.Region == x.core.Self().Region, "%s of the own region is dead", record.Node)
+				require.False(t, record.State == Dead && record.Region == x.core.Self().Region, "%s of the same region was declared dead", record.Node)
 			}
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,21 +7,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// record is a member with what this node alone knows of it.
+// record is a member with this node's local state about it.
 type record struct {
 	Member
-	// since is when the present state was entered.
-	since time.Duration
-	// deadline is when a suspect is confirmed dead.
-	deadline time.Duration
+	// stateSince is when the current state was entered.
+	stateSince time.Duration
+	// suspicionDeadline is when a suspect is declared dead.
+	suspicionDeadline time.Duration
 }
 
-// table holds the records, in order of node, and the tombstones of forgotten ones.
+// table holds the records sorted by node and the tombstones of expired ones.
 type table struct {
 	byNode map[fleet.NodeID]*record
 	sorted []*record
-	// tombstones holds the last incarnation of forgotten members, so that a
-	// stale claim never brings one back; tombstoneOrder is oldest first.
+	// tombstones holds the last incarnation of expired members, which keeps stale claims from
+	// resurrecting them. tombstoneOrder lists them from the oldest.
 	tombstones     map[fleet.NodeID]fleet.Incarnation
 	tombstoneOrder []fleet.NodeID
 	maxTombstones  int
@@ -35,31 +35,31 @@
 	}
 }
 
-func compareRecordNode(r *record, node fleet.NodeID) int {
+func compareRecordToNode(r *record, node fleet.NodeID) int {
 	return compareNodes(r.Member, Member{Node: node})
 }
 
 func (t *table) insert(member Member, now time.Duration) *record {
-	added := &record{Member: member, since: now}
-	index, _ := slices.BinarySearchFunc(t.sorted, member.Node, compareRecordNode)
+	added := &record{Member: member, stateSince: now}
+	index, _ := slices.BinarySearchFunc(t.sorted, member.Node, compareRecordToNode)
 	t.sorted = slices.Insert(t.sorted, index, added)
 	t.byNode[member.Node] = added
 	return added
 }
 
-// forgetDead turns the records that died before the given time into tombstones.
-func (t *table) forgetDead(before time.Duration) {
+// expireDead replaces the records that died before the given time by tombstones.
+func (t *table) expireDead(before time.Duration) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(r *record) bool {
-		if r.State != Dead || r.since >= before {
+		if r.State != Dead || r.stateSince >= before {
 			return false
 		}
 		delete(t.byNode, r.Node)
-		t.bury(r.Member)
+		t.addTombstone(r.Member)
 		return true
 	})
 }
 
-func (t *table) bury(member Member) {
+func (t *table) addTombstone(member Member) {
 	if _, known := t.tombstones[member.Node]; !known {
 		t.tombstoneOrder = append(t.tombstoneOrder, member.Node)
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// unbury removes the tombstone of a member that came back with a higher incarnation.
-func (t *table) unbury(node fleet.NodeID) {
+// removeTombstone removes the tombstone of a member that returned with a higher incarnation.
+func (t *table) removeTombstone(node fleet.NodeID) {
 	if _, known := t.tombstones[node]; !known {
 		return
 	}
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -21,15 +21,15 @@
 	}
 }
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	sent := sampleMessage()
 	received, err := DecodeMessage(sent.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, sent, received)
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*rpc.GossipMessage){
+func TestMalformedMessagesAreRejected(t *testing.T) {
+	for name, corrupt := range map[string]func(*rpc.GossipMessage){
 		"no sender":    func(m *rpc.GossipMessage) { m.Sender = nil },
 		"dead sender":  func(m *rpc.GossipMessage) { m.Sender.State = rpc.MemberState_MEMBER_STATE_DEAD },
 		"no kind":      func(m *rpc.GossipMessage) { m.Kind = 0 },
@@ -40,7 +40,7 @@
 	} {
 		sample := sampleMessage()
 		encoded := sample.Encode()
-		spoil(encoded)
+		corrupt(encoded)
 		_, err := DecodeMessage(encoded)
 		assert.ErrorIs(t, err, ErrMalformed, name)
 	}
@@ -60,15 +60,16 @@
 		if err != nil {
 			return
 		}
-		core := newNetwork(t, 1, 2).run(members(1, 2)[0]).core
+		core := newNetwork(t, 1, 2).startNode(members(1, 2)[0]).core
 		for _, answer := range core.Receive(1, message) {
 			assert.NotEmpty(t, answer.To)
 		}
 	})
 }
 
-// TestLongListsTravelPacked, and short ones as before, also to nodes that know nothing of it.
-func TestLongListsTravelPacked(t *testing.T) {
+// TestLongMemberListsArePacked guards against long member lists being sent unpacked, and short ones
+// packed.
+func TestLongMemberListsArePacked(t *testing.T) {
 	message := Message{Kind: Join, Sender: Member{Node: "n", Address: "127.0.0.1:1", State: Alive}}
 	for number := range 1000 {
 		message.Updates = append(message.Updates, Member{
--- a/internal/peer/manymembers_test.go
+++ b/internal/peer/massstart_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// peerAt returns a peer that isn't started, on a clock that the test moves.
-func peerAt(t *testing.T, now *time.Duration, lines *lineCounter) *Peer {
+// newManualPeer returns a peer that is not started and uses the test's clock.
+func newManualPeer(t *testing.T, now *time.Duration, lines *lineCounter) *Peer {
 	p, err := New(Options{
 		Membership: membership.Options{Self: memberNamed(0)},
 		Holder:     config.NewHolder(),
@@ -45,39 +45,39 @@
 
 func (c clockFunc) Now() time.Duration { return c() }
 
-// TestViewsAndLinesAtAStartOfMany counts the views and the log lines that a node makes while
-// members become known one a message, as at a start of all: of twice as many members, twice as
-// many messages make no more views in the same time, and each view names few changes.
-func TestViewsAndLinesAtAStartOfMany(t *testing.T) {
-	const took = 2 * time.Second
-	made := make(map[int]int)
+// TestViewsAndLogLinesAreBoundedAtMassStart guards against building a view and logging a line for
+// almost every message while members join one by one: twice as many members must not cause more
+// views in the same time.
+func TestViewsAndLogLinesAreBoundedAtMassStart(t *testing.T) {
+	const duration = 2 * time.Second
+	viewCounts := make(map[int]int)
 	for _, members := range []int{1000, 2000} {
 		now, lines := time.Duration(0), &lineCounter{}
-		p := peerAt(t, &now, lines)
+		p := newManualPeer(t, &now, lines)
 		views, before := 0, p.View()
 		for number := 1; number < members; number++ {
-			now += took / time.Duration(members)
+			now += duration / time.Duration(members)
 			p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(number)})
 			if view := p.View(); view != before {
 				views, before = views+1, view
 			}
 		}
 		t.Logf("%d members: %d views, %d lines", members, views, lines.lines)
-		made[members] = views
+		viewCounts[members] = views
 		assert.Less(t, views, members/4)
-		assert.Less(t, lines.lines, views+3*mostNamedMembers)
+		assert.Less(t, lines.lines, views+3*maxMemberLinesPerSecond)
 		now += time.Second
 		p.tick()
 		assert.Len(t, p.Members(), members)
 	}
-	assert.LessOrEqual(t, made[2000], made[1000])
+	assert.LessOrEqual(t, viewCounts[2000], viewCounts[1000])
 }
 
-// TestChangeInALargeFleetIsSeenSoon has a member change state right after a view was made: the
-// next one follows without another message.
-func TestChangeInALargeFleetIsSeenSoon(t *testing.T) {
+// TestChangeInLargeFleetIsPublishedSoon guards against a change right after a view staying
+// unpublished until the next message.
+func TestChangeInLargeFleetIsPublishedSoon(t *testing.T) {
 	now := time.Duration(0)
-	p := peerAt(t, &now, &lineCounter{})
+	p := newManualPeer(t, &now, &lineCounter{})
 	var updates []membership.Member
 	for number := 1; number < 1000; number++ {
 		updates = append(updates, memberNamed(number))
@@ -89,13 +89,13 @@
 	leaving := memberNamed(7)
 	leaving.State = membership.Leaving
 	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{leaving}})
-	again := memberNamed(8)
-	again.State = membership.Leaving
-	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{again}})
+	another := memberNamed(8)
+	another.State = membership.Leaving
+	p.receive(membership.Message{Kind: membership.Ack, Sender: memberNamed(1), Updates: []membership.Member{another}})
 	assert.LessOrEqual(t, p.untilWake(), 60*time.Millisecond)
 	now += 60 * time.Millisecond
 	p.tick()
-	for _, node := range []fleet.NodeID{leaving.Node, again.Node} {
+	for _, node := range []fleet.NodeID{leaving.Node, another.Node} {
 		member, _ := p.View().Find(node)
 		assert.Equal(t, membership.Leaving, member.State)
 	}
