--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -20,7 +20,7 @@
 	Intake func(worker *Worker) (Intake, time.Duration)
 	// Versions limits the choice by the version of the workers' software; nil limits
 	// nothing.
-	Versions *delivery.Choice
+	Versions *delivery.Filter
 	// Bytes is the size of the request and of the answer that is expected.
 	Bytes int
 	// Engine is set for requests to language-model engines.
@@ -138,7 +138,7 @@
 		r.noteShortage(now, request.Service)
 	}
 	next := request.Versions.Fallback()
-	if placement != nil || next == nil || !request.Versions.WantsTarget() {
+	if placement != nil || next == nil || !request.Versions.PrefersTarget() {
 		return placement, refusal
 	}
 	// A delivery's few target workers may be full or slow while others have room.
@@ -172,7 +172,7 @@
 		found := r.newSearch(now, request, versions)
 		reason := found.gather()
 		next := versions.Fallback()
-		if reason == "" || next == nil || (reason != ReasonNoWorker && !versions.WantsTarget()) {
+		if reason == "" || next == nil || (reason != ReasonNoWorker && !versions.PrefersTarget()) {
 			return found, reason
 		}
 		versions = next
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -54,7 +54,7 @@
 
 	now      time.Duration
 	request  *Request
-	versions *delivery.Choice
+	versions *delivery.Filter
 	pool     *pool
 	// whole is set if all workers are looked at.
 	whole bool
@@ -74,7 +74,7 @@
 }
 
 // newSearch returns a search among the workers of some software versions.
-func (r *Registry) newSearch(now time.Duration, request *Request, versions *delivery.Choice) *search {
+func (r *Registry) newSearch(now time.Duration, request *Request, versions *delivery.Filter) *search {
 	r.searches++
 	// What too old reports told leaves the levels here, not while they are drawn from.
 	r.peers.told(now)
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -89,7 +89,7 @@
 
 // lookKey returns what names the requests like this one of a priority.
 func (s *search) lookKey(priority int) lookKey {
-	key := lookKey{priority: priority, limited: s.versions != nil, wantsTarget: s.versions.WantsTarget()}
+	key := lookKey{priority: priority, limited: s.versions != nil, wantsTarget: s.versions.PrefersTarget()}
 	if s.request.Engine != nil {
 		key.model = s.request.Engine.Model
 	}
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -122,28 +122,28 @@
 		worker.Software = "new"
 		registry.Observe(manyEngines+1, worker)
 	}
-	choose := func(versions *delivery.Choice) (*Placement, Refusal) {
+	choose := func(versions *delivery.Filter) (*Placement, Refusal) {
 		request := engineRequest("p")
 		request.Versions = versions
 		return registry.Choose(0, request)
 	}
 	for range 20 {
-		placement, refused := choose(delivery.NewChoice("new", true, nil, nil))
+		placement, refused := choose(delivery.NewFilter("new", true, nil, nil))
 		require.NotNil(t, placement, refused)
 		assert.EqualValues(t, "new", placement.Worker.Software)
-		placement, refused = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
+		placement, refused = choose(delivery.NewFilter("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
 		require.NotNil(t, placement, refused)
 		assert.Equal(t, fleet.EngineID("e400"), placement.Worker.ID)
 		assert.Less(t, placement.Looked, manyEngines/4)
 		placement.End(0, Cancelled)
-		placement, refused = choose(delivery.NewChoice("new", false, nil, nil))
+		placement, refused = choose(delivery.NewFilter("new", false, nil, nil))
 		require.NotNil(t, placement, refused)
 		assert.Empty(t, placement.Worker.Software)
 	}
-	old := delivery.NewChoice("newer", false, nil, nil)
-	placement, refused := choose(delivery.NewChoice("newer", true, nil, old))
+	old := delivery.NewFilter("newer", false, nil, nil)
+	placement, refused := choose(delivery.NewFilter("newer", true, nil, old))
 	require.NotNil(t, placement, refused, "nobody has it: what holds then")
-	_, refused = choose(delivery.NewChoice("newer", true, nil, nil))
+	_, refused = choose(delivery.NewFilter("newer", true, nil, nil))
 	assert.Equal(t, ReasonNoWorker, refused.Reason)
 }
 
--- a/internal/delivery/baseline.go
+++ b/internal/delivery/baseline.go
@@ -4,39 +4,39 @@
 
 // What the old side's recent answers are kept by.
 const (
-	// recentAnswers and lastingAnswers are how many answers the two baselines weigh: the
+	// recentSize and lastingAnswers are how many answers the two baselines weigh: the
 	// recent one follows a wave of load within a part of a second of a busy service, the
 	// lasting one knows a failure rate of 0.14 to within 0.01. The higher rate counts.
-	recentAnswers  = 256
-	lastingAnswers = 2048
+	recentSize   = 256
+	longTermSize = 2048
 	// priorAnswers and priorBad are mixed in, so that a baseline of few answers isn't
 	// taken for a worker that never fails.
 	priorAnswers, priorBad = 10, 1
-	// quantileAnswers is the least number of answers of which a quantile is taken.
-	quantileAnswers = 12
+	// minQuantileAnswers is the least number of answers of which a quantile is taken.
+	minQuantileAnswers = 12
 	// slowQuantile is the quantile of the old side's times from which slowness counts.
 	slowQuantile = 0.9
-	// slowBuckets is how far above that quantile's bucket an answer is slow: 2.8 times.
-	slowBuckets = 3
+	// slowOffset is how far above that quantile's bucket an answer is slow: 2.8 times.
+	slowOffset = 3
 	// The answers of a worker on a route are cold until there are coldAnswers and coldTime
 	// has passed since the first: those that take 5.7 times as long are slow, and
 	// those between that and twice as long say nothing. Engines begin with an
 	// empty cache, and nodes report at different times.
-	coldAnswers     = 10
-	coldTime        = 1500 * time.Millisecond
-	coldSlowBuckets = 5
-	coldFastBuckets = 2
+	coldAnswers    = 10
+	coldDuration   = 1500 * time.Millisecond
+	coldSlowOffset = 5
+	coldFastOffset = 2
 )
 
 // baseline is how the old side of a route answers now.
 type baseline struct {
-	recent, lasting window
+	recent, longTerm window
 }
 
 // add takes in answers of the old side.
 func (b *baseline) add(delta *Counts) {
-	b.recent.add(delta, recentAnswers)
-	b.lasting.add(delta, lastingAnswers)
+	b.recent.add(delta, recentSize)
+	b.longTerm.add(delta, longTermSize)
 }
 
 // window holds the weights of the last answers.
@@ -64,29 +64,29 @@
 	}
 }
 
-// limits are the buckets that tell fast, slow and other answers apart: those below
+// latencyLimits are the buckets that tell fast, slow and other answers apart: those below
 // fastBelow are fast, those from slowFrom on slow, those between say nothing.
-type limits struct {
+type latencyLimits struct {
 	fastBelow, slowFrom int
 }
 
 // limits returns the limits for a worker, cold or not. Without a baseline nothing is slow.
-func (b *baseline) limits(cold bool) limits {
+func (b *baseline) limits(cold bool) latencyLimits {
 	quantile, known := b.recent.quantileBucket()
 	switch {
 	case !known:
-		return limits{fastBelow: LatencyBuckets, slowFrom: LatencyBuckets}
+		return latencyLimits{fastBelow: LatencyBuckets, slowFrom: LatencyBuckets}
 	case cold:
-		return limits{fastBelow: quantile + coldFastBuckets, slowFrom: quantile + coldSlowBuckets}
+		return latencyLimits{fastBelow: quantile + coldFastOffset, slowFrom: quantile + coldSlowOffset}
 	default:
-		return limits{fastBelow: quantile + slowBuckets, slowFrom: quantile + slowBuckets}
+		return latencyLimits{fastBelow: quantile + slowOffset, slowFrom: quantile + slowOffset}
 	}
 }
 
 // quantileBucket returns the bucket that holds slowQuantile of the times.
 func (w *window) quantileBucket() (int, bool) {
 	succeeded := w.answers - w.failures
-	if succeeded < quantileAnswers {
+	if succeeded < minQuantileAnswers {
 		return 0, false
 	}
 	sum := 0.0
@@ -101,7 +101,7 @@
 
 // badRate returns the part of the old side's answers that failed or were slow.
 func (b *baseline) badRate(slowFrom int) float64 {
-	return max(b.recent.badRate(slowFrom), b.lasting.badRate(slowFrom))
+	return max(b.recent.badRate(slowFrom), b.longTerm.badRate(slowFrom))
 }
 
 func (w *window) badRate(slowFrom int) float64 {
--- a/internal/delivery/directive.go
+++ b/internal/delivery/directive.go
@@ -6,10 +6,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DirectiveValid is how long a directive that isn't final counts after its issue. It is
+// DirectiveLifetime is how long a directive that isn't final counts after its issue. It is
 // the longest time for which a node that hears nothing goes on sending to a version that
 // may be bad; reports pass each 0.6 s, over one relay at most.
-const DirectiveValid = 2500 * time.Millisecond
+const DirectiveLifetime = 2500 * time.Millisecond
 
 // Directive is what the director asks of every node for one service.
 type Directive struct {
@@ -34,48 +34,48 @@
 	ShiftAt time.Duration
 	// Canaries are the target's workers that get the share; empty means all.
 	Canaries []fleet.EngineID
-	// Condemned lists versions of the service that were rolled back.
-	Condemned []fleet.SoftwareVersion
+	// Rejected lists versions of the service that were rolled back.
+	Rejected []fleet.SoftwareVersion
 }
 
-// Valid tells whether the directive counts at now.
-func (d *Directive) Valid(now time.Duration) bool {
-	return d.Stage.Final() || now <= d.IssuedAt+DirectiveValid
+// IsValid tells whether the directive counts at now.
+func (d *Directive) IsValid(now time.Duration) bool {
+	return d.Stage.IsFinal() || now <= d.IssuedAt+DirectiveLifetime
 }
 
-// shifted tells whether everything is to go to the target.
-func (d *Directive) shifted(now time.Duration) bool {
+// isShifted tells whether everything is to go to the target.
+func (d *Directive) isShifted(now time.Duration) bool {
 	return d.Stage == StageShifting || d.Stage == StageCanary && d.ShiftAt > 0 && now >= d.ShiftAt
 }
 
-// share returns the part of a route's requests that goes to the canaries.
-func (d *Directive) share(route RouteName) float64 {
+// routeShare returns the part of a route's requests that goes to the canaries.
+func (d *Directive) routeShare(route RouteName) float64 {
 	if share, named := d.Shares[route]; named {
 		return share
 	}
 	return d.DefaultShare
 }
 
-// Choice limits which workers of a service may get a request. The nil Choice
+// Filter limits which workers of a service may get a request. The nil Filter
 // limits nothing.
-type Choice struct {
+type Filter struct {
 	target fleet.SoftwareVersion
-	// wantsTarget is set for requests that go to the target, canaries then limits its workers.
-	wantsTarget bool
-	canaries    map[fleet.EngineID]bool
-	// settled is set once the target is where everything belongs.
-	settled   bool
-	condemned []fleet.SoftwareVersion
+	// targetOnly is set for requests that go to the target, canaries then limits its workers.
+	targetOnly bool
+	canaries   map[fleet.EngineID]bool
+	// completed is set once the target is where everything belongs.
+	completed bool
+	excluded  []fleet.SoftwareVersion
 	// fallback is what holds if nobody fits who is listed; nil if there is none.
-	fallback *Choice
+	fallback *Filter
 }
 
-// WantsTarget tells whether the request goes to the target for a trial: if it finds no
+// PrefersTarget tells whether the request goes to the target for a trial: if it finds no
 // room there, it is to go to the old side. After a completion it waits for the target.
-func (c *Choice) WantsTarget() bool { return c != nil && c.wantsTarget && !c.settled }
+func (c *Filter) PrefersTarget() bool { return c != nil && c.targetOnly && !c.completed }
 
 // Fallback returns what holds if no listed worker fits, or nil.
-func (c *Choice) Fallback() *Choice {
+func (c *Filter) Fallback() *Filter {
 	if c == nil {
 		return nil
 	}
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -23,27 +23,27 @@
 	RollbackWithin time.Duration
 }
 
-// TargetWorker is a worker of a service, as the director sees it.
-type TargetWorker struct {
+// Worker is a worker of a service, as the director sees it.
+type Worker struct {
 	ID      fleet.EngineID
 	Version fleet.SoftwareVersion
 	Slots   int
 	// InFlight is the number of requests there, over all nodes.
 	InFlight int
-	// Doubtful is set if it can't be reached, by what is known.
-	Doubtful bool
+	// Unreachable is set if it can't be reached, by what is known.
+	Unreachable bool
 }
 
 // Observation is what the director sees of one service at a look.
 type Observation struct {
 	Service fleet.PoolName
-	// Known is set if the configuration holds the service.
-	Known   bool
-	Workers []TargetWorker
+	// Configured is set if the configuration holds the service.
+	Configured bool
+	Workers    []Worker
 }
 
-// Step is what follows from a look.
-type Step struct {
+// Decision is what follows from a look.
+type Decision struct {
 	// Directive is to be passed on to every node; nil if there is no delivery.
 	Directive *Directive
 	// Write is a record to be written with its public status before a final directive
@@ -63,53 +63,53 @@
 	// Route and Worker are where the evidence against the target is strongest.
 	Route  RouteName
 	Worker fleet.EngineID
-	// Score and Bound are the strongest evidence and from where on it condemns.
-	Score, Bound float64
+	// Score and Threshold are the strongest evidence and from where on it condemns.
+	Score, Threshold float64
 	// NewAnswers, NewBad, OldAnswers and OldBad are the counts behind it.
 	NewAnswers, NewBad, OldAnswers, OldBad uint64
-	// Elapsed and Left are the times since the order and until its deadline.
-	Elapsed, Left time.Duration
+	// Elapsed and Remaining are the times since the order and until its deadline.
+	Elapsed, Remaining time.Duration
 }
 
-// LookInterval is the time between two looks of the director at a service.
-const LookInterval = 100 * time.Millisecond
+// EvaluationInterval is the time between two looks of the director at a service.
+const EvaluationInterval = 100 * time.Millisecond
 
 // Director runs the deliveries of the whole fleet while its node holds the lease.
 type Director struct {
 	options  Options
-	services map[fleet.PoolName]*directed
-	// sinceStore translates times: local time = store time + sinceStore.
-	sinceStore time.Duration
+	services map[fleet.PoolName]*directorState
+	// storeOffset translates times: local time = store time + storeOffset.
+	storeOffset time.Duration
 }
 
 // NewDirector returns a director that knows of no order and no record.
 func NewDirector(options Options) *Director {
-	return &Director{options: options, services: map[fleet.PoolName]*directed{}}
+	return &Director{options: options, services: map[fleet.PoolName]*directorState{}}
 }
 
 // Restore takes in the records in the store and the store's steady clock, right after the
 // lease was taken. sinceStore translates: local time = store time + sinceStore. Orders that
 // are newer than their service's record stay; all evidence is taken in anew.
 func (d *Director) Restore(now time.Duration, records []Record, sinceStore time.Duration) {
-	d.sinceStore = sinceStore
+	d.storeOffset = sinceStore
 	known := d.services
-	d.services = make(map[fleet.PoolName]*directed, len(records))
+	d.services = make(map[fleet.PoolName]*directorState, len(records))
 	for _, record := range records {
 		if record.Order.Validate() != nil {
 			continue
 		}
 		start := record.StartedAt + sinceStore
-		restored := d.newDirected(now, start, record.Order, record.Condemned)
+		restored := d.newState(now, start, record.Order, record.Rejected)
 		restored.recorded = true
-		if record.Stage.Final() {
-			restored.settle(record, min(now, start+record.Order.Duration))
+		if record.Stage.IsFinal() {
+			restored.finish(record, min(now, start+record.Order.Duration))
 		}
 		d.services[record.Order.Service] = restored
 	}
 	for service, before := range known {
 		restored := d.services[service]
 		if restored == nil || before.order.Revision > restored.order.Revision {
-			d.replace(now, before.start, before.order)
+			d.replaceOrder(now, before.startedAt, before.order)
 		}
 	}
 }
@@ -123,31 +123,31 @@
 	if known != nil && order.Revision <= known.order.Revision {
 		return nil
 	}
-	d.replace(now, min(at, now), order)
+	d.replaceOrder(now, min(at, now), order)
 	return nil
 }
 
-// replace puts an order in the place of an older one, whose target counts as rolled
+// replaceOrder puts an order in the place of an older one, whose target counts as rolled
 // back unless it was completed or is named again.
-func (d *Director) replace(now, start time.Duration, order Order) {
+func (d *Director) replaceOrder(now, start time.Duration, order Order) {
 	var condemned []fleet.SoftwareVersion
 	if known := d.services[order.Service]; known != nil {
-		condemned = slices.Clone(known.condemned)
+		condemned = slices.Clone(known.rejected)
 		if known.stage != StageCompleted && known.order.Target != order.Target {
-			condemned = include(condemned, known.order.Target)
+			condemned = appendUnique(condemned, known.order.Target)
 		}
 	}
-	d.services[order.Service] = d.newDirected(now, start, order, condemned)
+	d.services[order.Service] = d.newState(now, start, order, condemned)
 }
 
-// newDirected returns the state of an order that is to be begun or gone on with.
-func (d *Director) newDirected(now, start time.Duration, order Order, condemned []fleet.SoftwareVersion) *directed {
-	created := &directed{
+// newState returns the state of an order that is to be begun or gone on with.
+func (d *Director) newState(now, start time.Duration, order Order, condemned []fleet.SoftwareVersion) *directorState {
+	created := &directorState{
 		self:      d.options.Self,
 		order:     order,
 		stage:     StageCanary,
-		start:     start,
-		condemned: slices.Clone(condemned),
+		startedAt: start,
+		rejected:  slices.Clone(condemned),
 		schedule: schedule{
 			start:    start,
 			deadline: start + order.Duration,
@@ -165,72 +165,72 @@
 // be changed afterwards.
 func (d *Director) Observe(now time.Duration, node fleet.NodeID, evidence Evidence) {
 	known := d.services[evidence.Service]
-	if known == nil || known.stage.Final() || evidence.Revision != known.order.Revision {
+	if known == nil || known.stage.IsFinal() || evidence.Revision != known.order.Revision {
 		return
 	}
-	known.meter.observe(known.situation(now), node, evidence, known.judge)
+	known.meter.observe(known.conditions(now), node, evidence, known.judge)
 }
 
-// Look decides for one service. It is called each LookInterval.
-func (d *Director) Look(now time.Duration, observation Observation) Step {
+// Evaluate decides for one service. It is called each LookInterval.
+func (d *Director) Evaluate(now time.Duration, observation Observation) Decision {
 	known := d.services[observation.Service]
 	if known == nil {
-		return Step{}
+		return Decision{}
 	}
-	if !observation.Known && !known.stage.Final() {
+	if !observation.Configured && !known.stage.IsFinal() {
 		return known.refuse(now)
 	}
-	step := Step{Event: known.advance(now, observation.Workers)}
-	step.Directive = known.directive(now, now-d.sinceStore)
-	step.Write = known.write(now, d.sinceStore)
+	step := Decision{Event: known.advance(now, observation.Workers)}
+	step.Directive = known.directive(now, now-d.storeOffset)
+	step.Write = known.pendingRecord(now, d.storeOffset)
 	return step
 }
 
-// Written tells how a write of Step.Write went: on success the final directive is
+// HandleWriteResult tells how a write of Step.Write went: on success the final directive is
 // issued; a record found instead is taken over; else it is tried again at a later look.
-func (d *Director) Written(now time.Duration, service fleet.PoolName, written Record, found *Record, err error) {
+func (d *Director) HandleWriteResult(now time.Duration, service fleet.PoolName, written Record, found *Record, err error) {
 	known := d.services[service]
-	if known == nil || known.order.Revision != written.Order.Revision || known.stage.Final() {
+	if known == nil || known.order.Revision != written.Order.Revision || known.stage.IsFinal() {
 		return
 	}
 	switch {
 	case found != nil:
-		d.takeOver(now, known, *found)
+		d.adoptRecord(now, known, *found)
 	case err != nil:
-		if written.Stage == known.wantedStage() {
-			known.retryAt = now + writeRetry
+		if written.Stage == known.recordStage() {
+			known.nextWriteAt = now + writeRetryInterval
 		}
 	default:
 		known.recorded = true
-		if written.Stage.Final() {
-			known.settle(written, now)
+		if written.Stage.IsFinal() {
+			known.finish(written, now)
 		}
 	}
 }
 
-// takeOver goes by a record that another director has written.
-func (d *Director) takeOver(now time.Duration, known *directed, found Record) {
-	start := found.StartedAt + d.sinceStore
+// adoptRecord goes by a record that another director has written.
+func (d *Director) adoptRecord(now time.Duration, known *directorState, found Record) {
+	start := found.StartedAt + d.storeOffset
 	switch {
 	case found.Order.Revision > known.order.Revision:
-		next := d.newDirected(now, start, found.Order, found.Condemned)
+		next := d.newState(now, start, found.Order, found.Rejected)
 		next.recorded = true
-		if found.Stage.Final() {
-			next.settle(found, now)
+		if found.Stage.IsFinal() {
+			next.finish(found, now)
 		}
 		d.services[found.Order.Service] = next
 	case found.Order.Revision < known.order.Revision:
-		known.inherit(found)
-	case found.Stage.Final():
-		known.settle(found, now)
+		known.mergeOlderRecord(found)
+	case found.Stage.IsFinal():
+		known.finish(found, now)
 	default:
 		known.recorded = true
 		known.restart(now, start)
 	}
 }
 
-// include adds a version to a list that doesn't hold it.
-func include(versions []fleet.SoftwareVersion, version fleet.SoftwareVersion) []fleet.SoftwareVersion {
+// appendUnique adds a version to a list that doesn't hold it.
+func appendUnique(versions []fleet.SoftwareVersion, version fleet.SoftwareVersion) []fleet.SoftwareVersion {
 	if slices.Contains(versions, version) {
 		return versions
 	}
--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -26,12 +26,12 @@
 
 // observe returns n workers of each version with 12 slots.
 func observe(old, target int) Observation {
-	observation := Observation{Service: simService, Known: true}
+	observation := Observation{Service: simService, Configured: true}
 	for index := range old {
-		observation.Workers = append(observation.Workers, TargetWorker{ID: fleet.EngineID(fmt.Sprint("old-", index)), Version: simOld, Slots: 12, InFlight: 1})
+		observation.Workers = append(observation.Workers, Worker{ID: fleet.EngineID(fmt.Sprint("old-", index)), Version: simOld, Slots: 12, InFlight: 1})
 	}
 	for index := range target {
-		observation.Workers = append(observation.Workers, TargetWorker{ID: fleet.EngineID(fmt.Sprint("new-", index)), Version: simNew, Slots: 12})
+		observation.Workers = append(observation.Workers, Worker{ID: fleet.EngineID(fmt.Sprint("new-", index)), Version: simNew, Slots: 12})
 	}
 	return observation
 }
@@ -52,7 +52,7 @@
 func condemn(t *testing.T, director *Director) *Record {
 	t.Helper()
 	director.Observe(time.Second, "node-1", evidenceOf(1000, 40, 40))
-	step := director.Look(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, observe(4, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	return step.Write
@@ -61,82 +61,82 @@
 func TestOrderThatIsInvalidIsRefused(t *testing.T) {
 	director := directing(t)
 	require.Error(t, director.SetOrder(0, 0, Order{Service: simService, Target: "x", Revision: 9}))
-	require.Equal(t, simNew, director.Look(0, observe(2, 2)).Directive.Target, "the former order holds")
+	require.Equal(t, simNew, director.Evaluate(0, observe(2, 2)).Directive.Target, "the former order holds")
 }
 
 func TestOrderForAnUnknownServiceIsToldOnce(t *testing.T) {
 	director := directing(t)
 	unknown := Observation{Service: simService}
-	step := director.Look(0, unknown)
+	step := director.Evaluate(0, unknown)
 	require.Equal(t, EventRefused, step.Event.Name)
 	require.Equal(t, ReasonUnknownService, step.Event.Reason)
 	require.Nil(t, step.Directive)
 	require.Nil(t, step.Write)
-	require.Empty(t, director.Look(0, unknown).Event.Name)
-	require.Equal(t, Step{}, director.Look(0, Observation{Service: "other", Known: true}))
+	require.Empty(t, director.Evaluate(0, unknown).Event.Name)
+	require.Equal(t, Decision{}, director.Evaluate(0, Observation{Service: "other", Configured: true}))
 }
 
 func TestBeginIsRecordedBeforeAnythingElse(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(0, nil, time.Minute)
 	require.NoError(t, director.SetOrder(time.Second, 0, testOrder()))
-	step := director.Look(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, observe(4, 4))
 	require.Equal(t, EventStarted, step.Event.Name)
 	require.Equal(t, Record{Order: testOrder(), StartedAt: -time.Minute, Stage: StageCanary}, *step.Write)
-	require.Nil(t, director.Look(time.Second, observe(4, 4)).Write, "one write at a time")
-	director.Written(time.Second, simService, *step.Write, nil, errStore)
-	require.Nil(t, director.Look(time.Second, observe(4, 4)).Write)
-	require.NotNil(t, director.Look(time.Second+writeRetry, observe(4, 4)).Write)
-	director.Written(time.Second, simService, *step.Write, nil, nil)
-	require.Nil(t, director.Look(time.Minute, observe(4, 4)).Write)
+	require.Nil(t, director.Evaluate(time.Second, observe(4, 4)).Write, "one write at a time")
+	director.HandleWriteResult(time.Second, simService, *step.Write, nil, errStore)
+	require.Nil(t, director.Evaluate(time.Second, observe(4, 4)).Write)
+	require.NotNil(t, director.Evaluate(time.Second+writeRetryInterval, observe(4, 4)).Write)
+	director.HandleWriteResult(time.Second, simService, *step.Write, nil, nil)
+	require.Nil(t, director.Evaluate(time.Minute, observe(4, 4)).Write)
 }
 
 func TestVerdictStopsTheShareBeforeItIsWritten(t *testing.T) {
 	director := directing(t)
-	director.Look(0, observe(4, 4))
+	director.Evaluate(0, observe(4, 4))
 	write := condemn(t, director)
-	require.Contains(t, write.Condemned, simNew)
-	directive := director.Look(1100*time.Millisecond, observe(4, 4)).Directive
+	require.Contains(t, write.Rejected, simNew)
+	directive := director.Evaluate(1100*time.Millisecond, observe(4, 4)).Directive
 	require.Equal(t, StageCanary, directive.Stage)
 	require.Zero(t, directive.DefaultShare)
 	require.Empty(t, directive.Shares)
-	director.Written(2*time.Second, simService, *write, nil, nil)
-	step := director.Look(3*time.Second, observe(4, 4))
+	director.HandleWriteResult(2*time.Second, simService, *write, nil, nil)
+	step := director.Evaluate(3*time.Second, observe(4, 4))
 	require.Equal(t, StageRolledBack, step.Directive.Stage)
 	require.Equal(t, 2*time.Second, step.Directive.IssuedAt)
 	require.Equal(t, EventRolledBack, step.Event.Name)
-	require.Equal(t, ReasonBad, step.Event.Reason)
-	require.Empty(t, director.Look(3*time.Second, observe(4, 4)).Event.Name)
+	require.Equal(t, ReasonBadAnswers, step.Event.Reason)
+	require.Empty(t, director.Evaluate(3*time.Second, observe(4, 4)).Event.Name)
 }
 
 func TestFinalRecordFoundStands(t *testing.T) {
 	director := directing(t)
 	write := condemn(t, director)
 	found := Record{Order: testOrder(), Stage: StageCompleted}
-	director.Written(time.Second, simService, *write, &found, errStore)
-	require.Equal(t, StageCompleted, director.Look(time.Second, observe(4, 4)).Directive.Stage)
-	director.Written(time.Second, simService, *write, nil, nil)
-	require.Equal(t, StageCompleted, director.Look(time.Second, observe(4, 4)).Directive.Stage, "a late answer changes nothing")
+	director.HandleWriteResult(time.Second, simService, *write, &found, errStore)
+	require.Equal(t, StageCompleted, director.Evaluate(time.Second, observe(4, 4)).Directive.Stage)
+	director.HandleWriteResult(time.Second, simService, *write, nil, nil)
+	require.Equal(t, StageCompleted, director.Evaluate(time.Second, observe(4, 4)).Directive.Stage, "a late answer changes nothing")
 }
 
 func TestRunningRecordFoundGivesTheStart(t *testing.T) {
 	director := newTestDirector()
 	require.NoError(t, director.SetOrder(5*time.Second, 5*time.Second, testOrder()))
-	write := director.Look(5*time.Second, observe(4, 4)).Write
-	director.Written(5*time.Second, simService, *write, &Record{Order: testOrder(), StartedAt: 3 * time.Second, Stage: StageCanary}, nil)
-	event := director.services[simService].event(5*time.Second, "", "")
+	write := director.Evaluate(5*time.Second, observe(4, 4)).Write
+	director.HandleWriteResult(5*time.Second, simService, *write, &Record{Order: testOrder(), StartedAt: 3 * time.Second, Stage: StageCanary}, nil)
+	event := director.services[simService].newEvent(5*time.Second, "", "")
 	require.Equal(t, 2*time.Second, event.Elapsed)
-	require.Equal(t, 10*time.Second, event.Left)
+	require.Equal(t, 10*time.Second, event.Remaining)
 }
 
 func TestNewerRecordFoundReplacesTheOrder(t *testing.T) {
 	director := directing(t)
-	write := director.Look(0, observe(4, 4)).Write
+	write := director.Evaluate(0, observe(4, 4)).Write
 	newer := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
-	director.Written(0, simService, *write, &Record{Order: newer, Stage: StageCanary, Condemned: []fleet.SoftwareVersion{simNew}}, errStore)
-	directive := director.Look(0, observe(4, 4)).Directive
+	director.HandleWriteResult(0, simService, *write, &Record{Order: newer, Stage: StageCanary, Rejected: []fleet.SoftwareVersion{simNew}}, errStore)
+	directive := director.Evaluate(0, observe(4, 4)).Directive
 	require.EqualValues(t, "third", directive.Target)
-	require.Contains(t, directive.Condemned, simNew)
+	require.Contains(t, directive.Rejected, simNew)
 }
 
 // The order before may have been completed by another director: then its target is the
@@ -145,51 +145,51 @@
 	director := directing(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Second, time.Second, next))
-	step := director.Look(time.Second, observe(4, 4))
-	require.Contains(t, step.Directive.Condemned, simNew)
-	found := Record{Order: testOrder(), Stage: StageCompleted, Condemned: []fleet.SoftwareVersion{"zero"}}
-	director.Written(time.Second, simService, *step.Write, &found, errStore)
-	directive := director.Look(time.Second, observe(4, 4)).Directive
-	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Condemned)
+	step := director.Evaluate(time.Second, observe(4, 4))
+	require.Contains(t, step.Directive.Rejected, simNew)
+	found := Record{Order: testOrder(), Stage: StageCompleted, Rejected: []fleet.SoftwareVersion{"zero"}}
+	director.HandleWriteResult(time.Second, simService, *step.Write, &found, errStore)
+	directive := director.Evaluate(time.Second, observe(4, 4)).Directive
+	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Rejected)
 }
 
 func TestRestore(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageCompleted}}, 0)
-	directive := director.Look(time.Hour, observe(0, 4)).Directive
+	directive := director.Evaluate(time.Hour, observe(0, 4)).Directive
 	require.Equal(t, StageCompleted, directive.Stage)
 	require.Equal(t, 12*time.Second, directive.IssuedAt, "it isn't news")
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, testOrder()))
-	require.Equal(t, StageCompleted, director.Look(time.Hour, observe(0, 4)).Directive.Stage, "the same order again")
+	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, observe(0, 4)).Directive.Stage, "the same order again")
 	// A newer order is kept over an older record.
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, next))
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageRolledBack}}, 0)
-	directive = director.Look(time.Hour, observe(4, 4)).Directive
+	directive = director.Evaluate(time.Hour, observe(4, 4)).Directive
 	require.EqualValues(t, "third", directive.Target)
-	require.Contains(t, directive.Condemned, simNew)
+	require.Contains(t, directive.Rejected, simNew)
 }
 
 func TestSequenceGrowsAcrossDirectors(t *testing.T) {
 	first := newTestDirector()
 	first.Restore(0, nil, time.Second)
 	require.NoError(t, first.SetOrder(2*time.Second, 2*time.Second, testOrder()))
-	before := first.Look(2*time.Second, observe(4, 4)).Directive.Sequence
+	before := first.Evaluate(2*time.Second, observe(4, 4)).Directive.Sequence
 	second := newTestDirector()
 	// The second node's clock is far behind the first one's.
 	second.Restore(0, []Record{{Order: testOrder(), StartedAt: time.Second, Stage: StageCanary}}, -9*time.Second)
-	require.Greater(t, second.Look(0, observe(4, 4)).Directive.Sequence, before)
+	require.Greater(t, second.Evaluate(0, observe(4, 4)).Directive.Sequence, before)
 }
 
 func TestCondemnedTargetIsRolledBackAtOnce(t *testing.T) {
 	director := newTestDirector()
-	director.Restore(0, []Record{{Order: testOrder(), Stage: StageRolledBack, Condemned: []fleet.SoftwareVersion{simNew}}}, 0)
+	director.Restore(0, []Record{{Order: testOrder(), Stage: StageRolledBack, Rejected: []fleet.SoftwareVersion{simNew}}}, 0)
 	again := testOrder()
 	again.Revision = 8
 	require.NoError(t, director.SetOrder(time.Second, time.Second, again))
-	step := director.Look(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, observe(4, 4))
 	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonCondemned, step.Write.Reason)
+	require.Equal(t, ReasonPreviouslyRejected, step.Write.Reason)
 	require.Zero(t, step.Directive.DefaultShare)
 }
 
@@ -197,25 +197,25 @@
 func TestOnlyTheTargetIsListed(t *testing.T) {
 	director := directing(t)
 	begin := time.Second
-	require.Equal(t, StageCanary, director.Look(begin, observe(0, 4)).Write.Stage)
-	require.Nil(t, director.Look(begin+noOldSettles-1, observe(0, 4)).Write)
-	step := director.Look(begin+noOldSettles, observe(0, 4))
+	require.Equal(t, StageCanary, director.Evaluate(begin, observe(0, 4)).Write.Stage)
+	require.Nil(t, director.Evaluate(begin+targetOnlyDelay-1, observe(0, 4)).Write)
+	step := director.Evaluate(begin+targetOnlyDelay, observe(0, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageCompleted, step.Write.Stage)
-	require.Equal(t, ReasonNoOld, step.Write.Reason)
+	require.Equal(t, ReasonNoOldWorkers, step.Write.Reason)
 }
 
 func TestSilentNodesDecideNothing(t *testing.T) {
 	meter := newMeter(0)
-	require.True(t, meter.silent(0))
+	require.True(t, meter.isSilent(0))
 	judge := newJudge()
 	for node := range 4 {
-		meter.observe(situation{now: time.Second}, fleet.NodeID(fmt.Sprint(node)), Evidence{}, judge)
+		meter.observe(conditions{now: time.Second}, fleet.NodeID(fmt.Sprint(node)), Evidence{}, judge)
 	}
-	require.False(t, meter.silent(2*time.Second))
-	require.True(t, meter.silent(3*time.Second))
-	meter.observe(situation{now: 20 * time.Second}, "0", Evidence{}, judge)
-	require.False(t, meter.silent(20*time.Second), "nodes that are long silent are gone")
+	require.False(t, meter.isSilent(2*time.Second))
+	require.True(t, meter.isSilent(3*time.Second))
+	meter.observe(conditions{now: 20 * time.Second}, "0", Evidence{}, judge)
+	require.False(t, meter.isSilent(20*time.Second), "nodes that are long silent are gone")
 }
 
 // benchmarkEvidence is a node's of 3 routes and 60 workers of the target.
@@ -244,11 +244,11 @@
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for b.Loop() {
-		now += LookInterval
+		now += EvaluationInterval
 		if now > time.Minute {
-			now = LookInterval
+			now = EvaluationInterval
 		}
-		director.Look(now, observation)
+		director.Evaluate(now, observation)
 	}
 }
 
@@ -276,7 +276,7 @@
 // BenchmarkFollowerChoose measures what each request of a service in delivery pays.
 func BenchmarkFollowerChoose(b *testing.B) {
 	follower := NewFollower(Options{})
-	follower.Take(0, canaryDirective(0))
+	follower.ApplyDirective(0, canaryDirective(0))
 	b.ReportAllocs()
 	random := 0.0
 	for b.Loop() {
@@ -284,18 +284,18 @@
 		if random >= 1 {
 			random = 0
 		}
-		follower.Choose(0, simService, testRoute, random, false)
+		follower.Filter(0, simService, testRoute, random, false)
 	}
 }
 
 // BenchmarkFollowerNote measures what each answer pays.
 func BenchmarkFollowerNote(b *testing.B) {
 	follower := NewFollower(Options{})
-	follower.Take(0, canaryDirective(0))
-	outcome := Outcome{Service: simService, Route: testRoute, Worker: "new-0", Version: simNew, Took: time.Second, Predicted: time.Second}
+	follower.ApplyDirective(0, canaryDirective(0))
+	outcome := Outcome{Service: simService, Route: testRoute, Worker: "new-0", Version: simNew, TimeToFirstByte: time.Second, Predicted: time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
-		follower.Note(0, outcome)
+		follower.RecordOutcome(0, outcome)
 	}
 }
 
@@ -305,12 +305,12 @@
 	director := directing(t)
 	now := time.Duration(0)
 	answers := uint64(0)
-	look := func() Step {
+	look := func() Decision {
 		answers += 10
 		director.Observe(now, "node-1", evidenceOf(10*answers, answers, 0))
-		return director.Look(now, observe(4, 4))
+		return director.Evaluate(now, observe(4, 4))
 	}
-	for ; now < 11700*time.Millisecond; now += LookInterval {
+	for ; now < 11700*time.Millisecond; now += EvaluationInterval {
 		look()
 	}
 	require.Equal(t, StageShifting, look().Directive.Stage)
@@ -319,7 +319,7 @@
 	require.Equal(t, EventExtended, step.Event.Name)
 	require.Equal(t, ReasonPaused, step.Event.Reason)
 	require.Equal(t, StageCanary, step.Directive.Stage)
-	for end := now + shortestLate - finishReserve; now < end; now += LookInterval {
+	for end := now + extendedDuration - finishReserve; now < end; now += EvaluationInterval {
 		step = look()
 	}
 	require.Equal(t, StageShifting, step.Directive.Stage)
--- a/internal/delivery/evidence.go
+++ b/internal/delivery/evidence.go
@@ -14,10 +14,10 @@
 	Version fleet.SoftwareVersion
 	// Failed is set if the worker answered with a failure or broke its answer off.
 	Failed bool
-	// Took is the time to the first byte, Predicted what was expected of it; without a
+	// TimeToFirstByte is the time to the first byte, Predicted what was expected of it; without a
 	// prediction it is 0, and times are compared among answers of the same route.
-	Took      time.Duration
-	Predicted time.Duration
+	TimeToFirstByte time.Duration
+	Predicted       time.Duration
 }
 
 // LatencyBuckets is the number of buckets of a latency histogram: each covers half a
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -132,7 +132,7 @@
 		run.run(5 * time.Second)
 		requireKept(t, run)
 		requireDecided(t, run, bad)
-		require.True(t, run.leader.director.services[simService].stage.Final())
+		require.True(t, run.leader.director.services[simService].stage.IsFinal())
 	}
 }
 
@@ -175,7 +175,7 @@
 					run.lead(run.fleet[1])
 				}
 				run.leader = run.fleet[int(run.now/(500*time.Millisecond))%2]
-				if run.stage().Final() {
+				if run.stage().IsFinal() {
 					finals = append(finals, *run.record)
 				}
 			})
@@ -225,8 +225,8 @@
 	require.Equal(t, fleet.Revision(9), run.record.Order.Revision)
 	require.Equal(t, StageRolledBack, run.record.Stage)
 	require.Equal(t, ReasonNoWorkers, run.record.Reason)
-	require.Contains(t, run.record.Condemned, simNew)
-	require.Less(t, run.lastSent, 8*time.Second+DirectiveValid)
+	require.Contains(t, run.record.Rejected, simNew)
+	require.Less(t, run.lastSent, 8*time.Second+DirectiveLifetime)
 }
 
 // TestTargetIsListedBeforeItsOrderIsKnown: nodes that read the order late send nothing to
@@ -248,7 +248,7 @@
 	played.rate = 0
 	run := newSimulation(played).run(0)
 	require.Equal(t, StageCompleted, run.stage(), "%+v", run.events)
-	require.Equal(t, ReasonIdle, run.record.Reason)
+	require.Equal(t, ReasonOldWorkersIdle, run.record.Reason)
 }
 
 // TestDirectivesChangeSeldom: each change is pushed to all nodes.
@@ -259,7 +259,7 @@
 	changes := 0
 	before := uint64(0)
 	played.faults = map[time.Duration]func(*simulation){}
-	for from := time.Duration(0); from < played.duration; from += LookInterval {
+	for from := time.Duration(0); from < played.duration; from += EvaluationInterval {
 		at(played.faults, from+simTick, func(run *simulation) {
 			for _, directive := range run.leader.follower.Directives(run.now) {
 				if directive.Sequence != before {
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -31,28 +31,28 @@
 	require.NoError(t, err)
 	require.True(t, news)
 	for _, directive := range directives {
-		follower.Take(directive.IssuedAt, directive)
+		follower.ApplyDirective(directive.IssuedAt, directive)
 	}
 	return follower
 }
 
 // reaches tells what a request may reach, without fallbacks.
-func reaches(choice *Choice) (old, canary, other bool) {
+func reaches(choice *Filter) (old, canary, other bool) {
 	return choice.Allows("old-0", simOld), choice.Allows("new-0", simNew), choice.Allows("new-9", simNew)
 }
 
-func requireReaches(t *testing.T, choice *Choice, old, canary, other bool) {
+func requireReaches(t *testing.T, choice *Filter, old, canary, other bool) {
 	t.Helper()
 	gotOld, gotCanary, gotOther := reaches(choice)
 	require.Equal(t, []bool{old, canary, other}, []bool{gotOld, gotCanary, gotOther})
 }
 
 func TestNoOrderLimitsNothing(t *testing.T) {
-	require.Nil(t, NewFollower(Options{}).Choose(0, simService, testRoute, 0, false))
+	require.Nil(t, NewFollower(Options{}).Filter(0, simService, testRoute, 0, false))
 }
 
 func TestOrderWithoutDirectiveKeepsTheOldSide(t *testing.T) {
-	choice := follow(t).Choose(0, simService, testRoute, 0, false)
+	choice := follow(t).Filter(0, simService, testRoute, 0, false)
 	requireReaches(t, choice, true, false, false)
 	require.True(t, choice.Fallback().Allows("new-0", simNew), "if nobody else is listed")
 }
@@ -66,16 +66,16 @@
 	news, err := follower.SetOrder(0, testOrder())
 	require.NoError(t, err)
 	require.False(t, news)
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0, false), false, true, false)
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
 }
 
 func TestCanaryShare(t *testing.T) {
 	follower := follow(t, canaryDirective(0))
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0.09, false), false, true, false)
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0.11, false), true, false, false)
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0.09, true), true, false, false)
-	trial := follower.Choose(0, simService, testRoute, 0.09, false)
-	require.True(t, trial.WantsTarget())
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, false), false, true, false)
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0.11, false), true, false, false)
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, true), true, false, false)
+	trial := follower.Filter(0, simService, testRoute, 0.09, false)
+	require.True(t, trial.PrefersTarget())
 	require.True(t, trial.Fallback().Allows("old-0", simOld))
 }
 
@@ -83,25 +83,25 @@
 	directive := canaryDirective(0)
 	directive.Shares = map[RouteName]float64{testRoute: 0}
 	follower := follow(t, directive)
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0, false), true, false, false)
-	requireReaches(t, follower.Choose(0, simService, "b", 0, false), false, true, false)
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
+	requireReaches(t, follower.Filter(0, simService, "b", 0, false), false, true, false)
 }
 
 func TestDirectiveLapses(t *testing.T) {
 	follower := follow(t, canaryDirective(0))
-	requireReaches(t, follower.Choose(DirectiveValid, simService, testRoute, 0, false), false, true, false)
-	requireReaches(t, follower.Choose(DirectiveValid+1, simService, testRoute, 0, false), true, false, false)
-	require.Empty(t, follower.Directives(DirectiveValid+1), "a lapsed directive isn't passed on")
-	require.False(t, NewFollower(Options{}).Take(DirectiveValid+1, canaryDirective(0)), "nor taken in")
+	requireReaches(t, follower.Filter(DirectiveLifetime, simService, testRoute, 0, false), false, true, false)
+	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
+	require.Empty(t, follower.Directives(DirectiveLifetime+1), "a lapsed directive isn't passed on")
+	require.False(t, NewFollower(Options{}).ApplyDirective(DirectiveLifetime+1, canaryDirective(0)), "nor taken in")
 }
 
 func TestShiftBeginsByItself(t *testing.T) {
 	directive := canaryDirective(0)
 	directive.ShiftAt = time.Second
 	follower := follow(t, directive)
-	requireReaches(t, follower.Choose(time.Second-1, simService, testRoute, 0.5, false), true, false, false)
-	requireReaches(t, follower.Choose(time.Second, simService, testRoute, 0.5, false), false, true, true)
-	requireReaches(t, follower.Choose(DirectiveValid+1, simService, testRoute, 0.5, false), true, false, false)
+	requireReaches(t, follower.Filter(time.Second-1, simService, testRoute, 0.5, false), true, false, false)
+	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0.5, false), false, true, true)
+	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0.5, false), true, false, false)
 }
 
 func TestOlderDirectivesAreIgnored(t *testing.T) {
@@ -109,26 +109,26 @@
 	newer.Sequence = 5
 	newer.DefaultShare = 0
 	follower := follow(t, newer)
-	require.False(t, follower.Take(time.Second, canaryDirective(time.Second)))
-	requireReaches(t, follower.Choose(time.Second, simService, testRoute, 0, false), true, false, false)
+	require.False(t, follower.ApplyDirective(time.Second, canaryDirective(time.Second)))
+	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 	before := canaryDirective(time.Second)
 	before.Revision = 6
 	before.Sequence = 99
-	require.False(t, follower.Take(time.Second, before))
+	require.False(t, follower.ApplyDirective(time.Second, before))
 	// A lapsed one gives way: its director is gone, and another's numbers may be lower.
-	require.True(t, follower.Take(3*time.Second, canaryDirective(3*time.Second)))
+	require.True(t, follower.ApplyDirective(3*time.Second, canaryDirective(3*time.Second)))
 }
 
 func TestRenewalProlongs(t *testing.T) {
 	follower := follow(t, canaryDirective(0))
-	require.False(t, follower.Take(2*time.Second, canaryDirective(2*time.Second)), "no change")
-	requireReaches(t, follower.Choose(4*time.Second, simService, testRoute, 0, false), false, true, false)
+	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "no change")
+	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// An older age of the same directive, by way of a slow relay, doesn't shorten it.
-	follower.Take(2*time.Second, canaryDirective(time.Second))
-	requireReaches(t, follower.Choose(4*time.Second, simService, testRoute, 0, false), false, true, false)
+	follower.ApplyDirective(2*time.Second, canaryDirective(time.Second))
+	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// Nor does a clock ahead prolong it.
-	follower.Take(4*time.Second, canaryDirective(time.Minute))
-	requireReaches(t, follower.Choose(4*time.Second+DirectiveValid+1, simService, testRoute, 0, false), true, false, false)
+	follower.ApplyDirective(4*time.Second, canaryDirective(time.Minute))
+	requireReaches(t, follower.Filter(4*time.Second+DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
 }
 
 func TestFinalDirectivesStay(t *testing.T) {
@@ -136,16 +136,16 @@
 		final := canaryDirective(0)
 		final.Stage = stage
 		if stage == StageRolledBack {
-			final.Condemned = []fleet.SoftwareVersion{simNew}
+			final.Rejected = []fleet.SoftwareVersion{simNew}
 		}
 		follower := follow(t, final)
 		other := canaryDirective(time.Second)
 		other.Sequence = 99
-		require.False(t, follower.Take(time.Second, other))
+		require.False(t, follower.ApplyDirective(time.Second, other))
 		require.Len(t, follower.Directives(time.Hour), 1)
 		require.Empty(t, follower.Evidence(0))
 		completed := stage == StageCompleted
-		requireReaches(t, follower.Choose(time.Second, simService, testRoute, 0.9, false), !completed, completed, completed)
+		requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0.9, false), !completed, completed, completed)
 	}
 }
 
@@ -154,24 +154,24 @@
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
 	follower := follow(t, final)
-	choice := follower.Choose(time.Second, simService, testRoute, 0.9, false)
-	require.False(t, choice.WantsTarget())
+	choice := follower.Filter(time.Second, simService, testRoute, 0.9, false)
+	require.False(t, choice.PrefersTarget())
 	require.True(t, choice.Fallback().Allows("old-0", simOld), "if none of the target is listed")
-	require.Nil(t, follower.Choose(completedLimits+1, simService, testRoute, 0.9, false), "later releases aren't limited")
+	require.Nil(t, follower.Filter(completedTargetOnly+1, simService, testRoute, 0.9, false), "later releases aren't limited")
 }
 
 func TestCondemnedVersionGetsNothingEver(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageRolledBack
-	final.Condemned = []fleet.SoftwareVersion{simNew}
+	final.Rejected = []fleet.SoftwareVersion{simNew}
 	follower := follow(t, final)
-	for choice := follower.Choose(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
+	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
 		require.False(t, choice.Allows("new-0", simNew))
 	}
 	// Nor after the next order, whose directive isn't heard yet.
 	_, err := follower.SetOrder(time.Hour, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
-	for choice := follower.Choose(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
+	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
 		require.False(t, choice.Allows("new-0", simNew))
 	}
 }
@@ -182,7 +182,7 @@
 	follower := follow(t, canaryDirective(0))
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
-	choice := follower.Choose(time.Second, simService, testRoute, 0, false)
+	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
 	requireReaches(t, choice, true, false, false)
 	requireReaches(t, choice.Fallback(), true, true, true)
 	require.False(t, choice.Fallback().Allows("third-0", "third"))
@@ -191,27 +191,27 @@
 
 func TestDirectiveTellsOfAnOrder(t *testing.T) {
 	follower := NewFollower(Options{})
-	require.True(t, follower.Take(0, canaryDirective(0)))
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0, false), false, true, false)
+	require.True(t, follower.ApplyDirective(0, canaryDirective(0)))
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
 	require.Len(t, follower.Evidence(0), 1)
 }
 
 func TestNewVersionIsHeldBackWithoutAnOrder(t *testing.T) {
 	follower := NewFollower(Options{})
-	follower.SeeVersions(0, simService, []fleet.SoftwareVersion{simOld})
-	require.Nil(t, follower.Choose(0, simService, testRoute, 0, false))
-	follower.SeeVersions(time.Second, simService, []fleet.SoftwareVersion{simOld, simNew})
-	choice := follower.Choose(time.Second, simService, testRoute, 0, false)
+	follower.ObserveVersions(0, simService, []fleet.SoftwareVersion{simOld})
+	require.Nil(t, follower.Filter(0, simService, testRoute, 0, false))
+	follower.ObserveVersions(time.Second, simService, []fleet.SoftwareVersion{simOld, simNew})
+	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
 	requireReaches(t, choice, true, false, false)
 	require.True(t, choice.Fallback().Allows("new-0", simNew))
-	require.Nil(t, follower.Choose(time.Second+newVersionHold, simService, testRoute, 0, false))
+	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
 // answers notes n answers of a worker.
 func answers(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
 	stopped := false
 	for range n {
-		stopped = follower.Note(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: version, Failed: failed, Took: time.Second, Predicted: time.Second}) || stopped
+		stopped = follower.RecordOutcome(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: version, Failed: failed, TimeToFirstByte: time.Second, Predicted: time.Second}) || stopped
 	}
 	return stopped
 }
@@ -221,12 +221,12 @@
 	answers(follower, 200, "old-0", simOld, false)
 	require.False(t, answers(follower, 50, "new-0", simNew, true), "one worker is no version")
 	require.True(t, answers(follower, 5, "new-1", simNew, true))
-	requireReaches(t, follower.Choose(0, simService, testRoute, 0, false), true, false, false)
+	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	require.True(t, follower.Evidence(0)[0].Stopped)
 	shifting := canaryDirective(time.Second)
 	shifting.Stage, shifting.Sequence = StageShifting, 2
-	require.True(t, follower.Take(time.Second, shifting))
-	requireReaches(t, follower.Choose(time.Second, simService, testRoute, 0, false), true, false, false)
+	require.True(t, follower.ApplyDirective(time.Second, shifting))
+	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 }
 
 func TestSlowAnswersStopToo(t *testing.T) {
@@ -235,7 +235,7 @@
 	stopped := false
 	for index := range 12 {
 		worker := []fleet.EngineID{"new-0", "new-1"}[index%2]
-		stopped = stopped || follower.Note(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: simNew, Took: 8 * time.Second, Predicted: time.Second})
+		stopped = stopped || follower.RecordOutcome(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: simNew, TimeToFirstByte: 8 * time.Second, Predicted: time.Second})
 	}
 	require.True(t, stopped)
 }
@@ -256,7 +256,7 @@
 	follower := follow(t, canaryDirective(0))
 	random := rand.New(rand.NewPCG(1, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		choice := follower.Choose(0, simService, testRoute, random.Float64(), false)
+		choice := follower.Filter(0, simService, testRoute, random.Float64(), false)
 		choice.Allows("new-0", simNew)
 	}))
 }
--- a/internal/delivery/histogram.go
+++ b/internal/delivery/histogram.go
@@ -11,9 +11,9 @@
 
 // latencyBucket returns the histogram's bucket of an answer's time.
 func latencyBucket(o *Outcome) int {
-	ratio := float64(o.Took) / float64(plainLatencyUnit)
+	ratio := float64(o.TimeToFirstByte) / float64(plainLatencyUnit)
 	if o.Predicted > 0 {
-		ratio = 4 * float64(o.Took) / float64(o.Predicted)
+		ratio = 4 * float64(o.TimeToFirstByte) / float64(o.Predicted)
 	}
 	if ratio <= 1 {
 		return 0
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -9,14 +9,14 @@
 
 // What condemns a version.
 const (
-	// condemnScore is the log-likelihood ratio from which a version is bad: a run of
+	// rejectScore is the log-likelihood ratio from which a version is bad: a run of
 	// answers of a good version reaches it with a chance of at most e^-9.
-	condemnScore = 9.0
-	// workerPart is the part of condemnScore that one worker may bring: two workers
+	rejectScore = 9.0
+	// maxWorkerFraction is the part of condemnScore that one worker may bring: two workers
 	// at least must be bad, a single grey or crashed one is no fault of the version.
-	workerPart = 0.55
-	// suspectPart is the part of what a worker may bring from which it is suspected.
-	suspectPart = 0.9
+	maxWorkerFraction = 0.55
+	// suspectFraction is the part of what a worker may bring from which it is suspected.
+	suspectFraction = 0.9
 	// surgeFactor is by how much the normal rate of bad answers rises for a moment when
 	// requests surge.
 	surgeFactor = 2
@@ -24,24 +24,24 @@
 
 // hypothesis is a kind of bad version that the test is for.
 type hypothesis struct {
-	// harm is the part of the otherwise good answers that it spoils.
-	harm float64
-	// normal is the lowest rate of bad answers that is taken for normal: single failures
+	// effect is the part of the otherwise good answers that it spoils.
+	effect float64
+	// minNormal is the lowest rate of bad answers that is taken for minNormal: single failures
 	// would weigh too much below it.
-	normal float64
-	// warmTimes is set if answers of warm workers are slow from slowBuckets on. Else only
+	minNormal float64
+	// usesWarmLimits is set if answers of warm workers are slow from slowBuckets on. Else only
 	// those that are slow for a cold one count: a few engines are cold to a rare prompt
 	// at any time.
-	warmTimes bool
+	usesWarmLimits bool
 }
 
 // hypotheses are tested side by side: the first is found within some bad answers, the
 // others within some dozen. A version that fails only under load looks like these to
 // its canaries.
 var hypotheses = [...]hypothesis{
-	{harm: 0.2, normal: 0.02, warmTimes: true},
-	{harm: 0.04, normal: 0.005},
-	{harm: 0.015, normal: 0.003},
+	{effect: 0.2, minNormal: 0.02, usesWarmLimits: true},
+	{effect: 0.04, minNormal: 0.005},
+	{effect: 0.015, minNormal: 0.003},
 }
 
 // score is a cumulative sum (CUSUM) of log-likelihood ratios, in which each worker's
@@ -81,17 +81,17 @@
 	return strongest
 }
 
-// worker is what a worker of the target has answered on a route.
-type worker struct {
+// workerAnswers is what a workerAnswers of the target has answered on a route.
+type workerAnswers struct {
 	answers uint64
-	first   time.Duration
+	firstAt time.Duration
 }
 
-// routeJudgment is what is known of the target on one route.
-type routeJudgment struct {
-	old     baseline
-	scores  scores
-	workers map[fleet.EngineID]worker
+// routeState is what is known of the target on one route.
+type routeState struct {
+	baseline baseline
+	scores   scores
+	workers  map[fleet.EngineID]workerAnswers
 	// The counts are for the log.
 	oldAnswers, oldBad uint64
 	newAnswers, newBad uint64
@@ -101,65 +101,65 @@
 // for a fault on a single one, and all of them together, for a fault on each that no
 // route shows often enough.
 type judge struct {
-	routes map[RouteName]*routeJudgment
+	routes map[RouteName]*routeState
 	all    scores
 }
 
 func newJudge() *judge {
-	return &judge{routes: map[RouteName]*routeJudgment{}, all: newScores()}
+	return &judge{routes: map[RouteName]*routeState{}, all: newScores()}
 }
 
 // route returns a route's judgment, which it creates.
-func (j *judge) route(name RouteName) *routeJudgment {
+func (j *judge) route(name RouteName) *routeState {
 	known := j.routes[name]
 	if known == nil {
-		known = &routeJudgment{scores: newScores(), workers: map[fleet.EngineID]worker{}}
+		known = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerAnswers{}}
 		j.routes[name] = known
 	}
 	return known
 }
 
-// noteOld counts answers of the old side.
-func (j *judge) noteOld(name RouteName, delta *Counts) {
+// observeOld counts answers of the old side.
+func (j *judge) observeOld(name RouteName, delta *Counts) {
 	route := j.route(name)
-	route.old.add(delta)
+	route.baseline.add(delta)
 	route.oldAnswers += delta.Answers
-	route.oldBad += delta.Failures + delta.slow(route.old.limits(false).slowFrom)
+	route.oldBad += delta.Failures + delta.slow(route.baseline.limits(false).slowFrom)
 }
 
-// situation is what the target's answers are judged in.
-type situation struct {
+// conditions is what the target's answers are judged in.
+type conditions struct {
 	now time.Duration
-	// single is set if only one worker of the target gets requests: its faults are the
+	// singleCanary is set if only one worker of the target gets requests: its faults are the
 	// version's.
-	single bool
+	singleCanary bool
 	// surging is set while everything has just been sent to the target: failures are
 	// answered sooner than successes, so that more of the first answers are bad.
 	surging bool
 }
 
-// noteNew counts answers of one of the target's workers.
-func (j *judge) noteNew(in situation, name RouteName, id fleet.EngineID, delta *Counts) {
+// observeNew counts answers of one of the target's workers.
+func (j *judge) observeNew(in conditions, name RouteName, id fleet.EngineID, delta *Counts) {
 	route := j.route(name)
-	cold := route.met(in.now, id, delta.Answers)
-	limits := route.old.limits(cold)
-	verySlow := route.old.limits(true).slowFrom
+	cold := route.recordWorker(in.now, id, delta.Answers)
+	limits := route.baseline.limits(cold)
+	verySlow := route.baseline.limits(true).slowFrom
 	route.newAnswers += delta.Answers
 	route.newBad += delta.Failures + delta.slow(limits.slowFrom)
 	good := delta.Answers - delta.Failures - delta.slow(limits.fastBelow)
-	limit := condemnScore
-	if !in.single {
-		limit *= workerPart
+	limit := rejectScore
+	if !in.singleCanary {
+		limit *= maxWorkerFraction
 	}
 	for index, hypothesis := range hypotheses {
 		slowFrom := verySlow
 		switch {
-		case hypothesis.warmTimes:
+		case hypothesis.usesWarmLimits:
 			slowFrom = limits.slowFrom
 		case cold:
 			slowFrom = LatencyBuckets
 		}
-		normal := route.old.badRate(slowFrom)
+		normal := route.baseline.badRate(slowFrom)
 		if in.surging {
 			normal *= surgeFactor
 		}
@@ -169,13 +169,13 @@
 	}
 }
 
-// met counts a worker's answers and tells whether it still is cold.
-func (r *routeJudgment) met(now time.Duration, id fleet.EngineID, answers uint64) bool {
+// recordWorker counts a worker's answers and tells whether it still is cold.
+func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, answers uint64) bool {
 	known, met := r.workers[id]
 	if !met {
-		known.first = now
+		known.firstAt = now
 	}
-	cold := known.answers < coldAnswers || now-known.first < coldTime
+	cold := known.answers < coldAnswers || now-known.firstAt < coldDuration
 	known.answers += answers
 	r.workers[id] = known
 	return cold
@@ -184,8 +184,8 @@
 // ratio returns the logarithm of how much likelier answers are for such a version than
 // for one that is as the old side.
 func (h hypothesis) ratio(normal float64, bad, good uint64) float64 {
-	normal = min(0.99, max(h.normal, normal))
-	spoiled := normal + h.harm*(1-normal)
+	normal = min(0.99, max(h.minNormal, normal))
+	spoiled := normal + h.effect*(1-normal)
 	return float64(bad)*math.Log(spoiled/normal) + float64(good)*math.Log((1-spoiled)/(1-normal))
 }
 
@@ -201,14 +201,14 @@
 	return strongest, name
 }
 
-// condemns tells whether the target is bad.
-func (j *judge) condemns() bool {
+// rejectsTarget tells whether the target is bad.
+func (j *judge) rejectsTarget() bool {
 	strongest, _ := j.strongest()
-	return strongest.value >= condemnScore
+	return strongest.value >= rejectScore
 }
 
-// worst returns the worker that has brought most to a score, "" if none has.
-func (s *score) worst() fleet.EngineID {
+// worstWorker returns the worker that has brought most to a score, "" if none has.
+func (s *score) worstWorker() fleet.EngineID {
 	var worst fleet.EngineID
 	for id, value := range s.workers {
 		if value > s.workers[worst] || value == s.workers[worst] && value > 0 && id < worst {
@@ -223,7 +223,7 @@
 func (s *scores) suspects(found map[fleet.EngineID]bool) {
 	for index := range s {
 		for id, value := range s[index].workers {
-			if value >= suspectPart*workerPart*condemnScore {
+			if value >= suspectFraction*maxWorkerFraction*rejectScore {
 				found[id] = true
 			}
 		}
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -23,21 +23,21 @@
 
 func (p *pooledSum) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	for index, hypothesis := range hypotheses {
-		p.scores[index].add(worker, hypothesis.ratio(normal, bad, good), workerPart*condemnScore)
+		p.scores[index].add(worker, hypothesis.ratio(normal, bad, good), maxWorkerFraction*rejectScore)
 	}
-	return p.scores.strongest().value >= condemnScore
+	return p.scores.strongest().value >= rejectScore
 }
 
 // sumOfSums is the way of a CUSUM for each worker, limited, and added up.
 type sumOfSums struct{ workers map[fleet.EngineID]float64 }
 
 func (s *sumOfSums) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
-	s.workers[worker] = min(workerPart*condemnScore, max(0, s.workers[worker]+hypotheses[0].ratio(normal, bad, good)))
+	s.workers[worker] = min(maxWorkerFraction*rejectScore, max(0, s.workers[worker]+hypotheses[0].ratio(normal, bad, good)))
 	sum := 0.0
 	for _, value := range s.workers {
 		sum += value
 	}
-	return sum >= condemnScore
+	return sum >= rejectScore
 }
 
 // windowedRatio is the way of a likelihood ratio over the last answers, by worker
@@ -58,9 +58,9 @@
 		}
 		sum := 0.0
 		for _, part := range parts {
-			sum += min(part, workerPart*condemnScore)
+			sum += min(part, maxWorkerFraction*rejectScore)
 		}
-		if sum >= condemnScore {
+		if sum >= rejectScore {
 			return true
 		}
 	}
@@ -187,7 +187,7 @@
 		{time.Second, time.Second, 4},
 		{8 * time.Second, time.Second, 10},
 	} {
-		require.Equal(t, c.bucket, latencyBucket(&Outcome{Took: c.took, Predicted: c.predicted}), "%s of %s", c.took, c.predicted)
+		require.Equal(t, c.bucket, latencyBucket(&Outcome{TimeToFirstByte: c.took, Predicted: c.predicted}), "%s of %s", c.took, c.predicted)
 	}
 }
 
@@ -228,17 +228,17 @@
 	}
 	for bucket, condemned := range map[int]bool{4: false, 7: false, 8: false, 10: true} {
 		judge := newJudge()
-		judge.noteOld(testRoute, &old)
+		judge.observeOld(testRoute, &old)
 		for index := range 30 {
 			delta := slow(bucket)
-			judge.noteNew(situation{}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
+			judge.observeNew(conditions{}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
 		}
-		require.Equal(t, condemned, judge.condemns(), "cold, bucket %d", bucket)
+		require.Equal(t, condemned, judge.rejectsTarget(), "cold, bucket %d", bucket)
 		for index := range 60 {
 			delta := slow(bucket)
-			judge.noteNew(situation{now: time.Minute}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
+			judge.observeNew(conditions{now: time.Minute}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
 		}
-		require.Equal(t, bucket >= 7, judge.condemns(), "warm, bucket %d", bucket)
+		require.Equal(t, bucket >= 7, judge.rejectsTarget(), "warm, bucket %d", bucket)
 	}
 }
 
@@ -248,21 +248,21 @@
 	judge := newJudge()
 	for index := range 40 {
 		for _, route := range []RouteName{"a", "b", "c"} {
-			judge.noteOld(route, &Counts{Answers: 20})
-			judge.noteNew(situation{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: b2u(route == "c" && index%2 == index%4)})
+			judge.observeOld(route, &Counts{Answers: 20})
+			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: b2u(route == "c" && index%2 == index%4)})
 		}
 	}
 	_, route := judge.strongest()
-	require.True(t, judge.condemns())
+	require.True(t, judge.rejectsTarget())
 	require.Equal(t, RouteName("c"), route)
 	together := newJudge()
 	for index := range 6 {
 		route := RouteName(fmt.Sprint(index))
-		together.noteOld(route, &Counts{Answers: 100})
-		together.noteNew(situation{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: 1})
+		together.observeOld(route, &Counts{Answers: 100})
+		together.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: 1})
 	}
 	_, route = together.strongest()
-	require.True(t, together.condemns())
+	require.True(t, together.rejectsTarget())
 	require.Empty(t, route)
 }
 
@@ -278,11 +278,11 @@
 func TestFailuresComeFirstInASurge(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
-		judge.noteOld(testRoute, &Counts{Answers: 2000, Failures: 280})
+		judge.observeOld(testRoute, &Counts{Answers: 2000, Failures: 280})
 		for index := range 90 {
 			delta := Counts{Answers: 10, Failures: 3}
-			judge.noteNew(situation{now: time.Minute, surging: surging}, testRoute, fleet.EngineID(fmt.Sprint(index%30)), &delta)
+			judge.observeNew(conditions{now: time.Minute, surging: surging}, testRoute, fleet.EngineID(fmt.Sprint(index%30)), &delta)
 		}
-		require.Equal(t, !surging, judge.condemns(), "surging %t", surging)
+		require.Equal(t, !surging, judge.rejectsTarget(), "surging %t", surging)
 	}
 }
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -15,14 +15,14 @@
 // listing is what a follower knows of a service's listed versions.
 type listing struct {
 	versions []fleet.SoftwareVersion
-	// held excludes versions that are new until a time, nil if there are none.
-	held  *Choice
-	until time.Duration
+	// holdBack excludes versions that are new until a time, nil if there are none.
+	holdBack *Filter
+	until    time.Duration
 }
 
-// SeeVersions takes in the software versions of the workers that are listed for a service.
+// ObserveVersions takes in the software versions of the workers that are listed for a service.
 // It is called when that list changes.
-func (f *Follower) SeeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
+func (f *Follower) ObserveVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	before := f.listings[service]
 	if before == nil {
 		f.listings[service] = &listing{versions: slices.Clone(versions)}
@@ -39,19 +39,19 @@
 		return
 	}
 	before.until = now + newVersionHold
-	fallback := &Choice{}
-	if known := f.services[service]; known != nil && known.choices.any != nil {
-		fallback = known.choices.any
+	fallback := &Filter{}
+	if known := f.services[service]; known != nil && known.filters.unrestricted != nil {
+		fallback = known.filters.unrestricted
 	}
-	before.held = &Choice{condemned: slices.Concat(fallback.condemned, fresh), fallback: fallback}
+	before.holdBack = &Filter{excluded: slices.Concat(fallback.excluded, fresh), fallback: fallback}
 }
 
-// undirected returns what holds for a service without an unfinished order: otherwise, or
+// filterWithoutOrder returns what holds for a service without an unfinished order: otherwise, or
 // for a while that new versions are held back.
-func (f *Follower) undirected(now time.Duration, service fleet.PoolName, otherwise *Choice) *Choice {
+func (f *Follower) filterWithoutOrder(now time.Duration, service fleet.PoolName, otherwise *Filter) *Filter {
 	seen := f.listings[service]
-	if seen == nil || seen.held == nil || now >= seen.until {
+	if seen == nil || seen.holdBack == nil || now >= seen.until {
 		return otherwise
 	}
-	return seen.held
+	return seen.holdBack
 }
--- a/internal/delivery/order.go
+++ b/internal/delivery/order.go
@@ -50,8 +50,8 @@
 	StageRolledBack
 )
 
-// Final tells whether the stage never changes any more.
-func (s Stage) Final() bool { return s == StageCompleted || s == StageRolledBack }
+// IsFinal tells whether the stage never changes any more.
+func (s Stage) IsFinal() bool { return s == StageCompleted || s == StageRolledBack }
 
 // String returns the stage's name.
 func (s Stage) String() string {
@@ -79,6 +79,6 @@
 	Stage Stage
 	// Reason says why it was rolled back.
 	Reason string
-	// Condemned lists the service's versions that were rolled back, newest last.
-	Condemned []fleet.SoftwareVersion
+	// Rejected lists the service's versions that were rolled back, newest last.
+	Rejected []fleet.SoftwareVersion
 }
--- a/internal/delivery/schedule.go
+++ b/internal/delivery/schedule.go
@@ -9,35 +9,35 @@
 // that begins d before the deadline the target gets s·(T-d)·R + d·R, and that is held to
 // scheduleMargin·e·T·R + slackMargin·k.
 const (
-	// scheduleMargin is the part of the allowed exposure that is planned for: the rest is
+	// exposureMargin is the part of the allowed exposure that is planned for: the rest is
 	// for retries, for waves of load and for nodes that hear late.
-	scheduleMargin = 0.8
+	exposureMargin = 0.8
 	// slackMargin is the same for the requests besides: at low rates chance alone moves the
 	// number of requests by some ten.
 	slackMargin = 0.5
-	// shiftPart is the part of the exposure that is kept for the shift: runs at old
+	// shiftFraction is the part of the exposure that is kept for the shift: runs at old
 	// workers need time to end there, canaries need answers.
-	shiftPart = 0.5
-	// longestShift is the time after which nearly all runs at old workers have ended
+	shiftFraction = 0.5
+	// maxShift is the time after which nearly all runs at old workers have ended
 	// (0.3 to 1.5 s), with finishReserve.
-	longestShift = 1400 * time.Millisecond
-	// shortestShift is what is kept for it whatever was spent, finishReserve included:
+	maxShift = 1400 * time.Millisecond
+	// minShift is what is kept for it whatever was spent, finishReserve included:
 	// without a shift a good version can't be completed.
-	shortestShift = 350 * time.Millisecond
+	minShift = 350 * time.Millisecond
 	// finishReserve is the time before the deadline at which the last decision falls: a
 	// write to the store and a look.
 	finishReserve = 200 * time.Millisecond
 	// shiftNotice is how long before a shift it is told to all nodes: two rounds of their
 	// reports.
 	shiftNotice = 1300 * time.Millisecond
-	// highestShare bounds a route's canary share: the old side remains the measure.
-	highestShare = 0.3
-	// shortestLate is the time given to a delivery that nobody could direct until its
+	// maxShare bounds a route's canary share: the old side remains the measure.
+	maxShare = 0.3
+	// extendedDuration is the time given to a delivery that nobody could direct until its
 	// deadline, or close to it.
-	shortestLate = 8 * time.Second
-	// shortestRest is the time before a deadline within which a new director can still
+	extendedDuration = 8 * time.Second
+	// minRemaining is the time before a deadline within which a new director can still
 	// hear of all nodes and shift.
-	shortestRest = 1500 * time.Millisecond
+	minRemaining = 1500 * time.Millisecond
 )
 
 // schedule is the sum by which a delivery is planned, from its order to its deadline.
@@ -51,48 +51,48 @@
 type traffic struct {
 	// rate is the number of answers a second now, 0 if that isn't known yet.
 	rate float64
-	// all and target are the requests so far, the target's at least as many as asked for.
-	all, target float64
+	// total and target are the requests so far, the target's at least as many as asked for.
+	total, target float64
 }
 
-// left returns the requests that the target may still get until the deadline.
-func (s schedule) left(now time.Duration, seen traffic) float64 {
+// remainingRequests returns the requests that the target may still get until the deadline.
+func (s schedule) remainingRequests(now time.Duration, seen traffic) float64 {
 	ahead := (s.deadline - now).Seconds()
-	return scheduleMargin*s.exposure*(seen.all+seen.rate*ahead) + slackMargin*s.slack - seen.target
+	return exposureMargin*s.exposure*(seen.total+seen.rate*ahead) + slackMargin*s.slack - seen.target
 }
 
-// seconds returns the exposure that is left as seconds of all traffic. Before the
+// remainingSeconds returns the exposure that is left as remainingSeconds of all traffic. Before the
 // rate is known the slack counts for nothing.
-func (s schedule) seconds(now time.Duration, seen traffic) float64 {
+func (s schedule) remainingSeconds(now time.Duration, seen traffic) float64 {
 	if seen.rate > 0 {
-		return max(0, s.left(now, seen)/seen.rate)
+		return max(0, s.remainingRequests(now, seen)/seen.rate)
 	}
-	return scheduleMargin * s.exposure * (s.deadline - s.start).Seconds()
+	return exposureMargin * s.exposure * (s.deadline - s.start).Seconds()
 }
 
-// shift returns how long before the deadline everything is to go to the target: a part of
+// shiftDuration returns how long before the deadline everything is to go to the target: a part of
 // the whole exposure, what was spent included, so that it doesn't shrink as time goes on.
-func (s schedule) shift(now time.Duration, seen traffic) time.Duration {
-	left := s.seconds(now, seen)
+func (s schedule) shiftDuration(now time.Duration, seen traffic) time.Duration {
+	left := s.remainingSeconds(now, seen)
 	whole := left
 	if seen.rate > 0 {
 		whole += seen.target / seen.rate
 	}
-	affordable := time.Duration(min(left, shiftPart*whole) * float64(time.Second))
-	return min(longestShift, max(shortestShift, affordable), (s.deadline-s.start)/4)
+	affordable := time.Duration(min(left, shiftFraction*whole) * float64(time.Second))
+	return min(maxShift, max(minShift, affordable), (s.deadline-s.start)/4)
 }
 
-// share returns the part of all requests that goes to the canaries until the shift.
-func (s schedule) share(now time.Duration, seen traffic) float64 {
+// canaryShare returns the part of all requests that goes to the canaries until the shift.
+func (s schedule) canaryShare(now time.Duration, seen traffic) float64 {
 	if seen.rate == 0 {
 		now = s.start
 	}
-	shift := s.shift(now, seen).Seconds()
+	shift := s.shiftDuration(now, seen).Seconds()
 	until := (s.deadline - now).Seconds() - shift
 	if until <= 0 {
 		return 0
 	}
-	return min(highestShare, max(0, s.seconds(now, seen)-shift)/until)
+	return min(maxShare, max(0, s.remainingSeconds(now, seen)-shift)/until)
 }
 
 // routeShares divides a share of all requests among routes by their rates. Each gets
--- a/internal/delivery/schedule_test.go
+++ b/internal/delivery/schedule_test.go
@@ -25,19 +25,19 @@
 						seen.rate = current
 					}
 					if now%time.Second == 0 {
-						share = planned.share(now, seen)
+						share = planned.canaryShare(now, seen)
 					}
-					if shifted > 0 || now >= duration-planned.shift(now, seen) {
+					if shifted > 0 || now >= duration-planned.shiftDuration(now, seen) {
 						share = 1
 						shifted += step
 					}
 					requests := current * step.Seconds()
 					all += requests
 					target += share * requests
-					seen.all, seen.target = all, target
+					seen.total, seen.target = all, target
 				}
 				require.LessOrEqual(t, target, 0.1*all+50, "%s at %.0f/s growing to %.1f", duration, rate, growth)
-				intended := min(longestShift.Seconds(), shiftPart*scheduleMargin*0.1*duration.Seconds())
+				intended := min(maxShift.Seconds(), shiftFraction*exposureMargin*0.1*duration.Seconds())
 				require.GreaterOrEqual(t, shifted.Seconds(), 0.7*intended, "%s at %.0f/s growing to %.1f: the shift is kept for", duration, rate, growth)
 				require.GreaterOrEqual(t, target, 0.5*(0.1*all), "%s at %.0f/s growing to %.1f: the evidence is used", duration, rate, growth)
 			}
@@ -47,19 +47,19 @@
 
 func TestScheduleAlwaysLeavesAShift(t *testing.T) {
 	planned := schedule{deadline: 10 * time.Second, exposure: 0.1, slack: 50}
-	require.Equal(t, shortestShift, planned.shift(9*time.Second, traffic{rate: 100, all: 900, target: 500}))
-	require.Zero(t, planned.share(9*time.Second, traffic{rate: 100, all: 900, target: 500}))
-	require.Zero(t, planned.share(11*time.Second, traffic{rate: 100}))
+	require.Equal(t, minShift, planned.shiftDuration(9*time.Second, traffic{rate: 100, total: 900, target: 500}))
+	require.Zero(t, planned.canaryShare(9*time.Second, traffic{rate: 100, total: 900, target: 500}))
+	require.Zero(t, planned.canaryShare(11*time.Second, traffic{rate: 100}))
 }
 
 // TestRouteSharesGiveEachRouteAsMany: evidence counts by route.
 func TestRouteSharesGiveEachRouteAsMany(t *testing.T) {
-	shares := routeShares(0.03, map[RouteName]float64{"a": 900, "b": 95, "c": 5}, highestShare)
+	shares := routeShares(0.03, map[RouteName]float64{"a": 900, "b": 95, "c": 5}, maxShare)
 	require.InDelta(t, 0.3, shares["c"], 1e-9, "the rarest gets all that it may")
 	require.InDelta(t, 900*shares["a"], 95*shares["b"], 1e-6)
 	require.InDelta(t, 30, 900*shares["a"]+95*shares["b"]+5*shares["c"], 1e-6)
-	require.Empty(t, routeShares(0.1, nil, highestShare))
-	for _, share := range routeShares(0.9, map[RouteName]float64{"a": 1, "b": 0}, highestShare) {
-		require.Equal(t, highestShare, share)
+	require.Empty(t, routeShares(0.1, nil, maxShare))
+	for _, share := range routeShares(0.9, map[RouteName]float64{"a": 1, "b": 0}, maxShare) {
+		require.Equal(t, maxShare, share)
 	}
 }
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -134,7 +134,7 @@
 		reportAt: s.now + time.Duration(s.random.Int64N(int64(simReport))),
 		orderAt:  s.now + time.Duration(s.random.Int64N(int64(max(s.orderDelay, 500*time.Millisecond)))),
 	}
-	node.follower.SeeVersions(s.now, simService, []fleet.SoftwareVersion{simOld})
+	node.follower.ObserveVersions(s.now, simService, []fleet.SoftwareVersion{simOld})
 	return node
 }
 
@@ -209,24 +209,24 @@
 }
 
 func (s *simulation) look() {
-	if s.now%LookInterval != 0 || s.leader == nil || s.leader.dead || s.leader.frozen {
+	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.frozen {
 		return
 	}
-	observation := Observation{Service: simService, Known: true}
+	observation := Observation{Service: simService, Configured: true}
 	for _, worker := range s.listed() {
-		observation.Workers = append(observation.Workers, TargetWorker{ID: worker.id, Version: worker.version, Slots: s.slots, InFlight: worker.inFlight, Doubtful: worker.crashed})
+		observation.Workers = append(observation.Workers, Worker{ID: worker.id, Version: worker.version, Slots: s.slots, InFlight: worker.inFlight, Unreachable: worker.crashed})
 	}
 	director := s.leader.director
-	step := director.Look(s.now, observation)
+	step := director.Evaluate(s.now, observation)
 	if step.Event.Name != "" {
 		s.events = append(s.events, step.Event)
 	}
 	if step.Write != nil {
 		found, err := s.store(*step.Write)
-		director.Written(s.now, simService, *step.Write, found, err)
+		director.HandleWriteResult(s.now, simService, *step.Write, found, err)
 	}
 	if step.Directive != nil {
-		s.leader.follower.Take(s.now, *step.Directive)
+		s.leader.follower.ApplyDirective(s.now, *step.Directive)
 	}
 }
 
@@ -236,11 +236,11 @@
 		return nil, errors.New("store is down")
 	}
 	held := s.record
-	if held != nil && (held.Order.Revision > record.Order.Revision || held.Order.Revision == record.Order.Revision && (held.Stage.Final() || held.StartedAt != record.StartedAt)) {
+	if held != nil && (held.Order.Revision > record.Order.Revision || held.Order.Revision == record.Order.Revision && (held.Stage.IsFinal() || held.StartedAt != record.StartedAt)) {
 		return held, nil
 	}
 	s.record = &record
-	if record.Stage.Final() {
+	if record.Stage.IsFinal() {
 		s.finalAt = s.now
 	}
 	if record.Stage == StageCompleted && record.Order.Target == simNew {
@@ -276,7 +276,7 @@
 		s.leader.director.Observe(s.now, node.id, evidence)
 	}
 	for _, directive := range s.leader.follower.Directives(s.now) {
-		node.follower.Take(s.now, directive)
+		node.follower.ApplyDirective(s.now, directive)
 	}
 }
 
@@ -307,10 +307,10 @@
 	if node.dead || node.frozen {
 		return
 	}
-	choice := node.follower.Choose(s.now, simService, route, s.random.Float64(), false)
+	choice := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
 	if !node.listsTarget && !node.cut && s.now >= simStart {
 		node.listsTarget = true
-		node.follower.SeeVersions(s.now, simService, []fleet.SoftwareVersion{simOld, simNew})
+		node.follower.ObserveVersions(s.now, simService, []fleet.SoftwareVersion{simOld, simNew})
 	}
 	worker := s.pick(choice, node.listsTarget)
 	if worker == nil || worker.inFlight >= 2*s.slots {
@@ -328,12 +328,12 @@
 	}
 	outcome, spoiled := s.serve(worker, route, load)
 	worker.inFlight++
-	at := s.now + max(simTick, outcome.Took.Round(simTick))
+	at := s.now + max(simTick, outcome.TimeToFirstByte.Round(simTick))
 	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, spoiled: spoiled})
 }
 
 // pick returns the less loaded of two workers that a choice or its fallbacks allow.
-func (s *simulation) pick(choice *Choice, listsTarget bool) *simWorker {
+func (s *simulation) pick(choice *Filter, listsTarget bool) *simWorker {
 	for ; ; choice = choice.Fallback() {
 		first := s.anyOf(choice, listsTarget)
 		if first != nil {
@@ -349,7 +349,7 @@
 }
 
 // anyOf returns a random worker that a choice allows, or nil.
-func (s *simulation) anyOf(choice *Choice, listsTarget bool) *simWorker {
+func (s *simulation) anyOf(choice *Filter, listsTarget bool) *simWorker {
 	sides := [][]*simWorker{s.oldSide, s.newSide}
 	if !listsTarget || !s.targetListed() {
 		sides[1] = nil
@@ -387,10 +387,10 @@
 	if spoiled && s.slow {
 		factor *= 8
 	}
-	outcome.Took = time.Duration(float64(base) * factor)
+	outcome.TimeToFirstByte = time.Duration(float64(base) * factor)
 	outcome.Failed = spoiled && !s.slow || worker.crashed || s.random.Float64() < s.normal[route] || s.random.Float64() < s.grey[worker.id]
 	if outcome.Failed {
-		outcome.Took = base / 2
+		outcome.TimeToFirstByte = base / 2
 	}
 	return outcome, spoiled
 }
@@ -403,10 +403,10 @@
 		if due.spoiled {
 			s.badAt = append(s.badAt, s.now)
 		}
-		if due.node.dead || s.patience > 0 && due.outcome.Took > s.patience {
+		if due.node.dead || s.patience > 0 && due.outcome.TimeToFirstByte > s.patience {
 			continue
 		}
-		if due.node.follower.Note(s.now, due.outcome) {
+		if due.node.follower.RecordOutcome(s.now, due.outcome) {
 			due.node.reportAt = s.now
 		}
 	}
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -7,51 +7,51 @@
 
 // When a stage is begun or ended.
 const (
-	// neededSlots is the part of the old side's slots that the target must list before
+	// requiredSlotFraction is the part of the old side's slots that the target must list before
 	// everything is sent there.
-	neededSlots = 0.7
-	// leastSlots is the same where a single worker makes up more than the rest.
-	leastSlots = 0.5
-	// suspiciousScore is the score, without the worst worker's part, from which a shift
+	requiredSlotFraction = 0.7
+	// minSlotFraction is the same where a single worker makes up more than the rest.
+	minSlotFraction = 0.5
+	// holdShiftScore is the score, without the worst worker's part, from which a shift
 	// isn't begun.
-	suspiciousScore = 2.5
-	// undecidedScore is the same from which a version is rolled back at the deadline.
-	undecidedScore = 3.0
-	// settledShift is the time after a shift from which an idle old side counts: all
+	holdShiftScore = 2.5
+	// deadlineRollbackScore is the same from which a version is rolled back at the deadline.
+	deadlineRollbackScore = 3.0
+	// shiftPropagation is the time after a shift from which an idle old side counts: all
 	// nodes have heard of it, and loads are newer than it.
-	settledShift = 600 * time.Millisecond
-	// longestPause is the time without a look after which what was known is out of date.
-	longestPause = time.Second
-	// noOldSettles is the time for which no old worker must have been listed before
+	shiftPropagation = 600 * time.Millisecond
+	// maxEvaluationGap is the time without a look after which what was known is out of date.
+	maxEvaluationGap = time.Second
+	// targetOnlyDelay is the time for which no old worker must have been listed before
 	// a delivery ends for want of them.
-	noOldSettles = time.Second
+	targetOnlyDelay = time.Second
 )
 
-// workforce is what is listed of a service.
-type workforce struct {
-	target      []TargetWorker
+// workerCounts is what is listed of a service.
+type workerCounts struct {
+	target      []Worker
 	targetSlots int
 	oldSlots    int
 	oldInFlight int
 	oldListed   int
 }
 
-// count sorts the listed workers into sides. Workers of condemned versions are on none.
-func (s *directed) count(workers []TargetWorker) workforce {
-	var counted workforce
+// countWorkers sorts the listed workers into sides. Workers of condemned versions are on none.
+func (s *directorState) countWorkers(workers []Worker) workerCounts {
+	var counted workerCounts
 	for _, worker := range workers {
 		switch {
 		case worker.Version == s.order.Target:
-			if worker.Doubtful {
+			if worker.Unreachable {
 				continue
 			}
 			counted.target = append(counted.target, worker)
 			counted.targetSlots += worker.Slots
-		case slices.Contains(s.condemned, worker.Version):
+		case slices.Contains(s.rejected, worker.Version):
 		default:
 			counted.oldListed++
 			counted.oldSlots += worker.Slots
-			if !worker.Doubtful {
+			if !worker.Unreachable {
 				counted.oldInFlight += worker.InFlight
 			}
 		}
@@ -60,195 +60,195 @@
 }
 
 // advance does what is due and tells of it.
-func (s *directed) advance(now time.Duration, workers []TargetWorker) Event {
-	if s.stage.Final() {
-		return s.tellEnd(now)
+func (s *directorState) advance(now time.Duration, workers []Worker) Event {
+	if s.stage.IsFinal() {
+		return s.reportEnd(now)
 	}
-	counted := s.count(workers)
-	paused := s.lookedAt != 0 && now-s.lookedAt > longestPause
-	s.lookedAt = now
+	counted := s.countWorkers(workers)
+	paused := s.evaluatedAt != 0 && now-s.evaluatedAt > maxEvaluationGap
+	s.evaluatedAt = now
 	if paused && s.verdict != StageRolledBack {
 		return s.resume(now, ReasonPaused)
 	}
-	s.meter.tick(now, s.asked)
-	s.onlyOne = len(counted.target) == 1
+	s.meter.tick(now, s.targetShare)
+	s.hasSingleTarget = len(counted.target) == 1
 	if event := s.decide(now, counted); event.Name != "" {
 		return event
 	}
 	if s.verdict != 0 {
 		return Event{}
 	}
-	s.setShares(now, len(counted.target))
+	s.updateShares(now, len(counted.target))
 	s.chooseCanaries(now, counted.target)
 	if event := s.planShift(now, counted); event.Name != "" {
 		return event
 	}
-	if !s.started {
-		s.started = true
-		return s.event(now, EventStarted, "")
+	if !s.startReported {
+		s.startReported = true
+		return s.newEvent(now, EventStarted, "")
 	}
 	return Event{}
 }
 
-// tellEnd returns the event of a final state, once.
-func (s *directed) tellEnd(now time.Duration) Event {
-	if s.toldEnd {
+// reportEnd returns the event of a final state, once.
+func (s *directorState) reportEnd(now time.Duration) Event {
+	if s.endReported {
 		return Event{}
 	}
-	s.toldEnd = true
+	s.endReported = true
 	if s.stage == StageCompleted {
-		return s.event(now, EventCompleted, s.reason)
+		return s.newEvent(now, EventCompleted, s.reason)
 	}
-	return s.event(now, EventRolledBack, s.reason)
+	return s.newEvent(now, EventRolledBack, s.reason)
 }
 
 // decide sets the verdict once there is one. A completion that isn't known to be
 // written gives way to evidence: the store decides which write was first.
-func (s *directed) decide(now time.Duration, counted workforce) Event {
-	if s.verdict != StageRolledBack && slices.Contains(s.condemned, s.order.Target) {
-		return s.rollBack(now, ReasonCondemned)
+func (s *directorState) decide(now time.Duration, counted workerCounts) Event {
+	if s.verdict != StageRolledBack && slices.Contains(s.rejected, s.order.Target) {
+		return s.rollBack(now, ReasonPreviouslyRejected)
 	}
-	if s.verdict != StageRolledBack && s.judge.condemns() {
-		return s.rollBack(now, ReasonBad)
+	if s.verdict != StageRolledBack && s.judge.rejectsTarget() {
+		return s.rollBack(now, ReasonBadAnswers)
 	}
 	if s.verdict != 0 {
 		return Event{}
 	}
-	if s.alone(now, counted) {
-		return s.complete(now, ReasonNoOld)
+	if s.isTargetAlone(now, counted) {
+		return s.complete(now, ReasonNoOldWorkers)
 	}
-	if s.idle(now, counted) {
-		return s.complete(now, ReasonIdle)
+	if s.isOldDrained(now, counted) {
+		return s.complete(now, ReasonOldWorkersIdle)
 	}
 	if now < s.schedule.deadline-finishReserve {
 		return Event{}
 	}
-	return s.decideLast(now, counted)
+	return s.decideAtDeadline(now, counted)
 }
 
-// alone tells whether only the target has been listed for a while.
-func (s *directed) alone(now time.Duration, counted workforce) bool {
+// isTargetAlone tells whether only the target has been listed for a while.
+func (s *directorState) isTargetAlone(now time.Duration, counted workerCounts) bool {
 	if counted.oldListed > 0 || len(counted.target) == 0 {
-		s.noOldFrom = 0
+		s.targetOnlySince = 0
 		return false
 	}
-	if s.noOldFrom == 0 {
-		s.noOldFrom = now
+	if s.targetOnlySince == 0 {
+		s.targetOnlySince = now
 	}
-	return now-s.noOldFrom >= noOldSettles
+	return now-s.targetOnlySince >= targetOnlyDelay
 }
 
-// idle tells whether the old side has ended its runs after a shift.
-func (s *directed) idle(now time.Duration, counted workforce) bool {
-	return s.shifting && now-s.shiftAt >= settledShift && counted.oldInFlight == 0 &&
-		s.ready(now, counted)
+// isOldDrained tells whether the old side has ended its runs after a shift.
+func (s *directorState) isOldDrained(now time.Duration, counted workerCounts) bool {
+	return s.shifting && now-s.shiftAt >= shiftPropagation && counted.oldInFlight == 0 &&
+		s.isReadyToShift(now, counted)
 }
 
-// ready tells whether nothing speaks against sending everything to the target.
-func (s *directed) ready(now time.Duration, counted workforce) bool {
-	return enough(counted) && !s.meter.silent(now) && s.suspicion() < suspiciousScore
+// isReadyToShift tells whether nothing speaks against sending everything to the target.
+func (s *directorState) isReadyToShift(now time.Duration, counted workerCounts) bool {
+	return hasEnoughSlots(counted) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
 }
 
-// decideLast decides at the last moment before the deadline.
-func (s *directed) decideLast(now time.Duration, counted workforce) Event {
+// decideAtDeadline decides at the last moment before the deadline.
+func (s *directorState) decideAtDeadline(now time.Duration, counted workerCounts) Event {
 	switch {
 	case len(counted.target) == 0:
 		return s.rollBack(now, ReasonNoWorkers)
-	case !enough(counted):
+	case !hasEnoughSlots(counted):
 		return s.rollBack(now, ReasonFewWorkers)
-	case s.meter.silent(now):
+	case s.meter.isSilent(now):
 		return s.resume(now, ReasonNoEvidence)
-	case !s.shifting || s.suspicion() >= undecidedScore:
+	case !s.shifting || s.suspicion() >= deadlineRollbackScore:
 		return s.rollBack(now, ReasonUndecided)
 	}
 	return s.complete(now, ReasonLastMoment)
 }
 
-// enough tells whether the target lists the slots that the service needs. Of few workers
+// hasEnoughSlots tells whether the target lists the slots that the service needs. Of few workers
 // one may be missing.
-func enough(counted workforce) bool {
+func hasEnoughSlots(counted workerCounts) bool {
 	if counted.targetSlots == 0 || counted.oldListed == 0 {
 		return counted.targetSlots > 0
 	}
 	old := float64(counted.oldSlots)
 	oneLess := old - old/float64(counted.oldListed)
-	needed := max(leastSlots*old, min(neededSlots*old, oneLess))
+	needed := max(minSlotFraction*old, min(requiredSlotFraction*old, oneLess))
 	return float64(counted.targetSlots) >= needed
 }
 
 // suspicion returns the strongest score without its worst worker's part.
-func (s *directed) suspicion() float64 {
+func (s *directorState) suspicion() float64 {
 	strongest, _ := s.judge.strongest()
-	if s.onlyOne {
+	if s.hasSingleTarget {
 		return strongest.value
 	}
-	return strongest.value - strongest.workers[strongest.worst()]
+	return strongest.value - strongest.workers[strongest.worstWorker()]
 }
 
-func (s *directed) rollBack(now time.Duration, reason string) Event {
+func (s *directorState) rollBack(now time.Duration, reason string) Event {
 	s.verdict = StageRolledBack
 	s.reason = reason
 	s.shifting = false
 	s.shiftAt = 0
-	s.retryAt = now
+	s.nextWriteAt = now
 	s.changed = true
-	return s.event(now, EventDecided, reason)
+	return s.newEvent(now, EventDecided, reason)
 }
 
-func (s *directed) complete(now time.Duration, reason string) Event {
+func (s *directorState) complete(now time.Duration, reason string) Event {
 	s.verdict = StageCompleted
 	s.reason = reason
 	s.shifting = true
-	s.retryAt = now
+	s.nextWriteAt = now
 	s.changed = true
-	return s.event(now, EventDecided, reason)
+	return s.newEvent(now, EventDecided, reason)
 }
 
 // planShift announces the shift, takes it back, or begins it.
-func (s *directed) planShift(now time.Duration, counted workforce) Event {
+func (s *directorState) planShift(now time.Duration, counted workerCounts) Event {
 	if s.shifting {
-		return s.keepShift(now, counted)
+		return s.checkShift(now, counted)
 	}
-	begin := s.schedule.deadline - s.schedule.shift(now, s.meter.traffic(now))
+	begin := s.schedule.deadline - s.schedule.shiftDuration(now, s.meter.traffic(now))
 	if s.shiftAt == 0 {
-		begin = max(begin, now+2*LookInterval)
+		begin = max(begin, now+2*EvaluationInterval)
 	}
-	ready := s.ready(now, counted)
+	ready := s.isReadyToShift(now, counted)
 	switch {
 	case !ready && s.shiftAt != 0:
 		s.shiftAt = 0
 		s.changed = true
-		return s.event(now, EventHeld, s.holdReason(now, counted))
+		return s.newEvent(now, EventShiftHeld, s.holdReason(now, counted))
 	case !ready || now < begin-shiftNotice || begin > s.schedule.deadline-finishReserve:
 		return Event{}
 	case s.shiftAt == 0:
 		s.shiftAt = begin
 		s.changed = true
-		return s.event(now, EventAnnounced, "")
+		return s.newEvent(now, EventShiftPlanned, "")
 	case now >= s.shiftAt:
 		s.shifting = true
 		s.changed = true
-		return s.event(now, EventShifting, "")
+		return s.newEvent(now, EventShifting, "")
 	}
 	return Event{}
 }
 
-// keepShift ends a shift for which too few workers are left.
-func (s *directed) keepShift(now time.Duration, counted workforce) Event {
-	if enough(counted) {
+// checkShift ends a shift for which too few workers are left.
+func (s *directorState) checkShift(now time.Duration, counted workerCounts) Event {
+	if hasEnoughSlots(counted) {
 		return Event{}
 	}
 	s.shifting = false
 	s.shiftAt = 0
 	s.changed = true
-	return s.event(now, EventHeld, ReasonFewWorkers)
+	return s.newEvent(now, EventShiftHeld, ReasonFewWorkers)
 }
 
-func (s *directed) holdReason(now time.Duration, counted workforce) string {
+func (s *directorState) holdReason(now time.Duration, counted workerCounts) string {
 	switch {
-	case !enough(counted):
+	case !hasEnoughSlots(counted):
 		return ReasonFewWorkers
-	case s.meter.silent(now):
+	case s.meter.isSilent(now):
 		return ReasonNoEvidence
 	default:
 		return ReasonUndecided
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -11,12 +11,12 @@
 
 // advanceTo looks each LookInterval until a time, with evidence of a good version, and
 // returns the last step.
-func advanceTo(director *Director, from, until time.Duration, observation Observation) Step {
-	var step Step
-	for now := from; now <= until; now += LookInterval {
-		answers := uint64(now / LookInterval)
+func advanceTo(director *Director, from, until time.Duration, observation Observation) Decision {
+	var step Decision
+	for now := from; now <= until; now += EvaluationInterval {
+		answers := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", evidenceOf(50*answers, answers, 0))
-		step = director.Look(now, observation)
+		step = director.Evaluate(now, observation)
 	}
 	return step
 }
@@ -36,8 +36,8 @@
 	director := directing(t)
 	advanceTo(director, 0, 11*time.Second, observe(4, 4))
 	director.Observe(11100*time.Millisecond, "node-1", evidenceOf(5600, 150, 4))
-	step := director.Look(11100*time.Millisecond, observe(4, 4))
-	require.Equal(t, EventHeld, step.Event.Name)
+	step := director.Evaluate(11100*time.Millisecond, observe(4, 4))
+	require.Equal(t, EventShiftHeld, step.Event.Name)
 	require.Zero(t, step.Directive.ShiftAt)
 	require.Equal(t, ReasonUndecided, step.Event.Reason)
 }
@@ -53,13 +53,13 @@
 		after  Observation
 		reason string
 		until  time.Duration
-	}{{busy, ReasonLastMoment, time.Minute - finishReserve}, {idle, ReasonIdle, time.Minute - longestShift + settledShift}} {
+	}{{busy, ReasonLastMoment, time.Minute - finishReserve}, {idle, ReasonOldWorkersIdle, time.Minute - maxShift + shiftPropagation}} {
 		director := newTestDirector()
 		require.NoError(t, director.SetOrder(0, 0, order))
-		step := director.Look(0, busy)
-		director.Written(0, simService, *step.Write, nil, nil)
-		require.Nil(t, advanceTo(director, LookInterval, c.until-2*LookInterval, c.after).Write, c.reason)
-		step = advanceTo(director, c.until-LookInterval, c.until, c.after)
+		step := director.Evaluate(0, busy)
+		director.HandleWriteResult(0, simService, *step.Write, nil, nil)
+		require.Nil(t, advanceTo(director, EvaluationInterval, c.until-2*EvaluationInterval, c.after).Write, c.reason)
+		step = advanceTo(director, c.until-EvaluationInterval, c.until, c.after)
 		require.NotNil(t, step.Write, c.reason)
 		require.Equal(t, StageCompleted, step.Write.Stage)
 		require.Equal(t, c.reason, step.Write.Reason)
@@ -69,61 +69,61 @@
 
 func TestTooFewWorkersOfTheTarget(t *testing.T) {
 	director := directing(t)
-	director.Written(0, simService, *director.Look(0, observe(20, 12)).Write, nil, nil)
-	step := advanceTo(director, LookInterval, 12*time.Second-finishReserve, observe(20, 12))
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, observe(20, 12)).Write, nil, nil)
+	step := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, observe(20, 12))
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	require.Equal(t, ReasonFewWorkers, step.Write.Reason)
 	for _, c := range []struct {
 		old, target int
 		enough      bool
 	}{{20, 14, true}, {20, 13, false}, {3, 2, true}, {3, 1, false}, {2, 1, true}, {1, 1, true}, {1, 0, false}, {0, 1, true}} {
-		counted := director.services[simService].count(observe(c.old, c.target).Workers)
-		require.Equal(t, c.enough, enough(counted), "%d of %d", c.target, c.old)
+		counted := director.services[simService].countWorkers(observe(c.old, c.target).Workers)
+		require.Equal(t, c.enough, hasEnoughSlots(counted), "%d of %d", c.target, c.old)
 	}
 }
 
 func TestDoubtfulWorkersOfTheTargetDontCount(t *testing.T) {
 	director := directing(t)
 	observation := observe(4, 4)
-	observation.Workers[4].Doubtful = true
-	observation.Workers[5].Doubtful = true
-	counted := director.services[simService].count(observation.Workers)
+	observation.Workers[4].Unreachable = true
+	observation.Workers[5].Unreachable = true
+	counted := director.services[simService].countWorkers(observation.Workers)
 	require.Len(t, counted.target, 2)
-	require.False(t, enough(counted))
+	require.False(t, hasEnoughSlots(counted))
 	require.Equal(t, 4, counted.oldInFlight)
 }
 
 // The first worker of many that is listed isn't judged alone.
 func TestFirstCanaryWaitsForOthers(t *testing.T) {
 	director := directing(t)
-	require.Zero(t, director.Look(time.Second, observe(4, 1)).Directive.DefaultShare)
-	require.NotZero(t, director.Look(targetSettles, observe(4, 1)).Directive.DefaultShare)
+	require.Zero(t, director.Evaluate(time.Second, observe(4, 1)).Directive.DefaultShare)
+	require.NotZero(t, director.Evaluate(maxCanaryWait, observe(4, 1)).Directive.DefaultShare)
 	director = directing(t)
-	require.NotZero(t, director.Look(time.Second, observe(4, 3)).Directive.DefaultShare)
+	require.NotZero(t, director.Evaluate(time.Second, observe(4, 3)).Directive.DefaultShare)
 }
 
 // As many canaries as have the old workers' load, but each is to answer often.
 func TestNumberOfCanaries(t *testing.T) {
 	state := directing(t).services[simService]
-	state.share = 0.3
+	state.defaultShare = 0.3
 	state.meter.rates[testRoute] = 20
-	require.Equal(t, leastCanaries, state.wantedCanaries(time.Minute, state.share, 60))
+	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 	state.meter.rates[testRoute] = 700
-	require.Equal(t, 18, state.wantedCanaries(time.Minute, state.share, 60))
-	state.share = 0.02
-	require.Equal(t, leastCanaries, state.wantedCanaries(time.Minute, state.share, 60))
+	require.Equal(t, 18, state.wantedCanaries(time.Minute, state.defaultShare, 60))
+	state.defaultShare = 0.02
+	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 }
 
 // A canary that has shown all that one worker may gives way.
 func TestSuspectedCanaryIsReplaced(t *testing.T) {
 	director := directing(t)
-	require.Contains(t, director.Look(0, observe(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
+	require.Contains(t, director.Evaluate(0, observe(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
 	director.Observe(0, "node-1", Evidence{
 		Service: simService, Revision: 7,
 		Old: map[RouteName]*Counts{testRoute: {Answers: 500}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Answers: 20, Failures: 10}}},
 	})
-	step := director.Look(sharesHold, observe(6, 6))
+	step := director.Evaluate(shareUpdateInterval, observe(6, 6))
 	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, step.Directive.Canaries)
 	require.Equal(t, StageCanary, step.Directive.Stage, "it doesn't condemn")
 	require.NotZero(t, step.Directive.DefaultShare)
@@ -133,26 +133,26 @@
 func TestHistoryDoesntCountForRates(t *testing.T) {
 	counted := newMeter(0)
 	judge := newJudge()
-	counted.observe(situation{}, "node", evidenceOf(9000, 1000, 0), judge)
+	counted.observe(conditions{}, "node", evidenceOf(9000, 1000, 0), judge)
 	counted.tick(time.Second, func(RouteName) float64 { return 0 })
 	require.Zero(t, counted.traffic(2*time.Second).rate)
-	require.Equal(t, 10000.0, counted.traffic(2*time.Second).all)
+	require.Equal(t, 10000.0, counted.traffic(2*time.Second).total)
 	require.Equal(t, 1000.0, counted.traffic(2*time.Second).target)
 	for second := 2; second < 12; second++ {
-		counted.observe(situation{}, "node", evidenceOf(9000+uint64(second)*100, 1000, 0), judge)
+		counted.observe(conditions{}, "node", evidenceOf(9000+uint64(second)*100, 1000, 0), judge)
 		counted.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
 	}
 	require.InDelta(t, 100, counted.traffic(12*time.Second).rate, 5)
-	require.InDelta(t, 500, counted.asked, 100)
-	counted.answered = 0
-	require.Equal(t, counted.asked, counted.traffic(12*time.Second).target, "what was asked for counts before it is answered")
+	require.InDelta(t, 500, counted.targetPlanned, 100)
+	counted.targetAnswers = 0
+	require.Equal(t, counted.targetPlanned, counted.traffic(12*time.Second).target, "what was asked for counts before it is answered")
 }
 
 // At the last moment what speaks against the target counts, though it doesn't condemn.
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
 	director := directing(t)
-	director.Written(0, simService, *director.Look(0, observe(4, 4)).Write, nil, nil)
-	step := advanceTo(director, LookInterval, 11600*time.Millisecond, observe(4, 4))
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, observe(4, 4)).Write, nil, nil)
+	step := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, observe(4, 4))
 	require.Equal(t, StageShifting, step.Directive.Stage)
 	late := evidenceOf(50*116, 116, 0)
 	for _, counts := range late.New[testRoute] {
@@ -160,44 +160,44 @@
 		counts.Failures += 2
 	}
 	director.Observe(11700*time.Millisecond, "node-1", late)
-	require.Nil(t, director.Look(11700*time.Millisecond, observe(4, 4)).Write)
-	step = director.Look(11800*time.Millisecond, observe(4, 4))
+	require.Nil(t, director.Evaluate(11700*time.Millisecond, observe(4, 4)).Write)
+	step = director.Evaluate(11800*time.Millisecond, observe(4, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	require.Equal(t, ReasonUndecided, step.Write.Reason)
-	require.Less(t, step.Event.Score, step.Event.Bound)
+	require.Less(t, step.Event.Score, step.Event.Threshold)
 }
 
 // A rare route may have the longest requests: few canaries of many workers get no more of it
 // than they carry, however rare it is.
 func TestRareRouteDoesNotOverloadFewCanaries(t *testing.T) {
 	director := directing(t)
-	var step Step
-	for now := time.Duration(0); now <= 4*time.Second; now += LookInterval {
-		looks := uint64(now / LookInterval)
+	var step Decision
+	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
+		looks := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
 			Old: map[RouteName]*Counts{"common": {Answers: 70 * looks}, "rare": {Answers: 4 * looks}},
 		})
-		step = director.Look(now, observe(60, 60))
+		step = director.Evaluate(now, observe(60, 60))
 	}
 	canaries := float64(len(step.Directive.Canaries))
 	require.Less(t, canaries, 6.0)
-	require.LessOrEqual(t, step.Directive.Shares["rare"], canaryLoad*canaries/60)
+	require.LessOrEqual(t, step.Directive.Shares["rare"], maxCanaryLoadFactor*canaries/60)
 	require.Greater(t, step.Directive.Shares["rare"], step.Directive.Shares["common"])
 }
 
 func TestRareRouteGetsALargerShare(t *testing.T) {
 	director := directing(t)
-	var step Step
-	for now := time.Duration(0); now <= 4*time.Second; now += LookInterval {
-		looks := uint64(now / LookInterval)
+	var step Decision
+	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
+		looks := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
 			Old: map[RouteName]*Counts{"common": {Answers: 50 * looks}, "rare": {Answers: looks}},
 		})
-		step = director.Look(now, observe(4, 4))
+		step = director.Evaluate(now, observe(4, 4))
 	}
-	require.Equal(t, highestShare, step.Directive.Shares["rare"])
+	require.Equal(t, maxShare, step.Directive.Shares["rare"])
 	require.Less(t, step.Directive.Shares["common"], 0.1)
 }
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -76,7 +76,7 @@
 	}
 	g.requireDueSoon(now)
 	choice := g.choice(current)
-	current.forTarget = choice.Versions.WantsTarget()
+	current.forTarget = choice.Versions.PrefersTarget()
 	placement, refused := g.chooseWorker(ctx, current, choice)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -164,7 +164,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, directive := range d.follower.Directives(now) {
-		if directive.Service == service && slices.Contains(directive.Condemned, version) {
+		if directive.Service == service && slices.Contains(directive.Rejected, version) {
 			return true
 		}
 	}
@@ -172,13 +172,13 @@
 }
 
 // choose returns what limits the choice of a worker, nil if nothing does.
-func (d *deliveries) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Choice {
+func (d *deliveries) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, again bool) *delivery.Filter {
 	if !d.known.Load() {
 		return nil
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.follower.Choose(now, service, route, draw, again)
+	return d.follower.Filter(now, service, route, draw, again)
 }
 
 // note counts an outcome, and tells whether this node has just stopped sending to the
@@ -186,7 +186,7 @@
 func (d *deliveries) note(now time.Duration, outcome delivery.Outcome) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	stopped := d.follower.Note(now, outcome)
+	stopped := d.follower.RecordOutcome(now, outcome)
 	if stopped {
 		signal(d.announced)
 	}
@@ -198,10 +198,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.known.Store(true)
-	if !d.follower.Take(now, directive) {
+	if !d.follower.ApplyDirective(now, directive) {
 		return false
 	}
-	if directive.Stage.Final() {
+	if directive.Stage.IsFinal() {
 		d.finished[directive.Service] = max(d.finished[directive.Service], directive.Revision)
 	}
 	d.changes++
@@ -222,7 +222,7 @@
 		if held.Service != directive.Service {
 			continue
 		}
-		if held.Stage.Final() && held.Revision >= directive.Revision {
+		if held.Stage.IsFinal() && held.Revision >= directive.Revision {
 			return false
 		}
 		same := held.Revision == directive.Revision && held.Sequence >= directive.Sequence
@@ -253,7 +253,7 @@
 	defer d.mutex.Unlock()
 	var nodes []fleet.NodeID
 	for _, directive := range d.follower.Directives(now) {
-		if !directive.Stage.Final() && directive.Issuer != d.self {
+		if !directive.Stage.IsFinal() && directive.Issuer != d.self {
 			nodes = append(nodes, directive.Issuer)
 		}
 	}
@@ -271,7 +271,7 @@
 	directed := make(map[fleet.PoolName]bool)
 	for _, directive := range d.follower.Directives(now) {
 		report.Deliveries = append(report.Deliveries, encodeDirective(now, &directive))
-		directed[directive.Service] = directive.Issuer == to && !directive.Stage.Final()
+		directed[directive.Service] = directive.Issuer == to && !directive.Stage.IsFinal()
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		if directed[evidence.Service] {
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -46,18 +46,18 @@
 	pushed := allTo(g, delivery.StageShifting, g.now())
 	report := &rpc.LoadReport{Node: "director", DeliveriesOnly: true, Deliveries: []*rpc.DeliveryDirective{encodeDirective(g.now(), &pushed)}}
 	g.heedPushed(report)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	assert.False(t, g.versions(deliveryRequest(), false).PrefersTarget())
 
 	g.takeDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget(), "the answer to an own call counts")
+	assert.True(t, g.versions(deliveryRequest(), false).PrefersTarget(), "the answer to an own call counts")
 
 	final := allTo(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
-	final.Condemned = append(final.Condemned, "v2")
+	final.Rejected = append(final.Rejected, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
 	g.heedPushed(report)
 	choice := g.versions(deliveryRequest(), false)
-	assert.False(t, choice.WantsTarget())
+	assert.False(t, choice.PrefersTarget())
 	assert.False(t, choice.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished(), "nothing is left to do")
 }
@@ -67,18 +67,18 @@
 	g := deliveryGateway(t)
 	directive := allTo(g, delivery.StageShifting, g.now())
 	told := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
-	g.takeDirectives(g.now()-delivery.DirectiveValid, told)
-	assert.False(t, g.versions(deliveryRequest(), false).WantsTarget())
+	g.takeDirectives(g.now()-delivery.DirectiveLifetime, told)
+	assert.False(t, g.versions(deliveryRequest(), false).PrefersTarget())
 }
 
 // TestSendIsPermittedOnlyWhileItsDirectiveCounts.
 func TestSendIsPermittedOnlyWhileItsDirectiveCounts(t *testing.T) {
 	g := deliveryGateway(t)
 	const left = 300 * time.Millisecond
-	g.takeDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+left))
+	g.takeDirective(allTo(g, delivery.StageShifting, g.now()-delivery.DirectiveLifetime+left))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
-	current.forTarget = g.versions(current, false).WantsTarget()
+	current.forTarget = g.versions(current, false).PrefersTarget()
 	require.True(t, current.forTarget)
 	assert.NoError(t, g.permitTarget(current, target))
 	time.Sleep(left + 50*time.Millisecond)
@@ -93,15 +93,15 @@
 	g := deliveryGateway(t)
 	canary := allTo(g, delivery.StageCanary, g.now())
 	g.takeDirective(canary)
-	assert.True(t, g.versions(deliveryRequest(), false).WantsTarget())
-	assert.False(t, g.versions(deliveryRequest(), true).WantsTarget())
+	assert.True(t, g.versions(deliveryRequest(), false).PrefersTarget())
+	assert.False(t, g.versions(deliveryRequest(), true).PrefersTarget())
 }
 
 // TestReportsCarryDirectivesToAllAndEvidenceToTheDirector.
 func TestReportsCarryDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
 	g.takeDirective(allTo(g, delivery.StageCanary, g.now()))
-	g.deliveries.note(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
+	g.deliveries.note(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", TimeToFirstByte: time.Millisecond})
 	other := g.loadReport("other")
 	assert.Len(t, other.GetDeliveries(), 1)
 	assert.Empty(t, other.GetDeliveryEvidence())
@@ -165,7 +165,7 @@
 	g := deliveryGateway(t)
 	final := StoredDelivery{Version: 20, Record: delivery.Record{
 		Order: delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
-		Stage: delivery.StageRolledBack, Condemned: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
+		Stage: delivery.StageRolledBack, Rejected: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
 	g.outside.Platform = store
@@ -185,7 +185,7 @@
 	stored := &StoredDeliveries{Records: []StoredDelivery{running}, StoreTime: time.Minute}
 	g.deliveries.lead(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
 	final := running
-	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
+	final.Version, final.Stage, final.Rejected = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
 	g.outside.Platform = store
 	g.deliveries.beginWrite("app")
--- a/internal/gateway/deliverycodec.go
+++ b/internal/gateway/deliverycodec.go
@@ -33,7 +33,7 @@
 	for _, worker := range directive.Canaries {
 		encoded.Canaries = append(encoded.Canaries, string(worker))
 	}
-	for _, version := range directive.Condemned {
+	for _, version := range directive.Rejected {
 		encoded.Condemned = append(encoded.Condemned, string(version))
 	}
 	return encoded
@@ -71,7 +71,7 @@
 		directive.Canaries = append(directive.Canaries, fleet.EngineID(worker))
 	}
 	for _, version := range encoded.GetCondemned() {
-		directive.Condemned = append(directive.Condemned, fleet.SoftwareVersion(version))
+		directive.Rejected = append(directive.Rejected, fleet.SoftwareVersion(version))
 	}
 	return directive, true
 }
--- a/internal/gateway/deliverycodec_test.go
+++ b/internal/gateway/deliverycodec_test.go
@@ -16,7 +16,7 @@
 	return delivery.Directive{
 		Service: "app", Target: "v2", Revision: 7, Sequence: 3, Stage: delivery.StageCanary, Issuer: "director",
 		IssuedAt: issuedAt, Shares: map[delivery.RouteName]float64{"rare": 0.25}, DefaultShare: 0.0225,
-		Canaries: []fleet.EngineID{"w1", "w2"}, Condemned: []fleet.SoftwareVersion{"v0"},
+		Canaries: []fleet.EngineID{"w1", "w2"}, Rejected: []fleet.SoftwareVersion{"v0"},
 	}
 }
 
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -38,12 +38,12 @@
 		}
 		interval := followInterval
 		if g.directs() {
-			interval = delivery.LookInterval
+			interval = delivery.EvaluationInterval
 			for _, service := range unfinished {
 				g.direct(service)
 			}
 		} else if g.deliveries.shifts(g.now()) {
-			interval = delivery.LookInterval
+			interval = delivery.EvaluationInterval
 			g.tellDirectors()
 		}
 		g.noteShares()
@@ -119,16 +119,16 @@
 	if held == nil {
 		return observation
 	}
-	_, observation.Known = held.Table.Service(service)
+	_, observation.Configured = held.Table.Service(service)
 	doubtful := g.workers.Doubtful(now)
 	for _, worker := range g.workers.WorkersInUse() {
 		isTarget := g.deliveries.targets(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
 			continue
 		}
-		seen := delivery.TargetWorker{
+		seen := delivery.Worker{
 			ID: worker.ID, Version: worker.Software, Slots: worker.Slots,
-			InFlight: g.workers.InFlight(now, worker.ID), Doubtful: doubtful[worker.ID],
+			InFlight: g.workers.InFlight(now, worker.ID), Unreachable: doubtful[worker.ID],
 		}
 		if worker.Draining {
 			// It takes no requests; what runs there still counts.
@@ -165,10 +165,10 @@
 	line = line.Str("service", string(event.Service)).Str("target", string(event.Target)).
 		Str("stage", event.Stage.String()).Str("reason", event.Reason).
 		Str("route", string(event.Route)).Str("worker", string(event.Worker)).
-		Float64("score", event.Score).Float64("bound", event.Bound).
+		Float64("score", event.Score).Float64("bound", event.Threshold).
 		Uint64("new_answers", event.NewAnswers).Uint64("new_bad", event.NewBad).
 		Uint64("old_answers", event.OldAnswers).Uint64("old_bad", event.OldBad).
-		Dur("elapsed", event.Elapsed).Dur("left", event.Left)
+		Dur("elapsed", event.Elapsed).Dur("left", event.Remaining)
 	line.Msg(event.Name)
 }
 
@@ -222,16 +222,16 @@
 }
 
 // look has the director decide for one service. This node's own evidence counts too.
-func (d *deliveries) look(now time.Duration, observation delivery.Observation) delivery.Step {
+func (d *deliveries) look(now time.Duration, observation delivery.Observation) delivery.Decision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
-		return delivery.Step{}
+		return delivery.Decision{}
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		d.director.Observe(now, d.self, evidence)
 	}
-	return d.director.Look(now, observation)
+	return d.director.Evaluate(now, observation)
 }
 
 // observe takes in what another node has seen.
@@ -284,5 +284,5 @@
 	if errors.Is(err, platform.ErrConflict) && stored.Order.Target != "" {
 		found = &stored.Record
 	}
-	d.director.Written(now, service, record, found, err)
+	d.director.HandleWriteResult(now, service, record, found, err)
 }
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -21,7 +21,7 @@
 const (
 	// directiveOld is the age from which on a directive is asked for anew when another
 	// node names it.
-	directiveOld = delivery.DirectiveValid / 2
+	directiveOld = delivery.DirectiveLifetime / 2
 	// deliveryTimeout bounds one exchange about deliveries alone.
 	deliveryTimeout = 250 * time.Millisecond
 )
@@ -53,7 +53,7 @@
 
 // versions returns what limits a request's choice of a worker to versions of the service.
 // again is set if it was at the target and is to go elsewhere.
-func (g *Gateway) versions(current *carried, again bool) *delivery.Choice {
+func (g *Gateway) versions(current *carried, again bool) *delivery.Filter {
 	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.draw, again)
 }
 
@@ -74,7 +74,7 @@
 func (g *Gateway) permits(current *carried, worker *backends.Worker) bool {
 	if g.deliveries.targets(worker.Service, worker.Software) {
 		choice := g.versions(current, false)
-		return choice.WantsTarget() || choice.Allows(worker.ID, worker.Software)
+		return choice.PrefersTarget() || choice.Allows(worker.ID, worker.Software)
 	}
 	return !g.deliveries.condemned(g.now(), worker.Service, worker.Software)
 }
@@ -93,11 +93,11 @@
 	}
 	noted := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
-		Failed: failed, Took: placement.Took(g.now()),
+		Failed: failed, TimeToFirstByte: placement.Took(g.now()),
 	}
 	if placement.Engine != nil {
 		whole := g.now() - current.sentAt
-		noted.Took = geometricMean(noted.Took, whole)
+		noted.TimeToFirstByte = geometricMean(noted.TimeToFirstByte, whole)
 		noted.Predicted = geometricMean(placement.Engine.Baseline, wholeBaseline(current, placement.Engine))
 	}
 	if placement.Engine != nil && noted.Predicted <= 0 && !failed {
@@ -192,7 +192,7 @@
 		directive, readable := decodeDirective(now, now, told)
 		switch {
 		case !readable:
-		case directive.Stage.Final():
+		case directive.Stage.IsFinal():
 			g.takeDirective(directive)
 		case g.deliveries.lacks(now, &directive):
 			g.pullDeliveries(fleet.NodeID(report.GetNode()))
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -43,7 +43,7 @@
 func (d *deliveries) seeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.follower.SeeVersions(now, service, versions)
+	d.follower.ObserveVersions(now, service, versions)
 	if len(versions) > 1 {
 		d.known.Store(true)
 	}
--- a/internal/gateway/standin_test.go
+++ b/internal/gateway/standin_test.go
@@ -68,7 +68,7 @@
 	directive := delivery.Directive{Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary, IssuedAt: time.Second}
 	g.deliveries.take(time.Second, directive)
 	assert.False(t, g.deliveries.undirected(2*time.Second))
-	assert.True(t, g.deliveries.undirected(time.Second+delivery.DirectiveValid+time.Millisecond), "it has lapsed")
+	assert.True(t, g.deliveries.undirected(time.Second+delivery.DirectiveLifetime+time.Millisecond), "it has lapsed")
 	directive.Stage, directive.Sequence = delivery.StageRolledBack, 2
 	g.deliveries.take(5*time.Second, directive)
 	assert.False(t, g.deliveries.undirected(time.Minute), "it is over")
