--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -145,13 +145,13 @@
 		wait := g.reportInterval(&next.worker)
 		report, err := g.outside.Engines.Report(g.workerCall(g.context(), callReport, &next.worker), next.worker)
 		if err == nil {
-			g.noteStart(next.worker.ID, backends.StartTime(report.Born))
+			g.noteStart(next.worker.ID, backends.StartTime(report.StartTime))
 		}
 		switch {
 		case err != nil:
 			failed++
 			g.logger.Warn().Str("worker", string(next.worker.ID)).Err(err).Msg("report_failed")
-			if failed >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
+			if failed >= maxFailedReports || errors.Is(err, rollout.ErrDifferentRun) {
 				return
 			}
 		case report.Versions[next.model] >= next.version && !report.Busy:
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -10,7 +10,7 @@
 
 func TestOrderThatMayBeLostIsRepeatedSoon(t *testing.T) {
 	assert.Equal(t, reorderUncertain, repeatAfter(rollout.OrderUncertain))
-	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderHolds, rollout.OrderRejected} {
+	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderAlreadyApplied, rollout.OrderRejected} {
 		assert.Equal(t, reorderAfter, repeatAfter(result))
 	}
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -123,9 +123,9 @@
 	defer w.mutex.Unlock()
 	pacer := w.pacer(named.Model)
 	if !known {
-		return pacer.Assume(at-w.within+requireReserve+startUnknown, uint64(named.Version))
+		return pacer.PublishAssumed(at-w.within+requireReserve+startUnknown, uint64(named.Version))
 	}
-	return pacer.Name(at, uint64(named.Version))
+	return pacer.Publish(at, uint64(named.Version))
 }
 
 // pacer returns a model's pacer; the mutex is held.
@@ -152,7 +152,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, pacer := range w.pacers {
-		pacer.Hold(now, w.within-requireReserve)
+		pacer.ResetPending(now, w.within-requireReserve)
 	}
 }
 
@@ -160,16 +160,16 @@
 func (w *weights) learn(at time.Duration, model fleet.ModelName, version uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.pacer(model).Learn(at, version)
+	w.pacer(model).LearnPublication(at, version)
 }
 
 // heard returns the namings that this node has heard of at once.
-func (w *weights) heard() map[fleet.ModelName][]rollout.Naming {
+func (w *weights) heard() map[fleet.ModelName][]rollout.Publication {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	heard := make(map[fleet.ModelName][]rollout.Naming, len(w.pacers))
+	heard := make(map[fleet.ModelName][]rollout.Publication, len(w.pacers))
 	for model, pacer := range w.pacers {
-		heard[model] = pacer.Heard(sharedNamings)
+		heard[model] = pacer.RecentPublications(sharedNamings)
 	}
 	return heard
 }
@@ -181,7 +181,7 @@
 	defer w.mutex.Unlock()
 	due := make(map[fleet.ModelName]backends.WeightsVersion, len(w.pacers))
 	for model, pacer := range w.pacers {
-		due[model] = backends.WeightsVersion(pacer.Due(now, w.within-reserve))
+		due[model] = backends.WeightsVersion(pacer.NewestDue(now, w.within-reserve))
 	}
 	return due
 }
@@ -222,7 +222,7 @@
 			byID[worker.ID] = worker
 			engines = append(engines, rollout.VersionedEngine{
 				Engine: worker.ID, Version: uint64(version), Changing: w.changing[worker.ID],
-				Doubtful: doubtful[worker.ID] || w.failures[worker.ID] > 0, Failures: w.failures[worker.ID],
+				Unreachable: doubtful[worker.ID] || w.failures[worker.ID] > 0, Failures: w.failures[worker.ID],
 			})
 		}
 		for _, id := range pacer.Next(now, engines) {
@@ -258,7 +258,7 @@
 	delete(w.changing, done.worker.ID)
 	delete(w.orders, done.worker.ID)
 	if took > 0 {
-		w.pacers[done.model].Measured(took, load)
+		w.pacers[done.model].ObserveChange(took, load)
 		delete(w.leftAlone, done.worker.ID)
 		delete(w.failures, done.worker.ID)
 		return
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -55,7 +55,7 @@
 // fails is planned again, because the engine's status doesn't show its effect.
 type Controller struct {
 	options ControllerOptions
-	life    tomb.Tomb
+	tomb    tomb.Tomb
 }
 
 // NewController returns a controller that hasn't started.
@@ -73,32 +73,32 @@
 }
 
 // Start begins to plan.
-func (c *Controller) Start() { c.life.Go(c.run) }
+func (c *Controller) Start() { c.tomb.Go(c.run) }
 
 // Stop cancels the orders under way and waits.
 func (c *Controller) Stop() error {
-	c.life.Kill(nil)
-	return c.life.Wait()
+	c.tomb.Kill(nil)
+	return c.tomb.Wait()
 }
 
 // Dead is closed when the controller has ended.
-func (c *Controller) Dead() <-chan struct{} { return c.life.Dead() }
+func (c *Controller) Dead() <-chan struct{} { return c.tomb.Dead() }
 
 func (c *Controller) run() error {
 	ticker := time.NewTicker(c.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-c.life.Dying():
+		case <-c.tomb.Dying():
 			return nil
 		case <-ticker.C:
-			c.round()
+			c.reconcile()
 		}
 	}
 }
 
-// round makes and carries out one plan.
-func (c *Controller) round() {
+// reconcile makes and carries out one plan.
+func (c *Controller) reconcile() {
 	if _, held := c.options.Lease.Fence(); !held {
 		return
 	}
@@ -122,7 +122,7 @@
 // send checks the lease at the last moment: the process may have been frozen
 // since the plan was made.
 func (c *Controller) send(order Order) {
-	ctx, cancel := context.WithTimeout(c.life.Context(context.Background()), c.options.OrderTimeout)
+	ctx, cancel := context.WithTimeout(c.tomb.Context(context.Background()), c.options.OrderTimeout)
 	defer cancel()
 	token, held := c.options.Lease.Fence()
 	if !held {
--- a/internal/rollout/engines.go
+++ b/internal/rollout/engines.go
@@ -30,11 +30,11 @@
 	return fleet.EngineRun{Engine: e.Status.Engine, Incarnation: e.Status.Incarnation}
 }
 
-func (e Engine) loaded(weights engine.Weights) bool {
+func (e Engine) hasLoaded(weights engine.Weights) bool {
 	return slices.Contains(e.Status.Loaded, weights)
 }
 
-func (e Engine) loading(weights engine.Weights) bool {
+func (e Engine) isLoading(weights engine.Weights) bool {
 	return slices.Contains(e.Status.Loading, weights)
 }
 
@@ -73,8 +73,8 @@
 	return set
 }
 
-// staying returns the engines that are neither leaving nor told to leave.
-func (s directiveSet) staying(engines []Engine) []Engine {
+// withoutLeaving returns the engines that are neither leaving nor told to leave.
+func (s directiveSet) withoutLeaving(engines []Engine) []Engine {
 	var kept []Engine
 	for _, candidate := range engines {
 		ordered := s[candidate.run()]
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -8,39 +8,39 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// forgetLoads drops the planned loads that a status shows, that are too old to
+// expireLoads drops the planned loads that a status shows, that are too old to
 // be under way, and those of runs that have been superseded.
-func (p *Planner) forgetLoads(now time.Duration, engines []Engine) {
+func (p *Planner) expireLoads(now time.Duration, engines []Engine) {
 	newest := make(map[fleet.EngineID]Engine, len(engines))
 	for _, candidate := range engines {
 		newest[candidate.Status.Engine] = candidate
 	}
-	for run, load := range p.ordered {
+	for run, load := range p.pendingLoads {
 		known, listed := newest[run.Engine]
 		superseded := listed && known.Status.Incarnation > run.Incarnation
-		shown := listed && (known.loaded(load.weights) || known.loading(load.weights))
+		shown := listed && (known.hasLoaded(load.version) || known.isLoading(load.version))
 		if superseded || shown || now >= load.at+p.settings.StatusGrace {
-			delete(p.ordered, run)
+			delete(p.pendingLoads, run)
 		}
 	}
 }
 
 // planLoads orders at most free loads of what one pool's engines need. Each
 // engine loads one set of weights at a time.
-func (p *Planner) planLoads(now time.Duration, free int, needed []weightsState, engines []Engine) []Order {
+func (p *Planner) planLoads(now time.Duration, free int, needed []configuredVersion, engines []Engine) []Order {
 	var orders []Order
 	for _, wanted := range needed {
 		for _, candidate := range engines {
 			if free <= 0 {
 				return orders
 			}
-			if candidate.loaded(wanted.weights) || p.busyLoading(candidate) {
+			if candidate.hasLoaded(wanted.version) || p.isBusyLoading(candidate) {
 				continue
 			}
 			order := candidate.order(engine.OrderLoad)
-			order.Order.Weights = wanted.weights
+			order.Order.Weights = wanted.version
 			orders = append(orders, order)
-			p.ordered[candidate.run()] = orderedLoad{pool: wanted.pool, weights: wanted.weights, at: now}
+			p.pendingLoads[candidate.run()] = pendingLoad{pool: wanted.pool, version: wanted.version, at: now}
 			free--
 		}
 	}
@@ -54,11 +54,11 @@
 	listed := make(map[fleet.EngineRun]bool, len(engines))
 	for _, candidate := range engines {
 		listed[candidate.run()] = true
-		if candidate.Pool == pool && p.busyLoading(candidate) {
+		if candidate.Pool == pool && p.isBusyLoading(candidate) {
 			count++
 		}
 	}
-	for run, load := range p.ordered {
+	for run, load := range p.pendingLoads {
 		if load.pool == pool && !listed[run] {
 			count++
 		}
@@ -66,20 +66,20 @@
 	return count
 }
 
-func (p *Planner) busyLoading(candidate Engine) bool {
-	_, ordered := p.ordered[candidate.run()]
+func (p *Planner) isBusyLoading(candidate Engine) bool {
+	_, ordered := p.pendingLoads[candidate.run()]
 	return ordered || len(candidate.Status.Loading) > 0
 }
 
-// noteRetired keeps since when each set of weights has been retired.
-func (p *Planner) noteRetired(now time.Duration, wanted catalogue) {
+// updateRetired keeps since when each set of weights has been retired.
+func (p *Planner) updateRetired(now time.Duration, wanted catalogue) {
 	retired := make(map[engine.Weights]time.Duration)
 	for _, candidate := range wanted.retired {
-		since, known := p.retiredSince[candidate.weights]
+		since, known := p.retiredSince[candidate.version]
 		if !known {
 			since = now
 		}
-		retired[candidate.weights] = since
+		retired[candidate.version] = since
 	}
 	p.retiredSince = retired
 }
@@ -90,24 +90,24 @@
 func (p *Planner) planUnloads(now time.Duration, wanted catalogue, candidate Engine) []Order {
 	var orders []Order
 	for _, retired := range wanted.retired {
-		due := now >= p.retiredSince[retired.weights]+p.settings.UnloadGrace
-		if !due || !candidate.loaded(retired.weights) || !replaced(wanted, retired, candidate) {
+		due := now >= p.retiredSince[retired.version]+p.settings.UnloadGrace
+		if !due || !candidate.hasLoaded(retired.version) || !isReplaced(wanted, retired, candidate) {
 			continue
 		}
 		order := candidate.order(engine.OrderUnload)
-		order.Order.Weights = retired.weights
+		order.Order.Weights = retired.version
 		orders = append(orders, order)
 	}
 	return orders
 }
 
-// replaced tells whether the engine can do without retired weights: it holds
+// isReplaced tells whether the engine can do without retired weights: it holds
 // the version that serves instead, or its pool doesn't serve the model.
-func replaced(wanted catalogue, retired weightsState, candidate Engine) bool {
+func isReplaced(wanted catalogue, retired configuredVersion, candidate Engine) bool {
 	if candidate.Pool != retired.pool {
 		return true
 	}
-	return slices.ContainsFunc(wanted.serving, func(serving weightsState) bool {
-		return sameVariant(serving.weights, retired.weights) && candidate.loaded(serving.weights)
+	return slices.ContainsFunc(wanted.serving, func(serving configuredVersion) bool {
+		return isSameVariant(serving.version, retired.version) && candidate.hasLoaded(serving.version)
 	})
 }
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -24,10 +24,10 @@
 	UnloadGrace time.Duration
 }
 
-// orderedLoad is a load that was planned and isn't seen in a status yet.
-type orderedLoad struct {
+// pendingLoad is a load that was planned and isn't seen in a status yet.
+type pendingLoad struct {
 	pool    fleet.PoolName
-	weights engine.Weights
+	version engine.Weights
 	at      time.Duration
 }
 
@@ -35,8 +35,8 @@
 // elapsed time. It isn't safe for concurrent use.
 type Planner struct {
 	settings PlannerSettings
-	// ordered holds at most one load a run.
-	ordered map[fleet.EngineRun]orderedLoad
+	// pendingLoads holds at most one load a run.
+	pendingLoads map[fleet.EngineRun]pendingLoad
 	// retiredSince is when each set of weights was first seen as retired.
 	retiredSince map[engine.Weights]time.Duration
 }
@@ -51,7 +51,7 @@
 	}
 	return &Planner{
 		settings:     settings,
-		ordered:      make(map[fleet.EngineRun]orderedLoad),
+		pendingLoads: make(map[fleet.EngineRun]pendingLoad),
 		retiredSince: make(map[engine.Weights]time.Duration),
 	}
 }
@@ -66,18 +66,18 @@
 		return nil
 	}
 	newest := newestRuns(engines)
-	p.forgetLoads(now, newest)
+	p.expireLoads(now, newest)
 	wanted := newCatalogue(document)
-	p.noteRetired(now, wanted)
+	p.updateRetired(now, wanted)
 	directed := newDirectiveSet(document)
 	orders := planDirectives(directed, newest)
-	available := directed.staying(newest)
+	available := directed.withoutLeaving(newest)
 	for _, candidate := range available {
 		orders = append(orders, p.planUnloads(now, wanted, candidate)...)
 	}
 	for _, pool := range document.Pools {
 		free := pool.MaxLoads - p.countLoading(pool.Name, newest)
-		needed := inPool(wanted.needed(), pool.Name)
+		needed := versionsInPool(wanted.needed(), pool.Name)
 		orders = append(orders, p.planLoads(now, free, needed, enginesInPool(available, pool.Name))...)
 	}
 	return orders
--- a/internal/rollout/promote.go
+++ b/internal/rollout/promote.go
@@ -24,16 +24,16 @@
 	}
 	weights := engine.Weights{Model: model, Adapter: adapter, Version: version}
 	all := newCatalogue(document).needed()
-	index := slices.IndexFunc(all, func(candidate weightsState) bool { return candidate.weights == weights })
+	index := slices.IndexFunc(all, func(candidate configuredVersion) bool { return candidate.version == weights })
 	if index < 0 {
 		return false, 0, 0
 	}
-	for _, candidate := range newDirectiveSet(document).staying(newestRuns(engines)) {
+	for _, candidate := range newDirectiveSet(document).withoutLeaving(newestRuns(engines)) {
 		if candidate.Pool != all[index].pool {
 			continue
 		}
 		wanted++
-		if candidate.loaded(weights) {
+		if candidate.hasLoaded(weights) {
 			loaded++
 		}
 	}
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -21,9 +21,9 @@
 	Orders int64
 	// Running counts the requests that it works on.
 	Running int
-	// Born is when the run that answers started, in milliseconds since 1970; 0 if it didn't
+	// StartTime is when the run that answers started, in milliseconds since 1970; 0 if it didn't
 	// say.
-	Born uint64
+	StartTime uint64
 }
 
 // VersionOrder has an engine take a version of a model's weights.
@@ -46,23 +46,23 @@
 	OrderUncertain OrderResult = iota
 	// OrderAccepted means that it is being carried out.
 	OrderAccepted
-	// OrderHolds means that the engine is in the ordered state already.
-	OrderHolds
+	// OrderAlreadyApplied means that the engine is in the ordered state already.
+	OrderAlreadyApplied
 	// OrderRejected means that the engine did not take it.
 	OrderRejected
 )
 
-// ErrOtherRun means that another run than the one asked has answered.
-var ErrOtherRun = errors.New("another run has the address")
+// ErrDifferentRun means that another run than the one asked has answered.
+var ErrDifferentRun = errors.New("another run has the address")
 
 // Defaults of PacerOptions.
 const (
-	DefaultMinParallel = 2
-	DefaultUsualPart   = 0.2
-	DefaultMaxPart     = 0.5
-	DefaultChangeTime  = 2000 * time.Millisecond
-	DefaultReservePart = 0.1
-	DefaultDoubtful    = 2
+	DefaultMinParallel         = 2
+	DefaultUsualFraction       = 0.2
+	DefaultMaxFraction         = 0.5
+	DefaultChangeTime          = 2000 * time.Millisecond
+	DefaultReserveFraction     = 0.1
+	DefaultUnreachableParallel = 2
 )
 
 // PacerOptions sets up a Pacer; zero fields take the defaults.
@@ -73,17 +73,17 @@
 	// MinParallel is the number of engines that may always change at once, UsualPart
 	// the part of the engines that does while loads don't slow each other down, and
 	// MaxPart the greatest part that changes at once before the engines are due.
-	MinParallel int
-	UsualPart   float64
-	MaxPart     float64
+	MinParallel   int
+	UsualFraction float64
+	MaxFraction   float64
 	// ChangeTime is how long one engine takes before any was measured.
 	ChangeTime time.Duration
 	// Reserve is how much before it is due the last engine should have changed; 0
 	// means a tenth of Within.
 	Reserve time.Duration
-	// Doubtful is the number of engines that changes are tried at once of those that
+	// UnreachableParallel is the number of engines that changes are tried at once of those that
 	// can't be reached.
-	Doubtful int
+	UnreachableParallel int
 }
 
 // VersionedEngine is an engine as the pacer needs to know it.
@@ -92,14 +92,14 @@
 	Version uint64
 	// Changing is set while an order to it is under way.
 	Changing bool
-	// Doubtful is set while it can't be reached, by what is known. Failures counts
+	// Unreachable is set while it can't be reached, by what is known. Failures counts
 	// the changes in a row that failed.
-	Doubtful bool
-	Failures int
+	Unreachable bool
+	Failures    int
 }
 
-// naming is when a version was named, or first heard of.
-type naming struct {
+// publication is when a version was named, or first heard of.
+type publication struct {
 	version uint64
 	at      time.Duration
 	// assumed is set while nobody who heard of it at once has told when.
@@ -112,15 +112,15 @@
 // changes at once, fewer if loads at once slow each other down, more if they are
 // due. The pacer has no I/O and no clock.
 type Pacer struct {
-	options    PacerOptions
-	namings    []naming
-	changeTime time.Duration
-	// usual is the part of the engines that changes at once, shortestLoad the
+	options      PacerOptions
+	publications []publication
+	changeTime   time.Duration
+	// usualFraction is the part of the engines that changes at once, shortestLoad the
 	// shortest load of weights so far.
-	usual        float64
-	shortestLoad time.Duration
-	// full is set while about the usual part changes.
-	full bool
+	usualFraction float64
+	shortestLoad  time.Duration
+	// saturated is set while about the usual part changes.
+	saturated bool
 	// credit is the part of a change that may begin, by the time since creditAt.
 	credit   float64
 	creditAt time.Duration
@@ -131,83 +131,85 @@
 	if options.MinParallel <= 0 {
 		options.MinParallel = DefaultMinParallel
 	}
-	if options.UsualPart <= 0 {
-		options.UsualPart = DefaultUsualPart
+	if options.UsualFraction <= 0 {
+		options.UsualFraction = DefaultUsualFraction
 	}
-	if options.MaxPart <= 0 {
-		options.MaxPart = DefaultMaxPart
+	if options.MaxFraction <= 0 {
+		options.MaxFraction = DefaultMaxFraction
 	}
 	if options.ChangeTime <= 0 {
 		options.ChangeTime = DefaultChangeTime
 	}
 	if options.Reserve <= 0 {
-		options.Reserve = time.Duration(float64(options.Within) * DefaultReservePart)
+		options.Reserve = time.Duration(float64(options.Within) * DefaultReserveFraction)
 	}
-	if options.Doubtful <= 0 {
-		options.Doubtful = DefaultDoubtful
+	if options.UnreachableParallel <= 0 {
+		options.UnreachableParallel = DefaultUnreachableParallel
 	}
-	return &Pacer{options: options, changeTime: options.ChangeTime, usual: options.UsualPart}
+	return &Pacer{options: options, changeTime: options.ChangeTime, usualFraction: options.UsualFraction}
 }
 
-// Name takes in that a version was named at a time, at the latest. It returns
+// Publish takes in that a version was named at a time, at the latest. It returns
 // false for a version that isn't newer than the newest known.
-func (p *Pacer) Name(at time.Duration, version uint64) bool { return p.add(at, version, false) }
+func (p *Pacer) Publish(at time.Duration, version uint64) bool { return p.add(at, version, false) }
 
-// Assume takes in a version that was named at an unknown time, for which at is
+// PublishAssumed takes in a version that was named at an unknown time, for which at is
 // taken until Learn tells better.
-func (p *Pacer) Assume(at time.Duration, version uint64) bool { return p.add(at, version, true) }
+func (p *Pacer) PublishAssumed(at time.Duration, version uint64) bool {
+	return p.add(at, version, true)
+}
 
 func (p *Pacer) add(at time.Duration, version uint64, assumed bool) bool {
 	if version <= p.Newest() {
 		return false
 	}
-	p.namings = append(p.namings, naming{version: version, at: at, assumed: assumed})
+	p.publications = append(p.publications, publication{version: version, at: at, assumed: assumed})
 	return true
 }
 
-// Learn takes in another process's word on when a version was named. The
+// LearnPublication takes in another process's word on when a version was named. The
 // earliest word is the nearest, since nobody hears of a version before. Versions
 // that this process never heard of count too: one that was named before it
 // started is due earlier than a newer one that it has seen.
-func (p *Pacer) Learn(at time.Duration, version uint64) {
-	index, known := slices.BinarySearchFunc(p.namings, version, func(named naming, version uint64) int {
+func (p *Pacer) LearnPublication(at time.Duration, version uint64) {
+	index, known := slices.BinarySearchFunc(p.publications, version, func(named publication, version uint64) int {
 		return cmp.Compare(named.version, version)
 	})
 	if !known {
-		p.namings = slices.Insert(p.namings, index, naming{version: version, at: at})
+		p.publications = slices.Insert(p.publications, index, publication{version: version, at: at})
 		return
 	}
-	named := &p.namings[index]
+	named := &p.publications[index]
 	if named.assumed || at < named.at {
 		named.at, named.assumed = at, false
 	}
 }
 
-// Hold has the time of versions that aren't due yet begin anew: nobody could
+// ResetPending has the time of versions that aren't due yet begin anew: nobody could
 // have learnt of them, nor ordered them, while the store was out of everybody's
 // reach. A process that alone was out of reach learns better from the others.
-func (p *Pacer) Hold(now, age time.Duration) {
-	for index := range p.namings {
-		named := &p.namings[index]
+func (p *Pacer) ResetPending(now, age time.Duration) {
+	for index := range p.publications {
+		named := &p.publications[index]
 		if named.at+age > now {
 			named.at = max(named.at, now)
 		}
 	}
 }
 
-// Naming is a version and when it was named.
-type Naming struct {
+// Publication is a version and when it was named.
+type Publication struct {
 	Version uint64
 	At      time.Duration
 }
 
-// Heard returns the latest versions whose time of naming isn't assumed, at most
+// RecentPublications returns the latest versions whose time of naming isn't assumed, at most
 // limit of them.
-func (p *Pacer) Heard(limit int) []Naming {
-	var heard []Naming
-	for _, named := range p.namings[max(len(p.namings)-limit, 0):] {
+func (p *Pacer) RecentPublications(limit int) []Publication {
+	var heard []Publication
+	for _, named := range p.publications[max(len(p.publications)-limit, 0):] {
 		if !named.assumed {
-			heard = append(heard, Naming{Version: named.version, At: named.at})
+			heard = append(heard, Publication{Version: named.version, At: named.at})
 		}
 	}
 	return heard
@@ -215,16 +217,16 @@
 
 // Newest returns the newest named version, or 0.
 func (p *Pacer) Newest() uint64 {
-	if len(p.namings) == 0 {
+	if len(p.publications) == 0 {
 		return 0
 	}
-	return p.namings[len(p.namings)-1].version
+	return p.publications[len(p.publications)-1].version
 }
 
-// Due returns the newest version that was named at least age before now, or 0.
-func (p *Pacer) Due(now, age time.Duration) uint64 {
+// NewestDue returns the newest version that was named at least age before now, or 0.
+func (p *Pacer) NewestDue(now, age time.Duration) uint64 {
 	due := uint64(0)
-	for _, named := range p.namings {
+	for _, named := range p.publications {
 		if named.at+age <= now {
 			due = named.version
 		}
@@ -235,33 +237,33 @@
 // Loads that take so many times as long as the shortest one have slowed each other
 // down, or have not.
 const (
-	slowLoad  = 1.7
-	quickLoad = 1.3
+	slowLoadRatio = 1.7
+	fastLoadRatio = 1.3
 )
 
 // Factors by which the usual part changes after a load, and its least value.
 const (
-	fewerAtOnce = 0.93
-	moreAtOnce  = 1.03
-	leastUsual  = 0.02
-	// fullPart is the part of the usual number from which on loads show whether more
+	decreaseFactor   = 0.93
+	increaseFactor   = 1.03
+	minUsualFraction = 0.02
+	// saturatedFraction is the part of the usual number from which on loads show whether more
 	// could be at once.
-	fullPart = 0.8
+	saturatedFraction = 0.8
 )
 
-// Measured takes in how long a change of one engine took, and the load of weights
+// ObserveChange takes in how long a change of one engine took, and the load of weights
 // in it.
-func (p *Pacer) Measured(took, load time.Duration) {
+func (p *Pacer) ObserveChange(took, load time.Duration) {
 	const weight = 4
 	p.changeTime += (took - p.changeTime) / weight
 	if p.shortestLoad == 0 || load < p.shortestLoad {
 		p.shortestLoad = load
 	}
 	switch ratio := float64(load) / float64(max(p.shortestLoad, 1)); {
-	case ratio > slowLoad:
-		p.usual = max(p.usual*fewerAtOnce, leastUsual)
-	case ratio < quickLoad && p.full:
-		p.usual = min(p.usual*moreAtOnce, p.options.UsualPart)
+	case ratio > slowLoadRatio:
+		p.usualFraction = max(p.usualFraction*decreaseFactor, minUsualFraction)
+	case ratio < fastLoadRatio && p.saturated:
+		p.usualFraction = min(p.usualFraction*increaseFactor, p.options.UsualFraction)
 	}
 }
 
@@ -272,12 +274,12 @@
 	changing, trying := 0, 0
 	for _, engine := range engines {
 		switch {
-		case engine.Changing && engine.Doubtful:
+		case engine.Changing && engine.Unreachable:
 			trying++
 		case engine.Changing:
 			changing++
-		case engine.Version >= p.Newest() || now < p.firstAfter(engine.Version):
-		case engine.Doubtful:
+		case engine.Version >= p.Newest() || now < p.nextPublishedAt(engine.Version):
+		case engine.Unreachable:
 			doubtful = append(doubtful, engine)
 		default:
 			waiting = append(waiting, engine)
@@ -285,28 +287,28 @@
 	}
 	sortByDue(waiting)
 	sortByDue(doubtful)
-	p.full = float64(changing) >= fullPart*p.usual*float64(len(engines))
-	parallel, urgent := p.parallel(now, waiting, changing, len(engines))
-	room := min(parallel-changing, p.spread(now, parallel))
-	chosen := first(waiting, max(room, min(urgent, parallel-changing)))
+	p.saturated = float64(changing) >= saturatedFraction*p.usualFraction*float64(len(engines))
+	parallel, urgent := p.requiredParallel(now, waiting, changing, len(engines))
+	room := min(parallel-changing, p.startAllowance(now, parallel))
+	chosen := firstEngines(waiting, max(room, min(urgent, parallel-changing)))
 	p.credit -= float64(len(chosen))
-	return append(chosen, first(doubtful, p.options.Doubtful-trying)...)
+	return append(chosen, firstEngines(doubtful, p.options.UnreachableParallel-trying)...)
 }
 
-// spread returns how many changes may begin now so that so many are under way at
+// startAllowance returns how many changes may begin now so that so many are under way at
 // a time, one after the other: engines that load at once slow each other down.
-func (p *Pacer) spread(now time.Duration, parallel int) int {
+func (p *Pacer) startAllowance(now time.Duration, parallel int) int {
 	rate := float64(parallel) / p.changeTime.Seconds()
-	p.credit = min(max(p.credit, 0)+(now-p.creditAt).Seconds()*rate, max(1, rate*spreadSlack.Seconds()))
+	p.credit = min(max(p.credit, 0)+(now-p.creditAt).Seconds()*rate, max(1, rate*maxCreditTime.Seconds()))
 	p.creditAt = now
 	return int(p.credit)
 }
 
-// spreadSlack is the time for which changes that could have begun are saved up.
-const spreadSlack = 200 * time.Millisecond
+// maxCreditTime is the time for which changes that could have begun are saved up.
+const maxCreditTime = 200 * time.Millisecond
 
-// first returns the identifiers of at most count engines.
-func first(engines []VersionedEngine, count int) []fleet.EngineID {
+// firstEngines returns the identifiers of at most count engines.
+func firstEngines(engines []VersionedEngine, count int) []fleet.EngineID {
 	var chosen []fleet.EngineID
 	for _, engine := range engines[:min(max(count, 0), len(engines))] {
 		chosen = append(chosen, engine.Engine)
@@ -321,11 +323,11 @@
 	})
 }
 
-// parallel returns how many engines are to change at once so that each of those
+// requiredParallel returns how many engines are to change at once so that each of those
 // that wait, in order of when they are due, has changed in time, and how many of
 // them must begin now for that.
-func (p *Pacer) parallel(now time.Duration, waiting []VersionedEngine, changing, count int) (needed, urgent int) {
-	needed = max(p.options.MinParallel, int(p.usual*float64(count)))
+func (p *Pacer) requiredParallel(now time.Duration, waiting []VersionedEngine, changing, count int) (needed, urgent int) {
+	needed = max(p.options.MinParallel, int(p.usualFraction*float64(count)))
 	overdue := 0
 	for position, engine := range waiting {
 		left := p.dueAt(engine.Version) - p.options.Reserve - now
@@ -341,18 +343,18 @@
 		work := time.Duration(2*(position+1)+changing) * p.changeTime / 2
 		needed = max(needed, int((work+left-1)/left))
 	}
-	most := max(int(p.options.MaxPart*float64(count)), p.options.MinParallel)
+	most := max(int(p.options.MaxFraction*float64(count)), p.options.MinParallel)
 	return max(min(needed, most), changing+overdue), urgent
 }
 
 // dueAt returns when an engine with a version gets no more requests.
 func (p *Pacer) dueAt(version uint64) time.Duration {
-	return p.firstAfter(version) + p.options.Within
+	return p.nextPublishedAt(version) + p.options.Within
 }
 
-// firstAfter returns when the first version newer than the given one was named.
-func (p *Pacer) firstAfter(version uint64) time.Duration {
-	for _, named := range p.namings {
+// nextPublishedAt returns when the first version newer than the given one was named.
+func (p *Pacer) nextPublishedAt(version uint64) time.Duration {
+	for _, named := range p.publications {
 		if named.version > version {
 			return named.at
 		}
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -42,7 +42,7 @@
 		engine := &p.engines[index]
 		if engine.Changing && now >= p.began[engine.Engine]+p.loadTime {
 			engine.Changing, engine.Version = false, p.to[engine.Engine]
-			p.pacer.Measured(p.loadTime, p.loadTime)
+			p.pacer.ObserveChange(p.loadTime, p.loadTime)
 		}
 	}
 	for _, id := range p.pacer.Next(now, p.engines) {
@@ -73,7 +73,7 @@
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
 			if now%(2*time.Second) == 0 && now < 20*time.Second {
 				version := uint64(now/(2*time.Second)) + 2
-				require.True(t, p.pacer.Name(now, version))
+				require.True(t, p.pacer.Publish(now, version))
 				named[version] = now
 			}
 			p.step(now)
@@ -111,12 +111,12 @@
 		}
 		return most
 	}
-	p.pacer.Name(0, 2)
+	p.pacer.Publish(0, 2)
 	assert.Equal(t, 12, atOnce(0, 2*time.Second), "a fifth")
 	atOnce(2*time.Second, 28*time.Second)
-	p.pacer.Name(30*time.Second, 3)
+	p.pacer.Publish(30*time.Second, 3)
 	atOnce(30*time.Second, 45*time.Second)
-	p.pacer.Name(60*time.Second, 4)
+	p.pacer.Publish(60*time.Second, 4)
 	most := atOnce(60*time.Second, 85*time.Second)
 	assert.LessOrEqual(t, most, 10, "it has seen how long a load takes beside few others")
 	assert.GreaterOrEqual(t, most, unslowed-1)
@@ -127,7 +127,7 @@
 func TestChangesAreSpreadOverTheTimeUntilTheyAreDue(t *testing.T) {
 	for count, most := range map[int]int{12: 4, 90: 20} {
 		p := newPaced(count)
-		p.pacer.Name(0, 2)
+		p.pacer.Publish(0, 2)
 		for now := time.Duration(0); now < testWithin; now += 100 * time.Millisecond {
 			p.step(now)
 			changing := 0
@@ -145,7 +145,7 @@
 // TestOverdueEnginesChangeAtOnce: they get no requests either way.
 func TestOverdueEnginesChangeAtOnce(t *testing.T) {
 	p := newPaced(12)
-	p.pacer.Assume(-time.Minute, 2)
+	p.pacer.PublishAssumed(-time.Minute, 2)
 	p.step(0)
 	assert.Equal(t, 12, p.loads, "they aren't spread either")
 }
@@ -153,7 +153,7 @@
 // TestChangesBeginOneAfterTheOther counts those that begin within a short time.
 func TestChangesBeginOneAfterTheOther(t *testing.T) {
 	p := newPaced(12)
-	p.pacer.Name(0, 2)
+	p.pacer.Publish(0, 2)
 	for now := time.Duration(0); now < 4*time.Second; now += 100 * time.Millisecond {
 		before := p.loads
 		p.step(now)
@@ -166,10 +166,10 @@
 func TestEngineThatFailedIsTriedLast(t *testing.T) {
 	p := newPaced(4)
 	for index := range p.engines {
-		p.engines[index].Doubtful = true
+		p.engines[index].Unreachable = true
 		p.engines[index].Failures = 3 - index
 	}
-	p.pacer.Name(0, 2)
+	p.pacer.Publish(0, 2)
 	assert.Equal(t, []fleet.EngineID{"e03", "e02"}, p.pacer.Next(0, p.engines))
 }
 
@@ -177,16 +177,16 @@
 func TestDoubtfulEnginesTakeNoRoom(t *testing.T) {
 	p := newPaced(30)
 	for index := range 10 {
-		p.engines[index].Doubtful = true
+		p.engines[index].Unreachable = true
 	}
-	p.pacer.Name(0, 2)
+	p.pacer.Publish(0, 2)
 	tried := 0
 	for _, id := range p.pacer.Next(0, p.engines) {
 		if id < "e10" {
 			tried++
 		}
 	}
-	assert.Equal(t, DefaultDoubtful, tried)
+	assert.Equal(t, DefaultUnreachableParallel, tried)
 	p.engines[0].Changing, p.engines[1].Changing = true, true
 	for _, id := range p.pacer.Next(time.Second, p.engines) {
 		assert.GreaterOrEqual(t, string(id), "e10")
@@ -195,33 +195,33 @@
 
 func TestNamingIsLearntFromWhoeverHeardOfItAtOnce(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
-	require.True(t, pacer.Assume(5*time.Second, 4))
-	pacer.Learn(8*time.Second, 4)
-	pacer.Learn(2*time.Second, 3)
-	assert.EqualValues(t, 0, pacer.Due(8*time.Second, testWithin))
-	assert.EqualValues(t, 3, pacer.Due(9*time.Second, testWithin), "a version named before this process started is due")
-	assert.EqualValues(t, 3, pacer.Due(14*time.Second, testWithin), "the assumed time gave way")
-	assert.EqualValues(t, 4, pacer.Due(15*time.Second, testWithin))
-	assert.Equal(t, []Naming{{Version: 3, At: 2 * time.Second}, {Version: 4, At: 8 * time.Second}}, pacer.Heard(4))
-	pacer.Learn(9*time.Second, 4)
-	assert.EqualValues(t, 4, pacer.Due(15*time.Second, testWithin), "a later word changes nothing")
+	require.True(t, pacer.PublishAssumed(5*time.Second, 4))
+	pacer.LearnPublication(8*time.Second, 4)
+	pacer.LearnPublication(2*time.Second, 3)
+	assert.EqualValues(t, 0, pacer.NewestDue(8*time.Second, testWithin))
+	assert.EqualValues(t, 3, pacer.NewestDue(9*time.Second, testWithin), "a version named before this process started is due")
+	assert.EqualValues(t, 3, pacer.NewestDue(14*time.Second, testWithin), "the assumed time gave way")
+	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin))
+	assert.Equal(t, []Publication{{Version: 3, At: 2 * time.Second}, {Version: 4, At: 8 * time.Second}}, pacer.RecentPublications(4))
+	pacer.LearnPublication(9*time.Second, 4)
+	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin), "a later word changes nothing")
 }
 
 func TestAssumedNamingIsNotTold(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
-	pacer.Assume(0, 2)
-	assert.Empty(t, pacer.Heard(4))
-	assert.False(t, pacer.Name(0, 2), "it is known already")
+	pacer.PublishAssumed(0, 2)
+	assert.Empty(t, pacer.RecentPublications(4))
+	assert.False(t, pacer.Publish(0, 2), "it is known already")
 }
 
 func TestHoldDelaysOnlyVersionsThatAreNotDue(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
-	pacer.Name(0, 2)
-	pacer.Name(5*time.Second, 3)
-	pacer.Hold(8*time.Second, testWithin)
-	assert.EqualValues(t, 2, pacer.Due(8*time.Second, testWithin), "what is due stays due")
-	assert.EqualValues(t, 2, pacer.Due(14*time.Second, testWithin))
-	assert.EqualValues(t, 3, pacer.Due(15*time.Second, testWithin))
-	pacer.Learn(6*time.Second, 3)
-	assert.EqualValues(t, 3, pacer.Due(13*time.Second, testWithin), "another process was in reach")
+	pacer.Publish(0, 2)
+	pacer.Publish(5*time.Second, 3)
+	pacer.ResetPending(8*time.Second, testWithin)
+	assert.EqualValues(t, 2, pacer.NewestDue(8*time.Second, testWithin), "what is due stays due")
+	assert.EqualValues(t, 2, pacer.NewestDue(14*time.Second, testWithin))
+	assert.EqualValues(t, 3, pacer.NewestDue(15*time.Second, testWithin))
+	pacer.LearnPublication(6*time.Second, 3)
+	assert.EqualValues(t, 3, pacer.NewestDue(13*time.Second, testWithin), "another process was in reach")
 }
--- a/internal/rollout/weights.go
+++ b/internal/rollout/weights.go
@@ -8,17 +8,17 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// weightsState is the configuration's word about one set of weights.
-type weightsState struct {
-	weights engine.Weights
+// configuredVersion is the configuration's word about one set of weights.
+type configuredVersion struct {
+	version engine.Weights
 	pool    fleet.PoolName
 	state   config.VersionState
 }
 
-// listWeights returns every version of every model and adapter, in the
+// listVersions returns every version of every model and adapter, in the
 // document's order.
-func listWeights(document *config.Document) []weightsState {
-	var all []weightsState
+func listVersions(document *config.Document) []configuredVersion {
+	var all []configuredVersion
 	for _, model := range document.Models {
 		all = appendVersions(all, model, "", model.Versions)
 		for _, adapter := range model.Adapters {
@@ -28,10 +28,10 @@
 	return all
 }
 
-func appendVersions(all []weightsState, model config.Model, adapter fleet.AdapterName, versions []config.Version) []weightsState {
+func appendVersions(all []configuredVersion, model config.Model, adapter fleet.AdapterName, versions []config.Version) []configuredVersion {
 	for _, version := range versions {
 		weights := engine.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
-		all = append(all, weightsState{weights: weights, pool: model.Pool, state: version.State})
+		all = append(all, configuredVersion{version: weights, pool: model.Pool, state: version.State})
 	}
 	return all
 }
@@ -39,14 +39,14 @@
 // catalogue sorts the configuration's weights by what engines should do with
 // them.
 type catalogue struct {
-	serving []weightsState
-	loading []weightsState
-	retired []weightsState
+	serving []configuredVersion
+	loading []configuredVersion
+	retired []configuredVersion
 }
 
 func newCatalogue(document *config.Document) catalogue {
 	var sorted catalogue
-	for _, candidate := range listWeights(document) {
+	for _, candidate := range listVersions(document) {
 		switch candidate.state {
 		case config.VersionServing:
 			sorted.serving = append(sorted.serving, candidate)
@@ -61,11 +61,11 @@
 
 // needed returns what engines should hold: what serves goes before what is
 // being brought in, because an engine without it can't work.
-func (c catalogue) needed() []weightsState { return slices.Concat(c.serving, c.loading) }
+func (c catalogue) needed() []configuredVersion { return slices.Concat(c.serving, c.loading) }
 
-// inPool keeps the weights that one pool should hold.
-func inPool(all []weightsState, pool fleet.PoolName) []weightsState {
-	var kept []weightsState
+// versionsInPool keeps the weights that one pool should hold.
+func versionsInPool(all []configuredVersion, pool fleet.PoolName) []configuredVersion {
+	var kept []configuredVersion
 	for _, candidate := range all {
 		if candidate.pool == pool {
 			kept = append(kept, candidate)
@@ -74,8 +74,8 @@
 	return kept
 }
 
-// sameVariant tells whether two sets of weights are versions of one model or
+// isSameVariant tells whether two sets of weights are versions of one model or
 // of one adapter.
-func sameVariant(a, b engine.Weights) bool {
+func isSameVariant(a, b engine.Weights) bool {
 	return a.Model == b.Model && a.Adapter == b.Adapter
 }
