--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -11,21 +11,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-var errStore = errors.New("store is down")
+var errStoreDown = errors.New("store is down")
 
 func newTestDirector() *Director {
 	return NewDirector(Options{Self: "node-0", ExposureShare: 0.1, ExposureSlack: 50, RollbackWithin: 5 * time.Second})
 }
 
-func directing(t *testing.T) *Director {
+func newTestDelivery(t *testing.T) *Director {
 	t.Helper()
 	director := newTestDirector()
 	require.NoError(t, director.SetOrder(0, 0, testOrder()))
 	return director
 }
 
-// observe returns n workers of each version with 12 slots.
-func observe(old, target int) Observation {
+// testObservation returns n workers of each version with 12 slots.
+func testObservation(old, target int) Observation {
 	observation := Observation{Service: simService, Configured: true}
 	for index := range old {
 		observation.Workers = append(observation.Workers, Worker{ID: fleet.EngineID(fmt.Sprint("old-", index)), Version: simOld, Slots: 12, InFlight: 1})
@@ -36,8 +36,8 @@
 	return observation
 }
 
-// evidenceOf returns cumulative evidence of one route with two canaries.
-func evidenceOf(old, target, bad uint64) Evidence {
+// testEvidence returns cumulative evidence of one route with two canaries.
+func testEvidence(old, target, bad uint64) Evidence {
 	return Evidence{
 		Service: simService, Revision: 7,
 		Old: map[RouteName]*Counts{testRoute: {Answers: old}},
@@ -48,24 +48,24 @@
 	}
 }
 
-// condemn makes a director decide against the target.
-func condemn(t *testing.T, director *Director) *Record {
+// rejectTarget makes a director decide against the target.
+func rejectTarget(t *testing.T, director *Director) *Record {
 	t.Helper()
-	director.Observe(time.Second, "node-1", evidenceOf(1000, 40, 40))
-	step := director.Evaluate(time.Second, observe(4, 4))
+	director.Observe(time.Second, "node-1", testEvidence(1000, 40, 40))
+	step := director.Evaluate(time.Second, testObservation(4, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	return step.Write
 }
 
-func TestOrderThatIsInvalidIsRefused(t *testing.T) {
-	director := directing(t)
+func TestInvalidOrderIsRejected(t *testing.T) {
+	director := newTestDelivery(t)
 	require.Error(t, director.SetOrder(0, 0, Order{Service: simService, Target: "x", Revision: 9}))
-	require.Equal(t, simNew, director.Evaluate(0, observe(2, 2)).Directive.Target, "the former order holds")
+	require.Equal(t, simNew, director.Evaluate(0, testObservation(2, 2)).Directive.Target, "the former order holds")
 }
 
-func TestOrderForAnUnknownServiceIsToldOnce(t *testing.T) {
-	director := directing(t)
+func TestUnknownServiceIsReportedOnce(t *testing.T) {
+	director := newTestDelivery(t)
 	unknown := Observation{Service: simService}
 	step := director.Evaluate(0, unknown)
 	require.Equal(t, EventRefused, step.Event.Name)
@@ -76,96 +76,96 @@
 	require.Equal(t, Decision{}, director.Evaluate(0, Observation{Service: "other", Configured: true}))
 }
 
-func TestBeginIsRecordedBeforeAnythingElse(t *testing.T) {
+func TestStartIsRecordedOnceAndRetried(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(0, nil, time.Minute)
 	require.NoError(t, director.SetOrder(time.Second, 0, testOrder()))
-	step := director.Evaluate(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, testObservation(4, 4))
 	require.Equal(t, EventStarted, step.Event.Name)
 	require.Equal(t, Record{Order: testOrder(), StartedAt: -time.Minute, Stage: StageCanary}, *step.Write)
-	require.Nil(t, director.Evaluate(time.Second, observe(4, 4)).Write, "one write at a time")
-	director.HandleWriteResult(time.Second, simService, *step.Write, nil, errStore)
-	require.Nil(t, director.Evaluate(time.Second, observe(4, 4)).Write)
-	require.NotNil(t, director.Evaluate(time.Second+writeRetryInterval, observe(4, 4)).Write)
+	require.Nil(t, director.Evaluate(time.Second, testObservation(4, 4)).Write, "one write at a time")
+	director.HandleWriteResult(time.Second, simService, *step.Write, nil, errStoreDown)
+	require.Nil(t, director.Evaluate(time.Second, testObservation(4, 4)).Write)
+	require.NotNil(t, director.Evaluate(time.Second+writeRetryInterval, testObservation(4, 4)).Write)
 	director.HandleWriteResult(time.Second, simService, *step.Write, nil, nil)
-	require.Nil(t, director.Evaluate(time.Minute, observe(4, 4)).Write)
+	require.Nil(t, director.Evaluate(time.Minute, testObservation(4, 4)).Write)
 }
 
-func TestVerdictStopsTheShareBeforeItIsWritten(t *testing.T) {
-	director := directing(t)
-	director.Evaluate(0, observe(4, 4))
-	write := condemn(t, director)
+func TestVerdictStopsCanaryTrafficBeforeItIsStored(t *testing.T) {
+	director := newTestDelivery(t)
+	director.Evaluate(0, testObservation(4, 4))
+	write := rejectTarget(t, director)
 	require.Contains(t, write.Rejected, simNew)
-	directive := director.Evaluate(1100*time.Millisecond, observe(4, 4)).Directive
+	directive := director.Evaluate(1100*time.Millisecond, testObservation(4, 4)).Directive
 	require.Equal(t, StageCanary, directive.Stage)
 	require.Zero(t, directive.DefaultShare)
 	require.Empty(t, directive.Shares)
 	director.HandleWriteResult(2*time.Second, simService, *write, nil, nil)
-	step := director.Evaluate(3*time.Second, observe(4, 4))
+	step := director.Evaluate(3*time.Second, testObservation(4, 4))
 	require.Equal(t, StageRolledBack, step.Directive.Stage)
 	require.Equal(t, 2*time.Second, step.Directive.IssuedAt)
 	require.Equal(t, EventRolledBack, step.Event.Name)
 	require.Equal(t, ReasonBadAnswers, step.Event.Reason)
-	require.Empty(t, director.Evaluate(3*time.Second, observe(4, 4)).Event.Name)
+	require.Empty(t, director.Evaluate(3*time.Second, testObservation(4, 4)).Event.Name)
 }
 
-func TestFinalRecordFoundStands(t *testing.T) {
-	director := directing(t)
-	write := condemn(t, director)
+func TestStoredFinalRecordWins(t *testing.T) {
+	director := newTestDelivery(t)
+	write := rejectTarget(t, director)
 	found := Record{Order: testOrder(), Stage: StageCompleted}
-	director.HandleWriteResult(time.Second, simService, *write, &found, errStore)
-	require.Equal(t, StageCompleted, director.Evaluate(time.Second, observe(4, 4)).Directive.Stage)
+	director.HandleWriteResult(time.Second, simService, *write, &found, errStoreDown)
+	require.Equal(t, StageCompleted, director.Evaluate(time.Second, testObservation(4, 4)).Directive.Stage)
 	director.HandleWriteResult(time.Second, simService, *write, nil, nil)
-	require.Equal(t, StageCompleted, director.Evaluate(time.Second, observe(4, 4)).Directive.Stage, "a late answer changes nothing")
+	require.Equal(t, StageCompleted, director.Evaluate(time.Second, testObservation(4, 4)).Directive.Stage, "a late answer changes nothing")
 }
 
-func TestRunningRecordFoundGivesTheStart(t *testing.T) {
+func TestStoredRunningRecordSetsTheStartTime(t *testing.T) {
 	director := newTestDirector()
 	require.NoError(t, director.SetOrder(5*time.Second, 5*time.Second, testOrder()))
-	write := director.Evaluate(5*time.Second, observe(4, 4)).Write
+	write := director.Evaluate(5*time.Second, testObservation(4, 4)).Write
 	director.HandleWriteResult(5*time.Second, simService, *write, &Record{Order: testOrder(), StartedAt: 3 * time.Second, Stage: StageCanary}, nil)
 	event := director.services[simService].newEvent(5*time.Second, "", "")
 	require.Equal(t, 2*time.Second, event.Elapsed)
 	require.Equal(t, 10*time.Second, event.Remaining)
 }
 
-func TestNewerRecordFoundReplacesTheOrder(t *testing.T) {
-	director := directing(t)
-	write := director.Evaluate(0, observe(4, 4)).Write
+func TestStoredNewerRecordReplacesTheOrder(t *testing.T) {
+	director := newTestDelivery(t)
+	write := director.Evaluate(0, testObservation(4, 4)).Write
 	newer := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
-	director.HandleWriteResult(0, simService, *write, &Record{Order: newer, Stage: StageCanary, Rejected: []fleet.SoftwareVersion{simNew}}, errStore)
-	directive := director.Evaluate(0, observe(4, 4)).Directive
+	director.HandleWriteResult(0, simService, *write, &Record{Order: newer, Stage: StageCanary, Rejected: []fleet.SoftwareVersion{simNew}}, errStoreDown)
+	directive := director.Evaluate(0, testObservation(4, 4)).Directive
 	require.EqualValues(t, "third", directive.Target)
 	require.Contains(t, directive.Rejected, simNew)
 }
 
 // The order before may have been completed by another director: then its target is the
 // old side, and not condemned.
-func TestOlderCompletionFoundFreesItsTarget(t *testing.T) {
-	director := directing(t)
+func TestStoredOlderCompletionUnrejectsItsTarget(t *testing.T) {
+	director := newTestDelivery(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Second, time.Second, next))
-	step := director.Evaluate(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, testObservation(4, 4))
 	require.Contains(t, step.Directive.Rejected, simNew)
 	found := Record{Order: testOrder(), Stage: StageCompleted, Rejected: []fleet.SoftwareVersion{"zero"}}
-	director.HandleWriteResult(time.Second, simService, *step.Write, &found, errStore)
-	directive := director.Evaluate(time.Second, observe(4, 4)).Directive
+	director.HandleWriteResult(time.Second, simService, *step.Write, &found, errStoreDown)
+	directive := director.Evaluate(time.Second, testObservation(4, 4)).Directive
 	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Rejected)
 }
 
 func TestRestore(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageCompleted}}, 0)
-	directive := director.Evaluate(time.Hour, observe(0, 4)).Directive
+	directive := director.Evaluate(time.Hour, testObservation(0, 4)).Directive
 	require.Equal(t, StageCompleted, directive.Stage)
 	require.Equal(t, 12*time.Second, directive.IssuedAt, "it isn't news")
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, testOrder()))
-	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, observe(0, 4)).Directive.Stage, "the same order again")
+	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, testObservation(0, 4)).Directive.Stage, "the same order again")
 	// A newer order is kept over an older record.
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, next))
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageRolledBack}}, 0)
-	directive = director.Evaluate(time.Hour, observe(4, 4)).Directive
+	directive = director.Evaluate(time.Hour, testObservation(4, 4)).Directive
 	require.EqualValues(t, "third", directive.Target)
 	require.Contains(t, directive.Rejected, simNew)
 }
@@ -174,38 +174,38 @@
 	first := newTestDirector()
 	first.Restore(0, nil, time.Second)
 	require.NoError(t, first.SetOrder(2*time.Second, 2*time.Second, testOrder()))
-	before := first.Evaluate(2*time.Second, observe(4, 4)).Directive.Sequence
+	before := first.Evaluate(2*time.Second, testObservation(4, 4)).Directive.Sequence
 	second := newTestDirector()
 	// The second node's clock is far behind the first one's.
 	second.Restore(0, []Record{{Order: testOrder(), StartedAt: time.Second, Stage: StageCanary}}, -9*time.Second)
-	require.Greater(t, second.Evaluate(0, observe(4, 4)).Directive.Sequence, before)
+	require.Greater(t, second.Evaluate(0, testObservation(4, 4)).Directive.Sequence, before)
 }
 
-func TestCondemnedTargetIsRolledBackAtOnce(t *testing.T) {
+func TestRejectedTargetIsRolledBackAtOnce(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(0, []Record{{Order: testOrder(), Stage: StageRolledBack, Rejected: []fleet.SoftwareVersion{simNew}}}, 0)
 	again := testOrder()
 	again.Revision = 8
 	require.NoError(t, director.SetOrder(time.Second, time.Second, again))
-	step := director.Evaluate(time.Second, observe(4, 4))
+	step := director.Evaluate(time.Second, testObservation(4, 4))
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	require.Equal(t, ReasonPreviouslyRejected, step.Write.Reason)
 	require.Zero(t, step.Directive.DefaultShare)
 }
 
 // Without an old side there is nothing to compare with and nowhere else to go.
-func TestOnlyTheTargetIsListed(t *testing.T) {
-	director := directing(t)
+func TestDeliveryCompletesWithoutOldWorkers(t *testing.T) {
+	director := newTestDelivery(t)
 	begin := time.Second
-	require.Equal(t, StageCanary, director.Evaluate(begin, observe(0, 4)).Write.Stage)
-	require.Nil(t, director.Evaluate(begin+targetOnlyDelay-1, observe(0, 4)).Write)
-	step := director.Evaluate(begin+targetOnlyDelay, observe(0, 4))
+	require.Equal(t, StageCanary, director.Evaluate(begin, testObservation(0, 4)).Write.Stage)
+	require.Nil(t, director.Evaluate(begin+targetOnlyDelay-1, testObservation(0, 4)).Write)
+	step := director.Evaluate(begin+targetOnlyDelay, testObservation(0, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageCompleted, step.Write.Stage)
 	require.Equal(t, ReasonNoOldWorkers, step.Write.Reason)
 }
 
-func TestSilentNodesDecideNothing(t *testing.T) {
+func TestSilentNodesAreDetected(t *testing.T) {
 	meter := newMeter(0)
 	require.True(t, meter.isSilent(0))
 	judge := newJudge()
@@ -240,7 +240,7 @@
 	for node := range 20 {
 		director.Observe(0, fleet.NodeID(fmt.Sprint(node)), benchmarkEvidence(10))
 	}
-	observation := observe(60, 60)
+	observation := testObservation(60, 60)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for b.Loop() {
@@ -301,14 +301,14 @@
 
 // A director that was frozen in a shift and hears at once what nodes told before decides
 // nothing by it: everything has gone back to the old side by then.
-func TestPausedDirectorTakesTheShiftBack(t *testing.T) {
-	director := directing(t)
+func TestPausedDirectorRevokesTheShift(t *testing.T) {
+	director := newTestDelivery(t)
 	now := time.Duration(0)
 	answers := uint64(0)
 	look := func() Decision {
 		answers += 10
-		director.Observe(now, "node-1", evidenceOf(10*answers, answers, 0))
-		return director.Evaluate(now, observe(4, 4))
+		director.Observe(now, "node-1", testEvidence(10*answers, answers, 0))
+		return director.Evaluate(now, testObservation(4, 4))
 	}
 	for ; now < 11700*time.Millisecond; now += EvaluationInterval {
 		look()
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -39,31 +39,31 @@
 	18700 * time.Millisecond, 19 * time.Second, 19800 * time.Millisecond, 20 * time.Second,
 }
 
-// requireKept checks what holds of every delivery, whatever fails.
-func requireKept(t *testing.T, run *simulation) {
+// requireInvariants checks what holds of every delivery, whatever fails.
+func requireInvariants(t *testing.T, run *simulation) {
 	t.Helper()
-	require.Empty(t, run.broken)
+	require.Empty(t, run.errors)
 	if run.bad == nil {
 		return
 	}
-	require.LessOrEqual(t, run.exposed(), 0.0)
+	require.LessOrEqual(t, run.excessExposure(), 0.0)
 	if run.stage() == StageRolledBack {
-		require.LessOrEqual(t, run.sentAfter(50), 5*time.Second)
+		require.LessOrEqual(t, run.exposedAfterBad(50), 5*time.Second)
 	}
 }
 
-// at calls a fault at a time.
-func at(faults map[time.Duration]func(*simulation), from time.Duration, fault func(*simulation)) {
+// addFault calls a fault addFault a time.
+func addFault(faults map[time.Duration]func(*simulation), from time.Duration, fault func(*simulation)) {
 	faults[from] = fault
 }
 
-// TestDirectorIsLostInEachStage kills, freezes or cuts off the director: another goes on,
+// TestDirectorFailsInEachStage kills, freezes or cuts off the director: another goes on,
 // a good version is completed and a bad one is rolled back, late if need be.
-func TestDirectorIsLostInEachStage(t *testing.T) {
+func TestDirectorFailsInEachStage(t *testing.T) {
 	for name, lose := range map[string]func(*simNode, bool){
 		"killed": func(node *simNode, _ bool) { node.dead = true },
 		"frozen": func(node *simNode, on bool) { node.frozen = on },
-		"cut":    func(node *simNode, on bool) { node.cut = on },
+		"cut":    func(node *simNode, on bool) { node.partitioned = on },
 	} {
 		for _, from := range stageTimes {
 			for _, bad := range []time.Duration{-1, 0, from} {
@@ -73,10 +73,10 @@
 						played.bad = badFrom(bad)
 					}
 					played.faults = map[time.Duration]func(*simulation){}
-					at(played.faults, from, func(run *simulation) { lose(run.fleet[0], true) })
-					at(played.faults, from+3*time.Second, func(run *simulation) { lose(run.fleet[0], false) })
+					addFault(played.faults, from, func(run *simulation) { lose(run.fleet[0], true) })
+					addFault(played.faults, from+3*time.Second, func(run *simulation) { lose(run.fleet[0], false) })
 					run := newSimulation(played).run(25 * time.Second)
-					requireKept(t, run)
+					requireInvariants(t, run)
 					requireDecided(t, run, bad)
 				})
 			}
@@ -95,10 +95,10 @@
 						played.bad = badFrom(bad)
 					}
 					played.faults = map[time.Duration]func(*simulation){}
-					at(played.faults, from, func(run *simulation) { run.storeDown, run.downSince = true, run.now })
-					at(played.faults, from+lasts, func(run *simulation) { run.storeDown = false })
+					addFault(played.faults, from, func(run *simulation) { run.storeDown, run.downSince = true, run.now })
+					addFault(played.faults, from+lasts, func(run *simulation) { run.storeDown = false })
 					run := newSimulation(played).run(25 * time.Second)
-					requireKept(t, run)
+					requireInvariants(t, run)
 					requireDecided(t, run, bad)
 				})
 			}
@@ -120,48 +120,48 @@
 	}
 }
 
-// TestAnswersOfWritesAreLost takes over what is found in the store.
-func TestAnswersOfWritesAreLost(t *testing.T) {
+// TestWriteAcknowledgementsAreLost takes over what is found in the store.
+func TestWriteAcknowledgementsAreLost(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0} {
 		played := standardScenario(3)
 		if bad >= 0 {
 			played.bad = badFrom(bad)
 		}
 		run := newSimulation(played)
-		run.loseAnswers = true
+		run.loseWriteAcks = true
 		run.run(5 * time.Second)
-		requireKept(t, run)
+		requireInvariants(t, run)
 		requireDecided(t, run, bad)
 		require.True(t, run.leader.director.services[simService].stage.IsFinal())
 	}
 }
 
-// TestNodesThatHearNothing cuts, freezes, restarts and adds nodes while a version goes bad:
+// TestIsolatedNodesStopSendingToABadVersion cuts, freezes, restarts and adds nodes while a version goes bad:
 // none of them sends to it for long, although they see little of it by themselves.
-func TestNodesThatHearNothing(t *testing.T) {
+func TestIsolatedNodesStopSendingToABadVersion(t *testing.T) {
 	for _, from := range stageTimes {
 		t.Run(from.String(), func(t *testing.T) {
 			played := standardScenario(4)
 			played.bad = badFrom(from)
 			played.faults = map[time.Duration]func(*simulation){}
-			at(played.faults, from, func(run *simulation) {
-				run.fleet[3].cut = true
-				run.fleet[4].cut = true
+			addFault(played.faults, from, func(run *simulation) {
+				run.fleet[3].partitioned = true
+				run.fleet[4].partitioned = true
 				run.fleet[5].frozen = true
 				run.fleet[6] = run.newNode(6)
 				run.fleet = append(run.fleet, run.newNode(len(run.fleet)))
 			})
-			at(played.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
+			addFault(played.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
 			run := newSimulation(played).run(10 * time.Second)
-			requireKept(t, run)
+			requireInvariants(t, run)
 			requireDecided(t, run, from)
 		})
 	}
 }
 
-// TestTwoDirectorsBelieve lets two nodes direct at once: a final state never changes, and
+// TestTwoConcurrentDirectors lets two nodes direct at once: a final state never changes, and
 // the exposure is that of one.
-func TestTwoDirectorsBelieve(t *testing.T) {
+func TestTwoConcurrentDirectors(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0, 18 * time.Second} {
 		played := standardScenario(5)
 		if bad >= 0 {
@@ -170,9 +170,9 @@
 		played.faults = map[time.Duration]func(*simulation){}
 		var finals []Record
 		for from := time.Second; from < 24*time.Second; from += 500 * time.Millisecond {
-			at(played.faults, from, func(run *simulation) {
+			addFault(played.faults, from, func(run *simulation) {
 				if run.fleet[1].director == nil {
-					run.lead(run.fleet[1])
+					run.makeLeader(run.fleet[1])
 				}
 				run.leader = run.fleet[int(run.now/(500*time.Millisecond))%2]
 				if run.stage().IsFinal() {
@@ -181,7 +181,7 @@
 			})
 		}
 		run := newSimulation(played).run(5 * time.Second)
-		requireKept(t, run)
+		requireInvariants(t, run)
 		requireDecided(t, run, bad)
 		for _, final := range finals {
 			require.Equal(t, finals[0].Stage, final.Stage)
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestTargetThatNeverComes is rolled back at the deadline.
-func TestTargetThatNeverComes(t *testing.T) {
+// TestMissingTargetIsRolledBack is rolled back at the deadline.
+func TestMissingTargetIsRolledBack(t *testing.T) {
 	played := standardScenario(6)
 	played.absent = func(time.Duration) bool { return true }
 	run := newSimulation(played).run(time.Second)
@@ -199,8 +199,8 @@
 	require.Less(t, run.finalAt, played.duration)
 }
 
-// TestTargetLeavesMidway is rolled back if it doesn't return, and goes on if it does.
-func TestTargetLeavesMidway(t *testing.T) {
+// TestTargetDisappearsMidway is rolled back if it doesn't return, and goes on if it does.
+func TestTargetDisappearsMidway(t *testing.T) {
 	for _, from := range []time.Duration{5 * time.Second, 18800 * time.Millisecond, 19200 * time.Millisecond} {
 		played := standardScenario(7)
 		played.absent = func(at time.Duration) bool { return at >= from }
@@ -226,7 +226,7 @@
 	require.Equal(t, StageRolledBack, run.record.Stage)
 	require.Equal(t, ReasonNoWorkers, run.record.Reason)
 	require.Contains(t, run.record.Rejected, simNew)
-	require.Less(t, run.lastSent, 8*time.Second+DirectiveLifetime)
+	require.Less(t, run.lastTargetRequest, 8*time.Second+DirectiveLifetime)
 }
 
 // TestTargetIsListedBeforeItsOrderIsKnown: nodes that read the order late send nothing to
@@ -237,9 +237,9 @@
 	played.orderDelay = 2 * time.Second
 	played.bad = badFrom(0)
 	run := newSimulation(played).run(5 * time.Second)
-	requireKept(t, run)
+	requireInvariants(t, run)
 	requireDecided(t, run, 0)
-	require.Less(t, run.target, 250.0)
+	require.Less(t, run.targetRequests, 250.0)
 }
 
 // TestServiceWithoutRequests is completed: nothing speaks against it.
@@ -251,8 +251,8 @@
 	require.Equal(t, ReasonOldWorkersIdle, run.record.Reason)
 }
 
-// TestDirectivesChangeSeldom: each change is pushed to all nodes.
-func TestDirectivesChangeSeldom(t *testing.T) {
+// TestDirectivesChangeRarely: each change is pushed to all nodes.
+func TestDirectivesChangeRarely(t *testing.T) {
 	played := standardScenario(11)
 	played.duration = 60 * time.Second
 	run := newSimulation(played)
@@ -260,7 +260,7 @@
 	before := uint64(0)
 	played.faults = map[time.Duration]func(*simulation){}
 	for from := time.Duration(0); from < played.duration; from += EvaluationInterval {
-		at(played.faults, from+simTick, func(run *simulation) {
+		addFault(played.faults, from+simTick, func(run *simulation) {
 			for _, directive := range run.leader.follower.Directives(run.now) {
 				if directive.Sequence != before {
 					changes++
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func follow(t *testing.T, directives ...Directive) *Follower {
+func newTestFollower(t *testing.T, directives ...Directive) *Follower {
 	t.Helper()
 	follower := NewFollower(Options{})
 	news, err := follower.SetOrder(0, testOrder())
@@ -36,14 +36,14 @@
 	return follower
 }
 
-// reaches tells what a request may reach, without fallbacks.
-func reaches(choice *Filter) (old, canary, other bool) {
+// reachable tells what a request may reach, without fallbacks.
+func reachable(choice *Filter) (old, canary, other bool) {
 	return choice.Allows("old-0", simOld), choice.Allows("new-0", simNew), choice.Allows("new-9", simNew)
 }
 
 func requireReaches(t *testing.T, choice *Filter, old, canary, other bool) {
 	t.Helper()
-	gotOld, gotCanary, gotOther := reaches(choice)
+	gotOld, gotCanary, gotOther := reachable(choice)
 	require.Equal(t, []bool{old, canary, other}, []bool{gotOld, gotCanary, gotOther})
 }
 
@@ -51,14 +51,14 @@
 	require.Nil(t, NewFollower(Options{}).Filter(0, simService, testRoute, 0, false))
 }
 
-func TestOrderWithoutDirectiveKeepsTheOldSide(t *testing.T) {
-	choice := follow(t).Filter(0, simService, testRoute, 0, false)
+func TestOrderWithoutDirectiveKeepsOldWorkers(t *testing.T) {
+	choice := newTestFollower(t).Filter(0, simService, testRoute, 0, false)
 	requireReaches(t, choice, true, false, false)
 	require.True(t, choice.Fallback().Allows("new-0", simNew), "if nobody else is listed")
 }
 
 func TestInvalidOrdersChangeNothing(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+	follower := newTestFollower(t, canaryDirective(0))
 	for _, order := range []Order{{}, {Service: simService, Revision: 9}, {Service: simService, Target: "x", Revision: 9}} {
 		_, err := follower.SetOrder(0, order)
 		require.Error(t, err)
@@ -70,7 +70,7 @@
 }
 
 func TestCanaryShare(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+	follower := newTestFollower(t, canaryDirective(0))
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, false), false, true, false)
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0.11, false), true, false, false)
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, true), true, false, false)
@@ -79,26 +79,26 @@
 	require.True(t, trial.Fallback().Allows("old-0", simOld))
 }
 
-func TestRouteShareGoesBeforeTheDefault(t *testing.T) {
+func TestRouteShareOverridesTheDefault(t *testing.T) {
 	directive := canaryDirective(0)
 	directive.Shares = map[RouteName]float64{testRoute: 0}
-	follower := follow(t, directive)
+	follower := newTestFollower(t, directive)
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	requireReaches(t, follower.Filter(0, simService, "b", 0, false), false, true, false)
 }
 
-func TestDirectiveLapses(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+func TestDirectiveExpires(t *testing.T) {
+	follower := newTestFollower(t, canaryDirective(0))
 	requireReaches(t, follower.Filter(DirectiveLifetime, simService, testRoute, 0, false), false, true, false)
 	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
 	require.Empty(t, follower.Directives(DirectiveLifetime+1), "a lapsed directive isn't passed on")
 	require.False(t, NewFollower(Options{}).ApplyDirective(DirectiveLifetime+1, canaryDirective(0)), "nor taken in")
 }
 
-func TestShiftBeginsByItself(t *testing.T) {
+func TestPlannedShiftStartsWithoutANewDirective(t *testing.T) {
 	directive := canaryDirective(0)
 	directive.ShiftAt = time.Second
-	follower := follow(t, directive)
+	follower := newTestFollower(t, directive)
 	requireReaches(t, follower.Filter(time.Second-1, simService, testRoute, 0.5, false), true, false, false)
 	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0.5, false), false, true, true)
 	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0.5, false), true, false, false)
@@ -108,7 +108,7 @@
 	newer := canaryDirective(0)
 	newer.Sequence = 5
 	newer.DefaultShare = 0
-	follower := follow(t, newer)
+	follower := newTestFollower(t, newer)
 	require.False(t, follower.ApplyDirective(time.Second, canaryDirective(time.Second)))
 	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 	before := canaryDirective(time.Second)
@@ -119,8 +119,8 @@
 	require.True(t, follower.ApplyDirective(3*time.Second, canaryDirective(3*time.Second)))
 }
 
-func TestRenewalProlongs(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+func TestRenewalExtendsADirective(t *testing.T) {
+	follower := newTestFollower(t, canaryDirective(0))
 	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "no change")
 	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// An older age of the same directive, by way of a slow relay, doesn't shorten it.
@@ -138,7 +138,7 @@
 		if stage == StageRolledBack {
 			final.Rejected = []fleet.SoftwareVersion{simNew}
 		}
-		follower := follow(t, final)
+		follower := newTestFollower(t, final)
 		other := canaryDirective(time.Second)
 		other.Sequence = 99
 		require.False(t, follower.ApplyDirective(time.Second, other))
@@ -153,18 +153,18 @@
 func TestCompletedTargetIsNotLeftWhenFull(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
-	follower := follow(t, final)
+	follower := newTestFollower(t, final)
 	choice := follower.Filter(time.Second, simService, testRoute, 0.9, false)
 	require.False(t, choice.PrefersTarget())
 	require.True(t, choice.Fallback().Allows("old-0", simOld), "if none of the target is listed")
 	require.Nil(t, follower.Filter(completedTargetOnly+1, simService, testRoute, 0.9, false), "later releases aren't limited")
 }
 
-func TestCondemnedVersionGetsNothingEver(t *testing.T) {
+func TestRejectedVersionNeverGetsRequests(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageRolledBack
 	final.Rejected = []fleet.SoftwareVersion{simNew}
-	follower := follow(t, final)
+	follower := newTestFollower(t, final)
 	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
 		require.False(t, choice.Allows("new-0", simNew))
 	}
@@ -179,7 +179,7 @@
 // The end of the first order may not be known here: its target is avoided, but used
 // if it was completed and nobody else is there.
 func TestSupersededTargetIsAvoided(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+	follower := newTestFollower(t, canaryDirective(0))
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
 	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
@@ -189,7 +189,7 @@
 	require.True(t, choice.Fallback().Fallback().Allows("third-0", "third"))
 }
 
-func TestDirectiveTellsOfAnOrder(t *testing.T) {
+func TestDirectiveImpliesItsOrder(t *testing.T) {
 	follower := NewFollower(Options{})
 	require.True(t, follower.ApplyDirective(0, canaryDirective(0)))
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
@@ -207,8 +207,8 @@
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
-// answers notes n answers of a worker.
-func answers(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
+// recordAnswers notes n recordAnswers of a worker.
+func recordAnswers(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
 	stopped := false
 	for range n {
 		stopped = follower.RecordOutcome(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: version, Failed: failed, TimeToFirstByte: time.Second, Predicted: time.Second}) || stopped
@@ -216,11 +216,11 @@
 	return stopped
 }
 
-func TestFollowerStopsByItsOwnEvidence(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
-	answers(follower, 200, "old-0", simOld, false)
-	require.False(t, answers(follower, 50, "new-0", simNew, true), "one worker is no version")
-	require.True(t, answers(follower, 5, "new-1", simNew, true))
+func TestFollowerStopsOnItsOwnEvidence(t *testing.T) {
+	follower := newTestFollower(t, canaryDirective(0))
+	recordAnswers(follower, 200, "old-0", simOld, false)
+	require.False(t, recordAnswers(follower, 50, "new-0", simNew, true), "one worker is no version")
+	require.True(t, recordAnswers(follower, 5, "new-1", simNew, true))
 	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	require.True(t, follower.Evidence(0)[0].Stopped)
 	shifting := canaryDirective(time.Second)
@@ -229,9 +229,9 @@
 	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 }
 
-func TestSlowAnswersStopToo(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
-	answers(follower, 200, "old-0", simOld, false)
+func TestFollowerStopsOnSlowAnswers(t *testing.T) {
+	follower := newTestFollower(t, canaryDirective(0))
+	recordAnswers(follower, 200, "old-0", simOld, false)
 	stopped := false
 	for index := range 12 {
 		worker := []fleet.EngineID{"new-0", "new-1"}[index%2]
@@ -241,19 +241,19 @@
 }
 
 func TestEvidenceIsACopy(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
-	answers(follower, 3, "old-0", simOld, false)
-	answers(follower, 2, "new-0", simNew, true)
+	follower := newTestFollower(t, canaryDirective(0))
+	recordAnswers(follower, 3, "old-0", simOld, false)
+	recordAnswers(follower, 2, "new-0", simNew, true)
 	evidence := follower.Evidence(0)[0]
-	answers(follower, 3, "old-0", simOld, false)
-	answers(follower, 3, "new-0", simNew, false)
+	recordAnswers(follower, 3, "old-0", simOld, false)
+	recordAnswers(follower, 3, "new-0", simNew, false)
 	require.EqualValues(t, 3, evidence.Old[testRoute].Answers)
 	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Failures)
 	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Answers)
 }
 
 func TestChooseAllocatesNothing(t *testing.T) {
-	follower := follow(t, canaryDirective(0))
+	follower := newTestFollower(t, canaryDirective(0))
 	random := rand.New(rand.NewPCG(1, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		choice := follower.Filter(0, simService, testRoute, random.Float64(), false)
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -12,26 +12,26 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// verdict is a way to judge: it takes answers of the target and tells whether they
+// judgingMethod is a way to judge: it takes answers of the target and tells whether they
 // condemn it.
-type verdict interface {
-	note(worker fleet.EngineID, normal float64, bad, good uint64) bool
+type judgingMethod interface {
+	rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool
 }
 
-// pooledSum is the way of package judge: one CUSUM with each worker's part limited.
-type pooledSum struct{ scores scores }
+// pooledCUSUM is the way of package judge: one CUSUM with each worker's part limited.
+type pooledCUSUM struct{ scores scores }
 
-func (p *pooledSum) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+func (p *pooledCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	for index, hypothesis := range hypotheses {
 		p.scores[index].add(worker, hypothesis.ratio(normal, bad, good), maxWorkerFraction*rejectScore)
 	}
 	return p.scores.strongest().value >= rejectScore
 }
 
-// sumOfSums is the way of a CUSUM for each worker, limited, and added up.
-type sumOfSums struct{ workers map[fleet.EngineID]float64 }
+// perWorkerCUSUM is the way of a CUSUM for each worker, limited, and added up.
+type perWorkerCUSUM struct{ workers map[fleet.EngineID]float64 }
 
-func (s *sumOfSums) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+func (s *perWorkerCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	s.workers[worker] = min(maxWorkerFraction*rejectScore, max(0, s.workers[worker]+hypotheses[0].ratio(normal, bad, good)))
 	sum := 0.0
 	for _, value := range s.workers {
@@ -49,7 +49,7 @@
 	ratio  float64
 }
 
-func (w *windowedRatio) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+func (w *windowedRatio) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	w.answers = append(w.answers, windowedAnswer{worker, hypotheses[0].ratio(normal, bad, good)})
 	for _, size := range []int{30, 100, 1000} {
 		parts := map[fleet.EngineID]float64{}
@@ -67,24 +67,24 @@
 	return false
 }
 
-var judgments = []struct {
+var judgingMethods = []struct {
 	name string
-	make func() verdict
+	make func() judgingMethod
 }{
-	{"pooled sum", func() verdict { return &pooledSum{scores: newScores()} }},
-	{"sum of sums", func() verdict { return &sumOfSums{workers: map[fleet.EngineID]float64{}} }},
-	{"windowed ratio", func() verdict { return &windowedRatio{} }},
+	{"pooled sum", func() judgingMethod { return &pooledCUSUM{scores: newScores()} }},
+	{"sum of sums", func() judgingMethod { return &perWorkerCUSUM{workers: map[fleet.EngineID]float64{}} }},
+	{"windowed ratio", func() judgingMethod { return &windowedRatio{} }},
 }
 
-// trial is a stream of answers: normal is both sides' rate of failures, harm what the target spoils
+// answerStream is a stream of answers: normal is both sides' rate of failures, harm what the target spoils
 // besides, grey the failure rate of one of the target's three workers.
-type trial struct {
-	normal, harm, grey float64
+type answerStream struct {
+	normal, effect, greyRate float64
 }
 
-// judged plays a stream and returns the numbers of the target's answers and bad ones at
+// play plays a stream and returns the numbers of the target's answers and bad ones at
 // the verdict, or false if there is none within limit answers.
-func (c trial) judged(way verdict, seed uint64, limit int) (answers, bad int, condemned bool) {
+func (c answerStream) play(way judgingMethod, seed uint64, limit int) (answers, bad int, condemned bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
 	for answers = 1; answers <= limit; answers++ {
@@ -96,31 +96,31 @@
 		}
 		old.add(&delta)
 		worker := fleet.EngineID([]string{"x", "y", "z"}[random.IntN(3)])
-		failed := random.Float64() < c.normal || random.Float64() < c.harm
-		failed = failed || worker == "x" && random.Float64() < c.grey
+		failed := random.Float64() < c.normal || random.Float64() < c.effect
+		failed = failed || worker == "x" && random.Float64() < c.greyRate
 		var failures uint64
 		if failed {
 			failures = 1
 			bad++
 		}
-		if way.note(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
+		if way.rejects(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
 			return answers, bad, true
 		}
 	}
 	return limit, bad, false
 }
 
-// TestChancesOfAWrongVerdict checks what is said of the test's errors: of good versions at
+// TestVerdictErrorRates checks what is said of the test's errors: of good versions at
 // most 1 in 100 is condemned within 1,000 answers, also beside a grey worker of the
 // target (3 in 100 where 0.14 of the answers fail anyway), and of those that spoil 0.2 of the answers at least 99 in 100 are condemned
 // within 300, or within 1,000 where 0.14 fail anyway.
-func TestChancesOfAWrongVerdict(t *testing.T) {
-	seeds := seedsOf(1000)
+func TestVerdictErrorRates(t *testing.T) {
+	seeds := seedCount(1000)
 	for _, normal := range []float64{0, 0.02, 0.14} {
 		for _, grey := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := (trial{normal: normal, grey: grey}).judged(judgments[0].make(), uint64(seed), 1000); condemned {
+				if _, _, condemned := (answerStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); condemned {
 					wrong++
 				}
 			}
@@ -137,7 +137,7 @@
 		}
 		missed := 0
 		for seed := range seeds {
-			if _, _, condemned := (trial{normal: normal, harm: 0.2}).judged(judgments[0].make(), uint64(seed), limit); !condemned {
+			if _, _, condemned := (answerStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !condemned {
 				missed++
 			}
 		}
@@ -146,29 +146,29 @@
 	}
 }
 
-// TestWaysToJudge prints the ways on the same seeds; the pooled sum must not be wrong more
+// TestCompareJudgingMethods prints the ways on the same seeds; the pooled sum must not be wrong more
 // often than the others that find bad versions as soon.
-func TestWaysToJudge(t *testing.T) {
-	seeds := seedsOf(50)
-	for _, way := range judgments {
+func TestCompareJudgingMethods(t *testing.T) {
+	seeds := seedCount(50)
+	for _, way := range judgingMethods {
 		line := way.name + ":"
-		for _, good := range []trial{{}, {normal: 0.02}, {normal: 0.14}, {grey: 0.4}, {normal: 0.14, grey: 0.4}} {
+		for _, good := range []answerStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := good.judged(way.make(), uint64(seed), 1000); condemned {
+				if _, _, condemned := good.play(way.make(), uint64(seed), 1000); condemned {
 					wrong++
 				}
 			}
-			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", good.normal, good.grey, wrong)
+			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", good.normal, good.greyRate, wrong)
 		}
-		for _, spoiled := range []trial{{harm: 0.05}, {harm: 0.2}, {harm: 1}, {normal: 0.14, harm: 0.2}, {normal: 0.14, harm: 0.5}} {
+		for _, spoiled := range []answerStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
 			var numbers []int
 			for seed := range seeds {
-				_, bad, _ := spoiled.judged(way.make(), uint64(seed), 1000)
+				_, bad, _ := spoiled.play(way.make(), uint64(seed), 1000)
 				numbers = append(numbers, bad)
 			}
 			slices.Sort(numbers)
-			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", spoiled.normal, spoiled.harm, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
+			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", spoiled.normal, spoiled.effect, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
 		}
 		t.Log(line)
 	}
@@ -205,7 +205,7 @@
 }
 
 // A baseline follows a wave of failures within its recent answers, and forgets it later.
-func TestBaselineFollows(t *testing.T) {
+func TestBaselineFollowsFailureRate(t *testing.T) {
 	var old baseline
 	old.add(&Counts{Answers: 2000})
 	require.Less(t, old.badRate(LatencyBuckets), 0.01)
@@ -218,7 +218,7 @@
 }
 
 // A few slow first answers of an engine with an empty cache say nothing.
-func TestColdAnswersSayNothing(t *testing.T) {
+func TestSlowColdAnswersAreIgnored(t *testing.T) {
 	old := Counts{Answers: 200}
 	old.Latency[4] = 200
 	slow := func(bucket int) Counts {
@@ -244,12 +244,12 @@
 
 // A fault of one route is found although the others are good, and one of all routes
 // although no route shows it often.
-func TestRoutesAreJudgedAloneAndTogether(t *testing.T) {
+func TestRoutesAreJudgedSeparatelyAndTogether(t *testing.T) {
 	judge := newJudge()
 	for index := range 40 {
 		for _, route := range []RouteName{"a", "b", "c"} {
 			judge.observeOld(route, &Counts{Answers: 20})
-			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: b2u(route == "c" && index%2 == index%4)})
+			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: boolCount(route == "c" && index%2 == index%4)})
 		}
 	}
 	_, route := judge.strongest()
@@ -266,7 +266,7 @@
 	require.Empty(t, route)
 }
 
-func b2u(value bool) uint64 {
+func boolCount(value bool) uint64 {
 	if value {
 		return 1
 	}
@@ -275,7 +275,7 @@
 
 // In a surge the failures, which are answered sooner, come first: twice as many as normal
 // say nothing then.
-func TestFailuresComeFirstInASurge(t *testing.T) {
+func TestSurgeToleratesEarlyFailures(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
 		judge.observeOld(testRoute, &Counts{Answers: 2000, Failures: 280})
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -28,8 +28,8 @@
 		drawn.workers *= 2
 	}
 	if random.IntN(2) == 0 {
-		drawn.plain = true
-		drawn.normal = map[RouteName]float64{"b": 0.14}
+		drawn.noPredictions = true
+		drawn.normalFailures = map[RouteName]float64{"b": 0.14}
 	}
 	return drawn
 }
@@ -43,8 +43,8 @@
 	badnessKinds
 )
 
-// spoil makes a scenario's version bad and describes how.
-func spoil(played *scenario) string {
+// makeBad makes a scenario's version bad and describes how.
+func makeBad(played *scenario) string {
 	random := rand.New(rand.NewPCG(played.seed, 3))
 	part := 0.2 + 0.8*random.Float64()
 	kind := random.IntN(badnessKinds)
@@ -62,11 +62,11 @@
 		return part
 	}
 	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, plain %t",
-		played.seed, kind, part, from, spoiled, played.slow, played.duration, played.rate, played.workers, played.nodes, played.plain)
+		played.seed, kind, part, from, spoiled, played.slow, played.duration, played.rate, played.workers, played.nodes, played.noPredictions)
 }
 
-// play runs scenarios, a few at a time, and passes each on in order.
-func play(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
+// playScenarios runs scenarios, a few at a time, and passes each on in order.
+func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
 	room := make(chan struct{}, 3)
@@ -84,8 +84,8 @@
 	}
 }
 
-// seedsOf returns how many seeds are played: fewer in short runs.
-func seedsOf(count int) int {
+// seedCount returns how many seeds are played: fewer in short runs.
+func seedCount(count int) int {
 	if testing.Short() {
 		return count / 10
 	}
@@ -95,25 +95,25 @@
 // TestBadVersionStaysWithinItsExposure plays bad versions of every kind: the requests
 // that reach one stay within the bound, and it gets none 5 s after its 50th bad answer.
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
-	seeds := seedsOf(200)
+	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
 	late, tenth := 0, 0
 	build := func(seed uint64) scenario {
 		drawn := drawScenario(seed)
-		descriptions[seed] = spoil(&drawn)
+		descriptions[seed] = makeBad(&drawn)
 		return drawn
 	}
-	play(seeds, build, 6*time.Second, func(run *simulation) {
+	playScenarios(seeds, build, 6*time.Second, func(run *simulation) {
 		description := descriptions[run.seed]
-		require.LessOrEqual(t, run.exposed(), 0.0, description)
+		require.LessOrEqual(t, run.excessExposure(), 0.0, description)
 		if run.stage() != StageRolledBack {
 			// What it showed until the decision wasn't enough.
-			require.False(t, run.evident(20, 0.1), description)
+			require.False(t, run.hasEvidence(20, 0.1), description)
 			late++
 			return
 		}
-		require.LessOrEqual(t, run.sentAfter(50), 5*time.Second, description)
-		if run.sentAfter(10) > 3*time.Second {
+		require.LessOrEqual(t, run.exposedAfterBad(50), 5*time.Second, description)
+		if run.exposedAfterBad(10) > 3*time.Second {
 			tenth++
 		}
 	})
@@ -129,14 +129,14 @@
 		change(&drawn)
 		return drawn
 	}
-	play(seeds, build, time.Second, func(run *simulation) {
+	playScenarios(seeds, build, time.Second, func(run *simulation) {
 		if run.stage() == StageCompleted && run.finalAt < run.duration {
-			require.True(t, run.killed == 0 || run.finalAt >= run.duration-finishReserve,
-				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killed, run.finalAt)
+			require.True(t, run.killedRuns == 0 || run.finalAt >= run.duration-finishReserve,
+				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRuns, run.finalAt)
 			return
 		}
 		failed++
-		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.plain, run.stage())
+		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
 		for _, event := range run.events {
 			t.Logf("  %+v", event)
 		}
@@ -154,20 +154,20 @@
 	for name, change := range map[string]func(*scenario){
 		"alone":           func(*scenario) {},
 		"cold":            func(s *scenario) { s.cold = true },
-		"grey_old_worker": func(s *scenario) { s.grey = map[fleet.EngineID]float64{"old-0": 0.4} },
-		"grey_new_worker": func(s *scenario) { s.grey = map[fleet.EngineID]float64{"new-0": 0.4} },
+		"grey_old_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"old-0": 0.4} },
+		"grey_new_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
-			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldSide[0].crashed = true }}
+			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldWorkers[0].crashed = true }}
 		},
 		"crashed_new_worker": func(s *scenario) {
-			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newSide[0].crashed = true }}
+			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newWorkers[0].crashed = true }}
 		},
-		"callers_leave": func(s *scenario) { s.patience = 120 * time.Millisecond },
+		"callers_leave": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
 		"wave":          func(s *scenario) { s.wave = wave },
 		"overload":      func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireCompletes(t, seedsOf(100), change)
+			requireCompletes(t, seedCount(100), change)
 		})
 	}
 }
--- a/internal/delivery/schedule_test.go
+++ b/internal/delivery/schedule_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScheduleKeepsTheSum plays the plan as it is worked out anew each second, for all
+// TestScheduleStaysWithinTheExposure plays the plan as it is worked out anew each second, for all
 // durations and rates, steady, falling and rising: what goes to the target by the deadline
 // is within the allowed exposure.
-func TestScheduleKeepsTheSum(t *testing.T) {
+func TestScheduleStaysWithinTheExposure(t *testing.T) {
 	step := 50 * time.Millisecond
 	for _, duration := range []time.Duration{8 * time.Second, 12 * time.Second, 20 * time.Second, time.Minute} {
 		for _, rate := range []float64{20, 60, 200, 700, 3000} {
@@ -52,8 +52,8 @@
 	require.Zero(t, planned.canaryShare(11*time.Second, traffic{rate: 100}))
 }
 
-// TestRouteSharesGiveEachRouteAsMany: evidence counts by route.
-func TestRouteSharesGiveEachRouteAsMany(t *testing.T) {
+// TestRouteSharesAreEqualInRequests: evidence counts by route.
+func TestRouteSharesAreEqualInRequests(t *testing.T) {
 	shares := routeShares(0.03, map[RouteName]float64{"a": 900, "b": 95, "c": 5}, maxShare)
 	require.InDelta(t, 0.3, shares["c"], 1e-9, "the rarest gets all that it may")
 	require.InDelta(t, 900*shares["a"], 95*shares["b"], 1e-6)
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	simTick   = 10 * time.Millisecond
-	simReport = 600 * time.Millisecond
-	simLease  = 3500 * time.Millisecond
-	// simStart is when the first of the target's workers are listed, after the order.
-	simStart   = 600 * time.Millisecond
-	simOffset  = 100 * time.Second // local time minus the store's
-	simService = fleet.PoolName("service")
-	simOld     = fleet.SoftwareVersion("old")
-	simNew     = fleet.SoftwareVersion("new")
+	simTick           = 10 * time.Millisecond
+	simReportInterval = 600 * time.Millisecond
+	simLeaseDuration  = 3500 * time.Millisecond
+	// simTargetStart is when the first of the target's workers are listed, after the order.
+	simTargetStart = 600 * time.Millisecond
+	simStoreOffset = 100 * time.Second // local time minus the store's
+	simService     = fleet.PoolName("service")
+	simOld         = fleet.SoftwareVersion("old")
+	simNew         = fleet.SoftwareVersion("new")
 )
 
 // scenario is what a simulation plays.
 type scenario struct {
-	seed     uint64
-	nodes    int
-	workers  int // of each version
-	slots    int
-	duration time.Duration
-	rate     float64
-	routes   map[RouteName]float64 // parts of the rate
-	plain    bool                  // no predictions
-	normal   map[RouteName]float64 // failure rates of any version
+	seed           uint64
+	nodes          int
+	workers        int // of each version
+	slots          int
+	duration       time.Duration
+	rate           float64
+	routes         map[RouteName]float64 // parts of the rate
+	noPredictions  bool                  // no predictions
+	normalFailures map[RouteName]float64 // failure rates of any version
 	// bad tells which part of the target's answers is spoiled.
 	bad func(at time.Duration, route RouteName, load float64) float64
 	// orderDelay is the time within which nodes read the order, 500 ms if 0.
 	orderDelay time.Duration
 	slow       bool // spoiled answers take eight times as long instead of failing
 	cold       bool // the first answers of a new worker on a route take up to four times as long
-	grey       map[fleet.EngineID]float64
+	greyRates  map[fleet.EngineID]float64
 	wave       func(at time.Duration) float64
-	// patience is after what time callers leave: their answers say nothing. 0 is never.
-	patience time.Duration
+	// callerTimeout is after what time callers leave: their answers say nothing. 0 is never.
+	callerTimeout time.Duration
 	// faults are called once, at their times.
 	faults map[time.Duration]func(*simulation)
 	// absent tells when the target's workers aren't listed.
@@ -61,14 +61,14 @@
 }
 
 type simNode struct {
-	id          fleet.NodeID
-	follower    *Follower
-	director    *Director
-	reportAt    time.Duration
-	orderAt     time.Duration
-	frozen, cut bool
-	listsTarget bool // has heard of the target's workers
-	dead        bool
+	id                  fleet.NodeID
+	follower            *Follower
+	director            *Director
+	reportAt            time.Duration
+	orderAt             time.Duration
+	frozen, partitioned bool
+	listsTarget         bool // has heard of the target's workers
+	dead                bool
 }
 
 type simAnswer struct {
@@ -78,40 +78,40 @@
 	spoiled bool
 }
 
-// tally counts the target's answers on a route from when its badness began.
-type tally struct{ answers, bad int }
+// badTally counts the target's answers on a route from when its badness began.
+type badTally struct{ answers, bad int }
 
 // simulation plays N nodes, one store and the workers of one service.
 type simulation struct {
 	scenario
-	random    *rand.Rand
-	now       time.Duration
-	fleet     []*simNode
-	oldSide   []*simWorker
-	newSide   []*simWorker
-	due       map[time.Duration][]simAnswer
-	order     Order
-	leader    *simNode
-	leaseless time.Duration // since when nobody holds the lease
-	storeDown bool
-	downSince time.Duration
-	// loseAnswers lets the store write and tells that it failed.
-	loseAnswers bool
-	record      *Record
-	broken      []string
-
-	all, target float64         // requests until the deadline
-	badAt       []time.Duration // of the target's spoiled answers
-	lastSent    time.Duration   // to the target
-	finalAt     time.Duration
-	killed      int // runs at old workers when they were stopped
-	events      []Event
-	stride      int // prime to the number of workers
-	tallies     map[RouteName]*tally
+	random         *rand.Rand
+	now            time.Duration
+	fleet          []*simNode
+	oldWorkers     []*simWorker
+	newWorkers     []*simWorker
+	due            map[time.Duration][]simAnswer
+	order          Order
+	leader         *simNode
+	leaselessSince time.Duration // since when nobody holds the lease
+	storeDown      bool
+	downSince      time.Duration
+	// loseWriteAcks lets the store write and tells that it failed.
+	loseWriteAcks bool
+	record        *Record
+	errors        []string
+
+	totalRequests, targetRequests float64         // requests until the deadline
+	badAt                         []time.Duration // of the target's spoiled answers
+	lastTargetRequest             time.Duration   // to the target
+	finalAt                       time.Duration
+	killedRuns                    int // runs at old workers when they were stopped
+	events                        []Event
+	stride                        int // prime to the number of workers
+	tallies                       map[RouteName]*badTally
 }
 
 func newSimulation(played scenario) *simulation {
-	s := &simulation{scenario: played, random: rand.New(rand.NewPCG(played.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*tally{}}
+	s := &simulation{scenario: played, random: rand.New(rand.NewPCG(played.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*badTally{}}
 	for s.stride = 7; s.stride%3 == 0 || (2*s.workers)%s.stride == 0; {
 		s.stride += 4
 	}
@@ -119,11 +119,11 @@
 		s.fleet = append(s.fleet, s.newNode(index))
 	}
 	for index := range played.workers {
-		s.oldSide = append(s.oldSide, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, answered: map[RouteName]int{}})
-		s.newSide = append(s.newSide, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, answered: map[RouteName]int{}})
+		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, answered: map[RouteName]int{}})
+		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, answered: map[RouteName]int{}})
 	}
 	s.order = Order{Service: simService, Target: simNew, Duration: played.duration, Revision: 7}
-	s.lead(s.fleet[0])
+	s.makeLeader(s.fleet[0])
 	return s
 }
 
@@ -131,23 +131,23 @@
 	node := &simNode{
 		id:       fleet.NodeID(fmt.Sprintf("node-%d", index)),
 		follower: NewFollower(Options{}),
-		reportAt: s.now + time.Duration(s.random.Int64N(int64(simReport))),
+		reportAt: s.now + time.Duration(s.random.Int64N(int64(simReportInterval))),
 		orderAt:  s.now + time.Duration(s.random.Int64N(int64(max(s.orderDelay, 500*time.Millisecond)))),
 	}
 	node.follower.ObserveVersions(s.now, simService, []fleet.SoftwareVersion{simOld})
 	return node
 }
 
-func (s *simulation) lead(node *simNode) {
+func (s *simulation) makeLeader(node *simNode) {
 	s.leader = node
 	node.director = NewDirector(Options{Self: node.id, ExposureShare: 0.1, ExposureSlack: 50, RollbackWithin: 5 * time.Second})
 	var records []Record
 	if s.record != nil {
 		records = append(records, *s.record)
 	}
-	node.director.Restore(s.now, records, simOffset)
+	node.director.Restore(s.now, records, simStoreOffset)
 	if err := node.director.SetOrder(s.now, s.now, s.order); err != nil {
-		s.broken = append(s.broken, err.Error())
+		s.errors = append(s.errors, err.Error())
 	}
 }
 
@@ -159,10 +159,10 @@
 				fault(s)
 			}
 		}
-		s.answer()
-		s.arrive()
+		s.finishRuns()
+		s.sendRequests()
 		s.lease()
-		s.look()
+		s.evaluate()
 		for _, node := range s.fleet {
 			s.report(node)
 		}
@@ -172,17 +172,17 @@
 
 // lease takes the lead from a dead, frozen or cut node, and gives it to another.
 func (s *simulation) lease() {
-	if s.storeDown && s.now-s.downSince < simLease {
+	if s.storeDown && s.now-s.downSince < simLeaseDuration {
 		return
 	}
-	unable := func(node *simNode) bool { return node.dead || node.frozen || node.cut || s.storeDown }
+	unable := func(node *simNode) bool { return node.dead || node.frozen || node.partitioned || s.storeDown }
 	if s.leader != nil && !unable(s.leader) {
 		return
 	}
-	if s.leaseless == 0 {
-		s.leaseless = s.now
+	if s.leaselessSince == 0 {
+		s.leaselessSince = s.now
 	}
-	if s.leader != nil && s.now-s.leaseless >= simLease {
+	if s.leader != nil && s.now-s.leaselessSince >= simLeaseDuration {
 		s.leader = nil
 	}
 	if s.leader != nil {
@@ -190,25 +190,25 @@
 	}
 	for _, node := range s.fleet {
 		if !unable(node) {
-			s.leaseless = 0
-			s.lead(node)
+			s.leaselessSince = 0
+			s.makeLeader(node)
 			return
 		}
 	}
 }
 
 func (s *simulation) targetListed() bool {
-	return s.now >= simStart && (s.absent == nil || !s.absent(s.now))
+	return s.now >= simTargetStart && (s.absent == nil || !s.absent(s.now))
 }
 
 func (s *simulation) listed() []*simWorker {
 	if !s.targetListed() {
-		return s.oldSide
+		return s.oldWorkers
 	}
-	return slices.Concat(s.oldSide, s.newSide)
+	return slices.Concat(s.oldWorkers, s.newWorkers)
 }
 
-func (s *simulation) look() {
+func (s *simulation) evaluate() {
 	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.frozen {
 		return
 	}
@@ -244,12 +244,12 @@
 		s.finalAt = s.now
 	}
 	if record.Stage == StageCompleted && record.Order.Target == simNew {
-		for _, worker := range s.oldSide {
-			s.killed += worker.inFlight
+		for _, worker := range s.oldWorkers {
+			s.killedRuns += worker.inFlight
 		}
-		s.oldSide = nil
+		s.oldWorkers = nil
 	}
-	if s.loseAnswers {
+	if s.loseWriteAcks {
 		return nil, errors.New("answer lost")
 	}
 	return nil, nil
@@ -260,16 +260,16 @@
 	if node.dead || node.frozen {
 		return
 	}
-	if s.now >= node.orderAt && !node.cut && !s.storeDown {
+	if s.now >= node.orderAt && !node.partitioned && !s.storeDown {
 		if _, err := node.follower.SetOrder(s.now, s.order); err != nil {
-			s.broken = append(s.broken, err.Error())
+			s.errors = append(s.errors, err.Error())
 		}
 	}
 	if s.now < node.reportAt {
 		return
 	}
-	node.reportAt = s.now + simReport
-	if s.leader == nil || node.cut || s.leader.cut || s.leader.dead || s.leader.frozen {
+	node.reportAt = s.now + simReportInterval
+	if s.leader == nil || node.partitioned || s.leader.partitioned || s.leader.dead || s.leader.frozen {
 		return
 	}
 	for _, evidence := range node.follower.Evidence(s.now) {
@@ -280,8 +280,8 @@
 	}
 }
 
-// arrive sends the requests of one tick.
-func (s *simulation) arrive() {
+// sendRequests sends the requests of one tick.
+func (s *simulation) sendRequests() {
 	rate := s.rate
 	if s.wave != nil {
 		rate *= s.wave(s.now)
@@ -308,7 +308,7 @@
 		return
 	}
 	choice := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
-	if !node.listsTarget && !node.cut && s.now >= simStart {
+	if !node.listsTarget && !node.partitioned && s.now >= simTargetStart {
 		node.listsTarget = true
 		node.follower.ObserveVersions(s.now, simService, []fleet.SoftwareVersion{simOld, simNew})
 	}
@@ -318,12 +318,12 @@
 	}
 	load := float64(worker.inFlight) / float64(s.slots)
 	if s.now < s.duration {
-		s.all++
+		s.totalRequests++
 	}
 	if worker.version == simNew {
-		s.lastSent = s.now
+		s.lastTargetRequest = s.now
 		if s.now < s.duration {
-			s.target++
+			s.targetRequests++
 		}
 	}
 	outcome, spoiled := s.serve(worker, route, load)
@@ -335,9 +335,9 @@
 // pick returns the less loaded of two workers that a choice or its fallbacks allow.
 func (s *simulation) pick(choice *Filter, listsTarget bool) *simWorker {
 	for ; ; choice = choice.Fallback() {
-		first := s.anyOf(choice, listsTarget)
+		first := s.randomWorker(choice, listsTarget)
 		if first != nil {
-			if second := s.anyOf(choice, listsTarget); second.inFlight < first.inFlight {
+			if second := s.randomWorker(choice, listsTarget); second.inFlight < first.inFlight {
 				return second
 			}
 			return first
@@ -348,9 +348,9 @@
 	}
 }
 
-// anyOf returns a random worker that a choice allows, or nil.
-func (s *simulation) anyOf(choice *Filter, listsTarget bool) *simWorker {
-	sides := [][]*simWorker{s.oldSide, s.newSide}
+// randomWorker returns a random worker that a choice allows, or nil.
+func (s *simulation) randomWorker(choice *Filter, listsTarget bool) *simWorker {
+	sides := [][]*simWorker{s.oldWorkers, s.newWorkers}
 	if !listsTarget || !s.targetListed() {
 		sides[1] = nil
 	}
@@ -380,7 +380,7 @@
 		factor *= 1 + 3*s.random.Float64()
 	}
 	worker.answered[route]++
-	if !s.plain {
+	if !s.noPredictions {
 		outcome.Predicted = base
 	}
 	spoiled := worker.version == simNew && s.bad != nil && s.random.Float64() < s.bad(s.now, route, load)
@@ -388,22 +388,22 @@
 		factor *= 8
 	}
 	outcome.TimeToFirstByte = time.Duration(float64(base) * factor)
-	outcome.Failed = spoiled && !s.slow || worker.crashed || s.random.Float64() < s.normal[route] || s.random.Float64() < s.grey[worker.id]
+	outcome.Failed = spoiled && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.greyRates[worker.id]
 	if outcome.Failed {
 		outcome.TimeToFirstByte = base / 2
 	}
 	return outcome, spoiled
 }
 
-// answer ends the runs that are due.
-func (s *simulation) answer() {
+// finishRuns ends the runs that are due.
+func (s *simulation) finishRuns() {
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
-		s.count(&due)
+		s.tallyAnswer(&due)
 		if due.spoiled {
 			s.badAt = append(s.badAt, s.now)
 		}
-		if due.node.dead || s.patience > 0 && due.outcome.TimeToFirstByte > s.patience {
+		if due.node.dead || s.callerTimeout > 0 && due.outcome.TimeToFirstByte > s.callerTimeout {
 			continue
 		}
 		if due.node.follower.RecordOutcome(s.now, due.outcome) {
@@ -413,14 +413,14 @@
 	delete(s.due, s.now)
 }
 
-// count keeps what the target had shown well before the last decision.
-func (s *simulation) count(due *simAnswer) {
+// tallyAnswer keeps what the target had shown well before the last decision.
+func (s *simulation) tallyAnswer(due *simAnswer) {
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
 	}
 	counted := s.tallies[due.outcome.Route]
 	if counted == nil {
-		counted = &tally{}
+		counted = &badTally{}
 		s.tallies[due.outcome.Route] = counted
 	}
 	if due.spoiled {
@@ -431,9 +431,9 @@
 	}
 }
 
-// evident tells whether the target had shown so many bad answers on a route, as a
+// hasEvidence tells whether the target had shown so many bad answers on a route, as a
 // part of all there, that it must be rolled back.
-func (s *simulation) evident(bad int, part float64) bool {
+func (s *simulation) hasEvidence(bad int, part float64) bool {
 	for _, counted := range s.tallies {
 		if counted.bad >= bad && float64(counted.bad) >= part*float64(counted.answers) {
 			return true
@@ -442,15 +442,15 @@
 	return false
 }
 
-// exposed returns by how much the target got more than it may until the deadline.
-func (s *simulation) exposed() float64 { return s.target - 0.1*s.all - 50 }
+// excessExposure returns by how much the target got more than it may until the deadline.
+func (s *simulation) excessExposure() float64 { return s.targetRequests - 0.1*s.totalRequests - 50 }
 
-// sentAfter returns how long after the n-th bad answer the target still got requests.
-func (s *simulation) sentAfter(n int) time.Duration {
+// exposedAfterBad returns how long after the n-th bad answer the target still got requests.
+func (s *simulation) exposedAfterBad(n int) time.Duration {
 	if len(s.badAt) < n {
 		return 0
 	}
-	return s.lastSent - s.badAt[n-1]
+	return s.lastTargetRequest - s.badAt[n-1]
 }
 
 func (s *simulation) stage() Stage {
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -15,37 +15,37 @@
 	var step Decision
 	for now := from; now <= until; now += EvaluationInterval {
 		answers := uint64(now / EvaluationInterval)
-		director.Observe(now, "node-1", evidenceOf(50*answers, answers, 0))
+		director.Observe(now, "node-1", testEvidence(50*answers, answers, 0))
 		step = director.Evaluate(now, observation)
 	}
 	return step
 }
 
-func TestShiftIsToldInAdvance(t *testing.T) {
-	director := directing(t)
-	step := advanceTo(director, 0, 11*time.Second, observe(4, 4))
+func TestShiftIsAnnouncedInAdvance(t *testing.T) {
+	director := newTestDelivery(t)
+	step := advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
 	require.Equal(t, StageCanary, step.Directive.Stage)
 	require.Greater(t, step.Directive.ShiftAt, 11*time.Second)
 	require.Less(t, step.Directive.ShiftAt, 12*time.Second-finishReserve)
-	step = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, observe(4, 4))
+	step = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, testObservation(4, 4))
 	require.Equal(t, StageShifting, step.Directive.Stage)
 }
 
 // The announcement is taken back if evidence turns against the target.
-func TestShiftIsTakenBack(t *testing.T) {
-	director := directing(t)
-	advanceTo(director, 0, 11*time.Second, observe(4, 4))
-	director.Observe(11100*time.Millisecond, "node-1", evidenceOf(5600, 150, 4))
-	step := director.Evaluate(11100*time.Millisecond, observe(4, 4))
+func TestPlannedShiftIsHeldOnBadEvidence(t *testing.T) {
+	director := newTestDelivery(t)
+	advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
+	director.Observe(11100*time.Millisecond, "node-1", testEvidence(5600, 150, 4))
+	step := director.Evaluate(11100*time.Millisecond, testObservation(4, 4))
 	require.Equal(t, EventShiftHeld, step.Event.Name)
 	require.Zero(t, step.Directive.ShiftAt)
 	require.Equal(t, ReasonUndecided, step.Event.Reason)
 }
 
-func TestCompletionWaitsForRunsAtOldWorkers(t *testing.T) {
+func TestCompletionWaitsForOldWorkersToDrain(t *testing.T) {
 	order := testOrder()
 	order.Duration = time.Minute
-	busy, idle := observe(4, 4), observe(4, 4)
+	busy, idle := testObservation(4, 4), testObservation(4, 4)
 	for index := range idle.Workers {
 		idle.Workers[index].InFlight = 0
 	}
@@ -68,23 +68,23 @@
 }
 
 func TestTooFewWorkersOfTheTarget(t *testing.T) {
-	director := directing(t)
-	director.HandleWriteResult(0, simService, *director.Evaluate(0, observe(20, 12)).Write, nil, nil)
-	step := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, observe(20, 12))
+	director := newTestDelivery(t)
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(20, 12)).Write, nil, nil)
+	step := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, testObservation(20, 12))
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	require.Equal(t, ReasonFewWorkers, step.Write.Reason)
 	for _, c := range []struct {
 		old, target int
 		enough      bool
 	}{{20, 14, true}, {20, 13, false}, {3, 2, true}, {3, 1, false}, {2, 1, true}, {1, 1, true}, {1, 0, false}, {0, 1, true}} {
-		counted := director.services[simService].countWorkers(observe(c.old, c.target).Workers)
+		counted := director.services[simService].countWorkers(testObservation(c.old, c.target).Workers)
 		require.Equal(t, c.enough, hasEnoughSlots(counted), "%d of %d", c.target, c.old)
 	}
 }
 
-func TestDoubtfulWorkersOfTheTargetDontCount(t *testing.T) {
-	director := directing(t)
-	observation := observe(4, 4)
+func TestUnreachableTargetWorkersDoNotCount(t *testing.T) {
+	director := newTestDelivery(t)
+	observation := testObservation(4, 4)
 	observation.Workers[4].Unreachable = true
 	observation.Workers[5].Unreachable = true
 	counted := director.services[simService].countWorkers(observation.Workers)
@@ -95,16 +95,16 @@
 
 // The first worker of many that is listed isn't judged alone.
 func TestFirstCanaryWaitsForOthers(t *testing.T) {
-	director := directing(t)
-	require.Zero(t, director.Evaluate(time.Second, observe(4, 1)).Directive.DefaultShare)
-	require.NotZero(t, director.Evaluate(maxCanaryWait, observe(4, 1)).Directive.DefaultShare)
-	director = directing(t)
-	require.NotZero(t, director.Evaluate(time.Second, observe(4, 3)).Directive.DefaultShare)
+	director := newTestDelivery(t)
+	require.Zero(t, director.Evaluate(time.Second, testObservation(4, 1)).Directive.DefaultShare)
+	require.NotZero(t, director.Evaluate(maxCanaryWait, testObservation(4, 1)).Directive.DefaultShare)
+	director = newTestDelivery(t)
+	require.NotZero(t, director.Evaluate(time.Second, testObservation(4, 3)).Directive.DefaultShare)
 }
 
 // As many canaries as have the old workers' load, but each is to answer often.
 func TestNumberOfCanaries(t *testing.T) {
-	state := directing(t).services[simService]
+	state := newTestDelivery(t).services[simService]
 	state.defaultShare = 0.3
 	state.meter.rates[testRoute] = 20
 	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
@@ -116,30 +116,30 @@
 
 // A canary that has shown all that one worker may gives way.
 func TestSuspectedCanaryIsReplaced(t *testing.T) {
-	director := directing(t)
-	require.Contains(t, director.Evaluate(0, observe(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
+	director := newTestDelivery(t)
+	require.Contains(t, director.Evaluate(0, testObservation(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
 	director.Observe(0, "node-1", Evidence{
 		Service: simService, Revision: 7,
 		Old: map[RouteName]*Counts{testRoute: {Answers: 500}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Answers: 20, Failures: 10}}},
 	})
-	step := director.Evaluate(shareUpdateInterval, observe(6, 6))
+	step := director.Evaluate(shareUpdateInterval, testObservation(6, 6))
 	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, step.Directive.Canaries)
 	require.Equal(t, StageCanary, step.Directive.Stage, "it doesn't condemn")
 	require.NotZero(t, step.Directive.DefaultShare)
 }
 
 // What nodes had counted before they were first heard has no known time.
-func TestHistoryDoesntCountForRates(t *testing.T) {
+func TestInitialCountsDoNotAffectRates(t *testing.T) {
 	counted := newMeter(0)
 	judge := newJudge()
-	counted.observe(conditions{}, "node", evidenceOf(9000, 1000, 0), judge)
+	counted.observe(conditions{}, "node", testEvidence(9000, 1000, 0), judge)
 	counted.tick(time.Second, func(RouteName) float64 { return 0 })
 	require.Zero(t, counted.traffic(2*time.Second).rate)
 	require.Equal(t, 10000.0, counted.traffic(2*time.Second).total)
 	require.Equal(t, 1000.0, counted.traffic(2*time.Second).target)
 	for second := 2; second < 12; second++ {
-		counted.observe(conditions{}, "node", evidenceOf(9000+uint64(second)*100, 1000, 0), judge)
+		counted.observe(conditions{}, "node", testEvidence(9000+uint64(second)*100, 1000, 0), judge)
 		counted.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
 	}
 	require.InDelta(t, 100, counted.traffic(12*time.Second).rate, 5)
@@ -150,18 +150,18 @@
 
 // At the last moment what speaks against the target counts, though it doesn't condemn.
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
-	director := directing(t)
-	director.HandleWriteResult(0, simService, *director.Evaluate(0, observe(4, 4)).Write, nil, nil)
-	step := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, observe(4, 4))
+	director := newTestDelivery(t)
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(4, 4)).Write, nil, nil)
+	step := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, testObservation(4, 4))
 	require.Equal(t, StageShifting, step.Directive.Stage)
-	late := evidenceOf(50*116, 116, 0)
+	late := testEvidence(50*116, 116, 0)
 	for _, counts := range late.New[testRoute] {
 		counts.Answers += 5
 		counts.Failures += 2
 	}
 	director.Observe(11700*time.Millisecond, "node-1", late)
-	require.Nil(t, director.Evaluate(11700*time.Millisecond, observe(4, 4)).Write)
-	step = director.Evaluate(11800*time.Millisecond, observe(4, 4))
+	require.Nil(t, director.Evaluate(11700*time.Millisecond, testObservation(4, 4)).Write)
+	step = director.Evaluate(11800*time.Millisecond, testObservation(4, 4))
 	require.NotNil(t, step.Write)
 	require.Equal(t, StageRolledBack, step.Write.Stage)
 	require.Equal(t, ReasonUndecided, step.Write.Reason)
@@ -170,8 +170,8 @@
 
 // A rare route may have the longest requests: few canaries of many workers get no more of it
 // than they carry, however rare it is.
-func TestRareRouteDoesNotOverloadFewCanaries(t *testing.T) {
-	director := directing(t)
+func TestRareRouteDoesNotOverloadCanaries(t *testing.T) {
+	director := newTestDelivery(t)
 	var step Decision
 	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
 		looks := uint64(now / EvaluationInterval)
@@ -179,7 +179,7 @@
 			Service: simService, Revision: 7,
 			Old: map[RouteName]*Counts{"common": {Answers: 70 * looks}, "rare": {Answers: 4 * looks}},
 		})
-		step = director.Evaluate(now, observe(60, 60))
+		step = director.Evaluate(now, testObservation(60, 60))
 	}
 	canaries := float64(len(step.Directive.Canaries))
 	require.Less(t, canaries, 6.0)
@@ -188,7 +188,7 @@
 }
 
 func TestRareRouteGetsALargerShare(t *testing.T) {
-	director := directing(t)
+	director := newTestDelivery(t)
 	var step Decision
 	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
 		looks := uint64(now / EvaluationInterval)
@@ -196,7 +196,7 @@
 			Service: simService, Revision: 7,
 			Old: map[RouteName]*Counts{"common": {Answers: 50 * looks}, "rare": {Answers: looks}},
 		})
-		step = director.Evaluate(now, observe(4, 4))
+		step = director.Evaluate(now, testObservation(4, 4))
 	}
 	require.Equal(t, maxShare, step.Directive.Shares["rare"])
 	require.Less(t, step.Directive.Shares["common"], 0.1)
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -82,14 +82,14 @@
 		recorder := &recorder{checks: 2, token: 7} // for the plan and for one order
 		controller := startController(t, recorder)
 		time.Sleep(time.Minute)
-		want := loadOrder("a", oldWeights)
+		want := loadOrder("a", oldVersion)
 		want.Order.Fence = 7
 		assert.Equal(t, []Order{want}, recorder.sent())
 		require.NoError(t, controller.Stop())
 	})
 }
 
-func TestFailedOrderIsSentAgain(t *testing.T) {
+func TestFailedOrderIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &recorder{checks: 1000, token: 1, fail: true}
 		controller := startController(t, recorder)
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestStopCancelsAnOrderThatHangs(t *testing.T) {
+func TestStopCancelsAHangingOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &recorder{checks: 1000, hang: true}
 		controller := startController(t, recorder)
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	oldWeights     = engine.Weights{Model: "m", Version: "v1"}
-	newWeights     = engine.Weights{Model: "m", Version: "v2"}
-	adapterWeights = engine.Weights{Model: "m", Adapter: "a", Version: "x1"}
+	oldVersion     = engine.Weights{Model: "m", Version: "v1"}
+	newVersion     = engine.Weights{Model: "m", Version: "v2"}
+	adapterVersion = engine.Weights{Model: "m", Adapter: "a", Version: "x1"}
 )
 
 // testDocument has a model whose two versions are in the given states.
@@ -44,14 +44,14 @@
 	return Order{Engine: id, Order: engine.Order{Incarnation: 1, Kind: engine.OrderLoad, Weights: weights}}
 }
 
-func TestServingVersionsLoadBeforeNewOnesWithinTheLimit(t *testing.T) {
+func TestServingVersionsLoadFirstWithinTheLimit(t *testing.T) {
 	document := testDocument(config.VersionServing, config.VersionLoading)
-	engines := []Engine{testEngine("c", oldWeights), testEngine("b"), testEngine("a", oldWeights)}
+	engines := []Engine{testEngine("c", oldVersion), testEngine("b"), testEngine("a", oldVersion)}
 	other := testEngine("d")
 	other.Pool = "q"
 	engines = append(engines, other)
 	planner := NewPlanner(PlannerSettings{})
-	want := []Order{loadOrder("b", oldWeights), loadOrder("a", newWeights)}
+	want := []Order{loadOrder("b", oldVersion), loadOrder("a", newVersion)}
 	assert.Equal(t, want, planner.Plan(0, document, engines))
 	assert.Empty(t, planner.Plan(time.Second, document, engines), "both loads are under way, unseen")
 	assert.Empty(t, planner.Plan(time.Second, document, engines[:1]), "also while the engines aren't listed")
@@ -59,7 +59,7 @@
 	assert.Empty(t, planner.Plan(0, nil, engines))
 }
 
-func TestRestartedEngineIsLoadedAnew(t *testing.T) {
+func TestRestartedEngineIsLoadedAgain(t *testing.T) {
 	document := testDocument(config.VersionServing, config.VersionRetired)
 	document.Pools[0].MaxLoads = 1
 	planner := NewPlanner(PlannerSettings{})
@@ -71,33 +71,33 @@
 	assert.EqualValues(t, 2, orders[0].Order.Incarnation)
 }
 
-func TestShownLoadMakesRoomAtOnce(t *testing.T) {
+func TestVisibleLoadFreesItsSlotAtOnce(t *testing.T) {
 	document := testDocument(config.VersionServing, config.VersionRetired)
 	document.Pools[0].MaxLoads = 1
 	planner := NewPlanner(PlannerSettings{})
 	require.Len(t, planner.Plan(0, document, []Engine{testEngine("a"), testEngine("b")}), 1)
-	orders := planner.Plan(1, document, []Engine{testEngine("a", oldWeights), testEngine("b")})
-	assert.Equal(t, []Order{loadOrder("b", oldWeights)}, orders)
+	orders := planner.Plan(1, document, []Engine{testEngine("a", oldVersion), testEngine("b")})
+	assert.Equal(t, []Order{loadOrder("b", oldVersion)}, orders)
 }
 
-func TestRetiredVersionIsUnloadedWhenReplacedAndAfterTheGrace(t *testing.T) {
+func TestRetiredVersionIsUnloadedAfterReplacementAndGracePeriod(t *testing.T) {
 	document := testDocument(config.VersionRetired, config.VersionServing)
 	planner := NewPlanner(PlannerSettings{})
 	unknown := engine.Weights{Model: "m", Version: "v9"}
-	engines := []Engine{testEngine("a", oldWeights, newWeights, unknown), testEngine("b", oldWeights)}
-	assert.Equal(t, []Order{loadOrder("b", newWeights)}, planner.Plan(0, document, engines))
+	engines := []Engine{testEngine("a", oldVersion, newVersion, unknown), testEngine("b", oldVersion)}
+	assert.Equal(t, []Order{loadOrder("b", newVersion)}, planner.Plan(0, document, engines))
 
 	orders := planner.Plan(DefaultUnloadGrace, document, engines)
-	unload := loadOrder("a", oldWeights)
+	unload := loadOrder("a", oldVersion)
 	unload.Order.Kind = engine.OrderUnload
-	assert.Equal(t, []Order{unload, loadOrder("b", newWeights)}, orders, "b has nothing else yet")
+	assert.Equal(t, []Order{unload, loadOrder("b", newVersion)}, orders, "b has nothing else yet")
 
 	back := testDocument(config.VersionServing, config.VersionLoading)
 	planner.Plan(DefaultUnloadGrace+1, back, engines)
 	assert.Empty(t, planner.Plan(DefaultUnloadGrace+2, document, engines[:1]), "the grace starts again")
 }
 
-func TestDirectivesBindOneRunOnly(t *testing.T) {
+func TestDirectivesApplyToOneRun(t *testing.T) {
 	document := testDocument(config.VersionServing, config.VersionRetired)
 	document.Directives = []config.Directive{
 		{Engine: "a", Incarnation: 1, Kind: config.DirectiveRetire},
@@ -106,7 +106,7 @@
 		{Engine: "c", Incarnation: 1, Kind: config.DirectiveDrain},
 		{Engine: "d", Incarnation: 9, Kind: config.DirectiveRetire},
 	}
-	engines := []Engine{testEngine("a"), testEngine("b", oldWeights), testEngine("c"), testEngine("d", oldWeights)}
+	engines := []Engine{testEngine("a"), testEngine("b", oldVersion), testEngine("c"), testEngine("d", oldVersion)}
 	assert.Equal(t, []Order{
 		{Engine: "a", Order: engine.Order{Incarnation: 1, Kind: engine.OrderRetire}},
 		{Engine: "b", Order: engine.Order{Incarnation: 1, Kind: engine.OrderRole, Role: engine.RoleDecode}},
@@ -123,7 +123,7 @@
 	document.Models[0].Adapters = []config.Adapter{adapter}
 	leaving := testEngine("c")
 	leaving.Status.Leaving = true
-	engines := []Engine{testEngine("a", newWeights, adapterWeights), testEngine("b"), leaving}
+	engines := []Engine{testEngine("a", newVersion, adapterVersion), testEngine("b"), leaving}
 
 	check := func(version fleet.VersionName, adapter fleet.AdapterName, wantReady bool, wantLoaded, wantWanted int) {
 		t.Helper()
@@ -133,7 +133,7 @@
 	check("v2", "", false, 1, 2)
 	check("x1", "a", false, 1, 2)
 	check("v3", "", false, 0, 0)
-	engines[1].Status.Loaded = []engine.Weights{newWeights}
+	engines[1].Status.Loaded = []engine.Weights{newVersion}
 	check("v2", "", true, 2, 2)
 	document.Directives = []config.Directive{{Engine: "b", Incarnation: 1, Kind: config.DirectiveDrain}}
 	check("x1", "a", true, 1, 1)
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -16,20 +16,20 @@
 	testChange = 1200 * time.Millisecond
 )
 
-// paced is a set of engines that take a fixed time to change.
-type paced struct {
-	pacer    *Pacer
-	engines  []VersionedEngine
-	began    map[fleet.EngineID]time.Duration
-	to       map[fleet.EngineID]uint64
-	loads    int
-	loadTime time.Duration
+// pacerSimulation is a set of engines that take a fixed time to change.
+type pacerSimulation struct {
+	pacer     *Pacer
+	engines   []VersionedEngine
+	startedAt map[fleet.EngineID]time.Duration
+	target    map[fleet.EngineID]uint64
+	loads     int
+	loadTime  time.Duration
 }
 
-func newPaced(count int) *paced {
-	p := &paced{
+func newPacerSimulation(count int) *pacerSimulation {
+	p := &pacerSimulation{
 		pacer: NewPacer(PacerOptions{Within: testWithin, ChangeTime: testChange}), loadTime: testChange,
-		began: map[fleet.EngineID]time.Duration{}, to: map[fleet.EngineID]uint64{},
+		startedAt: map[fleet.EngineID]time.Duration{}, target: map[fleet.EngineID]uint64{},
 	}
 	for number := range count {
 		p.engines = append(p.engines, VersionedEngine{Engine: fleet.EngineID(fmt.Sprintf("e%02d", number)), Version: 1})
@@ -37,11 +37,11 @@
 	return p
 }
 
-func (p *paced) step(now time.Duration) {
+func (p *pacerSimulation) step(now time.Duration) {
 	for index := range p.engines {
 		engine := &p.engines[index]
-		if engine.Changing && now >= p.began[engine.Engine]+p.loadTime {
-			engine.Changing, engine.Version = false, p.to[engine.Engine]
+		if engine.Changing && now >= p.startedAt[engine.Engine]+p.loadTime {
+			engine.Changing, engine.Version = false, p.target[engine.Engine]
 			p.pacer.ObserveChange(p.loadTime, p.loadTime)
 		}
 	}
@@ -51,12 +51,12 @@
 				p.engines[index].Changing = true
 			}
 		}
-		p.began[id], p.to[id] = now, p.pacer.Newest()
+		p.startedAt[id], p.target[id] = now, p.pacer.Newest()
 		p.loads++
 	}
 }
 
-func (p *paced) oldest() uint64 {
+func (p *pacerSimulation) oldest() uint64 {
 	oldest := p.engines[0].Version
 	for _, engine := range p.engines {
 		oldest = min(oldest, engine.Version)
@@ -64,11 +64,11 @@
 	return oldest
 }
 
-// TestEveryVersionIsEverywhereInTime names a version each 2 s. Each engine takes
+// TestEveryVersionReachesAllEnginesInTime names a version each 2 s. Each engine takes
 // part in a change for a share of the time that the bound dictates, not more.
-func TestEveryVersionIsEverywhereInTime(t *testing.T) {
+func TestEveryVersionReachesAllEnginesInTime(t *testing.T) {
 	for _, count := range []int{1, 12, 18, 60} {
-		p := newPaced(count)
+		p := newPacerSimulation(count)
 		named := map[uint64]time.Duration{}
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
 			if now%(2*time.Second) == 0 && now < 20*time.Second {
@@ -90,11 +90,11 @@
 	}
 }
 
-// TestLoadsThatSlowEachOtherDownBecomeFewer has 60 engines of which more than six
+// TestContendingLoadsReduceParallelism has 60 engines of which more than six
 // at once load ever slower.
-func TestLoadsThatSlowEachOtherDownBecomeFewer(t *testing.T) {
+func TestContendingLoadsReduceParallelism(t *testing.T) {
 	const loadTime, unslowed = 760 * time.Millisecond, 6
-	p := newPaced(60)
+	p := newPacerSimulation(60)
 	p.pacer = NewPacer(PacerOptions{Within: 30 * time.Second, ChangeTime: loadTime})
 	atOnce := func(from, to time.Duration) int {
 		most := 0
@@ -123,10 +123,10 @@
 	assert.EqualValues(t, 4, p.oldest())
 }
 
-// TestChangesAreSpreadOverTheTimeUntilTheyAreDue counts how many change at once.
-func TestChangesAreSpreadOverTheTimeUntilTheyAreDue(t *testing.T) {
+// TestChangesAreSpreadUntilDue counts how many change at once.
+func TestChangesAreSpreadUntilDue(t *testing.T) {
 	for count, most := range map[int]int{12: 4, 90: 20} {
-		p := newPaced(count)
+		p := newPacerSimulation(count)
 		p.pacer.Publish(0, 2)
 		for now := time.Duration(0); now < testWithin; now += 100 * time.Millisecond {
 			p.step(now)
@@ -144,15 +144,15 @@
 
 // TestOverdueEnginesChangeAtOnce: they get no requests either way.
 func TestOverdueEnginesChangeAtOnce(t *testing.T) {
-	p := newPaced(12)
+	p := newPacerSimulation(12)
 	p.pacer.PublishAssumed(-time.Minute, 2)
 	p.step(0)
 	assert.Equal(t, 12, p.loads, "they aren't spread either")
 }
 
-// TestChangesBeginOneAfterTheOther counts those that begin within a short time.
-func TestChangesBeginOneAfterTheOther(t *testing.T) {
-	p := newPaced(12)
+// TestChangeStartsAreStaggered counts those that begin within a short time.
+func TestChangeStartsAreStaggered(t *testing.T) {
+	p := newPacerSimulation(12)
 	p.pacer.Publish(0, 2)
 	for now := time.Duration(0); now < 4*time.Second; now += 100 * time.Millisecond {
 		before := p.loads
@@ -162,9 +162,9 @@
 	assert.Positive(t, p.loads)
 }
 
-// TestEngineThatFailedIsTriedLast among those in doubt.
-func TestEngineThatFailedIsTriedLast(t *testing.T) {
-	p := newPaced(4)
+// TestFailedEngineIsTriedLast among those in doubt.
+func TestFailedEngineIsTriedLast(t *testing.T) {
+	p := newPacerSimulation(4)
 	for index := range p.engines {
 		p.engines[index].Unreachable = true
 		p.engines[index].Failures = 3 - index
@@ -173,9 +173,9 @@
 	assert.Equal(t, []fleet.EngineID{"e03", "e02"}, p.pacer.Next(0, p.engines))
 }
 
-// TestDoubtfulEnginesTakeNoRoom has a third of the engines out of reach.
-func TestDoubtfulEnginesTakeNoRoom(t *testing.T) {
-	p := newPaced(30)
+// TestUnreachableEnginesDoNotUseTheParallelLimit has a third of the engines out of reach.
+func TestUnreachableEnginesDoNotUseTheParallelLimit(t *testing.T) {
+	p := newPacerSimulation(30)
 	for index := range 10 {
 		p.engines[index].Unreachable = true
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestNamingIsLearntFromWhoeverHeardOfItAtOnce(t *testing.T) {
+func TestPublicationTimeIsLearntFromPeers(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
 	require.True(t, pacer.PublishAssumed(5*time.Second, 4))
 	pacer.LearnPublication(8*time.Second, 4)
@@ -207,14 +207,14 @@
 	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin), "a later word changes nothing")
 }
 
-func TestAssumedNamingIsNotTold(t *testing.T) {
+func TestAssumedPublicationIsNotShared(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
 	pacer.PublishAssumed(0, 2)
 	assert.Empty(t, pacer.RecentPublications(4))
 	assert.False(t, pacer.Publish(0, 2), "it is known already")
 }
 
-func TestHoldDelaysOnlyVersionsThatAreNotDue(t *testing.T) {
+func TestResetPendingKeepsDueVersions(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
 	pacer.Publish(0, 2)
 	pacer.Publish(5*time.Second, 3)
