--- a/internal/delivery/baseline.go
+++ b/internal/delivery/baseline.go
@@ -2,51 +2,50 @@
 
 import "time"
 
-// What the old side's recent answers are kept by.
+// Parameters of the baseline.
 const (
-	// recentSize and lastingAnswers are how many answers the two baselines weigh: the
-	// recent one follows a wave of load within a part of a second of a busy service, the
-	// lasting one knows a failure rate of 0.14 to within 0.01. The higher rate counts.
+	// recentSize and longTermSize are the numbers of answers in the two windows. The recent window
+	// follows load peaks, the long-term window estimates the failure rate precisely. The higher
+	// rate of the two counts.
 	recentSize   = 256
 	longTermSize = 2048
-	// priorAnswers and priorBad are mixed in, so that a baseline of few answers isn't
-	// taken for a worker that never fails.
+	// priorAnswers and priorBad are added to the counts, so that few answers don't yield a rate of
+	// zero.
 	priorAnswers, priorBad = 10, 1
-	// minQuantileAnswers is the least number of answers of which a quantile is taken.
+	// minQuantileAnswers is the least number of answers from which a quantile is computed.
 	minQuantileAnswers = 12
-	// slowQuantile is the quantile of the old side's times from which slowness counts.
+	// slowQuantile is the quantile of the old workers' times against which slowness is measured.
 	slowQuantile = 0.9
-	// slowOffset is how far above that quantile's bucket an answer is slow: 2.8 times.
+	// slowOffset is how many buckets above that quantile an answer is slow, a factor of 2.8.
 	slowOffset = 3
-	// The answers of a worker on a route are cold until there are coldAnswers and coldTime
-	// has passed since the first: those that take 5.7 times as long are slow, and
-	// those between that and twice as long say nothing. Engines begin with an
-	// empty cache, and nodes report at different times.
+	// A worker is cold on a route until it has given coldAnswers answers and coldDuration has
+	// passed since the first ones were counted, because engines start with an empty cache. Its
+	// answers are slow from a factor of 5.7 on, and are ignored between a factor of 2 and that.
 	coldAnswers    = 10
 	coldDuration   = 1500 * time.Millisecond
 	coldSlowOffset = 5
 	coldFastOffset = 2
 )
 
-// baseline is how the old side of a route answers now.
+// baseline describes the current answers of the old workers on a route.
 type baseline struct {
 	recent, longTerm window
 }
 
-// add takes in answers of the old side.
+// add adds answers of old workers.
 func (b *baseline) add(delta *Counts) {
 	b.recent.add(delta, recentSize)
 	b.longTerm.add(delta, longTermSize)
 }
 
-// window holds the weights of the last answers.
+// window holds weighted counts of the last answers.
 type window struct {
 	answers  float64
 	failures float64
 	latency  [LatencyBuckets]float64
 }
 
-// add takes in answers and forgets as much of earlier ones.
+// add adds answers and scales the counts down to the window's size.
 func (w *window) add(delta *Counts, size float64) {
 	w.answers += float64(delta.Answers)
 	w.failures += float64(delta.Failures)
@@ -64,13 +63,13 @@
 	}
 }
 
-// latencyLimits are the buckets that tell fast, slow and other answers apart: those below
-// fastBelow are fast, those from slowFrom on slow, those between say nothing.
+// latencyLimits classify answers by bucket: those below fastBelow are fast, those from slowFrom on
+// are slow, and those between are ignored.
 type latencyLimits struct {
 	fastBelow, slowFrom int
 }
 
-// limits returns the limits for a worker, cold or not. Without a baseline nothing is slow.
+// limits returns the limits for a worker, cold or not. Without a baseline no answer is slow.
 func (b *baseline) limits(cold bool) latencyLimits {
 	quantile, known := b.recent.quantileBucket()
 	switch {
@@ -83,7 +82,7 @@
 	}
 }
 
-// quantileBucket returns the bucket that holds slowQuantile of the times.
+// quantileBucket returns the bucket of slowQuantile, and false if there are too few answers.
 func (w *window) quantileBucket() (int, bool) {
 	succeeded := w.answers - w.failures
 	if succeeded < minQuantileAnswers {
@@ -99,7 +98,7 @@
 	return LatencyBuckets - 1, true
 }
 
-// badRate returns the part of the old side's answers that failed or were slow.
+// badRate returns the fraction of the old workers' answers that failed or were slow.
 func (b *baseline) badRate(slowFrom int) float64 {
 	return max(b.recent.badRate(slowFrom), b.longTerm.badRate(slowFrom))
 }
--- a/internal/delivery/canaries.go
+++ b/internal/delivery/canaries.go
@@ -10,24 +10,24 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// How canaries and shares are chosen.
+// Parameters for choosing canaries and shares.
 const (
-	// minCanaries is the number of the target's workers that get the canary share, if
-	// there are as many: two must be bad for a verdict.
+	// minCanaries is the least number of canaries, if the target has as many workers. Two must be
+	// bad for a rejection.
 	minCanaries = 3
-	// minCanaryRate is the number of requests a second that each further one must get.
+	// minCanaryRate is the number of requests per second that each additional canary must get.
 	minCanaryRate = 2.0
-	// maxCanaryLoadFactor is by how many times a route's load at a canary may exceed that of the
-	// workers when everything goes to them.
+	// maxCanaryLoadFactor limits a route's load at a canary, relative to its load per worker once
+	// all requests go to the target.
 	maxCanaryLoadFactor = 1.2
-	// shareUpdateInterval is the time for which shares stay, so that directives change seldom.
+	// shareUpdateInterval is the least time between two changes of the shares.
 	shareUpdateInterval = time.Second
-	// maxCanaryWait is the time after an order within which the target's first workers
-	// are waited for, so that the first canaries aren't a single one.
+	// maxCanaryWait is how long after the order the director waits for minCanaries workers before
+	// it starts with fewer.
 	maxCanaryWait = 2 * time.Second
 )
 
-// targetShare returns the part of a route's requests that the target gets now.
+// targetShare returns the fraction of a route's requests that currently goes to the target.
 func (s *directorState) targetShare(route RouteName) float64 {
 	switch {
 	case s.shifting:
@@ -41,17 +41,16 @@
 	return s.defaultShare
 }
 
-// wantedCanaries returns how many of the target's workers get the share: with more than it
-// needs, their load would be below the old side's, and a fault under load wouldn't show; and
-// each must answer often enough to be known.
+// wantedCanaries returns the number of canaries. With more, their load would be below that of the
+// old workers, which would hide faults under load, and each would answer too rarely to be judged.
 func (s *directorState) wantedCanaries(now time.Duration, share float64, targets int) int {
 	asLoaded := share * float64(targets)
 	answering := share * s.meter.traffic(now).rate / minCanaryRate
 	return max(minCanaries, int(math.Round(min(asLoaded, answering))))
 }
 
-// chooseCanaries keeps those canaries that are still listed and fills up. A canary that
-// may be grey gives way to a worker that isn't suspected: it has shown what it can.
+// chooseCanaries keeps the canaries that are still listed and adds workers if needed. A suspected
+// canary is replaced by a worker that isn't suspected, since it can contribute no more evidence.
 func (s *directorState) chooseCanaries(now time.Duration, targets []Worker) {
 	wanted := s.wantedCanaries(now, s.defaultShare, len(targets))
 	ranked := s.rankTargets(targets)
@@ -63,8 +62,8 @@
 	}
 }
 
-// rankTargets returns the target's workers, best canaries first: unsuspected ones before
-// suspected ones, then those that are canaries, then by name.
+// rankTargets returns the target's workers, best canaries first: current canaries, then other
+// workers, then suspected ones, each by identifier.
 func (s *directorState) rankTargets(targets []Worker) []fleet.EngineID {
 	current := make(map[fleet.EngineID]bool, len(s.canaries))
 	for _, worker := range s.canaries {
@@ -89,8 +88,8 @@
 	return ranked
 }
 
-// updateShares works out the canary share anew, each sharesHold. Shares that have hardly
-// changed stay: each change is told to all nodes at once.
+// updateShares recomputes the canary shares every shareUpdateInterval. Similar shares are kept,
+// since each change is sent to all nodes.
 func (s *directorState) updateShares(now time.Duration, targets int) {
 	if s.shifting || s.sharesSetAt != 0 && now-s.sharesSetAt < shareUpdateInterval {
 		return
@@ -111,25 +110,24 @@
 	s.changed = true
 }
 
-// maxRouteShare returns what a rare route may get at the most. Its requests may be the
-// longest, and keep the few target workers so busy that a version which is far too slow looks
-// like a good one.
+// maxRouteShare returns the highest share of a rare route. Its requests may be the longest and
+// overload the few canaries, which would hide that a version is too slow.
 func (s *directorState) maxRouteShare(now time.Duration, share float64, targets int) float64 {
 	canaries := min(s.wantedCanaries(now, share, targets), targets)
 	return min(maxShare, max(share, maxCanaryLoadFactor*float64(canaries)/float64(max(targets, 1))))
 }
 
-// isSimilar tells whether two shares differ by less than a sixth.
+// isSimilar reports whether two shares differ by at most a sixth of the larger one.
 func isSimilar(a, b float64) bool {
 	return math.Abs(a-b) <= max(a, b)/6
 }
 
-// hasSimilarShares tells whether two sets of shares name the same routes with similar shares.
+// hasSimilarShares reports whether two maps have the same routes with similar shares.
 func hasSimilarShares(a, b map[RouteName]float64) bool {
 	return maps.EqualFunc(a, b, isSimilar)
 }
 
-// hasEnoughCanaries tells whether there are enough canaries to be told apart, or has waited.
+// hasEnoughCanaries reports whether there are minCanaries, or any after maxCanaryWait.
 func (s *directorState) hasEnoughCanaries(now time.Duration) bool {
 	return len(s.canaries) >= minCanaries || len(s.canaries) > 0 && now-s.schedule.start >= maxCanaryWait
 }
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -9,87 +9,86 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Options sets up followers and directors.
+// Options configures followers and directors.
 type Options struct {
-	// Self is this node.
+	// Self is this node's identifier.
 	Self fleet.NodeID
-	// ExposureShare and ExposureSlack bound what a bad version may get: a part of the
-	// requests that reach the service between the order and its deadline, and requests
-	// besides.
+	// ExposureShare and ExposureSlack bound the requests that a bad version may get: a fraction of
+	// the service's requests between the order and its deadline, plus a fixed number of requests.
 	ExposureShare float64
 	ExposureSlack float64
-	// RollbackWithin is the time after the first bad answers within which a bad version
-	// must get nothing any more.
+	// RollbackWithin is the time after the first bad answers within which a bad version must stop
+	// getting requests.
 	RollbackWithin time.Duration
 }
 
-// Worker is a worker of a service, as the director sees it.
+// Worker is a worker of a service, of any version, as the director sees it.
 type Worker struct {
 	ID      fleet.EngineID
 	Version fleet.SoftwareVersion
 	Slots   int
-	// InFlight is the number of requests there, over all nodes.
+	// InFlight is the number of requests at the worker, over all nodes.
 	InFlight int
-	// Unreachable is set if it can't be reached, by what is known.
+	// Unreachable is set if the worker is believed to be unreachable.
 	Unreachable bool
 }
 
-// Observation is what the director sees of one service at a look.
+// Observation is the state of one service at an evaluation.
 type Observation struct {
 	Service fleet.PoolName
-	// Configured is set if the configuration holds the service.
+	// Configured is set if the service is in the configuration.
 	Configured bool
 	Workers    []Worker
 }
 
-// Decision is what follows from a look.
+// Decision is the result of an evaluation.
 type Decision struct {
-	// Directive is to be passed on to every node; nil if there is no delivery.
+	// Directive is to be sent to every node; nil if there is no delivery.
 	Directive *Directive
-	// Write is a record to be written with its public status before a final directive
-	// is issued; nil if there is nothing to write.
+	// Write is a record to store together with its public status; nil if there is nothing to store.
+	// A final directive is issued only after its record is stored.
 	Write *Record
-	// Event is a line for the log; its Name is empty if nothing has happened.
+	// Event is to be logged; its Name is empty if nothing has happened.
 	Event Event
 }
 
-// Event is a step or verdict with what decided it.
+// Event describes a step or verdict of a delivery and the evidence behind it.
 type Event struct {
 	Name    string
 	Service fleet.PoolName
 	Target  fleet.SoftwareVersion
 	Stage   Stage
 	Reason  string
-	// Route and Worker are where the evidence against the target is strongest.
+	// Route and Worker are those with the strongest evidence against the target.
 	Route  RouteName
 	Worker fleet.EngineID
-	// Score and Threshold are the strongest evidence and from where on it condemns.
+	// Score is the strongest evidence; the target is rejected from Threshold on.
 	Score, Threshold float64
-	// NewAnswers, NewBad, OldAnswers and OldBad are the counts behind it.
+	// NewAnswers, NewBad, OldAnswers and OldBad are the answer counts behind the score.
 	NewAnswers, NewBad, OldAnswers, OldBad uint64
-	// Elapsed and Remaining are the times since the order and until its deadline.
+	// Elapsed is the time since the order, Remaining the time until its deadline.
 	Elapsed, Remaining time.Duration
 }
 
-// EvaluationInterval is the time between two looks of the director at a service.
+// EvaluationInterval is the time between two evaluations of a service by the director.
 const EvaluationInterval = 100 * time.Millisecond
 
-// Director runs the deliveries of the whole fleet while its node holds the lease.
+// Director runs the deliveries of all services while its node holds the lease.
 type Director struct {
 	options  Options
 	services map[fleet.PoolName]*directorState
-	// storeOffset translates times: local time = store time + storeOffset.
+	// storeOffset converts times: local time = store time + storeOffset.
 	storeOffset time.Duration
 }
 
-// NewDirector returns a director that knows of no order and no record.
+// NewDirector returns a director without orders and records.
 func NewDirector(options Options) *Director {
 	return &Director{options: options, services: map[fleet.PoolName]*directorState{}}
 }
 
-// Restore takes in the records in the store and the store's steady clock, right after the
-// lease was taken. sinceStore translates: local time = store time + sinceStore. Orders that
-// are newer than their service's record stay; all evidence is taken in anew.
+// Restore loads the records from the store after the lease was acquired. storeOffset converts
+// times: local time = store time + storeOffset. Orders newer than the stored record of their
+// service are kept. All evidence is collected anew.
 func (d *Director) Restore(now time.Duration, records []Record, sinceStore time.Duration) {
 	d.storeOffset = sinceStore
 	known := d.services
@@ -114,7 +113,8 @@
 	}
 }
 
-// SetOrder takes in an order. at is when it was written at the latest.
+// SetOrder sets a service's order, unless it isn't newer than the current one. at is the latest
+// time at which the order may have been written.
 func (d *Director) SetOrder(now, at time.Duration, order Order) error {
 	if err := order.Validate(); err != nil {
 		return errors.Wrap(err, "invalid order")
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// replaceOrder puts an order in the place of an older one, whose target counts as rolled
-// back unless it was completed or is named again.
+// replaceOrder replaces a service's order. The target of the replaced order counts as rolled back,
+// unless it was completed or is the new target too.
 func (d *Director) replaceOrder(now, start time.Duration, order Order) {
 	var condemned []fleet.SoftwareVersion
 	if known := d.services[order.Service]; known != nil {
@@ -140,7 +140,7 @@
 	d.services[order.Service] = d.newState(now, start, order, condemned)
 }
 
-// newState returns the state of an order that is to be begun or gone on with.
+// newState returns the initial state of an order that is started or resumed.
 func (d *Director) newState(now, start time.Duration, order Order, condemned []fleet.SoftwareVersion) *directorState {
 	created := &directorState{
 		self:      d.options.Self,
@@ -161,8 +161,8 @@
 	return created
 }
 
-// Observe takes in what a node has seen; a node's counts only grow. The evidence must not
-// be changed afterwards.
+// Observe adds a node's evidence, whose counts are cumulative. The caller must not modify the
+// evidence afterwards.
 func (d *Director) Observe(now time.Duration, node fleet.NodeID, evidence Evidence) {
 	known := d.services[evidence.Service]
 	if known == nil || known.stage.IsFinal() || evidence.Revision != known.order.Revision {
@@ -171,7 +171,7 @@
 	known.meter.observe(known.conditions(now), node, evidence, known.judge)
 }
 
-// Evaluate decides for one service. It is called each LookInterval.
+// Evaluate decides the next step for one service. It is called every EvaluationInterval.
 func (d *Director) Evaluate(now time.Duration, observation Observation) Decision {
 	known := d.services[observation.Service]
 	if known == nil {
@@ -186,8 +186,9 @@
 	return step
 }
 
-// HandleWriteResult tells how a write of Step.Write went: on success the final directive is
-// issued; a record found instead is taken over; else it is tried again at a later look.
+// HandleWriteResult processes the result of writing Decision.Write. On success a final directive is
+// issued. If the store holds another record, stored, that one is adopted. After an error the write
+// is retried at a later evaluation.
 func (d *Director) HandleWriteResult(now time.Duration, service fleet.PoolName, written Record, found *Record, err error) {
 	known := d.services[service]
 	if known == nil || known.order.Revision != written.Order.Revision || known.stage.IsFinal() {
@@ -208,7 +209,7 @@
 	}
 }
 
-// adoptRecord goes by a record that another director has written.
+// adoptRecord updates the state to a record that another director has stored.
 func (d *Director) adoptRecord(now time.Duration, known *directorState, found Record) {
 	start := found.StartedAt + d.storeOffset
 	switch {
@@ -229,7 +230,7 @@
 	}
 }
 
-// appendUnique adds a version to a list that doesn't hold it.
+// appendUnique appends a version to a list unless the list contains it.
 func appendUnique(versions []fleet.SoftwareVersion, version fleet.SoftwareVersion) []fleet.SoftwareVersion {
 	if slices.Contains(versions, version) {
 		return versions
--- a/internal/delivery/directorstate.go
+++ b/internal/delivery/directorstate.go
@@ -7,15 +7,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Times of writes to the store.
 const (
-	// writeRetryInterval is the time between two tries of a write, writeTimeout that after which
-	// a write without an answer is tried again.
+	// writeRetryInterval is the delay after a failed write, writeTimeout the time after which a
+	// write without a result is retried.
 	writeRetryInterval = 300 * time.Millisecond
 	writeTimeout       = 3 * time.Second
 )
 
-// directorState is a director's state of one order.
+// directorState is the director's state of one order.
 type directorState struct {
 	self      fleet.NodeID
 	order     Order
@@ -27,16 +26,16 @@
 	meter     meter
 	judge     *judge
 
-	// verdict is the final stage that was decided but isn't written yet, 0 before.
+	// verdict is the final stage that is decided but not stored yet; 0 before the decision.
 	verdict Stage
 	// recorded is set once the store holds a record of the order.
 	recorded bool
-	// nextWriteAt is when a record may be written, again after a try that failed.
+	// nextWriteAt is the earliest time of the next write.
 	nextWriteAt time.Duration
-	// finalAt is when the final stage was known to be written.
+	// finalAt is when the final stage was known to be stored.
 	finalAt time.Duration
 
-	// The rest is what the last directive asks for.
+	// The following fields hold the content of the last directive and the reported events.
 	sequence        uint64
 	changed         bool
 	shares          map[RouteName]float64
@@ -51,12 +50,12 @@
 	startReported   bool
 	endReported     bool
 	evaluatedAt     time.Duration
-	// hasSingleTarget is set while the target lists a single worker.
+	// hasSingleTarget is set while a single reachable worker of the target is listed.
 	hasSingleTarget bool
 }
 
-// extend gives an order whose deadline is past, or close, the time that a delivery
-// needs. A shift can't be squeezed into less without more exposure.
+// extend restarts the schedule of an order whose deadline has passed or is too close for a shift. A
+// shorter shift would need more exposure.
 func (s *directorState) extend(now time.Duration) {
 	early := now <= s.schedule.deadline-minRemaining || now-s.schedule.start < minRemaining
 	if early && now < s.schedule.deadline {
@@ -66,8 +65,8 @@
 	s.schedule.deadline = now + extendedDuration
 }
 
-// resume goes on after a pause in which nothing was seen or could be decided. A shift has
-// lapsed everywhere by then; a completion may have been written, the store will tell.
+// resume continues after a time without evaluations or evidence. By then a shift has expired on all
+// nodes. A completion that isn't known to be stored is withdrawn; the store tells if it was.
 func (s *directorState) resume(now time.Duration, reason string) Event {
 	if s.verdict == StageCompleted {
 		s.verdict = 0
@@ -81,7 +80,7 @@
 	return s.newEvent(now, EventExtended, reason)
 }
 
-// restart goes by another start of the same order.
+// restart reschedules the order from another start time.
 func (s *directorState) restart(now, start time.Duration) {
 	s.startedAt = start
 	s.schedule.start = start
@@ -89,7 +88,7 @@
 	s.extend(now)
 }
 
-// mergeOlderRecord takes over from the record of an older order what became of it.
+// mergeOlderRecord applies the outcome of an older order of the service.
 func (s *directorState) mergeOlderRecord(found Record) {
 	for _, version := range found.Rejected {
 		s.rejected = appendUnique(s.rejected, version)
@@ -102,7 +101,7 @@
 	s.changed = true
 }
 
-// finish takes in a final record. at is when it became known.
+// finish applies a final record. at is when it became known.
 func (s *directorState) finish(record Record, at time.Duration) {
 	s.stage = record.Stage
 	s.reason = record.Reason
@@ -115,7 +114,7 @@
 	s.changed = true
 }
 
-// refuse answers an order for a service that the configuration doesn't hold.
+// refuse reports once that the order's service isn't in the configuration.
 func (s *directorState) refuse(now time.Duration) Decision {
 	if s.refusalReported {
 		return Decision{}
@@ -128,8 +127,8 @@
 	return conditions{now: now, singleCanary: !s.shifting && len(s.canaries) == 1, surging: s.shifting}
 }
 
-// directive returns what is asked of all nodes now. storeNow numbers changes across
-// directors: it only grows, and is one clock for all of them.
+// directive returns the current directive. storeNow is the store's monotonic clock, from which
+// sequence numbers are derived, so that they increase across directors.
 func (s *directorState) directive(now, storeNow time.Duration) *Directive {
 	if s.changed {
 		s.changed = false
@@ -161,7 +160,8 @@
 	return issued
 }
 
-// pendingRecord returns the record that the store lacks: that the order has begun, or its end.
+// pendingRecord returns the record that is to be stored: the start of the delivery or its end. It
+// returns nil if there is none or a write is under way.
 func (s *directorState) pendingRecord(now, sinceStore time.Duration) *Record {
 	if s.stage.IsFinal() || s.recorded && s.verdict == 0 {
 		return nil
@@ -185,7 +185,7 @@
 	return record
 }
 
-// recordStage returns the stage that the store's record is to have.
+// recordStage returns the stage for the stored record.
 func (s *directorState) recordStage() Stage {
 	if s.verdict != 0 {
 		return s.verdict
@@ -193,7 +193,7 @@
 	return StageCanary
 }
 
-// currentStage returns the stage, or the verdict that is to be written.
+// currentStage returns the stage, including a verdict that isn't stored yet.
 func (s *directorState) currentStage() Stage {
 	switch {
 	case s.stage.IsFinal():
--- a/internal/delivery/doc.go
+++ b/internal/delivery/doc.go
@@ -1,13 +1,12 @@
-// Package delivery decides the progressive delivery of a service's software
-// version: which part of the requests goes to workers of the new version, when
-// enough is known to move all of them or none, and what every node does while it
-// hears nothing.
+// Package delivery implements canary releases of a service's software version: it decides which
+// share of the requests goes to workers of the target version, compares their answers with those of
+// the old workers, and completes the release or rolls it back.
 //
-// The package is pure: it has no I/O and no clock, and time is passed in on the
-// process's steady clock. A Follower runs on every node, a Director on the node
-// that holds the lease. Neither is safe for concurrent use.
+// The package has no I/O and no clock; times are passed in and are on the process's monotonic
+// clock. A Follower runs on every node, and a Director on the node that holds the lease. Neither is
+// safe for concurrent use.
 //
-// Invariants. A node without a valid directive sends nothing to the target of an
-// unfinished order while other workers are listed. A condemned version gets nothing
-// ever again. A final state never changes.
+// Invariants: without a valid directive, a node sends nothing to the target of an unfinished order
+// while other workers are listed. A rejected version never gets requests again. A final stage never
+// changes.
 package delivery
--- a/internal/delivery/events.go
+++ b/internal/delivery/events.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Reasons of verdicts and of steps.
+// Reasons of verdicts and events.
 const (
 	ReasonBadAnswers         = "bad_answers"
 	ReasonNoWorkers          = "no_workers"
@@ -32,7 +32,7 @@
 	EventRolledBack   = "delivery_rolled_back"
 )
 
-// newEvent returns a line for the log with the counts behind it.
+// newEvent returns a log event with the answer counts behind it.
 func (s *directorState) newEvent(now time.Duration, name, reason string) Event {
 	score, route := s.judge.strongest()
 	event := Event{
--- a/internal/delivery/evidence.go
+++ b/internal/delivery/evidence.go
@@ -6,39 +6,39 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Outcome is what one answer of a worker says about its version.
+// Outcome is the result of one request at a worker.
 type Outcome struct {
 	Service fleet.PoolName
 	Route   RouteName
 	Worker  fleet.EngineID
 	Version fleet.SoftwareVersion
-	// Failed is set if the worker answered with a failure or broke its answer off.
+	// Failed is set if the worker answered with a failure or aborted its answer.
 	Failed bool
-	// TimeToFirstByte is the time to the first byte, Predicted what was expected of it; without a
-	// prediction it is 0, and times are compared among answers of the same route.
+	// TimeToFirstByte is the measured time and Predicted the expected one. Predicted is 0 without
+	// a prediction; times are then compared among answers of the same route.
 	TimeToFirstByte time.Duration
 	Predicted       time.Duration
 }
 
-// LatencyBuckets is the number of buckets of a latency histogram: each covers half a
-// power of two, of the ratio to the prediction from 1/4 on, or of 2 ms from 1 on.
+// LatencyBuckets is the number of buckets of a latency histogram. Each covers half a power of two,
+// starting at 1/4 of the predicted time, or at 2 ms without a prediction.
 const LatencyBuckets = 24
 
-// Counts are sums of outcomes. All fields only grow.
+// Counts are cumulative counts of outcomes.
 type Counts struct {
 	Answers  uint64
 	Failures uint64
 	Latency  [LatencyBuckets]uint32
 }
 
-// Evidence is what one node has seen of one service since its start or the order's.
+// Evidence is what one node has observed of one service since the node's start or since the order.
 type Evidence struct {
 	Service  fleet.PoolName
 	Revision fleet.Revision
-	// Old is by route, over all workers that aren't of the target version.
+	// Old holds counts by route over all workers that don't run the target version.
 	Old map[RouteName]*Counts
-	// New is by route and worker of the target.
+	// New holds counts by route and worker of the target.
 	New map[RouteName]map[fleet.EngineID]*Counts
-	// Stopped is set once this node has stopped sending to the target by itself.
+	// Stopped is set once this node has stopped sending to the target because of its own evidence.
 	Stopped bool
 }
--- a/internal/delivery/filter.go
+++ b/internal/delivery/filter.go
@@ -6,13 +6,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// NewFilter returns what limits a request to workers of a target version, or to all others;
-// canaries are the workers of the target that it may go to, nil for all of them.
+// NewFilter returns a filter that allows only workers of the target version if targetOnly is set,
+// else only workers of other versions. canaries limits the workers of the target; empty allows all.
 func NewFilter(target fleet.SoftwareVersion, wantsTarget bool, canaries map[fleet.EngineID]bool, fallback *Filter) *Filter {
 	return &Filter{target: target, targetOnly: wantsTarget, canaries: canaries, fallback: fallback}
 }
 
-// Allows tells whether a worker with a software version may get the request.
+// Allows reports whether a worker of a software version may get the request.
 func (c *Filter) Allows(worker fleet.EngineID, version fleet.SoftwareVersion) bool {
 	if c == nil {
 		return true
@@ -29,8 +29,8 @@
 	return !c.targetOnly || len(c.canaries) == 0 || c.canaries[worker]
 }
 
-// Canaries returns the workers to which the request is limited; nil if it isn't limited to
-// single workers.
+// Canaries returns the canaries to which the request is limited; empty if it isn't limited to
+// canaries.
 func (c *Filter) Canaries() map[fleet.EngineID]bool {
 	if c == nil || !c.targetOnly {
 		return nil
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -10,27 +10,27 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// completedTargetOnly is how long after a completion requests go to the target only: until
-// the stop of the old workers is known everywhere. Later releases aren't held up by it.
+// completedTargetOnly is how long after a completion requests go to the target only. By then all
+// nodes know that the old workers have stopped, and later releases aren't restricted.
 const completedTargetOnly = 30 * time.Second
 
-// Follower is what one node knows and does about deliveries.
+// Follower applies directives and collects evidence on one node.
 type Follower struct {
 	services map[fleet.PoolName]*followerState
 	listings map[fleet.PoolName]*listing
 }
 
-// followerState is a follower's state of one service.
+// followerState is the follower's state of one service.
 type followerState struct {
 	revision fleet.Revision
 	target   fleet.SoftwareVersion
-	// directive is the newest one of the revision, nil if none was heard.
+	// directive is the newest directive of the revision, nil if none was received.
 	directive *Directive
-	// rejected is what the last directive listed. superseded holds targets of earlier
-	// orders whose end isn't known here: they are avoided while others are listed.
+	// rejected is the list of the last directive. superseded holds targets of earlier orders whose
+	// outcome isn't known here; they are avoided while other workers are listed.
 	rejected   []fleet.SoftwareVersion
 	superseded []fleet.SoftwareVersion
-	// stopped is set once the node's own evidence condemns the target.
+	// stopped is set once the node's own evidence rejects the target.
 	stopped bool
 	old     map[RouteName]*Counts
 	new     map[RouteName]map[fleet.EngineID]*Counts
@@ -38,14 +38,14 @@
 	filters filters
 }
 
-// filters are the possible answers of Choose, made when a directive or order comes, so
-// that a choice allocates nothing.
+// filters are the possible results of Follower.Filter. They are built when an order or directive
+// arrives, so that filtering a request allocates nothing.
 type filters struct {
-	// unrestricted excludes condemned versions only, and is nil if there are none.
+	// unrestricted excludes rejected versions only; nil if there are none.
 	unrestricted, old, canary, target, completed *Filter
 }
 
-// NewFollower returns a follower that knows of no order.
+// NewFollower returns a follower without orders.
 func NewFollower(_ Options) *Follower {
 	return &Follower{
 		services: map[fleet.PoolName]*followerState{},
@@ -53,8 +53,8 @@
 	}
 }
 
-// SetOrder takes in an order that is in the store; it tells whether it is news. An
-// order that is invalid or older than the one known changes nothing.
+// SetOrder sets a service's order and reports whether it is newer than the current one. An invalid
+// or older order changes nothing.
 func (f *Follower) SetOrder(_ time.Duration, order Order) (bool, error) {
 	if err := order.Validate(); err != nil {
 		return false, errors.Wrap(err, "invalid order")
@@ -62,7 +62,7 @@
 	return f.acceptOrder(order.Service, order.Revision, order.Target), nil
 }
 
-// acceptOrder moves a service on to an order, unless it isn't newer than the one known.
+// acceptOrder moves a service to a newer order and reports whether it was newer.
 func (f *Follower) acceptOrder(service fleet.PoolName, revision fleet.Revision, target fleet.SoftwareVersion) bool {
 	before := f.services[service]
 	if before != nil && revision <= before.revision {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// unfinishedTargets returns the targets so far whose end isn't known, but for the next.
+// unfinishedTargets returns the previous targets without a known outcome, except next.
 func (s *followerState) unfinishedTargets(next fleet.SoftwareVersion) []fleet.SoftwareVersion {
 	targets := slices.Clone(s.superseded)
 	if s.directive == nil || !s.directive.Stage.IsFinal() {
@@ -93,8 +93,8 @@
 	return slices.DeleteFunc(targets, func(version fleet.SoftwareVersion) bool { return version == next })
 }
 
-// ApplyDirective takes a directive in, from the director or by way of another node; it tells
-// whether it changed the stage or the shares.
+// ApplyDirective applies a directive received from the director or through another node. It reports
+// whether the stage or the shares have changed.
 func (f *Follower) ApplyDirective(now time.Duration, directive Directive) bool {
 	if directive.Service == "" || directive.Target == "" || !directive.IsValid(now) {
 		return false
@@ -118,8 +118,8 @@
 	return changed
 }
 
-// replaces tells whether a directive of the same order is to be followed instead of the
-// one held: a final one stays, a lapsed one gives way to any that counts.
+// replaces reports whether a directive of the same order replaces the current one. A final
+// directive is never replaced; an expired one is replaced by any valid one.
 func (s *followerState) replaces(now time.Duration, directive *Directive) bool {
 	held := s.directive
 	switch {
@@ -136,7 +136,7 @@
 	}
 }
 
-// rebuildFilters makes the choices that follow from orders and directive.
+// rebuildFilters builds the filters for the current order and directive.
 func (s *followerState) rebuildFilters() {
 	made := filters{}
 	if len(s.rejected) > 0 {
@@ -166,7 +166,7 @@
 	s.filters = made
 }
 
-// Directives returns the directives to pass on: those that count at now.
+// Directives returns the directives that are valid at now, to be relayed to other nodes.
 func (f *Follower) Directives(now time.Duration) []Directive {
 	var counting []Directive
 	for _, known := range f.services {
@@ -177,10 +177,9 @@
 	return counting
 }
 
-// Filter returns what limits the choice of a worker for a request of a route, nil if
-// nothing does. random is uniform in [0, 1). A request that is sent again after it was at
-// the target passes again as true, and goes elsewhere: to the old side, or once that is
-// being emptied to another worker of the target.
+// Filter returns the filter for a request of a route, nil if all workers are allowed. random is
+// uniform in [0, 1). retry is set for a request that is retried after the target got it: it goes to
+// the old workers or, during and after the shift, to any worker of the target.
 func (f *Follower) Filter(now time.Duration, service fleet.PoolName, route RouteName, random float64, again bool) *Filter {
 	known := f.services[service]
 	if known == nil {
@@ -211,8 +210,8 @@
 	return known.filters.canary
 }
 
-// RecordOutcome counts an outcome. It tells whether the node has just stopped sending to the
-// target by its own evidence.
+// RecordOutcome counts an outcome. It reports whether the node has just stopped sending to the
+// target because of its own evidence.
 func (f *Follower) RecordOutcome(now time.Duration, outcome Outcome) bool {
 	known := f.services[outcome.Service]
 	if known == nil || known.directive != nil && known.directive.Stage.IsFinal() {
@@ -232,8 +231,7 @@
 	return true
 }
 
-// recordOld counts an answer of the old side, unless it is of a version that is being
-// left behind.
+// recordOld counts an answer of an old worker, unless its version is rejected or superseded.
 func (s *followerState) recordOld(outcome *Outcome, one *Counts) {
 	if slices.Contains(s.rejected, outcome.Version) || slices.Contains(s.superseded, outcome.Version) {
 		return
@@ -247,7 +245,7 @@
 	s.judge.observeOld(outcome.Route, one)
 }
 
-// recordNew counts an answer of the target.
+// recordNew counts an answer of a worker of the target.
 func (s *followerState) recordNew(now time.Duration, outcome *Outcome, one *Counts) {
 	workers := s.new[outcome.Route]
 	if workers == nil {
@@ -271,8 +269,7 @@
 	return conditions{now: now, singleCanary: !shifted && len(s.directive.Canaries) == 1, surging: shifted}
 }
 
-// Evidence returns what this node has seen of services with an order that isn't
-// finished.
+// Evidence returns this node's evidence for all services with an unfinished order.
 func (f *Follower) Evidence(_ time.Duration) []Evidence {
 	var all []Evidence
 	for service, known := range f.services {
@@ -284,7 +281,7 @@
 	return all
 }
 
-// evidence returns a copy of the counts, which later answers don't change.
+// evidence returns a copy of the counts that later answers don't change.
 func (s *followerState) evidence(service fleet.PoolName) Evidence {
 	copied := Evidence{
 		Service:  service,
@@ -299,7 +296,7 @@
 	return copied
 }
 
-// cloneCounts copies counts and the map that holds them.
+// cloneCounts returns a deep copy of the counts.
 func cloneCounts[K comparable](counts map[K]*Counts) map[K]*Counts {
 	copied := maps.Clone(counts)
 	for key, value := range copied {
--- a/internal/delivery/histogram.go
+++ b/internal/delivery/histogram.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// plainLatencyUnit is where the histogram of requests without a prediction begins: the
-// fastest answers of plain workers take some milliseconds.
+// plainLatencyUnit is the upper bound of the first bucket for requests without a prediction.
 const plainLatencyUnit = 2 * time.Millisecond
 
-// latencyBucket returns the histogram's bucket of an answer's time.
+// latencyBucket returns the histogram bucket for an answer's time to the first byte.
 func latencyBucket(o *Outcome) int {
 	ratio := float64(o.TimeToFirstByte) / float64(plainLatencyUnit)
 	if o.Predicted > 0 {
@@ -21,7 +20,7 @@
 	return min(int(2*math.Log2(ratio)), LatencyBuckets-1)
 }
 
-// add counts an outcome. The time of a failure says nothing.
+// add counts an outcome. The time of a failed request is ignored.
 func (c *Counts) add(o *Outcome) {
 	c.Answers++
 	if o.Failed {
@@ -31,8 +30,8 @@
 	c.Latency[latencyBucket(o)]++
 }
 
-// since returns what came after previous. Counts that fell are those of a node that
-// has restarted, and all of them are new.
+// since returns the difference from previous counts. If a count has decreased, the node has
+// restarted, and all counts are new.
 func (c *Counts) since(previous *Counts) Counts {
 	if previous == nil || c.Answers < previous.Answers || c.Failures < previous.Failures {
 		return *c
@@ -47,7 +46,7 @@
 	return delta
 }
 
-// slow returns the number of answers in a bucket or a higher one.
+// slow returns the number of answers in the given bucket or a higher one.
 func (c *Counts) slow(from int) uint64 {
 	var sum uint64
 	for bucket := from; bucket < LatencyBuckets; bucket++ {
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -7,51 +7,50 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// What condemns a version.
+// Thresholds of the sequential test.
 const (
-	// rejectScore is the log-likelihood ratio from which a version is bad: a run of
-	// answers of a good version reaches it with a chance of at most e^-9.
+	// rejectScore is the log-likelihood ratio at which a version is rejected. A run of answers of a
+	// good version reaches it with a probability of at most e^-9.
 	rejectScore = 9.0
-	// maxWorkerFraction is the part of condemnScore that one worker may bring: two workers
-	// at least must be bad, a single grey or crashed one is no fault of the version.
+	// maxWorkerFraction is the fraction of rejectScore that one worker can contribute. At least two
+	// workers must be bad: a single partially failing or crashed worker isn't a fault of the
+	// version.
 	maxWorkerFraction = 0.55
-	// suspectFraction is the part of what a worker may bring from which it is suspected.
+	// suspectFraction is the fraction of its maximum contribution from which a worker is suspected.
 	suspectFraction = 0.9
-	// surgeFactor is by how much the normal rate of bad answers rises for a moment when
-	// requests surge.
+	// surgeFactor multiplies the normal rate of bad answers during a surge.
 	surgeFactor = 2
 )
 
-// hypothesis is a kind of bad version that the test is for.
+// hypothesis is a kind of bad version that the test detects.
 type hypothesis struct {
-	// effect is the part of the otherwise good answers that it spoils.
+	// effect is the fraction of otherwise good answers that the version makes bad.
 	effect float64
-	// minNormal is the lowest rate of bad answers that is taken for minNormal: single failures
-	// would weigh too much below it.
+	// minNormal is the lower limit of the normal rate of bad answers. Below it, single failures
+	// would weigh too much.
 	minNormal float64
-	// usesWarmLimits is set if answers of warm workers are slow from slowBuckets on. Else only
-	// those that are slow for a cold one count: a few engines are cold to a rare prompt
-	// at any time.
+	// usesWarmLimits applies the limits of warm workers to their answers. Otherwise only answers
+	// that are slow for a cold worker count as slow, since a few engines are always cold for a rare
+	// prompt.
 	usesWarmLimits bool
 }
 
-// hypotheses are tested side by side: the first is found within some bad answers, the
-// others within some dozen. A version that fails only under load looks like these to
-// its canaries.
+// hypotheses are tested in parallel, from large effects, which few bad answers show, to small ones.
+// A version that fails only under load has a small effect on its canaries.
 var hypotheses = [...]hypothesis{
 	{effect: 0.2, minNormal: 0.02, usesWarmLimits: true},
 	{effect: 0.04, minNormal: 0.005},
 	{effect: 0.015, minNormal: 0.003},
 }
 
-// score is a cumulative sum (CUSUM) of log-likelihood ratios, in which each worker's
-// part is limited.
+// score is a cumulative sum (CUSUM) of log-likelihood ratios with a limited contribution of each
+// worker.
 type score struct {
 	value   float64
 	workers map[fleet.EngineID]float64
 }
 
-// add counts a worker's ratio, of which the worker may hold at most limit.
+// add adds a worker's log-likelihood ratio, up to a total contribution of limit.
 func (s *score) add(worker fleet.EngineID, ratio, limit float64) {
 	held := s.workers[worker]
 	ratio = min(ratio, limit-held)
@@ -70,7 +69,7 @@
 	return made
 }
 
-// strongest returns the score of the likeliest hypothesis.
+// strongest returns the highest score.
 func (s *scores) strongest() *score {
 	strongest := &s[0]
 	for index := range s {
@@ -81,25 +80,25 @@
 	return strongest
 }
 
-// workerAnswers is what a workerAnswers of the target has answered on a route.
+// workerAnswers counts the answers of a worker of the target on a route.
 type workerAnswers struct {
 	answers uint64
 	firstAt time.Duration
 }
 
-// routeState is what is known of the target on one route.
+// routeState is the evidence about one route.
 type routeState struct {
 	baseline baseline
 	scores   scores
 	workers  map[fleet.EngineID]workerAnswers
-	// The counts are for the log.
+	// The counts are only logged.
 	oldAnswers, oldBad uint64
 	newAnswers, newBad uint64
 }
 
-// judge compares the target with the old side by route. It counts each route by itself,
-// for a fault on a single one, and all of them together, for a fault on each that no
-// route shows often enough.
+// judge compares the target with the old workers. Each route has its own scores, which detect a
+// fault of a single route. The scores over all routes detect a fault that no single route shows
+// often enough.
 type judge struct {
 	routes map[RouteName]*routeState
 	all    scores
@@ -109,7 +108,7 @@
 	return &judge{routes: map[RouteName]*routeState{}, all: newScores()}
 }
 
-// route returns a route's judgment, which it creates.
+// route returns the state of a route and creates it if needed.
 func (j *judge) route(name RouteName) *routeState {
 	known := j.routes[name]
 	if known == nil {
@@ -119,7 +118,7 @@
 	return known
 }
 
-// observeOld counts answers of the old side.
+// observeOld counts answers of old workers.
 func (j *judge) observeOld(name RouteName, delta *Counts) {
 	route := j.route(name)
 	route.baseline.add(delta)
@@ -127,18 +126,18 @@
 	route.oldBad += delta.Failures + delta.slow(route.baseline.limits(false).slowFrom)
 }
 
-// conditions is what the target's answers are judged in.
+// conditions are the circumstances under which the target's answers are judged.
 type conditions struct {
 	now time.Duration
-	// singleCanary is set if only one worker of the target gets requests: its faults are the
-	// version's.
+	// singleCanary is set if only one worker of the target gets requests. Its contribution isn't
+	// limited.
 	singleCanary bool
-	// surging is set while everything has just been sent to the target: failures are
-	// answered sooner than successes, so that more of the first answers are bad.
+	// surging is set after all requests have moved to the target. Failures are faster than
+	// successes, so that more of the first answers are bad.
 	surging bool
 }
 
-// observeNew counts answers of one of the target's workers.
+// observeNew counts answers of a worker of the target and updates the scores.
 func (j *judge) observeNew(in conditions, name RouteName, id fleet.EngineID, delta *Counts) {
 	route := j.route(name)
 	cold := route.recordWorker(in.now, id, delta.Answers)
@@ -169,7 +168,7 @@
 	}
 }
 
-// recordWorker counts a worker's answers and tells whether it still is cold.
+// recordWorker counts a worker's answers and reports whether the worker was still cold.
 func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, answers uint64) bool {
 	known, met := r.workers[id]
 	if !met {
@@ -181,15 +180,15 @@
 	return cold
 }
 
-// ratio returns the logarithm of how much likelier answers are for such a version than
-// for one that is as the old side.
+// ratio returns the log-likelihood ratio of the answers between a version with the hypothesis's
+// effect and one that behaves like the old workers.
 func (h hypothesis) ratio(normal float64, bad, good uint64) float64 {
 	normal = min(0.99, max(h.minNormal, normal))
 	spoiled := normal + h.effect*(1-normal)
 	return float64(bad)*math.Log(spoiled/normal) + float64(good)*math.Log((1-spoiled)/(1-normal))
 }
 
-// strongest returns the highest score and the route that it is of, "" for all together.
+// strongest returns the highest score and its route, "" for the scores over all routes.
 func (j *judge) strongest() (*score, RouteName) {
 	strongest, name := j.all.strongest(), RouteName("")
 	for candidate, route := range j.routes {
@@ -201,13 +200,13 @@
 	return strongest, name
 }
 
-// rejectsTarget tells whether the target is bad.
+// rejectsTarget reports whether the evidence suffices to reject the target.
 func (j *judge) rejectsTarget() bool {
 	strongest, _ := j.strongest()
 	return strongest.value >= rejectScore
 }
 
-// worstWorker returns the worker that has brought most to a score, "" if none has.
+// worstWorker returns the worker with the largest contribution to the score, "" if there is none.
 func (s *score) worstWorker() fleet.EngineID {
 	var worst fleet.EngineID
 	for id, value := range s.workers {
@@ -218,8 +217,8 @@
 	return worst
 }
 
-// suspects adds the workers whose part of a score is nearly as large as it may be: more
-// answers of theirs tell nothing more.
+// suspects adds the workers that have nearly reached their maximum contribution to a score, so that
+// more of their answers add no evidence.
 func (s *scores) suspects(found map[fleet.EngineID]bool) {
 	for index := range s {
 		for id, value := range s[index].workers {
@@ -230,7 +229,7 @@
 	}
 }
 
-// suspects returns the workers of the target that may be grey.
+// suspects returns the workers of the target that may be failing on their own.
 func (j *judge) suspects() map[fleet.EngineID]bool {
 	found := map[fleet.EngineID]bool{}
 	j.all.suspects(found)
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -7,21 +7,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// newVersionHold is how long a version that appears beside others is held back while no
-// order is known: orders and workers reach a node by different ways, and a target that is
-// listed first would get its part of all requests until the order comes.
+// newVersionHold is how long a newly listed version is held back while no order is known. Orders
+// and worker lists reach a node separately; without the hold, a target listed before its order
+// arrives would get its full share of the requests.
 const newVersionHold = 2500 * time.Millisecond
 
-// listing is what a follower knows of a service's listed versions.
+// listing holds the versions listed for a service.
 type listing struct {
 	versions []fleet.SoftwareVersion
-	// holdBack excludes versions that are new until a time, nil if there are none.
+	// holdBack excludes new versions before until; nil if there are none.
 	holdBack *Filter
 	until    time.Duration
 }
 
-// ObserveVersions takes in the software versions of the workers that are listed for a service.
-// It is called when that list changes.
+// ObserveVersions sets the software versions of the workers listed for a service. It is called when
+// that list changes.
 func (f *Follower) ObserveVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	before := f.listings[service]
 	if before == nil {
@@ -46,8 +46,8 @@
 	before.holdBack = &Filter{excluded: slices.Concat(fallback.excluded, fresh), fallback: fallback}
 }
 
-// filterWithoutOrder returns what holds for a service without an unfinished order: otherwise, or
-// for a while that new versions are held back.
+// filterWithoutOrder returns the filter for a service without an unfinished order: the one that
+// holds back new versions while it applies, else otherwise.
 func (f *Follower) filterWithoutOrder(now time.Duration, service fleet.PoolName, otherwise *Filter) *Filter {
 	seen := f.listings[service]
 	if seen == nil || seen.holdBack == nil || now >= seen.until {
--- a/internal/delivery/order.go
+++ b/internal/delivery/order.go
@@ -8,21 +8,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// RouteName names a route of the configuration.
+// RouteName is the name of a route in the configuration.
 type RouteName string
 
-// Order is an operator's wish to move a service to a version.
+// Order is an operator's request to move a service to a software version.
 type Order struct {
 	Service fleet.PoolName
-	// Target is the software version that all requests are to go to.
+	// Target is the software version that is to get all requests.
 	Target fleet.SoftwareVersion
-	// Duration is the time within which the order is to be completed or rolled back.
+	// Duration is the time within which the order is completed or rolled back.
 	Duration time.Duration
-	// Revision is that of the order's row: a higher one replaces a lower one.
+	// Revision is the revision of the order's row; a higher one replaces a lower one.
 	Revision fleet.Revision
 }
 
-// Validate returns an error that says what is missing.
+// Validate returns an error if a field is missing or out of range.
 func (o Order) Validate() error {
 	switch {
 	case o.Service == "":
@@ -35,22 +35,22 @@
 	return nil
 }
 
-// Stage is how far a delivery has come.
+// Stage is the progress of a delivery.
 type Stage int
 
-// Stages.
+// Stages of a delivery. The numbers are transmitted between nodes.
 const (
-	// StageCanary sends a small share to the target.
+	// StageCanary sends a small share of the requests to the target.
 	StageCanary Stage = iota + 1
-	// StageShifting sends everything to the target; the old workers finish what they run.
+	// StageShifting sends all requests to the target, while the old workers drain.
 	StageShifting
-	// StageCompleted is final: the old workers may be stopped at any moment.
+	// StageCompleted is final: the old workers may be stopped at any time.
 	StageCompleted
-	// StageRolledBack is final: the target gets nothing any more.
+	// StageRolledBack is final: the target gets no more requests.
 	StageRolledBack
 )
 
-// IsFinal tells whether the stage never changes any more.
+// IsFinal reports whether the stage is final.
 func (s Stage) IsFinal() bool { return s == StageCompleted || s == StageRolledBack }
 
 // String returns the stage's name.
@@ -69,15 +69,14 @@
 	}
 }
 
-// Record is what is kept of a delivery in the store, so that the next director
-// goes on where one was lost.
+// Record is the stored state of a delivery, from which a new director resumes.
 type Record struct {
 	Order Order
-	// StartedAt is when the order was first seen, on the store's steady clock.
+	// StartedAt is when the order was first seen, on the store's monotonic clock.
 	StartedAt time.Duration
-	// Stage is StageCanary while the delivery runs, else final.
+	// Stage is StageCanary while the delivery runs, or a final stage.
 	Stage Stage
-	// Reason says why it was rolled back.
+	// Reason is why the final stage was decided.
 	Reason string
 	// Rejected lists the service's versions that were rolled back, newest last.
 	Rejected []fleet.SoftwareVersion
--- a/internal/delivery/schedule.go
+++ b/internal/delivery/schedule.go
@@ -4,65 +4,64 @@
 	"time"
 )
 
-// The schedule's settings. With e the allowed part of all requests, R requests a second,
-// T from order to deadline, k the allowed requests besides, a canary share s and a shift
-// that begins d before the deadline the target gets s·(T-d)·R + d·R, and that is held to
-// scheduleMargin·e·T·R + slackMargin·k.
+// Parameters of the schedule. Let R be the request rate, T the time from the order to the deadline,
+// e the allowed fraction of all requests, k the allowed additional requests, s the canary share,
+// and d how long before the deadline the shift starts. The target then gets s·(T-d)·R + d·R
+// requests, which is kept at or below exposureMargin·e·T·R + slackMargin·k.
 const (
-	// exposureMargin is the part of the allowed exposure that is planned for: the rest is
-	// for retries, for waves of load and for nodes that hear late.
+	// exposureMargin is the planned fraction of the allowed exposure. The rest covers retries, load
+	// peaks and nodes that receive directives late.
 	exposureMargin = 0.8
-	// slackMargin is the same for the requests besides: at low rates chance alone moves the
-	// number of requests by some ten.
+	// slackMargin is the planned fraction of the additional requests. The rest covers random
+	// variation at low rates.
 	slackMargin = 0.5
-	// shiftFraction is the part of the exposure that is kept for the shift: runs at old
-	// workers need time to end there, canaries need answers.
+	// shiftFraction is the fraction of the exposure that is reserved for the shift, in which old
+	// workers drain. The rest is for canary requests.
 	shiftFraction = 0.5
-	// maxShift is the time after which nearly all runs at old workers have ended
-	// (0.3 to 1.5 s), with finishReserve.
+	// maxShift is the longest shift. Within it nearly all requests at old workers finish.
 	maxShift = 1400 * time.Millisecond
-	// minShift is what is kept for it whatever was spent, finishReserve included:
-	// without a shift a good version can't be completed.
+	// minShift is reserved for the shift however much exposure is spent, since a good version can't
+	// be completed without a shift. It includes finishReserve.
 	minShift = 350 * time.Millisecond
-	// finishReserve is the time before the deadline at which the last decision falls: a
-	// write to the store and a look.
+	// finishReserve is how long before the deadline the last decision is taken. It covers one write
+	// to the store and one evaluation.
 	finishReserve = 200 * time.Millisecond
-	// shiftNotice is how long before a shift it is told to all nodes: two rounds of their
-	// reports.
+	// shiftNotice is how long before its start a shift is announced: two report intervals.
 	shiftNotice = 1300 * time.Millisecond
-	// maxShare bounds a route's canary share: the old side remains the measure.
+	// maxShare limits a route's canary share, so that the old workers still provide a baseline.
 	maxShare = 0.3
-	// extendedDuration is the time given to a delivery that nobody could direct until its
-	// deadline, or close to it.
+	// extendedDuration is the duration of a delivery that had no director until its deadline or
+	// shortly before.
 	extendedDuration = 8 * time.Second
-	// minRemaining is the time before a deadline within which a new director can still
-	// hear of all nodes and shift.
+	// minRemaining is the least time before the deadline in which a new director can collect
+	// reports from all nodes and shift.
 	minRemaining = 1500 * time.Millisecond
 )
 
-// schedule is the sum by which a delivery is planned, from its order to its deadline.
+// schedule plans a delivery's exposure between its start and its deadline.
 type schedule struct {
 	start, deadline time.Duration
-	// exposure and slack are the allowed part of all requests and the requests besides.
+	// exposure is the allowed fraction of all requests, slack the number of additional requests.
 	exposure, slack float64
 }
 
-// traffic is what is known of a service's requests since the order.
+// traffic counts a service's requests since the order.
 type traffic struct {
-	// rate is the number of answers a second now, 0 if that isn't known yet.
+	// rate is the current number of answers per second; 0 if it isn't known yet.
 	rate float64
-	// total and target are the requests so far, the target's at least as many as asked for.
+	// total and target count the requests so far. target is at least the number planned by the
+	// shares.
 	total, target float64
 }
 
-// remainingRequests returns the requests that the target may still get until the deadline.
+// remainingRequests returns how many requests the target may still get before the deadline.
 func (s schedule) remainingRequests(now time.Duration, seen traffic) float64 {
 	ahead := (s.deadline - now).Seconds()
 	return exposureMargin*s.exposure*(seen.total+seen.rate*ahead) + slackMargin*s.slack - seen.target
 }
 
-// remainingSeconds returns the exposure that is left as remainingSeconds of all traffic. Before the
-// rate is known the slack counts for nothing.
+// remainingSeconds returns the remaining exposure in seconds of the service's whole traffic. It
+// ignores the slack while the rate is unknown.
 func (s schedule) remainingSeconds(now time.Duration, seen traffic) float64 {
 	if seen.rate > 0 {
 		return max(0, s.remainingRequests(now, seen)/seen.rate)
@@ -70,8 +69,8 @@
 	return exposureMargin * s.exposure * (s.deadline - s.start).Seconds()
 }
 
-// shiftDuration returns how long before the deadline everything is to go to the target: a part of
-// the whole exposure, what was spent included, so that it doesn't shrink as time goes on.
+// shiftDuration returns how long before the deadline the shift starts. It is a fraction of the
+// whole exposure, including what was spent, so that it doesn't shrink over time.
 func (s schedule) shiftDuration(now time.Duration, seen traffic) time.Duration {
 	left := s.remainingSeconds(now, seen)
 	whole := left
@@ -82,7 +81,7 @@
 	return min(maxShift, max(minShift, affordable), (s.deadline-s.start)/4)
 }
 
-// canaryShare returns the part of all requests that goes to the canaries until the shift.
+// canaryShare returns the fraction of all requests that goes to the canaries until the shift.
 func (s schedule) canaryShare(now time.Duration, seen traffic) float64 {
 	if seen.rate == 0 {
 		now = s.start
@@ -95,9 +94,9 @@
 	return min(maxShare, max(0, s.remainingSeconds(now, seen)-shift)/until)
 }
 
-// routeShares divides a share of all requests among routes by their rates. Each gets
-// the same number of requests, as far as highest of its own allows, since evidence counts
-// by route.
+// routeShares divides a share of all requests among routes by their rates. Each route gets the same
+// number of requests, up to the fraction highest of its own requests, since evidence counts by
+// route.
 func routeShares(share float64, rates map[RouteName]float64, highest float64) map[RouteName]float64 {
 	total := 0.0
 	for _, rate := range rates {
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// When a stage is begun or ended.
+// Thresholds and times for changes of the stage.
 const (
-	// requiredSlotFraction is the part of the old side's slots that the target must list before
-	// everything is sent there.
+	// requiredSlotFraction is the fraction of the old workers' slots that the target must have
+	// before the shift.
 	requiredSlotFraction = 0.7
-	// minSlotFraction is the same where a single worker makes up more than the rest.
+	// minSlotFraction is the lower limit for services with few workers, of which one may be
+	// missing.
 	minSlotFraction = 0.5
-	// holdShiftScore is the score, without the worst worker's part, from which a shift
-	// isn't begun.
+	// holdShiftScore is the score, without the worst worker's contribution, at which a shift isn't
+	// started.
 	holdShiftScore = 2.5
-	// deadlineRollbackScore is the same from which a version is rolled back at the deadline.
+	// deadlineRollbackScore is the same score at which a version is rolled back at the deadline.
 	deadlineRollbackScore = 3.0
-	// shiftPropagation is the time after a shift from which an idle old side counts: all
-	// nodes have heard of it, and loads are newer than it.
+	// shiftPropagation is the time after the start of a shift until all nodes have shifted and the
+	// observed loads are newer than the shift.
 	shiftPropagation = 600 * time.Millisecond
-	// maxEvaluationGap is the time without a look after which what was known is out of date.
+	// maxEvaluationGap is the time without an evaluation after which the observations are stale.
 	maxEvaluationGap = time.Second
-	// targetOnlyDelay is the time for which no old worker must have been listed before
-	// a delivery ends for want of them.
+	// targetOnlyDelay is how long no old worker must be listed before the delivery completes for
+	// that reason.
 	targetOnlyDelay = time.Second
 )
 
-// workerCounts is what is listed of a service.
+// workerCounts summarizes the listed workers of a service.
 type workerCounts struct {
 	target      []Worker
 	targetSlots int
@@ -36,7 +37,8 @@
 	oldListed   int
 }
 
-// countWorkers sorts the listed workers into sides. Workers of condemned versions are on none.
+// countWorkers sorts the listed workers by target and old versions. Workers of rejected versions
+// count as neither.
 func (s *directorState) countWorkers(workers []Worker) workerCounts {
 	var counted workerCounts
 	for _, worker := range workers {
@@ -59,7 +61,7 @@
 	return counted
 }
 
-// advance does what is due and tells of it.
+// advance performs the next step of the delivery and returns its event.
 func (s *directorState) advance(now time.Duration, workers []Worker) Event {
 	if s.stage.IsFinal() {
 		return s.reportEnd(now)
@@ -90,7 +92,7 @@
 	return Event{}
 }
 
-// reportEnd returns the event of a final state, once.
+// reportEnd returns the event of a final stage once.
 func (s *directorState) reportEnd(now time.Duration) Event {
 	if s.endReported {
 		return Event{}
@@ -102,8 +104,8 @@
 	return s.newEvent(now, EventRolledBack, s.reason)
 }
 
-// decide sets the verdict once there is one. A completion that isn't known to be
-// written gives way to evidence: the store decides which write was first.
+// decide sets the verdict as soon as possible. Evidence overrides a completion that isn't known to
+// be stored; the first write to the store wins.
 func (s *directorState) decide(now time.Duration, counted workerCounts) Event {
 	if s.verdict != StageRolledBack && slices.Contains(s.rejected, s.order.Target) {
 		return s.rollBack(now, ReasonPreviouslyRejected)
@@ -126,7 +128,7 @@
 	return s.decideAtDeadline(now, counted)
 }
 
-// isTargetAlone tells whether only the target has been listed for a while.
+// isTargetAlone reports whether only the target has been listed for targetOnlyDelay.
 func (s *directorState) isTargetAlone(now time.Duration, counted workerCounts) bool {
 	if counted.oldListed > 0 || len(counted.target) == 0 {
 		s.targetOnlySince = 0
@@ -138,18 +140,20 @@
 	return now-s.targetOnlySince >= targetOnlyDelay
 }
 
-// isOldDrained tells whether the old side has ended its runs after a shift.
+// isOldDrained reports whether the old workers have no requests left after a shift and the target
+// is still ready for all of them.
 func (s *directorState) isOldDrained(now time.Duration, counted workerCounts) bool {
 	return s.shifting && now-s.shiftAt >= shiftPropagation && counted.oldInFlight == 0 &&
 		s.isReadyToShift(now, counted)
 }
 
-// isReadyToShift tells whether nothing speaks against sending everything to the target.
+// isReadyToShift reports whether the target has enough slots, reports arrive and the evidence
+// against the target is weak.
 func (s *directorState) isReadyToShift(now time.Duration, counted workerCounts) bool {
 	return hasEnoughSlots(counted) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
 }
 
-// decideAtDeadline decides at the last moment before the deadline.
+// decideAtDeadline sets the verdict at the last moment before the deadline.
 func (s *directorState) decideAtDeadline(now time.Duration, counted workerCounts) Event {
 	switch {
 	case len(counted.target) == 0:
@@ -164,8 +168,8 @@
 	return s.complete(now, ReasonLastMoment)
 }
 
-// hasEnoughSlots tells whether the target lists the slots that the service needs. Of few workers
-// one may be missing.
+// hasEnoughSlots reports whether the target lists enough slots for the service's load. With few
+// workers, one may be missing.
 func hasEnoughSlots(counted workerCounts) bool {
 	if counted.targetSlots == 0 || counted.oldListed == 0 {
 		return counted.targetSlots > 0
@@ -176,7 +180,7 @@
 	return float64(counted.targetSlots) >= needed
 }
 
-// suspicion returns the strongest score without its worst worker's part.
+// suspicion returns the strongest score without its worst worker's contribution.
 func (s *directorState) suspicion() float64 {
 	strongest, _ := s.judge.strongest()
 	if s.hasSingleTarget {
@@ -204,7 +208,7 @@
 	return s.newEvent(now, EventDecided, reason)
 }
 
-// planShift announces the shift, takes it back, or begins it.
+// planShift announces, holds or starts the shift.
 func (s *directorState) planShift(now time.Duration, counted workerCounts) Event {
 	if s.shifting {
 		return s.checkShift(now, counted)
@@ -233,7 +237,7 @@
 	return Event{}
 }
 
-// checkShift ends a shift for which too few workers are left.
+// checkShift ends a shift if too few workers of the target are left.
 func (s *directorState) checkShift(now time.Duration, counted workerCounts) Event {
 	if hasEnoughSlots(counted) {
 		return Event{}
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -7,22 +7,23 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// rateWindow is the time over which rates are averaged. Reports come each 0.6 s from
-// each node, at times of their own.
+// rateWindow is the time constant over which rates are averaged. Nodes report every 0.6 s, at
+// different times.
 const rateWindow = 2 * time.Second
 
 // meter adds up the evidence of all nodes.
 type meter struct {
 	nodes map[fleet.NodeID]Evidence
-	// lastReport is when each node last told.
+	// lastReport is when each node last reported.
 	lastReport map[fleet.NodeID]time.Duration
-	// pending counts answers by route since the last tick, rates are answers a second.
+	// pending counts answers by route since the last tick; rates are in answers per second.
 	pending   map[RouteName]float64
 	rates     map[RouteName]float64
 	tickedAt  time.Duration
 	startedAt time.Duration
 	total     float64
-	// targetAnswers counts the target's answers, targetPlanned what its shares targetPlanned for.
+	// targetAnswers counts the target's answers, targetPlanned the requests that its shares
+	// planned.
 	targetAnswers, targetPlanned float64
 }
 
@@ -37,7 +38,7 @@
 	}
 }
 
-// observe takes in what a node has counted and passes what is new of it to the judge.
+// observe takes a node's cumulative evidence and passes the increase to the judge.
 func (m *meter) observe(in conditions, node fleet.NodeID, evidence Evidence, judge *judge) {
 	before, heard := m.nodes[node]
 	m.nodes[node] = evidence
@@ -63,8 +64,8 @@
 	}
 }
 
-// count adds answers up. Those that a node had seen before it was first heard are of no
-// known time, and don't count for the rate.
+// count adds answers. Those in a node's first report have no known time and don't count for the
+// rate.
 func (m *meter) count(route RouteName, answers uint64, recent bool) {
 	if recent {
 		m.pending[route] += float64(answers)
@@ -72,14 +73,14 @@
 	m.total += float64(answers)
 }
 
-// tick brings the rates and what was asked for up to now.
+// tick updates the rates and the planned requests to now.
 func (m *meter) tick(now time.Duration, asked func(RouteName) float64) {
 	passed := (now - m.tickedAt).Seconds()
 	if passed <= 0 {
 		return
 	}
 	m.tickedAt = now
-	// Early on the average is over the time since the begin.
+	// Shortly after the start, average over the time since then.
 	window := min(rateWindow, max(now-m.startedAt, EvaluationInterval)).Seconds()
 	weight := 1 - math.Exp(-passed/window)
 	for route := range m.pending {
@@ -89,8 +90,8 @@
 	}
 }
 
-// isSilent tells whether most nodes that told something lately tell nothing now, or none
-// ever has: the director is cut off, or has just begun.
+// isSilent reports whether at least as many nodes have recently stopped reporting as still report.
+// The director is then partitioned, or has just started.
 func (m *meter) isSilent(now time.Duration) bool {
 	telling, silent := 0, 0
 	for _, heard := range m.lastReport {
@@ -104,8 +105,7 @@
 	return telling <= silent
 }
 
-// traffic returns what the schedule goes by. Before each node may have reported the
-// rate isn't known.
+// traffic returns the traffic for the schedule. The rate is unknown until rateWarmup has passed.
 func (m *meter) traffic(now time.Duration) traffic {
 	seen := traffic{total: m.total, target: max(m.targetAnswers, m.targetPlanned)}
 	if now-m.startedAt < rateWarmup {
@@ -117,8 +117,8 @@
 	return seen
 }
 
-// maxEvidenceAge is the age up to which evidence counts as of now: two reports and a
-// relay. A node that tells nothing for nodeRetention is taken for gone.
+// maxEvidenceAge is the age up to which a report is current, covering two report intervals and a
+// relay. A node that hasn't reported for nodeRetention is ignored.
 const (
 	maxEvidenceAge = 1500 * time.Millisecond
 	nodeRetention  = 10 * time.Second
