--- a/internal/delivery/canaries.go
+++ b/internal/delivery/canaries.go
@@ -44,9 +44,9 @@
 // wantedCanaries returns the number of canaries. With more, their load would be below that of the
 // old workers, which would hide faults under load, and each would answer too rarely to be judged.
 func (s *directorState) wantedCanaries(now time.Duration, share float64, targets int) int {
-	asLoaded := share * float64(targets)
-	answering := share * s.meter.traffic(now).rate / minCanaryRate
-	return max(minCanaries, int(math.Round(min(asLoaded, answering))))
+	byLoad := share * float64(targets)
+	byRate := share * s.meter.traffic(now).rate / minCanaryRate
+	return max(minCanaries, int(math.Round(min(byLoad, byRate))))
 }
 
 // chooseCanaries keeps the canaries that are still listed and adds workers if needed. A suspected
@@ -97,10 +97,10 @@
 	first := s.sharesSetAt == 0
 	s.sharesSetAt = now
 	s.suspected = s.judge.suspects()
-	seen := s.meter.traffic(now)
-	share := s.schedule.canaryShare(now, seen)
+	observed := s.meter.traffic(now)
+	share := s.schedule.canaryShare(now, observed)
 	var shares map[RouteName]float64
-	if seen.rate > 0 {
+	if observed.rate > 0 {
 		shares = routeShares(share, s.meter.rates, s.maxRouteShare(now, share, targets))
 	}
 	if !first && isSimilar(share, s.defaultShare) && hasSimilarShares(shares, s.shares) {
--- a/internal/delivery/directive.go
+++ b/internal/delivery/directive.go
@@ -72,12 +72,12 @@
 // PrefersTarget reports whether the request goes to the target of an unfinished delivery, so that
 // it goes to the old workers if the target has no capacity. After the completion it waits for the
 // target instead.
-func (c *Filter) PrefersTarget() bool { return c != nil && c.targetOnly && !c.completed }
+func (f *Filter) PrefersTarget() bool { return f != nil && f.targetOnly && !f.completed }
 
 // Fallback returns the filter that applies if no listed worker is allowed, or nil.
-func (c *Filter) Fallback() *Filter {
-	if c == nil {
+func (f *Filter) Fallback() *Filter {
+	if f == nil {
 		return nil
 	}
-	return c.fallback
+	return f.fallback
 }
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -52,7 +52,7 @@
 	Event Event
 }
 
-// Event describes a step or verdict of a delivery and the evidence behind it.
+// Event describes a decision or verdict of a delivery and the evidence behind it.
 type Event struct {
 	Name    string
 	Service fleet.PoolName
@@ -89,15 +89,15 @@
 // Restore loads the records from the store after the lease was acquired. storeOffset converts
 // times: local time = store time + storeOffset. Orders newer than the stored record of their
 // service are kept. All evidence is collected anew.
-func (d *Director) Restore(now time.Duration, records []Record, sinceStore time.Duration) {
-	d.storeOffset = sinceStore
-	known := d.services
+func (d *Director) Restore(now time.Duration, records []Record, storeOffset time.Duration) {
+	d.storeOffset = storeOffset
+	previous := d.services
 	d.services = make(map[fleet.PoolName]*directorState, len(records))
 	for _, record := range records {
 		if record.Order.Validate() != nil {
 			continue
 		}
-		start := record.StartedAt + sinceStore
+		start := record.StartedAt + storeOffset
 		restored := d.newState(now, start, record.Order, record.Rejected)
 		restored.recorded = true
 		if record.Stage.IsFinal() {
@@ -105,10 +105,10 @@
 		}
 		d.services[record.Order.Service] = restored
 	}
-	for service, before := range known {
+	for service, old := range previous {
 		restored := d.services[service]
-		if restored == nil || before.order.Revision > restored.order.Revision {
-			d.replaceOrder(now, before.startedAt, before.order)
+		if restored == nil || old.order.Revision > restored.order.Revision {
+			d.replaceOrder(now, old.startedAt, old.order)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	if err := order.Validate(); err != nil {
 		return errors.Wrap(err, "invalid order")
 	}
-	known := d.services[order.Service]
-	if known != nil && order.Revision <= known.order.Revision {
+	state := d.services[order.Service]
+	if state != nil && order.Revision <= state.order.Revision {
 		return nil
 	}
 	d.replaceOrder(now, min(at, now), order)
@@ -130,24 +130,24 @@
 // replaceOrder replaces a service's order. The target of the replaced order counts as rolled back,
 // unless it was completed or is the new target too.
 func (d *Director) replaceOrder(now, start time.Duration, order Order) {
-	var condemned []fleet.SoftwareVersion
-	if known := d.services[order.Service]; known != nil {
-		condemned = slices.Clone(known.rejected)
-		if known.stage != StageCompleted && known.order.Target != order.Target {
-			condemned = appendUnique(condemned, known.order.Target)
+	var rejected []fleet.SoftwareVersion
+	if state := d.services[order.Service]; state != nil {
+		rejected = slices.Clone(state.rejected)
+		if state.stage != StageCompleted && state.order.Target != order.Target {
+			rejected = appendUnique(rejected, state.order.Target)
 		}
 	}
-	d.services[order.Service] = d.newState(now, start, order, condemned)
+	d.services[order.Service] = d.newState(now, start, order, rejected)
 }
 
 // newState returns the initial state of an order that is started or resumed.
-func (d *Director) newState(now, start time.Duration, order Order, condemned []fleet.SoftwareVersion) *directorState {
+func (d *Director) newState(now, start time.Duration, order Order, rejected []fleet.SoftwareVersion) *directorState {
 	created := &directorState{
 		self:      d.options.Self,
 		order:     order,
 		stage:     StageCanary,
 		startedAt: start,
-		rejected:  slices.Clone(condemned),
+		rejected:  slices.Clone(rejected),
 		schedule: schedule{
 			start:    start,
 			deadline: start + order.Duration,
@@ -164,69 +164,69 @@
 // Observe adds a node's evidence, whose counts are cumulative. The caller must not modify the
 // evidence afterwards.
 func (d *Director) Observe(now time.Duration, node fleet.NodeID, evidence Evidence) {
-	known := d.services[evidence.Service]
-	if known == nil || known.stage.IsFinal() || evidence.Revision != known.order.Revision {
+	state := d.services[evidence.Service]
+	if state == nil || state.stage.IsFinal() || evidence.Revision != state.order.Revision {
 		return
 	}
-	known.meter.observe(known.conditions(now), node, evidence, known.judge)
+	state.meter.observe(state.conditions(now), node, evidence, state.judge)
 }
 
 // Evaluate decides the next step for one service. It is called every EvaluationInterval.
 func (d *Director) Evaluate(now time.Duration, observation Observation) Decision {
-	known := d.services[observation.Service]
-	if known == nil {
+	state := d.services[observation.Service]
+	if state == nil {
 		return Decision{}
 	}
-	if !observation.Configured && !known.stage.IsFinal() {
-		return known.refuse(now)
+	if !observation.Configured && !state.stage.IsFinal() {
+		return state.refuse(now)
 	}
-	step := Decision{Event: known.advance(now, observation.Workers)}
-	step.Directive = known.directive(now, now-d.storeOffset)
-	step.Write = known.pendingRecord(now, d.storeOffset)
-	return step
+	decision := Decision{Event: state.advance(now, observation.Workers)}
+	decision.Directive = state.directive(now, now-d.storeOffset)
+	decision.Write = state.pendingRecord(now, d.storeOffset)
+	return decision
 }
 
 // HandleWriteResult processes the result of writing Decision.Write. On success a final directive is
 // issued. If the store holds another record, stored, that one is adopted. After an error the write
 // is retried at a later evaluation.
-func (d *Director) HandleWriteResult(now time.Duration, service fleet.PoolName, written Record, found *Record, err error) {
-	known := d.services[service]
-	if known == nil || known.order.Revision != written.Order.Revision || known.stage.IsFinal() {
+func (d *Director) HandleWriteResult(now time.Duration, service fleet.PoolName, written Record, stored *Record, err error) {
+	state := d.services[service]
+	if state == nil || state.order.Revision != written.Order.Revision || state.stage.IsFinal() {
 		return
 	}
 	switch {
-	case found != nil:
-		d.adoptRecord(now, known, *found)
+	case stored != nil:
+		d.adoptRecord(now, state, *stored)
 	case err != nil:
-		if written.Stage == known.recordStage() {
-			known.nextWriteAt = now + writeRetryInterval
+		if written.Stage == state.recordStage() {
+			state.nextWriteAt = now + writeRetryInterval
 		}
 	default:
-		known.recorded = true
+		state.recorded = true
 		if written.Stage.IsFinal() {
-			known.finish(written, now)
+			state.finish(written, now)
 		}
 	}
 }
 
 // adoptRecord updates the state to a record that another director has stored.
-func (d *Director) adoptRecord(now time.Duration, known *directorState, found Record) {
-	start := found.StartedAt + d.storeOffset
+func (d *Director) adoptRecord(now time.Duration, state *directorState, stored Record) {
+	start := stored.StartedAt + d.storeOffset
 	switch {
-	case found.Order.Revision > known.order.Revision:
-		next := d.newState(now, start, found.Order, found.Rejected)
+	case stored.Order.Revision > state.order.Revision:
+		next := d.newState(now, start, stored.Order, stored.Rejected)
 		next.recorded = true
-		if found.Stage.IsFinal() {
-			next.finish(found, now)
+		if stored.Stage.IsFinal() {
+			next.finish(stored, now)
 		}
-		d.services[found.Order.Service] = next
-	case found.Order.Revision < known.order.Revision:
-		known.mergeOlderRecord(found)
-	case found.Stage.IsFinal():
-		known.finish(found, now)
+		d.services[stored.Order.Service] = next
+	case stored.Order.Revision < state.order.Revision:
+		state.mergeOlderRecord(stored)
+	case stored.Stage.IsFinal():
+		state.finish(stored, now)
 	default:
-		known.recorded = true
-		known.restart(now, start)
+		state.recorded = true
+		state.restart(now, start)
 	}
 }
 
--- a/internal/delivery/directorstate.go
+++ b/internal/delivery/directorstate.go
@@ -89,13 +89,13 @@
 }
 
 // mergeOlderRecord applies the outcome of an older order of the service.
-func (s *directorState) mergeOlderRecord(found Record) {
-	for _, version := range found.Rejected {
+func (s *directorState) mergeOlderRecord(stored Record) {
+	for _, version := range stored.Rejected {
 		s.rejected = appendUnique(s.rejected, version)
 	}
-	if found.Stage == StageCompleted {
+	if stored.Stage == StageCompleted {
 		s.rejected = slices.DeleteFunc(s.rejected, func(version fleet.SoftwareVersion) bool {
-			return version == found.Order.Target
+			return version == stored.Order.Target
 		})
 	}
 	s.changed = true
@@ -162,7 +162,7 @@
 
 // pendingRecord returns the record that is to be stored: the start of the delivery or its end. It
 // returns nil if there is none or a write is under way.
-func (s *directorState) pendingRecord(now, sinceStore time.Duration) *Record {
+func (s *directorState) pendingRecord(now, storeOffset time.Duration) *Record {
 	if s.stage.IsFinal() || s.recorded && s.verdict == 0 {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	s.nextWriteAt = now + writeTimeout
 	record := &Record{
 		Order:     s.order,
-		StartedAt: s.startedAt - sinceStore,
+		StartedAt: s.startedAt - storeOffset,
 		Stage:     s.recordStage(),
 		Rejected:  slices.Clone(s.rejected),
 	}
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -64,8 +64,8 @@
 
 // acceptOrder moves a service to a newer order and reports whether it was newer.
 func (f *Follower) acceptOrder(service fleet.PoolName, revision fleet.Revision, target fleet.SoftwareVersion) bool {
-	before := f.services[service]
-	if before != nil && revision <= before.revision {
+	previous := f.services[service]
+	if previous != nil && revision <= previous.revision {
 		return false
 	}
 	next := &followerState{
@@ -75,9 +75,9 @@
 		new:      map[RouteName]map[fleet.EngineID]*Counts{},
 		judge:    newJudge(),
 	}
-	if before != nil {
-		next.rejected = before.rejected
-		next.superseded = before.unfinishedTargets(target)
+	if previous != nil {
+		next.rejected = previous.rejected
+		next.superseded = previous.unfinishedTargets(target)
 	}
 	next.rebuildFilters()
 	f.services[service] = next
@@ -101,19 +101,19 @@
 	}
 	directive.IssuedAt = min(directive.IssuedAt, now)
 	f.acceptOrder(directive.Service, directive.Revision, directive.Target)
-	known := f.services[directive.Service]
-	if directive.Revision < known.revision {
+	state := f.services[directive.Service]
+	if directive.Revision < state.revision {
 		return false
 	}
-	if !known.replaces(now, &directive) {
+	if !state.replaces(now, &directive) {
 		return false
 	}
-	changed := known.directive == nil || known.directive.Sequence != directive.Sequence || known.directive.Stage != directive.Stage
-	known.directive = &directive
+	changed := state.directive == nil || state.directive.Sequence != directive.Sequence || state.directive.Stage != directive.Stage
+	state.directive = &directive
 	if changed {
-		known.rejected = slices.Clone(directive.Rejected)
-		known.superseded = nil
-		known.rebuildFilters()
+		state.rejected = slices.Clone(directive.Rejected)
+		state.superseded = nil
+		state.rebuildFilters()
 	}
 	return changed
 }
@@ -121,118 +121,118 @@
 // replaces reports whether a directive of the same order replaces the current one. A final
 // directive is never replaced; an expired one is replaced by any valid one.
 func (s *followerState) replaces(now time.Duration, directive *Directive) bool {
-	held := s.directive
+	current := s.directive
 	switch {
-	case held == nil:
+	case current == nil:
 		return true
-	case held.Stage.IsFinal():
+	case current.Stage.IsFinal():
 		return false
-	case directive.Stage.IsFinal() || !held.IsValid(now):
+	case directive.Stage.IsFinal() || !current.IsValid(now):
 		return true
-	case directive.Sequence != held.Sequence:
-		return directive.Sequence > held.Sequence
+	case directive.Sequence != current.Sequence:
+		return directive.Sequence > current.Sequence
 	default:
-		return directive.IssuedAt > held.IssuedAt
+		return directive.IssuedAt > current.IssuedAt
 	}
 }
 
 // rebuildFilters builds the filters for the current order and directive.
 func (s *followerState) rebuildFilters() {
-	made := filters{}
+	built := filters{}
 	if len(s.rejected) > 0 {
-		made.unrestricted = &Filter{excluded: s.rejected}
+		built.unrestricted = &Filter{excluded: s.rejected}
 	}
-	made.old = &Filter{target: s.target, excluded: s.rejected, fallback: made.unrestricted}
+	built.old = &Filter{target: s.target, excluded: s.rejected, fallback: built.unrestricted}
 	if len(s.superseded) > 0 {
 		avoided := slices.Concat(s.rejected, s.superseded)
-		made.old = &Filter{target: s.target, excluded: avoided, fallback: made.old}
+		built.old = &Filter{target: s.target, excluded: avoided, fallback: built.old}
 	}
-	if made.old.fallback == nil {
-		made.old.fallback = &Filter{}
+	if built.old.fallback == nil {
+		built.old.fallback = &Filter{}
 	}
-	made.target = &Filter{target: s.target, targetOnly: true, excluded: s.rejected, fallback: made.old}
-	canary := *made.target
+	built.target = &Filter{target: s.target, targetOnly: true, excluded: s.rejected, fallback: built.old}
+	canary := *built.target
 	if s.directive != nil {
 		canary.canaries = make(map[fleet.EngineID]bool, len(s.directive.Canaries))
 		for _, worker := range s.directive.Canaries {
 			canary.canaries[worker] = true
 		}
 	}
-	made.canary = &canary
-	made.completed = &Filter{target: s.target, targetOnly: true, completed: true, excluded: s.rejected, fallback: made.unrestricted}
-	if made.unrestricted == nil {
-		made.completed.fallback = &Filter{}
+	built.canary = &canary
+	built.completed = &Filter{target: s.target, targetOnly: true, completed: true, excluded: s.rejected, fallback: built.unrestricted}
+	if built.unrestricted == nil {
+		built.completed.fallback = &Filter{}
 	}
-	s.filters = made
+	s.filters = built
 }
 
 // Directives returns the directives that are valid at now, to be relayed to other nodes.
 func (f *Follower) Directives(now time.Duration) []Directive {
-	var counting []Directive
-	for _, known := range f.services {
-		if known.directive != nil && known.directive.IsValid(now) {
-			counting = append(counting, *known.directive)
+	var valid []Directive
+	for _, state := range f.services {
+		if state.directive != nil && state.directive.IsValid(now) {
+			valid = append(valid, *state.directive)
 		}
 	}
-	return counting
+	return valid
 }
 
 // Filter returns the filter for a request of a route, nil if all workers are allowed. random is
 // uniform in [0, 1). retry is set for a request that is retried after the target got it: it goes to
 // the old workers or, during and after the shift, to any worker of the target.
-func (f *Follower) Filter(now time.Duration, service fleet.PoolName, route RouteName, random float64, again bool) *Filter {
-	known := f.services[service]
-	if known == nil {
+func (f *Follower) Filter(now time.Duration, service fleet.PoolName, route RouteName, random float64, retry bool) *Filter {
+	state := f.services[service]
+	if state == nil {
 		return f.filterWithoutOrder(now, service, nil)
 	}
-	directive := known.directive
+	directive := state.directive
 	if directive == nil || !directive.IsValid(now) {
-		return known.filters.old
+		return state.filters.old
 	}
 	switch directive.Stage {
 	case StageCompleted:
 		if now > directive.IssuedAt+completedTargetOnly {
-			return f.filterWithoutOrder(now, service, known.filters.unrestricted)
+			return f.filterWithoutOrder(now, service, state.filters.unrestricted)
 		}
-		return known.filters.completed
+		return state.filters.completed
 	case StageRolledBack:
-		return f.filterWithoutOrder(now, service, known.filters.unrestricted)
+		return f.filterWithoutOrder(now, service, state.filters.unrestricted)
 	}
-	if known.stopped {
-		return known.filters.old
+	if state.stopped {
+		return state.filters.old
 	}
 	if directive.isShifted(now) {
-		return known.filters.target
+		return state.filters.target
 	}
-	if again || random >= directive.routeShare(route) {
-		return known.filters.old
+	if retry || random >= directive.routeShare(route) {
+		return state.filters.old
 	}
-	return known.filters.canary
+	return state.filters.canary
 }
 
 // RecordOutcome counts an outcome. It reports whether the node has just stopped sending to the
 // target because of its own evidence.
 func (f *Follower) RecordOutcome(now time.Duration, outcome Outcome) bool {
-	known := f.services[outcome.Service]
-	if known == nil || known.directive != nil && known.directive.Stage.IsFinal() {
+	state := f.services[outcome.Service]
+	if state == nil || state.directive != nil && state.directive.Stage.IsFinal() {
 		return false
 	}
-	one := Counts{}
-	one.add(&outcome)
-	if outcome.Version != known.target {
-		known.recordOld(&outcome, &one)
+	delta := Counts{}
+	delta.add(&outcome)
+	if outcome.Version != state.target {
+		state.recordOld(&outcome, &delta)
 		return false
 	}
-	known.recordNew(now, &outcome, &one)
-	if known.stopped || !known.judge.rejectsTarget() {
+	state.recordNew(now, &outcome, &delta)
+	if state.stopped || !state.judge.rejectsTarget() {
 		return false
 	}
-	known.stopped = true
+	state.stopped = true
 	return true
 }
 
 // recordOld counts an answer of an old worker, unless its version is rejected or superseded.
-func (s *followerState) recordOld(outcome *Outcome, one *Counts) {
+func (s *followerState) recordOld(outcome *Outcome, delta *Counts) {
 	if slices.Contains(s.rejected, outcome.Version) || slices.Contains(s.superseded, outcome.Version) {
 		return
 	}
@@ -242,11 +242,11 @@
 		s.old[outcome.Route] = counts
 	}
 	counts.add(outcome)
-	s.judge.observeOld(outcome.Route, one)
+	s.judge.observeOld(outcome.Route, delta)
 }
 
 // recordNew counts an answer of a worker of the target.
-func (s *followerState) recordNew(now time.Duration, outcome *Outcome, one *Counts) {
+func (s *followerState) recordNew(now time.Duration, outcome *Outcome, delta *Counts) {
 	workers := s.new[outcome.Route]
 	if workers == nil {
 		workers = map[fleet.EngineID]*Counts{}
@@ -258,7 +258,7 @@
 		workers[outcome.Worker] = counts
 	}
 	counts.add(outcome)
-	s.judge.observeNew(s.conditions(now), outcome.Route, outcome.Worker, one)
+	s.judge.observeNew(s.conditions(now), outcome.Route, outcome.Worker, delta)
 }
 
 func (s *followerState) conditions(now time.Duration) conditions {
@@ -272,11 +272,11 @@
 // Evidence returns this node's evidence for all services with an unfinished order.
 func (f *Follower) Evidence(_ time.Duration) []Evidence {
 	var all []Evidence
-	for service, known := range f.services {
-		if known.directive != nil && known.directive.Stage.IsFinal() {
+	for service, state := range f.services {
+		if state.directive != nil && state.directive.Stage.IsFinal() {
 			continue
 		}
-		all = append(all, known.evidence(service))
+		all = append(all, state.evidence(service))
 	}
 	return all
 }
@@ -300,8 +300,8 @@
 func cloneCounts[K comparable](counts map[K]*Counts) map[K]*Counts {
 	copied := maps.Clone(counts)
 	for key, value := range copied {
-		one := *value
-		copied[key] = &one
+		clone := *value
+		copied[key] = &clone
 	}
 	return copied
 }
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -52,9 +52,9 @@
 
 // add adds a worker's log-likelihood ratio, up to a total contribution of limit.
 func (s *score) add(worker fleet.EngineID, ratio, limit float64) {
-	held := s.workers[worker]
-	ratio = min(ratio, limit-held)
-	s.workers[worker] = max(0, held+ratio)
+	contribution := s.workers[worker]
+	ratio = min(ratio, limit-contribution)
+	s.workers[worker] = max(0, contribution+ratio)
 	s.value = max(0, s.value+ratio)
 }
 
@@ -62,11 +62,11 @@
 type scores [len(hypotheses)]score
 
 func newScores() scores {
-	made := scores{}
-	for index := range made {
-		made[index].workers = map[fleet.EngineID]float64{}
+	created := scores{}
+	for index := range created {
+		created[index].workers = map[fleet.EngineID]float64{}
 	}
-	return made
+	return created
 }
 
 // strongest returns the highest score.
@@ -110,12 +110,12 @@
 
 // route returns the state of a route and creates it if needed.
 func (j *judge) route(name RouteName) *routeState {
-	known := j.routes[name]
-	if known == nil {
-		known = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerAnswers{}}
-		j.routes[name] = known
+	state := j.routes[name]
+	if state == nil {
+		state = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerAnswers{}}
+		j.routes[name] = state
 	}
-	return known
+	return state
 }
 
 // observeOld counts answers of old workers.
@@ -170,13 +170,13 @@
 
 // recordWorker counts a worker's answers and reports whether the worker was still cold.
 func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, answers uint64) bool {
-	known, met := r.workers[id]
-	if !met {
-		known.firstAt = now
+	worker, found := r.workers[id]
+	if !found {
+		worker.firstAt = now
 	}
-	cold := known.answers < coldAnswers || now-known.firstAt < coldDuration
-	known.answers += answers
-	r.workers[id] = known
+	cold := worker.answers < coldAnswers || now-worker.firstAt < coldDuration
+	worker.answers += answers
+	r.workers[id] = worker
 	return cold
 }
 
@@ -184,17 +184,17 @@
 // effect and one that behaves like the old workers.
 func (h hypothesis) ratio(normal float64, bad, good uint64) float64 {
 	normal = min(0.99, max(h.minNormal, normal))
-	spoiled := normal + h.effect*(1-normal)
-	return float64(bad)*math.Log(spoiled/normal) + float64(good)*math.Log((1-spoiled)/(1-normal))
+	affected := normal + h.effect*(1-normal)
+	return float64(bad)*math.Log(affected/normal) + float64(good)*math.Log((1-affected)/(1-normal))
 }
 
 // strongest returns the highest score and its route, "" for the scores over all routes.
 func (j *judge) strongest() (*score, RouteName) {
 	strongest, name := j.all.strongest(), RouteName("")
 	for candidate, route := range j.routes {
-		found := route.scores.strongest()
-		if found.value > strongest.value || found.value == strongest.value && name != "" && candidate < name {
-			strongest, name = found, candidate
+		routeScore := route.scores.strongest()
+		if routeScore.value > strongest.value || routeScore.value == strongest.value && name != "" && candidate < name {
+			strongest, name = routeScore, candidate
 		}
 	}
 	return strongest, name
@@ -219,11 +219,11 @@
 
 // suspects adds the workers that have nearly reached their maximum contribution to a score, so that
 // more of their answers add no evidence.
-func (s *scores) suspects(found map[fleet.EngineID]bool) {
+func (s *scores) suspects(suspects map[fleet.EngineID]bool) {
 	for index := range s {
 		for id, value := range s[index].workers {
 			if value >= suspectFraction*maxWorkerFraction*rejectScore {
-				found[id] = true
+				suspects[id] = true
 			}
 		}
 	}
@@ -231,10 +231,10 @@
 
 // suspects returns the workers of the target that may be failing on their own.
 func (j *judge) suspects() map[fleet.EngineID]bool {
-	found := map[fleet.EngineID]bool{}
-	j.all.suspects(found)
+	suspects := map[fleet.EngineID]bool{}
+	j.all.suspects(suspects)
 	for _, route := range j.routes {
-		route.scores.suspects(found)
+		route.scores.suspects(suspects)
 	}
-	return found
+	return suspects
 }
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -23,35 +23,35 @@
 // ObserveVersions sets the software versions of the workers listed for a service. It is called when
 // that list changes.
 func (f *Follower) ObserveVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
-	before := f.listings[service]
-	if before == nil {
+	current := f.listings[service]
+	if current == nil {
 		f.listings[service] = &listing{versions: slices.Clone(versions)}
 		return
 	}
-	var fresh []fleet.SoftwareVersion
+	var added []fleet.SoftwareVersion
 	for _, version := range versions {
-		if !slices.Contains(before.versions, version) {
-			fresh = append(fresh, version)
+		if !slices.Contains(current.versions, version) {
+			added = append(added, version)
 		}
 	}
-	before.versions = slices.Clone(versions)
-	if len(fresh) == 0 {
+	current.versions = slices.Clone(versions)
+	if len(added) == 0 {
 		return
 	}
-	before.until = now + newVersionHold
+	current.until = now + newVersionHold
 	fallback := &Filter{}
-	if known := f.services[service]; known != nil && known.filters.unrestricted != nil {
-		fallback = known.filters.unrestricted
+	if state := f.services[service]; state != nil && state.filters.unrestricted != nil {
+		fallback = state.filters.unrestricted
 	}
-	before.holdBack = &Filter{excluded: slices.Concat(fallback.excluded, fresh), fallback: fallback}
+	current.holdBack = &Filter{excluded: slices.Concat(fallback.excluded, added), fallback: fallback}
 }
 
 // filterWithoutOrder returns the filter for a service without an unfinished order: the one that
 // holds back new versions while it applies, else otherwise.
 func (f *Follower) filterWithoutOrder(now time.Duration, service fleet.PoolName, otherwise *Filter) *Filter {
-	seen := f.listings[service]
-	if seen == nil || seen.holdBack == nil || now >= seen.until {
+	listed := f.listings[service]
+	if listed == nil || listed.holdBack == nil || now >= listed.until {
 		return otherwise
 	}
-	return seen.holdBack
+	return listed.holdBack
 }
--- a/internal/delivery/order.go
+++ b/internal/delivery/order.go
@@ -26,11 +26,11 @@
 func (o Order) Validate() error {
 	switch {
 	case o.Service == "":
-		return errors.New("no service")
+		return errors.New("service is missing")
 	case o.Target == "":
-		return errors.New("no target version")
+		return errors.New("target version is missing")
 	case o.Duration <= 0:
-		return errors.Errorf("duration %s isn't above 0", o.Duration)
+		return errors.Errorf("duration %s is not positive", o.Duration)
 	}
 	return nil
 }
--- a/internal/delivery/schedule.go
+++ b/internal/delivery/schedule.go
@@ -55,43 +55,43 @@
 }
 
 // remainingRequests returns how many requests the target may still get before the deadline.
-func (s schedule) remainingRequests(now time.Duration, seen traffic) float64 {
-	ahead := (s.deadline - now).Seconds()
-	return exposureMargin*s.exposure*(seen.total+seen.rate*ahead) + slackMargin*s.slack - seen.target
+func (s schedule) remainingRequests(now time.Duration, observed traffic) float64 {
+	remaining := (s.deadline - now).Seconds()
+	return exposureMargin*s.exposure*(observed.total+observed.rate*remaining) + slackMargin*s.slack - observed.target
 }
 
 // remainingSeconds returns the remaining exposure in seconds of the service's whole traffic. It
 // ignores the slack while the rate is unknown.
-func (s schedule) remainingSeconds(now time.Duration, seen traffic) float64 {
-	if seen.rate > 0 {
-		return max(0, s.remainingRequests(now, seen)/seen.rate)
+func (s schedule) remainingSeconds(now time.Duration, observed traffic) float64 {
+	if observed.rate > 0 {
+		return max(0, s.remainingRequests(now, observed)/observed.rate)
 	}
 	return exposureMargin * s.exposure * (s.deadline - s.start).Seconds()
 }
 
 // shiftDuration returns how long before the deadline the shift starts. It is a fraction of the
 // whole exposure, including what was spent, so that it doesn't shrink over time.
-func (s schedule) shiftDuration(now time.Duration, seen traffic) time.Duration {
-	left := s.remainingSeconds(now, seen)
-	whole := left
-	if seen.rate > 0 {
-		whole += seen.target / seen.rate
+func (s schedule) shiftDuration(now time.Duration, observed traffic) time.Duration {
+	remaining := s.remainingSeconds(now, observed)
+	total := remaining
+	if observed.rate > 0 {
+		total += observed.target / observed.rate
 	}
-	affordable := time.Duration(min(left, shiftFraction*whole) * float64(time.Second))
+	affordable := time.Duration(min(remaining, shiftFraction*total) * float64(time.Second))
 	return min(maxShift, max(minShift, affordable), (s.deadline-s.start)/4)
 }
 
 // canaryShare returns the fraction of all requests that goes to the canaries until the shift.
-func (s schedule) canaryShare(now time.Duration, seen traffic) float64 {
-	if seen.rate == 0 {
+func (s schedule) canaryShare(now time.Duration, observed traffic) float64 {
+	if observed.rate == 0 {
 		now = s.start
 	}
-	shift := s.shiftDuration(now, seen).Seconds()
+	shift := s.shiftDuration(now, observed).Seconds()
 	until := (s.deadline - now).Seconds() - shift
 	if until <= 0 {
 		return 0
 	}
-	return min(maxShare, max(0, s.remainingSeconds(now, seen)-shift)/until)
+	return min(maxShare, max(0, s.remainingSeconds(now, observed)-shift)/until)
 }
 
 // routeShares divides a share of all requests among routes by their rates. Each route gets the same
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -40,25 +40,25 @@
 // countWorkers sorts the listed workers by target and old versions. Workers of rejected versions
 // count as neither.
 func (s *directorState) countWorkers(workers []Worker) workerCounts {
-	var counted workerCounts
+	var counts workerCounts
 	for _, worker := range workers {
 		switch {
 		case worker.Version == s.order.Target:
 			if worker.Unreachable {
 				continue
 			}
-			counted.target = append(counted.target, worker)
-			counted.targetSlots += worker.Slots
+			counts.target = append(counts.target, worker)
+			counts.targetSlots += worker.Slots
 		case slices.Contains(s.rejected, worker.Version):
 		default:
-			counted.oldListed++
-			counted.oldSlots += worker.Slots
+			counts.oldListed++
+			counts.oldSlots += worker.Slots
 			if !worker.Unreachable {
-				counted.oldInFlight += worker.InFlight
+				counts.oldInFlight += worker.InFlight
 			}
 		}
 	}
-	return counted
+	return counts
 }
 
 // advance performs the next step of the delivery and returns its event.
@@ -66,23 +66,23 @@
 	if s.stage.IsFinal() {
 		return s.reportEnd(now)
 	}
-	counted := s.countWorkers(workers)
+	counts := s.countWorkers(workers)
 	paused := s.evaluatedAt != 0 && now-s.evaluatedAt > maxEvaluationGap
 	s.evaluatedAt = now
 	if paused && s.verdict != StageRolledBack {
 		return s.resume(now, ReasonPaused)
 	}
 	s.meter.tick(now, s.targetShare)
-	s.hasSingleTarget = len(counted.target) == 1
-	if event := s.decide(now, counted); event.Name != "" {
+	s.hasSingleTarget = len(counts.target) == 1
+	if event := s.decide(now, counts); event.Name != "" {
 		return event
 	}
 	if s.verdict != 0 {
 		return Event{}
 	}
-	s.updateShares(now, len(counted.target))
-	s.chooseCanaries(now, counted.target)
-	if event := s.planShift(now, counted); event.Name != "" {
+	s.updateShares(now, len(counts.target))
+	s.chooseCanaries(now, counts.target)
+	if event := s.planShift(now, counts); event.Name != "" {
 		return event
 	}
 	if !s.startReported {
@@ -106,7 +106,7 @@
 
 // decide sets the verdict as soon as possible. Evidence overrides a completion that isn't known to
 // be stored; the first write to the store wins.
-func (s *directorState) decide(now time.Duration, counted workerCounts) Event {
+func (s *directorState) decide(now time.Duration, counts workerCounts) Event {
 	if s.verdict != StageRolledBack && slices.Contains(s.rejected, s.order.Target) {
 		return s.rollBack(now, ReasonPreviouslyRejected)
 	}
@@ -116,21 +116,21 @@
 	if s.verdict != 0 {
 		return Event{}
 	}
-	if s.isTargetAlone(now, counted) {
+	if s.isTargetAlone(now, counts) {
 		return s.complete(now, ReasonNoOldWorkers)
 	}
-	if s.isOldDrained(now, counted) {
+	if s.isOldDrained(now, counts) {
 		return s.complete(now, ReasonOldWorkersIdle)
 	}
 	if now < s.schedule.deadline-finishReserve {
 		return Event{}
 	}
-	return s.decideAtDeadline(now, counted)
+	return s.decideAtDeadline(now, counts)
 }
 
 // isTargetAlone reports whether only the target has been listed for targetOnlyDelay.
-func (s *directorState) isTargetAlone(now time.Duration, counted workerCounts) bool {
-	if counted.oldListed > 0 || len(counted.target) == 0 {
+func (s *directorState) isTargetAlone(now time.Duration, counts workerCounts) bool {
+	if counts.oldListed > 0 || len(counts.target) == 0 {
 		s.targetOnlySince = 0
 		return false
 	}
@@ -142,23 +142,23 @@
 
 // isOldDrained reports whether the old workers have no requests left after a shift and the target
 // is still ready for all of them.
-func (s *directorState) isOldDrained(now time.Duration, counted workerCounts) bool {
-	return s.shifting && now-s.shiftAt >= shiftPropagation && counted.oldInFlight == 0 &&
-		s.isReadyToShift(now, counted)
+func (s *directorState) isOldDrained(now time.Duration, counts workerCounts) bool {
+	return s.shifting && now-s.shiftAt >= shiftPropagation && counts.oldInFlight == 0 &&
+		s.isReadyToShift(now, counts)
 }
 
 // isReadyToShift reports whether the target has enough slots, reports arrive and the evidence
 // against the target is weak.
-func (s *directorState) isReadyToShift(now time.Duration, counted workerCounts) bool {
-	return hasEnoughSlots(counted) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
+func (s *directorState) isReadyToShift(now time.Duration, counts workerCounts) bool {
+	return hasEnoughSlots(counts) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
 }
 
 // decideAtDeadline sets the verdict at the last moment before the deadline.
-func (s *directorState) decideAtDeadline(now time.Duration, counted workerCounts) Event {
+func (s *directorState) decideAtDeadline(now time.Duration, counts workerCounts) Event {
 	switch {
-	case len(counted.target) == 0:
+	case len(counts.target) == 0:
 		return s.rollBack(now, ReasonNoWorkers)
-	case !hasEnoughSlots(counted):
+	case !hasEnoughSlots(counts):
 		return s.rollBack(now, ReasonFewWorkers)
 	case s.meter.isSilent(now):
 		return s.resume(now, ReasonNoEvidence)
@@ -170,14 +170,14 @@
 
 // hasEnoughSlots reports whether the target lists enough slots for the service's load. With few
 // workers, one may be missing.
-func hasEnoughSlots(counted workerCounts) bool {
-	if counted.targetSlots == 0 || counted.oldListed == 0 {
-		return counted.targetSlots > 0
+func hasEnoughSlots(counts workerCounts) bool {
+	if counts.targetSlots == 0 || counts.oldListed == 0 {
+		return counts.targetSlots > 0
 	}
-	old := float64(counted.oldSlots)
-	oneLess := old - old/float64(counted.oldListed)
+	old := float64(counts.oldSlots)
+	oneLess := old - old/float64(counts.oldListed)
 	needed := max(minSlotFraction*old, min(requiredSlotFraction*old, oneLess))
-	return float64(counted.targetSlots) >= needed
+	return float64(counts.targetSlots) >= needed
 }
 
 // suspicion returns the strongest score without its worst worker's contribution.
@@ -209,20 +209,20 @@
 }
 
 // planShift announces, holds or starts the shift.
-func (s *directorState) planShift(now time.Duration, counted workerCounts) Event {
+func (s *directorState) planShift(now time.Duration, counts workerCounts) Event {
 	if s.shifting {
-		return s.checkShift(now, counted)
+		return s.checkShift(now, counts)
 	}
 	begin := s.schedule.deadline - s.schedule.shiftDuration(now, s.meter.traffic(now))
 	if s.shiftAt == 0 {
 		begin = max(begin, now+2*EvaluationInterval)
 	}
-	ready := s.isReadyToShift(now, counted)
+	ready := s.isReadyToShift(now, counts)
 	switch {
 	case !ready && s.shiftAt != 0:
 		s.shiftAt = 0
 		s.changed = true
-		return s.newEvent(now, EventShiftHeld, s.holdReason(now, counted))
+		return s.newEvent(now, EventShiftHeld, s.holdReason(now, counts))
 	case !ready || now < begin-shiftNotice || begin > s.schedule.deadline-finishReserve:
 		return Event{}
 	case s.shiftAt == 0:
@@ -238,8 +238,8 @@
 }
 
 // checkShift ends a shift if too few workers of the target are left.
-func (s *directorState) checkShift(now time.Duration, counted workerCounts) Event {
-	if hasEnoughSlots(counted) {
+func (s *directorState) checkShift(now time.Duration, counts workerCounts) Event {
+	if hasEnoughSlots(counts) {
 		return Event{}
 	}
 	s.shifting = false
@@ -248,9 +248,9 @@
 	return s.newEvent(now, EventShiftHeld, ReasonFewWorkers)
 }
 
-func (s *directorState) holdReason(now time.Duration, counted workerCounts) string {
+func (s *directorState) holdReason(now time.Duration, counts workerCounts) string {
 	switch {
-	case !hasEnoughSlots(counted):
+	case !hasEnoughSlots(counts):
 		return ReasonFewWorkers
 	case s.meter.isSilent(now):
 		return ReasonNoEvidence
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -40,25 +40,25 @@
 
 // observe takes a node's cumulative evidence and passes the increase to the judge.
 func (m *meter) observe(in conditions, node fleet.NodeID, evidence Evidence, judge *judge) {
-	before, heard := m.nodes[node]
+	previous, reported := m.nodes[node]
 	m.nodes[node] = evidence
 	m.lastReport[node] = in.now
 	for route, counts := range evidence.Old {
-		delta := counts.since(before.Old[route])
+		delta := counts.since(previous.Old[route])
 		if delta.Answers == 0 {
 			continue
 		}
 		judge.observeOld(route, &delta)
-		m.count(route, delta.Answers, heard)
+		m.count(route, delta.Answers, reported)
 	}
 	for route, byWorker := range evidence.New {
 		for worker, counts := range byWorker {
-			delta := counts.since(before.New[route][worker])
+			delta := counts.since(previous.New[route][worker])
 			if delta.Answers == 0 {
 				continue
 			}
 			judge.observeNew(in, route, worker, &delta)
-			m.count(route, delta.Answers, heard)
+			m.count(route, delta.Answers, reported)
 			m.targetAnswers += float64(delta.Answers)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // tick updates the rates and the planned requests to now.
-func (m *meter) tick(now time.Duration, asked func(RouteName) float64) {
+func (m *meter) tick(now time.Duration, plannedShare func(RouteName) float64) {
 	passed := (now - m.tickedAt).Seconds()
 	if passed <= 0 {
 		return
@@ -86,35 +86,35 @@
 	for route := range m.pending {
 		m.rates[route] += weight * (m.pending[route]/passed - m.rates[route])
 		m.pending[route] = 0
-		m.targetPlanned += asked(route) * m.rates[route] * passed
+		m.targetPlanned += plannedShare(route) * m.rates[route] * passed
 	}
 }
 
 // isSilent reports whether at least as many nodes have recently stopped reporting as still report.
 // The director is then partitioned, or has just started.
 func (m *meter) isSilent(now time.Duration) bool {
-	telling, silent := 0, 0
-	for _, heard := range m.lastReport {
-		switch age := now - heard; {
+	reporting, silent := 0, 0
+	for _, reportedAt := range m.lastReport {
+		switch age := now - reportedAt; {
 		case age <= maxEvidenceAge:
-			telling++
+			reporting++
 		case age <= nodeRetention:
 			silent++
 		}
 	}
-	return telling <= silent
+	return reporting <= silent
 }
 
 // traffic returns the traffic for the schedule. The rate is unknown until rateWarmup has passed.
 func (m *meter) traffic(now time.Duration) traffic {
-	seen := traffic{total: m.total, target: max(m.targetAnswers, m.targetPlanned)}
+	observed := traffic{total: m.total, target: max(m.targetAnswers, m.targetPlanned)}
 	if now-m.startedAt < rateWarmup {
-		return seen
+		return observed
 	}
 	for _, rate := range m.rates {
-		seen.rate += rate
+		observed.rate += rate
 	}
-	return seen
+	return observed
 }
 
 // maxEvidenceAge is the age up to which a report is current, covering two report intervals and a
