--- a/internal/rollout/catalogue.go
+++ b/internal/rollout/catalogue.go
@@ -8,15 +8,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// configuredVersion is the configuration's word about one set of weights.
+// configuredVersion is a version of a model or adapter in the configuration.
 type configuredVersion struct {
 	version engine.Weights
 	pool    fleet.PoolName
 	state   config.VersionState
 }
 
-// listVersions returns every version of every model and adapter, in the
-// document's order.
+// listVersions returns all versions of all models and adapters, in the document's order.
 func listVersions(document *config.Document) []configuredVersion {
 	var all []configuredVersion
 	for _, model := range document.Models {
@@ -30,14 +29,13 @@
 
 func appendVersions(all []configuredVersion, model config.Model, adapter fleet.AdapterName, versions []config.Version) []configuredVersion {
 	for _, version := range versions {
-		weights := engine.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
-		all = append(all, configuredVersion{version: weights, pool: model.Pool, state: version.State})
+		identity := engine.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
+		all = append(all, configuredVersion{version: identity, pool: model.Pool, state: version.State})
 	}
 	return all
 }
 
-// catalogue sorts the configuration's weights by what engines should do with
-// them.
+// catalogue groups the configured versions by state.
 type catalogue struct {
 	serving []configuredVersion
 	loading []configuredVersion
@@ -59,11 +57,11 @@
 	return sorted
 }
 
-// needed returns what engines should hold: what serves goes before what is
-// being brought in, because an engine without it can't work.
+// needed returns the versions that engines should have loaded. Serving versions come first, because
+// engines can't serve requests without them.
 func (c catalogue) needed() []configuredVersion { return slices.Concat(c.serving, c.loading) }
 
-// versionsInPool keeps the weights that one pool should hold.
+// versionsInPool returns the versions that belong to a pool.
 func versionsInPool(all []configuredVersion, pool fleet.PoolName) []configuredVersion {
 	var kept []configuredVersion
 	for _, candidate := range all {
@@ -74,8 +72,7 @@
 	return kept
 }
 
-// isSameVariant tells whether two sets of weights are versions of one model or
-// of one adapter.
+// isSameVariant reports whether two versions belong to the same model and adapter.
 func isSameVariant(a, b engine.Weights) bool {
 	return a.Model == b.Model && a.Adapter == b.Adapter
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -20,45 +20,44 @@
 	DefaultParallelOrders = 16
 )
 
-// Orderer sends one order to an engine and waits for its answer.
+// Orderer sends an order to an engine and waits for the response.
 type Orderer interface {
 	Order(ctx context.Context, engine fleet.EngineID, order engine.Order) error
 }
 
-// Lease tells at each call whether this process may order, and under which
-// fencing token. lease.Keeper implements it.
+// Lease returns the current fencing token, and whether this process holds the lease and may send
+// orders.
 type Lease interface {
 	Fence() (fleet.FencingToken, bool)
 }
 
-// ControllerOptions sets up a Controller. Durations and counts that are zero
-// take the defaults.
+// ControllerOptions configures a Controller. Zero durations and counts take the defaults.
 type ControllerOptions struct {
 	Lease   Lease
 	Orderer Orderer
-	// Document returns the configuration in force, nil if none is known.
+	// Document returns the current configuration, nil if there is none.
 	Document func() *config.Document
-	// Engines returns the engines whose status is known and fresh.
+	// Engines returns the engines with a fresh status.
 	Engines func() []Engine
 	Planner *Planner
 	Clock   fleet.Clock
 	Logger  zerolog.Logger
-	// Interval is the time between plans.
+	// Interval is the time between two plans.
 	Interval time.Duration
-	// OrderTimeout bounds one order.
+	// OrderTimeout is the timeout of one order.
 	OrderTimeout time.Duration
-	// ParallelOrders bounds the orders under way at once.
+	// ParallelOrders is the maximum number of orders in flight.
 	ParallelOrders int
 }
 
-// Controller plans and sends orders while the lease is held. An order that
-// fails is planned again, because the engine's status doesn't show its effect.
+// Controller plans and sends orders while the lease is held. A failed order is planned again,
+// because the engine's status doesn't show its effect.
 type Controller struct {
 	options ControllerOptions
 	tomb    tomb.Tomb
 }
 
-// NewController returns a controller that hasn't started.
+// NewController returns a controller that isn't started.
 func NewController(options ControllerOptions) *Controller {
 	if options.Interval <= 0 {
 		options.Interval = DefaultInterval
@@ -72,16 +71,16 @@
 	return &Controller{options: options}
 }
 
-// Start begins to plan.
+// Start starts the planning loop.
 func (c *Controller) Start() { c.tomb.Go(c.run) }
 
-// Stop cancels the orders under way and waits.
+// Stop cancels orders in flight and waits for the loop to end.
 func (c *Controller) Stop() error {
 	c.tomb.Kill(nil)
 	return c.tomb.Wait()
 }
 
-// Dead is closed when the controller has ended.
+// Dead returns a channel that is closed when the controller has stopped.
 func (c *Controller) Dead() <-chan struct{} { return c.tomb.Dead() }
 
 func (c *Controller) run() error {
@@ -97,7 +96,7 @@
 	}
 }
 
-// reconcile makes and carries out one plan.
+// reconcile makes a plan and sends its orders.
 func (c *Controller) reconcile() {
 	if _, held := c.options.Lease.Fence(); !held {
 		return
@@ -119,7 +118,7 @@
 	workers.Wait()
 }
 
-// send checks the lease at the last moment: the process may have been frozen
+// send sends an order. It checks the lease right before, since the process may have been suspended
 // since the plan was made.
 func (c *Controller) send(order Order) {
 	ctx, cancel := context.WithTimeout(c.tomb.Context(context.Background()), c.options.OrderTimeout)
--- a/internal/rollout/engines.go
+++ b/internal/rollout/engines.go
@@ -1,6 +1,7 @@
-// Package rollout turns the configuration into fenced orders to engines: which
-// weights to load and unload, which engines to retire, and their roles. The
-// planner has no I/O; the controller runs it while it holds a lease.
+// Package rollout rolls out model versions to engines and carries out operators' directives. It
+// turns the configuration into orders to engines, protected by fencing tokens: which model versions
+// to load and unload, which engines to retire, and which roles they have. The Planner and the Pacer
+// have no I/O; the Controller runs the Planner while the process holds a lease.
 package rollout
 
 import (
@@ -12,11 +13,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Engine is what is known of one engine.
+// Engine is the state of one engine as observed by this process.
 type Engine struct {
-	// Pool comes from the list of machines.
+	// Pool is the engine's pool in the list of machines.
 	Pool fleet.PoolName
-	// Status is the engine's own word, which may lag.
+	// Status is reported by the engine and may lag.
 	Status engine.Status
 }
 
@@ -30,12 +31,12 @@
 	return fleet.EngineRun{Engine: e.Status.Engine, Incarnation: e.Status.Incarnation}
 }
 
-func (e Engine) hasLoaded(weights engine.Weights) bool {
-	return slices.Contains(e.Status.Loaded, weights)
+func (e Engine) hasLoaded(version engine.Weights) bool {
+	return slices.Contains(e.Status.Loaded, version)
 }
 
-func (e Engine) isLoading(weights engine.Weights) bool {
-	return slices.Contains(e.Status.Loading, weights)
+func (e Engine) isLoading(version engine.Weights) bool {
+	return slices.Contains(e.Status.Loading, version)
 }
 
 func (e Engine) order(kind engine.OrderKind) Order {
@@ -45,7 +46,7 @@
 	}
 }
 
-// newestRuns returns the newest run of each engine in order of identifier.
+// newestRuns returns the newest run of each engine, ordered by identifier.
 func newestRuns(engines []Engine) []Engine {
 	sorted := slices.Clone(engines)
 	slices.SortStableFunc(sorted, func(a, b Engine) int {
@@ -57,8 +58,7 @@
 	return slices.CompactFunc(sorted, func(a, b Engine) bool { return a.Status.Engine == b.Status.Engine })
 }
 
-// directiveSet is the operators' orders by run and kind; of several of a kind
-// the last counts.
+// directiveSet holds the operators' directives by run and kind. The last directive of a kind wins.
 type directiveSet map[fleet.EngineRun]map[config.DirectiveKind]config.Directive
 
 func newDirectiveSet(document *config.Document) directiveSet {
@@ -73,7 +73,7 @@
 	return set
 }
 
-// withoutLeaving returns the engines that are neither leaving nor told to leave.
+// withoutLeaving returns the engines that are neither leaving nor directed to drain or retire.
 func (s directiveSet) withoutLeaving(engines []Engine) []Engine {
 	var kept []Engine
 	for _, candidate := range engines {
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -8,25 +8,25 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// expireLoads drops the planned loads that a status shows, that are too old to
-// be under way, and those of runs that have been superseded.
+// expireLoads removes pending loads that are visible in a status, have exceeded the grace period,
+// or belong to a superseded run.
 func (p *Planner) expireLoads(now time.Duration, engines []Engine) {
 	newest := make(map[fleet.EngineID]Engine, len(engines))
 	for _, candidate := range engines {
 		newest[candidate.Status.Engine] = candidate
 	}
 	for run, load := range p.pendingLoads {
-		known, listed := newest[run.Engine]
-		superseded := listed && known.Status.Incarnation > run.Incarnation
-		shown := listed && (known.hasLoaded(load.version) || known.isLoading(load.version))
-		if superseded || shown || now >= load.at+p.settings.StatusGrace {
+		current, listed := newest[run.Engine]
+		superseded := listed && current.Status.Incarnation > run.Incarnation
+		visible := listed && (current.hasLoaded(load.version) || current.isLoading(load.version))
+		if superseded || visible || now >= load.at+p.settings.StatusGrace {
 			delete(p.pendingLoads, run)
 		}
 	}
 }
 
-// planLoads orders at most free loads of what one pool's engines need. Each
-// engine loads one set of weights at a time.
+// planLoads orders up to free loads for the engines of one pool. An engine loads one version at a
+// time.
 func (p *Planner) planLoads(now time.Duration, free int, needed []configuredVersion, engines []Engine) []Order {
 	var orders []Order
 	for _, wanted := range needed {
@@ -47,8 +47,8 @@
 	return orders
 }
 
-// countLoading counts the engines of a pool that load or have been told to,
-// also those that are leaving or not listed at the moment.
+// countLoading counts the engines of a pool that are loading or have been ordered to load,
+// including those that are leaving or currently not listed.
 func (p *Planner) countLoading(pool fleet.PoolName, engines []Engine) int {
 	count := 0
 	listed := make(map[fleet.EngineRun]bool, len(engines))
@@ -71,12 +71,12 @@
 	return ordered || len(candidate.Status.Loading) > 0
 }
 
-// updateRetired keeps since when each set of weights has been retired.
-func (p *Planner) updateRetired(now time.Duration, wanted catalogue) {
+// updateRetired tracks since when each version has been retired.
+func (p *Planner) updateRetired(now time.Duration, versions catalogue) {
 	retired := make(map[engine.Weights]time.Duration)
-	for _, candidate := range wanted.retired {
-		since, known := p.retiredSince[candidate.version]
-		if !known {
+	for _, candidate := range versions.retired {
+		since, found := p.retiredSince[candidate.version]
+		if !found {
 			since = now
 		}
 		retired[candidate.version] = since
@@ -84,14 +84,13 @@
 	p.retiredSince = retired
 }
 
-// planUnloads orders an engine to drop what the document names as retired.
-// Weights that the document doesn't name at all stay: the document in hand may
-// be older than the one that loaded them.
-func (p *Planner) planUnloads(now time.Duration, wanted catalogue, candidate Engine) []Order {
+// planUnloads orders an engine to unload retired versions. Versions missing from the document stay
+// loaded, since this document may be older than the one that loaded them.
+func (p *Planner) planUnloads(now time.Duration, versions catalogue, candidate Engine) []Order {
 	var orders []Order
-	for _, retired := range wanted.retired {
+	for _, retired := range versions.retired {
 		due := now >= p.retiredSince[retired.version]+p.settings.UnloadGrace
-		if !due || !candidate.hasLoaded(retired.version) || !isReplaced(wanted, retired, candidate) {
+		if !due || !candidate.hasLoaded(retired.version) || !isReplaced(versions, retired, candidate) {
 			continue
 		}
 		order := candidate.order(engine.OrderUnload)
@@ -101,13 +100,13 @@
 	return orders
 }
 
-// isReplaced tells whether the engine can do without retired weights: it holds
-// the version that serves instead, or its pool doesn't serve the model.
-func isReplaced(wanted catalogue, retired configuredVersion, candidate Engine) bool {
+// isReplaced reports whether the engine no longer needs a retired version: it has loaded the
+// serving version instead, or its pool doesn't serve the model.
+func isReplaced(versions catalogue, retired configuredVersion, candidate Engine) bool {
 	if candidate.Pool != retired.pool {
 		return true
 	}
-	return slices.ContainsFunc(wanted.serving, func(serving configuredVersion) bool {
+	return slices.ContainsFunc(versions.serving, func(serving configuredVersion) bool {
 		return isSameVariant(serving.version, retired.version) && candidate.hasLoaded(serving.version)
 	})
 }
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -11,49 +11,50 @@
 	"github.com/tillerfall/tillerfall/internal/lease"
 )
 
-// Report is an engine's own word on its state.
+// Report is an engine's report on its state.
 type Report struct {
-	// Versions holds the version of each model.
+	// Versions holds the current version of each model.
 	Versions map[fleet.ModelName]uint64
-	// Busy is set while an order is being carried out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
-	// Orders counts the orders that this run has taken.
+	// Orders is the number of orders that this run has accepted.
 	Orders int64
-	// Running counts the requests that it works on.
+	// Running is the number of requests in flight at the engine.
 	Running int
-	// StartTime is when the run that answers started, in milliseconds since 1970; 0 if it didn't
-	// say.
+	// StartTime is when the reporting run started, in milliseconds since the Unix epoch; 0 if
+	// unknown.
 	StartTime uint64
 }
 
-// VersionOrder has an engine take a version of a model's weights.
+// VersionOrder orders an engine to switch a model to a version.
 type VersionOrder struct {
 	Model   fleet.ModelName
 	Version uint64
 	Holder  lease.HolderID
 	Token   fleet.FencingToken
-	// ExpectedOrders is the count of orders that the engine must have, so that an
-	// order which arrives late, behind another one, changes nothing.
+	// ExpectedOrders is the number of orders that the engine must have accepted. An order that
+	// arrives late, after another one, is thereby rejected.
 	ExpectedOrders int64
 }
 
-// OrderResult tells what became of an order.
+// OrderResult is the result of an order.
 type OrderResult int
 
 // Results of orders.
 const (
-	// OrderUncertain means that no answer came: the order may still be carried out.
+	// OrderUncertain means that no response arrived; the order may still be carried out.
 	OrderUncertain OrderResult = iota
-	// OrderAccepted means that it is being carried out.
+	// OrderAccepted means that the engine carries out the order.
 	OrderAccepted
-	// OrderAlreadyApplied means that the engine is in the ordered state already.
+	// OrderAlreadyApplied means that the engine is already in the ordered state.
 	OrderAlreadyApplied
-	// OrderRejected means that the engine did not take it.
+	// OrderRejected means that the engine didn't accept the order.
 	OrderRejected
 )
 
-// ErrDifferentRun means that another run than the one asked has answered.
-var ErrDifferentRun = errors.New("another run has the address")
+// ErrDifferentRun means that the response came from another run of the engine than the expected
+// one.
+var ErrDifferentRun = errors.New("response came from a different engine run")
 
 // Defaults of PacerOptions.
 const (
@@ -65,68 +66,66 @@
 	DefaultUnreachableParallel = 2
 )
 
-// PacerOptions sets up a Pacer; zero fields take the defaults.
+// PacerOptions configures a Pacer. Zero fields take the defaults.
 type PacerOptions struct {
-	// Within is the time from the naming of a version after which engines that
-	// don't have it or a newer one get no more requests.
+	// Within is the time from the publication of a version after which engines with older versions
+	// get no more requests.
 	Within time.Duration
-	// MinParallel is the number of engines that may always change at once, UsualPart
-	// the part of the engines that does while loads don't slow each other down, and
-	// MaxPart the greatest part that changes at once before the engines are due.
+	// MinParallel is the number of engines that may always change in parallel. UsualFraction is the
+	// fraction of the engines that changes in parallel while loads don't slow each other down.
+	// MaxFraction is the largest fraction, used to meet the deadline.
 	MinParallel   int
 	UsualFraction float64
 	MaxFraction   float64
-	// ChangeTime is how long one engine takes before any was measured.
+	// ChangeTime is the initial estimate of one engine's change.
 	ChangeTime time.Duration
-	// Reserve is how much before it is due the last engine should have changed; 0
-	// means a tenth of Within.
+	// Reserve is how long before the deadline the last engine should have changed; 0 means a tenth
+	// of Within.
 	Reserve time.Duration
-	// UnreachableParallel is the number of engines that changes are tried at once of those that
-	// can't be reached.
+	// UnreachableParallel is the number of changes attempted in parallel on unreachable engines.
 	UnreachableParallel int
 }
 
-// VersionedEngine is an engine as the pacer needs to know it.
+// VersionedEngine is the state of an engine that the pacer needs.
 type VersionedEngine struct {
 	Engine  fleet.EngineID
 	Version uint64
-	// Changing is set while an order to it is under way.
+	// Changing is set while an order to the engine is in progress.
 	Changing bool
-	// Unreachable is set while it can't be reached, by what is known. Failures counts
-	// the changes in a row that failed.
+	// Unreachable is set while the engine is believed to be unreachable. Failures is the number of
+	// consecutive failed changes.
 	Unreachable bool
 	Failures    int
 }
 
-// publication is when a version was named, or first heard of.
+// publication records when a version was published or, if that is unknown, first seen.
 type publication struct {
 	version uint64
 	at      time.Duration
-	// assumed is set while nobody who heard of it at once has told when.
+	// assumed is set until a process that saw the publication has reported its time.
 	assumed bool
 }
 
-// Pacer decides when which engines take a newly named version of one model's
-// weights. A change empties an engine's cache and keeps requests away from it, and
-// what begins on replaced weights is worth less: so a usual part of the engines
-// changes at once, fewer if loads at once slow each other down, more if they are
-// due. The pacer has no I/O and no clock.
+// Pacer decides which engines change to a newly published version of one model, and when. A change
+// empties an engine's cache and takes it out of service for a while. A usual fraction of the
+// engines therefore changes in parallel, fewer if parallel loads slow each other down, and more if
+// the deadline is close. The pacer has no I/O and no clock, and isn't safe for concurrent use.
 type Pacer struct {
 	options      PacerOptions
 	publications []publication
 	changeTime   time.Duration
-	// usualFraction is the part of the engines that changes at once, shortestLoad the
-	// shortest load of weights so far.
+	// usualFraction is the fraction of the engines that changes in parallel. shortestLoad is the
+	// shortest time in which an engine has loaded a version.
 	usualFraction float64
 	shortestLoad  time.Duration
-	// saturated is set while about the usual part changes.
+	// saturated is set while about the usual fraction is changing.
 	saturated bool
-	// credit is the part of a change that may begin, by the time since creditAt.
+	// credit is the number of changes that may start, accrued up to creditAt.
 	credit   float64
 	creditAt time.Duration
 }
 
-// NewPacer returns a pacer that knows of no version.
+// NewPacer returns a pacer without versions.
 func NewPacer(options PacerOptions) *Pacer {
 	if options.MinParallel <= 0 {
 		options.MinParallel = DefaultMinParallel
@@ -149,12 +148,12 @@
 	return &Pacer{options: options, changeTime: options.ChangeTime, usualFraction: options.UsualFraction}
 }
 
-// Publish takes in that a version was named at a time, at the latest. It returns
-// false for a version that isn't newer than the newest known.
+// Publish adds a version that was published at the given time at the latest. It returns false if
+// the version isn't newer than the newest one.
 func (p *Pacer) Publish(at time.Duration, version uint64) bool { return p.add(at, version, false) }
 
-// PublishAssumed takes in a version that was named at an unknown time, for which at is
-// taken until Learn tells better.
+// PublishAssumed adds a version whose publication time is unknown. The given time is assumed until
+// LearnPublication replaces it.
 func (p *Pacer) PublishAssumed(at time.Duration, version uint64) bool {
 	return p.add(at, version, true)
 }
@@ -167,55 +166,54 @@
 	return true
 }
 
-// LearnPublication takes in another process's word on when a version was named. The
-// earliest word is the nearest, since nobody hears of a version before. Versions
-// that this process never heard of count too: one that was named before it
-// started is due earlier than a newer one that it has seen.
+// LearnPublication applies a publication time reported by another process. The earliest report is
+// the most accurate, since no process sees a version before its publication. Versions that this
+// process hasn't seen are added, since one published before it started is due earlier than a newer
+// one.
 func (p *Pacer) LearnPublication(at time.Duration, version uint64) {
-	index, known := slices.BinarySearchFunc(p.publications, version, func(named publication, version uint64) int {
-		return cmp.Compare(named.version, version)
+	index, found := slices.BinarySearchFunc(p.publications, version, func(published publication, version uint64) int {
+		return cmp.Compare(published.version, version)
 	})
-	if !known {
+	if !found {
 		p.publications = slices.Insert(p.publications, index, publication{version: version, at: at})
 		return
 	}
-	named := &p.publications[index]
-	if named.assumed || at < named.at {
-		named.at, named.assumed = at, false
+	published := &p.publications[index]
+	if published.assumed || at < published.at {
+		published.at, published.assumed = at, false
 	}
 }
 
-// ResetPending has the time of versions that aren't due yet begin anew: nobody could
-// have learnt of them, nor ordered them, while the store was out of everybody's
-// reach. A process that alone was out of reach learns better from the others.
+// ResetPending restarts the period of versions that aren't due yet, after the store was unavailable
+// and no process could see or order them. If only this process was cut off, the reports of others
+// restore the earlier times.
 func (p *Pacer) ResetPending(now, age time.Duration) {
 	for index := range p.publications {
-		named := &p.publications[index]
-		if named.at+age > now {
-			named.at = max(named.at, now)
+		published := &p.publications[index]
+		if published.at+age > now {
+			published.at = max(published.at, now)
 		}
 	}
 }
 
-// Publication is a version and when it was named.
+// Publication is a version and its publication time.
 type Publication struct {
 	Version uint64
 	At      time.Duration
 }
 
-// RecentPublications returns the latest versions whose time of naming isn't assumed, at most
-// limit of them.
+// RecentPublications returns those of the last limit versions whose publication time isn't assumed.
 func (p *Pacer) RecentPublications(limit int) []Publication {
-	var heard []Publication
-	for _, named := range p.publications[max(len(p.publications)-limit, 0):] {
-		if !named.assumed {
-			heard = append(heard, Publication{Version: named.version, At: named.at})
+	var recent []Publication
+	for _, published := range p.publications[max(len(p.publications)-limit, 0):] {
+		if !published.assumed {
+			recent = append(recent, Publication{Version: published.version, At: published.at})
 		}
 	}
-	return heard
+	return recent
 }
 
-// Newest returns the newest named version, or 0.
+// Newest returns the newest published version, or 0.
 func (p *Pacer) Newest() uint64 {
 	if len(p.publications) == 0 {
 		return 0
@@ -223,39 +221,39 @@
 	return p.publications[len(p.publications)-1].version
 }
 
-// NewestDue returns the newest version that was named at least age before now, or 0.
+// NewestDue returns the newest version that was published at least age before now, or 0.
 func (p *Pacer) NewestDue(now, age time.Duration) uint64 {
 	due := uint64(0)
-	for _, named := range p.publications {
-		if named.at+age <= now {
-			due = named.version
+	for _, published := range p.publications {
+		if published.at+age <= now {
+			due = published.version
 		}
 	}
 	return due
 }
 
-// Loads that take so many times as long as the shortest one have slowed each other
-// down, or have not.
+// Ratios of a load's duration to the shortest one: from slowLoadRatio on, parallel loads slow each
+// other down; below fastLoadRatio they don't.
 const (
 	slowLoadRatio = 1.7
 	fastLoadRatio = 1.3
 )
 
-// Factors by which the usual part changes after a load, and its least value.
+// Adjustment of the usual fraction after a load.
 const (
 	decreaseFactor   = 0.93
 	increaseFactor   = 1.03
 	minUsualFraction = 0.02
-	// saturatedFraction is the part of the usual number from which on loads show whether more
-	// could be at once.
+	// saturatedFraction is the fraction of the usual number of parallel changes from which a fast
+	// load shows that more are possible.
 	saturatedFraction = 0.8
 )
 
-// ObserveChange takes in how long a change of one engine took, and the load of weights
-// in it.
-func (p *Pacer) ObserveChange(took, load time.Duration) {
+// ObserveChange updates the estimates after the change of an engine, which includes loading the
+// version.
+func (p *Pacer) ObserveChange(duration, load time.Duration) {
 	const weight = 4
-	p.changeTime += (took - p.changeTime) / weight
+	p.changeTime += (duration - p.changeTime) / weight
 	if p.shortestLoad == 0 || load < p.shortestLoad {
 		p.shortestLoad = load
 	}
@@ -267,8 +265,8 @@
 	}
 }
 
-// Next returns the engines to change to the newest version now, those that are
-// due first before others.
+// Next returns the engines to change to the newest version now, those with the earliest deadline
+// first.
 func (p *Pacer) Next(now time.Duration, engines []VersionedEngine) []fleet.EngineID {
 	var waiting, doubtful []VersionedEngine
 	changing, trying := 0, 0
@@ -295,8 +293,8 @@
 	return append(chosen, firstEngines(doubtful, p.options.UnreachableParallel-trying)...)
 }
 
-// startAllowance returns how many changes may begin now so that so many are under way at
-// a time, one after the other: engines that load at once slow each other down.
+// startAllowance returns how many changes may start now. Starts are spread over the duration of a
+// change, because engines that load at the same time slow each other down.
 func (p *Pacer) startAllowance(now time.Duration, parallel int) int {
 	rate := float64(parallel) / p.changeTime.Seconds()
 	p.credit = min(max(p.credit, 0)+(now-p.creditAt).Seconds()*rate, max(1, rate*maxCreditTime.Seconds()))
@@ -304,10 +302,11 @@
 	return int(p.credit)
 }
 
-// maxCreditTime is the time for which changes that could have begun are saved up.
+// maxCreditTime is the time for which unused starts accumulate.
 const maxCreditTime = 200 * time.Millisecond
 
-// firstEngines returns the identifiers of at most count engines.
+// firstEngines returns the identifiers of the first count engines, or of fewer if there aren't as
+// many.
 func firstEngines(engines []VersionedEngine, count int) []fleet.EngineID {
 	var chosen []fleet.EngineID
 	for _, engine := range engines[:min(max(count, 0), len(engines))] {
@@ -316,16 +315,15 @@
 	return chosen
 }
 
-// sortByDue orders engines by when they are due, those first that failed least.
+// sortByDue sorts engines by their number of failures, then by their deadline.
 func sortByDue(engines []VersionedEngine) {
 	slices.SortFunc(engines, func(a, b VersionedEngine) int {
 		return cmp.Or(cmp.Compare(a.Failures, b.Failures), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Engine, b.Engine))
 	})
 }
 
-// requiredParallel returns how many engines are to change at once so that each of those
-// that wait, in order of when they are due, has changed in time, and how many of
-// them must begin now for that.
+// requiredParallel returns how many engines must change in parallel so that each waiting engine, in
+// order of deadline, has changed in time, and how many of them must start now.
 func (p *Pacer) requiredParallel(now time.Duration, waiting []VersionedEngine, changing, count int) (needed, urgent int) {
 	needed = max(p.options.MinParallel, int(p.usualFraction*float64(count)))
 	overdue := 0
@@ -335,11 +333,11 @@
 			urgent++
 		}
 		if left <= 0 {
-			// It gets no requests soon whether it changes or not.
+			// The engine gets no more requests soon, whether it changes or not.
 			overdue++
 			continue
 		}
-		// Of the changes under way, half of the time is over in the mean.
+		// On average, half of each change in progress is done.
 		work := time.Duration(2*(position+1)+changing) * p.changeTime / 2
 		needed = max(needed, int((work+left-1)/left))
 	}
@@ -347,16 +345,16 @@
 	return max(min(needed, most), changing+overdue), urgent
 }
 
-// dueAt returns when an engine with a version gets no more requests.
+// dueAt returns when an engine with the given version stops getting requests.
 func (p *Pacer) dueAt(version uint64) time.Duration {
 	return p.nextPublishedAt(version) + p.options.Within
 }
 
-// nextPublishedAt returns when the first version newer than the given one was named.
+// nextPublishedAt returns when the first version newer than the given one was published.
 func (p *Pacer) nextPublishedAt(version uint64) time.Duration {
-	for _, named := range p.publications {
-		if named.version > version {
-			return named.at
+	for _, published := range p.publications {
+		if published.version > version {
+			return published.at
 		}
 	}
 	return 0
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -14,34 +14,34 @@
 	DefaultUnloadGrace = 10 * time.Second
 )
 
-// PlannerSettings sets up a Planner; zero fields take the defaults.
+// PlannerSettings configures a Planner. Zero fields take the defaults.
 type PlannerSettings struct {
-	// StatusGrace is how long an ordered load counts as under way while the
-	// engine's status doesn't show it: the lag of the status.
+	// StatusGrace is how long an ordered load counts as in progress although the engine's status
+	// doesn't show it. It covers the lag of the status.
 	StatusGrace time.Duration
-	// UnloadGrace is how long weights stay after the planner first sees them
-	// retired, for requests that were admitted before.
+	// UnloadGrace is how long a version stays loaded after the planner first sees it retired, for
+	// requests that are already admitted.
 	UnloadGrace time.Duration
 }
 
-// pendingLoad is a load that was planned and isn't seen in a status yet.
+// pendingLoad is an ordered load that isn't visible in a status yet.
 type pendingLoad struct {
 	pool    fleet.PoolName
 	version engine.Weights
 	at      time.Duration
 }
 
-// Planner compares the configuration with the engines. It has no I/O; now is
-// elapsed time. It isn't safe for concurrent use.
+// Planner compares the configuration with the engines' status and plans orders. It has no I/O;
+// times are on the process's monotonic clock. It isn't safe for concurrent use.
 type Planner struct {
 	settings PlannerSettings
-	// pendingLoads holds at most one load a run.
+	// pendingLoads holds at most one load for each run.
 	pendingLoads map[fleet.EngineRun]pendingLoad
-	// retiredSince is when each set of weights was first seen as retired.
+	// retiredSince holds when each version was first seen as retired.
 	retiredSince map[engine.Weights]time.Duration
 }
 
-// NewPlanner returns a planner that knows of no earlier orders.
+// NewPlanner returns a planner without pending loads.
 func NewPlanner(settings PlannerSettings) *Planner {
 	if settings.StatusGrace <= 0 {
 		settings.StatusGrace = DefaultStatusGrace
@@ -56,35 +56,34 @@
 	}
 }
 
-// Plan returns the orders that bring the engines closer to the document: first
-// directives and unloads by engine, then loads, serving versions first. Equal
-// input gives equal orders. A planned load counts as under way for StatusGrace;
-// every other order is planned again until a status shows its effect. A nil
-// document gives no orders.
+// Plan returns the orders that bring the engines closer to the document: first directives and
+// unloads by engine, then loads, serving versions first. The result is deterministic. A planned
+// load counts as in progress for StatusGrace; every other order is planned again until a status
+// shows its effect. A nil document yields no orders.
 func (p *Planner) Plan(now time.Duration, document *config.Document, engines []Engine) []Order {
 	if document == nil {
 		return nil
 	}
 	newest := newestRuns(engines)
 	p.expireLoads(now, newest)
-	wanted := newCatalogue(document)
-	p.updateRetired(now, wanted)
+	versions := newCatalogue(document)
+	p.updateRetired(now, versions)
 	directed := newDirectiveSet(document)
 	orders := planDirectives(directed, newest)
 	available := directed.withoutLeaving(newest)
 	for _, candidate := range available {
-		orders = append(orders, p.planUnloads(now, wanted, candidate)...)
+		orders = append(orders, p.planUnloads(now, versions, candidate)...)
 	}
 	for _, pool := range document.Pools {
 		free := pool.MaxLoads - p.countLoading(pool.Name, newest)
-		needed := versionsInPool(wanted.needed(), pool.Name)
+		needed := versionsInPool(versions.needed(), pool.Name)
 		orders = append(orders, p.planLoads(now, free, needed, enginesInPool(available, pool.Name))...)
 	}
 	return orders
 }
 
-// planDirectives orders what operators have directed and engines don't show.
-// Leaving is never taken back: it sticks to the run.
+// planDirectives returns orders for directives that aren't visible in the engines' status. A
+// retirement isn't reverted; it lasts for the run.
 func planDirectives(directed directiveSet, engines []Engine) []Order {
 	var orders []Order
 	for _, candidate := range engines {
--- a/internal/rollout/promote.go
+++ b/internal/rollout/promote.go
@@ -8,23 +8,22 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// ReadyToPromote tells whether a version may become the serving one: every
-// engine of the model's pool that stays has loaded it, and there is one at
-// least. loaded of wanted engines have it; both are 0 if the document doesn't
-// name the version, or names it as retired.
+// ReadyToPromote reports whether a version may become the serving one: the model's pool has engines
+// that aren't leaving, and all of them have loaded it. loaded of expected engines have loaded it;
+// both are 0 if the document doesn't list the version or lists it as retired.
 func ReadyToPromote(
 	document *config.Document,
 	engines []Engine,
 	model fleet.ModelName,
 	adapter fleet.AdapterName,
 	version fleet.VersionName,
-) (ready bool, loaded, wanted int) {
+) (ready bool, loaded, expected int) {
 	if document == nil {
 		return false, 0, 0
 	}
-	weights := engine.Weights{Model: model, Adapter: adapter, Version: version}
+	target := engine.Weights{Model: model, Adapter: adapter, Version: version}
 	all := newCatalogue(document).needed()
-	index := slices.IndexFunc(all, func(candidate configuredVersion) bool { return candidate.version == weights })
+	index := slices.IndexFunc(all, func(candidate configuredVersion) bool { return candidate.version == target })
 	if index < 0 {
 		return false, 0, 0
 	}
@@ -32,10 +31,10 @@
 		if candidate.Pool != all[index].pool {
 			continue
 		}
-		wanted++
-		if candidate.hasLoaded(weights) {
+		expected++
+		if candidate.hasLoaded(target) {
 			loaded++
 		}
 	}
-	return wanted > 0 && loaded == wanted, loaded, wanted
+	return expected > 0 && loaded == expected, loaded, expected
 }
