--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -231,8 +231,8 @@
 	return evidence
 }
 
-// BenchmarkDirectorLook measures a look at 120 workers after the evidence of 20 nodes.
-func BenchmarkDirectorLook(b *testing.B) {
+// BenchmarkDirectorEvaluate measures a look at 120 workers after the evidence of 20 nodes.
+func BenchmarkDirectorEvaluate(b *testing.B) {
 	director := newTestDirector()
 	order := testOrder()
 	order.Duration = time.Hour
@@ -273,8 +273,8 @@
 	}
 }
 
-// BenchmarkFollowerChoose measures what each request of a service in delivery pays.
-func BenchmarkFollowerChoose(b *testing.B) {
+// BenchmarkFollowerFilter measures what each request of a service in delivery pays.
+func BenchmarkFollowerFilter(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
 	b.ReportAllocs()
@@ -288,8 +288,8 @@
 	}
 }
 
-// BenchmarkFollowerNote measures what each answer pays.
-func BenchmarkFollowerNote(b *testing.B) {
+// BenchmarkFollowerRecordOutcome measures what each answer pays.
+func BenchmarkFollowerRecordOutcome(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
 	outcome := Outcome{Service: simService, Route: testRoute, Worker: "new-0", Version: simNew, TimeToFirstByte: time.Second, Predicted: time.Second}
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -36,18 +36,18 @@
 
 // Kinds of badness.
 const (
-	badAtOnce = iota
+	badFromStart = iota
 	badLate
 	badOnOneRoute
 	badUnderLoad
-	badnessKinds
+	badKinds
 )
 
 // makeBad makes a scenario's version bad and describes how.
 func makeBad(played *scenario) string {
 	random := rand.New(rand.NewPCG(played.seed, 3))
 	part := 0.2 + 0.8*random.Float64()
-	kind := random.IntN(badnessKinds)
+	kind := random.IntN(badKinds)
 	played.slow = random.IntN(3) == 0
 	from := time.Duration(0)
 	if kind == badLate {
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -101,7 +101,7 @@
 	errors        []string
 
 	totalRequests, targetRequests float64         // requests until the deadline
-	badAt                         []time.Duration // of the target's spoiled answers
+	badAnswersAt                  []time.Duration // of the target's spoiled answers
 	lastTargetRequest             time.Duration   // to the target
 	finalAt                       time.Duration
 	killedRuns                    int // runs at old workers when they were stopped
@@ -401,7 +401,7 @@
 		due.worker.inFlight--
 		s.tallyAnswer(&due)
 		if due.spoiled {
-			s.badAt = append(s.badAt, s.now)
+			s.badAnswersAt = append(s.badAnswersAt, s.now)
 		}
 		if due.node.dead || s.callerTimeout > 0 && due.outcome.TimeToFirstByte > s.callerTimeout {
 			continue
@@ -447,10 +447,10 @@
 
 // exposedAfterBad returns how long after the n-th bad answer the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
-	if len(s.badAt) < n {
+	if len(s.badAnswersAt) < n {
 		return 0
 	}
-	return s.lastTargetRequest - s.badAt[n-1]
+	return s.lastTargetRequest - s.badAnswersAt[n-1]
 }
 
 func (s *simulation) stage() Stage {
