--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -24,7 +24,7 @@
 	return director
 }
 
-// testObservation returns n workers of each version with 12 slots.
+// testObservation returns an observation with workers of both versions and 12 slots each.
 func testObservation(old, target int) Observation {
 	observation := Observation{Service: simService, Configured: true}
 	for index := range old {
@@ -36,7 +36,7 @@
 	return observation
 }
 
-// testEvidence returns cumulative evidence of one route with two canaries.
+// testEvidence returns cumulative evidence for one route with two canaries.
 func testEvidence(old, target, bad uint64) Evidence {
 	return Evidence{
 		Service: simService, Revision: 7,
@@ -48,7 +48,7 @@
 	}
 }
 
-// rejectTarget makes a director decide against the target.
+// rejectTarget reports bad answers until the director decides on a rollback.
 func rejectTarget(t *testing.T, director *Director) *Record {
 	t.Helper()
 	director.Observe(time.Second, "node-1", testEvidence(1000, 40, 40))
@@ -139,8 +139,8 @@
 	require.Contains(t, directive.Rejected, simNew)
 }
 
-// The order before may have been completed by another director: then its target is the
-// old side, and not condemned.
+// Another director may have completed the previous order. Its target is then the old version and
+// must not stay rejected.
 func TestStoredOlderCompletionUnrejectsItsTarget(t *testing.T) {
 	director := newTestDelivery(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
@@ -161,7 +161,7 @@
 	require.Equal(t, 12*time.Second, directive.IssuedAt, "it isn't news")
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, testOrder()))
 	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, testObservation(0, 4)).Directive.Stage, "the same order again")
-	// A newer order is kept over an older record.
+	// A newer order takes precedence over an older record.
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, next))
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageRolledBack}}, 0)
@@ -193,7 +193,7 @@
 	require.Zero(t, step.Directive.DefaultShare)
 }
 
-// Without an old side there is nothing to compare with and nowhere else to go.
+// Guards against a delivery that never ends when there is no old worker to compare with.
 func TestDeliveryCompletesWithoutOldWorkers(t *testing.T) {
 	director := newTestDelivery(t)
 	begin := time.Second
@@ -218,7 +218,7 @@
 	require.False(t, meter.isSilent(20*time.Second), "nodes that are long silent are gone")
 }
 
-// benchmarkEvidence is a node's of 3 routes and 60 workers of the target.
+// benchmarkEvidence returns a node's evidence for 3 routes and 60 workers of the target.
 func benchmarkEvidence(answers uint64) Evidence {
 	evidence := Evidence{Service: simService, Revision: 7, Old: map[RouteName]*Counts{}, New: map[RouteName]map[fleet.EngineID]*Counts{}}
 	for _, route := range []RouteName{"a", "b", "c"} {
@@ -231,7 +231,7 @@
 	return evidence
 }
 
-// BenchmarkDirectorEvaluate measures a look at 120 workers after the evidence of 20 nodes.
+// BenchmarkDirectorEvaluate measures an evaluation of 120 workers with evidence from 20 nodes.
 func BenchmarkDirectorEvaluate(b *testing.B) {
 	director := newTestDirector()
 	order := testOrder()
@@ -252,13 +252,13 @@
 	}
 }
 
-// BenchmarkDirectorObserve measures the evidence of one node: 3 routes, 60 workers.
+// BenchmarkDirectorObserve measures adding one node's evidence for 3 routes and 60 workers.
 func BenchmarkDirectorObserve(b *testing.B) {
 	director := newTestDirector()
 	require.NoError(b, director.SetOrder(0, 0, testOrder()))
 	b.ReportAllocs()
 	answers := uint64(0)
-	// The director keeps what it was given last.
+	// The director keeps a reference to the last evidence.
 	turns := []Evidence{benchmarkEvidence(0), benchmarkEvidence(0)}
 	for b.Loop() {
 		answers++
@@ -273,7 +273,7 @@
 	}
 }
 
-// BenchmarkFollowerFilter measures what each request of a service in delivery pays.
+// BenchmarkFollowerFilter measures the cost per request during a delivery.
 func BenchmarkFollowerFilter(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
@@ -288,7 +288,7 @@
 	}
 }
 
-// BenchmarkFollowerRecordOutcome measures what each answer pays.
+// BenchmarkFollowerRecordOutcome measures the cost per answer during a delivery.
 func BenchmarkFollowerRecordOutcome(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
@@ -299,8 +299,8 @@
 	}
 }
 
-// A director that was frozen in a shift and hears at once what nodes told before decides
-// nothing by it: everything has gone back to the old side by then.
+// Guards against decisions on stale evidence after the director was suspended during a shift, by
+// when all nodes have returned to the old workers.
 func TestPausedDirectorRevokesTheShift(t *testing.T) {
 	director := newTestDelivery(t)
 	now := time.Duration(0)
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// standardScenario is a middling delivery: 20 s, 700 requests a second.
+// standardScenario is a delivery of 20 s at 700 requests per second.
 func standardScenario(seed uint64) scenario {
 	return scenario{
 		seed:     seed,
@@ -23,7 +23,7 @@
 	}
 }
 
-// badFrom makes half of the target's answers bad from a time on.
+// badFrom returns a function that makes half of the target's answers bad from the given time on.
 func badFrom(from time.Duration) func(time.Duration, RouteName, float64) float64 {
 	return func(at time.Duration, _ RouteName, _ float64) float64 {
 		if at < from {
@@ -33,13 +33,13 @@
 	}
 }
 
-// stageTimes are moments before, in and after each stage of the standard delivery.
+// stageTimes are times before, during and after each stage of the standard delivery.
 var stageTimes = []time.Duration{
 	50 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second, 10 * time.Second, 17500 * time.Millisecond,
 	18700 * time.Millisecond, 19 * time.Second, 19800 * time.Millisecond, 20 * time.Second,
 }
 
-// requireInvariants checks what holds of every delivery, whatever fails.
+// requireInvariants checks the invariants that hold under all faults.
 func requireInvariants(t *testing.T, run *simulation) {
 	t.Helper()
 	require.Empty(t, run.errors)
@@ -52,13 +52,13 @@
 	}
 }
 
-// addFault calls a fault addFault a time.
+// addFault schedules a fault.
 func addFault(faults map[time.Duration]func(*simulation), from time.Duration, fault func(*simulation)) {
 	faults[from] = fault
 }
 
-// TestDirectorFailsInEachStage kills, freezes or cuts off the director: another goes on,
-// a good version is completed and a bad one is rolled back, late if need be.
+// TestDirectorFailsInEachStage guards against wrong or missing verdicts after the director is
+// killed, suspended or partitioned.
 func TestDirectorFailsInEachStage(t *testing.T) {
 	for name, lose := range map[string]func(*simNode, bool){
 		"killed": func(node *simNode, _ bool) { node.dead = true },
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestStoreIsDownInEachStage lets no write and no lease succeed for a while.
+// TestStoreIsDownInEachStage guards against wrong or missing verdicts after a store outage.
 func TestStoreIsDownInEachStage(t *testing.T) {
 	for _, lasts := range []time.Duration{time.Second, 8 * time.Second} {
 		for _, from := range stageTimes {
@@ -106,8 +106,8 @@
 	}
 }
 
-// requireDecided checks the end of a delivery that nothing disturbs any more. A version
-// that went bad a second before its completion couldn't be known to be.
+// requireDecided checks the final stage of a delivery. A version that turns bad shortly before its
+// completion may be completed.
 func requireDecided(t *testing.T, run *simulation, badFrom time.Duration) {
 	t.Helper()
 	switch {
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestWriteAcknowledgementsAreLost takes over what is found in the store.
+// TestWriteAcknowledgementsAreLost guards against ignoring a stored record whose write seemed to
+// fail.
 func TestWriteAcknowledgementsAreLost(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0} {
 		played := standardScenario(3)
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestIsolatedNodesStopSendingToABadVersion cuts, freezes, restarts and adds nodes while a version goes bad:
-// none of them sends to it for long, although they see little of it by themselves.
+// TestIsolatedNodesStopSendingToABadVersion guards against requests to a bad version from nodes
+// that are partitioned, suspended, restarted or added while it turns bad.
 func TestIsolatedNodesStopSendingToABadVersion(t *testing.T) {
 	for _, from := range stageTimes {
 		t.Run(from.String(), func(t *testing.T) {
@@ -159,8 +160,8 @@
 	}
 }
 
-// TestTwoConcurrentDirectors lets two nodes direct at once: a final state never changes, and
-// the exposure is that of one.
+// TestTwoConcurrentDirectors guards against a changed final stage or doubled exposure while two
+// nodes direct at the same time.
 func TestTwoConcurrentDirectors(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0, 18 * time.Second} {
 		played := standardScenario(5)
@@ -189,7 +190,8 @@
 	}
 }
 
-// TestMissingTargetIsRolledBack is rolled back at the deadline.
+// TestMissingTargetIsRolledBack guards against waiting past the deadline for a target without
+// workers.
 func TestMissingTargetIsRolledBack(t *testing.T) {
 	played := standardScenario(6)
 	played.absent = func(time.Duration) bool { return true }
@@ -199,7 +201,7 @@
 	require.Less(t, run.finalAt, played.duration)
 }
 
-// TestTargetDisappearsMidway is rolled back if it doesn't return, and goes on if it does.
+// TestTargetDisappearsMidway guards against completing a target whose workers have disappeared.
 func TestTargetDisappearsMidway(t *testing.T) {
 	for _, from := range []time.Duration{5 * time.Second, 18800 * time.Millisecond, 19200 * time.Millisecond} {
 		played := standardScenario(7)
@@ -213,7 +215,7 @@
 	require.Equal(t, StageCompleted, run.stage())
 }
 
-// TestSecondOrderReplacesTheFirst: the first target gets nothing any more.
+// TestSecondOrderReplacesTheFirst guards against requests to the replaced target.
 func TestSecondOrderReplacesTheFirst(t *testing.T) {
 	played := standardScenario(8)
 	played.duration = 30 * time.Second
@@ -229,8 +231,8 @@
 	require.Less(t, run.lastTargetRequest, 8*time.Second+DirectiveLifetime)
 }
 
-// TestTargetIsListedBeforeItsOrderIsKnown: nodes that read the order late send nothing to
-// the target by chance meanwhile.
+// TestTargetIsListedBeforeItsOrderIsKnown guards against requests to the target from nodes that
+// read its order late.
 func TestTargetIsListedBeforeItsOrderIsKnown(t *testing.T) {
 	played := standardScenario(9)
 	played.duration = 12 * time.Second
@@ -242,7 +244,7 @@
 	require.Less(t, run.targetRequests, 250.0)
 }
 
-// TestServiceWithoutRequests is completed: nothing speaks against it.
+// TestServiceWithoutRequests guards against a rollback for lack of traffic.
 func TestServiceWithoutRequests(t *testing.T) {
 	played := standardScenario(10)
 	played.rate = 0
@@ -251,7 +253,7 @@
 	require.Equal(t, ReasonOldWorkersIdle, run.record.Reason)
 }
 
-// TestDirectivesChangeRarely: each change is pushed to all nodes.
+// TestDirectivesChangeRarely guards against frequent changes, each of which is sent to all nodes.
 func TestDirectivesChangeRarely(t *testing.T) {
 	played := standardScenario(11)
 	played.duration = 60 * time.Second
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -16,7 +16,7 @@
 	return Order{Service: simService, Target: simNew, Duration: 12 * time.Second, Revision: 7}
 }
 
-// canaryDirective sends a tenth of each route to one worker of the target.
+// canaryDirective sends a tenth of each route's requests to two workers of the target.
 func canaryDirective(issued time.Duration) Directive {
 	return Directive{
 		Service: simService, Target: simNew, Revision: 7, Sequence: 1, Stage: StageCanary,
@@ -36,7 +36,7 @@
 	return follower
 }
 
-// reachable tells what a request may reach, without fallbacks.
+// reachable returns which workers a filter allows, without its fallbacks.
 func reachable(choice *Filter) (old, canary, other bool) {
 	return choice.Allows("old-0", simOld), choice.Allows("new-0", simNew), choice.Allows("new-9", simNew)
 }
@@ -115,7 +115,7 @@
 	before.Revision = 6
 	before.Sequence = 99
 	require.False(t, follower.ApplyDirective(time.Second, before))
-	// A lapsed one gives way: its director is gone, and another's numbers may be lower.
+	// An expired directive is replaced even by a lower sequence number, since its director is gone.
 	require.True(t, follower.ApplyDirective(3*time.Second, canaryDirective(3*time.Second)))
 }
 
@@ -123,10 +123,10 @@
 	follower := newTestFollower(t, canaryDirective(0))
 	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "no change")
 	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
-	// An older age of the same directive, by way of a slow relay, doesn't shorten it.
+	// An older renewal of the same directive, from a slow relay, doesn't shorten its lifetime.
 	follower.ApplyDirective(2*time.Second, canaryDirective(time.Second))
 	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
-	// Nor does a clock ahead prolong it.
+	// A time in the future doesn't extend the lifetime.
 	follower.ApplyDirective(4*time.Second, canaryDirective(time.Minute))
 	requireReaches(t, follower.Filter(4*time.Second+DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// After a completion old workers stop at any moment: a full target isn't left for them.
+// Guards against sending requests back to old workers, which may stop, when the target is full.
 func TestCompletedTargetIsNotLeftWhenFull(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
@@ -168,7 +168,7 @@
 	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
 		require.False(t, choice.Allows("new-0", simNew))
 	}
-	// Nor after the next order, whose directive isn't heard yet.
+	// It isn't allowed after the next order either, before a directive for that order arrives.
 	_, err := follower.SetOrder(time.Hour, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
 	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
@@ -176,8 +176,8 @@
 	}
 }
 
-// The end of the first order may not be known here: its target is avoided, but used
-// if it was completed and nobody else is there.
+// The outcome of the first order may be unknown here. Its target is avoided, but allowed if there
+// is no other worker, since it may have been completed.
 func TestSupersededTargetIsAvoided(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
@@ -207,7 +207,7 @@
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
-// recordAnswers notes n recordAnswers of a worker.
+// recordAnswers records n answers of a worker and reports whether the follower stopped sending.
 func recordAnswers(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
 	stopped := false
 	for range n {
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -12,13 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// judgingMethod is a way to judge: it takes answers of the target and tells whether they
-// condemn it.
+// judgingMethod processes answers of the target and reports whether they reject it.
 type judgingMethod interface {
 	rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool
 }
 
-// pooledCUSUM is the way of package judge: one CUSUM with each worker's part limited.
+// pooledCUSUM is the method of judge: one CUSUM with limited contributions of the workers.
 type pooledCUSUM struct{ scores scores }
 
 func (p *pooledCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
@@ -28,7 +27,7 @@
 	return p.scores.strongest().value >= rejectScore
 }
 
-// perWorkerCUSUM is the way of a CUSUM for each worker, limited, and added up.
+// perWorkerCUSUM adds up a limited CUSUM for each worker.
 type perWorkerCUSUM struct{ workers map[fleet.EngineID]float64 }
 
 func (s *perWorkerCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
@@ -40,8 +39,8 @@
 	return sum >= rejectScore
 }
 
-// windowedRatio is the way of a likelihood ratio over the last answers, by worker
-// limited, of windows of three lengths.
+// windowedRatio uses likelihood ratios over windows of three lengths with limited contributions of
+// the workers.
 type windowedRatio struct{ answers []windowedAnswer }
 
 type windowedAnswer struct {
@@ -76,14 +75,14 @@
 	{"windowed ratio", func() judgingMethod { return &windowedRatio{} }},
 }
 
-// answerStream is a stream of answers: normal is both sides' rate of failures, harm what the target spoils
-// besides, grey the failure rate of one of the target's three workers.
+// answerStream generates answers. normal is the failure rate of both versions, effect the
+// additional failure rate of the target, and greyRate that of one of the target's three workers.
 type answerStream struct {
 	normal, effect, greyRate float64
 }
 
-// play plays a stream and returns the numbers of the target's answers and bad ones at
-// the verdict, or false if there is none within limit answers.
+// play feeds a stream to a method. It returns the number of the target's answers and of the bad
+// ones among them until the rejection, or false if there is none within limit answers.
 func (c answerStream) play(way judgingMethod, seed uint64, limit int) (answers, bad int, condemned bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
@@ -110,10 +109,8 @@
 	return limit, bad, false
 }
 
-// TestVerdictErrorRates checks what is said of the test's errors: of good versions at
-// most 1 in 100 is condemned within 1,000 answers, also beside a grey worker of the
-// target (3 in 100 where 0.14 of the answers fail anyway), and of those that spoil 0.2 of the answers at least 99 in 100 are condemned
-// within 300, or within 1,000 where 0.14 fail anyway.
+// TestVerdictErrorRates guards against error rates of the sequential test above its limits: wrong
+// rejections of good versions, also beside a partially failing worker, and missed bad versions.
 func TestVerdictErrorRates(t *testing.T) {
 	seeds := seedCount(1000)
 	for _, normal := range []float64{0, 0.02, 0.14} {
@@ -146,8 +143,7 @@
 	}
 }
 
-// TestCompareJudgingMethods prints the ways on the same seeds; the pooled sum must not be wrong more
-// often than the others that find bad versions as soon.
+// TestCompareJudgingMethods logs the error rates of the methods on the same seeds.
 func TestCompareJudgingMethods(t *testing.T) {
 	seeds := seedCount(50)
 	for _, way := range judgingMethods {
@@ -204,7 +200,7 @@
 	require.Equal(t, after, after.since(nil))
 }
 
-// A baseline follows a wave of failures within its recent answers, and forgets it later.
+// Guards against a baseline that doesn't follow a burst of failures or doesn't forget it.
 func TestBaselineFollowsFailureRate(t *testing.T) {
 	var old baseline
 	old.add(&Counts{Answers: 2000})
@@ -217,7 +213,7 @@
 	require.Less(t, old.badRate(LatencyBuckets), 0.06)
 }
 
-// A few slow first answers of an engine with an empty cache say nothing.
+// Guards against rejecting a version because its engines start with an empty cache.
 func TestSlowColdAnswersAreIgnored(t *testing.T) {
 	old := Counts{Answers: 200}
 	old.Latency[4] = 200
@@ -242,8 +238,8 @@
 	}
 }
 
-// A fault of one route is found although the others are good, and one of all routes
-// although no route shows it often.
+// Guards against missing a fault of a single route, and one of all routes that no single route
+// shows often enough.
 func TestRoutesAreJudgedSeparatelyAndTogether(t *testing.T) {
 	judge := newJudge()
 	for index := range 40 {
@@ -273,8 +269,7 @@
 	return 0
 }
 
-// In a surge the failures, which are answered sooner, come first: twice as many as normal
-// say nothing then.
+// Guards against a rejection because failures, which are faster, are answered first in a surge.
 func TestSurgeToleratesEarlyFailures(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -12,7 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drawScenario returns a good version at a service whose old side isn't overloaded.
+// drawScenario returns a random scenario with a good version and old workers that aren't
+// overloaded.
 func drawScenario(seed uint64) scenario {
 	random := rand.New(rand.NewPCG(seed, 2))
 	drawn := scenario{
@@ -34,7 +35,7 @@
 	return drawn
 }
 
-// Kinds of badness.
+// Kinds of bad versions.
 const (
 	badFromStart = iota
 	badLate
@@ -43,7 +44,7 @@
 	badKinds
 )
 
-// makeBad makes a scenario's version bad and describes how.
+// makeBad makes a scenario's version bad and returns a description.
 func makeBad(played *scenario) string {
 	random := rand.New(rand.NewPCG(played.seed, 3))
 	part := 0.2 + 0.8*random.Float64()
@@ -65,7 +66,7 @@
 		played.seed, kind, part, from, spoiled, played.slow, played.duration, played.rate, played.workers, played.nodes, played.noPredictions)
 }
 
-// playScenarios runs scenarios, a few at a time, and passes each on in order.
+// playScenarios runs scenarios in parallel and checks them in order.
 func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
@@ -84,7 +85,7 @@
 	}
 }
 
-// seedCount returns how many seeds are played: fewer in short runs.
+// seedCount returns the number of seeds to run, which is lower in short mode.
 func seedCount(count int) int {
 	if testing.Short() {
 		return count / 10
@@ -92,8 +93,8 @@
 	return count
 }
 
-// TestBadVersionStaysWithinItsExposure plays bad versions of every kind: the requests
-// that reach one stay within the bound, and it gets none 5 s after its 50th bad answer.
+// TestBadVersionStaysWithinItsExposure guards against exposure above the limit and against requests
+// to a bad version more than 5 s after its 50th bad answer.
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
 	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
@@ -107,7 +108,7 @@
 		description := descriptions[run.seed]
 		require.LessOrEqual(t, run.excessExposure(), 0.0, description)
 		if run.stage() != StageRolledBack {
-			// What it showed until the decision wasn't enough.
+			// The evidence until the decision was too weak.
 			require.False(t, run.hasEvidence(20, 0.1), description)
 			late++
 			return
--- a/internal/delivery/schedule_test.go
+++ b/internal/delivery/schedule_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestScheduleStaysWithinTheExposure plays the plan as it is worked out anew each second, for all
-// durations and rates, steady, falling and rising: what goes to the target by the deadline
-// is within the allowed exposure.
+// TestScheduleStaysWithinTheExposure guards against planned exposure above the limit, for several
+// durations and for constant, falling and rising rates, with the plan recomputed every second.
 func TestScheduleStaysWithinTheExposure(t *testing.T) {
 	step := 50 * time.Millisecond
 	for _, duration := range []time.Duration{8 * time.Second, 12 * time.Second, 20 * time.Second, time.Minute} {
@@ -52,7 +51,7 @@
 	require.Zero(t, planned.canaryShare(11*time.Second, traffic{rate: 100}))
 }
 
-// TestRouteSharesAreEqualInRequests: evidence counts by route.
+// TestRouteSharesAreEqualInRequests guards against too little evidence about rare routes.
 func TestRouteSharesAreEqualInRequests(t *testing.T) {
 	shares := routeShares(0.03, map[RouteName]float64{"a": 900, "b": 95, "c": 5}, maxShare)
 	require.InDelta(t, 0.3, shares["c"], 1e-9, "the rarest gets all that it may")
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -17,7 +17,7 @@
 	simTick           = 10 * time.Millisecond
 	simReportInterval = 600 * time.Millisecond
 	simLeaseDuration  = 3500 * time.Millisecond
-	// simTargetStart is when the first of the target's workers are listed, after the order.
+	// simTargetStart is when the first workers of the target are listed, after the order.
 	simTargetStart = 600 * time.Millisecond
 	simStoreOffset = 100 * time.Second // local time minus the store's
 	simService     = fleet.PoolName("service")
@@ -25,7 +25,7 @@
 	simNew         = fleet.SoftwareVersion("new")
 )
 
-// scenario is what a simulation plays.
+// scenario configures a simulation.
 type scenario struct {
 	seed           uint64
 	nodes          int
@@ -36,19 +36,19 @@
 	routes         map[RouteName]float64 // parts of the rate
 	noPredictions  bool                  // no predictions
 	normalFailures map[RouteName]float64 // failure rates of any version
-	// bad tells which part of the target's answers is spoiled.
+	// bad returns the fraction of the target's answers that is bad.
 	bad func(at time.Duration, route RouteName, load float64) float64
-	// orderDelay is the time within which nodes read the order, 500 ms if 0.
+	// orderDelay is the time within which nodes read the order; 0 means 500 ms.
 	orderDelay time.Duration
 	slow       bool // spoiled answers take eight times as long instead of failing
 	cold       bool // the first answers of a new worker on a route take up to four times as long
 	greyRates  map[fleet.EngineID]float64
 	wave       func(at time.Duration) float64
-	// callerTimeout is after what time callers leave: their answers say nothing. 0 is never.
+	// callerTimeout is when callers abort, so that no outcome is recorded; 0 means never.
 	callerTimeout time.Duration
-	// faults are called once, at their times.
+	// faults are injected once, at their times.
 	faults map[time.Duration]func(*simulation)
-	// absent tells when the target's workers aren't listed.
+	// absent reports whether the target's workers are missing from the list.
 	absent func(at time.Duration) bool
 }
 
@@ -78,10 +78,10 @@
 	spoiled bool
 }
 
-// badTally counts the target's answers on a route from when its badness began.
+// badTally counts the target's answers on a route since the first bad one.
 type badTally struct{ answers, bad int }
 
-// simulation plays N nodes, one store and the workers of one service.
+// simulation simulates the nodes, the store and the workers of one service.
 type simulation struct {
 	scenario
 	random         *rand.Rand
@@ -95,7 +95,7 @@
 	leaselessSince time.Duration // since when nobody holds the lease
 	storeDown      bool
 	downSince      time.Duration
-	// loseWriteAcks lets the store write and tells that it failed.
+	// loseWriteAcks makes successful writes return an error.
 	loseWriteAcks bool
 	record        *Record
 	errors        []string
@@ -151,7 +151,7 @@
 	}
 }
 
-// run plays until some seconds after the deadline.
+// run simulates until the given time after the deadline.
 func (s *simulation) run(after time.Duration) *simulation {
 	for ; s.now < s.duration+after; s.now += simTick {
 		for at, fault := range s.faults {
@@ -170,7 +170,7 @@
 	return s
 }
 
-// lease takes the lead from a dead, frozen or cut node, and gives it to another.
+// lease moves the lease from a dead, suspended or partitioned node to another one.
 func (s *simulation) lease() {
 	if s.storeDown && s.now-s.downSince < simLeaseDuration {
 		return
@@ -230,7 +230,7 @@
 	}
 }
 
-// store writes a record unless the store is down or holds a final or newer one.
+// store writes a record, unless the store is down or holds a final or newer record.
 func (s *simulation) store(record Record) (*Record, error) {
 	if s.storeDown {
 		return nil, errors.New("store is down")
@@ -255,7 +255,7 @@
 	return nil, nil
 }
 
-// report exchanges a node's evidence for the leader's directives.
+// report sends a node's evidence to the leader and returns the leader's directives.
 func (s *simulation) report(node *simNode) {
 	if node.dead || node.frozen {
 		return
@@ -332,7 +332,7 @@
 	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, spoiled: spoiled})
 }
 
-// pick returns the less loaded of two workers that a choice or its fallbacks allow.
+// pick returns the less loaded of two random workers that the filter or its fallbacks allow.
 func (s *simulation) pick(choice *Filter, listsTarget bool) *simWorker {
 	for ; ; choice = choice.Fallback() {
 		first := s.randomWorker(choice, listsTarget)
@@ -348,7 +348,7 @@
 	}
 }
 
-// randomWorker returns a random worker that a choice allows, or nil.
+// randomWorker returns a random worker that the filter allows, or nil.
 func (s *simulation) randomWorker(choice *Filter, listsTarget bool) *simWorker {
 	sides := [][]*simWorker{s.oldWorkers, s.newWorkers}
 	if !listsTarget || !s.targetListed() {
@@ -368,7 +368,7 @@
 	return nil
 }
 
-// serve draws what a worker answers.
+// serve returns a random outcome of a request and whether it was made bad.
 func (s *simulation) serve(worker *simWorker, route RouteName, load float64) (Outcome, bool) {
 	base := 100 * time.Millisecond
 	outcome := Outcome{Service: simService, Route: route, Worker: worker.id, Version: worker.version}
@@ -395,7 +395,7 @@
 	return outcome, spoiled
 }
 
-// finishRuns ends the runs that are due.
+// finishRuns ends the requests that are due.
 func (s *simulation) finishRuns() {
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
@@ -413,7 +413,7 @@
 	delete(s.due, s.now)
 }
 
-// tallyAnswer keeps what the target had shown well before the last decision.
+// tallyAnswer counts the target's answers until shortly before the last decision.
 func (s *simulation) tallyAnswer(due *simAnswer) {
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
@@ -431,8 +431,8 @@
 	}
 }
 
-// hasEvidence tells whether the target had shown so many bad answers on a route, as a
-// part of all there, that it must be rolled back.
+// hasEvidence reports whether a route has had so many bad answers, also as a fraction of its
+// answers, that the target must be rolled back.
 func (s *simulation) hasEvidence(bad int, part float64) bool {
 	for _, counted := range s.tallies {
 		if counted.bad >= bad && float64(counted.bad) >= part*float64(counted.answers) {
@@ -442,10 +442,10 @@
 	return false
 }
 
-// excessExposure returns by how much the target got more than it may until the deadline.
+// excessExposure returns by how much the target's requests exceed the limit until the deadline.
 func (s *simulation) excessExposure() float64 { return s.targetRequests - 0.1*s.totalRequests - 50 }
 
-// exposedAfterBad returns how long after the n-th bad answer the target still got requests.
+// exposedAfterBad returns how long after its n-th bad answer the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
 	if len(s.badAnswersAt) < n {
 		return 0
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -9,8 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// advanceTo looks each LookInterval until a time, with evidence of a good version, and
-// returns the last step.
+// advanceTo evaluates every EvaluationInterval with evidence of a good version and returns the last
+// decision.
 func advanceTo(director *Director, from, until time.Duration, observation Observation) Decision {
 	var step Decision
 	for now := from; now <= until; now += EvaluationInterval {
@@ -31,7 +31,7 @@
 	require.Equal(t, StageShifting, step.Directive.Stage)
 }
 
-// The announcement is taken back if evidence turns against the target.
+// Guards against starting an announced shift after bad answers.
 func TestPlannedShiftIsHeldOnBadEvidence(t *testing.T) {
 	director := newTestDelivery(t)
 	advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
@@ -93,7 +93,7 @@
 	require.Equal(t, 4, counted.oldInFlight)
 }
 
-// The first worker of many that is listed isn't judged alone.
+// Guards against judging a version by its first worker alone while others are about to be listed.
 func TestFirstCanaryWaitsForOthers(t *testing.T) {
 	director := newTestDelivery(t)
 	require.Zero(t, director.Evaluate(time.Second, testObservation(4, 1)).Directive.DefaultShare)
@@ -102,7 +102,7 @@
 	require.NotZero(t, director.Evaluate(time.Second, testObservation(4, 3)).Directive.DefaultShare)
 }
 
-// As many canaries as have the old workers' load, but each is to answer often.
+// Guards against canaries with less load than the old workers, and against too few answers of each.
 func TestNumberOfCanaries(t *testing.T) {
 	state := newTestDelivery(t).services[simService]
 	state.defaultShare = 0.3
@@ -114,7 +114,7 @@
 	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 }
 
-// A canary that has shown all that one worker may gives way.
+// Guards against keeping a canary that can't contribute more evidence.
 func TestSuspectedCanaryIsReplaced(t *testing.T) {
 	director := newTestDelivery(t)
 	require.Contains(t, director.Evaluate(0, testObservation(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
@@ -129,7 +129,7 @@
 	require.NotZero(t, step.Directive.DefaultShare)
 }
 
-// What nodes had counted before they were first heard has no known time.
+// Guards against rates that include answers counted before a node's first report.
 func TestInitialCountsDoNotAffectRates(t *testing.T) {
 	counted := newMeter(0)
 	judge := newJudge()
@@ -148,7 +148,8 @@
 	require.Equal(t, counted.targetPlanned, counted.traffic(12*time.Second).target, "what was asked for counts before it is answered")
 }
 
-// At the last moment what speaks against the target counts, though it doesn't condemn.
+// Guards against completing a target at the deadline with evidence against it that is too weak for
+// a rejection.
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
 	director := newTestDelivery(t)
 	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(4, 4)).Write, nil, nil)
@@ -168,8 +169,7 @@
 	require.Less(t, step.Event.Score, step.Event.Threshold)
 }
 
-// A rare route may have the longest requests: few canaries of many workers get no more of it
-// than they carry, however rare it is.
+// Guards against overloading few canaries with a rare route, whose requests may be the longest.
 func TestRareRouteDoesNotOverloadCanaries(t *testing.T) {
 	director := newTestDelivery(t)
 	var step Decision
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -18,7 +18,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// recorder is a lease and an orderer. The lease is lost after checks calls.
+// recorder implements Lease and Orderer. The lease is lost after the given number of checks.
 type recorder struct {
 	mutex  sync.Mutex
 	checks int
@@ -70,7 +70,7 @@
 		Clock:    fleet.NewRuntimeClock(),
 		Logger:   zerolog.Nop(),
 		Interval: time.Second,
-		// One at a time, so that the lease is lost between two orders.
+		// Orders are sent one at a time, so that the lease is lost between two of them.
 		ParallelOrders: 1,
 	})
 	controller.Start()
--- a/internal/rollout/pacer_test.go
+++ b/internal/rollout/pacer_test.go
@@ -16,7 +16,7 @@
 	testChange = 1200 * time.Millisecond
 )
 
-// pacerSimulation is a set of engines that take a fixed time to change.
+// pacerSimulation simulates engines that take a fixed time to change.
 type pacerSimulation struct {
 	pacer     *Pacer
 	engines   []VersionedEngine
@@ -64,8 +64,8 @@
 	return oldest
 }
 
-// TestEveryVersionReachesAllEnginesInTime names a version each 2 s. Each engine takes
-// part in a change for a share of the time that the bound dictates, not more.
+// TestEveryVersionReachesAllEnginesInTime guards against late engines and against more changes than
+// needed while a version is published every 2 s.
 func TestEveryVersionReachesAllEnginesInTime(t *testing.T) {
 	for _, count := range []int{1, 12, 18, 60} {
 		p := newPacerSimulation(count)
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestContendingLoadsReduceParallelism has 60 engines of which more than six
-// at once load ever slower.
+// TestContendingLoadsReduceParallelism guards against too many parallel loads. More than six of the
+// 60 engines slow each other down.
 func TestContendingLoadsReduceParallelism(t *testing.T) {
 	const loadTime, unslowed = 760 * time.Millisecond, 6
 	p := newPacerSimulation(60)
@@ -123,7 +123,8 @@
 	assert.EqualValues(t, 4, p.oldest())
 }
 
-// TestChangesAreSpreadUntilDue counts how many change at once.
+// TestChangesAreSpreadUntilDue guards against changing many engines at once long before the
+// deadline.
 func TestChangesAreSpreadUntilDue(t *testing.T) {
 	for count, most := range map[int]int{12: 4, 90: 20} {
 		p := newPacerSimulation(count)
@@ -142,7 +143,7 @@
 	}
 }
 
-// TestOverdueEnginesChangeAtOnce: they get no requests either way.
+// TestOverdueEnginesChangeAtOnce guards against delaying engines that get no requests anyway.
 func TestOverdueEnginesChangeAtOnce(t *testing.T) {
 	p := newPacerSimulation(12)
 	p.pacer.PublishAssumed(-time.Minute, 2)
@@ -150,7 +151,7 @@
 	assert.Equal(t, 12, p.loads, "they aren't spread either")
 }
 
-// TestChangeStartsAreStaggered counts those that begin within a short time.
+// TestChangeStartsAreStaggered guards against starting several changes at the same time.
 func TestChangeStartsAreStaggered(t *testing.T) {
 	p := newPacerSimulation(12)
 	p.pacer.Publish(0, 2)
@@ -162,7 +163,7 @@
 	assert.Positive(t, p.loads)
 }
 
-// TestFailedEngineIsTriedLast among those in doubt.
+// TestFailedEngineIsTriedLast guards against retrying failed engines before other unreachable ones.
 func TestFailedEngineIsTriedLast(t *testing.T) {
 	p := newPacerSimulation(4)
 	for index := range p.engines {
@@ -173,7 +174,8 @@
 	assert.Equal(t, []fleet.EngineID{"e03", "e02"}, p.pacer.Next(0, p.engines))
 }
 
-// TestUnreachableEnginesDoNotUseTheParallelLimit has a third of the engines out of reach.
+// TestUnreachableEnginesDoNotUseTheParallelLimit guards against unreachable engines that block
+// changes of reachable ones.
 func TestUnreachableEnginesDoNotUseTheParallelLimit(t *testing.T) {
 	p := newPacerSimulation(30)
 	for index := range 10 {
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -20,7 +20,7 @@
 	adapterVersion = engine.Weights{Model: "m", Adapter: "a", Version: "x1"}
 )
 
-// testDocument has a model whose two versions are in the given states.
+// testDocument returns a document with one model, whose two versions have the given states.
 func testDocument(old, next config.VersionState) *config.Document {
 	return &config.Document{
 		Pools: []config.Pool{{Name: "p", MaxLoads: 2}},
@@ -141,8 +141,8 @@
 	check("v2", "", false, 0, 0)
 }
 
-// TestLoadsStayWithinTheLimit runs planners against engines whose status lags
-// less than StatusGrace, with lost orders, and checks the true number of loads.
+// TestLoadsStayWithinTheLimit guards against too many parallel loads when the engines' status lags
+// by less than StatusGrace and orders are lost.
 func TestLoadsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
