--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -43,7 +43,7 @@
 func requireInvariants(t *testing.T, run *simulation) {
 	t.Helper()
 	require.Empty(t, run.errors)
-	if run.bad == nil {
+	if run.badFraction == nil {
 		return
 	}
 	require.LessOrEqual(t, run.excessExposure(), 0.0)
@@ -70,7 +70,7 @@
 				t.Run(fmt.Sprintf("%s/%s/bad_from_%s", name, from, bad), func(t *testing.T) {
 					played := standardScenario(1)
 					if bad >= 0 {
-						played.bad = badFrom(bad)
+						played.badFraction = badFrom(bad)
 					}
 					played.faults = map[time.Duration]func(*simulation){}
 					addFault(played.faults, from, func(run *simulation) { lose(run.fleet[0], true) })
@@ -92,7 +92,7 @@
 				t.Run(fmt.Sprintf("%s/%s/bad_from_%s", lasts, from, bad), func(t *testing.T) {
 					played := standardScenario(2)
 					if bad >= 0 {
-						played.bad = badFrom(bad)
+						played.badFraction = badFrom(bad)
 					}
 					played.faults = map[time.Duration]func(*simulation){}
 					addFault(played.faults, from, func(run *simulation) { run.storeDown, run.downSince = true, run.now })
@@ -126,7 +126,7 @@
 	for _, bad := range []time.Duration{-1, 0} {
 		played := standardScenario(3)
 		if bad >= 0 {
-			played.bad = badFrom(bad)
+			played.badFraction = badFrom(bad)
 		}
 		run := newSimulation(played)
 		run.loseWriteAcks = true
@@ -143,7 +143,7 @@
 	for _, from := range stageTimes {
 		t.Run(from.String(), func(t *testing.T) {
 			played := standardScenario(4)
-			played.bad = badFrom(from)
+			played.badFraction = badFrom(from)
 			played.faults = map[time.Duration]func(*simulation){}
 			addFault(played.faults, from, func(run *simulation) {
 				run.fleet[3].partitioned = true
@@ -166,7 +166,7 @@
 	for _, bad := range []time.Duration{-1, 0, 18 * time.Second} {
 		played := standardScenario(5)
 		if bad >= 0 {
-			played.bad = badFrom(bad)
+			played.badFraction = badFrom(bad)
 		}
 		played.faults = map[time.Duration]func(*simulation){}
 		var finals []Record
@@ -237,7 +237,7 @@
 	played := standardScenario(9)
 	played.duration = 12 * time.Second
 	played.orderDelay = 2 * time.Second
-	played.bad = badFrom(0)
+	played.badFraction = badFrom(0)
 	run := newSimulation(played).run(5 * time.Second)
 	requireInvariants(t, run)
 	requireDecided(t, run, 0)
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -41,7 +41,7 @@
 	return choice.Allows("old-0", simOld), choice.Allows("new-0", simNew), choice.Allows("new-9", simNew)
 }
 
-func requireReaches(t *testing.T, choice *Filter, old, canary, other bool) {
+func requireReachable(t *testing.T, choice *Filter, old, canary, other bool) {
 	t.Helper()
 	gotOld, gotCanary, gotOther := reachable(choice)
 	require.Equal(t, []bool{old, canary, other}, []bool{gotOld, gotCanary, gotOther})
@@ -53,7 +53,7 @@
 
 func TestOrderWithoutDirectiveKeepsOldWorkers(t *testing.T) {
 	choice := newTestFollower(t).Filter(0, simService, testRoute, 0, false)
-	requireReaches(t, choice, true, false, false)
+	requireReachable(t, choice, true, false, false)
 	require.True(t, choice.Fallback().Allows("new-0", simNew), "if nobody else is listed")
 }
 
@@ -66,14 +66,14 @@
 	news, err := follower.SetOrder(0, testOrder())
 	require.NoError(t, err)
 	require.False(t, news)
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
 }
 
 func TestCanaryShare(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, false), false, true, false)
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0.11, false), true, false, false)
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0.09, true), true, false, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0.09, false), false, true, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0.11, false), true, false, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0.09, true), true, false, false)
 	trial := follower.Filter(0, simService, testRoute, 0.09, false)
 	require.True(t, trial.PrefersTarget())
 	require.True(t, trial.Fallback().Allows("old-0", simOld))
@@ -83,14 +83,14 @@
 	directive := canaryDirective(0)
 	directive.Shares = map[RouteName]float64{testRoute: 0}
 	follower := newTestFollower(t, directive)
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
-	requireReaches(t, follower.Filter(0, simService, "b", 0, false), false, true, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(0, simService, "b", 0, false), false, true, false)
 }
 
 func TestDirectiveExpires(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	requireReaches(t, follower.Filter(DirectiveLifetime, simService, testRoute, 0, false), false, true, false)
-	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(DirectiveLifetime, simService, testRoute, 0, false), false, true, false)
+	requireReachable(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
 	require.Empty(t, follower.Directives(DirectiveLifetime+1), "a lapsed directive isn't passed on")
 	require.False(t, NewFollower(Options{}).ApplyDirective(DirectiveLifetime+1, canaryDirective(0)), "nor taken in")
 }
@@ -99,9 +99,9 @@
 	directive := canaryDirective(0)
 	directive.ShiftAt = time.Second
 	follower := newTestFollower(t, directive)
-	requireReaches(t, follower.Filter(time.Second-1, simService, testRoute, 0.5, false), true, false, false)
-	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0.5, false), false, true, true)
-	requireReaches(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0.5, false), true, false, false)
+	requireReachable(t, follower.Filter(time.Second-1, simService, testRoute, 0.5, false), true, false, false)
+	requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0.5, false), false, true, true)
+	requireReachable(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0.5, false), true, false, false)
 }
 
 func TestOlderDirectivesAreIgnored(t *testing.T) {
@@ -110,7 +110,7 @@
 	newer.DefaultShare = 0
 	follower := newTestFollower(t, newer)
 	require.False(t, follower.ApplyDirective(time.Second, canaryDirective(time.Second)))
-	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 	before := canaryDirective(time.Second)
 	before.Revision = 6
 	before.Sequence = 99
@@ -122,13 +122,13 @@
 func TestRenewalExtendsADirective(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
 	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "no change")
-	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
+	requireReachable(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// An older renewal of the same directive, from a slow relay, doesn't shorten its lifetime.
 	follower.ApplyDirective(2*time.Second, canaryDirective(time.Second))
-	requireReaches(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
+	requireReachable(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// A time in the future doesn't extend the lifetime.
 	follower.ApplyDirective(4*time.Second, canaryDirective(time.Minute))
-	requireReaches(t, follower.Filter(4*time.Second+DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(4*time.Second+DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
 }
 
 func TestFinalDirectivesStay(t *testing.T) {
@@ -145,12 +145,12 @@
 		require.Len(t, follower.Directives(time.Hour), 1)
 		require.Empty(t, follower.Evidence(0))
 		completed := stage == StageCompleted
-		requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0.9, false), !completed, completed, completed)
+		requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0.9, false), !completed, completed, completed)
 	}
 }
 
 // Guards against sending requests back to old workers, which may stop, when the target is full.
-func TestCompletedTargetIsNotLeftWhenFull(t *testing.T) {
+func TestFullCompletedTargetKeepsItsRequests(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
 	follower := newTestFollower(t, final)
@@ -183,8 +183,8 @@
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
 	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
-	requireReaches(t, choice, true, false, false)
-	requireReaches(t, choice.Fallback(), true, true, true)
+	requireReachable(t, choice, true, false, false)
+	requireReachable(t, choice.Fallback(), true, true, true)
 	require.False(t, choice.Fallback().Allows("third-0", "third"))
 	require.True(t, choice.Fallback().Fallback().Allows("third-0", "third"))
 }
@@ -192,7 +192,7 @@
 func TestDirectiveImpliesItsOrder(t *testing.T) {
 	follower := NewFollower(Options{})
 	require.True(t, follower.ApplyDirective(0, canaryDirective(0)))
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
 	require.Len(t, follower.Evidence(0), 1)
 }
 
@@ -202,7 +202,7 @@
 	require.Nil(t, follower.Filter(0, simService, testRoute, 0, false))
 	follower.ObserveVersions(time.Second, simService, []fleet.SoftwareVersion{simOld, simNew})
 	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
-	requireReaches(t, choice, true, false, false)
+	requireReachable(t, choice, true, false, false)
 	require.True(t, choice.Fallback().Allows("new-0", simNew))
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
@@ -221,12 +221,12 @@
 	recordAnswers(follower, 200, "old-0", simOld, false)
 	require.False(t, recordAnswers(follower, 50, "new-0", simNew, true), "one worker is no version")
 	require.True(t, recordAnswers(follower, 5, "new-1", simNew, true))
-	requireReaches(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	require.True(t, follower.Evidence(0)[0].Stopped)
 	shifting := canaryDirective(time.Second)
 	shifting.Stage, shifting.Sequence = StageShifting, 2
 	require.True(t, follower.ApplyDirective(time.Second, shifting))
-	requireReaches(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
+	requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 }
 
 func TestFollowerStopsOnSlowAnswers(t *testing.T) {
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -56,7 +56,7 @@
 	}
 	spoiled := []RouteName{"a", "b", "c"}[random.IntN(3)]
 	loaded := 0.05 * played.rate / float64(played.workers*played.slots)
-	played.bad = func(at time.Duration, route RouteName, load float64) float64 {
+	played.badFraction = func(at time.Duration, route RouteName, load float64) float64 {
 		if at < from || kind == badOnOneRoute && route != spoiled || kind == badUnderLoad && load < loaded {
 			return 0
 		}
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -36,8 +36,8 @@
 	routes         map[RouteName]float64 // parts of the rate
 	noPredictions  bool                  // no predictions
 	normalFailures map[RouteName]float64 // failure rates of any version
-	// bad returns the fraction of the target's answers that is bad.
-	bad func(at time.Duration, route RouteName, load float64) float64
+	// badFraction returns the fraction of the target's answers that is badFraction.
+	badFraction func(at time.Duration, route RouteName, load float64) float64
 	// orderDelay is the time within which nodes read the order; 0 means 500 ms.
 	orderDelay time.Duration
 	slow       bool // spoiled answers take eight times as long instead of failing
@@ -75,7 +75,7 @@
 	node    *simNode
 	worker  *simWorker
 	outcome Outcome
-	spoiled bool
+	isBad   bool
 }
 
 // badTally counts the target's answers on a route since the first bad one.
@@ -101,7 +101,7 @@
 	errors        []string
 
 	totalRequests, targetRequests float64         // requests until the deadline
-	badAnswersAt                  []time.Duration // of the target's spoiled answers
+	badAnswerTimes                []time.Duration // of the target's spoiled answers
 	lastTargetRequest             time.Duration   // to the target
 	finalAt                       time.Duration
 	killedRuns                    int // runs at old workers when they were stopped
@@ -329,7 +329,7 @@
 	outcome, spoiled := s.serve(worker, route, load)
 	worker.inFlight++
 	at := s.now + max(simTick, outcome.TimeToFirstByte.Round(simTick))
-	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, spoiled: spoiled})
+	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, isBad: spoiled})
 }
 
 // pick returns the less loaded of two random workers that the filter or its fallbacks allow.
@@ -383,7 +383,7 @@
 	if !s.noPredictions {
 		outcome.Predicted = base
 	}
-	spoiled := worker.version == simNew && s.bad != nil && s.random.Float64() < s.bad(s.now, route, load)
+	spoiled := worker.version == simNew && s.badFraction != nil && s.random.Float64() < s.badFraction(s.now, route, load)
 	if spoiled && s.slow {
 		factor *= 8
 	}
@@ -400,8 +400,8 @@
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
 		s.tallyAnswer(&due)
-		if due.spoiled {
-			s.badAnswersAt = append(s.badAnswersAt, s.now)
+		if due.isBad {
+			s.badAnswerTimes = append(s.badAnswerTimes, s.now)
 		}
 		if due.node.dead || s.callerTimeout > 0 && due.outcome.TimeToFirstByte > s.callerTimeout {
 			continue
@@ -423,7 +423,7 @@
 		counted = &badTally{}
 		s.tallies[due.outcome.Route] = counted
 	}
-	if due.spoiled {
+	if due.isBad {
 		counted.bad++
 	}
 	if counted.bad > 0 {
@@ -447,10 +447,10 @@
 
 // exposedAfterBad returns how long after its n-th bad answer the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
-	if len(s.badAnswersAt) < n {
+	if len(s.badAnswerTimes) < n {
 		return 0
 	}
-	return s.lastTargetRequest - s.badAnswersAt[n-1]
+	return s.lastTargetRequest - s.badAnswerTimes[n-1]
 }
 
 func (s *simulation) stage() Stage {
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -21,7 +21,7 @@
 	return step
 }
 
-func TestShiftIsAnnouncedInAdvance(t *testing.T) {
+func TestShiftIsAnnouncedBeforeItStarts(t *testing.T) {
 	director := newTestDelivery(t)
 	step := advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
 	require.Equal(t, StageCanary, step.Directive.Stage)
