--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -52,26 +52,26 @@
 func rejectTarget(t *testing.T, director *Director) *Record {
 	t.Helper()
 	director.Observe(time.Second, "node-1", testEvidence(1000, 40, 40))
-	step := director.Evaluate(time.Second, testObservation(4, 4))
-	require.NotNil(t, step.Write)
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	return step.Write
+	decision := director.Evaluate(time.Second, testObservation(4, 4))
+	require.NotNil(t, decision.Write)
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	return decision.Write
 }
 
 func TestInvalidOrderIsRejected(t *testing.T) {
 	director := newTestDelivery(t)
 	require.Error(t, director.SetOrder(0, 0, Order{Service: simService, Target: "x", Revision: 9}))
-	require.Equal(t, simNew, director.Evaluate(0, testObservation(2, 2)).Directive.Target, "the former order holds")
+	require.Equal(t, simNew, director.Evaluate(0, testObservation(2, 2)).Directive.Target, "the previous order still applies")
 }
 
 func TestUnknownServiceIsReportedOnce(t *testing.T) {
 	director := newTestDelivery(t)
 	unknown := Observation{Service: simService}
-	step := director.Evaluate(0, unknown)
-	require.Equal(t, EventRefused, step.Event.Name)
-	require.Equal(t, ReasonUnknownService, step.Event.Reason)
-	require.Nil(t, step.Directive)
-	require.Nil(t, step.Write)
+	decision := director.Evaluate(0, unknown)
+	require.Equal(t, EventRefused, decision.Event.Name)
+	require.Equal(t, ReasonUnknownService, decision.Event.Reason)
+	require.Nil(t, decision.Directive)
+	require.Nil(t, decision.Write)
 	require.Empty(t, director.Evaluate(0, unknown).Event.Name)
 	require.Equal(t, Decision{}, director.Evaluate(0, Observation{Service: "other", Configured: true}))
 }
@@ -80,14 +80,14 @@
 	director := newTestDirector()
 	director.Restore(0, nil, time.Minute)
 	require.NoError(t, director.SetOrder(time.Second, 0, testOrder()))
-	step := director.Evaluate(time.Second, testObservation(4, 4))
-	require.Equal(t, EventStarted, step.Event.Name)
-	require.Equal(t, Record{Order: testOrder(), StartedAt: -time.Minute, Stage: StageCanary}, *step.Write)
-	require.Nil(t, director.Evaluate(time.Second, testObservation(4, 4)).Write, "one write at a time")
-	director.HandleWriteResult(time.Second, simService, *step.Write, nil, errStoreDown)
+	decision := director.Evaluate(time.Second, testObservation(4, 4))
+	require.Equal(t, EventStarted, decision.Event.Name)
+	require.Equal(t, Record{Order: testOrder(), StartedAt: -time.Minute, Stage: StageCanary}, *decision.Write)
+	require.Nil(t, director.Evaluate(time.Second, testObservation(4, 4)).Write, "only one write is in flight")
+	director.HandleWriteResult(time.Second, simService, *decision.Write, nil, errStoreDown)
 	require.Nil(t, director.Evaluate(time.Second, testObservation(4, 4)).Write)
 	require.NotNil(t, director.Evaluate(time.Second+writeRetryInterval, testObservation(4, 4)).Write)
-	director.HandleWriteResult(time.Second, simService, *step.Write, nil, nil)
+	director.HandleWriteResult(time.Second, simService, *decision.Write, nil, nil)
 	require.Nil(t, director.Evaluate(time.Minute, testObservation(4, 4)).Write)
 }
 
@@ -101,11 +101,11 @@
 	require.Zero(t, directive.DefaultShare)
 	require.Empty(t, directive.Shares)
 	director.HandleWriteResult(2*time.Second, simService, *write, nil, nil)
-	step := director.Evaluate(3*time.Second, testObservation(4, 4))
-	require.Equal(t, StageRolledBack, step.Directive.Stage)
-	require.Equal(t, 2*time.Second, step.Directive.IssuedAt)
-	require.Equal(t, EventRolledBack, step.Event.Name)
-	require.Equal(t, ReasonBadAnswers, step.Event.Reason)
+	decision := director.Evaluate(3*time.Second, testObservation(4, 4))
+	require.Equal(t, StageRolledBack, decision.Directive.Stage)
+	require.Equal(t, 2*time.Second, decision.Directive.IssuedAt)
+	require.Equal(t, EventRolledBack, decision.Event.Name)
+	require.Equal(t, ReasonBadAnswers, decision.Event.Reason)
 	require.Empty(t, director.Evaluate(3*time.Second, testObservation(4, 4)).Event.Name)
 }
 
@@ -116,7 +116,7 @@
 	director.HandleWriteResult(time.Second, simService, *write, &found, errStoreDown)
 	require.Equal(t, StageCompleted, director.Evaluate(time.Second, testObservation(4, 4)).Directive.Stage)
 	director.HandleWriteResult(time.Second, simService, *write, nil, nil)
-	require.Equal(t, StageCompleted, director.Evaluate(time.Second, testObservation(4, 4)).Directive.Stage, "a late answer changes nothing")
+	require.Equal(t, StageCompleted, director.Evaluate(time.Second, testObservation(4, 4)).Directive.Stage, "a late write result changes nothing")
 }
 
 func TestStoredRunningRecordSetsTheStartTime(t *testing.T) {
@@ -145,10 +145,10 @@
 	director := newTestDelivery(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Second, time.Second, next))
-	step := director.Evaluate(time.Second, testObservation(4, 4))
-	require.Contains(t, step.Directive.Rejected, simNew)
+	decision := director.Evaluate(time.Second, testObservation(4, 4))
+	require.Contains(t, decision.Directive.Rejected, simNew)
 	found := Record{Order: testOrder(), Stage: StageCompleted, Rejected: []fleet.SoftwareVersion{"zero"}}
-	director.HandleWriteResult(time.Second, simService, *step.Write, &found, errStoreDown)
+	director.HandleWriteResult(time.Second, simService, *decision.Write, &found, errStoreDown)
 	directive := director.Evaluate(time.Second, testObservation(4, 4)).Directive
 	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Rejected)
 }
@@ -158,9 +158,9 @@
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageCompleted}}, 0)
 	directive := director.Evaluate(time.Hour, testObservation(0, 4)).Directive
 	require.Equal(t, StageCompleted, directive.Stage)
-	require.Equal(t, 12*time.Second, directive.IssuedAt, "it isn't news")
+	require.Equal(t, 12*time.Second, directive.IssuedAt, "the completion is not recent")
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, testOrder()))
-	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, testObservation(0, 4)).Directive.Stage, "the same order again")
+	require.Equal(t, StageCompleted, director.Evaluate(time.Hour, testObservation(0, 4)).Directive.Stage, "the same order changes nothing")
 	// A newer order takes precedence over an older record.
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
 	require.NoError(t, director.SetOrder(time.Hour, time.Hour, next))
@@ -187,22 +187,22 @@
 	again := testOrder()
 	again.Revision = 8
 	require.NoError(t, director.SetOrder(time.Second, time.Second, again))
-	step := director.Evaluate(time.Second, testObservation(4, 4))
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonPreviouslyRejected, step.Write.Reason)
-	require.Zero(t, step.Directive.DefaultShare)
+	decision := director.Evaluate(time.Second, testObservation(4, 4))
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	require.Equal(t, ReasonPreviouslyRejected, decision.Write.Reason)
+	require.Zero(t, decision.Directive.DefaultShare)
 }
 
 // Guards against a delivery that never ends when there is no old worker to compare with.
 func TestDeliveryCompletesWithoutOldWorkers(t *testing.T) {
 	director := newTestDelivery(t)
-	begin := time.Second
-	require.Equal(t, StageCanary, director.Evaluate(begin, testObservation(0, 4)).Write.Stage)
-	require.Nil(t, director.Evaluate(begin+targetOnlyDelay-1, testObservation(0, 4)).Write)
-	step := director.Evaluate(begin+targetOnlyDelay, testObservation(0, 4))
-	require.NotNil(t, step.Write)
-	require.Equal(t, StageCompleted, step.Write.Stage)
-	require.Equal(t, ReasonNoOldWorkers, step.Write.Reason)
+	start := time.Second
+	require.Equal(t, StageCanary, director.Evaluate(start, testObservation(0, 4)).Write.Stage)
+	require.Nil(t, director.Evaluate(start+targetOnlyDelay-1, testObservation(0, 4)).Write)
+	decision := director.Evaluate(start+targetOnlyDelay, testObservation(0, 4))
+	require.NotNil(t, decision.Write)
+	require.Equal(t, StageCompleted, decision.Write.Stage)
+	require.Equal(t, ReasonNoOldWorkers, decision.Write.Reason)
 }
 
 func TestSilentNodesAreDetected(t *testing.T) {
@@ -215,7 +215,7 @@
 	require.False(t, meter.isSilent(2*time.Second))
 	require.True(t, meter.isSilent(3*time.Second))
 	meter.observe(conditions{now: 20 * time.Second}, "0", Evidence{}, judge)
-	require.False(t, meter.isSilent(20*time.Second), "nodes that are long silent are gone")
+	require.False(t, meter.isSilent(20*time.Second), "nodes silent for longer than nodeRetention are ignored")
 }
 
 // benchmarkEvidence returns a node's evidence for 3 routes and 60 workers of the target.
@@ -259,10 +259,10 @@
 	b.ReportAllocs()
 	answers := uint64(0)
 	// The director keeps a reference to the last evidence.
-	turns := []Evidence{benchmarkEvidence(0), benchmarkEvidence(0)}
+	buffers := []Evidence{benchmarkEvidence(0), benchmarkEvidence(0)}
 	for b.Loop() {
 		answers++
-		evidence := turns[answers%2]
+		evidence := buffers[answers%2]
 		for _, route := range []RouteName{"a", "b", "c"} {
 			*evidence.Old[route] = Counts{Answers: answers}
 			for _, counts := range evidence.New[route] {
@@ -305,22 +305,22 @@
 	director := newTestDelivery(t)
 	now := time.Duration(0)
 	answers := uint64(0)
-	look := func() Decision {
+	evaluate := func() Decision {
 		answers += 10
 		director.Observe(now, "node-1", testEvidence(10*answers, answers, 0))
 		return director.Evaluate(now, testObservation(4, 4))
 	}
 	for ; now < 11700*time.Millisecond; now += EvaluationInterval {
-		look()
+		evaluate()
 	}
-	require.Equal(t, StageShifting, look().Directive.Stage)
+	require.Equal(t, StageShifting, evaluate().Directive.Stage)
 	now += 3 * time.Second
-	step := look()
-	require.Equal(t, EventExtended, step.Event.Name)
-	require.Equal(t, ReasonPaused, step.Event.Reason)
-	require.Equal(t, StageCanary, step.Directive.Stage)
+	decision := evaluate()
+	require.Equal(t, EventExtended, decision.Event.Name)
+	require.Equal(t, ReasonPaused, decision.Event.Reason)
+	require.Equal(t, StageCanary, decision.Directive.Stage)
 	for end := now + extendedDuration - finishReserve; now < end; now += EvaluationInterval {
-		step = look()
+		decision = evaluate()
 	}
-	require.Equal(t, StageShifting, step.Directive.Stage)
+	require.Equal(t, StageShifting, decision.Directive.Stage)
 }
--- a/internal/delivery/directorstate.go
+++ b/internal/delivery/directorstate.go
@@ -35,7 +35,7 @@
 	// finalAt is when the final stage was known to be stored.
 	finalAt time.Duration
 
-	// The following fields hold the content of the last directive and the reported events.
+	// The following fields hold the state of the last directive and of event reporting.
 	sequence        uint64
 	changed         bool
 	shares          map[RouteName]float64
@@ -66,7 +66,7 @@
 }
 
 // resume continues after a time without evaluations or evidence. By then a shift has expired on all
-// nodes. A completion that isn't known to be stored is withdrawn; the store tells if it was.
+// nodes. A completion that isn't known to be stored is withdrawn; if it was stored, the next write finds it.
 func (s *directorState) resume(now time.Duration, reason string) Event {
 	if s.verdict == StageCompleted {
 		s.verdict = 0
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -60,7 +60,7 @@
 // TestDirectorFailsInEachStage guards against wrong or missing verdicts after the director is
 // killed, suspended or partitioned.
 func TestDirectorFailsInEachStage(t *testing.T) {
-	for name, lose := range map[string]func(*simNode, bool){
+	for name, fail := range map[string]func(*simNode, bool){
 		"killed": func(node *simNode, _ bool) { node.dead = true },
 		"frozen": func(node *simNode, on bool) { node.frozen = on },
 		"cut":    func(node *simNode, on bool) { node.partitioned = on },
@@ -68,14 +68,14 @@
 		for _, from := range stageTimes {
 			for _, bad := range []time.Duration{-1, 0, from} {
 				t.Run(fmt.Sprintf("%s/%s/bad_from_%s", name, from, bad), func(t *testing.T) {
-					played := standardScenario(1)
+					setup := standardScenario(1)
 					if bad >= 0 {
-						played.badFraction = badFrom(bad)
+						setup.badFraction = badFrom(bad)
 					}
-					played.faults = map[time.Duration]func(*simulation){}
-					addFault(played.faults, from, func(run *simulation) { lose(run.fleet[0], true) })
-					addFault(played.faults, from+3*time.Second, func(run *simulation) { lose(run.fleet[0], false) })
-					run := newSimulation(played).run(25 * time.Second)
+					setup.faults = map[time.Duration]func(*simulation){}
+					addFault(setup.faults, from, func(run *simulation) { fail(run.fleet[0], true) })
+					addFault(setup.faults, from+3*time.Second, func(run *simulation) { fail(run.fleet[0], false) })
+					run := newSimulation(setup).run(25 * time.Second)
 					requireInvariants(t, run)
 					requireDecided(t, run, bad)
 				})
@@ -86,18 +86,18 @@
 
 // TestStoreIsDownInEachStage guards against wrong or missing verdicts after a store outage.
 func TestStoreIsDownInEachStage(t *testing.T) {
-	for _, lasts := range []time.Duration{time.Second, 8 * time.Second} {
+	for _, outage := range []time.Duration{time.Second, 8 * time.Second} {
 		for _, from := range stageTimes {
 			for _, bad := range []time.Duration{-1, 0, from} {
-				t.Run(fmt.Sprintf("%s/%s/bad_from_%s", lasts, from, bad), func(t *testing.T) {
-					played := standardScenario(2)
+				t.Run(fmt.Sprintf("%s/%s/bad_from_%s", outage, from, bad), func(t *testing.T) {
+					setup := standardScenario(2)
 					if bad >= 0 {
-						played.badFraction = badFrom(bad)
+						setup.badFraction = badFrom(bad)
 					}
-					played.faults = map[time.Duration]func(*simulation){}
-					addFault(played.faults, from, func(run *simulation) { run.storeDown, run.downSince = true, run.now })
-					addFault(played.faults, from+lasts, func(run *simulation) { run.storeDown = false })
-					run := newSimulation(played).run(25 * time.Second)
+					setup.faults = map[time.Duration]func(*simulation){}
+					addFault(setup.faults, from, func(run *simulation) { run.storeDown, run.downSince = true, run.now })
+					addFault(setup.faults, from+outage, func(run *simulation) { run.storeDown = false })
+					run := newSimulation(setup).run(25 * time.Second)
 					requireInvariants(t, run)
 					requireDecided(t, run, bad)
 				})
@@ -124,11 +124,11 @@
 // fail.
 func TestWriteAcknowledgementsAreLost(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0} {
-		played := standardScenario(3)
+		setup := standardScenario(3)
 		if bad >= 0 {
-			played.badFraction = badFrom(bad)
+			setup.badFraction = badFrom(bad)
 		}
-		run := newSimulation(played)
+		run := newSimulation(setup)
 		run.loseWriteAcks = true
 		run.run(5 * time.Second)
 		requireInvariants(t, run)
@@ -142,18 +142,18 @@
 func TestIsolatedNodesStopSendingToABadVersion(t *testing.T) {
 	for _, from := range stageTimes {
 		t.Run(from.String(), func(t *testing.T) {
-			played := standardScenario(4)
-			played.badFraction = badFrom(from)
-			played.faults = map[time.Duration]func(*simulation){}
-			addFault(played.faults, from, func(run *simulation) {
+			setup := standardScenario(4)
+			setup.badFraction = badFrom(from)
+			setup.faults = map[time.Duration]func(*simulation){}
+			addFault(setup.faults, from, func(run *simulation) {
 				run.fleet[3].partitioned = true
 				run.fleet[4].partitioned = true
 				run.fleet[5].frozen = true
 				run.fleet[6] = run.newNode(6)
 				run.fleet = append(run.fleet, run.newNode(len(run.fleet)))
 			})
-			addFault(played.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
-			run := newSimulation(played).run(10 * time.Second)
+			addFault(setup.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
+			run := newSimulation(setup).run(10 * time.Second)
 			requireInvariants(t, run)
 			requireDecided(t, run, from)
 		})
@@ -164,14 +164,14 @@
 // nodes direct at the same time.
 func TestTwoConcurrentDirectors(t *testing.T) {
 	for _, bad := range []time.Duration{-1, 0, 18 * time.Second} {
-		played := standardScenario(5)
+		setup := standardScenario(5)
 		if bad >= 0 {
-			played.badFraction = badFrom(bad)
+			setup.badFraction = badFrom(bad)
 		}
-		played.faults = map[time.Duration]func(*simulation){}
+		setup.faults = map[time.Duration]func(*simulation){}
 		var finals []Record
 		for from := time.Second; from < 24*time.Second; from += 500 * time.Millisecond {
-			addFault(played.faults, from, func(run *simulation) {
+			addFault(setup.faults, from, func(run *simulation) {
 				if run.fleet[1].director == nil {
 					run.makeLeader(run.fleet[1])
 				}
@@ -181,7 +181,7 @@
 				}
 			})
 		}
-		run := newSimulation(played).run(5 * time.Second)
+		run := newSimulation(setup).run(5 * time.Second)
 		requireInvariants(t, run)
 		requireDecided(t, run, bad)
 		for _, final := range finals {
@@ -193,37 +193,37 @@
 // TestMissingTargetIsRolledBack guards against waiting past the deadline for a target without
 // workers.
 func TestMissingTargetIsRolledBack(t *testing.T) {
-	played := standardScenario(6)
-	played.absent = func(time.Duration) bool { return true }
-	run := newSimulation(played).run(time.Second)
+	setup := standardScenario(6)
+	setup.absent = func(time.Duration) bool { return true }
+	run := newSimulation(setup).run(time.Second)
 	require.Equal(t, StageRolledBack, run.stage())
 	require.Equal(t, ReasonNoWorkers, run.record.Reason)
-	require.Less(t, run.finalAt, played.duration)
+	require.Less(t, run.finalAt, setup.duration)
 }
 
 // TestTargetDisappearsMidway guards against completing a target whose workers have disappeared.
 func TestTargetDisappearsMidway(t *testing.T) {
 	for _, from := range []time.Duration{5 * time.Second, 18800 * time.Millisecond, 19200 * time.Millisecond} {
-		played := standardScenario(7)
-		played.absent = func(at time.Duration) bool { return at >= from }
-		run := newSimulation(played).run(time.Second)
+		setup := standardScenario(7)
+		setup.absent = func(at time.Duration) bool { return at >= from }
+		run := newSimulation(setup).run(time.Second)
 		require.Equal(t, StageRolledBack, run.stage(), "%s: %+v", from, run.events)
 	}
-	played := standardScenario(7)
-	played.absent = func(at time.Duration) bool { return at > 5*time.Second && at < 10*time.Second }
-	run := newSimulation(played).run(time.Second)
+	setup := standardScenario(7)
+	setup.absent = func(at time.Duration) bool { return at > 5*time.Second && at < 10*time.Second }
+	run := newSimulation(setup).run(time.Second)
 	require.Equal(t, StageCompleted, run.stage())
 }
 
 // TestSecondOrderReplacesTheFirst guards against requests to the replaced target.
 func TestSecondOrderReplacesTheFirst(t *testing.T) {
-	played := standardScenario(8)
-	played.duration = 30 * time.Second
-	played.faults = map[time.Duration]func(*simulation){8 * time.Second: func(run *simulation) {
+	setup := standardScenario(8)
+	setup.duration = 30 * time.Second
+	setup.faults = map[time.Duration]func(*simulation){8 * time.Second: func(run *simulation) {
 		run.order = Order{Service: simService, Target: "third", Duration: 12 * time.Second, Revision: 9}
 		require.NoError(t, run.leader.director.SetOrder(run.now, run.now, run.order))
 	}}
-	run := newSimulation(played).run(0)
+	run := newSimulation(setup).run(0)
 	require.Equal(t, fleet.Revision(9), run.record.Order.Revision)
 	require.Equal(t, StageRolledBack, run.record.Stage)
 	require.Equal(t, ReasonNoWorkers, run.record.Reason)
@@ -234,11 +234,11 @@
 // TestTargetIsListedBeforeItsOrderIsKnown guards against requests to the target from nodes that
 // read its order late.
 func TestTargetIsListedBeforeItsOrderIsKnown(t *testing.T) {
-	played := standardScenario(9)
-	played.duration = 12 * time.Second
-	played.orderDelay = 2 * time.Second
-	played.badFraction = badFrom(0)
-	run := newSimulation(played).run(5 * time.Second)
+	setup := standardScenario(9)
+	setup.duration = 12 * time.Second
+	setup.orderDelay = 2 * time.Second
+	setup.badFraction = badFrom(0)
+	run := newSimulation(setup).run(5 * time.Second)
 	requireInvariants(t, run)
 	requireDecided(t, run, 0)
 	require.Less(t, run.targetRequests, 250.0)
@@ -246,23 +246,23 @@
 
 // TestServiceWithoutRequests guards against a rollback for lack of traffic.
 func TestServiceWithoutRequests(t *testing.T) {
-	played := standardScenario(10)
-	played.rate = 0
-	run := newSimulation(played).run(0)
+	setup := standardScenario(10)
+	setup.rate = 0
+	run := newSimulation(setup).run(0)
 	require.Equal(t, StageCompleted, run.stage(), "%+v", run.events)
 	require.Equal(t, ReasonOldWorkersIdle, run.record.Reason)
 }
 
 // TestDirectivesChangeRarely guards against frequent changes, each of which is sent to all nodes.
 func TestDirectivesChangeRarely(t *testing.T) {
-	played := standardScenario(11)
-	played.duration = 60 * time.Second
-	run := newSimulation(played)
+	setup := standardScenario(11)
+	setup.duration = 60 * time.Second
+	run := newSimulation(setup)
 	changes := 0
 	before := uint64(0)
-	played.faults = map[time.Duration]func(*simulation){}
-	for from := time.Duration(0); from < played.duration; from += EvaluationInterval {
-		addFault(played.faults, from+simTick, func(run *simulation) {
+	setup.faults = map[time.Duration]func(*simulation){}
+	for from := time.Duration(0); from < setup.duration; from += EvaluationInterval {
+		addFault(setup.faults, from+simTick, func(run *simulation) {
 			for _, directive := range run.leader.follower.Directives(run.now) {
 				if directive.Sequence != before {
 					changes++
@@ -271,7 +271,7 @@
 			}
 		})
 	}
-	run.faults = played.faults
+	run.faults = setup.faults
 	run.run(0)
 	require.Equal(t, StageCompleted, run.stage())
 	require.Less(t, changes, 20)
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -27,9 +27,9 @@
 func newTestFollower(t *testing.T, directives ...Directive) *Follower {
 	t.Helper()
 	follower := NewFollower(Options{})
-	news, err := follower.SetOrder(0, testOrder())
+	newer, err := follower.SetOrder(0, testOrder())
 	require.NoError(t, err)
-	require.True(t, news)
+	require.True(t, newer)
 	for _, directive := range directives {
 		follower.ApplyDirective(directive.IssuedAt, directive)
 	}
@@ -37,13 +37,13 @@
 }
 
 // reachable returns which workers a filter allows, without its fallbacks.
-func reachable(choice *Filter) (old, canary, other bool) {
-	return choice.Allows("old-0", simOld), choice.Allows("new-0", simNew), choice.Allows("new-9", simNew)
+func reachable(filter *Filter) (old, canary, other bool) {
+	return filter.Allows("old-0", simOld), filter.Allows("new-0", simNew), filter.Allows("new-9", simNew)
 }
 
-func requireReachable(t *testing.T, choice *Filter, old, canary, other bool) {
+func requireReachable(t *testing.T, filter *Filter, old, canary, other bool) {
 	t.Helper()
-	gotOld, gotCanary, gotOther := reachable(choice)
+	gotOld, gotCanary, gotOther := reachable(filter)
 	require.Equal(t, []bool{old, canary, other}, []bool{gotOld, gotCanary, gotOther})
 }
 
@@ -52,9 +52,9 @@
 }
 
 func TestOrderWithoutDirectiveKeepsOldWorkers(t *testing.T) {
-	choice := newTestFollower(t).Filter(0, simService, testRoute, 0, false)
-	requireReachable(t, choice, true, false, false)
-	require.True(t, choice.Fallback().Allows("new-0", simNew), "if nobody else is listed")
+	filter := newTestFollower(t).Filter(0, simService, testRoute, 0, false)
+	requireReachable(t, filter, true, false, false)
+	require.True(t, filter.Fallback().Allows("new-0", simNew), "the target is allowed if no other worker is listed")
 }
 
 func TestInvalidOrdersChangeNothing(t *testing.T) {
@@ -63,9 +63,9 @@
 		_, err := follower.SetOrder(0, order)
 		require.Error(t, err)
 	}
-	news, err := follower.SetOrder(0, testOrder())
+	newer, err := follower.SetOrder(0, testOrder())
 	require.NoError(t, err)
-	require.False(t, news)
+	require.False(t, newer)
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), false, true, false)
 }
 
@@ -74,9 +74,9 @@
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0.09, false), false, true, false)
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0.11, false), true, false, false)
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0.09, true), true, false, false)
-	trial := follower.Filter(0, simService, testRoute, 0.09, false)
-	require.True(t, trial.PrefersTarget())
-	require.True(t, trial.Fallback().Allows("old-0", simOld))
+	filter := follower.Filter(0, simService, testRoute, 0.09, false)
+	require.True(t, filter.PrefersTarget())
+	require.True(t, filter.Fallback().Allows("old-0", simOld))
 }
 
 func TestRouteShareOverridesTheDefault(t *testing.T) {
@@ -91,8 +91,8 @@
 	follower := newTestFollower(t, canaryDirective(0))
 	requireReachable(t, follower.Filter(DirectiveLifetime, simService, testRoute, 0, false), false, true, false)
 	requireReachable(t, follower.Filter(DirectiveLifetime+1, simService, testRoute, 0, false), true, false, false)
-	require.Empty(t, follower.Directives(DirectiveLifetime+1), "a lapsed directive isn't passed on")
-	require.False(t, NewFollower(Options{}).ApplyDirective(DirectiveLifetime+1, canaryDirective(0)), "nor taken in")
+	require.Empty(t, follower.Directives(DirectiveLifetime+1), "an expired directive is not relayed")
+	require.False(t, NewFollower(Options{}).ApplyDirective(DirectiveLifetime+1, canaryDirective(0)), "an expired directive is not applied")
 }
 
 func TestPlannedShiftStartsWithoutANewDirective(t *testing.T) {
@@ -111,17 +111,17 @@
 	follower := newTestFollower(t, newer)
 	require.False(t, follower.ApplyDirective(time.Second, canaryDirective(time.Second)))
 	requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
-	before := canaryDirective(time.Second)
-	before.Revision = 6
-	before.Sequence = 99
-	require.False(t, follower.ApplyDirective(time.Second, before))
+	older := canaryDirective(time.Second)
+	older.Revision = 6
+	older.Sequence = 99
+	require.False(t, follower.ApplyDirective(time.Second, older))
 	// An expired directive is replaced even by a lower sequence number, since its director is gone.
 	require.True(t, follower.ApplyDirective(3*time.Second, canaryDirective(3*time.Second)))
 }
 
 func TestRenewalExtendsADirective(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "no change")
+	require.False(t, follower.ApplyDirective(2*time.Second, canaryDirective(2*time.Second)), "a renewal is not a change")
 	requireReachable(t, follower.Filter(4*time.Second, simService, testRoute, 0, false), false, true, false)
 	// An older renewal of the same directive, from a slow relay, doesn't shorten its lifetime.
 	follower.ApplyDirective(2*time.Second, canaryDirective(time.Second))
@@ -154,10 +154,10 @@
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
 	follower := newTestFollower(t, final)
-	choice := follower.Filter(time.Second, simService, testRoute, 0.9, false)
-	require.False(t, choice.PrefersTarget())
-	require.True(t, choice.Fallback().Allows("old-0", simOld), "if none of the target is listed")
-	require.Nil(t, follower.Filter(completedTargetOnly+1, simService, testRoute, 0.9, false), "later releases aren't limited")
+	filter := follower.Filter(time.Second, simService, testRoute, 0.9, false)
+	require.False(t, filter.PrefersTarget())
+	require.True(t, filter.Fallback().Allows("old-0", simOld), "old workers are allowed if no worker of the target is listed")
+	require.Nil(t, follower.Filter(completedTargetOnly+1, simService, testRoute, 0.9, false), "later releases are not restricted")
 }
 
 func TestRejectedVersionNeverGetsRequests(t *testing.T) {
@@ -165,14 +165,14 @@
 	final.Stage = StageRolledBack
 	final.Rejected = []fleet.SoftwareVersion{simNew}
 	follower := newTestFollower(t, final)
-	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
-		require.False(t, choice.Allows("new-0", simNew))
+	for filter := follower.Filter(time.Hour, simService, testRoute, 0, false); filter != nil; filter = filter.Fallback() {
+		require.False(t, filter.Allows("new-0", simNew))
 	}
 	// It isn't allowed after the next order either, before a directive for that order arrives.
 	_, err := follower.SetOrder(time.Hour, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
-	for choice := follower.Filter(time.Hour, simService, testRoute, 0, false); choice != nil; choice = choice.Fallback() {
-		require.False(t, choice.Allows("new-0", simNew))
+	for filter := follower.Filter(time.Hour, simService, testRoute, 0, false); filter != nil; filter = filter.Fallback() {
+		require.False(t, filter.Allows("new-0", simNew))
 	}
 }
 
@@ -182,11 +182,11 @@
 	follower := newTestFollower(t, canaryDirective(0))
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
 	require.NoError(t, err)
-	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
-	requireReachable(t, choice, true, false, false)
-	requireReachable(t, choice.Fallback(), true, true, true)
-	require.False(t, choice.Fallback().Allows("third-0", "third"))
-	require.True(t, choice.Fallback().Fallback().Allows("third-0", "third"))
+	filter := follower.Filter(time.Second, simService, testRoute, 0, false)
+	requireReachable(t, filter, true, false, false)
+	requireReachable(t, filter.Fallback(), true, true, true)
+	require.False(t, filter.Fallback().Allows("third-0", "third"))
+	require.True(t, filter.Fallback().Fallback().Allows("third-0", "third"))
 }
 
 func TestDirectiveImpliesItsOrder(t *testing.T) {
@@ -201,9 +201,9 @@
 	follower.ObserveVersions(0, simService, []fleet.SoftwareVersion{simOld})
 	require.Nil(t, follower.Filter(0, simService, testRoute, 0, false))
 	follower.ObserveVersions(time.Second, simService, []fleet.SoftwareVersion{simOld, simNew})
-	choice := follower.Filter(time.Second, simService, testRoute, 0, false)
-	requireReachable(t, choice, true, false, false)
-	require.True(t, choice.Fallback().Allows("new-0", simNew))
+	filter := follower.Filter(time.Second, simService, testRoute, 0, false)
+	requireReachable(t, filter, true, false, false)
+	require.True(t, filter.Fallback().Allows("new-0", simNew))
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
@@ -219,7 +219,7 @@
 func TestFollowerStopsOnItsOwnEvidence(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
 	recordAnswers(follower, 200, "old-0", simOld, false)
-	require.False(t, recordAnswers(follower, 50, "new-0", simNew, true), "one worker is no version")
+	require.False(t, recordAnswers(follower, 50, "new-0", simNew, true), "a single bad worker does not reject the version")
 	require.True(t, recordAnswers(follower, 5, "new-1", simNew, true))
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	require.True(t, follower.Evidence(0)[0].Stopped)
@@ -256,7 +256,7 @@
 	follower := newTestFollower(t, canaryDirective(0))
 	random := rand.New(rand.NewPCG(1, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		choice := follower.Filter(0, simService, testRoute, random.Float64(), false)
-		choice.Allows("new-0", simNew)
+		filter := follower.Filter(0, simService, testRoute, random.Float64(), false)
+		filter.Allows("new-0", simNew)
 	}))
 }
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -83,26 +83,26 @@
 
 // play feeds a stream to a method. It returns the number of the target's answers and of the bad
 // ones among them until the rejection, or false if there is none within limit answers.
-func (c answerStream) play(way judgingMethod, seed uint64, limit int) (answers, bad int, condemned bool) {
+func (s answerStream) play(method judgingMethod, seed uint64, limit int) (answers, bad int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
 	for answers = 1; answers <= limit; answers++ {
 		delta := Counts{Answers: 20}
 		for range delta.Answers {
-			if random.Float64() < c.normal {
+			if random.Float64() < s.normal {
 				delta.Failures++
 			}
 		}
 		old.add(&delta)
 		worker := fleet.EngineID([]string{"x", "y", "z"}[random.IntN(3)])
-		failed := random.Float64() < c.normal || random.Float64() < c.effect
-		failed = failed || worker == "x" && random.Float64() < c.greyRate
+		failed := random.Float64() < s.normal || random.Float64() < s.effect
+		failed = failed || worker == "x" && random.Float64() < s.greyRate
 		var failures uint64
 		if failed {
 			failures = 1
 			bad++
 		}
-		if way.rejects(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
+		if method.rejects(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
 			return answers, bad, true
 		}
 	}
@@ -117,11 +117,11 @@
 		for _, grey := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := (answerStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); condemned {
+				if _, _, rejected := (answerStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			t.Logf("normal %.2f grey %.1f: %d of %d good versions condemned", normal, grey, wrong, seeds)
+			t.Logf("normal %.2f grey %.1f: %d of %d good versions rejected", normal, grey, wrong, seeds)
 			allowed := 1
 			if normal > 0.1 && grey > 0 {
 				allowed = 3
@@ -134,7 +134,7 @@
 		}
 		missed := 0
 		for seed := range seeds {
-			if _, _, condemned := (answerStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !condemned {
+			if _, _, rejected := (answerStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !rejected {
 				missed++
 			}
 		}
@@ -146,25 +146,25 @@
 // TestCompareJudgingMethods logs the error rates of the methods on the same seeds.
 func TestCompareJudgingMethods(t *testing.T) {
 	seeds := seedCount(50)
-	for _, way := range judgingMethods {
-		line := way.name + ":"
-		for _, good := range []answerStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
+	for _, method := range judgingMethods {
+		line := method.name + ":"
+		for _, goodStream := range []answerStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := good.play(way.make(), uint64(seed), 1000); condemned {
+				if _, _, rejected := goodStream.play(method.make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", good.normal, good.greyRate, wrong)
+			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", goodStream.normal, goodStream.greyRate, wrong)
 		}
-		for _, spoiled := range []answerStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
+		for _, badStream := range []answerStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
 			var numbers []int
 			for seed := range seeds {
-				_, bad, _ := spoiled.play(way.make(), uint64(seed), 1000)
+				_, bad, _ := badStream.play(method.make(), uint64(seed), 1000)
 				numbers = append(numbers, bad)
 			}
 			slices.Sort(numbers)
-			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", spoiled.normal, spoiled.effect, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
+			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", badStream.normal, badStream.effect, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
 		}
 		t.Log(line)
 	}
@@ -196,7 +196,7 @@
 	require.Equal(t, uint64(3), delta.Answers)
 	require.Equal(t, uint64(1), delta.Failures)
 	require.Equal(t, uint32(2), delta.Latency[3])
-	require.Equal(t, before, before.since(&after), "a node that restarted counts from zero")
+	require.Equal(t, before, before.since(&after), "counts of a restarted node are all new")
 	require.Equal(t, after, after.since(nil))
 }
 
@@ -222,14 +222,14 @@
 		delta.Latency[bucket] = 1
 		return delta
 	}
-	for bucket, condemned := range map[int]bool{4: false, 7: false, 8: false, 10: true} {
+	for bucket, rejected := range map[int]bool{4: false, 7: false, 8: false, 10: true} {
 		judge := newJudge()
 		judge.observeOld(testRoute, &old)
 		for index := range 30 {
 			delta := slow(bucket)
 			judge.observeNew(conditions{}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
 		}
-		require.Equal(t, condemned, judge.rejectsTarget(), "cold, bucket %d", bucket)
+		require.Equal(t, rejected, judge.rejectsTarget(), "cold, bucket %d", bucket)
 		for index := range 60 {
 			delta := slow(bucket)
 			judge.observeNew(conditions{now: time.Minute}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -45,38 +45,38 @@
 )
 
 // makeBad makes a scenario's version bad and returns a description.
-func makeBad(played *scenario) string {
-	random := rand.New(rand.NewPCG(played.seed, 3))
-	part := 0.2 + 0.8*random.Float64()
+func makeBad(setup *scenario) string {
+	random := rand.New(rand.NewPCG(setup.seed, 3))
+	fraction := 0.2 + 0.8*random.Float64()
 	kind := random.IntN(badKinds)
-	played.slow = random.IntN(3) == 0
+	setup.slow = random.IntN(3) == 0
 	from := time.Duration(0)
 	if kind == badLate {
-		from = time.Duration(random.Float64() * float64(played.duration))
+		from = time.Duration(random.Float64() * float64(setup.duration))
 	}
-	spoiled := []RouteName{"a", "b", "c"}[random.IntN(3)]
-	loaded := 0.05 * played.rate / float64(played.workers*played.slots)
-	played.badFraction = func(at time.Duration, route RouteName, load float64) float64 {
-		if at < from || kind == badOnOneRoute && route != spoiled || kind == badUnderLoad && load < loaded {
+	badRoute := []RouteName{"a", "b", "c"}[random.IntN(3)]
+	loadThreshold := 0.05 * setup.rate / float64(setup.workers*setup.slots)
+	setup.badFraction = func(at time.Duration, route RouteName, load float64) float64 {
+		if at < from || kind == badOnOneRoute && route != badRoute || kind == badUnderLoad && load < loadThreshold {
 			return 0
 		}
-		return part
+		return fraction
 	}
 	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, plain %t",
-		played.seed, kind, part, from, spoiled, played.slow, played.duration, played.rate, played.workers, played.nodes, played.noPredictions)
+		setup.seed, kind, fraction, from, badRoute, setup.slow, setup.duration, setup.rate, setup.workers, setup.nodes, setup.noPredictions)
 }
 
 // playScenarios runs scenarios in parallel and checks them in order.
 func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
-	room := make(chan struct{}, 3)
+	semaphore := make(chan struct{}, 3)
 	for seed := range seeds {
 		group.Go(func() {
-			room <- struct{}{}
+			semaphore <- struct{}{}
 			runs[seed] = newSimulation(build(uint64(seed))).run(after)
 			runs[seed].due = nil
-			<-room
+			<-semaphore
 		})
 	}
 	group.Wait()
@@ -98,7 +98,7 @@
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
 	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
-	late, tenth := 0, 0
+	completedBad, slowStops := 0, 0
 	build := func(seed uint64) scenario {
 		drawn := drawScenario(seed)
 		descriptions[seed] = makeBad(&drawn)
@@ -110,15 +110,15 @@
 		if run.stage() != StageRolledBack {
 			// The evidence until the decision was too weak.
 			require.False(t, run.hasEvidence(20, 0.1), description)
-			late++
+			completedBad++
 			return
 		}
 		require.LessOrEqual(t, run.exposedAfterBad(50), 5*time.Second, description)
 		if run.exposedAfterBad(10) > 3*time.Second {
-			tenth++
+			slowStops++
 		}
 	})
-	t.Logf("%d seeds: %d completed for want of evidence, %d got requests 3 s after the tenth bad answer", seeds, late, tenth)
+	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad answer", seeds, completedBad, slowStops)
 }
 
 // requireCompletes checks that at least 98 of 100 good versions are completed in time.
@@ -142,7 +142,7 @@
 			t.Logf("  %+v", event)
 		}
 	})
-	require.LessOrEqual(t, failed*100, 2*seeds, "%d of %d weren't completed in time", failed, seeds)
+	require.LessOrEqual(t, failed*100, 2*seeds, "%d of %d were not completed in time", failed, seeds)
 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
--- a/internal/delivery/schedule_test.go
+++ b/internal/delivery/schedule_test.go
@@ -37,8 +37,8 @@
 				}
 				require.LessOrEqual(t, target, 0.1*all+50, "%s at %.0f/s growing to %.1f", duration, rate, growth)
 				intended := min(maxShift.Seconds(), shiftFraction*exposureMargin*0.1*duration.Seconds())
-				require.GreaterOrEqual(t, shifted.Seconds(), 0.7*intended, "%s at %.0f/s growing to %.1f: the shift is kept for", duration, rate, growth)
-				require.GreaterOrEqual(t, target, 0.5*(0.1*all), "%s at %.0f/s growing to %.1f: the evidence is used", duration, rate, growth)
+				require.GreaterOrEqual(t, shifted.Seconds(), 0.7*intended, "%s at %.0f/s growing to %.1f: the shift is too short", duration, rate, growth)
+				require.GreaterOrEqual(t, target, 0.5*(0.1*all), "%s at %.0f/s growing to %.1f: too little of the exposure is used", duration, rate, growth)
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 // TestRouteSharesAreEqualInRequests guards against too little evidence about rare routes.
 func TestRouteSharesAreEqualInRequests(t *testing.T) {
 	shares := routeShares(0.03, map[RouteName]float64{"a": 900, "b": 95, "c": 5}, maxShare)
-	require.InDelta(t, 0.3, shares["c"], 1e-9, "the rarest gets all that it may")
+	require.InDelta(t, 0.3, shares["c"], 1e-9, "the rarest route gets the maximum share")
 	require.InDelta(t, 900*shares["a"], 95*shares["b"], 1e-6)
 	require.InDelta(t, 30, 900*shares["a"]+95*shares["b"]+5*shares["c"], 1e-6)
 	require.Empty(t, routeShares(0.1, nil, maxShare))
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -19,7 +19,7 @@
 	simLeaseDuration  = 3500 * time.Millisecond
 	// simTargetStart is when the first workers of the target are listed, after the order.
 	simTargetStart = 600 * time.Millisecond
-	simStoreOffset = 100 * time.Second // local time minus the store's
+	simStoreOffset = 100 * time.Second // local time minus store time
 	simService     = fleet.PoolName("service")
 	simOld         = fleet.SoftwareVersion("old")
 	simNew         = fleet.SoftwareVersion("new")
@@ -33,14 +33,14 @@
 	slots          int
 	duration       time.Duration
 	rate           float64
-	routes         map[RouteName]float64 // parts of the rate
-	noPredictions  bool                  // no predictions
+	routes         map[RouteName]float64 // fractions of the rate
+	noPredictions  bool
 	normalFailures map[RouteName]float64 // failure rates of any version
-	// badFraction returns the fraction of the target's answers that is badFraction.
+	// badFraction returns the fraction of the target's answers that is bad.
 	badFraction func(at time.Duration, route RouteName, load float64) float64
 	// orderDelay is the time within which nodes read the order; 0 means 500 ms.
 	orderDelay time.Duration
-	slow       bool // spoiled answers take eight times as long instead of failing
+	slow       bool // bad answers take eight times as long instead of failing
 	cold       bool // the first answers of a new worker on a route take up to four times as long
 	greyRates  map[fleet.EngineID]float64
 	wave       func(at time.Duration) float64
@@ -67,7 +67,7 @@
 	reportAt            time.Duration
 	orderAt             time.Duration
 	frozen, partitioned bool
-	listsTarget         bool // has heard of the target's workers
+	listsTarget         bool // lists the target's workers
 	dead                bool
 }
 
@@ -92,7 +92,7 @@
 	due            map[time.Duration][]simAnswer
 	order          Order
 	leader         *simNode
-	leaselessSince time.Duration // since when nobody holds the lease
+	leaselessSince time.Duration // when the lease became free
 	storeDown      bool
 	downSince      time.Duration
 	// loseWriteAcks makes successful writes return an error.
@@ -101,28 +101,28 @@
 	errors        []string
 
 	totalRequests, targetRequests float64         // requests until the deadline
-	badAnswerTimes                []time.Duration // of the target's spoiled answers
-	lastTargetRequest             time.Duration   // to the target
+	badAnswerTimes                []time.Duration // of the target
+	lastTargetRequest             time.Duration
 	finalAt                       time.Duration
-	killedRuns                    int // runs at old workers when they were stopped
+	killedRuns                    int // requests at old workers when these were stopped
 	events                        []Event
-	stride                        int // prime to the number of workers
+	stride                        int // coprime to the number of workers
 	tallies                       map[RouteName]*badTally
 }
 
-func newSimulation(played scenario) *simulation {
-	s := &simulation{scenario: played, random: rand.New(rand.NewPCG(played.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*badTally{}}
+func newSimulation(setup scenario) *simulation {
+	s := &simulation{scenario: setup, random: rand.New(rand.NewPCG(setup.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*badTally{}}
 	for s.stride = 7; s.stride%3 == 0 || (2*s.workers)%s.stride == 0; {
 		s.stride += 4
 	}
-	for index := range played.nodes {
+	for index := range setup.nodes {
 		s.fleet = append(s.fleet, s.newNode(index))
 	}
-	for index := range played.workers {
+	for index := range setup.workers {
 		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, answered: map[RouteName]int{}})
 		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, answered: map[RouteName]int{}})
 	}
-	s.order = Order{Service: simService, Target: simNew, Duration: played.duration, Revision: 7}
+	s.order = Order{Service: simService, Target: simNew, Duration: setup.duration, Revision: 7}
 	s.makeLeader(s.fleet[0])
 	return s
 }
@@ -175,8 +175,8 @@
 	if s.storeDown && s.now-s.downSince < simLeaseDuration {
 		return
 	}
-	unable := func(node *simNode) bool { return node.dead || node.frozen || node.partitioned || s.storeDown }
-	if s.leader != nil && !unable(s.leader) {
+	isUnavailable := func(node *simNode) bool { return node.dead || node.frozen || node.partitioned || s.storeDown }
+	if s.leader != nil && !isUnavailable(s.leader) {
 		return
 	}
 	if s.leaselessSince == 0 {
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, node := range s.fleet {
-		if !unable(node) {
+		if !isUnavailable(node) {
 			s.leaselessSince = 0
 			s.makeLeader(node)
 			return
@@ -250,7 +250,7 @@
 		s.oldWorkers = nil
 	}
 	if s.loseWriteAcks {
-		return nil, errors.New("answer lost")
+		return nil, errors.New("write acknowledgement lost")
 	}
 	return nil, nil
 }
@@ -307,14 +307,14 @@
 	if node.dead || node.frozen {
 		return
 	}
-	choice := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
+	filter := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
 	if !node.listsTarget && !node.partitioned && s.now >= simTargetStart {
 		node.listsTarget = true
 		node.follower.ObserveVersions(s.now, simService, []fleet.SoftwareVersion{simOld, simNew})
 	}
-	worker := s.pick(choice, node.listsTarget)
+	worker := s.pick(filter, node.listsTarget)
 	if worker == nil || worker.inFlight >= 2*s.slots {
-		return // refused: says nothing of a version
+		return // rejected for lack of capacity, which is no evidence
 	}
 	load := float64(worker.inFlight) / float64(s.slots)
 	if s.now < s.duration {
@@ -326,30 +326,30 @@
 			s.targetRequests++
 		}
 	}
-	outcome, spoiled := s.serve(worker, route, load)
+	outcome, isBad := s.serve(worker, route, load)
 	worker.inFlight++
 	at := s.now + max(simTick, outcome.TimeToFirstByte.Round(simTick))
-	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, isBad: spoiled})
+	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, isBad: isBad})
 }
 
 // pick returns the less loaded of two random workers that the filter or its fallbacks allow.
-func (s *simulation) pick(choice *Filter, listsTarget bool) *simWorker {
-	for ; ; choice = choice.Fallback() {
-		first := s.randomWorker(choice, listsTarget)
+func (s *simulation) pick(filter *Filter, listsTarget bool) *simWorker {
+	for ; ; filter = filter.Fallback() {
+		first := s.randomWorker(filter, listsTarget)
 		if first != nil {
-			if second := s.randomWorker(choice, listsTarget); second.inFlight < first.inFlight {
+			if second := s.randomWorker(filter, listsTarget); second.inFlight < first.inFlight {
 				return second
 			}
 			return first
 		}
-		if choice.Fallback() == nil {
+		if filter.Fallback() == nil {
 			return nil
 		}
 	}
 }
 
 // randomWorker returns a random worker that the filter allows, or nil.
-func (s *simulation) randomWorker(choice *Filter, listsTarget bool) *simWorker {
+func (s *simulation) randomWorker(filter *Filter, listsTarget bool) *simWorker {
 	sides := [][]*simWorker{s.oldWorkers, s.newWorkers}
 	if !listsTarget || !s.targetListed() {
 		sides[1] = nil
@@ -361,7 +361,7 @@
 		if position/2 >= len(side) {
 			continue
 		}
-		if worker := side[position/2]; choice.Allows(worker.id, worker.version) {
+		if worker := side[position/2]; filter.Allows(worker.id, worker.version) {
 			return worker
 		}
 	}
@@ -383,16 +383,16 @@
 	if !s.noPredictions {
 		outcome.Predicted = base
 	}
-	spoiled := worker.version == simNew && s.badFraction != nil && s.random.Float64() < s.badFraction(s.now, route, load)
-	if spoiled && s.slow {
+	isBad := worker.version == simNew && s.badFraction != nil && s.random.Float64() < s.badFraction(s.now, route, load)
+	if isBad && s.slow {
 		factor *= 8
 	}
 	outcome.TimeToFirstByte = time.Duration(float64(base) * factor)
-	outcome.Failed = spoiled && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.greyRates[worker.id]
+	outcome.Failed = isBad && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.greyRates[worker.id]
 	if outcome.Failed {
 		outcome.TimeToFirstByte = base / 2
 	}
-	return outcome, spoiled
+	return outcome, isBad
 }
 
 // finishRuns ends the requests that are due.
@@ -418,24 +418,24 @@
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
 	}
-	counted := s.tallies[due.outcome.Route]
-	if counted == nil {
-		counted = &badTally{}
-		s.tallies[due.outcome.Route] = counted
+	tally := s.tallies[due.outcome.Route]
+	if tally == nil {
+		tally = &badTally{}
+		s.tallies[due.outcome.Route] = tally
 	}
 	if due.isBad {
-		counted.bad++
+		tally.bad++
 	}
-	if counted.bad > 0 {
-		counted.answers++
+	if tally.bad > 0 {
+		tally.answers++
 	}
 }
 
 // hasEvidence reports whether a route has had so many bad answers, also as a fraction of its
 // answers, that the target must be rolled back.
-func (s *simulation) hasEvidence(bad int, part float64) bool {
-	for _, counted := range s.tallies {
-		if counted.bad >= bad && float64(counted.bad) >= part*float64(counted.answers) {
+func (s *simulation) hasEvidence(bad int, fraction float64) bool {
+	for _, tally := range s.tallies {
+		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.answers) {
 			return true
 		}
 	}
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -12,23 +12,23 @@
 // advanceTo evaluates every EvaluationInterval with evidence of a good version and returns the last
 // decision.
 func advanceTo(director *Director, from, until time.Duration, observation Observation) Decision {
-	var step Decision
+	var decision Decision
 	for now := from; now <= until; now += EvaluationInterval {
 		answers := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", testEvidence(50*answers, answers, 0))
-		step = director.Evaluate(now, observation)
+		decision = director.Evaluate(now, observation)
 	}
-	return step
+	return decision
 }
 
 func TestShiftIsAnnouncedBeforeItStarts(t *testing.T) {
 	director := newTestDelivery(t)
-	step := advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
-	require.Equal(t, StageCanary, step.Directive.Stage)
-	require.Greater(t, step.Directive.ShiftAt, 11*time.Second)
-	require.Less(t, step.Directive.ShiftAt, 12*time.Second-finishReserve)
-	step = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, testObservation(4, 4))
-	require.Equal(t, StageShifting, step.Directive.Stage)
+	decision := advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
+	require.Equal(t, StageCanary, decision.Directive.Stage)
+	require.Greater(t, decision.Directive.ShiftAt, 11*time.Second)
+	require.Less(t, decision.Directive.ShiftAt, 12*time.Second-finishReserve)
+	decision = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, StageShifting, decision.Directive.Stage)
 }
 
 // Guards against starting an announced shift after bad answers.
@@ -36,10 +36,10 @@
 	director := newTestDelivery(t)
 	advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
 	director.Observe(11100*time.Millisecond, "node-1", testEvidence(5600, 150, 4))
-	step := director.Evaluate(11100*time.Millisecond, testObservation(4, 4))
-	require.Equal(t, EventShiftHeld, step.Event.Name)
-	require.Zero(t, step.Directive.ShiftAt)
-	require.Equal(t, ReasonUndecided, step.Event.Reason)
+	decision := director.Evaluate(11100*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, EventShiftHeld, decision.Event.Name)
+	require.Zero(t, decision.Directive.ShiftAt)
+	require.Equal(t, ReasonUndecided, decision.Event.Reason)
 }
 
 func TestCompletionWaitsForOldWorkersToDrain(t *testing.T) {
@@ -56,29 +56,29 @@
 	}{{busy, ReasonLastMoment, time.Minute - finishReserve}, {idle, ReasonOldWorkersIdle, time.Minute - maxShift + shiftPropagation}} {
 		director := newTestDirector()
 		require.NoError(t, director.SetOrder(0, 0, order))
-		step := director.Evaluate(0, busy)
-		director.HandleWriteResult(0, simService, *step.Write, nil, nil)
+		decision := director.Evaluate(0, busy)
+		director.HandleWriteResult(0, simService, *decision.Write, nil, nil)
 		require.Nil(t, advanceTo(director, EvaluationInterval, c.until-2*EvaluationInterval, c.after).Write, c.reason)
-		step = advanceTo(director, c.until-EvaluationInterval, c.until, c.after)
-		require.NotNil(t, step.Write, c.reason)
-		require.Equal(t, StageCompleted, step.Write.Stage)
-		require.Equal(t, c.reason, step.Write.Reason)
-		require.Equal(t, StageShifting, step.Directive.Stage, "until it is written")
+		decision = advanceTo(director, c.until-EvaluationInterval, c.until, c.after)
+		require.NotNil(t, decision.Write, c.reason)
+		require.Equal(t, StageCompleted, decision.Write.Stage)
+		require.Equal(t, c.reason, decision.Write.Reason)
+		require.Equal(t, StageShifting, decision.Directive.Stage, "the shift continues until the record is stored")
 	}
 }
 
 func TestTooFewWorkersOfTheTarget(t *testing.T) {
 	director := newTestDelivery(t)
 	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(20, 12)).Write, nil, nil)
-	step := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, testObservation(20, 12))
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonFewWorkers, step.Write.Reason)
+	decision := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, testObservation(20, 12))
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	require.Equal(t, ReasonFewWorkers, decision.Write.Reason)
 	for _, c := range []struct {
 		old, target int
 		enough      bool
 	}{{20, 14, true}, {20, 13, false}, {3, 2, true}, {3, 1, false}, {2, 1, true}, {1, 1, true}, {1, 0, false}, {0, 1, true}} {
-		counted := director.services[simService].countWorkers(testObservation(c.old, c.target).Workers)
-		require.Equal(t, c.enough, hasEnoughSlots(counted), "%d of %d", c.target, c.old)
+		counts := director.services[simService].countWorkers(testObservation(c.old, c.target).Workers)
+		require.Equal(t, c.enough, hasEnoughSlots(counts), "%d of %d", c.target, c.old)
 	}
 }
 
@@ -87,10 +87,10 @@
 	observation := testObservation(4, 4)
 	observation.Workers[4].Unreachable = true
 	observation.Workers[5].Unreachable = true
-	counted := director.services[simService].countWorkers(observation.Workers)
-	require.Len(t, counted.target, 2)
-	require.False(t, hasEnoughSlots(counted))
-	require.Equal(t, 4, counted.oldInFlight)
+	counts := director.services[simService].countWorkers(observation.Workers)
+	require.Len(t, counts.target, 2)
+	require.False(t, hasEnoughSlots(counts))
+	require.Equal(t, 4, counts.oldInFlight)
 }
 
 // Guards against judging a version by its first worker alone while others are about to be listed.
@@ -123,29 +123,29 @@
 		Old: map[RouteName]*Counts{testRoute: {Answers: 500}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Answers: 20, Failures: 10}}},
 	})
-	step := director.Evaluate(shareUpdateInterval, testObservation(6, 6))
-	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, step.Directive.Canaries)
-	require.Equal(t, StageCanary, step.Directive.Stage, "it doesn't condemn")
-	require.NotZero(t, step.Directive.DefaultShare)
+	decision := director.Evaluate(shareUpdateInterval, testObservation(6, 6))
+	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, decision.Directive.Canaries)
+	require.Equal(t, StageCanary, decision.Directive.Stage, "one bad worker does not reject the version")
+	require.NotZero(t, decision.Directive.DefaultShare)
 }
 
 // Guards against rates that include answers counted before a node's first report.
 func TestInitialCountsDoNotAffectRates(t *testing.T) {
-	counted := newMeter(0)
+	observed := newMeter(0)
 	judge := newJudge()
-	counted.observe(conditions{}, "node", testEvidence(9000, 1000, 0), judge)
-	counted.tick(time.Second, func(RouteName) float64 { return 0 })
-	require.Zero(t, counted.traffic(2*time.Second).rate)
-	require.Equal(t, 10000.0, counted.traffic(2*time.Second).total)
-	require.Equal(t, 1000.0, counted.traffic(2*time.Second).target)
+	observed.observe(conditions{}, "node", testEvidence(9000, 1000, 0), judge)
+	observed.tick(time.Second, func(RouteName) float64 { return 0 })
+	require.Zero(t, observed.traffic(2*time.Second).rate)
+	require.Equal(t, 10000.0, observed.traffic(2*time.Second).total)
+	require.Equal(t, 1000.0, observed.traffic(2*time.Second).target)
 	for second := 2; second < 12; second++ {
-		counted.observe(conditions{}, "node", testEvidence(9000+uint64(second)*100, 1000, 0), judge)
-		counted.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
+		observed.observe(conditions{}, "node", testEvidence(9000+uint64(second)*100, 1000, 0), judge)
+		observed.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
 	}
-	require.InDelta(t, 100, counted.traffic(12*time.Second).rate, 5)
-	require.InDelta(t, 500, counted.targetPlanned, 100)
-	counted.targetAnswers = 0
-	require.Equal(t, counted.targetPlanned, counted.traffic(12*time.Second).target, "what was asked for counts before it is answered")
+	require.InDelta(t, 100, observed.traffic(12*time.Second).rate, 5)
+	require.InDelta(t, 500, observed.targetPlanned, 100)
+	observed.targetAnswers = 0
+	require.Equal(t, observed.targetPlanned, observed.traffic(12*time.Second).target, "planned requests count before they are answered")
 }
 
 // Guards against completing a target at the deadline with evidence against it that is too weak for
@@ -153,8 +153,8 @@
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
 	director := newTestDelivery(t)
 	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(4, 4)).Write, nil, nil)
-	step := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, testObservation(4, 4))
-	require.Equal(t, StageShifting, step.Directive.Stage)
+	decision := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, StageShifting, decision.Directive.Stage)
 	late := testEvidence(50*116, 116, 0)
 	for _, counts := range late.New[testRoute] {
 		counts.Answers += 5
@@ -162,42 +162,42 @@
 	}
 	director.Observe(11700*time.Millisecond, "node-1", late)
 	require.Nil(t, director.Evaluate(11700*time.Millisecond, testObservation(4, 4)).Write)
-	step = director.Evaluate(11800*time.Millisecond, testObservation(4, 4))
-	require.NotNil(t, step.Write)
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonUndecided, step.Write.Reason)
-	require.Less(t, step.Event.Score, step.Event.Threshold)
+	decision = director.Evaluate(11800*time.Millisecond, testObservation(4, 4))
+	require.NotNil(t, decision.Write)
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	require.Equal(t, ReasonUndecided, decision.Write.Reason)
+	require.Less(t, decision.Event.Score, decision.Event.Threshold)
 }
 
 // Guards against overloading few canaries with a rare route, whose requests may be the longest.
 func TestRareRouteDoesNotOverloadCanaries(t *testing.T) {
 	director := newTestDelivery(t)
-	var step Decision
+	var decision Decision
 	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
-		looks := uint64(now / EvaluationInterval)
+		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 70 * looks}, "rare": {Answers: 4 * looks}},
+			Old: map[RouteName]*Counts{"common": {Answers: 70 * evaluations}, "rare": {Answers: 4 * evaluations}},
 		})
-		step = director.Evaluate(now, testObservation(60, 60))
+		decision = director.Evaluate(now, testObservation(60, 60))
 	}
-	canaries := float64(len(step.Directive.Canaries))
+	canaries := float64(len(decision.Directive.Canaries))
 	require.Less(t, canaries, 6.0)
-	require.LessOrEqual(t, step.Directive.Shares["rare"], maxCanaryLoadFactor*canaries/60)
-	require.Greater(t, step.Directive.Shares["rare"], step.Directive.Shares["common"])
+	require.LessOrEqual(t, decision.Directive.Shares["rare"], maxCanaryLoadFactor*canaries/60)
+	require.Greater(t, decision.Directive.Shares["rare"], decision.Directive.Shares["common"])
 }
 
 func TestRareRouteGetsALargerShare(t *testing.T) {
 	director := newTestDelivery(t)
-	var step Decision
+	var decision Decision
 	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
-		looks := uint64(now / EvaluationInterval)
+		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 50 * looks}, "rare": {Answers: looks}},
+			Old: map[RouteName]*Counts{"common": {Answers: 50 * evaluations}, "rare": {Answers: evaluations}},
 		})
-		step = director.Evaluate(now, testObservation(4, 4))
+		decision = director.Evaluate(now, testObservation(4, 4))
 	}
-	require.Equal(t, maxShare, step.Directive.Shares["rare"])
-	require.Less(t, step.Directive.Shares["common"], 0.1)
+	require.Equal(t, maxShare, decision.Directive.Shares["rare"])
+	require.Less(t, decision.Directive.Shares["common"], 0.1)
 }
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -79,7 +79,7 @@
 
 func TestLeaseIsCheckedRightBeforeEachOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		recorder := &recorder{checks: 2, token: 7} // for the plan and for one order
+		recorder := &recorder{checks: 2, token: 7} // one for the plan and one for an order
 		controller := startController(t, recorder)
 		time.Sleep(time.Minute)
 		want := loadOrder("a", oldVersion)
--- a/internal/rollout/pacer_test.go
+++ b/internal/rollout/pacer_test.go
@@ -69,15 +69,15 @@
 func TestEveryVersionReachesAllEnginesInTime(t *testing.T) {
 	for _, count := range []int{1, 12, 18, 60} {
 		p := newPacerSimulation(count)
-		named := map[uint64]time.Duration{}
+		published := map[uint64]time.Duration{}
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
 			if now%(2*time.Second) == 0 && now < 20*time.Second {
 				version := uint64(now/(2*time.Second)) + 2
 				require.True(t, p.pacer.Publish(now, version))
-				named[version] = now
+				published[version] = now
 			}
 			p.step(now)
-			for version, at := range named {
+			for version, at := range published {
 				if now >= at+testWithin {
 					require.GreaterOrEqual(t, p.oldest(), version, "%d engines, %s after", count, now-at)
 				}
@@ -85,7 +85,7 @@
 		}
 		assert.EqualValues(t, 11, p.oldest())
 		if count > 1 {
-			assert.Less(t, p.loads, 6*count, "of 10 versions some are skipped")
+			assert.Less(t, p.loads, 6*count, "engines skip some of the 10 versions")
 		}
 	}
 }
@@ -93,10 +93,10 @@
 // TestContendingLoadsReduceParallelism guards against too many parallel loads. More than six of the
 // 60 engines slow each other down.
 func TestContendingLoadsReduceParallelism(t *testing.T) {
-	const loadTime, unslowed = 760 * time.Millisecond, 6
+	const loadTime, uncontended = 760 * time.Millisecond, 6
 	p := newPacerSimulation(60)
 	p.pacer = NewPacer(PacerOptions{Within: 30 * time.Second, ChangeTime: loadTime})
-	atOnce := func(from, to time.Duration) int {
+	maxParallel := func(from, to time.Duration) int {
 		most := 0
 		for now := from; now < to; now += 50 * time.Millisecond {
 			changing := 0
@@ -106,20 +106,20 @@
 				}
 			}
 			most = max(most, changing)
-			p.loadTime = loadTime * time.Duration(max(changing, unslowed)) / unslowed
+			p.loadTime = loadTime * time.Duration(max(changing, uncontended)) / uncontended
 			p.step(now)
 		}
 		return most
 	}
 	p.pacer.Publish(0, 2)
-	assert.Equal(t, 12, atOnce(0, 2*time.Second), "a fifth")
-	atOnce(2*time.Second, 28*time.Second)
+	assert.Equal(t, 12, maxParallel(0, 2*time.Second), "the usual fraction is a fifth")
+	maxParallel(2*time.Second, 28*time.Second)
 	p.pacer.Publish(30*time.Second, 3)
-	atOnce(30*time.Second, 45*time.Second)
+	maxParallel(30*time.Second, 45*time.Second)
 	p.pacer.Publish(60*time.Second, 4)
-	most := atOnce(60*time.Second, 85*time.Second)
-	assert.LessOrEqual(t, most, 10, "it has seen how long a load takes beside few others")
-	assert.GreaterOrEqual(t, most, unslowed-1)
+	most := maxParallel(60*time.Second, 85*time.Second)
+	assert.LessOrEqual(t, most, 10, "parallelism is reduced after slow loads")
+	assert.GreaterOrEqual(t, most, uncontended-1)
 	assert.EqualValues(t, 4, p.oldest())
 }
 
@@ -148,7 +148,7 @@
 	p := newPacerSimulation(12)
 	p.pacer.PublishAssumed(-time.Minute, 2)
 	p.step(0)
-	assert.Equal(t, 12, p.loads, "they aren't spread either")
+	assert.Equal(t, 12, p.loads, "overdue changes are not staggered")
 }
 
 // TestChangeStartsAreStaggered guards against starting several changes at the same time.
@@ -201,19 +201,19 @@
 	pacer.LearnPublication(8*time.Second, 4)
 	pacer.LearnPublication(2*time.Second, 3)
 	assert.EqualValues(t, 0, pacer.NewestDue(8*time.Second, testWithin))
-	assert.EqualValues(t, 3, pacer.NewestDue(9*time.Second, testWithin), "a version named before this process started is due")
-	assert.EqualValues(t, 3, pacer.NewestDue(14*time.Second, testWithin), "the assumed time gave way")
+	assert.EqualValues(t, 3, pacer.NewestDue(9*time.Second, testWithin), "a version published before this process started is due")
+	assert.EqualValues(t, 3, pacer.NewestDue(14*time.Second, testWithin), "the assumed time is replaced")
 	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin))
 	assert.Equal(t, []Publication{{Version: 3, At: 2 * time.Second}, {Version: 4, At: 8 * time.Second}}, pacer.RecentPublications(4))
 	pacer.LearnPublication(9*time.Second, 4)
-	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin), "a later word changes nothing")
+	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin), "a later time is ignored")
 }
 
 func TestAssumedPublicationIsNotShared(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
 	pacer.PublishAssumed(0, 2)
 	assert.Empty(t, pacer.RecentPublications(4))
-	assert.False(t, pacer.Publish(0, 2), "it is known already")
+	assert.False(t, pacer.Publish(0, 2), "the version is already known")
 }
 
 func TestResetPendingKeepsDueVersions(t *testing.T) {
@@ -221,9 +221,9 @@
 	pacer.Publish(0, 2)
 	pacer.Publish(5*time.Second, 3)
 	pacer.ResetPending(8*time.Second, testWithin)
-	assert.EqualValues(t, 2, pacer.NewestDue(8*time.Second, testWithin), "what is due stays due")
+	assert.EqualValues(t, 2, pacer.NewestDue(8*time.Second, testWithin), "a due version stays due")
 	assert.EqualValues(t, 2, pacer.NewestDue(14*time.Second, testWithin))
 	assert.EqualValues(t, 3, pacer.NewestDue(15*time.Second, testWithin))
 	pacer.LearnPublication(6*time.Second, 3)
-	assert.EqualValues(t, 3, pacer.NewestDue(13*time.Second, testWithin), "another process was in reach")
+	assert.EqualValues(t, 3, pacer.NewestDue(13*time.Second, testWithin), "a time reported by another process is applied")
 }
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -53,9 +53,9 @@
 	planner := NewPlanner(PlannerSettings{})
 	want := []Order{loadOrder("b", oldVersion), loadOrder("a", newVersion)}
 	assert.Equal(t, want, planner.Plan(0, document, engines))
-	assert.Empty(t, planner.Plan(time.Second, document, engines), "both loads are under way, unseen")
-	assert.Empty(t, planner.Plan(time.Second, document, engines[:1]), "also while the engines aren't listed")
-	assert.Equal(t, want, planner.Plan(DefaultStatusGrace, document, engines), "orders that were lost are repeated")
+	assert.Empty(t, planner.Plan(time.Second, document, engines), "both loads are pending")
+	assert.Empty(t, planner.Plan(time.Second, document, engines[:1]), "pending loads count while their engines are not listed")
+	assert.Equal(t, want, planner.Plan(DefaultStatusGrace, document, engines), "lost orders are repeated")
 	assert.Empty(t, planner.Plan(0, nil, engines))
 }
 
@@ -90,11 +90,11 @@
 	orders := planner.Plan(DefaultUnloadGrace, document, engines)
 	unload := loadOrder("a", oldVersion)
 	unload.Order.Kind = engine.OrderUnload
-	assert.Equal(t, []Order{unload, loadOrder("b", newVersion)}, orders, "b has nothing else yet")
+	assert.Equal(t, []Order{unload, loadOrder("b", newVersion)}, orders, "b keeps the old version until it has the new one")
 
 	back := testDocument(config.VersionServing, config.VersionLoading)
 	planner.Plan(DefaultUnloadGrace+1, back, engines)
-	assert.Empty(t, planner.Plan(DefaultUnloadGrace+2, document, engines[:1]), "the grace starts again")
+	assert.Empty(t, planner.Plan(DefaultUnloadGrace+2, document, engines[:1]), "the grace period restarts")
 }
 
 func TestDirectivesApplyToOneRun(t *testing.T) {
