--- a/internal/delivery/directorstate.go
+++ b/internal/delivery/directorstate.go
@@ -66,7 +66,8 @@
 }
 
 // resume continues after a time without evaluations or evidence. By then a shift has expired on all
-// nodes. A completion that isn't known to be stored is withdrawn; if it was stored, the next write finds it.
+// nodes. A completion that isn't known to be stored is withdrawn. If it was stored, the next write
+// finds it.
 func (s *directorState) resume(now time.Duration, reason string) Event {
 	if s.verdict == StageCompleted {
 		s.verdict = 0
