--- a/internal/backends/choose.go
+++ b/internal/backends/choose.go
@@ -18,7 +18,7 @@
 	// workers admit requests without a limit.
 	Admission func(worker *Worker) (Admission, time.Duration)
 	// Software limits the choice by the workers' software version; nil means no limit.
-	Software *delivery.Choice
+	Software *delivery.Filter
 	// Bytes is the size of the request and its expected response.
 	Bytes int
 	// Engine is set for requests to language model engines.
@@ -135,7 +135,7 @@
 		r.recordShortage(now, request.Service)
 	}
 	next := request.Software.Fallback()
-	if placement != nil || next == nil || !request.Software.WantsTarget() {
+	if placement != nil || next == nil || !request.Software.PrefersTarget() {
 		return placement, refusal
 	}
 	// The few workers with the target version may be full or slow while others have capacity.
@@ -169,7 +169,7 @@
 		search := r.newSearch(now, request, software)
 		reason := search.gather()
 		next := software.Fallback()
-		if reason == "" || next == nil || (reason != ReasonNoWorker && !software.WantsTarget()) {
+		if reason == "" || next == nil || (reason != ReasonNoWorker && !software.PrefersTarget()) {
 			return search, reason
 		}
 		software = next
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -54,7 +54,7 @@
 
 	now      time.Duration
 	request  *Request
-	software *delivery.Choice
+	software *delivery.Filter
 	pool     *pool
 	// exhaustive is set if all workers are examined.
 	exhaustive bool
@@ -74,7 +74,7 @@
 }
 
 // newSearch returns a search among the workers that the software choice allows.
-func (r *Registry) newSearch(now time.Duration, request *Request, software *delivery.Choice) *search {
+func (r *Registry) newSearch(now time.Duration, request *Request, software *delivery.Filter) *search {
 	r.searches++
 	// Expire stale reports before sampling: expiry moves workers between the lists that are
 	// sampled.
--- a/internal/backends/search_spare.go
+++ b/internal/backends/search_spare.go
@@ -89,7 +89,7 @@
 
 // scanKeyFor returns the scan key of the request at a priority.
 func (s *search) scanKeyFor(priority int) scanKey {
-	key := scanKey{priority: priority, limited: s.software != nil, wantsTarget: s.software.WantsTarget()}
+	key := scanKey{priority: priority, limited: s.software != nil, wantsTarget: s.software.PrefersTarget()}
 	if s.request.Engine != nil {
 		key.model = s.request.Engine.Model
 	}
--- a/internal/backends/search_test.go
+++ b/internal/backends/search_test.go
@@ -122,28 +122,28 @@
 		worker.Software = "new"
 		registry.Observe(manyEngines+1, worker)
 	}
-	choose := func(software *delivery.Choice) (*Placement, Refusal) {
+	choose := func(software *delivery.Filter) (*Placement, Refusal) {
 		request := engineRequest("p")
 		request.Software = software
 		return registry.Choose(0, request)
 	}
 	for range 20 {
-		placement, refusal := choose(delivery.NewChoice("new", true, nil, nil))
+		placement, refusal := choose(delivery.NewFilter("new", true, nil, nil))
 		require.NotNil(t, placement, refusal)
 		assert.EqualValues(t, "new", placement.Worker.Software)
-		placement, refusal = choose(delivery.NewChoice("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
+		placement, refusal = choose(delivery.NewFilter("new", true, map[fleet.EngineID]bool{"e400": true}, nil))
 		require.NotNil(t, placement, refusal)
 		assert.Equal(t, fleet.EngineID("e400"), placement.Worker.ID)
 		assert.Less(t, placement.Examined, manyEngines/4)
 		placement.End(0, Cancelled)
-		placement, refusal = choose(delivery.NewChoice("new", false, nil, nil))
+		placement, refusal = choose(delivery.NewFilter("new", false, nil, nil))
 		require.NotNil(t, placement, refusal)
 		assert.Empty(t, placement.Worker.Software)
 	}
-	old := delivery.NewChoice("newer", false, nil, nil)
-	placement, refusal := choose(delivery.NewChoice("newer", true, nil, old))
+	old := delivery.NewFilter("newer", false, nil, nil)
+	placement, refusal := choose(delivery.NewFilter("newer", true, nil, old))
 	require.NotNil(t, placement, refusal, "the fallback applies if no worker has the version")
-	_, refusal = choose(delivery.NewChoice("newer", true, nil, nil))
+	_, refusal = choose(delivery.NewFilter("newer", true, nil, nil))
 	assert.Equal(t, ReasonNoWorker, refusal.Reason)
 }
 
--- a/internal/delivery/canaries.go
+++ b/internal/delivery/canaries.go
@@ -10,25 +10,25 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// How canaries and shares are chosen.
+// Parameters for choosing canaries and shares.
 const (
-	// leastCanaries is the number of the target's workers that get the canary share, if
-	// there are as many: two must be bad for a verdict.
-	leastCanaries = 3
-	// leastCanaryRate is the number of requests a second that each further one must get.
-	leastCanaryRate = 2.0
-	// canaryLoad is by how many times a route's load at a canary may exceed that of the
-	// workers when everything goes to them.
-	canaryLoad = 1.2
-	// sharesHold is the time for which shares stay, so that directives change seldom.
-	sharesHold = time.Second
-	// targetSettles is the time after an order within which the target's first workers
-	// are waited for, so that the first canaries aren't a single one.
-	targetSettles = 2 * time.Second
+	// minCanaries is the least number of canaries, if the target has as many workers. Two must be
+	// bad for a rejection.
+	minCanaries = 3
+	// minCanaryRate is the number of requests per second that each additional canary must get.
+	minCanaryRate = 2.0
+	// maxCanaryLoadFactor limits a route's load at a canary, relative to its load per worker once
+	// all requests go to the target.
+	maxCanaryLoadFactor = 1.2
+	// shareUpdateInterval is the least time between two changes of the shares.
+	shareUpdateInterval = time.Second
+	// maxCanaryWait is how long after the order the director waits for minCanaries workers before
+	// it starts with fewer.
+	maxCanaryWait = 2 * time.Second
 )
 
-// asked returns the part of a route's requests that the target gets now.
-func (s *directed) asked(route RouteName) float64 {
+// targetShare returns the fraction of a route's requests that currently goes to the target.
+func (s *directorState) targetShare(route RouteName) float64 {
 	switch {
 	case s.shifting:
 		return 1
@@ -38,22 +38,21 @@
 	if share, named := s.shares[route]; named {
 		return share
 	}
-	return s.share
+	return s.defaultShare
 }
 
-// wantedCanaries returns how many of the target's workers get the share: with more than it
-// needs, their load would be below the old side's, and a fault under load wouldn't show; and
-// each must answer often enough to be known.
-func (s *directed) wantedCanaries(now time.Duration, share float64, targets int) int {
-	asLoaded := share * float64(targets)
-	answering := share * s.meter.traffic(now).rate / leastCanaryRate
-	return max(leastCanaries, int(math.Round(min(asLoaded, answering))))
+// wantedCanaries returns the number of canaries. With more, their load would be below that of the
+// old workers, which would hide faults under load, and each would answer too rarely to be judged.
+func (s *directorState) wantedCanaries(now time.Duration, share float64, targets int) int {
+	byLoad := share * float64(targets)
+	byRate := share * s.meter.traffic(now).rate / minCanaryRate
+	return max(minCanaries, int(math.Round(min(byLoad, byRate))))
 }
 
-// chooseCanaries keeps those canaries that are still listed and fills up. A canary that
-// may be grey gives way to a worker that isn't suspected: it has shown what it can.
-func (s *directed) chooseCanaries(now time.Duration, targets []TargetWorker) {
-	wanted := s.wantedCanaries(now, s.share, len(targets))
+// chooseCanaries keeps the canaries that are still listed and adds workers if needed. A suspected
+// canary is replaced by a worker that isn't suspected, since it can contribute no more evidence.
+func (s *directorState) chooseCanaries(now time.Duration, targets []Worker) {
+	wanted := s.wantedCanaries(now, s.defaultShare, len(targets))
 	ranked := s.rankTargets(targets)
 	chosen := ranked[:min(wanted, len(ranked))]
 	slices.Sort(chosen)
@@ -63,9 +62,9 @@
 	}
 }
 
-// rankTargets returns the target's workers, best canaries first: unsuspected ones before
-// suspected ones, then those that are canaries, then by name.
-func (s *directed) rankTargets(targets []TargetWorker) []fleet.EngineID {
+// rankTargets returns the target's workers, best canaries first: current canaries, then other
+// workers, then suspected ones, each by identifier.
+func (s *directorState) rankTargets(targets []Worker) []fleet.EngineID {
 	current := make(map[fleet.EngineID]bool, len(s.canaries))
 	for _, worker := range s.canaries {
 		current[worker] = true
@@ -89,47 +88,46 @@
 	return ranked
 }
 
-// setShares works out the canary share anew, each sharesHold. Shares that have hardly
-// changed stay: each change is told to all nodes at once.
-func (s *directed) setShares(now time.Duration, targets int) {
-	if s.shifting || s.sharesAt != 0 && now-s.sharesAt < sharesHold {
+// updateShares recomputes the canary shares every shareUpdateInterval. Similar shares are kept,
+// since each change is sent to all nodes.
+func (s *directorState) updateShares(now time.Duration, targets int) {
+	if s.shifting || s.sharesSetAt != 0 && now-s.sharesSetAt < shareUpdateInterval {
 		return
 	}
-	first := s.sharesAt == 0
-	s.sharesAt = now
+	first := s.sharesSetAt == 0
+	s.sharesSetAt = now
 	s.suspected = s.judge.suspects()
-	seen := s.meter.traffic(now)
-	share := s.schedule.share(now, seen)
+	observed := s.meter.traffic(now)
+	share := s.schedule.canaryShare(now, observed)
 	var shares map[RouteName]float64
-	if seen.rate > 0 {
-		shares = routeShares(share, s.meter.rates, s.highestRouteShare(now, share, targets))
+	if observed.rate > 0 {
+		shares = routeShares(share, s.meter.rates, s.maxRouteShare(now, share, targets))
 	}
-	if !first && similar(share, s.share) && similarShares(shares, s.shares) {
+	if !first && isSimilar(share, s.defaultShare) && hasSimilarShares(shares, s.shares) {
 		return
 	}
-	s.share, s.shares = share, shares
+	s.defaultShare, s.shares = share, shares
 	s.changed = true
 }
 
-// highestRouteShare returns what a rare route may get at the most. Its requests may be the
-// longest, and keep the few target workers so busy that a version which is far too slow looks
-// like a good one.
-func (s *directed) highestRouteShare(now time.Duration, share float64, targets int) float64 {
+// maxRouteShare returns the highest share of a rare route. Its requests may be the longest and
+// overload the few canaries, which would hide that a version is too slow.
+func (s *directorState) maxRouteShare(now time.Duration, share float64, targets int) float64 {
 	canaries := min(s.wantedCanaries(now, share, targets), targets)
-	return min(highestShare, max(share, canaryLoad*float64(canaries)/float64(max(targets, 1))))
+	return min(maxShare, max(share, maxCanaryLoadFactor*float64(canaries)/float64(max(targets, 1))))
 }
 
-// similar tells whether two shares differ by less than a sixth.
-func similar(a, b float64) bool {
+// isSimilar reports whether two shares differ by at most a sixth of the larger one.
+func isSimilar(a, b float64) bool {
 	return math.Abs(a-b) <= max(a, b)/6
 }
 
-// similarShares tells whether two sets of shares name the same routes with similar shares.
-func similarShares(a, b map[RouteName]float64) bool {
-	return maps.EqualFunc(a, b, similar)
+// hasSimilarShares reports whether two maps have the same routes with similar shares.
+func hasSimilarShares(a, b map[RouteName]float64) bool {
+	return maps.EqualFunc(a, b, isSimilar)
 }
 
-// canariesReady tells whether there are enough canaries to be told apart, or has waited.
-func (s *directed) canariesReady(now time.Duration) bool {
-	return len(s.canaries) >= leastCanaries || len(s.canaries) > 0 && now-s.schedule.start >= targetSettles
+// hasEnoughCanaries reports whether there are minCanaries, or any after maxCanaryWait.
+func (s *directorState) hasEnoughCanaries(now time.Duration) bool {
+	return len(s.canaries) >= minCanaries || len(s.canaries) > 0 && now-s.schedule.start >= maxCanaryWait
 }
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -9,145 +9,145 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Options sets up followers and directors.
+// Options configures followers and directors.
 type Options struct {
-	// Self is this node.
+	// Self is this node's identifier.
 	Self fleet.NodeID
-	// ExposureShare and ExposureSlack bound what a bad version may get: a part of the
-	// requests that reach the service between the order and its deadline, and requests
-	// besides.
+	// ExposureShare and ExposureSlack bound the requests that a bad version may get: a fraction of
+	// the service's requests between the order and its deadline, plus a fixed number of requests.
 	ExposureShare float64
 	ExposureSlack float64
-	// RollbackWithin is the time after the first bad answers within which a bad version
-	// must get nothing any more.
+	// RollbackWithin is the time after the first bad answers within which a bad version must stop
+	// getting requests.
 	RollbackWithin time.Duration
 }
 
-// TargetWorker is a worker of a service, as the director sees it.
-type TargetWorker struct {
+// Worker is a worker of a service, of any version, as the director sees it.
+type Worker struct {
 	ID      fleet.EngineID
 	Version fleet.SoftwareVersion
 	Slots   int
-	// InFlight is the number of requests there, over all nodes.
+	// InFlight is the number of requests at the worker, over all nodes.
 	InFlight int
-	// Doubtful is set if it can't be reached, by what is known.
-	Doubtful bool
+	// Unreachable is set if the worker is believed to be unreachable.
+	Unreachable bool
 }
 
-// Observation is what the director sees of one service at a look.
+// Observation is the state of one service at an evaluation.
 type Observation struct {
 	Service fleet.PoolName
-	// Known is set if the configuration holds the service.
-	Known   bool
-	Workers []TargetWorker
+	// Configured is set if the service is in the configuration.
+	Configured bool
+	Workers    []Worker
 }
 
-// Step is what follows from a look.
-type Step struct {
-	// Directive is to be passed on to every node; nil if there is no delivery.
+// Decision is the result of an evaluation.
+type Decision struct {
+	// Directive is to be sent to every node; nil if there is no delivery.
 	Directive *Directive
-	// Write is a record to be written with its public status before a final directive
-	// is issued; nil if there is nothing to write.
+	// Write is a record to store together with its public status; nil if there is nothing to store.
+	// A final directive is issued only after its record is stored.
 	Write *Record
-	// Event is a line for the log; its Name is empty if nothing has happened.
+	// Event is to be logged; its Name is empty if nothing has happened.
 	Event Event
 }
 
-// Event is a step or verdict with what decided it.
+// Event describes a decision or verdict of a delivery and the evidence behind it.
 type Event struct {
 	Name    string
 	Service fleet.PoolName
 	Target  fleet.SoftwareVersion
 	Stage   Stage
 	Reason  string
-	// Route and Worker are where the evidence against the target is strongest.
+	// Route and Worker are those with the strongest evidence against the target.
 	Route  RouteName
 	Worker fleet.EngineID
-	// Score and Bound are the strongest evidence and from where on it condemns.
-	Score, Bound float64
-	// NewAnswers, NewBad, OldAnswers and OldBad are the counts behind it.
+	// Score is the strongest evidence; the target is rejected from Threshold on.
+	Score, Threshold float64
+	// NewAnswers, NewBad, OldAnswers and OldBad are the answer counts behind the score.
 	NewAnswers, NewBad, OldAnswers, OldBad uint64
-	// Elapsed and Left are the times since the order and until its deadline.
-	Elapsed, Left time.Duration
+	// Elapsed is the time since the order, Remaining the time until its deadline.
+	Elapsed, Remaining time.Duration
 }
 
-// LookInterval is the time between two looks of the director at a service.
-const LookInterval = 100 * time.Millisecond
+// EvaluationInterval is the time between two evaluations of a service by the director.
+const EvaluationInterval = 100 * time.Millisecond
 
-// Director runs the deliveries of the whole fleet while its node holds the lease.
+// Director runs the deliveries of all services while its node holds the lease.
 type Director struct {
 	options  Options
-	services map[fleet.PoolName]*directed
-	// sinceStore translates times: local time = store time + sinceStore.
-	sinceStore time.Duration
+	services map[fleet.PoolName]*directorState
+	// storeOffset converts times: local time = store time + storeOffset.
+	storeOffset time.Duration
 }
 
-// NewDirector returns a director that knows of no order and no record.
+// NewDirector returns a director without orders and records.
 func NewDirector(options Options) *Director {
-	return &Director{options: options, services: map[fleet.PoolName]*directed{}}
+	return &Director{options: options, services: map[fleet.PoolName]*directorState{}}
 }
 
-// Restore takes in the records in the store and the store's steady clock, right after the
-// lease was taken. sinceStore translates: local time = store time + sinceStore. Orders that
-// are newer than their service's record stay; all evidence is taken in anew.
-func (d *Director) Restore(now time.Duration, records []Record, sinceStore time.Duration) {
-	d.sinceStore = sinceStore
-	known := d.services
-	d.services = make(map[fleet.PoolName]*directed, len(records))
+// Restore loads the records from the store after the lease was acquired. storeOffset converts
+// times: local time = store time + storeOffset. Orders newer than the stored record of their
+// service are kept. All evidence is collected anew.
+func (d *Director) Restore(now time.Duration, records []Record, storeOffset time.Duration) {
+	d.storeOffset = storeOffset
+	previous := d.services
+	d.services = make(map[fleet.PoolName]*directorState, len(records))
 	for _, record := range records {
 		if record.Order.Validate() != nil {
 			continue
 		}
-		start := record.StartedAt + sinceStore
-		restored := d.newDirected(now, start, record.Order, record.Condemned)
+		start := record.StartedAt + storeOffset
+		restored := d.newState(now, start, record.Order, record.Rejected)
 		restored.recorded = true
-		if record.Stage.Final() {
-			restored.settle(record, min(now, start+record.Order.Duration))
+		if record.Stage.IsFinal() {
+			restored.finish(record, min(now, start+record.Order.Duration))
 		}
 		d.services[record.Order.Service] = restored
 	}
-	for service, before := range known {
+	for service, old := range previous {
 		restored := d.services[service]
-		if restored == nil || before.order.Revision > restored.order.Revision {
-			d.replace(now, before.start, before.order)
+		if restored == nil || old.order.Revision > restored.order.Revision {
+			d.replaceOrder(now, old.startedAt, old.order)
 		}
 	}
 }
 
-// SetOrder takes in an order. at is when it was written at the latest.
+// SetOrder sets a service's order, unless it isn't newer than the current one. at is the latest
+// time at which the order may have been written.
 func (d *Director) SetOrder(now, at time.Duration, order Order) error {
 	if err := order.Validate(); err != nil {
 		return errors.Wrap(err, "invalid order")
 	}
-	known := d.services[order.Service]
-	if known != nil && order.Revision <= known.order.Revision {
+	state := d.services[order.Service]
+	if state != nil && order.Revision <= state.order.Revision {
 		return nil
 	}
-	d.replace(now, min(at, now), order)
+	d.replaceOrder(now, min(at, now), order)
 	return nil
 }
 
-// replace puts an order in the place of an older one, whose target counts as rolled
-// back unless it was completed or is named again.
-func (d *Director) replace(now, start time.Duration, order Order) {
-	var condemned []fleet.SoftwareVersion
-	if known := d.services[order.Service]; known != nil {
-		condemned = slices.Clone(known.condemned)
-		if known.stage != StageCompleted && known.order.Target != order.Target {
-			condemned = include(condemned, known.order.Target)
+// replaceOrder replaces a service's order. The target of the replaced order counts as rolled back,
+// unless it was completed or is the new target too.
+func (d *Director) replaceOrder(now, start time.Duration, order Order) {
+	var rejected []fleet.SoftwareVersion
+	if state := d.services[order.Service]; state != nil {
+		rejected = slices.Clone(state.rejected)
+		if state.stage != StageCompleted && state.order.Target != order.Target {
+			rejected = appendUnique(rejected, state.order.Target)
 		}
 	}
-	d.services[order.Service] = d.newDirected(now, start, order, condemned)
+	d.services[order.Service] = d.newState(now, start, order, rejected)
 }
 
-// newDirected returns the state of an order that is to be begun or gone on with.
-func (d *Director) newDirected(now, start time.Duration, order Order, condemned []fleet.SoftwareVersion) *directed {
-	created := &directed{
+// newState returns the initial state of an order that is started or resumed.
+func (d *Director) newState(now, start time.Duration, order Order, rejected []fleet.SoftwareVersion) *directorState {
+	created := &directorState{
 		self:      d.options.Self,
 		order:     order,
 		stage:     StageCanary,
-		start:     start,
-		condemned: slices.Clone(condemned),
+		startedAt: start,
+		rejected:  slices.Clone(rejected),
 		schedule: schedule{
 			start:    start,
 			deadline: start + order.Duration,
@@ -161,76 +161,77 @@
 	return created
 }
 
-// Observe takes in what a node has seen; a node's counts only grow. The evidence must not
-// be changed afterwards.
+// Observe adds a node's evidence, whose counts are cumulative. The caller must not modify the
+// evidence afterwards.
 func (d *Director) Observe(now time.Duration, node fleet.NodeID, evidence Evidence) {
-	known := d.services[evidence.Service]
-	if known == nil || known.stage.Final() || evidence.Revision != known.order.Revision {
+	state := d.services[evidence.Service]
+	if state == nil || state.stage.IsFinal() || evidence.Revision != state.order.Revision {
 		return
 	}
-	known.meter.observe(known.situation(now), node, evidence, known.judge)
+	state.meter.observe(state.conditions(now), node, evidence, state.judge)
 }
 
-// Look decides for one service. It is called each LookInterval.
-func (d *Director) Look(now time.Duration, observation Observation) Step {
-	known := d.services[observation.Service]
-	if known == nil {
-		return Step{}
+// Evaluate decides the next step for one service. It is called every EvaluationInterval.
+func (d *Director) Evaluate(now time.Duration, observation Observation) Decision {
+	state := d.services[observation.Service]
+	if state == nil {
+		return Decision{}
 	}
-	if !observation.Known && !known.stage.Final() {
-		return known.refuse(now)
+	if !observation.Configured && !state.stage.IsFinal() {
+		return state.refuse(now)
 	}
-	step := Step{Event: known.advance(now, observation.Workers)}
-	step.Directive = known.directive(now, now-d.sinceStore)
-	step.Write = known.write(now, d.sinceStore)
-	return step
-}
-
-// Written tells how a write of Step.Write went: on success the final directive is
-// issued; a record found instead is taken over; else it is tried again at a later look.
-func (d *Director) Written(now time.Duration, service fleet.PoolName, written Record, found *Record, err error) {
-	known := d.services[service]
-	if known == nil || known.order.Revision != written.Order.Revision || known.stage.Final() {
+	decision := Decision{Event: state.advance(now, observation.Workers)}
+	decision.Directive = state.directive(now, now-d.storeOffset)
+	decision.Write = state.pendingRecord(now, d.storeOffset)
+	return decision
+}
+
+// HandleWriteResult processes the result of writing Decision.Write. On success a final directive is
+// issued. If the store holds another record, stored, that one is adopted. After an error the write
+// is retried at a later evaluation.
+func (d *Director) HandleWriteResult(now time.Duration, service fleet.PoolName, written Record, stored *Record, err error) {
+	state := d.services[service]
+	if state == nil || state.order.Revision != written.Order.Revision || state.stage.IsFinal() {
 		return
 	}
 	switch {
-	case found != nil:
-		d.takeOver(now, known, *found)
+	case stored != nil:
+		d.adoptRecord(now, state, *stored)
 	case err != nil:
-		if written.Stage == known.wantedStage() {
-			known.retryAt = now + writeRetry
+		if written.Stage == state.recordStage() {
+			state.nextWriteAt = now + writeRetryInterval
 		}
 	default:
-		known.recorded = true
-		if written.Stage.Final() {
-			known.settle(written, now)
+		state.recorded = true
+		if written.Stage.IsFinal() {
+			state.finish(written, now)
 		}
 	}
 }
 
-// takeOver goes by a record that another director has written.
-func (d *Director) takeOver(now time.Duration, known *directed, found Record) {
-	start := found.StartedAt + d.sinceStore
+// adoptRecord updates the state to a record that another director has stored.
+func (d *Director) adoptRecord(now time.Duration, state *directorState, stored Record) {
+	start := stored.StartedAt + d.storeOffset
 	switch {
-	case found.Order.Revision > known.order.Revision:
-		next := d.newDirected(now, start, found.Order, found.Condemned)
+	case stored.Order.Revision > state.order.Revision:
+		next := d.newState(now, start, stored.Order, stored.Rejected)
 		next.recorded = true
-		if found.Stage.Final() {
-			next.settle(found, now)
+		if stored.Stage.IsFinal() {
+			next.finish(stored, now)
 		}
-		d.services[found.Order.Service] = next
-	case found.Order.Revision < known.order.Revision:
-		known.inherit(found)
-	case found.Stage.Final():
-		known.settle(found, now)
+		d.services[stored.Order.Service] = next
+	case stored.Order.Revision < state.order.Revision:
+		state.mergeOlderRecord(stored)
+	case stored.Stage.IsFinal():
+		state.finish(stored, now)
 	default:
-		known.recorded = true
-		known.restart(now, start)
+		state.recorded = true
+		state.restart(now, start)
 	}
 }
 
-// include adds a version to a list that doesn't hold it.
-func include(versions []fleet.SoftwareVersion, version fleet.SoftwareVersion) []fleet.SoftwareVersion {
+// appendUnique appends a version to a list unless the list contains it.
+func appendUnique(versions []fleet.SoftwareVersion, version fleet.SoftwareVersion) []fleet.SoftwareVersion {
 	if slices.Contains(versions, version) {
 		return versions
 	}
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -10,232 +10,230 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// completedLimits is how long after a completion requests go to the target only: until
-// the stop of the old workers is known everywhere. Later releases aren't held up by it.
-const completedLimits = 30 * time.Second
+// completedTargetOnly is how long after a completion requests go to the target only. By then all
+// nodes know that the old workers have stopped, and later releases aren't restricted.
+const completedTargetOnly = 30 * time.Second
 
-// Follower is what one node knows and does about deliveries.
+// Follower applies directives and collects evidence on one node.
 type Follower struct {
-	services map[fleet.PoolName]*followed
+	services map[fleet.PoolName]*followerState
 	listings map[fleet.PoolName]*listing
 }
 
-// followed is a follower's state of one service.
-type followed struct {
+// followerState is the follower's state of one service.
+type followerState struct {
 	revision fleet.Revision
 	target   fleet.SoftwareVersion
-	// directive is the newest one of the revision, nil if none was heard.
+	// directive is the newest directive of the revision, nil if none was received.
 	directive *Directive
-	// condemned is what the last directive listed. superseded holds targets of earlier
-	// orders whose end isn't known here: they are avoided while others are listed.
-	condemned  []fleet.SoftwareVersion
+	// rejected is the list of the last directive. superseded holds targets of earlier orders whose
+	// outcome isn't known here; they are avoided while other workers are listed.
+	rejected   []fleet.SoftwareVersion
 	superseded []fleet.SoftwareVersion
-	// stopped is set once the node's own evidence condemns the target.
+	// stopped is set once the node's own evidence rejects the target.
 	stopped bool
 	old     map[RouteName]*Counts
 	new     map[RouteName]map[fleet.EngineID]*Counts
 	judge   *judge
-	choices choices
+	filters filters
 }
 
-// choices are the possible answers of Choose, made when a directive or order comes, so
-// that a choice allocates nothing.
-type choices struct {
-	// any excludes condemned versions only, and is nil if there are none.
-	any, old, canary, target, completed *Choice
+// filters are the possible results of Follower.Filter. They are built when an order or directive
+// arrives, so that filtering a request allocates nothing.
+type filters struct {
+	// unrestricted excludes rejected versions only; nil if there are none.
+	unrestricted, old, canary, target, completed *Filter
 }
 
-// NewFollower returns a follower that knows of no order.
+// NewFollower returns a follower without orders.
 func NewFollower(_ Options) *Follower {
 	return &Follower{
-		services: map[fleet.PoolName]*followed{},
+		services: map[fleet.PoolName]*followerState{},
 		listings: map[fleet.PoolName]*listing{},
 	}
 }
 
-// SetOrder takes in an order that is in the store; it tells whether it is news. An
-// order that is invalid or older than the one known changes nothing.
+// SetOrder sets a service's order and reports whether it is newer than the current one. An invalid
+// or older order changes nothing.
 func (f *Follower) SetOrder(_ time.Duration, order Order) (bool, error) {
 	if err := order.Validate(); err != nil {
 		return false, errors.Wrap(err, "invalid order")
 	}
-	return f.advance(order.Service, order.Revision, order.Target), nil
+	return f.acceptOrder(order.Service, order.Revision, order.Target), nil
 }
 
-// advance moves a service on to an order, unless it isn't newer than the one known.
-func (f *Follower) advance(service fleet.PoolName, revision fleet.Revision, target fleet.SoftwareVersion) bool {
-	before := f.services[service]
-	if before != nil && revision <= before.revision {
+// acceptOrder moves a service to a newer order and reports whether it was newer.
+func (f *Follower) acceptOrder(service fleet.PoolName, revision fleet.Revision, target fleet.SoftwareVersion) bool {
+	previous := f.services[service]
+	if previous != nil && revision <= previous.revision {
 		return false
 	}
-	next := &followed{
+	next := &followerState{
 		revision: revision,
 		target:   target,
 		old:      map[RouteName]*Counts{},
 		new:      map[RouteName]map[fleet.EngineID]*Counts{},
 		judge:    newJudge(),
 	}
-	if before != nil {
-		next.condemned = before.condemned
-		next.superseded = before.unfinishedTargets(target)
+	if previous != nil {
+		next.rejected = previous.rejected
+		next.superseded = previous.unfinishedTargets(target)
 	}
-	next.rebuild()
+	next.rebuildFilters()
 	f.services[service] = next
 	return true
 }
 
-// unfinishedTargets returns the targets so far whose end isn't known, but for the next.
-func (s *followed) unfinishedTargets(next fleet.SoftwareVersion) []fleet.SoftwareVersion {
+// unfinishedTargets returns the previous targets without a known outcome, except next.
+func (s *followerState) unfinishedTargets(next fleet.SoftwareVersion) []fleet.SoftwareVersion {
 	targets := slices.Clone(s.superseded)
-	if s.directive == nil || !s.directive.Stage.Final() {
+	if s.directive == nil || !s.directive.Stage.IsFinal() {
 		targets = append(targets, s.target)
 	}
 	return slices.DeleteFunc(targets, func(version fleet.SoftwareVersion) bool { return version == next })
 }
 
-// Take takes a directive in, from the director or by way of another node; it tells
-// whether it changed the stage or the shares.
-func (f *Follower) Take(now time.Duration, directive Directive) bool {
-	if directive.Service == "" || directive.Target == "" || !directive.Valid(now) {
+// ApplyDirective applies a directive received from the director or through another node. It reports
+// whether the stage or the shares have changed.
+func (f *Follower) ApplyDirective(now time.Duration, directive Directive) bool {
+	if directive.Service == "" || directive.Target == "" || !directive.IsValid(now) {
 		return false
 	}
 	directive.IssuedAt = min(directive.IssuedAt, now)
-	f.advance(directive.Service, directive.Revision, directive.Target)
-	known := f.services[directive.Service]
-	if directive.Revision < known.revision {
+	f.acceptOrder(directive.Service, directive.Revision, directive.Target)
+	state := f.services[directive.Service]
+	if directive.Revision < state.revision {
 		return false
 	}
-	if !known.replaces(now, &directive) {
+	if !state.replaces(now, &directive) {
 		return false
 	}
-	changed := known.directive == nil || known.directive.Sequence != directive.Sequence || known.directive.Stage != directive.Stage
-	known.directive = &directive
+	changed := state.directive == nil || state.directive.Sequence != directive.Sequence || state.directive.Stage != directive.Stage
+	state.directive = &directive
 	if changed {
-		known.condemned = slices.Clone(directive.Condemned)
-		known.superseded = nil
-		known.rebuild()
+		state.rejected = slices.Clone(directive.Rejected)
+		state.superseded = nil
+		state.rebuildFilters()
 	}
 	return changed
 }
 
-// replaces tells whether a directive of the same order is to be followed instead of the
-// one held: a final one stays, a lapsed one gives way to any that counts.
-func (s *followed) replaces(now time.Duration, directive *Directive) bool {
-	held := s.directive
+// replaces reports whether a directive of the same order replaces the current one. A final
+// directive is never replaced; an expired one is replaced by any valid one.
+func (s *followerState) replaces(now time.Duration, directive *Directive) bool {
+	current := s.directive
 	switch {
-	case held == nil:
+	case current == nil:
 		return true
-	case held.Stage.Final():
+	case current.Stage.IsFinal():
 		return false
-	case directive.Stage.Final() || !held.Valid(now):
+	case directive.Stage.IsFinal() || !current.IsValid(now):
 		return true
-	case directive.Sequence != held.Sequence:
-		return directive.Sequence > held.Sequence
+	case directive.Sequence != current.Sequence:
+		return directive.Sequence > current.Sequence
 	default:
-		return directive.IssuedAt > held.IssuedAt
+		return directive.IssuedAt > current.IssuedAt
 	}
 }
 
-// rebuild makes the choices that follow from orders and directive.
-func (s *followed) rebuild() {
-	made := choices{}
-	if len(s.condemned) > 0 {
-		made.any = &Choice{condemned: s.condemned}
+// rebuildFilters builds the filters for the current order and directive.
+func (s *followerState) rebuildFilters() {
+	built := filters{}
+	if len(s.rejected) > 0 {
+		built.unrestricted = &Filter{excluded: s.rejected}
 	}
-	made.old = &Choice{target: s.target, condemned: s.condemned, fallback: made.any}
+	built.old = &Filter{target: s.target, excluded: s.rejected, fallback: built.unrestricted}
 	if len(s.superseded) > 0 {
-		avoided := slices.Concat(s.condemned, s.superseded)
-		made.old = &Choice{target: s.target, condemned: avoided, fallback: made.old}
+		avoided := slices.Concat(s.rejected, s.superseded)
+		built.old = &Filter{target: s.target, excluded: avoided, fallback: built.old}
 	}
-	if made.old.fallback == nil {
-		made.old.fallback = &Choice{}
+	if built.old.fallback == nil {
+		built.old.fallback = &Filter{}
 	}
-	made.target = &Choice{target: s.target, wantsTarget: true, condemned: s.condemned, fallback: made.old}
-	canary := *made.target
+	built.target = &Filter{target: s.target, targetOnly: true, excluded: s.rejected, fallback: built.old}
+	canary := *built.target
 	if s.directive != nil {
 		canary.canaries = make(map[fleet.EngineID]bool, len(s.directive.Canaries))
 		for _, worker := range s.directive.Canaries {
 			canary.canaries[worker] = true
 		}
 	}
-	made.canary = &canary
-	made.completed = &Choice{target: s.target, wantsTarget: true, settled: true, condemned: s.condemned, fallback: made.any}
-	if made.any == nil {
-		made.completed.fallback = &Choice{}
+	built.canary = &canary
+	built.completed = &Filter{target: s.target, targetOnly: true, completed: true, excluded: s.rejected, fallback: built.unrestricted}
+	if built.unrestricted == nil {
+		built.completed.fallback = &Filter{}
 	}
-	s.choices = made
+	s.filters = built
 }
 
-// Directives returns the directives to pass on: those that count at now.
+// Directives returns the directives that are valid at now, to be relayed to other nodes.
 func (f *Follower) Directives(now time.Duration) []Directive {
-	var counting []Directive
-	for _, known := range f.services {
-		if known.directive != nil && known.directive.Valid(now) {
-			counting = append(counting, *known.directive)
+	var valid []Directive
+	for _, state := range f.services {
+		if state.directive != nil && state.directive.IsValid(now) {
+			valid = append(valid, *state.directive)
 		}
 	}
-	return counting
+	return valid
 }
 
-// Choose returns what limits the choice of a worker for a request of a route, nil if
-// nothing does. random is uniform in [0, 1). A request that is sent again after it was at
-// the target passes again as true, and goes elsewhere: to the old side, or once that is
-// being emptied to another worker of the target.
-func (f *Follower) Choose(now time.Duration, service fleet.PoolName, route RouteName, random float64, again bool) *Choice {
-	known := f.services[service]
-	if known == nil {
-		return f.undirected(now, service, nil)
-	}
-	directive := known.directive
-	if directive == nil || !directive.Valid(now) {
-		return known.choices.old
+// Filter returns the filter for a request of a route, nil if all workers are allowed. random is
+// uniform in [0, 1). retry is set for a request that is retried after the target got it: it goes to
+// the old workers or, during and after the shift, to any worker of the target.
+func (f *Follower) Filter(now time.Duration, service fleet.PoolName, route RouteName, random float64, retry bool) *Filter {
+	state := f.services[service]
+	if state == nil {
+		return f.filterWithoutOrder(now, service, nil)
+	}
+	directive := state.directive
+	if directive == nil || !directive.IsValid(now) {
+		return state.filters.old
 	}
 	switch directive.Stage {
 	case StageCompleted:
-		if now > directive.IssuedAt+completedLimits {
-			return f.undirected(now, service, known.choices.any)
+		if now > directive.IssuedAt+completedTargetOnly {
+			return f.filterWithoutOrder(now, service, state.filters.unrestricted)
 		}
-		return known.choices.completed
+		return state.filters.completed
 	case StageRolledBack:
-		return f.undirected(now, service, known.choices.any)
+		return f.filterWithoutOrder(now, service, state.filters.unrestricted)
 	}
-	if known.stopped {
-		return known.choices.old
+	if state.stopped {
+		return state.filters.old
 	}
-	if directive.shifted(now) {
-		return known.choices.target
+	if directive.isShifted(now) {
+		return state.filters.target
 	}
-	if again || random >= directive.share(route) {
-		return known.choices.old
+	if retry || random >= directive.routeShare(route) {
+		return state.filters.old
 	}
-	return known.choices.canary
+	return state.filters.canary
 }
 
-// Note counts an outcome. It tells whether the node has just stopped sending to the
-// target by its own evidence.
-func (f *Follower) Note(now time.Duration, outcome Outcome) bool {
-	known := f.services[outcome.Service]
-	if known == nil || known.directive != nil && known.directive.Stage.Final() {
+// RecordOutcome counts an outcome. It reports whether the node has just stopped sending to the
+// target because of its own evidence.
+func (f *Follower) RecordOutcome(now time.Duration, outcome Outcome) bool {
+	state := f.services[outcome.Service]
+	if state == nil || state.directive != nil && state.directive.Stage.IsFinal() {
 		return false
 	}
-	one := Counts{}
-	one.add(&outcome)
-	if outcome.Version != known.target {
-		known.noteOld(&outcome, &one)
+	delta := Counts{}
+	delta.add(&outcome)
+	if outcome.Version != state.target {
+		state.recordOld(&outcome, &delta)
 		return false
 	}
-	known.noteNew(now, &outcome, &one)
-	if known.stopped || !known.judge.condemns() {
+	state.recordNew(now, &outcome, &delta)
+	if state.stopped || !state.judge.rejectsTarget() {
 		return false
 	}
-	known.stopped = true
+	state.stopped = true
 	return true
 }
 
-// noteOld counts an answer of the old side, unless it is of a version that is being
-// left behind.
-func (s *followed) noteOld(outcome *Outcome, one *Counts) {
-	if slices.Contains(s.condemned, outcome.Version) || slices.Contains(s.superseded, outcome.Version) {
+// recordOld counts an answer of an old worker, unless its version is rejected or superseded.
+func (s *followerState) recordOld(outcome *Outcome, delta *Counts) {
+	if slices.Contains(s.rejected, outcome.Version) || slices.Contains(s.superseded, outcome.Version) {
 		return
 	}
 	counts := s.old[outcome.Route]
@@ -244,11 +242,11 @@
 		s.old[outcome.Route] = counts
 	}
 	counts.add(outcome)
-	s.judge.noteOld(outcome.Route, one)
+	s.judge.observeOld(outcome.Route, delta)
 }
 
-// noteNew counts an answer of the target.
-func (s *followed) noteNew(now time.Duration, outcome *Outcome, one *Counts) {
+// recordNew counts an answer of a worker of the target.
+func (s *followerState) recordNew(now time.Duration, outcome *Outcome, delta *Counts) {
 	workers := s.new[outcome.Route]
 	if workers == nil {
 		workers = map[fleet.EngineID]*Counts{}
@@ -260,32 +258,31 @@
 		workers[outcome.Worker] = counts
 	}
 	counts.add(outcome)
-	s.judge.noteNew(s.situation(now), outcome.Route, outcome.Worker, one)
+	s.judge.observeNew(s.conditions(now), outcome.Route, outcome.Worker, delta)
 }
 
-func (s *followed) situation(now time.Duration) situation {
+func (s *followerState) conditions(now time.Duration) conditions {
 	if s.directive == nil {
-		return situation{now: now}
+		return conditions{now: now}
 	}
-	shifted := s.directive.shifted(now)
-	return situation{now: now, single: !shifted && len(s.directive.Canaries) == 1, surging: shifted}
+	shifted := s.directive.isShifted(now)
+	return conditions{now: now, singleCanary: !shifted && len(s.directive.Canaries) == 1, surging: shifted}
 }
 
-// Evidence returns what this node has seen of services with an order that isn't
-// finished.
+// Evidence returns this node's evidence for all services with an unfinished order.
 func (f *Follower) Evidence(_ time.Duration) []Evidence {
 	var all []Evidence
-	for service, known := range f.services {
-		if known.directive != nil && known.directive.Stage.Final() {
+	for service, state := range f.services {
+		if state.directive != nil && state.directive.Stage.IsFinal() {
 			continue
 		}
-		all = append(all, known.evidence(service))
+		all = append(all, state.evidence(service))
 	}
 	return all
 }
 
-// evidence returns a copy of the counts, which later answers don't change.
-func (s *followed) evidence(service fleet.PoolName) Evidence {
+// evidence returns a copy of the counts that later answers don't change.
+func (s *followerState) evidence(service fleet.PoolName) Evidence {
 	copied := Evidence{
 		Service:  service,
 		Revision: s.revision,
@@ -299,12 +296,12 @@
 	return copied
 }
 
-// cloneCounts copies counts and the map that holds them.
+// cloneCounts returns a deep copy of the counts.
 func cloneCounts[K comparable](counts map[K]*Counts) map[K]*Counts {
 	copied := maps.Clone(counts)
 	for key, value := range copied {
-		one := *value
-		copied[key] = &one
+		clone := *value
+		copied[key] = &clone
 	}
 	return copied
 }
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -7,55 +7,54 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// What condemns a version.
+// Thresholds of the sequential test.
 const (
-	// condemnScore is the log-likelihood ratio from which a version is bad: a run of
-	// answers of a good version reaches it with a chance of at most e^-9.
-	condemnScore = 9.0
-	// workerPart is the part of condemnScore that one worker may bring: two workers
-	// at least must be bad, a single grey or crashed one is no fault of the version.
-	workerPart = 0.55
-	// suspectPart is the part of what a worker may bring from which it is suspected.
-	suspectPart = 0.9
-	// surgeFactor is by how much the normal rate of bad answers rises for a moment when
-	// requests surge.
+	// rejectScore is the log-likelihood ratio at which a version is rejected. A run of answers of a
+	// good version reaches it with a probability of at most e^-9.
+	rejectScore = 9.0
+	// maxWorkerFraction is the fraction of rejectScore that one worker can contribute. At least two
+	// workers must be bad: a single partially failing or crashed worker isn't a fault of the
+	// version.
+	maxWorkerFraction = 0.55
+	// suspectFraction is the fraction of its maximum contribution from which a worker is suspected.
+	suspectFraction = 0.9
+	// surgeFactor multiplies the normal rate of bad answers during a surge.
 	surgeFactor = 2
 )
 
-// hypothesis is a kind of bad version that the test is for.
+// hypothesis is a kind of bad version that the test detects.
 type hypothesis struct {
-	// harm is the part of the otherwise good answers that it spoils.
-	harm float64
-	// normal is the lowest rate of bad answers that is taken for normal: single failures
-	// would weigh too much below it.
-	normal float64
-	// warmTimes is set if answers of warm workers are slow from slowBuckets on. Else only
-	// those that are slow for a cold one count: a few engines are cold to a rare prompt
-	// at any time.
-	warmTimes bool
-}
-
-// hypotheses are tested side by side: the first is found within some bad answers, the
-// others within some dozen. A version that fails only under load looks like these to
-// its canaries.
+	// effect is the fraction of otherwise good answers that the version makes bad.
+	effect float64
+	// minNormal is the lower limit of the normal rate of bad answers. Below it, single failures
+	// would weigh too much.
+	minNormal float64
+	// usesWarmLimits applies the limits of warm workers to their answers. Otherwise only answers
+	// that are slow for a cold worker count as slow, since a few engines are always cold for a rare
+	// prompt.
+	usesWarmLimits bool
+}
+
+// hypotheses are tested in parallel, from large effects, which few bad answers show, to small ones.
+// A version that fails only under load has a small effect on its canaries.
 var hypotheses = [...]hypothesis{
-	{harm: 0.2, normal: 0.02, warmTimes: true},
-	{harm: 0.04, normal: 0.005},
-	{harm: 0.015, normal: 0.003},
+	{effect: 0.2, minNormal: 0.02, usesWarmLimits: true},
+	{effect: 0.04, minNormal: 0.005},
+	{effect: 0.015, minNormal: 0.003},
 }
 
-// score is a cumulative sum (CUSUM) of log-likelihood ratios, in which each worker's
-// part is limited.
+// score is a cumulative sum (CUSUM) of log-likelihood ratios with a limited contribution of each
+// worker.
 type score struct {
 	value   float64
 	workers map[fleet.EngineID]float64
 }
 
-// add counts a worker's ratio, of which the worker may hold at most limit.
+// add adds a worker's log-likelihood ratio, up to a total contribution of limit.
 func (s *score) add(worker fleet.EngineID, ratio, limit float64) {
-	held := s.workers[worker]
-	ratio = min(ratio, limit-held)
-	s.workers[worker] = max(0, held+ratio)
+	contribution := s.workers[worker]
+	ratio = min(ratio, limit-contribution)
+	s.workers[worker] = max(0, contribution+ratio)
 	s.value = max(0, s.value+ratio)
 }
 
@@ -63,14 +62,14 @@
 type scores [len(hypotheses)]score
 
 func newScores() scores {
-	made := scores{}
-	for index := range made {
-		made[index].workers = map[fleet.EngineID]float64{}
+	created := scores{}
+	for index := range created {
+		created[index].workers = map[fleet.EngineID]float64{}
 	}
-	return made
+	return created
 }
 
-// strongest returns the score of the likeliest hypothesis.
+// strongest returns the highest score.
 func (s *scores) strongest() *score {
 	strongest := &s[0]
 	for index := range s {
@@ -81,85 +80,85 @@
 	return strongest
 }
 
-// worker is what a worker of the target has answered on a route.
-type worker struct {
+// workerAnswers counts the answers of a worker of the target on a route.
+type workerAnswers struct {
 	answers uint64
-	first   time.Duration
+	firstAt time.Duration
 }
 
-// routeJudgment is what is known of the target on one route.
-type routeJudgment struct {
-	old     baseline
-	scores  scores
-	workers map[fleet.EngineID]worker
-	// The counts are for the log.
+// routeState is the evidence about one route.
+type routeState struct {
+	baseline baseline
+	scores   scores
+	workers  map[fleet.EngineID]workerAnswers
+	// The counts are only logged.
 	oldAnswers, oldBad uint64
 	newAnswers, newBad uint64
 }
 
-// judge compares the target with the old side by route. It counts each route by itself,
-// for a fault on a single one, and all of them together, for a fault on each that no
-// route shows often enough.
+// judge compares the target with the old workers. Each route has its own scores, which detect a
+// fault of a single route. The scores over all routes detect a fault that no single route shows
+// often enough.
 type judge struct {
-	routes map[RouteName]*routeJudgment
+	routes map[RouteName]*routeState
 	all    scores
 }
 
 func newJudge() *judge {
-	return &judge{routes: map[RouteName]*routeJudgment{}, all: newScores()}
+	return &judge{routes: map[RouteName]*routeState{}, all: newScores()}
 }
 
-// route returns a route's judgment, which it creates.
-func (j *judge) route(name RouteName) *routeJudgment {
-	known := j.routes[name]
-	if known == nil {
-		known = &routeJudgment{scores: newScores(), workers: map[fleet.EngineID]worker{}}
-		j.routes[name] = known
+// route returns the state of a route and creates it if needed.
+func (j *judge) route(name RouteName) *routeState {
+	state := j.routes[name]
+	if state == nil {
+		state = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerAnswers{}}
+		j.routes[name] = state
 	}
-	return known
+	return state
 }
 
-// noteOld counts answers of the old side.
-func (j *judge) noteOld(name RouteName, delta *Counts) {
+// observeOld counts answers of old workers.
+func (j *judge) observeOld(name RouteName, delta *Counts) {
 	route := j.route(name)
-	route.old.add(delta)
+	route.baseline.add(delta)
 	route.oldAnswers += delta.Answers
-	route.oldBad += delta.Failures + delta.slow(route.old.limits(false).slowFrom)
+	route.oldBad += delta.Failures + delta.slow(route.baseline.limits(false).slowFrom)
 }
 
-// situation is what the target's answers are judged in.
-type situation struct {
+// conditions are the circumstances under which the target's answers are judged.
+type conditions struct {
 	now time.Duration
-	// single is set if only one worker of the target gets requests: its faults are the
-	// version's.
-	single bool
-	// surging is set while everything has just been sent to the target: failures are
-	// answered sooner than successes, so that more of the first answers are bad.
+	// singleCanary is set if only one worker of the target gets requests. Its contribution isn't
+	// limited.
+	singleCanary bool
+	// surging is set after all requests have moved to the target. Failures are faster than
+	// successes, so that more of the first answers are bad.
 	surging bool
 }
 
-// noteNew counts answers of one of the target's workers.
-func (j *judge) noteNew(in situation, name RouteName, id fleet.EngineID, delta *Counts) {
+// observeNew counts answers of a worker of the target and updates the scores.
+func (j *judge) observeNew(in conditions, name RouteName, id fleet.EngineID, delta *Counts) {
 	route := j.route(name)
-	cold := route.met(in.now, id, delta.Answers)
-	limits := route.old.limits(cold)
-	verySlow := route.old.limits(true).slowFrom
+	cold := route.recordWorker(in.now, id, delta.Answers)
+	limits := route.baseline.limits(cold)
+	verySlow := route.baseline.limits(true).slowFrom
 	route.newAnswers += delta.Answers
 	route.newBad += delta.Failures + delta.slow(limits.slowFrom)
 	good := delta.Answers - delta.Failures - delta.slow(limits.fastBelow)
-	limit := condemnScore
-	if !in.single {
-		limit *= workerPart
+	limit := rejectScore
+	if !in.singleCanary {
+		limit *= maxWorkerFraction
 	}
 	for index, hypothesis := range hypotheses {
 		slowFrom := verySlow
 		switch {
-		case hypothesis.warmTimes:
+		case hypothesis.usesWarmLimits:
 			slowFrom = limits.slowFrom
 		case cold:
 			slowFrom = LatencyBuckets
 		}
-		normal := route.old.badRate(slowFrom)
+		normal := route.baseline.badRate(slowFrom)
 		if in.surging {
 			normal *= surgeFactor
 		}
@@ -169,46 +168,46 @@
 	}
 }
 
-// met counts a worker's answers and tells whether it still is cold.
-func (r *routeJudgment) met(now time.Duration, id fleet.EngineID, answers uint64) bool {
-	known, met := r.workers[id]
-	if !met {
-		known.first = now
+// recordWorker counts a worker's answers and reports whether the worker was still cold.
+func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, answers uint64) bool {
+	worker, found := r.workers[id]
+	if !found {
+		worker.firstAt = now
 	}
-	cold := known.answers < coldAnswers || now-known.first < coldTime
-	known.answers += answers
-	r.workers[id] = known
+	cold := worker.answers < coldAnswers || now-worker.firstAt < coldDuration
+	worker.answers += answers
+	r.workers[id] = worker
 	return cold
 }
 
-// ratio returns the logarithm of how much likelier answers are for such a version than
-// for one that is as the old side.
+// ratio returns the log-likelihood ratio of the answers between a version with the hypothesis's
+// effect and one that behaves like the old workers.
 func (h hypothesis) ratio(normal float64, bad, good uint64) float64 {
-	normal = min(0.99, max(h.normal, normal))
-	spoiled := normal + h.harm*(1-normal)
-	return float64(bad)*math.Log(spoiled/normal) + float64(good)*math.Log((1-spoiled)/(1-normal))
+	normal = min(0.99, max(h.minNormal, normal))
+	affected := normal + h.effect*(1-normal)
+	return float64(bad)*math.Log(affected/normal) + float64(good)*math.Log((1-affected)/(1-normal))
 }
 
-// strongest returns the highest score and the route that it is of, "" for all together.
+// strongest returns the highest score and its route, "" for the scores over all routes.
 func (j *judge) strongest() (*score, RouteName) {
 	strongest, name := j.all.strongest(), RouteName("")
 	for candidate, route := range j.routes {
-		found := route.scores.strongest()
-		if found.value > strongest.value || found.value == strongest.value && name != "" && candidate < name {
-			strongest, name = found, candidate
+		routeScore := route.scores.strongest()
+		if routeScore.value > strongest.value || routeScore.value == strongest.value && name != "" && candidate < name {
+			strongest, name = routeScore, candidate
 		}
 	}
 	return strongest, name
 }
 
-// condemns tells whether the target is bad.
-func (j *judge) condemns() bool {
+// rejectsTarget reports whether the evidence suffices to reject the target.
+func (j *judge) rejectsTarget() bool {
 	strongest, _ := j.strongest()
-	return strongest.value >= condemnScore
+	return strongest.value >= rejectScore
 }
 
-// worst returns the worker that has brought most to a score, "" if none has.
-func (s *score) worst() fleet.EngineID {
+// worstWorker returns the worker with the largest contribution to the score, "" if there is none.
+func (s *score) worstWorker() fleet.EngineID {
 	var worst fleet.EngineID
 	for id, value := range s.workers {
 		if value > s.workers[worst] || value == s.workers[worst] && value > 0 && id < worst {
@@ -218,24 +217,24 @@
 	return worst
 }
 
-// suspects adds the workers whose part of a score is nearly as large as it may be: more
-// answers of theirs tell nothing more.
-func (s *scores) suspects(found map[fleet.EngineID]bool) {
+// suspects adds the workers that have nearly reached their maximum contribution to a score, so that
+// more of their answers add no evidence.
+func (s *scores) suspects(suspects map[fleet.EngineID]bool) {
 	for index := range s {
 		for id, value := range s[index].workers {
-			if value >= suspectPart*workerPart*condemnScore {
-				found[id] = true
+			if value >= suspectFraction*maxWorkerFraction*rejectScore {
+				suspects[id] = true
 			}
 		}
 	}
 }
 
-// suspects returns the workers of the target that may be grey.
+// suspects returns the workers of the target that may be failing on their own.
 func (j *judge) suspects() map[fleet.EngineID]bool {
-	found := map[fleet.EngineID]bool{}
-	j.all.suspects(found)
+	suspects := map[fleet.EngineID]bool{}
+	j.all.suspects(suspects)
 	for _, route := range j.routes {
-		route.scores.suspects(found)
+		route.scores.suspects(suspects)
 	}
-	return found
+	return suspects
 }
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -12,36 +12,35 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// verdict is a way to judge: it takes answers of the target and tells whether they
-// condemn it.
-type verdict interface {
-	note(worker fleet.EngineID, normal float64, bad, good uint64) bool
+// judgingMethod processes answers of the target and reports whether they reject it.
+type judgingMethod interface {
+	rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool
 }
 
-// pooledSum is the way of package judge: one CUSUM with each worker's part limited.
-type pooledSum struct{ scores scores }
+// pooledCUSUM is the method of judge: one CUSUM with limited contributions of the workers.
+type pooledCUSUM struct{ scores scores }
 
-func (p *pooledSum) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+func (p *pooledCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	for index, hypothesis := range hypotheses {
-		p.scores[index].add(worker, hypothesis.ratio(normal, bad, good), workerPart*condemnScore)
+		p.scores[index].add(worker, hypothesis.ratio(normal, bad, good), maxWorkerFraction*rejectScore)
 	}
-	return p.scores.strongest().value >= condemnScore
+	return p.scores.strongest().value >= rejectScore
 }
 
-// sumOfSums is the way of a CUSUM for each worker, limited, and added up.
-type sumOfSums struct{ workers map[fleet.EngineID]float64 }
+// perWorkerCUSUM adds up a limited CUSUM for each worker.
+type perWorkerCUSUM struct{ workers map[fleet.EngineID]float64 }
 
-func (s *sumOfSums) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
-	s.workers[worker] = min(workerPart*condemnScore, max(0, s.workers[worker]+hypotheses[0].ratio(normal, bad, good)))
+func (s *perWorkerCUSUM) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+	s.workers[worker] = min(maxWorkerFraction*rejectScore, max(0, s.workers[worker]+hypotheses[0].ratio(normal, bad, good)))
 	sum := 0.0
 	for _, value := range s.workers {
 		sum += value
 	}
-	return sum >= condemnScore
+	return sum >= rejectScore
 }
 
-// windowedRatio is the way of a likelihood ratio over the last answers, by worker
-// limited, of windows of three lengths.
+// windowedRatio uses likelihood ratios over windows of three lengths with limited contributions of
+// the workers.
 type windowedRatio struct{ answers []windowedAnswer }
 
 type windowedAnswer struct {
@@ -49,7 +48,7 @@
 	ratio  float64
 }
 
-func (w *windowedRatio) note(worker fleet.EngineID, normal float64, bad, good uint64) bool {
+func (w *windowedRatio) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
 	w.answers = append(w.answers, windowedAnswer{worker, hypotheses[0].ratio(normal, bad, good)})
 	for _, size := range []int{30, 100, 1000} {
 		parts := map[fleet.EngineID]float64{}
@@ -58,73 +57,71 @@
 		}
 		sum := 0.0
 		for _, part := range parts {
-			sum += min(part, workerPart*condemnScore)
+			sum += min(part, maxWorkerFraction*rejectScore)
 		}
-		if sum >= condemnScore {
+		if sum >= rejectScore {
 			return true
 		}
 	}
 	return false
 }
 
-var judgments = []struct {
+var judgingMethods = []struct {
 	name string
-	make func() verdict
+	make func() judgingMethod
 }{
-	{"pooled sum", func() verdict { return &pooledSum{scores: newScores()} }},
-	{"sum of sums", func() verdict { return &sumOfSums{workers: map[fleet.EngineID]float64{}} }},
-	{"windowed ratio", func() verdict { return &windowedRatio{} }},
+	{"pooled sum", func() judgingMethod { return &pooledCUSUM{scores: newScores()} }},
+	{"sum of sums", func() judgingMethod { return &perWorkerCUSUM{workers: map[fleet.EngineID]float64{}} }},
+	{"windowed ratio", func() judgingMethod { return &windowedRatio{} }},
 }
 
-// trial is a stream of answers: normal is both sides' rate of failures, harm what the target spoils
-// besides, grey the failure rate of one of the target's three workers.
-type trial struct {
-	normal, harm, grey float64
+// answerStream generates answers. normal is the failure rate of both versions, effect the
+// additional failure rate of the target, and greyRate that of one of the target's three workers.
+type answerStream struct {
+	normal, effect, greyRate float64
 }
 
-// judged plays a stream and returns the numbers of the target's answers and bad ones at
-// the verdict, or false if there is none within limit answers.
-func (c trial) judged(way verdict, seed uint64, limit int) (answers, bad int, condemned bool) {
+// play feeds a stream to a method. It returns the number of the target's answers and of the bad
+// ones among them until the rejection, or false if there is none within limit answers.
+func (s answerStream) play(method judgingMethod, seed uint64, limit int) (answers, bad int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
 	for answers = 1; answers <= limit; answers++ {
 		delta := Counts{Answers: 20}
 		for range delta.Answers {
-			if random.Float64() < c.normal {
+			if random.Float64() < s.normal {
 				delta.Failures++
 			}
 		}
 		old.add(&delta)
 		worker := fleet.EngineID([]string{"x", "y", "z"}[random.IntN(3)])
-		failed := random.Float64() < c.normal || random.Float64() < c.harm
-		failed = failed || worker == "x" && random.Float64() < c.grey
+		failed := random.Float64() < s.normal || random.Float64() < s.effect
+		failed = failed || worker == "x" && random.Float64() < s.greyRate
 		var failures uint64
 		if failed {
 			failures = 1
 			bad++
 		}
-		if way.note(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
+		if method.rejects(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
 			return answers, bad, true
 		}
 	}
 	return limit, bad, false
 }
 
-// TestChancesOfAWrongVerdict checks what is said of the test's errors: of good versions at
-// most 1 in 100 is condemned within 1,000 answers, also beside a grey worker of the
-// target (3 in 100 where 0.14 of the answers fail anyway), and of those that spoil 0.2 of the answers at least 99 in 100 are condemned
-// within 300, or within 1,000 where 0.14 fail anyway.
-func TestChancesOfAWrongVerdict(t *testing.T) {
-	seeds := seedsOf(1000)
+// TestVerdictErrorRates guards against error rates of the sequential test above its limits: wrong
+// rejections of good versions, also beside a partially failing worker, and missed bad versions.
+func TestVerdictErrorRates(t *testing.T) {
+	seeds := seedCount(1000)
 	for _, normal := range []float64{0, 0.02, 0.14} {
 		for _, grey := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := (trial{normal: normal, grey: grey}).judged(judgments[0].make(), uint64(seed), 1000); condemned {
+				if _, _, rejected := (answerStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			t.Logf("normal %.2f grey %.1f: %d of %d good versions condemned", normal, grey, wrong, seeds)
+			t.Logf("normal %.2f grey %.1f: %d of %d good versions rejected", normal, grey, wrong, seeds)
 			allowed := 1
 			if normal > 0.1 && grey > 0 {
 				allowed = 3
@@ -137,7 +134,7 @@
 		}
 		missed := 0
 		for seed := range seeds {
-			if _, _, condemned := (trial{normal: normal, harm: 0.2}).judged(judgments[0].make(), uint64(seed), limit); !condemned {
+			if _, _, rejected := (answerStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !rejected {
 				missed++
 			}
 		}
@@ -146,29 +143,28 @@
 	}
 }
 
-// TestWaysToJudge prints the ways on the same seeds; the pooled sum must not be wrong more
-// often than the others that find bad versions as soon.
-func TestWaysToJudge(t *testing.T) {
-	seeds := seedsOf(50)
-	for _, way := range judgments {
-		line := way.name + ":"
-		for _, good := range []trial{{}, {normal: 0.02}, {normal: 0.14}, {grey: 0.4}, {normal: 0.14, grey: 0.4}} {
+// TestCompareJudgingMethods logs the error rates of the methods on the same seeds.
+func TestCompareJudgingMethods(t *testing.T) {
+	seeds := seedCount(50)
+	for _, method := range judgingMethods {
+		line := method.name + ":"
+		for _, goodStream := range []answerStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, condemned := good.judged(way.make(), uint64(seed), 1000); condemned {
+				if _, _, rejected := goodStream.play(method.make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", good.normal, good.grey, wrong)
+			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", goodStream.normal, goodStream.greyRate, wrong)
 		}
-		for _, spoiled := range []trial{{harm: 0.05}, {harm: 0.2}, {harm: 1}, {normal: 0.14, harm: 0.2}, {normal: 0.14, harm: 0.5}} {
+		for _, badStream := range []answerStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
 			var numbers []int
 			for seed := range seeds {
-				_, bad, _ := spoiled.judged(way.make(), uint64(seed), 1000)
+				_, bad, _ := badStream.play(method.make(), uint64(seed), 1000)
 				numbers = append(numbers, bad)
 			}
 			slices.Sort(numbers)
-			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", spoiled.normal, spoiled.harm, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
+			line += fmt.Sprintf(" bad at %.2f+%.2f %d/%d,", badStream.normal, badStream.effect, numbers[len(numbers)/2], numbers[len(numbers)*95/100])
 		}
 		t.Log(line)
 	}
@@ -187,7 +183,7 @@
 		{time.Second, time.Second, 4},
 		{8 * time.Second, time.Second, 10},
 	} {
-		require.Equal(t, c.bucket, latencyBucket(&Outcome{Took: c.took, Predicted: c.predicted}), "%s of %s", c.took, c.predicted)
+		require.Equal(t, c.bucket, latencyBucket(&Outcome{TimeToFirstByte: c.took, Predicted: c.predicted}), "%s of %s", c.took, c.predicted)
 	}
 }
 
@@ -200,12 +196,12 @@
 	require.Equal(t, uint64(3), delta.Answers)
 	require.Equal(t, uint64(1), delta.Failures)
 	require.Equal(t, uint32(2), delta.Latency[3])
-	require.Equal(t, before, before.since(&after), "a node that restarted counts from zero")
+	require.Equal(t, before, before.since(&after), "counts of a restarted node are all new")
 	require.Equal(t, after, after.since(nil))
 }
 
-// A baseline follows a wave of failures within its recent answers, and forgets it later.
-func TestBaselineFollows(t *testing.T) {
+// Guards against a baseline that doesn't follow a burst of failures or doesn't forget it.
+func TestBaselineFollowsFailureRate(t *testing.T) {
 	var old baseline
 	old.add(&Counts{Answers: 2000})
 	require.Less(t, old.badRate(LatencyBuckets), 0.01)
@@ -217,8 +213,8 @@
 	require.Less(t, old.badRate(LatencyBuckets), 0.06)
 }
 
-// A few slow first answers of an engine with an empty cache say nothing.
-func TestColdAnswersSayNothing(t *testing.T) {
+// Guards against rejecting a version because its engines start with an empty cache.
+func TestSlowColdAnswersAreIgnored(t *testing.T) {
 	old := Counts{Answers: 200}
 	old.Latency[4] = 200
 	slow := func(bucket int) Counts {
@@ -226,63 +222,62 @@
 		delta.Latency[bucket] = 1
 		return delta
 	}
-	for bucket, condemned := range map[int]bool{4: false, 7: false, 8: false, 10: true} {
+	for bucket, rejected := range map[int]bool{4: false, 7: false, 8: false, 10: true} {
 		judge := newJudge()
-		judge.noteOld(testRoute, &old)
+		judge.observeOld(testRoute, &old)
 		for index := range 30 {
 			delta := slow(bucket)
-			judge.noteNew(situation{}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
+			judge.observeNew(conditions{}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
 		}
-		require.Equal(t, condemned, judge.condemns(), "cold, bucket %d", bucket)
+		require.Equal(t, rejected, judge.rejectsTarget(), "cold, bucket %d", bucket)
 		for index := range 60 {
 			delta := slow(bucket)
-			judge.noteNew(situation{now: time.Minute}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
+			judge.observeNew(conditions{now: time.Minute}, testRoute, fleet.EngineID([]string{"x", "y", "z"}[index%3]), &delta)
 		}
-		require.Equal(t, bucket >= 7, judge.condemns(), "warm, bucket %d", bucket)
+		require.Equal(t, bucket >= 7, judge.rejectsTarget(), "warm, bucket %d", bucket)
 	}
 }
 
-// A fault of one route is found although the others are good, and one of all routes
-// although no route shows it often.
-func TestRoutesAreJudgedAloneAndTogether(t *testing.T) {
+// Guards against missing a fault of a single route, and one of all routes that no single route
+// shows often enough.
+func TestRoutesAreJudgedSeparatelyAndTogether(t *testing.T) {
 	judge := newJudge()
 	for index := range 40 {
 		for _, route := range []RouteName{"a", "b", "c"} {
-			judge.noteOld(route, &Counts{Answers: 20})
-			judge.noteNew(situation{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: b2u(route == "c" && index%2 == index%4)})
+			judge.observeOld(route, &Counts{Answers: 20})
+			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: boolCount(route == "c" && index%2 == index%4)})
 		}
 	}
 	_, route := judge.strongest()
-	require.True(t, judge.condemns())
+	require.True(t, judge.rejectsTarget())
 	require.Equal(t, RouteName("c"), route)
 	together := newJudge()
 	for index := range 6 {
 		route := RouteName(fmt.Sprint(index))
-		together.noteOld(route, &Counts{Answers: 100})
-		together.noteNew(situation{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: 1})
+		together.observeOld(route, &Counts{Answers: 100})
+		together.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: 1})
 	}
 	_, route = together.strongest()
-	require.True(t, together.condemns())
+	require.True(t, together.rejectsTarget())
 	require.Empty(t, route)
 }
 
-func b2u(value bool) uint64 {
+func boolCount(value bool) uint64 {
 	if value {
 		return 1
 	}
 	return 0
 }
 
-// In a surge the failures, which are answered sooner, come first: twice as many as normal
-// say nothing then.
-func TestFailuresComeFirstInASurge(t *testing.T) {
+// Guards against a rejection because failures, which are faster, are answered first in a surge.
+func TestSurgeToleratesEarlyFailures(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
-		judge.noteOld(testRoute, &Counts{Answers: 2000, Failures: 280})
+		judge.observeOld(testRoute, &Counts{Answers: 2000, Failures: 280})
 		for index := range 90 {
 			delta := Counts{Answers: 10, Failures: 3}
-			judge.noteNew(situation{now: time.Minute, surging: surging}, testRoute, fleet.EngineID(fmt.Sprint(index%30)), &delta)
+			judge.observeNew(conditions{now: time.Minute, surging: surging}, testRoute, fleet.EngineID(fmt.Sprint(index%30)), &delta)
 		}
-		require.Equal(t, !surging, judge.condemns(), "surging %t", surging)
+		require.Equal(t, !surging, judge.rejectsTarget(), "surging %t", surging)
 	}
 }
--- a/internal/delivery/listing.go
+++ b/internal/delivery/listing.go
@@ -7,51 +7,51 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// newVersionHold is how long a version that appears beside others is held back while no
-// order is known: orders and workers reach a node by different ways, and a target that is
-// listed first would get its part of all requests until the order comes.
+// newVersionHold is how long a newly listed version is held back while no order is known. Orders
+// and worker lists reach a node separately; without the hold, a target listed before its order
+// arrives would get its full share of the requests.
 const newVersionHold = 2500 * time.Millisecond
 
-// listing is what a follower knows of a service's listed versions.
+// listing holds the versions listed for a service.
 type listing struct {
 	versions []fleet.SoftwareVersion
-	// held excludes versions that are new until a time, nil if there are none.
-	held  *Choice
-	until time.Duration
+	// holdBack excludes new versions before until; nil if there are none.
+	holdBack *Filter
+	until    time.Duration
 }
 
-// SeeVersions takes in the software versions of the workers that are listed for a service.
-// It is called when that list changes.
-func (f *Follower) SeeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
-	before := f.listings[service]
-	if before == nil {
+// ObserveVersions sets the software versions of the workers listed for a service. It is called when
+// that list changes.
+func (f *Follower) ObserveVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
+	current := f.listings[service]
+	if current == nil {
 		f.listings[service] = &listing{versions: slices.Clone(versions)}
 		return
 	}
-	var fresh []fleet.SoftwareVersion
+	var added []fleet.SoftwareVersion
 	for _, version := range versions {
-		if !slices.Contains(before.versions, version) {
-			fresh = append(fresh, version)
+		if !slices.Contains(current.versions, version) {
+			added = append(added, version)
 		}
 	}
-	before.versions = slices.Clone(versions)
-	if len(fresh) == 0 {
+	current.versions = slices.Clone(versions)
+	if len(added) == 0 {
 		return
 	}
-	before.until = now + newVersionHold
-	fallback := &Choice{}
-	if known := f.services[service]; known != nil && known.choices.any != nil {
-		fallback = known.choices.any
+	current.until = now + newVersionHold
+	fallback := &Filter{}
+	if state := f.services[service]; state != nil && state.filters.unrestricted != nil {
+		fallback = state.filters.unrestricted
 	}
-	before.held = &Choice{condemned: slices.Concat(fallback.condemned, fresh), fallback: fallback}
+	current.holdBack = &Filter{excluded: slices.Concat(fallback.excluded, added), fallback: fallback}
 }
 
-// undirected returns what holds for a service without an unfinished order: otherwise, or
-// for a while that new versions are held back.
-func (f *Follower) undirected(now time.Duration, service fleet.PoolName, otherwise *Choice) *Choice {
-	seen := f.listings[service]
-	if seen == nil || seen.held == nil || now >= seen.until {
+// filterWithoutOrder returns the filter for a service without an unfinished order: the one that
+// holds back new versions while it applies, else otherwise.
+func (f *Follower) filterWithoutOrder(now time.Duration, service fleet.PoolName, otherwise *Filter) *Filter {
+	listed := f.listings[service]
+	if listed == nil || listed.holdBack == nil || now >= listed.until {
 		return otherwise
 	}
-	return seen.held
+	return listed.holdBack
 }
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -12,7 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drawScenario returns a good version at a service whose old side isn't overloaded.
+// drawScenario returns a random scenario with a good version and old workers that aren't
+// overloaded.
 func drawScenario(seed uint64) scenario {
 	random := rand.New(rand.NewPCG(seed, 2))
 	drawn := scenario{
@@ -28,54 +29,54 @@
 		drawn.workers *= 2
 	}
 	if random.IntN(2) == 0 {
-		drawn.plain = true
-		drawn.normal = map[RouteName]float64{"b": 0.14}
+		drawn.noPredictions = true
+		drawn.normalFailures = map[RouteName]float64{"b": 0.14}
 	}
 	return drawn
 }
 
-// Kinds of badness.
+// Kinds of bad versions.
 const (
-	badAtOnce = iota
+	badFromStart = iota
 	badLate
 	badOnOneRoute
 	badUnderLoad
-	badnessKinds
+	badKinds
 )
 
-// spoil makes a scenario's version bad and describes how.
-func spoil(played *scenario) string {
-	random := rand.New(rand.NewPCG(played.seed, 3))
-	part := 0.2 + 0.8*random.Float64()
-	kind := random.IntN(badnessKinds)
-	played.slow = random.IntN(3) == 0
+// makeBad makes a scenario's version bad and returns a description.
+func makeBad(setup *scenario) string {
+	random := rand.New(rand.NewPCG(setup.seed, 3))
+	fraction := 0.2 + 0.8*random.Float64()
+	kind := random.IntN(badKinds)
+	setup.slow = random.IntN(3) == 0
 	from := time.Duration(0)
 	if kind == badLate {
-		from = time.Duration(random.Float64() * float64(played.duration))
+		from = time.Duration(random.Float64() * float64(setup.duration))
 	}
-	spoiled := []RouteName{"a", "b", "c"}[random.IntN(3)]
-	loaded := 0.05 * played.rate / float64(played.workers*played.slots)
-	played.bad = func(at time.Duration, route RouteName, load float64) float64 {
-		if at < from || kind == badOnOneRoute && route != spoiled || kind == badUnderLoad && load < loaded {
+	badRoute := []RouteName{"a", "b", "c"}[random.IntN(3)]
+	loadThreshold := 0.05 * setup.rate / float64(setup.workers*setup.slots)
+	setup.badFraction = func(at time.Duration, route RouteName, load float64) float64 {
+		if at < from || kind == badOnOneRoute && route != badRoute || kind == badUnderLoad && load < loadThreshold {
 			return 0
 		}
-		return part
+		return fraction
 	}
 	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, plain %t",
-		played.seed, kind, part, from, spoiled, played.slow, played.duration, played.rate, played.workers, played.nodes, played.plain)
+		setup.seed, kind, fraction, from, badRoute, setup.slow, setup.duration, setup.rate, setup.workers, setup.nodes, setup.noPredictions)
 }
 
-// play runs scenarios, a few at a time, and passes each on in order.
-func play(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
+// playScenarios runs scenarios in parallel and checks them in order.
+func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
-	room := make(chan struct{}, 3)
+	semaphore := make(chan struct{}, 3)
 	for seed := range seeds {
 		group.Go(func() {
-			room <- struct{}{}
+			semaphore <- struct{}{}
 			runs[seed] = newSimulation(build(uint64(seed))).run(after)
 			runs[seed].due = nil
-			<-room
+			<-semaphore
 		})
 	}
 	group.Wait()
@@ -84,40 +85,40 @@
 	}
 }
 
-// seedsOf returns how many seeds are played: fewer in short runs.
-func seedsOf(count int) int {
+// seedCount returns the number of seeds to run, which is lower in short mode.
+func seedCount(count int) int {
 	if testing.Short() {
 		return count / 10
 	}
 	return count
 }
 
-// TestBadVersionStaysWithinItsExposure plays bad versions of every kind: the requests
-// that reach one stay within the bound, and it gets none 5 s after its 50th bad answer.
+// TestBadVersionStaysWithinItsExposure guards against exposure above the limit and against requests
+// to a bad version more than 5 s after its 50th bad answer.
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
-	seeds := seedsOf(200)
+	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
-	late, tenth := 0, 0
+	completedBad, slowStops := 0, 0
 	build := func(seed uint64) scenario {
 		drawn := drawScenario(seed)
-		descriptions[seed] = spoil(&drawn)
+		descriptions[seed] = makeBad(&drawn)
 		return drawn
 	}
-	play(seeds, build, 6*time.Second, func(run *simulation) {
+	playScenarios(seeds, build, 6*time.Second, func(run *simulation) {
 		description := descriptions[run.seed]
-		require.LessOrEqual(t, run.exposed(), 0.0, description)
+		require.LessOrEqual(t, run.excessExposure(), 0.0, description)
 		if run.stage() != StageRolledBack {
-			// What it showed until the decision wasn't enough.
-			require.False(t, run.evident(20, 0.1), description)
-			late++
+			// The evidence until the decision was too weak.
+			require.False(t, run.hasEvidence(20, 0.1), description)
+			completedBad++
 			return
 		}
-		require.LessOrEqual(t, run.sentAfter(50), 5*time.Second, description)
-		if run.sentAfter(10) > 3*time.Second {
-			tenth++
+		require.LessOrEqual(t, run.exposedAfterBad(50), 5*time.Second, description)
+		if run.exposedAfterBad(10) > 3*time.Second {
+			slowStops++
 		}
 	})
-	t.Logf("%d seeds: %d completed for want of evidence, %d got requests 3 s after the tenth bad answer", seeds, late, tenth)
+	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad answer", seeds, completedBad, slowStops)
 }
 
 // requireCompletes checks that at least 98 of 100 good versions are completed in time.
@@ -129,19 +130,19 @@
 		change(&drawn)
 		return drawn
 	}
-	play(seeds, build, time.Second, func(run *simulation) {
+	playScenarios(seeds, build, time.Second, func(run *simulation) {
 		if run.stage() == StageCompleted && run.finalAt < run.duration {
-			require.True(t, run.killed == 0 || run.finalAt >= run.duration-finishReserve,
-				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killed, run.finalAt)
+			require.True(t, run.killedRuns == 0 || run.finalAt >= run.duration-finishReserve,
+				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRuns, run.finalAt)
 			return
 		}
 		failed++
-		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.plain, run.stage())
+		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
 		for _, event := range run.events {
 			t.Logf("  %+v", event)
 		}
 	})
-	require.LessOrEqual(t, failed*100, 2*seeds, "%d of %d weren't completed in time", failed, seeds)
+	require.LessOrEqual(t, failed*100, 2*seeds, "%d of %d were not completed in time", failed, seeds)
 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
@@ -154,20 +155,20 @@
 	for name, change := range map[string]func(*scenario){
 		"alone":           func(*scenario) {},
 		"cold":            func(s *scenario) { s.cold = true },
-		"grey_old_worker": func(s *scenario) { s.grey = map[fleet.EngineID]float64{"old-0": 0.4} },
-		"grey_new_worker": func(s *scenario) { s.grey = map[fleet.EngineID]float64{"new-0": 0.4} },
+		"grey_old_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"old-0": 0.4} },
+		"grey_new_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
-			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldSide[0].crashed = true }}
+			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldWorkers[0].crashed = true }}
 		},
 		"crashed_new_worker": func(s *scenario) {
-			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newSide[0].crashed = true }}
+			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newWorkers[0].crashed = true }}
 		},
-		"callers_leave": func(s *scenario) { s.patience = 120 * time.Millisecond },
+		"callers_leave": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
 		"wave":          func(s *scenario) { s.wave = wave },
 		"overload":      func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireCompletes(t, seedsOf(100), change)
+			requireCompletes(t, seedCount(100), change)
 		})
 	}
 }
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -5,250 +5,254 @@
 	"time"
 )
 
-// When a stage is begun or ended.
+// Thresholds and times for changes of the stage.
 const (
-	// neededSlots is the part of the old side's slots that the target must list before
-	// everything is sent there.
-	neededSlots = 0.7
-	// leastSlots is the same where a single worker makes up more than the rest.
-	leastSlots = 0.5
-	// suspiciousScore is the score, without the worst worker's part, from which a shift
-	// isn't begun.
-	suspiciousScore = 2.5
-	// undecidedScore is the same from which a version is rolled back at the deadline.
-	undecidedScore = 3.0
-	// settledShift is the time after a shift from which an idle old side counts: all
-	// nodes have heard of it, and loads are newer than it.
-	settledShift = 600 * time.Millisecond
-	// longestPause is the time without a look after which what was known is out of date.
-	longestPause = time.Second
-	// noOldSettles is the time for which no old worker must have been listed before
-	// a delivery ends for want of them.
-	noOldSettles = time.Second
+	// requiredSlotFraction is the fraction of the old workers' slots that the target must have
+	// before the shift.
+	requiredSlotFraction = 0.7
+	// minSlotFraction is the lower limit for services with few workers, of which one may be
+	// missing.
+	minSlotFraction = 0.5
+	// holdShiftScore is the score, without the worst worker's contribution, at which a shift isn't
+	// started.
+	holdShiftScore = 2.5
+	// deadlineRollbackScore is the same score at which a version is rolled back at the deadline.
+	deadlineRollbackScore = 3.0
+	// shiftPropagation is the time after the start of a shift until all nodes have shifted and the
+	// observed loads are newer than the shift.
+	shiftPropagation = 600 * time.Millisecond
+	// maxEvaluationGap is the time without an evaluation after which the observations are stale.
+	maxEvaluationGap = time.Second
+	// targetOnlyDelay is how long no old worker must be listed before the delivery completes for
+	// that reason.
+	targetOnlyDelay = time.Second
 )
 
-// workforce is what is listed of a service.
-type workforce struct {
-	target      []TargetWorker
+// workerCounts summarizes the listed workers of a service.
+type workerCounts struct {
+	target      []Worker
 	targetSlots int
 	oldSlots    int
 	oldInFlight int
 	oldListed   int
 }
 
-// count sorts the listed workers into sides. Workers of condemned versions are on none.
-func (s *directed) count(workers []TargetWorker) workforce {
-	var counted workforce
+// countWorkers sorts the listed workers by target and old versions. Workers of rejected versions
+// count as neither.
+func (s *directorState) countWorkers(workers []Worker) workerCounts {
+	var counts workerCounts
 	for _, worker := range workers {
 		switch {
 		case worker.Version == s.order.Target:
-			if worker.Doubtful {
+			if worker.Unreachable {
 				continue
 			}
-			counted.target = append(counted.target, worker)
-			counted.targetSlots += worker.Slots
-		case slices.Contains(s.condemned, worker.Version):
+			counts.target = append(counts.target, worker)
+			counts.targetSlots += worker.Slots
+		case slices.Contains(s.rejected, worker.Version):
 		default:
-			counted.oldListed++
-			counted.oldSlots += worker.Slots
-			if !worker.Doubtful {
-				counted.oldInFlight += worker.InFlight
+			counts.oldListed++
+			counts.oldSlots += worker.Slots
+			if !worker.Unreachable {
+				counts.oldInFlight += worker.InFlight
 			}
 		}
 	}
-	return counted
+	return counts
 }
 
-// advance does what is due and tells of it.
-func (s *directed) advance(now time.Duration, workers []TargetWorker) Event {
-	if s.stage.Final() {
-		return s.tellEnd(now)
+// advance performs the next step of the delivery and returns its event.
+func (s *directorState) advance(now time.Duration, workers []Worker) Event {
+	if s.stage.IsFinal() {
+		return s.reportEnd(now)
 	}
-	counted := s.count(workers)
-	paused := s.lookedAt != 0 && now-s.lookedAt > longestPause
-	s.lookedAt = now
+	counts := s.countWorkers(workers)
+	paused := s.evaluatedAt != 0 && now-s.evaluatedAt > maxEvaluationGap
+	s.evaluatedAt = now
 	if paused && s.verdict != StageRolledBack {
 		return s.resume(now, ReasonPaused)
 	}
-	s.meter.tick(now, s.asked)
-	s.onlyOne = len(counted.target) == 1
-	if event := s.decide(now, counted); event.Name != "" {
+	s.meter.tick(now, s.targetShare)
+	s.hasSingleTarget = len(counts.target) == 1
+	if event := s.decide(now, counts); event.Name != "" {
 		return event
 	}
 	if s.verdict != 0 {
 		return Event{}
 	}
-	s.setShares(now, len(counted.target))
-	s.chooseCanaries(now, counted.target)
-	if event := s.planShift(now, counted); event.Name != "" {
+	s.updateShares(now, len(counts.target))
+	s.chooseCanaries(now, counts.target)
+	if event := s.planShift(now, counts); event.Name != "" {
 		return event
 	}
-	if !s.started {
-		s.started = true
-		return s.event(now, EventStarted, "")
+	if !s.startReported {
+		s.startReported = true
+		return s.newEvent(now, EventStarted, "")
 	}
 	return Event{}
 }
 
-// tellEnd returns the event of a final state, once.
-func (s *directed) tellEnd(now time.Duration) Event {
-	if s.toldEnd {
+// reportEnd returns the event of a final stage once.
+func (s *directorState) reportEnd(now time.Duration) Event {
+	if s.endReported {
 		return Event{}
 	}
-	s.toldEnd = true
+	s.endReported = true
 	if s.stage == StageCompleted {
-		return s.event(now, EventCompleted, s.reason)
+		return s.newEvent(now, EventCompleted, s.reason)
 	}
-	return s.event(now, EventRolledBack, s.reason)
+	return s.newEvent(now, EventRolledBack, s.reason)
 }
 
-// decide sets the verdict once there is one. A completion that isn't known to be
-// written gives way to evidence: the store decides which write was first.
-func (s *directed) decide(now time.Duration, counted workforce) Event {
-	if s.verdict != StageRolledBack && slices.Contains(s.condemned, s.order.Target) {
-		return s.rollBack(now, ReasonCondemned)
+// decide sets the verdict as soon as possible. Evidence overrides a completion that isn't known to
+// be stored; the first write to the store wins.
+func (s *directorState) decide(now time.Duration, counts workerCounts) Event {
+	if s.verdict != StageRolledBack && slices.Contains(s.rejected, s.order.Target) {
+		return s.rollBack(now, ReasonPreviouslyRejected)
 	}
-	if s.verdict != StageRolledBack && s.judge.condemns() {
-		return s.rollBack(now, ReasonBad)
+	if s.verdict != StageRolledBack && s.judge.rejectsTarget() {
+		return s.rollBack(now, ReasonBadAnswers)
 	}
 	if s.verdict != 0 {
 		return Event{}
 	}
-	if s.alone(now, counted) {
-		return s.complete(now, ReasonNoOld)
+	if s.isTargetAlone(now, counts) {
+		return s.complete(now, ReasonNoOldWorkers)
 	}
-	if s.idle(now, counted) {
-		return s.complete(now, ReasonIdle)
+	if s.isOldDrained(now, counts) {
+		return s.complete(now, ReasonOldWorkersIdle)
 	}
 	if now < s.schedule.deadline-finishReserve {
 		return Event{}
 	}
-	return s.decideLast(now, counted)
+	return s.decideAtDeadline(now, counts)
 }
 
-// alone tells whether only the target has been listed for a while.
-func (s *directed) alone(now time.Duration, counted workforce) bool {
-	if counted.oldListed > 0 || len(counted.target) == 0 {
-		s.noOldFrom = 0
+// isTargetAlone reports whether only the target has been listed for targetOnlyDelay.
+func (s *directorState) isTargetAlone(now time.Duration, counts workerCounts) bool {
+	if counts.oldListed > 0 || len(counts.target) == 0 {
+		s.targetOnlySince = 0
 		return false
 	}
-	if s.noOldFrom == 0 {
-		s.noOldFrom = now
+	if s.targetOnlySince == 0 {
+		s.targetOnlySince = now
 	}
-	return now-s.noOldFrom >= noOldSettles
+	return now-s.targetOnlySince >= targetOnlyDelay
 }
 
-// idle tells whether the old side has ended its runs after a shift.
-func (s *directed) idle(now time.Duration, counted workforce) bool {
-	return s.shifting && now-s.shiftAt >= settledShift && counted.oldInFlight == 0 &&
-		s.ready(now, counted)
+// isOldDrained reports whether the old workers have no requests left after a shift and the target
+// is still ready for all of them.
+func (s *directorState) isOldDrained(now time.Duration, counts workerCounts) bool {
+	return s.shifting && now-s.shiftAt >= shiftPropagation && counts.oldInFlight == 0 &&
+		s.isReadyToShift(now, counts)
 }
 
-// ready tells whether nothing speaks against sending everything to the target.
-func (s *directed) ready(now time.Duration, counted workforce) bool {
-	return enough(counted) && !s.meter.silent(now) && s.suspicion() < suspiciousScore
+// isReadyToShift reports whether the target has enough slots, reports arrive and the evidence
+// against the target is weak.
+func (s *directorState) isReadyToShift(now time.Duration, counts workerCounts) bool {
+	return hasEnoughSlots(counts) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
 }
 
-// decideLast decides at the last moment before the deadline.
-func (s *directed) decideLast(now time.Duration, counted workforce) Event {
+// decideAtDeadline sets the verdict at the last moment before the deadline.
+func (s *directorState) decideAtDeadline(now time.Duration, counts workerCounts) Event {
 	switch {
-	case len(counted.target) == 0:
+	case len(counts.target) == 0:
 		return s.rollBack(now, ReasonNoWorkers)
-	case !enough(counted):
+	case !hasEnoughSlots(counts):
 		return s.rollBack(now, ReasonFewWorkers)
-	case s.meter.silent(now):
+	case s.meter.isSilent(now):
 		return s.resume(now, ReasonNoEvidence)
-	case !s.shifting || s.suspicion() >= undecidedScore:
+	case !s.shifting || s.suspicion() >= deadlineRollbackScore:
 		return s.rollBack(now, ReasonUndecided)
 	}
 	return s.complete(now, ReasonLastMoment)
 }
 
-// enough tells whether the target lists the slots that the service needs. Of few workers
-// one may be missing.
-func enough(counted workforce) bool {
-	if counted.targetSlots == 0 || counted.oldListed == 0 {
-		return counted.targetSlots > 0
+// hasEnoughSlots reports whether the target lists enough slots for the service's load. With few
+// workers, one may be missing.
+func hasEnoughSlots(counts workerCounts) bool {
+	if counts.targetSlots == 0 || counts.oldListed == 0 {
+		return counts.targetSlots > 0
 	}
-	old := float64(counted.oldSlots)
-	oneLess := old - old/float64(counted.oldListed)
-	needed := max(leastSlots*old, min(neededSlots*old, oneLess))
-	return float64(counted.targetSlots) >= needed
+	old := float64(counts.oldSlots)
+	oneLess := old - old/float64(counts.oldListed)
+	needed := max(minSlotFraction*old, min(requiredSlotFraction*old, oneLess))
+	return float64(counts.targetSlots) >= needed
 }
 
-// suspicion returns the strongest score without its worst worker's part.
-func (s *directed) suspicion() float64 {
+// suspicion returns the strongest score without its worst worker's contribution.
+func (s *directorState) suspicion() float64 {
 	strongest, _ := s.judge.strongest()
-	if s.onlyOne {
+	if s.hasSingleTarget {
 		return strongest.value
 	}
-	return strongest.value - strongest.workers[strongest.worst()]
+	return strongest.value - strongest.workers[strongest.worstWorker()]
 }
 
-func (s *directed) rollBack(now time.Duration, reason string) Event {
+func (s *directorState) rollBack(now time.Duration, reason string) Event {
 	s.verdict = StageRolledBack
 	s.reason = reason
 	s.shifting = false
 	s.shiftAt = 0
-	s.retryAt = now
+	s.nextWriteAt = now
 	s.changed = true
-	return s.event(now, EventDecided, reason)
+	return s.newEvent(now, EventDecided, reason)
 }
 
-func (s *directed) complete(now time.Duration, reason string) Event {
+func (s *directorState) complete(now time.Duration, reason string) Event {
 	s.verdict = StageCompleted
 	s.reason = reason
 	s.shifting = true
-	s.retryAt = now
+	s.nextWriteAt = now
 	s.changed = true
-	return s.event(now, EventDecided, reason)
+	return s.newEvent(now, EventDecided, reason)
 }
 
-// planShift announces the shift, takes it back, or begins it.
-func (s *directed) planShift(now time.Duration, counted workforce) Event {
+// planShift announces, holds or starts the shift.
+func (s *directorState) planShift(now time.Duration, counts workerCounts) Event {
 	if s.shifting {
-		return s.keepShift(now, counted)
+		return s.checkShift(now, counts)
 	}
-	begin := s.schedule.deadline - s.schedule.shift(now, s.meter.traffic(now))
+	begin := s.schedule.deadline - s.schedule.shiftDuration(now, s.meter.traffic(now))
 	if s.shiftAt == 0 {
-		begin = max(begin, now+2*LookInterval)
+		begin = max(begin, now+2*EvaluationInterval)
 	}
-	ready := s.ready(now, counted)
+	ready := s.isReadyToShift(now, counts)
 	switch {
 	case !ready && s.shiftAt != 0:
 		s.shiftAt = 0
 		s.changed = true
-		return s.event(now, EventHeld, s.holdReason(now, counted))
+		return s.newEvent(now, EventShiftHeld, s.holdReason(now, counts))
 	case !ready || now < begin-shiftNotice || begin > s.schedule.deadline-finishReserve:
 		return Event{}
 	case s.shiftAt == 0:
 		s.shiftAt = begin
 		s.changed = true
-		return s.event(now, EventAnnounced, "")
+		return s.newEvent(now, EventShiftPlanned, "")
 	case now >= s.shiftAt:
 		s.shifting = true
 		s.changed = true
-		return s.event(now, EventShifting, "")
+		return s.newEvent(now, EventShifting, "")
 	}
 	return Event{}
 }
 
-// keepShift ends a shift for which too few workers are left.
-func (s *directed) keepShift(now time.Duration, counted workforce) Event {
-	if enough(counted) {
+// checkShift ends a shift if too few workers of the target are left.
+func (s *directorState) checkShift(now time.Duration, counts workerCounts) Event {
+	if hasEnoughSlots(counts) {
 		return Event{}
 	}
 	s.shifting = false
 	s.shiftAt = 0
 	s.changed = true
-	return s.event(now, EventHeld, ReasonFewWorkers)
+	return s.newEvent(now, EventShiftHeld, ReasonFewWorkers)
 }
 
-func (s *directed) holdReason(now time.Duration, counted workforce) string {
+func (s *directorState) holdReason(now time.Duration, counts workerCounts) string {
 	switch {
-	case !enough(counted):
+	case !hasEnoughSlots(counts):
 		return ReasonFewWorkers
-	case s.meter.silent(now):
+	case s.meter.isSilent(now):
 		return ReasonNoEvidence
 	default:
 		return ReasonUndecided
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -9,43 +9,43 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// advanceTo looks each LookInterval until a time, with evidence of a good version, and
-// returns the last step.
-func advanceTo(director *Director, from, until time.Duration, observation Observation) Step {
-	var step Step
-	for now := from; now <= until; now += LookInterval {
-		answers := uint64(now / LookInterval)
-		director.Observe(now, "node-1", evidenceOf(50*answers, answers, 0))
-		step = director.Look(now, observation)
+// advanceTo evaluates every EvaluationInterval with evidence of a good version and returns the last
+// decision.
+func advanceTo(director *Director, from, until time.Duration, observation Observation) Decision {
+	var decision Decision
+	for now := from; now <= until; now += EvaluationInterval {
+		answers := uint64(now / EvaluationInterval)
+		director.Observe(now, "node-1", testEvidence(50*answers, answers, 0))
+		decision = director.Evaluate(now, observation)
 	}
-	return step
+	return decision
 }
 
-func TestShiftIsToldInAdvance(t *testing.T) {
-	director := directing(t)
-	step := advanceTo(director, 0, 11*time.Second, observe(4, 4))
-	require.Equal(t, StageCanary, step.Directive.Stage)
-	require.Greater(t, step.Directive.ShiftAt, 11*time.Second)
-	require.Less(t, step.Directive.ShiftAt, 12*time.Second-finishReserve)
-	step = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, observe(4, 4))
-	require.Equal(t, StageShifting, step.Directive.Stage)
+func TestShiftIsAnnouncedBeforeItStarts(t *testing.T) {
+	director := newTestDelivery(t)
+	decision := advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
+	require.Equal(t, StageCanary, decision.Directive.Stage)
+	require.Greater(t, decision.Directive.ShiftAt, 11*time.Second)
+	require.Less(t, decision.Directive.ShiftAt, 12*time.Second-finishReserve)
+	decision = advanceTo(director, 11100*time.Millisecond, 11700*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, StageShifting, decision.Directive.Stage)
 }
 
-// The announcement is taken back if evidence turns against the target.
-func TestShiftIsTakenBack(t *testing.T) {
-	director := directing(t)
-	advanceTo(director, 0, 11*time.Second, observe(4, 4))
-	director.Observe(11100*time.Millisecond, "node-1", evidenceOf(5600, 150, 4))
-	step := director.Look(11100*time.Millisecond, observe(4, 4))
-	require.Equal(t, EventHeld, step.Event.Name)
-	require.Zero(t, step.Directive.ShiftAt)
-	require.Equal(t, ReasonUndecided, step.Event.Reason)
+// Guards against starting an announced shift after bad answers.
+func TestPlannedShiftIsHeldOnBadEvidence(t *testing.T) {
+	director := newTestDelivery(t)
+	advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
+	director.Observe(11100*time.Millisecond, "node-1", testEvidence(5600, 150, 4))
+	decision := director.Evaluate(11100*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, EventShiftHeld, decision.Event.Name)
+	require.Zero(t, decision.Directive.ShiftAt)
+	require.Equal(t, ReasonUndecided, decision.Event.Reason)
 }
 
-func TestCompletionWaitsForRunsAtOldWorkers(t *testing.T) {
+func TestCompletionWaitsForOldWorkersToDrain(t *testing.T) {
 	order := testOrder()
 	order.Duration = time.Minute
-	busy, idle := observe(4, 4), observe(4, 4)
+	busy, idle := testObservation(4, 4), testObservation(4, 4)
 	for index := range idle.Workers {
 		idle.Workers[index].InFlight = 0
 	}
@@ -53,151 +53,151 @@
 		after  Observation
 		reason string
 		until  time.Duration
-	}{{busy, ReasonLastMoment, time.Minute - finishReserve}, {idle, ReasonIdle, time.Minute - longestShift + settledShift}} {
+	}{{busy, ReasonLastMoment, time.Minute - finishReserve}, {idle, ReasonOldWorkersIdle, time.Minute - maxShift + shiftPropagation}} {
 		director := newTestDirector()
 		require.NoError(t, director.SetOrder(0, 0, order))
-		step := director.Look(0, busy)
-		director.Written(0, simService, *step.Write, nil, nil)
-		require.Nil(t, advanceTo(director, LookInterval, c.until-2*LookInterval, c.after).Write, c.reason)
-		step = advanceTo(director, c.until-LookInterval, c.until, c.after)
-		require.NotNil(t, step.Write, c.reason)
-		require.Equal(t, StageCompleted, step.Write.Stage)
-		require.Equal(t, c.reason, step.Write.Reason)
-		require.Equal(t, StageShifting, step.Directive.Stage, "until it is written")
+		decision := director.Evaluate(0, busy)
+		director.HandleWriteResult(0, simService, *decision.Write, nil, nil)
+		require.Nil(t, advanceTo(director, EvaluationInterval, c.until-2*EvaluationInterval, c.after).Write, c.reason)
+		decision = advanceTo(director, c.until-EvaluationInterval, c.until, c.after)
+		require.NotNil(t, decision.Write, c.reason)
+		require.Equal(t, StageCompleted, decision.Write.Stage)
+		require.Equal(t, c.reason, decision.Write.Reason)
+		require.Equal(t, StageShifting, decision.Directive.Stage, "the shift continues until the record is stored")
 	}
 }
 
 func TestTooFewWorkersOfTheTarget(t *testing.T) {
-	director := directing(t)
-	director.Written(0, simService, *director.Look(0, observe(20, 12)).Write, nil, nil)
-	step := advanceTo(director, LookInterval, 12*time.Second-finishReserve, observe(20, 12))
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonFewWorkers, step.Write.Reason)
+	director := newTestDelivery(t)
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(20, 12)).Write, nil, nil)
+	decision := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, testObservation(20, 12))
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	require.Equal(t, ReasonFewWorkers, decision.Write.Reason)
 	for _, c := range []struct {
 		old, target int
 		enough      bool
 	}{{20, 14, true}, {20, 13, false}, {3, 2, true}, {3, 1, false}, {2, 1, true}, {1, 1, true}, {1, 0, false}, {0, 1, true}} {
-		counted := director.services[simService].count(observe(c.old, c.target).Workers)
-		require.Equal(t, c.enough, enough(counted), "%d of %d", c.target, c.old)
+		counts := director.services[simService].countWorkers(testObservation(c.old, c.target).Workers)
+		require.Equal(t, c.enough, hasEnoughSlots(counts), "%d of %d", c.target, c.old)
 	}
 }
 
-func TestDoubtfulWorkersOfTheTargetDontCount(t *testing.T) {
-	director := directing(t)
-	observation := observe(4, 4)
-	observation.Workers[4].Doubtful = true
-	observation.Workers[5].Doubtful = true
-	counted := director.services[simService].count(observation.Workers)
-	require.Len(t, counted.target, 2)
-	require.False(t, enough(counted))
-	require.Equal(t, 4, counted.oldInFlight)
+func TestUnreachableTargetWorkersDoNotCount(t *testing.T) {
+	director := newTestDelivery(t)
+	observation := testObservation(4, 4)
+	observation.Workers[4].Unreachable = true
+	observation.Workers[5].Unreachable = true
+	counts := director.services[simService].countWorkers(observation.Workers)
+	require.Len(t, counts.target, 2)
+	require.False(t, hasEnoughSlots(counts))
+	require.Equal(t, 4, counts.oldInFlight)
 }
 
-// The first worker of many that is listed isn't judged alone.
+// Guards against judging a version by its first worker alone while others are about to be listed.
 func TestFirstCanaryWaitsForOthers(t *testing.T) {
-	director := directing(t)
-	require.Zero(t, director.Look(time.Second, observe(4, 1)).Directive.DefaultShare)
-	require.NotZero(t, director.Look(targetSettles, observe(4, 1)).Directive.DefaultShare)
-	director = directing(t)
-	require.NotZero(t, director.Look(time.Second, observe(4, 3)).Directive.DefaultShare)
+	director := newTestDelivery(t)
+	require.Zero(t, director.Evaluate(time.Second, testObservation(4, 1)).Directive.DefaultShare)
+	require.NotZero(t, director.Evaluate(maxCanaryWait, testObservation(4, 1)).Directive.DefaultShare)
+	director = newTestDelivery(t)
+	require.NotZero(t, director.Evaluate(time.Second, testObservation(4, 3)).Directive.DefaultShare)
 }
 
-// As many canaries as have the old workers' load, but each is to answer often.
+// Guards against canaries with less load than the old workers, and against too few answers of each.
 func TestNumberOfCanaries(t *testing.T) {
-	state := directing(t).services[simService]
-	state.share = 0.3
+	state := newTestDelivery(t).services[simService]
+	state.defaultShare = 0.3
 	state.meter.rates[testRoute] = 20
-	require.Equal(t, leastCanaries, state.wantedCanaries(time.Minute, state.share, 60))
+	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 	state.meter.rates[testRoute] = 700
-	require.Equal(t, 18, state.wantedCanaries(time.Minute, state.share, 60))
-	state.share = 0.02
-	require.Equal(t, leastCanaries, state.wantedCanaries(time.Minute, state.share, 60))
+	require.Equal(t, 18, state.wantedCanaries(time.Minute, state.defaultShare, 60))
+	state.defaultShare = 0.02
+	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 }
 
-// A canary that has shown all that one worker may gives way.
+// Guards against keeping a canary that can't contribute more evidence.
 func TestSuspectedCanaryIsReplaced(t *testing.T) {
-	director := directing(t)
-	require.Contains(t, director.Look(0, observe(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
+	director := newTestDelivery(t)
+	require.Contains(t, director.Evaluate(0, testObservation(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
 	director.Observe(0, "node-1", Evidence{
 		Service: simService, Revision: 7,
 		Old: map[RouteName]*Counts{testRoute: {Answers: 500}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Answers: 20, Failures: 10}}},
 	})
-	step := director.Look(sharesHold, observe(6, 6))
-	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, step.Directive.Canaries)
-	require.Equal(t, StageCanary, step.Directive.Stage, "it doesn't condemn")
-	require.NotZero(t, step.Directive.DefaultShare)
+	decision := director.Evaluate(shareUpdateInterval, testObservation(6, 6))
+	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, decision.Directive.Canaries)
+	require.Equal(t, StageCanary, decision.Directive.Stage, "one bad worker does not reject the version")
+	require.NotZero(t, decision.Directive.DefaultShare)
 }
 
-// What nodes had counted before they were first heard has no known time.
-func TestHistoryDoesntCountForRates(t *testing.T) {
-	counted := newMeter(0)
+// Guards against rates that include answers counted before a node's first report.
+func TestInitialCountsDoNotAffectRates(t *testing.T) {
+	observed := newMeter(0)
 	judge := newJudge()
-	counted.observe(situation{}, "node", evidenceOf(9000, 1000, 0), judge)
-	counted.tick(time.Second, func(RouteName) float64 { return 0 })
-	require.Zero(t, counted.traffic(2*time.Second).rate)
-	require.Equal(t, 10000.0, counted.traffic(2*time.Second).all)
-	require.Equal(t, 1000.0, counted.traffic(2*time.Second).target)
+	observed.observe(conditions{}, "node", testEvidence(9000, 1000, 0), judge)
+	observed.tick(time.Second, func(RouteName) float64 { return 0 })
+	require.Zero(t, observed.traffic(2*time.Second).rate)
+	require.Equal(t, 10000.0, observed.traffic(2*time.Second).total)
+	require.Equal(t, 1000.0, observed.traffic(2*time.Second).target)
 	for second := 2; second < 12; second++ {
-		counted.observe(situation{}, "node", evidenceOf(9000+uint64(second)*100, 1000, 0), judge)
-		counted.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
+		observed.observe(conditions{}, "node", testEvidence(9000+uint64(second)*100, 1000, 0), judge)
+		observed.tick(time.Duration(second)*time.Second, func(RouteName) float64 { return 0.5 })
 	}
-	require.InDelta(t, 100, counted.traffic(12*time.Second).rate, 5)
-	require.InDelta(t, 500, counted.asked, 100)
-	counted.answered = 0
-	require.Equal(t, counted.asked, counted.traffic(12*time.Second).target, "what was asked for counts before it is answered")
+	require.InDelta(t, 100, observed.traffic(12*time.Second).rate, 5)
+	require.InDelta(t, 500, observed.targetPlanned, 100)
+	observed.targetAnswers = 0
+	require.Equal(t, observed.targetPlanned, observed.traffic(12*time.Second).target, "planned requests count before they are answered")
 }
 
-// At the last moment what speaks against the target counts, though it doesn't condemn.
+// Guards against completing a target at the deadline with evidence against it that is too weak for
+// a rejection.
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
-	director := directing(t)
-	director.Written(0, simService, *director.Look(0, observe(4, 4)).Write, nil, nil)
-	step := advanceTo(director, LookInterval, 11600*time.Millisecond, observe(4, 4))
-	require.Equal(t, StageShifting, step.Directive.Stage)
-	late := evidenceOf(50*116, 116, 0)
+	director := newTestDelivery(t)
+	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(4, 4)).Write, nil, nil)
+	decision := advanceTo(director, EvaluationInterval, 11600*time.Millisecond, testObservation(4, 4))
+	require.Equal(t, StageShifting, decision.Directive.Stage)
+	late := testEvidence(50*116, 116, 0)
 	for _, counts := range late.New[testRoute] {
 		counts.Answers += 5
 		counts.Failures += 2
 	}
 	director.Observe(11700*time.Millisecond, "node-1", late)
-	require.Nil(t, director.Look(11700*time.Millisecond, observe(4, 4)).Write)
-	step = director.Look(11800*time.Millisecond, observe(4, 4))
-	require.NotNil(t, step.Write)
-	require.Equal(t, StageRolledBack, step.Write.Stage)
-	require.Equal(t, ReasonUndecided, step.Write.Reason)
-	require.Less(t, step.Event.Score, step.Event.Bound)
+	require.Nil(t, director.Evaluate(11700*time.Millisecond, testObservation(4, 4)).Write)
+	decision = director.Evaluate(11800*time.Millisecond, testObservation(4, 4))
+	require.NotNil(t, decision.Write)
+	require.Equal(t, StageRolledBack, decision.Write.Stage)
+	require.Equal(t, ReasonUndecided, decision.Write.Reason)
+	require.Less(t, decision.Event.Score, decision.Event.Threshold)
 }
 
-// A rare route may have the longest requests: few canaries of many workers get no more of it
-// than they carry, however rare it is.
-func TestRareRouteDoesNotOverloadFewCanaries(t *testing.T) {
-	director := directing(t)
-	var step Step
-	for now := time.Duration(0); now <= 4*time.Second; now += LookInterval {
-		looks := uint64(now / LookInterval)
+// Guards against overloading few canaries with a rare route, whose requests may be the longest.
+func TestRareRouteDoesNotOverloadCanaries(t *testing.T) {
+	director := newTestDelivery(t)
+	var decision Decision
+	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
+		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 70 * looks}, "rare": {Answers: 4 * looks}},
+			Old: map[RouteName]*Counts{"common": {Answers: 70 * evaluations}, "rare": {Answers: 4 * evaluations}},
 		})
-		step = director.Look(now, observe(60, 60))
+		decision = director.Evaluate(now, testObservation(60, 60))
 	}
-	canaries := float64(len(step.Directive.Canaries))
+	canaries := float64(len(decision.Directive.Canaries))
 	require.Less(t, canaries, 6.0)
-	require.LessOrEqual(t, step.Directive.Shares["rare"], canaryLoad*canaries/60)
-	require.Greater(t, step.Directive.Shares["rare"], step.Directive.Shares["common"])
+	require.LessOrEqual(t, decision.Directive.Shares["rare"], maxCanaryLoadFactor*canaries/60)
+	require.Greater(t, decision.Directive.Shares["rare"], decision.Directive.Shares["common"])
 }
 
 func TestRareRouteGetsALargerShare(t *testing.T) {
-	director := directing(t)
-	var step Step
-	for now := time.Duration(0); now <= 4*time.Second; now += LookInterval {
-		looks := uint64(now / LookInterval)
+	director := newTestDelivery(t)
+	var decision Decision
+	for now := time.Duration(0); now <= 4*time.Second; now += EvaluationInterval {
+		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 50 * looks}, "rare": {Answers: looks}},
+			Old: map[RouteName]*Counts{"common": {Answers: 50 * evaluations}, "rare": {Answers: evaluations}},
 		})
-		step = director.Look(now, observe(4, 4))
+		decision = director.Evaluate(now, testObservation(4, 4))
 	}
-	require.Equal(t, highestShare, step.Directive.Shares["rare"])
-	require.Less(t, step.Directive.Shares["common"], 0.1)
+	require.Equal(t, maxShare, decision.Directive.Shares["rare"])
+	require.Less(t, decision.Directive.Shares["common"], 0.1)
 }
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -7,122 +7,122 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// rateWindow is the time over which rates are averaged. Reports come each 0.6 s from
-// each node, at times of their own.
+// rateWindow is the time constant over which rates are averaged. Nodes report every 0.6 s, at
+// different times.
 const rateWindow = 2 * time.Second
 
 // meter adds up the evidence of all nodes.
 type meter struct {
 	nodes map[fleet.NodeID]Evidence
-	// heard is when each node last told.
-	heard map[fleet.NodeID]time.Duration
-	// pending counts answers by route since the last tick, rates are answers a second.
-	pending map[RouteName]float64
-	rates   map[RouteName]float64
-	ticked  time.Duration
-	begun   time.Duration
-	all     float64
-	// answered counts the target's answers, asked what its shares asked for.
-	answered, asked float64
+	// lastReport is when each node last reported.
+	lastReport map[fleet.NodeID]time.Duration
+	// pending counts answers by route since the last tick; rates are in answers per second.
+	pending   map[RouteName]float64
+	rates     map[RouteName]float64
+	tickedAt  time.Duration
+	startedAt time.Duration
+	total     float64
+	// targetAnswers counts the target's answers, targetPlanned the requests that its shares
+	// planned.
+	targetAnswers, targetPlanned float64
 }
 
 func newMeter(now time.Duration) meter {
 	return meter{
-		nodes:   map[fleet.NodeID]Evidence{},
-		heard:   map[fleet.NodeID]time.Duration{},
-		pending: map[RouteName]float64{},
-		rates:   map[RouteName]float64{},
-		ticked:  now,
-		begun:   now,
+		nodes:      map[fleet.NodeID]Evidence{},
+		lastReport: map[fleet.NodeID]time.Duration{},
+		pending:    map[RouteName]float64{},
+		rates:      map[RouteName]float64{},
+		tickedAt:   now,
+		startedAt:  now,
 	}
 }
 
-// observe takes in what a node has counted and passes what is new of it to the judge.
-func (m *meter) observe(in situation, node fleet.NodeID, evidence Evidence, judge *judge) {
-	before, heard := m.nodes[node]
+// observe takes a node's cumulative evidence and passes the increase to the judge.
+func (m *meter) observe(in conditions, node fleet.NodeID, evidence Evidence, judge *judge) {
+	previous, reported := m.nodes[node]
 	m.nodes[node] = evidence
-	m.heard[node] = in.now
+	m.lastReport[node] = in.now
 	for route, counts := range evidence.Old {
-		delta := counts.since(before.Old[route])
+		delta := counts.since(previous.Old[route])
 		if delta.Answers == 0 {
 			continue
 		}
-		judge.noteOld(route, &delta)
-		m.count(route, delta.Answers, heard)
+		judge.observeOld(route, &delta)
+		m.count(route, delta.Answers, reported)
 	}
 	for route, byWorker := range evidence.New {
 		for worker, counts := range byWorker {
-			delta := counts.since(before.New[route][worker])
+			delta := counts.since(previous.New[route][worker])
 			if delta.Answers == 0 {
 				continue
 			}
-			judge.noteNew(in, route, worker, &delta)
-			m.count(route, delta.Answers, heard)
-			m.answered += float64(delta.Answers)
+			judge.observeNew(in, route, worker, &delta)
+			m.count(route, delta.Answers, reported)
+			m.targetAnswers += float64(delta.Answers)
 		}
 	}
 }
 
-// count adds answers up. Those that a node had seen before it was first heard are of no
-// known time, and don't count for the rate.
+// count adds answers. Those in a node's first report have no known time and don't count for the
+// rate.
 func (m *meter) count(route RouteName, answers uint64, recent bool) {
 	if recent {
 		m.pending[route] += float64(answers)
 	}
-	m.all += float64(answers)
+	m.total += float64(answers)
 }
 
-// tick brings the rates and what was asked for up to now.
-func (m *meter) tick(now time.Duration, asked func(RouteName) float64) {
-	passed := (now - m.ticked).Seconds()
+// tick updates the rates and the planned requests to now.
+func (m *meter) tick(now time.Duration, plannedShare func(RouteName) float64) {
+	passed := (now - m.tickedAt).Seconds()
 	if passed <= 0 {
 		return
 	}
-	m.ticked = now
-	// Early on the average is over the time since the begin.
-	window := min(rateWindow, max(now-m.begun, LookInterval)).Seconds()
+	m.tickedAt = now
+	// Shortly after the start, average over the time since then.
+	window := min(rateWindow, max(now-m.startedAt, EvaluationInterval)).Seconds()
 	weight := 1 - math.Exp(-passed/window)
 	for route := range m.pending {
 		m.rates[route] += weight * (m.pending[route]/passed - m.rates[route])
 		m.pending[route] = 0
-		m.asked += asked(route) * m.rates[route] * passed
+		m.targetPlanned += plannedShare(route) * m.rates[route] * passed
 	}
 }
 
-// silent tells whether most nodes that told something lately tell nothing now, or none
-// ever has: the director is cut off, or has just begun.
-func (m *meter) silent(now time.Duration) bool {
-	telling, silent := 0, 0
-	for _, heard := range m.heard {
-		switch age := now - heard; {
-		case age <= evidenceFresh:
-			telling++
-		case age <= nodeForgotten:
+// isSilent reports whether at least as many nodes have recently stopped reporting as still report.
+// The director is then partitioned, or has just started.
+func (m *meter) isSilent(now time.Duration) bool {
+	reporting, silent := 0, 0
+	for _, reportedAt := range m.lastReport {
+		switch age := now - reportedAt; {
+		case age <= maxEvidenceAge:
+			reporting++
+		case age <= nodeRetention:
 			silent++
 		}
 	}
-	return telling <= silent
+	return reporting <= silent
 }
 
-// traffic returns what the schedule goes by. Before each node may have reported the
-// rate isn't known.
+// traffic returns the traffic for the schedule. The rate is unknown until rateWarmup has passed.
 func (m *meter) traffic(now time.Duration) traffic {
-	seen := traffic{all: m.all, target: max(m.answered, m.asked)}
-	if now-m.begun < ratesKnownAfter {
-		return seen
+	observed := traffic{total: m.total, target: max(m.targetAnswers, m.targetPlanned)}
+	if now-m.startedAt < rateWarmup {
+		return observed
 	}
 	for _, rate := range m.rates {
-		seen.rate += rate
+		observed.rate += rate
 	}
-	return seen
+	return observed
 }
 
-// evidenceFresh is the age up to which evidence counts as of now: two reports and a
-// relay. A node that tells nothing for nodeForgotten is taken for gone.
+// maxEvidenceAge is the age up to which a report is current, covering two report intervals and a
+// relay. A node that hasn't reported for nodeRetention is ignored.
 const (
-	evidenceFresh = 1500 * time.Millisecond
-	nodeForgotten = 10 * time.Second
+	maxEvidenceAge = 1500 * time.Millisecond
+	nodeRetention  = 10 * time.Second
 )
 
-// ratesKnownAfter is the time after which each node has reported answers twice.
-const ratesKnownAfter = 1500 * time.Millisecond
+// rateWarmup is the time after which each node has reported answers twice.
+const rateWarmup = 1500 * time.Millisecond
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -164,7 +164,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, directive := range d.follower.Directives(now) {
-		if directive.Service == service && slices.Contains(directive.Condemned, version) {
+		if directive.Service == service && slices.Contains(directive.Rejected, version) {
 			return true
 		}
 	}
@@ -173,13 +173,13 @@
 
 // choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
 // excludes the target for a request that was there before.
-func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Choice {
+func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
 	if !d.active.Load() {
 		return nil
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.follower.Choose(now, service, route, draw, avoidTarget)
+	return d.follower.Filter(now, service, route, draw, avoidTarget)
 }
 
 // recordOutcome counts an outcome, and reports whether this gateway has just stopped sending to the
@@ -187,7 +187,7 @@
 func (d *deliveryState) recordOutcome(now time.Duration, outcome delivery.Outcome) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	stopped := d.follower.Note(now, outcome)
+	stopped := d.follower.RecordOutcome(now, outcome)
 	if stopped {
 		signal(d.announceSignal)
 	}
@@ -199,10 +199,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.active.Store(true)
-	if !d.follower.Take(now, directive) {
+	if !d.follower.ApplyDirective(now, directive) {
 		return false
 	}
-	if directive.Stage.Final() {
+	if directive.Stage.IsFinal() {
 		d.finished[directive.Service] = max(d.finished[directive.Service], directive.Revision)
 	}
 	d.changeCount++
@@ -223,7 +223,7 @@
 		if held.Service != directive.Service {
 			continue
 		}
-		if held.Stage.Final() && held.Revision >= directive.Revision {
+		if held.Stage.IsFinal() && held.Revision >= directive.Revision {
 			return false
 		}
 		same := held.Revision == directive.Revision && held.Sequence >= directive.Sequence
@@ -255,7 +255,7 @@
 	defer d.mutex.Unlock()
 	var nodes []fleet.NodeID
 	for _, directive := range d.follower.Directives(now) {
-		if !directive.Stage.Final() && directive.Issuer != d.self {
+		if !directive.Stage.IsFinal() && directive.Issuer != d.self {
 			nodes = append(nodes, directive.Issuer)
 		}
 	}
@@ -273,7 +273,7 @@
 	directed := make(map[fleet.PoolName]bool)
 	for _, directive := range d.follower.Directives(now) {
 		report.Deliveries = append(report.Deliveries, encodeDirective(now, &directive))
-		directed[directive.Service] = directive.Issuer == to && !directive.Stage.Final()
+		directed[directive.Service] = directive.Issuer == to && !directive.Stage.IsFinal()
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		if directed[evidence.Service] {
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -46,18 +46,18 @@
 	pushed := directiveToTarget(g, delivery.StageShifting, g.now())
 	report := &rpc.LoadReport{Node: "director", DeliveriesOnly: true, Deliveries: []*rpc.DeliveryDirective{encodeDirective(g.now(), &pushed)}}
 	g.handlePushedDeliveries(report)
-	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget())
 
 	g.applyDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget(), "answer to this gateway's own call")
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget(), "answer to this gateway's own call")
 
 	final := directiveToTarget(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
-	final.Condemned = append(final.Condemned, "v2")
+	final.Rejected = append(final.Rejected, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
 	g.handlePushedDeliveries(report)
 	choice := g.allowedVersions(deliveryRequest(), false)
-	assert.False(t, choice.WantsTarget())
+	assert.False(t, choice.PrefersTarget())
 	assert.False(t, choice.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished(), "no work left")
 }
@@ -67,18 +67,18 @@
 	g := deliveryGateway(t)
 	directive := directiveToTarget(g, delivery.StageShifting, g.now())
 	encoded := []*rpc.DeliveryDirective{encodeDirective(g.now(), &directive)}
-	g.applyDirectives(g.now()-delivery.DirectiveValid, encoded)
-	assert.False(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
+	g.applyDirectives(g.now()-delivery.DirectiveLifetime, encoded)
+	assert.False(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget())
 }
 
 // A request must not reach the target after its directive has expired.
 func TestSendToTargetRequiresValidDirective(t *testing.T) {
 	g := deliveryGateway(t)
 	const remaining = 300 * time.Millisecond
-	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveValid+remaining))
+	g.applyDirective(directiveToTarget(g, delivery.StageShifting, g.now()-delivery.DirectiveLifetime+remaining))
 	target := &backends.Worker{ID: "w", Service: "app", Software: "v2"}
 	current := deliveryRequest()
-	current.placedForTarget = g.allowedVersions(current, false).WantsTarget()
+	current.placedForTarget = g.allowedVersions(current, false).PrefersTarget()
 	require.True(t, current.placedForTarget)
 	assert.NoError(t, g.checkTarget(current, target))
 	time.Sleep(remaining + 50*time.Millisecond)
@@ -93,14 +93,14 @@
 	g := deliveryGateway(t)
 	canary := directiveToTarget(g, delivery.StageCanary, g.now())
 	g.applyDirective(canary)
-	assert.True(t, g.allowedVersions(deliveryRequest(), false).WantsTarget())
-	assert.False(t, g.allowedVersions(deliveryRequest(), true).WantsTarget())
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget())
+	assert.False(t, g.allowedVersions(deliveryRequest(), true).PrefersTarget())
 }
 
 func TestReportsSendDirectivesToAllAndEvidenceToTheDirector(t *testing.T) {
 	g := deliveryGateway(t)
 	g.applyDirective(directiveToTarget(g, delivery.StageCanary, g.now()))
-	g.deliveries.recordOutcome(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", Took: time.Millisecond})
+	g.deliveries.recordOutcome(g.now(), delivery.Outcome{Service: "app", Route: "route", Worker: "w", Version: "v2", TimeToFirstByte: time.Millisecond})
 	other := g.loadReport("other")
 	assert.Len(t, other.GetDeliveries(), 1)
 	assert.Empty(t, other.GetDeliveryEvidence())
@@ -164,7 +164,7 @@
 	g := deliveryGateway(t)
 	final := StoredDelivery{Version: 20, Record: delivery.Record{
 		Order: delivery.Order{Service: "app", Target: "v2", Duration: 12 * time.Second, Revision: 7},
-		Stage: delivery.StageRolledBack, Condemned: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
+		Stage: delivery.StageRolledBack, Rejected: []fleet.SoftwareVersion{"v2"}, StartedAt: time.Minute,
 	}}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}, StoreTime: 2 * time.Minute}}
 	g.dependencies.Store = store
@@ -184,7 +184,7 @@
 	stored := &StoredDeliveries{Records: []StoredDelivery{running}, StoreTime: time.Minute}
 	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, g.now()-stored.StoreTime)
 	final := running
-	final.Version, final.Stage, final.Condemned = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
+	final.Version, final.Stage, final.Rejected = 21, delivery.StageRolledBack, []fleet.SoftwareVersion{"v2"}
 	store := &deliveryStore{stored: &StoredDeliveries{Records: []StoredDelivery{final}}}
 	g.dependencies.Store = store
 	g.deliveries.beginWrite("app")
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydriver.go
@@ -37,12 +37,12 @@
 		}
 		interval := directorCheckInterval
 		if g.ensureDirector() {
-			interval = delivery.LookInterval
+			interval = delivery.EvaluationInterval
 			for _, service := range unfinished {
 				g.stepDelivery(service)
 			}
 		} else if g.deliveries.isShifting(g.now()) {
-			interval = delivery.LookInterval
+			interval = delivery.EvaluationInterval
 			g.reportToDirectors()
 		}
 		g.updateShareMetrics()
@@ -118,16 +118,16 @@
 	if held == nil {
 		return observation
 	}
-	_, observation.Known = held.Table.Service(service)
+	_, observation.Configured = held.Table.Service(service)
 	doubtful := g.workers.AllSuspects(now)
 	for _, worker := range g.workers.WorkersInUse() {
 		isTarget := g.deliveries.isTarget(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
 			continue
 		}
-		observed := delivery.TargetWorker{
+		observed := delivery.Worker{
 			ID: worker.ID, Version: worker.Software, Slots: worker.Slots,
-			InFlight: g.workers.InFlight(now, worker.ID), Doubtful: doubtful[worker.ID],
+			InFlight: g.workers.InFlight(now, worker.ID), Unreachable: doubtful[worker.ID],
 		}
 		if worker.Draining {
 			// A draining worker takes no requests, but its requests in flight count.
@@ -164,10 +164,10 @@
 	line = line.Str("service", string(event.Service)).Str("target", string(event.Target)).
 		Str("stage", event.Stage.String()).Str("reason", event.Reason).
 		Str("route", string(event.Route)).Str("worker", string(event.Worker)).
-		Float64("score", event.Score).Float64("bound", event.Bound).
+		Float64("score", event.Score).Float64("bound", event.Threshold).
 		Uint64("new_answers", event.NewAnswers).Uint64("new_bad", event.NewBad).
 		Uint64("old_answers", event.OldAnswers).Uint64("old_bad", event.OldBad).
-		Dur("elapsed", event.Elapsed).Dur("left", event.Left)
+		Dur("elapsed", event.Elapsed).Dur("left", event.Remaining)
 	line.Msg(event.Name)
 }
 
@@ -221,16 +221,16 @@
 }
 
 // decide runs the director for one service, with this gateway's own evidence included.
-func (d *deliveryState) decide(now time.Duration, observation delivery.Observation) delivery.Step {
+func (d *deliveryState) decide(now time.Duration, observation delivery.Observation) delivery.Decision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.director == nil {
-		return delivery.Step{}
+		return delivery.Decision{}
 	}
 	for _, evidence := range d.follower.Evidence(now) {
 		d.director.Observe(now, d.self, evidence)
 	}
-	return d.director.Look(now, observation)
+	return d.director.Evaluate(now, observation)
 }
 
 // addEvidence passes another gateway's evidence to the director.
@@ -284,5 +284,5 @@
 	if errors.Is(err, platform.ErrConflict) && stored.Order.Target != "" {
 		found = &stored.Record
 	}
-	d.director.Written(now, service, record, found, err)
+	d.director.HandleWriteResult(now, service, record, found, err)
 }
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -21,7 +21,7 @@
 const (
 	// directiveRefreshAge is the age from which on a directive is pulled again from a gateway that
 	// reports the same one.
-	directiveRefreshAge = delivery.DirectiveValid / 2
+	directiveRefreshAge = delivery.DirectiveLifetime / 2
 	// deliveryExchangeTimeout bounds one exchange of deliveries alone.
 	deliveryExchangeTimeout = 250 * time.Millisecond
 )
@@ -53,7 +53,7 @@
 
 // allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
 // set if the request was at the target and is to be retried elsewhere.
-func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Choice {
+func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Filter {
 	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
 }
 
@@ -76,7 +76,7 @@
 func (g *Gateway) isSendAllowed(current *callerRequest, worker *backends.Worker) bool {
 	if g.deliveries.isTarget(worker.Service, worker.Software) {
 		choice := g.allowedVersions(current, false)
-		return choice.WantsTarget() || choice.Allows(worker.ID, worker.Software)
+		return choice.PrefersTarget() || choice.Allows(worker.ID, worker.Software)
 	}
 	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
@@ -95,11 +95,11 @@
 	}
 	recorded := delivery.Outcome{
 		Service: worker.Service, Route: delivery.RouteName(current.route.Name), Worker: worker.ID, Version: worker.Software,
-		Failed: failed, Took: placement.TimeToFirstByte(g.now()),
+		Failed: failed, TimeToFirstByte: placement.TimeToFirstByte(g.now()),
 	}
 	if placement.Engine != nil {
 		total := g.now() - current.sentAt
-		recorded.Took = geometricMean(recorded.Took, total)
+		recorded.TimeToFirstByte = geometricMean(recorded.TimeToFirstByte, total)
 		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
 	}
 	if placement.Engine != nil && recorded.Predicted <= 0 && !failed {
@@ -194,7 +194,7 @@
 		directive, valid := decodeDirective(now, now, message)
 		switch {
 		case !valid:
-		case directive.Stage.Final():
+		case directive.Stage.IsFinal():
 			g.applyDirective(directive)
 		case g.deliveries.needsDirective(now, &directive):
 			g.pullDeliveries(fleet.NodeID(report.GetNode()))
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -43,7 +43,7 @@
 func (d *deliveryState) observeVersions(now time.Duration, service fleet.PoolName, versions []fleet.SoftwareVersion) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.follower.SeeVersions(now, service, versions)
+	d.follower.ObserveVersions(now, service, versions)
 	if len(versions) > 1 {
 		d.active.Store(true)
 	}
--- a/internal/gateway/fallback_test.go
+++ b/internal/gateway/fallback_test.go
@@ -69,7 +69,7 @@
 	directive := delivery.Directive{Service: "app", Target: "v2", Revision: 7, Sequence: 1, Stage: delivery.StageCanary, IssuedAt: time.Second}
 	g.deliveries.applyDirective(time.Second, directive)
 	assert.False(t, g.deliveries.hasUndirected(2*time.Second))
-	assert.True(t, g.deliveries.hasUndirected(time.Second+delivery.DirectiveValid+time.Millisecond), "directive has expired")
+	assert.True(t, g.deliveries.hasUndirected(time.Second+delivery.DirectiveLifetime+time.Millisecond), "directive has expired")
 	directive.Stage, directive.Sequence = delivery.StageRolledBack, 2
 	g.deliveries.applyDirective(5*time.Second, directive)
 	assert.False(t, g.deliveries.hasUndirected(time.Minute), "delivery is finished")
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -76,7 +76,7 @@
 	}
 	g.refreshDueVersions(now)
 	request := g.placementRequest(current)
-	current.placedForTarget = request.Software.WantsTarget()
+	current.placedForTarget = request.Software.PrefersTarget()
 	placement, refused := g.chooseWorker(ctx, current, request)
 	if placement == nil {
 		if refused.Reason == backends.ReasonLimited {
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -145,13 +145,13 @@
 		wait := g.reportIntervalFor(&update.worker)
 		report, err := g.dependencies.Engines.Report(g.workerCallContext(g.context(), callReport, &update.worker), update.worker)
 		if err == nil {
-			g.observeWorkerStart(update.worker.ID, backends.StartTime(report.Born))
+			g.observeWorkerStart(update.worker.ID, backends.StartTime(report.StartTime))
 		}
 		switch {
 		case err != nil:
 			failedReports++
 			g.logger.Warn().Str("worker", string(update.worker.ID)).Err(err).Msg("report_failed")
-			if failedReports >= maxFailedReports || errors.Is(err, rollout.ErrOtherRun) {
+			if failedReports >= maxFailedReports || errors.Is(err, rollout.ErrDifferentRun) {
 				return
 			}
 		case report.Versions[update.model] >= update.version && !report.Busy:
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -10,7 +10,7 @@
 
 func TestUncertainOrderIsRepeatedSooner(t *testing.T) {
 	assert.Equal(t, reorderUncertain, reorderDelay(rollout.OrderUncertain))
-	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderHolds, rollout.OrderRejected} {
+	for _, result := range []rollout.OrderResult{rollout.OrderAccepted, rollout.OrderAlreadyApplied, rollout.OrderRejected} {
 		assert.Equal(t, reorderAfter, reorderDelay(result))
 	}
 }
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -123,9 +123,9 @@
 	defer s.mutex.Unlock()
 	pacer := s.pacer(desired.Model)
 	if !timeKnown {
-		return pacer.Assume(requestedAt-s.updateWithin+enforceReserve+unknownAgeGracePeriod, uint64(desired.Version))
+		return pacer.PublishAssumed(requestedAt-s.updateWithin+enforceReserve+unknownAgeGracePeriod, uint64(desired.Version))
 	}
-	return pacer.Name(requestedAt, uint64(desired.Version))
+	return pacer.Publish(requestedAt, uint64(desired.Version))
 }
 
 // pacer returns a model's pacer. The mutex must be held.
@@ -152,7 +152,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, pacer := range s.pacers {
-		pacer.Hold(now, s.updateWithin-enforceReserve)
+		pacer.ResetPending(now, s.updateWithin-enforceReserve)
 	}
 }
 
@@ -160,16 +160,16 @@
 func (s *rolloutState) recordPeerVersion(requestedAt time.Duration, model fleet.ModelName, version uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pacer(model).Learn(requestedAt, version)
+	s.pacer(model).LearnPublication(requestedAt, version)
 }
 
 // recentVersions returns the latest versions that this node learned of without delay, by model.
-func (s *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Naming {
+func (s *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Publication {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	recent := make(map[fleet.ModelName][]rollout.Naming, len(s.pacers))
+	recent := make(map[fleet.ModelName][]rollout.Publication, len(s.pacers))
 	for model, pacer := range s.pacers {
-		recent[model] = pacer.Heard(maxSharedVersions)
+		recent[model] = pacer.RecentPublications(maxSharedVersions)
 	}
 	return recent
 }
@@ -181,7 +181,7 @@
 	defer s.mutex.Unlock()
 	due := make(map[fleet.ModelName]backends.ModelVersion, len(s.pacers))
 	for model, pacer := range s.pacers {
-		due[model] = backends.ModelVersion(pacer.Due(now, s.updateWithin-reserve))
+		due[model] = backends.ModelVersion(pacer.NewestDue(now, s.updateWithin-reserve))
 	}
 	return due
 }
@@ -224,7 +224,7 @@
 			byID[worker.ID] = worker
 			engines = append(engines, rollout.VersionedEngine{
 				Engine: worker.ID, Version: uint64(version), Changing: s.updating[worker.ID],
-				Doubtful: doubtful[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
+				Unreachable: doubtful[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
 			})
 		}
 		for _, engine := range pacer.Next(now, engines) {
@@ -260,7 +260,7 @@
 	delete(s.updating, update.worker.ID)
 	delete(s.cordonedUntil, update.worker.ID)
 	if duration > 0 {
-		s.pacers[update.model].Measured(duration, load)
+		s.pacers[update.model].ObserveChange(duration, load)
 		delete(s.backoffUntil, update.worker.ID)
 		delete(s.failures, update.worker.ID)
 		return
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -18,7 +18,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// recorder is a lease and an orderer. The lease is lost after checks calls.
+// recorder implements Lease and Orderer. The lease is lost after the given number of checks.
 type recorder struct {
 	mutex  sync.Mutex
 	checks int
@@ -70,7 +70,7 @@
 		Clock:    fleet.NewRuntimeClock(),
 		Logger:   zerolog.Nop(),
 		Interval: time.Second,
-		// One at a time, so that the lease is lost between two orders.
+		// Orders are sent one at a time, so that the lease is lost between two of them.
 		ParallelOrders: 1,
 	})
 	controller.Start()
@@ -79,17 +79,17 @@
 
 func TestLeaseIsCheckedRightBeforeEachOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		recorder := &recorder{checks: 2, token: 7} // for the plan and for one order
+		recorder := &recorder{checks: 2, token: 7} // one for the plan and one for an order
 		controller := startController(t, recorder)
 		time.Sleep(time.Minute)
-		want := loadOrder("a", oldWeights)
+		want := loadOrder("a", oldVersion)
 		want.Order.Fence = 7
 		assert.Equal(t, []Order{want}, recorder.sent())
 		require.NoError(t, controller.Stop())
 	})
 }
 
-func TestFailedOrderIsSentAgain(t *testing.T) {
+func TestFailedOrderIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &recorder{checks: 1000, token: 1, fail: true}
 		controller := startController(t, recorder)
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestStopCancelsAnOrderThatHangs(t *testing.T) {
+func TestStopCancelsAHangingOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &recorder{checks: 1000, hang: true}
 		controller := startController(t, recorder)
