--- a/internal/agent/carrier.go
+++ b/internal/agent/carrier.go
@@ -127,14 +127,14 @@
 func (c *carrier) perform(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case attempt.AskRouter:
+		case attempt.RequestPlacement:
 			c.start(action.Delay, func(ctx context.Context) { c.deliver(ctx, c.place(ctx, action)) })
 		case attempt.Dispatch:
 			c.logger.Debug().Str("engine", string(action.Run.Engine)).Str("stream", string(action.Stream)).Msg("dispatch")
 			c.start(0, func(ctx context.Context) { c.dispatch(ctx, action) })
 		case attempt.Resume:
 			c.start(action.Delay, func(ctx context.Context) { c.resume(ctx, action) })
-		case attempt.CancelAndBar:
+		case attempt.CancelAndFence:
 			c.cancel(action)
 		case attempt.Report:
 			c.agent.report(c.askedAt[action.Attempt], c.call.id, action)
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -46,7 +46,7 @@
 	case engine.OutcomeRejected:
 		return attempt.DispatchRejected{Operation: operation, Code: failure.Code, Message: failure.Message}
 	default:
-		return attempt.DispatchUnknown{Operation: operation, EngineSilent: isTimeout(failure)}
+		return attempt.DispatchUnknown{Operation: operation, TimedOut: isTimeout(failure)}
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 // cancel stops a stream. A best-effort cancel outlives its request.
-func (c *carrier) cancel(action attempt.CancelAndBar) {
+func (c *carrier) cancel(action attempt.CancelAndFence) {
 	if action.Operation != 0 {
 		c.start(action.Delay, func(ctx context.Context) {
 			c.deliver(ctx, c.cancelOnce(ctx, action))
@@ -120,7 +120,7 @@
 	})
 }
 
-func (c *carrier) cancelOnce(ctx context.Context, action attempt.CancelAndBar) attempt.Event {
+func (c *carrier) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
 	defer stop()
 	answer, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -22,7 +22,7 @@
 var errCrossedAnswer = errors.New("answer to another question")
 
 // place asks one router for an engine and returns its answer as an event.
-func (c *carrier) place(ctx context.Context, ask attempt.AskRouter) attempt.Event {
+func (c *carrier) place(ctx context.Context, ask attempt.RequestPlacement) attempt.Event {
 	at := c.chooseRouter(ask)
 	c.askedAt[ask.Attempt] = at
 	routerLife := c.agent.routers.enter(at)
@@ -43,7 +43,7 @@
 }
 
 // chooseRouter returns the router to ask and counts the try.
-func (c *carrier) chooseRouter(ask attempt.AskRouter) *link {
+func (c *carrier) chooseRouter(ask attempt.RequestPlacement) *link {
 	if c.routing == nil {
 		by := c.agent.routers.route(c.call)
 		c.routing = &by
@@ -62,7 +62,7 @@
 	c.agent.routerFailed(at, "place", err)
 }
 
-func (c *carrier) placeRequest(ask attempt.AskRouter) *rpc.PlaceRequest {
+func (c *carrier) placeRequest(ask attempt.RequestPlacement) *rpc.PlaceRequest {
 	excluded := make([]*rpc.EngineRun, 0, len(ask.Excluded))
 	for _, run := range ask.Excluded {
 		excluded = append(excluded, encodeRun(run))
@@ -95,7 +95,7 @@
 	}
 }
 
-func (c *carrier) placementEvent(ask attempt.AskRouter, at *link, answer *rpc.PlaceResponse) attempt.Event {
+func (c *carrier) placementEvent(ask attempt.RequestPlacement, at *link, answer *rpc.PlaceResponse) attempt.Event {
 	switch outcome := answer.GetOutcome().(type) {
 	case *rpc.PlaceResponse_Grant:
 		c.noteGrant()
@@ -108,7 +108,7 @@
 		for _, address := range outcome.HandBack.GetRouters() {
 			routers = append(routers, fleet.Address(address))
 		}
-		return attempt.HandedBack{Operation: ask.Operation, Routers: routers}
+		return attempt.Redirected{Operation: ask.Operation, Routers: routers}
 	default:
 		return attempt.PlacementFailed{Operation: ask.Operation}
 	}
@@ -137,7 +137,7 @@
 	c.spills = 0
 }
 
-func (c *carrier) grantEvent(ask attempt.AskRouter, grant *rpc.Grant) attempt.Event {
+func (c *carrier) grantEvent(ask attempt.RequestPlacement, grant *rpc.Grant) attempt.Event {
 	if _, err := netip.ParseAddrPort(grant.GetAddress()); err != nil || grant.GetRun().GetEngine() == "" {
 		c.agent.logger.Error().Str("request_id", string(c.call.id)).Str("address", grant.GetAddress()).Msg("grant_malformed")
 		return attempt.PlacementFailed{Operation: ask.Operation}
@@ -160,15 +160,15 @@
 
 // refusalEvent treats a router that has no configuration yet as one that hands
 // back: the exchange started by its answer brings it up to date.
-func (c *carrier) refusalEvent(ask attempt.AskRouter, at *link, refusal *rpc.Refusal) attempt.Event {
+func (c *carrier) refusalEvent(ask attempt.RequestPlacement, at *link, refusal *rpc.Refusal) attempt.Event {
 	code := resultcode.Code(refusal.GetCode())
 	switch code {
 	case resultcode.NoConfiguration:
 		c.agent.requestSync(at)
-		return attempt.HandedBack{Operation: ask.Operation}
+		return attempt.Redirected{Operation: ask.Operation}
 	case resultcode.StaleWeights:
 		if ask.ContinuationTokens == 0 && c.takeNewVersion(at) {
-			return attempt.HandedBack{Operation: ask.Operation}
+			return attempt.Redirected{Operation: ask.Operation}
 		}
 	}
 	return attempt.Refused{
--- a/internal/attempt/actions.go
+++ b/internal/attempt/actions.go
@@ -12,9 +12,9 @@
 // best-effort cancels.
 type Action interface{ action() }
 
-// AskRouter asks a router for an engine. Its answer is Granted, Refused,
+// RequestPlacement asks a router for an engine. Its answer is Granted, Refused,
 // HandedBack or PlacementFailed.
-type AskRouter struct {
+type RequestPlacement struct {
 	Operation Operation
 	// Attempt is a new number for each question, so that a late answer to an
 	// earlier one can't be taken for the answer to this.
@@ -54,8 +54,8 @@
 	Delay time.Duration
 }
 
-// CancelAndBar stops a stream and bars any later dispatch of it.
-type CancelAndBar struct {
+// CancelAndFence stops a stream and bars any later dispatch of it.
+type CancelAndFence struct {
 	// Operation is 0 when the cancel is best effort: nobody waits for its
 	// answer. Otherwise it is answered by CancelAnswered or CancelFailed.
 	Operation Operation
@@ -123,12 +123,12 @@
 	EngineLost bool
 }
 
-func (AskRouter) action()    {}
-func (Dispatch) action()     {}
-func (Resume) action()       {}
-func (CancelAndBar) action() {}
-func (EmitToken) action()    {}
-func (Finish) action()       {}
-func (Fail) action()         {}
-func (Abort) action()        {}
-func (Report) action()       {}
+func (RequestPlacement) action() {}
+func (Dispatch) action()         {}
+func (Resume) action()           {}
+func (CancelAndFence) action()   {}
+func (EmitToken) action()        {}
+func (Finish) action()           {}
+func (Fail) action()             {}
+func (Abort) action()            {}
+func (Report) action()           {}
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -86,8 +86,8 @@
 	PhaseStreaming
 	// PhaseResuming waits for the same engine run to go on with the stream.
 	PhaseResuming
-	// PhaseBarring waits to learn whether a dispatch took effect.
-	PhaseBarring
+	// PhaseFencing waits to learn whether a dispatch took effect.
+	PhaseFencing
 	// PhaseFinished has had its terminal action.
 	PhaseFinished
 )
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -37,9 +37,9 @@
 // Budget is a token bucket filled by first attempts. It isn't safe for
 // concurrent use.
 type Budget struct {
-	options BudgetOptions
-	tokens  float64
-	filled  time.Duration
+	options    BudgetOptions
+	tokens     float64
+	lastRefill time.Duration
 }
 
 // NewBudget returns a full budget.
@@ -62,13 +62,13 @@
 
 // Deposit implements RetryBudget.
 func (b *Budget) Deposit(now time.Duration) {
-	b.fill(now)
+	b.refill(now)
 	b.tokens = min(b.tokens+b.options.Ratio, b.options.Burst)
 }
 
 // Withdraw implements RetryBudget.
 func (b *Budget) Withdraw(now time.Duration) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -76,11 +76,11 @@
 	return true
 }
 
-func (b *Budget) fill(now time.Duration) {
-	if now <= b.filled {
+func (b *Budget) refill(now time.Duration) {
+	if now <= b.lastRefill {
 		return
 	}
-	earned := (now - b.filled).Seconds() * b.options.FloorPerSecond
+	earned := (now - b.lastRefill).Seconds() * b.options.FloorPerSecond
 	b.tokens = min(b.tokens+earned, b.options.Burst)
-	b.filled = now
+	b.lastRefill = now
 }
--- a/internal/attempt/ending.go
+++ b/internal/attempt/ending.go
@@ -16,29 +16,29 @@
 // gains nothing by waiting.
 func (m *Machine) fail(code resultcode.Code, reason string, retryAfter time.Duration) {
 	m.phase = PhaseFinished
-	code = m.truthful(code)
+	code = m.accurateCode(code)
 	entry := resultcode.Lookup(code)
 	if !entry.NotRun && !m.request.Repeatable {
 		retryAfter = 0 // coming back could run it twice
-	} else if retryAfter <= 0 && entry.Status >= statusRetryable {
+	} else if retryAfter <= 0 && entry.Status >= minRetryableStatus {
 		retryAfter = m.policy.RetryAfter + time.Duration(m.random.Int64N(int64(m.policy.RetryAfter)))
 	}
 	m.emit(Fail{Code: code, Reason: reason, RetryAfter: retryAfter})
 }
 
-// statusRetryable is the lowest HTTP status whose answer tells when to come back.
-const statusRetryable = 429
+// minRetryableStatus is the lowest HTTP status whose answer tells when to come back.
+const minRetryableStatus = 429
 
-// truthful replaces a code that says "not run" when that isn't certain, and one
+// accurateCode replaces a code that says "not run" when that isn't certain, and one
 // that hides that the caller has a part of the output.
-func (m *Machine) truthful(code resultcode.Code) resultcode.Code {
+func (m *Machine) accurateCode(code resultcode.Code) resultcode.Code {
 	if code == resultcode.DeadlineExceeded {
 		return code
 	}
 	if len(m.emitted) > 0 {
 		return resultcode.StreamInterrupted
 	}
-	if m.certainlyNotRun() || !resultcode.Lookup(code).NotRun {
+	if m.isKnownNotRun() || !resultcode.Lookup(code).NotRun {
 		return code
 	}
 	if !m.request.Repeatable {
@@ -47,17 +47,17 @@
 	return resultcode.EngineFailed
 }
 
-func (m *Machine) certainlyNotRun() bool { return !m.mayRun && !m.mayHaveRun }
+func (m *Machine) isKnownNotRun() bool { return !m.mayRun && !m.earlierMayHaveRun }
 
 func (m *Machine) onCallerGone() {
-	m.withdraw()
+	m.releaseAttempt()
 	m.phase = PhaseFinished
 	m.emit(Abort{})
 }
 
 func (m *Machine) onDeadline() {
-	m.withdraw()
-	if m.certainlyNotRun() {
+	m.releaseAttempt()
+	if m.isKnownNotRun() {
 		m.fail(resultcode.QueueTimeout, "deadline passed before an engine took the request", 0)
 		return
 	}
@@ -66,14 +66,14 @@
 
 // onStopping relies on truthful for a request that may have run.
 func (m *Machine) onStopping() {
-	m.withdraw()
+	m.releaseAttempt()
 	m.fail(resultcode.Stopping, "agent is stopping", 0)
 }
 
-// withdraw ends the present attempt because its request ends.
-func (m *Machine) withdraw() {
+// releaseAttempt ends the present attempt because its request ends.
+func (m *Machine) releaseAttempt() {
 	if m.mayRun {
-		m.leave(false)
+		m.cancelAttempt(false)
 		return
 	}
 	m.report(ReportAbandoned, false)
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -36,9 +36,9 @@
 	RetryAfter time.Duration
 }
 
-// HandedBack means that a router didn't place the request and that it can go
+// Redirected means that a router didn't place the request and that it can go
 // to another at once.
-type HandedBack struct {
+type Redirected struct {
 	Operation Operation
 	// Routers lists the addresses to try, best first; empty leaves the choice.
 	Routers []fleet.Address
@@ -61,9 +61,9 @@
 // DispatchUnknown means that the dispatch failed when the engine may have had it.
 type DispatchUnknown struct {
 	Operation Operation
-	// EngineSilent is set when the engine gave no answer in time, rather than
+	// TimedOut is set when the engine gave no answer in time, rather than
 	// that the connection broke.
-	EngineSilent bool
+	TimedOut bool
 }
 
 // FrameReceived is one frame of a dispatched or resumed stream.
@@ -109,7 +109,7 @@
 
 func (Granted) event()          {}
 func (Refused) event()          {}
-func (HandedBack) event()       {}
+func (Redirected) event()       {}
 func (PlacementFailed) event()  {}
 func (DispatchNotSent) event()  {}
 func (DispatchRejected) event() {}
--- a/internal/attempt/forwarding.go
+++ b/internal/attempt/forwarding.go
@@ -9,15 +9,15 @@
 
 // Bounds on tries that don't count as runs.
 const (
-	// maxUnsent bounds the workers that could not be reached for one request.
-	maxUnsent = 4
+	// maxUnreachable bounds the workers that could not be reached for one request.
+	maxUnreachable = 4
 	// maxRejections bounds the workers that turned one request away unrun.
 	maxRejections = 3
 	// minTimeLeft is the time left below which no other worker is tried.
 	minTimeLeft = 15 * time.Millisecond
-	// maxWithheld bounds the sends of one request that were not made since the worker had no
+	// maxThrottled bounds the sends of one request that were not made since the worker had no
 	// room.
-	maxWithheld = 8
+	maxThrottled = 8
 )
 
 // ForwardingPolicy says what may be done for one opaque request.
@@ -53,14 +53,14 @@
 	policy ForwardingPolicy
 	budget RetryBudget
 
-	excluded   []fleet.EngineRun
-	sends      int
-	unsent     int
-	rejections int
-	withheld   int
-	// mayHaveRun counts the sends that may have run.
-	mayHaveRun int
-	delivering bool
+	excluded    []fleet.EngineRun
+	sends       int
+	unreachable int
+	rejections  int
+	throttled   int
+	// possibleRuns counts the sends that may have run.
+	possibleRuns int
+	delivering   bool
 	// continuing is set while a send goes to the engine that holds a copy of the run.
 	continuing bool
 }
@@ -80,7 +80,7 @@
 func (f *Forwarding) Sends() int { return f.sends }
 
 // MayHaveRun tells whether any send may have run.
-func (f *Forwarding) MayHaveRun() bool { return f.mayHaveRun > 0 }
+func (f *Forwarding) MayHaveRun() bool { return f.possibleRuns > 0 }
 
 // StepKind tells what is to be done next.
 type StepKind int
@@ -95,9 +95,9 @@
 	StepDeliver
 	// StepFail ends the request with a failure of the system's own.
 	StepFail
-	// StepBreak breaks the answer off that is being passed on, so that the
+	// StepAbort breaks the answer off that is being passed on, so that the
 	// caller can't take it for complete.
-	StepBreak
+	StepAbort
 )
 
 // Step is what is to be done next.
@@ -113,26 +113,26 @@
 func (f *Forwarding) NotSent(now time.Duration, run fleet.EngineRun) Step {
 	f.exclude(run)
 	if f.continuing {
-		return f.notContinued(now)
+		return f.continuationFailed(now)
 	}
-	f.unsent++
-	if f.unsent > maxUnsent {
-		return f.giveUp(resultcode.NoEngine, "workers unreachable")
+	f.unreachable++
+	if f.unreachable > maxUnreachable {
+		return f.fail(resultcode.NoEngine, "workers unreachable")
 	}
-	return f.again(now, false)
+	return f.retry(now, false)
 }
 
-// Withheld takes in that a send wasn't made since the worker has no room, and when it has
+// Throttled takes in that a send wasn't made since the worker has no room, and when it has
 // again. Another worker is chosen, or the same one once it has room.
-func (f *Forwarding) Withheld(now time.Duration, opensIn time.Duration) Step {
+func (f *Forwarding) Throttled(now time.Duration, opensIn time.Duration) Step {
 	if f.continuing {
-		return f.notContinued(now)
+		return f.continuationFailed(now)
 	}
-	f.withheld++
-	if f.withheld > maxWithheld {
+	f.throttled++
+	if f.throttled > maxThrottled {
 		return f.NoWorker("workers at their limits", opensIn)
 	}
-	return f.again(now, false)
+	return f.retry(now, false)
 }
 
 // Rejected takes in a worker's word that it didn't run the request.
@@ -140,13 +140,13 @@
 	f.exclude(run)
 	f.sends++
 	if f.continuing {
-		return f.notContinued(now)
+		return f.continuationFailed(now)
 	}
 	f.rejections++
 	if f.rejections > maxRejections {
-		return f.giveUp(resultcode.Overloaded, "workers full")
+		return f.fail(resultcode.Overloaded, "workers full")
 	}
-	return f.again(now, true)
+	return f.retry(now, true)
 }
 
 // Unanswered takes in that a send got no answer, or none of its own: the worker
@@ -155,10 +155,10 @@
 	f.exclude(run)
 	f.sends++
 	if f.continuing {
-		return f.notContinued(now)
+		return f.continuationFailed(now)
 	}
-	f.mayHaveRun++
-	return f.afterRun(now)
+	f.possibleRuns++
+	return f.afterPossibleRun(now)
 }
 
 // Answered takes in a worker's own answer. failed is set for a failure of the
@@ -169,43 +169,43 @@
 		f.continuing = false
 		return Step{Kind: StepDeliver}
 	}
-	f.mayHaveRun++
-	if failed && f.policy.RetryFailures && f.policy.Idempotent && !f.delivering && f.runsLeft() &&
-		f.timeLeft(now) && f.budget.Withdraw(now) {
+	f.possibleRuns++
+	if failed && f.policy.RetryFailures && f.policy.Idempotent && !f.delivering && f.hasRunsLeft() &&
+		f.hasTimeLeft(now) && f.budget.Withdraw(now) {
 		f.exclude(run)
 		return Step{Kind: StepSend}
 	}
 	return Step{Kind: StepDeliver}
 }
 
-// Began notes that the caller has got the beginning of an answer.
-func (f *Forwarding) Began() { f.delivering = true }
+// DeliveryStarted notes that the caller has got the beginning of an answer.
+func (f *Forwarding) DeliveryStarted() { f.delivering = true }
 
-// Broken takes in that an answer ended before its end, after Answered. copied tells
+// Truncated takes in that an answer ended before its end, after Answered. copied tells
 // whether another engine may hold a copy of the run.
-func (f *Forwarding) Broken(now time.Duration, run fleet.EngineRun, copied bool) Step {
+func (f *Forwarding) Truncated(now time.Duration, run fleet.EngineRun, copied bool) Step {
 	f.exclude(run)
 	if !f.delivering {
-		return f.afterRun(now)
+		return f.afterPossibleRun(now)
 	}
-	if copied && f.timeLeft(now) && f.budget.Withdraw(now) {
+	if copied && f.hasTimeLeft(now) && f.budget.Withdraw(now) {
 		f.continuing = true
 		return Step{Kind: StepContinue}
 	}
 	return f.resume(now)
 }
 
-// notContinued takes in that the engine that should hold a copy of the run doesn't go on
+// continuationFailed takes in that the engine that should hold a copy of the run doesn't go on
 // with it.
-func (f *Forwarding) notContinued(now time.Duration) Step {
+func (f *Forwarding) continuationFailed(now time.Duration) Step {
 	f.continuing = false
 	return f.resume(now)
 }
 
 // resume has the rest of a resumable stream run anew.
 func (f *Forwarding) resume(now time.Duration) Step {
-	if !f.policy.Resumable || !f.runsLeft() || !f.timeLeft(now) || !f.budget.Withdraw(now) {
-		return Step{Kind: StepBreak}
+	if !f.policy.Resumable || !f.hasRunsLeft() || !f.hasTimeLeft(now) || !f.budget.Withdraw(now) {
+		return Step{Kind: StepAbort}
 	}
 	return Step{Kind: StepSend}
 }
@@ -213,17 +213,17 @@
 // NoWorker takes in that no worker can be chosen. reason tells why, and retryAfter
 // when there is room; 0 if that isn't known.
 func (f *Forwarding) NoWorker(reason string, retryAfter time.Duration) Step {
-	step := f.giveUp(resultcode.NoEngine, reason)
+	step := f.fail(resultcode.NoEngine, reason)
 	if step.Code == resultcode.NoEngine {
 		step.RetryAfter = max(step.RetryAfter, retryAfter)
 	}
 	return step
 }
 
-// Barred takes in that the request must not go to a worker any more, for a reason of its own,
+// Denied takes in that the request must not go to a worker any more, for a reason of its own,
 // and when it may be tried again.
-func (f *Forwarding) Barred(code resultcode.Code, reason string, retryAfter time.Duration) Step {
-	step := f.giveUp(code, reason)
+func (f *Forwarding) Denied(code resultcode.Code, reason string, retryAfter time.Duration) Step {
+	step := f.fail(code, reason)
 	if step.Code == code {
 		step.RetryAfter = max(step.RetryAfter, retryAfter)
 	}
@@ -233,61 +233,61 @@
 // Expired takes in that the time for a final answer is over.
 func (f *Forwarding) Expired() Step {
 	if f.delivering {
-		return Step{Kind: StepBreak}
+		return Step{Kind: StepAbort}
 	}
-	if f.mayHaveRun > 0 {
+	if f.possibleRuns > 0 {
 		return Step{Kind: StepFail, Code: resultcode.DeadlineExceeded, Reason: "no answer in time"}
 	}
-	return f.giveUp(resultcode.DeadlineTooShort, "not begun in time")
+	return f.fail(resultcode.DeadlineTooShort, "not begun in time")
 }
 
-// Interrupted takes in that a send was broken off by this side at its deadline.
-func (f *Forwarding) Interrupted() Step {
+// TimedOut takes in that a send was broken off by this side at its deadline.
+func (f *Forwarding) TimedOut() Step {
 	f.sends++
-	f.mayHaveRun++
+	f.possibleRuns++
 	return f.Expired()
 }
 
-// afterRun decides after a send that may have run.
-func (f *Forwarding) afterRun(now time.Duration) Step {
+// afterPossibleRun decides after a send that may have run.
+func (f *Forwarding) afterPossibleRun(now time.Duration) Step {
 	switch {
 	case f.delivering:
 		return f.resume(now)
 	case !f.policy.Idempotent:
 		return Step{Kind: StepFail, Code: resultcode.OutcomeUnknown, Reason: "the worker may have run it"}
-	case !f.runsLeft():
+	case !f.hasRunsLeft():
 		return Step{Kind: StepFail, Code: resultcode.EngineFailed, Reason: "no more workers allowed"}
 	default:
-		return f.again(now, true)
+		return f.retry(now, true)
 	}
 }
 
-// again tries another worker if time and, for a send, the budget allow it.
-func (f *Forwarding) again(now time.Duration, spend bool) Step {
-	if !f.timeLeft(now) {
+// retry tries another worker if time and, for a send, the budget allow it.
+func (f *Forwarding) retry(now time.Duration, spend bool) Step {
+	if !f.hasTimeLeft(now) {
 		return f.Expired()
 	}
 	if spend && !f.budget.Withdraw(now) {
-		return f.giveUp(resultcode.RetryBudget, "retry budget spent")
+		return f.fail(resultcode.RetryBudget, "retry budget spent")
 	}
 	return Step{Kind: StepSend}
 }
 
-// giveUp ends a request that can't be placed.
-func (f *Forwarding) giveUp(code resultcode.Code, reason string) Step {
+// fail ends a request that can't be placed.
+func (f *Forwarding) fail(code resultcode.Code, reason string) Step {
 	switch {
 	case f.delivering:
-		return Step{Kind: StepBreak}
-	case f.mayHaveRun > 0:
+		return Step{Kind: StepAbort}
+	case f.possibleRuns > 0:
 		return Step{Kind: StepFail, Code: resultcode.EngineFailed, Reason: reason}
 	default:
 		return Step{Kind: StepFail, Code: code, Reason: reason, RetryAfter: f.policy.RetryAfter}
 	}
 }
 
-func (f *Forwarding) runsLeft() bool { return f.mayHaveRun < f.policy.MaxRuns }
+func (f *Forwarding) hasRunsLeft() bool { return f.possibleRuns < f.policy.MaxRuns }
 
-func (f *Forwarding) timeLeft(now time.Duration) bool { return now+minTimeLeft < f.policy.Deadline }
+func (f *Forwarding) hasTimeLeft(now time.Duration) bool { return now+minTimeLeft < f.policy.Deadline }
 
 func (f *Forwarding) exclude(run fleet.EngineRun) {
 	if run != (fleet.EngineRun{}) {
--- a/internal/attempt/forwarding_test.go
+++ b/internal/attempt/forwarding_test.go
@@ -13,12 +13,12 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// plenty is a budget that never runs out.
-type plenty struct{ spent int }
+// unlimitedBudget is a budget that never runs out.
+type unlimitedBudget struct{ withdrawn int }
 
-func (*plenty) Deposit(time.Duration) {}
+func (*unlimitedBudget) Deposit(time.Duration) {}
 
-func (p *plenty) Withdraw(time.Duration) bool { p.spent++; return true }
+func (p *unlimitedBudget) Withdraw(time.Duration) bool { p.withdrawn++; return true }
 
 func workerRun(number int) fleet.EngineRun {
 	return fleet.EngineRun{Engine: fleet.EngineID(fmt.Sprintf("w%d", number))}
@@ -29,10 +29,10 @@
 		policy.Deadline = time.Second
 	}
 	policy.RetryAfter = 100 * time.Millisecond
-	return NewForwarding(0, policy, &plenty{})
+	return NewForwarding(0, policy, &unlimitedBudget{})
 }
 
-func TestUnsafeRequestIsNotSentAgainOnceItMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestIsNotResentOnceItMayHaveRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 3})
 	step := machine.Unanswered(0, workerRun(1))
 	assert.Equal(t, StepFail, step.Kind)
@@ -40,7 +40,7 @@
 	assert.False(t, resultcode.Lookup(step.Code).NotRun)
 }
 
-func TestUnsafeRequestThatDidNotRunGoesElsewhere(t *testing.T) {
+func TestNonIdempotentRequestIsResentIfItDidNotRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 	assert.Equal(t, StepSend, machine.NotSent(0, workerRun(1)).Kind)
 	assert.Equal(t, StepSend, machine.Rejected(0, workerRun(2)).Kind)
@@ -48,7 +48,7 @@
 	assert.Equal(t, StepDeliver, machine.Answered(0, workerRun(3), false).Kind)
 }
 
-func TestRejectionsEverywhereEndInARefusalWithAWait(t *testing.T) {
+func TestTooManyRejectionsFailWithRetryAfter(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 	step := Step{}
 	for number := range maxRejections + 1 {
@@ -59,7 +59,7 @@
 	assert.Positive(t, step.RetryAfter)
 }
 
-func TestSafeRequestRunsAtNoMoreThanMaxRunsWorkers(t *testing.T) {
+func TestIdempotentRequestRunsOnAtMostMaxRunsWorkers(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{Idempotent: true, RetryFailures: true, MaxRuns: 2})
 	assert.Equal(t, StepSend, machine.Unanswered(0, workerRun(1)).Kind)
 	step := machine.Unanswered(0, workerRun(2))
@@ -67,24 +67,24 @@
 	assert.False(t, resultcode.Lookup(step.Code).NotRun)
 }
 
-func TestFailureOfASafeRequestIsTriedOnceMoreThenDelivered(t *testing.T) {
+func TestWorkerFailureIsRetriedOnceThenDelivered(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{Idempotent: true, RetryFailures: true, MaxRuns: 2})
 	assert.Equal(t, StepSend, machine.Answered(0, workerRun(1), true).Kind)
 	assert.Equal(t, StepDeliver, machine.Answered(0, workerRun(2), true).Kind)
 }
 
-func TestStreamThatBrokeOffResumesOnlyIfItMay(t *testing.T) {
-	for resumable, want := range map[bool]StepKind{true: StepSend, false: StepBreak} {
+func TestTruncatedStreamResumesOnlyIfResumable(t *testing.T) {
+	for resumable, want := range map[bool]StepKind{true: StepSend, false: StepAbort} {
 		machine := newTestForwarding(ForwardingPolicy{Idempotent: resumable, Resumable: resumable, MaxRuns: 2})
 		require.Equal(t, StepDeliver, machine.Answered(0, workerRun(1), false).Kind)
-		machine.Began()
-		assert.Equal(t, want, machine.Broken(0, workerRun(1), false).Kind, "resumable %t", resumable)
+		machine.DeliveryStarted()
+		assert.Equal(t, want, machine.Truncated(0, workerRun(1), false).Kind, "resumable %t", resumable)
 	}
 }
 
-// TestLostRunGoesOnAtItsCopyOnce has any stream go on where its run was copied, and never
+// TestLostRunContinuesFromItsCopyOnce has any stream go on where its run was copied, and never
 // run anew there if it may not be resumed.
-func TestLostRunGoesOnAtItsCopyOnce(t *testing.T) {
+func TestLostRunContinuesFromItsCopyOnce(t *testing.T) {
 	for name, answer := range map[string]func(*Forwarding) Step{
 		"goes on":   func(machine *Forwarding) Step { return machine.Answered(0, workerRun(2), false) },
 		"no copy":   func(machine *Forwarding) Step { return machine.Rejected(0, workerRun(2)) },
@@ -93,31 +93,31 @@
 	} {
 		machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 		require.Equal(t, StepDeliver, machine.Answered(0, workerRun(1), false).Kind)
-		machine.Began()
-		require.Equal(t, StepContinue, machine.Broken(0, workerRun(1), true).Kind)
-		want := StepBreak
+		machine.DeliveryStarted()
+		require.Equal(t, StepContinue, machine.Truncated(0, workerRun(1), true).Kind)
+		want := StepAbort
 		if name == "goes on" {
 			want = StepDeliver
 		}
 		assert.Equal(t, want, answer(machine).Kind, name)
-		assert.Equal(t, StepBreak, machine.Broken(0, workerRun(2), false).Kind, name)
+		assert.Equal(t, StepAbort, machine.Truncated(0, workerRun(2), false).Kind, name)
 	}
 	resumable := newTestForwarding(ForwardingPolicy{Idempotent: true, Resumable: true, MaxRuns: 2})
 	require.Equal(t, StepDeliver, resumable.Answered(0, workerRun(1), false).Kind)
-	resumable.Began()
-	require.Equal(t, StepContinue, resumable.Broken(0, workerRun(1), true).Kind)
+	resumable.DeliveryStarted()
+	require.Equal(t, StepContinue, resumable.Truncated(0, workerRun(1), true).Kind)
 	assert.Equal(t, StepSend, resumable.Rejected(0, workerRun(2)).Kind, "without a copy it runs anew")
 }
 
-func TestAnswerThatBrokeOffUnseenIsNotTakenForUnrun(t *testing.T) {
+func TestAnswerTruncatedBeforeDeliveryCountsAsRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 2})
 	require.Equal(t, StepDeliver, machine.Answered(0, workerRun(1), false).Kind)
-	step := machine.Broken(0, workerRun(1), false)
+	step := machine.Truncated(0, workerRun(1), false)
 	assert.Equal(t, StepFail, step.Kind)
 	assert.False(t, resultcode.Lookup(step.Code).NotRun)
 }
 
-func TestNothingIsTriedWithoutTimeOrBudget(t *testing.T) {
+func TestRetryNeedsTimeAndBudget(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 	step := machine.Rejected(time.Second-minTimeLeft, workerRun(1))
 	assert.Equal(t, resultcode.DeadlineTooShort, step.Code)
@@ -128,9 +128,9 @@
 	assert.Equal(t, StepSend, machine.NotSent(0, workerRun(2)).Kind, "what was never written is no retry")
 }
 
-// TestForwardingKeepsItsGuarantees feeds random outcomes and checks each
+// TestForwardingGuaranteesUnderRandomOutcomes feeds random outcomes and checks each
 // guarantee of the machine's comment.
-func TestForwardingKeepsItsGuarantees(t *testing.T) {
+func TestForwardingGuaranteesUnderRandomOutcomes(t *testing.T) {
 	for seed := range uint64(20000) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		policy := ForwardingPolicy{
@@ -138,7 +138,7 @@
 			MaxRuns: 1 + random.IntN(3), Deadline: time.Second, RetryAfter: time.Millisecond,
 		}
 		policy.Resumable = policy.Idempotent && random.IntN(2) == 0
-		machine := NewForwarding(0, policy, &plenty{})
+		machine := NewForwarding(0, policy, &unlimitedBudget{})
 		ran, began := 0, false
 		step := Step{Kind: StepSend}
 		for number := 0; step.Kind == StepSend; number++ {
@@ -163,10 +163,10 @@
 				step = machine.Answered(now, run, random.IntN(2) == 0)
 				if step.Kind == StepDeliver && random.IntN(2) == 0 {
 					if random.IntN(2) == 0 {
-						machine.Began()
+						machine.DeliveryStarted()
 						began = true
 					}
-					step = machine.Broken(now, run, false)
+					step = machine.Truncated(now, run, false)
 				}
 			}
 			if step.Kind == StepFail {
@@ -177,34 +177,34 @@
 	}
 }
 
-// TestBarredRequestIsRefusedAsNotRunOnlyIfNoneMayHave.
-func TestBarredRequestIsRefusedAsNotRunOnlyIfNoneMayHave(t *testing.T) {
+// TestDeniedRequestReportsNotRunOnlyIfNoSendMayHaveRun.
+func TestDeniedRequestReportsNotRunOnlyIfNoSendMayHaveRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{Idempotent: true, MaxRuns: 3})
-	step := machine.Barred(resultcode.Quarantined, "held", time.Minute)
+	step := machine.Denied(resultcode.Quarantined, "held", time.Minute)
 	assert.Equal(t, Step{Kind: StepFail, Code: resultcode.Quarantined, Reason: "held", RetryAfter: time.Minute}, step)
 	assert.True(t, resultcode.Lookup(step.Code).NotRun)
 
 	machine = newTestForwarding(ForwardingPolicy{Idempotent: true, MaxRuns: 3})
 	require.Equal(t, StepSend, machine.Unanswered(0, workerRun(1)).Kind)
-	step = machine.Barred(resultcode.Quarantined, "held", time.Minute)
+	step = machine.Denied(resultcode.Quarantined, "held", time.Minute)
 	assert.Equal(t, resultcode.EngineFailed, step.Code)
 	assert.False(t, resultcode.Lookup(step.Code).NotRun)
 	assert.Zero(t, step.RetryAfter)
 
 	machine = newTestForwarding(ForwardingPolicy{Resumable: true, MaxRuns: 3})
 	machine.Answered(0, workerRun(1), false)
-	machine.Began()
-	assert.Equal(t, StepBreak, machine.Barred(resultcode.Quarantined, "held", 0).Kind)
+	machine.DeliveryStarted()
+	assert.Equal(t, StepAbort, machine.Denied(resultcode.Quarantined, "held", 0).Kind)
 }
 
-// TestWithheldSendGoesElsewhere for a while, and is then refused as not run with the time at
+// TestThrottledSendIsRetriedThenRefused for a while, and is then refused as not run with the time at
 // which there is room; a run that goes on elsewhere is broken off if it may not be resumed.
-func TestWithheldSendGoesElsewhere(t *testing.T) {
+func TestThrottledSendIsRetriedThenRefused(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
-	for range maxWithheld {
-		assert.Equal(t, StepSend, machine.Withheld(0, 2*time.Second).Kind)
+	for range maxThrottled {
+		assert.Equal(t, StepSend, machine.Throttled(0, 2*time.Second).Kind)
 	}
-	step := machine.Withheld(0, 2*time.Second)
+	step := machine.Throttled(0, 2*time.Second)
 	assert.Equal(t, StepFail, step.Kind)
 	assert.True(t, resultcode.Lookup(step.Code).NotRun)
 	assert.Equal(t, 2*time.Second, step.RetryAfter)
@@ -212,7 +212,7 @@
 
 	stream := newTestForwarding(ForwardingPolicy{MaxRuns: 2})
 	stream.Answered(0, workerRun(1), false)
-	stream.Began()
-	assert.Equal(t, StepContinue, stream.Broken(0, workerRun(1), true).Kind)
-	assert.Equal(t, StepBreak, stream.Withheld(0, time.Second).Kind)
+	stream.DeliveryStarted()
+	assert.Equal(t, StepContinue, stream.Truncated(0, workerRun(1), true).Kind)
+	assert.Equal(t, StepAbort, stream.Throttled(0, time.Second).Kind)
 }
--- a/internal/attempt/machine.go
+++ b/internal/attempt/machine.go
@@ -25,15 +25,15 @@
 
 	// grant is what the present attempt was granted; granted tells whether its
 	// router is still owed a last report.
-	grant   Granted
-	granted bool
+	grant     Granted
+	grantOpen bool
 	// mayRun is true while the present attempt may run or have run, mayHaveRun
 	// if an earlier one may.
-	mayRun     bool
-	mayHaveRun bool
+	mayRun            bool
+	earlierMayHaveRun bool
 	// accepted is true once the engine has said that it holds the stream.
-	accepted   bool
-	firstToken bool
+	accepted           bool
+	firstTokenReported bool
 
 	excluded   []fleet.EngineRun
 	emitted    []string
@@ -55,8 +55,8 @@
 func (m *Machine) Start(now time.Duration) []Action {
 	m.now = now
 	m.budget.Deposit(now)
-	m.place(nil, 0)
-	return m.take()
+	m.requestPlacement(nil, 0)
+	return m.takeActions()
 }
 
 // Phase tells what the machine waits for.
@@ -72,15 +72,15 @@
 // the terminal action; a grant that comes then is reported as abandoned.
 func (m *Machine) Handle(now time.Duration, event Event) []Action {
 	m.now = max(m.now, now)
-	if m.current(event) {
+	if m.isCurrent(event) {
 		m.handle(event)
 	} else {
-		m.drop(event)
+		m.handleStale(event)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-func (m *Machine) take() []Action {
+func (m *Machine) takeActions() []Action {
 	actions := m.actions
 	m.actions = nil
 	return actions
@@ -94,16 +94,16 @@
 		m.onGranted(event)
 	case Refused:
 		m.fail(event.Code, event.Reason, event.RetryAfter)
-	case HandedBack:
-		m.placeAgain(event.Routers)
+	case Redirected:
+		m.retryPlacement(event.Routers)
 	case PlacementFailed:
-		m.placeAgain(nil)
+		m.retryPlacement(nil)
 	case DispatchNotSent:
 		m.onNotDispatched(resultcode.NoEngine, "engine can't be reached", true)
 	case DispatchRejected:
 		m.onDispatchRejected(event)
 	case DispatchUnknown:
-		m.onDispatchUnknown(event.EngineSilent)
+		m.onDispatchUnknown(event.TimedOut)
 	case FrameReceived:
 		m.onFrame(event.Frame)
 	case StreamBroken:
@@ -125,12 +125,12 @@
 	}
 }
 
-// current tells whether an event belongs to the operation under way.
-func (m *Machine) current(event Event) bool {
+// isCurrent tells whether an event belongs to the operation under way.
+func (m *Machine) isCurrent(event Event) bool {
 	if m.phase == PhaseFinished {
 		return false
 	}
-	operation, phases := origin(event)
+	operation, phases := answeredOperation(event)
 	if operation == 0 {
 		return phases == nil
 	}
@@ -145,15 +145,15 @@
 	return false
 }
 
-// origin returns the operation that an event answers and the phases in which
+// answeredOperation returns the operation that an event answers and the phases in which
 // it can be an answer; nil phases mean that it answers none.
-func origin(event Event) (Operation, []Phase) {
+func answeredOperation(event Event) (Operation, []Phase) {
 	switch event := event.(type) {
 	case Granted:
 		return event.Operation, []Phase{PhasePlacing}
 	case Refused:
 		return event.Operation, []Phase{PhasePlacing}
-	case HandedBack:
+	case Redirected:
 		return event.Operation, []Phase{PhasePlacing}
 	case PlacementFailed:
 		return event.Operation, []Phase{PhasePlacing}
@@ -172,18 +172,18 @@
 	case ResumeFailed:
 		return event.Operation, []Phase{PhaseResuming}
 	case CancelAnswered:
-		return event.Operation, []Phase{PhaseBarring}
+		return event.Operation, []Phase{PhaseFencing}
 	case CancelFailed:
-		return event.Operation, []Phase{PhaseBarring}
+		return event.Operation, []Phase{PhaseFencing}
 	default:
 		return 0, nil
 	}
 }
 
-// drop counts an event of an operation that is over. A grant among them is
+// handleStale counts an event of an operation that is over. A grant among them is
 // given back to its router.
-func (m *Machine) drop(event Event) {
-	operation, _ := origin(event)
+func (m *Machine) handleStale(event Event) {
+	operation, _ := answeredOperation(event)
 	if operation == 0 {
 		return
 	}
@@ -199,8 +199,8 @@
 	}
 }
 
-// next starts a new operation.
-func (m *Machine) next(phase Phase) Operation {
+// nextOperation starts a new operation.
+func (m *Machine) nextOperation(phase Phase) Operation {
 	m.phase = phase
 	m.operation++
 	return m.operation
@@ -210,9 +210,9 @@
 	return fleet.NewStreamID(m.request.ID, m.attempt)
 }
 
-// rejectedBeforeWork tells whether an engine's error code proves that the
+// isRejectedBeforeRun tells whether an engine's error code proves that the
 // dispatch it answers did not run.
-func rejectedBeforeWork(code engine.ErrorCode) bool {
+func isRejectedBeforeRun(code engine.ErrorCode) bool {
 	failure := engine.Error{Code: code, Sent: true}
 	return failure.Outcome() == engine.OutcomeRejected
 }
--- a/internal/attempt/machine_test.go
+++ b/internal/attempt/machine_test.go
@@ -52,7 +52,7 @@
 
 // dispatched answers the question to a router with a grant.
 func (d *driver) dispatched(engineID fleet.EngineID) attempt.Dispatch {
-	ask := find[attempt.AskRouter](d)
+	ask := find[attempt.RequestPlacement](d)
 	run := fleet.EngineRun{Engine: engineID, Incarnation: 1}
 	d.send(attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, Run: run})
 	return find[attempt.Dispatch](d)
@@ -85,7 +85,7 @@
 	resume := find[attempt.Resume](d)
 	assert.Equal(t, 1, resume.Offset)
 	d.send(attempt.ResumeFailed{Operation: resume.Operation})
-	ask := find[attempt.AskRouter](d)
+	ask := find[attempt.RequestPlacement](d)
 	assert.Equal(t, []fleet.EngineRun{first.Run}, ask.Excluded)
 	assert.Equal(t, 1, ask.ContinuationTokens)
 	second := d.dispatched("b")
@@ -121,7 +121,7 @@
 	d.send(attempt.DispatchUnknown{Operation: first.Operation})
 	resume := find[attempt.Resume](d)
 	d.send(attempt.ResumeRejected{Operation: resume.Operation, Code: engine.ErrorUnknownStream, Incarnation: 1})
-	cancel := find[attempt.CancelAndBar](d)
+	cancel := find[attempt.CancelAndFence](d)
 	assert.Equal(t, first.Stream, cancel.Stream)
 	d.send(attempt.CancelAnswered{Operation: cancel.Operation, State: engine.CancelNeverRan})
 	second := d.dispatched("b")
@@ -136,9 +136,9 @@
 	assert.Equal(t, first.Stream, resume.Stream)
 	d.send(attempt.ResumeRejected{Operation: resume.Operation, Code: engine.ErrorUnknownStream})
 	second := d.dispatched("b")
-	d.send(attempt.DispatchUnknown{Operation: second.Operation, EngineSilent: true})
-	assert.Equal(t, second.Stream, find[attempt.CancelAndBar](d).Stream)
-	assert.Len(t, find[attempt.AskRouter](d).Excluded, 2)
+	d.send(attempt.DispatchUnknown{Operation: second.Operation, TimedOut: true})
+	assert.Equal(t, second.Stream, find[attempt.CancelAndFence](d).Stream)
+	assert.Len(t, find[attempt.RequestPlacement](d).Excluded, 2)
 }
 
 func TestMachineReportsAnUnknownOutcome(t *testing.T) {
@@ -153,8 +153,8 @@
 			for d.machine.Phase() == attempt.PhaseResuming {
 				d.send(attempt.ResumeFailed{Operation: find[attempt.Resume](d).Operation})
 			}
-			for d.machine.Phase() == attempt.PhaseBarring {
-				answer.Operation = find[attempt.CancelAndBar](d).Operation
+			for d.machine.Phase() == attempt.PhaseFencing {
+				answer.Operation = find[attempt.CancelAndFence](d).Operation
 				d.send(answer)
 			}
 			failure := find[attempt.Fail](d)
@@ -181,7 +181,7 @@
 func TestMachineGivesUpWhenNoRouterPlaces(t *testing.T) {
 	d := newDriver(t, attempt.Request{Repeatable: true, Deadline: time.Minute}, newBudget())
 	for d.machine.Phase() != attempt.PhaseFinished {
-		d.send(attempt.PlacementFailed{Operation: find[attempt.AskRouter](d).Operation})
+		d.send(attempt.PlacementFailed{Operation: find[attempt.RequestPlacement](d).Operation})
 	}
 	assert.Equal(t, resultcode.NoRouter, find[attempt.Fail](d).Code)
 	assert.Zero(t, d.machine.Stats().Retries)
@@ -190,7 +190,7 @@
 func TestMachineDeadline(t *testing.T) {
 	request := attempt.Request{Deadline: time.Second}
 	waiting := newDriver(t, request, newBudget())
-	late := find[attempt.AskRouter](waiting)
+	late := find[attempt.RequestPlacement](waiting)
 	waiting.send(attempt.DeadlinePassed{})
 	assert.True(t, find[attempt.Fail](waiting).NotRun())
 	waiting.send(attempt.Granted{Operation: late.Operation, Attempt: late.Attempt})
@@ -200,13 +200,13 @@
 	running.dispatched("a")
 	running.send(attempt.DeadlinePassed{})
 	assert.Equal(t, resultcode.DeadlineExceeded, find[attempt.Fail](running).Code)
-	assert.Zero(t, find[attempt.CancelAndBar](running).Operation)
+	assert.Zero(t, find[attempt.CancelAndFence](running).Operation)
 }
 
 func TestMachineIgnoresAnExpiredGrant(t *testing.T) {
 	d := newDriver(t, attempt.Request{}, newBudget())
-	ask := find[attempt.AskRouter](d)
+	ask := find[attempt.RequestPlacement](d)
 	d.send(attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, ValidUntil: 1})
 	assert.Equal(t, attempt.ReportAbandoned, find[attempt.Report](d).Phase)
-	assert.Greater(t, find[attempt.AskRouter](d).Attempt, ask.Attempt)
+	assert.Greater(t, find[attempt.RequestPlacement](d).Attempt, ask.Attempt)
 }
--- a/internal/attempt/placing.go
+++ b/internal/attempt/placing.go
@@ -8,15 +8,15 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// place asks a router for an engine under a new attempt number.
-func (m *Machine) place(preferred []fleet.Address, delay time.Duration) {
+// requestPlacement asks a router for an engine under a new attempt number.
+func (m *Machine) requestPlacement(preferred []fleet.Address, delay time.Duration) {
 	m.attempt++
 	m.accepted = false
-	m.firstToken = false
+	m.firstTokenReported = false
 	m.resumes = 0
 	m.cancels = 0
-	m.emit(AskRouter{
-		Operation:          m.next(PhasePlacing),
+	m.emit(RequestPlacement{
+		Operation:          m.nextOperation(PhasePlacing),
 		Attempt:            m.attempt,
 		Excluded:           slices.Clone(m.excluded),
 		ContinuationTokens: len(m.emitted),
@@ -25,10 +25,10 @@
 	})
 }
 
-// placeAgain asks another router after one that placed nothing. No engine has
+// retryPlacement asks another router after one that placed nothing. No engine has
 // had the attempt, so the retry budget isn't charged. The first such question
 // goes out at once, later ones back off.
-func (m *Machine) placeAgain(preferred []fleet.Address) {
+func (m *Machine) retryPlacement(preferred []fleet.Address) {
 	m.placements++
 	if m.placements >= m.policy.MaxPlacements {
 		m.fail(resultcode.NoRouter, "no router placed the request", 0)
@@ -38,28 +38,28 @@
 	if m.placements > 1 {
 		delay = m.backoff(m.placements - 2)
 	}
-	if m.pastDeadline(m.now + delay) {
+	if m.isPastDeadline(m.now + delay) {
 		m.fail(resultcode.NoRouter, "no router placed the request before its deadline", 0)
 		return
 	}
-	m.place(preferred, delay)
+	m.requestPlacement(preferred, delay)
 }
 
 func (m *Machine) onGranted(grant Granted) {
 	if grant.Attempt != m.attempt {
 		m.stats.DroppedEvents++
-		m.placeAgain(nil)
+		m.retryPlacement(nil)
 		return
 	}
 	m.grant = grant
-	m.granted = true
-	if m.pastDeadline(m.now) {
+	m.grantOpen = true
+	if m.isPastDeadline(m.now) {
 		m.onDeadline()
 		return
 	}
 	if grant.ValidUntil > 0 && m.now > grant.ValidUntil {
 		m.report(ReportAbandoned, false)
-		m.placeAgain(nil)
+		m.retryPlacement(nil)
 		return
 	}
 	m.dispatch()
@@ -70,7 +70,7 @@
 	m.placements = 0
 	m.stats.Dispatches++
 	m.emit(Dispatch{
-		Operation:    m.next(PhaseDispatching),
+		Operation:    m.nextOperation(PhaseDispatching),
 		Attempt:      m.attempt,
 		Run:          m.grant.Run,
 		Address:      m.grant.Address,
@@ -88,7 +88,7 @@
 		return
 	}
 	delay := m.backoff(m.stats.Dispatches - 1)
-	if m.pastDeadline(m.now + delay) {
+	if m.isPastDeadline(m.now + delay) {
 		m.fail(cause, reason, 0)
 		return
 	}
@@ -97,23 +97,23 @@
 		return
 	}
 	m.stats.Retries++
-	m.place(nil, delay)
+	m.requestPlacement(nil, delay)
 }
 
-// leave gives the present attempt up: its stream is cancelled as far as the
+// cancelAttempt gives the present attempt up: its stream is cancelled as far as the
 // engine can be reached, and its run isn't tried again.
-func (m *Machine) leave(engineLost bool) {
+func (m *Machine) cancelAttempt(engineLost bool) {
 	if m.mayRun {
-		m.emit(CancelAndBar{Run: m.grant.Run, Address: m.grant.Address, Stream: m.stream()})
+		m.emit(CancelAndFence{Run: m.grant.Run, Address: m.grant.Address, Stream: m.stream()})
 	}
-	m.mayHaveRun = m.mayHaveRun || m.mayRun
+	m.earlierMayHaveRun = m.earlierMayHaveRun || m.mayRun
 	m.mayRun = false
 	m.exclude(m.grant.Run)
 	m.report(ReportFailed, engineLost)
 }
 
-// settleNotRun notes that the present attempt certainly did not run.
-func (m *Machine) settleNotRun(engineLost bool) {
+// markNotRun notes that the present attempt certainly did not run.
+func (m *Machine) markNotRun(engineLost bool) {
 	m.mayRun = false
 	m.exclude(m.grant.Run)
 	m.report(ReportFailed, engineLost)
@@ -127,7 +127,7 @@
 
 // report tells the router about the grant. The last report of a grant ends it.
 func (m *Machine) report(phase ReportPhase, engineLost bool) {
-	if !m.granted {
+	if !m.grantOpen {
 		return
 	}
 	m.emit(Report{
@@ -138,10 +138,10 @@
 		OutputTokens: len(m.emitted),
 		EngineLost:   engineLost,
 	})
-	m.granted = phase == ReportAccepted || phase == ReportFirstToken
+	m.grantOpen = phase == ReportAccepted || phase == ReportFirstToken
 }
 
-func (m *Machine) pastDeadline(at time.Duration) bool {
+func (m *Machine) isPastDeadline(at time.Duration) bool {
 	return m.request.Deadline > 0 && at >= m.request.Deadline
 }
 
--- a/internal/attempt/property_test.go
+++ b/internal/attempt/property_test.go
@@ -41,7 +41,7 @@
 		}
 	case attempt.CancelAnswered:
 		never := event.State == engine.CancelNeverRan && !o.begun[o.stream]
-		if event.Operation == o.operation && phase == attempt.PhaseBarring && never {
+		if event.Operation == o.operation && phase == attempt.PhaseFencing && never {
 			delete(o.unsettled, o.stream)
 		}
 	case attempt.FrameReceived:
@@ -55,11 +55,11 @@
 func (o *observer) output(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case attempt.AskRouter:
+		case attempt.RequestPlacement:
 			o.operation = action.Operation
 		case attempt.Resume:
 			o.operation = action.Operation
-		case attempt.CancelAndBar:
+		case attempt.CancelAndFence:
 			if action.Operation != 0 {
 				o.operation = action.Operation
 			}
@@ -107,7 +107,7 @@
 	case 0, 1, 2:
 		return attempt.Granted{Operation: operation, Attempt: attempts, Run: run}
 	case 3:
-		return attempt.HandedBack{Operation: operation}
+		return attempt.Redirected{Operation: operation}
 	case 4:
 		return attempt.PlacementFailed{Operation: operation}
 	case 5:
@@ -168,7 +168,7 @@
 		actions := machine.Start(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for _, action := range actions {
-				if ask, asked := action.(attempt.AskRouter); asked {
+				if ask, asked := action.(attempt.RequestPlacement); asked {
 					attempts = ask.Attempt
 				}
 			}
--- a/internal/attempt/streaming.go
+++ b/internal/attempt/streaming.go
@@ -6,14 +6,14 @@
 )
 
 func (m *Machine) onDispatchRejected(event DispatchRejected) {
-	if !rejectedBeforeWork(event.Code) {
+	if !isRejectedBeforeRun(event.Code) {
 		m.onDispatchUnknown(false)
 		return
 	}
 	reason := "engine: " + event.Message
 	switch event.Code {
 	case engine.ErrorBadRequest:
-		m.settleNotRun(false)
+		m.markNotRun(false)
 		m.fail(resultcode.InvalidParameter, reason, 0)
 	case engine.ErrorOverloaded:
 		m.onNotDispatched(resultcode.Overloaded, reason, false)
@@ -25,7 +25,7 @@
 }
 
 func (m *Machine) onNotDispatched(cause resultcode.Code, reason string, engineLost bool) {
-	m.settleNotRun(engineLost)
+	m.markNotRun(engineLost)
 	m.retryElsewhere(cause, reason)
 }
 
@@ -34,7 +34,7 @@
 // request doesn't wait for a silent engine a second time, but goes elsewhere.
 func (m *Machine) onDispatchUnknown(engineSilent bool) {
 	if m.request.Repeatable && engineSilent {
-		m.leave(false)
+		m.cancelAttempt(false)
 		m.retryElsewhere(resultcode.EngineFailed, "dispatch failed")
 		return
 	}
@@ -57,7 +57,7 @@
 	case engine.FrameDone:
 		m.onDone(frame)
 	case engine.FrameError:
-		m.onEngineGaveUp(frame)
+		m.onStreamError(frame)
 	}
 }
 
@@ -84,8 +84,8 @@
 	m.emitted = append(m.emitted, frame.Text)
 	m.resumes = 0
 	m.emit(EmitToken{Index: frame.Index, Text: frame.Text})
-	if !m.firstToken {
-		m.firstToken = true
+	if !m.firstTokenReported {
+		m.firstTokenReported = true
 		m.report(ReportFirstToken, false)
 	}
 }
@@ -107,11 +107,11 @@
 	})
 }
 
-// onEngineGaveUp handles a stream that its engine has ended with an error: it
+// onStreamError handles a stream that its engine has ended with an error: it
 // won't go on there.
-func (m *Machine) onEngineGaveUp(frame engine.Frame) {
+func (m *Machine) onStreamError(frame engine.Frame) {
 	m.accepted = true
-	m.leave(false)
+	m.cancelAttempt(false)
 	m.continueOrFail("engine: " + frame.Message)
 }
 
@@ -119,7 +119,7 @@
 // nor runs anything twice.
 func (m *Machine) resume() {
 	if m.resumes >= m.policy.MaxResumes {
-		m.onResumesSpent()
+		m.onResumesExhausted()
 		return
 	}
 	delay := m.backoff(m.resumes)
@@ -129,7 +129,7 @@
 	m.resumes++
 	m.stats.Resumes++
 	m.emit(Resume{
-		Operation: m.next(PhaseResuming),
+		Operation: m.nextOperation(PhaseResuming),
 		Run:       m.grant.Run,
 		Address:   m.grant.Address,
 		Stream:    m.stream(),
@@ -140,7 +140,7 @@
 
 func (m *Machine) onResumeFailed() {
 	if m.request.Repeatable {
-		m.leave(true)
+		m.cancelAttempt(true)
 		m.continueOrFail("engine can't be reached")
 		return
 	}
@@ -149,30 +149,30 @@
 
 func (m *Machine) onResumeRejected(event ResumeRejected) {
 	replaced := event.Incarnation != 0 && event.Incarnation != m.grant.Run.Incarnation
-	if m.mustBar() && !replaced {
-		m.cancelAndBar()
+	if m.needsFencing() && !replaced {
+		m.cancelAndFence()
 		return
 	}
-	m.leave(replaced)
+	m.cancelAttempt(replaced)
 	m.continueOrFail("engine no longer holds the stream")
 }
 
-func (m *Machine) onResumesSpent() {
-	if m.mustBar() {
-		m.cancelAndBar()
+func (m *Machine) onResumesExhausted() {
+	if m.needsFencing() {
+		m.cancelAndFence()
 		return
 	}
-	m.leave(false)
+	m.cancelAttempt(false)
 	m.continueOrFail("stream could not be resumed")
 }
 
-// mustBar tells whether a cancel can still show that the dispatch never took
+// needsFencing tells whether a cancel can still show that the dispatch never took
 // effect: once the engine has accepted the stream, it has begun.
-func (m *Machine) mustBar() bool { return !m.request.Repeatable && !m.accepted }
+func (m *Machine) needsFencing() bool { return !m.request.Repeatable && !m.accepted }
 
-func (m *Machine) cancelAndBar() {
+func (m *Machine) cancelAndFence() {
 	if m.cancels >= m.policy.MaxCancels {
-		m.leave(true)
+		m.cancelAttempt(true)
 		m.fail(resultcode.OutcomeUnknown, "engine can't be asked what became of the dispatch", 0)
 		return
 	}
@@ -181,8 +181,8 @@
 		delay = 0
 	}
 	m.cancels++
-	m.emit(CancelAndBar{
-		Operation: m.next(PhaseBarring),
+	m.emit(CancelAndFence{
+		Operation: m.nextOperation(PhaseFencing),
 		Run:       m.grant.Run,
 		Address:   m.grant.Address,
 		Stream:    m.stream(),
@@ -201,18 +201,18 @@
 		m.resumes = m.policy.MaxResumes - 1
 		m.resume()
 	default:
-		m.leave(false)
+		m.cancelAttempt(false)
 		m.fail(resultcode.OutcomeUnknown, "request was stopped after it had begun", 0)
 	}
 }
 
 func (m *Machine) onCancelFailed(code engine.ErrorCode) {
 	if code == engine.ErrorWrongIncarnation {
-		m.leave(true)
+		m.cancelAttempt(true)
 		m.fail(resultcode.OutcomeUnknown, "engine was replaced after the dispatch", 0)
 		return
 	}
-	m.cancelAndBar()
+	m.cancelAndFence()
 }
 
 // continueOrFail goes on at another engine with exactly the tokens that the
--- a/internal/attempt/window.go
+++ b/internal/attempt/window.go
@@ -29,10 +29,10 @@
 	options  WindowOptions
 	attempts [ringSlots]int
 	retries  [ringSlots]int
-	// slot is the number of the newest part, counted from the clock's start.
-	slot    int64
-	started time.Duration
-	begun   bool
+	// newestSlot is the number of the newest part, counted from the clock's start.
+	newestSlot  int64
+	startTime   time.Duration
+	initialized bool
 }
 
 // NewWindowBudget returns a budget in which nothing is counted.
@@ -48,7 +48,7 @@
 // Deposit implements RetryBudget.
 func (b *WindowBudget) Deposit(now time.Duration) {
 	b.advance(now)
-	b.attempts[b.slot%ringSlots]++
+	b.attempts[b.newestSlot%ringSlots]++
 }
 
 // Withdraw implements RetryBudget.
@@ -57,33 +57,33 @@
 	if float64(sum(b.retries[:])+1) > b.allowed(now) {
 		return false
 	}
-	b.retries[b.slot%ringSlots]++
+	b.retries[b.newestSlot%ringSlots]++
 	return true
 }
 
 // allowed returns the retries that the window allows.
 func (b *WindowBudget) allowed(now time.Duration) float64 {
 	slack := b.options.Slack
-	if now < b.started+b.options.Window {
+	if now < b.startTime+b.options.Window {
 		slack = min(slack, b.options.InitialSlack)
 	}
 	// The oldest part has left the window in part: its retries still count, its
 	// attempts don't.
-	oldest := (b.slot + 1) % ringSlots
+	oldest := (b.newestSlot + 1) % ringSlots
 	return b.options.Ratio*float64(sum(b.attempts[:])-b.attempts[oldest]) + slack
 }
 
 // advance empties the parts that have left the window.
 func (b *WindowBudget) advance(now time.Duration) {
 	slot := int64(now / (b.options.Window / windowSlots))
-	if !b.begun {
-		b.begun, b.started, b.slot = true, now, slot
+	if !b.initialized {
+		b.initialized, b.startTime, b.newestSlot = true, now, slot
 		return
 	}
-	for next := max(b.slot+1, slot-ringSlots+1); next <= slot; next++ {
+	for next := max(b.newestSlot+1, slot-ringSlots+1); next <= slot; next++ {
 		b.attempts[next%ringSlots], b.retries[next%ringSlots] = 0, 0
 	}
-	b.slot = max(b.slot, slot)
+	b.newestSlot = max(b.newestSlot, slot)
 }
 
 func sum(counts []int) int {
--- a/internal/attempt/window_test.go
+++ b/internal/attempt/window_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func testWindow() *WindowBudget {
+func newTestWindow() *WindowBudget {
 	return NewWindowBudget(WindowOptions{Window: 10 * time.Second, Ratio: 0.2, Slack: 4, InitialSlack: 2})
 }
 
@@ -21,8 +21,8 @@
 	return spent
 }
 
-func TestWindowAllowsABurstForTheAttemptsInIt(t *testing.T) {
-	budget := testWindow()
+func TestWindowBudgetAllowsBurst(t *testing.T) {
+	budget := newTestWindow()
 	for number := range 100 {
 		budget.Deposit(time.Duration(number) * 100 * time.Millisecond)
 	}
@@ -31,19 +31,19 @@
 	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "the slack alone")
 }
 
-func TestStartedProcessHasLessSlack(t *testing.T) {
-	budget := testWindow()
+func TestFirstWindowHasInitialSlack(t *testing.T) {
+	budget := newTestWindow()
 	assert.Equal(t, 2, spend(budget, time.Minute))
 	assert.Equal(t, 4, spend(budget, time.Minute+11*time.Second))
 	budget.SetSlack(1, 1)
 	assert.Equal(t, 1, spend(budget, time.Minute+30*time.Second))
 }
 
-// TestAnyWindowKeepsTheBound draws attempts and retries and looks at every span.
-func TestAnyWindowKeepsTheBound(t *testing.T) {
+// TestWindowBudgetBoundsEverySpan draws attempts and retries and looks at every span.
+func TestWindowBudgetBoundsEverySpan(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		budget := testWindow()
+		budget := newTestWindow()
 		var attempts, retries []time.Duration
 		now := time.Duration(0)
 		for range 2000 {
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -46,7 +46,7 @@
 		case attempt.StepFail:
 			g.refuse(current, refusal{code: step.Code, reason: step.Reason, retryAfter: step.RetryAfter})
 			return
-		case attempt.StepBreak:
+		case attempt.StepAbort:
 			if current.callerGone() {
 				current.reason = "caller gone"
 				panic(http.ErrAbortHandler)
@@ -64,11 +64,11 @@
 // send chooses a worker, sends the request there and passes the answer on.
 func (g *Gateway) send(ctx context.Context, current *carried) attempt.Step {
 	if current.callerGone() {
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	g.noteSuspension()
 	if verdict, held := g.holds(current); held {
-		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.machine.Denied(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
 	if current.tenant != nil && !g.mayServeKeyed() {
@@ -161,10 +161,10 @@
 	switch {
 	case current.callerGone():
 		g.ended(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil && sent:
 		g.ended(current, placement, backends.Lost, "deadline passed")
-		return current.machine.Interrupted()
+		return current.machine.TimedOut()
 	case ctx.Err() != nil:
 		g.ended(current, placement, backends.Unreachable, "deadline passed")
 		return current.machine.Expired()
@@ -174,13 +174,13 @@
 	case errors.Is(err, errQuarantined):
 		g.ended(current, placement, backends.Cancelled, err.Error())
 		verdict := g.quarantines.check(g.now(), current.fingerprint)
-		return current.machine.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.machine.Denied(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	case errors.Is(err, errBackoff):
 		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
+		return current.machine.Throttled(g.now(), g.backoffs.closed(g.now(), backoffRun(placement.Worker.ID, placement.Worker.Born)))
 	case errors.Is(err, errLimited):
 		g.ended(current, placement, backends.Cancelled, err.Error())
-		return current.machine.Withheld(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
+		return current.machine.Throttled(g.now(), g.limits.closed(g.now(), placement.Worker.ID, limitPriority(current)))
 	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errNoTarget), errors.Is(err, errUnproven), errors.Is(err, errDraining),
 		errors.Is(err, errLateAnswer):
 		g.ended(current, placement, backends.Cancelled, err.Error())
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -66,11 +66,11 @@
 	case errors.Is(writeErr, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.ended(current, placement, backends.Cancelled, writeErr.Error())
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	default:
 		g.noteLostRun(current, placement, abandonedBy(ctx))
 		g.ended(current, placement, backends.Lost, writeErr.Error())
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	return step
 }
@@ -86,11 +86,11 @@
 	g.noteLostRun(current, placement, abandonedBy(ctx))
 	if current.callerGone() {
 		g.ended(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	g.ended(current, placement, backends.Lost, "body: "+err.Error())
 	if ctx.Err() != nil {
-		return current.machine.Interrupted()
+		return current.machine.TimedOut()
 	}
 	return current.machine.Unanswered(g.now(), placement.Worker.Run())
 }
@@ -149,7 +149,7 @@
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	current.machine.Began()
+	current.machine.DeliveryStarted()
 	current.headSent = true
 	current.status = answer.Status
 	current.result = resultcode.OK
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -48,7 +48,7 @@
 	case current.callerGone() || errors.Is(err, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.ended(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil:
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.ended(current, placement, backends.Lost, "deadline passed")
@@ -57,7 +57,7 @@
 		g.noteLostRun(current, placement, quarantine.BrokenOff)
 		g.ended(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
-		return current.machine.Broken(g.now(), run, current.keepsCopy(placement))
+		return current.machine.Truncated(g.now(), run, current.keepsCopy(placement))
 	}
 }
 
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -37,7 +37,7 @@
 func newMachine(random *rand.Rand, budget attempt.RetryBudget) (*attempt.Machine, attempt.Dispatch, error) {
 	machine := attempt.New(attempt.Request{ID: "measured", Repeatable: true}, attempt.Policy{}, budget, random)
 	for _, action := range machine.Start(0) {
-		ask, isAsk := action.(attempt.AskRouter)
+		ask, isAsk := action.(attempt.RequestPlacement)
 		if !isAsk {
 			continue
 		}
--- a/lab/emulator/carrier.go
+++ b/lab/emulator/carrier.go
@@ -69,7 +69,7 @@
 func (c *carrier) act(action attempt.Action) {
 	queue := c.agent.emulator.queue
 	switch action := action.(type) {
-	case attempt.AskRouter:
+	case attempt.RequestPlacement:
 		queue.After(action.Delay, func() { c.ask(action) })
 	case attempt.Dispatch:
 		host := c.agent.emulator.engineByID[action.Run.Engine]
@@ -78,7 +78,7 @@
 	case attempt.Resume:
 		host := c.agent.emulator.engineByID[action.Run.Engine]
 		queue.After(action.Delay+c.latency(host), func() { host.resume(c, action) })
-	case attempt.CancelAndBar:
+	case attempt.CancelAndFence:
 		host := c.agent.emulator.engineByID[action.Run.Engine]
 		queue.After(action.Delay+c.latency(host), func() { host.cancel(c, action) })
 	case attempt.EmitToken:
@@ -97,7 +97,7 @@
 }
 
 // ask sends the question to the best router that was tried least.
-func (c *carrier) ask(action attempt.AskRouter) {
+func (c *carrier) ask(action attempt.RequestPlacement) {
 	if c.machine.Phase() == attempt.PhaseFinished {
 		return
 	}
@@ -154,7 +154,7 @@
 		})
 	case placement.HandBack:
 		c.noteHandBack(outcome)
-		c.handle(attempt.HandedBack{Operation: operation})
+		c.handle(attempt.Redirected{Operation: operation})
 	}
 }
 
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -148,7 +148,7 @@
 }
 
 // cancel takes a cancel that has arrived.
-func (h *engineHost) cancel(from *carrier, action attempt.CancelAndBar) {
+func (h *engineHost) cancel(from *carrier, action attempt.CancelAndFence) {
 	if h.down {
 		h.answer(from, attempt.CancelFailed{Operation: action.Operation, Code: engine.ErrorConnect})
 		return
--- a/lab/simulation/carrier.go
+++ b/lab/simulation/carrier.go
@@ -136,13 +136,13 @@
 func (c *carrier) perform(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case attempt.AskRouter:
+		case attempt.RequestPlacement:
 			c.after(action.Delay, func() { c.place(action) })
 		case attempt.Dispatch:
 			c.dispatch(action)
 		case attempt.Resume:
 			c.after(action.Delay, func() { c.resume(action) })
-		case attempt.CancelAndBar:
+		case attempt.CancelAndFence:
 			c.after(action.Delay, func() { c.cancel(action, 1) })
 		case attempt.Report:
 			c.report(action)
--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -38,7 +38,7 @@
 	if rejection != nil && rejection.Outcome() == engine.OutcomeRejected {
 		return attempt.DispatchRejected{Operation: operation, Code: rejection.Code, Message: rejection.Message}
 	}
-	return attempt.DispatchUnknown{Operation: operation, EngineSilent: how == timedOut}
+	return attempt.DispatchUnknown{Operation: operation, TimedOut: how == timedOut}
 }
 
 // open makes the connection of a dispatch or resume.
@@ -91,7 +91,7 @@
 
 // cancel stops a stream. A best-effort cancel outlives its request and is
 // repeated.
-func (c *carrier) cancel(action attempt.CancelAndBar, try int) {
+func (c *carrier) cancel(action attempt.CancelAndFence, try int) {
 	if action.Operation != 0 && c.over() {
 		return
 	}
--- a/lab/simulation/placing.go
+++ b/lab/simulation/placing.go
@@ -12,7 +12,7 @@
 )
 
 // place asks a router for an engine.
-func (c *carrier) place(ask attempt.AskRouter) {
+func (c *carrier) place(ask attempt.RequestPlacement) {
 	if c.over() {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // placed turns a router's answer into an event.
-func (c *carrier) placed(ask attempt.AskRouter, at *link, answer placeAnswer) {
+func (c *carrier) placed(ask attempt.RequestPlacement, at *link, answer placeAnswer) {
 	a := c.agent
 	a.heard(at, answer.revision)
 	switch outcome := answer.outcome.(type) {
@@ -61,13 +61,13 @@
 		c.granted(ask, answer, outcome)
 	case placement.HandBack:
 		c.handBacks++
-		c.handle(attempt.HandedBack{Operation: ask.Operation, Routers: answer.others}, "")
+		c.handle(attempt.Redirected{Operation: ask.Operation, Routers: answer.others}, "")
 	case placement.Refusal:
 		c.refused(ask, at, outcome)
 	}
 }
 
-func (c *carrier) granted(ask attempt.AskRouter, answer placeAnswer, grant placement.Grant) {
+func (c *carrier) granted(ask attempt.RequestPlacement, answer placeAnswer, grant placement.Grant) {
 	event := attempt.Granted{
 		Operation: ask.Operation, Attempt: grant.Key.Attempt, Run: grant.Run, Address: grant.Address, Priority: grant.Priority,
 		ValidUntil: c.agent.now() + grant.ValidFor,
@@ -83,8 +83,8 @@
 
 // refused treats a router without a configuration as one that hands back, and
 // moves a request whose version was retired while it waited to the new one.
-func (c *carrier) refused(ask attempt.AskRouter, at *link, refusal placement.Refusal) {
-	handBack := attempt.HandedBack{Operation: ask.Operation}
+func (c *carrier) refused(ask attempt.RequestPlacement, at *link, refusal placement.Refusal) {
+	handBack := attempt.Redirected{Operation: ask.Operation}
 	switch refusal.Code {
 	case resultcode.NoConfiguration:
 		c.agent.sync(at)
