--- a/internal/attempt/machine_test.go
+++ b/internal/attempt/machine_test.go
@@ -50,8 +50,8 @@
 	return *new(T)
 }
 
-// dispatched answers the question to a router with a grant.
-func (d *driver) dispatched(engineID fleet.EngineID) attempt.Dispatch {
+// grantAndDispatch answers the question to a router with a grant.
+func (d *driver) grantAndDispatch(engineID fleet.EngineID) attempt.Dispatch {
 	ask := find[attempt.RequestPlacement](d)
 	run := fleet.EngineRun{Engine: engineID, Incarnation: 1}
 	d.send(attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, Run: run})
@@ -74,9 +74,9 @@
 
 func newBudget() *attempt.Budget { return attempt.NewBudget(attempt.BudgetOptions{}) }
 
-func TestMachineResumesAtTheSameRunThenContinuesElsewhere(t *testing.T) {
+func TestMachineResumesAtSameRunThenContinuesElsewhere(t *testing.T) {
 	d := newDriver(t, attempt.Request{Repeatable: true}, newBudget())
-	first := d.dispatched("a")
+	first := d.grantAndDispatch("a")
 	d.send(
 		accepted(first.Operation, first.Stream),
 		token(first.Operation, first.Stream, 0, "zero"),
@@ -88,7 +88,7 @@
 	ask := find[attempt.RequestPlacement](d)
 	assert.Equal(t, []fleet.EngineRun{first.Run}, ask.Excluded)
 	assert.Equal(t, 1, ask.ContinuationTokens)
-	second := d.dispatched("b")
+	second := d.grantAndDispatch("b")
 	assert.Equal(t, []string{"zero"}, second.Continuation)
 	d.send(
 		token(first.Operation, first.Stream, 1, "late"),
@@ -101,9 +101,9 @@
 	assert.Equal(t, 1, d.machine.Stats().DroppedEvents)
 }
 
-func TestMachineWithoutWholeOutputNeverFinishes(t *testing.T) {
+func TestMachineDoesNotFinishWithIncompleteOutput(t *testing.T) {
 	d := newDriver(t, attempt.Request{Repeatable: false}, newBudget())
-	dispatch := d.dispatched("a")
+	dispatch := d.grantAndDispatch("a")
 	d.send(
 		token(dispatch.Operation, dispatch.Stream, 0, "zero"),
 		done(dispatch.Operation, dispatch.Stream, 2),
@@ -115,40 +115,40 @@
 	assert.False(t, failure.NotRun())
 }
 
-func TestMachineBarsAnUnknownDispatchBeforeItPlacesAgain(t *testing.T) {
+func TestMachineFencesUnknownDispatchBeforeRetry(t *testing.T) {
 	d := newDriver(t, attempt.Request{}, newBudget())
-	first := d.dispatched("a")
+	first := d.grantAndDispatch("a")
 	d.send(attempt.DispatchUnknown{Operation: first.Operation})
 	resume := find[attempt.Resume](d)
 	d.send(attempt.ResumeRejected{Operation: resume.Operation, Code: engine.ErrorUnknownStream, Incarnation: 1})
 	cancel := find[attempt.CancelAndFence](d)
 	assert.Equal(t, first.Stream, cancel.Stream)
 	d.send(attempt.CancelAnswered{Operation: cancel.Operation, State: engine.CancelNeverRan})
-	second := d.dispatched("b")
+	second := d.grantAndDispatch("b")
 	assert.NotEqual(t, first.Stream, second.Stream)
 }
 
-func TestMachineAsksForTheTokensOfALostDispatch(t *testing.T) {
+func TestMachineResumesUnknownDispatch(t *testing.T) {
 	d := newDriver(t, attempt.Request{Repeatable: true}, newBudget())
-	first := d.dispatched("a")
+	first := d.grantAndDispatch("a")
 	d.send(attempt.DispatchUnknown{Operation: first.Operation})
 	resume := find[attempt.Resume](d)
 	assert.Equal(t, first.Stream, resume.Stream)
 	d.send(attempt.ResumeRejected{Operation: resume.Operation, Code: engine.ErrorUnknownStream})
-	second := d.dispatched("b")
+	second := d.grantAndDispatch("b")
 	d.send(attempt.DispatchUnknown{Operation: second.Operation, TimedOut: true})
 	assert.Equal(t, second.Stream, find[attempt.CancelAndFence](d).Stream)
 	assert.Len(t, find[attempt.RequestPlacement](d).Excluded, 2)
 }
 
-func TestMachineReportsAnUnknownOutcome(t *testing.T) {
+func TestMachineReportsUnknownOutcome(t *testing.T) {
 	for name, answer := range map[string]attempt.CancelFailed{
 		"another incarnation": {Code: engine.ErrorWrongIncarnation},
 		"unreachable":         {Code: engine.ErrorConnect},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDriver(t, attempt.Request{}, newBudget())
-			dispatch := d.dispatched("a")
+			dispatch := d.grantAndDispatch("a")
 			d.send(attempt.DispatchUnknown{Operation: dispatch.Operation})
 			for d.machine.Phase() == attempt.PhaseResuming {
 				d.send(attempt.ResumeFailed{Operation: find[attempt.Resume](d).Operation})
@@ -165,11 +165,11 @@
 	}
 }
 
-func TestMachineGivesUpAtOnceWithRetryAfter(t *testing.T) {
+func TestMachineFailsWithRetryAfterWhenRetryBudgetIsSpent(t *testing.T) {
 	budget := attempt.NewBudget(attempt.BudgetOptions{Burst: 1, FloorPerSecond: 0.001, Ratio: 0.001})
 	d := newDriver(t, attempt.Request{Repeatable: true}, budget)
 	for d.machine.Phase() != attempt.PhaseFinished {
-		d.send(attempt.DispatchNotSent{Operation: d.dispatched("a").Operation})
+		d.send(attempt.DispatchNotSent{Operation: d.grantAndDispatch("a").Operation})
 	}
 	failure := find[attempt.Fail](d)
 	assert.Equal(t, resultcode.RetryBudget, failure.Code)
@@ -178,7 +178,7 @@
 	assert.Equal(t, 2, d.machine.Stats().Dispatches)
 }
 
-func TestMachineGivesUpWhenNoRouterPlaces(t *testing.T) {
+func TestMachineFailsWhenNoRouterPlaces(t *testing.T) {
 	d := newDriver(t, attempt.Request{Repeatable: true, Deadline: time.Minute}, newBudget())
 	for d.machine.Phase() != attempt.PhaseFinished {
 		d.send(attempt.PlacementFailed{Operation: find[attempt.RequestPlacement](d).Operation})
@@ -197,7 +197,7 @@
 	assert.Equal(t, attempt.ReportAbandoned, find[attempt.Report](waiting).Phase)
 
 	running := newDriver(t, request, newBudget())
-	running.dispatched("a")
+	running.grantAndDispatch("a")
 	running.send(attempt.DeadlinePassed{})
 	assert.Equal(t, resultcode.DeadlineExceeded, find[attempt.Fail](running).Code)
 	assert.Zero(t, find[attempt.CancelAndFence](running).Operation)
--- a/internal/attempt/property_test.go
+++ b/internal/attempt/property_test.go
@@ -19,12 +19,12 @@
 	repeatable bool
 	operation  attempt.Operation
 	stream     fleet.StreamID
-	// unsettled holds the streams that may have run.
-	unsettled map[fleet.StreamID]bool
-	begun     map[fleet.StreamID]bool
-	emitted   int
-	doneCount int
-	terminals int
+	// mayHaveRun holds the streams that may have run.
+	mayHaveRun      map[fleet.StreamID]bool
+	begun           map[fleet.StreamID]bool
+	emitted         int
+	doneCount       int
+	terminalActions int
 }
 
 // input notes what an event proves. Only answers to the latest operation count.
@@ -32,17 +32,17 @@
 	switch event := event.(type) {
 	case attempt.DispatchNotSent:
 		if event.Operation == o.operation && phase == attempt.PhaseDispatching {
-			delete(o.unsettled, o.stream)
+			delete(o.mayHaveRun, o.stream)
 		}
 	case attempt.DispatchRejected:
 		rejected := event.Code == engine.ErrorDraining || event.Code == engine.ErrorWrongIncarnation
 		if event.Operation == o.operation && phase == attempt.PhaseDispatching && rejected {
-			delete(o.unsettled, o.stream)
+			delete(o.mayHaveRun, o.stream)
 		}
 	case attempt.CancelAnswered:
 		never := event.State == engine.CancelNeverRan && !o.begun[o.stream]
 		if event.Operation == o.operation && phase == attempt.PhaseFencing && never {
-			delete(o.unsettled, o.stream)
+			delete(o.mayHaveRun, o.stream)
 		}
 	case attempt.FrameReceived:
 		o.begun[event.Frame.Stream] = true
@@ -64,36 +64,36 @@
 				o.operation = action.Operation
 			}
 		case attempt.Dispatch:
-			if !o.repeatable && len(o.unsettled) > 0 {
-				o.Fatalf("second dispatch while %v may have run", o.unsettled)
+			if !o.repeatable && len(o.mayHaveRun) > 0 {
+				o.Fatalf("second dispatch while %v may have run", o.mayHaveRun)
 			}
 			if len(action.Continuation) != o.emitted {
 				o.Fatalf("continuation of %d tokens after %d", len(action.Continuation), o.emitted)
 			}
 			o.operation = action.Operation
 			o.stream = action.Stream
-			o.unsettled[action.Stream] = true
+			o.mayHaveRun[action.Stream] = true
 		case attempt.EmitToken:
-			if action.Index != o.emitted || o.terminals > 0 {
-				o.Fatalf("token %d after %d, %d ends", action.Index, o.emitted, o.terminals)
+			if action.Index != o.emitted || o.terminalActions > 0 {
+				o.Fatalf("token %d after %d, %d ends", action.Index, o.emitted, o.terminalActions)
 			}
 			o.emitted++
 		case attempt.Finish:
-			o.terminals++
+			o.terminalActions++
 			if o.doneCount != o.emitted {
 				o.Fatalf("finished with %d tokens of %d", o.emitted, o.doneCount)
 			}
 		case attempt.Fail:
-			o.terminals++
-			if action.NotRun() && (len(o.unsettled) > 0 || o.emitted > 0) {
-				o.Fatalf("%v says not run while %v may have run", action.Code, o.unsettled)
+			o.terminalActions++
+			if action.NotRun() && (len(o.mayHaveRun) > 0 || o.emitted > 0) {
+				o.Fatalf("%v says not run while %v may have run", action.Code, o.mayHaveRun)
 			}
 		case attempt.Abort:
-			o.terminals++
+			o.terminalActions++
 		}
 	}
-	if o.terminals > 1 {
-		o.Fatalf("%d terminal actions", o.terminals)
+	if o.terminalActions > 1 {
+		o.Fatalf("%d terminal actions", o.terminalActions)
 	}
 }
 
@@ -150,14 +150,14 @@
 	}
 }
 
-// TestMachineKeepsItsGuarantees holds a machine, under any order of events,
+// TestMachineGuaranteesUnderAnyEventOrder holds a machine, under any order of events,
 // against what those events prove.
-func TestMachineKeepsItsGuarantees(t *testing.T) {
+func TestMachineGuaranteesUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &observer{
 			T:          t,
 			repeatable: rapid.Bool().Draw(t, "repeatable"),
-			unsettled:  map[fleet.StreamID]bool{},
+			mayHaveRun: map[fleet.StreamID]bool{},
 			begun:      map[fleet.StreamID]bool{},
 			doneCount:  -1,
 		}
