--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -125,7 +125,7 @@
 // exchangeWith carries out one exchange up to the answer's head. Until then it
 // may be broken off since the engine's weights are too old to begin on, or since the
 // request is held by then.
-func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *carried, placement *backends.Placement) (*upstream.Answer, error) {
+func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *carried, placement *backends.Placement) (*upstream.Response, error) {
 	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, trial: current.trial}
 	if placement.Engine != nil {
 		send.model, send.version = current.metadata.Model, placement.Engine.Version
@@ -153,7 +153,7 @@
 // of the request.
 func (g *Gateway) failed(ctx, sending context.Context, current *carried, placement *backends.Placement, err error) attempt.Step {
 	run := placement.Worker.Run()
-	var failure *upstream.Failure
+	var failure *upstream.ExchangeError
 	sent := !errors.As(err, &failure) || failure.Stage == upstream.Sent
 	if sent {
 		g.noteLostRun(current, placement, abandonedBy(sending))
@@ -196,7 +196,7 @@
 }
 
 // rejected takes in a worker's word that it did not run the request.
-func (g *Gateway) rejected(current *carried, placement *backends.Placement, answer *upstream.Answer, info AnswerInfo) attempt.Step {
+func (g *Gateway) rejected(current *carried, placement *backends.Placement, answer *upstream.Response, info AnswerInfo) attempt.Step {
 	drain(answer)
 	outcome := backends.Refused
 	switch {
@@ -213,7 +213,7 @@
 const drainLimit = 4 << 10
 
 // drain reads a short answer to its end, so that its connection can be used again.
-func drain(answer *upstream.Answer) {
+func drain(answer *upstream.Response) {
 	var buffer [512]byte
 	for total := 0; total < drainLimit; {
 		count, err := answer.Read(buffer[:])
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -21,7 +21,7 @@
 		Excluded: current.machine.Excluded(),
 		Free: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
-			return g.upstreams.Free(destination)
+			return g.upstreams.HasCapacity(destination)
 		},
 		Bytes:    messageBytes + int(max(current.request.ContentLength, 0)),
 		Versions: g.versions(current, current.wasAtTarget),
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -29,7 +29,7 @@
 var errCallerWrite = errors.New("caller's connection failed")
 
 // deliver passes a worker's answer on.
-func (g *Gateway) deliver(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliver(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Response) attempt.Step {
 	if isEventStream(current, answer) {
 		return g.deliverStream(ctx, current, placement, answer)
 	}
@@ -75,7 +75,7 @@
 	return step
 }
 
-func isEventStream(current *carried, answer *upstream.Answer) bool {
+func isEventStream(current *carried, answer *upstream.Response) bool {
 	return current.route.Kind == routes.Streaming && answer.Status == http.StatusOK &&
 		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
 }
@@ -96,7 +96,7 @@
 }
 
 // readWhole reads an answer up to wholeLimit; whole is false if there is more.
-func readWhole(answer *upstream.Answer) (content []byte, whole bool, err error) {
+func readWhole(answer *upstream.Response) (content []byte, whole bool, err error) {
 	if answer.ContentLength >= 0 && answer.ContentLength <= wholeLimit {
 		content = make([]byte, 0, answer.ContentLength+1)
 	}
@@ -119,7 +119,7 @@
 
 // copyRest copies what is left of an answer. A failure to write is
 // errCallerWrite, any other error the worker's.
-func copyRest(writer io.Writer, answer *upstream.Answer) error {
+func copyRest(writer io.Writer, answer *upstream.Response) error {
 	buffer := make([]byte, copyBuffer)
 	for {
 		count, err := answer.Read(buffer)
@@ -142,7 +142,7 @@
 
 // sendHead writes the head of a worker's answer. length is that of the body, in
 // bytes, or unknownLength.
-func (g *Gateway) sendHead(current *carried, answer *upstream.Answer, length int64) {
+func (g *Gateway) sendHead(current *carried, answer *upstream.Response, length int64) {
 	header := current.writer.Header()
 	copyAnswerHeader(header, answer.Header)
 	g.markConnection(header)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -29,7 +29,7 @@
 // Causes of sends that aren't made, or bring nothing.
 var (
 	// errForeign means that an answer isn't the request's own.
-	errForeign = errors.Wrap(upstream.ErrForeignAnswer, "request identifier differs")
+	errForeign = errors.Wrap(upstream.ErrResponseMismatch, "request identifier differs")
 	// errUnproven means that this node's word on keys has become too old.
 	errUnproven = errors.New("configuration too old")
 	// errDraining means that the worker shuts down, or has gone, since it was chosen.
@@ -87,7 +87,7 @@
 		Header: header,
 		Body:   current.body,
 		Permit: func() error { return g.permitSend(ctx, current, &placement.Worker, dispatch, header) },
-		Accept: func(status int, header http.Header) error {
+		CheckResponse: func(status int, header http.Header) error {
 			info := g.outside.Codec.Answer(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
 				return errForeign
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -178,7 +178,7 @@
 	})
 	g.upstreams = upstream.NewPool(upstream.Options{
 		Traffic: g.outside.Traffic,
-		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
+		OnDial:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
 	g.budgets = newBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
@@ -337,12 +337,12 @@
 func (g *Gateway) housekeep() error {
 	for g.pauseOrRest(housekeepInterval) {
 		for _, engine := range g.workers.Forget(g.now(), forgetWorkers) {
-			g.upstreams.Forget(engine)
+			g.upstreams.CloseIdleTo(engine)
 			g.limits.forget(engine)
 			g.backoffs.forget(engine)
 			g.unknown.forget(engine)
 		}
-		g.upstreams.Sweep()
+		g.upstreams.CloseExpired()
 		g.reportLimits()
 		g.metrics.backingOff.Set(float64(len(g.backoffs.closing(g.now()))))
 		g.idle.sweep(g.now(), g.idleLimit())
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -136,7 +136,7 @@
 	if g.workers.ObserveDraining(run) != backends.Began {
 		return
 	}
-	g.upstreams.Forget(run.Worker)
+	g.upstreams.CloseIdleTo(run.Worker)
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -132,7 +132,7 @@
 	}
 	samples := []runtimemetrics.Sample{{Name: totalMemory}, {Name: releasedMemory}}
 	runtimemetrics.Read(samples)
-	g.pressure.workerConnections.Store(int64(g.upstreams.Open()))
+	g.pressure.workerConnections.Store(int64(g.upstreams.OpenConnections()))
 	return consumption{
 		processor:   time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
 		memory:      samples[0].Value.Uint64() - samples[1].Value.Uint64(),
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,7 +23,7 @@
 
 // deliverStream passes the events of a stream on, each as it comes and only
 // whole. A stream that breaks off may go on at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliverStream(ctx context.Context, current *carried, placement *backends.Placement, answer *upstream.Response) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.machine.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
@@ -62,7 +62,7 @@
 }
 
 // writeEvents passes whole events on at once.
-func (g *Gateway) writeEvents(current *carried, answer *upstream.Answer, events []byte) error {
+func (g *Gateway) writeEvents(current *carried, answer *upstream.Response, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
 	}
@@ -83,7 +83,7 @@
 
 // eventRelay reads a stream of events and passes whole ones on.
 type eventRelay struct {
-	answer *upstream.Answer
+	answer *upstream.Response
 	// lastID is the identifier of the last event passed on.
 	lastID string
 	buffer []byte
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -179,7 +179,7 @@
 // forgetFormerRun drops what is believed of a worker's run that has ended, as another one
 // has its identifier.
 func (g *Gateway) forgetFormerRun(worker fleet.EngineID) {
-	g.upstreams.Forget(worker)
+	g.upstreams.CloseIdleTo(worker)
 	g.weights.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
@@ -215,7 +215,7 @@
 func (g *Gateway) noteWorker(worker backends.Worker, change backends.Change) {
 	switch change {
 	case backends.Gone, backends.Began, backends.Unusable:
-		g.upstreams.Forget(worker.ID)
+		g.upstreams.CloseIdleTo(worker.ID)
 	case backends.Restarted:
 		g.forgetFormerRun(worker.ID)
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// readBuffer is the size of a connection's read buffer, in bytes.
-const readBuffer = 2 << 10
+// readBufferSize is the size of a connection's read buffer, in bytes.
+const readBufferSize = 2 << 10
 
 // keepAliveMargin is how much earlier than the worker a connection is given up,
 // so that a request doesn't cross the worker's close.
@@ -40,10 +40,10 @@
 	return count, err
 }
 
-// quiet tells whether an idle connection is open and has nothing to read. Bytes
+// isUsable tells whether an idle connection is open and has nothing to read. Bytes
 // that nobody asked for may be an answer that came late, which must not be
 // taken for the next one.
-func (c *connection) quiet() bool {
+func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -65,8 +65,8 @@
 	return err == nil && quiet
 }
 
-// noteKeepAlive takes the worker's word on how long it keeps the connection.
-func (c *connection) noteKeepAlive(header http.Header) {
+// applyKeepAlive takes the worker's word on how long it keeps the connection.
+func (c *connection) applyKeepAlive(header http.Header) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,16 +14,16 @@
 	"github.com/go-faster/errors"
 )
 
-// smallBody is the size up to which a body is written before the answer is
+// maxSyncBodySize is the size up to which a body is written before the answer is
 // awaited. The answer to a longer one may come before it is all written.
-const smallBody = 2 << 10
+const maxSyncBodySize = 2 << 10
 
-// writeBuffer is the size of the buffer through which requests are written.
-const writeBuffer = 4 << 10
+// writeBufferSize is the size of the buffer through which requests are written.
+const writeBufferSize = 4 << 10
 
-// Answer is a worker's answer whose body is still to be read. Close must be
+// Response is a worker's answer whose body is still to be read. Close must be
 // called; the connection is used again only if the body was read to its end.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// ContentLength is the body's length in bytes, or -1.
@@ -33,70 +33,70 @@
 
 	exchange *exchange
 	body     io.ReadCloser
-	whole    bool
+	complete bool
 }
 
 // Read reads from the body. io.EOF comes only at the regular end of the body.
-func (a *Answer) Read(into []byte) (int, error) {
+func (a *Response) Read(into []byte) (int, error) {
 	count, err := a.body.Read(into)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return count, err
 }
 
 // Close ends the exchange.
-func (a *Answer) Close() { a.exchange.finish(a.whole && a.exchange.reusable) }
+func (a *Response) Close() { a.exchange.finish(a.complete && a.exchange.reusable) }
 
 // exchange is one request on one connection.
 type exchange struct {
 	pool *Pool
 	conn *connection
-	// stop ends the watch over the caller's context.
-	stop func() bool
-	// writing is closed when a body that is written beside the answer is done.
-	writing  chan struct{}
-	writeErr error
-	reusable bool
-	once     sync.Once
+	// stopWatch ends the watch over the caller's context.
+	stopWatch func() bool
+	// writeDone is closed when a body that is written beside the answer is done.
+	writeDone chan struct{}
+	writeErr  error
+	reusable  bool
+	once      sync.Once
 }
 
 // finish gives the connection back or closes it.
 func (e *exchange) finish(reuse bool) {
 	e.once.Do(func() {
-		stopped := e.stop()
-		if reuse && e.writing != nil {
+		stopped := e.stopWatch()
+		if reuse && e.writeDone != nil {
 			select {
-			case <-e.writing:
+			case <-e.writeDone:
 				reuse = e.writeErr == nil
 			default:
 				reuse = false
 			}
 		}
 		if reuse && stopped && e.conn.reader.Buffered() == 0 {
-			e.pool.put(e.conn)
+			e.pool.release(e.conn)
 			return
 		}
 		e.conn.raw.Close()
-		e.pool.drop(e.conn.engine)
+		e.pool.noteClosed(e.conn.engine)
 	})
 }
 
 // Do carries out one exchange up to the answer's head. The error is always a
 // *Failure. When the context ends the connection is closed at once.
-func (p *Pool) Do(ctx context.Context, destination Destination, request *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, destination Destination, request *Request) (*Response, error) {
 	conn, reused, err := p.connect(ctx, destination)
 	if err != nil {
-		return nil, &Failure{Stage: NotSent, Cause: err}
+		return nil, &ExchangeError{Stage: NotSent, Cause: err}
 	}
 	if request.Permit != nil {
 		if err := request.Permit(); err != nil {
-			p.put(conn)
-			return nil, &Failure{Stage: NotSent, Cause: err}
+			p.release(conn)
+			return nil, &ExchangeError{Stage: NotSent, Cause: err}
 		}
 	}
 	current := &exchange{pool: p, conn: conn}
-	current.stop = context.AfterFunc(ctx, func() { conn.raw.Close() })
+	current.stopWatch = context.AfterFunc(ctx, func() { conn.raw.Close() })
 	before := conn.written.Load()
 	answer, err := current.run(request)
 	if err == nil {
@@ -104,30 +104,30 @@
 		return answer, nil
 	}
 	current.finish(false)
-	p.failed(destination, reused, err)
+	p.onExchangeFailed(destination, reused, err)
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
 	if conn.written.Load() == before {
-		return nil, &Failure{Stage: NotSent, Cause: err}
+		return nil, &ExchangeError{Stage: NotSent, Cause: err}
 	}
-	return nil, &Failure{Stage: Sent, Cause: err}
+	return nil, &ExchangeError{Stage: Sent, Cause: err}
 }
 
-// failed takes in that an exchange failed. A kept connection whose other side says nothing
+// onExchangeFailed takes in that an exchange onExchangeFailed. A kept connection whose other side says nothing
 // any more, by TCP_USER_TIMEOUT or keep-alive probes, takes the other kept ones to the same
 // worker along: what silences one silences all that were open, while new ones work, and
 // each would cost another request.
-func (p *Pool) failed(destination Destination, reused bool, err error) {
+func (p *Pool) onExchangeFailed(destination Destination, reused bool, err error) {
 	var failure net.Error
 	if reused && errors.As(err, &failure) && failure.Timeout() {
-		p.Forget(destination.Engine)
+		p.CloseIdleTo(destination.Engine)
 	}
 }
 
 // connect returns an idle connection or a new one.
 func (p *Pool) connect(ctx context.Context, destination Destination) (*connection, bool, error) {
-	conn, room := p.take(destination)
+	conn, room := p.acquire(destination)
 	if conn != nil {
 		return conn, true, nil
 	}
@@ -144,22 +144,22 @@
 	defer cancel()
 	raw, err := p.options.Dial(dialing, destination.Address)
 	if err != nil {
-		p.drop(destination.Engine)
+		p.noteClosed(destination.Engine)
 		return nil, errors.Wrap(err, "connect")
 	}
-	if p.options.Dialed != nil {
-		p.options.Dialed(destination.Engine)
+	if p.options.OnDial != nil {
+		p.options.OnDial(destination.Engine)
 	}
 	return &connection{
 		engine:    destination.Engine,
 		address:   destination.Address,
 		raw:       raw,
-		reader:    bufio.NewReaderSize(raw, readBuffer),
+		reader:    bufio.NewReaderSize(raw, readBufferSize),
 		keepAlive: p.options.IdleTimeout,
 	}, nil
 }
 
-func (e *exchange) run(request *Request) (*Answer, error) {
+func (e *exchange) run(request *Request) (*Response, error) {
 	outgoing := newHTTPRequest(request)
 	if err := e.send(outgoing, len(request.Body)); err != nil {
 		return nil, err
@@ -171,14 +171,14 @@
 	if response.StatusCode < http.StatusOK {
 		return nil, errors.Errorf("unexpected interim answer %d", response.StatusCode)
 	}
-	if request.Accept != nil {
-		if err := request.Accept(response.StatusCode, response.Header); err != nil {
+	if request.CheckResponse != nil {
+		if err := request.CheckResponse(response.StatusCode, response.Header); err != nil {
 			return nil, err
 		}
 	}
-	e.conn.noteKeepAlive(response.Header)
+	e.conn.applyKeepAlive(response.Header)
 	e.reusable = !response.Close && e.conn.keepAlive > 0
-	return &Answer{
+	return &Response{
 		Status:        response.StatusCode,
 		Header:        response.Header,
 		ContentLength: response.ContentLength,
@@ -191,7 +191,7 @@
 // answer, since a worker may answer before it has read it all.
 func (e *exchange) send(outgoing *http.Request, bodyLength int) error {
 	write := func() error {
-		buffered := bufio.NewWriterSize(e.conn, writeBuffer)
+		buffered := bufio.NewWriterSize(e.conn, writeBufferSize)
 		if err := outgoing.Write(buffered); err != nil {
 			return errors.Wrap(err, "write request")
 		}
@@ -200,12 +200,12 @@
 		}
 		return nil
 	}
-	if bodyLength <= smallBody {
+	if bodyLength <= maxSyncBodySize {
 		return write()
 	}
-	e.writing = make(chan struct{})
+	e.writeDone = make(chan struct{})
 	go func() {
-		defer close(e.writing)
+		defer close(e.writeDone)
 		// A failure is left to the reader: the answer may be there already.
 		e.writeErr = write()
 	}()
--- a/internal/upstream/permit_test.go
+++ b/internal/upstream/permit_test.go
@@ -14,8 +14,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestRequestThatIsNotPermittedIsNotSent and leaves its connection for the next one.
-func TestRequestThatIsNotPermittedIsNotSent(t *testing.T) {
+// TestUnpermittedRequestIsNotSent and leaves its connection for the next one.
+func TestUnpermittedRequestIsNotSent(t *testing.T) {
 	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		served++
@@ -23,14 +23,14 @@
 	}))
 	defer server.Close()
 	dialed := 0
-	pool := NewPool(Options{Dialed: func(fleet.EngineID) { dialed++ }})
+	pool := NewPool(Options{OnDial: func(fleet.EngineID) { dialed++ }})
 	defer pool.CloseIdle()
 	destination := Destination{Engine: "w", Address: fleet.Address(server.Listener.Addr().String())}
 	denied := errors.New("denied")
 	permitted := denied
 	request := &Request{Method: http.MethodGet, Target: "/", Host: "host", Header: http.Header{}, Permit: func() error { return permitted }}
 	_, err := pool.Do(context.Background(), destination, request)
-	var failure *Failure
+	var failure *ExchangeError
 	require.ErrorAs(t, err, &failure)
 	assert.Equal(t, NotSent, failure.Stage)
 	assert.ErrorIs(t, err, denied)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,8 +32,8 @@
 	Dial func(ctx context.Context, address fleet.Address) (net.Conn, error)
 	// Traffic counts the bytes of the connections that TCP makes; nil counts none.
 	Traffic *traffic.Meter
-	// Dialed is called for each connection made; nil for none.
-	Dialed func(engine fleet.EngineID)
+	// OnDial is called for each connection made; nil for none.
+	OnDial func(engine fleet.EngineID)
 }
 
 // Pool keeps idle connections by worker run. It is safe for concurrent use.
@@ -71,9 +71,9 @@
 	return &Pool{options: options, workers: make(map[fleet.EngineID]*worker)}
 }
 
-// Free tells whether a request to a worker would find an idle connection, or
+// HasCapacity tells whether a request to a worker would find an idle connection, or
 // room for a new one.
-func (p *Pool) Free(destination Destination) bool {
+func (p *Pool) HasCapacity(destination Destination) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.workers[destination.Engine]
@@ -83,8 +83,8 @@
 	return known.open < destination.MaxConnections
 }
 
-// Open returns the number of connections that are open, idle or in use.
-func (p *Pool) Open() int {
+// OpenConnections returns the number of connections that are open, idle or in use.
+func (p *Pool) OpenConnections() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	open := 0
@@ -94,8 +94,8 @@
 	return open
 }
 
-// Forget closes the idle connections to a worker that is gone.
-func (p *Pool) Forget(engine fleet.EngineID) {
+// CloseIdleTo closes the idle connections to a worker that is gone.
+func (p *Pool) CloseIdleTo(engine fleet.EngineID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.workers[engine]
@@ -121,21 +121,21 @@
 	}
 	p.mutex.Unlock()
 	for _, engine := range engines {
-		p.Forget(engine)
+		p.CloseIdleTo(engine)
 	}
 }
 
-// take returns an idle connection that is still good, or nil. With room for a
+// acquire returns an idle connection that is still good, or nil. With room for a
 // new one it counts that as open; room is false when there is none.
-func (p *Pool) take(destination Destination) (taken *connection, room bool) {
+func (p *Pool) acquire(destination Destination) (taken *connection, room bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workerOf(destination.Engine)
+	known := p.workerFor(destination.Engine)
 	now := time.Now()
 	for len(known.idle) > 0 {
 		last := known.idle[len(known.idle)-1]
 		known.idle = known.idle[:len(known.idle)-1]
-		if last.address == destination.Address && now.Before(last.expires) && last.quiet() {
+		if last.address == destination.Address && now.Before(last.expires) && last.isUsable() {
 			return last, true
 		}
 		last.raw.Close()
@@ -148,11 +148,11 @@
 func (p *Pool) reserve(destination Destination) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.workerOf(destination.Engine).reserve(destination.MaxConnections)
+	return p.workerFor(destination.Engine).reserve(destination.MaxConnections)
 }
 
-// workerOf returns what the pool holds of a worker; the mutex is held.
-func (p *Pool) workerOf(engine fleet.EngineID) *worker {
+// workerFor returns what the pool holds of a worker; the mutex is held.
+func (p *Pool) workerFor(engine fleet.EngineID) *worker {
 	known := p.workers[engine]
 	if known == nil {
 		known = &worker{}
@@ -170,8 +170,8 @@
 	return true
 }
 
-// put gives a connection back for another exchange.
-func (p *Pool) put(conn *connection) {
+// release gives a connection back for another exchange.
+func (p *Pool) release(conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.workers[conn.engine]
@@ -183,8 +183,8 @@
 	known.idle = append(known.idle, conn)
 }
 
-// drop notes that a connection was closed.
-func (p *Pool) drop(engine fleet.EngineID) {
+// noteClosed notes that a connection was closed.
+func (p *Pool) noteClosed(engine fleet.EngineID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.workers[engine]
@@ -197,8 +197,8 @@
 	}
 }
 
-// Sweep closes idle connections that have expired.
-func (p *Pool) Sweep() {
+// CloseExpired closes idle connections that have expired.
+func (p *Pool) CloseExpired() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -29,7 +29,7 @@
 	conn, err := p.dial(ctx, destination)
 	switch {
 	case err == nil:
-		p.put(conn)
+		p.release(conn)
 		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Dead
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -12,22 +12,22 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestProbeTellsALivingWorkerFromADeadOne, within the bound on connections.
-func TestProbeTellsALivingWorkerFromADeadOne(t *testing.T) {
+// TestProbeDistinguishesLiveAndDeadWorkers, within the bound on connections.
+func TestProbeDistinguishesLiveAndDeadWorkers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	pool := NewPool(Options{DialTimeout: 200 * time.Millisecond})
 	defer pool.CloseIdle()
 	destination := Destination{Engine: "w", Address: fleet.Address(listener.Addr().String()), MaxConnections: 1}
 	assert.Equal(t, Alive, pool.Probe(context.Background(), destination))
-	assert.Equal(t, 1, pool.Open(), "the connection is kept for the next exchange")
+	assert.Equal(t, 1, pool.OpenConnections(), "the connection is kept for the next exchange")
 	assert.Equal(t, LivenessUnknown, pool.Probe(context.Background(), destination), "there is no room for another one")
-	pool.Forget("w")
+	pool.CloseIdleTo("w")
 	require.NoError(t, listener.Close())
 	assert.Equal(t, Dead, pool.Probe(context.Background(), destination))
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.Equal(t, LivenessUnknown, pool.Probe(ctx, destination))
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 }
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestSilentConnectionTakesTheOtherKeptOnesAlong has a kept connection time out: the others
+// TestTimeoutOnReusedConnectionClosesIdleOnes has a kept connection time out: the others
 // to the same worker aren't used again.
-func TestSilentConnectionTakesTheOtherKeptOnesAlong(t *testing.T) {
+func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
 	for name, failure := range map[string]error{"silent": os.ErrDeadlineExceeded, "reset": net.ErrClosed} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Options{})
@@ -28,10 +28,10 @@
 				pool.mutex.Unlock()
 				near, far := net.Pipe()
 				t.Cleanup(func() { near.Close(); far.Close() })
-				pool.put(&connection{engine: "w", raw: near, keepAlive: DefaultIdleTimeout})
+				pool.release(&connection{engine: "w", raw: near, keepAlive: DefaultIdleTimeout})
 			}
 			destination := Destination{Engine: "w"}
-			pool.failed(destination, true, failure)
+			pool.onExchangeFailed(destination, true, failure)
 			kept := 0
 			if known := pool.workers[fleet.EngineID("w")]; known != nil {
 				kept = len(known.idle)
@@ -41,11 +41,11 @@
 	}
 }
 
-// TestFailureOfAConnectionIsReported covers a worker that can't be reached at all.
-func TestFailureOfAConnectionIsReported(t *testing.T) {
+// TestDialFailureIsReportedAsNotSent covers a worker that can't be reached at all.
+func TestDialFailureIsReportedAsNotSent(t *testing.T) {
 	pool := NewPool(Options{Dial: func(context.Context, fleet.Address) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }})
 	_, err := pool.Do(context.Background(), Destination{Engine: "w"}, &Request{Method: http.MethodGet, Target: "/", Header: http.Header{}})
-	var failure *Failure
+	var failure *ExchangeError
 	require.ErrorAs(t, err, &failure)
 	assert.Equal(t, NotSent, failure.Stage)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -40,23 +40,23 @@
 var (
 	// ErrTooManyConnections means that the worker's share of connections is in use.
 	ErrTooManyConnections = errors.New("too many connections")
-	// ErrForeignAnswer means that an answer to another request came.
-	ErrForeignAnswer = errors.New("answer to another request")
-	// ErrSurplusBytes means that bytes came that nobody had asked for.
-	ErrSurplusBytes = errors.New("surplus bytes on an idle connection")
+	// ErrResponseMismatch means that an answer to another request came.
+	ErrResponseMismatch = errors.New("answer to another request")
+	// ErrUnsolicitedData means that bytes came that nobody had asked for.
+	ErrUnsolicitedData = errors.New("surplus bytes on an idle connection")
 )
 
-// Failure is the error of an exchange without an answer.
-type Failure struct {
+// ExchangeError is the error of an exchange without an answer.
+type ExchangeError struct {
 	Stage Stage
 	Cause error
 }
 
 // Error implements error.
-func (f *Failure) Error() string { return f.Stage.String() + ": " + f.Cause.Error() }
+func (f *ExchangeError) Error() string { return f.Stage.String() + ": " + f.Cause.Error() }
 
 // Unwrap returns the cause.
-func (f *Failure) Unwrap() error { return f.Cause }
+func (f *ExchangeError) Unwrap() error { return f.Cause }
 
 // Request is one request to a worker.
 type Request struct {
@@ -70,8 +70,8 @@
 	// Permit returns an error if the request may not be sent any more, right before it is:
 	// a connection may have taken its time. nil means that it always may.
 	Permit func() error
-	// Accept returns an error for an answer that belongs to another request.
-	Accept func(status int, header http.Header) error
+	// CheckResponse returns an error for an answer that belongs to another request.
+	CheckResponse func(status int, header http.Header) error
 }
 
 // Destination is one run of one worker.
