--- a/internal/gateway/storefeed.go
+++ b/internal/gateway/storefeed.go
@@ -142,7 +142,7 @@
 // after a break doesn't wait, so that there is a proof at once.
 func (f *storeFeed) call(ctx context.Context) (*watchcache.Update, error) {
 	store := f.gateway.outside.Platform
-	partial := f.table.cache.Partial()
+	partial := f.table.cache.IsPartial()
 	switch {
 	case partial && !f.gateway.readsAll():
 		f.after, f.known = f.table.cache.Revision(), true
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -35,7 +35,7 @@
 // planSubsets puts the subsets of the workers in force at a node that knows them all. Rows
 // that are about to be taken in count.
 func (g *Gateway) planSubsets(coming []WorkerRow) {
-	if !g.workersTable().cache.Whole() {
+	if !g.workersTable().cache.IsComplete() {
 		return
 	}
 	var workers []backends.Worker
@@ -102,7 +102,7 @@
 	}
 	request.WorkersInUse = true
 	request.Doublings = encodeSubsets(g.workers.Doublings())
-	if !g.workersTable().cache.Whole() {
+	if !g.workersTable().cache.IsComplete() {
 		request.SubsetsDigest = digestOf(g.workers.InForce())
 	}
 }
@@ -110,7 +110,7 @@
 // workersUpdate returns what a watcher that has seen all up to a number is to be told of the
 // workers: of all of them, or of those in use. It returns nil if this node doesn't know all.
 func (g *Gateway) workersUpdate(followed *table, request *rpc.WatchRequest, seen uint64) (*watchcache.Update, backends.Subsets) {
-	if !followed.cache.Whole() {
+	if !followed.cache.IsComplete() {
 		return nil, nil
 	}
 	if !request.GetWorkersInUse() {
@@ -120,7 +120,7 @@
 	if request.GetSubsetsDigest() != digestOf(subsets) {
 		seen = 0
 	}
-	return followed.cache.AfterOf(seen, g.workers.Covers(subsets)), subsets
+	return followed.cache.AfterMatching(seen, g.workers.Covers(subsets)), subsets
 }
 
 // applyWorkers takes a peer's word on the workers in: on all of them, or on those in use. What
@@ -131,7 +131,7 @@
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
-	update.Covers = g.workers.Covers(subsets)
+	update.Filter = g.workers.Covers(subsets)
 	followed.apply(update, gapUnreached)
 	g.setSubsets(subsets, false)
 }
@@ -139,7 +139,7 @@
 // positionAt returns the number up to which this node has seen a source's changes of a table;
 // 0 asks for everything.
 func (g *Gateway) positionAt(followed *table) uint64 {
-	if followed.name == TableWorkers && followed.cache.Partial() && g.knowsAllWorkers() {
+	if followed.name == TableWorkers && followed.cache.IsPartial() && g.knowsAllWorkers() {
 		return 0
 	}
 	return followed.seen
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -23,8 +23,8 @@
 func (workerTable) DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []Unreadable) {
 	decoded := make([]WorkerRow, len(rows))
 	for index, row := range rows {
-		decoded[index] = WorkerRow{Revision: row.Revision, Gone: row.Gone}
-		if !row.Gone {
+		decoded[index] = WorkerRow{Revision: row.Revision, Gone: row.Deleted}
+		if !row.Deleted {
 			decoded[index].Unusable = json.Unmarshal(row.Value, &decoded[index].Worker) != nil
 		}
 		decoded[index].Worker.ID = fleet.EngineID(row.Key)
@@ -137,7 +137,7 @@
 			update.Rows = append(update.Rows, row)
 		case inUse[id] && gone == "":
 			gone = id
-			update.Rows = append(update.Rows, watchcache.Row{Key: row.Key, Revision: 2, Gone: true})
+			update.Rows = append(update.Rows, watchcache.Row{Key: row.Key, Revision: 2, Deleted: true})
 		}
 	}
 	reader.workersTable().apply(update, gapNone)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -197,7 +197,7 @@
 			followed.apply(update, gapUnreached)
 		}
 		followed.seen = update.Sequence
-		followed.cache.Advance(update.Followed)
+		followed.cache.Advance(update.WatchedRevision)
 	}
 	g.demand.told(g.now(), decodeRate(response.GetRequestRate()))
 	g.takeOrigins(g.now(), response.GetOrigins(), response.GetPressures())
@@ -323,7 +323,7 @@
 		}
 		news = news || update.Complete || len(update.Rows) > 0
 		message := followed.encode(seen, update, digestOf(subsets))
-		message.WorkersInUse, message.Subsets = update.Covers != nil, encodeSubsets(subsets)
+		message.WorkersInUse, message.Subsets = update.Filter != nil, encodeSubsets(subsets)
 		response.Updates = append(response.Updates, message)
 	}
 	return response, news
@@ -343,13 +343,13 @@
 func (t *table) encode(after uint64, update *watchcache.Update, part uint64) *rpc.TableUpdate {
 	message := &rpc.TableUpdate{
 		Table: string(t.name), Revision: uint64(update.Revision), Complete: update.Complete, Sequence: update.Sequence,
-		Followed: uint64(update.Followed),
+		Followed: uint64(update.WatchedRevision),
 	}
 	size := 0
 	for _, row := range update.Rows {
 		size += len(row.Key) + len(row.Value)
 		message.Rows = append(message.Rows, &rpc.TableRow{
-			Key: row.Key, Revision: uint64(row.Revision), Value: row.Value, Gone: row.Gone,
+			Key: row.Key, Revision: uint64(row.Revision), Value: row.Value, Gone: row.Deleted,
 		})
 	}
 	if size < compressAbove {
@@ -400,11 +400,11 @@
 	}
 	update := &watchcache.Update{
 		Revision: fleet.Revision(message.GetRevision()), Complete: message.GetComplete(), Sequence: message.GetSequence(),
-		Followed: fleet.Revision(message.GetFollowed()),
+		WatchedRevision: fleet.Revision(message.GetFollowed()),
 	}
 	for _, row := range rows {
 		update.Rows = append(update.Rows, watchcache.Row{
-			Key: row.GetKey(), Revision: fleet.Revision(row.GetRevision()), Value: row.GetValue(), Gone: row.GetGone(),
+			Key: row.GetKey(), Revision: fleet.Revision(row.GetRevision()), Value: row.GetValue(), Deleted: row.GetGone(),
 		})
 	}
 	return update, nil
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -25,7 +25,7 @@
 	// latest when it went.
 	Revision fleet.Revision
 	Value    []byte
-	Gone     bool
+	Deleted  bool
 }
 
 // Update is what changed in a table, by the word of the store or of a cache.
@@ -37,17 +37,17 @@
 	// changed after the position that was asked for.
 	Complete bool
 	Rows     []Row
-	// Followed is the store's revision up to which the one that tells has followed changes; 0
+	// WatchedRevision is the store's revision up to which the one that tells has followed changes; 0
 	// from the store.
-	Followed fleet.Revision
+	WatchedRevision fleet.Revision
 	// Sequence is the number of the last change in the cache that tells; 0 from
 	// the store.
 	Sequence uint64
 	// StoreTime is the store's steady clock when it gave the answer; 0 if unknown.
 	StoreTime time.Duration
-	// Covers is set if the word is on a part of the table only, and tells by the key whether
+	// Filter is set if the word is on a part of the table only, and tells by the key whether
 	// a row belongs to it. Of the rest a complete update says nothing: it is dropped.
-	Covers func(key string) bool
+	Filter func(key string) bool
 }
 
 // DefaultMaxTombstones bounds the tombstones of a Cache.
@@ -57,24 +57,24 @@
 type Cache struct {
 	mutex sync.Mutex
 	rows  map[string]entry
-	// base is the highest revision of a complete update: 0 before the first. followed is the
-	// one up to which changes were followed since. What is complete goes by base alone: a store
+	// snapshotRevision is the highest revision of a complete update: 0 before the first. followed is the
+	// one up to which changes were followed since. What is complete goes by snapshotRevision alone: a store
 	// that forgets its history may pass over changes just before, and a row that was passed over
 	// would count as gone up to followed, and not come back with its own revision.
-	base     fleet.Revision
-	followed fleet.Revision
+	snapshotRevision fleet.Revision
+	watchedRevision  fleet.Revision
 	// partial is set while only a part of the table is kept.
 	partial bool
-	// order holds the changes by number. Those of rows that changed again are passed over,
+	// changeLog holds the changes by number. Those of rows that changed again are passed over,
 	// and dropped when they are half of all.
-	order []change
+	changeLog []change
 	// sequence is the number of the last change, compacted that of the last
 	// tombstone that was dropped.
-	sequence      uint64
-	compacted     uint64
-	tombstones    int
-	maxTombstones int
-	changed       chan struct{}
+	sequence       uint64
+	prunedSequence uint64
+	tombstones     int
+	maxTombstones  int
+	changed        chan struct{}
 }
 
 // entry is a row and the number of the change that brought it.
@@ -97,11 +97,11 @@
 	return &Cache{rows: make(map[string]entry), maxTombstones: maxTombstones, changed: make(chan struct{})}
 }
 
-// Known tells whether the whole table was ever told.
-func (c *Cache) Known() bool {
+// HasSnapshot tells whether the whole table was ever told.
+func (c *Cache) HasSnapshot() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.base > 0
+	return c.snapshotRevision > 0
 }
 
 // Revision returns the store's revision from which changes can be followed; 0 if the table
@@ -109,25 +109,25 @@
 func (c *Cache) Revision() fleet.Revision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return max(c.base, c.followed)
+	return max(c.snapshotRevision, c.watchedRevision)
 }
 
 // Advance says that changes were followed up to a revision.
 func (c *Cache) Advance(revision fleet.Revision) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.followed = max(c.followed, revision)
+	c.watchedRevision = max(c.watchedRevision, revision)
 }
 
-// Whole tells whether all of the table is kept, rather than nothing yet or a part.
-func (c *Cache) Whole() bool {
+// IsComplete tells whether all of the table is kept, rather than nothing yet or a part.
+func (c *Cache) IsComplete() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.base > 0 && !c.partial
+	return c.snapshotRevision > 0 && !c.partial
 }
 
-// Partial tells whether only a part of the table is kept.
-func (c *Cache) Partial() bool {
+// IsPartial tells whether only a part of the table is kept.
+func (c *Cache) IsPartial() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.partial
@@ -147,114 +147,114 @@
 	defer c.mutex.Unlock()
 	var news []Row
 	for _, row := range update.Rows {
-		if c.take(row) {
+		if c.applyRow(row) {
 			news = append(news, row)
 		}
 	}
 	first := false
 	if update.Complete {
-		news = append(news, c.dropMissing(update)...)
-		first = c.base == 0
-		c.partial = update.Covers != nil
-		c.base = max(c.base, update.Revision)
+		news = append(news, c.deleteMissing(update)...)
+		first = c.snapshotRevision == 0
+		c.partial = update.Filter != nil
+		c.snapshotRevision = max(c.snapshotRevision, update.Revision)
 	}
 	if len(news) > 0 || first {
-		c.compact()
-		c.tidyOrder()
+		c.pruneTombstones()
+		c.pruneChangeLog()
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
 	return news
 }
 
-// take stores a row if it is newer than the one held, and tells whether that
+// applyRow stores a row if it is newer than the one held, and tells whether that
 // changes what there is.
-func (c *Cache) take(row Row) bool {
+func (c *Cache) applyRow(row Row) bool {
 	held, known := c.rows[row.Key]
 	if known && row.Revision <= held.Revision {
 		return false
 	}
-	if row.Gone {
+	if row.Deleted {
 		row.Value = nil
 	}
-	c.put(row)
-	return !row.Gone || (known && !held.Gone)
+	c.storeRow(row)
+	return !row.Deleted || (known && !held.Deleted)
 }
 
-// put replaces a row, numbers the change and counts tombstones.
-func (c *Cache) put(row Row) {
-	if held, known := c.rows[row.Key]; known && held.Gone {
+// storeRow replaces a row, numbers the change and counts tombstones.
+func (c *Cache) storeRow(row Row) {
+	if held, known := c.rows[row.Key]; known && held.Deleted {
 		c.tombstones--
 	}
-	if row.Gone {
+	if row.Deleted {
 		c.tombstones++
 	}
 	c.sequence++
 	c.rows[row.Key] = entry{Row: row, sequence: c.sequence}
-	c.order = append(c.order, change{sequence: c.sequence, key: row.Key})
+	c.changeLog = append(c.changeLog, change{sequence: c.sequence, key: row.Key})
 }
 
-// tidyOrder drops the changes of rows that changed again or were dropped, once these are
+// pruneChangeLog drops the changes of rows that changed again or were dropped, once these are
 // half of all.
-func (c *Cache) tidyOrder() {
-	if len(c.order) <= 2*len(c.rows)+orderSlack {
+func (c *Cache) pruneChangeLog() {
+	if len(c.changeLog) <= 2*len(c.rows)+changeLogSlack {
 		return
 	}
-	c.order = slices.DeleteFunc(c.order, func(old change) bool { return c.rows[old.key].sequence != old.sequence })
+	c.changeLog = slices.DeleteFunc(c.changeLog, func(old change) bool { return c.rows[old.key].sequence != old.sequence })
 }
 
-// orderSlack is the number of changes besides twice the rows that are kept in order: a small
+// changeLogSlack is the number of changes besides twice the rows that are kept in order: a small
 // table isn't tidied at each change.
-const orderSlack = 64
+const changeLogSlack = 64
 
-// dropMissing marks the rows as gone that a complete update doesn't name,
+// deleteMissing marks the rows as gone that a complete update doesn't name,
 // unless they are newer than it. It returns them in order of their keys.
-func (c *Cache) dropMissing(update *Update) []Row {
+func (c *Cache) deleteMissing(update *Update) []Row {
 	named := make(map[string]bool, len(update.Rows))
 	for _, row := range update.Rows {
 		named[row.Key] = true
 	}
 	var gone []Row
 	for key, held := range c.rows {
-		if update.Covers != nil && !update.Covers(key) && !named[key] {
-			c.drop(key, &held)
+		if update.Filter != nil && !update.Filter(key) && !named[key] {
+			c.evict(key, &held)
 			continue
 		}
-		if held.Gone || named[key] || held.Revision > update.Revision {
+		if held.Deleted || named[key] || held.Revision > update.Revision {
 			continue
 		}
-		gone = append(gone, Row{Key: key, Revision: max(update.Revision, held.Revision+1), Gone: true})
+		gone = append(gone, Row{Key: key, Revision: max(update.Revision, held.Revision+1), Deleted: true})
 	}
 	slices.SortFunc(gone, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
 	for _, row := range gone {
-		c.put(row)
+		c.storeRow(row)
 	}
 	return gone
 }
 
-// drop forgets a row without a word: it isn't gone, but not kept any more.
-func (c *Cache) drop(key string, held *entry) {
-	if held.Gone {
+// evict forgets a row without a word: it isn't gone, but not kept any more.
+func (c *Cache) evict(key string, held *entry) {
+	if held.Deleted {
 		c.tombstones--
 	}
 	delete(c.rows, key)
 }
 
-// compact drops the older half of the tombstones when there are too many.
-func (c *Cache) compact() {
+// pruneTombstones drops the older half of the tombstones when there are too many.
+func (c *Cache) pruneTombstones() {
 	if c.tombstones <= c.maxTombstones {
 		return
 	}
 	sequences := make([]uint64, 0, c.tombstones)
 	for _, row := range c.rows {
-		if row.Gone {
+		if row.Deleted {
 			sequences = append(sequences, row.sequence)
 		}
 	}
 	slices.Sort(sequences)
-	c.compacted = sequences[len(sequences)/2]
+	c.prunedSequence = sequences[len(sequences)/2]
 	for key, row := range c.rows {
-		if row.Gone && row.sequence <= c.compacted {
+		if row.Deleted && row.sequence <= c.prunedSequence {
 			delete(c.rows, key)
 			c.tombstones--
 		}
@@ -264,31 +264,31 @@
 // After returns what changed after a number of the sequence, in order. Where
 // that isn't known any more, and for 0, it returns a complete update. It returns
 // nil while the whole table was never told.
-func (c *Cache) After(sequence uint64) *Update { return c.AfterOf(sequence, nil) }
+func (c *Cache) After(sequence uint64) *Update { return c.AfterMatching(sequence, nil) }
 
-// AfterOf is After for the part of the table of which covers tells by the key; nil stands for
+// AfterMatching is After for the part of the table of which covers tells by the key; nil stands for
 // all. It takes time for what has changed, not for what there is: with hundreds of watchers
 // of thousands of rows a look at all rows a change and watcher grows with the square of the
 // fleet.
-func (c *Cache) AfterOf(sequence uint64, covers func(key string) bool) *Update {
+func (c *Cache) AfterMatching(sequence uint64, covers func(key string) bool) *Update {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.base == 0 {
+	if c.snapshotRevision == 0 {
 		return nil
 	}
-	update := &Update{Revision: c.base, Followed: c.followed, Sequence: c.sequence, Covers: covers}
-	update.Complete = sequence == 0 || sequence < c.compacted
+	update := &Update{Revision: c.snapshotRevision, WatchedRevision: c.watchedRevision, Sequence: c.sequence, Filter: covers}
+	update.Complete = sequence == 0 || sequence < c.prunedSequence
 	if update.Complete {
 		sequence = 0
 	}
-	from, _ := slices.BinarySearchFunc(c.order, sequence+1, func(old change, sought uint64) int {
+	from, _ := slices.BinarySearchFunc(c.changeLog, sequence+1, func(old change, sought uint64) int {
 		return cmp.Compare(old.sequence, sought)
 	})
-	for _, changed := range c.order[from:] {
+	for _, changed := range c.changeLog[from:] {
 		row := c.rows[changed.key]
 		switch {
 		case row.sequence != changed.sequence:
-		case update.Complete && row.Gone && row.Revision <= c.base:
+		case update.Complete && row.Deleted && row.Revision <= c.snapshotRevision:
 		case covers != nil && !covers(changed.key):
 		default:
 			update.Rows = append(update.Rows, row.Row)
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -11,19 +11,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-func row(key string, revision fleet.Revision) Row {
+func presentRow(key string, revision fleet.Revision) Row {
 	return Row{Key: key, Revision: revision, Value: []byte(key + strconv.Itoa(int(revision)))}
 }
 
-func gone(key string, revision fleet.Revision) Row {
-	return Row{Key: key, Revision: revision, Gone: true}
+func deletedRow(key string, revision fleet.Revision) Row {
+	return Row{Key: key, Revision: revision, Deleted: true}
 }
 
-func whole(revision fleet.Revision, rows ...Row) *Update {
+func completeUpdate(revision fleet.Revision, rows ...Row) *Update {
 	return &Update{Revision: revision, Complete: true, Rows: rows}
 }
 
-func changes(revision fleet.Revision, rows ...Row) *Update {
+func partialUpdate(revision fleet.Revision, rows ...Row) *Update {
 	return &Update{Revision: revision, Rows: rows}
 }
 
@@ -31,7 +31,7 @@
 	var names []string
 	for _, row := range rows {
 		name := row.Key
-		if row.Gone {
+		if row.Deleted {
 			name = "-" + name
 		}
 		names = append(names, name)
@@ -39,14 +39,14 @@
 	return names
 }
 
-func TestUpdatesAfterANumberNameWhatChangedSince(t *testing.T) {
+func TestAfterReturnsChangesSinceSequence(t *testing.T) {
 	cache := New(0)
 	assert.Nil(t, cache.After(0), "nothing is known")
 	changed := cache.Changed()
-	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(whole(5, row("a", 3), row("b", 5)))))
+	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(completeUpdate(5, presentRow("a", 3), presentRow("b", 5)))))
 	<-changed
 	first := cache.After(0).Sequence
-	cache.Apply(changes(7, gone("a", 6), row("c", 7)))
+	cache.Apply(partialUpdate(7, deletedRow("a", 6), presentRow("c", 7)))
 	later := cache.After(first)
 	assert.False(t, later.Complete)
 	assert.Equal(t, []string{"-a", "c"}, keys(later.Rows))
@@ -56,55 +56,55 @@
 	assert.Equal(t, []string{"b", "-a", "c"}, keys(all.Rows), "a went after the last complete update")
 }
 
-// TestEmptyTableIsKnown has watchers told of a table without rows.
-func TestEmptyTableIsKnown(t *testing.T) {
+// TestEmptyTableCountsAsSnapshot has watchers told of a table without rows.
+func TestEmptyTableCountsAsSnapshot(t *testing.T) {
 	cache := New(0)
 	changed := cache.Changed()
-	cache.Apply(whole(3))
+	cache.Apply(completeUpdate(3))
 	<-changed
-	assert.True(t, cache.Known())
+	assert.True(t, cache.HasSnapshot())
 	assert.True(t, cache.After(0).Complete)
 }
 
-// TestNothingGoesBack has late and stale updates arrive.
-func TestNothingGoesBack(t *testing.T) {
+// TestStaleUpdatesAreIgnored has late and stale updates arrive.
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a", 9), row("b", 4)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(whole(6, row("a", 2)))), "b went before 6, a is newer")
-	assert.Empty(t, cache.Apply(changes(8, gone("a", 8))))
+	cache.Apply(completeUpdate(9, presentRow("a", 9), presentRow("b", 4)))
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(6, presentRow("a", 2)))), "b went before 6, a is newer")
+	assert.Empty(t, cache.Apply(partialUpdate(8, deletedRow("a", 8))))
 	assert.Equal(t, []byte("a9"), cache.After(0).Rows[0].Value)
 }
 
-// TestOlderRevisionThatIsToldLateReachesWatchers has a change missed that the
+// TestLateOlderRevisionReachesWatchers has a change missed that the
 // store tells of after newer ones.
-func TestOlderRevisionThatIsToldLateReachesWatchers(t *testing.T) {
+func TestLateOlderRevisionReachesWatchers(t *testing.T) {
 	cache, watcher := New(0), New(0)
-	cache.Apply(whole(5, row("a", 5)))
-	cache.Apply(changes(9, row("b", 9)))
+	cache.Apply(completeUpdate(5, presentRow("a", 5)))
+	cache.Apply(partialUpdate(9, presentRow("b", 9)))
 	seen := cache.After(0)
 	watcher.Apply(seen)
-	cache.Apply(changes(9, row("a", 7)))
+	cache.Apply(partialUpdate(9, presentRow("a", 7)))
 	assert.Equal(t, []string{"a"}, keys(watcher.Apply(cache.After(seen.Sequence))))
 }
 
-// TestCompleteUpdateNamesWhoIsGone, by the store's word or by a cache's.
-func TestCompleteUpdateNamesWhoIsGone(t *testing.T) {
+// TestCompleteUpdateDeletesMissingRows, by the store's word or by a cache's.
+func TestCompleteUpdateDeletesMissingRows(t *testing.T) {
 	cache, other := New(0), New(0)
-	cache.Apply(whole(5, row("a", 5), row("b", 5), row("c", 5)))
-	cache.Apply(changes(8, row("c", 8)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(whole(7, row("a", 5)))), "c is newer than the read")
-	other.Apply(whole(5, row("a", 5), row("b", 5)))
-	other.Apply(changes(9, row("d", 9)))
+	cache.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5), presentRow("c", 5)))
+	cache.Apply(partialUpdate(8, presentRow("c", 8)))
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(7, presentRow("a", 5)))), "c is newer than the read")
+	other.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5)))
+	other.Apply(partialUpdate(9, presentRow("d", 9)))
 	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than what the cache was told whole")
 }
 
-func TestDroppedTombstonesMakeOldNumbersReadAll(t *testing.T) {
+func TestPrunedTombstonesForceCompleteUpdate(t *testing.T) {
 	cache := New(4)
-	cache.Apply(whole(1, row("x", 1)))
+	cache.Apply(completeUpdate(1, presentRow("x", 1)))
 	numbers := []uint64{cache.After(0).Sequence}
 	for revision := fleet.Revision(2); revision < 12; revision++ {
-		cache.Apply(changes(revision, row("k"+strconv.Itoa(int(revision)), revision)))
-		cache.Apply(changes(revision, gone("k"+strconv.Itoa(int(revision)), revision+100)))
+		cache.Apply(partialUpdate(revision, presentRow("k"+strconv.Itoa(int(revision)), revision)))
+		cache.Apply(partialUpdate(revision, deletedRow("k"+strconv.Itoa(int(revision)), revision+100)))
 		numbers = append(numbers, cache.After(0).Sequence)
 	}
 	assert.True(t, cache.After(numbers[0]).Complete)
@@ -113,21 +113,21 @@
 	assert.Equal(t, []string{"-k11"}, keys(latest.Rows))
 }
 
-// TestChainOfCachesEndsAlike has a second cache follow the first, and a third
+// TestChainedCachesConverge has a second cache follow the first, and a third
 // the second, with updates that are lost, repeated and reordered.
-func TestChainOfCachesEndsAlike(t *testing.T) {
+func TestChainedCachesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		store := New(0)
-		store.Apply(whole(1))
+		store.Apply(completeUpdate(1))
 		chain := []*Cache{store, New(0), New(0)}
 		positions := make([]uint64, len(chain))
 		var delayed []*Update
 		var delayedTo []int
 		for revision := fleet.Revision(2); revision < 60; revision++ {
-			changed := row("k"+strconv.Itoa(random.IntN(6)), revision)
-			changed.Gone = random.IntN(3) == 0
-			store.Apply(changes(revision, changed))
+			changed := presentRow("k"+strconv.Itoa(random.IntN(6)), revision)
+			changed.Deleted = random.IntN(3) == 0
+			store.Apply(partialUpdate(revision, changed))
 			for to := 1; to < len(chain); to++ {
 				update := chain[to-1].After(positions[to])
 				if update == nil {
@@ -149,95 +149,95 @@
 		}
 		for to := 1; to < len(chain); to++ {
 			chain[to].Apply(chain[to-1].After(positions[to]))
-			require.ElementsMatch(t, present(store), present(chain[to]), "seed %d", seed)
+			require.ElementsMatch(t, presentRows(store), presentRows(chain[to]), "seed %d", seed)
 		}
 	}
 }
 
-// present returns the rows that aren't gone.
-func present(cache *Cache) []Row {
+// presentRows returns the rows that aren't gone.
+func presentRows(cache *Cache) []Row {
 	var rows []Row
 	for _, row := range cache.After(0).Rows {
-		if !row.Gone {
+		if !row.Deleted {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// TestPartOfATableIsDroppedWithoutAWord has a cache be told of a part only: the rest isn't
+// TestFilteredUpdateEvictsWithoutDeleting has a cache be told of a part only: the rest isn't
 // gone, and comes back whole.
-func TestPartOfATableIsDroppedWithoutAWord(t *testing.T) {
+func TestFilteredUpdateEvictsWithoutDeleting(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a1", 1), row("a2", 2), row("b1", 3), gone("b2", 4)))
-	assert.True(t, cache.Whole())
+	cache.Apply(completeUpdate(9, presentRow("a1", 1), presentRow("a2", 2), presentRow("b1", 3), deletedRow("b2", 4)))
+	assert.True(t, cache.IsComplete())
 	ofA := func(key string) bool { return key[0] == 'a' }
-	told := cache.AfterOf(0, ofA)
+	told := cache.AfterMatching(0, ofA)
 	assert.Equal(t, []string{"a1", "a2"}, keys(told.Rows))
-	part := whole(10, row("a2", 2))
-	part.Covers = ofA
+	part := completeUpdate(10, presentRow("a2", 2))
+	part.Filter = ofA
 	assert.Equal(t, []string{"-a1"}, keys(cache.Apply(part)), "b1 isn't gone")
-	assert.True(t, cache.Partial())
-	assert.False(t, cache.Whole())
-	assert.Equal(t, []string{"b1"}, keys(cache.Apply(whole(11, row("a2", 2), row("b1", 3)))))
-	assert.True(t, cache.Whole())
+	assert.True(t, cache.IsPartial())
+	assert.False(t, cache.IsComplete())
+	assert.Equal(t, []string{"b1"}, keys(cache.Apply(completeUpdate(11, presentRow("a2", 2), presentRow("b1", 3)))))
+	assert.True(t, cache.IsComplete())
 }
 
-// TestRevisionFollowsWhatIsKnown without a gap, and never goes back.
-func TestRevisionFollowsWhatIsKnown(t *testing.T) {
+// TestRevisionNeverDecreases without a gap, and never goes back.
+func TestRevisionNeverDecreases(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a", 1)))
+	cache.Apply(completeUpdate(9, presentRow("a", 1)))
 	assert.EqualValues(t, 9, cache.Revision())
 	cache.Advance(12)
 	cache.Advance(10)
 	assert.EqualValues(t, 12, cache.Revision())
-	assert.EqualValues(t, 12, cache.After(0).Followed)
+	assert.EqualValues(t, 12, cache.After(0).WatchedRevision)
 	assert.EqualValues(t, 9, cache.After(0).Revision, "the word on what is gone is as old as the whole read")
 }
 
-// TestRowThatTheStorePassedOverIsNotGone has a store forget its history: it tells one reader
+// TestRowSkippedByWatchIsNotDeleted has a store forget its history: it tells one reader
 // of no change up to 20, though b began at 15, which another reader has seen. Who asks the
 // first after the second must not take b for gone up to 20: it would never come back.
-func TestRowThatTheStorePassedOverIsNotGone(t *testing.T) {
+func TestRowSkippedByWatchIsNotDeleted(t *testing.T) {
 	first, follower := New(0), New(0)
-	first.Apply(whole(10, row("a", 1)))
+	first.Apply(completeUpdate(10, presentRow("a", 1)))
 	first.Advance(20)
-	follower.Apply(whole(16, row("a", 1), row("b", 15)))
+	follower.Apply(completeUpdate(16, presentRow("a", 1), presentRow("b", 15)))
 	assert.Empty(t, follower.Apply(first.After(0)))
-	first.Apply(changes(21, row("b", 15)))
+	first.Apply(partialUpdate(21, presentRow("b", 15)))
 	assert.Equal(t, []string{"a", "b"}, keys(follower.After(0).Rows))
 }
 
-// TestChangesAreToldAsByALookAtAllRows compares the answers of a cache, through drawn updates,
+// TestAfterMatchesFullScan compares the answers of a cache, through drawn updates,
 // with what a look at all of its rows says.
-func TestChangesAreToldAsByALookAtAllRows(t *testing.T) {
+func TestAfterMatchesFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		cache := New(8)
-		cache.Apply(whole(1))
+		cache.Apply(completeUpdate(1))
 		for step := range 300 {
 			key := strconv.Itoa(random.IntN(30))
 			revision := fleet.Revision(2 + step)
 			if random.IntN(4) == 0 {
-				cache.Apply(changes(revision, gone(key, revision)))
+				cache.Apply(partialUpdate(revision, deletedRow(key, revision)))
 			} else {
-				cache.Apply(changes(revision, row(key, revision)))
+				cache.Apply(partialUpdate(revision, presentRow(key, revision)))
 			}
 			after := cache.sequence - min(cache.sequence, uint64(random.IntN(40)))
 			told := cache.After(after)
 			var expected []string
 			for _, held := range cache.rows {
-				if told.Complete && held.Gone && held.Revision <= cache.base || !told.Complete && held.sequence <= after {
+				if told.Complete && held.Deleted && held.Revision <= cache.snapshotRevision || !told.Complete && held.sequence <= after {
 					continue
 				}
 				name := held.Key
-				if held.Gone {
+				if held.Deleted {
 					name = "-" + name
 				}
 				expected = append(expected, name)
 			}
 			require.ElementsMatch(t, expected, keys(told.Rows), "seed %d step %d", seed, step)
 		}
-		assert.LessOrEqual(t, len(cache.order), 2*len(cache.rows)+orderSlack)
+		assert.LessOrEqual(t, len(cache.changeLog), 2*len(cache.rows)+changeLogSlack)
 	}
 }
