--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -115,7 +115,7 @@
 func (r *Registry) ObserveCache(run fleet.EngineRun, anew bool, changes []PartChange) []cachefeed.Change {
 	told := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		told[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
+		told[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Held}
 	}
 	r.ObserveTold(run, anew, told)
 	return told
@@ -132,8 +132,8 @@
 	r.parts.followed[run] = true
 	var hash [1]fleet.BlockHash
 	for _, change := range changes {
-		hash[0] = change.Part
-		if change.Held {
+		hash[0] = change.Block
+		if change.Stored {
 			r.parts.index.Store(run, hash[:])
 		} else {
 			r.parts.index.Remove(run, hash[:])
--- a/internal/cachefeed/cachefeed_test.go
+++ b/internal/cachefeed/cachefeed_test.go
@@ -13,41 +13,41 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// believer believes what it is told of the caches that it wants.
-type believer struct {
+// replica believes what it is told of the caches that it wants.
+type replica struct {
 	*Follower
 	wanted map[fleet.EngineID]bool
 	caches map[fleet.EngineID]map[fleet.BlockHash]struct{}
 }
 
-func newBeliever() *believer {
-	return &believer{
+func newReplica() *replica {
+	return &replica{
 		Follower: NewFollower(),
 		wanted:   make(map[fleet.EngineID]bool),
 		caches:   make(map[fleet.EngineID]map[fleet.BlockHash]struct{}),
 	}
 }
 
-func (b *believer) take(news News) {
-	for _, update := range b.Take(news, b.wanted) {
+func (b *replica) apply(news Delta) {
+	for _, update := range b.Apply(news, b.wanted) {
 		if update.Lost {
 			delete(b.caches, update.Cache)
 			continue
 		}
-		if update.Anew {
+		if update.Reset {
 			b.caches[update.Cache] = make(map[fleet.BlockHash]struct{})
 		}
-		for _, part := range update.Held {
+		for _, part := range update.Stored {
 			b.caches[update.Cache][part] = struct{}{}
 		}
-		for _, part := range update.Dropped {
+		for _, part := range update.Removed {
 			delete(b.caches[update.Cache], part)
 		}
 	}
 }
 
 // toggle has the believer want a cache, or no more: then it forgets it.
-func (b *believer) toggle(cache fleet.EngineID) {
+func (b *replica) toggle(cache fleet.EngineID) {
 	if b.wanted[cache] {
 		delete(b.wanted, cache)
 		delete(b.caches, cache)
@@ -56,19 +56,19 @@
 	b.wanted[cache] = true
 }
 
-// TestFollowersBelieveWhatTheLogKnows plays random changes against followers that ask at
+// TestFollowersMatchLog plays random changes against followers that ask at
 // random times, change between two logs of the same caches, miss answers, and want other
 // caches from time to time: what one believes after an answer is what the log knows.
-func TestFollowersBelieveWhatTheLogKnows(t *testing.T) {
+func TestFollowersMatchLog(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			logs := []*Log{NewLog(1, 20), NewLog(2, 20)}
-			all := []*believer{newBeliever(), newBeliever(), newBeliever()}
+			all := []*replica{newReplica(), newReplica(), newReplica()}
 			followed := make([]int, len(all))
 			for range 400 {
 				cache := fleet.EngineID(fmt.Sprint("cache-", random.IntN(4)))
-				change(random, logs, cache)
+				applyRandomChange(random, logs, cache)
 				number := random.IntN(len(all))
 				asking := all[number]
 				if random.IntN(10) == 0 {
@@ -79,40 +79,40 @@
 					asking.Reset()
 				}
 				log := logs[followed[number]]
-				question := asking.Ask(asking.wanted)
-				news := log.Answer(question)
-				if !log.Answers(question) {
+				question := asking.NextQuery(asking.wanted)
+				news := log.Delta(question)
+				if !log.HasDelta(question) {
 					require.Empty(t, news.Updates)
 				}
 				if random.IntN(5) == 0 {
 					continue
 				}
-				asking.take(news)
-				require.Equal(t, known(log, asking.wanted), asking.caches)
-				require.False(t, log.Answers(asking.Ask(asking.wanted)), "nothing is left to be told")
+				asking.apply(news)
+				require.Equal(t, logState(log, asking.wanted), asking.caches)
+				require.False(t, log.HasDelta(asking.NextQuery(asking.wanted)), "nothing is left to be told")
 			}
 		})
 	}
 }
 
-// change has something change in a cache, and both logs take it in.
-func change(random *rand.Rand, logs []*Log, cache fleet.EngineID) {
+// applyRandomChange has something applyRandomChange in a cache, and both logs take it in.
+func applyRandomChange(random *rand.Rand, logs []*Log, cache fleet.EngineID) {
 	lost, fresh := random.IntN(20) == 0, random.IntN(15) == 0
 	changes := make([]Change, random.IntN(6))
 	for index := range changes {
-		changes[index] = Change{Part: fleet.BlockHash(random.IntN(12)), Held: random.IntN(2) == 0}
+		changes[index] = Change{Block: fleet.BlockHash(random.IntN(12)), Stored: random.IntN(2) == 0}
 	}
 	for _, log := range logs {
 		if lost {
-			log.Lose(cache)
+			log.MarkLost(cache)
 		} else {
 			log.Observe(cache, fresh, changes)
 		}
 	}
 }
 
-// known returns what a log knows of some caches.
-func known(log *Log, wanted map[fleet.EngineID]bool) map[fleet.EngineID]map[fleet.BlockHash]struct{} {
+// logState returns what a log knows of some caches.
+func logState(log *Log, wanted map[fleet.EngineID]bool) map[fleet.EngineID]map[fleet.BlockHash]struct{} {
 	caches := make(map[fleet.EngineID]map[fleet.BlockHash]struct{})
 	for cache, parts := range log.caches {
 		if wanted[cache] {
@@ -122,115 +122,115 @@
 	return caches
 }
 
-// TestChangesTakeFewEntries has a part that comes and goes count once, and one that is held
+// TestRedundantChangesAreFolded has a part that comes and goes count once, and one that is held
 // already not at all.
-func TestChangesTakeFewEntries(t *testing.T) {
+func TestRedundantChangesAreFolded(t *testing.T) {
 	log := NewLog(7, 0)
-	log.Observe("cache", true, []Change{{Part: 1, Held: true}})
+	log.Observe("cache", true, []Change{{Block: 1, Stored: true}})
 	cursor := log.Next()
-	log.Observe("cache", false, []Change{{Part: 1, Held: true}, {Part: 9, Held: false}})
-	assert.False(t, log.Answers(Question{After: cursor}), "nothing has changed")
-	log.Observe("cache", false, []Change{{Part: 2, Held: true}, {Part: 2, Held: false}, {Part: 1, Held: false}})
-	news := log.Answer(Question{After: cursor})
+	log.Observe("cache", false, []Change{{Block: 1, Stored: true}, {Block: 9, Stored: false}})
+	assert.False(t, log.HasDelta(Query{After: cursor}), "nothing has changed")
+	log.Observe("cache", false, []Change{{Block: 2, Stored: true}, {Block: 2, Stored: false}, {Block: 1, Stored: false}})
+	news := log.Delta(Query{After: cursor})
 	require.Len(t, news.Updates, 1)
-	slices.Sort(news.Updates[0].Dropped)
-	assert.Equal(t, Update{Cache: "cache", Dropped: []fleet.BlockHash{1, 2}}, news.Updates[0])
+	slices.Sort(news.Updates[0].Removed)
+	assert.Equal(t, Update{Cache: "cache", Removed: []fleet.BlockHash{1, 2}}, news.Updates[0])
 }
 
-// TestLogIsBounded has a follower that has seen too little get everything.
-func TestLogIsBounded(t *testing.T) {
+// TestLogIsBoundedAndFallsBackToSnapshot has a follower that has seen too little get everything.
+func TestLogIsBoundedAndFallsBackToSnapshot(t *testing.T) {
 	log := NewLog(1, 10)
 	log.Observe("cache", true, nil)
 	early := log.Next()
 	for part := range 100 {
-		log.Observe("cache", false, []Change{{Part: fleet.BlockHash(part), Held: true}})
+		log.Observe("cache", false, []Change{{Block: fleet.BlockHash(part), Stored: true}})
 		assert.LessOrEqual(t, len(log.entries), 20)
 	}
-	news := log.Answer(Question{After: early})
-	assert.True(t, news.Whole)
+	news := log.Delta(Query{After: early})
+	assert.True(t, news.Complete)
 	require.Len(t, news.Updates, 1)
-	assert.Len(t, news.Updates[0].Held, 100)
-	assert.True(t, log.Answer(Question{After: Cursor{Generation: 1, Sequence: news.Next.Sequence + 1}}).Whole, "a position that is to come")
-	assert.True(t, log.Answer(Question{After: Cursor{Generation: 3, Sequence: news.Next.Sequence}}).Whole, "another run")
+	assert.Len(t, news.Updates[0].Stored, 100)
+	assert.True(t, log.Delta(Query{After: Cursor{Generation: 1, Sequence: news.Next.Sequence + 1}}).Complete, "a position that is to come")
+	assert.True(t, log.Delta(Query{After: Cursor{Generation: 3, Sequence: news.Next.Sequence}}).Complete, "another run")
 }
 
-// TestSourceIsKeptUntilItFails has the first source fail, and come back.
-func TestSourceIsKeptUntilItFails(t *testing.T) {
+// TestSelectorFailsOverAndBack has the first source fail, and come back.
+func TestSelectorFailsOverAndBack(t *testing.T) {
 	order := []fleet.NodeID{"a", "b"}
 	now := time.Minute
-	selector := NewSelector(now - Patience)
+	selector := NewSelector(now - StartupGracePeriod)
 	choose := func(now time.Duration, order []fleet.NodeID) fleet.NodeID {
 		node, found := selector.Choose(now, order)
 		require.Equal(t, found, node != "")
 		return node
 	}
 	assert.Equal(t, fleet.NodeID("a"), choose(now, order))
-	selector.Failed(now, "a")
+	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
-	assert.Equal(t, fleet.NodeID("b"), choose(now+ReturnAfter-1, order), "the one that answers is kept")
-	assert.Equal(t, fleet.NodeID("a"), choose(now+ReturnAfter, order), "for a while")
-	now += ReturnAfter
-	selector.Failed(now, "a")
+	assert.Equal(t, fleet.NodeID("b"), choose(now+FailbackDelay-1, order), "the one that answers is kept")
+	assert.Equal(t, fleet.NodeID("a"), choose(now+FailbackDelay, order), "for a while")
+	now += FailbackDelay
+	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
-	selector.Failed(now, "b")
-	assert.Empty(t, choose(now+RetryAfter-1, order), "the caches themselves")
-	assert.Equal(t, fleet.NodeID("a"), choose(now+RetryAfter, order))
+	selector.MarkFailed(now, "b")
+	assert.Empty(t, choose(now+FailureBackoff-1, order), "the caches themselves")
+	assert.Equal(t, fleet.NodeID("a"), choose(now+FailureBackoff, order))
 	assert.Equal(t, fleet.NodeID("c"), choose(now, []fleet.NodeID{"c"}), "a is gone")
 	assert.Empty(t, choose(now, nil))
 }
 
-// TestSourceThatCannotTellYetIsAskedAgain has a fleet that has just started wait for its
+// TestSourceNotReadyIsRetriedDuringStartup has a fleet that has just started wait for its
 // sources, and not read the caches meanwhile.
-func TestSourceThatCannotTellYetIsAskedAgain(t *testing.T) {
+func TestSourceNotReadyIsRetriedDuringStartup(t *testing.T) {
 	selector := NewSelector(0)
 	_, found := selector.Choose(0, nil)
 	assert.False(t, found)
-	assert.False(t, selector.Alone(Patience-1))
+	assert.False(t, selector.CanReadDirectly(StartupGracePeriod-1))
 	selector.Choose(1, []fleet.NodeID{"a", "b"})
-	selector.Unavailable(1, "a")
+	selector.MarkNotReady(1, "a")
 	node, found := selector.Choose(1, []fleet.NodeID{"a", "b"})
 	assert.True(t, found)
 	assert.Equal(t, fleet.NodeID("a"), node)
-	selector.Unavailable(Patience, "a")
-	node, _ = selector.Choose(Patience, []fleet.NodeID{"a", "b"})
+	selector.MarkNotReady(StartupGracePeriod, "a")
+	node, _ = selector.Choose(StartupGracePeriod, []fleet.NodeID{"a", "b"})
 	assert.Equal(t, fleet.NodeID("b"), node)
-	assert.True(t, selector.Alone(Patience))
+	assert.True(t, selector.CanReadDirectly(StartupGracePeriod))
 }
 
 // Times of the simulated zone.
 const (
-	simPause   = 250 * time.Millisecond
-	simSilence = 1350 * time.Millisecond
-	simCheck   = 100 * time.Millisecond
+	pollInterval  = 250 * time.Millisecond
+	detectionTime = 1350 * time.Millisecond
+	retryInterval = 100 * time.Millisecond
 )
 
-// simSource is a node of the zone that follows its cache.
-type simSource struct {
+// source is a node of the zone that follows its cache.
+type source struct {
 	log *Log
 	// silentFrom and silentTo are when it doesn't answer: it is dead, frozen or cut off.
 	silentFrom time.Duration
 	silentTo   time.Duration
 }
 
-// TestStandbyTakesOver plays sources that fall silent at random, on a virtual clock: whenever any
+// TestFollowerFailsOverToStandby plays sources that fall silent at random, on a virtual clock: whenever any
 // has answered all the time, the follower believes what the cache holds, at most the time
 // late that it takes to find out that the others are silent; with none left it reads the cache
 // itself within a bound. A new run of a source, which has forgotten its position, changes
 // nothing of that.
-func TestStandbyTakesOver(t *testing.T) {
+func TestFollowerFailsOverToStandby(t *testing.T) {
 	order := []fleet.NodeID{"a", "b", "c"}
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 2))
-			sources := make(map[fleet.NodeID]*simSource)
+			sources := make(map[fleet.NodeID]*source)
 			for index, node := range order {
 				from := time.Duration(random.Int64N(int64(20 * time.Second)))
-				sources[node] = &simSource{
+				sources[node] = &source{
 					log: NewLog(uint64(index+1), 50), silentFrom: from,
 					silentTo: from + time.Duration(random.Int64N(int64(10*time.Second))),
 				}
 			}
-			selector, asking := NewSelector(0), newBeliever()
+			selector, asking := NewSelector(0), newReplica()
 			asking.toggle("cache")
 			lastRight, aloneAt := time.Duration(0), time.Duration(-1)
 			truth := NewLog(99, 50)
@@ -241,29 +241,29 @@
 					if aloneAt < 0 {
 						aloneAt = now
 					}
-					require.True(t, selector.Alone(now) || now < Patience)
+					require.True(t, selector.CanReadDirectly(now) || now < StartupGracePeriod)
 					lastRight = now
-					now += simCheck
+					now += retryInterval
 					asking.Reset()
 					continue
 				}
 				aloneAt = -1
 				for _, log := range logs {
-					log.Observe("cache", false, []Change{{Part: fleet.BlockHash(now / time.Millisecond % 40), Held: true}})
-					log.Observe("cache", false, []Change{{Part: fleet.BlockHash(now / time.Millisecond % 7), Held: false}})
+					log.Observe("cache", false, []Change{{Block: fleet.BlockHash(now / time.Millisecond % 40), Stored: true}})
+					log.Observe("cache", false, []Change{{Block: fleet.BlockHash(now / time.Millisecond % 7), Stored: false}})
 				}
 				source := sources[node]
 				if now >= source.silentFrom && now < source.silentTo {
-					now += simSilence
-					selector.Failed(now, node)
+					now += detectionTime
+					selector.MarkFailed(now, node)
 					asking.Reset()
-					require.LessOrEqual(t, now-lastRight, 3*simSilence+simPause)
+					require.LessOrEqual(t, now-lastRight, 3*detectionTime+pollInterval)
 					continue
 				}
-				asking.take(source.log.Answer(asking.Ask(asking.wanted)))
-				require.Equal(t, known(truth, asking.wanted), asking.caches)
+				asking.apply(source.log.Delta(asking.NextQuery(asking.wanted)))
+				require.Equal(t, logState(truth, asking.wanted), asking.caches)
 				lastRight = now
-				now += simPause
+				now += pollInterval
 			}
 		})
 	}
--- a/internal/cachefeed/log.go
+++ b/internal/cachefeed/log.go
@@ -16,14 +16,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DefaultKept is the number of changes that a log keeps: at some 30 changes a second and
+// DefaultCapacity is the number of changes that a log keeps: at some 30 changes a second and
 // cache, and 20 caches in a zone, those of 13 seconds, in 0.4 MB.
-const DefaultKept = 8 << 10
+const DefaultCapacity = 8 << 10
 
 // Change tells that a cache holds a part, or has dropped it.
 type Change struct {
-	Part fleet.BlockHash
-	Held bool
+	Block  fleet.BlockHash
+	Stored bool
 }
 
 // Cursor is a position in a log. The zero value is before everything.
@@ -37,58 +37,58 @@
 // Update is what has changed in one cache. Of parts named twice the last change counts.
 type Update struct {
 	Cache fleet.EngineID
-	// Anew is set if what was known of the cache before doesn't hold any more.
-	Anew bool
+	// Reset is set if what was known of the cache before doesn't hold any more.
+	Reset bool
 	// Lost is set if the cache can't be followed now, and nothing is known of it.
 	Lost    bool
-	Held    []fleet.BlockHash
-	Dropped []fleet.BlockHash
+	Stored  []fleet.BlockHash
+	Removed []fleet.BlockHash
 }
 
 // Changes returns the parts that are held and dropped since.
 func (u *Update) Changes() []Change {
-	changes := make([]Change, 0, len(u.Held)+len(u.Dropped))
-	for _, part := range u.Held {
-		changes = append(changes, Change{Part: part, Held: true})
+	changes := make([]Change, 0, len(u.Stored)+len(u.Removed))
+	for _, part := range u.Stored {
+		changes = append(changes, Change{Block: part, Stored: true})
 	}
-	for _, part := range u.Dropped {
-		changes = append(changes, Change{Part: part})
+	for _, part := range u.Removed {
+		changes = append(changes, Change{Block: part})
 	}
 	return changes
 }
 
-// News is what a follower lacks.
-type News struct {
-	// Whole is set if Updates name all caches that the log knows of, so that any other is lost.
-	Whole   bool
-	Updates []Update
-	Next    Cursor
+// Delta is what a follower lacks.
+type Delta struct {
+	// Complete is set if Updates name all caches that the log knows of, so that any other is lost.
+	Complete bool
+	Updates  []Update
+	Next     Cursor
 }
 
-// kind tells what an entry says.
-type kind uint8
+// entryKind tells what an entry says.
+type entryKind uint8
 
 const (
-	held kind = iota
-	dropped
-	anew
-	lost
+	entryStored entryKind = iota
+	entryRemoved
+	entryReset
+	entryLost
 )
 
 type entry struct {
 	cache fleet.EngineID
-	part  fleet.BlockHash
-	kind  kind
+	block fleet.BlockHash
+	kind  entryKind
 }
 
 // Log is what one node knows of caches, and the last changes.
 type Log struct {
 	generation uint64
-	kept       int
-	// first is the sequence of the oldest entry that is kept.
-	first   uint64
-	entries []entry
-	caches  map[fleet.EngineID]map[fleet.BlockHash]struct{}
+	capacity   int
+	// firstSequence is the sequence of the oldest entry that is kept.
+	firstSequence uint64
+	entries       []entry
+	caches        map[fleet.EngineID]map[fleet.BlockHash]struct{}
 }
 
 // NewLog returns a log that knows nothing. The generation must differ from that of any
@@ -96,9 +96,9 @@
 // DefaultKept.
 func NewLog(generation uint64, kept int) *Log {
 	if kept <= 0 {
-		kept = DefaultKept
+		kept = DefaultCapacity
 	}
-	return &Log{generation: generation, kept: kept, caches: make(map[fleet.EngineID]map[fleet.BlockHash]struct{})}
+	return &Log{generation: generation, capacity: kept, caches: make(map[fleet.EngineID]map[fleet.BlockHash]struct{})}
 }
 
 // Observe takes in changes of a cache, in order. fresh is set if what was known of it
@@ -108,31 +108,31 @@
 	if parts == nil || fresh {
 		parts = make(map[fleet.BlockHash]struct{})
 		l.caches[cache] = parts
-		l.append(entry{cache: cache, kind: anew})
+		l.append(entry{cache: cache, kind: entryReset})
 	}
 	for _, change := range changes {
-		_, known := parts[change.Part]
-		if known == change.Held {
+		_, known := parts[change.Block]
+		if known == change.Stored {
 			continue
 		}
-		if change.Held {
-			parts[change.Part] = struct{}{}
-			l.append(entry{cache: cache, part: change.Part, kind: held})
+		if change.Stored {
+			parts[change.Block] = struct{}{}
+			l.append(entry{cache: cache, block: change.Block, kind: entryStored})
 			continue
 		}
-		delete(parts, change.Part)
-		l.append(entry{cache: cache, part: change.Part, kind: dropped})
+		delete(parts, change.Block)
+		l.append(entry{cache: cache, block: change.Block, kind: entryRemoved})
 	}
 	l.trim()
 }
 
-// Lose takes in that a cache isn't followed any more.
-func (l *Log) Lose(cache fleet.EngineID) {
+// MarkLost takes in that a cache isn't followed any more.
+func (l *Log) MarkLost(cache fleet.EngineID) {
 	if _, known := l.caches[cache]; !known {
 		return
 	}
 	delete(l.caches, cache)
-	l.append(entry{cache: cache, kind: lost})
+	l.append(entry{cache: cache, kind: entryLost})
 	l.trim()
 }
 
@@ -140,34 +140,34 @@
 
 // trim drops the oldest entries. It lets twice as many gather, so that each is moved once.
 func (l *Log) trim() {
-	if len(l.entries) < 2*l.kept {
+	if len(l.entries) < 2*l.capacity {
 		return
 	}
-	excess := len(l.entries) - l.kept
-	l.first += uint64(excess)
+	excess := len(l.entries) - l.capacity
+	l.firstSequence += uint64(excess)
 	l.entries = slices.Clone(l.entries[excess:])
 }
 
 // Next is the position behind the last change.
 func (l *Log) Next() Cursor {
-	return Cursor{Generation: l.generation, Sequence: l.first + uint64(len(l.entries))}
+	return Cursor{Generation: l.generation, Sequence: l.firstSequence + uint64(len(l.entries))}
 }
 
 // Caches returns the number of caches of which the log knows.
 func (l *Log) Caches() int { return len(l.caches) }
 
-// Answers tells whether the log has anything that a question asks for.
-func (l *Log) Answers(question Question) bool {
+// HasDelta tells whether the log has anything that a question asks for.
+func (l *Log) HasDelta(question Query) bool {
 	return question.After != l.Next() || slices.ContainsFunc(question.Missing, func(cache fleet.EngineID) bool {
 		_, known := l.caches[cache]
 		return known
 	})
 }
 
-// Answer returns what a follower lacks.
-func (l *Log) Answer(question Question) News {
-	news := l.after(question.After)
-	if news.Whole {
+// Delta returns what a follower lacks.
+func (l *Log) Delta(question Query) Delta {
+	news := l.deltaAfter(question.After)
+	if news.Complete {
 		return news
 	}
 	for _, cache := range question.Missing {
@@ -175,56 +175,56 @@
 			continue
 		}
 		news.Updates = slices.DeleteFunc(news.Updates, func(update Update) bool { return update.Cache == cache })
-		news.Updates = append(news.Updates, l.wholeOf(cache))
+		news.Updates = append(news.Updates, l.cacheSnapshot(cache))
 	}
 	return news
 }
 
-// after returns what comes after a position.
-func (l *Log) after(cursor Cursor) News {
+// deltaAfter returns what comes deltaAfter a position.
+func (l *Log) deltaAfter(cursor Cursor) Delta {
 	next := l.Next()
-	if cursor.Generation != l.generation || cursor.Sequence < l.first || cursor.Sequence > next.Sequence {
-		return News{Whole: true, Updates: l.whole(), Next: next}
+	if cursor.Generation != l.generation || cursor.Sequence < l.firstSequence || cursor.Sequence > next.Sequence {
+		return Delta{Complete: true, Updates: l.snapshot(), Next: next}
 	}
-	return News{Updates: fold(l.entries[cursor.Sequence-l.first:]), Next: next}
+	return Delta{Updates: fold(l.entries[cursor.Sequence-l.firstSequence:]), Next: next}
 }
 
-// whole returns all that the log knows.
-func (l *Log) whole() []Update {
+// snapshot returns all that the log knows.
+func (l *Log) snapshot() []Update {
 	updates := make([]Update, 0, len(l.caches))
 	for cache := range l.caches {
-		updates = append(updates, l.wholeOf(cache))
+		updates = append(updates, l.cacheSnapshot(cache))
 	}
 	return updates
 }
 
-// wholeOf returns all that the log knows of one cache.
-func (l *Log) wholeOf(cache fleet.EngineID) Update {
+// cacheSnapshot returns all that the log knows of one cache.
+func (l *Log) cacheSnapshot(cache fleet.EngineID) Update {
 	parts := l.caches[cache]
-	update := Update{Cache: cache, Anew: true, Held: make([]fleet.BlockHash, 0, len(parts))}
+	update := Update{Cache: cache, Reset: true, Stored: make([]fleet.BlockHash, 0, len(parts))}
 	for part := range parts {
-		update.Held = append(update.Held, part)
+		update.Stored = append(update.Stored, part)
 	}
 	return update
 }
 
-// folded is what entries say of one cache.
-type folded struct {
-	anew  bool
-	lost  bool
-	parts map[fleet.BlockHash]bool
+// cacheDelta is what entries say of one cache.
+type cacheDelta struct {
+	reset  bool
+	lost   bool
+	blocks map[fleet.BlockHash]bool
 }
 
 // fold returns what entries say, by cache.
 func fold(entries []entry) []Update {
-	caches := make(map[fleet.EngineID]*folded)
+	caches := make(map[fleet.EngineID]*cacheDelta)
 	for _, next := range entries {
 		cache := caches[next.cache]
 		if cache == nil {
-			cache = &folded{parts: make(map[fleet.BlockHash]bool)}
+			cache = &cacheDelta{blocks: make(map[fleet.BlockHash]bool)}
 			caches[next.cache] = cache
 		}
-		cache.take(next)
+		cache.apply(next)
 	}
 	updates := make([]Update, 0, len(caches))
 	for name, cache := range caches {
@@ -233,23 +233,23 @@
 	return updates
 }
 
-func (f *folded) take(next entry) {
+func (f *cacheDelta) apply(next entry) {
 	switch next.kind {
-	case anew, lost:
-		f.anew, f.lost = next.kind == anew, next.kind == lost
-		clear(f.parts)
+	case entryReset, entryLost:
+		f.reset, f.lost = next.kind == entryReset, next.kind == entryLost
+		clear(f.blocks)
 	default:
-		f.parts[next.part] = next.kind == held
+		f.blocks[next.block] = next.kind == entryStored
 	}
 }
 
-func (f *folded) update(cache fleet.EngineID) Update {
-	update := Update{Cache: cache, Anew: f.anew, Lost: f.lost}
-	for part, isHeld := range f.parts {
+func (f *cacheDelta) update(cache fleet.EngineID) Update {
+	update := Update{Cache: cache, Reset: f.reset, Lost: f.lost}
+	for part, isHeld := range f.blocks {
 		if isHeld {
-			update.Held = append(update.Held, part)
-		} else if !f.anew {
-			update.Dropped = append(update.Dropped, part)
+			update.Stored = append(update.Stored, part)
+		} else if !f.reset {
+			update.Removed = append(update.Removed, part)
 		}
 	}
 	return update
--- a/internal/gateway/cachetalk.go
+++ b/internal/gateway/cachetalk.go
@@ -58,7 +58,7 @@
 }
 
 func (c *cacheLog) lose(cache fleet.EngineID) {
-	c.update(func(log *cachefeed.Log) { log.Lose(cache) })
+	c.update(func(log *cachefeed.Log) { log.MarkLost(cache) })
 }
 
 // takeTold takes in what another node tells of so many caches.
@@ -69,7 +69,7 @@
 			c.lose(update.Cache)
 			continue
 		}
-		c.observe(update.Cache, update.Anew, update.Changes())
+		c.observe(update.Cache, update.Reset, update.Changes())
 	}
 }
 
@@ -112,7 +112,7 @@
 // answer returns what a follower lacks if that is anything, and a channel that is closed
 // at the next change. ready is false while this node doesn't know the caches yet: what it
 // then told would have others forget what they know.
-func (c *cacheLog) answer(now time.Duration, question cachefeed.Question) (news cachefeed.News, any, ready bool, changed <-chan struct{}) {
+func (c *cacheLog) answer(now time.Duration, question cachefeed.Query) (news cachefeed.Delta, any, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
@@ -120,7 +120,7 @@
 	if !ready {
 		return news, false, false, c.changed
 	}
-	return c.log.Answer(question), c.log.Answers(question), true, c.changed
+	return c.log.Delta(question), c.log.HasDelta(question), true, c.changed
 }
 
 // logOf returns what this node tells others of a zone's caches, or nil if it doesn't. Of other
@@ -163,8 +163,8 @@
 	}
 }
 
-func decodeQuestion(request *rpc.CachesRequest) cachefeed.Question {
-	question := cachefeed.Question{
+func decodeQuestion(request *rpc.CachesRequest) cachefeed.Query {
+	question := cachefeed.Query{
 		After: cachefeed.Cursor{Generation: request.GetGeneration(), Sequence: request.GetSequence()},
 	}
 	for _, cache := range request.GetMissing() {
@@ -173,7 +173,7 @@
 	return question
 }
 
-func encodeQuestion(question cachefeed.Question, wait time.Duration) *rpc.CachesRequest {
+func encodeQuestion(question cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
 	request := &rpc.CachesRequest{
 		Generation: question.After.Generation, Sequence: question.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
 	}
@@ -184,27 +184,27 @@
 }
 
 // encodeNews returns what a follower lacks in its transmitted form.
-func encodeNews(news cachefeed.News) *rpc.CachesResponse {
-	response := &rpc.CachesResponse{Generation: news.Next.Generation, Sequence: news.Next.Sequence, Whole: news.Whole}
+func encodeNews(news cachefeed.Delta) *rpc.CachesResponse {
+	response := &rpc.CachesResponse{Generation: news.Next.Generation, Sequence: news.Next.Sequence, Whole: news.Complete}
 	for _, update := range news.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
-			Cache: string(update.Cache), Anew: update.Anew, Lost: update.Lost,
-			Held: encodeParts(update.Held), Dropped: encodeParts(update.Dropped),
+			Cache: string(update.Cache), Anew: update.Reset, Lost: update.Lost,
+			Held: encodeParts(update.Stored), Dropped: encodeParts(update.Removed),
 		})
 	}
 	return response
 }
 
 // decodeNews reads what a follower lacks from its transmitted form.
-func decodeNews(response *rpc.CachesResponse) cachefeed.News {
-	news := cachefeed.News{
-		Whole: response.GetWhole(),
-		Next:  cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
+func decodeNews(response *rpc.CachesResponse) cachefeed.Delta {
+	news := cachefeed.Delta{
+		Complete: response.GetWhole(),
+		Next:     cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
 	}
 	for _, update := range response.GetUpdates() {
 		news.Updates = append(news.Updates, cachefeed.Update{
-			Cache: fleet.EngineID(update.GetCache()), Anew: update.GetAnew(), Lost: update.GetLost(),
-			Held: decodeParts(update.GetHeld()), Dropped: decodeParts(update.GetDropped()),
+			Cache: fleet.EngineID(update.GetCache()), Reset: update.GetAnew(), Lost: update.GetLost(),
+			Stored: decodeParts(update.GetHeld()), Removed: decodeParts(update.GetDropped()),
 		})
 	}
 	return news
--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -19,37 +19,37 @@
 // TestNodeTellsOfCachesThatItFollows asks a node about the caches of its zone.
 func TestNodeTellsOfCachesThatItFollows(t *testing.T) {
 	g := idleGateway(t)
-	ask := func(question cachefeed.Question) (cachefeed.News, error) {
+	ask := func(question cachefeed.Query) (cachefeed.Delta, error) {
 		response, err := g.answerCaches(t.Context(), encodeQuestion(question, 20*time.Millisecond))
 		return decodeNews(response), err
 	}
-	_, err := ask(cachefeed.Question{})
+	_, err := ask(cachefeed.Query{})
 	require.ErrorIs(t, err, errFollowsNone, "it follows none")
 	assert.True(t, g.cacheLog.wanted(g.now()), "but does from now on")
 
 	g.cacheLog.follow(g.now(), 2)
-	g.cacheLog.observe("one", true, []cachefeed.Change{{Part: 1, Held: true}, {Part: 2, Held: true}})
-	_, err = ask(cachefeed.Question{})
+	g.cacheLog.observe("one", true, []cachefeed.Change{{Block: 1, Stored: true}, {Block: 2, Stored: true}})
+	_, err = ask(cachefeed.Query{})
 	require.ErrorIs(t, err, errFollowsNone, "what it told of two caches would have the other forgotten")
 	g.cacheLog.observe("two", true, nil)
-	news, err := ask(cachefeed.Question{})
+	news, err := ask(cachefeed.Query{})
 	require.NoError(t, err)
-	assert.True(t, news.Whole)
+	assert.True(t, news.Complete)
 	assert.Len(t, news.Updates, 2)
 
-	quiet, err := ask(cachefeed.Question{After: news.Next})
+	quiet, err := ask(cachefeed.Query{After: news.Next})
 	require.NoError(t, err)
-	assert.Equal(t, cachefeed.News{Next: news.Next}, quiet)
+	assert.Equal(t, cachefeed.Delta{Next: news.Next}, quiet)
 	go func() {
 		time.Sleep(5 * time.Millisecond)
-		g.cacheLog.observe("one", false, []cachefeed.Change{{Part: 1}})
+		g.cacheLog.observe("one", false, []cachefeed.Change{{Block: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeQuestion(cachefeed.Question{After: news.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeQuestion(cachefeed.Query{After: news.Next}, time.Minute))
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeNews(response).Updates)
-	news, err = ask(cachefeed.Question{After: decodeNews(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Stored: []fleet.BlockHash{}, Removed: []fleet.BlockHash{1}}}, decodeNews(response).Updates)
+	news, err = ask(cachefeed.Query{After: decodeNews(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, news.Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Reset: true, Stored: []fleet.BlockHash{2}, Removed: []fleet.BlockHash{}}}, news.Updates)
 }
 
 // TestCachesOfOtherZonesAreAskedAbout has a node that serves follow the caches of its own
@@ -159,14 +159,14 @@
 	require.ErrorIs(t, err, errFollowsNone, "it knows nothing of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
-	updates := []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
+	updates := []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
 	feed.mirror.takeTold(g.now(), updates, 1)
 	_, err = g.answerCaches(t.Context(), ask)
 	require.ErrorIs(t, err, errFollowsNone, "what another node has told may come from here")
 	g.zoneFeeds.setSource(feed, false, true)
 	response, err := g.answerCaches(t.Context(), ask)
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeNews(response).Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}, Removed: []fleet.BlockHash{}}}, decodeNews(response).Updates)
 	assert.True(t, feed.mirror.wanted(g.now()))
 	feed.mirror.restart(6)
 	_, err = g.answerCaches(t.Context(), ask)
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -125,7 +125,7 @@
 	for ctx.Err() == nil {
 		source, found := selector.Choose(g.now(), g.cacheSources(zone))
 		member, known := g.peers.View().Find(source)
-		g.zoneFeeds.setSource(feed, !found && selector.Alone(g.now()), known && member.Zone == zone)
+		g.zoneFeeds.setSource(feed, !found && selector.CanReadDirectly(g.now()), known && member.Zone == zone)
 		wanted := g.zoneFeeds.wanted(feed)
 		if !found || len(wanted) == 0 {
 			follower.Reset()
@@ -149,12 +149,12 @@
 			sleep(ctx, eventsPause)
 		case errors.Is(err, peer.ErrUnavailable):
 			g.noteCacheSource(zone, source, err)
-			selector.Unavailable(g.now(), source)
+			selector.MarkNotReady(g.now(), source)
 			follower.Reset()
 			sleep(ctx, cacheCheck)
 		default:
 			g.noteCacheSource(zone, source, err)
-			selector.Failed(g.now(), source)
+			selector.MarkFailed(g.now(), source)
 			follower.Reset()
 		}
 	}
@@ -195,7 +195,7 @@
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(source.Zone))
 	ctx, cancel := context.WithTimeout(ctx, eventsWait+cachesSlack)
 	defer cancel()
-	request := encodeQuestion(follower.Ask(wanted), eventsWait)
+	request := encodeQuestion(follower.NextQuery(wanted), eventsWait)
 	if source.Zone != zone {
 		request.Zone = string(zone)
 	}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return follower.Take(decodeNews(response), wanted), nil
+	return follower.Apply(decodeNews(response), wanted), nil
 }
 
 // takeTold takes another node's word on caches in.
@@ -214,6 +214,6 @@
 			g.workers.LoseCache(run)
 			continue
 		}
-		g.workers.ObserveTold(run, update.Anew, update.Changes())
+		g.workers.ObserveTold(run, update.Reset, update.Changes())
 	}
 }
