--- a/internal/attempt/actions.go
+++ b/internal/attempt/actions.go
@@ -7,30 +7,29 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Action is something to be done for a request. Actions are carried out in
-// their order. A terminal action ends every operation still under way, save
-// best-effort cancels.
+// Action is a step to be carried out for a request. Actions are carried out in order. A terminal
+// action ends all operations in flight except best-effort cancels.
 type Action interface{ action() }
 
-// RequestPlacement asks a router for an engine. Its answer is Granted, Refused,
-// HandedBack or PlacementFailed.
+// RequestPlacement asks a router for an engine. It is answered by Granted, Refused, Redirected or
+// PlacementFailed.
 type RequestPlacement struct {
 	Operation Operation
-	// Attempt is a new number for each question, so that a late answer to an
-	// earlier one can't be taken for the answer to this.
+	// Attempt is unique to each placement request, so a late answer to an earlier one is not
+	// mistaken for the answer to this one.
 	Attempt fleet.Attempt
-	// Excluded lists the engine runs that this request has failed at.
+	// Excluded lists the engine runs on which this request has failed.
 	Excluded []fleet.EngineRun
 	// ContinuationTokens counts the tokens that the caller already has.
 	ContinuationTokens int
-	// Preferred lists routers to try first; empty leaves the choice.
+	// Preferred lists the routers to try first; if empty, any router may be asked.
 	Preferred []fleet.Address
-	// Delay is the time to wait before asking.
+	// Delay is the time to wait before sending.
 	Delay time.Duration
 }
 
-// Dispatch starts the stream at an engine. Its answer is DispatchNotSent,
-// DispatchRejected, DispatchUnknown or frames.
+// Dispatch starts the stream at an engine. It is answered by DispatchNotSent, DispatchRejected,
+// DispatchUnknown or frames.
 type Dispatch struct {
 	Operation Operation
 	Attempt   fleet.Attempt
@@ -38,46 +37,45 @@
 	Address   fleet.Address
 	Stream    fleet.StreamID
 	Priority  int
-	// Continuation holds the token texts that the caller already has.
+	// Continuation holds the texts of the tokens that the caller already has.
 	Continuation []string
 }
 
-// Resume reads the stream again from a token's index. Its answer is
-// ResumeRejected, ResumeFailed or frames.
+// Resume reads the stream again from the token at Offset. It is answered by ResumeRejected,
+// ResumeFailed or frames.
 type Resume struct {
 	Operation Operation
 	Run       fleet.EngineRun
 	Address   fleet.Address
 	Stream    fleet.StreamID
 	Offset    int
-	// Delay is the time to wait before asking.
+	// Delay is the time to wait before sending.
 	Delay time.Duration
 }
 
-// CancelAndFence stops a stream and bars any later dispatch of it.
+// CancelAndFence stops a stream and prevents any later dispatch of it from running.
 type CancelAndFence struct {
-	// Operation is 0 when the cancel is best effort: nobody waits for its
-	// answer. Otherwise it is answered by CancelAnswered or CancelFailed.
+	// Operation is 0 for a best-effort cancel, whose answer is ignored. Any other is answered by
+	// CancelAnswered or CancelFailed.
 	Operation Operation
 	Run       fleet.EngineRun
 	Address   fleet.Address
 	Stream    fleet.StreamID
-	// Delay is the time to wait before asking.
+	// Delay is the time to wait before sending.
 	Delay time.Duration
 }
 
-// EmitToken passes one token on to the caller.
+// EmitToken passes a token to the caller.
 type EmitToken struct {
 	Index int
 	Text  string
 }
 
-// Finish is terminal: the caller has the whole output.
+// Finish is terminal: the caller has the complete output.
 type Finish struct {
 	Reason       string
 	PromptTokens int
-	// CachedTokens is the part of the prompt that the engine took from its
-	// cache, at the last attempt.
+	// CachedTokens counts the prompt tokens that the last engine took from its cache.
 	CachedTokens int
 	OutputTokens int
 }
@@ -86,18 +84,17 @@
 type Fail struct {
 	Code   resultcode.Code
 	Reason string
-	// RetryAfter is when to come back; 0 means not at all, or that nothing is
-	// known.
+	// RetryAfter is the time after which the caller may retry; 0 means never or unknown.
 	RetryAfter time.Duration
 }
 
-// NotRun tells that the request certainly did not run.
+// NotRun reports whether the request certainly did not run.
 func (f Fail) NotRun() bool { return resultcode.Lookup(f.Code).NotRun }
 
-// Abort is terminal: the caller is gone and nothing is answered.
+// Abort is terminal: the caller has disconnected and gets no answer.
 type Abort struct{}
 
-// ReportPhase tells a router what became of a grant.
+// ReportPhase is the state of a granted attempt, as reported to its router.
 type ReportPhase int
 
 // Phases of a granted attempt.
@@ -111,15 +108,14 @@
 	ReportAbandoned
 )
 
-// Report tells the router that granted an attempt what became of it.
+// Report informs the router that granted an attempt of its progress.
 type Report struct {
 	Attempt      fleet.Attempt
 	Run          fleet.EngineRun
 	Phase        ReportPhase
 	CachedTokens int
 	OutputTokens int
-	// EngineLost is set when the engine can't be reached or is another
-	// incarnation.
+	// EngineLost is set if the engine is unreachable or has been replaced by another incarnation.
 	EngineLost bool
 }
 
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,12 +1,11 @@
-// Package attempt decides how one request is carried: where it is placed, when
-// it is dispatched, resumed, cancelled or tried again, and what its caller is
-// told. It is a state machine without I/O, clock or goroutines: the agent and
-// the simulation feed it events and carry out its actions.
+// Package attempt decides how a single request is carried: when it is placed, dispatched, resumed,
+// cancelled or retried, and which result its caller gets. The state machine has no I/O, clock or
+// goroutines: the agent and the simulation feed it events and carry out its actions.
 //
-// It holds three guarantees. A caller gets each token once, in order, and a
-// regular end only after the whole output. A request that isn't repeatable is
-// dispatched again only if every earlier dispatch certainly did not run. A
-// result that says "not run" is given only if no attempt may have run.
+// The machine guarantees that a caller receives each token once, in order, and a regular end only
+// after the complete output; that a request that is not repeatable is dispatched again only if no
+// earlier dispatch can have run; and that a result that says "not run" is returned only if no
+// attempt can have run.
 package attempt
 
 import (
@@ -15,33 +14,32 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Request is what the machine needs to know of a request.
+// Request describes the request to the machine.
 type Request struct {
 	ID fleet.RequestID
 	// Repeatable is false for a request that must run at most once.
 	Repeatable bool
-	// Deadline is the time, on the clock of the events, after which the request
-	// is of no use; 0 means none.
+	// Deadline is the time, on the clock of the events, after which the result is useless; 0 means
+	// none.
 	Deadline time.Duration
 }
 
-// Policy bounds the tries of one request. A zero field takes its default.
+// Policy limits the attempts of one request. Zero fields take their defaults.
 type Policy struct {
-	// MaxDispatches bounds the attempts at engines, the first included.
+	// MaxDispatches limits the dispatches to engines, including the first.
 	MaxDispatches int
-	// MaxPlacements bounds the questions to routers that led to no dispatch,
-	// counted anew after each dispatch.
+	// MaxPlacements limits the consecutive placement requests that do not lead to a dispatch.
 	MaxPlacements int
-	// MaxResumes bounds the resumes in a row that bring no new token.
+	// MaxResumes limits the consecutive resumes that bring no new token.
 	MaxResumes int
-	// MaxCancels bounds the tries to learn a stream's state by cancelling it.
+	// MaxCancels limits the cancels sent to find out whether a dispatch ran.
 	MaxCancels int
-	// BackoffBase is the greatest first delay; it doubles with each try.
+	// BackoffBase is the upper bound of the first delay; it doubles with each retry.
 	BackoffBase time.Duration
-	// BackoffMax bounds the delay.
+	// BackoffMax limits the upper bound of the delay.
 	BackoffMax time.Duration
-	// RetryAfter is the least time a caller is told to stay away when nothing
-	// better is known; up to as much again is added at random.
+	// RetryAfter is the minimum Retry-After sent when no better value is known; jitter of up to the
+	// same amount is added.
 	RetryAfter time.Duration
 }
 
@@ -73,10 +71,10 @@
 	}
 }
 
-// Phase tells what a machine waits for.
+// Phase is what a machine is waiting for.
 type Phase int
 
-// The phases of a request.
+// Phases of a request.
 const (
 	// PhasePlacing waits for a router's answer.
 	PhasePlacing Phase = iota
@@ -84,28 +82,28 @@
 	PhaseDispatching
 	// PhaseStreaming receives tokens.
 	PhaseStreaming
-	// PhaseResuming waits for the same engine run to go on with the stream.
+	// PhaseResuming waits for the same engine run to continue the stream.
 	PhaseResuming
-	// PhaseFencing waits to learn whether a dispatch took effect.
+	// PhaseFencing waits for the answer to a cancel that shows whether a dispatch ran.
 	PhaseFencing
-	// PhaseFinished has had its terminal action.
+	// PhaseFinished follows the terminal action.
 	PhaseFinished
 )
 
 var phaseNames = [...]string{"placing", "dispatching", "streaming", "resuming", "barring", "finished"}
 
-// String returns the phase's name.
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Stats counts what happened to one request.
+// Stats holds the counters of one request.
 type Stats struct {
-	// Dispatches counts the attempts at engines.
+	// Dispatches counts the dispatches to engines.
 	Dispatches int
-	// Retries counts the attempts drawn from the retry budget.
+	// Retries counts the attempts charged to the retry budget.
 	Retries int
-	// Resumes counts the resumes asked for.
+	// Resumes counts the resumes sent.
 	Resumes int
-	// DroppedEvents counts answers and frames of operations that are over, of
-	// other streams, or of tokens already passed on.
+	// DroppedEvents counts the answers and frames that were ignored because they belong to a
+	// finished operation or another stream, or repeat a token.
 	DroppedEvents int
 }
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -2,28 +2,24 @@
 
 import "time"
 
-// RetryBudget is shared by the requests of one agent. It keeps retries a
-// bounded part of the first attempts, so that a failing fleet isn't pressed
-// harder by those who notice.
+// RetryBudget limits retries to a share of the first attempts of all requests that use it, so that
+// retries do not overload a failing fleet.
 type RetryBudget interface {
-	// Deposit notes a first attempt.
+	// Deposit records a first attempt.
 	Deposit(now time.Duration)
-	// Withdraw takes one retry and tells whether there was one left.
+	// Withdraw takes a retry from the budget and reports whether one was available.
 	Withdraw(now time.Duration) bool
 }
 
-// BudgetOptions sets up a Budget. A zero field takes its default.
+// BudgetOptions configures a Budget. Zero fields take their defaults.
 type BudgetOptions struct {
-	// Ratio is the number of retries earned by one first attempt.
+	// Ratio is the number of retries earned by each first attempt.
 	Ratio float64
-	// FloorPerSecond is earned by time alone, so that a quiet agent can retry.
+	// FloorPerSecond is the number of retries earned per second regardless of attempts.
 	FloorPerSecond float64
-	// Burst bounds what can be saved up; it covers the streams that one engine
-	// loses at once.
+	// Burst limits the retries that can accumulate.
 	Burst float64
-	// Initial is what the budget holds at its start; 0 means Burst, and a
-	// negative one means nothing. Processes that share a bound and restart often
-	// start with nothing, so that restarts earn no retries.
+	// Initial is the number of retries available at the start; 0 means Burst, negative means none.
 	Initial float64
 }
 
@@ -34,15 +30,14 @@
 	DefaultBudgetBurst = 100
 )
 
-// Budget is a token bucket filled by first attempts. It isn't safe for
-// concurrent use.
+// Budget is a token bucket filled by first attempts and by time. It is not safe for concurrent use.
 type Budget struct {
 	options    BudgetOptions
 	tokens     float64
 	lastRefill time.Duration
 }
 
-// NewBudget returns a full budget.
+// NewBudget returns a budget that holds options.Initial retries.
 func NewBudget(options BudgetOptions) *Budget {
 	if options.Ratio <= 0 {
 		options.Ratio = DefaultBudgetRatio
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -8,27 +8,26 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Operation numbers the machine's calls to routers and engines. The answers to
-// a call carry its number; answers to any but the latest call are dropped.
+// Operation identifies a call of the machine to a router or an engine. The answers carry its
+// number; answers to any but the latest call are dropped.
 type Operation uint32
 
-// Event is something that happened to a request.
+// Event is an event in the life of a request.
 type Event interface{ event() }
 
 // Granted is a router's grant of an engine.
 type Granted struct {
 	Operation Operation
-	// Attempt is the attempt that the router answers.
+	// Attempt is the attempt number of the placement request that the router answers.
 	Attempt  fleet.Attempt
 	Run      fleet.EngineRun
 	Address  fleet.Address
 	Priority int
-	// ValidUntil is the time after which the grant must not be used; 0 means
-	// no limit.
+	// ValidUntil is the time after which the grant must not be used; 0 means no limit.
 	ValidUntil time.Duration
 }
 
-// Refused is a router's final no.
+// Refused is a router's final refusal.
 type Refused struct {
 	Operation  Operation
 	Code       resultcode.Code
@@ -36,19 +35,18 @@
 	RetryAfter time.Duration
 }
 
-// Redirected means that a router didn't place the request and that it can go
-// to another at once.
+// Redirected means that a router did not place the request and another one can be asked at once.
 type Redirected struct {
 	Operation Operation
-	// Routers lists the addresses to try, best first; empty leaves the choice.
+	// Routers lists the routers to ask, best first; if empty, any router may be asked.
 	Routers []fleet.Address
 }
 
-// PlacementFailed means that a router gave no answer. A grant that was lost on
-// its way was never used.
+// PlacementFailed means that a router did not answer. If it sent a grant that was lost, the grant
+// was not used.
 type PlacementFailed struct{ Operation Operation }
 
-// DispatchNotSent means that no byte of the dispatch left this side.
+// DispatchNotSent means that no byte of the dispatch was sent.
 type DispatchNotSent struct{ Operation Operation }
 
 // DispatchRejected is an engine's rejection of a dispatch.
@@ -58,15 +56,14 @@
 	Message   string
 }
 
-// DispatchUnknown means that the dispatch failed when the engine may have had it.
+// DispatchUnknown means that the dispatch failed after the engine may have received it.
 type DispatchUnknown struct {
 	Operation Operation
-	// TimedOut is set when the engine gave no answer in time, rather than
-	// that the connection broke.
+	// TimedOut is set if the engine did not answer in time; it is false if the connection broke.
 	TimedOut bool
 }
 
-// FrameReceived is one frame of a dispatched or resumed stream.
+// FrameReceived is a frame of a dispatched or resumed stream.
 type FrameReceived struct {
 	Operation Operation
 	Frame     engine.Frame
@@ -75,36 +72,36 @@
 // StreamBroken means that a stream's connection ended without a final frame.
 type StreamBroken struct{ Operation Operation }
 
-// ResumeRejected is an engine's answer that it doesn't hold the stream.
+// ResumeRejected is an engine's answer that it does not hold the stream.
 type ResumeRejected struct {
 	Operation Operation
 	Code      engine.ErrorCode
-	// Incarnation is the answering engine's own; 0 if it gave none.
+	// Incarnation is that of the engine that answered; 0 if unknown.
 	Incarnation fleet.Incarnation
 }
 
-// ResumeFailed means that a resume got no answer.
+// ResumeFailed means that a resume was not answered.
 type ResumeFailed struct{ Operation Operation }
 
-// CancelAnswered tells what a cancel has found.
+// CancelAnswered is the state of the stream that a cancel found.
 type CancelAnswered struct {
 	Operation Operation
 	State     engine.CancelState
 }
 
-// CancelFailed means that a cancel got no answer, or an error.
+// CancelFailed means that a cancel was answered by an error or not at all.
 type CancelFailed struct {
 	Operation Operation
 	Code      engine.ErrorCode
 }
 
-// CallerGone means that nobody waits for the answer any more.
+// CallerGone means that the caller has disconnected.
 type CallerGone struct{}
 
-// DeadlinePassed means that the request's deadline is over.
+// DeadlinePassed means that the request's deadline has passed.
 type DeadlinePassed struct{}
 
-// Stopping means that the agent ends now, after its grace for running requests.
+// Stopping means that the agent stops now, at the end of the grace period for running requests.
 type Stopping struct{}
 
 func (Granted) event()          {}
--- a/internal/attempt/forwarding.go
+++ b/internal/attempt/forwarding.go
@@ -7,48 +7,47 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Bounds on tries that don't count as runs.
+// Limits of attempts that do not count as runs.
 const (
-	// maxUnreachable bounds the workers that could not be reached for one request.
+	// maxUnreachable limits the workers that cannot be reached, per request.
 	maxUnreachable = 4
-	// maxRejections bounds the workers that turned one request away unrun.
+	// maxRejections limits the workers that reject a request without running it.
 	maxRejections = 3
-	// minTimeLeft is the time left below which no other worker is tried.
+	// minTimeLeft is the time before the deadline below which no further attempt is made.
 	minTimeLeft = 15 * time.Millisecond
-	// maxThrottled bounds the sends of one request that were not made since the worker had no
-	// room.
+	// maxThrottled limits the sends of a request that are held back because the worker is at its
+	// limit.
 	maxThrottled = 8
 )
 
-// ForwardingPolicy says what may be done for one opaque request.
+// ForwardingPolicy holds the rules for retrying an opaque request.
 type ForwardingPolicy struct {
 	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Resumable streams may go on at another worker behind the last event.
+	// Resumable streams may continue on another worker after the last event.
 	Resumable bool
-	// RetryFailures has an idempotent request tried elsewhere when a worker
-	// answers that it failed.
+	// RetryFailures allows an idempotent request to be retried on another worker after a worker's
+	// error response.
 	RetryFailures bool
-	// MaxRuns bounds the workers at which the request may have run; at least 1.
+	// MaxRuns limits the workers on which the request may have run; at least 1.
 	MaxRuns int
-	// Deadline is when the final answer is due, on the caller's clock.
+	// Deadline is the time by which the final answer is due, on the clock of the calls.
 	Deadline time.Duration
-	// RetryAfter is what a caller is told whose request did not run.
+	// RetryAfter is the Retry-After for a caller whose request did not run.
 	RetryAfter time.Duration
 }
 
-// Forwarding decides how one request is carried whose body and answer are
-// opaque: whether a failed try is followed by another, and what the caller is
-// told. It has no I/O and no clock, and isn't safe for concurrent use.
+// Forwarding is the state machine of a request whose body and answer are opaque: it decides whether
+// a failed attempt is retried and which result the caller gets. It has no I/O and no clock, and is
+// not safe for concurrent use.
 //
-// A run whose memory has been copied to another engine can go on there when its own
-// engine is lost: that is the same run, whatever the request's kind.
+// A run whose state has been copied to another engine can continue there when its own engine is
+// lost. That counts as the same run, whether or not the request is idempotent.
 //
-// It holds three guarantees. A request that isn't idempotent is sent again only
-// if every earlier send certainly did not run. A failure whose code says "not
-// run" is given only if no send may have run. Once an answer has begun to go to
-// the caller nothing is tried again but the rest of a stream, if it is resumable or goes
-// on from a copy.
+// The machine guarantees that a request that is not idempotent is sent again only if no earlier
+// send can have run; that a failure whose code says "not run" is returned only if no send can have
+// run; and that nothing is retried once delivery to the caller has started, except the rest of a
+// stream that is resumable or continues from a copy.
 type Forwarding struct {
 	policy ForwardingPolicy
 	budget RetryBudget
@@ -65,51 +64,50 @@
 	continuing bool
 }
 
-// NewForwarding returns the machine of a new request and notes the request in
-// the budget of retries.
+// NewForwarding returns the machine of a new request and deposits the request in the retry budget.
 func NewForwarding(now time.Duration, policy ForwardingPolicy, budget RetryBudget) *Forwarding {
 	policy.MaxRuns = max(policy.MaxRuns, 1)
 	budget.Deposit(now)
 	return &Forwarding{policy: policy, budget: budget}
 }
 
-// Excluded lists the runs that failed this request.
+// Excluded returns the worker runs that must not be chosen again for this request.
 func (f *Forwarding) Excluded() []fleet.EngineRun { return f.excluded }
 
-// Sends counts the sends so far.
+// Sends returns the number of sends so far.
 func (f *Forwarding) Sends() int { return f.sends }
 
-// MayHaveRun tells whether any send may have run.
+// MayHaveRun reports whether any send may have run.
 func (f *Forwarding) MayHaveRun() bool { return f.possibleRuns > 0 }
 
-// StepKind tells what is to be done next.
+// StepKind is the kind of a Step.
 type StepKind int
 
 // Kinds of steps.
 const (
-	// StepSend asks for a worker outside Excluded and a send to it.
+	// StepSend chooses a worker that is not in Excluded and sends the request to it.
 	StepSend StepKind = iota
-	// StepContinue asks for a send to the engine that holds a copy of the run.
+	// StepContinue sends the request to the engine that holds a copy of the run.
 	StepContinue
-	// StepDeliver passes the answer on.
+	// StepDeliver passes the answer to the caller.
 	StepDeliver
-	// StepFail ends the request with a failure of the system's own.
+	// StepFail ends the request with an error of the router's own.
 	StepFail
-	// StepAbort breaks the answer off that is being passed on, so that the
-	// caller can't take it for complete.
+	// StepAbort breaks off the answer in delivery in such a way that the caller cannot mistake it
+	// for a complete one.
 	StepAbort
 )
 
-// Step is what is to be done next.
+// Step is the next thing to do.
 type Step struct {
 	Kind StepKind
-	// Code, Reason and RetryAfter belong to StepFail.
+	// Code, Reason and RetryAfter are set for StepFail only.
 	Code       resultcode.Code
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// NotSent takes in that no byte of a send left this side.
+// NotSent records that no byte of a send was written.
 func (f *Forwarding) NotSent(now time.Duration, run fleet.EngineRun) Step {
 	f.exclude(run)
 	if f.continuing {
@@ -122,20 +120,20 @@
 	return f.retry(now, false)
 }
 
-// Throttled takes in that a send wasn't made since the worker has no room, and when it has
-// again. Another worker is chosen, or the same one once it has room.
-func (f *Forwarding) Throttled(now time.Duration, opensIn time.Duration) Step {
+// Throttled records that a send was held back because the worker is at its limit, which frees up
+// after retryAfter. The same worker may be chosen again.
+func (f *Forwarding) Throttled(now time.Duration, retryAfter time.Duration) Step {
 	if f.continuing {
 		return f.continuationFailed(now)
 	}
 	f.throttled++
 	if f.throttled > maxThrottled {
-		return f.NoWorker("workers at their limits", opensIn)
+		return f.NoWorker("workers at their limits", retryAfter)
 	}
 	return f.retry(now, false)
 }
 
-// Rejected takes in a worker's word that it didn't run the request.
+// Rejected records that a worker rejected the request without running it.
 func (f *Forwarding) Rejected(now time.Duration, run fleet.EngineRun) Step {
 	f.exclude(run)
 	f.sends++
@@ -149,8 +147,7 @@
 	return f.retry(now, true)
 }
 
-// Unanswered takes in that a send got no answer, or none of its own: the worker
-// may have run it.
+// Unanswered records that a send got no valid answer: the worker may have run it.
 func (f *Forwarding) Unanswered(now time.Duration, run fleet.EngineRun) Step {
 	f.exclude(run)
 	f.sends++
@@ -161,8 +158,7 @@
 	return f.afterPossibleRun(now)
 }
 
-// Answered takes in a worker's own answer. failed is set for a failure of the
-// worker.
+// Answered records a worker's answer. failed is set if the answer is an error of the worker.
 func (f *Forwarding) Answered(now time.Duration, run fleet.EngineRun, failed bool) Step {
 	f.sends++
 	if f.continuing {
@@ -178,11 +174,11 @@
 	return Step{Kind: StepDeliver}
 }
 
-// DeliveryStarted notes that the caller has got the beginning of an answer.
+// DeliveryStarted records that the caller has received the beginning of an answer.
 func (f *Forwarding) DeliveryStarted() { f.delivering = true }
 
-// Truncated takes in that an answer ended before its end, after Answered. copied tells
-// whether another engine may hold a copy of the run.
+// Truncated records that an answer ended early, after Answered. copied is set if another engine may
+// hold a copy of the run.
 func (f *Forwarding) Truncated(now time.Duration, run fleet.EngineRun, copied bool) Step {
 	f.exclude(run)
 	if !f.delivering {
@@ -195,14 +191,13 @@
 	return f.resume(now)
 }
 
-// continuationFailed takes in that the engine that should hold a copy of the run doesn't go on
-// with it.
+// continuationFailed records that the engine that should hold a copy did not continue the run.
 func (f *Forwarding) continuationFailed(now time.Duration) Step {
 	f.continuing = false
 	return f.resume(now)
 }
 
-// resume has the rest of a resumable stream run anew.
+// resume sends the rest of a resumable stream as a new run.
 func (f *Forwarding) resume(now time.Duration) Step {
 	if !f.policy.Resumable || !f.hasRunsLeft() || !f.hasTimeLeft(now) || !f.budget.Withdraw(now) {
 		return Step{Kind: StepAbort}
@@ -210,8 +205,8 @@
 	return Step{Kind: StepSend}
 }
 
-// NoWorker takes in that no worker can be chosen. reason tells why, and retryAfter
-// when there is room; 0 if that isn't known.
+// NoWorker records that no worker can be chosen, for the given reason. retryAfter is the time until
+// a worker has capacity; 0 if unknown.
 func (f *Forwarding) NoWorker(reason string, retryAfter time.Duration) Step {
 	step := f.fail(resultcode.NoEngine, reason)
 	if step.Code == resultcode.NoEngine {
@@ -220,8 +215,8 @@
 	return step
 }
 
-// Denied takes in that the request must not go to a worker any more, for a reason of its own,
-// and when it may be tried again.
+// Denied records that the request must not be sent to any worker, for the given code and reason.
+// retryAfter is the time until it may be retried.
 func (f *Forwarding) Denied(code resultcode.Code, reason string, retryAfter time.Duration) Step {
 	step := f.fail(code, reason)
 	if step.Code == code {
@@ -230,7 +225,7 @@
 	return step
 }
 
-// Expired takes in that the time for a final answer is over.
+// Expired records that the deadline for the final answer has passed.
 func (f *Forwarding) Expired() Step {
 	if f.delivering {
 		return Step{Kind: StepAbort}
@@ -241,14 +236,14 @@
 	return f.fail(resultcode.DeadlineTooShort, "not begun in time")
 }
 
-// TimedOut takes in that a send was broken off by this side at its deadline.
+// TimedOut records that a send was cancelled at the deadline.
 func (f *Forwarding) TimedOut() Step {
 	f.sends++
 	f.possibleRuns++
 	return f.Expired()
 }
 
-// afterPossibleRun decides after a send that may have run.
+// afterPossibleRun returns the step after a send that may have run.
 func (f *Forwarding) afterPossibleRun(now time.Duration) Step {
 	switch {
 	case f.delivering:
@@ -262,18 +257,19 @@
 	}
 }
 
-// retry tries another worker if time and, for a send, the budget allow it.
-func (f *Forwarding) retry(now time.Duration, spend bool) Step {
+// retry returns a send to another worker if time allows and, with chargeBudget, the retry budget
+// does.
+func (f *Forwarding) retry(now time.Duration, chargeBudget bool) Step {
 	if !f.hasTimeLeft(now) {
 		return f.Expired()
 	}
-	if spend && !f.budget.Withdraw(now) {
+	if chargeBudget && !f.budget.Withdraw(now) {
 		return f.fail(resultcode.RetryBudget, "retry budget spent")
 	}
 	return Step{Kind: StepSend}
 }
 
-// fail ends a request that can't be placed.
+// fail ends a request for which no further send is possible.
 func (f *Forwarding) fail(code resultcode.Code, reason string) Step {
 	switch {
 	case f.delivering:
--- a/internal/attempt/forwarding_test.go
+++ b/internal/attempt/forwarding_test.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// unlimitedBudget is a budget that never runs out.
+// unlimitedBudget is a retry budget that never runs out.
 type unlimitedBudget struct{ withdrawn int }
 
 func (*unlimitedBudget) Deposit(time.Duration) {}
@@ -82,21 +82,21 @@
 	}
 }
 
-// TestLostRunContinuesFromItsCopyOnce has any stream go on where its run was copied, and never
-// run anew there if it may not be resumed.
+// A stream must continue from a copy of its run once, and must not run again if it is not
+// resumable.
 func TestLostRunContinuesFromItsCopyOnce(t *testing.T) {
 	for name, answer := range map[string]func(*Forwarding) Step{
-		"goes on":   func(machine *Forwarding) Step { return machine.Answered(0, workerRun(2), false) },
-		"no copy":   func(machine *Forwarding) Step { return machine.Rejected(0, workerRun(2)) },
-		"gone":      func(machine *Forwarding) Step { return machine.NotSent(0, workerRun(2)) },
-		"no answer": func(machine *Forwarding) Step { return machine.Unanswered(0, workerRun(2)) },
+		"continues":   func(machine *Forwarding) Step { return machine.Answered(0, workerRun(2), false) },
+		"no copy":     func(machine *Forwarding) Step { return machine.Rejected(0, workerRun(2)) },
+		"unreachable": func(machine *Forwarding) Step { return machine.NotSent(0, workerRun(2)) },
+		"no answer":   func(machine *Forwarding) Step { return machine.Unanswered(0, workerRun(2)) },
 	} {
 		machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 		require.Equal(t, StepDeliver, machine.Answered(0, workerRun(1), false).Kind)
 		machine.DeliveryStarted()
 		require.Equal(t, StepContinue, machine.Truncated(0, workerRun(1), true).Kind)
 		want := StepAbort
-		if name == "goes on" {
+		if name == "continues" {
 			want = StepDeliver
 		}
 		assert.Equal(t, want, answer(machine).Kind, name)
@@ -106,7 +106,7 @@
 	require.Equal(t, StepDeliver, resumable.Answered(0, workerRun(1), false).Kind)
 	resumable.DeliveryStarted()
 	require.Equal(t, StepContinue, resumable.Truncated(0, workerRun(1), true).Kind)
-	assert.Equal(t, StepSend, resumable.Rejected(0, workerRun(2)).Kind, "without a copy it runs anew")
+	assert.Equal(t, StepSend, resumable.Rejected(0, workerRun(2)).Kind, "runs again if there is no copy")
 }
 
 func TestAnswerTruncatedBeforeDeliveryCountsAsRun(t *testing.T) {
@@ -125,11 +125,10 @@
 	machine = NewForwarding(0, ForwardingPolicy{MaxRuns: 1, Deadline: time.Second}, empty)
 	step = machine.Rejected(0, workerRun(1))
 	assert.Equal(t, resultcode.RetryBudget, step.Code)
-	assert.Equal(t, StepSend, machine.NotSent(0, workerRun(2)).Kind, "what was never written is no retry")
+	assert.Equal(t, StepSend, machine.NotSent(0, workerRun(2)).Kind, "a request that was not sent needs no retry budget")
 }
 
-// TestForwardingGuaranteesUnderRandomOutcomes feeds random outcomes and checks each
-// guarantee of the machine's comment.
+// The guarantees of Forwarding must hold for random outcomes of sends.
 func TestForwardingGuaranteesUnderRandomOutcomes(t *testing.T) {
 	for seed := range uint64(20000) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -139,11 +138,11 @@
 		}
 		policy.Resumable = policy.Idempotent && random.IntN(2) == 0
 		machine := NewForwarding(0, policy, &unlimitedBudget{})
-		ran, began := 0, false
+		ran, deliveryStarted := 0, false
 		step := Step{Kind: StepSend}
 		for number := 0; step.Kind == StepSend; number++ {
 			require.Less(t, number, 20, "seed %d", seed)
-			require.False(t, ran > 0 && !policy.Idempotent, "seed %d: sent again after it may have run", seed)
+			require.False(t, ran > 0 && !policy.Idempotent, "seed %d: resent after it may have run", seed)
 			require.Less(t, ran, policy.MaxRuns, "seed %d", seed)
 			run := workerRun(number)
 			require.NotContains(t, machine.Excluded(), run)
@@ -164,20 +163,19 @@
 				if step.Kind == StepDeliver && random.IntN(2) == 0 {
 					if random.IntN(2) == 0 {
 						machine.DeliveryStarted()
-						began = true
+						deliveryStarted = true
 					}
 					step = machine.Truncated(now, run, false)
 				}
 			}
 			if step.Kind == StepFail {
-				require.False(t, began, "seed %d: a failure within an answer", seed)
-				require.False(t, ran > 0 && resultcode.Lookup(step.Code).NotRun, "seed %d: false refusal", seed)
+				require.False(t, deliveryStarted, "seed %d: failed after delivery started", seed)
+				require.False(t, ran > 0 && resultcode.Lookup(step.Code).NotRun, "seed %d: reported not run though it may have run", seed)
 			}
 		}
 	}
 }
 
-// TestDeniedRequestReportsNotRunOnlyIfNoSendMayHaveRun.
 func TestDeniedRequestReportsNotRunOnlyIfNoSendMayHaveRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{Idempotent: true, MaxRuns: 3})
 	step := machine.Denied(resultcode.Quarantined, "held", time.Minute)
@@ -197,8 +195,8 @@
 	assert.Equal(t, StepAbort, machine.Denied(resultcode.Quarantined, "held", 0).Kind)
 }
 
-// TestThrottledSendIsRetriedThenRefused for a while, and is then refused as not run with the time at
-// which there is room; a run that goes on elsewhere is broken off if it may not be resumed.
+// A throttled send must be retried a limited number of times and then refused as not run, with the
+// time to wait. A stream that continues elsewhere must be aborted if it is not resumable.
 func TestThrottledSendIsRetriedThenRefused(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{MaxRuns: 1})
 	for range maxThrottled {
@@ -208,7 +206,7 @@
 	assert.Equal(t, StepFail, step.Kind)
 	assert.True(t, resultcode.Lookup(step.Code).NotRun)
 	assert.Equal(t, 2*time.Second, step.RetryAfter)
-	assert.Empty(t, machine.Excluded(), "the worker may get it once it has room")
+	assert.Empty(t, machine.Excluded(), "the worker may be chosen again")
 
 	stream := newTestForwarding(ForwardingPolicy{MaxRuns: 2})
 	stream.Answered(0, workerRun(1), false)
--- a/internal/attempt/machine.go
+++ b/internal/attempt/machine.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Machine carries one request. It isn't safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent use.
 type Machine struct {
 	request Request
 	policy  Policy
@@ -23,15 +23,15 @@
 	actions   []Action
 	stats     Stats
 
-	// grant is what the present attempt was granted; granted tells whether its
-	// router is still owed a last report.
+	// grant is the grant of the current attempt; grantOpen is set until its router has been sent a
+	// final report.
 	grant     Granted
 	grantOpen bool
-	// mayRun is true while the present attempt may run or have run, mayHaveRun
-	// if an earlier one may.
+	// mayRun is set if the current attempt may be running or have run, earlierMayHaveRun if any
+	// earlier attempt may have run.
 	mayRun            bool
 	earlierMayHaveRun bool
-	// accepted is true once the engine has said that it holds the stream.
+	// accepted is set once the engine has confirmed that it holds the stream.
 	accepted           bool
 	firstTokenReported bool
 
@@ -45,13 +45,13 @@
 	cachedTokens int
 }
 
-// New returns a machine for one request. The generator spreads delays; it may
-// be shared by machines that one goroutine drives.
+// New returns a machine for one request. The random source supplies the jitter of delays; machines
+// driven by the same goroutine may share it.
 func New(request Request, policy Policy, budget RetryBudget, random *rand.Rand) *Machine {
 	return &Machine{request: request, policy: policy.withDefaults(), budget: budget, random: random}
 }
 
-// Start returns the first actions. It must be called once, before Handle.
+// Start returns the first actions. It must be called exactly once, before Handle.
 func (m *Machine) Start(now time.Duration) []Action {
 	m.now = now
 	m.budget.Deposit(now)
@@ -59,17 +59,17 @@
 	return m.takeActions()
 }
 
-// Phase tells what the machine waits for.
+// Phase returns what the machine is waiting for.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Stats returns the counts so far.
+// Stats returns the counters so far.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// Emitted counts the tokens passed on to the caller.
+// Emitted returns the number of tokens passed to the caller.
 func (m *Machine) Emitted() int { return len(m.emitted) }
 
-// Handle takes an event and returns what is to be done. It may be called after
-// the terminal action; a grant that comes then is reported as abandoned.
+// Handle processes an event and returns the actions to carry out. It may be called after the
+// terminal action; a grant that arrives then is reported as abandoned.
 func (m *Machine) Handle(now time.Duration, event Event) []Action {
 	m.now = max(m.now, now)
 	if m.isCurrent(event) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// isCurrent tells whether an event belongs to the operation under way.
+// isCurrent reports whether an event belongs to the operation in flight.
 func (m *Machine) isCurrent(event Event) bool {
 	if m.phase == PhaseFinished {
 		return false
@@ -145,8 +145,8 @@
 	return false
 }
 
-// answeredOperation returns the operation that an event answers and the phases in which
-// it can be an answer; nil phases mean that it answers none.
+// answeredOperation returns the operation that an event answers and the phases in which the answer
+// is valid; the phases are nil if the event is not an answer.
 func answeredOperation(event Event) (Operation, []Phase) {
 	switch event := event.(type) {
 	case Granted:
@@ -180,8 +180,8 @@
 	}
 }
 
-// handleStale counts an event of an operation that is over. A grant among them is
-// given back to its router.
+// handleStale counts an event of a finished operation. If it is a grant, its router is informed
+// that the grant is abandoned.
 func (m *Machine) handleStale(event Event) {
 	operation, _ := answeredOperation(event)
 	if operation == 0 {
@@ -194,12 +194,12 @@
 			m.emit(Report{Attempt: late.Attempt, Run: late.Run, Phase: ReportAbandoned})
 		}
 	case FrameReceived:
-		// Too late to be passed on, but it proves that the stream has begun.
+		// The frame is too late to be passed on, but it proves that the engine accepted the stream.
 		m.accepted = m.accepted || late.Frame.Stream == m.stream()
 	}
 }
 
-// nextOperation starts a new operation.
+// nextOperation enters a phase and returns the number of its operation.
 func (m *Machine) nextOperation(phase Phase) Operation {
 	m.phase = phase
 	m.operation++
@@ -210,8 +210,7 @@
 	return fleet.NewStreamID(m.request.ID, m.attempt)
 }
 
-// isRejectedBeforeRun tells whether an engine's error code proves that the
-// dispatch it answers did not run.
+// isRejectedBeforeRun reports whether an engine's error code proves that the dispatch did not run.
 func isRejectedBeforeRun(code engine.ErrorCode) bool {
 	failure := engine.Error{Code: code, Sent: true}
 	return failure.Outcome() == engine.OutcomeRejected
--- a/internal/attempt/machine_test.go
+++ b/internal/attempt/machine_test.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// driver feeds one machine and remembers its latest actions.
+// driver feeds events to a machine and records its latest actions.
 type driver struct {
 	t       *testing.T
 	machine *attempt.Machine
@@ -38,7 +38,7 @@
 	}
 }
 
-// find returns the first latest action of a type.
+// find returns the first of the latest actions that has the given type.
 func find[T attempt.Action](d *driver) T {
 	d.t.Helper()
 	for _, action := range d.actions {
@@ -46,11 +46,11 @@
 			return found
 		}
 	}
-	require.Failf(d.t, "no such action", "%T in %#v", *new(T), d.actions)
+	require.Failf(d.t, "missing action", "no %T in %#v", *new(T), d.actions)
 	return *new(T)
 }
 
-// grantAndDispatch answers the question to a router with a grant.
+// grantAndDispatch answers the placement request with a grant.
 func (d *driver) grantAndDispatch(engineID fleet.EngineID) attempt.Dispatch {
 	ask := find[attempt.RequestPlacement](d)
 	run := fleet.EngineRun{Engine: engineID, Incarnation: 1}
--- a/internal/attempt/placement.go
+++ b/internal/attempt/placement.go
@@ -25,9 +25,9 @@
 	})
 }
 
-// retryPlacement asks another router after one that placed nothing. No engine has
-// had the attempt, so the retry budget isn't charged. The first such question
-// goes out at once, later ones back off.
+// retryPlacement asks another router after one that placed nothing. It does not charge the retry
+// budget because no engine has received the attempt. The first retry is sent at once; later ones
+// back off.
 func (m *Machine) retryPlacement(preferred []fleet.Address) {
 	m.placements++
 	if m.placements >= m.policy.MaxPlacements {
@@ -80,8 +80,8 @@
 	})
 }
 
-// retryElsewhere asks for another engine, if bounds, budget and deadline let
-// it. The present attempt must have been left or settled before.
+// retryElsewhere requests another engine if policy, deadline and retry budget allow it. The caller
+// must have ended the current attempt by cancelAttempt or markNotRun.
 func (m *Machine) retryElsewhere(cause resultcode.Code, reason string) {
 	if m.stats.Dispatches >= m.policy.MaxDispatches {
 		m.fail(cause, reason, 0)
@@ -100,8 +100,8 @@
 	m.requestPlacement(nil, delay)
 }
 
-// cancelAttempt gives the present attempt up: its stream is cancelled as far as the
-// engine can be reached, and its run isn't tried again.
+// cancelAttempt ends the current attempt as failed: it sends a best-effort cancel if the attempt
+// may be running, and excludes the engine run.
 func (m *Machine) cancelAttempt(engineLost bool) {
 	if m.mayRun {
 		m.emit(CancelAndFence{Run: m.grant.Run, Address: m.grant.Address, Stream: m.stream()})
@@ -112,7 +112,8 @@
 	m.report(ReportFailed, engineLost)
 }
 
-// markNotRun notes that the present attempt certainly did not run.
+// markNotRun ends the current attempt as failed and known not to have run, and excludes the engine
+// run.
 func (m *Machine) markNotRun(engineLost bool) {
 	m.mayRun = false
 	m.exclude(m.grant.Run)
@@ -125,7 +126,8 @@
 	}
 }
 
-// report tells the router about the grant. The last report of a grant ends it.
+// report sends the router a report on the current grant, if it is still open. Any phase other than
+// accepted and first token closes it.
 func (m *Machine) report(phase ReportPhase, engineLost bool) {
 	if !m.grantOpen {
 		return
@@ -141,12 +143,12 @@
 	m.grantOpen = phase == ReportAccepted || phase == ReportFirstToken
 }
 
-func (m *Machine) isPastDeadline(at time.Duration) bool {
-	return m.request.Deadline > 0 && at >= m.request.Deadline
+func (m *Machine) isPastDeadline(when time.Duration) bool {
+	return m.request.Deadline > 0 && when >= m.request.Deadline
 }
 
-// backoff returns a random delay below a bound that doubles with each try
-// ("full jitter": Brooker, "Exponential Backoff And Jitter", AWS 2015).
+// backoff returns a random delay below a bound that doubles with each try ("full jitter": Brooker,
+// "Exponential Backoff And Jitter", AWS 2015).
 func (m *Machine) backoff(try int) time.Duration {
 	bound := m.policy.BackoffBase
 	for range try {
--- a/internal/attempt/property_test.go
+++ b/internal/attempt/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// observer knows of a request only what went in and out of its machine.
+// observer derives what may have run from the events and actions of a machine alone.
 type observer struct {
 	*rapid.T
 	repeatable bool
@@ -27,7 +27,7 @@
 	terminalActions int
 }
 
-// input notes what an event proves. Only answers to the latest operation count.
+// input records what an event proves. Only answers to the latest operation count.
 func (o *observer) input(event attempt.Event, phase attempt.Phase) {
 	switch event := event.(type) {
 	case attempt.DispatchNotSent:
@@ -40,8 +40,8 @@
 			delete(o.mayHaveRun, o.stream)
 		}
 	case attempt.CancelAnswered:
-		never := event.State == engine.CancelNeverRan && !o.begun[o.stream]
-		if event.Operation == o.operation && phase == attempt.PhaseFencing && never {
+		neverRan := event.State == engine.CancelNeverRan && !o.begun[o.stream]
+		if event.Operation == o.operation && phase == attempt.PhaseFencing && neverRan {
 			delete(o.mayHaveRun, o.stream)
 		}
 	case attempt.FrameReceived:
@@ -65,39 +65,39 @@
 			}
 		case attempt.Dispatch:
 			if !o.repeatable && len(o.mayHaveRun) > 0 {
-				o.Fatalf("second dispatch while %v may have run", o.mayHaveRun)
+				o.Fatalf("dispatched again though %v may have run", o.mayHaveRun)
 			}
 			if len(action.Continuation) != o.emitted {
-				o.Fatalf("continuation of %d tokens after %d", len(action.Continuation), o.emitted)
+				o.Fatalf("continuation of %d tokens, want %d", len(action.Continuation), o.emitted)
 			}
 			o.operation = action.Operation
 			o.stream = action.Stream
 			o.mayHaveRun[action.Stream] = true
 		case attempt.EmitToken:
 			if action.Index != o.emitted || o.terminalActions > 0 {
-				o.Fatalf("token %d after %d, %d ends", action.Index, o.emitted, o.terminalActions)
+				o.Fatalf("token %d emitted after %d tokens and %d terminal actions", action.Index, o.emitted, o.terminalActions)
 			}
 			o.emitted++
 		case attempt.Finish:
 			o.terminalActions++
 			if o.doneCount != o.emitted {
-				o.Fatalf("finished with %d tokens of %d", o.emitted, o.doneCount)
+				o.Fatalf("finished after %d tokens, want %d", o.emitted, o.doneCount)
 			}
 		case attempt.Fail:
 			o.terminalActions++
 			if action.NotRun() && (len(o.mayHaveRun) > 0 || o.emitted > 0) {
-				o.Fatalf("%v says not run while %v may have run", action.Code, o.mayHaveRun)
+				o.Fatalf("code %v says not run though %v may have run", action.Code, o.mayHaveRun)
 			}
 		case attempt.Abort:
 			o.terminalActions++
 		}
 	}
 	if o.terminalActions > 1 {
-		o.Fatalf("%d terminal actions", o.terminalActions)
+		o.Fatalf("%d terminal actions, want at most 1", o.terminalActions)
 	}
 }
 
-func drawEvent(t *rapid.T, o *observer, attempts fleet.Attempt) attempt.Event {
+func drawEvent(t *rapid.T, o *observer, latest fleet.Attempt) attempt.Event {
 	operation := o.operation
 	if rapid.IntRange(0, 9).Draw(t, "stale") == 0 {
 		operation = attempt.Operation(rapid.Uint32Range(0, uint32(o.operation)+1).Draw(t, "operation"))
@@ -105,7 +105,7 @@
 	run := fleet.EngineRun{Engine: fleet.EngineID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "engine")), Incarnation: 1}
 	switch rapid.IntRange(0, 17).Draw(t, "kind") {
 	case 0, 1, 2:
-		return attempt.Granted{Operation: operation, Attempt: attempts, Run: run}
+		return attempt.Granted{Operation: operation, Attempt: latest, Run: run}
 	case 3:
 		return attempt.Redirected{Operation: operation}
 	case 4:
@@ -130,9 +130,9 @@
 	case 12:
 		return attempt.CancelFailed{Operation: operation}
 	case 13:
-		rare := []attempt.Event{attempt.CallerGone{}, attempt.DeadlinePassed{}, attempt.Stopping{},
+		endings := []attempt.Event{attempt.CallerGone{}, attempt.DeadlinePassed{}, attempt.Stopping{},
 			attempt.Refused{Operation: operation, Code: resultcode.Overloaded}}
-		return rapid.SampledFrom(rare).Draw(t, "ending")
+		return rapid.SampledFrom(endings).Draw(t, "ending")
 	default:
 		return attempt.FrameReceived{Operation: operation, Frame: drawFrame(t, o)}
 	}
@@ -141,17 +141,16 @@
 func drawFrame(t *rapid.T, o *observer) engine.Frame {
 	streams := []fleet.StreamID{o.stream, o.stream, o.stream, "request.1", "request.2", "other"}
 	kinds := []engine.FrameKind{engine.FrameAccepted, engine.FrameToken, engine.FrameToken, engine.FrameDone, engine.FrameError}
-	near := max(0, o.emitted+rapid.IntRange(-1, 1).Draw(t, "offset"))
+	position := max(0, o.emitted+rapid.IntRange(-1, 1).Draw(t, "offset"))
 	return engine.Frame{
 		Kind:   rapid.SampledFrom(kinds).Draw(t, "frame"),
 		Stream: rapid.SampledFrom(streams).Draw(t, "stream"),
-		Index:  near,
-		Count:  near,
+		Index:  position,
+		Count:  position,
 	}
 }
 
-// TestMachineGuaranteesUnderAnyEventOrder holds a machine, under any order of events,
-// against what those events prove.
+// The guarantees of Machine must hold for any order of events.
 func TestMachineGuaranteesUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &observer{
@@ -164,16 +163,16 @@
 		budget := attempt.NewBudget(attempt.BudgetOptions{Burst: 3})
 		request := attempt.Request{ID: "request", Repeatable: o.repeatable, Deadline: time.Minute}
 		machine := attempt.New(request, attempt.Policy{}, budget, rand.New(rand.NewPCG(3, 4)))
-		attempts := fleet.Attempt(0)
+		latest := fleet.Attempt(0)
 		actions := machine.Start(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for _, action := range actions {
 				if ask, asked := action.(attempt.RequestPlacement); asked {
-					attempts = ask.Attempt
+					latest = ask.Attempt
 				}
 			}
 			o.output(actions)
-			event := drawEvent(t, o, attempts)
+			event := drawEvent(t, o, latest)
 			o.input(event, machine.Phase())
 			actions = machine.Handle(time.Duration(step)*time.Second, event)
 		}
--- a/internal/attempt/streaming.go
+++ b/internal/attempt/streaming.go
@@ -29,11 +29,10 @@
 	m.retryElsewhere(cause, reason)
 }
 
-// onDispatchUnknown asks for the tokens of a dispatch that may have taken
-// effect, which costs one exchange and computes nothing twice. A repeatable
-// request doesn't wait for a silent engine a second time, but goes elsewhere.
-func (m *Machine) onDispatchUnknown(engineSilent bool) {
-	if m.request.Repeatable && engineSilent {
+// onDispatchUnknown resumes a dispatch that may have taken effect. A repeatable request whose
+// engine timed out is retried on another engine instead.
+func (m *Machine) onDispatchUnknown(timedOut bool) {
+	if m.request.Repeatable && timedOut {
 		m.cancelAttempt(false)
 		m.retryElsewhere(resultcode.EngineFailed, "dispatch failed")
 		return
@@ -107,16 +106,14 @@
 	})
 }
 
-// onStreamError handles a stream that its engine has ended with an error: it
-// won't go on there.
+// onStreamError handles an error frame, by which the engine ends the stream.
 func (m *Machine) onStreamError(frame engine.Frame) {
 	m.accepted = true
 	m.cancelAttempt(false)
 	m.continueOrFail("engine: " + frame.Message)
 }
 
-// resume reads the stream again at the same engine run, which neither computes
-// nor runs anything twice.
+// resume reads the stream again at the same engine run. Nothing runs or is computed twice.
 func (m *Machine) resume() {
 	if m.resumes >= m.policy.MaxResumes {
 		m.onResumesExhausted()
@@ -166,8 +163,8 @@
 	m.continueOrFail("stream could not be resumed")
 }
 
-// needsFencing tells whether a cancel can still show that the dispatch never took
-// effect: once the engine has accepted the stream, it has begun.
+// needsFencing reports whether a cancel can still prove that the dispatch never ran. Once the
+// engine has accepted the stream, it cannot.
 func (m *Machine) needsFencing() bool { return !m.request.Repeatable && !m.accepted }
 
 func (m *Machine) cancelAndFence() {
@@ -190,8 +187,8 @@
 	})
 }
 
-// onCancelAnswered acts on what a cancel found. Only a stream that never ran,
-// and is barred now, may be placed again.
+// onCancelAnswered handles the state found by a cancel. The request may be placed again only if the
+// stream never ran, since it is fenced from then on.
 func (m *Machine) onCancelAnswered(state engine.CancelState) {
 	switch {
 	case state == engine.CancelNeverRan && !m.accepted:
@@ -215,8 +212,8 @@
 	m.cancelAndFence()
 }
 
-// continueOrFail goes on at another engine with exactly the tokens that the
-// caller has. A request that isn't repeatable has begun and ends here.
+// continueOrFail continues on another engine after the tokens that the caller has. A request that
+// is not repeatable fails, because it has begun.
 func (m *Machine) continueOrFail(reason string) {
 	if !m.request.Repeatable {
 		m.fail(resultcode.OutcomeUnknown, reason, 0)
--- a/internal/attempt/termination.go
+++ b/internal/attempt/termination.go
@@ -12,25 +12,24 @@
 	m.emit(action)
 }
 
-// fail ends the request with an error at once: a request that has been given up
-// gains nothing by waiting.
+// fail ends the request with an error.
 func (m *Machine) fail(code resultcode.Code, reason string, retryAfter time.Duration) {
 	m.phase = PhaseFinished
 	code = m.accurateCode(code)
 	entry := resultcode.Lookup(code)
 	if !entry.NotRun && !m.request.Repeatable {
-		retryAfter = 0 // coming back could run it twice
+		retryAfter = 0 // a retry could run it twice
 	} else if retryAfter <= 0 && entry.Status >= minRetryableStatus {
 		retryAfter = m.policy.RetryAfter + time.Duration(m.random.Int64N(int64(m.policy.RetryAfter)))
 	}
 	m.emit(Fail{Code: code, Reason: reason, RetryAfter: retryAfter})
 }
 
-// minRetryableStatus is the lowest HTTP status whose answer tells when to come back.
+// minRetryableStatus is the lowest HTTP status that carries a Retry-After.
 const minRetryableStatus = 429
 
-// accurateCode replaces a code that says "not run" when that isn't certain, and one
-// that hides that the caller has a part of the output.
+// accurateCode replaces a code that says "not run" if the request may have run, and any code but an
+// exceeded deadline if the caller already has part of the output.
 func (m *Machine) accurateCode(code resultcode.Code) resultcode.Code {
 	if code == resultcode.DeadlineExceeded {
 		return code
@@ -64,13 +63,13 @@
 	m.fail(resultcode.DeadlineExceeded, "deadline passed", 0)
 }
 
-// onStopping relies on truthful for a request that may have run.
+// onStopping relies on accurateCode for a request that may have run.
 func (m *Machine) onStopping() {
 	m.releaseAttempt()
 	m.fail(resultcode.Stopping, "agent is stopping", 0)
 }
 
-// releaseAttempt ends the present attempt because its request ends.
+// releaseAttempt ends the current attempt because the request ends.
 func (m *Machine) releaseAttempt() {
 	if m.mayRun {
 		m.cancelAttempt(false)
--- a/internal/attempt/window.go
+++ b/internal/attempt/window.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// windowSlots is the number of parts of a window in which it is counted;
-// ringSlots holds one more, so that all of the window is always covered.
+// A window is counted in windowSlots slots. The ring has one more, so that it always covers the
+// whole window.
 const (
 	windowSlots = 20
 	ringSlots   = windowSlots + 1
 )
 
-// WindowOptions sets up a WindowBudget.
+// WindowOptions configures a WindowBudget.
 type WindowOptions struct {
-	// Window is the length of the span over which retries are bounded.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Ratio is the number of retries allowed for each first attempt in the window.
+	// Ratio is the number of retries allowed per first attempt in the window.
 	Ratio float64
-	// Slack is allowed besides.
+	// Slack is the number of retries allowed in addition.
 	Slack float64
-	// InitialSlack is the slack in the first window, since an earlier run of the
-	// process may have spent some just before.
+	// InitialSlack replaces a larger Slack during the first window, since the process may have
+	// restarted and spent retries shortly before.
 	InitialSlack float64
 }
 
-// WindowBudget bounds the retries in any span of a length by the first attempts
-// in it: more may be spent at once than by a Budget of the same ratio, when a
-// worker is lost with all that it was doing. It isn't safe for concurrent use.
+// WindowBudget limits the retries in a sliding window to a share of the first attempts in it.
+// Unlike a Budget of the same ratio, it allows all of them at once, such as after the loss of a
+// worker with many requests in flight. It is not safe for concurrent use.
 type WindowBudget struct {
 	options  WindowOptions
 	attempts [ringSlots]int
 	retries  [ringSlots]int
-	// newestSlot is the number of the newest part, counted from the clock's start.
+	// newestSlot is the number of the current slot, counted from the clock's zero.
 	newestSlot  int64
 	startTime   time.Duration
 	initialized bool
 }
 
-// NewWindowBudget returns a budget in which nothing is counted.
+// NewWindowBudget returns a budget without recorded attempts or retries.
 func NewWindowBudget(options WindowOptions) *WindowBudget {
 	return &WindowBudget{options: options}
 }
 
-// SetSlack sets another slack, such as when those who share it come and go.
+// SetSlack changes the slack, such as when the number of processes that share it changes.
 func (b *WindowBudget) SetSlack(slack, initial float64) {
 	b.options.Slack, b.options.InitialSlack = slack, initial
 }
@@ -61,29 +61,28 @@
 	return true
 }
 
-// allowed returns the retries that the window allows.
+// allowed returns the number of retries that the window allows.
 func (b *WindowBudget) allowed(now time.Duration) float64 {
 	slack := b.options.Slack
 	if now < b.startTime+b.options.Window {
 		slack = min(slack, b.options.InitialSlack)
 	}
-	// The oldest part has left the window in part: its retries still count, its
-	// attempts don't.
+	// The oldest slot is only partly in the window: its retries count, its attempts don't.
 	oldest := (b.newestSlot + 1) % ringSlots
 	return b.options.Ratio*float64(sum(b.attempts[:])-b.attempts[oldest]) + slack
 }
 
-// advance empties the parts that have left the window.
+// advance clears the slots that have left the window.
 func (b *WindowBudget) advance(now time.Duration) {
-	slot := int64(now / (b.options.Window / windowSlots))
+	newest := int64(now / (b.options.Window / windowSlots))
 	if !b.initialized {
-		b.initialized, b.startTime, b.newestSlot = true, now, slot
+		b.initialized, b.startTime, b.newestSlot = true, now, newest
 		return
 	}
-	for next := max(b.newestSlot+1, slot-ringSlots+1); next <= slot; next++ {
+	for next := max(b.newestSlot+1, newest-ringSlots+1); next <= newest; next++ {
 		b.attempts[next%ringSlots], b.retries[next%ringSlots] = 0, 0
 	}
-	b.newestSlot = max(b.newestSlot, slot)
+	b.newestSlot = max(b.newestSlot, newest)
 }
 
 func sum(counts []int) int {
--- a/internal/attempt/window_test.go
+++ b/internal/attempt/window_test.go
@@ -26,9 +26,9 @@
 	for number := range 100 {
 		budget.Deposit(time.Duration(number) * 100 * time.Millisecond)
 	}
-	assert.Equal(t, 22, spend(budget, 9900*time.Millisecond), "0.2 times 100 and the slack of the first window")
-	assert.Zero(t, spend(budget, 15*time.Second), "it is spent, and half of the attempts are too old")
-	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "the slack alone")
+	assert.Equal(t, 22, spend(budget, 9900*time.Millisecond), "0.2 times 100 attempts and the initial slack")
+	assert.Zero(t, spend(budget, 15*time.Second), "budget is spent and half of the attempts have left the window")
+	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "only the slack")
 }
 
 func TestFirstWindowHasInitialSlack(t *testing.T) {
@@ -39,7 +39,7 @@
 	assert.Equal(t, 1, spend(budget, time.Minute+30*time.Second))
 }
 
-// TestWindowBudgetBoundsEverySpan draws attempts and retries and looks at every span.
+// No span as long as the window may contain more retries than the ratio and the slack allow.
 func TestWindowBudgetBoundsEverySpan(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
