--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -90,7 +90,7 @@
 	PhaseFinished
 )
 
-var phaseNames = [...]string{"placing", "dispatching", "streaming", "resuming", "barring", "finished"}
+var phaseNames = [...]string{"placing", "dispatching", "streaming", "resuming", "fencing", "finished"}
 
 // String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,8 +16,8 @@
 // readBufferSize is the size of a connection's read buffer, in bytes.
 const readBufferSize = 2 << 10
 
-// keepAliveMargin is how much earlier than the worker a connection is given up,
-// so that a request doesn't cross the worker's close.
+// keepAliveMargin is how long before the worker's keep-alive timeout an idle connection expires, so
+// that no request is sent while the worker closes it.
 const keepAliveMargin = 700 * time.Millisecond
 
 // connection is one connection to a worker.
@@ -26,23 +26,22 @@
 	address fleet.Address
 	raw     net.Conn
 	reader  *bufio.Reader
-	// keepAlive is how long the worker keeps the connection idle.
+	// keepAlive is how long the connection may stay idle.
 	keepAlive time.Duration
 	expires   time.Time
-	// written counts the bytes that were written.
+	// written counts the bytes written.
 	written atomic.Int64
 }
 
-// Write implements io.Writer and counts.
+// Write implements io.Writer and counts the bytes written.
 func (c *connection) Write(content []byte) (int, error) {
 	count, err := c.raw.Write(content)
 	c.written.Add(int64(count))
 	return count, err
 }
 
-// isUsable tells whether an idle connection is open and has nothing to read. Bytes
-// that nobody asked for may be an answer that came late, which must not be
-// taken for the next one.
+// isUsable reports whether an idle connection is open and has nothing to read. Unsolicited bytes
+// may be a late answer, which must not be taken for the answer to the next request.
 func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -55,17 +54,17 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		count, _, peekErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = count <= 0 && (peekErr == syscall.EAGAIN || peekErr == syscall.EWOULDBLOCK)
+		var probe [1]byte
+		count, _, peekErr := syscall.Recvfrom(int(descriptor), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		usable = count <= 0 && (peekErr == syscall.EAGAIN || peekErr == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// applyKeepAlive takes the worker's word on how long it keeps the connection.
+// applyKeepAlive sets keepAlive from the timeout in the worker's Keep-Alive header, if present.
 func (c *connection) applyKeepAlive(header http.Header) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
@@ -80,7 +79,7 @@
 	}
 }
 
-// newDialer returns a dialer whose connections notice a silent peer.
+// newDialer returns a dialer whose connections detect an unresponsive peer.
 func newDialer(userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,21 +14,21 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSyncBodySize is the size up to which a body is written before the answer is
-// awaited. The answer to a longer one may come before it is all written.
+// maxSyncBodySize is the size, in bytes, up to which a body is written before the response is read.
+// Longer bodies are written concurrently, as the response may arrive before the end of the write.
 const maxSyncBodySize = 2 << 10
 
-// writeBufferSize is the size of the buffer through which requests are written.
+// writeBufferSize is the size of the write buffer of a request, in bytes.
 const writeBufferSize = 4 << 10
 
-// Response is a worker's answer whose body is still to be read. Close must be
-// called; the connection is used again only if the body was read to its end.
+// Response is a worker's response whose body is still to be read. Close must be called; the
+// connection is reused only if the body was read to its end.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength is the body's length in bytes, or -1.
+	// ContentLength is the length of the body in bytes, or -1 if unknown.
 	ContentLength int64
-	// Reused tells whether the connection had carried an exchange before.
+	// Reused reports whether the connection had carried an earlier exchange.
 	Reused bool
 
 	exchange *exchange
@@ -36,32 +36,32 @@
 	complete bool
 }
 
-// Read reads from the body. io.EOF comes only at the regular end of the body.
-func (a *Response) Read(into []byte) (int, error) {
-	count, err := a.body.Read(into)
+// Read reads from the body. It returns io.EOF only at the regular end of the body.
+func (r *Response) Read(into []byte) (int, error) {
+	count, err := r.body.Read(into)
 	if err == io.EOF {
-		a.complete = true
+		r.complete = true
 	}
 	return count, err
 }
 
-// Close ends the exchange.
-func (a *Response) Close() { a.exchange.finish(a.complete && a.exchange.reusable) }
+// Close ends the exchange and releases or closes its connection.
+func (r *Response) Close() { r.exchange.finish(r.complete && r.exchange.reusable) }
 
 // exchange is one request on one connection.
 type exchange struct {
 	pool *Pool
 	conn *connection
-	// stopWatch ends the watch over the caller's context.
+	// stopWatch stops the closing of the connection at the end of the caller's context.
 	stopWatch func() bool
-	// writeDone is closed when a body that is written beside the answer is done.
+	// writeDone is closed when a concurrent write of the body has ended; nil if there is none.
 	writeDone chan struct{}
 	writeErr  error
 	reusable  bool
 	once      sync.Once
 }
 
-// finish gives the connection back or closes it.
+// finish releases the connection for reuse or closes it.
 func (e *exchange) finish(reuse bool) {
 	e.once.Do(func() {
 		stopped := e.stopWatch()
@@ -82,8 +82,8 @@
 	})
 }
 
-// Do carries out one exchange up to the answer's head. The error is always a
-// *Failure. When the context ends the connection is closed at once.
+// Do carries out one exchange up to the response header. The error is always an *ExchangeError. The
+// connection is closed as soon as the context ends.
 func (p *Pool) Do(ctx context.Context, destination Destination, request *Request) (*Response, error) {
 	conn, reused, err := p.connect(ctx, destination)
 	if err != nil {
@@ -98,10 +98,10 @@
 	current := &exchange{pool: p, conn: conn}
 	current.stopWatch = context.AfterFunc(ctx, func() { conn.raw.Close() })
 	before := conn.written.Load()
-	answer, err := current.run(request)
+	response, err := current.run(request)
 	if err == nil {
-		answer.Reused = reused
-		return answer, nil
+		response.Reused = reused
+		return response, nil
 	}
 	current.finish(false)
 	p.onExchangeFailed(destination, reused, err)
@@ -114,10 +114,8 @@
 	return nil, &ExchangeError{Stage: Sent, Cause: err}
 }
 
-// onExchangeFailed takes in that an exchange onExchangeFailed. A kept connection whose other side says nothing
-// any more, by TCP_USER_TIMEOUT or keep-alive probes, takes the other kept ones to the same
-// worker along: what silences one silences all that were open, while new ones work, and
-// each would cost another request.
+// onExchangeFailed closes all idle connections to the worker if a reused connection failed by
+// timeout (TCP_USER_TIMEOUT or keep-alive probes): the others are likely dead too.
 func (p *Pool) onExchangeFailed(destination Destination, reused bool, err error) {
 	var failure net.Error
 	if reused && errors.As(err, &failure) && failure.Timeout() {
@@ -125,7 +123,7 @@
 	}
 }
 
-// connect returns an idle connection or a new one.
+// connect returns an idle connection or a new one. The boolean reports whether it is reused.
 func (p *Pool) connect(ctx context.Context, destination Destination) (*connection, bool, error) {
 	conn, room := p.acquire(destination)
 	if conn != nil {
@@ -138,7 +136,7 @@
 	return conn, false, err
 }
 
-// dial makes a connection that was counted as open before.
+// dial opens a connection that has already been counted as open.
 func (p *Pool) dial(ctx context.Context, destination Destination) (*connection, error) {
 	dialing, cancel := context.WithTimeout(ctx, p.options.DialTimeout)
 	defer cancel()
@@ -187,8 +185,8 @@
 	}, nil
 }
 
-// send writes a request. A long body is written beside the reading of the
-// answer, since a worker may answer before it has read it all.
+// send writes a request. A long body is written concurrently with the reading of the response,
+// since a worker may answer before it has read the whole body.
 func (e *exchange) send(outgoing *http.Request, bodyLength int) error {
 	write := func() error {
 		buffered := bufio.NewWriterSize(e.conn, writeBufferSize)
@@ -206,14 +204,13 @@
 	e.writeDone = make(chan struct{})
 	go func() {
 		defer close(e.writeDone)
-		// A failure is left to the reader: the answer may be there already.
+		// The reader reports the failure: a response may have arrived already.
 		e.writeErr = write()
 	}()
 	return nil
 }
 
-// newHTTPRequest returns the request that net/http writes. The target goes out
-// as it came in.
+// newHTTPRequest returns the request as written by net/http, with the target unchanged.
 func newHTTPRequest(request *Request) *http.Request {
 	outgoing := &http.Request{
 		Method:     request.Method,
@@ -234,9 +231,8 @@
 	return outgoing
 }
 
-// rawURL returns an URL whose request target is exactly the given text. Package
-// url would add a scheme to an opaque text with two leading slashes, so these
-// go as a path.
+// rawURL returns a URL whose request target is exactly the given text. Package url would add a
+// scheme to an opaque URL that starts with two slashes, so such a target is set as the path.
 func rawURL(target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Opaque: target}
--- a/internal/upstream/permit_test.go
+++ b/internal/upstream/permit_test.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestUnpermittedRequestIsNotSent and leaves its connection for the next one.
+// A request that is not permitted must not be sent, and must leave its connection for the next one.
 func TestUnpermittedRequestIsNotSent(t *testing.T) {
 	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -37,10 +37,10 @@
 	assert.Zero(t, served)
 
 	permitted = nil
-	answer, err := pool.Do(context.Background(), destination, request)
+	response, err := pool.Do(context.Background(), destination, request)
 	require.NoError(t, err)
-	defer answer.Close()
-	assert.Equal(t, http.StatusOK, answer.Status)
+	defer response.Close()
+	assert.Equal(t, http.StatusOK, response.Status)
 	assert.Equal(t, 1, served)
 	assert.Equal(t, 1, dialed)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -18,36 +18,36 @@
 	DefaultKeepAliveIdle = 2 * time.Second
 )
 
-// Options sets up a Pool; zero fields take the defaults.
+// Options configures a Pool. Zero fields take their defaults.
 type Options struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is kept without use, unless the
-	// worker says less.
+	// IdleTimeout limits the time that a connection stays idle. A shorter keep-alive timeout of the
+	// worker takes precedence.
 	IdleTimeout time.Duration
-	// UserTimeout is how long written bytes may stay unacknowledged before the
-	// connection counts as dead.
+	// UserTimeout is how long written bytes may stay unacknowledged before the connection is
+	// considered dead (TCP_USER_TIMEOUT).
 	UserTimeout time.Duration
-	// Dial makes a connection; nil uses TCP.
+	// Dial opens a connection; nil uses TCP.
 	Dial func(ctx context.Context, address fleet.Address) (net.Conn, error)
-	// Traffic counts the bytes of the connections that TCP makes; nil counts none.
+	// Traffic counts the bytes of connections opened by the default Dial; nil disables counting.
 	Traffic *traffic.Meter
-	// OnDial is called for each connection made; nil for none.
+	// OnDial is called for each connection opened; may be nil.
 	OnDial func(engine fleet.EngineID)
 }
 
-// Pool keeps idle connections by worker run. It is safe for concurrent use.
+// Pool holds idle connections by worker run. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	mutex   sync.Mutex
 	workers map[fleet.EngineID]*worker
 }
 
-// worker is what the pool holds of one run of one worker.
+// worker holds the connections to one run of one worker.
 type worker struct {
-	// idle is a stack: the connection used last is taken first.
+	// idle is a stack: the most recently used connection is reused first.
 	idle []*connection
-	// open counts connections, idle or in use.
+	// open counts the connections, idle and in use.
 	open int
 }
 
@@ -71,43 +71,43 @@
 	return &Pool{options: options, workers: make(map[fleet.EngineID]*worker)}
 }
 
-// HasCapacity tells whether a request to a worker would find an idle connection, or
-// room for a new one.
+// HasCapacity reports whether a request to a worker would find an idle connection or may open a new
+// one.
 func (p *Pool) HasCapacity(destination Destination) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workers[destination.Engine]
-	if known == nil || len(known.idle) > 0 || destination.MaxConnections <= 0 {
+	state := p.workers[destination.Engine]
+	if state == nil || len(state.idle) > 0 || destination.MaxConnections <= 0 {
 		return true
 	}
-	return known.open < destination.MaxConnections
+	return state.open < destination.MaxConnections
 }
 
-// OpenConnections returns the number of connections that are open, idle or in use.
+// OpenConnections returns the number of open connections, idle and in use.
 func (p *Pool) OpenConnections() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	open := 0
-	for _, known := range p.workers {
-		open += known.open
+	for _, state := range p.workers {
+		open += state.open
 	}
 	return open
 }
 
-// CloseIdleTo closes the idle connections to a worker that is gone.
+// CloseIdleTo closes the idle connections to a worker.
 func (p *Pool) CloseIdleTo(engine fleet.EngineID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workers[engine]
-	if known == nil {
+	state := p.workers[engine]
+	if state == nil {
 		return
 	}
-	for _, idle := range known.idle {
+	for _, idle := range state.idle {
 		idle.raw.Close()
-		known.open--
+		state.open--
 	}
-	known.idle = nil
-	if known.open == 0 {
+	state.idle = nil
+	if state.open == 0 {
 		delete(p.workers, engine)
 	}
 }
@@ -125,93 +125,94 @@
 	}
 }
 
-// acquire returns an idle connection that is still good, or nil. With room for a
-// new one it counts that as open; room is false when there is none.
+// acquire returns a usable idle connection, or nil. If it returns nil and room is true, a new
+// connection may be opened and has been counted as open.
 func (p *Pool) acquire(destination Destination) (taken *connection, room bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workerFor(destination.Engine)
+	state := p.workerFor(destination.Engine)
 	now := time.Now()
-	for len(known.idle) > 0 {
-		last := known.idle[len(known.idle)-1]
-		known.idle = known.idle[:len(known.idle)-1]
+	for len(state.idle) > 0 {
+		last := state.idle[len(state.idle)-1]
+		state.idle = state.idle[:len(state.idle)-1]
 		if last.address == destination.Address && now.Before(last.expires) && last.isUsable() {
 			return last, true
 		}
 		last.raw.Close()
-		known.open--
+		state.open--
 	}
-	return nil, known.reserve(destination.MaxConnections)
+	return nil, state.reserve(destination.MaxConnections)
 }
 
-// reserve counts a new connection as open if there is room for one.
+// reserve counts a new connection as open and reports whether there is room for it.
 func (p *Pool) reserve(destination Destination) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.workerFor(destination.Engine).reserve(destination.MaxConnections)
 }
 
-// workerFor returns what the pool holds of a worker; the mutex is held.
+// workerFor returns the state of a worker, which it creates if needed. The mutex must be held.
 func (p *Pool) workerFor(engine fleet.EngineID) *worker {
-	known := p.workers[engine]
-	if known == nil {
-		known = &worker{}
-		p.workers[engine] = known
+	state := p.workers[engine]
+	if state == nil {
+		state = &worker{}
+		p.workers[engine] = state
 	}
-	return known
+	return state
 }
 
-// reserve counts a new connection as open unless as many are as may be; 0 means no bound.
-func (w *worker) reserve(bound int) bool {
-	if bound > 0 && w.open >= bound {
+// reserve counts a new connection as open and reports true, unless the limit is reached; 0 means
+// no limit.
+func (w *worker) reserve(limit int) bool {
+	if limit > 0 && w.open >= limit {
 		return false
 	}
 	w.open++
 	return true
 }
 
-// release gives a connection back for another exchange.
+// release returns a connection to the pool for reuse.
 func (p *Pool) release(conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workers[conn.engine]
-	if known == nil {
+	state := p.workers[conn.engine]
+	if state == nil {
 		conn.raw.Close()
 		return
 	}
 	conn.expires = time.Now().Add(min(conn.keepAlive, p.options.IdleTimeout))
-	known.idle = append(known.idle, conn)
+	state.idle = append(state.idle, conn)
 }
 
-// noteClosed notes that a connection was closed.
+// noteClosed records that a connection was closed.
 func (p *Pool) noteClosed(engine fleet.EngineID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.workers[engine]
-	if known == nil {
+	state := p.workers[engine]
+	if state == nil {
 		return
 	}
-	known.open--
-	if known.open <= 0 && len(known.idle) == 0 {
+	state.open--
+	if state.open <= 0 && len(state.idle) == 0 {
 		delete(p.workers, engine)
 	}
 }
 
-// CloseExpired closes idle connections that have expired.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	for _, known := range p.workers {
-		kept := known.idle[:0]
-		for _, idle := range known.idle {
+	for _, state := range p.workers {
+		kept := state.idle[:0]
+		for _, idle := range state.idle {
 			if now.Before(idle.expires) {
 				kept = append(kept, idle)
 				continue
 			}
 			idle.raw.Close()
-			known.open--
+			state.open--
 		}
-		known.idle = kept
+		state.idle = kept
 	}
 }
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -7,21 +7,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Liveness tells whether a worker takes new connections.
+// Liveness is the result of probing a worker.
 type Liveness int
 
-// Livenesses.
+// Results of a probe.
 const (
-	// LivenessUnknown means that it couldn't be asked, or didn't answer in time.
+	// LivenessUnknown means that the worker could not be probed or did not answer in time.
 	LivenessUnknown Liveness = iota
-	// Alive means that it has taken one.
+	// Alive means that the worker accepted a connection.
 	Alive
-	// Dead means that its address refuses them.
+	// Dead means that the worker's address refused the connection.
 	Dead
 )
 
-// Probe makes a connection to a worker to find out whether it is still there. One that
-// the worker takes is kept for the next exchange.
+// Probe opens a connection to a worker to find out whether it is alive. The connection is kept for
+// the next exchange.
 func (p *Pool) Probe(ctx context.Context, destination Destination) Liveness {
 	if !p.reserve(destination) {
 		return LivenessUnknown
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestProbeDistinguishesLiveAndDeadWorkers, within the bound on connections.
+// A probe must tell a live worker from a dead one and must respect the limit on connections.
 func TestProbeDistinguishesLiveAndDeadWorkers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -20,8 +20,8 @@
 	defer pool.CloseIdle()
 	destination := Destination{Engine: "w", Address: fleet.Address(listener.Addr().String()), MaxConnections: 1}
 	assert.Equal(t, Alive, pool.Probe(context.Background(), destination))
-	assert.Equal(t, 1, pool.OpenConnections(), "the connection is kept for the next exchange")
-	assert.Equal(t, LivenessUnknown, pool.Probe(context.Background(), destination), "there is no room for another one")
+	assert.Equal(t, 1, pool.OpenConnections(), "the connection is kept for reuse")
+	assert.Equal(t, LivenessUnknown, pool.Probe(context.Background(), destination), "the connection limit is reached")
 	pool.CloseIdleTo("w")
 	require.NoError(t, listener.Close())
 	assert.Equal(t, Dead, pool.Probe(context.Background(), destination))
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-// LimitUnacknowledged returns a control function for dialers and listeners that
-// bounds how long written bytes may stay unacknowledged before the connection
-// counts as dead: a peer without power or behind a cut says nothing.
+// LimitUnacknowledged returns a control function for dialers and listeners that sets
+// TCP_USER_TIMEOUT: the time that written bytes may stay unacknowledged before the connection
+// fails. It detects peers that vanish without closing, such as by power loss or a network
+// partition.
 func LimitUnacknowledged(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/upstream/timeout_test.go
+++ b/internal/upstream/timeout_test.go
@@ -13,10 +13,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestTimeoutOnReusedConnectionClosesIdleOnes has a kept connection time out: the others
-// to the same worker aren't used again.
+// A timeout on a reused connection must close the idle connections to the same worker; any other
+// error must not.
 func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
-	for name, failure := range map[string]error{"silent": os.ErrDeadlineExceeded, "reset": net.ErrClosed} {
+	for name, failure := range map[string]error{"timeout": os.ErrDeadlineExceeded, "reset": net.ErrClosed} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Options{})
 			for range 3 {
@@ -33,15 +33,15 @@
 			destination := Destination{Engine: "w"}
 			pool.onExchangeFailed(destination, true, failure)
 			kept := 0
-			if known := pool.workers[fleet.EngineID("w")]; known != nil {
-				kept = len(known.idle)
+			if state := pool.workers[fleet.EngineID("w")]; state != nil {
+				kept = len(state.idle)
 			}
-			assert.Equal(t, map[string]int{"silent": 0, "reset": 3}[name], kept)
+			assert.Equal(t, map[string]int{"timeout": 0, "reset": 3}[name], kept)
 		})
 	}
 }
 
-// TestDialFailureIsReportedAsNotSent covers a worker that can't be reached at all.
+// A failure to connect must be reported as not sent.
 func TestDialFailureIsReportedAsNotSent(t *testing.T) {
 	pool := NewPool(Options{Dial: func(context.Context, fleet.Address) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }})
 	_, err := pool.Do(context.Background(), Destination{Engine: "w"}, &Request{Method: http.MethodGet, Target: "/", Header: http.Header{}})
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,8 @@
-// Package upstream carries single HTTP exchanges to workers. It decides
-// nothing and repeats nothing: each exchange is written at most once, on one
-// connection, and its outcome says how far it came.
+// Package upstream carries single HTTP exchanges to workers. It never retries: each exchange is
+// written at most once, on one connection, and its error says whether the request was sent.
 //
-// net/http's own transport is not used for this, because it repeats requests by
-// itself on a connection that died while idle, and because it hides whether a
-// byte was written. Requests are still written and answers still parsed by
+// It does not use net/http.Transport, which retries requests on idle connections that have died and
+// does not report whether any byte was written. Requests are written and responses parsed by
 // net/http.
 package upstream
 
@@ -16,19 +14,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Stage tells how far a failed exchange came.
+// Stage is how far a failed exchange got.
 type Stage int
 
-// Stages of an exchange.
+// Stages of a failed exchange.
 const (
 	// NotSent means that no byte of the request was written.
 	NotSent Stage = iota
-	// Sent means that the request was written, in whole or in part, and that no
-	// answer to it came: the worker may have run it.
+	// Sent means that the request was written at least in part and no valid response arrived: the
+	// worker may have run it.
 	Sent
 )
 
-// String returns the stage's name.
+// String returns the name of the stage.
 func (s Stage) String() string {
 	if s == NotSent {
 		return "not_sent"
@@ -36,41 +34,41 @@
 	return "sent"
 }
 
-// Errors that say why an exchange failed.
+// Causes of a failed exchange.
 var (
-	// ErrTooManyConnections means that the worker's share of connections is in use.
+	// ErrTooManyConnections means that MaxConnections to the worker are in use.
 	ErrTooManyConnections = errors.New("too many connections")
-	// ErrResponseMismatch means that an answer to another request came.
+	// ErrResponseMismatch means that the response belongs to another request.
 	ErrResponseMismatch = errors.New("answer to another request")
-	// ErrUnsolicitedData means that bytes came that nobody had asked for.
-	ErrUnsolicitedData = errors.New("surplus bytes on an idle connection")
+	// ErrUnsolicitedData means that an idle connection received data.
+	ErrUnsolicitedData = errors.New("unsolicited data on idle connection")
 )
 
-// ExchangeError is the error of an exchange without an answer.
+// ExchangeError is the error of an exchange without a response.
 type ExchangeError struct {
 	Stage Stage
 	Cause error
 }
 
 // Error implements error.
-func (f *ExchangeError) Error() string { return f.Stage.String() + ": " + f.Cause.Error() }
+func (e *ExchangeError) Error() string { return e.Stage.String() + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (f *ExchangeError) Unwrap() error { return f.Cause }
+func (e *ExchangeError) Unwrap() error { return e.Cause }
 
-// Request is one request to a worker.
+// Request is a request to a worker.
 type Request struct {
 	Method string
 	// Target is the raw request target, path and query, as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is the whole body; empty means none.
+	// Body is the complete body; empty means none.
 	Body []byte
-	// Permit returns an error if the request may not be sent any more, right before it is:
-	// a connection may have taken its time. nil means that it always may.
+	// Permit is called once the connection is available, right before the request is sent. If it
+	// returns an error, nothing is sent. nil permits every request.
 	Permit func() error
-	// CheckResponse returns an error for an answer that belongs to another request.
+	// CheckResponse returns an error for a response that belongs to another request; may be nil.
 	CheckResponse func(status int, header http.Header) error
 }
 
@@ -78,6 +76,6 @@
 type Destination struct {
 	Engine  fleet.EngineID
 	Address fleet.Address
-	// MaxConnections bounds this process's connections; 0 means no bound.
+	// MaxConnections limits the connections of this process to the worker; 0 means no limit.
 	MaxConnections int
 }
