--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -23,7 +23,7 @@
 	return &Update{Revision: revision, Complete: true, Rows: rows}
 }
 
-func partialUpdate(revision fleet.Revision, rows ...Row) *Update {
+func incrementalUpdate(revision fleet.Revision, rows ...Row) *Update {
 	return &Update{Revision: revision, Rows: rows}
 }
 
@@ -46,7 +46,7 @@
 	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(completeUpdate(5, presentRow("a", 3), presentRow("b", 5)))))
 	<-changed
 	first := cache.After(0).Sequence
-	cache.Apply(partialUpdate(7, deletedRow("a", 6), presentRow("c", 7)))
+	cache.Apply(incrementalUpdate(7, deletedRow("a", 6), presentRow("c", 7)))
 	later := cache.After(first)
 	assert.False(t, later.Complete)
 	assert.Equal(t, []string{"-a", "c"}, keys(later.Rows))
@@ -71,7 +71,7 @@
 	cache := New(0)
 	cache.Apply(completeUpdate(9, presentRow("a", 9), presentRow("b", 4)))
 	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(6, presentRow("a", 2)))), "b went before 6, a is newer")
-	assert.Empty(t, cache.Apply(partialUpdate(8, deletedRow("a", 8))))
+	assert.Empty(t, cache.Apply(incrementalUpdate(8, deletedRow("a", 8))))
 	assert.Equal(t, []byte("a9"), cache.After(0).Rows[0].Value)
 }
 
@@ -80,10 +80,10 @@
 func TestLateOlderRevisionReachesWatchers(t *testing.T) {
 	cache, watcher := New(0), New(0)
 	cache.Apply(completeUpdate(5, presentRow("a", 5)))
-	cache.Apply(partialUpdate(9, presentRow("b", 9)))
+	cache.Apply(incrementalUpdate(9, presentRow("b", 9)))
 	seen := cache.After(0)
 	watcher.Apply(seen)
-	cache.Apply(partialUpdate(9, presentRow("a", 7)))
+	cache.Apply(incrementalUpdate(9, presentRow("a", 7)))
 	assert.Equal(t, []string{"a"}, keys(watcher.Apply(cache.After(seen.Sequence))))
 }
 
@@ -91,10 +91,10 @@
 func TestCompleteUpdateDeletesMissingRows(t *testing.T) {
 	cache, other := New(0), New(0)
 	cache.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5), presentRow("c", 5)))
-	cache.Apply(partialUpdate(8, presentRow("c", 8)))
+	cache.Apply(incrementalUpdate(8, presentRow("c", 8)))
 	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(7, presentRow("a", 5)))), "c is newer than the read")
 	other.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5)))
-	other.Apply(partialUpdate(9, presentRow("d", 9)))
+	other.Apply(incrementalUpdate(9, presentRow("d", 9)))
 	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than what the cache was told whole")
 }
 
@@ -103,8 +103,8 @@
 	cache.Apply(completeUpdate(1, presentRow("x", 1)))
 	numbers := []uint64{cache.After(0).Sequence}
 	for revision := fleet.Revision(2); revision < 12; revision++ {
-		cache.Apply(partialUpdate(revision, presentRow("k"+strconv.Itoa(int(revision)), revision)))
-		cache.Apply(partialUpdate(revision, deletedRow("k"+strconv.Itoa(int(revision)), revision+100)))
+		cache.Apply(incrementalUpdate(revision, presentRow("k"+strconv.Itoa(int(revision)), revision)))
+		cache.Apply(incrementalUpdate(revision, deletedRow("k"+strconv.Itoa(int(revision)), revision+100)))
 		numbers = append(numbers, cache.After(0).Sequence)
 	}
 	assert.True(t, cache.After(numbers[0]).Complete)
@@ -127,7 +127,7 @@
 		for revision := fleet.Revision(2); revision < 60; revision++ {
 			changed := presentRow("k"+strconv.Itoa(random.IntN(6)), revision)
 			changed.Deleted = random.IntN(3) == 0
-			store.Apply(partialUpdate(revision, changed))
+			store.Apply(incrementalUpdate(revision, changed))
 			for to := 1; to < len(chain); to++ {
 				update := chain[to-1].After(positions[to])
 				if update == nil {
@@ -204,7 +204,7 @@
 	first.Advance(20)
 	follower.Apply(completeUpdate(16, presentRow("a", 1), presentRow("b", 15)))
 	assert.Empty(t, follower.Apply(first.After(0)))
-	first.Apply(partialUpdate(21, presentRow("b", 15)))
+	first.Apply(incrementalUpdate(21, presentRow("b", 15)))
 	assert.Equal(t, []string{"a", "b"}, keys(follower.After(0).Rows))
 }
 
@@ -219,9 +219,9 @@
 			key := strconv.Itoa(random.IntN(30))
 			revision := fleet.Revision(2 + step)
 			if random.IntN(4) == 0 {
-				cache.Apply(partialUpdate(revision, deletedRow(key, revision)))
+				cache.Apply(incrementalUpdate(revision, deletedRow(key, revision)))
 			} else {
-				cache.Apply(partialUpdate(revision, presentRow(key, revision)))
+				cache.Apply(incrementalUpdate(revision, presentRow(key, revision)))
 			}
 			after := cache.sequence - min(cache.sequence, uint64(random.IntN(40)))
 			told := cache.After(after)
