--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -41,7 +41,7 @@
 
 func TestAfterReturnsChangesSinceSequence(t *testing.T) {
 	cache := New(0)
-	assert.Nil(t, cache.After(0), "nothing is known")
+	assert.Nil(t, cache.After(0), "no snapshot yet")
 	changed := cache.Changed()
 	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(completeUpdate(5, presentRow("a", 3), presentRow("b", 5)))))
 	<-changed
@@ -53,10 +53,10 @@
 	assert.Empty(t, cache.After(later.Sequence).Rows)
 	all := cache.After(0)
 	assert.True(t, all.Complete)
-	assert.Equal(t, []string{"b", "-a", "c"}, keys(all.Rows), "a went after the last complete update")
+	assert.Equal(t, []string{"b", "-a", "c"}, keys(all.Rows), "a was deleted after the last complete update")
 }
 
-// TestEmptyTableCountsAsSnapshot has watchers told of a table without rows.
+// A complete update without rows must count as a snapshot and notify watchers.
 func TestEmptyTableCountsAsSnapshot(t *testing.T) {
 	cache := New(0)
 	changed := cache.Changed()
@@ -66,17 +66,16 @@
 	assert.True(t, cache.After(0).Complete)
 }
 
-// TestStaleUpdatesAreIgnored has late and stale updates arrive.
+// Late and stale updates must not replace newer rows.
 func TestStaleUpdatesAreIgnored(t *testing.T) {
 	cache := New(0)
 	cache.Apply(completeUpdate(9, presentRow("a", 9), presentRow("b", 4)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(6, presentRow("a", 2)))), "b went before 6, a is newer")
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(6, presentRow("a", 2)))), "b was deleted before 6, a is newer")
 	assert.Empty(t, cache.Apply(incrementalUpdate(8, deletedRow("a", 8))))
 	assert.Equal(t, []byte("a9"), cache.After(0).Rows[0].Value)
 }
 
-// TestLateOlderRevisionReachesWatchers has a change missed that the
-// store tells of after newer ones.
+// A change that the store delivers after newer ones must still reach watchers.
 func TestLateOlderRevisionReachesWatchers(t *testing.T) {
 	cache, watcher := New(0), New(0)
 	cache.Apply(completeUpdate(5, presentRow("a", 5)))
@@ -87,34 +86,34 @@
 	assert.Equal(t, []string{"a"}, keys(watcher.Apply(cache.After(seen.Sequence))))
 }
 
-// TestCompleteUpdateDeletesMissingRows, by the store's word or by a cache's.
+// A complete update must delete the older rows that it does not list, whether it comes from the
+// store or from a cache.
 func TestCompleteUpdateDeletesMissingRows(t *testing.T) {
 	cache, other := New(0), New(0)
 	cache.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5), presentRow("c", 5)))
 	cache.Apply(incrementalUpdate(8, presentRow("c", 8)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(7, presentRow("a", 5)))), "c is newer than the read")
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(7, presentRow("a", 5)))), "c is newer than the update")
 	other.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5)))
 	other.Apply(incrementalUpdate(9, presentRow("d", 9)))
-	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than what the cache was told whole")
+	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than the snapshot of the cache")
 }
 
 func TestPrunedTombstonesForceCompleteUpdate(t *testing.T) {
 	cache := New(4)
 	cache.Apply(completeUpdate(1, presentRow("x", 1)))
-	numbers := []uint64{cache.After(0).Sequence}
+	sequences := []uint64{cache.After(0).Sequence}
 	for revision := fleet.Revision(2); revision < 12; revision++ {
 		cache.Apply(incrementalUpdate(revision, presentRow("k"+strconv.Itoa(int(revision)), revision)))
 		cache.Apply(incrementalUpdate(revision, deletedRow("k"+strconv.Itoa(int(revision)), revision+100)))
-		numbers = append(numbers, cache.After(0).Sequence)
+		sequences = append(sequences, cache.After(0).Sequence)
 	}
-	assert.True(t, cache.After(numbers[0]).Complete)
-	latest := cache.After(numbers[len(numbers)-2])
+	assert.True(t, cache.After(sequences[0]).Complete)
+	latest := cache.After(sequences[len(sequences)-2])
 	assert.False(t, latest.Complete)
 	assert.Equal(t, []string{"-k11"}, keys(latest.Rows))
 }
 
-// TestChainedCachesConverge has a second cache follow the first, and a third
-// the second, with updates that are lost, repeated and reordered.
+// Caches that follow each other must converge though updates are lost, repeated and reordered.
 func TestChainedCachesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -123,7 +122,7 @@
 		chain := []*Cache{store, New(0), New(0)}
 		positions := make([]uint64, len(chain))
 		var delayed []*Update
-		var delayedTo []int
+		var delayedTargets []int
 		for revision := fleet.Revision(2); revision < 60; revision++ {
 			changed := presentRow("k"+strconv.Itoa(random.IntN(6)), revision)
 			changed.Deleted = random.IntN(3) == 0
@@ -136,7 +135,7 @@
 				switch random.IntN(4) {
 				case 0:
 				case 1:
-					delayed, delayedTo = append(delayed, update), append(delayedTo, to)
+					delayed, delayedTargets = append(delayed, update), append(delayedTargets, to)
 				default:
 					chain[to].Apply(update)
 					positions[to] = update.Sequence
@@ -144,7 +143,7 @@
 			}
 			if len(delayed) > 0 && random.IntN(2) == 0 {
 				pick := random.IntN(len(delayed))
-				chain[delayedTo[pick]].Apply(delayed[pick])
+				chain[delayedTargets[pick]].Apply(delayed[pick])
 			}
 		}
 		for to := 1; to < len(chain); to++ {
@@ -154,7 +153,7 @@
 	}
 }
 
-// presentRows returns the rows that aren't gone.
+// presentRows returns the rows that are not deleted.
 func presentRows(cache *Cache) []Row {
 	var rows []Row
 	for _, row := range cache.After(0).Rows {
@@ -165,25 +164,25 @@
 	return rows
 }
 
-// TestFilteredUpdateEvictsWithoutDeleting has a cache be told of a part only: the rest isn't
-// gone, and comes back whole.
+// An update with a filter must evict the other rows without deleting them, so that they can return
+// at their own revision.
 func TestFilteredUpdateEvictsWithoutDeleting(t *testing.T) {
 	cache := New(0)
 	cache.Apply(completeUpdate(9, presentRow("a1", 1), presentRow("a2", 2), presentRow("b1", 3), deletedRow("b2", 4)))
 	assert.True(t, cache.IsComplete())
-	ofA := func(key string) bool { return key[0] == 'a' }
-	told := cache.AfterMatching(0, ofA)
-	assert.Equal(t, []string{"a1", "a2"}, keys(told.Rows))
+	hasPrefixA := func(key string) bool { return key[0] == 'a' }
+	update := cache.AfterMatching(0, hasPrefixA)
+	assert.Equal(t, []string{"a1", "a2"}, keys(update.Rows))
 	part := completeUpdate(10, presentRow("a2", 2))
-	part.Filter = ofA
-	assert.Equal(t, []string{"-a1"}, keys(cache.Apply(part)), "b1 isn't gone")
+	part.Filter = hasPrefixA
+	assert.Equal(t, []string{"-a1"}, keys(cache.Apply(part)), "b1 is evicted, not deleted")
 	assert.True(t, cache.IsPartial())
 	assert.False(t, cache.IsComplete())
 	assert.Equal(t, []string{"b1"}, keys(cache.Apply(completeUpdate(11, presentRow("a2", 2), presentRow("b1", 3)))))
 	assert.True(t, cache.IsComplete())
 }
 
-// TestRevisionNeverDecreases without a gap, and never goes back.
+// The revision to watch from must never decrease, and the snapshot's revision must not follow it.
 func TestRevisionNeverDecreases(t *testing.T) {
 	cache := New(0)
 	cache.Apply(completeUpdate(9, presentRow("a", 1)))
@@ -192,12 +191,11 @@
 	cache.Advance(10)
 	assert.EqualValues(t, 12, cache.Revision())
 	assert.EqualValues(t, 12, cache.After(0).WatchedRevision)
-	assert.EqualValues(t, 9, cache.After(0).Revision, "the word on what is gone is as old as the whole read")
+	assert.EqualValues(t, 9, cache.After(0).Revision, "the snapshot is as old as the last complete update")
 }
 
-// TestRowSkippedByWatchIsNotDeleted has a store forget its history: it tells one reader
-// of no change up to 20, though b began at 15, which another reader has seen. Who asks the
-// first after the second must not take b for gone up to 20: it would never come back.
+// A row that the store skipped in a watch, after compacting its history, must not be taken for
+// deleted by a follower that already has it: it could never return at its own revision.
 func TestRowSkippedByWatchIsNotDeleted(t *testing.T) {
 	first, follower := New(0), New(0)
 	first.Apply(completeUpdate(10, presentRow("a", 1)))
@@ -208,8 +206,7 @@
 	assert.Equal(t, []string{"a", "b"}, keys(follower.After(0).Rows))
 }
 
-// TestAfterMatchesFullScan compares the answers of a cache, through drawn updates,
-// with what a look at all of its rows says.
+// The changes returned from the log must match those found by a scan of all rows.
 func TestAfterMatchesFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -224,19 +221,19 @@
 				cache.Apply(incrementalUpdate(revision, presentRow(key, revision)))
 			}
 			after := cache.sequence - min(cache.sequence, uint64(random.IntN(40)))
-			told := cache.After(after)
+			update := cache.After(after)
 			var expected []string
-			for _, held := range cache.rows {
-				if told.Complete && held.Deleted && held.Revision <= cache.snapshotRevision || !told.Complete && held.sequence <= after {
+			for _, existing := range cache.rows {
+				if update.Complete && existing.Deleted && existing.Revision <= cache.snapshotRevision || !update.Complete && existing.sequence <= after {
 					continue
 				}
-				name := held.Key
-				if held.Deleted {
+				name := existing.Key
+				if existing.Deleted {
 					name = "-" + name
 				}
 				expected = append(expected, name)
 			}
-			require.ElementsMatch(t, expected, keys(told.Rows), "seed %d step %d", seed, step)
+			require.ElementsMatch(t, expected, keys(update.Rows), "seed %d step %d", seed, step)
 		}
 		assert.LessOrEqual(t, len(cache.changeLog), 2*len(cache.rows)+changeLogSlack)
 	}
