--- a/internal/cachefeed/cachefeed_test.go
+++ b/internal/cachefeed/cachefeed_test.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// replica believes what it is told of the caches that it wants.
+// replica applies the updates of a follower to its own copy of the wanted caches.
 type replica struct {
 	*Follower
 	wanted map[fleet.EngineID]bool
@@ -28,76 +28,76 @@
 	}
 }
 
-func (b *replica) apply(news Delta) {
-	for _, update := range b.Apply(news, b.wanted) {
+func (r *replica) apply(delta Delta) {
+	for _, update := range r.Apply(delta, r.wanted) {
 		if update.Lost {
-			delete(b.caches, update.Cache)
+			delete(r.caches, update.Cache)
 			continue
 		}
 		if update.Reset {
-			b.caches[update.Cache] = make(map[fleet.BlockHash]struct{})
+			r.caches[update.Cache] = make(map[fleet.BlockHash]struct{})
 		}
-		for _, part := range update.Stored {
-			b.caches[update.Cache][part] = struct{}{}
+		for _, block := range update.Stored {
+			r.caches[update.Cache][block] = struct{}{}
 		}
-		for _, part := range update.Removed {
-			delete(b.caches[update.Cache], part)
+		for _, block := range update.Removed {
+			delete(r.caches[update.Cache], block)
 		}
 	}
 }
 
-// toggle has the believer want a cache, or no more: then it forgets it.
-func (b *replica) toggle(cache fleet.EngineID) {
-	if b.wanted[cache] {
-		delete(b.wanted, cache)
-		delete(b.caches, cache)
+// toggle starts or stops wanting a cache. A cache that is no longer wanted is removed.
+func (r *replica) toggle(cache fleet.EngineID) {
+	if r.wanted[cache] {
+		delete(r.wanted, cache)
+		delete(r.caches, cache)
 		return
 	}
-	b.wanted[cache] = true
+	r.wanted[cache] = true
 }
 
-// TestFollowersMatchLog plays random changes against followers that ask at
-// random times, change between two logs of the same caches, miss answers, and want other
-// caches from time to time: what one believes after an answer is what the log knows.
+// After each answer, a replica must match the log that it follows, whatever it missed: replicas
+// query at random times, switch between two logs of the same caches, lose answers and change the
+// caches that they want.
 func TestFollowersMatchLog(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			logs := []*Log{NewLog(1, 20), NewLog(2, 20)}
-			all := []*replica{newReplica(), newReplica(), newReplica()}
-			followed := make([]int, len(all))
+			replicas := []*replica{newReplica(), newReplica(), newReplica()}
+			followed := make([]int, len(replicas))
 			for range 400 {
 				cache := fleet.EngineID(fmt.Sprint("cache-", random.IntN(4)))
 				applyRandomChange(random, logs, cache)
-				number := random.IntN(len(all))
-				asking := all[number]
+				number := random.IntN(len(replicas))
+				follower := replicas[number]
 				if random.IntN(10) == 0 {
-					asking.toggle(cache)
+					follower.toggle(cache)
 				}
 				if random.IntN(10) == 0 {
 					followed[number] = 1 - followed[number]
-					asking.Reset()
+					follower.Reset()
 				}
 				log := logs[followed[number]]
-				question := asking.NextQuery(asking.wanted)
-				news := log.Delta(question)
-				if !log.HasDelta(question) {
-					require.Empty(t, news.Updates)
+				query := follower.NextQuery(follower.wanted)
+				delta := log.Delta(query)
+				if !log.HasDelta(query) {
+					require.Empty(t, delta.Updates)
 				}
 				if random.IntN(5) == 0 {
 					continue
 				}
-				asking.apply(news)
-				require.Equal(t, logState(log, asking.wanted), asking.caches)
-				require.False(t, log.HasDelta(asking.NextQuery(asking.wanted)), "nothing is left to be told")
+				follower.apply(delta)
+				require.Equal(t, logState(log, follower.wanted), follower.caches)
+				require.False(t, log.HasDelta(follower.NextQuery(follower.wanted)), "no delta is left")
 			}
 		})
 	}
 }
 
-// applyRandomChange has something applyRandomChange in a cache, and both logs take it in.
+// applyRandomChange applies the same random change of a cache to all logs.
 func applyRandomChange(random *rand.Rand, logs []*Log, cache fleet.EngineID) {
-	lost, fresh := random.IntN(20) == 0, random.IntN(15) == 0
+	lost, reset := random.IntN(20) == 0, random.IntN(15) == 0
 	changes := make([]Change, random.IntN(6))
 	for index := range changes {
 		changes[index] = Change{Block: fleet.BlockHash(random.IntN(12)), Stored: random.IntN(2) == 0}
@@ -106,55 +106,55 @@
 		if lost {
 			log.MarkLost(cache)
 		} else {
-			log.Observe(cache, fresh, changes)
+			log.Observe(cache, reset, changes)
 		}
 	}
 }
 
-// logState returns what a log knows of some caches.
+// logState returns the content of the wanted caches according to a log.
 func logState(log *Log, wanted map[fleet.EngineID]bool) map[fleet.EngineID]map[fleet.BlockHash]struct{} {
 	caches := make(map[fleet.EngineID]map[fleet.BlockHash]struct{})
-	for cache, parts := range log.caches {
+	for cache, blocks := range log.caches {
 		if wanted[cache] {
-			caches[cache] = parts
+			caches[cache] = blocks
 		}
 	}
 	return caches
 }
 
-// TestRedundantChangesAreFolded has a part that comes and goes count once, and one that is held
-// already not at all.
+// A block that is stored and removed must appear once in a delta, and one that is stored already
+// not at all.
 func TestRedundantChangesAreFolded(t *testing.T) {
 	log := NewLog(7, 0)
 	log.Observe("cache", true, []Change{{Block: 1, Stored: true}})
 	cursor := log.Next()
 	log.Observe("cache", false, []Change{{Block: 1, Stored: true}, {Block: 9, Stored: false}})
-	assert.False(t, log.HasDelta(Query{After: cursor}), "nothing has changed")
+	assert.False(t, log.HasDelta(Query{After: cursor}), "no change")
 	log.Observe("cache", false, []Change{{Block: 2, Stored: true}, {Block: 2, Stored: false}, {Block: 1, Stored: false}})
-	news := log.Delta(Query{After: cursor})
-	require.Len(t, news.Updates, 1)
-	slices.Sort(news.Updates[0].Removed)
-	assert.Equal(t, Update{Cache: "cache", Removed: []fleet.BlockHash{1, 2}}, news.Updates[0])
+	delta := log.Delta(Query{After: cursor})
+	require.Len(t, delta.Updates, 1)
+	slices.Sort(delta.Updates[0].Removed)
+	assert.Equal(t, Update{Cache: "cache", Removed: []fleet.BlockHash{1, 2}}, delta.Updates[0])
 }
 
-// TestLogIsBoundedAndFallsBackToSnapshot has a follower that has seen too little get everything.
+// The log must stay bounded, and must answer with a snapshot if the cursor is not in it.
 func TestLogIsBoundedAndFallsBackToSnapshot(t *testing.T) {
 	log := NewLog(1, 10)
 	log.Observe("cache", true, nil)
 	early := log.Next()
-	for part := range 100 {
-		log.Observe("cache", false, []Change{{Block: fleet.BlockHash(part), Stored: true}})
+	for block := range 100 {
+		log.Observe("cache", false, []Change{{Block: fleet.BlockHash(block), Stored: true}})
 		assert.LessOrEqual(t, len(log.entries), 20)
 	}
-	news := log.Delta(Query{After: early})
-	assert.True(t, news.Complete)
-	require.Len(t, news.Updates, 1)
-	assert.Len(t, news.Updates[0].Stored, 100)
-	assert.True(t, log.Delta(Query{After: Cursor{Generation: 1, Sequence: news.Next.Sequence + 1}}).Complete, "a position that is to come")
-	assert.True(t, log.Delta(Query{After: Cursor{Generation: 3, Sequence: news.Next.Sequence}}).Complete, "another run")
+	delta := log.Delta(Query{After: early})
+	assert.True(t, delta.Complete)
+	require.Len(t, delta.Updates, 1)
+	assert.Len(t, delta.Updates[0].Stored, 100)
+	assert.True(t, log.Delta(Query{After: Cursor{Generation: 1, Sequence: delta.Next.Sequence + 1}}).Complete, "a cursor beyond the end")
+	assert.True(t, log.Delta(Query{After: Cursor{Generation: 3, Sequence: delta.Next.Sequence}}).Complete, "a cursor of another generation")
 }
 
-// TestSelectorFailsOverAndBack has the first source fail, and come back.
+// The selector must keep a source until it fails, and return to a better one after FailbackDelay.
 func TestSelectorFailsOverAndBack(t *testing.T) {
 	order := []fleet.NodeID{"a", "b"}
 	now := time.Minute
@@ -167,20 +167,20 @@
 	assert.Equal(t, fleet.NodeID("a"), choose(now, order))
 	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
-	assert.Equal(t, fleet.NodeID("b"), choose(now+FailbackDelay-1, order), "the one that answers is kept")
-	assert.Equal(t, fleet.NodeID("a"), choose(now+FailbackDelay, order), "for a while")
+	assert.Equal(t, fleet.NodeID("b"), choose(now+FailbackDelay-1, order), "the working source is kept")
+	assert.Equal(t, fleet.NodeID("a"), choose(now+FailbackDelay, order), "until the failback delay has passed")
 	now += FailbackDelay
 	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
 	selector.MarkFailed(now, "b")
-	assert.Empty(t, choose(now+FailureBackoff-1, order), "the caches themselves")
+	assert.Empty(t, choose(now+FailureBackoff-1, order), "no source is available")
 	assert.Equal(t, fleet.NodeID("a"), choose(now+FailureBackoff, order))
-	assert.Equal(t, fleet.NodeID("c"), choose(now, []fleet.NodeID{"c"}), "a is gone")
+	assert.Equal(t, fleet.NodeID("c"), choose(now, []fleet.NodeID{"c"}), "a is not in the order")
 	assert.Empty(t, choose(now, nil))
 }
 
-// TestSourceNotReadyIsRetriedDuringStartup has a fleet that has just started wait for its
-// sources, and not read the caches meanwhile.
+// After a start, a source that is not ready must be queried again rather than the caches read
+// directly.
 func TestSourceNotReadyIsRetriedDuringStartup(t *testing.T) {
 	selector := NewSelector(0)
 	_, found := selector.Choose(0, nil)
@@ -197,26 +197,24 @@
 	assert.True(t, selector.CanReadDirectly(StartupGracePeriod))
 }
 
-// Times of the simulated zone.
 const (
 	pollInterval  = 250 * time.Millisecond
 	detectionTime = 1350 * time.Millisecond
 	retryInterval = 100 * time.Millisecond
 )
 
-// source is a node of the zone that follows its cache.
+// source is a node of the zone that follows the cache.
 type source struct {
 	log *Log
-	// silentFrom and silentTo are when it doesn't answer: it is dead, frozen or cut off.
+	// The source does not answer from silentFrom to silentTo: it has crashed, is frozen or is
+	// partitioned.
 	silentFrom time.Duration
 	silentTo   time.Duration
 }
 
-// TestFollowerFailsOverToStandby plays sources that fall silent at random, on a virtual clock: whenever any
-// has answered all the time, the follower believes what the cache holds, at most the time
-// late that it takes to find out that the others are silent; with none left it reads the cache
-// itself within a bound. A new run of a source, which has forgotten its position, changes
-// nothing of that.
+// Sources fall silent at random, on a virtual clock. As long as any source answers, the follower
+// must match the cache, with a delay of at most the time to detect the silent ones. If none
+// answers, the follower must be allowed to read the cache directly after the grace period.
 func TestFollowerFailsOverToStandby(t *testing.T) {
 	order := []fleet.NodeID{"a", "b", "c"}
 	for seed := range uint64(300) {
@@ -230,24 +228,24 @@
 					silentTo: from + time.Duration(random.Int64N(int64(10*time.Second))),
 				}
 			}
-			selector, asking := NewSelector(0), newReplica()
-			asking.toggle("cache")
-			lastRight, aloneAt := time.Duration(0), time.Duration(-1)
-			truth := NewLog(99, 50)
-			logs := []*Log{truth, sources["a"].log, sources["b"].log, sources["c"].log}
+			selector, follower := NewSelector(0), newReplica()
+			follower.toggle("cache")
+			lastCorrect, directSince := time.Duration(0), time.Duration(-1)
+			expected := NewLog(99, 50)
+			logs := []*Log{expected, sources["a"].log, sources["b"].log, sources["c"].log}
 			for now := time.Duration(0); now < 30*time.Second; {
 				node, found := selector.Choose(now, order)
 				if !found {
-					if aloneAt < 0 {
-						aloneAt = now
+					if directSince < 0 {
+						directSince = now
 					}
 					require.True(t, selector.CanReadDirectly(now) || now < StartupGracePeriod)
-					lastRight = now
+					lastCorrect = now
 					now += retryInterval
-					asking.Reset()
+					follower.Reset()
 					continue
 				}
-				aloneAt = -1
+				directSince = -1
 				for _, log := range logs {
 					log.Observe("cache", false, []Change{{Block: fleet.BlockHash(now / time.Millisecond % 40), Stored: true}})
 					log.Observe("cache", false, []Change{{Block: fleet.BlockHash(now / time.Millisecond % 7), Stored: false}})
@@ -256,13 +254,13 @@
 				if now >= source.silentFrom && now < source.silentTo {
 					now += detectionTime
 					selector.MarkFailed(now, node)
-					asking.Reset()
-					require.LessOrEqual(t, now-lastRight, 3*detectionTime+pollInterval)
+					follower.Reset()
+					require.LessOrEqual(t, now-lastCorrect, 3*detectionTime+pollInterval)
 					continue
 				}
-				asking.apply(source.log.Delta(asking.NextQuery(asking.wanted)))
-				require.Equal(t, logState(truth, asking.wanted), asking.caches)
-				lastRight = now
+				follower.apply(source.log.Delta(follower.NextQuery(follower.wanted)))
+				require.Equal(t, logState(expected, follower.wanted), follower.caches)
+				lastCorrect = now
 				now += pollInterval
 			}
 		})
--- a/internal/cachefeed/follower.go
+++ b/internal/cachefeed/follower.go
@@ -6,53 +6,53 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Follower is how far one node has seen another's log.
+// Follower is the position of a node in the log of another node.
 type Follower struct {
 	cursor Cursor
-	// synced are the caches of which everything up to the cursor is known.
+	// synced holds the caches whose state up to the cursor is known.
 	synced map[fleet.EngineID]bool
 }
 
-// NewFollower returns a follower that has seen nothing.
+// NewFollower returns a follower at the start of a log.
 func NewFollower() *Follower { return &Follower{synced: make(map[fleet.EngineID]bool)} }
 
-// Reset forgets the position: another log is followed next.
+// Reset clears the position, such as to follow another log.
 func (f *Follower) Reset() { f.cursor = Cursor{} }
 
-// Query is what a follower asks: what comes after a position, and besides all that is
-// known of the caches of which it has seen nothing.
+// Query asks for the changes after a position, and for the complete state of the Missing caches,
+// for which the follower has no state.
 type Query struct {
 	After   Cursor
 	Missing []fleet.EngineID
 }
 
-// NextQuery returns the next question about the wanted caches.
+// NextQuery returns the next query for the wanted caches.
 func (f *Follower) NextQuery(wanted map[fleet.EngineID]bool) Query {
 	for cache := range f.synced {
 		if !wanted[cache] {
 			delete(f.synced, cache)
 		}
 	}
-	question := Query{After: f.cursor}
+	query := Query{After: f.cursor}
 	if f.cursor == (Cursor{}) {
-		return question
+		return query
 	}
 	for cache := range wanted {
 		if !f.synced[cache] {
-			question.Missing = append(question.Missing, cache)
+			query.Missing = append(query.Missing, cache)
 		}
 	}
-	slices.Sort(question.Missing)
-	return question
+	slices.Sort(query.Missing)
+	return query
 }
 
-// Apply takes news in and returns those updates that say something of the wanted caches.
-func (f *Follower) Apply(news Delta, wanted map[fleet.EngineID]bool) []Update {
-	f.cursor = news.Next
-	named := make(map[fleet.EngineID]bool, len(news.Updates))
+// Apply advances the follower by a delta and returns the updates of the wanted caches.
+func (f *Follower) Apply(delta Delta, wanted map[fleet.EngineID]bool) []Update {
+	f.cursor = delta.Next
+	listed := make(map[fleet.EngineID]bool, len(delta.Updates))
 	var updates []Update
-	for _, update := range news.Updates {
-		named[update.Cache] = true
+	for _, update := range delta.Updates {
+		listed[update.Cache] = true
 		switch {
 		case !wanted[update.Cache] || (!update.Reset && !f.synced[update.Cache]):
 			continue
@@ -64,7 +64,7 @@
 		updates = append(updates, update)
 	}
 	for cache := range f.synced {
-		if news.Complete && !named[cache] {
+		if delta.Complete && !listed[cache] {
 			delete(f.synced, cache)
 			updates = append(updates, Update{Cache: cache, Lost: true})
 		}
--- a/internal/cachefeed/log.go
+++ b/internal/cachefeed/log.go
@@ -1,13 +1,11 @@
-// Package cachefeed lets a node that follows caches tell others what has changed in them, in
-// a few bytes a change, so that one node of a zone reads a cache's events and the nodes of
-// other zones ask that one.
+// Package cachefeed distributes the changes of caches between nodes: one node of a zone reads the
+// events of a cache, and the nodes of other zones query that node for deltas.
 //
-// A Log keeps what the caches hold and the last changes, in order. A follower names how far
-// it has seen (Cursor) and gets what is newer, folded to the last change of each part, or
-// everything if the log doesn't reach back so far. A Selector says whom a follower asks.
+// A Log holds the current content of the caches and the latest changes, in order. A follower sends
+// its position (Cursor) and gets the later changes, reduced to the last one of each block, or a
+// snapshot if the log does not reach back that far. A Selector chooses the node to query.
 //
-// The package does no I/O and reads no clock. A Log and a Selector aren't safe for
-// concurrent use.
+// The package has no I/O and no clock. A Log and a Selector are not safe for concurrent use.
 package cachefeed
 
 import (
@@ -16,56 +14,55 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DefaultCapacity is the number of changes that a log keeps: at some 30 changes a second and
-// cache, and 20 caches in a zone, those of 13 seconds, in 0.4 MB.
+// DefaultCapacity is the default number of changes that a log keeps.
 const DefaultCapacity = 8 << 10
 
-// Change tells that a cache holds a part, or has dropped it.
+// Change means that a cache has stored or removed a block.
 type Change struct {
 	Block  fleet.BlockHash
 	Stored bool
 }
 
-// Cursor is a position in a log. The zero value is before everything.
+// Cursor is a position in a log. The zero value is the start.
 type Cursor struct {
-	// Generation names the log: another run of the node has another one.
+	// Generation identifies the log; it differs between runs of a node.
 	Generation uint64
-	// Sequence is the number of changes up to the position.
+	// Sequence is the number of changes before the position.
 	Sequence uint64
 }
 
-// Update is what has changed in one cache. Of parts named twice the last change counts.
+// Update is the set of changes of a cache. It contains each block at most once.
 type Update struct {
 	Cache fleet.EngineID
-	// Reset is set if what was known of the cache before doesn't hold any more.
+	// Reset is set if the earlier state of the cache is invalid.
 	Reset bool
-	// Lost is set if the cache can't be followed now, and nothing is known of it.
+	// Lost is set if the cache cannot be followed at present and its state is unknown.
 	Lost    bool
 	Stored  []fleet.BlockHash
 	Removed []fleet.BlockHash
 }
 
-// Changes returns the parts that are held and dropped since.
+// Changes returns the update as a list of changes.
 func (u *Update) Changes() []Change {
 	changes := make([]Change, 0, len(u.Stored)+len(u.Removed))
-	for _, part := range u.Stored {
-		changes = append(changes, Change{Block: part, Stored: true})
+	for _, block := range u.Stored {
+		changes = append(changes, Change{Block: block, Stored: true})
 	}
-	for _, part := range u.Removed {
-		changes = append(changes, Change{Block: part})
+	for _, block := range u.Removed {
+		changes = append(changes, Change{Block: block})
 	}
 	return changes
 }
 
-// Delta is what a follower lacks.
+// Delta holds the updates that a follower is missing.
 type Delta struct {
-	// Complete is set if Updates name all caches that the log knows of, so that any other is lost.
+	// Complete is set if Updates covers all caches in the log; any other cache is lost.
 	Complete bool
 	Updates  []Update
 	Next     Cursor
 }
 
-// entryKind tells what an entry says.
+// entryKind is the kind of a log entry.
 type entryKind uint8
 
 const (
@@ -81,54 +78,53 @@
 	kind  entryKind
 }
 
-// Log is what one node knows of caches, and the last changes.
+// Log holds the content of the caches that a node follows, and the latest changes.
 type Log struct {
 	generation uint64
 	capacity   int
-	// firstSequence is the sequence of the oldest entry that is kept.
+	// firstSequence is the sequence number of the oldest entry.
 	firstSequence uint64
 	entries       []entry
 	caches        map[fleet.EngineID]map[fleet.BlockHash]struct{}
 }
 
-// NewLog returns a log that knows nothing. The generation must differ from that of any
-// other log which followers may have seen; kept bounds the changes that it keeps, and 0 takes
-// DefaultKept.
-func NewLog(generation uint64, kept int) *Log {
-	if kept <= 0 {
-		kept = DefaultCapacity
+// NewLog returns an empty log. The generation must differ from that of any other log that its
+// followers may have seen. capacity is the number of changes to keep; 0 means DefaultCapacity.
+func NewLog(generation uint64, capacity int) *Log {
+	if capacity <= 0 {
+		capacity = DefaultCapacity
 	}
-	return &Log{generation: generation, capacity: kept, caches: make(map[fleet.EngineID]map[fleet.BlockHash]struct{})}
+	return &Log{generation: generation, capacity: capacity, caches: make(map[fleet.EngineID]map[fleet.BlockHash]struct{})}
 }
 
-// Observe takes in changes of a cache, in order. fresh is set if what was known of it
-// before doesn't hold any more.
-func (l *Log) Observe(cache fleet.EngineID, fresh bool, changes []Change) {
-	parts := l.caches[cache]
-	if parts == nil || fresh {
-		parts = make(map[fleet.BlockHash]struct{})
-		l.caches[cache] = parts
+// Observe records changes of a cache, in order. reset is set if the earlier state of the cache is
+// invalid.
+func (l *Log) Observe(cache fleet.EngineID, reset bool, changes []Change) {
+	blocks := l.caches[cache]
+	if blocks == nil || reset {
+		blocks = make(map[fleet.BlockHash]struct{})
+		l.caches[cache] = blocks
 		l.append(entry{cache: cache, kind: entryReset})
 	}
 	for _, change := range changes {
-		_, known := parts[change.Block]
-		if known == change.Stored {
+		_, found := blocks[change.Block]
+		if found == change.Stored {
 			continue
 		}
 		if change.Stored {
-			parts[change.Block] = struct{}{}
+			blocks[change.Block] = struct{}{}
 			l.append(entry{cache: cache, block: change.Block, kind: entryStored})
 			continue
 		}
-		delete(parts, change.Block)
+		delete(blocks, change.Block)
 		l.append(entry{cache: cache, block: change.Block, kind: entryRemoved})
 	}
 	l.trim()
 }
 
-// MarkLost takes in that a cache isn't followed any more.
+// MarkLost records that a cache is no longer followed.
 func (l *Log) MarkLost(cache fleet.EngineID) {
-	if _, known := l.caches[cache]; !known {
+	if _, found := l.caches[cache]; !found {
 		return
 	}
 	delete(l.caches, cache)
@@ -138,7 +134,8 @@
 
 func (l *Log) append(next entry) { l.entries = append(l.entries, next) }
 
-// trim drops the oldest entries. It lets twice as many gather, so that each is moved once.
+// trim removes the oldest entries. It lets the log grow to twice its capacity, so that each entry
+// is copied once on average.
 func (l *Log) trim() {
 	if len(l.entries) < 2*l.capacity {
 		return
@@ -148,39 +145,40 @@
 	l.entries = slices.Clone(l.entries[excess:])
 }
 
-// Next is the position behind the last change.
+// Next returns the position after the last change.
 func (l *Log) Next() Cursor {
 	return Cursor{Generation: l.generation, Sequence: l.firstSequence + uint64(len(l.entries))}
 }
 
-// Caches returns the number of caches of which the log knows.
+// Caches returns the number of caches in the log.
 func (l *Log) Caches() int { return len(l.caches) }
 
-// HasDelta tells whether the log has anything that a question asks for.
-func (l *Log) HasDelta(question Query) bool {
-	return question.After != l.Next() || slices.ContainsFunc(question.Missing, func(cache fleet.EngineID) bool {
-		_, known := l.caches[cache]
-		return known
+// HasDelta reports whether the log has anything new for a query.
+func (l *Log) HasDelta(query Query) bool {
+	return query.After != l.Next() || slices.ContainsFunc(query.Missing, func(cache fleet.EngineID) bool {
+		_, found := l.caches[cache]
+		return found
 	})
 }
 
-// Delta returns what a follower lacks.
-func (l *Log) Delta(question Query) Delta {
-	news := l.deltaAfter(question.After)
-	if news.Complete {
-		return news
+// Delta returns the updates that a query asks for.
+func (l *Log) Delta(query Query) Delta {
+	delta := l.deltaAfter(query.After)
+	if delta.Complete {
+		return delta
 	}
-	for _, cache := range question.Missing {
-		if _, known := l.caches[cache]; !known {
+	for _, cache := range query.Missing {
+		if _, found := l.caches[cache]; !found {
 			continue
 		}
-		news.Updates = slices.DeleteFunc(news.Updates, func(update Update) bool { return update.Cache == cache })
-		news.Updates = append(news.Updates, l.cacheSnapshot(cache))
+		delta.Updates = slices.DeleteFunc(delta.Updates, func(update Update) bool { return update.Cache == cache })
+		delta.Updates = append(delta.Updates, l.cacheSnapshot(cache))
 	}
-	return news
+	return delta
 }
 
-// deltaAfter returns what comes deltaAfter a position.
+// deltaAfter returns the updates after a position, or a complete delta if the position is not in
+// the log.
 func (l *Log) deltaAfter(cursor Cursor) Delta {
 	next := l.Next()
 	if cursor.Generation != l.generation || cursor.Sequence < l.firstSequence || cursor.Sequence > next.Sequence {
@@ -189,7 +187,7 @@
 	return Delta{Updates: fold(l.entries[cursor.Sequence-l.firstSequence:]), Next: next}
 }
 
-// snapshot returns all that the log knows.
+// snapshot returns the content of all caches.
 func (l *Log) snapshot() []Update {
 	updates := make([]Update, 0, len(l.caches))
 	for cache := range l.caches {
@@ -198,24 +196,24 @@
 	return updates
 }
 
-// cacheSnapshot returns all that the log knows of one cache.
+// cacheSnapshot returns the content of one cache.
 func (l *Log) cacheSnapshot(cache fleet.EngineID) Update {
-	parts := l.caches[cache]
-	update := Update{Cache: cache, Reset: true, Stored: make([]fleet.BlockHash, 0, len(parts))}
-	for part := range parts {
-		update.Stored = append(update.Stored, part)
+	blocks := l.caches[cache]
+	update := Update{Cache: cache, Reset: true, Stored: make([]fleet.BlockHash, 0, len(blocks))}
+	for block := range blocks {
+		update.Stored = append(update.Stored, block)
 	}
 	return update
 }
 
-// cacheDelta is what entries say of one cache.
+// cacheDelta accumulates the entries of one cache.
 type cacheDelta struct {
 	reset  bool
 	lost   bool
 	blocks map[fleet.BlockHash]bool
 }
 
-// fold returns what entries say, by cache.
+// fold reduces entries to one update per cache.
 func fold(entries []entry) []Update {
 	caches := make(map[fleet.EngineID]*cacheDelta)
 	for _, next := range entries {
@@ -245,11 +243,11 @@
 
 func (f *cacheDelta) update(cache fleet.EngineID) Update {
 	update := Update{Cache: cache, Reset: f.reset, Lost: f.lost}
-	for part, isHeld := range f.blocks {
-		if isHeld {
-			update.Stored = append(update.Stored, part)
+	for block, stored := range f.blocks {
+		if stored {
+			update.Stored = append(update.Stored, block)
 		} else if !f.reset {
-			update.Removed = append(update.Removed, part)
+			update.Removed = append(update.Removed, block)
 		}
 	}
 	return update
--- a/internal/cachefeed/selector.go
+++ b/internal/cachefeed/selector.go
@@ -7,47 +7,47 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// FailureBackoff is how long a source that gave no answer isn't asked again.
+// FailureBackoff is how long a source that did not answer is not selected again.
 const FailureBackoff = 5 * time.Second
 
-// StartupGracePeriod is how long a node that begins to ask waits for a source that can tell, before it
-// follows the caches itself. After a loss of all nodes none knows the others or the caches
-// for about a second; if each then read the whole history of all caches, that would be two
-// thirds of these bytes of a day with such a loss.
+// StartupGracePeriod is how long a node waits after its start for a source that is ready, before it
+// reads the caches directly. It keeps the nodes from all reading the whole history of the caches
+// after a restart of the fleet.
 const StartupGracePeriod = 1500 * time.Millisecond
 
-// FailbackDelay is how long another source than the best is kept, if the best hasn't failed
-// meanwhile. A change of the source costs a whole transfer.
+// FailbackDelay is how long a source is kept before a better one replaces it. Each change of the
+// source costs a full transfer.
 const FailbackDelay = 10 * time.Second
 
-// Selector says which node is asked about a zone's caches. It stays with one that answers
-// for a while.
+// Selector chooses the node to query about the caches of a zone. It stays with a source that
+// answers for FailbackDelay.
 type Selector struct {
 	current fleet.NodeID
-	// selectedAt is from when it is asked.
+	// selectedAt is the time at which current was selected.
 	selectedAt  time.Duration
 	failedUntil map[fleet.NodeID]time.Duration
-	// graceUntil is until when it waits for sources that can't tell yet.
+	// graceUntil is the end of the startup grace period.
 	graceUntil time.Duration
 }
 
-// NewSelector returns a selector that has asked nobody.
+// NewSelector returns a selector without a source. The startup grace period begins at now.
 func NewSelector(now time.Duration) *Selector {
 	return &Selector{failedUntil: make(map[fleet.NodeID]time.Duration), graceUntil: now + StartupGracePeriod}
 }
 
-// CanReadDirectly tells whether the caches themselves are to be asked when no source is found.
+// CanReadDirectly reports whether the caches may be read directly if no source is available.
 func (s *Selector) CanReadDirectly(now time.Duration) bool { return now >= s.graceUntil }
 
-// MarkNotReady takes in that a node can't tell: at first it is asked again.
+// MarkNotReady records that a node has no data yet. During the startup grace period it may be
+// selected again at once; after that it counts as failed.
 func (s *Selector) MarkNotReady(now time.Duration, node fleet.NodeID) {
 	if now >= s.graceUntil {
 		s.MarkFailed(now, node)
 	}
 }
 
-// Choose returns whom to ask, of an order in which all nodes of a zone agree, best first.
-// It returns false if none of them has answered of late.
+// Choose returns the source to query. order lists the nodes of the zone, best first, and must be
+// the same on all nodes. Choose returns false if all of them have failed recently.
 func (s *Selector) Choose(now time.Duration, order []fleet.NodeID) (fleet.NodeID, bool) {
 	for node, until := range s.failedUntil {
 		if now >= until {
@@ -67,7 +67,7 @@
 	return "", false
 }
 
-// MarkFailed takes in that a node gave no answer.
+// MarkFailed records that a node did not answer.
 func (s *Selector) MarkFailed(now time.Duration, node fleet.NodeID) {
 	s.failedUntil[node] = now + FailureBackoff
 	if s.current == node {
