--- a/internal/cachefeed/log.go
+++ b/internal/cachefeed/log.go
@@ -31,7 +31,7 @@
 	Sequence uint64
 }
 
-// Update is the set of changes of a cache. It contains each block at most once.
+// Update is the set of changes of a cache, reduced to the last change of each block.
 type Update struct {
 	Cache fleet.EngineID
 	// Reset is set if the earlier state of the cache is invalid.
--- a/internal/cachefeed/selector.go
+++ b/internal/cachefeed/selector.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Choose returns the source to query. order lists the nodes of the zone, best first, and must be
-// the same on all nodes. Choose returns false if all of them have failed recently.
+// Choose returns the source to query. order lists the candidates, best first; all nodes of a zone
+// use the same order. Choose returns false if all candidates have failed recently.
 func (s *Selector) Choose(now time.Duration, order []fleet.NodeID) (fleet.NodeID, bool) {
 	for node, until := range s.failedUntil {
 		if now >= until {
