--- a/internal/attempt/machine.go
+++ b/internal/attempt/machine.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Machine carries one request. It isn't safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent use.
 type Machine struct {
 	request Request
 	policy  Policy
@@ -23,17 +23,17 @@
 	actions   []Action
 	stats     Stats
 
-	// grant is what the present attempt was granted; granted tells whether its
-	// router is still owed a last report.
-	grant   Granted
-	granted bool
-	// mayRun is true while the present attempt may run or have run, mayHaveRun
-	// if an earlier one may.
-	mayRun     bool
-	mayHaveRun bool
-	// accepted is true once the engine has said that it holds the stream.
-	accepted   bool
-	firstToken bool
+	// grant is the grant of the current attempt; grantOpen is set until its router has been sent a
+	// final report.
+	grant     Granted
+	grantOpen bool
+	// mayRun is set if the current attempt may be running or have run, earlierMayHaveRun if any
+	// earlier attempt may have run.
+	mayRun            bool
+	earlierMayHaveRun bool
+	// accepted is set once the engine has confirmed that it holds the stream.
+	accepted           bool
+	firstTokenReported bool
 
 	excluded   []fleet.EngineRun
 	emitted    []string
@@ -45,42 +45,42 @@
 	cachedTokens int
 }
 
-// New returns a machine for one request. The generator spreads delays; it may
-// be shared by machines that one goroutine drives.
+// New returns a machine for one request. The random source supplies the jitter of delays; machines
+// driven by the same goroutine may share it.
 func New(request Request, policy Policy, budget RetryBudget, random *rand.Rand) *Machine {
 	return &Machine{request: request, policy: policy.withDefaults(), budget: budget, random: random}
 }
 
-// Start returns the first actions. It must be called once, before Handle.
+// Start returns the first actions. It must be called exactly once, before Handle.
 func (m *Machine) Start(now time.Duration) []Action {
 	m.now = now
 	m.budget.Deposit(now)
-	m.place(nil, 0)
-	return m.take()
+	m.requestPlacement(nil, 0)
+	return m.takeActions()
 }
 
-// Phase tells what the machine waits for.
+// Phase returns what the machine is waiting for.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Stats returns the counts so far.
+// Stats returns the counters so far.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// Emitted counts the tokens passed on to the caller.
+// Emitted returns the number of tokens passed to the caller.
 func (m *Machine) Emitted() int { return len(m.emitted) }
 
-// Handle takes an event and returns what is to be done. It may be called after
-// the terminal action; a grant that comes then is reported as abandoned.
+// Handle processes an event and returns the actions to carry out. It may be called after the
+// terminal action; a grant that arrives then is reported as abandoned.
 func (m *Machine) Handle(now time.Duration, event Event) []Action {
 	m.now = max(m.now, now)
-	if m.current(event) {
+	if m.isCurrent(event) {
 		m.handle(event)
 	} else {
-		m.drop(event)
+		m.handleStale(event)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-func (m *Machine) take() []Action {
+func (m *Machine) takeActions() []Action {
 	actions := m.actions
 	m.actions = nil
 	return actions
@@ -94,16 +94,16 @@
 		m.onGranted(event)
 	case Refused:
 		m.fail(event.Code, event.Reason, event.RetryAfter)
-	case HandedBack:
-		m.placeAgain(event.Routers)
+	case Redirected:
+		m.retryPlacement(event.Routers)
 	case PlacementFailed:
-		m.placeAgain(nil)
+		m.retryPlacement(nil)
 	case DispatchNotSent:
 		m.onNotDispatched(resultcode.NoEngine, "engine can't be reached", true)
 	case DispatchRejected:
 		m.onDispatchRejected(event)
 	case DispatchUnknown:
-		m.onDispatchUnknown(event.EngineSilent)
+		m.onDispatchUnknown(event.TimedOut)
 	case FrameReceived:
 		m.onFrame(event.Frame)
 	case StreamBroken:
@@ -125,12 +125,12 @@
 	}
 }
 
-// current tells whether an event belongs to the operation under way.
-func (m *Machine) current(event Event) bool {
+// isCurrent reports whether an event belongs to the operation in flight.
+func (m *Machine) isCurrent(event Event) bool {
 	if m.phase == PhaseFinished {
 		return false
 	}
-	operation, phases := origin(event)
+	operation, phases := answeredOperation(event)
 	if operation == 0 {
 		return phases == nil
 	}
@@ -145,15 +145,15 @@
 	return false
 }
 
-// origin returns the operation that an event answers and the phases in which
-// it can be an answer; nil phases mean that it answers none.
-func origin(event Event) (Operation, []Phase) {
+// answeredOperation returns the operation that an event answers and the phases in which the answer
+// is valid; the phases are nil if the event is not an answer.
+func answeredOperation(event Event) (Operation, []Phase) {
 	switch event := event.(type) {
 	case Granted:
 		return event.Operation, []Phase{PhasePlacing}
 	case Refused:
 		return event.Operation, []Phase{PhasePlacing}
-	case HandedBack:
+	case Redirected:
 		return event.Operation, []Phase{PhasePlacing}
 	case PlacementFailed:
 		return event.Operation, []Phase{PhasePlacing}
@@ -172,18 +172,18 @@
 	case ResumeFailed:
 		return event.Operation, []Phase{PhaseResuming}
 	case CancelAnswered:
-		return event.Operation, []Phase{PhaseBarring}
+		return event.Operation, []Phase{PhaseFencing}
 	case CancelFailed:
-		return event.Operation, []Phase{PhaseBarring}
+		return event.Operation, []Phase{PhaseFencing}
 	default:
 		return 0, nil
 	}
 }
 
-// drop counts an event of an operation that is over. A grant among them is
-// given back to its router.
-func (m *Machine) drop(event Event) {
-	operation, _ := origin(event)
+// handleStale counts an event of a finished operation. If it is a grant, its router is informed
+// that the grant is abandoned.
+func (m *Machine) handleStale(event Event) {
+	operation, _ := answeredOperation(event)
 	if operation == 0 {
 		return
 	}
@@ -194,13 +194,13 @@
 			m.emit(Report{Attempt: late.Attempt, Run: late.Run, Phase: ReportAbandoned})
 		}
 	case FrameReceived:
-		// Too late to be passed on, but it proves that the stream has begun.
+		// The frame is too late to be passed on, but it proves that the engine accepted the stream.
 		m.accepted = m.accepted || late.Frame.Stream == m.stream()
 	}
 }
 
-// next starts a new operation.
-func (m *Machine) next(phase Phase) Operation {
+// nextOperation enters a phase and returns the number of its operation.
+func (m *Machine) nextOperation(phase Phase) Operation {
 	m.phase = phase
 	m.operation++
 	return m.operation
@@ -210,9 +210,8 @@
 	return fleet.NewStreamID(m.request.ID, m.attempt)
 }
 
-// rejectedBeforeWork tells whether an engine's error code proves that the
-// dispatch it answers did not run.
-func rejectedBeforeWork(code engine.ErrorCode) bool {
+// isRejectedBeforeRun reports whether an engine's error code proves that the dispatch did not run.
+func isRejectedBeforeRun(code engine.ErrorCode) bool {
 	failure := engine.Error{Code: code, Sent: true}
 	return failure.Outcome() == engine.OutcomeRejected
 }
--- a/internal/attempt/window_test.go
+++ b/internal/attempt/window_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func testWindow() *WindowBudget {
+func newTestWindow() *WindowBudget {
 	return NewWindowBudget(WindowOptions{Window: 10 * time.Second, Ratio: 0.2, Slack: 4, InitialSlack: 2})
 }
 
@@ -21,29 +21,29 @@
 	return spent
 }
 
-func TestWindowAllowsABurstForTheAttemptsInIt(t *testing.T) {
-	budget := testWindow()
+func TestWindowBudgetAllowsBurst(t *testing.T) {
+	budget := newTestWindow()
 	for number := range 100 {
 		budget.Deposit(time.Duration(number) * 100 * time.Millisecond)
 	}
-	assert.Equal(t, 22, spend(budget, 9900*time.Millisecond), "0.2 times 100 and the slack of the first window")
-	assert.Zero(t, spend(budget, 15*time.Second), "it is spent, and half of the attempts are too old")
-	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "the slack alone")
+	assert.Equal(t, 22, spend(budget, 9900*time.Millisecond), "0.2 times 100 attempts and the initial slack")
+	assert.Zero(t, spend(budget, 15*time.Second), "budget is spent and half of the attempts have left the window")
+	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "only the slack")
 }
 
-func TestStartedProcessHasLessSlack(t *testing.T) {
-	budget := testWindow()
+func TestFirstWindowHasInitialSlack(t *testing.T) {
+	budget := newTestWindow()
 	assert.Equal(t, 2, spend(budget, time.Minute))
 	assert.Equal(t, 4, spend(budget, time.Minute+11*time.Second))
 	budget.SetSlack(1, 1)
 	assert.Equal(t, 1, spend(budget, time.Minute+30*time.Second))
 }
 
-// TestAnyWindowKeepsTheBound draws attempts and retries and looks at every span.
-func TestAnyWindowKeepsTheBound(t *testing.T) {
+// No span as long as the window may contain more retries than the ratio and the slack allow.
+func TestWindowBudgetBoundsEverySpan(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		budget := testWindow()
+		budget := newTestWindow()
 		var attempts, retries []time.Duration
 		now := time.Duration(0)
 		for range 2000 {
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -112,7 +112,7 @@
 func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
 	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		relayed[index] = cachefeed.Change{Part: hashPart(change.Scope, change.Part), Held: change.Held}
+		relayed[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Held}
 	}
 	r.ObserveRelayedCache(run, reset, relayed)
 	return relayed
@@ -129,8 +129,8 @@
 	r.parts.tracked[run] = true
 	var hash [1]fleet.BlockHash
 	for _, change := range changes {
-		hash[0] = change.Part
-		if change.Held {
+		hash[0] = change.Block
+		if change.Stored {
 			r.parts.index.Store(run, hash[:])
 		} else {
 			r.parts.index.Remove(run, hash[:])
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -58,7 +58,7 @@
 }
 
 func (c *cacheLog) markLost(cache fleet.EngineID) {
-	c.update(func(log *cachefeed.Log) { log.Lose(cache) })
+	c.update(func(log *cachefeed.Log) { log.MarkLost(cache) })
 }
 
 // applyUpdates applies another gateway's updates of that many caches.
@@ -69,7 +69,7 @@
 			c.markLost(update.Cache)
 			continue
 		}
-		c.observe(update.Cache, update.Anew, update.Changes())
+		c.observe(update.Cache, update.Reset, update.Changes())
 	}
 }
 
@@ -112,7 +112,7 @@
 // answer returns the response to a question, whether it contains anything new, and a channel that
 // is closed at the next change. ready is false while the caches aren't known yet: an incomplete
 // answer would make the follower drop what it knows.
-func (c *cacheLog) answer(now time.Duration, question cachefeed.Question) (answer cachefeed.News, hasNew, ready bool, changed <-chan struct{}) {
+func (c *cacheLog) answer(now time.Duration, question cachefeed.Query) (answer cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
@@ -120,7 +120,7 @@
 	if !ready {
 		return answer, false, false, c.changed
 	}
-	return c.log.Answer(question), c.log.Answers(question), true, c.changed
+	return c.log.Delta(question), c.log.HasDelta(question), true, c.changed
 }
 
 // cacheLogFor returns the log that answers requests about a zone's caches, nil if there is none.
@@ -163,8 +163,8 @@
 	}
 }
 
-func decodeCachesRequest(request *rpc.CachesRequest) cachefeed.Question {
-	question := cachefeed.Question{
+func decodeCachesRequest(request *rpc.CachesRequest) cachefeed.Query {
+	question := cachefeed.Query{
 		After: cachefeed.Cursor{Generation: request.GetGeneration(), Sequence: request.GetSequence()},
 	}
 	for _, cache := range request.GetMissing() {
@@ -173,7 +173,7 @@
 	return question
 }
 
-func encodeCachesRequest(question cachefeed.Question, wait time.Duration) *rpc.CachesRequest {
+func encodeCachesRequest(question cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
 	request := &rpc.CachesRequest{
 		Generation: question.After.Generation, Sequence: question.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
 	}
@@ -183,26 +183,26 @@
 	return request
 }
 
-func encodeCachesResponse(answer cachefeed.News) *rpc.CachesResponse {
-	response := &rpc.CachesResponse{Generation: answer.Next.Generation, Sequence: answer.Next.Sequence, Whole: answer.Whole}
+func encodeCachesResponse(answer cachefeed.Delta) *rpc.CachesResponse {
+	response := &rpc.CachesResponse{Generation: answer.Next.Generation, Sequence: answer.Next.Sequence, Whole: answer.Complete}
 	for _, update := range answer.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
-			Cache: string(update.Cache), Anew: update.Anew, Lost: update.Lost,
-			Held: encodeBlockHashes(update.Held), Dropped: encodeBlockHashes(update.Dropped),
+			Cache: string(update.Cache), Anew: update.Reset, Lost: update.Lost,
+			Held: encodeBlockHashes(update.Stored), Dropped: encodeBlockHashes(update.Removed),
 		})
 	}
 	return response
 }
 
-func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.News {
-	answer := cachefeed.News{
-		Whole: response.GetWhole(),
-		Next:  cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
+func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.Delta {
+	answer := cachefeed.Delta{
+		Complete: response.GetWhole(),
+		Next:     cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
 	}
 	for _, update := range response.GetUpdates() {
 		answer.Updates = append(answer.Updates, cachefeed.Update{
-			Cache: fleet.EngineID(update.GetCache()), Anew: update.GetAnew(), Lost: update.GetLost(),
-			Held: decodeBlockHashes(update.GetHeld()), Dropped: decodeBlockHashes(update.GetDropped()),
+			Cache: fleet.EngineID(update.GetCache()), Reset: update.GetAnew(), Lost: update.GetLost(),
+			Stored: decodeBlockHashes(update.GetHeld()), Removed: decodeBlockHashes(update.GetDropped()),
 		})
 	}
 	return answer
--- a/internal/gateway/cachelog_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -20,37 +20,37 @@
 // state.
 func TestAnswerCachesServesFollowedCaches(t *testing.T) {
 	g := newTestGateway(t)
-	ask := func(question cachefeed.Question) (cachefeed.News, error) {
+	ask := func(question cachefeed.Query) (cachefeed.Delta, error) {
 		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
 		return decodeCachesResponse(response), err
 	}
-	_, err := ask(cachefeed.Question{})
+	_, err := ask(cachefeed.Query{})
 	require.ErrorIs(t, err, errNoCachesFollowed, "no caches followed")
 	assert.True(t, g.cacheLog.isWanted(g.now()), "wanted after the first request")
 
 	g.cacheLog.setFollowing(g.now(), 2)
-	g.cacheLog.observe("one", true, []cachefeed.Change{{Part: 1, Held: true}, {Part: 2, Held: true}})
-	_, err = ask(cachefeed.Question{})
+	g.cacheLog.observe("one", true, []cachefeed.Change{{Block: 1, Stored: true}, {Block: 2, Stored: true}})
+	_, err = ask(cachefeed.Query{})
 	require.ErrorIs(t, err, errNoCachesFollowed, "incomplete state must not be served")
 	g.cacheLog.observe("two", true, nil)
-	answer, err := ask(cachefeed.Question{})
+	answer, err := ask(cachefeed.Query{})
 	require.NoError(t, err)
-	assert.True(t, answer.Whole)
+	assert.True(t, answer.Complete)
 	assert.Len(t, answer.Updates, 2)
 
-	unchanged, err := ask(cachefeed.Question{After: answer.Next})
+	unchanged, err := ask(cachefeed.Query{After: answer.Next})
 	require.NoError(t, err)
-	assert.Equal(t, cachefeed.News{Next: answer.Next}, unchanged)
+	assert.Equal(t, cachefeed.Delta{Next: answer.Next}, unchanged)
 	go func() {
 		time.Sleep(5 * time.Millisecond)
-		g.cacheLog.observe("one", false, []cachefeed.Change{{Part: 1}})
+		g.cacheLog.observe("one", false, []cachefeed.Change{{Block: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Question{After: answer.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Query{After: answer.Next}, time.Minute))
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Held: []fleet.BlockHash{}, Dropped: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
-	answer, err = ask(cachefeed.Question{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Stored: []fleet.BlockHash{}, Removed: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
+	answer, err = ask(cachefeed.Query{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Anew: true, Held: []fleet.BlockHash{2}, Dropped: []fleet.BlockHash{}}}, answer.Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Reset: true, Stored: []fleet.BlockHash{2}, Removed: []fleet.BlockHash{}}}, answer.Updates)
 }
 
 // A serving gateway must follow another zone's caches directly only while no gateway there answers.
@@ -159,14 +159,14 @@
 	require.ErrorIs(t, err, errNoCachesFollowed, "no state of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
-	updates := []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
+	updates := []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
 	feed.mirror.applyUpdates(g.now(), updates, 1)
 	_, err = g.answerCaches(t.Context(), ask)
 	require.ErrorIs(t, err, errNoCachesFollowed, "state received through another gateway")
 	g.zoneFeeds.setSource(feed, false, true)
 	response, err := g.answerCaches(t.Context(), ask)
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Anew: true, Held: []fleet.BlockHash{3}, Dropped: []fleet.BlockHash{}}}, decodeCachesResponse(response).Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}, Removed: []fleet.BlockHash{}}}, decodeCachesResponse(response).Updates)
 	assert.True(t, feed.mirror.isWanted(g.now()))
 	feed.mirror.reset(6)
 	_, err = g.answerCaches(t.Context(), ask)
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -28,7 +28,7 @@
 var errCallerWrite = errors.New("caller's connection failed")
 
 // deliver relays a worker's answer to the caller.
-func (g *Gateway) deliver(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliver(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Response) attempt.Step {
 	if isEventStream(current, answer) {
 		return g.deliverStream(ctx, current, placement, answer)
 	}
@@ -65,16 +65,16 @@
 	case errors.Is(writeErr, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Cancelled, writeErr.Error())
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	default:
 		g.noteLostRun(current, placement, lossOf(ctx))
 		g.recordOutcome(current, placement, backends.Lost, writeErr.Error())
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	return step
 }
 
-func isEventStream(current *callerRequest, answer *upstream.Answer) bool {
+func isEventStream(current *callerRequest, answer *upstream.Response) bool {
 	return current.route.Kind == routes.Streaming && answer.Status == http.StatusOK &&
 		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
 }
@@ -84,17 +84,17 @@
 	g.noteLostRun(current, placement, lossOf(ctx))
 	if current.isCallerGone() {
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	g.recordOutcome(current, placement, backends.Lost, "body: "+err.Error())
 	if ctx.Err() != nil {
-		return current.attempts.Interrupted()
+		return current.attempts.TimedOut()
 	}
 	return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 }
 
 // bufferAnswer reads an answer up to maxBufferedBytes. complete is false if more may follow.
-func bufferAnswer(answer *upstream.Answer) (content []byte, complete bool, err error) {
+func bufferAnswer(answer *upstream.Response) (content []byte, complete bool, err error) {
 	if answer.ContentLength >= 0 && answer.ContentLength <= maxBufferedBytes {
 		content = make([]byte, 0, answer.ContentLength+1)
 	}
@@ -117,7 +117,7 @@
 
 // copyRemaining copies the rest of an answer. A failed write returns errCallerWrite; any other
 // error is the worker's.
-func copyRemaining(writer io.Writer, answer *upstream.Answer) error {
+func copyRemaining(writer io.Writer, answer *upstream.Response) error {
 	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := answer.Read(buffer)
@@ -140,14 +140,14 @@
 
 // sendHead writes the head of a worker's answer. length is that of the body in bytes, or
 // unknownLength.
-func (g *Gateway) sendHead(current *callerRequest, answer *upstream.Answer, length int64) {
+func (g *Gateway) sendHead(current *callerRequest, answer *upstream.Response, length int64) {
 	header := current.writer.Header()
 	copyAnswerHeader(header, answer.Header)
 	g.closeAfterResponse(header)
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	current.attempts.Began()
+	current.attempts.DeliveryStarted()
 	current.headSent = true
 	current.status = answer.Status
 	current.result = resultcode.OK
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -28,7 +28,7 @@
 // Causes of sends that are not made or whose answer is discarded.
 var (
 	// errForeignAnswer means that an answer belongs to another request.
-	errForeignAnswer = errors.Wrap(upstream.ErrForeignAnswer, "request identifier differs")
+	errForeignAnswer = errors.Wrap(upstream.ErrResponseMismatch, "request identifier differs")
 	// errStaleConfiguration means that the configuration is too old to check keys.
 	errStaleConfiguration = errors.New("configuration too old")
 	// errDraining means that the worker is draining or gone since it was chosen.
@@ -84,7 +84,7 @@
 		Header: header,
 		Body:   current.body,
 		Permit: func() error { return g.permitSend(ctx, current, &placement.Worker, dispatch, header) },
-		Accept: func(status int, header http.Header) error {
+		CheckResponse: func(status int, header http.Header) error {
 			info := g.dependencies.Codec.ReadResponse(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
 				return errForeignAnswer
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -46,7 +46,7 @@
 		case attempt.StepFail:
 			g.refuse(current, refusal{code: step.Code, reason: step.Reason, retryAfter: step.RetryAfter})
 			return
-		case attempt.StepBreak:
+		case attempt.StepAbort:
 			if current.isCallerGone() {
 				current.reason = "caller gone"
 				panic(http.ErrAbortHandler)
@@ -64,11 +64,11 @@
 // send chooses a worker, sends the request to it and relays the answer.
 func (g *Gateway) send(ctx context.Context, current *callerRequest) attempt.Step {
 	if current.isCallerGone() {
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	g.checkSuspension()
 	if verdict, quarantined := g.checkHeld(current); quarantined {
-		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.attempts.Denied(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
 	if current.tenant != nil && !g.canServeKeyed() {
@@ -125,7 +125,7 @@
 // exchangeWith sends the request and waits for the head of the answer. Until the head arrives, the
 // send may be cancelled because the engine's model version has become too old or the request has
 // been quarantined.
-func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Answer, error) {
+func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Response, error) {
 	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, quarantineTrial: current.quarantineTrial}
 	if placement.Engine != nil {
 		send.model, send.version = current.metadata.Model, placement.Engine.Version
@@ -153,7 +153,7 @@
 // of the send, ctx that of the request.
 func (g *Gateway) handleSendError(ctx, sending context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
 	run := placement.Worker.Run()
-	var failure *upstream.Failure
+	var failure *upstream.ExchangeError
 	sent := !errors.As(err, &failure) || failure.Stage == upstream.Sent
 	if sent {
 		g.noteLostRun(current, placement, lossOf(sending))
@@ -161,10 +161,10 @@
 	switch {
 	case current.isCallerGone():
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil && sent:
 		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
-		return current.attempts.Interrupted()
+		return current.attempts.TimedOut()
 	case ctx.Err() != nil:
 		g.recordOutcome(current, placement, backends.Unreachable, "deadline passed")
 		return current.attempts.Expired()
@@ -174,13 +174,13 @@
 	case errors.Is(err, errQuarantined):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		verdict := g.quarantines.check(g.now(), current.fingerprint)
-		return current.attempts.Barred(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
+		return current.attempts.Denied(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	case errors.Is(err, errBackoff):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
-		return current.attempts.Withheld(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.StartTime)))
+		return current.attempts.Throttled(g.now(), g.backoffs.remaining(g.now(), backoffRun(placement.Worker.ID, placement.Worker.StartTime)))
 	case errors.Is(err, errLimited):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
-		return current.attempts.Withheld(g.now(), g.limits.closedFor(g.now(), placement.Worker.ID, limitPriority(current)))
+		return current.attempts.Throttled(g.now(), g.limits.closedFor(g.now(), placement.Worker.ID, limitPriority(current)))
 	case errors.Is(err, upstream.ErrTooManyConnections), errors.Is(err, errTargetNotAllowed), errors.Is(err, errStaleConfiguration), errors.Is(err, errDraining),
 		errors.Is(err, errDeadlinePassed):
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
@@ -196,7 +196,7 @@
 }
 
 // handleRejection returns the next step after a worker reported that it did not run the request.
-func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Answer, info ResponseInfo) attempt.Step {
+func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Response, info ResponseInfo) attempt.Step {
 	drainAnswer(answer)
 	outcome := backends.Refused
 	switch {
@@ -213,7 +213,7 @@
 const maxDrainBytes = 4 << 10
 
 // drainAnswer reads a short answer to its end, so that its connection can be reused.
-func drainAnswer(answer *upstream.Answer) {
+func drainAnswer(answer *upstream.Response) {
 	var buffer [512]byte
 	for total := 0; total < maxDrainBytes; {
 		count, err := answer.Read(buffer[:])
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -179,7 +179,7 @@
 	})
 	g.upstreams = upstream.NewPool(upstream.Options{
 		Traffic: g.dependencies.Traffic,
-		Dialed:  func(fleet.EngineID) { g.metrics.connections.Inc() },
+		OnDial:  func(fleet.EngineID) { g.metrics.connections.Inc() },
 	})
 	g.budgets = newRetryBudgets(settings, g.retryShare)
 	g.quotas = newQuotas(g.clock.Now(), settings)
@@ -337,12 +337,12 @@
 func (g *Gateway) housekeep() error {
 	for g.pauseInterval(housekeepInterval) {
 		for _, engine := range g.workers.Forget(g.now(), forgetWorkersAfter) {
-			g.upstreams.Forget(engine)
+			g.upstreams.CloseIdleTo(engine)
 			g.limits.forget(engine)
 			g.backoffs.forget(engine)
 			g.unknownHeaders.forget(engine)
 		}
-		g.upstreams.Sweep()
+		g.upstreams.CloseExpired()
 		g.logLimitUsage()
 		g.metrics.workersInBackoff.Set(float64(len(g.backoffs.workersInBackoff(g.now()))))
 		g.idleConnections.sweep(g.now(), g.idleTimeout())
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -21,7 +21,7 @@
 		Excluded: current.attempts.Excluded(),
 		HasConnection: func(worker *backends.Worker) bool {
 			destination.Engine, destination.Address = worker.ID, worker.Address
-			return g.upstreams.Free(destination)
+			return g.upstreams.HasCapacity(destination)
 		},
 		Bytes:    exchangeOverheadBytes + int(max(current.request.ContentLength, 0)),
 		Software: g.allowedVersions(current, current.sentToTarget),
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -141,7 +141,7 @@
 // doesn't wait, so that it renews the freshness proof at once.
 func (f *storeFollower) call(ctx context.Context) (*watchcache.Update, error) {
 	store := f.gateway.dependencies.Store
-	isPartial := f.table.cache.Partial()
+	isPartial := f.table.cache.IsPartial()
 	switch {
 	case isPartial && !f.gateway.shouldReadAllWorkers():
 		f.after, f.hasPosition = f.table.cache.Revision(), true
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,7 +23,7 @@
 
 // deliverStream relays the events of a stream as they arrive, only whole ones. A stream that breaks
 // off may be resumed at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Answer) attempt.Step {
+func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Response) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.attempts.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
@@ -48,7 +48,7 @@
 	case current.isCallerGone() || errors.Is(err, errCallerWrite):
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
-		return attempt.Step{Kind: attempt.StepBreak}
+		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil:
 		g.noteLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
@@ -57,12 +57,12 @@
 		g.noteLostRun(current, placement, quarantine.BrokenOff)
 		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
-		return current.attempts.Broken(g.now(), run, current.rememberCopy(placement))
+		return current.attempts.Truncated(g.now(), run, current.rememberCopy(placement))
 	}
 }
 
 // writeEvents writes whole events to the caller and flushes them.
-func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Answer, events []byte) error {
+func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Response, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
 	}
@@ -83,7 +83,7 @@
 
 // eventRelay reads a stream of events and relays whole ones.
 type eventRelay struct {
-	answer *upstream.Answer
+	answer *upstream.Response
 	// lastID is the identifier of the last relayed event.
 	lastID string
 	buffer []byte
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -33,7 +33,7 @@
 // planSubsets plans and applies the subsets of workers in use, at a gateway that knows all workers.
 // Rows that are about to be applied are included.
 func (g *Gateway) planSubsets(incoming []WorkerRow) {
-	if !g.workersTable().cache.Whole() {
+	if !g.workersTable().cache.IsComplete() {
 		return
 	}
 	var workers []backends.Worker
@@ -100,7 +100,7 @@
 	}
 	request.WorkersInUse = true
 	request.Doublings = encodeSubsets(g.workers.Doublings())
-	if !g.workersTable().cache.Whole() {
+	if !g.workersTable().cache.IsComplete() {
 		request.SubsetsDigest = subsetsDigest(g.workers.ActiveSubsets())
 	}
 }
@@ -108,7 +108,7 @@
 // workersUpdate returns the changes of workers after the sequence number seen, of all workers or
 // those in use. It returns nil if this gateway doesn't know all workers.
 func (g *Gateway) workersUpdate(followed *table, request *rpc.WatchRequest, seen uint64) (*watchcache.Update, backends.Subsets) {
-	if !followed.cache.Whole() {
+	if !followed.cache.IsComplete() {
 		return nil, nil
 	}
 	if !request.GetWorkersInUse() {
@@ -118,7 +118,7 @@
 	if request.GetSubsetsDigest() != subsetsDigest(subsets) {
 		seen = 0
 	}
-	return followed.cache.AfterOf(seen, g.workers.SubsetFilter(subsets)), subsets
+	return followed.cache.AfterMatching(seen, g.workers.SubsetFilter(subsets)), subsets
 }
 
 // applyWorkersUpdate applies a peer's update of all workers or of those in use. The rows tell which
@@ -129,7 +129,7 @@
 		return
 	}
 	subsets := decodeSubsets(message.GetSubsets())
-	update.Covers = g.workers.SubsetFilter(subsets)
+	update.Filter = g.workers.SubsetFilter(subsets)
 	followed.apply(update, gapUnreachable)
 	g.setSubsets(subsets, false)
 }
@@ -137,7 +137,7 @@
 // watchPosition returns the sequence number up to which this gateway has seen a source's changes of
 // a table. 0 requests all rows.
 func (g *Gateway) watchPosition(followed *table) uint64 {
-	if followed.name == TableWorkers && followed.cache.Partial() && g.needsAllWorkers() {
+	if followed.name == TableWorkers && followed.cache.IsPartial() && g.needsAllWorkers() {
 		return 0
 	}
 	return followed.seenSequence
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -179,7 +179,7 @@
 // forgetPreviousRun drops the state of a worker's previous run after a restart under the same
 // identifier.
 func (g *Gateway) forgetPreviousRun(worker fleet.EngineID) {
-	g.upstreams.Forget(worker)
+	g.upstreams.CloseIdleTo(worker)
 	g.rollout.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
@@ -214,7 +214,7 @@
 func (g *Gateway) handleWorkerChange(worker backends.Worker, change backends.Change) {
 	switch change {
 	case backends.Gone, backends.StartedDraining, backends.Unusable:
-		g.upstreams.Forget(worker.ID)
+		g.upstreams.CloseIdleTo(worker.ID)
 	case backends.Restarted:
 		g.forgetPreviousRun(worker.ID)
 	}
--- a/internal/gateway/zonefeeds.go
+++ b/internal/gateway/zonefeeds.go
@@ -125,7 +125,7 @@
 	for ctx.Err() == nil {
 		source, found := selector.Choose(g.now(), g.cacheSources(zone))
 		member, known := g.peers.View().Find(source)
-		g.zoneFeeds.setSource(feed, !found && selector.Alone(g.now()), known && member.Zone == zone)
+		g.zoneFeeds.setSource(feed, !found && selector.CanReadDirectly(g.now()), known && member.Zone == zone)
 		wanted := g.zoneFeeds.wanted(feed)
 		if !found || len(wanted) == 0 {
 			follower.Reset()
@@ -149,12 +149,12 @@
 			sleep(ctx, cacheEventsInterval)
 		case errors.Is(err, peer.ErrUnavailable):
 			g.logCacheSourceFailure(zone, source, err)
-			selector.Unavailable(g.now(), source)
+			selector.MarkNotReady(g.now(), source)
 			follower.Reset()
 			sleep(ctx, cacheCheckInterval)
 		default:
 			g.logCacheSourceFailure(zone, source, err)
-			selector.Failed(g.now(), source)
+			selector.MarkFailed(g.now(), source)
 			follower.Reset()
 		}
 	}
@@ -194,7 +194,7 @@
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(source.Zone))
 	ctx, cancel := context.WithTimeout(ctx, cacheEventsWait+cacheRequestSlack)
 	defer cancel()
-	request := encodeCachesRequest(follower.Ask(wanted), cacheEventsWait)
+	request := encodeCachesRequest(follower.NextQuery(wanted), cacheEventsWait)
 	if source.Zone != zone {
 		request.Zone = string(zone)
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return follower.Take(decodeCachesResponse(response), wanted), nil
+	return follower.Apply(decodeCachesResponse(response), wanted), nil
 }
 
 // applyCacheUpdates applies another gateway's cache updates.
@@ -213,6 +213,6 @@
 			g.workers.UntrackCache(run)
 			continue
 		}
-		g.workers.ObserveRelayedCache(run, update.Anew, update.Changes())
+		g.workers.ObserveRelayedCache(run, update.Reset, update.Changes())
 	}
 }
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -11,19 +11,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-func row(key string, revision fleet.Revision) Row {
+func presentRow(key string, revision fleet.Revision) Row {
 	return Row{Key: key, Revision: revision, Value: []byte(key + strconv.Itoa(int(revision)))}
 }
 
-func gone(key string, revision fleet.Revision) Row {
-	return Row{Key: key, Revision: revision, Gone: true}
+func deletedRow(key string, revision fleet.Revision) Row {
+	return Row{Key: key, Revision: revision, Deleted: true}
 }
 
-func whole(revision fleet.Revision, rows ...Row) *Update {
+func completeUpdate(revision fleet.Revision, rows ...Row) *Update {
 	return &Update{Revision: revision, Complete: true, Rows: rows}
 }
 
-func changes(revision fleet.Revision, rows ...Row) *Update {
+func incrementalUpdate(revision fleet.Revision, rows ...Row) *Update {
 	return &Update{Revision: revision, Rows: rows}
 }
 
@@ -31,7 +31,7 @@
 	var names []string
 	for _, row := range rows {
 		name := row.Key
-		if row.Gone {
+		if row.Deleted {
 			name = "-" + name
 		}
 		names = append(names, name)
@@ -39,95 +39,94 @@
 	return names
 }
 
-func TestUpdatesAfterANumberNameWhatChangedSince(t *testing.T) {
+func TestAfterReturnsChangesSinceSequence(t *testing.T) {
 	cache := New(0)
-	assert.Nil(t, cache.After(0), "nothing is known")
+	assert.Nil(t, cache.After(0), "no snapshot yet")
 	changed := cache.Changed()
-	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(whole(5, row("a", 3), row("b", 5)))))
+	assert.Equal(t, []string{"a", "b"}, keys(cache.Apply(completeUpdate(5, presentRow("a", 3), presentRow("b", 5)))))
 	<-changed
 	first := cache.After(0).Sequence
-	cache.Apply(changes(7, gone("a", 6), row("c", 7)))
+	cache.Apply(incrementalUpdate(7, deletedRow("a", 6), presentRow("c", 7)))
 	later := cache.After(first)
 	assert.False(t, later.Complete)
 	assert.Equal(t, []string{"-a", "c"}, keys(later.Rows))
 	assert.Empty(t, cache.After(later.Sequence).Rows)
 	all := cache.After(0)
 	assert.True(t, all.Complete)
-	assert.Equal(t, []string{"b", "-a", "c"}, keys(all.Rows), "a went after the last complete update")
+	assert.Equal(t, []string{"b", "-a", "c"}, keys(all.Rows), "a was deleted after the last complete update")
 }
 
-// TestEmptyTableIsKnown has watchers told of a table without rows.
-func TestEmptyTableIsKnown(t *testing.T) {
+// A complete update without rows must count as a snapshot and notify watchers.
+func TestEmptyTableCountsAsSnapshot(t *testing.T) {
 	cache := New(0)
 	changed := cache.Changed()
-	cache.Apply(whole(3))
+	cache.Apply(completeUpdate(3))
 	<-changed
-	assert.True(t, cache.Known())
+	assert.True(t, cache.HasSnapshot())
 	assert.True(t, cache.After(0).Complete)
 }
 
-// TestNothingGoesBack has late and stale updates arrive.
-func TestNothingGoesBack(t *testing.T) {
+// Late and stale updates must not replace newer rows.
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a", 9), row("b", 4)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(whole(6, row("a", 2)))), "b went before 6, a is newer")
-	assert.Empty(t, cache.Apply(changes(8, gone("a", 8))))
+	cache.Apply(completeUpdate(9, presentRow("a", 9), presentRow("b", 4)))
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(6, presentRow("a", 2)))), "b was deleted before 6, a is newer")
+	assert.Empty(t, cache.Apply(incrementalUpdate(8, deletedRow("a", 8))))
 	assert.Equal(t, []byte("a9"), cache.After(0).Rows[0].Value)
 }
 
-// TestOlderRevisionThatIsToldLateReachesWatchers has a change missed that the
-// store tells of after newer ones.
-func TestOlderRevisionThatIsToldLateReachesWatchers(t *testing.T) {
+// A change that the store delivers after newer ones must still reach watchers.
+func TestLateOlderRevisionReachesWatchers(t *testing.T) {
 	cache, watcher := New(0), New(0)
-	cache.Apply(whole(5, row("a", 5)))
-	cache.Apply(changes(9, row("b", 9)))
+	cache.Apply(completeUpdate(5, presentRow("a", 5)))
+	cache.Apply(incrementalUpdate(9, presentRow("b", 9)))
 	seen := cache.After(0)
 	watcher.Apply(seen)
-	cache.Apply(changes(9, row("a", 7)))
+	cache.Apply(incrementalUpdate(9, presentRow("a", 7)))
 	assert.Equal(t, []string{"a"}, keys(watcher.Apply(cache.After(seen.Sequence))))
 }
 
-// TestCompleteUpdateNamesWhoIsGone, by the store's word or by a cache's.
-func TestCompleteUpdateNamesWhoIsGone(t *testing.T) {
+// A complete update must delete the older rows that it does not list, whether it comes from the
+// store or from a cache.
+func TestCompleteUpdateDeletesMissingRows(t *testing.T) {
 	cache, other := New(0), New(0)
-	cache.Apply(whole(5, row("a", 5), row("b", 5), row("c", 5)))
-	cache.Apply(changes(8, row("c", 8)))
-	assert.Equal(t, []string{"-b"}, keys(cache.Apply(whole(7, row("a", 5)))), "c is newer than the read")
-	other.Apply(whole(5, row("a", 5), row("b", 5)))
-	other.Apply(changes(9, row("d", 9)))
-	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than what the cache was told whole")
+	cache.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5), presentRow("c", 5)))
+	cache.Apply(incrementalUpdate(8, presentRow("c", 8)))
+	assert.Equal(t, []string{"-b"}, keys(cache.Apply(completeUpdate(7, presentRow("a", 5)))), "c is newer than the update")
+	other.Apply(completeUpdate(5, presentRow("a", 5), presentRow("b", 5)))
+	other.Apply(incrementalUpdate(9, presentRow("d", 9)))
+	assert.Equal(t, []string{"c", "-b"}, keys(other.Apply(cache.After(0))), "d is newer than the snapshot of the cache")
 }
 
-func TestDroppedTombstonesMakeOldNumbersReadAll(t *testing.T) {
+func TestPrunedTombstonesForceCompleteUpdate(t *testing.T) {
 	cache := New(4)
-	cache.Apply(whole(1, row("x", 1)))
-	numbers := []uint64{cache.After(0).Sequence}
+	cache.Apply(completeUpdate(1, presentRow("x", 1)))
+	sequences := []uint64{cache.After(0).Sequence}
 	for revision := fleet.Revision(2); revision < 12; revision++ {
-		cache.Apply(changes(revision, row("k"+strconv.Itoa(int(revision)), revision)))
-		cache.Apply(changes(revision, gone("k"+strconv.Itoa(int(revision)), revision+100)))
-		numbers = append(numbers, cache.After(0).Sequence)
+		cache.Apply(incrementalUpdate(revision, presentRow("k"+strconv.Itoa(int(revision)), revision)))
+		cache.Apply(incrementalUpdate(revision, deletedRow("k"+strconv.Itoa(int(revision)), revision+100)))
+		sequences = append(sequences, cache.After(0).Sequence)
 	}
-	assert.True(t, cache.After(numbers[0]).Complete)
-	latest := cache.After(numbers[len(numbers)-2])
+	assert.True(t, cache.After(sequences[0]).Complete)
+	latest := cache.After(sequences[len(sequences)-2])
 	assert.False(t, latest.Complete)
 	assert.Equal(t, []string{"-k11"}, keys(latest.Rows))
 }
 
-// TestChainOfCachesEndsAlike has a second cache follow the first, and a third
-// the second, with updates that are lost, repeated and reordered.
-func TestChainOfCachesEndsAlike(t *testing.T) {
+// Caches that follow each other must converge though updates are lost, repeated and reordered.
+func TestChainedCachesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		store := New(0)
-		store.Apply(whole(1))
+		store.Apply(completeUpdate(1))
 		chain := []*Cache{store, New(0), New(0)}
 		positions := make([]uint64, len(chain))
 		var delayed []*Update
-		var delayedTo []int
+		var delayedTargets []int
 		for revision := fleet.Revision(2); revision < 60; revision++ {
-			changed := row("k"+strconv.Itoa(random.IntN(6)), revision)
-			changed.Gone = random.IntN(3) == 0
-			store.Apply(changes(revision, changed))
+			changed := presentRow("k"+strconv.Itoa(random.IntN(6)), revision)
+			changed.Deleted = random.IntN(3) == 0
+			store.Apply(incrementalUpdate(revision, changed))
 			for to := 1; to < len(chain); to++ {
 				update := chain[to-1].After(positions[to])
 				if update == nil {
@@ -136,7 +135,7 @@
 				switch random.IntN(4) {
 				case 0:
 				case 1:
-					delayed, delayedTo = append(delayed, update), append(delayedTo, to)
+					delayed, delayedTargets = append(delayed, update), append(delayedTargets, to)
 				default:
 					chain[to].Apply(update)
 					positions[to] = update.Sequence
@@ -144,100 +143,98 @@
 			}
 			if len(delayed) > 0 && random.IntN(2) == 0 {
 				pick := random.IntN(len(delayed))
-				chain[delayedTo[pick]].Apply(delayed[pick])
+				chain[delayedTargets[pick]].Apply(delayed[pick])
 			}
 		}
 		for to := 1; to < len(chain); to++ {
 			chain[to].Apply(chain[to-1].After(positions[to]))
-			require.ElementsMatch(t, present(store), present(chain[to]), "seed %d", seed)
+			require.ElementsMatch(t, presentRows(store), presentRows(chain[to]), "seed %d", seed)
 		}
 	}
 }
 
-// present returns the rows that aren't gone.
-func present(cache *Cache) []Row {
+// presentRows returns the rows that are not deleted.
+func presentRows(cache *Cache) []Row {
 	var rows []Row
 	for _, row := range cache.After(0).Rows {
-		if !row.Gone {
+		if !row.Deleted {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// TestPartOfATableIsDroppedWithoutAWord has a cache be told of a part only: the rest isn't
-// gone, and comes back whole.
-func TestPartOfATableIsDroppedWithoutAWord(t *testing.T) {
+// An update with a filter must evict the other rows without deleting them, so that they can return
+// at their own revision.
+func TestFilteredUpdateEvictsWithoutDeleting(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a1", 1), row("a2", 2), row("b1", 3), gone("b2", 4)))
-	assert.True(t, cache.Whole())
-	ofA := func(key string) bool { return key[0] == 'a' }
-	told := cache.AfterOf(0, ofA)
-	assert.Equal(t, []string{"a1", "a2"}, keys(told.Rows))
-	part := whole(10, row("a2", 2))
-	part.Covers = ofA
-	assert.Equal(t, []string{"-a1"}, keys(cache.Apply(part)), "b1 isn't gone")
-	assert.True(t, cache.Partial())
-	assert.False(t, cache.Whole())
-	assert.Equal(t, []string{"b1"}, keys(cache.Apply(whole(11, row("a2", 2), row("b1", 3)))))
-	assert.True(t, cache.Whole())
-}
-
-// TestRevisionFollowsWhatIsKnown without a gap, and never goes back.
-func TestRevisionFollowsWhatIsKnown(t *testing.T) {
+	cache.Apply(completeUpdate(9, presentRow("a1", 1), presentRow("a2", 2), presentRow("b1", 3), deletedRow("b2", 4)))
+	assert.True(t, cache.IsComplete())
+	hasPrefixA := func(key string) bool { return key[0] == 'a' }
+	update := cache.AfterMatching(0, hasPrefixA)
+	assert.Equal(t, []string{"a1", "a2"}, keys(update.Rows))
+	part := completeUpdate(10, presentRow("a2", 2))
+	part.Filter = hasPrefixA
+	assert.Equal(t, []string{"-a1"}, keys(cache.Apply(part)), "b1 is evicted, not deleted")
+	assert.True(t, cache.IsPartial())
+	assert.False(t, cache.IsComplete())
+	assert.Equal(t, []string{"b1"}, keys(cache.Apply(completeUpdate(11, presentRow("a2", 2), presentRow("b1", 3)))))
+	assert.True(t, cache.IsComplete())
+}
+
+// The revision to watch from must never decrease, and the snapshot's revision must not follow it.
+func TestRevisionNeverDecreases(t *testing.T) {
 	cache := New(0)
-	cache.Apply(whole(9, row("a", 1)))
+	cache.Apply(completeUpdate(9, presentRow("a", 1)))
 	assert.EqualValues(t, 9, cache.Revision())
 	cache.Advance(12)
 	cache.Advance(10)
 	assert.EqualValues(t, 12, cache.Revision())
-	assert.EqualValues(t, 12, cache.After(0).Followed)
-	assert.EqualValues(t, 9, cache.After(0).Revision, "the word on what is gone is as old as the whole read")
+	assert.EqualValues(t, 12, cache.After(0).WatchedRevision)
+	assert.EqualValues(t, 9, cache.After(0).Revision, "the snapshot is as old as the last complete update")
 }
 
-// TestRowThatTheStorePassedOverIsNotGone has a store forget its history: it tells one reader
-// of no change up to 20, though b began at 15, which another reader has seen. Who asks the
-// first after the second must not take b for gone up to 20: it would never come back.
-func TestRowThatTheStorePassedOverIsNotGone(t *testing.T) {
+// A row that the store skipped in a watch, after compacting its history, must not be taken for
+// deleted by a follower that already has it: it could never return at its own revision.
+func TestRowSkippedByWatchIsNotDeleted(t *testing.T) {
 	first, follower := New(0), New(0)
-	first.Apply(whole(10, row("a", 1)))
+	first.Apply(completeUpdate(10, presentRow("a", 1)))
 	first.Advance(20)
-	follower.Apply(whole(16, row("a", 1), row("b", 15)))
+	follower.Apply(completeUpdate(16, presentRow("a", 1), presentRow("b", 15)))
 	assert.Empty(t, follower.Apply(first.After(0)))
-	first.Apply(changes(21, row("b", 15)))
+	first.Apply(incrementalUpdate(21, presentRow("b", 15)))
 	assert.Equal(t, []string{"a", "b"}, keys(follower.After(0).Rows))
 }
 
-// TestChangesAreToldAsByALookAtAllRows compares the answers of a cache, through drawn updates,
-// with what a look at all of its rows says.
-func TestChangesAreToldAsByALookAtAllRows(t *testing.T) {
+// The changes returned from the log must match those found by a scan of all rows.
+func TestAfterMatchesFullScan(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		cache := New(8)
-		cache.Apply(whole(1))
+		cache.Apply(completeUpdate(1))
 		for step := range 300 {
 			key := strconv.Itoa(random.IntN(30))
 			revision := fleet.Revision(2 + step)
 			if random.IntN(4) == 0 {
-				cache.Apply(changes(revision, gone(key, revision)))
+				cache.Apply(incrementalUpdate(revision, deletedRow(key, revision)))
 			} else {
-				cache.Apply(changes(revision, row(key, revision)))
+				cache.Apply(incrementalUpdate(revision, presentRow(key, revision)))
 			}
 			after := cache.sequence - min(cache.sequence, uint64(random.IntN(40)))
-			told := cache.After(after)
+			update := cache.After(after)
 			var expected []string
-			for _, held := range cache.rows {
-				if told.Complete && held.Gone && held.Revision <= cache.base || !told.Complete && held.sequence <= after {
+			for _, existing := range cache.rows {
+				if update.Complete && existing.Deleted && existing.Revision <= cache.snapshotRevision || !update.Complete && existing.sequence <= after {
 					continue
 				}
-				name := held.Key
-				if held.Gone {
+				name := existing.Key
+				if existing.Deleted {
 					name = "-" + name
 				}
 				expected = append(expected, name)
 			}
-			require.ElementsMatch(t, expected, keys(told.Rows), "seed %d step %d", seed, step)
+			require.ElementsMatch(t, expected, keys(update.Rows), "seed %d step %d", seed, step)
 		}
-		assert.LessOrEqual(t, len(cache.order), 2*len(cache.rows)+orderSlack)
+		assert.LessOrEqual(t, len(cache.changeLog), 2*len(cache.rows)+changeLogSlack)
 	}
 }
