--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -35,25 +35,25 @@
 func (c *crashes) note(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (blamed, check bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Note(now, worker, fingerprint, loss)
+	return c.lost.Observe(now, worker, fingerprint, loss)
 }
 
-func (c *crashes) ended(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
+func (c *crashes) ended(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lost.Ended(now, worker, proof)
+	return c.lost.WorkerCrashed(now, worker, proof)
 }
 
 func (c *crashes) alive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Alive(worker)
+	c.lost.WorkerAlive(worker)
 }
 
 func (c *crashes) undecided(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lost.Undecided(worker)
+	c.lost.ProbeInconclusive(worker)
 }
 
 func (c *crashes) sweep(now time.Duration) {
@@ -64,7 +64,7 @@
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
 func fingerprintOf(current *carried) quarantine.Fingerprint {
-	subject := quarantine.Subject{
+	subject := quarantine.RequestIdentity{
 		Method: current.request.Method,
 		Host:   current.request.Host,
 		Target: current.request.RequestURI,
@@ -83,7 +83,7 @@
 	blamed, check := g.crashes.note(g.now(), worker, current.fingerprint, loss)
 	switch {
 	case blamed:
-		g.blame(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+		g.blame(worker, quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
 	case check:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
@@ -98,7 +98,7 @@
 	case upstream.Alive:
 		g.crashes.alive(destination.Engine)
 	case upstream.Dead:
-		g.noteWorkerEnded(destination.Engine, quarantine.Refused)
+		g.noteWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
 	default:
 		g.crashes.undecided(destination.Engine)
 	}
@@ -107,12 +107,12 @@
 // noteUnreachable takes in that no connection to a worker could be made.
 func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.noteWorkerEnded(worker, quarantine.Refused)
+		g.noteWorkerEnded(worker, quarantine.ConnectionRefused)
 	}
 }
 
 // noteWorkerEnded takes in that a worker has ended without word that it was leaving.
-func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
+func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
 	if blamed := g.crashes.ended(g.now(), worker, proof); len(blamed) > 0 {
 		g.blame(worker, proof, blamed)
 	}
@@ -133,5 +133,5 @@
 	if ctx.Err() != nil {
 		return quarantine.Abandoned
 	}
-	return quarantine.BrokenOff
+	return quarantine.ConnectionBroken
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,7 +26,7 @@
 	any atomic.Bool
 
 	mutex  sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	// changed holds when records last changed here, for as long as reports tell them.
 	changed map[quarantine.Fingerprint]time.Duration
 	// untold holds the records to be told to others at once.
@@ -45,7 +45,7 @@
 
 func newQuarantines() *quarantines {
 	return &quarantines{
-		ledger:    quarantine.NewLedger(quarantine.Options{}),
+		ledger:    quarantine.NewTracker(quarantine.Options{}),
 		changed:   make(map[quarantine.Fingerprint]time.Duration),
 		untold:    make(map[quarantine.Fingerprint]bool),
 		own:       make(map[quarantine.Fingerprint]bool),
@@ -74,18 +74,18 @@
 
 // update changes the ledger by a word on one request, and has others told of it if tell says
 // so. It returns what has changed.
-func (q *quarantines) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (tell bool)) quarantineChange {
+func (q *quarantines) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Tracker) (tell bool)) quarantineChange {
 	q.any.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	before := q.ledger.Check(now, fingerprint)
 	tell := change(q.ledger)
 	after := q.ledger.Check(now, fingerprint)
-	outcome := quarantineChange{verdict: after, began: !before.Held && after.Held, ended: before.Held && !after.Held}
+	outcome := quarantineChange{verdict: after, began: !before.Quarantined && after.Quarantined, ended: before.Quarantined && !after.Quarantined}
 	// A single end that another node has seen is that node's to tell: of some thousand runs
 	// that end at once each node would tell all to all, a second time and a third.
-	concerns := q.own[fingerprint] || after.Ends >= sharedEnds
-	if tell || (before.Ends != after.Ends && concerns) {
+	concerns := q.own[fingerprint] || after.Crashes >= sharedEnds
+	if tell || (before.Crashes != after.Crashes && concerns) {
 		q.changed[fingerprint] = now
 	}
 	// Whoever begins to hold a request tells all: nodes that missed one of the words before
@@ -94,7 +94,7 @@
 		q.untold[fingerprint] = true
 		signal(q.announced)
 	}
-	if after.Ends >= sharedEnds || outcome.ended {
+	if after.Crashes >= sharedEnds || outcome.ended {
 		signal(q.unstored)
 	}
 	return outcome
@@ -102,9 +102,9 @@
 
 // ended takes in that a worker ended while a request was under way there, at this node.
 func (q *quarantines) ended(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
 		q.own[fingerprint] = true
-		return ledger.Ended(now, fingerprint, worker)
+		return ledger.ObserveCrash(now, fingerprint, worker)
 	})
 }
 
@@ -113,11 +113,11 @@
 	if !q.any.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
-		q.ledger.Answered(now, fingerprint)
+		q.ledger.ObserveAnswer(now, fingerprint)
 		return quarantineChange{}
 	}
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		spoken := ledger.Answered(now, fingerprint)
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
+		spoken := ledger.ObserveAnswer(now, fingerprint)
 		if spoken {
 			q.own[fingerprint] = true
 		}
@@ -128,15 +128,15 @@
 // merge takes in what another node, or the store, tells of a request. A node that knows of a
 // whole answer which speaks for the request tells all.
 func (q *quarantines) merge(now time.Duration, record *quarantine.Record) quarantineChange {
-	return q.update(now, record.Fingerprint, func(ledger *quarantine.Ledger) bool {
+	return q.update(now, record.Fingerprint, func(ledger *quarantine.Tracker) bool {
 		ledger.Merge(record)
-		return ledger.Beyond(record)
+		return ledger.IsAheadOf(record)
 	})
 }
 
 // release takes in that a request isn't to be held any more.
 func (q *quarantines) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool { return ledger.Release(now, fingerprint) })
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool { return ledger.Release(now, fingerprint) })
 }
 
 // sweep forgets what is too old, and returns what is held no more.
@@ -152,7 +152,7 @@
 		}
 	}
 	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedEnds)) > 0 {
+	if len(q.stored) > 0 || len(q.ledger.RecordsWithCrashes(sharedEnds)) > 0 {
 		signal(q.unstored)
 	}
 	for fingerprint := range q.own {
@@ -160,14 +160,14 @@
 			delete(q.own, fingerprint)
 		}
 	}
-	return released, q.ledger.Held()
+	return released, q.ledger.QuarantinedCount()
 }
 
 // checkQuarantine refuses a request that ends workers. One whose trial is due, and whose
 // trial nobody else makes, goes on.
 func (g *Gateway) checkQuarantine(current *carried) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return nil
 	}
 	if verdict.TrialDue && g.beginTrial(current, verdict) {
@@ -187,22 +187,22 @@
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
-	if verdict.Held {
+	if verdict.Quarantined {
 		g.noteHeld(current, verdict)
 	}
-	return verdict, verdict.Held
+	return verdict, verdict.Quarantined
 }
 
 // noteHeld logs and counts that a request was kept from the workers.
 func (g *Gateway) noteHeld(current *carried, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
-		Str("route", current.route.Name).Int("ends", verdict.Ends).Dur("first_end_age", verdict.FirstAge).
+		Str("route", current.route.Name).Int("ends", verdict.Crashes).Dur("first_end_age", verdict.FirstAge).
 		Dur("last_end_age", verdict.LastAge).Int("trials", verdict.Trials).Dur("retry_after", verdict.RetryAfter).Msg("request_held")
 }
 
 // blame takes in the requests whose runs ended with their worker, unless it shut down.
-func (g *Gateway) blame(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
+func (g *Gateway) blame(worker fleet.EngineID, proof quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
 	if g.workers.Draining(worker) {
 		return
 	}
@@ -225,7 +225,7 @@
 	switch {
 	case change.began:
 		broken := g.pending.hold(fingerprint)
-		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Ends).
+		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Crashes).
 			Dur("first_end_age", change.verdict.FirstAge).Dur("last_end_age", change.verdict.LastAge).
 			Int("trials", change.verdict.Trials).Int("broken_off", broken).Msg("quarantine_began")
 	case change.ended:
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -84,7 +84,7 @@
 	current.fingerprint = fingerprintOf(current)
 	record := quarantine.Record{Fingerprint: current.fingerprint}
 	for number := range quarantine.DefaultThreshold {
-		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
 	}
 	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	return current
@@ -98,7 +98,7 @@
 	require.NotNil(t, refused)
 	assert.Equal(t, resultcode.Quarantined, refused.code)
 	assert.True(t, resultcode.Lookup(refused.code).NotRun)
-	assert.InDelta(t, quarantine.DefaultHoldFor.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
+	assert.InDelta(t, quarantine.DefaultTrialDelay.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
 	assert.ErrorIs(t, g.permit(current, nil), errQuarantined, "nor right before a send")
 	other := *current
 	other.fingerprint[0]++
@@ -109,7 +109,7 @@
 func TestOneTrialForTheWholeFleet(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
-	const past = quarantine.DefaultHoldFor + time.Second
+	const past = quarantine.DefaultTrialDelay + time.Second
 	first, second := heldRequest(one, past), heldRequest(other, past)
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.trial)
@@ -123,7 +123,7 @@
 func TestNoTrialWithoutTheStoresWord(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
+	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	assert.NotNil(t, g.checkQuarantine(current))
 	store.failed = nil
@@ -134,7 +134,7 @@
 func TestTrialIsFoundWhereTheRowWasUnknown(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
+	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.rows[current.fingerprint] = QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1"}, Version: 9}
 	store.version = 9
 	assert.Nil(t, g.checkQuarantine(current))
@@ -152,7 +152,7 @@
 	current := heldRequest(g, 0)
 	look(true, true)
 	assert.Empty(t, store.rows, "others write it")
-	g.blame("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+	g.blame("w3", quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	look(false, false)
 	store.failed = nil
@@ -226,11 +226,11 @@
 // TestReportsCarryChangesAndWhatAnotherLacks.
 func TestReportsCarryChangesAndWhatAnotherLacks(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
-	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Ends: []quarantine.End{{Worker: "w", At: one.now()}}}
+	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Crashes: []quarantine.Crash{{Worker: "w", At: one.now()}}}
 	one.quarantines.merge(one.now(), &single)
 	assert.Empty(t, one.loadReport("other").QuarantineRecords, "another node's to tell")
 	assert.Zero(t, one.loadReport("other").QuarantineDigest)
-	one.blame("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
+	one.blame("v", quarantine.ConnectionRefused, []quarantine.Fingerprint{{8}})
 	assert.Len(t, one.loadReport("other").QuarantineRecords, 1)
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changed)
@@ -240,7 +240,7 @@
 	require.Len(t, report.QuarantineRecords, 1, "it has changed a moment ago")
 	decoded, err := decodeRecord(one.now(), report.QuarantineRecords[0])
 	require.NoError(t, err)
-	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Ends[0].At.Seconds(), 0.1)
+	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Crashes[0].At.Seconds(), 0.1)
 
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changed)
@@ -256,7 +256,7 @@
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.takeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.Held(), "a record that can't be read changes nothing")
+	assert.Equal(t, 1, other.quarantines.ledger.QuarantinedCount(), "a record that can't be read changes nothing")
 }
 
 // TestAnswersSpeakAtOnceAndElsewhere for a request that others suspect.
@@ -265,9 +265,9 @@
 	current := &carried{fingerprint: quarantine.Fingerprint{7}}
 	g.noteAnswered(current)
 	assert.Empty(t, g.quarantines.takeUntold())
-	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
+	record := quarantine.Record{Fingerprint: current.fingerprint, Crashes: []quarantine.Crash{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
 	g.noteQuarantine(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
-	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Held)
+	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Quarantined)
 	untold := g.quarantines.takeUntold()
 	require.Len(t, untold, 1, "others are told of the answer")
 	assert.True(t, untold[0].Answered)
@@ -279,12 +279,12 @@
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
 		assert.Empty(t, g.quarantines.takeUntold(), "what others have told isn't told on")
-		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Ends: []quarantine.End{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
+		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Crashes: []quarantine.Crash{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
 		g.quarantines.merge(g.now(), &record)
 	}
 	untold := g.quarantines.takeUntold()
 	require.Len(t, untold, 1)
-	assert.Len(t, untold[0].Ends, quarantine.DefaultThreshold)
+	assert.Len(t, untold[0].Crashes, quarantine.DefaultThreshold)
 }
 
 // TestOnlyEndsWithoutLeaveCount: a row that goes after word of leaving is no crash.
@@ -294,7 +294,7 @@
 		worker := backends.Worker{ID: "w", Service: "app", Address: "127.0.0.1:9"}
 		worker.Draining = draining
 		g.workers.Observe(1, worker)
-		g.crashes.note(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
+		g.crashes.note(g.now(), "w", quarantine.Fingerprint{1}, quarantine.ConnectionBroken)
 		g.noteWorker(worker, g.workers.ObserveGone(g.now(), 2, "w"))
 		_, blamed := g.quarantines.record(quarantine.Fingerprint{1})
 		assert.Equal(t, !draining, blamed)
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -108,10 +108,10 @@
 	g.quarantines.noteStored(row)
 	record := quarantine.Record{Fingerprint: row.Fingerprint, Trials: row.Trials}
 	if row.Trials > 0 {
-		record.TriedAt = now
+		record.LastTrialAt = now
 	}
 	for _, worker := range row.Workers {
-		record.Ends = append(record.Ends, quarantine.End{Worker: worker, At: now})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: worker, At: now})
 	}
 	g.noteQuarantine(row.Fingerprint, "store", g.quarantines.merge(now, &record))
 }
@@ -156,14 +156,14 @@
 	defer q.mutex.Unlock()
 	var work storeWork
 	shared := make(map[quarantine.Fingerprint]bool)
-	for _, record := range q.ledger.AtLeast(sharedEnds) {
+	for _, record := range q.ledger.RecordsWithCrashes(sharedEnds) {
 		shared[record.Fingerprint] = true
 		verdict := q.ledger.Check(now, record.Fingerprint)
-		stranded := reads && verdict.Held && verdict.LastAge > strandedAfter
+		stranded := reads && verdict.Quarantined && verdict.LastAge > strandedAfter
 		known := q.stored[record.Fingerprint]
-		lacks := known.workers < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
+		lacks := known.workers < min(verdict.Crashes, q.ledger.Threshold()) || known.trials < record.Trials
 		if lacks && (q.own[record.Fingerprint] || stranded) && len(work.write) < storedAtOnce {
-			work.write = append(work.write, rowOf(&record, verdict.Ends))
+			work.write = append(work.write, rowOf(&record, verdict.Crashes))
 		}
 	}
 	for fingerprint := range q.stored {
@@ -177,7 +177,7 @@
 // rowOf returns the row of a record, of which the last ends count.
 func rowOf(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
-	for _, end := range record.Ends[len(record.Ends)-counted:] {
+	for _, end := range record.Crashes[len(record.Crashes)-counted:] {
 		row.Workers = append(row.Workers, end.Worker)
 	}
 	return row
@@ -254,7 +254,7 @@
 	}
 	ctx, cancel := context.WithTimeout(current.request.Context(), trialTimeout)
 	defer cancel()
-	row := rowOf(&record, verdict.Ends)
+	row := rowOf(&record, verdict.Crashes)
 	row.Trials = verdict.Trials + 1
 	stored, err := g.outside.Platform.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
@@ -280,7 +280,7 @@
 
 // beginTrial notes that a held request is tried at this node.
 func (q *quarantines) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
-	q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
+	q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
 		ledger.BeginTrial(now, fingerprint, trials)
 		return true
 	})
--- a/internal/gateway/quarantinetalk.go
+++ b/internal/gateway/quarantinetalk.go
@@ -124,7 +124,7 @@
 	if q.ledger.Digest(sharedEnds) == digest {
 		return nil
 	}
-	return encodeRecords(now, q.ledger.AtLeast(sharedEnds))
+	return encodeRecords(now, q.ledger.RecordsWithCrashes(sharedEnds))
 }
 
 // takeQuarantineRecords takes in what another node tells.
@@ -150,12 +150,12 @@
 			Trials:      uint32(max(record.Trials, 0)),
 		}
 		if record.Trials > 0 {
-			told.TriedAgeMillis = ageMillis(now, record.TriedAt)
+			told.TriedAgeMillis = ageMillis(now, record.LastTrialAt)
 		}
 		if record.Answered {
 			told.AnsweredAgeMillis = ageMillis(now, record.AnsweredAt) + 1
 		}
-		for _, end := range record.Ends {
+		for _, end := range record.Crashes {
 			told.Ends = append(told.Ends, &rpc.QuarantineEnd{Worker: string(end.Worker), AgeMillis: ageMillis(now, end.At)})
 		}
 		encoded[index] = told
@@ -179,13 +179,13 @@
 	}
 	record := quarantine.Record{Fingerprint: fingerprint, Trials: int(told.GetTrials())}
 	if record.Trials > 0 {
-		record.TriedAt = atAge(now, told.GetTriedAgeMillis())
+		record.LastTrialAt = atAge(now, told.GetTriedAgeMillis())
 	}
 	if age := told.GetAnsweredAgeMillis(); age > 0 {
 		record.Answered, record.AnsweredAt = true, atAge(now, age-1)
 	}
 	for _, end := range told.GetEnds() {
-		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(end.GetWorker()), At: atAge(now, end.GetAgeMillis())})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: fleet.EngineID(end.GetWorker()), At: atAge(now, end.GetAgeMillis())})
 	}
 	return record, nil
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -54,7 +54,7 @@
 		g.ended(current, placement, backends.Lost, "deadline passed")
 		return current.machine.Expired()
 	default:
-		g.noteLostRun(current, placement, quarantine.BrokenOff)
+		g.noteLostRun(current, placement, quarantine.ConnectionBroken)
 		g.ended(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
 		return current.machine.Broken(g.now(), run, current.keepsCopy(placement))
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -183,7 +183,7 @@
 	g.weights.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
-	g.noteWorkerEnded(worker, quarantine.RowGone)
+	g.noteWorkerEnded(worker, quarantine.RowRemoved)
 }
 
 // noteStart takes in when a worker says that it started, beside its row.
@@ -220,6 +220,6 @@
 		g.forgetFormerRun(worker.ID)
 	}
 	if change == backends.Gone {
-		g.noteWorkerEnded(worker.ID, quarantine.RowGone)
+		g.noteWorkerEnded(worker.ID, quarantine.RowRemoved)
 	}
 }
--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -9,9 +9,9 @@
 // at 200 requests a second, in 32 KB.
 const answerSlots = 2048
 
-// answers remembers which requests were answered whole of late. A newer one takes the slot
+// answerCache remembers which requests were answered whole of late. A newer one takes the slot
 // of another at times: then it isn't known any more, and never taken for another.
-type answers struct {
+type answerCache struct {
 	slots [answerSlots]answer
 }
 
@@ -23,13 +23,13 @@
 
 func answerKey(fingerprint Fingerprint) uint64 { return binary.BigEndian.Uint64(fingerprint[:]) }
 
-func (a *answers) note(now time.Duration, fingerprint Fingerprint) {
+func (a *answerCache) add(now time.Duration, fingerprint Fingerprint) {
 	key := answerKey(fingerprint)
 	a.slots[key%answerSlots] = answer{key: key, at: now}
 }
 
 // last returns when a request was last answered whole, if that is remembered.
-func (a *answers) last(fingerprint Fingerprint) (time.Duration, bool) {
+func (a *answerCache) last(fingerprint Fingerprint) (time.Duration, bool) {
 	key := answerKey(fingerprint)
 	found := a.slots[key%answerSlots]
 	return found.at, found.key == key && key != 0
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -21,8 +21,8 @@
 // fingerprint.
 type Fingerprint [fingerprintSize]byte
 
-// Subject is what a fingerprint is made of.
-type Subject struct {
+// RequestIdentity is what a fingerprint is made of.
+type RequestIdentity struct {
 	// Caller is the authenticated tenant; empty where no key is asked for. As part of the
 	// fingerprint it keeps one tenant's requests from being refused for another's.
 	Caller string
@@ -34,7 +34,7 @@
 }
 
 // Fingerprint returns the fingerprint of the subject.
-func (s *Subject) Fingerprint() Fingerprint {
+func (s *RequestIdentity) Fingerprint() Fingerprint {
 	digest := sha256.New()
 	for _, field := range []string{s.Caller, s.Method, s.Host, s.Target} {
 		writeField(digest, field)
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func subject() Subject {
-	return Subject{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
+func subject() RequestIdentity {
+	return RequestIdentity{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
 }
 
 // TestSameRequestHasTheSameFingerprint whoever computes it: nodes compare them.
@@ -23,18 +23,18 @@
 // TestEachPartTellsRequestsApart, also where one field's end could be another's beginning.
 func TestEachPartTellsRequestsApart(t *testing.T) {
 	seen := map[Fingerprint]string{}
-	for name, change := range map[string]func(*Subject){
-		"as it is":       func(*Subject) {},
-		"caller":         func(s *Subject) { s.Caller = "other" },
-		"no caller":      func(s *Subject) { s.Caller = "" },
-		"method":         func(s *Subject) { s.Method = "PUT" },
-		"host":           func(s *Subject) { s.Host = "other.example" },
-		"path":           func(s *Subject) { s.Target = "/a/c?c=d" },
-		"query":          func(s *Subject) { s.Target = "/a/b?c=e" },
-		"body":           func(s *Subject) { s.Body = []byte("bodz") },
-		"no body":        func(s *Subject) { s.Body = nil },
-		"moved boundary": func(s *Subject) { s.Target, s.Body = "/a/b?c=dbo", []byte("dy") },
-		"moved host":     func(s *Subject) { s.Host, s.Target = "host.example/a", "/b?c=d" },
+	for name, change := range map[string]func(*RequestIdentity){
+		"as it is":       func(*RequestIdentity) {},
+		"caller":         func(s *RequestIdentity) { s.Caller = "other" },
+		"no caller":      func(s *RequestIdentity) { s.Caller = "" },
+		"method":         func(s *RequestIdentity) { s.Method = "PUT" },
+		"host":           func(s *RequestIdentity) { s.Host = "other.example" },
+		"path":           func(s *RequestIdentity) { s.Target = "/a/c?c=d" },
+		"query":          func(s *RequestIdentity) { s.Target = "/a/b?c=e" },
+		"body":           func(s *RequestIdentity) { s.Body = []byte("bodz") },
+		"no body":        func(s *RequestIdentity) { s.Body = nil },
+		"moved boundary": func(s *RequestIdentity) { s.Target, s.Body = "/a/b?c=dbo", []byte("dy") },
+		"moved host":     func(s *RequestIdentity) { s.Host, s.Target = "host.example/a", "/b?c=d" },
 	} {
 		changed := subject()
 		change(&changed)
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -70,7 +70,7 @@
 	now     time.Duration
 	queue   eventQueue
 	pushed  int
-	ledgers []*Ledger
+	ledgers []*Tracker
 	up      []bool
 	names   []int
 	running [][]*fakeRun
@@ -104,7 +104,7 @@
 		thirds: make(map[string]time.Duration), under: make(map[string]int),
 	}
 	for range day.nodes {
-		f.ledgers = append(f.ledgers, NewLedger(day.options))
+		f.ledgers = append(f.ledgers, NewTracker(day.options))
 	}
 	for range day.workers {
 		f.up = append(f.up, true)
@@ -159,13 +159,13 @@
 func isHarmful(body string) bool { return len(body) > 7 && body[:7] == "harmful" }
 
 func fingerprintOf(body string) Fingerprint {
-	subject := Subject{Body: []byte(body)}
+	subject := RequestIdentity{Body: []byte(body)}
 	return subject.Fingerprint()
 }
 
 // send places a request at a worker that is up, unless it is held.
 func (f *fakeFleet) send(run *fakeRun) {
-	if f.ledgers[run.node].Check(f.now, fingerprintOf(run.body)).Held {
+	if f.ledgers[run.node].Check(f.now, fingerprintOf(run.body)).Quarantined {
 		if !isHarmful(run.body) {
 			f.outcome.refused++
 		}
@@ -211,7 +211,7 @@
 	}
 	f.running[worker] = slices.Delete(f.running[worker], at, at+1)
 	fingerprint := fingerprintOf(run.body)
-	if f.ledgers[run.node].Answered(f.now, fingerprint) {
+	if f.ledgers[run.node].ObserveAnswer(f.now, fingerprint) {
 		f.tell(run.node, fingerprint)
 	}
 }
@@ -245,7 +245,7 @@
 	for _, run := range lost {
 		f.after(50*time.Millisecond, func() {
 			fingerprint := fingerprintOf(run.body)
-			if f.ledgers[run.node].Ended(f.now, fingerprint, name) {
+			if f.ledgers[run.node].ObserveCrash(f.now, fingerprint, name) {
 				f.tell(run.node, fingerprint)
 			}
 		})
@@ -261,7 +261,7 @@
 func (f *fakeFleet) tell(from int, fingerprint Fingerprint) {
 	record, _ := f.ledgers[from].Record(fingerprint)
 	for to := range f.nodes {
-		chosen := f.owners == 0 || (to+int(fingerprint[0]))%f.nodes < f.owners || f.ledgers[from].Check(f.now, fingerprint).Held
+		chosen := f.owners == 0 || (to+int(fingerprint[0]))%f.nodes < f.owners || f.ledgers[from].Check(f.now, fingerprint).Quarantined
 		if to == from || !chosen {
 			continue
 		}
@@ -277,14 +277,14 @@
 // take takes a record in at a node. Its ages are those at the sender.
 func (f *fakeFleet) take(to int, told *Record, delay time.Duration) {
 	received := told.clone()
-	for index := range received.Ends {
-		received.Ends[index].At += delay
+	for index := range received.Crashes {
+		received.Crashes[index].At += delay
 	}
 	received.AnsweredAt += delay
-	held := f.ledgers[to].Check(f.now, told.Fingerprint).Held
+	held := f.ledgers[to].Check(f.now, told.Fingerprint).Quarantined
 	f.ledgers[to].Merge(&received)
-	heldNow := !held && f.ledgers[to].Check(f.now, told.Fingerprint).Held
-	if f.ledgers[to].Beyond(&received) || (heldNow && !f.quiet) {
+	heldNow := !held && f.ledgers[to].Check(f.now, told.Fingerprint).Quarantined
+	if f.ledgers[to].IsAheadOf(&received) || (heldNow && !f.quiet) {
 		f.tell(to, told.Fingerprint)
 	}
 }
@@ -343,9 +343,9 @@
 		{"3, 40 nodes", func(d *fakeDay) { d.nodes, d.workers, d.rate = 40, 100, 600 }},
 		{"3, 40 nodes, two owners told", func(d *fakeDay) { d.nodes, d.workers, d.rate, d.owners = 40, 100, 600, 2 }},
 		{"small service", smallService},
-		{"small service, answers say nothing", func(d *fakeDay) { smallService(d); d.options.SpokenFor = 1 }},
-		{"small service, answers speak 3 s", func(d *fakeDay) { smallService(d); d.options.SpokenFor = 3 * time.Second }},
-		{"small service, answers speak 30 s", func(d *fakeDay) { smallService(d); d.options.SpokenFor = 30 * time.Second }},
+		{"small service, answers say nothing", func(d *fakeDay) { smallService(d); d.options.GracePeriod = 1 }},
+		{"small service, answers speak 3 s", func(d *fakeDay) { smallService(d); d.options.GracePeriod = 3 * time.Second }},
+		{"small service, answers speak 30 s", func(d *fakeDay) { smallService(d); d.options.GracePeriod = 30 * time.Second }},
 		{"small service, two owners told", func(d *fakeDay) { smallService(d); d.owners = 2 }},
 	} {
 		outcomes[way.name] = playAll(seeds, way.change)
--- a/internal/quarantine/lostruns_test.go
+++ b/internal/quarantine/lostruns_test.go
@@ -12,7 +12,7 @@
 
 // print returns a fingerprint that stands for a number.
 func print(number int) Fingerprint {
-	one := Subject{Body: fmt.Append(nil, number)}
+	one := RequestIdentity{Body: fmt.Append(nil, number)}
 	return one.Fingerprint()
 }
 
@@ -21,68 +21,68 @@
 // TestRunsThatEndWithTheirWorkerAreBlamed, once one broken exchange led to the question.
 func TestRunsThatEndWithTheirWorkerAreBlamed(t *testing.T) {
 	lost := NewLostRuns()
-	blamed, check := lost.Note(10*second, "w", print(1), BrokenOff)
+	blamed, check := lost.Observe(10*second, "w", print(1), ConnectionBroken)
 	assert.False(t, blamed)
 	assert.True(t, check, "the first broken exchange has the worker asked")
-	_, check = lost.Note(10*second, "w", print(2), BrokenOff)
+	_, check = lost.Observe(10*second, "w", print(2), ConnectionBroken)
 	assert.False(t, check, "it is asked once")
-	assert.Equal(t, []Fingerprint{print(1), print(2)}, lost.Ended(10*second, "w", Refused))
-	blamed, check = lost.Note(11*second, "w", print(3), BrokenOff)
+	assert.Equal(t, []Fingerprint{print(1), print(2)}, lost.WorkerCrashed(10*second, "w", ConnectionRefused))
+	blamed, check = lost.Observe(11*second, "w", print(3), ConnectionBroken)
 	assert.True(t, blamed, "a connection of the same process that is heard to break later")
 	assert.False(t, check)
-	assert.Empty(t, lost.Ended(11*second, "w", RowGone), "no run counts twice")
+	assert.Empty(t, lost.WorkerCrashed(11*second, "w", RowRemoved), "no run counts twice")
 }
 
 // TestBrokenExchangesAtALivingWorkerSayNothing: resets, cuts and spoilt answers.
 func TestBrokenExchangesAtALivingWorkerSayNothing(t *testing.T) {
 	lost := NewLostRuns()
-	lost.Note(0, "w", print(1), BrokenOff)
-	lost.Alive("w")
-	assert.Empty(t, lost.Ended(second, "w", RowGone))
-	_, check := lost.Note(2*second, "w", print(1), BrokenOff)
+	lost.Observe(0, "w", print(1), ConnectionBroken)
+	lost.WorkerAlive("w")
+	assert.Empty(t, lost.WorkerCrashed(second, "w", RowRemoved))
+	_, check := lost.Observe(2*second, "w", print(1), ConnectionBroken)
 	assert.True(t, check, "the next one is looked into again")
 }
 
 // TestRowTellsWhereTheWorkerCouldNotBeAsked, within the time that a row takes to go.
 func TestRowTellsWhereTheWorkerCouldNotBeAsked(t *testing.T) {
 	lost := NewLostRuns()
-	lost.Note(0, "w", print(1), BrokenOff)
-	lost.Undecided("w")
-	assert.Equal(t, []Fingerprint{print(1)}, lost.Ended(1700*time.Millisecond, "w", RowGone))
-	lost.Note(0, "v", print(1), BrokenOff)
-	assert.Empty(t, lost.Ended(lostFor, "v", RowGone), "that end was another one")
-	assert.Empty(t, lost.Ended(0, "unheard", Refused))
+	lost.Observe(0, "w", print(1), ConnectionBroken)
+	lost.ProbeInconclusive("w")
+	assert.Equal(t, []Fingerprint{print(1)}, lost.WorkerCrashed(1700*time.Millisecond, "w", RowRemoved))
+	lost.Observe(0, "v", print(1), ConnectionBroken)
+	assert.Empty(t, lost.WorkerCrashed(lossWindow, "v", RowRemoved), "that end was another one")
+	assert.Empty(t, lost.WorkerCrashed(0, "unheard", ConnectionRefused))
 }
 
 // TestAbandonedRunsCountIfTheWorkerEndedShortlyAfter: its caller had left, and the worker
 // was at work still.
 func TestAbandonedRunsCountIfTheWorkerEndedShortlyAfter(t *testing.T) {
 	lost := NewLostRuns()
-	_, check := lost.Note(0, "w", print(1), Abandoned)
+	_, check := lost.Observe(0, "w", print(1), Abandoned)
 	assert.False(t, check, "a caller that leaves says nothing of the worker")
-	lost.Note(2*second, "w", print(2), Abandoned)
-	lost.Note(2100*time.Millisecond, "w", print(3), BrokenOff)
-	assert.Equal(t, []Fingerprint{print(2), print(3)}, lost.Ended(2200*time.Millisecond, "w", Refused))
+	lost.Observe(2*second, "w", print(2), Abandoned)
+	lost.Observe(2100*time.Millisecond, "w", print(3), ConnectionBroken)
+	assert.Equal(t, []Fingerprint{print(2), print(3)}, lost.WorkerCrashed(2200*time.Millisecond, "w", ConnectionRefused))
 
-	lost.Note(0, "v", print(1), Abandoned)
-	assert.Equal(t, []Fingerprint{print(1)}, lost.Ended(2500*time.Millisecond, "v", RowGone))
-	lost.Note(0, "u", print(1), Abandoned)
-	assert.Empty(t, lost.Ended(2500*time.Millisecond, "u", Refused))
+	lost.Observe(0, "v", print(1), Abandoned)
+	assert.Equal(t, []Fingerprint{print(1)}, lost.WorkerCrashed(2500*time.Millisecond, "v", RowRemoved))
+	lost.Observe(0, "u", print(1), Abandoned)
+	assert.Empty(t, lost.WorkerCrashed(2500*time.Millisecond, "u", ConnectionRefused))
 }
 
 // TestLostRunsStayBounded under a caller that sends ever new bodies and a fleet that fails.
 func TestLostRunsStayBounded(t *testing.T) {
 	lost := NewLostRuns()
 	for number := range 100_000 {
-		lost.Note(0, fleet.EngineID(fmt.Sprint(number%2000)), print(number), BrokenOff)
+		lost.Observe(0, fleet.EngineID(fmt.Sprint(number%2000)), print(number), ConnectionBroken)
 	}
 	assert.Len(t, lost.workers, maxWorkers)
 	for _, known := range lost.workers {
-		assert.LessOrEqual(t, len(known.runs), maxRuns)
+		assert.LessOrEqual(t, len(known.runs), maxRunsPerWorker)
 	}
 	for worker := range lost.workers {
-		lost.Undecided(worker)
+		lost.ProbeInconclusive(worker)
 	}
-	lost.Sweep(lostFor)
+	lost.Sweep(lossWindow)
 	assert.Empty(t, lost.workers)
 }
