--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -37,7 +37,7 @@
 		Slack:      settings.QuotaSlack,
 		Overshoot:  settings.QuotaOvershoot,
 		Window:     settings.QuotaWindow,
-		Single:     !settings.hasOtherSeeds(),
+		Standalone: !settings.hasOtherSeeds(),
 		FirstStart: settings.FirstStart,
 	})}
 }
@@ -77,27 +77,27 @@
 func (q *quotas) unlimited() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Unlimited()
+	return q.limiter.IsUnlimited()
 }
 
 func (q *quotas) near(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Near(now)
+	return q.limiter.IsNearLimit(now)
 }
 
 // newcomer tells whether this node doesn't know yet what was used before its start.
 func (q *quotas) newcomer(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Newcomer(now)
+	return q.limiter.IsJoining(now)
 }
 
 // heardSince tells whether a node has told what it admits since a time.
 func (q *quotas) heardSince(node fleet.NodeID, at time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.HeardSince(node, at)
+	return q.limiter.HasReportedSince(node, at)
 }
 
 // write adds what this node has admitted to a report to another node.
@@ -105,9 +105,9 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	report.UsesTold = true
-	report.QuotaNewcomer = q.limiter.Newcomer(now)
-	for _, use := range q.limiter.Uses(now, to) {
-		told := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Heard}
+	report.QuotaNewcomer = q.limiter.IsJoining(now)
+	for _, use := range q.limiter.Usages(now, to) {
+		told := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Acknowledged}
 		if report.QuotaNewcomer {
 			told.Recent = use.Recent
 		}
@@ -123,16 +123,16 @@
 	told := quota.Report{
 		Node:        fleet.NodeID(report.GetNode()),
 		Machine:     lease.HolderID(report.GetNode()).Machine(),
-		Newcomer:    report.GetQuotaNewcomer(),
+		Joining:     report.GetQuotaNewcomer(),
 		RequestRate: decodeRate(report.GetRequestRate()),
 	}
 	if report.GetPartial() {
 		told.RequestRate = unknownRate
 	}
 	for _, use := range report.GetTenantUses() {
-		told.Uses = append(told.Uses, quota.Use{
+		told.Usages = append(told.Usages, quota.Usage{
 			Tenant: fleet.TenantName(use.GetTenant()), Total: use.GetTotal(), Recent: use.GetRecent(),
-			Deficit: use.GetDeficit(), Heard: use.GetHeard(),
+			Deficit: use.GetDeficit(), Acknowledged: use.GetHeard(),
 		})
 	}
 	q.mutex.Lock()
@@ -147,17 +147,17 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
-	q.limiter.SetRounds((len(peers) + shareFanout - 1) / shareFanout)
+	q.limiter.SetReportRounds((len(peers) + shareFanout - 1) / shareFanout)
 	present := make(map[fleet.NodeID]bool, len(peers))
 	for _, member := range peers {
 		present[member.Node] = true
 		if member.Node != view.Self.Node {
-			q.limiter.Expect(now, member.Node, lease.HolderID(member.Node).Machine())
+			q.limiter.AddPeer(now, member.Node, lease.HolderID(member.Node).Machine())
 		}
 	}
 	for _, node := range q.limiter.Peers() {
 		if member, found := view.Find(node); !present[node] && found && member.State != membership.Suspect {
-			q.limiter.Forget(now, node)
+			q.limiter.RemovePeer(now, node)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 			continue
 		}
 		for _, member := range g.usePeers() {
-			if !g.quotas.heardSince(member.Node, g.now()-quota.NearInterval) {
+			if !g.quotas.heardSince(member.Node, g.now()-quota.NearLimitInterval) {
 				go g.exchangeUses(member)
 			}
 		}
@@ -231,7 +231,7 @@
 	if g.holder.Current() != nil && g.quotas.unlimited() {
 		return g.pauseOrRest(unlimitedPause)
 	}
-	return g.pause(quota.NearInterval)
+	return g.pause(quota.NearLimitInterval)
 }
 
 // followUsers keeps up to date whose use this node hears of. A node that carries
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -17,61 +17,61 @@
 	// a newcomer.
 	total  float64
 	recent float64
-	// taken is when it last admitted anything.
-	taken time.Duration
+	// lastTakenAt is when it last admitted anything.
+	lastTakenAt time.Duration
 	// promised is the units of refused requests that were told when to come back, so
 	// that not all are told the same moment.
 	promised bucket
-	// totals is what each peer has told last.
-	totals map[fleet.NodeID]uint64
-	// near is set while little is left, so that only what peers have just told counts,
+	// peerTotals is what each peer has told last.
+	peerTotals map[fleet.NodeID]uint64
+	// nearLimit is set while little is left, so that only what peers have just told counts,
 	// and nearSince is from when it is.
-	near      bool
-	nearSince time.Duration
+	nearLimit      bool
+	nearLimitSince time.Duration
 }
 
 // newAccount returns the account of a tenant of which start units are left.
 func newAccount(now time.Duration, limit Limit, start float64) *account {
 	missing := max(limit.Burst-start, 0)
 	return &account{
-		limit:    limit,
-		fleet:    bucket{deficit: missing, drained: now},
-		own:      bucket{deficit: missing / newcomerSharers, drained: now},
-		promised: bucket{drained: now},
-		totals:   make(map[fleet.NodeID]uint64),
+		limit:      limit,
+		fleet:      bucket{deficit: missing, drainedAt: now},
+		own:        bucket{deficit: missing / assumedJoiningNodes, drainedAt: now},
+		promised:   bucket{drainedAt: now},
+		peerTotals: make(map[fleet.NodeID]uint64),
 	}
 }
 
 // drain takes the time since the last call into account.
 func (a *account) drain(now time.Duration, shares shares) {
-	share := shares.of(a)
+	share := shares.forAccount(a)
 	a.fleet.drain(now, a.limit.Rate*share)
-	a.own.drain(now, a.limit.Rate*shares.newcomer)
+	a.own.drain(now, a.limit.Rate*shares.joining)
 	a.promised.drain(now, a.limit.Rate*share)
 }
 
-// wake takes a time into account in which this node did nothing, with the share of the
+// drainPause takes a time into account in which this node did nothing, with the share of the
 // limit that it had before.
-func (a *account) wake(now time.Duration, share float64) {
-	a.fleet.wake(now, a.limit.Rate*share)
+func (a *account) drainPause(now time.Duration, share float64) {
+	a.fleet.drainPause(now, a.limit.Rate*share)
 	a.promised.drain(now, a.limit.Rate*share)
 }
 
-// noteNear sees whether little is left and returns the share that counts then.
-func (a *account) noteNear(now time.Duration, shares shares, slack float64) float64 {
-	near := a.fleet.deficit > a.limit.Burst*shares.touch*(1-nearPart)+slack*nearSlackPart
-	if near && !a.near {
-		a.nearSince = now
+// updateNearLimit sees whether little is left and returns the share that counts then.
+func (a *account) updateNearLimit(now time.Duration, shares shares, slack float64) float64 {
+	near := a.fleet.deficit > a.limit.Burst*shares.reachable*(1-nearLimitFraction)+slack*nearLimitSlackFraction
+	if near && !a.nearLimit {
+		a.nearLimitSince = now
 	}
-	a.near = near
-	return shares.of(a)
+	a.nearLimit = near
+	return shares.forAccount(a)
 }
 
 // available returns the units left of a part of the limit.
 func (a *account) available(share float64, newcomer bool) float64 {
 	left := a.limit.Burst*share - a.fleet.deficit
 	if newcomer {
-		return min(left, a.limit.Burst/newcomerSharers-a.own.deficit)
+		return min(left, a.limit.Burst/assumedJoiningNodes-a.own.deficit)
 	}
 	return left
 }
@@ -86,8 +86,8 @@
 	return available+debt >= amount || a.fleet.deficit == 0
 }
 
-// wait returns the time until a request fits behind those that were refused before.
-func (a *account) wait(amount, available, debt, share float64) time.Duration {
+// retryAfter returns the time until a request fits behind those that were refused before.
+func (a *account) retryAfter(amount, available, debt, share float64) time.Duration {
 	rate := a.limit.Rate * share
 	if rate <= 0 {
 		return 0
@@ -97,16 +97,16 @@
 }
 
 func (a *account) take(now time.Duration, amount float64) {
-	a.taken = now
+	a.lastTakenAt = now
 	a.fleet.take(amount)
 	a.own.take(amount)
 	a.total += amount
 	a.recent += amount
 }
 
-func (a *account) giveBack(amount float64) {
-	a.fleet.giveBack(amount)
-	a.own.giveBack(amount)
+func (a *account) refund(amount float64) {
+	a.fleet.refund(amount)
+	a.own.refund(amount)
 	a.total = max(a.total-amount, 0)
 	a.recent = max(a.recent-amount, 0)
 }
@@ -116,15 +116,15 @@
 func (a *account) setLimit(limit Limit) {
 	a.limit = limit
 	a.fleet.deficit = min(a.fleet.deficit, limit.Burst)
-	a.own.deficit = min(a.own.deficit, limit.Burst/newcomerSharers)
+	a.own.deficit = min(a.own.deficit, limit.Burst/assumedJoiningNodes)
 }
 
-// learn replaces what a newcomer assumed about the time before by what a peer knows, and
+// synchronize replaces what a newcomer assumed about the time before by what a peer knows, and
 // adds what it has admitted and the peer hasn't heard of. The rest is in the peer's deficit;
 // adding that again would have its own reports, and then all nodes, take the tenant for far
 // over its limit.
-func (a *account) learn(use Use) {
-	unheard := max(a.total-float64(use.Heard), 0)
+func (a *account) synchronize(use Usage) {
+	unheard := max(a.total-float64(use.Acknowledged), 0)
 	a.fleet.deficit = float64(use.Deficit) + min(unheard, a.recent)
 }
 
@@ -132,29 +132,29 @@
 // admitted since is taken out, less what was left to it meanwhile; of a newcomer that
 // is heard for the first time, all that it has admitted as such. Any other peer has known the
 // bucket for longer, so that its deficit counts if it is larger.
-func (a *account) observe(now time.Duration, report Report, use Use, left float64) {
-	before, known := a.totals[report.Node]
+func (a *account) observe(now time.Duration, report Report, use Usage, left float64) {
+	before, known := a.peerTotals[report.Node]
 	switch {
 	case known:
-		a.fleet.takeLate(now, max(float64(use.Total)-float64(before)-left, 0))
-	case report.Newcomer:
+		a.fleet.takeDelayed(now, max(float64(use.Total)-float64(before)-left, 0))
+	case report.Joining:
 		a.fleet.take(float64(use.Recent))
 	default:
 		a.fleet.deficit = max(a.fleet.deficit, float64(use.Deficit))
 	}
-	a.totals[report.Node] = max(before, use.Total)
-	if !report.Newcomer {
-		a.pull(float64(use.Deficit))
+	a.peerTotals[report.Node] = max(before, use.Total)
+	if !report.Joining {
+		a.converge(float64(use.Deficit))
 	}
 }
 
-// pull raises what this node believes towards a peer's belief that is far above it, as
+// converge raises what this node believes towards a peer's belief that is far above it, as
 // after a partition. A lower belief changes nothing: the peer may not have heard yet what
 // this node has, and a node that follows it lets a flood exceed the limit with every
 // report. Whatever is believed too much drains by itself.
-func (a *account) pull(deficit float64) {
-	beyond := deficit - a.fleet.deficit - pullBeyond*a.limit.Burst
+func (a *account) converge(deficit float64) {
+	beyond := deficit - a.fleet.deficit - convergenceThreshold*a.limit.Burst
 	if beyond > 0 {
-		a.fleet.deficit += beyond * pullPart
+		a.fleet.deficit += beyond * convergenceFraction
 	}
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -13,7 +13,7 @@
 const (
 	simStep     = 5 * time.Millisecond
 	simExchange = 600 * time.Millisecond
-	simNear     = NearInterval
+	simNear     = NearLimitInterval
 )
 
 // simNode is one node of a simulated fleet.
@@ -129,7 +129,7 @@
 		case f.now >= node.next:
 			node.next = f.now + simExchange
 			f.tell(node)
-		case f.now >= node.nearAt+simNear && node.limiter.Near(node.clock(f.now)):
+		case f.now >= node.nearAt+simNear && node.limiter.IsNearLimit(node.clock(f.now)):
 			node.nearAt = f.now
 			f.tell(node)
 		}
@@ -141,7 +141,7 @@
 func (f *simFleet) expect(node *simNode) {
 	for _, other := range f.nodes {
 		if other != node && other.down == 0 && other.side == node.side {
-			node.limiter.Expect(node.clock(f.now), other.id, other.machine)
+			node.limiter.AddPeer(node.clock(f.now), other.id, other.machine)
 		}
 	}
 }
@@ -158,8 +158,8 @@
 	f.inFlight = append(f.inFlight, simReport{
 		at: f.now + time.Duration(1+f.random.Int64N(4))*time.Millisecond, from: from, to: to, answer: answer,
 		report: Report{
-			Node: from.id, Machine: from.machine, Newcomer: from.limiter.Newcomer(from.clock(f.now)),
-			RequestRate: from.rate, Uses: from.limiter.Uses(from.clock(f.now), to.id),
+			Node: from.id, Machine: from.machine, Joining: from.limiter.IsJoining(from.clock(f.now)),
+			RequestRate: from.rate, Usages: from.limiter.Usages(from.clock(f.now), to.id),
 		},
 	})
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,38 +8,38 @@
 
 // Limiter admits tenants' requests at one node.
 type Limiter struct {
-	options  Options
-	started  time.Duration
-	newcomer bool
-	// guessed is set if this node's time as a newcomer has ended without a peer that
+	options Options
+	started time.Duration
+	joining bool
+	// joinTimedOut is set if this node's time as a newcomer has ended without a peer that
 	// knew more.
-	guessed  bool
-	accounts map[fleet.TenantName]*account
-	peers    map[fleet.NodeID]*peer
+	joinTimedOut bool
+	accounts     map[fleet.TenantName]*account
+	peers        map[fleet.NodeID]*peer
 	// departed holds peers that report to others, and when they were forgotten.
-	departed map[fleet.NodeID]departure
-	// rounds is the number of rounds in which all peers report once.
-	rounds int
+	departed map[fleet.NodeID]departedPeer
+	// reportRounds is the number of reportRounds in which all peers report once.
+	reportRounds int
 	// ownRate is this node's requests a second.
 	ownRate float64
-	// called is when this node last looked at its accounts, and touch the part of the
+	// lastUpdateAt is when this node last looked at its accounts, and touch the part of the
 	// limits that it and those in touch had then.
-	called time.Duration
-	touch  float64
+	lastUpdateAt   time.Duration
+	reachableShare float64
 }
 
 // NewLimiter returns a limiter without limits.
 func NewLimiter(now time.Duration, options Options) *Limiter {
 	return &Limiter{
-		options:  options,
-		started:  now,
-		newcomer: !options.Single && !options.FirstStart,
-		accounts: make(map[fleet.TenantName]*account),
-		peers:    make(map[fleet.NodeID]*peer),
-		departed: make(map[fleet.NodeID]departure),
-		rounds:   1,
-		called:   now,
-		touch:    1,
+		options:        options,
+		started:        now,
+		joining:        !options.Standalone && !options.FirstStart,
+		accounts:       make(map[fleet.TenantName]*account),
+		peers:          make(map[fleet.NodeID]*peer),
+		departed:       make(map[fleet.NodeID]departedPeer),
+		reportRounds:   1,
+		lastUpdateAt:   now,
+		reachableShare: 1,
 	}
 }
 
@@ -58,19 +58,19 @@
 		if limit.Rate <= 0 || l.accounts[tenant] != nil {
 			continue
 		}
-		l.accounts[tenant] = newAccount(now, limit, l.startUnits(limit))
+		l.accounts[tenant] = newAccount(now, limit, l.initialUnits(limit))
 	}
 }
 
-// Unlimited tells whether no tenant has a limit.
-func (l *Limiter) Unlimited() bool { return len(l.accounts) == 0 }
+// IsUnlimited tells whether no tenant has a limit.
+func (l *Limiter) IsUnlimited() bool { return len(l.accounts) == 0 }
 
-// startUnits returns what is left of a bucket whose use so far isn't known.
-func (l *Limiter) startUnits(limit Limit) float64 {
-	if !l.newcomer {
+// initialUnits returns what is left of a bucket whose use so far isn't known.
+func (l *Limiter) initialUnits(limit Limit) float64 {
+	if !l.joining {
 		return limit.Burst
 	}
-	return l.options.tolerance(limit) * startPart
+	return l.options.tolerance(limit) * initialToleranceFraction
 }
 
 // Admit decides on a request of a tenant and takes its units if it is admitted. A
@@ -82,11 +82,11 @@
 	}
 	shares := l.shares(now)
 	known.drain(now, shares)
-	share := known.noteNear(now, shares, l.options.Slack)
-	available, debt := known.available(share, l.newcomer), l.debt(share)
-	decision := Decision{Limit: known.limit, Share: share, Available: available, Near: known.near}
+	share := known.updateNearLimit(now, shares, l.options.Slack)
+	available, debt := known.available(share, l.joining), l.debt(share)
+	decision := Decision{Limit: known.limit, Share: share, Available: available, NearLimit: known.nearLimit}
 	if !known.fits(amount, available, debt) {
-		decision.RetryAfter = min(known.wait(amount, available, debt, share), l.options.Window)
+		decision.RetryAfter = min(known.retryAfter(amount, available, debt, share), l.options.Window)
 		known.promised.take(amount)
 		return decision
 	}
@@ -98,10 +98,10 @@
 // debt returns by how many units one request may exceed what is left. Newcomers
 // share it, since they don't hear of each other.
 func (l *Limiter) debt(share float64) float64 {
-	if l.newcomer {
-		share /= newcomerSharers
+	if l.joining {
+		share /= assumedJoiningNodes
 	}
-	return l.options.Slack * debtPart * share
+	return l.options.Slack * debtFraction * share
 }
 
 // Charge takes the units of a further run of an admitted request.
@@ -116,54 +116,54 @@
 func (l *Limiter) Refund(now time.Duration, tenant fleet.TenantName, amount float64) {
 	if known := l.accounts[tenant]; known != nil {
 		known.drain(now, l.shares(now))
-		known.giveBack(amount)
+		known.refund(amount)
 	}
 }
 
-// Uses returns what this node says of tenants: all but those of which it has admitted
+// Usages returns what this node says of tenants: all but those of which it has admitted
 // nothing for quietAfter, and whose bucket is full by its belief. The report goes to one
 // peer.
-func (l *Limiter) Uses(now time.Duration, to fleet.NodeID) []Use {
+func (l *Limiter) Usages(now time.Duration, to fleet.NodeID) []Usage {
 	l.drainAll(now)
-	uses := make([]Use, 0, len(l.accounts))
+	uses := make([]Usage, 0, len(l.accounts))
 	for tenant, known := range l.accounts {
-		if known.fleet.deficit > 0 || (known.total > 0 && now < known.taken+quietAfter) {
-			uses = append(uses, Use{
+		if known.fleet.deficit > 0 || (known.total > 0 && now < known.lastTakenAt+idleReportPeriod) {
+			uses = append(uses, Usage{
 				Tenant: tenant, Total: uint64(known.total), Recent: uint64(known.recent),
-				Deficit: uint64(known.fleet.deficit), Heard: known.totals[to],
+				Deficit: uint64(known.fleet.deficit), Acknowledged: known.peerTotals[to],
 			})
 		}
 	}
 	return uses
 }
 
-// Near tells whether any tenant is near its limit, so that peers are to be asked.
-func (l *Limiter) Near(now time.Duration) bool {
+// IsNearLimit tells whether any tenant is near its limit, so that peers are to be asked.
+func (l *Limiter) IsNearLimit(now time.Duration) bool {
 	shares, near := l.shares(now), false
 	for _, known := range l.accounts {
 		known.drain(now, shares)
-		known.noteNear(now, shares, l.options.Slack)
-		near = near || known.near
+		known.updateNearLimit(now, shares, l.options.Slack)
+		near = near || known.nearLimit
 	}
 	return near
 }
 
-// Newcomer tells whether this node doesn't know yet what was used before its start.
-func (l *Limiter) Newcomer(now time.Duration) bool {
-	l.settle(now)
-	return l.newcomer
+// IsJoining tells whether this node doesn't know yet what was used before its start.
+func (l *Limiter) IsJoining(now time.Duration) bool {
+	l.updateJoining(now)
+	return l.joining
 }
 
-// settle ends the time as a newcomer of a node whose peers are newcomers too.
-func (l *Limiter) settle(now time.Duration) {
-	if l.newcomer && l.anyTold() && now >= l.started+newcomerFor {
-		l.newcomer, l.guessed = false, true
+// updateJoining ends the time as a newcomer of a node whose peers are newcomers too.
+func (l *Limiter) updateJoining(now time.Duration) {
+	if l.joining && l.hasPeerReport() && now >= l.started+joinTimeout {
+		l.joining, l.joinTimedOut = false, true
 	}
 }
 
-func (l *Limiter) anyTold() bool {
+func (l *Limiter) hasPeerReport() bool {
 	for _, known := range l.peers {
-		if known.told {
+		if known.reported {
 			return true
 		}
 	}
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -13,7 +13,7 @@
 const tenant fleet.TenantName = "a"
 
 func single(limit Limit, options Options) *Limiter {
-	options.Single, options.Window = true, 8*time.Second
+	options.Standalone, options.Window = true, 8*time.Second
 	limiter := NewLimiter(0, options)
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: limit})
 	return limiter
@@ -94,7 +94,7 @@
 	restarted := NewLimiter(0, options)
 	restarted.SetLimits(0, limits)
 	require.False(t, restarted.Admit(0, tenant, 200).Admitted, "a newcomer has a small part")
-	restarted.Observe(0, Report{Node: "peer/1", Machine: "peer", Uses: []Use{{Tenant: tenant, Total: 5000, Deficit: 900}}})
+	restarted.Observe(0, Report{Node: "peer/1", Machine: "peer", Usages: []Usage{{Tenant: tenant, Total: 5000, Deficit: 900}}})
 	require.True(t, restarted.Admit(0, tenant, 90).Admitted)
 	require.False(t, restarted.Admit(0, tenant, 90).Admitted)
 }
@@ -102,12 +102,12 @@
 // TestTenantsAtRestAreNotNamed has reports name a tenant until all have heard its last use.
 func TestTenantsAtRestAreNotNamed(t *testing.T) {
 	limiter := single(Limit{Rate: 1000, Burst: 1000}, Options{})
-	require.Empty(t, limiter.Uses(0, "x/1"))
+	require.Empty(t, limiter.Usages(0, "x/1"))
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
-	require.Len(t, limiter.Uses(time.Second, "x/1"), 1)
-	require.Empty(t, limiter.Uses(quietAfter+time.Second, "x/1"))
+	require.Len(t, limiter.Usages(time.Second, "x/1"), 1)
+	require.Empty(t, limiter.Usages(idleReportPeriod+time.Second, "x/1"))
 	require.True(t, limiter.Admit(time.Minute, tenant, 100).Admitted)
-	require.Equal(t, []Use{{Tenant: tenant, Total: 200, Recent: 200, Deficit: 100}}, limiter.Uses(time.Minute, "x/1"))
+	require.Equal(t, []Usage{{Tenant: tenant, Total: 200, Recent: 200, Deficit: 100}}, limiter.Usages(time.Minute, "x/1"))
 }
 
 // TestPeerThatComesBackIsCountedOnce has a peer's use counted once, although the nodes that
@@ -117,11 +117,11 @@
 	limiter := NewLimiter(0, Options{Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, limits)
 	for range 5 {
-		limiter.Observe(0, Report{Node: "x/1", Machine: "x", Newcomer: true, Uses: []Use{{Tenant: tenant, Total: 300, Recent: 300}}})
-		limiter.Forget(0, "x/1")
+		limiter.Observe(0, Report{Node: "x/1", Machine: "x", Joining: true, Usages: []Usage{{Tenant: tenant, Total: 300, Recent: 300}}})
+		limiter.RemovePeer(0, "x/1")
 	}
 	require.InDelta(t, 700, limiter.Admit(0, tenant, 0).Available, 1)
-	limiter.Observe(0, Report{Node: "x/2", Machine: "x", Newcomer: true, Uses: []Use{{Tenant: tenant, Total: 100, Recent: 100}}})
+	limiter.Observe(0, Report{Node: "x/2", Machine: "x", Joining: true, Usages: []Usage{{Tenant: tenant, Total: 100, Recent: 100}}})
 	require.InDelta(t, 600, limiter.Admit(0, tenant, 0).Available, 1, "another run counts from zero")
 }
 
@@ -134,13 +134,13 @@
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x"})
 	require.True(t, limiter.Admit(0, tenant, 400).Admitted)
 	limiter.Leave(0)
-	left := limiter.Uses(0, "x/1")
-	require.Equal(t, []Use{{Tenant: tenant, Total: 400, Recent: 0, Deficit: 400}}, left)
-	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Uses: []Use{{Tenant: tenant, Total: 50, Deficit: 400, Heard: 400}}})
+	left := limiter.Usages(0, "x/1")
+	require.Equal(t, []Usage{{Tenant: tenant, Total: 400, Recent: 0, Deficit: 400}}, left)
+	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Usages: []Usage{{Tenant: tenant, Total: 50, Deficit: 400, Acknowledged: 400}}})
 	require.InDelta(t, 600, limiter.Admit(0, tenant, 0).Available, 1)
 	other := NewLimiter(0, Options{Slack: 1000, Window: 8 * time.Second, FirstStart: true})
 	other.SetLimits(0, limits)
-	other.Observe(0, Report{Node: "y/1", Machine: "y", Newcomer: true, Uses: left})
+	other.Observe(0, Report{Node: "y/1", Machine: "y", Joining: true, Usages: left})
 	require.InDelta(t, 1000, other.Admit(0, tenant, 0).Available, 1, "what it admitted before counts at nobody again")
 }
 
@@ -151,7 +151,7 @@
 	limiter := NewLimiter(0, Options{Slack: 4000, Overshoot: 0.1, Window: 8 * time.Second})
 	limiter.SetLimits(0, limits)
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
-	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Uses: []Use{{Tenant: tenant, Total: 200, Deficit: 290, Heard: 90}}})
+	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Usages: []Usage{{Tenant: tenant, Total: 200, Deficit: 290, Acknowledged: 90}}})
 	require.InDelta(t, 700, limiter.Admit(0, tenant, 0).Available, 1, "290 and the 10 that the peer hasn't heard of")
 }
 
@@ -164,7 +164,7 @@
 	tell := func(total, deficit uint64) {
 		for _, machine := range []string{"x", "y", "z"} {
 			limiter.Observe(0, Report{
-				Node: fleet.NodeID(machine + "/1"), Machine: machine, Uses: []Use{{Tenant: tenant, Total: total, Deficit: deficit}},
+				Node: fleet.NodeID(machine + "/1"), Machine: machine, Usages: []Usage{{Tenant: tenant, Total: total, Deficit: deficit}},
 			})
 		}
 	}
@@ -187,7 +187,7 @@
 	}
 	tell(0)
 	require.InDelta(t, 1, limiter.Admit(0, tenant, 0).Share, 0.01)
-	alone := silentAfter + time.Millisecond
+	alone := peerTimeout + time.Millisecond
 	require.InDelta(t, 0.25, limiter.Admit(alone, tenant, 0).Share, 0.01)
 	require.True(t, limiter.Admit(alone, tenant, 20).Admitted)
 	require.False(t, limiter.Admit(alone, tenant, 20).Admitted)
@@ -203,6 +203,6 @@
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: {Rate: 100, Burst: 100}})
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x"})
 	require.InDelta(t, 0.5, limiter.Admit(time.Minute, tenant, 0).Share, 0.01)
-	limiter.Observe(time.Minute, Report{Node: "x/2", Machine: "x", Newcomer: true})
+	limiter.Observe(time.Minute, Report{Node: "x/2", Machine: "x", Joining: true})
 	require.InDelta(t, 1, limiter.Admit(time.Minute, tenant, 0).Share, 0.01)
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -86,7 +86,7 @@
 		f := newSimFleet(seed, 12, testOptions(true), map[fleet.TenantName]Limit{bigTenant: limit}, false)
 		single := newAccount(f.now, limit, limit.Burst)
 		f.decided = func(amount float64, decision Decision) {
-			single.drain(f.now, shares{touch: 1})
+			single.drain(f.now, shares{reachable: 1})
 			left := single.available(1, false)
 			if decision.Admitted {
 				single.take(f.now, amount)
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -13,12 +13,12 @@
 // shares are parts of a limit.
 type shares struct {
 	now time.Duration
-	// touch is the part of this node and the peers in touch.
-	touch float64
+	// reachable is the part of this node and the peers in reachable.
+	reachable float64
 	// stale are the peers in touch that weren't heard just now, with their parts.
 	stale []stalePeer
-	// newcomer is the part of this node while it is a newcomer.
-	newcomer float64
+	// joining is the part of this node while it is a joining.
+	joining float64
 }
 
 // stalePeer is a peer that counts as out of touch for a tenant that has been near its
@@ -28,15 +28,15 @@
 	share float64
 }
 
-// of returns the part that counts for a tenant. Of a tenant near its limit, peers that
+// forAccount returns the part that counts for a tenant. Of a tenant near its limit, peers that
 // were asked since and haven't answered are left their parts.
-func (s shares) of(tenant *account) float64 {
-	share := s.touch
-	if !tenant.near {
+func (s shares) forAccount(tenant *account) float64 {
+	share := s.reachable
+	if !tenant.nearLimit {
 		return share
 	}
 	for _, peer := range s.stale {
-		if s.now > tenant.nearSince+peer.since {
+		if s.now > tenant.nearLimitSince+peer.since {
 			share -= peer.share
 		}
 	}
@@ -46,68 +46,68 @@
 // shares returns the parts of a limit. Those of two sides of a partition add up to 1,
 // since both go by the rates of requests from before.
 func (l *Limiter) shares(now time.Duration) shares {
-	l.noteAsleep(now)
-	l.settle(now)
-	l.noteSilent(now)
-	parts := shares{now: now, touch: 1, newcomer: 1.0 / newcomerSharers}
+	l.detectPause(now)
+	l.updateJoining(now)
+	l.detectUnreachable(now)
+	parts := shares{now: now, reachable: 1, joining: 1.0 / assumedJoiningNodes}
 	total, inTouch := 1.0, 1
 	for _, known := range l.peers {
-		if known.silent {
-			parts.touch -= known.share
+		if known.unreachable {
+			parts.reachable -= known.share
 			continue
 		}
 		total += known.weight
 		inTouch++
 	}
-	parts.touch = max(parts.touch, 0)
-	stale := time.Duration(l.rounds) * staleAfter
+	parts.reachable = max(parts.reachable, 0)
+	stale := time.Duration(l.reportRounds) * nearLimitPeerTimeout
 	for _, known := range l.peers {
-		if !known.silent && now > known.heard+stale {
-			parts.stale = append(parts.stale, stalePeer{since: stale, share: parts.touch * known.weight / total})
+		if !known.unreachable && now > known.lastHeardAt+stale {
+			parts.stale = append(parts.stale, stalePeer{since: stale, share: parts.reachable * known.weight / total})
 		}
 	}
-	if l.guessed && now < l.started+guessedFor {
-		parts.touch *= min(float64(inTouch)/newcomerSharers, 1)
+	if l.joinTimedOut && now < l.started+partitionGuardPeriod {
+		parts.reachable *= min(float64(inTouch)/assumedJoiningNodes, 1)
 	}
-	if now >= l.started+newcomerFor {
-		parts.newcomer *= strayPart
+	if now >= l.started+joinTimeout {
+		parts.joining *= isolatedJoiningFraction
 	}
-	l.touch = parts.touch
+	l.reachableShare = parts.reachable
 	return parts
 }
 
-// noteAsleep sees whether this node did nothing for a while, as a frozen process. Its peers
+// detectPause sees whether this node did nothing for a while, as a frozen process. Its peers
 // count as silent then, but they were not: without this, all that they have admitted
 // meanwhile would count as used at once, here and, by this node's reports, at all others.
-func (l *Limiter) noteAsleep(now time.Duration) {
-	if now-l.called > asleepAfter {
+func (l *Limiter) detectPause(now time.Duration) {
+	if now-l.lastUpdateAt > pauseThreshold {
 		for _, tenant := range l.accounts {
-			tenant.wake(now, l.touch)
+			tenant.drainPause(now, l.reachableShare)
 		}
 	}
-	l.called = now
+	l.lastUpdateAt = now
 }
 
-// noteSilent marks the peers that were not heard for too long. Several that fall
+// detectUnreachable marks the peers that were not heard for too long. Several that fall
 // silent at once are given their parts by the same rates.
-func (l *Limiter) noteSilent(now time.Duration) {
+func (l *Limiter) detectUnreachable(now time.Duration) {
 	var fallen []*peer
 	total, left := 1.0, 1.0
 	for node, known := range l.peers {
 		switch {
-		case known.silent && now >= known.since+silentFor:
+		case known.unreachable && now >= known.unreachableSince+shareReservation:
 			delete(l.peers, node)
-		case known.silent:
+		case known.unreachable:
 			left -= known.share
 		default:
 			total += known.weight
-			if now > known.heard+time.Duration(l.rounds)*silentAfter {
+			if now > known.lastHeardAt+time.Duration(l.reportRounds)*peerTimeout {
 				fallen = append(fallen, known)
 			}
 		}
 	}
 	for _, known := range fallen {
-		known.silent, known.since = true, now
+		known.unreachable, known.unreachableSince = true, now
 		known.share = max(left, 0) * known.weight / total
 	}
 }
