--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -35,16 +35,16 @@
 	any atomic.Bool
 
 	mutex       sync.Mutex
-	ledger      *workerbackoff.Ledger
-	returnTimes workerbackoff.ReturnTimes
+	ledger      *workerbackoff.Tracker
+	returnTimes workerbackoff.RetryScheduler
 }
 
 func newWorkerBackoffs(random *rand.Rand) *workerBackoffs {
-	return &workerBackoffs{ledger: workerbackoff.NewLedger(random)}
+	return &workerBackoffs{ledger: workerbackoff.NewTracker(random)}
 }
 
 func backoffRun(worker fleet.EngineID, born backends.StartTime) workerbackoff.Run {
-	return workerbackoff.Run{Worker: worker, Born: uint64(born)}
+	return workerbackoff.Run{Worker: worker, StartTime: uint64(born)}
 }
 
 // ask takes in that a run wants no requests for a time, and tells whether that is longer than
@@ -53,7 +53,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.any.Store(true)
-	return b.ledger.Ask(now, run, wait)
+	return b.ledger.Extend(now, run, wait)
 }
 
 // closed returns for how long a run is to get nothing.
@@ -63,7 +63,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Closed(now, run)
+	return b.ledger.ClosedFor(now, run)
 }
 
 // begin returns for how long a run is to get no request; if 0, one is about to be sent.
@@ -73,7 +73,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Begin(now, run)
+	return b.ledger.BeginRequest(now, run)
 }
 
 // answered takes in an answer that asks for no backoff.
@@ -83,8 +83,8 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.Answered(run, sentAt)
-	b.any.Store(!b.ledger.Empty())
+	b.ledger.ObserveAnswer(run, sentAt)
+	b.any.Store(!b.ledger.IsEmpty())
 }
 
 // forget drops the backoff of a worker whose run has ended.
@@ -95,7 +95,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.ledger.Forget(worker)
-	b.any.Store(!b.ledger.Empty())
+	b.any.Store(!b.ledger.IsEmpty())
 }
 
 // closing returns the workers that are to get nothing.
@@ -105,7 +105,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Closing(now)
+	return b.ledger.ClosedWorkers(now)
 }
 
 // returnAfter returns when a caller of a priority is to come back, if the first worker opens
@@ -113,7 +113,7 @@
 func (b *workerBackoffs) returnAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.returnTimes.After(opensIn, priority)
+	return b.returnTimes.Next(opensIn, priority)
 }
 
 // noteRetryAfter takes in that a worker wants nothing from this node for a time.
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -194,11 +194,11 @@
 func (l *workerLimits) grant(now time.Duration, observation workerlimit.Observation, members, priority int) workerlimit.Grant {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	rate, limited := l.ledger.Limit(observation.Worker, observation.Born)
+	rate, limited := l.ledger.Limit(observation.Worker, observation.StartTime)
 	if !limited {
 		return workerlimit.Grant{Granted: true}
 	}
-	return l.limiter.Ask(now, observation.Worker, rate, l.touch.part(now, members), priority)
+	return l.limiter.Acquire(now, observation.Worker, rate, l.touch.part(now, members), priority)
 }
 
 // answerGrant answers another node's question.
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -29,10 +29,10 @@
 	any atomic.Bool
 
 	mutex  sync.Mutex
-	ledger *workerlimit.Ledger
+	ledger *workerlimit.Tracker
 	// limiter is used for the workers to which this node grants the requests of all.
 	limiter    *workerlimit.Limiter
-	retryTimes workerlimit.RetryTimes
+	retryTimes workerlimit.RetryScheduler
 	touch      touch
 	// calls counts, by worker with a limit, this node's calls since the last line about them.
 	calls map[fleet.EngineID]map[callKind]int
@@ -54,7 +54,7 @@
 
 func newWorkerLimits() *workerLimits {
 	return &workerLimits{
-		ledger: workerlimit.NewLedger(), limiter: workerlimit.NewLimiter(),
+		ledger: workerlimit.NewTracker(), limiter: workerlimit.NewLimiter(),
 		calls:    make(map[fleet.EngineID]map[callKind]int),
 		granters: make(map[fleet.EngineID]granters), silent: make(map[fleet.NodeID]time.Duration),
 		untold: make(map[fleet.EngineID]bool), announced: make(chan struct{}, 1),
@@ -73,11 +73,11 @@
 	switch change {
 	case workerlimit.Unchanged:
 		return change
-	case workerlimit.Began:
+	case workerlimit.LimitAdded:
 		l.calls[observation.Worker] = make(map[callKind]int)
-	case workerlimit.Ended:
+	case workerlimit.LimitRemoved:
 		l.drop(observation.Worker)
-	case workerlimit.Altered:
+	case workerlimit.LimitChanged:
 	}
 	if tell {
 		l.untold[observation.Worker] = true
@@ -133,7 +133,7 @@
 	if _, limited := l.ledger.Limit(worker.ID, uint64(worker.Born)); !limited {
 		return backends.IntakeFree, 0
 	}
-	if closed := l.ledger.Closed(now, worker.ID, priority); closed > 0 {
+	if closed := l.ledger.ClosedFor(now, worker.ID, priority); closed > 0 {
 		return backends.IntakeClosed, closed
 	}
 	return backends.IntakeLimited, 0
@@ -143,14 +143,14 @@
 func (l *workerLimits) close(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Close(now, worker, priority, refused)
+	l.ledger.ObserveRefusal(now, worker, priority, refused)
 }
 
 // closed returns how long a worker has no room for a request of a priority.
 func (l *workerLimits) closed(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Closed(now, worker, priority)
+	return l.ledger.ClosedFor(now, worker, priority)
 }
 
 // returnAfter returns when a caller is to come back that found all workers at their limits, of
@@ -162,7 +162,7 @@
 	for _, observation := range l.ledger.Observations(now) {
 		rate += observation.Rate
 	}
-	return l.retryTimes.After(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
+	return l.retryTimes.Next(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
 }
 
 // noteCall counts a call to a worker that has a limit.
@@ -199,7 +199,7 @@
 		}
 	}
 	l.limiter.Sweep(now)
-	l.any.Store(!l.ledger.Empty())
+	l.any.Store(!l.ledger.IsEmpty())
 	return uses
 }
 
@@ -215,9 +215,9 @@
 		return
 	}
 	observation := workerlimit.Observation{
-		Worker: worker.ID, Born: uint64(worker.Born),
+		Worker: worker.ID, StartTime: uint64(worker.Born),
 		Limited: info.Limit.Kind == workerlimit.Limited, Rate: info.Limit.Rate,
-		Asked: current.sentAt, Answered: g.now(),
+		RequestedAt: current.sentAt, AnsweredAt: g.now(),
 	}
 	if change := g.limits.observe(observation, true); change != workerlimit.Unchanged {
 		g.logLimit(observation, change, "answer")
@@ -241,7 +241,7 @@
 // logLimit logs a change of what is known of a limit, and from where.
 func (g *Gateway) logLimit(observation workerlimit.Observation, change workerlimit.Change, source string) {
 	g.events.line("worker_limit").Str("worker", string(observation.Worker)).Str("change", change.String()).Float64("rate", float64(observation.Rate)).
-		Dur("answer_age", g.now()-observation.Answered).Str("source", source).Msg("worker_limit")
+		Dur("answer_age", g.now()-observation.AnsweredAt).Str("source", source).Msg("worker_limit")
 }
 
 // reportLimits logs what this node has sent to the workers with limits since the last time.
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -19,7 +19,7 @@
 
 // limitObservation is what a worker named at a time.
 func limitObservation(rate workerlimit.Rate, at time.Duration) workerlimit.Observation {
-	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, Asked: at, Answered: at}
+	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, RequestedAt: at, AnsweredAt: at}
 }
 
 func TestOnlyAWorkersOwnAnswerTellsOfItsLimit(t *testing.T) {
@@ -36,12 +36,12 @@
 // TestObservationIsNoYoungerAfterACall: what was said within a call may be as old as the call.
 func TestObservationIsNoYoungerAfterACall(t *testing.T) {
 	observation := limitObservation(2, 0)
-	observation.Asked, observation.Answered = 900*time.Millisecond, 1000*time.Millisecond
+	observation.RequestedAt, observation.AnsweredAt = 900*time.Millisecond, 1000*time.Millisecond
 	told := encodeLimit(5*time.Second, &observation)
 	heard, err := decodeLimit(told, 100*time.Second, 100*time.Second+200*time.Millisecond)
 	require.NoError(t, err)
-	assert.Equal(t, 95900*time.Millisecond, heard.Asked)
-	assert.Equal(t, 96200*time.Millisecond, heard.Answered)
+	assert.Equal(t, 95900*time.Millisecond, heard.RequestedAt)
+	assert.Equal(t, 96200*time.Millisecond, heard.AnsweredAt)
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		_, err := decodeLimit(&rpc.WorkerLimit{Worker: "w", Limited: true, Rate: rate}, 0, 0)
 		assert.Error(t, err)
@@ -67,7 +67,7 @@
 	assert.Len(t, g.limits.takeUntold(), 1)
 	assert.Empty(t, other.limits.takeUntold(), "what another node told isn't passed on at once: that one tells all")
 
-	ended := workerlimit.Observation{Worker: "w", Asked: g.now() + time.Second, Answered: g.now() + time.Second}
+	ended := workerlimit.Observation{Worker: "w", RequestedAt: g.now() + time.Second, AnsweredAt: g.now() + time.Second}
 	g.limits.observe(ended, true)
 	require.Len(t, g.loadReport("other").GetLimits(), 1)
 	assert.False(t, g.loadReport("other").GetLimits()[0].GetLimited())
@@ -94,7 +94,7 @@
 	g.settled.Store(true)
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
-	g.limits.observe(workerlimit.Observation{Worker: "w", Asked: now - time.Second, Answered: now}, false)
+	g.limits.observe(workerlimit.Observation{Worker: "w", RequestedAt: now - time.Second, AnsweredAt: now}, false)
 	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
 	assert.True(t, answer.Granted)
@@ -157,7 +157,7 @@
 func TestRunsUnderOneNameHaveLimitsOfTheirOwn(t *testing.T) {
 	g := idleGateway(t)
 	observation := limitObservation(2, g.now())
-	observation.Born = 100
+	observation.StartTime = 100
 	g.limits.observe(observation, false)
 	intake, _ := g.limits.intake(g.now(), &backends.Worker{ID: "w", Born: 100}, 0)
 	assert.Equal(t, backends.IntakeLimited, intake)
--- a/internal/gateway/limittalk.go
+++ b/internal/gateway/limittalk.go
@@ -146,8 +146,8 @@
 // encodeLimit returns an observation in its transmitted form.
 func encodeLimit(now time.Duration, observation *workerlimit.Observation) *rpc.WorkerLimit {
 	return &rpc.WorkerLimit{
-		Worker: string(observation.Worker), Born: observation.Born, Limited: observation.Limited, Rate: float64(observation.Rate),
-		AskedAgeMillis: millisUp(now - observation.Asked), AnsweredAgeMillis: ageMillis(now, observation.Answered),
+		Worker: string(observation.Worker), Born: observation.StartTime, Limited: observation.Limited, Rate: float64(observation.Rate),
+		AskedAgeMillis: millisUp(now - observation.RequestedAt), AnsweredAgeMillis: ageMillis(now, observation.AnsweredAt),
 	}
 }
 
@@ -158,8 +158,8 @@
 		return workerlimit.Observation{}, errors.Errorf("limit of %q: %f", told.GetWorker(), rate)
 	}
 	return workerlimit.Observation{
-		Worker: fleet.EngineID(told.GetWorker()), Born: told.GetBorn(), Limited: told.GetLimited(), Rate: workerlimit.Rate(rate),
-		Asked: atAge(begun, told.GetAskedAgeMillis()), Answered: atAge(ended, told.GetAnsweredAgeMillis()),
+		Worker: fleet.EngineID(told.GetWorker()), StartTime: told.GetBorn(), Limited: told.GetLimited(), Rate: workerlimit.Rate(rate),
+		RequestedAt: atAge(begun, told.GetAskedAgeMillis()), AnsweredAt: atAge(ended, told.GetAnsweredAgeMillis()),
 	}, nil
 }
 
--- a/internal/workerbackoff/ledger.go
+++ b/internal/workerbackoff/ledger.go
@@ -18,9 +18,9 @@
 
 // Constants of the end of a backoff.
 const (
-	// spreadPart is the part of a backoff over which its end is spread, mostSpread its bound.
-	spreadPart = 0.1
-	mostSpread = 500 * time.Millisecond
+	// jitterFraction is the part of a backoff over which its end is spread, mostSpread its bound.
+	jitterFraction = 0.1
+	maxJitter      = 500 * time.Millisecond
 	// trialTimeout is how long a half-open worker is left alone with one request that isn't
 	// answered.
 	trialTimeout = time.Second
@@ -28,101 +28,101 @@
 
 // Run names a run of a worker. Born is when it started, by its clock; 0 if that isn't known.
 type Run struct {
-	Worker fleet.EngineID
-	Born   uint64
+	Worker    fleet.EngineID
+	StartTime uint64
 }
 
-// Ledger holds the backoffs of all workers that have asked for one.
-type Ledger struct {
+// Tracker holds the backoffs of all workers that have asked for one.
+type Tracker struct {
 	random  *rand.Rand
 	entries map[fleet.EngineID]*entry
 }
 
 // entry is the backoff of one run.
 type entry struct {
-	born uint64
-	// until is the end of the longest time that was asked for, reopens when this node sends
+	startTime uint64
+	// requestedUntil is the end of the longest time that was asked for, reopensAt when this node sends
 	// again.
-	until, reopens time.Duration
+	requestedUntil, reopensAt time.Duration
 	// trialUntil is until when one request is under way to the half-open worker.
 	trialUntil time.Duration
 }
 
-// NewLedger returns an empty ledger. random spreads the ends of backoffs.
-func NewLedger(random *rand.Rand) *Ledger {
-	return &Ledger{random: random, entries: make(map[fleet.EngineID]*entry)}
+// NewTracker returns an empty ledger. random spreads the ends of backoffs.
+func NewTracker(random *rand.Rand) *Tracker {
+	return &Tracker{random: random, entries: make(map[fleet.EngineID]*entry)}
 }
 
-// Ask takes in that a run wants no requests for a time from now on. A time that ends before one
+// Extend takes in that a run wants no requests for a time from now on. A time that ends before one
 // asked for earlier changes nothing. It tells whether the backoff has become longer.
-func (l *Ledger) Ask(now time.Duration, run Run, wait time.Duration) bool {
+func (l *Tracker) Extend(now time.Duration, run Run, wait time.Duration) bool {
 	known := l.entries[run.Worker]
 	switch {
-	case known == nil || (known.born != 0 && run.Born > known.born):
+	case known == nil || (known.startTime != 0 && run.StartTime > known.startTime):
 		known = &entry{}
 		l.entries[run.Worker] = known
-	case run.Born != 0 && run.Born < known.born:
+	case run.StartTime != 0 && run.StartTime < known.startTime:
 		return false
 	}
-	known.born = max(known.born, run.Born)
-	if now+wait <= known.until {
+	known.startTime = max(known.startTime, run.StartTime)
+	if now+wait <= known.requestedUntil {
 		return false
 	}
-	known.until = now + wait
-	known.reopens = known.until + l.spread(wait)
+	known.requestedUntil = now + wait
+	known.reopensAt = known.requestedUntil + l.jitter(wait)
 	known.trialUntil = 0
 	return true
 }
 
-// spread returns how much after its end a backoff ends at this node.
-func (l *Ledger) spread(wait time.Duration) time.Duration {
-	return time.Duration(l.random.Float64() * float64(min(time.Duration(float64(wait)*spreadPart), mostSpread)))
+// jitter returns how much after its end a backoff ends at this node.
+func (l *Tracker) jitter(wait time.Duration) time.Duration {
+	return time.Duration(l.random.Float64() * float64(min(time.Duration(float64(wait)*jitterFraction), maxJitter)))
 }
 
-// Closed returns for how long a run is to get no request; 0 if it may get one.
-func (l *Ledger) Closed(now time.Duration, run Run) time.Duration {
-	known := l.of(run)
+// ClosedFor returns for how long a run is to get no request; 0 if it may get one.
+func (l *Tracker) ClosedFor(now time.Duration, run Run) time.Duration {
+	known := l.entryOf(run)
 	if known == nil {
 		return 0
 	}
-	return max(known.reopens-now, known.trialUntil-now, 0)
+	return max(known.reopensAt-now, known.trialUntil-now, 0)
 }
 
-// Begin is called right before a request is sent to a run. It returns for how long none may be
+// BeginRequest is called right before a request is sent to a run. It returns for how long none may be
 // sent; if 0, and the run is half open, others wait for the answer of this one.
-func (l *Ledger) Begin(now time.Duration, run Run) time.Duration {
-	closed := l.Closed(now, run)
-	if known := l.of(run); closed == 0 && known != nil {
+func (l *Tracker) BeginRequest(now time.Duration, run Run) time.Duration {
+	closed := l.ClosedFor(now, run)
+	if known := l.entryOf(run); closed == 0 && known != nil {
 		known.trialUntil = now + trialTimeout
 	}
 	return closed
 }
 
-// Answered takes in that a run has answered a request without asking for another backoff. It
+// ObserveAnswer takes in that a run has answered a request without asking for another backoff. It
 // opens the run, unless the request was sent before the backoff was over.
-func (l *Ledger) Answered(run Run, sentAt time.Duration) {
-	if known := l.of(run); known != nil && sentAt >= known.until {
+func (l *Tracker) ObserveAnswer(run Run, sentAt time.Duration) {
+	if known := l.entryOf(run); known != nil && sentAt >= known.requestedUntil {
 		delete(l.entries, run.Worker)
 	}
 }
 
-// of returns the backoff of a run, nil if it has none.
-func (l *Ledger) of(run Run) *entry {
+// entryOf returns the backoff entryOf a run, nil if it has none.
+func (l *Tracker) entryOf(run Run) *entry {
 	known := l.entries[run.Worker]
-	if known == nil || (known.born != 0 && run.Born > known.born) {
+	if known == nil || (known.startTime != 0 && run.StartTime > known.startTime) {
 		return nil
 	}
 	return known
 }
 
 // Forget drops the backoff of a worker whose run has ended.
-func (l *Ledger) Forget(worker fleet.EngineID) { delete(l.entries, worker) }
+func (l *Tracker) Forget(worker fleet.EngineID) { delete(l.entries, worker) }
 
-// Closing returns the workers that are to get no request at a time, by identifier.
-func (l *Ledger) Closing(now time.Duration) []fleet.EngineID {
+// ClosedWorkers returns the workers that are to get no request at a time, by identifier.
+func (l *Tracker) ClosedWorkers(now time.Duration) []fleet.EngineID {
 	var closing []fleet.EngineID
 	for worker, known := range l.entries {
-		if now < known.reopens {
+		if now < known.reopensAt {
 			closing = append(closing, worker)
 		}
 	}
@@ -130,5 +130,5 @@
 	return closing
 }
 
-// Empty tells whether no run has a backoff or is half open.
-func (l *Ledger) Empty() bool { return len(l.entries) == 0 }
+// IsEmpty tells whether no run has a backoff or is half open.
+func (l *Tracker) IsEmpty() bool { return len(l.entries) == 0 }
--- a/internal/workerbackoff/ways_test.go
+++ b/internal/workerbackoff/ways_test.go
@@ -34,7 +34,7 @@
 	random  *rand.Rand
 	now     time.Duration
 	way     sharing
-	ledgers []*Ledger
+	ledgers []*Tracker
 	// shedFor tells which nodes' requests the worker rejects.
 	shedFor func(node int) bool
 	// told holds, by node, what others say, and when it hears of it.
@@ -54,7 +54,7 @@
 func newSimulatedNodes(nodes int, way sharing, shedFor func(int) bool) *simulatedNodes {
 	s := &simulatedNodes{random: rand.New(rand.NewPCG(uint64(nodes), 3)), way: way, shedFor: shedFor, told: make([][]heardBackoff, nodes)}
 	for range nodes {
-		s.ledgers = append(s.ledgers, NewLedger(s.random))
+		s.ledgers = append(s.ledgers, NewTracker(s.random))
 	}
 	return s
 }
@@ -91,20 +91,20 @@
 // request sends a request of a node to the worker unless it is believed to be closed.
 func (s *simulatedNodes) request(node int) {
 	run := Run{Worker: "w"}
-	if s.ledgers[node].Closed(s.now, run) > 0 || s.closedByOthers(node) {
+	if s.ledgers[node].ClosedFor(s.now, run) > 0 || s.closedByOthers(node) {
 		if !s.shedFor(node) {
 			s.kept++
 		}
 		return
 	}
-	s.ledgers[node].Begin(s.now, run)
+	s.ledgers[node].BeginRequest(s.now, run)
 	if s.shedFor(node) {
 		s.rejected = append(s.rejected, s.now)
-		s.ledgers[node].Ask(s.now, run, simAsked)
+		s.ledgers[node].Extend(s.now, run, simAsked)
 		s.tell(node)
 		return
 	}
-	s.ledgers[node].Answered(run, s.now)
+	s.ledgers[node].ObserveAnswer(run, s.now)
 	s.served++
 }
 
--- a/internal/workerlimit/ledger.go
+++ b/internal/workerlimit/ledger.go
@@ -8,9 +8,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// endedFor is how long the end of a limit is remembered and told: some rounds of reports, so
+// removalRetention is how long the end of a limit is remembered and told: some rounds of reports, so
 // that a node which still believes in the limit doesn't tell it anew.
-const endedFor = 10 * time.Second
+const removalRetention = 10 * time.Second
 
 // Change tells what an observation has changed.
 type Change uint8
@@ -18,11 +18,11 @@
 // Changes of a belief.
 const (
 	Unchanged Change = iota
-	// Began means that the worker has a limit and had none, Altered that it has another.
-	Began
-	Altered
-	// Ended means that it has none any more.
-	Ended
+	// LimitAdded means that the worker has a limit and had none, Altered that it has another.
+	LimitAdded
+	LimitChanged
+	// LimitRemoved means that it has none any more.
+	LimitRemoved
 )
 
 // String returns the change's name.
@@ -30,45 +30,45 @@
 	return [...]string{"unchanged", "began", "altered", "ended"}[c]
 }
 
-// Ledger is what one node believes of workers' limits. It holds nothing while no worker has
+// Tracker is what one node believes of workers' limits. It holds nothing while no worker has
 // one.
-type Ledger struct {
+type Tracker struct {
 	entries map[fleet.EngineID]*entry
 }
 
 // entry is the belief on one worker.
 type entry struct {
 	observation Observation
-	// closed is until when there is no room, by priority.
-	closed [Priorities]time.Duration
+	// closedUntil is until when there is no room, by priority.
+	closedUntil [PriorityLevels]time.Duration
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{entries: make(map[fleet.EngineID]*entry)}
+// NewTracker returns an empty ledger.
+func NewTracker() *Tracker {
+	return &Tracker{entries: make(map[fleet.EngineID]*entry)}
 }
 
 // Observe takes in an observation, this node's own or another's, and tells what it has changed.
-func (l *Ledger) Observe(observation Observation) Change {
+func (l *Tracker) Observe(observation Observation) Change {
 	known := l.entries[observation.Worker]
 	if known == nil {
 		if !observation.Limited {
 			return Unchanged
 		}
 		l.entries[observation.Worker] = &entry{observation: observation}
-		return Began
+		return LimitAdded
 	}
 	before := known.observation
 	switch {
-	case !otherRun(before.Born, observation.Born):
+	case !areDifferentRuns(before.StartTime, observation.StartTime):
 		known.observation = merge(before, observation)
-		known.observation.Born = max(before.Born, observation.Born)
-	case observation.Born > before.Born:
+		known.observation.StartTime = max(before.StartTime, observation.StartTime)
+	case observation.StartTime > before.StartTime:
 		known.observation = observation
 	}
 	change := changeOf(&before, &known.observation)
 	if change != Unchanged {
-		known.closed = [Priorities]time.Duration{}
+		known.closedUntil = [PriorityLevels]time.Duration{}
 	}
 	return change
 }
@@ -76,56 +76,56 @@
 // changeOf tells what a belief that takes another's place changes.
 func changeOf(before, after *Observation) Change {
 	switch {
-	case after.same(before):
+	case after.isSame(before):
 		return Unchanged
 	case !after.Limited:
-		return Ended
+		return LimitRemoved
 	case !before.Limited:
-		return Began
+		return LimitAdded
 	default:
-		return Altered
+		return LimitChanged
 	}
 }
 
-// otherRun tells whether two starts, of which either may be unknown, are those of two runs.
-func otherRun(one, another uint64) bool { return one != 0 && another != 0 && one != another }
+// areDifferentRuns tells whether two starts, of which either may be unknown, are those of two runs.
+func areDifferentRuns(one, another uint64) bool { return one != 0 && another != 0 && one != another }
 
 // Limit returns the limit of a worker's run; false if it has none.
-func (l *Ledger) Limit(worker fleet.EngineID, born uint64) (Rate, bool) {
+func (l *Tracker) Limit(worker fleet.EngineID, born uint64) (Rate, bool) {
 	known := l.entries[worker]
-	if known == nil || !known.observation.Limited || otherRun(known.observation.Born, born) {
+	if known == nil || !known.observation.Limited || areDifferentRuns(known.observation.StartTime, born) {
 		return 0, false
 	}
 	return known.observation.Rate, true
 }
 
-// Close takes in that a worker with a limit had no room for a request of a priority.
-func (l *Ledger) Close(now time.Duration, worker fleet.EngineID, priority int, refused Grant) {
+// ObserveRefusal takes in that a worker with a limit had no room for a request of a priority.
+func (l *Tracker) ObserveRefusal(now time.Duration, worker fleet.EngineID, priority int, refused Grant) {
 	known := l.entries[worker]
 	if known == nil {
 		return
 	}
-	for other := range known.closed {
+	for other := range known.closedUntil {
 		wait := refused.Wait
 		if other < priority {
 			wait = refused.Refill
 		}
-		known.closed[other] = max(known.closed[other], now+wait)
+		known.closedUntil[other] = max(known.closedUntil[other], now+wait)
 	}
 }
 
-// Closed returns how long a worker with a limit has no room for a request of a priority, by
+// ClosedFor returns how long a worker with a limit has no room for a request of a priority, by
 // what was last found; 0 if it may have.
-func (l *Ledger) Closed(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
+func (l *Tracker) ClosedFor(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
 	known := l.entries[worker]
 	if known == nil || !known.observation.Limited {
 		return 0
 	}
-	return max(known.closed[min(max(priority, 0), Priorities-1)]-now, 0)
+	return max(known.closedUntil[min(max(priority, 0), PriorityLevels-1)]-now, 0)
 }
 
 // Observation returns what is believed of a worker; false if nothing is.
-func (l *Ledger) Observation(worker fleet.EngineID) (Observation, bool) {
+func (l *Tracker) Observation(worker fleet.EngineID) (Observation, bool) {
 	known := l.entries[worker]
 	if known == nil {
 		return Observation{}, false
@@ -134,10 +134,10 @@
 }
 
 // Observations returns what is believed of all workers, by identifier, the ends of late among it.
-func (l *Ledger) Observations(now time.Duration) []Observation {
+func (l *Tracker) Observations(now time.Duration) []Observation {
 	observations := make([]Observation, 0, len(l.entries))
 	for worker, known := range l.entries {
-		if !known.observation.Limited && now >= known.observation.Answered+endedFor {
+		if !known.observation.Limited && now >= known.observation.AnsweredAt+removalRetention {
 			delete(l.entries, worker)
 			continue
 		}
@@ -147,8 +147,8 @@
 	return observations
 }
 
-// Empty tells whether nothing is believed of any worker.
-func (l *Ledger) Empty() bool { return len(l.entries) == 0 }
+// IsEmpty tells whether nothing is believed of any worker.
+func (l *Tracker) IsEmpty() bool { return len(l.entries) == 0 }
 
 // Forget drops what is believed of a worker whose run has ended.
-func (l *Ledger) Forget(worker fleet.EngineID) { delete(l.entries, worker) }
+func (l *Tracker) Forget(worker fleet.EngineID) { delete(l.entries, worker) }
--- a/internal/workerlimit/ledger_test.go
+++ b/internal/workerlimit/ledger_test.go
@@ -11,11 +11,11 @@
 const second = time.Second
 
 func named(rate Rate, asked, answered time.Duration) Observation {
-	return Observation{Worker: "w", Limited: true, Rate: rate, Asked: asked, Answered: answered}
+	return Observation{Worker: "w", Limited: true, Rate: rate, RequestedAt: asked, AnsweredAt: answered}
 }
 
 func unnamed(asked, answered time.Duration) Observation {
-	return Observation{Worker: "w", Asked: asked, Answered: answered}
+	return Observation{Worker: "w", RequestedAt: asked, AnsweredAt: answered}
 }
 
 func TestObservationOfALimitHoldsUntilANewerOne(t *testing.T) {
@@ -39,7 +39,7 @@
 		"takes nothing":                 {observations: []Observation{named(0, 0, second)}, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewLedger()
+			ledger := NewTracker()
 			for _, observation := range test.observations {
 				ledger.Observe(observation)
 			}
@@ -51,33 +51,33 @@
 }
 
 func TestLimitBelongsToARun(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewTracker()
 	first := named(2, 0, second)
-	first.Born = 100
+	first.StartTime = 100
 	ledger.Observe(first)
 	_, limited := ledger.Limit("w", 0)
 	assert.True(t, limited, "the start of the run asked about isn't known")
 	_, limited = ledger.Limit("w", 200)
 	assert.False(t, limited, "another run")
 	next := unnamed(second, 2*second)
-	next.Born = 200
-	assert.Equal(t, Ended, ledger.Observe(next))
+	next.StartTime = 200
+	assert.Equal(t, LimitRemoved, ledger.Observe(next))
 	late := named(1, 5*second, 6*second)
-	late.Born = 100
+	late.StartTime = 100
 	assert.Equal(t, Unchanged, ledger.Observe(late), "an answer of the run before, though it comes later")
 	_, limited = ledger.Limit("w", 200)
 	assert.False(t, limited)
 }
 
 func TestLedgerHoldsNothingWhenNothingIsLimited(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewTracker()
 	ledger.Observe(unnamed(0, second))
-	assert.True(t, ledger.Empty())
+	assert.True(t, ledger.IsEmpty())
 	ledger.Observe(named(2, 0, second))
 	ledger.Observe(unnamed(second, 2*second))
 	assert.Len(t, ledger.Observations(2*second), 1, "the end is told")
-	assert.Empty(t, ledger.Observations(2*second+endedFor))
-	assert.True(t, ledger.Empty())
+	assert.Empty(t, ledger.Observations(2*second+removalRetention))
+	assert.True(t, ledger.IsEmpty())
 }
 
 // In whatever order observations come, one that was asked for after all others were answered holds.
@@ -95,7 +95,7 @@
 		last := named(7, 9*second, 10*second)
 		observations = append(observations, last)
 		random.Shuffle(len(observations), func(i, j int) { observations[i], observations[j] = observations[j], observations[i] })
-		ledger := NewLedger()
+		ledger := NewTracker()
 		for _, observation := range observations {
 			ledger.Observe(observation)
 		}
--- a/internal/workerlimit/observation.go
+++ b/internal/workerlimit/observation.go
@@ -32,19 +32,19 @@
 // Observation is a statement of a run of a worker and when it was made.
 type Observation struct {
 	Worker fleet.EngineID
-	// Born is when the run started, by the worker's clock; 0 if that isn't known.
-	Born uint64
+	// StartTime is when the run started, by the worker's clock; 0 if that isn't known.
+	StartTime uint64
 	// Limited is false if no limit holds; Rate is set otherwise.
 	Limited bool
 	Rate    Rate
-	// Asked and Answered are times between which the statement was made, on this process's
+	// RequestedAt and Answered are times between which the statement was made, on this process's
 	// steady clock: a time before the request reached the worker and one after its answer left.
-	Asked    time.Duration
-	Answered time.Duration
+	RequestedAt time.Duration
+	AnsweredAt  time.Duration
 }
 
-// stricter tells whether an observation allows less than another.
-func (o *Observation) stricter(than *Observation) bool {
+// isStricterThan tells whether an observation allows less than another.
+func (o *Observation) isStricterThan(than *Observation) bool {
 	switch {
 	case !o.Limited:
 		return false
@@ -55,8 +55,8 @@
 	}
 }
 
-// same tells whether two observations say the same.
-func (o *Observation) same(other *Observation) bool {
+// isSame tells whether two observations say the isSame.
+func (o *Observation) isSame(other *Observation) bool {
 	return o.Limited == other.Limited && o.Rate == other.Rate
 }
 
@@ -64,12 +64,12 @@
 // the stricter one holds until a request that was sent after it is answered otherwise.
 func merge(known, heard Observation) Observation {
 	switch {
-	case heard.same(&known):
-		known.Asked, known.Answered = max(known.Asked, heard.Asked), max(known.Answered, heard.Answered)
+	case heard.isSame(&known):
+		known.RequestedAt, known.AnsweredAt = max(known.RequestedAt, heard.RequestedAt), max(known.AnsweredAt, heard.AnsweredAt)
 		return known
-	case heard.Asked >= known.Answered:
+	case heard.RequestedAt >= known.AnsweredAt:
 		return heard
-	case heard.Answered <= known.Asked || !heard.stricter(&known):
+	case heard.AnsweredAt <= known.RequestedAt || !heard.isStricterThan(&known):
 		return known
 	default:
 		return heard
--- a/internal/workerlimit/ways_test.go
+++ b/internal/workerlimit/ways_test.go
@@ -37,7 +37,7 @@
 	later    []event
 	arrivals []time.Duration
 	// byPriority counts what reached the worker.
-	byPriority [Priorities]int
+	byPriority [PriorityLevels]int
 	messages   int
 }
 
@@ -97,14 +97,14 @@
 			count++
 		}
 	}
-	return float64(count) / (s.now - from).Seconds() / float64(max(s.rate, leastRate))
+	return float64(count) / (s.now - from).Seconds() / float64(max(s.rate, minRate))
 }
 
 // apart has each node keep the whole limit for itself.
 type apart struct{ limiters []*Limiter }
 
 func (a *apart) request(s *simulation, node, priority int) {
-	if a.limiters[node].Ask(s.now, "w", s.rate, 1, priority).Granted {
+	if a.limiters[node].Acquire(s.now, "w", s.rate, 1, priority).Granted {
 		s.send(priority)
 	}
 }
@@ -125,15 +125,15 @@
 
 func (c *copied) request(s *simulation, node, priority int) {
 	own := c.copies[node]
-	own.refill(s.now, max(s.rate, leastRate))
-	if own.level < 1 {
+	own.refill(s.now, max(s.rate, minRate))
+	if own.tokens < 1 {
 		return
 	}
-	own.level--
+	own.tokens--
 	s.send(priority)
 	for other := range c.copies {
 		if other != node {
-			s.after(func() { c.copies[other].refill(s.now, max(s.rate, leastRate)); c.copies[other].level-- })
+			s.after(func() { c.copies[other].refill(s.now, max(s.rate, minRate)); c.copies[other].tokens-- })
 		}
 	}
 }
@@ -141,13 +141,13 @@
 // granted has one node grant the requests of all.
 type granted struct {
 	limiter *Limiter
-	ledgers []*Ledger
+	ledgers []*Tracker
 }
 
 func newGranted(nodes int, rate Rate) *granted {
 	g := &granted{limiter: NewLimiter()}
 	for range nodes {
-		ledger := NewLedger()
+		ledger := NewTracker()
 		ledger.Observe(Observation{Worker: "w", Limited: true, Rate: rate})
 		g.ledgers = append(g.ledgers, ledger)
 	}
@@ -155,17 +155,17 @@
 }
 
 func (g *granted) request(s *simulation, node, priority int) {
-	if g.ledgers[node].Closed(s.now, "w", priority) > 0 {
+	if g.ledgers[node].ClosedFor(s.now, "w", priority) > 0 {
 		return
 	}
 	s.after(func() {
-		answer := g.limiter.Ask(s.now, "w", s.rate, 1, priority)
+		answer := g.limiter.Acquire(s.now, "w", s.rate, 1, priority)
 		s.after(func() {
 			if answer.Granted {
 				s.send(priority)
 				return
 			}
-			g.ledgers[node].Close(s.now, "w", priority, answer)
+			g.ledgers[node].ObserveRefusal(s.now, "w", priority, answer)
 		})
 	})
 }
@@ -275,7 +275,7 @@
 	limiter := NewLimiter()
 	waits := map[time.Duration]bool{}
 	for range 3 {
-		answer := limiter.Ask(0, "w", 2, 1, 0)
+		answer := limiter.Acquire(0, "w", 2, 1, 0)
 		assert.False(t, answer.Granted)
 		waits[answer.Wait] = true
 	}
@@ -285,8 +285,8 @@
 // A limiter that takes over from another begins empty.
 func TestNewLimiterBeginsEmpty(t *testing.T) {
 	limiter := NewLimiter()
-	answer := limiter.Ask(time.Hour, fleet.EngineID("w"), 2, 1, 0)
+	answer := limiter.Acquire(time.Hour, fleet.EngineID("w"), 2, 1, 0)
 	assert.False(t, answer.Granted)
 	assert.Greater(t, answer.Wait, 400*time.Millisecond)
-	assert.True(t, limiter.Ask(time.Hour+answer.Wait, "w", 2, 1, 0).Granted)
+	assert.True(t, limiter.Acquire(time.Hour+answer.Wait, "w", 2, 1, 0).Granted)
 }
