--- a/internal/gateway/cachetalk_test.go
+++ b/internal/gateway/cachetalk_test.go
@@ -58,7 +58,7 @@
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool", MaxFollowers: 4}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.holder.InstallIfNewer(0, 1, compiled))
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1", "somewhere": ""} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
@@ -91,7 +91,7 @@
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.holder.InstallIfNewer(0, 1, compiled))
 	for engine, zone := range map[fleet.EngineID]fleet.ZoneName{"near": "z0", "far": "z1"} {
 		g.workers.Observe(1, backends.Worker{
 			ID: engine, Service: "pool", Address: "127.0.0.1:9", Zone: zone,
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -25,7 +25,7 @@
 // carry sends a request to workers until there is a final answer.
 func (g *Gateway) carry(current *carried) {
 	current.machine = attempt.NewForwarding(current.began, attempt.ForwardingPolicy{
-		Idempotent:    current.route.Idempotent() && !current.trial,
+		Idempotent:    current.route.IsIdempotent() && !current.trial,
 		Resumable:     current.route.Kind == routes.Streaming && current.route.Resumable && !current.trial,
 		RetryFailures: current.route.Kind == routes.Safe,
 		MaxRuns:       current.route.MaxAttempts,
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -174,7 +174,7 @@
 
 // authenticate finds the tenant of the request's key.
 func (g *Gateway) authenticate(current *carried, table *routes.Table) *refusal {
-	if current.route.Public || !table.Keyed() {
+	if current.route.Public || !table.RequiresKey() {
 		return nil
 	}
 	if !g.mayServeKeyed() {
@@ -194,7 +194,7 @@
 // mayServeKeyed tells whether this node knows the keys well enough: where a
 // revocation holds everywhere, a node out of touch serves no keyed request.
 func (g *Gateway) mayServeKeyed() bool {
-	return !g.settings().RevokeEverywhere || g.fresh.Within(g.now(), g.freshBound())
+	return !g.settings().RevokeEverywhere || g.fresh.IsWithin(g.now(), g.freshBound())
 }
 
 // freshBound is how old the proof of the configuration may be for keyed requests.
@@ -205,7 +205,7 @@
 // unlessBehind returns a refusal for good if this node is known to be up to
 // date; else one to come back after, since a newer configuration may allow it.
 func (g *Gateway) unlessBehind(refused refusal) *refusal {
-	if g.fresh.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*deniedPart)) {
+	if g.fresh.IsWithin(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*deniedPart)) {
 		return &refused
 	}
 	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: retryLater}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -222,7 +222,7 @@
 				Address:  fleet.Address(g.settings().PeerAddress),
 				Region:   g.settings().Region,
 				Zone:     g.settings().Zone,
-				Capacity: g.settings().Limits.Thousandths(),
+				Capacity: g.settings().Limits.Millicores(),
 			},
 			Random: random,
 		},
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -86,7 +86,7 @@
 	before = p.meter.Pressure()
 	after = p.meter.Observe(now, usage)
 	p.current.Store(uint32(after))
-	p.scarcest.Store(uint32(p.meter.Scarce()))
+	p.scarcest.Store(uint32(p.meter.ScarcestResource()))
 	return before, after
 }
 
@@ -119,7 +119,7 @@
 	if before == after {
 		return
 	}
-	g.logger.Info().Stringer("pressure", after).Stringer("before", before).Stringer("scarce", g.pressure.meter.Scarce()).
+	g.logger.Info().Stringer("pressure", after).Stringer("before", before).Stringer("scarce", g.pressure.meter.ScarcestResource()).
 		Float64("processor", g.pressure.processor).Uint64("memory", used.memory).Int("descriptors", used.descriptors).
 		Msg("pressure_changed")
 }
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -142,7 +142,7 @@
 	g := idleGateway(t)
 	compiled, err := routes.Compile(routes.Document{Version: 1, Services: []routes.Service{{Name: "pool"}}})
 	require.NoError(t, err)
-	require.True(t, g.holder.Offer(0, 1, compiled))
+	require.True(t, g.holder.InstallIfNewer(0, 1, compiled))
 	for number := range engines {
 		g.workers.Observe(1, backends.Worker{
 			ID: fleet.EngineID(fmt.Sprint("engine-", number)), Service: "pool", Address: "127.0.0.1:9",
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -40,16 +40,16 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if role.settled {
-		s.selector.Settle(now)
+		s.selector.ConfirmRole(now)
 	}
-	s.selector.SetOthers(role.others)
+	s.selector.SetNonServingNodes(role.others)
 	s.selector.SetRole(now, role.reader, role.order)
 	s.refresh(now)
 }
 
 // refresh takes over whether the node is to read now; the mutex is held.
 func (s *sources) refresh(now time.Duration) {
-	reading := s.selector.Reads(now)
+	reading := s.selector.ShouldReadStore(now)
 	if reading == s.reading {
 		return
 	}
@@ -70,7 +70,7 @@
 func (s *sources) asks(now time.Duration) (fleet.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.selector.Asks(now) {
+	if !s.selector.ShouldAskPeer(now) {
 		return "", false
 	}
 	return s.selector.Source()
@@ -80,7 +80,7 @@
 func (s *sources) watched(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Watched(now)
+	s.selector.ObserveWatch(now)
 	s.refresh(now)
 }
 
@@ -88,14 +88,14 @@
 func (s *sources) needsAll(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.selector.NeedsAll(now)
+	return s.selector.NeedsFullState(now)
 }
 
 // inform notes that this node knows everything for the first time.
 func (s *sources) inform(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Inform()
+	s.selector.MarkSynced()
 	s.refresh(now)
 }
 
@@ -111,14 +111,14 @@
 func (s *sources) storeAnswered(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.StoreAnswered(answered)
+	s.selector.ObserveStoreCall(answered)
 }
 
 // proven notes this node's own proof by the store.
 func (s *sources) proven(now, at time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Proven(now, now-at)
+	s.selector.ObserveOwnProof(now, now-at)
 }
 
 // provenWithin tells whether this node has a proof of its own by the store that isn't
@@ -126,14 +126,14 @@
 func (s *sources) provenWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.selector.ProvenWithin(now, within)
+	return s.selector.HasProofWithin(now, within)
 }
 
 // answered takes in a peer's answer and tells whether another one is asked next.
 func (s *sources) answered(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Answered(now, from, age, proven)
+	moved := s.selector.ObserveAnswer(now, from, age, proven)
 	s.refresh(now)
 	return moved
 }
@@ -142,7 +142,7 @@
 func (s *sources) failed(now time.Duration, from fleet.NodeID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	moved := s.selector.Failed(now, from)
+	moved := s.selector.ObserveFailure(now, from)
 	s.refresh(now)
 	return moved
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -131,14 +131,14 @@
 func (g *Gateway) takeDocument(now time.Duration, rows *OperatorRows) {
 	g.noteUnreadable("", rows.Unreadable)
 	if held := g.holder.Current(); held != nil {
-		rows.Document.KeepQuotas(held.Table)
+		rows.Document.KeepUnreadableQuotas(held.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
 	if err != nil {
 		g.logger.Error().Uint64("version", uint64(rows.Document.Version)).Err(err).Msg("configuration_refused")
 		return
 	}
-	if g.holder.Offer(now, rows.DocumentRevision, compiled) {
+	if g.holder.InstallIfNewer(now, rows.DocumentRevision, compiled) {
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
--- a/internal/nodecapacity/capacity.go
+++ b/internal/nodecapacity/capacity.go
@@ -27,8 +27,8 @@
 // What a request takes of a node, rounded up, since the capacity is compared with a mean
 // rate.
 const (
-	// RequestProcessor is processor time in seconds, beyond what a node without requests uses.
-	RequestProcessor = 0.002
+	// RequestProcessorSeconds is processor time in seconds, beyond what a node without requests uses.
+	RequestProcessorSeconds = 0.002
 	// RequestBytes is what a request sends over the link: its head and body to a worker and
 	// the answer to the caller, with acknowledgements and some retries.
 	RequestBytes = 4 << 10
@@ -51,8 +51,8 @@
 	baseDescriptors = 1200
 	// baseMemoryMB is the memory of a node that serves, with its index of caches.
 	baseMemoryMB = 64
-	// talkPart is the part of a link that may be taken by what nodes tell each other.
-	talkPart = 0.5
+	// peerTrafficFraction is the part of a link that may be taken by what nodes tell each other.
+	peerTrafficFraction = 0.5
 )
 
 const bytesPerMegabit = 1e6 / 8
@@ -85,21 +85,21 @@
 	Memory
 	Descriptors
 	Link
-	resources
+	resourceCount
 )
 
 // String returns the resource's lower-case name.
 func (r Resource) String() string {
-	return [resources]string{"processor", "memory", "descriptors", "link"}[min(r, resources-1)]
+	return [resourceCount]string{"processor", "memory", "descriptors", "link"}[min(r, resourceCount-1)]
 }
 
 // RequestsPerSecond returns how many requests a second each limit allows a node to
 // carry; an unknown limit allows any number.
-func (l Limits) RequestsPerSecond() [resources]float64 {
+func (l Limits) RequestsPerSecond() [resourceCount]float64 {
 	unlimited := math.Inf(1)
-	allowed := [resources]float64{unlimited, unlimited, unlimited, unlimited}
+	allowed := [resourceCount]float64{unlimited, unlimited, unlimited, unlimited}
 	if l.ProcessorShare > 0 {
-		allowed[Processor] = l.ProcessorShare / RequestProcessor
+		allowed[Processor] = l.ProcessorShare / RequestProcessorSeconds
 	}
 	if l.MemoryMB > 0 {
 		left := math.Max(float64(l.MemoryMB-baseMemoryMB), 1)
@@ -110,7 +110,7 @@
 		allowed[Descriptors] = left / (requestDescriptors * RequestSeconds)
 	}
 	if l.LinkMegabits > 0 {
-		allowed[Link] = l.LinkMegabits * bytesPerMegabit * (1 - talkPart) / RequestBytes
+		allowed[Link] = l.LinkMegabits * bytesPerMegabit * (1 - peerTrafficFraction) / RequestBytes
 	}
 	return allowed
 }
@@ -120,7 +120,7 @@
 func (l Limits) Capacity() (float64, Resource) {
 	allowed := l.RequestsPerSecond()
 	least := Processor
-	for resource := range resources {
+	for resource := range resourceCount {
 		if allowed[resource] < allowed[least] {
 			least = resource
 		}
@@ -131,10 +131,10 @@
 	return allowed[least], least
 }
 
-// Thousandths returns the capacity as thousandths of a core that requests can use, the
+// Millicores returns the capacity as thousandths of a core that requests can use, the
 // unit in which nodes tell it: a node whose link, memory or descriptors bind counts as
 // one with a smaller processor.
-func (l Limits) Thousandths() uint32 {
+func (l Limits) Millicores() uint32 {
 	capacity, _ := l.Capacity()
-	return uint32(math.Round(capacity * RequestProcessor * 1000))
+	return uint32(math.Round(capacity * RequestProcessorSeconds * 1000))
 }
--- a/internal/nodecapacity/nodecapacity_test.go
+++ b/internal/nodecapacity/nodecapacity_test.go
@@ -30,10 +30,10 @@
 		assert.Equal(t, test.binds, binds, test.name)
 		require.NoError(t, test.limits.Validate(), test.name)
 	}
-	assert.EqualValues(t, 192, small.Thousandths())
-	assert.EqualValues(t, 800, large.Thousandths())
+	assert.EqualValues(t, 192, small.Millicores())
+	assert.EqualValues(t, 800, large.Millicores())
 	large.LinkMegabits = 10
-	assert.EqualValues(t, 305, large.Thousandths(), "a large processor behind a small link")
+	assert.EqualValues(t, 305, large.Millicores(), "a large processor behind a small link")
 }
 
 func TestLimitsThatCannotBeAreNamed(t *testing.T) {
@@ -55,7 +55,7 @@
 	}
 	assert.Equal(t, Free, at(0, 0.7))
 	assert.Equal(t, Busy, at(time.Second, 0.8))
-	assert.Equal(t, Processor, meter.Scarce())
+	assert.Equal(t, Processor, meter.ScarcestResource())
 	assert.Equal(t, Busy, at(2*time.Second, 0.5))
 	assert.Equal(t, Busy, at(3*time.Second, 0.6), "between the bounds it begins anew")
 	assert.Equal(t, Busy, at(4*time.Second, 0.5))
@@ -74,6 +74,6 @@
 		assert.Equal(t, Full, meter.Observe(time.Second, usage))
 		usage[resource] = 0.5
 		assert.Equal(t, Busy, meter.Observe(2*time.Second, usage), "callers come back when it has lasted")
-		assert.Equal(t, resource, meter.Scarce())
+		assert.Equal(t, resource, meter.ScarcestResource())
 	}
 }
--- a/internal/nodecapacity/pressure.go
+++ b/internal/nodecapacity/pressure.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Usage is how much of each limit a node uses, as parts of the limits.
-type Usage [resources]float64
+type Usage [resourceCount]float64
 
 // Pressure says how near to its limits a node is.
 type Pressure uint8
@@ -65,7 +65,7 @@
 // Meter follows a node's usage. Its zero value is free. It isn't safe for concurrent use.
 type Meter struct {
 	pressure Pressure
-	scarce   Resource
+	scarcest Resource
 	// lowSince is since when the usage is below freeBelow, if low is set.
 	lowSince time.Duration
 	low      bool
@@ -76,7 +76,7 @@
 // that is short makes it late, which callers who are already here may prefer to a refusal.
 func (m *Meter) Observe(now time.Duration, usage Usage) Pressure {
 	most := Processor
-	for resource := range resources {
+	for resource := range resourceCount {
 		if usage[resource] > usage[most] {
 			most = resource
 		}
@@ -94,12 +94,12 @@
 	case m.pressure == Busy && now >= m.lowSince+freeAfter:
 		m.pressure, m.low = Free, false
 	}
-	m.scarce = most
+	m.scarcest = most
 	return m.pressure
 }
 
 // Pressure returns the pressure at the last observation.
 func (m *Meter) Pressure() Pressure { return m.pressure }
 
-// Scarce returns the resource that was used most at the last observation.
-func (m *Meter) Scarce() Resource { return m.scarce }
+// ScarcestResource returns the resource that was used most at the last observation.
+func (m *Meter) ScarcestResource() Resource { return m.scarcest }
--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -32,55 +32,55 @@
 	// StaleAfter is the age of a proof from which on a peer counts as out of the
 	// store's reach.
 	StaleAfter time.Duration
-	// SilentAfter is the time without any answer of a peer after which the node
+	// PeerTimeout is the time without any answer of a peer after which the node
 	// reads itself.
-	SilentAfter time.Duration
-	// WatchedFor is how long a node reads after it was last asked.
-	WatchedFor time.Duration
-	// ReturnAfter is how long a node stays with a source that isn't its first.
-	ReturnAfter time.Duration
-	// TryInterval is the mean time between a node's own tries of the store while
+	PeerTimeout time.Duration
+	// WatchLinger is how long a node reads after it was last asked.
+	WatchLinger time.Duration
+	// FailbackAfter is how long a node stays with a source that isn't its first.
+	FailbackAfter time.Duration
+	// ProbeInterval is the mean time between a node's own tries of the store while
 	// its peers answer with old proofs; TryFor is how long a try lasts. In a large
 	// fleet the interval of a node that callers aren't sent to grows, so that the
 	// tries of all such nodes together are TrySpacing apart in the mean.
-	TryInterval time.Duration
-	TryFor      time.Duration
-	TrySpacing  time.Duration
-	// PatientFor is how long a node that has just started leaves the store to answer
+	ProbeInterval time.Duration
+	ProbeDuration time.Duration
+	ProbeSpacing  time.Duration
+	// StoreGracePeriod is how long a node that has just started leaves the store to answer
 	// before it asks peers as well.
-	PatientFor time.Duration
+	StoreGracePeriod time.Duration
 	// AwaitRole has the node wait for its role before it reads, instead of reading
 	// at once.
 	AwaitRole bool
-	// ProofAwaited is how long a node that has awaited its role stays with a source that
+	// ProofGracePeriod is how long a node that has awaited its role stays with a source that
 	// answers without a proof: that one has just begun to read. If all moved on, each would ask
 	// many for everything, and these would all read the store.
-	ProofAwaited time.Duration
-	// AloneAfter is the time without any answer of a peer after which the node is on its
+	ProofGracePeriod time.Duration
+	// IsolatedAfter is the time without any answer of a peer after which the node is on its
 	// own: it needs everything that the store holds.
-	AloneAfter time.Duration
+	IsolatedAfter time.Duration
 	// MaxSources bounds the peers that are asked in turn.
 	MaxSources int
 }
 
 // Defaults of Options.
 const (
-	DefaultStaleAfter  = 1300 * time.Millisecond
-	DefaultSilentAfter = 1200 * time.Millisecond
-	DefaultWatchedFor  = 3 * time.Second
-	DefaultReturnAfter = 4 * time.Second
-	DefaultTryInterval = 4 * time.Second
-	DefaultTryFor      = 400 * time.Millisecond
-	DefaultTrySpacing  = 200 * time.Millisecond
-	// DefaultPatientFor is many times what the store takes for an answer when
+	DefaultStaleAfter    = 1300 * time.Millisecond
+	DefaultPeerTimeout   = 1200 * time.Millisecond
+	DefaultWatchLinger   = 3 * time.Second
+	DefaultFailbackAfter = 4 * time.Second
+	DefaultProbeInterval = 4 * time.Second
+	DefaultProbeDuration = 400 * time.Millisecond
+	DefaultProbeSpacing  = 200 * time.Millisecond
+	// DefaultStoreGracePeriod is many times what the store takes for an answer when
 	// nothing ails it.
-	DefaultPatientFor = 150 * time.Millisecond
-	DefaultMaxSources = 9
-	// DefaultAloneAfter is some turns over all sources: slow peers are many, and all of a zone
+	DefaultStoreGracePeriod = 150 * time.Millisecond
+	DefaultMaxSources       = 9
+	// DefaultIsolatedAfter is some turns over all sources: slow peers are many, and all of a zone
 	// that read everything at once make the store slow too.
-	DefaultAloneAfter = 5 * time.Second
-	// DefaultProofAwaited is some times what reading 3,000 rows over 12 ms takes.
-	DefaultProofAwaited = time.Second
+	DefaultIsolatedAfter = 5 * time.Second
+	// DefaultProofGracePeriod is some times what reading 3,000 rows over 12 ms takes.
+	DefaultProofGracePeriod = time.Second
 )
 
 // Selector decides for one node. It isn't safe for concurrent use.
@@ -89,28 +89,28 @@
 	// reader is set while the node's role is to read.
 	reader  bool
 	sources []fleet.NodeID
-	// position is that of the source in use, chosen at chosenAt.
-	position int
-	chosenAt time.Duration
+	// sourceIndex is that of the source in use, chosen at chosenAt.
+	sourceIndex    int
+	sourceChosenAt time.Duration
 
 	started    time.Duration
 	answeredAt time.Duration
 	freshAt    time.Duration
 	watchedAt  time.Duration
-	tryAt      time.Duration
+	probeAt    time.Duration
 	answered   bool
 	fresh      bool
 	watched    bool
-	// informed is set once the node has known everything, settled once it knows its
+	// synced is set once the node has known everything, settled once it knows its
 	// role.
-	informed  bool
-	settled   bool
-	settledAt time.Duration
+	synced          bool
+	roleConfirmed   bool
+	roleConfirmedAt time.Duration
 	// storeAnswered is set while the node's last call to the store was answered.
 	storeAnswered bool
-	// others is the number of nodes that callers aren't sent to if this is one of
+	// nonServingNodes is the number of nodes that callers aren't sent to if this is one of
 	// them, else 0.
-	others int
+	nonServingNodes int
 	// ownProvenAt is the time of the node's own newest proof.
 	ownProvenAt time.Duration
 	ownProven   bool
@@ -122,11 +122,11 @@
 		field    *time.Duration
 		fallback time.Duration
 	}{
-		{&options.StaleAfter, DefaultStaleAfter}, {&options.SilentAfter, DefaultSilentAfter},
-		{&options.WatchedFor, DefaultWatchedFor}, {&options.ReturnAfter, DefaultReturnAfter},
-		{&options.TryInterval, DefaultTryInterval}, {&options.TryFor, DefaultTryFor},
-		{&options.TrySpacing, DefaultTrySpacing}, {&options.PatientFor, DefaultPatientFor},
-		{&options.ProofAwaited, DefaultProofAwaited}, {&options.AloneAfter, DefaultAloneAfter},
+		{&options.StaleAfter, DefaultStaleAfter}, {&options.PeerTimeout, DefaultPeerTimeout},
+		{&options.WatchLinger, DefaultWatchLinger}, {&options.FailbackAfter, DefaultFailbackAfter},
+		{&options.ProbeInterval, DefaultProbeInterval}, {&options.ProbeDuration, DefaultProbeDuration},
+		{&options.ProbeSpacing, DefaultProbeSpacing}, {&options.StoreGracePeriod, DefaultStoreGracePeriod},
+		{&options.ProofGracePeriod, DefaultProofGracePeriod}, {&options.IsolatedAfter, DefaultIsolatedAfter},
 	} {
 		if *bound.field <= 0 {
 			*bound.field = bound.fallback
@@ -136,7 +136,7 @@
 		options.MaxSources = DefaultMaxSources
 	}
 	selector := &Selector{options: options, started: now}
-	selector.scheduleTry(now)
+	selector.scheduleProbe(now)
 	return selector
 }
 
@@ -151,16 +151,16 @@
 	}
 	current, asked := s.Source()
 	s.sources = sources
-	s.position = 0
-	if kept := slices.Index(sources, current); asked && kept > 0 && now < s.chosenAt+s.options.ReturnAfter {
-		s.position = kept
+	s.sourceIndex = 0
+	if kept := slices.Index(sources, current); asked && kept > 0 && now < s.sourceChosenAt+s.options.FailbackAfter {
+		s.sourceIndex = kept
 	}
 }
 
-// Settle says that the node knows its role: from now on SetRole's word counts.
-func (s *Selector) Settle(now time.Duration) {
-	if !s.settled {
-		s.settled, s.settledAt = true, now
+// ConfirmRole says that the node knows its role: from now on SetRole's word counts.
+func (s *Selector) ConfirmRole(now time.Duration) {
+	if !s.roleConfirmed {
+		s.roleConfirmed, s.roleConfirmedAt = true, now
 	}
 }
 
@@ -168,81 +168,81 @@
 // that not all can at once.
 func (s *Selector) AwaitRole() { s.options.AwaitRole = true }
 
-// SetOthers says how many nodes callers aren't sent to, this one among them; 0 if
+// SetNonServingNodes says how many nodes callers aren't sent to, this one among them; 0 if
 // callers are sent to this one.
-func (s *Selector) SetOthers(count int) { s.others = count }
+func (s *Selector) SetNonServingNodes(count int) { s.nonServingNodes = count }
 
-// StoreAnswered takes in whether the node's last call to the store was answered.
-func (s *Selector) StoreAnswered(answered bool) { s.storeAnswered = answered }
+// ObserveStoreCall takes in whether the node's last call to the store was answered.
+func (s *Selector) ObserveStoreCall(answered bool) { s.storeAnswered = answered }
 
 // Source returns the peer to ask now; false if there is none.
 func (s *Selector) Source() (fleet.NodeID, bool) {
-	if s.position >= len(s.sources) {
+	if s.sourceIndex >= len(s.sources) {
 		return "", false
 	}
-	return s.sources[s.position], true
+	return s.sources[s.sourceIndex], true
 }
 
-// Asks tells whether the node is to ask a peer at now. A node whose role is to
+// ShouldAskPeer tells whether the node is to ask a peer at now. A node whose role is to
 // read asks only while it has no fresh proof of its own.
-func (s *Selector) Asks(now time.Duration) bool {
+func (s *Selector) ShouldAskPeer(now time.Duration) bool {
 	if _, found := s.Source(); !found {
 		return false
 	}
-	if !s.settled && (s.options.AwaitRole || s.storeAnswered || now < s.started+s.options.PatientFor) {
+	if !s.roleConfirmed && (s.options.AwaitRole || s.storeAnswered || now < s.started+s.options.StoreGracePeriod) {
 		return false
 	}
 	return !s.reader || !s.ownProven || now >= s.ownProvenAt+s.options.StaleAfter
 }
 
-// Proven takes in that the node itself has proof by the store, of an age.
-func (s *Selector) Proven(now, age time.Duration) {
+// ObserveOwnProof takes in that the node itself has proof by the store, of an age.
+func (s *Selector) ObserveOwnProof(now, age time.Duration) {
 	s.ownProven, s.ownProvenAt = true, max(s.ownProvenAt, now-age)
 }
 
-// ProvenWithin tells whether the node itself has a proof by the store that isn't older
+// HasProofWithin tells whether the node itself has a proof by the store that isn't older
 // than within.
-func (s *Selector) ProvenWithin(now, within time.Duration) bool {
+func (s *Selector) HasProofWithin(now, within time.Duration) bool {
 	return s.ownProven && now <= s.ownProvenAt+within
 }
 
-// Inform takes in that the node knows everything, by whoever told.
-func (s *Selector) Inform() { s.informed = true }
+// MarkSynced takes in that the node knows everything, by whoever told.
+func (s *Selector) MarkSynced() { s.synced = true }
 
-// Reads tells whether the node is to read the store at now.
-func (s *Selector) Reads(now time.Duration) bool {
+// ShouldReadStore tells whether the node is to read the store at now.
+func (s *Selector) ShouldReadStore(now time.Duration) bool {
 	switch {
 	case s.reader:
 		return true
-	case !s.informed && !s.options.AwaitRole && (!s.settled || !s.answered):
+	case !s.synced && !s.options.AwaitRole && (!s.roleConfirmed || !s.answered):
 		return true
-	case !s.settled:
+	case !s.roleConfirmed:
 		return false
-	case s.watched && now < s.watchedAt+s.options.WatchedFor:
+	case s.watched && now < s.watchedAt+s.options.WatchLinger:
 		return true
-	case now >= s.lastAnswer()+s.options.SilentAfter:
+	case now >= s.lastAnswer()+s.options.PeerTimeout:
 		return true
-	case now < s.lastFresh()+s.options.StaleAfter+s.options.SilentAfter:
+	case now < s.lastFresh()+s.options.StaleAfter+s.options.PeerTimeout:
 		return false
 	}
-	if now >= s.tryAt+s.options.TryFor {
-		s.scheduleTry(now)
+	if now >= s.probeAt+s.options.ProbeDuration {
+		s.scheduleProbe(now)
 	}
-	return now >= s.tryAt
+	return now >= s.probeAt
 }
 
-// NeedsAll tells whether the node, if it reads, needs everything that the store holds, since
+// NeedsFullState tells whether the node, if it reads, needs everything that the store holds, since
 // others ask it or nobody answers it. Otherwise it reads for its proof and for changes.
-func (s *Selector) NeedsAll(now time.Duration) bool {
-	asked := s.watched && now < s.watchedAt+s.options.WatchedFor
-	return asked || now >= s.lastAnswer()+s.options.AloneAfter
+func (s *Selector) NeedsFullState(now time.Duration) bool {
+	asked := s.watched && now < s.watchedAt+s.options.WatchLinger
+	return asked || now >= s.lastAnswer()+s.options.IsolatedAfter
 }
 
 func (s *Selector) lastAnswer() time.Duration {
 	if s.answered {
 		return s.answeredAt
 	}
-	return max(s.started, s.settledAt)
+	return max(s.started, s.roleConfirmedAt)
 }
 
 func (s *Selector) lastFresh() time.Duration {
@@ -252,50 +252,52 @@
 	return s.started
 }
 
-// scheduleTry sets when the node next tries the store by itself.
-func (s *Selector) scheduleTry(now time.Duration) {
-	mean := int64(max(s.options.TryInterval, time.Duration(s.others)*s.options.TrySpacing))
-	s.tryAt = now + time.Duration(mean/2+s.options.Random.Int64N(mean+1))
+// scheduleProbe sets when the node next tries the store by itself.
+func (s *Selector) scheduleProbe(now time.Duration) {
+	mean := int64(max(s.options.ProbeInterval, time.Duration(s.nonServingNodes)*s.options.ProbeSpacing))
+	s.probeAt = now + time.Duration(mean/2+s.options.Random.Int64N(mean+1))
 }
 
-// Watched notes that another node has asked this one.
-func (s *Selector) Watched(now time.Duration) { s.watched, s.watchedAt = true, now }
+// ObserveWatch notes that another node has asked this one.
+func (s *Selector) ObserveWatch(now time.Duration) { s.watched, s.watchedAt = true, now }
 
-// Answered takes in a source's answer: the age of its proof, and whether it has
+// ObserveAnswer takes in a source's answer: the age of its proof, and whether it has
 // one. It tells whether the node moved on to another source.
-func (s *Selector) Answered(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
+func (s *Selector) ObserveAnswer(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.answered, s.answeredAt = true, now
 	if proven && age < s.options.StaleAfter {
 		s.fresh, s.freshAt = true, now
-		return s.returnToFirst(now)
+		return s.failBack(now)
 	}
-	if s.options.AwaitRole && !s.fresh && now < s.settledAt+s.options.ProofAwaited {
+	if s.options.AwaitRole && !s.fresh && now < s.roleConfirmedAt+s.options.ProofGracePeriod {
 		return false
 	}
-	return s.moveOn(now, from)
+	return s.nextSource(now, from)
 }
 
-// Failed takes in that a source gave no answer. It tells whether the node moved
+// ObserveFailure takes in that a source gave no answer. It tells whether the node moved
 // on to another one.
-func (s *Selector) Failed(now time.Duration, from fleet.NodeID) bool { return s.moveOn(now, from) }
+func (s *Selector) ObserveFailure(now time.Duration, from fleet.NodeID) bool {
+	return s.nextSource(now, from)
+}
 
-// moveOn takes the next source after one that was of no use.
-func (s *Selector) moveOn(now time.Duration, from fleet.NodeID) bool {
+// nextSource takes the next source after one that was of no use.
+func (s *Selector) nextSource(now time.Duration, from fleet.NodeID) bool {
 	current, found := s.Source()
 	if !found || current != from || len(s.sources) < 2 {
 		return false
 	}
-	s.position = (s.position + 1) % len(s.sources)
-	s.chosenAt = now
+	s.sourceIndex = (s.sourceIndex + 1) % len(s.sources)
+	s.sourceChosenAt = now
 	return true
 }
 
-// returnToFirst goes back to the first source after a while, so that readers
+// failBack goes back to the first source after a while, so that readers
 // by chance stop reading.
-func (s *Selector) returnToFirst(now time.Duration) bool {
-	if s.position == 0 || now < s.chosenAt+s.options.ReturnAfter {
+func (s *Selector) failBack(now time.Duration) bool {
+	if s.sourceIndex == 0 || now < s.sourceChosenAt+s.options.FailbackAfter {
 		return false
 	}
-	s.position, s.chosenAt = 0, now
+	s.sourceIndex, s.sourceChosenAt = 0, now
 	return true
 }
--- a/internal/relay/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -21,8 +21,8 @@
 // knows its role.
 func newSelector(self fleet.NodeID, seed uint64) *Selector {
 	selector := newStarted(self, seed)
-	selector.Inform()
-	selector.Settle(0)
+	selector.MarkSynced()
+	selector.ConfirmRole(0)
 	return selector
 }
 
@@ -37,15 +37,15 @@
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"n", "a", "b"})
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "not itself")
-	assert.True(t, selector.Asks(0))
-	assert.False(t, selector.Reads(0))
+	assert.True(t, selector.ShouldAskPeer(0))
+	assert.False(t, selector.ShouldReadStore(0))
 	selector.SetRole(0, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
-	assert.True(t, selector.Asks(0), "the store has proven nothing yet")
-	selector.Proven(time.Second, 200*time.Millisecond)
-	assert.False(t, selector.Asks(2*time.Second))
-	assert.True(t, selector.Asks(time.Second-200*time.Millisecond+DefaultStaleAfter), "the store gives no proof any more")
-	assert.True(t, selector.Reads(time.Minute))
+	assert.True(t, selector.ShouldReadStore(0))
+	assert.True(t, selector.ShouldAskPeer(0), "the store has proven nothing yet")
+	selector.ObserveOwnProof(time.Second, 200*time.Millisecond)
+	assert.False(t, selector.ShouldAskPeer(2*time.Second))
+	assert.True(t, selector.ShouldAskPeer(time.Second-200*time.Millisecond+DefaultStaleAfter), "the store gives no proof any more")
+	assert.True(t, selector.ShouldReadStore(time.Minute))
 }
 
 // TestNodeThatHasJustStartedReadsUntilItKnowsEverything has all nodes restart at
@@ -53,19 +53,19 @@
 func TestNodeThatHasJustStartedReadsUntilItKnowsEverything(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
-	assert.False(t, selector.Asks(0), "many different nodes would be asked, and read")
-	assert.True(t, selector.Asks(DefaultPatientFor), "the store doesn't answer: peers are asked at the same time")
-	selector.StoreAnswered(true)
-	assert.False(t, selector.Asks(DefaultPatientFor))
-	selector.StoreAnswered(false)
-	assert.True(t, selector.Asks(DefaultPatientFor))
-	selector.Answered(time.Millisecond, "a", 0, false)
-	assert.True(t, selector.Reads(time.Millisecond))
-	selector.Answered(2*time.Millisecond, "a", 0, true)
-	assert.True(t, selector.Reads(2*time.Millisecond), "a proof of one table isn't all")
-	selector.Inform()
-	assert.False(t, selector.Reads(2*time.Millisecond))
+	assert.True(t, selector.ShouldReadStore(0))
+	assert.False(t, selector.ShouldAskPeer(0), "many different nodes would be asked, and read")
+	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod), "the store doesn't answer: peers are asked at the same time")
+	selector.ObserveStoreCall(true)
+	assert.False(t, selector.ShouldAskPeer(DefaultStoreGracePeriod))
+	selector.ObserveStoreCall(false)
+	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod))
+	selector.ObserveAnswer(time.Millisecond, "a", 0, false)
+	assert.True(t, selector.ShouldReadStore(time.Millisecond))
+	selector.ObserveAnswer(2*time.Millisecond, "a", 0, true)
+	assert.True(t, selector.ShouldReadStore(2*time.Millisecond), "a proof of one table isn't all")
+	selector.MarkSynced()
+	assert.False(t, selector.ShouldReadStore(2*time.Millisecond))
 }
 
 // TestNodeThatKnowsItsRoleLeavesReadingToTheReaders has the store be slow or down
@@ -73,56 +73,56 @@
 func TestNodeThatKnowsItsRoleLeavesReadingToTheReaders(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	selector.Settle(time.Second)
-	assert.True(t, selector.Asks(time.Second))
-	assert.True(t, selector.Reads(time.Second), "no peer has answered yet")
-	selector.Answered(time.Second, "a", 0, false)
-	assert.False(t, selector.Reads(time.Second))
+	selector.ConfirmRole(time.Second)
+	assert.True(t, selector.ShouldAskPeer(time.Second))
+	assert.True(t, selector.ShouldReadStore(time.Second), "no peer has answered yet")
+	selector.ObserveAnswer(time.Second, "a", 0, false)
+	assert.False(t, selector.ShouldReadStore(time.Second))
 	selector.SetRole(time.Second, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(time.Second))
+	assert.True(t, selector.ShouldReadStore(time.Second))
 }
 
 // TestNodeWaitsForItsRoleAtTheFirstStart has nobody but the readers read.
 func TestNodeWaitsForItsRoleAtTheFirstStart(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.False(t, selector.Reads(DefaultSilentAfter))
-	assert.False(t, selector.Asks(DefaultSilentAfter))
-	selector.Settle(2 * time.Second)
-	assert.True(t, selector.Asks(2*time.Second))
-	assert.False(t, selector.Reads(2*time.Second+DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter), "no peer answers")
-	selector.Answered(4*time.Second, "a", 0, true)
-	assert.False(t, selector.Reads(4*time.Second))
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	assert.False(t, selector.ShouldAskPeer(DefaultPeerTimeout))
+	selector.ConfirmRole(2 * time.Second)
+	assert.True(t, selector.ShouldAskPeer(2*time.Second))
+	assert.False(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout), "no peer answers")
+	selector.ObserveAnswer(4*time.Second, "a", 0, true)
+	assert.False(t, selector.ShouldReadStore(4*time.Second))
 }
 
 func TestNodeWithoutAnAnswerReads(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.False(t, selector.Reads(DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(DefaultSilentAfter))
-	selector.Answered(2*time.Second, "a", time.Second, true)
-	assert.False(t, selector.Reads(2*time.Second))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter))
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	selector.ObserveAnswer(2*time.Second, "a", time.Second, true)
+	assert.False(t, selector.ShouldReadStore(2*time.Second))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout))
 }
 
 func TestSilentOrStaleSourceIsLeftAndFirstTriedAgainLater(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
-	assert.True(t, selector.Failed(time.Second, "a"))
-	assert.False(t, selector.Failed(time.Second, "a"), "it was left already")
-	assert.True(t, selector.Answered(time.Second, "b", DefaultStaleAfter, true))
+	assert.True(t, selector.ObserveFailure(time.Second, "a"))
+	assert.False(t, selector.ObserveFailure(time.Second, "a"), "it was left already")
+	assert.True(t, selector.ObserveAnswer(time.Second, "b", DefaultStaleAfter, true))
 	assert.Equal(t, fleet.NodeID("c"), source(t, selector))
-	assert.False(t, selector.Answered(2*time.Second, "c", time.Second, true))
+	assert.False(t, selector.ObserveAnswer(2*time.Second, "c", time.Second, true))
 	assert.Equal(t, fleet.NodeID("c"), source(t, selector))
-	assert.True(t, selector.Answered(time.Second+DefaultReturnAfter, "c", time.Second, true))
+	assert.True(t, selector.ObserveAnswer(time.Second+DefaultFailbackAfter, "c", time.Second, true))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
 }
 
 func TestNewOrderKeepsASourceThatWasJustChosen(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
-	selector.Failed(time.Second, "a")
+	selector.ObserveFailure(time.Second, "a")
 	selector.SetRole(2*time.Second, false, []fleet.NodeID{"a", "d", "b"})
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
 	selector.SetRole(3*time.Second, false, []fleet.NodeID{"a", "d"})
@@ -132,13 +132,13 @@
 func TestNodeThatIsAskedReadsForAWhile(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	selector.Answered(time.Second, "a", 0, true)
-	selector.Watched(time.Second)
-	assert.True(t, selector.Reads(2*time.Second))
+	selector.ObserveAnswer(time.Second, "a", 0, true)
+	selector.ObserveWatch(time.Second)
+	assert.True(t, selector.ShouldReadStore(2*time.Second))
 	for now := 2 * time.Second; now < 5*time.Second; now += time.Second / 2 {
-		selector.Answered(now, "a", 0, true)
+		selector.ObserveAnswer(now, "a", 0, true)
 	}
-	assert.False(t, selector.Reads(time.Second+DefaultWatchedFor))
+	assert.False(t, selector.ShouldReadStore(time.Second+DefaultWatchLinger))
 }
 
 // TestStoreOutOfEverybodysReachIsNotStormed counts the nodes that read while
@@ -151,12 +151,12 @@
 		selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
 		selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 		for now := time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
-			selector.Answered(now, source(t, selector), now, true)
+			selector.ObserveAnswer(now, source(t, selector), now, true)
 			if now < 5*time.Second {
 				continue
 			}
 			looks++
-			if selector.Reads(now) {
+			if selector.ShouldReadStore(now) {
 				reading++
 			}
 		}
@@ -172,11 +172,11 @@
 		reading, looks := 0, 0
 		for number := range uint64(nodes) {
 			selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
-			selector.SetOthers(nodes)
+			selector.SetNonServingNodes(nodes)
 			selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 			for now := time.Second; now < 200*time.Second; now += 100 * time.Millisecond {
-				selector.Answered(now, source(t, selector), now, true)
-				if now >= 5*time.Second && selector.Reads(now) {
+				selector.ObserveAnswer(now, source(t, selector), now, true)
+				if now >= 5*time.Second && selector.ShouldReadStore(now) {
 					reading++
 				}
 			}
@@ -184,7 +184,7 @@
 		}
 		return float64(reading) / float64(looks)
 	}
-	bound := 1.5 * float64(DefaultTryFor) / float64(DefaultTrySpacing)
+	bound := 1.5 * float64(DefaultProbeDuration) / float64(DefaultProbeSpacing)
 	for _, nodes := range []int{79, 195, 680} {
 		assert.InDelta(t, bound, trying(nodes), bound, "%d nodes", nodes)
 	}
@@ -211,13 +211,13 @@
 			for _, node := range order {
 				selector := selectors[node]
 				selector.SetRole(now, node == order[0], order)
-				if selector.Reads(now) && !refused[node] {
+				if selector.ShouldReadStore(now) && !refused[node] {
 					provenAt[node] = now
 				}
-				if from, found := selector.Source(); found && selector.Asks(now) {
-					selectors[from].Watched(now)
+				if from, found := selector.Source(); found && selector.ShouldAskPeer(now) {
+					selectors[from].ObserveWatch(now)
 					at, proven := provenAt[from]
-					selector.Answered(now, from, now-at, proven)
+					selector.ObserveAnswer(now, from, now-at, proven)
 					if proven {
 						provenAt[node] = max(provenAt[node], at-200*time.Millisecond)
 					}
@@ -233,7 +233,7 @@
 		}
 		reading := 0
 		for _, node := range order {
-			if selectors[node].Reads(12 * time.Second) {
+			if selectors[node].ShouldReadStore(12 * time.Second) {
 				reading++
 			}
 		}
@@ -246,15 +246,15 @@
 func TestNodeThatIsToldToAwaitItsRoleDoes(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
+	assert.True(t, selector.ShouldReadStore(0))
 	selector.AwaitRole()
-	assert.False(t, selector.Reads(DefaultSilentAfter))
-	selector.Settle(2 * time.Second)
-	assert.True(t, selector.Asks(2*time.Second))
-	assert.False(t, selector.Reads(2*time.Second+DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter), "no peer answers")
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	selector.ConfirmRole(2 * time.Second)
+	assert.True(t, selector.ShouldAskPeer(2*time.Second))
+	assert.False(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout), "no peer answers")
 	selector.SetRole(2*time.Second, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(2*time.Second))
+	assert.True(t, selector.ShouldReadStore(2*time.Second))
 }
 
 // TestNodeStaysWithAReaderThatHasJustBegun has all nodes learn their roles at once: the first
@@ -262,36 +262,36 @@
 func TestNodeStaysWithAReaderThatHasJustBegun(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Settle(2 * time.Second)
-	soon := 2*time.Second + DefaultProofAwaited - 1
-	assert.False(t, selector.Answered(soon, "a", 0, false))
+	selector.ConfirmRole(2 * time.Second)
+	soon := 2*time.Second + DefaultProofGracePeriod - 1
+	assert.False(t, selector.ObserveAnswer(soon, "a", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
-	assert.True(t, selector.Failed(soon, "a"), "no answer is another thing")
+	assert.True(t, selector.ObserveFailure(soon, "a"), "no answer is another thing")
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
-	assert.True(t, selector.Answered(soon+1, "b", 0, false))
+	assert.True(t, selector.ObserveAnswer(soon+1, "b", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
 
 	selector = New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Settle(2 * time.Second)
-	assert.False(t, selector.Answered(soon-1, "a", 0, true))
-	assert.True(t, selector.Answered(soon, "a", 0, false), "it has had a proof before")
+	selector.ConfirmRole(2 * time.Second)
+	assert.False(t, selector.ObserveAnswer(soon-1, "a", 0, true))
+	assert.True(t, selector.ObserveAnswer(soon, "a", 0, false), "it has had a proof before")
 }
 
 // TestNodeThatReadsForAMomentDoesNotNeedAll: its peers are slow, or answer with old proofs; one
 // that others ask, or that nobody answers for long, does.
 func TestNodeThatReadsForAMomentDoesNotNeedAll(t *testing.T) {
 	selector := New(0, Options{Self: "self", Random: rand.New(rand.NewPCG(1, 1))})
-	selector.Settle(0)
+	selector.ConfirmRole(0)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Inform()
-	selector.Answered(time.Second, "a", 0, true)
-	now := time.Second + DefaultSilentAfter
-	assert.True(t, selector.Reads(now))
-	assert.False(t, selector.NeedsAll(now))
-	selector.Watched(now)
-	assert.True(t, selector.NeedsAll(now))
-	now += DefaultWatchedFor
-	assert.False(t, selector.NeedsAll(now))
-	assert.True(t, selector.NeedsAll(time.Second+DefaultAloneAfter))
+	selector.MarkSynced()
+	selector.ObserveAnswer(time.Second, "a", 0, true)
+	now := time.Second + DefaultPeerTimeout
+	assert.True(t, selector.ShouldReadStore(now))
+	assert.False(t, selector.NeedsFullState(now))
+	selector.ObserveWatch(now)
+	assert.True(t, selector.NeedsFullState(now))
+	now += DefaultWatchLinger
+	assert.False(t, selector.NeedsFullState(now))
+	assert.True(t, selector.NeedsFullState(time.Second+DefaultIsolatedAfter))
 }
--- a/internal/routes/document.go
+++ b/internal/routes/document.go
@@ -58,8 +58,8 @@
 	Resumable bool
 }
 
-// Idempotent tells whether a request of the route may run more than once.
-func (r *Route) Idempotent() bool {
+// IsIdempotent tells whether a request of the route may run more than once.
+func (r *Route) IsIdempotent() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
@@ -159,9 +159,9 @@
 	}
 }
 
-// KeepQuotas gives tenants whose quota can't be read the one that a former table
+// KeepUnreadableQuotas gives tenants whose quota can't be read the one that a former table
 // holds. former may be nil.
-func (d *Document) KeepQuotas(former *Table) {
+func (d *Document) KeepUnreadableQuotas(former *Table) {
 	for index := range d.Tenants {
 		tenant := &d.Tenants[index]
 		if !tenant.QuotaUnreadable || former == nil {
--- a/internal/routes/freshness.go
+++ b/internal/routes/freshness.go
@@ -15,13 +15,13 @@
 	provenAt atomic.Int64
 }
 
-// never is before any time of the steady clock.
-const never = int64(-1 << 62)
+// noProof is before any time of the steady clock.
+const noProof = int64(-1 << 62)
 
 // NewFreshness returns a freshness without proof.
 func NewFreshness() *Freshness {
 	freshness := &Freshness{}
-	freshness.provenAt.Store(never)
+	freshness.provenAt.Store(noProof)
 	return freshness
 }
 
@@ -39,14 +39,14 @@
 // Age returns how old the proof is at now; false without any proof.
 func (f *Freshness) Age(now time.Duration) (time.Duration, bool) {
 	at := f.provenAt.Load()
-	if at == never {
+	if at == noProof {
 		return 0, false
 	}
 	return now - time.Duration(at), true
 }
 
-// Within tells whether the proof is younger than bound at now.
-func (f *Freshness) Within(now, bound time.Duration) bool {
+// IsWithin tells whether the proof is younger than bound at now.
+func (f *Freshness) IsWithin(now, bound time.Duration) bool {
 	age, proven := f.Age(now)
 	return proven && age < bound
 }
--- a/internal/routes/holder.go
+++ b/internal/routes/holder.go
@@ -11,25 +11,25 @@
 // Holder keeps the table in force. It never goes back: a table is taken over
 // only with a higher revision, whatever a late or stale read brings.
 type Holder struct {
-	current atomic.Pointer[Held]
+	current atomic.Pointer[ActiveTable]
 	mutex   sync.Mutex
 	updated chan struct{}
 }
 
-// Held is a table with where it came from.
-type Held struct {
+// ActiveTable is a table with where it came from.
+type ActiveTable struct {
 	Table *Table
 	// Revision is the store's revision of the document, by which newer is told.
 	Revision fleet.Revision
-	// Since is when this process took it over, on its steady clock.
-	Since time.Duration
+	// InstalledAt is when this process took it over, on its steady clock.
+	InstalledAt time.Duration
 }
 
 // NewHolder returns a holder without a table.
 func NewHolder() *Holder { return &Holder{updated: make(chan struct{})} }
 
 // Current returns what is in force, or nil before the first table.
-func (h *Holder) Current() *Held { return h.current.Load() }
+func (h *Holder) Current() *ActiveTable { return h.current.Load() }
 
 // Updated returns a channel that is closed at the next change. Take it before
 // Current, so that no change is missed.
@@ -39,14 +39,14 @@
 	return h.updated
 }
 
-// Offer takes a table over if it is newer, and tells whether it did.
-func (h *Holder) Offer(now time.Duration, revision fleet.Revision, table *Table) bool {
+// InstallIfNewer takes a table over if it is newer, and tells whether it did.
+func (h *Holder) InstallIfNewer(now time.Duration, revision fleet.Revision, table *Table) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if held := h.current.Load(); held != nil && held.Revision >= revision {
 		return false
 	}
-	h.current.Store(&Held{Table: table, Revision: revision, Since: now})
+	h.current.Store(&ActiveTable{Table: table, Revision: revision, InstalledAt: now})
 	close(h.updated)
 	h.updated = make(chan struct{})
 	return true
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, fleet.TenantName("t"), tenant.Name)
 	_, found = table.Tenant("k3")
 	assert.False(t, found)
-	assert.True(t, table.Keyed())
+	assert.True(t, table.RequiresKey())
 	assert.Len(t, table.Stores(), 1)
 }
 
@@ -98,23 +98,23 @@
 	oldTable, err := Compile(older)
 	require.NoError(t, err)
 	updated := holder.Updated()
-	require.True(t, holder.Offer(time.Second, 20, newTable))
+	require.True(t, holder.InstallIfNewer(time.Second, 20, newTable))
 	<-updated
-	assert.False(t, holder.Offer(2*time.Second, 19, oldTable))
-	assert.False(t, holder.Offer(2*time.Second, 20, oldTable))
+	assert.False(t, holder.InstallIfNewer(2*time.Second, 19, oldTable))
+	assert.False(t, holder.InstallIfNewer(2*time.Second, 20, oldTable))
 	assert.EqualValues(t, 9, holder.Current().Table.Version())
-	assert.Equal(t, time.Second, holder.Current().Since)
+	assert.Equal(t, time.Second, holder.Current().InstalledAt)
 }
 
 // TestFreshnessCountsFromTheCallsStart has an old proof arrive late.
 func TestFreshnessCountsFromTheCallsStart(t *testing.T) {
 	freshness := NewFreshness()
-	assert.False(t, freshness.Within(0, time.Hour), "no proof")
+	assert.False(t, freshness.IsWithin(0, time.Hour), "no proof")
 	freshness.Prove(10 * time.Second)
 	freshness.Prove(4 * time.Second)
 	age, proven := freshness.Age(12 * time.Second)
 	require.True(t, proven)
 	assert.Equal(t, 2*time.Second, age)
-	assert.True(t, freshness.Within(12*time.Second, 2*time.Second+1))
-	assert.False(t, freshness.Within(12*time.Second, 2*time.Second), "a frozen process finds its proof old")
+	assert.True(t, freshness.IsWithin(12*time.Second, 2*time.Second+1))
+	assert.False(t, freshness.IsWithin(12*time.Second, 2*time.Second), "a frozen process finds its proof old")
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -98,8 +98,8 @@
 	return tenant, found
 }
 
-// Keyed tells whether requests of routes that aren't public need a key.
-func (t *Table) Keyed() bool { return len(t.document.Tenants) > 0 }
+// RequiresKey tells whether requests of routes that aren't public need a key.
+func (t *Table) RequiresKey() bool { return len(t.document.Tenants) > 0 }
 
 // Service returns a service by name.
 func (t *Table) Service(name fleet.PoolName) (*Service, bool) {
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -51,7 +51,7 @@
 	counting, running := &fakeClock{}, &fakeClock{}
 	detector := NewDetector(counting, running)
 	waiting := &waitingClock{fakeClock: running, other: counting, wait: time.Second}
-	detector.running = waiting
+	detector.monotonicClock = waiting
 	assert.Zero(t, detector.Check())
 	assert.Zero(t, detector.Count())
 }
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -14,33 +14,33 @@
 // Conn is a connection whose bytes are counted.
 type Conn struct {
 	net.Conn
-	meter   *Meter
-	account atomic.Pointer[account]
+	meter    *Meter
+	counters atomic.Pointer[counters]
 }
 
 // Wrap returns a connection whose bytes count for a purpose and a distance.
 func (m *Meter) Wrap(conn net.Conn, purpose Purpose, distance Distance) *Conn {
 	counted := &Conn{Conn: conn, meter: m}
-	counted.account.Store(m.account(purpose, distance))
+	counted.counters.Store(m.countersFor(purpose, distance))
 	return counted
 }
 
 // Read implements io.Reader.
 func (c *Conn) Read(into []byte) (int, error) {
 	count, err := c.Conn.Read(into)
-	c.account.Load()[Received].Add(uint64(max(count, 0)))
+	c.counters.Load()[Received].Add(uint64(max(count, 0)))
 	return count, err
 }
 
 // Write implements io.Writer.
 func (c *Conn) Write(content []byte) (int, error) {
 	count, err := c.Conn.Write(content)
-	c.account.Load()[Sent].Add(uint64(max(count, 0)))
+	c.counters.Load()[Sent].Add(uint64(max(count, 0)))
 	return count, err
 }
 
-// errWhole says that a connection can't be closed in one direction.
-var errWhole = errors.New("connection closes as a whole")
+// errNoHalfClose says that a connection can't be closed in one direction.
+var errNoHalfClose = errors.New("connection closes as a whole")
 
 // CloseWrite ends what is sent, as a TCP connection does. A server that refuses a request
 // which it hasn't read to its end does so and waits before it closes: without it the system
@@ -48,7 +48,7 @@
 func (c *Conn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
-		return errWhole
+		return errNoHalfClose
 	}
 	return half.CloseWrite()
 }
@@ -95,7 +95,7 @@
 	named := labelOf(request.Context())
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if conn, counted := got.Conn.(*Conn); counted {
-			conn.account.Store(conn.meter.account(named.purpose, named.distance))
+			conn.counters.Store(conn.meter.countersFor(named.purpose, named.distance))
 		}
 	}}
 	return r.Next.RoundTrip(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -50,19 +50,19 @@
 	// Limits are the questions for requests to workers with limits, and what nodes tell at once
 	// of limits.
 	Limits
-	// purposes is the number of purposes.
-	purposes
+	// purposeCount is the number of purposeCount.
+	purposeCount
 )
 
 // purposeNames are the purposes' names in metrics and log lines.
-var purposeNames = [purposes]string{
+var purposeNames = [purposeCount]string{
 	"other", "probes", "exchanges", "loads", "announcements", "uses", "watches", "store", "cache_events", "worker_calls",
 	"requests", "callers", "directory", "quarantine", "limits",
 }
 
 // String returns the purpose's name.
 func (p Purpose) String() string {
-	if p < purposes {
+	if p < purposeCount {
 		return purposeNames[p]
 	}
 	return purposeNames[Other]
@@ -78,16 +78,16 @@
 	SameZone
 	OtherZone
 	OtherRegion
-	// distances is the number of distances.
-	distances
+	// distanceCount is the number of distanceCount.
+	distanceCount
 )
 
 // distanceNames are the distances' names in metrics and log lines.
-var distanceNames = [distances]string{"unknown", "same_zone", "other_zone", "other_region"}
+var distanceNames = [distanceCount]string{"unknown", "same_zone", "other_zone", "other_region"}
 
 // String returns the distance's name.
 func (d Distance) String() string {
-	if d < distances {
+	if d < distanceCount {
 		return distanceNames[d]
 	}
 	return distanceNames[Unknown]
@@ -115,12 +115,12 @@
 const (
 	Sent Direction = iota
 	Received
-	// directions is the number of directions.
-	directions
+	// directionCount is the number of directionCount.
+	directionCount
 )
 
 // directionNames are the directions' names in metrics and log lines.
-var directionNames = [directions]string{"sent", "received"}
+var directionNames = [directionCount]string{"sent", "received"}
 
 // String returns the direction's name.
 func (d Direction) String() string { return directionNames[d&1] }
@@ -133,32 +133,32 @@
 	Bytes     uint64
 }
 
-// account counts the bytes of one purpose and distance.
-type account [directions]atomic.Uint64
+// counters counts the bytes of one purpose and distance.
+type counters [directionCount]atomic.Uint64
 
 // Meter counts bytes. It is safe for concurrent use; its zero value is ready.
 type Meter struct {
-	accounts [purposes][distances]account
+	counters [purposeCount][distanceCount]counters
 }
 
 // Add counts bytes.
 func (m *Meter) Add(purpose Purpose, distance Distance, direction Direction, bytes int) {
 	if bytes > 0 {
-		m.account(purpose, distance)[direction].Add(uint64(bytes))
+		m.countersFor(purpose, distance)[direction].Add(uint64(bytes))
 	}
 }
 
-func (m *Meter) account(purpose Purpose, distance Distance) *account {
-	return &m.accounts[purpose][distance]
+func (m *Meter) countersFor(purpose Purpose, distance Distance) *counters {
+	return &m.counters[purpose][distance]
 }
 
 // Counts returns all counts that aren't zero, by purpose, distance and direction.
 func (m *Meter) Counts() []Count {
 	var counts []Count
-	for purpose := range purposes {
-		for distance := range distances {
-			for direction := range directions {
-				if bytes := m.accounts[purpose][distance][direction].Load(); bytes > 0 {
+	for purpose := range purposeCount {
+		for distance := range distanceCount {
+			for direction := range directionCount {
+				if bytes := m.counters[purpose][distance][direction].Load(); bytes > 0 {
 					counts = append(counts, Count{Purpose: purpose, Distance: distance, Direction: direction, Bytes: bytes})
 				}
 			}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, 1, dials)
 
 	counts := make(map[Count]bool)
-	total := [directions]uint64{}
+	total := [directionCount]uint64{}
 	for _, count := range meter.Counts() {
 		total[count.Direction] += count.Bytes
 		count.Bytes = 0
@@ -82,12 +82,12 @@
 		{Purpose: Watches, Distance: SameZone, Direction: Sent}:     true,
 		{Purpose: Watches, Distance: SameZone, Direction: Received}: true,
 	}, counts)
-	assert.Equal(t, served.account(Callers, Unknown)[Received].Load(), total[Sent])
+	assert.Equal(t, served.countersFor(Callers, Unknown)[Received].Load(), total[Sent])
 	// The server counts a write when it has returned, which may be after the answer was read.
 	assert.Eventually(t, func() bool {
-		return served.account(Callers, Unknown)[Sent].Load() == total[Received]
+		return served.countersFor(Callers, Unknown)[Sent].Load() == total[Received]
 	}, 5*time.Second, time.Millisecond)
-	watched := meter.account(Watches, SameZone)[Sent].Load()
+	watched := meter.countersFor(Watches, SameZone)[Sent].Load()
 	assert.Greater(t, watched, uint64(5000))
 	assert.Less(t, watched, uint64(5500))
 }
@@ -142,7 +142,7 @@
 	}
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
-	assert.ErrorIs(t, (&Meter{}).Wrap(near, Callers, Unknown).CloseWrite(), errWhole)
+	assert.ErrorIs(t, (&Meter{}).Wrap(near, Callers, Unknown).CloseWrite(), errNoHalfClose)
 }
 
 func TestCollector(t *testing.T) {
