--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,8 +1,10 @@
-// Package quarantine knows requests that crash workers. Each crash ends all that runs at
-// the worker, so that no single crash tells which of its requests caused it. What is
-// known by its fingerprint in all of several crashes, and never answered whole
-// meanwhile, is kept from the workers.
+// Package quarantine detects requests that crash workers and decides which of them must not be
+// sent to a worker.
 //
-// The package decides and has no I/O, goroutine or clock of its own: now is the time on
-// the process's clock, which also counts while the machine is suspended.
+// A crash interrupts every request at the worker, so a single crash does not identify the request
+// that caused it. A request is quarantined once it was in flight at several workers when they
+// crashed and was not answered completely in the meantime.
+//
+// The package has no I/O, goroutines or clock. Times are passed in, on a process clock that also
+// counts while the machine is suspended.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,22 +9,21 @@
 	"github.com/go-faster/errors"
 )
 
-// fingerprintSize is the size of a fingerprint in bytes: 128 bits of SHA-256, so that
-// nobody finds a request that bears the fingerprint of another caller's.
+// fingerprintSize is the size of a fingerprint in bytes: 128 bits of SHA-256, which makes it
+// infeasible to construct a request with the fingerprint of another caller's request.
 const fingerprintSize = 16
 
-// shortDigits is the number of hexadecimal digits of Short.
+// shortDigits is the number of hexadecimal digits that Short returns.
 const shortDigits = 12
 
-// Fingerprint names what a request asks for and who asks. A caller that sends the same
-// request again, under whatever identifier and to whichever node, sends the same
-// fingerprint.
+// Fingerprint identifies a request by its caller and content. A repeated request has the same
+// fingerprint on every node, whatever its request identifier.
 type Fingerprint [fingerprintSize]byte
 
-// RequestIdentity is what a fingerprint is made of.
+// RequestIdentity holds the parts of a request that its fingerprint covers.
 type RequestIdentity struct {
-	// Caller is the authenticated tenant; empty where no key is asked for. As part of the
-	// fingerprint it keeps one tenant's requests from being refused for another's.
+	// Caller is the authenticated tenant; empty if no key is required. Including it keeps one
+	// tenant's requests from being refused because of another's.
 	Caller string
 	Method string
 	Host   string
@@ -33,20 +32,21 @@
 	Body   []byte
 }
 
-// Fingerprint returns the fingerprint of the subject.
-func (s *RequestIdentity) Fingerprint() Fingerprint {
+// Fingerprint returns the fingerprint of the request.
+func (r *RequestIdentity) Fingerprint() Fingerprint {
 	digest := sha256.New()
-	for _, field := range []string{s.Caller, s.Method, s.Host, s.Target} {
+	for _, field := range []string{r.Caller, r.Method, r.Host, r.Target} {
 		writeField(digest, field)
 	}
 	// Write of a hash never fails.
-	_, _ = digest.Write(s.Body)
+	_, _ = digest.Write(r.Body)
 	var sum [sha256.Size]byte
 	digest.Sum(sum[:0])
 	return Fingerprint(sum[:fingerprintSize])
 }
 
-// writeField writes a text behind its length, so that no two lists of fields are alike.
+// writeField writes a field prefixed with its length, which keeps the encoding of a list of fields
+// unambiguous.
 func writeField(digest hash.Hash, field string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -54,13 +54,13 @@
 	_, _ = digest.Write([]byte(field))
 }
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint as hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Short returns the first digits of String, for lines about single requests.
+// Short returns the first digits of String, for log lines about single requests.
 func (f Fingerprint) Short() string { return f.String()[:shortDigits] }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	content, err := hex.DecodeString(text)
 	if err != nil {
@@ -69,10 +69,11 @@
 	return FingerprintFromBytes(content)
 }
 
-// FingerprintFromBytes returns the fingerprint of which these are the bytes.
+// FingerprintFromBytes converts the raw bytes of a fingerprint. It returns an error if their number
+// is wrong.
 func FingerprintFromBytes(content []byte) (Fingerprint, error) {
 	if len(content) != fingerprintSize {
-		return Fingerprint{}, errors.Errorf("fingerprint of %d bytes, %d expected", len(content), fingerprintSize)
+		return Fingerprint{}, errors.Errorf("invalid fingerprint length: got %d bytes, want %d", len(content), fingerprintSize)
 	}
 	return Fingerprint(content), nil
 }
--- a/internal/quarantine/lostruns.go
+++ b/internal/quarantine/lostruns.go
@@ -6,153 +6,152 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Bounds of what is remembered of lost runs.
+// Time windows and bounds of LostRuns.
 const (
-	// lossWindow is how long a run counts as one that its worker's end may have cut off. The
-	// row of a worker that crashes goes after three heartbeats of silence, 1.1 to 1.7 s as
-	// measured with heartbeats of 1.2 s and under.
+	// lossWindow is how long before a crash is detected a broken connection is attributed to it. It
+	// exceeds the time for which the row of a crashed worker stays in the store.
 	lossWindow = 4 * time.Second
-	// abandonedWindow is how long before a worker's end a run counts that this side broke off,
-	// since its caller left or its time was over: the worker may have been at work still.
+	// abandonedWindow is how long before a crash an abandoned run counts: the worker may still have
+	// been processing it.
 	abandonedWindow = time.Second
-	// rowRemovalLag is how much later than its worker's end a row goes at most.
+	// rowRemovalLag is the longest time from a worker's crash to the removal of its row.
 	rowRemovalLag = 2 * time.Second
-	// crashRetention is how long a worker that has ended is remembered: connections of one
-	// process are heard to break one after the other.
+	// crashRetention is how long a crashed worker is remembered, since its connections may be seen
+	// to break one after the other.
 	crashRetention = 10 * time.Second
-	// maxRunsPerWorker bounds the runs remembered of one worker, maxWorkers the workers.
+	// maxRunsPerWorker and maxWorkers bound what is remembered.
 	maxRunsPerWorker = 256
 	maxWorkers       = 256
 )
 
-// Loss tells how a run was lost to this side.
+// Loss is the way in which a run was lost.
 type Loss int
 
-// Losses.
+// Ways in which a run is lost.
 const (
-	// ConnectionBroken means that the worker's side ended the connection within the exchange.
+	// ConnectionBroken means that the worker's side closed the connection during the exchange.
 	ConnectionBroken Loss = iota
-	// Abandoned means that this side did, while the worker may have been at work.
+	// Abandoned means that this side closed it while the worker may have been processing the run.
 	Abandoned
 )
 
-// lostRun is a run that brought no whole answer.
+// lostRun is a run without a complete answer.
 type lostRun struct {
 	fingerprint Fingerprint
 	loss        Loss
 	at          time.Duration
 }
 
-// workerLosses is what is known of one worker.
+// workerLosses holds the lost runs and the state of one worker.
 type workerLosses struct {
 	runs []lostRun
-	// probing is set while the worker is asked whether it still takes connections.
+	// probing is set while the worker is probed for new connections.
 	probing bool
-	// crashed is set once it is known to have crashed, at endedAt.
+	// crashed is set once the worker is known to have crashed, which was found at crashedAt.
 	crashed   bool
 	crashedAt time.Duration
 }
 
-// LostRuns remembers, for a few seconds, what was under way at workers whose exchanges
-// broke off, until it is known whether the worker has ended or only that exchange: a
-// reset connection, a link that was cut or an answer that was spoilt is no crash. It
-// isn't safe for concurrent use.
+// LostRuns remembers for a few seconds which requests were in flight at workers whose connections
+// broke, until it is known whether the worker has crashed. A reset connection, a network failure or
+// a malformed answer alone is no crash. LostRuns isn't safe for concurrent use.
 type LostRuns struct {
 	workers map[fleet.EngineID]*workerLosses
 }
 
-// NewLostRuns returns an empty record.
+// NewLostRuns returns an empty LostRuns.
 func NewLostRuns() *LostRuns {
 	return &LostRuns{workers: make(map[fleet.EngineID]*workerLosses)}
 }
 
-// Observe takes in a run that was lost at a worker. blamed tells that the worker is known to
-// have ended, so that the run counts at once; check that it is to be asked whether it has,
-// after which the caller reports Ended, Alive or Undecided.
-func (l *LostRuns) Observe(now time.Duration, worker fleet.EngineID, fingerprint Fingerprint, loss Loss) (blamed, check bool) {
-	known := l.lossesOf(worker)
-	if known == nil {
+// Observe records a run that was lost at a worker. crashed reports that the worker is known to have
+// crashed and the run counts at once. probe reports that the caller is to probe the worker and
+// call WorkerCrashed, WorkerAlive or ProbeInconclusive afterwards.
+func (l *LostRuns) Observe(now time.Duration, worker fleet.EngineID, fingerprint Fingerprint, loss Loss) (crashed, probe bool) {
+	losses := l.lossesOf(worker)
+	if losses == nil {
 		return false, false
 	}
-	if known.crashed && loss == ConnectionBroken && now < known.crashedAt+crashRetention {
+	if losses.crashed && loss == ConnectionBroken && now < losses.crashedAt+crashRetention {
 		return true, false
 	}
-	if len(known.runs) < maxRunsPerWorker {
-		known.runs = append(known.runs, lostRun{fingerprint: fingerprint, loss: loss, at: now})
+	if len(losses.runs) < maxRunsPerWorker {
+		losses.runs = append(losses.runs, lostRun{fingerprint: fingerprint, loss: loss, at: now})
 	}
-	if loss != ConnectionBroken || known.probing {
+	if loss != ConnectionBroken || losses.probing {
 		return false, false
 	}
-	known.probing = true
+	losses.probing = true
 	return false, true
 }
 
-// lossesOf returns what is known of a worker; nil if too many are remembered.
+// lossesOf returns the entry of a worker, which it creates if necessary; nil if too many workers
+// are remembered.
 func (l *LostRuns) lossesOf(worker fleet.EngineID) *workerLosses {
-	known := l.workers[worker]
-	if known == nil && len(l.workers) < maxWorkers {
-		known = &workerLosses{}
-		l.workers[worker] = known
+	losses := l.workers[worker]
+	if losses == nil && len(l.workers) < maxWorkers {
+		losses = &workerLosses{}
+		l.workers[worker] = losses
 	}
-	return known
+	return losses
 }
 
-// Evidence is what shows that a worker has ended.
+// Evidence is what shows that a worker has crashed.
 type Evidence int
 
-// Proofs.
+// Kinds of evidence.
 const (
-	// ConnectionRefused means that its address refuses connections.
+	// ConnectionRefused means that the worker's address refuses connections.
 	ConnectionRefused Evidence = iota
-	// RowRemoved means that its row went without word that it was leaving.
+	// RowRemoved means that the worker's row was removed and it had not announced that it leaves.
 	RowRemoved
 )
 
-// String returns the proof's name.
-func (p Evidence) String() string {
-	if p == ConnectionRefused {
+// String returns the name of the evidence.
+func (e Evidence) String() string {
+	if e == ConnectionRefused {
 		return "refused"
 	}
 	return "row_gone"
 }
 
-// lag is how much later than the worker's end the proof may be had.
-func (p Evidence) lag() time.Duration {
-	if p == ConnectionRefused {
+// lag returns the longest time from the crash to the evidence.
+func (e Evidence) lag() time.Duration {
+	if e == ConnectionRefused {
 		return 0
 	}
 	return rowRemovalLag
 }
 
-// WorkerCrashed takes in that a worker has ended and returns the fingerprints of the runs that
-// ended with it.
-func (l *LostRuns) WorkerCrashed(now time.Duration, worker fleet.EngineID, proof Evidence) []Fingerprint {
-	known := l.workers[worker]
-	if known == nil {
+// WorkerCrashed records that a worker has crashed and returns the fingerprints of the requests that
+// were in flight there.
+func (l *LostRuns) WorkerCrashed(now time.Duration, worker fleet.EngineID, evidence Evidence) []Fingerprint {
+	losses := l.workers[worker]
+	if losses == nil {
 		return nil
 	}
-	known.probing = false
-	ended := known.firstBreak(now)
-	if ended < 0 {
-		ended = now - proof.lag()
+	losses.probing = false
+	crashedAt := losses.firstBreak(now)
+	if crashedAt < 0 {
+		crashedAt = now - evidence.lag()
 	}
-	var blamed []Fingerprint
-	for _, run := range known.runs {
-		inTime := run.loss == ConnectionBroken && now < run.at+lossWindow
-		shortBefore := run.loss == Abandoned && run.at >= ended-abandonedWindow
-		if inTime || shortBefore {
-			blamed = append(blamed, run.fingerprint)
+	var fingerprints []Fingerprint
+	for _, run := range losses.runs {
+		broken := run.loss == ConnectionBroken && now < run.at+lossWindow
+		abandoned := run.loss == Abandoned && run.at >= crashedAt-abandonedWindow
+		if broken || abandoned {
+			fingerprints = append(fingerprints, run.fingerprint)
 		}
 	}
-	known.runs = nil
-	known.crashed, known.crashedAt = true, now
-	return blamed
+	losses.runs = nil
+	losses.crashed, losses.crashedAt = true, now
+	return fingerprints
 }
 
-// firstBreak returns when the first of the connections broke that count still; a negative
-// time if none did.
-func (k *workerLosses) firstBreak(now time.Duration) time.Duration {
-	for _, run := range k.runs {
+// firstBreak returns when the first connection broke within lossWindow; a negative time if none
+// did.
+func (w *workerLosses) firstBreak(now time.Duration) time.Duration {
+	for _, run := range w.runs {
 		if run.loss == ConnectionBroken && now < run.at+lossWindow {
 			return run.at
 		}
@@ -160,28 +159,29 @@
 	return -1
 }
 
-// WorkerAlive takes in that a worker takes new connections: what broke off there did so by itself.
+// WorkerAlive records that a worker accepts new connections, so its lost runs don't count.
 func (l *LostRuns) WorkerAlive(worker fleet.EngineID) { delete(l.workers, worker) }
 
-// ProbeInconclusive takes in that a worker couldn't be asked. Its row may still tell.
+// ProbeInconclusive records that a probe gave no result. The lost runs still count if the worker's
+// row is removed.
 func (l *LostRuns) ProbeInconclusive(worker fleet.EngineID) {
-	if known := l.workers[worker]; known != nil {
-		known.probing = false
+	if losses := l.workers[worker]; losses != nil {
+		losses.probing = false
 	}
 }
 
-// Sweep forgets what is too old to count.
+// Sweep drops runs and workers that are too old to count.
 func (l *LostRuns) Sweep(now time.Duration) {
-	for worker, known := range l.workers {
-		kept := known.runs[:0]
-		for _, run := range known.runs {
+	for worker, losses := range l.workers {
+		kept := losses.runs[:0]
+		for _, run := range losses.runs {
 			if now < run.at+lossWindow {
 				kept = append(kept, run)
 			}
 		}
-		known.runs = kept
-		remembered := known.crashed && now < known.crashedAt+crashRetention
-		if len(kept) == 0 && !remembered && !known.probing {
+		losses.runs = kept
+		remembered := losses.crashed && now < losses.crashedAt+crashRetention
+		if len(kept) == 0 && !remembered && !losses.probing {
 			delete(l.workers, worker)
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,62 +8,61 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// maxCrashes bounds the ends that are kept of one request: enough to see that it is far over
-// the threshold.
+// maxCrashes bounds the crashes that are kept per request. It is well above the default threshold.
 const maxCrashes = 8
 
-// Crash is the end of a worker while a request was under way there.
+// Crash is the crash of a worker while a request was in flight there.
 type Crash struct {
 	Worker fleet.EngineID
-	// At is when the worker ended at the latest, by this node's clock.
+	// At is the latest time at which the worker can have crashed, by this node's clock.
 	At time.Duration
 }
 
-// Record is what is known of one request that was under way at workers which ended. Records
-// of several nodes are merged in any order and any number of times with the same result, as
-// far as their clocks tell the same ages.
+// Record is the history of one request that was in flight at crashed workers. Merging the records
+// of several nodes is commutative and idempotent, up to differences between the ages that the
+// nodes report.
 type Record struct {
 	Fingerprint Fingerprint
-	// Crashes are different workers, the earliest first.
+	// Crashes holds one crash per worker, the earliest first.
 	Crashes []Crash
-	// AnsweredAt is when the request was last answered whole, if Answered: it doesn't end
-	// the workers that run it, or not any more.
+	// AnsweredAt is when the request was last answered completely. It is valid only if Answered is
+	// set.
 	Answered   bool
 	AnsweredAt time.Duration
-	// Trials counts the times that it was let through after it had been held; the last one
-	// began at TriedAt.
+	// Trials counts how often the request was let through after it was quarantined; the last trial
+	// began at LastTrialAt.
 	Trials      int
 	LastTrialAt time.Duration
 }
 
-// merge takes over what another record of the same request knows, and tells whether that
-// is news.
+// merge adds what another record of the same request contains, and reports whether the record has
+// changed. An earlier time for a crash that is already recorded isn't reported as a change.
 func (r *Record) merge(other *Record) bool {
-	news := false
-	for _, end := range other.Crashes {
-		news = r.addCrash(end) || news
+	changed := false
+	for _, crash := range other.Crashes {
+		changed = r.addCrash(crash) || changed
 	}
 	if other.Answered && (!r.Answered || other.AnsweredAt > r.AnsweredAt) {
 		r.Answered, r.AnsweredAt = true, other.AnsweredAt
-		news = true
+		changed = true
 	}
 	if other.Trials > r.Trials {
 		r.Trials, r.LastTrialAt = other.Trials, other.LastTrialAt
-		news = true
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// addCrash adds the end of a worker, once. Of several words on the same one the earliest
-// counts: a word travels, and is never too early.
-func (r *Record) addCrash(end Crash) bool {
+// addCrash adds the crash of a worker and reports whether that worker is new to the record. Of
+// several reports of the same crash the earliest time is kept, since reports are only ever late.
+func (r *Record) addCrash(crash Crash) bool {
 	for index := range r.Crashes {
-		if r.Crashes[index].Worker == end.Worker {
-			r.Crashes[index].At = min(r.Crashes[index].At, end.At)
+		if r.Crashes[index].Worker == crash.Worker {
+			r.Crashes[index].At = min(r.Crashes[index].At, crash.At)
 			return false
 		}
 	}
-	r.Crashes = append(r.Crashes, end)
+	r.Crashes = append(r.Crashes, crash)
 	slices.SortFunc(r.Crashes, func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Worker, b.Worker))
 	})
@@ -73,13 +72,14 @@
 	return true
 }
 
-// countedCrashes returns the ends that no whole answer speaks against.
-func (r *Record) countedCrashes(spokenFor time.Duration) []Crash {
+// countedCrashes returns the crashes that count against the request: those later than gracePeriod
+// after its last complete answer.
+func (r *Record) countedCrashes(gracePeriod time.Duration) []Crash {
 	if !r.Answered {
 		return r.Crashes
 	}
-	for index, end := range r.Crashes {
-		if end.At > r.AnsweredAt+spokenFor {
+	for index, crash := range r.Crashes {
+		if crash.At > r.AnsweredAt+gracePeriod {
 			return r.Crashes[index:]
 		}
 	}
@@ -98,7 +98,7 @@
 	return last
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (r *Record) clone() Record {
 	copied := *r
 	copied.Crashes = slices.Clone(r.Crashes)
