--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,33 +6,32 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// account is one tenant's use as this node knows it.
+// account is this node's view of one tenant's use.
 type account struct {
 	limit Limit
-	// fleet is the bucket of all nodes together.
+	// fleet is this node's copy of the bucket of the whole fleet.
 	fleet bucket
-	// own is this node's part of it while it is a newcomer.
+	// own is this node's part of it while it is joining.
 	own bucket
-	// total is the units that this node has admitted, recent those since it last became
-	// a newcomer.
+	// total is the units that this node has admitted, recent those since it last began to join.
 	total  float64
 	recent float64
-	// lastTakenAt is when it last admitted anything.
+	// lastTakenAt is when it last admitted units.
 	lastTakenAt time.Duration
-	// promised is the units of refused requests that were told when to come back, so
-	// that not all are told the same moment.
+	// promised is the units of refused requests that were given a time to retry. It staggers the
+	// retries.
 	promised bucket
-	// peerTotals is what each peer has told last.
+	// peerTotals is the total that each peer last reported.
 	peerTotals map[fleet.NodeID]uint64
-	// nearLimit is set while little is left, so that only what peers have just told counts,
-	// and nearSince is from when it is.
+	// nearLimit is set while the tenant is near its limit, since nearLimitSince. Only peers with a
+	// recent report count as reachable then.
 	nearLimit      bool
 	nearLimitSince time.Duration
 }
 
-// newAccount returns the account of a tenant of which start units are left.
-func newAccount(now time.Duration, limit Limit, start float64) *account {
-	missing := max(limit.Burst-start, 0)
+// newAccount returns the account of a tenant with initial units left.
+func newAccount(now time.Duration, limit Limit, initial float64) *account {
+	missing := max(limit.Burst-initial, 0)
 	return &account{
 		limit:      limit,
 		fleet:      bucket{deficit: missing, drainedAt: now},
@@ -42,7 +41,7 @@
 	}
 }
 
-// drain takes the time since the last call into account.
+// drain drains the buckets for the time since the last call.
 func (a *account) drain(now time.Duration, shares shares) {
 	share := shares.forAccount(a)
 	a.fleet.drain(now, a.limit.Rate*share)
@@ -50,14 +49,14 @@
 	a.promised.drain(now, a.limit.Rate*share)
 }
 
-// drainPause takes a time into account in which this node did nothing, with the share of the
-// limit that it had before.
+// drainPause drains the buckets for a time in which this node was paused. share is the share of the
+// limit before the pause.
 func (a *account) drainPause(now time.Duration, share float64) {
 	a.fleet.drainPause(now, a.limit.Rate*share)
 	a.promised.drain(now, a.limit.Rate*share)
 }
 
-// updateNearLimit sees whether little is left and returns the share that counts then.
+// updateNearLimit updates nearLimit and returns the share of the limit that applies.
 func (a *account) updateNearLimit(now time.Duration, shares shares, slack float64) float64 {
 	near := a.fleet.deficit > a.limit.Burst*shares.reachable*(1-nearLimitFraction)+slack*nearLimitSlackFraction
 	if near && !a.nearLimit {
@@ -67,18 +66,18 @@
 	return shares.forAccount(a)
 }
 
-// available returns the units left of a part of the limit.
-func (a *account) available(share float64, newcomer bool) float64 {
+// available returns the units left of a share of the limit.
+func (a *account) available(share float64, joining bool) float64 {
 	left := a.limit.Burst*share - a.fleet.deficit
-	if newcomer {
+	if joining {
 		return min(left, a.limit.Burst/assumedJoiningNodes-a.own.deficit)
 	}
 	return left
 }
 
-// fits tells whether a request may be admitted when available units are left. A
-// request may leave a debt, so that large ones aren't passed over; one that is larger
-// than the whole bucket needs a full one.
+// fits reports whether a request may be admitted with available units left. A request may leave a
+// debt, which keeps large requests from starving. One that is larger than the whole bucket needs a
+// full bucket.
 func (a *account) fits(amount, available, debt float64) bool {
 	if available <= 0 {
 		return false
@@ -86,7 +85,7 @@
 	return available+debt >= amount || a.fleet.deficit == 0
 }
 
-// retryAfter returns the time until a request fits behind those that were refused before.
+// retryAfter returns the time until a request fits after those refused before it.
 func (a *account) retryAfter(amount, available, debt, share float64) time.Duration {
 	rate := a.limit.Rate * share
 	if rate <= 0 {
@@ -111,47 +110,45 @@
 	a.recent = max(a.recent-amount, 0)
 }
 
-// setLimit puts another limit in force. A tenant that has used more than a lower
-// burst starts with an empty bucket, not with a debt.
+// setLimit replaces the limit. A tenant that has used more than a lower burst starts with an empty
+// bucket, without a debt.
 func (a *account) setLimit(limit Limit) {
 	a.limit = limit
 	a.fleet.deficit = min(a.fleet.deficit, limit.Burst)
 	a.own.deficit = min(a.own.deficit, limit.Burst/assumedJoiningNodes)
 }
 
-// synchronize replaces what a newcomer assumed about the time before by what a peer knows, and
-// adds what it has admitted and the peer hasn't heard of. The rest is in the peer's deficit;
-// adding that again would have its own reports, and then all nodes, take the tenant for far
-// over its limit.
-func (a *account) synchronize(use Usage) {
-	unheard := max(a.total-float64(use.Acknowledged), 0)
-	a.fleet.deficit = float64(use.Deficit) + min(unheard, a.recent)
+// synchronize replaces the deficit that a joining node assumed by a peer's, plus what this node has
+// admitted and the peer hasn't acknowledged. The acknowledged part is in the peer's deficit already;
+// counting it twice would spread to all nodes through reports.
+func (a *account) synchronize(usage Usage) {
+	unacknowledged := max(a.total-float64(usage.Acknowledged), 0)
+	a.fleet.deficit = float64(usage.Deficit) + min(unacknowledged, a.recent)
 }
 
-// observe takes in what a peer says. Of a peer that was heard before, what it has
-// admitted since is taken out, less what was left to it meanwhile; of a newcomer that
-// is heard for the first time, all that it has admitted as such. Any other peer has known the
-// bucket for longer, so that its deficit counts if it is larger.
-func (a *account) observe(now time.Duration, report Report, use Usage, left float64) {
+// observe applies a peer's report. For a peer that has reported before, it takes out what the peer
+// has admitted since, less the units reserved for it meanwhile. For a joining peer that reports for
+// the first time, it takes out all that the peer has admitted while joining. Any other peer has
+// tracked the bucket for longer, so its deficit applies if it is larger.
+func (a *account) observe(now time.Duration, report Report, usage Usage, reserved float64) {
 	before, known := a.peerTotals[report.Node]
 	switch {
 	case known:
-		a.fleet.takeDelayed(now, max(float64(use.Total)-float64(before)-left, 0))
+		a.fleet.takeDelayed(now, max(float64(usage.Total)-float64(before)-reserved, 0))
 	case report.Joining:
-		a.fleet.take(float64(use.Recent))
+		a.fleet.take(float64(usage.Recent))
 	default:
-		a.fleet.deficit = max(a.fleet.deficit, float64(use.Deficit))
+		a.fleet.deficit = max(a.fleet.deficit, float64(usage.Deficit))
 	}
-	a.peerTotals[report.Node] = max(before, use.Total)
+	a.peerTotals[report.Node] = max(before, usage.Total)
 	if !report.Joining {
-		a.converge(float64(use.Deficit))
+		a.converge(float64(usage.Deficit))
 	}
 }
 
-// converge raises what this node believes towards a peer's belief that is far above it, as
-// after a partition. A lower belief changes nothing: the peer may not have heard yet what
-// this node has, and a node that follows it lets a flood exceed the limit with every
-// report. Whatever is believed too much drains by itself.
+// converge raises the deficit towards that of a peer which is far larger, as after a partition. It
+// never lowers it: the peer may not have received this node's use yet, and following it would let
+// a flood exceed the limit with every report. An overestimate drains by itself.
 func (a *account) converge(deficit float64) {
 	beyond := deficit - a.fleet.deficit - convergenceThreshold*a.limit.Burst
 	if beyond > 0 {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// reportDelay is how late peers mostly tell what they admit: half the time between two
+// reportDelay is the usual age of an admission when peers report it: half the time between two
 // exchanges.
 const reportDelay = 300 * time.Millisecond
 
-// catchUpPeriod is the time within which peers have told a node that did nothing for a
-// while what they have admitted: two exchanges of loads.
+// catchUpPeriod is the time within which peers report what they admitted while a node was paused:
+// two exchanges of load reports.
 const catchUpPeriod = 1200 * time.Millisecond
 
-// bucket is a token bucket, kept as what is missing in it, so that another size
-// needs no conversion.
+// bucket is a token bucket that stores its deficit, so that a change of its size needs no
+// conversion.
 type bucket struct {
-	// deficit is the units missing; above the size nothing is left.
+	// deficit is the units missing; nothing is left once it reaches the size.
 	deficit   float64
 	drainedAt time.Duration
-	// unusedDrain is what could have drained in the last lateFor if more had been missing,
-	// and sparedAt when that last happened.
+	// unusedDrain is what could have drained in the last reportDelay with a larger deficit, and
+	// unusedDrainAt when it last grew.
 	unusedDrain   float64
 	unusedDrainAt time.Duration
-	// pauseDrain is what could have drained while this node did nothing, and sleptUntil until
-	// when it counts besides.
+	// pauseDrain is what could have drained while this node was paused. It counts until
+	// pauseDrainUntil.
 	pauseDrain      float64
 	pauseDrainUntil time.Duration
 }
 
-// drain takes the time since the last call into account.
+// drain reduces the deficit for the time since the last call.
 func (b *bucket) drain(now time.Duration, rate float64) {
 	if now <= b.drainedAt {
 		return
@@ -42,8 +42,8 @@
 	b.drainedAt = now
 }
 
-// drainPause drains for a time in which this node did nothing. What the others have used
-// meanwhile is told later, so what could have drained is kept for it until then.
+// drainPause reduces the deficit for a time in which this node was paused. Peers report their use
+// during the pause later, so the unused part of the drain is kept for these reports.
 func (b *bucket) drainPause(now time.Duration, rate float64) {
 	amount := (now - b.drainedAt).Seconds() * rate
 	b.pauseDrain, b.pauseDrainUntil = max(amount-b.deficit, 0), now+catchUpPeriod
@@ -51,21 +51,20 @@
 	b.drainedAt = now
 }
 
-// take takes units out, whether there are enough or not.
+// take takes units out, even if fewer are left.
 func (b *bucket) take(amount float64) { b.deficit += amount }
 
-// takeDelayed takes units out that were used before now: what the bucket would have
-// regained since doesn't count. Without it a tenant below its limit would be believed
-// to have used up to lateFor x rate too much.
+// takeDelayed takes units out that peers used before now, less what would have drained since.
+// Otherwise the use of a tenant below its limit would be overestimated by up to reportDelay x rate.
 func (b *bucket) takeDelayed(now time.Duration, amount float64) {
 	if now < b.pauseDrainUntil {
-		regained := min(amount, b.pauseDrain)
-		b.pauseDrain -= regained
-		amount -= regained
+		drained := min(amount, b.pauseDrain)
+		b.pauseDrain -= drained
+		amount -= drained
 	}
-	regained := min(amount, b.unusedDrain)
-	b.unusedDrain -= regained
-	b.deficit += amount - regained
+	drained := min(amount, b.unusedDrain)
+	b.unusedDrain -= drained
+	b.deficit += amount - drained
 }
 
 // refund undoes take.
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,16 +1,14 @@
-// Package quota keeps each tenant within its limit, a rate and a burst summed over
-// all nodes, without a node that decides for the others.
+// Package quota enforces each tenant's limit, a rate and a burst summed over all nodes, without a
+// central coordinator.
 //
-// Every node simulates the one bucket that the fleet has for a tenant: what it
-// admits itself is taken out at once, what the others have admitted when they
-// report their totals. A bucket that is near its limit has each use reported at
-// once, so that the copies differ by what is under way in a few milliseconds.
+// Every node keeps a copy of the tenant's token bucket for the whole fleet. It takes its own
+// admissions out at once and those of its peers when they report their totals. While a tenant is
+// near its limit, admissions are reported at once, so the copies differ only by reports in flight.
 //
-// A node that isn't in touch with a peer leaves the peer its part: the limit of
-// either side of a partition shrinks to the part of the requests that its nodes had
-// before, and both together stay within the whole. A node that has just started
-// doesn't know what was used before, so it begins with a nearly empty bucket and a
-// small part of the limit until a peer has told it.
+// A node reserves the share of each unreachable peer. Both sides of a partition therefore reduce
+// the limit to the share of requests that their nodes had before, and together stay within it. A
+// joining node doesn't know what was used before its start: it begins with a nearly empty bucket
+// and a small share of the limit until it has synchronized with a peer.
 //
 // The package has no I/O and no clock, and isn't safe for concurrent use.
 package quota
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -11,19 +11,18 @@
 	options Options
 	started time.Duration
 	joining bool
-	// joinTimedOut is set if this node's time as a newcomer has ended without a peer that
-	// knew more.
+	// joinTimedOut is set if this node stopped joining without a peer to synchronize with.
 	joinTimedOut bool
 	accounts     map[fleet.TenantName]*account
 	peers        map[fleet.NodeID]*peer
-	// departed holds peers that report to others, and when they were forgotten.
+	// departed holds removed peers, which report to other nodes.
 	departed map[fleet.NodeID]departedPeer
-	// reportRounds is the number of reportRounds in which all peers report once.
+	// reportRounds is the number of rounds in which each peer reports once.
 	reportRounds int
-	// ownRate is this node's requests a second.
+	// ownRate is this node's requests per second.
 	ownRate float64
-	// lastUpdateAt is when this node last looked at its accounts, and touch the part of the
-	// limits that it and those in touch had then.
+	// lastUpdateAt is when this node last updated its accounts, and reachableShare the share of
+	// this node and its reachable peers at that time.
 	lastUpdateAt   time.Duration
 	reachableShare float64
 }
@@ -43,16 +42,16 @@
 	}
 }
 
-// SetLimits puts the limits of all tenants in force; a tenant that isn't named, or
-// whose rate is 0, has none.
+// SetLimits replaces the limits of all tenants. A tenant that is missing, or whose rate is 0, has
+// no limit.
 func (l *Limiter) SetLimits(now time.Duration, limits map[fleet.TenantName]Limit) {
 	l.drainAll(now)
-	for tenant, known := range l.accounts {
+	for tenant, account := range l.accounts {
 		if limits[tenant].Rate <= 0 {
 			delete(l.accounts, tenant)
 			continue
 		}
-		known.setLimit(limits[tenant])
+		account.setLimit(limits[tenant])
 	}
 	for tenant, limit := range limits {
 		if limit.Rate <= 0 || l.accounts[tenant] != nil {
@@ -62,10 +61,11 @@
 	}
 }
 
-// IsUnlimited tells whether no tenant has a limit.
+// IsUnlimited reports whether no tenant has a limit.
 func (l *Limiter) IsUnlimited() bool { return len(l.accounts) == 0 }
 
-// initialUnits returns what is left of a bucket whose use so far isn't known.
+// initialUnits returns the units left in a new bucket. While this node is joining, earlier use
+// isn't known.
 func (l *Limiter) initialUnits(limit Limit) float64 {
 	if !l.joining {
 		return limit.Burst
@@ -73,30 +73,30 @@
 	return l.options.tolerance(limit) * initialToleranceFraction
 }
 
-// Admit decides on a request of a tenant and takes its units if it is admitted. A
-// tenant without a limit is always admitted.
+// Admit decides on a tenant's request and takes its units if it is admitted. A tenant without a
+// limit is always admitted.
 func (l *Limiter) Admit(now time.Duration, tenant fleet.TenantName, amount float64) Decision {
-	known := l.accounts[tenant]
-	if known == nil {
+	account := l.accounts[tenant]
+	if account == nil {
 		return Decision{Admitted: true, Share: 1}
 	}
 	shares := l.shares(now)
-	known.drain(now, shares)
-	share := known.updateNearLimit(now, shares, l.options.Slack)
-	available, debt := known.available(share, l.joining), l.debt(share)
-	decision := Decision{Limit: known.limit, Share: share, Available: available, NearLimit: known.nearLimit}
-	if !known.fits(amount, available, debt) {
-		decision.RetryAfter = min(known.retryAfter(amount, available, debt, share), l.options.Window)
-		known.promised.take(amount)
+	account.drain(now, shares)
+	share := account.updateNearLimit(now, shares, l.options.Slack)
+	available, debt := account.available(share, l.joining), l.debt(share)
+	decision := Decision{Limit: account.limit, Share: share, Available: available, NearLimit: account.nearLimit}
+	if !account.fits(amount, available, debt) {
+		decision.RetryAfter = min(account.retryAfter(amount, available, debt, share), l.options.Window)
+		account.promised.take(amount)
 		return decision
 	}
-	known.take(now, amount)
+	account.take(now, amount)
 	decision.Admitted = true
 	return decision
 }
 
-// debt returns by how many units one request may exceed what is left. Newcomers
-// share it, since they don't hear of each other.
+// debt returns the units by which one request may exceed what is available. Joining nodes share it,
+// since they don't receive each other's reports.
 func (l *Limiter) debt(share float64) float64 {
 	if l.joining {
 		share /= assumedJoiningNodes
@@ -106,55 +106,56 @@
 
 // Charge takes the units of a further run of an admitted request.
 func (l *Limiter) Charge(now time.Duration, tenant fleet.TenantName, amount float64) {
-	if known := l.accounts[tenant]; known != nil {
-		known.drain(now, l.shares(now))
-		known.take(now, amount)
+	if account := l.accounts[tenant]; account != nil {
+		account.drain(now, l.shares(now))
+		account.take(now, amount)
 	}
 }
 
 // Refund returns the units of an admitted request that certainly didn't run.
 func (l *Limiter) Refund(now time.Duration, tenant fleet.TenantName, amount float64) {
-	if known := l.accounts[tenant]; known != nil {
-		known.drain(now, l.shares(now))
-		known.refund(amount)
+	if account := l.accounts[tenant]; account != nil {
+		account.drain(now, l.shares(now))
+		account.refund(amount)
 	}
 }
 
-// Usages returns what this node says of tenants: all but those of which it has admitted
-// nothing for quietAfter, and whose bucket is full by its belief. The report goes to one
-// peer.
+// Usages returns this node's report to the peer to. It leaves out tenants whose bucket is full and
+// of which this node has admitted nothing for idleReportPeriod.
 func (l *Limiter) Usages(now time.Duration, to fleet.NodeID) []Usage {
 	l.drainAll(now)
-	uses := make([]Usage, 0, len(l.accounts))
-	for tenant, known := range l.accounts {
-		if known.fleet.deficit > 0 || (known.total > 0 && now < known.lastTakenAt+idleReportPeriod) {
-			uses = append(uses, Usage{
-				Tenant: tenant, Total: uint64(known.total), Recent: uint64(known.recent),
-				Deficit: uint64(known.fleet.deficit), Acknowledged: known.peerTotals[to],
+	usages := make([]Usage, 0, len(l.accounts))
+	for tenant, account := range l.accounts {
+		if account.fleet.deficit > 0 || (account.total > 0 && now < account.lastTakenAt+idleReportPeriod) {
+			usages = append(usages, Usage{
+				Tenant: tenant, Total: uint64(account.total), Recent: uint64(account.recent),
+				Deficit: uint64(account.fleet.deficit), Acknowledged: account.peerTotals[to],
 			})
 		}
 	}
-	return uses
+	return usages
 }
 
-// IsNearLimit tells whether any tenant is near its limit, so that peers are to be asked.
+// IsNearLimit reports whether any tenant is near its limit, so that peers are to be asked for their
+// use.
 func (l *Limiter) IsNearLimit(now time.Duration) bool {
 	shares, near := l.shares(now), false
-	for _, known := range l.accounts {
-		known.drain(now, shares)
-		known.updateNearLimit(now, shares, l.options.Slack)
-		near = near || known.nearLimit
+	for _, account := range l.accounts {
+		account.drain(now, shares)
+		account.updateNearLimit(now, shares, l.options.Slack)
+		near = near || account.nearLimit
 	}
 	return near
 }
 
-// IsJoining tells whether this node doesn't know yet what was used before its start.
+// IsJoining reports whether this node doesn't know yet what was used before its start.
 func (l *Limiter) IsJoining(now time.Duration) bool {
 	l.updateJoining(now)
 	return l.joining
 }
 
-// updateJoining ends the time as a newcomer of a node whose peers are newcomers too.
+// updateJoining ends the joining state after joinTimeout if peers have reported, all of them
+// joining too.
 func (l *Limiter) updateJoining(now time.Duration) {
 	if l.joining && l.hasPeerReport() && now >= l.started+joinTimeout {
 		l.joining, l.joinTimedOut = false, true
@@ -162,8 +163,8 @@
 }
 
 func (l *Limiter) hasPeerReport() bool {
-	for _, known := range l.peers {
-		if known.reported {
+	for _, peer := range l.peers {
+		if peer.reported {
 			return true
 		}
 	}
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -9,29 +9,28 @@
 // peer is another node that reports what it admits.
 type peer struct {
 	machine string
-	// weight is the peer's requests for each one that this node takes. Both are
-	// measured at the same time, so that a burst at all nodes changes nothing. Of a
-	// peer that hasn't reported yet, nodes assume that it takes as many as they do.
+	// weight is the ratio of the peer's request rate to this node's. Both rates are taken at the
+	// same time, so a burst at all nodes doesn't change it. It is 1 until the peer has reported.
 	weight float64
-	// lastHeardAt is when the peer last reported, or when it became known; told is set once
-	// it has reported.
+	// lastHeardAt is when the peer last reported, or when it was added.
 	lastHeardAt time.Duration
-	reported    bool
-	// unreachable is set while the peer is out of touch, share the part of the limit that
-	// is left to it meanwhile, and since the time from which it is.
+	// reported is set once the peer has reported.
+	reported bool
+	// unreachable is set while the peer's reports are overdue, since unreachableSince. share is the
+	// share of the limit that is reserved for it meanwhile.
 	unreachable      bool
 	share            float64
 	unreachableSince time.Duration
 }
 
-// AddPeer makes a node known that is to report, so that it is left a part if it doesn't.
+// AddPeer adds a node that is to report. Its share is reserved if it doesn't.
 func (l *Limiter) AddPeer(now time.Duration, node fleet.NodeID, machine string) {
 	if l.peers[node] != nil {
 		return
 	}
 	l.drainAll(now)
 	l.expireDeparted(now)
-	if _, back := l.departed[node]; back {
+	if _, returned := l.departed[node]; returned {
 		delete(l.departed, node)
 	} else {
 		l.removeMachine(now, machine)
@@ -39,44 +38,44 @@
 	l.peers[node] = &peer{machine: machine, weight: 1, lastHeardAt: now}
 }
 
-// Observe takes a peer's report in. The first whole report of a peer that knows what
-// was used before ends this node's time as a newcomer.
+// Observe applies a peer's report. If this node is joining and the peer isn't, this node
+// synchronizes with the report.
 func (l *Limiter) Observe(now time.Duration, report Report) {
 	l.drainAll(now)
 	l.AddPeer(now, report.Node, report.Machine)
-	known := l.peers[report.Node]
-	known.lastHeardAt, known.reported = now, true
+	peer := l.peers[report.Node]
+	peer.lastHeardAt, peer.reported = now, true
 	if report.RequestRate >= 0 {
 		weight := (report.RequestRate + 1) / (l.ownRate + 1)
-		known.weight += (weight - known.weight) * weightSmoothing
+		peer.weight += (weight - peer.weight) * weightSmoothing
 	}
 	if l.joining && !report.Joining {
 		l.synchronize(report)
 	}
-	for _, use := range report.Usages {
-		if tenant := l.accounts[use.Tenant]; tenant != nil {
-			tenant.observe(now, report, use, known.reservedUnits(now, tenant.limit))
+	for _, usage := range report.Usages {
+		if account := l.accounts[usage.Tenant]; account != nil {
+			account.observe(now, report, usage, peer.reservedUnits(now, account.limit))
 		}
 	}
-	known.unreachable = false
+	peer.unreachable = false
 }
 
-// synchronize takes over from a peer what was used before this node's start. Tenants that
-// the peer doesn't name have used nothing.
+// synchronize adopts a peer's knowledge of what was used before this node's start. Tenants that are
+// missing in the report have used nothing.
 func (l *Limiter) synchronize(report Report) {
 	l.joining = false
-	for _, tenant := range l.accounts {
-		tenant.synchronize(Usage{})
+	for _, account := range l.accounts {
+		account.synchronize(Usage{})
 	}
-	for _, use := range report.Usages {
-		if tenant := l.accounts[use.Tenant]; tenant != nil {
-			tenant.synchronize(use)
+	for _, usage := range report.Usages {
+		if account := l.accounts[usage.Tenant]; account != nil {
+			account.synchronize(usage)
 		}
 	}
 }
 
-// reservedUnits returns the units of a limit that were reservedUnits to a peer while it was out of
-// touch.
+// reservedUnits returns the units of a limit that were reserved for a peer while it was
+// unreachable.
 func (p *peer) reservedUnits(now time.Duration, limit Limit) float64 {
 	if !p.unreachable {
 		return 0
@@ -84,16 +83,16 @@
 	return p.share * limit.Rate * (now - p.unreachableSince).Seconds()
 }
 
-// SetOwnRate says how many requests a second this node takes.
+// SetOwnRate sets this node's request rate, in requests per second.
 func (l *Limiter) SetOwnRate(rate float64) { l.ownRate = max(rate, 0) }
 
-// SetReportRounds says in how many rounds of reports each peer is heard once.
+// SetReportRounds sets the number of report rounds in which each peer reports once.
 func (l *Limiter) SetReportRounds(rounds int) { l.reportRounds = max(rounds, 1) }
 
-// HasReportedSince tells whether a peer has reported since a time.
+// HasReportedSince reports whether a peer has reported at or after a time.
 func (l *Limiter) HasReportedSince(node fleet.NodeID, at time.Duration) bool {
-	known := l.peers[node]
-	return known != nil && known.reported && known.lastHeardAt >= at
+	peer := l.peers[node]
+	return peer != nil && peer.reported && peer.lastHeardAt >= at
 }
 
 // Peers returns the peers whose reports count.
@@ -105,46 +104,45 @@
 	return nodes
 }
 
-// departedPeer is a forgotten peer.
+// departedPeer is a removed peer.
 type departedPeer struct {
 	machine string
 	at      time.Duration
 }
 
-// departedRetention is how long what a forgotten peer has told is remembered: two exchanges. The
-// nodes that share loads change several times within seconds of a start. After that others
-// have told of the peer's use by their deficits.
+// departedRetention is how long the totals of a removed peer are kept, in case it returns: two
+// exchanges. After that the deficits that other peers report include its use.
 const departedRetention = 1200 * time.Millisecond
 
-// RemovePeer drops a peer that is known to report to others.
+// RemovePeer removes a peer that now reports to other nodes.
 func (l *Limiter) RemovePeer(now time.Duration, node fleet.NodeID) {
-	known := l.peers[node]
-	if known == nil {
+	peer := l.peers[node]
+	if peer == nil {
 		return
 	}
 	l.drainAll(now)
 	delete(l.peers, node)
-	l.departed[node] = departedPeer{machine: known.machine, at: now}
+	l.departed[node] = departedPeer{machine: peer.machine, at: now}
 }
 
-// expireDeparted drops what peers have told that were forgotten for too long.
+// expireDeparted drops the totals of peers that were removed more than departedRetention ago.
 func (l *Limiter) expireDeparted(now time.Duration) {
-	for node, left := range l.departed {
-		if now > left.at+departedRetention {
+	for node, departed := range l.departed {
+		if now > departed.at+departedRetention {
 			l.dropTotals(node)
 		}
 	}
 }
 
-// dropTotals drops what a peer has told.
+// dropTotals drops the totals that a removed peer has reported.
 func (l *Limiter) dropTotals(node fleet.NodeID) {
 	delete(l.departed, node)
-	for _, tenant := range l.accounts {
-		delete(tenant.peerTotals, node)
+	for _, account := range l.accounts {
+		delete(account.peerTotals, node)
 	}
 }
 
-// Leave makes this node a newcomer: it no longer hears what others admit.
+// Leave removes all peers and makes this node a joining one, since it no longer receives reports.
 func (l *Limiter) Leave(now time.Duration) {
 	for node := range l.peers {
 		l.RemovePeer(now, node)
@@ -156,20 +154,20 @@
 		return
 	}
 	l.joining, l.started = true, now
-	for _, tenant := range l.accounts {
-		tenant.recent = 0
+	for _, account := range l.accounts {
+		account.recent = 0
 	}
 }
 
-// removeMachine drops the earlier run of a node that has restarted.
+// removeMachine removes the earlier run of a node that has restarted.
 func (l *Limiter) removeMachine(now time.Duration, machine string) {
-	for node, known := range l.peers {
-		if known.machine == machine {
+	for node, peer := range l.peers {
+		if peer.machine == machine {
 			l.RemovePeer(now, node)
 		}
 	}
-	for node, left := range l.departed {
-		if left.machine == machine {
+	for node, departed := range l.departed {
+		if departed.machine == machine {
 			l.dropTotals(node)
 		}
 	}
