--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -6,41 +6,39 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Constants of a limiter.
+// Rates, periods and bounds of a limiter.
 const (
-	// minRate is sent to a worker whatever less it takes, in requests a second: one that
-	// gets nothing can't say that its limit has ended.
+	// minRate is the rate in requests per second at which even a worker with a lower limit gets
+	// requests: a worker without requests can't announce that its limit has ended.
 	minRate Rate = 0.25
-	// burstPeriod is the time for which a worker's rate may gather while nobody asks, besides
-	// one request at any rate, and oneMoreFor the same for one more request: requests come
-	// unevenly, and most at low rates.
+	// burstPeriod and extraRequestPeriod determine the size of a worker's bucket, which is one
+	// request, plus what accumulates within burstPeriod, plus up to one request more within
+	// extraRequestPeriod. The latter matters at low rates.
 	burstPeriod        = 500 * time.Millisecond
 	extraRequestPeriod = 2 * time.Second
-	// maxRetrySpread bounds by how much later than there is room nodes that found none may ask
-	// again: later, room would be left unused.
+	// maxRetrySpread bounds how much later than the next refill refused nodes are to ask again.
 	maxRetrySpread = 400 * time.Millisecond
-	// reservationPeriod is how much longer than it was told to wait room is kept for a request that
-	// is more urgent than others.
+	// reservationPeriod is how much longer than its wait a refused request of a more urgent
+	// priority has room reserved.
 	reservationPeriod = 250 * time.Millisecond
-	// bucketIdleTimeout is how long after the last question a worker's bucket is dropped: by then a
-	// new one, which begins empty, allows no more.
+	// bucketIdleTimeout is how long after its last use a worker's bucket is dropped.
 	bucketIdleTimeout = 30 * time.Second
 )
 
-// PriorityLevels is the number of priorities, 0 first.
+// PriorityLevels is the number of priorities; 0 is the most urgent.
 const PriorityLevels = 10
 
-// Grant answers whether one request may be sent to a worker now.
+// Grant is the answer to a node that asks to send one request to a worker.
 type Grant struct {
 	Granted bool
-	// Wait is after how long to ask again for requests of that priority and less urgent
-	// ones, Refill after how long for others: nobody gets room before.
+	// Wait is the time after which to ask again for requests of the same or a less urgent priority.
+	// Refill is the time after which to ask again for more urgent ones. Nobody gets room earlier.
 	Wait   time.Duration
 	Refill time.Duration
 }
 
-// Limiter spaces the requests of all nodes to workers at the rates that these name. It belongs
-// to the node that grants them.
+// Limiter spaces the requests of all nodes to workers at the workers' rates. It belongs to the node
+// that grants them.
 type Limiter struct {
 	buckets map[fleet.EngineID]*bucket
 }
@@ -48,89 +46,88 @@
 // NewLimiter returns a limiter that has granted nothing.
 func NewLimiter() *Limiter { return &Limiter{buckets: make(map[fleet.EngineID]*bucket)} }
 
-// Acquire asks for one request to a worker with a limit, for a part of its rate: 1 unless others
-// may be granting as well.
-func (m *Limiter) Acquire(now time.Duration, worker fleet.EngineID, rate Rate, part float64, priority int) Grant {
-	known := m.buckets[worker]
+// Acquire asks for one request to a worker with a limit. fraction is the part of the rate that this
+// limiter may grant: 1 unless other nodes may be granting too.
+func (l *Limiter) Acquire(now time.Duration, worker fleet.EngineID, rate Rate, fraction float64, priority int) Grant {
+	known := l.buckets[worker]
 	if known == nil {
 		known = &bucket{refilledAt: now}
-		m.buckets[worker] = known
+		l.buckets[worker] = known
 	}
-	known.refill(now, max(Rate(float64(rate)*part), minRate))
+	known.refill(now, max(Rate(float64(rate)*fraction), minRate))
 	return known.acquire(now, min(max(priority, 0), PriorityLevels-1))
 }
 
 // Forget drops a worker's bucket.
-func (m *Limiter) Forget(worker fleet.EngineID) { delete(m.buckets, worker) }
+func (l *Limiter) Forget(worker fleet.EngineID) { delete(l.buckets, worker) }
 
-// Sweep drops the buckets that nobody asks any more.
-func (m *Limiter) Sweep(now time.Duration) {
-	for worker, known := range m.buckets {
+// Sweep drops the buckets that are no longer used.
+func (l *Limiter) Sweep(now time.Duration) {
+	for worker, known := range l.buckets {
 		if now >= known.refilledAt+bucketIdleTimeout {
-			delete(m.buckets, worker)
+			delete(l.buckets, worker)
 		}
 	}
 }
 
-// bucket holds the requests that one worker may get at once. It begins empty: what the nodes
-// sent before they knew of the limit, or another node granted, is under way.
+// bucket is the token bucket of one worker, in requests. It starts empty, since requests sent before
+// the limit was known, or granted by another node, may be in flight.
 type bucket struct {
 	rate       Rate
 	tokens     float64
 	refilledAt time.Duration
-	// promised counts the refusals whose time to ask again hasn't come, so that not all
-	// are told the same time.
+	// promised counts the refusals whose retry isn't due yet. It staggers the retries.
 	promised float64
-	// reservedPriority is that of a refused request for which the next room is kept until
-	// keptUntil.
+	// reservedPriority is the priority of a refused request for which the next token is reserved
+	// until reservedUntil.
 	reservedPriority int
 	reservedUntil    time.Duration
 }
 
-// capacity returns how many requests the bucket holds at the most.
+// capacity returns the largest number of tokens that the bucket holds.
 func (b *bucket) capacity() float64 {
 	rate := float64(b.rate)
 	return 1 + min(1, rate*extraRequestPeriod.Seconds()) + rate*burstPeriod.Seconds()
 }
 
-// refill takes the time since the last call into account, at the rate from now on.
+// refill sets the rate and adds the tokens since the last call.
 func (b *bucket) refill(now time.Duration, rate Rate) {
 	b.rate = rate
-	regained := max(now-b.refilledAt, 0).Seconds() * float64(rate)
-	b.tokens = min(b.tokens+regained, b.capacity())
-	b.promised = max(b.promised-regained, 0)
+	added := max(now-b.refilledAt, 0).Seconds() * float64(rate)
+	b.tokens = min(b.tokens+added, b.capacity())
+	b.promised = max(b.promised-added, 0)
 	b.refilledAt = max(b.refilledAt, now)
 }
 
 func (b *bucket) acquire(now time.Duration, priority int) Grant {
-	kept := now < b.reservedUntil && priority > b.reservedPriority
-	if b.tokens >= 1 && !kept {
+	reserved := now < b.reservedUntil && priority > b.reservedPriority
+	if b.tokens >= 1 && !reserved {
 		b.tokens--
 		if priority <= b.reservedPriority {
 			b.reservedUntil = 0
 		}
 		return Grant{Granted: true}
 	}
-	refused := Grant{Refill: b.timeUntil(1), Wait: min(b.timeUntil(1+b.promised), b.timeUntil(1)+b.retrySpread())}
-	if kept {
-		refused.Wait = max(refused.Wait, b.reservedUntil-now)
-		return refused
+	refusal := Grant{Refill: b.timeUntil(1), Wait: min(b.timeUntil(1+b.promised), b.timeUntil(1)+b.retrySpread())}
+	if reserved {
+		refusal.Wait = max(refusal.Wait, b.reservedUntil-now)
+		return refusal
 	}
 	b.promised++
 	if now >= b.reservedUntil || priority < b.reservedPriority {
-		b.reservedPriority, b.reservedUntil = priority, now+refused.Wait+reservationPeriod
+		b.reservedPriority, b.reservedUntil = priority, now+refusal.Wait+reservationPeriod
 	}
-	return refused
+	return refusal
 }
 
-// retrySpread returns by how much later than the next room a refused node is to ask, so that each
-// asks at another time.
+// retrySpread returns how much later than the next refill a refused node is to ask. It grows with
+// the number of outstanding refusals, so that each node asks at a different time.
 func (b *bucket) retrySpread() time.Duration {
 	return time.Duration(float64(maxRetrySpread) * b.promised / (1 + b.promised))
 }
 
-// timeUntil returns the time timeUntil the bucket has held so many requests, rounded up.
-func (b *bucket) timeUntil(level float64) time.Duration {
-	missing := max(level-b.tokens, 0)
+// timeUntil returns the time until the bucket holds that many tokens, rounded up.
+func (b *bucket) timeUntil(tokens float64) time.Duration {
+	missing := max(tokens-b.tokens, 0)
 	return time.Duration(missing/float64(b.rate)*float64(time.Second)) + time.Millisecond
 }
--- a/internal/workerlimit/observation.go
+++ b/internal/workerlimit/observation.go
@@ -6,72 +6,72 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Rate is a limit in requests a second from all nodes together.
+// Rate is a limit in requests per second, summed over all nodes.
 type Rate float64
 
-// Statement is what the head of one answer says of the worker's limit.
+// Statement is what the header of one answer states about the worker's limit.
 type Statement struct {
 	Kind StatementKind
 	// Rate is set for Limited.
 	Rate Rate
 }
 
-// StatementKind tells whether an answer names a limit.
+// StatementKind is whether and how an answer states a limit.
 type StatementKind uint8
 
 // Kinds of statements.
 const (
-	// Unlimited is an answer that names no limit: none holds any more.
+	// Unlimited is an answer without a limit: any earlier one no longer applies.
 	Unlimited StatementKind = iota
-	// Limited is an answer that names one.
+	// Limited is an answer with a limit.
 	Limited
-	// Unreadable is an answer whose limit can't be read: it says nothing.
+	// Unreadable is an answer whose limit can't be parsed. It is ignored.
 	Unreadable
 )
 
-// Observation is a statement of a run of a worker and when it was made.
+// Observation is a statement of a worker's run, with the time at which it was made.
 type Observation struct {
 	Worker fleet.EngineID
 	// StartTime is when the run started, by the worker's clock; 0 if that isn't known.
 	StartTime uint64
-	// Limited is false if no limit holds; Rate is set otherwise.
+	// Limited is set if a limit applies, which is Rate.
 	Limited bool
 	Rate    Rate
-	// RequestedAt and Answered are times between which the statement was made, on this process's
-	// steady clock: a time before the request reached the worker and one after its answer left.
+	// RequestedAt and AnsweredAt enclose the time at which the statement was made, on this process's
+	// steady clock: one is before the request reached the worker, the other after its answer left.
 	RequestedAt time.Duration
 	AnsweredAt  time.Duration
 }
 
-// isStricterThan tells whether an observation allows less than another.
-func (o *Observation) isStricterThan(than *Observation) bool {
+// isStricterThan reports whether an observation allows less than another.
+func (o *Observation) isStricterThan(other *Observation) bool {
 	switch {
 	case !o.Limited:
 		return false
-	case !than.Limited:
+	case !other.Limited:
 		return true
 	default:
-		return o.Rate < than.Rate
+		return o.Rate < other.Rate
 	}
 }
 
-// isSame tells whether two observations say the isSame.
+// isSame reports whether two observations state the same limit.
 func (o *Observation) isSame(other *Observation) bool {
 	return o.Limited == other.Limited && o.Rate == other.Rate
 }
 
-// merge returns what two observations of one run say together. Where neither is certainly the newer,
-// the stricter one holds until a request that was sent after it is answered otherwise.
-func merge(known, heard Observation) Observation {
+// merge combines two observations of one run. If their times overlap, so that neither is certainly
+// newer, the stricter one applies until a later request is answered otherwise.
+func merge(known, received Observation) Observation {
 	switch {
-	case heard.isSame(&known):
-		known.RequestedAt, known.AnsweredAt = max(known.RequestedAt, heard.RequestedAt), max(known.AnsweredAt, heard.AnsweredAt)
+	case received.isSame(&known):
+		known.RequestedAt, known.AnsweredAt = max(known.RequestedAt, received.RequestedAt), max(known.AnsweredAt, received.AnsweredAt)
 		return known
-	case heard.RequestedAt >= known.AnsweredAt:
-		return heard
-	case heard.AnsweredAt <= known.RequestedAt || !heard.isStricterThan(&known):
+	case received.RequestedAt >= known.AnsweredAt:
+		return received
+	case received.AnsweredAt <= known.RequestedAt || !received.isStricterThan(&known):
 		return known
 	default:
-		return heard
+		return received
 	}
 }
