--- a/internal/nodecapacity/capacity.go
+++ b/internal/nodecapacity/capacity.go
@@ -1,6 +1,5 @@
-// Package nodecapacity says what one node can carry: from the limits of its machine
-// how many requests a second, and from what it uses at the moment how near to its
-// limits it is. Both are pure functions of their arguments.
+// Package nodecapacity computes how many requests per second a node can carry from the limits of its
+// machine, and tracks how close to these limits its present usage is. It has no I/O and no clock.
 package nodecapacity
 
 import (
@@ -9,59 +8,56 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits are what a machine gives one process. A zero field is unknown and limits
+// Limits holds the resources that a machine gives one process. A zero field is unknown and limits
 // nothing.
 type Limits struct {
-	// ProcessorShare is the part of a core that the process gets, on one of Cores cores.
+	// ProcessorShare is the fraction of a core that the process gets, on one of Cores cores.
 	ProcessorShare float64
 	Cores          int
 	// MemoryMB is the memory in MiB at which the process is killed.
 	MemoryMB int
-	// FileDescriptors bounds the open descriptors, of which ReservedDescriptors are for
-	// files.
+	// FileDescriptors bounds the open descriptors, of which ReservedDescriptors are for files.
 	FileDescriptors int
-	// LinkMegabits is the bandwidth of the machine's link each way, in Mbit/s.
+	// LinkMegabits is the bandwidth of the machine's link in each direction, in Mbit/s.
 	LinkMegabits float64
 }
 
-// What a request takes of a node, rounded up, since the capacity is compared with a mean
-// rate.
+// Resources that one request takes, rounded up.
 const (
 	// RequestProcessorSeconds is processor time in seconds, beyond what a node without requests uses.
 	RequestProcessorSeconds = 0.002
-	// RequestBytes is what a request sends over the link: its head and body to a worker and
-	// the answer to the caller, with acknowledgements and some retries.
+	// RequestBytes is what a request sends over the link: headers and body to a worker and the
+	// answer to the caller, with acknowledgements and some retries.
 	RequestBytes = 4 << 10
-	// RequestSeconds is how long a request holds its connections and buffers, with the time
-	// for which they rest before the next one.
+	// RequestSeconds is how long a request holds its connections and buffers, including the idle
+	// time before they are reused.
 	RequestSeconds = 4
-	// requestDescriptors are the connections that a request holds: its caller's and a
-	// worker's.
+	// requestDescriptors counts the connections that a request holds, its caller's and a worker's.
 	requestDescriptors = 2
-	// requestMemoryMB is the memory of an open request with both connections and its body.
+	// requestMemoryMB is the memory of a request in flight, with both connections and its body.
 	requestMemoryMB = 0.15
 )
 
-// What a node uses without any request.
+// Resources that a node uses without any request.
 const (
-	// ReservedDescriptors are those kept for files and listeners.
+	// ReservedDescriptors are reserved for files and listeners.
 	ReservedDescriptors = 200
-	// baseDescriptors are the connections to other nodes, to the store and to the caches
-	// that it follows.
+	// baseDescriptors are the connections to other nodes, to the store and to the caches whose events
+	// the node subscribes to.
 	baseDescriptors = 1200
-	// baseMemoryMB is the memory of a node that serves, with its index of caches.
+	// baseMemoryMB is the memory of a serving node with its cache index.
 	baseMemoryMB = 64
-	// peerTrafficFraction is the part of a link that may be taken by what nodes tell each other.
+	// peerTrafficFraction is the fraction of the link reserved for traffic between nodes.
 	peerTrafficFraction = 0.5
 )
 
 const bytesPerMegabit = 1e6 / 8
 
-// Validate returns an error that names the first limit that can't be used.
+// Validate returns an error that names the first invalid limit.
 func (l Limits) Validate() error {
 	switch {
 	case l.ProcessorShare < 0 || math.IsNaN(l.ProcessorShare) || math.IsInf(l.ProcessorShare, 0):
-		return errors.Errorf("processor share %v isn't a number of cores", l.ProcessorShare)
+		return errors.Errorf("processor share: %v is not a valid number of cores", l.ProcessorShare)
 	case l.Cores < 0:
 		return errors.Errorf("cores: %d is below 0", l.Cores)
 	case l.MemoryMB < 0:
@@ -71,12 +67,12 @@
 	case l.FileDescriptors > 0 && l.FileDescriptors <= ReservedDescriptors:
 		return errors.Errorf("file descriptors: %d leave none beside the %d for files", l.FileDescriptors, ReservedDescriptors)
 	case l.LinkMegabits < 0 || math.IsNaN(l.LinkMegabits) || math.IsInf(l.LinkMegabits, 0):
-		return errors.Errorf("link: %v isn't a number of Mbit/s", l.LinkMegabits)
+		return errors.Errorf("link: %v is not a valid number of Mbit/s", l.LinkMegabits)
 	}
 	return nil
 }
 
-// Resource is what a node may run short of.
+// Resource is a resource that a node may run short of.
 type Resource uint8
 
 // Resources of a node.
@@ -93,8 +89,8 @@
 	return [resourceCount]string{"processor", "memory", "descriptors", "link"}[min(r, resourceCount-1)]
 }
 
-// RequestsPerSecond returns how many requests a second each limit allows a node to
-// carry; an unknown limit allows any number.
+// RequestsPerSecond returns how many requests per second each limit allows; infinity if the limit is
+// unknown.
 func (l Limits) RequestsPerSecond() [resourceCount]float64 {
 	unlimited := math.Inf(1)
 	allowed := [resourceCount]float64{unlimited, unlimited, unlimited, unlimited}
@@ -115,8 +111,8 @@
 	return allowed
 }
 
-// Capacity returns the requests a second that a node can carry at the most, and which
-// limit binds; 0 if no limit is known.
+// Capacity returns the requests per second that a node can carry, and the resource that limits them.
+// It returns 0 if no limit is known.
 func (l Limits) Capacity() (float64, Resource) {
 	allowed := l.RequestsPerSecond()
 	least := Processor
@@ -131,9 +127,8 @@
 	return allowed[least], least
 }
 
-// Millicores returns the capacity as thousandths of a core that requests can use, the
-// unit in which nodes tell it: a node whose link, memory or descriptors bind counts as
-// one with a smaller processor.
+// Millicores returns the capacity in thousandths of a core, the unit in which nodes report it. A node
+// that is limited by its link, memory or descriptors counts as one with a smaller processor.
 func (l Limits) Millicores() uint32 {
 	capacity, _ := l.Capacity()
 	return uint32(math.Round(capacity * RequestProcessorSeconds * 1000))
--- a/internal/nodecapacity/pressure.go
+++ b/internal/nodecapacity/pressure.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Usage is how much of each limit a node uses, as parts of the limits.
+// Usage is how much of each limit a node uses, as fractions of the limits.
 type Usage [resourceCount]float64
 
-// Pressure says how near to its limits a node is.
+// Pressure is how close to its limits a node is.
 type Pressure uint8
 
-// Pressures, the least first.
+// Pressures, the lowest first.
 const (
-	// Free means that callers may come.
+	// Free means that the node accepts new callers.
 	Free Pressure = iota
-	// Busy means that callers are to be sent elsewhere, as far as others have room.
+	// Busy means that callers are directed to other nodes as far as these have room.
 	Busy
-	// Full means that more can't be carried: what comes all the same is refused.
+	// Full means that the node refuses further requests.
 	Full
 )
 
@@ -30,8 +30,7 @@
 	}
 }
 
-// Weight is the part of its capacity by which a node under pressure counts when callers
-// are spread.
+// Weight returns the fraction of its capacity with which a node counts when callers are distributed.
 func (p Pressure) Weight() float64 {
 	switch p {
 	case Busy:
@@ -43,37 +42,39 @@
 	}
 }
 
-// Parts of the limits at which the pressure changes.
+// Thresholds at which the pressure changes, as fractions of the limits, and weights.
 const (
-	// busyAbove leaves the directory the time that callers keep its answers, some three
-	// seconds, while the load rises.
+	// busyAbove leaves headroom for a rising load, since callers cache the directory's answers for
+	// some seconds.
 	busyAbove = 0.75
-	// freeBelow is well below busyAbove, since turning callers away takes load off.
+	// freeBelow is well below busyAbove for hysteresis, since directing callers elsewhere reduces the
+	// load.
 	freeBelow = 0.55
-	// fullAbove is where memory and descriptors are refused. The rest is for what is under
-	// way: connections to workers, answers, and what other nodes tell.
+	// fullAbove is the usage of memory or descriptors above which requests are refused. The rest is
+	// for requests in flight and traffic between nodes.
 	fullAbove = 0.92
-	// fullBelow ends it.
+	// fullBelow is the usage below which requests are accepted again.
 	fullBelow = 0.85
-	// freeAfter is how long the usage must be below freeBelow until callers come again, a
-	// little more than callers keep an answer.
+	// freeAfter is how long the usage must stay below freeBelow until the node is free. It exceeds the
+	// time for which callers cache an answer.
 	freeAfter  = 4 * time.Second
 	busyWeight = 0.5
 	fullWeight = 0.1
 )
 
-// Meter follows a node's usage. Its zero value is free. It isn't safe for concurrent use.
+// Meter derives a node's pressure from its usage. Its zero value is free. It isn't safe for
+// concurrent use.
 type Meter struct {
 	pressure Pressure
 	scarcest Resource
-	// lowSince is since when the usage is below freeBelow, if low is set.
+	// lowSince is when the usage fell below freeBelow; valid while low is set.
 	lowSince time.Duration
 	low      bool
 }
 
-// Observe takes in the usage at now and returns the pressure. Only memory and descriptors
-// make a node full: a process ends or goes deaf without them, while a processor or link
-// that is short makes it late, which callers who are already here may prefer to a refusal.
+// Observe records the usage at now and returns the pressure. Only memory and descriptors make a node
+// full: without them the process is killed or can't accept connections, while a shortage of
+// processor time or bandwidth only delays requests.
 func (m *Meter) Observe(now time.Duration, usage Usage) Pressure {
 	most := Processor
 	for resource := range resourceCount {
@@ -101,5 +102,5 @@
 // Pressure returns the pressure at the last observation.
 func (m *Meter) Pressure() Pressure { return m.pressure }
 
-// ScarcestResource returns the resource that was used most at the last observation.
+// ScarcestResource returns the resource with the highest usage at the last observation.
 func (m *Meter) ScarcestResource() Resource { return m.scarcest }
--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -1,19 +1,21 @@
-// Package relay decides from whom a node learns what changes in the store: from
-// the store itself, or from another node that reads it. It is a state machine
-// without I/O and clock.
+// Package relay decides where a node gets changes of the store from: from the store itself, or from
+// another node that reads it. A proof is the store's confirmation that a node's state was current at
+// some time. The package is a state machine without I/O and clock.
 //
-// Invariants. A node that is to read by its role always reads, and asks peers
-// only while the store gives it no proof. A node that is
-// asked by others reads, so that a chain of nodes always ends at the store. A
-// node that has restarted reads until it knows everything once, whoever told, or
-// until its role is settled: after a restart of all nodes the peers know no more than
-// it does. At the first start of the whole fleet there are no callers yet, so nodes
-// wait for their roles instead. Until then a node asks peers only if the store
-// doesn't answer it soon: while all nodes learn of each other they would ask many
-// different ones, which would all read. A node
-// that hears nothing from any peer reads. A node whose peers answer but have old
-// proofs moves on among the first MaxSources of them, and tries the store itself
-// now and then: the more nodes there are, the less often each.
+// The rules are:
+//
+//   - A node whose role is to read always reads the store. It asks peers only while it has no fresh
+//     proof from the store.
+//   - A node that other nodes ask reads the store, so every chain of nodes ends at the store.
+//   - A restarted node reads until it has the full state once, from any source, or until its role is
+//     confirmed: after a restart of all nodes, peers have no more state than it does. Until then it
+//     asks peers only if the store doesn't answer soon. While the nodes discover each other, they
+//     would ask many different peers, which would then all read.
+//   - At the first start of the whole fleet there are no callers yet, and nodes wait for their roles
+//     instead.
+//   - A node that gets no answer from any peer reads.
+//   - A node whose peers answer with stale proofs rotates through its first MaxSources peers and
+//     occasionally probes the store itself. The more nodes there are, the less often each probes.
 package relay
 
 import (
@@ -24,40 +26,38 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Options sets up a Selector. Zero fields take the defaults.
+// Options configures a Selector. Zero fields take the defaults.
 type Options struct {
 	Self fleet.NodeID
-	// Random spreads the nodes' own tries of the store; required.
+	// Random spreads the nodes' probes of the store; required.
 	Random *rand.Rand
-	// StaleAfter is the age of a proof from which on a peer counts as out of the
-	// store's reach.
+	// StaleAfter is the age from which on a proof is stale, so that its peer counts as cut off from
+	// the store.
 	StaleAfter time.Duration
-	// PeerTimeout is the time without any answer of a peer after which the node
-	// reads itself.
+	// PeerTimeout is the time without an answer of any peer after which the node reads the store.
 	PeerTimeout time.Duration
 	// WatchLinger is how long a node reads after it was last asked.
 	WatchLinger time.Duration
 	// FailbackAfter is how long a node stays with a source that isn't its first.
 	FailbackAfter time.Duration
-	// ProbeInterval is the mean time between a node's own tries of the store while
-	// its peers answer with old proofs; TryFor is how long a try lasts. In a large
-	// fleet the interval of a node that callers aren't sent to grows, so that the
-	// tries of all such nodes together are TrySpacing apart in the mean.
+	// ProbeInterval is the mean time between a node's probes of the store while its peers answer
+	// with stale proofs; ProbeDuration is how long a probe lasts. At nodes that don't serve callers
+	// the interval grows with their number, so that their probes together are ProbeSpacing apart on
+	// average.
 	ProbeInterval time.Duration
 	ProbeDuration time.Duration
 	ProbeSpacing  time.Duration
-	// StoreGracePeriod is how long a node that has just started leaves the store to answer
-	// before it asks peers as well.
+	// StoreGracePeriod is how long a node that has just started waits for the store before it asks
+	// peers as well.
 	StoreGracePeriod time.Duration
-	// AwaitRole has the node wait for its role before it reads, instead of reading
-	// at once.
+	// AwaitRole makes the node wait for its role before it reads.
 	AwaitRole bool
-	// ProofGracePeriod is how long a node that has awaited its role stays with a source that
-	// answers without a proof: that one has just begun to read. If all moved on, each would ask
-	// many for everything, and these would all read the store.
+	// ProofGracePeriod is how long a node that has awaited its role stays with a source that answers
+	// without a proof, since that source may have just begun to read. If every node moved on, each
+	// would ask many peers for the full state, and all of these would read the store.
 	ProofGracePeriod time.Duration
-	// IsolatedAfter is the time without any answer of a peer after which the node is on its
-	// own: it needs everything that the store holds.
+	// IsolatedAfter is the time without an answer of any peer after which the node needs the full
+	// state from the store.
 	IsolatedAfter time.Duration
 	// MaxSources bounds the peers that are asked in turn.
 	MaxSources int
@@ -72,24 +72,23 @@
 	DefaultProbeInterval = 4 * time.Second
 	DefaultProbeDuration = 400 * time.Millisecond
 	DefaultProbeSpacing  = 200 * time.Millisecond
-	// DefaultStoreGracePeriod is many times what the store takes for an answer when
-	// nothing ails it.
+	// DefaultStoreGracePeriod is many times the store's usual response time.
 	DefaultStoreGracePeriod = 150 * time.Millisecond
 	DefaultMaxSources       = 9
-	// DefaultIsolatedAfter is some turns over all sources: slow peers are many, and all of a zone
-	// that read everything at once make the store slow too.
+	// DefaultIsolatedAfter allows for several rounds over all sources. A short interruption that
+	// affects a whole zone must not make all its nodes read the full state at once.
 	DefaultIsolatedAfter = 5 * time.Second
-	// DefaultProofGracePeriod is some times what reading 3,000 rows over 12 ms takes.
+	// DefaultProofGracePeriod is several times what a node takes to read the full state.
 	DefaultProofGracePeriod = time.Second
 )
 
-// Selector decides for one node. It isn't safe for concurrent use.
+// Selector decides for one node what it reads and whom it asks. It isn't safe for concurrent use.
 type Selector struct {
 	options Options
 	// reader is set while the node's role is to read.
 	reader  bool
 	sources []fleet.NodeID
-	// sourceIndex is that of the source in use, chosen at chosenAt.
+	// sourceIndex is the index of the current source, which was chosen at sourceChosenAt.
 	sourceIndex    int
 	sourceChosenAt time.Duration
 
@@ -101,17 +100,15 @@
 	answered   bool
 	fresh      bool
 	watched    bool
-	// synced is set once the node has known everything, settled once it knows its
-	// role.
+	// synced is set once the node has had the full state, roleConfirmed once its role is confirmed.
 	synced          bool
 	roleConfirmed   bool
 	roleConfirmedAt time.Duration
 	// storeAnswered is set while the node's last call to the store was answered.
 	storeAnswered bool
-	// nonServingNodes is the number of nodes that callers aren't sent to if this is one of
-	// them, else 0.
+	// nonServingNodes is the number of nodes that don't serve callers if this is one of them, else 0.
 	nonServingNodes int
-	// ownProvenAt is the time of the node's own newest proof.
+	// ownProvenAt is the time of the newest proof that the node got from the store itself.
 	ownProvenAt time.Duration
 	ownProven   bool
 }
@@ -140,8 +137,8 @@
 	return selector
 }
 
-// SetRole says whether the node's role is to read, and whom it asks otherwise,
-// in order.
+// SetRole sets whether the node's role is to read the store, and the peers that it asks otherwise, in
+// order of preference.
 func (s *Selector) SetRole(now time.Duration, reader bool, sources []fleet.NodeID) {
 	s.reader = reader
 	sources = slices.DeleteFunc(slices.Clone(sources), func(node fleet.NodeID) bool { return node == s.options.Self })
@@ -149,33 +146,33 @@
 	if slices.Equal(sources, s.sources) {
 		return
 	}
-	current, asked := s.Source()
+	current, found := s.Source()
 	s.sources = sources
 	s.sourceIndex = 0
-	if kept := slices.Index(sources, current); asked && kept > 0 && now < s.sourceChosenAt+s.options.FailbackAfter {
+	if kept := slices.Index(sources, current); found && kept > 0 && now < s.sourceChosenAt+s.options.FailbackAfter {
 		s.sourceIndex = kept
 	}
 }
 
-// ConfirmRole says that the node knows its role: from now on SetRole's word counts.
+// ConfirmRole records that the role set by SetRole is definite. Only the first call counts.
 func (s *Selector) ConfirmRole(now time.Duration) {
 	if !s.roleConfirmed {
 		s.roleConfirmed, s.roleConfirmedAt = true, now
 	}
 }
 
-// AwaitRole has a node that doesn't know its role yet wait for it: there is so much to read
-// that not all can at once.
+// AwaitRole makes a node without a confirmed role wait for it, since the full state is too large for
+// all nodes to read at once.
 func (s *Selector) AwaitRole() { s.options.AwaitRole = true }
 
-// SetNonServingNodes says how many nodes callers aren't sent to, this one among them; 0 if
-// callers are sent to this one.
+// SetNonServingNodes sets the number of nodes that don't serve callers, including this one; 0 if
+// this one serves callers.
 func (s *Selector) SetNonServingNodes(count int) { s.nonServingNodes = count }
 
-// ObserveStoreCall takes in whether the node's last call to the store was answered.
+// ObserveStoreCall records whether the store answered the node's last call.
 func (s *Selector) ObserveStoreCall(answered bool) { s.storeAnswered = answered }
 
-// Source returns the peer to ask now; false if there is none.
+// Source returns the current source among the peers; false if there is none.
 func (s *Selector) Source() (fleet.NodeID, bool) {
 	if s.sourceIndex >= len(s.sources) {
 		return "", false
@@ -183,8 +180,8 @@
 	return s.sources[s.sourceIndex], true
 }
 
-// ShouldAskPeer tells whether the node is to ask a peer at now. A node whose role is to
-// read asks only while it has no fresh proof of its own.
+// ShouldAskPeer reports whether the node is to ask a peer at now. A node whose role is to read asks
+// only while it has no fresh proof of its own.
 func (s *Selector) ShouldAskPeer(now time.Duration) bool {
 	if _, found := s.Source(); !found {
 		return false
@@ -195,21 +192,21 @@
 	return !s.reader || !s.ownProven || now >= s.ownProvenAt+s.options.StaleAfter
 }
 
-// ObserveOwnProof takes in that the node itself has proof by the store, of an age.
+// ObserveOwnProof records a proof of the given age that the node got from the store itself.
 func (s *Selector) ObserveOwnProof(now, age time.Duration) {
 	s.ownProven, s.ownProvenAt = true, max(s.ownProvenAt, now-age)
 }
 
-// HasProofWithin tells whether the node itself has a proof by the store that isn't older
-// than within.
-func (s *Selector) HasProofWithin(now, within time.Duration) bool {
-	return s.ownProven && now <= s.ownProvenAt+within
+// HasProofWithin reports whether the node has a proof from the store itself that is at most maxAge
+// old.
+func (s *Selector) HasProofWithin(now, maxAge time.Duration) bool {
+	return s.ownProven && now <= s.ownProvenAt+maxAge
 }
 
-// MarkSynced takes in that the node knows everything, by whoever told.
+// MarkSynced records that the node has the full state, from any source.
 func (s *Selector) MarkSynced() { s.synced = true }
 
-// ShouldReadStore tells whether the node is to read the store at now.
+// ShouldReadStore reports whether the node is to read the store at now.
 func (s *Selector) ShouldReadStore(now time.Duration) bool {
 	switch {
 	case s.reader:
@@ -231,11 +228,11 @@
 	return now >= s.probeAt
 }
 
-// NeedsFullState tells whether the node, if it reads, needs everything that the store holds, since
-// others ask it or nobody answers it. Otherwise it reads for its proof and for changes.
+// NeedsFullState reports whether the node, if it reads, needs all that the store holds, because
+// other nodes ask it or no peer answers it. Otherwise it reads for a proof and for changes only.
 func (s *Selector) NeedsFullState(now time.Duration) bool {
-	asked := s.watched && now < s.watchedAt+s.options.WatchLinger
-	return asked || now >= s.lastAnswer()+s.options.IsolatedAfter
+	watched := s.watched && now < s.watchedAt+s.options.WatchLinger
+	return watched || now >= s.lastAnswer()+s.options.IsolatedAfter
 }
 
 func (s *Selector) lastAnswer() time.Duration {
@@ -252,17 +249,17 @@
 	return s.started
 }
 
-// scheduleProbe sets when the node next tries the store by itself.
+// scheduleProbe sets when the node next probes the store.
 func (s *Selector) scheduleProbe(now time.Duration) {
 	mean := int64(max(s.options.ProbeInterval, time.Duration(s.nonServingNodes)*s.options.ProbeSpacing))
 	s.probeAt = now + time.Duration(mean/2+s.options.Random.Int64N(mean+1))
 }
 
-// ObserveWatch notes that another node has asked this one.
+// ObserveWatch records that another node has asked this one.
 func (s *Selector) ObserveWatch(now time.Duration) { s.watched, s.watchedAt = true, now }
 
-// ObserveAnswer takes in a source's answer: the age of its proof, and whether it has
-// one. It tells whether the node moved on to another source.
+// ObserveAnswer records a source's answer, with the age of its proof; proven is false if it has
+// none. It reports whether the node switched to another source.
 func (s *Selector) ObserveAnswer(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.answered, s.answeredAt = true, now
 	if proven && age < s.options.StaleAfter {
@@ -275,13 +272,13 @@
 	return s.nextSource(now, from)
 }
 
-// ObserveFailure takes in that a source gave no answer. It tells whether the node moved
-// on to another one.
+// ObserveFailure records that a source didn't answer. It reports whether the node switched to
+// another source.
 func (s *Selector) ObserveFailure(now time.Duration, from fleet.NodeID) bool {
 	return s.nextSource(now, from)
 }
 
-// nextSource takes the next source after one that was of no use.
+// nextSource switches to the next source if from is the current one. It reports whether it did.
 func (s *Selector) nextSource(now time.Duration, from fleet.NodeID) bool {
 	current, found := s.Source()
 	if !found || current != from || len(s.sources) < 2 {
@@ -292,8 +289,8 @@
 	return true
 }
 
-// failBack goes back to the first source after a while, so that readers
-// by chance stop reading.
+// failBack returns to the first source after FailbackAfter, so that nodes which read only because
+// they were asked stop reading. It reports whether it did.
 func (s *Selector) failBack(now time.Duration) bool {
 	if s.sourceIndex == 0 || now < s.sourceChosenAt+s.options.FailbackAfter {
 		return false
--- a/internal/routes/document.go
+++ b/internal/routes/document.go
@@ -1,7 +1,6 @@
-// Package routes is the gateway's configuration: which service a request goes
-// to, who may send it, and within which bounds. A Document is what an operator
-// wrote; a Table is the document compiled for lookups, immutable and safe for
-// concurrent use. The package has no I/O.
+// Package routes is the gateway's configuration: which service a request goes to, who may send it, and
+// within which limits. A Document is the configuration as an operator wrote it; a Table is a document
+// compiled for lookups, immutable and safe for concurrent use. The package has no I/O.
 package routes
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind is whether a route's requests may be repeated.
 type Kind string
 
 // Kinds of routes.
@@ -19,12 +18,12 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Streaming requests are answered by a series of events. They count as
-	// unsafe unless the route is resumable.
+	// Streaming requests are answered by a series of events. They count as unsafe unless the route is
+	// resumable.
 	Streaming Kind = "streaming"
 )
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Version  fleet.Revision
 	Routes   []Route
@@ -33,37 +32,37 @@
 	Limits   Limits
 }
 
-// Route says where requests of one host and path prefix go.
+// Route defines where requests with one host and path prefix go.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Split names the services and their shares.
+	// Split lists the services and their shares of the requests.
 	Split []Share
-	// Timeout is the longest that a request may be held.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer has its full worth, to
-	// the first event for streams.
+	// TargetLatency is the target for the time to the complete answer, or to the first event of a
+	// stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between events of an answer in time.
+	// TargetGap is the target for the longest pause between the events of a stream.
 	TargetGap time.Duration
-	// Priority orders routes; 0 is the most urgent.
+	// Priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the workers that one request may be sent to.
+	// MaxAttempts bounds the workers to which one request may be sent.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
 	// Resumable streams may be continued by another worker.
 	Resumable bool
 }
 
-// IsIdempotent tells whether a request of the route may run more than once.
+// IsIdempotent reports whether a request of the route may run more than once.
 func (r *Route) IsIdempotent() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Share is one service's part of a route's requests.
+// Share is one service's share of a route's requests, in proportion to its weight.
 type Share struct {
 	Service fleet.PoolName
 	Weight  int
@@ -73,15 +72,13 @@
 type Service struct {
 	Name       fleet.PoolName
 	HealthPath string
-	// MaxConnections bounds the connections to one worker from all callers; 0
-	// means no bound.
+	// MaxConnections bounds the connections to one worker from all callers; 0 means no bound.
 	MaxConnections int
-	// MaxFollowers bounds the callers that follow one worker's cache; 0 means no
-	// bound.
+	// MaxFollowers bounds the callers that subscribe to one worker's cache events; 0 means no bound.
 	MaxFollowers int
 	// Engine is set for language-model engines.
 	Engine *EngineService
-	// Store is set for a store of kept KV cache, which serves no requests.
+	// Store is set for a KV cache store, which serves no requests.
 	Store *StoreService
 }
 
@@ -89,65 +86,66 @@
 type EngineService struct {
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CapacityTokens is an engine's memory for KV cache.
+	// CapacityTokens is the size of an engine's KV cache, in tokens.
 	CapacityTokens int
-	// TokenBytes is the size of one token's KV cache.
+	// TokenBytes is the KV cache size of one token, in bytes.
 	TokenBytes int
 	// LinkMegabits is the bandwidth of an engine's link, in Mbit/s.
 	LinkMegabits float64
 	// EventTokens is the number of tokens in an event of a stream.
 	EventTokens int
-	// Models lists what the engines serve.
+	// Models lists the models that the engines serve.
 	Models []fleet.ModelName
 }
 
-// StoreService describes a store of kept KV cache.
+// StoreService describes a KV cache store.
 type StoreService struct {
 	Address fleet.Address
 	Zone    fleet.ZoneName
 	// LinkMegabits is the bandwidth of the store's link, in Mbit/s.
 	LinkMegabits float64
-	// CapacityTokens is the store's room.
+	// CapacityTokens is the store's capacity, in tokens.
 	CapacityTokens int
 }
 
-// Tenant is a caller with keys.
+// Tenant is a caller that authenticates with one of its keys.
 type Tenant struct {
 	Name fleet.TenantName
 	Keys []string
-	// Priority goes before the route's where HasPriority is set.
+	// Priority overrides the route's if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated tenants share no cached prompt part with others.
+	// Isolated tenants share no cached prompt prefixes with other tenants.
 	Isolated bool
-	// Quota bounds what the tenant may use of all nodes together; nil means no bound.
+	// Quota bounds the tenant's use over all nodes; nil means no bound.
 	Quota *Quota
-	// QuotaUnreadable is set if the document names a bound that can't be read.
+	// QuotaUnreadable is set if the document's quota for the tenant can't be parsed.
 	QuotaUnreadable bool
 }
 
-// QuotaUnit is what a quota counts.
+// QuotaUnit is the unit that a quota counts.
 type QuotaUnit string
 
 // Units of quotas.
 const (
 	// QuotaRequests counts each request as one.
 	QuotaRequests QuotaUnit = "requests"
-	// QuotaTokens counts a prompt's tokens and the most tokens of its answer.
+	// QuotaTokens counts the prompt's tokens and the maximum number of output tokens.
 	QuotaTokens QuotaUnit = "tokens"
 )
 
-// Quota bounds a tenant's requests of all nodes together.
+// Quota bounds a tenant's use over all nodes.
 type Quota struct {
 	Unit QuotaUnit
-	// Rate is the units a second, and Burst the units that may be used above.
+	// Rate is in units per second; Burst is the units that may be used at once, above the rate.
 	Rate  float64
 	Burst float64
-	// UncountedTokens is what a request costs that doesn't name its tokens.
+	// UncountedTokens is the cost of a request that doesn't state its number of tokens.
 	UncountedTokens int
 }
 
-// Cost returns the units that a request uses. counted is set if it names its tokens.
+// Cost returns the units that a request uses. counted is set if the request states its number of
+// tokens.
 func (q *Quota) Cost(promptTokens, outputTokens int, counted bool) float64 {
 	switch {
 	case q.Unit != QuotaTokens:
@@ -159,15 +157,15 @@
 	}
 }
 
-// KeepUnreadableQuotas gives tenants whose quota can't be read the one that a former table
-// holds. former may be nil.
-func (d *Document) KeepUnreadableQuotas(former *Table) {
+// KeepUnreadableQuotas replaces quotas that can't be parsed by those of the previous table, which may
+// be nil.
+func (d *Document) KeepUnreadableQuotas(previous *Table) {
 	for index := range d.Tenants {
 		tenant := &d.Tenants[index]
-		if !tenant.QuotaUnreadable || former == nil {
+		if !tenant.QuotaUnreadable || previous == nil {
 			continue
 		}
-		for _, before := range former.Tenants() {
+		for _, before := range previous.Tenants() {
 			if before.Name == tenant.Name {
 				tenant.Quota = before.Quota
 			}
@@ -175,7 +173,7 @@
 	}
 }
 
-// Limits bound what a caller may send. A zero field means no limit.
+// Limits bounds what a caller may send. A zero field means no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/internal/routes/split.go
+++ b/internal/routes/split.go
@@ -2,9 +2,8 @@
 
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
-// Splitter spreads each route's requests over its services by smooth weighted
-// round robin, so that also a short run of requests keeps to the weights. It
-// isn't safe for concurrent use.
+// Splitter distributes each route's requests over its services by smooth weighted round robin, so even
+// a short sequence of requests follows the weights. It isn't safe for concurrent use.
 type Splitter struct {
 	credits map[splitKey]int
 }
@@ -17,11 +16,10 @@
 // NewSplitter returns a splitter without history.
 func NewSplitter() *Splitter { return &Splitter{credits: make(map[splitKey]int)} }
 
-// maxCredits bounds the memory for routes that are gone.
+// maxCredits bounds the memory used for routes that no longer exist.
 const maxCredits = 4096
 
-// Choose returns the service for the next request of a route, or false when
-// every weight is zero.
+// Choose returns the service for the next request of a route; false if every weight is zero.
 func (s *Splitter) Choose(route *Route) (fleet.PoolName, bool) {
 	if len(route.Split) == 1 {
 		return route.Split[0].Service, true
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -16,7 +16,7 @@
 	keys     map[string]*Tenant
 }
 
-// Compile checks a document and prepares it for lookups.
+// Compile validates a document and compiles it for lookups.
 func Compile(document Document) (*Table, error) {
 	table := &Table{
 		document: document,
@@ -71,11 +71,11 @@
 // Version returns the document's version.
 func (t *Table) Version() fleet.Revision { return t.document.Version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on what callers may send.
 func (t *Table) Limits() Limits { return t.document.Limits }
 
-// Match returns the route of a host and raw path: the longest prefix that
-// begins the path wins. A port in the host is ignored.
+// Match returns the route of a host and raw path. The longest matching prefix wins. A port in the host
+// is ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -89,16 +89,16 @@
 	return best, best != nil
 }
 
-// Tenants returns all tenants. Callers must not write to the slice.
+// Tenants returns all tenants. Callers must not modify the slice.
 func (t *Table) Tenants() []Tenant { return t.document.Tenants }
 
-// Tenant returns the holder of a key.
+// Tenant returns the tenant that a key belongs to.
 func (t *Table) Tenant(key string) (*Tenant, bool) {
 	tenant, found := t.keys[key]
 	return tenant, found
 }
 
-// RequiresKey tells whether requests of routes that aren't public need a key.
+// RequiresKey reports whether requests of routes that aren't public need a key.
 func (t *Table) RequiresKey() bool { return len(t.document.Tenants) > 0 }
 
 // Service returns a service by name.
@@ -107,7 +107,7 @@
 	return service, found
 }
 
-// Stores returns the services that are stores of kept KV cache.
+// Stores returns the services that are KV cache stores.
 func (t *Table) Stores() []*Service {
 	var stores []*Service
 	for index := range t.document.Services {
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,6 +1,5 @@
-// Package suspension notices that the machine was suspended. The processes stand still then,
-// as when they are stopped, but the runtime's timers and deadlines don't count that time, and
-// what other machines sent meanwhile is lost or late: connections may be dead without a word.
+// Package suspension detects that the machine was suspended. The runtime's timers and deadlines don't
+// count the suspended time, and connections may have been lost without notice.
 package suspension
 
 import (
@@ -10,8 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// minSuspension is the least time that counts as a suspension: the two clocks are read one
-// after the other, and a thread may have to wait in between.
+// minSuspension is the shortest time that counts as a suspension. The two clocks are read one after
+// the other, and the thread may be preempted in between.
 const minSuspension = 100 * time.Millisecond
 
 // Detector compares a clock that counts suspended time with one that doesn't. It is safe for
@@ -20,30 +19,27 @@
 	bootClock, monotonicClock fleet.Clock
 
 	mutex sync.Mutex
-	// offset is the least time by which the counting clock was offset since the last
-	// suspension.
+	// offset is the smallest lead of bootClock over monotonicClock since the last suspension.
 	offset time.Duration
 	count  uint64
 }
 
-// NewDetector returns a detector over a clock that counts suspended time and one that stands
-// still meanwhile.
-func NewDetector(counting, running fleet.Clock) *Detector {
-	detector := &Detector{bootClock: counting, monotonicClock: running}
+// NewDetector returns a detector that compares bootClock, which counts suspended time, with
+// monotonicClock, which doesn't.
+func NewDetector(bootClock, monotonicClock fleet.Clock) *Detector {
+	detector := &Detector{bootClock: bootClock, monotonicClock: monotonicClock}
 	detector.offset = detector.currentOffset()
 	return detector
 }
 
-// currentOffset returns by how much the counting clock is ahead. The running clock is read
-// first: a thread that waits in between makes it greater, and the next look finds the
-// true one.
+// currentOffset returns the lead of bootClock over monotonicClock. monotonicClock is read first, so
+// preemption in between can only increase the result.
 func (d *Detector) currentOffset() time.Duration {
-	running := d.monotonicClock.Now()
-	return d.bootClock.Now() - running
+	monotonic := d.monotonicClock.Now()
+	return d.bootClock.Now() - monotonic
 }
 
-// Check returns for how long the machine was suspended since the last call, and 0 if it
-// wasn't.
+// Check returns for how long the machine was suspended since the last call; 0 if it wasn't.
 func (d *Detector) Check() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -52,18 +48,18 @@
 		d.offset = min(d.offset, first)
 		return 0
 	}
-	// A second look tells a suspension from a wait between the two readings.
+	// A second reading distinguishes a suspension from preemption between the two readings.
 	again := min(first, d.currentOffset())
-	slept := again - d.offset
-	if slept < minSuspension {
+	suspended := again - d.offset
+	if suspended < minSuspension {
 		return 0
 	}
 	d.offset = again
 	d.count++
-	return slept
+	return suspended
 }
 
-// Count returns the number of suspensions so far, as found by Check.
+// Count returns the number of suspensions that Check has detected.
 func (d *Detector) Count() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -18,7 +18,7 @@
 	counters atomic.Pointer[counters]
 }
 
-// Wrap returns a connection whose bytes count for a purpose and a distance.
+// Wrap returns a connection whose bytes are counted under a purpose and a distance.
 func (m *Meter) Wrap(conn net.Conn, purpose Purpose, distance Distance) *Conn {
 	counted := &Conn{Conn: conn, meter: m}
 	counted.counters.Store(m.countersFor(purpose, distance))
@@ -39,12 +39,12 @@
 	return count, err
 }
 
-// errNoHalfClose says that a connection can't be closed in one direction.
-var errNoHalfClose = errors.New("connection closes as a whole")
+// errNoHalfClose means that a connection can't be closed in one direction only.
+var errNoHalfClose = errors.New("connection does not support half-close")
 
-// CloseWrite ends what is sent, as a TCP connection does. A server that refuses a request
-// which it hasn't read to its end does so and waits before it closes: without it the system
-// resets the connection, and the caller may lose the answer.
+// CloseWrite closes the sending direction. An HTTP server that refuses a request with an unread body
+// does so before it closes the connection; otherwise the connection is reset and the caller may lose
+// the answer.
 func (c *Conn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -53,8 +53,8 @@
 	return half.CloseWrite()
 }
 
-// errNoDescriptor says that a connection has no descriptor of the system's.
-var errNoDescriptor = errors.New("connection has no descriptor")
+// errNoDescriptor means that a connection has no file descriptor.
+var errNoDescriptor = errors.New("connection has no file descriptor")
 
 // SyscallConn implements syscall.Conn.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
@@ -65,11 +65,11 @@
 	return system.SyscallConn()
 }
 
-// DialContext makes a connection.
+// DialContext dials a connection, as net.Dialer.DialContext does.
 type DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a function that dials and counts for what the context names. A nil meter
-// counts nothing.
+// Dial wraps a dial function so that its connections are counted under the context's label. A nil
+// meter returns dial unchanged.
 func (m *Meter) Dial(dial DialContext) DialContext {
 	if m == nil {
 		return dial
@@ -79,29 +79,29 @@
 		if err != nil {
 			return nil, err
 		}
-		named := labelOf(ctx)
-		return m.Wrap(conn, named.purpose, named.distance), nil
+		label := labelOf(ctx)
+		return m.Wrap(conn, label.purpose, label.distance), nil
 	}
 }
 
-// RoundTripper makes calls on connections made by Dial, and has each count for what
-// its own context names: kept connections carry calls of many purposes, one at a time.
+// RoundTripper makes calls on connections made by Dial and counts each call under its own context's
+// label, since a reused connection carries calls of many purposes, one at a time.
 type RoundTripper struct {
 	Next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
 func (r RoundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
-	named := labelOf(request.Context())
+	label := labelOf(request.Context())
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if conn, counted := got.Conn.(*Conn); counted {
-			conn.counters.Store(conn.meter.countersFor(named.purpose, named.distance))
+			conn.counters.Store(conn.meter.countersFor(label.purpose, label.distance))
 		}
 	}}
 	return r.Next.RoundTrip(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 }
 
-// CloseIdleConnections closes the kept connections, as http.Client has it done.
+// CloseIdleConnections closes idle connections. http.Client calls it.
 func (r RoundTripper) CloseIdleConnections() {
 	if closer, ok := r.Next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
--- a/internal/traffic/metrics.go
+++ b/internal/traffic/metrics.go
@@ -10,7 +10,7 @@
 
 var _ prometheus.Collector = (*Collector)(nil)
 
-// NewCollector returns a collector of a meter's counts under a metric's name.
+// NewCollector returns a collector that exports a meter's counts as the metric name.
 func NewCollector(meter *Meter, name string) *Collector {
 	return &Collector{
 		meter: meter,
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,10 +1,9 @@
-// Package traffic counts the bytes that a process sends and receives, by what they
-// are for and by how far they go.
+// Package traffic counts the bytes that a process sends and receives, by purpose and distance.
 //
-// A caller names both in the context of a call (With). Connections made by Dial, and
-// calls made through RoundTripper, count for what the context names. The side that
-// calls counts both directions, so that the sum over all processes holds each byte
-// between two of them once. Bytes are those of the connection, without TCP's and IP's own.
+// With labels the context of a call with both. Connections made by Dial and calls made through
+// RoundTripper are counted under the context's label. The calling side counts both directions, so
+// the sum over all processes contains each byte between two of them once. TCP and IP headers aren't
+// counted.
 package traffic
 
 import (
@@ -14,43 +13,42 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// Purpose tells what bytes are for.
+// Purpose is what bytes are sent for.
 type Purpose uint8
 
 // Purposes.
 const (
-	// Other is what no caller has named.
+	// Other is traffic without a label.
 	Other Purpose = iota
-	// Probes are the messages by which nodes learn who is alive.
+	// Probes are the failure detector's messages between nodes.
 	Probes
-	// Exchanges are whole memberships.
+	// Exchanges are transfers of the full membership.
 	Exchanges
-	// Loads are nodes' reports of what they have sent to workers.
+	// Loads are nodes' reports of the requests that they have sent to workers.
 	Loads
-	// Announcements are reports of single placements and of changes at once.
+	// Announcements are immediate reports of single placements and of changes.
 	Announcements
-	// Uses is what tenants have used.
+	// Uses are reports of tenants' quota usage.
 	Uses
-	// Watches bring rows of the store from another node.
+	// Watches are rows of the store that another node relays.
 	Watches
-	// Store is what goes to and comes from the store.
+	// Store is traffic with the store itself.
 	Store
-	// CacheEvents are the changes of caches that a node follows.
+	// CacheEvents are events of the caches that a node subscribes to.
 	CacheEvents
-	// WorkerCalls are reports of workers and orders to them.
+	// WorkerCalls are workers' reports and commands to workers.
 	WorkerCalls
-	// Requests are callers' requests as they go to workers, and the answers.
+	// Requests are callers' requests as forwarded to workers, and the answers.
 	Requests
-	// Callers are callers' requests as they come in, and the answers.
+	// Callers are incoming requests of callers, and the answers.
 	Callers
-	// Directory is the questions of callers and the answers.
+	// Directory is callers' queries of the directory, and the answers.
 	Directory
-	// Quarantine is what nodes tell at once of requests that end workers.
+	// Quarantine is immediate reports between nodes of requests that crash workers.
 	Quarantine
-	// Limits are the questions for requests to workers with limits, and what nodes tell at once
-	// of limits.
+	// Limits is requests for grants to workers with rate limits, and immediate reports of such limits.
 	Limits
-	// purposeCount is the number of purposeCount.
+	// purposeCount is the number of purposes.
 	purposeCount
 )
 
@@ -68,17 +66,17 @@
 	return purposeNames[Other]
 }
 
-// Distance tells how far bytes go.
+// Distance is how far bytes travel.
 type Distance uint8
 
 // Distances.
 const (
-	// Unknown is the distance to whom no place is known of.
+	// Unknown is the distance to a peer of unknown location.
 	Unknown Distance = iota
 	SameZone
 	OtherZone
 	OtherRegion
-	// distanceCount is the number of distanceCount.
+	// distanceCount is the number of distances.
 	distanceCount
 )
 
@@ -93,8 +91,7 @@
 	return distanceNames[Unknown]
 }
 
-// Between returns the distance between two places, of which names may be empty if they
-// aren't known.
+// Between returns the distance between two locations. Empty names in a location are unknown.
 func Between(one, other membership.Location) Distance {
 	switch {
 	case one.Zone == "" || other.Zone == "":
@@ -108,14 +105,14 @@
 	}
 }
 
-// Direction tells where bytes go to.
+// Direction is whether bytes are sent or received.
 type Direction uint8
 
 // Directions.
 const (
 	Sent Direction = iota
 	Received
-	// directionCount is the number of directionCount.
+	// directionCount is the number of directions.
 	directionCount
 )
 
@@ -125,7 +122,7 @@
 // String returns the direction's name.
 func (d Direction) String() string { return directionNames[d&1] }
 
-// Count is the bytes of one purpose, distance and direction since the start.
+// Count is the number of bytes of one purpose, distance and direction since the process started.
 type Count struct {
 	Purpose   Purpose
 	Distance  Distance
@@ -133,15 +130,15 @@
 	Bytes     uint64
 }
 
-// counters counts the bytes of one purpose and distance.
+// counters holds the byte counts of one purpose and distance, by direction.
 type counters [directionCount]atomic.Uint64
 
-// Meter counts bytes. It is safe for concurrent use; its zero value is ready.
+// Meter counts bytes. It is safe for concurrent use; its zero value is ready to use.
 type Meter struct {
 	counters [purposeCount][distanceCount]counters
 }
 
-// Add counts bytes.
+// Add adds bytes to the count of a purpose, distance and direction.
 func (m *Meter) Add(purpose Purpose, distance Distance, direction Direction, bytes int) {
 	if bytes > 0 {
 		m.countersFor(purpose, distance)[direction].Add(uint64(bytes))
@@ -152,7 +149,7 @@
 	return &m.counters[purpose][distance]
 }
 
-// Counts returns all counts that aren't zero, by purpose, distance and direction.
+// Counts returns all counts that aren't zero, sorted by purpose, distance and direction.
 func (m *Meter) Counts() []Count {
 	var counts []Count
 	for purpose := range purposeCount {
@@ -167,22 +164,22 @@
 	return counts
 }
 
-// label is what a context names.
+// label is the purpose and distance that a context carries.
 type label struct {
 	purpose  Purpose
 	distance Distance
 }
 
-// labelKey is the key of a context's label.
+// labelKey is the context key of a label.
 type labelKey struct{}
 
-// With returns a context whose calls count for a purpose and a distance.
+// With returns a context whose calls are counted under a purpose and a distance.
 func With(ctx context.Context, purpose Purpose, distance Distance) context.Context {
 	return context.WithValue(ctx, labelKey{}, label{purpose: purpose, distance: distance})
 }
 
-// labelOf returns what a context names: Other and Unknown if nothing.
+// labelOf returns the context's label; Other and Unknown if it has none.
 func labelOf(ctx context.Context) label {
-	named, _ := ctx.Value(labelKey{}).(label)
-	return named
+	found, _ := ctx.Value(labelKey{}).(label)
+	return found
 }
