--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func subject() RequestIdentity {
+func testIdentity() RequestIdentity {
 	return RequestIdentity{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
 }
 
 // TestSameRequestHasTheSameFingerprint whoever computes it: nodes compare them.
 func TestSameRequestHasTheSameFingerprint(t *testing.T) {
-	one, other := subject(), subject()
+	one, other := testIdentity(), testIdentity()
 	assert.Equal(t, one.Fingerprint(), other.Fingerprint())
 	assert.Equal(t, "43dfe41e11e7f707f78b6151f72c5a94", one.Fingerprint().String(), "no node may compute another one")
 	assert.Equal(t, one.Fingerprint().String()[:12], one.Fingerprint().Short())
@@ -36,7 +36,7 @@
 		"moved boundary": func(s *RequestIdentity) { s.Target, s.Body = "/a/b?c=dbo", []byte("dy") },
 		"moved host":     func(s *RequestIdentity) { s.Host, s.Target = "host.example/a", "/b?c=d" },
 	} {
-		changed := subject()
+		changed := testIdentity()
 		change(&changed)
 		fingerprint := changed.Fingerprint()
 		assert.Empty(t, seen[fingerprint], name)
@@ -45,7 +45,7 @@
 }
 
 func TestFingerprintsAreReadBack(t *testing.T) {
-	one := subject()
+	one := testIdentity()
 	fingerprint := one.Fingerprint()
 	read, err := ParseFingerprint(fingerprint.String())
 	require.NoError(t, err)
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -12,7 +12,7 @@
 
 const tenant fleet.TenantName = "a"
 
-func single(limit Limit, options Options) *Limiter {
+func newStandalone(limit Limit, options Options) *Limiter {
 	options.Standalone, options.Window = true, 8*time.Second
 	limiter := NewLimiter(0, options)
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: limit})
@@ -22,7 +22,7 @@
 // TestRetryAfterIsWhenTheBucketHoldsTheRequest has refused requests told to come back
 // one behind the other, each when there is room for it.
 func TestRetryAfterIsWhenTheBucketHoldsTheRequest(t *testing.T) {
-	limiter := single(Limit{Rate: 100, Burst: 100}, Options{})
+	limiter := newStandalone(Limit{Rate: 100, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	first := limiter.Admit(0, tenant, 50)
 	second := limiter.Admit(0, tenant, 30)
@@ -36,7 +36,7 @@
 // TestLargeRequestsAreNotPassedOver has large and small requests of a tenant at its
 // limit take turns: both get the same part of what they ask for.
 func TestLargeRequestsAreNotPassedOver(t *testing.T) {
-	limiter := single(Limit{Rate: 1000, Burst: 1000}, Options{Slack: 1000})
+	limiter := newStandalone(Limit{Rate: 1000, Burst: 1000}, Options{Slack: 1000})
 	random := rand.New(rand.NewPCG(1, 1))
 	sent, admitted := make(map[float64]int), make(map[float64]int)
 	for step := range 40_000 {
@@ -52,7 +52,7 @@
 
 // TestUnrunRequestsAreGivenBack has requests that didn't run cost nothing.
 func TestUnrunRequestsAreGivenBack(t *testing.T) {
-	limiter := single(Limit{Rate: 10, Burst: 100}, Options{})
+	limiter := newStandalone(Limit{Rate: 10, Burst: 100}, Options{})
 	for range 50 {
 		require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 		limiter.Refund(0, tenant, 100)
@@ -61,7 +61,7 @@
 
 // TestFurtherRunsAreCharged has a second run of a request count like a first one.
 func TestFurtherRunsAreCharged(t *testing.T) {
-	limiter := single(Limit{Rate: 10, Burst: 100}, Options{})
+	limiter := newStandalone(Limit{Rate: 10, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 50).Admitted)
 	limiter.Charge(0, tenant, 50)
 	require.False(t, limiter.Admit(0, tenant, 10).Admitted)
@@ -69,7 +69,7 @@
 
 // TestTenantsWithoutALimitAreAdmitted has an absent limit and one of 0 bind nobody.
 func TestTenantsWithoutALimitAreAdmitted(t *testing.T) {
-	limiter := single(Limit{}, Options{})
+	limiter := newStandalone(Limit{}, Options{})
 	for range 1000 {
 		require.True(t, limiter.Admit(0, tenant, 1e9).Admitted)
 		require.True(t, limiter.Admit(0, "unknown", 1e9).Admitted)
@@ -79,7 +79,7 @@
 // TestRaisedLimitIsAtHandAtOnce has a tenant that has used its burst go on when the
 // limit is raised.
 func TestRaisedLimitIsAtHandAtOnce(t *testing.T) {
-	limiter := single(Limit{Rate: 100, Burst: 100}, Options{})
+	limiter := newStandalone(Limit{Rate: 100, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	require.False(t, limiter.Admit(0, tenant, 100).Admitted)
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: {Rate: 300, Burst: 300}})
@@ -101,7 +101,7 @@
 
 // TestTenantsAtRestAreNotNamed has reports name a tenant until all have heard its last use.
 func TestTenantsAtRestAreNotNamed(t *testing.T) {
-	limiter := single(Limit{Rate: 1000, Burst: 1000}, Options{})
+	limiter := newStandalone(Limit{Rate: 1000, Burst: 1000}, Options{})
 	require.Empty(t, limiter.Usages(0, "x/1"))
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	require.Len(t, limiter.Usages(time.Second, "x/1"), 1)
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -45,10 +45,10 @@
 // load offers requests of all tenants for a time, at a multiple of the limits.
 type load struct {
 	multiple float64
-	// pick chooses the node of a request.
-	pick func(*simFleet) *simNode
-	// trouble is called in each step.
-	trouble func(*simFleet)
+	// pickNode chooses the node of a request.
+	pickNode func(*simFleet) *simNode
+	// onStep is called in each step.
+	onStep func(*simFleet)
 }
 
 func anyNode(f *simFleet) *simNode { return f.nodes[f.random.IntN(len(f.nodes))] }
@@ -61,21 +61,21 @@
 				if f.random.Float64() >= chance {
 					continue
 				}
-				if node := l.pick(f); node.down == 0 {
+				if node := l.pickNode(f); node.downUntil == 0 {
 					f.request(node, tenant, promptTokens(f.random))
 				}
 			}
 		}
-		if l.trouble != nil {
-			l.trouble(f)
+		if l.onStep != nil {
+			l.onStep(f)
 		}
 		f.advance()
 	}
 }
 
-// lagPart is the part of a burst by which nodes may take a bucket for emptier than it
+// lagFraction is the part of a burst by which nodes may take a bucket for emptier than it
 // is, since they hear late of each other.
-const lagPart = 0.2
+const lagFraction = 0.2
 
 // TestNothingWithinTheLimitIsRefused has a tenant use a half to nine tenths of its
 // limit at nodes that are all well. What a single bucket would hold is admitted, but
@@ -85,16 +85,16 @@
 		limit := testLimits()[bigTenant]
 		f := newSimFleet(seed, 12, testOptions(true), map[fleet.TenantName]Limit{bigTenant: limit}, false)
 		single := newAccount(f.now, limit, limit.Burst)
-		f.decided = func(amount float64, decision Decision) {
+		f.onDecision = func(amount float64, decision Decision) {
 			single.drain(f.now, shares{reachable: 1})
 			left := single.available(1, false)
 			if decision.Admitted {
 				single.take(f.now, amount)
 				return
 			}
-			require.Less(t, left, amount+lagPart*limit.Burst, "seed %d: refused %.0f of %.0f", seed, amount, left)
+			require.Less(t, left, amount+lagFraction*limit.Burst, "seed %d: refused %.0f of %.0f", seed, amount, left)
 		}
-		load{multiple: 0.5 + 0.1*float64(seed%5), pick: anyNode}.run(f, 20*time.Second)
+		load{multiple: 0.5 + 0.1*float64(seed%5), pickNode: anyNode}.run(f, 20*time.Second)
 	}
 }
 
@@ -103,10 +103,10 @@
 func TestFloodGetsItsWholeLimit(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
-		load{multiple: 4, pick: anyNode}.run(f, 16*time.Second)
+		load{multiple: 4, pickNode: anyNode}.run(f, 16*time.Second)
 		for tenant, limit := range f.limits {
 			used := 0.0
-			for _, use := range f.log {
+			for _, use := range f.admissions {
 				if use.tenant == tenant {
 					used += use.amount
 				}
@@ -118,39 +118,39 @@
 	}
 }
 
-// seeds is the number of random histories.
-const seeds = 60
+// seedCount is the number of random histories.
+const seedCount = 60
 
-// failedSeeds are histories in which a limit was exceeded: 1126 is a partition just after
+// regressionSeeds are histories in which a limit was exceeded: 1126 is a partition just after
 // nodes were added, whose sides drew each other's beliefs down once it had healed; 1003 one
 // soon after a start of all, whose sides noticed it too late.
-var failedSeeds = []uint64{1003, 1126}
+var regressionSeeds = []uint64{1003, 1126}
 
 // TestLimitsHoldWhateverFails has tenants send four times their limits while nodes
 // are cut off from each other, killed, restarted together and added, limits are
 // lowered and raised, callers go to a few nodes alone, and clocks run up to 9% off.
 func TestLimitsHoldWhateverFails(t *testing.T) {
-	histories := slices.Clone(failedSeeds)
-	for seed := range uint64(seeds) {
+	histories := slices.Clone(regressionSeeds)
+	for seed := range uint64(seedCount) {
 		histories = append(histories, seed)
 	}
 	for _, seed := range histories {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			holdsWhateverFails(t, seed)
+			checkLimitsHold(t, seed)
 		})
 	}
 }
 
-func holdsWhateverFails(t *testing.T, seed uint64) {
+func checkLimitsHold(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newSimFleet(seed, 3+random.IntN(18), testOptions(random.IntN(2) == 0), testLimits(), random.IntN(2) == 0)
-	trouble := newTrouble(random)
-	flood := load{multiple: 1 + 3.2*random.Float64(), pick: trouble.pick, trouble: trouble.step}
-	load{multiple: 0.55, pick: anyNode}.run(f, time.Duration(2+random.IntN(3))*time.Second)
+	trouble := newFailurePlan(random)
+	flood := load{multiple: 1 + 3.2*random.Float64(), pickNode: trouble.pickNode, onStep: trouble.applyDue}
+	load{multiple: 0.55, pickNode: anyNode}.run(f, time.Duration(2+random.IntN(3))*time.Second)
 	flood.run(f, 20*time.Second)
 	for tenant, limit := range testLimits() {
-		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, troubles %v", seed, tenant, trouble.names)
+		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, troubles %v", seed, tenant, trouble.descriptions)
 	}
 }
 
@@ -159,24 +159,24 @@
 func TestFrozenNodeSpoilsNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		frozen := f.nodes[0]
-		frozen.frozen = f.now + 7*time.Second
+		frozen.frozenUntil = f.now + 7*time.Second
 		awake := func(f *simFleet) *simNode {
-			if f.now < frozen.frozen {
+			if f.now < frozen.frozenUntil {
 				return f.nodes[1+f.random.IntN(len(f.nodes)-1)]
 			}
 			return anyNode(f)
 		}
-		load{multiple: 0.6, pick: awake}.run(f, 7*time.Second)
+		load{multiple: 0.6, pickNode: awake}.run(f, 7*time.Second)
 		asked, refused := 0, 0
-		f.decided = func(_ float64, decision Decision) {
+		f.onDecision = func(_ float64, decision Decision) {
 			asked++
 			if !decision.Admitted {
 				refused++
 			}
 		}
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		require.Less(t, float64(refused), 0.02*float64(asked), "seed %d", seed)
 	}
 }
@@ -185,7 +185,7 @@
 func TestLowerLimitBindsAfterAWindow(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 10, testOptions(true), testLimits(), false)
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		lower := Limit{Rate: 60_000, Burst: 60_000}
 		sent := f.limits[bigTenant]
 		for _, node := range f.nodes {
@@ -193,7 +193,7 @@
 		}
 		at := f.now
 		f.limits = map[fleet.TenantName]Limit{bigTenant: sent}
-		load{multiple: 0.6, pick: anyNode}.run(f, 12*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 12*time.Second)
 		require.Negative(t, f.excess(bigTenant, lower, at), "seed %d", seed)
 	}
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -11,9 +11,9 @@
 
 // Times of the simulated talk.
 const (
-	simStep     = 5 * time.Millisecond
-	simExchange = 600 * time.Millisecond
-	simNear     = NearLimitInterval
+	simStep              = 5 * time.Millisecond
+	simReportInterval    = 600 * time.Millisecond
+	simNearLimitInterval = NearLimitInterval
 )
 
 // simNode is one node of a simulated fleet.
@@ -24,16 +24,16 @@
 	// offset and ratePercent make the node's clock.
 	offset      time.Duration
 	ratePercent int64
-	// side is the side of a partition on which the node is.
-	side int
-	// down is until when the node is dead, frozen until when it does nothing at all.
-	down   time.Duration
-	frozen time.Duration
+	// partition is the partition of a partition on which the node is.
+	partition int
+	// downUntil is until when the node is dead, frozen until when it does nothing at all.
+	downUntil   time.Duration
+	frozenUntil time.Duration
 	// rate is the node's requests a second, smoothed as the gateway does.
-	rate    float64
-	arrived int
-	next    time.Duration
-	nearAt  time.Duration
+	rate             float64
+	arrived          int
+	nextReportAt     time.Duration
+	lastNearReportAt time.Duration
 }
 
 func (n *simNode) clock(now time.Duration) time.Duration {
@@ -45,18 +45,18 @@
 	random *rand.Rand
 	nodes  []*simNode
 	limits map[fleet.TenantName]Limit
-	// setup is what nodes are started with.
-	setup Options
-	runs  int
-	now   time.Duration
-	log   []simUse
+	// options is what nodes are started with.
+	options    Options
+	runs       int
+	now        time.Duration
+	admissions []simAdmission
 	// inFlight are reports on their way.
 	inFlight []simReport
-	// decided is called for each decision, if set.
-	decided func(amount float64, decision Decision)
+	// onDecision is called for each decision, if set.
+	onDecision func(amount float64, decision Decision)
 }
 
-type simUse struct {
+type simAdmission struct {
 	at     time.Duration
 	tenant fleet.TenantName
 	amount float64
@@ -67,11 +67,11 @@
 	from   *simNode
 	to     *simNode
 	report Report
-	answer bool
+	reply  bool
 }
 
 func newSimFleet(seed uint64, count int, setup Options, limits map[fleet.TenantName]Limit, skewed bool) *simFleet {
-	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), setup: setup, limits: limits}
+	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), options: setup, limits: limits}
 	for index := range count {
 		node := &simNode{machine: fmt.Sprintf("m%d", index), ratePercent: 100}
 		if skewed {
@@ -87,11 +87,11 @@
 func (f *simFleet) start(node *simNode, first bool) {
 	f.runs++
 	node.id = fleet.NodeID(fmt.Sprintf("%s/%d", node.machine, f.runs))
-	setup := f.setup
+	setup := f.options
 	setup.FirstStart = first
 	node.limiter = NewLimiter(node.clock(f.now), setup)
 	node.limiter.SetLimits(node.clock(f.now), f.limits)
-	node.next = f.now + time.Duration(f.random.Int64N(int64(200*time.Millisecond)))
+	node.nextReportAt = f.now + time.Duration(f.random.Int64N(int64(200*time.Millisecond)))
 	node.rate = 0
 }
 
@@ -100,10 +100,10 @@
 	node.arrived++
 	decision := node.limiter.Admit(node.clock(f.now), tenant, amount)
 	if decision.Admitted {
-		f.log = append(f.log, simUse{f.now, tenant, amount})
+		f.admissions = append(f.admissions, simAdmission{f.now, tenant, amount})
 	}
-	if f.decided != nil {
-		f.decided(amount, decision)
+	if f.onDecision != nil {
+		f.onDecision(amount, decision)
 	}
 	return decision
 }
@@ -112,41 +112,41 @@
 func (f *simFleet) advance() {
 	f.now += simStep
 	for _, node := range f.nodes {
-		if node.down > 0 && f.now >= node.down {
-			node.down = 0
+		if node.downUntil > 0 && f.now >= node.downUntil {
+			node.downUntil = 0
 			f.start(node, false)
 		}
-		if node.down > 0 || f.now < node.frozen {
+		if node.downUntil > 0 || f.now < node.frozenUntil {
 			continue
 		}
 		if f.now%(200*time.Millisecond) < simStep {
-			f.expect(node)
+			f.addPeers(node)
 			node.rate += (float64(node.arrived)/0.2 - node.rate) * 0.3
 			node.arrived = 0
 			node.limiter.SetOwnRate(node.rate)
 		}
 		switch {
-		case f.now >= node.next:
-			node.next = f.now + simExchange
-			f.tell(node)
-		case f.now >= node.nearAt+simNear && node.limiter.IsNearLimit(node.clock(f.now)):
-			node.nearAt = f.now
-			f.tell(node)
+		case f.now >= node.nextReportAt:
+			node.nextReportAt = f.now + simReportInterval
+			f.broadcast(node)
+		case f.now >= node.lastNearReportAt+simNearLimitInterval && node.limiter.IsNearLimit(node.clock(f.now)):
+			node.lastNearReportAt = f.now
+			f.broadcast(node)
 		}
 	}
 	f.deliver()
 }
 
-// expect has a node know those that it can reach.
-func (f *simFleet) expect(node *simNode) {
+// addPeers has a node know those that it can reach.
+func (f *simFleet) addPeers(node *simNode) {
 	for _, other := range f.nodes {
-		if other != node && other.down == 0 && other.side == node.side {
+		if other != node && other.downUntil == 0 && other.partition == node.partition {
 			node.limiter.AddPeer(node.clock(f.now), other.id, other.machine)
 		}
 	}
 }
 
-func (f *simFleet) tell(node *simNode) {
+func (f *simFleet) broadcast(node *simNode) {
 	for _, other := range f.nodes {
 		if other != node {
 			f.send(node, other, false)
@@ -156,7 +156,7 @@
 
 func (f *simFleet) send(from, to *simNode, answer bool) {
 	f.inFlight = append(f.inFlight, simReport{
-		at: f.now + time.Duration(1+f.random.Int64N(4))*time.Millisecond, from: from, to: to, answer: answer,
+		at: f.now + time.Duration(1+f.random.Int64N(4))*time.Millisecond, from: from, to: to, reply: answer,
 		report: Report{
 			Node: from.id, Machine: from.machine, Joining: from.limiter.IsJoining(from.clock(f.now)),
 			RequestRate: from.rate, Usages: from.limiter.Usages(from.clock(f.now), to.id),
@@ -169,12 +169,12 @@
 	f.inFlight = nil
 	for _, message := range arriving {
 		switch {
-		case message.at > f.now, f.now < message.to.frozen:
+		case message.at > f.now, f.now < message.to.frozenUntil:
 			f.inFlight = append(f.inFlight, message)
-		case message.to.down > 0 || message.from.side != message.to.side || message.report.Node != message.from.id:
+		case message.to.downUntil > 0 || message.from.partition != message.to.partition || message.report.Node != message.from.id:
 		default:
 			message.to.limiter.Observe(message.to.clock(f.now), message.report)
-			if !message.answer {
+			if !message.reply {
 				f.send(message.to, message.from, true)
 			}
 		}
@@ -182,17 +182,17 @@
 }
 
 // kill ends a node for a time.
-func (f *simFleet) kill(node *simNode, down time.Duration) { node.down = f.now + down }
+func (f *simFleet) kill(node *simNode, down time.Duration) { node.downUntil = f.now + down }
 
 // excess returns by how much the use of a tenant in the worst window exceeds a limit
 // with its tolerance; negative if it never does.
 func (f *simFleet) excess(tenant fleet.TenantName, limit Limit, from time.Duration) float64 {
-	allowed := (limit.Rate*f.setup.Window.Seconds()+limit.Burst)*(1+f.setup.Overshoot) + f.setup.Slack
+	allowed := (limit.Rate*f.options.Window.Seconds()+limit.Burst)*(1+f.options.Overshoot) + f.options.Slack
 	worst, sum, start := -allowed, 0.0, 0
-	uses := slices.DeleteFunc(slices.Clone(f.log), func(use simUse) bool { return use.tenant != tenant || use.at < from })
+	uses := slices.DeleteFunc(slices.Clone(f.admissions), func(use simAdmission) bool { return use.tenant != tenant || use.at < from })
 	for _, use := range uses {
 		sum += use.amount
-		for uses[start].at <= use.at-f.setup.Window {
+		for uses[start].at <= use.at-f.options.Window {
 			sum -= uses[start].amount
 			start++
 		}
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -50,20 +50,20 @@
 func TestWaitBetweenTheReadingsIsNoSuspension(t *testing.T) {
 	counting, running := &fakeClock{}, &fakeClock{}
 	detector := NewDetector(counting, running)
-	waiting := &waitingClock{fakeClock: running, other: counting, wait: time.Second}
+	waiting := &preemptedClock{fakeClock: running, other: counting, wait: time.Second}
 	detector.monotonicClock = waiting
 	assert.Zero(t, detector.Check())
 	assert.Zero(t, detector.Count())
 }
 
-// waitingClock has the thread wait once after a reading.
-type waitingClock struct {
+// preemptedClock has the thread wait once after a reading.
+type preemptedClock struct {
 	*fakeClock
 	other *fakeClock
 	wait  time.Duration
 }
 
-func (c *waitingClock) Now() time.Duration {
+func (c *preemptedClock) Now() time.Duration {
 	now := c.now
 	c.now += c.wait
 	c.other.now += c.wait
--- a/internal/workerbackoff/simulation_test.go
+++ b/internal/workerbackoff/simulation_test.go
@@ -10,118 +10,118 @@
 
 // The simulated service and what its workers ask for.
 const (
-	simWorkers  = 3
-	simZones    = 3
-	simStep     = time.Millisecond
-	simSheds    = 20 * time.Second
-	simAsked    = 3 * time.Second
-	simReports  = 600 * time.Millisecond
-	budgetSpan  = 10 * time.Second
-	zoneWitness = 2
+	simWorkers        = 3
+	simZones          = 3
+	simStep           = time.Millisecond
+	simDuration       = 20 * time.Second
+	simBackoff        = 3 * time.Second
+	simReportInterval = 600 * time.Millisecond
+	retryBudgetWindow = 10 * time.Second
+	zoneQuorum        = 2
 )
 
-// sharing tells who goes by a node's word on a backoff besides itself.
-type sharing int
+// sharingMode tells who goes by a node's word on a backoff besides itself.
+type sharingMode int
 
 const (
-	shareWithNone sharing = iota
+	shareWithNone sharingMode = iota
 	shareWithAll
 	shareWithZone
 )
 
-// simulatedNodes are nodes in front of a service of which one worker rejects requests.
-type simulatedNodes struct {
-	random  *rand.Rand
-	now     time.Duration
-	way     sharing
-	ledgers []*Tracker
-	// shedFor tells which nodes' requests the worker rejects.
-	shedFor func(node int) bool
-	// told holds, by node, what others say, and when it hears of it.
-	told [][]heardBackoff
+// simulation are nodes in front of a service of which one worker rejects requests.
+type simulation struct {
+	random   *rand.Rand
+	now      time.Duration
+	mode     sharingMode
+	trackers []*Tracker
+	// rejects tells which nodes' requests the worker rejects.
+	rejects func(node int) bool
+	// reports holds, by node, what others say, and when it hears of it.
+	reports [][]reportedBackoff
 	// rejected are the times of rejections, served and kept count the requests that the worker
 	// would have taken: those that it got, and those that stayed away.
-	rejected     []time.Duration
-	served, kept int
+	rejected         []time.Duration
+	served, withheld int
 }
 
-// heardBackoff is another node's word.
-type heardBackoff struct {
+// reportedBackoff is another node's word.
+type reportedBackoff struct {
 	from      int
 	at, until time.Duration
 }
 
-func newSimulatedNodes(nodes int, way sharing, shedFor func(int) bool) *simulatedNodes {
-	s := &simulatedNodes{random: rand.New(rand.NewPCG(uint64(nodes), 3)), way: way, shedFor: shedFor, told: make([][]heardBackoff, nodes)}
+func newSimulation(nodes int, way sharingMode, shedFor func(int) bool) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(uint64(nodes), 3)), mode: way, rejects: shedFor, reports: make([][]reportedBackoff, nodes)}
 	for range nodes {
-		s.ledgers = append(s.ledgers, NewTracker(s.random))
+		s.trackers = append(s.trackers, NewTracker(s.random))
 	}
 	return s
 }
 
-// closedByOthers tells whether a node stays away by the word of others.
-func (s *simulatedNodes) closedByOthers(node int) bool {
+// closedByReports tells whether a node stays away by the word of others.
+func (s *simulation) closedByReports(node int) bool {
 	witnesses := make(map[int]bool)
-	for _, heard := range s.told[node] {
+	for _, heard := range s.reports[node] {
 		if s.now >= heard.at && s.now < heard.until {
 			witnesses[heard.from] = true
 		}
 	}
-	switch s.way {
+	switch s.mode {
 	case shareWithAll:
 		return len(witnesses) > 0
 	case shareWithZone:
-		return len(witnesses) >= zoneWitness
+		return len(witnesses) >= zoneQuorum
 	default:
 		return false
 	}
 }
 
-// tell has others hear of a backoff with their next exchange of reports.
-func (s *simulatedNodes) tell(node int) {
-	for other := range s.told {
-		if other == node || s.way == shareWithNone || (s.way == shareWithZone && other%simZones != node%simZones) {
+// report has others hear of a backoff with their next exchange of reports.
+func (s *simulation) report(node int) {
+	for other := range s.reports {
+		if other == node || s.mode == shareWithNone || (s.mode == shareWithZone && other%simZones != node%simZones) {
 			continue
 		}
-		heard := heardBackoff{from: node, at: s.now + time.Duration(s.random.Int64N(int64(simReports))), until: s.now + simAsked}
-		s.told[other] = append(s.told[other], heard)
+		heard := reportedBackoff{from: node, at: s.now + time.Duration(s.random.Int64N(int64(simReportInterval))), until: s.now + simBackoff}
+		s.reports[other] = append(s.reports[other], heard)
 	}
 }
 
 // request sends a request of a node to the worker unless it is believed to be closed.
-func (s *simulatedNodes) request(node int) {
+func (s *simulation) request(node int) {
 	run := Run{Worker: "w"}
-	if s.ledgers[node].ClosedFor(s.now, run) > 0 || s.closedByOthers(node) {
-		if !s.shedFor(node) {
-			s.kept++
+	if s.trackers[node].ClosedFor(s.now, run) > 0 || s.closedByReports(node) {
+		if !s.rejects(node) {
+			s.withheld++
 		}
 		return
 	}
-	s.ledgers[node].BeginRequest(s.now, run)
-	if s.shedFor(node) {
+	s.trackers[node].BeginRequest(s.now, run)
+	if s.rejects(node) {
 		s.rejected = append(s.rejected, s.now)
-		s.ledgers[node].Extend(s.now, run, simAsked)
-		s.tell(node)
+		s.trackers[node].Extend(s.now, run, simBackoff)
+		s.report(node)
 		return
 	}
-	s.ledgers[node].ObserveAnswer(run, s.now)
+	s.trackers[node].ObserveAnswer(run, s.now)
 	s.served++
 }
 
 // run has so many requests a second come to the service, of which the worker's share goes there.
-func (s *simulatedNodes) run(perSecond float64) {
-	for ; s.now < simSheds; s.now += simStep {
+func (s *simulation) run(perSecond float64) {
+	for ; s.now < simDuration; s.now += simStep {
 		if s.random.Float64() < perSecond/simWorkers*simStep.Seconds() {
-			s.request(s.random.IntN(len(s.ledgers)))
+			s.request(s.random.IntN(len(s.trackers)))
 		}
 	}
 }
 
-// mostRejected returns the most rejections within the span of the budget of retries.
-func (s *simulatedNodes) mostRejected() int {
+// maxRejections returns the most rejections within the span of the budget of retries.
+func (s *simulation) maxRejections() int {
 	most, first := 0, 0
 	for index, at := range s.rejected {
-		for s.rejected[first] <= at-budgetSpan {
+		for s.rejected[first] <= at-retryBudgetWindow {
 			first++
 		}
 		most = max(most, index-first+1)
@@ -139,16 +139,16 @@
 		perSecond float64
 		slack     int
 	}{{7, 22, 54}, {79, 130, 198}, {300, 150, 400}, {985, 180, 1040}} {
-		for _, way := range []sharing{shareWithNone, shareWithAll, shareWithZone} {
-			all := newSimulatedNodes(size.nodes, way, everybody)
+		for _, way := range []sharingMode{shareWithNone, shareWithAll, shareWithZone} {
+			all := newSimulation(size.nodes, way, everybody)
 			all.run(size.perSecond)
-			zone := newSimulatedNodes(size.nodes, way, oneZone)
+			zone := newSimulation(size.nodes, way, oneZone)
 			zone.run(size.perSecond)
-			lost := float64(zone.kept) / float64(max(zone.kept+zone.served, 1))
-			t.Logf("%d nodes, way %d: %d rejections in 10 s where all are rejected; %.2f of what other zones would get there is lost where one zone is", size.nodes, way, all.mostRejected(), lost)
+			lost := float64(zone.withheld) / float64(max(zone.withheld+zone.served, 1))
+			t.Logf("%d nodes, way %d: %d rejections in 10 s where all are rejected; %.2f of what other zones would get there is lost where one zone is", size.nodes, way, all.maxRejections(), lost)
 			if way == shareWithNone {
-				assert.LessOrEqual(t, all.mostRejected(), size.slack, "the fleet's slack of retries")
-				assert.Zero(t, zone.kept)
+				assert.LessOrEqual(t, all.maxRejections(), size.slack, "the fleet's slack of retries")
+				assert.Zero(t, zone.withheld)
 			}
 		}
 	}
--- a/internal/workerbackoff/tracker_test.go
+++ b/internal/workerbackoff/tracker_test.go
@@ -10,13 +10,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-func newTestLedger() *Tracker { return NewTracker(rand.New(rand.NewPCG(1, 2))) }
+func newTestTracker() *Tracker { return NewTracker(rand.New(rand.NewPCG(1, 2))) }
 
 var testRun = Run{Worker: "w", StartTime: 1000}
 
 // TestBackoffLastsAsLongAsWasAsked whatever is answered or asked meanwhile.
 func TestBackoffLastsAsLongAsWasAsked(t *testing.T) {
-	ledger := newTestLedger()
+	ledger := newTestTracker()
 	assert.True(t, ledger.Extend(time.Second, testRun, 3*time.Second))
 	assert.False(t, ledger.Extend(2*time.Second, testRun, time.Second), "a shorter time asked for later")
 	ledger.ObserveAnswer(testRun, 900*time.Millisecond)
@@ -33,7 +33,7 @@
 // TestBackoffOfAnyLengthEnds: an hour is an hour, and nothing overflows.
 func TestBackoffOfAnyLengthEnds(t *testing.T) {
 	for _, wait := range []time.Duration{time.Nanosecond, time.Millisecond, time.Hour, 10 * 365 * 24 * time.Hour} {
-		ledger := newTestLedger()
+		ledger := newTestTracker()
 		ledger.Extend(time.Second, testRun, wait)
 		assert.Positive(t, ledger.ClosedFor(time.Second+wait-1, testRun))
 		assert.Zero(t, ledger.ClosedFor(time.Second+wait+maxJitter, testRun))
@@ -42,7 +42,7 @@
 
 // TestOneRequestGoesBeforeManyAfterABackoff, also where that one isn't answered.
 func TestOneRequestGoesBeforeManyAfterABackoff(t *testing.T) {
-	ledger := newTestLedger()
+	ledger := newTestTracker()
 	ledger.Extend(0, testRun, time.Second)
 	reopened := time.Second + maxJitter
 	assert.Zero(t, ledger.BeginRequest(reopened, testRun))
@@ -60,7 +60,7 @@
 
 // TestBackoffEndsWithItsRun and isn't told by an earlier one.
 func TestBackoffEndsWithItsRun(t *testing.T) {
-	ledger := newTestLedger()
+	ledger := newTestTracker()
 	ledger.Extend(0, testRun, time.Hour)
 	assert.Positive(t, ledger.ClosedFor(time.Second, Run{Worker: "w"}), "a run whose start isn't known")
 	next := Run{Worker: "w", StartTime: 2000}
--- a/internal/workerlimit/tracker_test.go
+++ b/internal/workerlimit/tracker_test.go
@@ -10,11 +10,11 @@
 
 const second = time.Second
 
-func named(rate Rate, asked, answered time.Duration) Observation {
+func limitedAt(rate Rate, asked, answered time.Duration) Observation {
 	return Observation{Worker: "w", Limited: true, Rate: rate, RequestedAt: asked, AnsweredAt: answered}
 }
 
-func unnamed(asked, answered time.Duration) Observation {
+func unlimitedAt(asked, answered time.Duration) Observation {
 	return Observation{Worker: "w", RequestedAt: asked, AnsweredAt: answered}
 }
 
@@ -24,19 +24,19 @@
 		limited      bool
 		rate         Rate
 	}{
-		"none named":                    {observations: []Observation{unnamed(0, second)}},
-		"named":                         {observations: []Observation{named(2, 0, second)}, limited: true, rate: 2},
-		"ended":                         {observations: []Observation{named(2, 0, second), unnamed(second, 2*second)}},
-		"ended by one that began then":  {observations: []Observation{named(2, 0, 2*second), unnamed(second, 3*second)}, limited: true, rate: 2},
-		"head of before comes late":     {observations: []Observation{named(2, 2*second, 3*second), unnamed(0, second)}, limited: true, rate: 2},
-		"lower, crossing":               {observations: []Observation{named(5, 0, 2*second), named(2, second, 3*second)}, limited: true, rate: 2},
-		"higher, crossing":              {observations: []Observation{named(2, 0, 2*second), named(5, second, 3*second)}, limited: true, rate: 2},
-		"higher, newer":                 {observations: []Observation{named(2, 0, second), named(5, second, 3*second)}, limited: true, rate: 5},
-		"lower, older":                  {observations: []Observation{named(5, 2*second, 3*second), named(2, 0, second)}, limited: true, rate: 5},
-		"named again after its end":     {observations: []Observation{named(2, 0, second), unnamed(second, 2*second), named(3, 2*second, 3*second)}, limited: true, rate: 3},
-		"old limit after its end":       {observations: []Observation{named(2, 0, second), unnamed(2*second, 3*second), named(2, 0, second)}},
-		"renewed, end began in between": {observations: []Observation{named(2, 0, second), named(2, 3*second, 4*second), unnamed(2*second, 5*second)}, limited: true, rate: 2},
-		"takes nothing":                 {observations: []Observation{named(0, 0, second)}, limited: true},
+		"none named":                    {observations: []Observation{unlimitedAt(0, second)}},
+		"named":                         {observations: []Observation{limitedAt(2, 0, second)}, limited: true, rate: 2},
+		"ended":                         {observations: []Observation{limitedAt(2, 0, second), unlimitedAt(second, 2*second)}},
+		"ended by one that began then":  {observations: []Observation{limitedAt(2, 0, 2*second), unlimitedAt(second, 3*second)}, limited: true, rate: 2},
+		"head of before comes late":     {observations: []Observation{limitedAt(2, 2*second, 3*second), unlimitedAt(0, second)}, limited: true, rate: 2},
+		"lower, crossing":               {observations: []Observation{limitedAt(5, 0, 2*second), limitedAt(2, second, 3*second)}, limited: true, rate: 2},
+		"higher, crossing":              {observations: []Observation{limitedAt(2, 0, 2*second), limitedAt(5, second, 3*second)}, limited: true, rate: 2},
+		"higher, newer":                 {observations: []Observation{limitedAt(2, 0, second), limitedAt(5, second, 3*second)}, limited: true, rate: 5},
+		"lower, older":                  {observations: []Observation{limitedAt(5, 2*second, 3*second), limitedAt(2, 0, second)}, limited: true, rate: 5},
+		"named again after its end":     {observations: []Observation{limitedAt(2, 0, second), unlimitedAt(second, 2*second), limitedAt(3, 2*second, 3*second)}, limited: true, rate: 3},
+		"old limit after its end":       {observations: []Observation{limitedAt(2, 0, second), unlimitedAt(2*second, 3*second), limitedAt(2, 0, second)}},
+		"renewed, end began in between": {observations: []Observation{limitedAt(2, 0, second), limitedAt(2, 3*second, 4*second), unlimitedAt(2*second, 5*second)}, limited: true, rate: 2},
+		"takes nothing":                 {observations: []Observation{limitedAt(0, 0, second)}, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := NewTracker()
@@ -52,17 +52,17 @@
 
 func TestLimitBelongsToARun(t *testing.T) {
 	ledger := NewTracker()
-	first := named(2, 0, second)
+	first := limitedAt(2, 0, second)
 	first.StartTime = 100
 	ledger.Observe(first)
 	_, limited := ledger.Limit("w", 0)
 	assert.True(t, limited, "the start of the run asked about isn't known")
 	_, limited = ledger.Limit("w", 200)
 	assert.False(t, limited, "another run")
-	next := unnamed(second, 2*second)
+	next := unlimitedAt(second, 2*second)
 	next.StartTime = 200
 	assert.Equal(t, LimitRemoved, ledger.Observe(next))
-	late := named(1, 5*second, 6*second)
+	late := limitedAt(1, 5*second, 6*second)
 	late.StartTime = 100
 	assert.Equal(t, Unchanged, ledger.Observe(late), "an answer of the run before, though it comes later")
 	_, limited = ledger.Limit("w", 200)
@@ -71,10 +71,10 @@
 
 func TestLedgerHoldsNothingWhenNothingIsLimited(t *testing.T) {
 	ledger := NewTracker()
-	ledger.Observe(unnamed(0, second))
+	ledger.Observe(unlimitedAt(0, second))
 	assert.True(t, ledger.IsEmpty())
-	ledger.Observe(named(2, 0, second))
-	ledger.Observe(unnamed(second, 2*second))
+	ledger.Observe(limitedAt(2, 0, second))
+	ledger.Observe(unlimitedAt(second, 2*second))
 	assert.Len(t, ledger.Observations(2*second), 1, "the end is told")
 	assert.Empty(t, ledger.Observations(2*second+removalRetention))
 	assert.True(t, ledger.IsEmpty())
@@ -87,12 +87,12 @@
 		observations := make([]Observation, 2+random.IntN(5))
 		for index := range observations {
 			asked := time.Duration(random.Int64N(int64(5 * second)))
-			observations[index] = unnamed(asked, asked+time.Duration(random.Int64N(int64(3*second))))
+			observations[index] = unlimitedAt(asked, asked+time.Duration(random.Int64N(int64(3*second))))
 			if random.IntN(2) == 0 {
 				observations[index].Limited, observations[index].Rate = true, Rate(1+random.IntN(3))
 			}
 		}
-		last := named(7, 9*second, 10*second)
+		last := limitedAt(7, 9*second, 10*second)
 		observations = append(observations, last)
 		random.Shuffle(len(observations), func(i, j int) { observations[i], observations[j] = observations[j], observations[i] })
 		ledger := NewTracker()
