--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -12,19 +12,21 @@
 	return RequestIdentity{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
 }
 
-// TestSameRequestHasTheSameFingerprint whoever computes it: nodes compare them.
+// TestSameRequestHasTheSameFingerprint guards against fingerprints that differ between nodes or
+// versions.
 func TestSameRequestHasTheSameFingerprint(t *testing.T) {
 	one, other := testIdentity(), testIdentity()
 	assert.Equal(t, one.Fingerprint(), other.Fingerprint())
-	assert.Equal(t, "43dfe41e11e7f707f78b6151f72c5a94", one.Fingerprint().String(), "no node may compute another one")
+	assert.Equal(t, "43dfe41e11e7f707f78b6151f72c5a94", one.Fingerprint().String(), "must not change between versions")
 	assert.Equal(t, one.Fingerprint().String()[:12], one.Fingerprint().Short())
 }
 
-// TestEachPartTellsRequestsApart, also where one field's end could be another's beginning.
-func TestEachPartTellsRequestsApart(t *testing.T) {
+// TestEachFieldChangesTheFingerprint guards against fields that are left out, and against ambiguous
+// boundaries between fields.
+func TestEachFieldChangesTheFingerprint(t *testing.T) {
 	seen := map[Fingerprint]string{}
 	for name, change := range map[string]func(*RequestIdentity){
-		"as it is":       func(*RequestIdentity) {},
+		"unchanged":      func(*RequestIdentity) {},
 		"caller":         func(s *RequestIdentity) { s.Caller = "other" },
 		"no caller":      func(s *RequestIdentity) { s.Caller = "" },
 		"method":         func(s *RequestIdentity) { s.Method = "PUT" },
@@ -44,12 +46,13 @@
 	}
 }
 
-func TestFingerprintsAreReadBack(t *testing.T) {
+// TestFingerprintRoundTrips guards against fingerprints that don't survive String and ParseFingerprint.
+func TestFingerprintRoundTrips(t *testing.T) {
 	one := testIdentity()
 	fingerprint := one.Fingerprint()
-	read, err := ParseFingerprint(fingerprint.String())
+	parsed, err := ParseFingerprint(fingerprint.String())
 	require.NoError(t, err)
-	assert.Equal(t, fingerprint, read)
+	assert.Equal(t, fingerprint, parsed)
 	for _, bad := range []string{"", "zz", "43df", strings.Repeat("0", 34)} {
 		_, err := ParseFingerprint(bad)
 		assert.Error(t, err, bad)
--- a/internal/quarantine/lostruns_test.go
+++ b/internal/quarantine/lostruns_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// fingerprintFor returns a fingerprint that stands for a number.
+// fingerprintFor returns a distinct fingerprint for each number.
 func fingerprintFor(number int) Fingerprint {
 	one := RequestIdentity{Body: fmt.Append(nil, number)}
 	return one.Fingerprint()
@@ -18,48 +18,51 @@
 
 const second = time.Second
 
-// TestRunsThatEndWithTheirWorkerAreBlamed, once one broken exchange led to the question.
-func TestRunsThatEndWithTheirWorkerAreBlamed(t *testing.T) {
+// TestRunsAtCrashedWorkerCount guards against lost runs that are missed or counted twice when their
+// worker crashes, and against repeated probes.
+func TestRunsAtCrashedWorkerCount(t *testing.T) {
 	lost := NewLostRuns()
-	blamed, check := lost.Observe(10*second, "w", fingerprintFor(1), ConnectionBroken)
-	assert.False(t, blamed)
-	assert.True(t, check, "the first broken exchange has the worker asked")
-	_, check = lost.Observe(10*second, "w", fingerprintFor(2), ConnectionBroken)
-	assert.False(t, check, "it is asked once")
+	crashed, probe := lost.Observe(10*second, "w", fingerprintFor(1), ConnectionBroken)
+	assert.False(t, crashed)
+	assert.True(t, probe, "the first broken connection triggers a probe")
+	_, probe = lost.Observe(10*second, "w", fingerprintFor(2), ConnectionBroken)
+	assert.False(t, probe, "a probe is running")
 	assert.Equal(t, []Fingerprint{fingerprintFor(1), fingerprintFor(2)}, lost.WorkerCrashed(10*second, "w", ConnectionRefused))
-	blamed, check = lost.Observe(11*second, "w", fingerprintFor(3), ConnectionBroken)
-	assert.True(t, blamed, "a connection of the same process that is heard to break later")
-	assert.False(t, check)
-	assert.Empty(t, lost.WorkerCrashed(11*second, "w", RowRemoved), "no run counts twice")
+	crashed, probe = lost.Observe(11*second, "w", fingerprintFor(3), ConnectionBroken)
+	assert.True(t, crashed, "a later break of a connection to the same process")
+	assert.False(t, probe)
+	assert.Empty(t, lost.WorkerCrashed(11*second, "w", RowRemoved), "each run counts once")
 }
 
-// TestBrokenExchangesAtALivingWorkerSayNothing: resets, cuts and spoilt answers.
-func TestBrokenExchangesAtALivingWorkerSayNothing(t *testing.T) {
+// TestBrokenConnectionsAtLivingWorkerDontCount guards against resets, network failures and malformed
+// answers that are taken for crashes.
+func TestBrokenConnectionsAtLivingWorkerDontCount(t *testing.T) {
 	lost := NewLostRuns()
 	lost.Observe(0, "w", fingerprintFor(1), ConnectionBroken)
 	lost.WorkerAlive("w")
 	assert.Empty(t, lost.WorkerCrashed(second, "w", RowRemoved))
-	_, check := lost.Observe(2*second, "w", fingerprintFor(1), ConnectionBroken)
-	assert.True(t, check, "the next one is looked into again")
+	_, probe := lost.Observe(2*second, "w", fingerprintFor(1), ConnectionBroken)
+	assert.True(t, probe, "the next break triggers another probe")
 }
 
-// TestRowTellsWhereTheWorkerCouldNotBeAsked, within the time that a row takes to go.
-func TestRowTellsWhereTheWorkerCouldNotBeAsked(t *testing.T) {
+// TestRowRemovalCountsAfterInconclusiveProbe guards against lost runs that don't count if the probe
+// fails, or count for a later crash.
+func TestRowRemovalCountsAfterInconclusiveProbe(t *testing.T) {
 	lost := NewLostRuns()
 	lost.Observe(0, "w", fingerprintFor(1), ConnectionBroken)
 	lost.ProbeInconclusive("w")
 	assert.Equal(t, []Fingerprint{fingerprintFor(1)}, lost.WorkerCrashed(1700*time.Millisecond, "w", RowRemoved))
 	lost.Observe(0, "v", fingerprintFor(1), ConnectionBroken)
-	assert.Empty(t, lost.WorkerCrashed(lossWindow, "v", RowRemoved), "that end was another one")
+	assert.Empty(t, lost.WorkerCrashed(lossWindow, "v", RowRemoved), "too long before this crash")
 	assert.Empty(t, lost.WorkerCrashed(0, "unheard", ConnectionRefused))
 }
 
-// TestAbandonedRunsCountIfTheWorkerEndedShortlyAfter: its caller had left, and the worker
-// was at work still.
-func TestAbandonedRunsCountIfTheWorkerEndedShortlyAfter(t *testing.T) {
+// TestAbandonedRunsCountShortlyBeforeCrash guards against crashes that aren't attributed to requests
+// whose caller had just left, and against attribution of earlier ones.
+func TestAbandonedRunsCountShortlyBeforeCrash(t *testing.T) {
 	lost := NewLostRuns()
-	_, check := lost.Observe(0, "w", fingerprintFor(1), Abandoned)
-	assert.False(t, check, "a caller that leaves says nothing of the worker")
+	_, probe := lost.Observe(0, "w", fingerprintFor(1), Abandoned)
+	assert.False(t, probe, "a caller that leaves is no sign of a crash")
 	lost.Observe(2*second, "w", fingerprintFor(2), Abandoned)
 	lost.Observe(2100*time.Millisecond, "w", fingerprintFor(3), ConnectionBroken)
 	assert.Equal(t, []Fingerprint{fingerprintFor(2), fingerprintFor(3)}, lost.WorkerCrashed(2200*time.Millisecond, "w", ConnectionRefused))
@@ -70,15 +73,16 @@
 	assert.Empty(t, lost.WorkerCrashed(2500*time.Millisecond, "u", ConnectionRefused))
 }
 
-// TestLostRunsStayBounded under a caller that sends ever new bodies and a fleet that fails.
+// TestLostRunsStayBounded guards against unbounded memory under a flood of distinct requests at many
+// failing workers.
 func TestLostRunsStayBounded(t *testing.T) {
 	lost := NewLostRuns()
 	for number := range 100_000 {
 		lost.Observe(0, fleet.EngineID(fmt.Sprint(number%2000)), fingerprintFor(number), ConnectionBroken)
 	}
 	assert.Len(t, lost.workers, maxWorkers)
-	for _, known := range lost.workers {
-		assert.LessOrEqual(t, len(known.runs), maxRunsPerWorker)
+	for _, losses := range lost.workers {
+		assert.LessOrEqual(t, len(losses.runs), maxRunsPerWorker)
 	}
 	for worker := range lost.workers {
 		lost.ProbeInconclusive(worker)
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -13,10 +13,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// The fleet of fakes: nodes with a ledger each, workers that end by themselves or under a
-// harmful request, and callers that send again what was lost. Time is virtual.
+// The simulation has nodes with a tracker each, workers that crash at random or while running a
+// harmful request, and callers that retry lost requests. Its time is virtual.
 
-// event is something that happens at a time.
+// event is a function that runs at a time.
 type event struct {
 	at    time.Duration
 	order int
@@ -37,33 +37,34 @@
 	return last
 }
 
-// simulationConfig says what is played.
+// simulationConfig configures a simulation.
 type simulationConfig struct {
 	seed uint64
-	// nodes, workers and rate, in requests a second, are the size.
+	// rate is in requests per second.
 	nodes, workers int
 	rate           float64
-	// harmful is the number of harmful requests, each of which comes again and again.
+	// harmful is the number of harmful requests, each of which is sent repeatedly.
 	harmful int
-	// crashInterval is the mean time between two crashInterval of single workers, rackCrashInterval between two of
-	// a quarter of them; 0 means none.
+	// crashInterval is the mean time between crashes of single workers, rackCrashInterval between
+	// crashes of a quarter of them; 0 means none.
 	crashInterval, rackCrashInterval time.Duration
-	// fullCrashInterval is the mean time between two ends of fullCrashInterval workers at once.
+	// fullCrashInterval is the mean time between crashes of all workers at once; 0 means none.
 	fullCrashInterval time.Duration
-	// hotFraction is the part of the requests that have one of three bodies.
+	// hotFraction is the fraction of requests with one of three popular bodies.
 	hotFraction float64
-	// lossFraction is the part of the messages between nodes that don't arrive.
+	// lossFraction is the fraction of messages between nodes that are lost.
 	lossFraction float64
-	// options set the ledgers up.
+	// options configures the trackers.
 	options Options
-	// owners, if not 0, has nodes tell only so many others of an end, chosen by the
-	// fingerprint, who tell all once a request is held.
+	// owners, if not 0, is the number of nodes, chosen by the fingerprint, that are notified of a
+	// crash. They notify all nodes once a request is quarantined.
 	owners int
-	// withoutForwarding has a node that holds a request by what it was told not tell all of it.
+	// withoutForwarding keeps a node from notifying all others of a request that it quarantines
+	// because of a notification.
 	withoutForwarding bool
 }
 
-// simulation plays one day.
+// simulation runs one configuration.
 type simulation struct {
 	simulationConfig
 	random     *rand.Rand
@@ -76,83 +77,84 @@
 	running    [][]*simulatedRun
 
 	outcome simulationOutcome
-	// thirdCrashAt holds, by harmful body, when the third worker ended under it.
+	// thirdCrashAt is, by harmful body, when it crashed the third worker. harmfulCounts counts the
+	// crashes by harmful body, and its late arrivals under a prefixed key.
 	thirdCrashAt  map[string]time.Duration
 	harmfulCounts map[string]int
 }
 
-// simulatedRun is one request at a worker.
+// simulatedRun is a request that was sent to a worker.
 type simulatedRun struct {
 	body  string
 	node  int
 	tries int
 }
 
-// simulationOutcome is what a day came to.
+// simulationOutcome is the result of a simulation.
 type simulationOutcome struct {
 	harmless, refused       int
 	crashes, harmfulCrashes int
 	lateArrivals            int
-	// lateArrivals counts the harmful requests that reached workers later than three seconds
-	// after the third end, maxLateArrivals those of one body.
+	// lateArrivals counts the harmful requests that reached workers more than three seconds after
+	// the third crash, maxLateArrivals the most of one body.
 	maxLateArrivals, messages int
 }
 
-func simulate(day simulationConfig) simulationOutcome {
-	f := &simulation{
-		simulationConfig: day, random: rand.New(rand.NewPCG(day.seed, 1)),
+func simulate(config simulationConfig) simulationOutcome {
+	s := &simulation{
+		simulationConfig: config, random: rand.New(rand.NewPCG(config.seed, 1)),
 		thirdCrashAt: make(map[string]time.Duration), harmfulCounts: make(map[string]int),
 	}
-	for range day.nodes {
-		f.trackers = append(f.trackers, NewTracker(day.options))
+	for range config.nodes {
+		s.trackers = append(s.trackers, NewTracker(config.options))
 	}
-	for range day.workers {
-		f.up = append(f.up, true)
-		f.runNumbers = append(f.runNumbers, 0)
-		f.running = append(f.running, nil)
+	for range config.workers {
+		s.up = append(s.up, true)
+		s.runNumbers = append(s.runNumbers, 0)
+		s.running = append(s.running, nil)
 	}
-	f.arrive(0)
-	for number := range day.harmful {
-		f.arriveHarmful(fmt.Sprint("harmful-", number))
+	s.arrive(0)
+	for number := range config.harmful {
+		s.arriveHarmful(fmt.Sprint("harmful-", number))
 	}
-	f.scheduleCrashes(day.crashInterval, 1)
-	f.scheduleCrashes(day.rackCrashInterval, max(day.workers/4, 1))
-	f.scheduleCrashes(day.fullCrashInterval, day.workers)
-	const dayLength = 60 * time.Second
-	for f.queue.Len() > 0 && f.now < dayLength {
-		next := heap.Pop(&f.queue).(event)
-		f.now = next.at
+	s.scheduleCrashes(config.crashInterval, 1)
+	s.scheduleCrashes(config.rackCrashInterval, max(config.workers/4, 1))
+	s.scheduleCrashes(config.fullCrashInterval, config.workers)
+	const duration = 60 * time.Second
+	for s.queue.Len() > 0 && s.now < duration {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
 		next.run()
 	}
-	return f.outcome
+	return s.outcome
 }
 
-func (f *simulation) schedule(delay time.Duration, run func()) {
-	f.scheduled++
-	heap.Push(&f.queue, event{at: f.now + delay, order: f.scheduled, run: run})
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.scheduled, run: run})
 }
 
-// exponential returns a random time with a mean.
-func (f *simulation) exponential(mean time.Duration) time.Duration {
-	return time.Duration(f.random.ExpFloat64() * float64(mean))
+// exponential returns an exponentially distributed time.
+func (s *simulation) exponential(mean time.Duration) time.Duration {
+	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// arrive has harmless requests come.
-func (f *simulation) arrive(number int) {
+// arrive sends harmless requests at the configured rate.
+func (s *simulation) arrive(number int) {
 	body := fmt.Sprint("harmless-", number)
-	if f.random.Float64() < f.hotFraction {
-		body = fmt.Sprint("hot-", f.random.IntN(3))
+	if s.random.Float64() < s.hotFraction {
+		body = fmt.Sprint("hot-", s.random.IntN(3))
 	}
-	f.outcome.harmless++
-	f.send(&simulatedRun{body: body, node: f.random.IntN(f.nodes)})
-	f.schedule(f.exponential(time.Duration(float64(time.Second)/f.rate)), func() { f.arrive(number + 1) })
+	s.outcome.harmless++
+	s.send(&simulatedRun{body: body, node: s.random.IntN(s.nodes)})
+	s.schedule(s.exponential(time.Duration(float64(time.Second)/s.rate)), func() { s.arrive(number + 1) })
 }
 
-// arriveHarmful has a harmful request come again and again, at any node.
-func (f *simulation) arriveHarmful(body string) {
-	f.schedule(f.exponential(1500*time.Millisecond), func() {
-		f.send(&simulatedRun{body: body, node: f.random.IntN(f.nodes)})
-		f.arriveHarmful(body)
+// arriveHarmful sends a harmful request repeatedly, to random nodes.
+func (s *simulation) arriveHarmful(body string) {
+	s.schedule(s.exponential(1500*time.Millisecond), func() {
+		s.send(&simulatedRun{body: body, node: s.random.IntN(s.nodes)})
+		s.arriveHarmful(body)
 	})
 }
 
@@ -163,133 +165,133 @@
 	return subject.Fingerprint()
 }
 
-// send places a request at a worker that is up, unless it is held.
-func (f *simulation) send(run *simulatedRun) {
-	if f.trackers[run.node].Check(f.now, fingerprintOf(run.body)).Quarantined {
+// send sends a request to a random worker unless it is quarantined. It is lost if the worker is down.
+func (s *simulation) send(run *simulatedRun) {
+	if s.trackers[run.node].Check(s.now, fingerprintOf(run.body)).Quarantined {
 		if !isHarmful(run.body) {
-			f.outcome.refused++
+			s.outcome.refused++
 		}
 		return
 	}
-	worker := f.random.IntN(f.workers)
-	if !f.up[worker] {
+	worker := s.random.IntN(s.workers)
+	if !s.up[worker] {
 		return
 	}
-	f.running[worker] = append(f.running[worker], run)
+	s.running[worker] = append(s.running[worker], run)
 	if !isHarmful(run.body) {
-		f.schedule(f.exponential(400*time.Millisecond), func() { f.answer(worker, run) })
+		s.schedule(s.exponential(400*time.Millisecond), func() { s.answer(worker, run) })
 		return
 	}
-	if third, ended := f.thirdCrashAt[run.body]; ended && f.now > third+3*time.Second {
-		f.outcome.lateArrivals++
-		f.harmfulCounts["late "+run.body]++
-		f.outcome.maxLateArrivals = max(f.outcome.maxLateArrivals, f.harmfulCounts["late "+run.body])
+	if third, ended := s.thirdCrashAt[run.body]; ended && s.now > third+3*time.Second {
+		s.outcome.lateArrivals++
+		s.harmfulCounts["late "+run.body]++
+		s.outcome.maxLateArrivals = max(s.outcome.maxLateArrivals, s.harmfulCounts["late "+run.body])
 	}
-	name := f.runNumbers[worker]
-	f.schedule(30*time.Millisecond+f.exponential(80*time.Millisecond), func() {
-		if f.runNumbers[worker] == name && f.up[worker] {
-			f.countHarmfulCrash(run.body)
-			f.crash(worker)
+	name := s.runNumbers[worker]
+	s.schedule(30*time.Millisecond+s.exponential(80*time.Millisecond), func() {
+		if s.runNumbers[worker] == name && s.up[worker] {
+			s.countHarmfulCrash(run.body)
+			s.crash(worker)
 		}
 	})
 }
 
-// countHarmfulCrash counts the workers that ended under a harmful request.
-func (f *simulation) countHarmfulCrash(body string) {
-	f.outcome.harmfulCrashes++
-	f.harmfulCounts[body]++
-	if f.harmfulCounts[body] == 3 {
-		f.thirdCrashAt[body] = f.now
+// countHarmfulCrash counts the workers that a harmful request has crashed.
+func (s *simulation) countHarmfulCrash(body string) {
+	s.outcome.harmfulCrashes++
+	s.harmfulCounts[body]++
+	if s.harmfulCounts[body] == 3 {
+		s.thirdCrashAt[body] = s.now
 	}
 }
 
-// answer ends a run well if its worker is still there.
-func (f *simulation) answer(worker int, run *simulatedRun) {
-	at := slices.Index(f.running[worker], run)
+// answer completes a run if its worker is still up.
+func (s *simulation) answer(worker int, run *simulatedRun) {
+	at := slices.Index(s.running[worker], run)
 	if at < 0 {
 		return
 	}
-	f.running[worker] = slices.Delete(f.running[worker], at, at+1)
+	s.running[worker] = slices.Delete(s.running[worker], at, at+1)
 	fingerprint := fingerprintOf(run.body)
-	if f.trackers[run.node].ObserveAnswer(f.now, fingerprint) {
-		f.notifyPeers(run.node, fingerprint)
+	if s.trackers[run.node].ObserveAnswer(s.now, fingerprint) {
+		s.notifyPeers(run.node, fingerprint)
 	}
 }
 
-// scheduleCrashes has workers end by themselves.
-func (f *simulation) scheduleCrashes(every time.Duration, count int) {
+// scheduleCrashes crashes count workers at random times.
+func (s *simulation) scheduleCrashes(every time.Duration, count int) {
 	if every <= 0 {
 		return
 	}
-	f.schedule(f.exponential(every), func() {
-		first := f.random.IntN(f.workers)
+	s.schedule(s.exponential(every), func() {
+		first := s.random.IntN(s.workers)
 		for offset := range count {
-			f.crash((first + offset) % f.workers)
+			s.crash((first + offset) % s.workers)
 		}
-		f.scheduleCrashes(every, count)
+		s.scheduleCrashes(every, count)
 	})
 }
 
-// crash ends a worker with all that runs there. Another one takes its place after seconds.
-// Of the callers that lost a run, half send it again, a third of these at once.
-func (f *simulation) crash(worker int) {
-	if !f.up[worker] {
+// crash crashes a worker with all its runs. Another one replaces it after some seconds. Half of the
+// callers that lost a run retry, a third of these at once.
+func (s *simulation) crash(worker int) {
+	if !s.up[worker] {
 		return
 	}
-	f.outcome.crashes++
-	f.up[worker] = false
-	lost := f.running[worker]
-	f.running[worker] = nil
-	name := fleet.EngineID(fmt.Sprintf("w%d-%d", worker, f.runNumbers[worker]))
-	f.runNumbers[worker]++
+	s.outcome.crashes++
+	s.up[worker] = false
+	lost := s.running[worker]
+	s.running[worker] = nil
+	name := fleet.EngineID(fmt.Sprintf("w%d-%d", worker, s.runNumbers[worker]))
+	s.runNumbers[worker]++
 	for _, run := range lost {
-		f.schedule(50*time.Millisecond, func() {
+		s.schedule(50*time.Millisecond, func() {
 			fingerprint := fingerprintOf(run.body)
-			if f.trackers[run.node].ObserveCrash(f.now, fingerprint, name) {
-				f.notifyPeers(run.node, fingerprint)
+			if s.trackers[run.node].ObserveCrash(s.now, fingerprint, name) {
+				s.notifyPeers(run.node, fingerprint)
 			}
 		})
-		if run.tries < 3 && !isHarmful(run.body) && f.random.Float64() < 0.5 {
-			again := &simulatedRun{body: run.body, node: f.random.IntN(f.nodes), tries: run.tries + 1}
-			f.schedule(time.Duration(f.random.IntN(3))*300*time.Millisecond, func() { f.send(again) })
+		if run.tries < 3 && !isHarmful(run.body) && s.random.Float64() < 0.5 {
+			again := &simulatedRun{body: run.body, node: s.random.IntN(s.nodes), tries: run.tries + 1}
+			s.schedule(time.Duration(s.random.IntN(3))*300*time.Millisecond, func() { s.send(again) })
 		}
 	}
-	f.schedule(time.Second+f.exponential(2*time.Second), func() { f.up[worker] = true })
+	s.schedule(time.Second+s.exponential(2*time.Second), func() { s.up[worker] = true })
 }
 
-// notifyPeers tells the other nodes of a request.
-func (f *simulation) notifyPeers(from int, fingerprint Fingerprint) {
-	record, _ := f.trackers[from].Record(fingerprint)
-	for to := range f.nodes {
-		chosen := f.owners == 0 || (to+int(fingerprint[0]))%f.nodes < f.owners || f.trackers[from].Check(f.now, fingerprint).Quarantined
+// notifyPeers sends the record of a request to other nodes.
+func (s *simulation) notifyPeers(from int, fingerprint Fingerprint) {
+	record, _ := s.trackers[from].Record(fingerprint)
+	for to := range s.nodes {
+		chosen := s.owners == 0 || (to+int(fingerprint[0]))%s.nodes < s.owners || s.trackers[from].Check(s.now, fingerprint).Quarantined
 		if to == from || !chosen {
 			continue
 		}
-		f.outcome.messages++
-		if f.random.Float64() < f.lossFraction {
+		s.outcome.messages++
+		if s.random.Float64() < s.lossFraction {
 			continue
 		}
-		sent := f.now
-		f.schedule(time.Duration(5+f.random.IntN(60))*time.Millisecond, func() { f.receive(to, &record, f.now-sent) })
+		sent := s.now
+		s.schedule(time.Duration(5+s.random.IntN(60))*time.Millisecond, func() { s.receive(to, &record, s.now-sent) })
 	}
 }
 
-// receive takes a record in at a node. Its ages are those at the sender.
-func (f *simulation) receive(to int, told *Record, delay time.Duration) {
-	received := told.clone()
+// receive merges a record at a node. The delay adds to its ages.
+func (s *simulation) receive(to int, sent *Record, delay time.Duration) {
+	received := sent.clone()
 	for index := range received.Crashes {
 		received.Crashes[index].At += delay
 	}
 	received.AnsweredAt += delay
-	held := f.trackers[to].Check(f.now, told.Fingerprint).Quarantined
-	f.trackers[to].Merge(&received)
-	heldNow := !held && f.trackers[to].Check(f.now, told.Fingerprint).Quarantined
-	if f.trackers[to].IsAheadOf(&received) || (heldNow && !f.withoutForwarding) {
-		f.notifyPeers(to, told.Fingerprint)
+	before := s.trackers[to].Check(s.now, sent.Fingerprint).Quarantined
+	s.trackers[to].Merge(&received)
+	quarantinedNow := !before && s.trackers[to].Check(s.now, sent.Fingerprint).Quarantined
+	if s.trackers[to].IsAheadOf(&received) || (quarantinedNow && !s.withoutForwarding) {
+		s.notifyPeers(to, sent.Fingerprint)
 	}
 }
 
-// defaultConfig is a fleet with crashes, racks that fail and hot keys.
+// defaultConfig returns a fleet with single and rack-wide crashes and popular requests.
 func defaultConfig(seed uint64) simulationConfig {
 	return simulationConfig{
 		seed: seed, nodes: 7, workers: 18, rate: 100, harmful: 3,
@@ -297,13 +299,13 @@
 	}
 }
 
-// simulateAll sums a day's outcome over seeds.
+// simulateAll sums the outcomes of a configuration over seeds.
 func simulateAll(seeds uint64, change func(*simulationConfig)) simulationOutcome {
 	var sum simulationOutcome
 	for seed := range seeds {
-		day := defaultConfig(seed)
-		change(&day)
-		outcome := simulate(day)
+		config := defaultConfig(seed)
+		change(&config)
+		outcome := simulate(config)
 		sum.harmless += outcome.harmless
 		sum.refused += outcome.refused
 		sum.crashes += outcome.crashes
@@ -315,48 +317,49 @@
 	return sum
 }
 
-// smallService has few workers, of which all end at once at times, and most requests alike:
-// whenever none is left nothing is answered, and popular requests are under way at all.
-func smallService(day *simulationConfig) {
-	day.workers, day.rate, day.hotFraction = 4, 40, 0.5
-	day.crashInterval, day.rackCrashInterval = 4*time.Second, 0
-	day.fullCrashInterval = 8 * time.Second
+// smallService has few workers that sometimes crash all at once, and many popular requests, which are
+// then in flight at all workers. Nothing is answered while all workers are down.
+func smallService(config *simulationConfig) {
+	config.workers, config.rate, config.hotFraction = 4, 40, 0.5
+	config.crashInterval, config.rackCrashInterval = 4*time.Second, 0
+	config.fullCrashInterval = 8 * time.Second
 }
 
-// TestWaysToHold weighs what decides: the threshold, whether whole answers speak for a request,
-// and who is told of an end. Figures for the page on the design are those of 20 seeds.
-func TestWaysToHold(t *testing.T) {
+// TestQuarantineStopsHarmfulRequestsAndFewOthers guards against harmful requests that keep crashing
+// workers, and against harmless ones that are refused. It compares thresholds, grace periods and
+// notification schemes.
+func TestQuarantineStopsHarmfulRequestsAndFewOthers(t *testing.T) {
 	const seeds = 8
 	outcomes := make(map[string]simulationOutcome)
-	for _, way := range []struct {
+	for _, variant := range []struct {
 		name   string
 		change func(*simulationConfig)
 	}{
-		{"nothing is held", func(d *simulationConfig) { d.options.Threshold = 1000 }},
-		{"threshold 2", func(d *simulationConfig) { d.options.Threshold = 2 }},
+		{"no quarantine", func(c *simulationConfig) { c.options.Threshold = 1000 }},
+		{"threshold 2", func(c *simulationConfig) { c.options.Threshold = 2 }},
 		{"threshold 3", func(*simulationConfig) {}},
-		{"threshold 4", func(d *simulationConfig) { d.options.Threshold = 4 }},
-		{"3, a fifth of the messages lost", func(d *simulationConfig) { d.lossFraction = 0.2 }},
-		{"3, a fifth lost, held ones not told on", func(d *simulationConfig) { d.lossFraction, d.withoutForwarding = 0.2, true }},
-		{"3, two owners told", func(d *simulationConfig) { d.owners = 2 }},
-		{"3, two owners told, a fifth lost", func(d *simulationConfig) { d.owners, d.lossFraction = 2, 0.2 }},
-		{"3, 40 nodes", func(d *simulationConfig) { d.nodes, d.workers, d.rate = 40, 100, 600 }},
-		{"3, 40 nodes, two owners told", func(d *simulationConfig) { d.nodes, d.workers, d.rate, d.owners = 40, 100, 600, 2 }},
+		{"threshold 4", func(c *simulationConfig) { c.options.Threshold = 4 }},
+		{"3, a fifth of the messages lost", func(c *simulationConfig) { c.lossFraction = 0.2 }},
+		{"3, a fifth lost, without forwarding", func(c *simulationConfig) { c.lossFraction, c.withoutForwarding = 0.2, true }},
+		{"3, two owners", func(c *simulationConfig) { c.owners = 2 }},
+		{"3, two owners, a fifth lost", func(c *simulationConfig) { c.owners, c.lossFraction = 2, 0.2 }},
+		{"3, 40 nodes", func(c *simulationConfig) { c.nodes, c.workers, c.rate = 40, 100, 600 }},
+		{"3, 40 nodes, two owners", func(c *simulationConfig) { c.nodes, c.workers, c.rate, c.owners = 40, 100, 600, 2 }},
 		{"small service", smallService},
-		{"small service, answers say nothing", func(d *simulationConfig) { smallService(d); d.options.GracePeriod = 1 }},
-		{"small service, answers speak 3 s", func(d *simulationConfig) { smallService(d); d.options.GracePeriod = 3 * time.Second }},
-		{"small service, answers speak 30 s", func(d *simulationConfig) { smallService(d); d.options.GracePeriod = 30 * time.Second }},
-		{"small service, two owners told", func(d *simulationConfig) { smallService(d); d.owners = 2 }},
+		{"small service, no grace period", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 1 }},
+		{"small service, grace period 3 s", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 3 * time.Second }},
+		{"small service, grace period 30 s", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 30 * time.Second }},
+		{"small service, two owners", func(c *simulationConfig) { smallService(c); c.owners = 2 }},
 	} {
-		outcomes[way.name] = simulateAll(seeds, way.change)
-		t.Logf("%-38s %+v", way.name, outcomes[way.name])
+		outcomes[variant.name] = simulateAll(seeds, variant.change)
+		t.Logf("%-38s %+v", variant.name, outcomes[variant.name])
 	}
-	assert.Greater(t, outcomes["nothing is held"].maxLateArrivals, 10, "the fakes show the fault")
-	for name, refusedPart := range map[string]float64{
+	assert.Greater(t, outcomes["no quarantine"].maxLateArrivals, 10, "the simulation must show the fault")
+	for name, refusedFraction := range map[string]float64{
 		"threshold 3": 1e-4, "3, a fifth of the messages lost": 1e-4, "3, 40 nodes": 1e-4, "small service": 0.03,
 	} {
 		outcome := outcomes[name]
 		assert.LessOrEqual(t, outcome.maxLateArrivals, 3, name)
-		assert.LessOrEqual(t, float64(outcome.refused), refusedPart*float64(outcome.harmless), name)
+		assert.LessOrEqual(t, float64(outcome.refused), refusedFraction*float64(outcome.harmless), name)
 	}
 }
