--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -19,9 +19,9 @@
 	return limiter
 }
 
-// TestRetryAfterIsWhenTheBucketHoldsTheRequest has refused requests told to come back
-// one behind the other, each when there is room for it.
-func TestRetryAfterIsWhenTheBucketHoldsTheRequest(t *testing.T) {
+// TestRetryAfterIsWhenTheRequestFits guards against refused requests that are to retry too early, or
+// all at the same time.
+func TestRetryAfterIsWhenTheRequestFits(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 100, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	first := limiter.Admit(0, tenant, 50)
@@ -33,9 +33,9 @@
 	require.True(t, limiter.Admit(first.RetryAfter+time.Millisecond, tenant, 50).Admitted)
 }
 
-// TestLargeRequestsAreNotPassedOver has large and small requests of a tenant at its
-// limit take turns: both get the same part of what they ask for.
-func TestLargeRequestsAreNotPassedOver(t *testing.T) {
+// TestLargeRequestsDontStarve guards against small requests of a tenant at its limit that displace
+// its large ones.
+func TestLargeRequestsDontStarve(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 1000, Burst: 1000}, Options{Slack: 1000})
 	random := rand.New(rand.NewPCG(1, 1))
 	sent, admitted := make(map[float64]int), make(map[float64]int)
@@ -50,8 +50,8 @@
 	require.InDelta(t, part(10), part(250), 0.01)
 }
 
-// TestUnrunRequestsAreGivenBack has requests that didn't run cost nothing.
-func TestUnrunRequestsAreGivenBack(t *testing.T) {
+// TestRefundRestoresUnits guards against charges for requests that didn't run.
+func TestRefundRestoresUnits(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 10, Burst: 100}, Options{})
 	for range 50 {
 		require.True(t, limiter.Admit(0, tenant, 100).Admitted)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestFurtherRunsAreCharged has a second run of a request count like a first one.
+// TestFurtherRunsAreCharged guards against further runs of a request that aren't charged.
 func TestFurtherRunsAreCharged(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 10, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 50).Admitted)
@@ -67,7 +67,7 @@
 	require.False(t, limiter.Admit(0, tenant, 10).Admitted)
 }
 
-// TestTenantsWithoutALimitAreAdmitted has an absent limit and one of 0 bind nobody.
+// TestTenantsWithoutALimitAreAdmitted guards against refusals if the limit is missing or 0.
 func TestTenantsWithoutALimitAreAdmitted(t *testing.T) {
 	limiter := newStandalone(Limit{}, Options{})
 	for range 1000 {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestRaisedLimitIsAtHandAtOnce has a tenant that has used its burst go on when the
-// limit is raised.
-func TestRaisedLimitIsAtHandAtOnce(t *testing.T) {
+// TestRaisedLimitAppliesAtOnce guards against a tenant with an empty bucket that is still refused
+// after its limit is raised.
+func TestRaisedLimitAppliesAtOnce(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 100, Burst: 100}, Options{})
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	require.False(t, limiter.Admit(0, tenant, 100).Admitted)
@@ -86,21 +86,21 @@
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 }
 
-// TestRestartedNodeLearnsWhatWasUsed has a node that restarts get no fresh burst: a
-// peer tells it what is left.
-func TestRestartedNodeLearnsWhatWasUsed(t *testing.T) {
+// TestRestartedNodeSynchronizesUsage guards against a full new burst at a restarted node.
+func TestRestartedNodeSynchronizesUsage(t *testing.T) {
 	options := Options{Slack: 10, Overshoot: 0.1, Window: 8 * time.Second}
 	limits := map[fleet.TenantName]Limit{tenant: {Rate: 100, Burst: 1000}}
 	restarted := NewLimiter(0, options)
 	restarted.SetLimits(0, limits)
-	require.False(t, restarted.Admit(0, tenant, 200).Admitted, "a newcomer has a small part")
+	require.False(t, restarted.Admit(0, tenant, 200).Admitted, "a joining node has a small share")
 	restarted.Observe(0, Report{Node: "peer/1", Machine: "peer", Usages: []Usage{{Tenant: tenant, Total: 5000, Deficit: 900}}})
 	require.True(t, restarted.Admit(0, tenant, 90).Admitted)
 	require.False(t, restarted.Admit(0, tenant, 90).Admitted)
 }
 
-// TestTenantsAtRestAreNotNamed has reports name a tenant until all have heard its last use.
-func TestTenantsAtRestAreNotNamed(t *testing.T) {
+// TestIdleTenantsAreNotReported guards against reports of tenants whose last use all peers have
+// received, and against reports that stop before.
+func TestIdleTenantsAreNotReported(t *testing.T) {
 	limiter := newStandalone(Limit{Rate: 1000, Burst: 1000}, Options{})
 	require.Empty(t, limiter.Usages(0, "x/1"))
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
@@ -110,9 +110,9 @@
 	require.Equal(t, []Usage{{Tenant: tenant, Total: 200, Recent: 200, Deficit: 100}}, limiter.Usages(time.Minute, "x/1"))
 }
 
-// TestPeerThatComesBackIsCountedOnce has a peer's use counted once, although the nodes that
-// report to each other change.
-func TestPeerThatComesBackIsCountedOnce(t *testing.T) {
+// TestReturningPeerIsCountedOnce guards against a peer's use that is counted twice when the peer is
+// removed and added again.
+func TestReturningPeerIsCountedOnce(t *testing.T) {
 	limits := map[fleet.TenantName]Limit{tenant: {Rate: 1, Burst: 1000}}
 	limiter := NewLimiter(0, Options{Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, limits)
@@ -125,80 +125,79 @@
 	require.InDelta(t, 600, limiter.Admit(0, tenant, 0).Available, 1, "another run counts from zero")
 }
 
-// TestNodeThatJoinsAgainCountsItsOwnUseOnce has a node that had lost touch not add what
-// the others know already.
-func TestNodeThatJoinsAgainCountsItsOwnUseOnce(t *testing.T) {
+// TestRejoiningNodeCountsItsOwnUseOnce guards against a rejoining node that adds use which its peers
+// have already counted.
+func TestRejoiningNodeCountsItsOwnUseOnce(t *testing.T) {
 	limits := map[fleet.TenantName]Limit{tenant: {Rate: 1, Burst: 1000}}
 	limiter := NewLimiter(0, Options{Slack: 1000, Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, limits)
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x"})
 	require.True(t, limiter.Admit(0, tenant, 400).Admitted)
 	limiter.Leave(0)
-	left := limiter.Usages(0, "x/1")
-	require.Equal(t, []Usage{{Tenant: tenant, Total: 400, Recent: 0, Deficit: 400}}, left)
+	usages := limiter.Usages(0, "x/1")
+	require.Equal(t, []Usage{{Tenant: tenant, Total: 400, Recent: 0, Deficit: 400}}, usages)
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Usages: []Usage{{Tenant: tenant, Total: 50, Deficit: 400, Acknowledged: 400}}})
 	require.InDelta(t, 600, limiter.Admit(0, tenant, 0).Available, 1)
 	other := NewLimiter(0, Options{Slack: 1000, Window: 8 * time.Second, FirstStart: true})
 	other.SetLimits(0, limits)
-	other.Observe(0, Report{Node: "y/1", Machine: "y", Joining: true, Usages: left})
-	require.InDelta(t, 1000, other.Admit(0, tenant, 0).Available, 1, "what it admitted before counts at nobody again")
+	other.Observe(0, Report{Node: "y/1", Machine: "y", Joining: true, Usages: usages})
+	require.InDelta(t, 1000, other.Admit(0, tenant, 0).Available, 1, "earlier admissions must not count again")
 }
 
-// TestNewcomerCountsWhatItHasToldOnce has a newcomer whose admissions a peer has heard of
-// learn from that peer, as after a restart of all nodes.
-func TestNewcomerCountsWhatItHasToldOnce(t *testing.T) {
+// TestJoiningNodeCountsAcknowledgedUseOnce guards against a joining node that adds use which the peer
+// it synchronizes with has acknowledged, as after a restart of all nodes.
+func TestJoiningNodeCountsAcknowledgedUseOnce(t *testing.T) {
 	limits := map[fleet.TenantName]Limit{tenant: {Rate: 1, Burst: 1000}}
 	limiter := NewLimiter(0, Options{Slack: 4000, Overshoot: 0.1, Window: 8 * time.Second})
 	limiter.SetLimits(0, limits)
 	require.True(t, limiter.Admit(0, tenant, 100).Admitted)
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x", Usages: []Usage{{Tenant: tenant, Total: 200, Deficit: 290, Acknowledged: 90}}})
-	require.InDelta(t, 700, limiter.Admit(0, tenant, 0).Available, 1, "290 and the 10 that the peer hasn't heard of")
+	require.InDelta(t, 700, limiter.Admit(0, tenant, 0).Available, 1, "a deficit of 290 and 10 unacknowledged units")
 }
 
-// TestPeersUseDuringAnAbsenceIsNotAddedToWhatOthersTell has a node that had lost touch
-// take over what one peer believes, and not add what the other peers admitted meanwhile.
-func TestPeersUseDuringAnAbsenceIsNotAddedToWhatOthersTell(t *testing.T) {
+// TestRejoiningNodeCountsPeersUseOnce guards against a rejoining node that adds what several peers
+// admitted during its absence to the deficit of one of them.
+func TestRejoiningNodeCountsPeersUseOnce(t *testing.T) {
 	limits := map[fleet.TenantName]Limit{tenant: {Rate: 1, Burst: 1000}}
 	limiter := NewLimiter(0, Options{Slack: 1000, Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, limits)
-	tell := func(total, deficit uint64) {
+	report := func(total, deficit uint64) {
 		for _, machine := range []string{"x", "y", "z"} {
 			limiter.Observe(0, Report{
 				Node: fleet.NodeID(machine + "/1"), Machine: machine, Usages: []Usage{{Tenant: tenant, Total: total, Deficit: deficit}},
 			})
 		}
 	}
-	tell(100, 300)
+	report(100, 300)
 	limiter.Leave(0)
-	tell(100_000, 300)
+	report(100_000, 300)
 	require.InDelta(t, 700, limiter.Admit(0, tenant, 0).Available, 1)
 }
 
-// TestNodeAloneHasItsShare has a node that hears nothing of three peers keep to a
-// quarter of the limit, and to all of it once they are back.
-func TestNodeAloneHasItsShare(t *testing.T) {
+// TestIsolatedNodeHasItsShare guards against a node that uses more than its share while its three peers
+// are unreachable, or less than the whole limit once they are back.
+func TestIsolatedNodeHasItsShare(t *testing.T) {
 	limiter := NewLimiter(0, Options{Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: {Rate: 100, Burst: 100}})
 	limiter.SetOwnRate(10)
-	tell := func(now time.Duration) {
+	report := func(now time.Duration) {
 		for _, node := range []string{"x", "y", "z"} {
 			limiter.Observe(now, Report{Node: fleet.NodeID(node + "/1"), Machine: node, RequestRate: 10})
 		}
 	}
-	tell(0)
+	report(0)
 	require.InDelta(t, 1, limiter.Admit(0, tenant, 0).Share, 0.01)
-	alone := peerTimeout + time.Millisecond
-	require.InDelta(t, 0.25, limiter.Admit(alone, tenant, 0).Share, 0.01)
-	require.True(t, limiter.Admit(alone, tenant, 20).Admitted)
-	require.False(t, limiter.Admit(alone, tenant, 20).Admitted)
-	tell(alone)
-	require.InDelta(t, 1, limiter.Admit(alone, tenant, 0).Share, 0.01)
-	require.True(t, limiter.Admit(alone, tenant, 20).Admitted)
+	isolated := peerTimeout + time.Millisecond
+	require.InDelta(t, 0.25, limiter.Admit(isolated, tenant, 0).Share, 0.01)
+	require.True(t, limiter.Admit(isolated, tenant, 20).Admitted)
+	require.False(t, limiter.Admit(isolated, tenant, 20).Admitted)
+	report(isolated)
+	require.InDelta(t, 1, limiter.Admit(isolated, tenant, 0).Share, 0.01)
+	require.True(t, limiter.Admit(isolated, tenant, 20).Admitted)
 }
 
-// TestDeadNodeThatRestartsTakesItsPartBack has a peer's new run end the time in which
-// the old one's part is left to it.
-func TestDeadNodeThatRestartsTakesItsPartBack(t *testing.T) {
+// TestRestartedPeerEndsReservation guards against a share that stays reserved for a peer's earlier run.
+func TestRestartedPeerEndsReservation(t *testing.T) {
 	limiter := NewLimiter(0, Options{Window: 8 * time.Second, FirstStart: true})
 	limiter.SetLimits(0, map[fleet.TenantName]Limit{tenant: {Rate: 100, Burst: 100}})
 	limiter.Observe(0, Report{Node: "x/1", Machine: "x"})
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -18,8 +18,8 @@
 	smallTenant fleet.TenantName = "small"
 )
 
-// testOptions are bounds as an operator sets them: a tenth of the limit and about a
-// quarter of a second of the large tenant's rate.
+// testOptions returns typical options: an overshoot of a tenth, and a slack of about a quarter of a
+// second of the large tenant's rate.
 func testOptions(first bool) Options {
 	return Options{Slack: 110_000, Overshoot: 0.1, Window: 8 * time.Second, FirstStart: first}
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// promptTokens draws the size of a request: most are short, some are very long.
+// promptTokens draws the size of a request, mostly short and sometimes very long.
 func promptTokens(random *rand.Rand) float64 {
 	if random.IntN(3) > 0 {
 		return 200 + 1400*random.Float64()
@@ -42,12 +42,12 @@
 // meanTokens is the mean of promptTokens.
 const meanTokens = 4300
 
-// load offers requests of all tenants for a time, at a multiple of the limits.
+// load sends requests of all tenants at a multiple of their limits.
 type load struct {
 	multiple float64
-	// pickNode chooses the node of a request.
+	// pickNode chooses the node that gets a request.
 	pickNode func(*simFleet) *simNode
-	// onStep is called in each step.
+	// onStep is called in each step, if set.
 	onStep func(*simFleet)
 }
 
@@ -73,14 +73,13 @@
 	}
 }
 
-// lagFraction is the part of a burst by which nodes may take a bucket for emptier than it
-// is, since they hear late of each other.
+// lagFraction is the fraction of a burst by which nodes may underestimate what is left, since reports
+// are delayed.
 const lagFraction = 0.2
 
-// TestNothingWithinTheLimitIsRefused has a tenant use a half to nine tenths of its
-// limit at nodes that are all well. What a single bucket would hold is admitted, but
-// for the last lagPart of it.
-func TestNothingWithinTheLimitIsRefused(t *testing.T) {
+// TestRequestsWithinTheLimitAreAdmitted guards against refusals of requests that a single bucket
+// would admit, up to lagFraction, while a tenant uses 50% to 90% of its limit without failures.
+func TestRequestsWithinTheLimitAreAdmitted(t *testing.T) {
 	for seed := range uint64(40) {
 		limit := testLimits()[bigTenant]
 		f := newSimFleet(seed, 12, testOptions(true), map[fleet.TenantName]Limit{bigTenant: limit}, false)
@@ -98,9 +97,9 @@
 	}
 }
 
-// TestFloodGetsItsWholeLimit has a tenant send four times its limit: it gets as much
-// as a single bucket would give, and no more than the tolerance above.
-func TestFloodGetsItsWholeLimit(t *testing.T) {
+// TestOverloadedTenantGetsItsWholeLimit guards against a tenant that sends four times its limit and
+// gets less than a single bucket would give, or more than the tolerance above it.
+func TestOverloadedTenantGetsItsWholeLimit(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
 		load{multiple: 4, pickNode: anyNode}.run(f, 16*time.Second)
@@ -118,23 +117,23 @@
 	}
 }
 
-// seedCount is the number of random histories.
+// seedCount is the number of random failure allSeeds.
 const seedCount = 60
 
-// regressionSeeds are histories in which a limit was exceeded: 1126 is a partition just after
-// nodes were added, whose sides drew each other's beliefs down once it had healed; 1003 one
-// soon after a start of all, whose sides noticed it too late.
+// regressionSeeds covers two past failures. 1126 is a partition just after nodes were added, whose
+// sides lowered each other's deficits once it had healed. 1003 is a partition soon after a start of
+// all nodes, which was detected too late.
 var regressionSeeds = []uint64{1003, 1126}
 
-// TestLimitsHoldWhateverFails has tenants send four times their limits while nodes
-// are cut off from each other, killed, restarted together and added, limits are
-// lowered and raised, callers go to a few nodes alone, and clocks run up to 9% off.
-func TestLimitsHoldWhateverFails(t *testing.T) {
-	histories := slices.Clone(regressionSeeds)
+// TestLimitsHoldUnderFailures guards against exceeded limits under overload while nodes are
+// partitioned, killed, restarted together or added, limits change, callers use a few nodes only, or
+// clocks drift by up to 9%.
+func TestLimitsHoldUnderFailures(t *testing.T) {
+	allSeeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(seedCount) {
-		histories = append(histories, seed)
+		allSeeds = append(allSeeds, seed)
 	}
-	for _, seed := range histories {
+	for _, seed := range allSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			checkLimitsHold(t, seed)
@@ -145,18 +144,18 @@
 func checkLimitsHold(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newSimFleet(seed, 3+random.IntN(18), testOptions(random.IntN(2) == 0), testLimits(), random.IntN(2) == 0)
-	trouble := newFailurePlan(random)
-	flood := load{multiple: 1 + 3.2*random.Float64(), pickNode: trouble.pickNode, onStep: trouble.applyDue}
+	failures := newFailurePlan(random)
+	flood := load{multiple: 1 + 3.2*random.Float64(), pickNode: failures.pickNode, onStep: failures.applyDue}
 	load{multiple: 0.55, pickNode: anyNode}.run(f, time.Duration(2+random.IntN(3))*time.Second)
 	flood.run(f, 20*time.Second)
 	for tenant, limit := range testLimits() {
-		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, troubles %v", seed, tenant, trouble.descriptions)
+		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, failures %v", seed, tenant, failures.descriptions)
 	}
 }
 
-// TestFrozenNodeSpoilsNothing has a node freeze for some seconds while a tenant uses a good
-// half of its limit: neither it nor the others believe afterwards that all was used up.
-func TestFrozenNodeSpoilsNothing(t *testing.T) {
+// TestFrozenNodeCausesNoRefusals guards against refusals after a node was frozen for some seconds,
+// while a tenant uses 60% of its limit.
+func TestFrozenNodeCausesNoRefusals(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
 		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
@@ -169,20 +168,21 @@
 			return anyNode(f)
 		}
 		load{multiple: 0.6, pickNode: awake}.run(f, 7*time.Second)
-		asked, refused := 0, 0
+		requests, refused := 0, 0
 		f.onDecision = func(_ float64, decision Decision) {
-			asked++
+			requests++
 			if !decision.Admitted {
 				refused++
 			}
 		}
 		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
-		require.Less(t, float64(refused), 0.02*float64(asked), "seed %d", seed)
+		require.Less(t, float64(refused), 0.02*float64(requests), "seed %d", seed)
 	}
 }
 
-// TestLowerLimitBindsAfterAWindow lowers a limit far below what the tenant sends.
-func TestLowerLimitBindsAfterAWindow(t *testing.T) {
+// TestLoweredLimitIsEnforced guards against a tenant that exceeds a limit which was lowered far below
+// its load.
+func TestLoweredLimitIsEnforced(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 10, testOptions(true), testLimits(), false)
 		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Times of the simulated talk.
+// Step and report intervals of the simulation.
 const (
 	simStep              = 5 * time.Millisecond
 	simReportInterval    = 600 * time.Millisecond
@@ -21,15 +21,16 @@
 	limiter *Limiter
 	id      fleet.NodeID
 	machine string
-	// offset and ratePercent make the node's clock.
+	// offset and ratePercent define the node's clock.
 	offset      time.Duration
 	ratePercent int64
-	// partition is the partition of a partition on which the node is.
+	// partition is the side of a partition that the node is on.
 	partition int
-	// downUntil is until when the node is dead, frozen until when it does nothing at all.
+	// downUntil is when a killed node restarts, 0 if it is up. frozenUntil is when a frozen node
+	// resumes.
 	downUntil   time.Duration
 	frozenUntil time.Duration
-	// rate is the node's requests a second, smoothed as the gateway does.
+	// rate is the node's requests per second, smoothed as in the gateway.
 	rate             float64
 	arrived          int
 	nextReportAt     time.Duration
@@ -40,17 +41,17 @@
 	return n.offset + now*time.Duration(n.ratePercent)/100
 }
 
-// simFleet is a fleet whose nodes tell each other what they admit.
+// simFleet is a fleet whose nodes report their admissions to each other.
 type simFleet struct {
 	random *rand.Rand
 	nodes  []*simNode
 	limits map[fleet.TenantName]Limit
-	// options is what nodes are started with.
+	// options configures the nodes' limiters.
 	options    Options
 	runs       int
 	now        time.Duration
 	admissions []simAdmission
-	// inFlight are reports on their way.
+	// inFlight holds the reports that aren't delivered yet.
 	inFlight []simReport
 	// onDecision is called for each decision, if set.
 	onDecision func(amount float64, decision Decision)
@@ -70,15 +71,15 @@
 	reply  bool
 }
 
-func newSimFleet(seed uint64, count int, setup Options, limits map[fleet.TenantName]Limit, skewed bool) *simFleet {
-	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), options: setup, limits: limits}
+func newSimFleet(seed uint64, count int, options Options, limits map[fleet.TenantName]Limit, skewed bool) *simFleet {
+	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), options: options, limits: limits}
 	for index := range count {
 		node := &simNode{machine: fmt.Sprintf("m%d", index), ratePercent: 100}
 		if skewed {
 			node.ratePercent = 91 + f.random.Int64N(19)
 		}
 		node.offset = time.Duration(f.random.Int64N(int64(time.Hour)))
-		f.start(node, setup.FirstStart)
+		f.start(node, options.FirstStart)
 		f.nodes = append(f.nodes, node)
 	}
 	return f
@@ -87,15 +88,15 @@
 func (f *simFleet) start(node *simNode, first bool) {
 	f.runs++
 	node.id = fleet.NodeID(fmt.Sprintf("%s/%d", node.machine, f.runs))
-	setup := f.options
-	setup.FirstStart = first
-	node.limiter = NewLimiter(node.clock(f.now), setup)
+	options := f.options
+	options.FirstStart = first
+	node.limiter = NewLimiter(node.clock(f.now), options)
 	node.limiter.SetLimits(node.clock(f.now), f.limits)
 	node.nextReportAt = f.now + time.Duration(f.random.Int64N(int64(200*time.Millisecond)))
 	node.rate = 0
 }
 
-// request offers a request to a node and tells whether it was admitted.
+// request sends a request to a node and returns the node's decision.
 func (f *simFleet) request(node *simNode, tenant fleet.TenantName, amount float64) Decision {
 	node.arrived++
 	decision := node.limiter.Admit(node.clock(f.now), tenant, amount)
@@ -108,7 +109,7 @@
 	return decision
 }
 
-// advance passes one step of time: reports arrive and are sent.
+// advance simulates one step, in which reports are delivered and sent.
 func (f *simFleet) advance() {
 	f.now += simStep
 	for _, node := range f.nodes {
@@ -137,7 +138,7 @@
 	f.deliver()
 }
 
-// addPeers has a node know those that it can reach.
+// addPeers adds the reachable nodes as peers of a node.
 func (f *simFleet) addPeers(node *simNode) {
 	for _, other := range f.nodes {
 		if other != node && other.downUntil == 0 && other.partition == node.partition {
@@ -181,11 +182,11 @@
 	}
 }
 
-// kill ends a node for a time.
+// kill takes a node down for a time, after which it restarts.
 func (f *simFleet) kill(node *simNode, down time.Duration) { node.downUntil = f.now + down }
 
-// excess returns by how much the use of a tenant in the worst window exceeds a limit
-// with its tolerance; negative if it never does.
+// excess returns by how much a tenant's use in the worst window since from exceeds a limit with its
+// tolerance; negative if it never does.
 func (f *simFleet) excess(tenant fleet.TenantName, limit Limit, from time.Duration) float64 {
 	allowed := (limit.Rate*f.options.Window.Seconds()+limit.Burst)*(1+f.options.Overshoot) + f.options.Slack
 	worst, sum, start := -allowed, 0.0, 0
