--- a/internal/relay/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -12,13 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// newStarted returns the selector of a node that knows nothing yet.
+// newStarted returns the selector of a node that has just started.
 func newStarted(self fleet.NodeID, seed uint64) *Selector {
 	return New(0, Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))})
 }
 
-// newSelector returns the selector of a node that has known everything once and
-// knows its role.
+// newSelector returns the selector of a node that has had the full state and whose role is confirmed.
 func newSelector(self fleet.NodeID, seed uint64) *Selector {
 	selector := newStarted(self, seed)
 	selector.MarkSynced()
@@ -33,29 +32,31 @@
 	return node
 }
 
-func TestReaderReadsAndOthersAskTheFirst(t *testing.T) {
+// TestReaderReadsAndOthersAskTheirFirstSource guards against readers that don't read, and against others
+// that read the store or ask themselves.
+func TestReaderReadsAndOthersAskTheirFirstSource(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"n", "a", "b"})
-	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "not itself")
+	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "a node must not ask itself")
 	assert.True(t, selector.ShouldAskPeer(0))
 	assert.False(t, selector.ShouldReadStore(0))
 	selector.SetRole(0, true, []fleet.NodeID{"a"})
 	assert.True(t, selector.ShouldReadStore(0))
-	assert.True(t, selector.ShouldAskPeer(0), "the store has proven nothing yet")
+	assert.True(t, selector.ShouldAskPeer(0), "no proof from the store yet")
 	selector.ObserveOwnProof(time.Second, 200*time.Millisecond)
 	assert.False(t, selector.ShouldAskPeer(2*time.Second))
-	assert.True(t, selector.ShouldAskPeer(time.Second-200*time.Millisecond+DefaultStaleAfter), "the store gives no proof any more")
+	assert.True(t, selector.ShouldAskPeer(time.Second-200*time.Millisecond+DefaultStaleAfter), "the last proof is stale")
 	assert.True(t, selector.ShouldReadStore(time.Minute))
 }
 
-// TestNodeThatHasJustStartedReadsUntilItKnowsEverything has all nodes restart at
-// once: peers answer, but know nothing, or not everything.
-func TestNodeThatHasJustStartedReadsUntilItKnowsEverything(t *testing.T) {
+// TestStartedNodeReadsUntilSynced guards against nodes that stop reading after a restart of all nodes,
+// when peers answer without the full state.
+func TestStartedNodeReadsUntilSynced(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
 	assert.True(t, selector.ShouldReadStore(0))
-	assert.False(t, selector.ShouldAskPeer(0), "many different nodes would be asked, and read")
-	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod), "the store doesn't answer: peers are asked at the same time")
+	assert.False(t, selector.ShouldAskPeer(0), "the store may still answer")
+	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod), "the store does not answer")
 	selector.ObserveStoreCall(true)
 	assert.False(t, selector.ShouldAskPeer(DefaultStoreGracePeriod))
 	selector.ObserveStoreCall(false)
@@ -63,14 +64,14 @@
 	selector.ObserveAnswer(time.Millisecond, "a", 0, false)
 	assert.True(t, selector.ShouldReadStore(time.Millisecond))
 	selector.ObserveAnswer(2*time.Millisecond, "a", 0, true)
-	assert.True(t, selector.ShouldReadStore(2*time.Millisecond), "a proof of one table isn't all")
+	assert.True(t, selector.ShouldReadStore(2*time.Millisecond), "a proof of one table is not the full state")
 	selector.MarkSynced()
 	assert.False(t, selector.ShouldReadStore(2*time.Millisecond))
 }
 
-// TestNodeThatKnowsItsRoleLeavesReadingToTheReaders has the store be slow or down
-// while all nodes restart: nodes whose peers answer don't all wait at the store.
-func TestNodeThatKnowsItsRoleLeavesReadingToTheReaders(t *testing.T) {
+// TestConfirmedNodeLeavesReadingToReaders guards against all nodes reading a slow store after a restart
+// although their peers answer.
+func TestConfirmedNodeLeavesReadingToReaders(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
 	selector.ConfirmRole(time.Second)
@@ -82,7 +83,7 @@
 	assert.True(t, selector.ShouldReadStore(time.Second))
 }
 
-// TestNodeWaitsForItsRoleAtTheFirstStart has nobody but the readers read.
+// TestNodeWaitsForItsRoleAtTheFirstStart guards against nodes that read the store without being readers.
 func TestNodeWaitsForItsRoleAtTheFirstStart(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
@@ -96,6 +97,7 @@
 	assert.False(t, selector.ShouldReadStore(4*time.Second))
 }
 
+// TestNodeWithoutAnAnswerReads guards against nodes that stay without updates while no peer answers.
 func TestNodeWithoutAnAnswerReads(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
@@ -106,11 +108,13 @@
 	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout))
 }
 
-func TestSilentOrStaleSourceIsLeftAndFirstTriedAgainLater(t *testing.T) {
+// TestFailoverAndFailback guards against nodes that stay with a silent or stale source, or never return
+// to their first one.
+func TestFailoverAndFailback(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
 	assert.True(t, selector.ObserveFailure(time.Second, "a"))
-	assert.False(t, selector.ObserveFailure(time.Second, "a"), "it was left already")
+	assert.False(t, selector.ObserveFailure(time.Second, "a"), "no longer the current source")
 	assert.True(t, selector.ObserveAnswer(time.Second, "b", DefaultStaleAfter, true))
 	assert.Equal(t, fleet.NodeID("c"), source(t, selector))
 	assert.False(t, selector.ObserveAnswer(2*time.Second, "c", time.Second, true))
@@ -119,17 +123,21 @@
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
 }
 
-func TestNewOrderKeepsASourceThatWasJustChosen(t *testing.T) {
+// TestNewOrderKeepsRecentSource guards against nodes that leave a recently chosen source whenever the
+// order of sources changes.
+func TestNewOrderKeepsRecentSource(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
 	selector.ObserveFailure(time.Second, "a")
 	selector.SetRole(2*time.Second, false, []fleet.NodeID{"a", "d", "b"})
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
 	selector.SetRole(3*time.Second, false, []fleet.NodeID{"a", "d"})
-	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "b is gone")
+	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "b is no longer a source")
 }
 
-func TestNodeThatIsAskedReadsForAWhile(t *testing.T) {
+// TestWatchedNodeReadsForAWhile guards against chains of nodes that don't end at the store, and against
+// nodes that read forever once asked.
+func TestWatchedNodeReadsForAWhile(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
 	selector.ObserveAnswer(time.Second, "a", 0, true)
@@ -141,12 +149,12 @@
 	assert.False(t, selector.ShouldReadStore(time.Second+DefaultWatchLinger))
 }
 
-// TestStoreOutOfEverybodysReachIsNotStormed counts the nodes that read while
-// all peers answer with old proofs.
-func TestStoreOutOfEverybodysReachIsNotStormed(t *testing.T) {
+// TestUnreachableStoreIsNotFlooded guards against most nodes reading the store at once while all peers
+// answer with stale proofs.
+func TestUnreachableStoreIsNotFlooded(t *testing.T) {
 	const nodes = 79
 	reading := 0
-	looks := 0
+	steps := 0
 	for number := range uint64(nodes) {
 		selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
 		selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
@@ -155,21 +163,21 @@
 			if now < 5*time.Second {
 				continue
 			}
-			looks++
+			steps++
 			if selector.ShouldReadStore(now) {
 				reading++
 			}
 		}
 	}
-	assert.Positive(t, reading, "some try")
-	assert.Less(t, float64(reading)/float64(looks), 0.15)
+	assert.Positive(t, reading, "some nodes must probe")
+	assert.Less(t, float64(reading)/float64(steps), 0.15)
 }
 
-// TestTriesDontGrowWithTheFleet counts the nodes that try the store at a time while
-// all peers answer with old proofs: as many in a fleet of 680 as in one of 79.
-func TestTriesDontGrowWithTheFleet(t *testing.T) {
-	trying := func(nodes int) float64 {
-		reading, looks := 0, 0
+// TestProbesDontGrowWithTheFleet guards against a number of concurrent probes that grows with the fleet
+// while all peers answer with stale proofs.
+func TestProbesDontGrowWithTheFleet(t *testing.T) {
+	probing := func(nodes int) float64 {
+		reading, steps := 0, 0
 		for number := range uint64(nodes) {
 			selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
 			selector.SetNonServingNodes(nodes)
@@ -180,19 +188,19 @@
 					reading++
 				}
 			}
-			looks = 1950
+			steps = 1950
 		}
-		return float64(reading) / float64(looks)
+		return float64(reading) / float64(steps)
 	}
 	bound := 1.5 * float64(DefaultProbeDuration) / float64(DefaultProbeSpacing)
 	for _, nodes := range []int{79, 195, 680} {
-		assert.InDelta(t, bound, trying(nodes), bound, "%d nodes", nodes)
+		assert.InDelta(t, bound, probing(nodes), bound, "%d nodes", nodes)
 	}
 }
 
-// TestWatchersMeetAtANodeThatReachesTheStore has a part of the nodes refused by
-// the store: the others end with a fresh proof all the same, and few nodes read.
-func TestWatchersMeetAtANodeThatReachesTheStore(t *testing.T) {
+// TestNodesConvergeOnSourcesThatReachTheStore guards against nodes without a fresh proof, or too many
+// readers, if the store refuses some of the nodes.
+func TestNodesConvergeOnSourcesThatReachTheStore(t *testing.T) {
 	const nodes = 60
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -241,9 +249,9 @@
 	}
 }
 
-// TestNodeThatIsToldToAwaitItsRoleDoes has a node that has just restarted find that there is
-// much to read: it reads by its role, or if nobody tells it.
-func TestNodeThatIsToldToAwaitItsRoleDoes(t *testing.T) {
+// TestAwaitRoleStopsReading guards against a restarted node that reads a large state before its role is
+// confirmed, or never reads if no peer answers.
+func TestAwaitRoleStopsReading(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
 	assert.True(t, selector.ShouldReadStore(0))
@@ -257,16 +265,16 @@
 	assert.True(t, selector.ShouldReadStore(2*time.Second))
 }
 
-// TestNodeStaysWithAReaderThatHasJustBegun has all nodes learn their roles at once: the first
-// source has no proof yet.
-func TestNodeStaysWithAReaderThatHasJustBegun(t *testing.T) {
+// TestNodeStaysWithSourceThatHasNoProofYet guards against nodes that leave a source which has just begun
+// to read, when the roles of all nodes are confirmed at once.
+func TestNodeStaysWithSourceThatHasNoProofYet(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 	selector.ConfirmRole(2 * time.Second)
 	soon := 2*time.Second + DefaultProofGracePeriod - 1
 	assert.False(t, selector.ObserveAnswer(soon, "a", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
-	assert.True(t, selector.ObserveFailure(soon, "a"), "no answer is another thing")
+	assert.True(t, selector.ObserveFailure(soon, "a"), "a source that does not answer is left")
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
 	assert.True(t, selector.ObserveAnswer(soon+1, "b", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
@@ -275,12 +283,12 @@
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 	selector.ConfirmRole(2 * time.Second)
 	assert.False(t, selector.ObserveAnswer(soon-1, "a", 0, true))
-	assert.True(t, selector.ObserveAnswer(soon, "a", 0, false), "it has had a proof before")
+	assert.True(t, selector.ObserveAnswer(soon, "a", 0, false), "the source had a proof before")
 }
 
-// TestNodeThatReadsForAMomentDoesNotNeedAll: its peers are slow, or answer with old proofs; one
-// that others ask, or that nobody answers for long, does.
-func TestNodeThatReadsForAMomentDoesNotNeedAll(t *testing.T) {
+// TestBriefReadDoesNotNeedFullState guards against nodes that read the full state although their peers
+// are only slow, and against watched or isolated nodes that don't read it.
+func TestBriefReadDoesNotNeedFullState(t *testing.T) {
 	selector := New(0, Options{Self: "self", Random: rand.New(rand.NewPCG(1, 1))})
 	selector.ConfirmRole(0)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// TestLongestPrefixOfTheHostWins guards against requests that match the wrong route.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	table, err := Compile(testDocument())
 	require.NoError(t, err)
@@ -46,7 +47,8 @@
 	}
 }
 
-func TestKeysNameTheirTenants(t *testing.T) {
+// TestKeysIdentifyTheirTenants guards against keys that are assigned to the wrong tenant or ignored.
+func TestKeysIdentifyTheirTenants(t *testing.T) {
 	table, err := Compile(testDocument())
 	require.NoError(t, err)
 	tenant, found := table.Tenant("k2")
@@ -58,8 +60,9 @@
 	assert.Len(t, table.Stores(), 1)
 }
 
-func TestDocumentsThatCannotBeUsedAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Document){
+// TestInvalidDocumentsAreRejected guards against invalid documents that compile.
+func TestInvalidDocumentsAreRejected(t *testing.T) {
+	for name, invalidate := range map[string]func(*Document){
 		"unknown service": func(d *Document) { d.Routes[0].Split = []Share{{Service: "none", Weight: 1}} },
 		"no service":      func(d *Document) { d.Routes[0].Split = nil },
 		"negative weight": func(d *Document) { d.Routes[0].Split = []Share{{Service: "s", Weight: -1}} },
@@ -67,13 +70,15 @@
 		"unknown kind":    func(d *Document) { d.Routes[0].Kind = "sometimes" },
 	} {
 		document := testDocument()
-		spoil(&document)
+		invalidate(&document)
 		_, err := Compile(document)
 		assert.Error(t, err, name)
 	}
 }
 
-func TestSplitKeepsToItsWeightsInAnyShortRun(t *testing.T) {
+// TestSplitFollowsWeightsInShortSequences guards against shares that follow the weights only on average
+// over many requests.
+func TestSplitFollowsWeightsInShortSequences(t *testing.T) {
 	route := &Route{Name: "r", Split: []Share{{"a", 70}, {"b", 20}, {"c", 10}, {"off", 0}}}
 	splitter := NewSplitter()
 	counts := map[fleet.PoolName]int{}
@@ -87,8 +92,9 @@
 	assert.False(t, found)
 }
 
-// TestHolderNeverGoesBack offers a late read of an older document.
-func TestHolderNeverGoesBack(t *testing.T) {
+// TestHolderNeverRevertsToOlderTable guards against a late read that replaces the active table by an
+// older one.
+func TestHolderNeverRevertsToOlderTable(t *testing.T) {
 	holder := NewHolder()
 	assert.Nil(t, holder.Current())
 	newer, older := testDocument(), testDocument()
@@ -106,8 +112,9 @@
 	assert.Equal(t, time.Second, holder.Current().InstalledAt)
 }
 
-// TestFreshnessCountsFromTheCallsStart has an old proof arrive late.
-func TestFreshnessCountsFromTheCallsStart(t *testing.T) {
+// TestLateProofDoesNotRenewFreshness guards against an older proof that arrives late and replaces a newer
+// one.
+func TestLateProofDoesNotRenewFreshness(t *testing.T) {
 	freshness := NewFreshness()
 	assert.False(t, freshness.IsWithin(0, time.Hour), "no proof")
 	freshness.Prove(10 * time.Second)
@@ -116,5 +123,5 @@
 	require.True(t, proven)
 	assert.Equal(t, 2*time.Second, age)
 	assert.True(t, freshness.IsWithin(12*time.Second, 2*time.Second+1))
-	assert.False(t, freshness.IsWithin(12*time.Second, 2*time.Second), "a frozen process finds its proof old")
+	assert.False(t, freshness.IsWithin(12*time.Second, 2*time.Second), "the proof expires while the process is frozen")
 }
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// fakeClock is set by the test; pauses are added one by one, each after a reading.
+// fakeClock is set by the test. Each reading advances it by the next pause.
 type fakeClock struct {
 	now    time.Duration
 	pauses []time.Duration
@@ -24,39 +24,40 @@
 	return now
 }
 
-// TestSuspensionIsNoticedOnce, however often it is asked and whatever passes besides.
-func TestSuspensionIsNoticedOnce(t *testing.T) {
-	counting, running := &fakeClock{now: 7 * time.Hour}, &fakeClock{}
-	detector := NewDetector(counting, running)
-	pass := func(slept time.Duration) {
-		counting.now += time.Minute + slept
-		running.now += time.Minute
+// TestSuspensionIsDetectedOnce guards against suspensions that are missed or reported more than once.
+func TestSuspensionIsDetectedOnce(t *testing.T) {
+	bootClock, monotonicClock := &fakeClock{now: 7 * time.Hour}, &fakeClock{}
+	detector := NewDetector(bootClock, monotonicClock)
+	advance := func(suspended time.Duration) {
+		bootClock.now += time.Minute + suspended
+		monotonicClock.now += time.Minute
 	}
-	pass(0)
+	advance(0)
 	assert.Zero(t, detector.Check())
-	pass(5 * time.Second)
+	advance(5 * time.Second)
 	assert.Equal(t, 5*time.Second, detector.Check())
 	assert.Zero(t, detector.Check())
-	pass(300 * time.Millisecond)
-	pass(2 * time.Second)
+	advance(300 * time.Millisecond)
+	advance(2 * time.Second)
 	assert.Equal(t, 2300*time.Millisecond, detector.Check())
 	assert.Equal(t, uint64(2), detector.Count())
-	pass(-50 * time.Millisecond)
+	advance(-50 * time.Millisecond)
 	assert.Zero(t, detector.Check())
 	assert.Equal(t, uint64(2), detector.Count())
 }
 
-// TestWaitBetweenTheReadingsIsNoSuspension: a thread that has to wait for its processor.
-func TestWaitBetweenTheReadingsIsNoSuspension(t *testing.T) {
-	counting, running := &fakeClock{}, &fakeClock{}
-	detector := NewDetector(counting, running)
-	waiting := &preemptedClock{fakeClock: running, other: counting, wait: time.Second}
-	detector.monotonicClock = waiting
+// TestPreemptionIsNoSuspension guards against a preemption between the two clock readings that is taken
+// for a suspension.
+func TestPreemptionIsNoSuspension(t *testing.T) {
+	bootClock, monotonicClock := &fakeClock{}, &fakeClock{}
+	detector := NewDetector(bootClock, monotonicClock)
+	preempted := &preemptedClock{fakeClock: monotonicClock, other: bootClock, wait: time.Second}
+	detector.monotonicClock = preempted
 	assert.Zero(t, detector.Check())
 	assert.Zero(t, detector.Count())
 }
 
-// preemptedClock has the thread wait once after a reading.
+// preemptedClock simulates a thread that is preempted once, after a reading.
 type preemptedClock struct {
 	*fakeClock
 	other *fakeClock
@@ -71,8 +72,8 @@
 	return now
 }
 
-// TestClocksOfAMachineThatRunsAgree.
-func TestClocksOfAMachineThatRunsAgree(t *testing.T) {
+// TestRealClocksAgreeWithoutSuspension guards against false detections with the system's clocks.
+func TestRealClocksAgreeWithoutSuspension(t *testing.T) {
 	detector := NewDetector(fleet.NewClock(), fleet.NewRuntimeClock())
 	for range 1000 {
 		assert.Zero(t, detector.Check())
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -17,31 +17,32 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
+// TestBetween guards against wrong distances, in particular between partly unknown locations.
 func TestBetween(t *testing.T) {
 	here := membership.Location{Zone: "a", Region: "north"}
 	for name, entry := range map[string]struct {
 		other membership.Location
 		want  Distance
 	}{
-		"same zone":       {membership.Location{Zone: "a", Region: "north"}, SameZone},
-		"other zone":      {membership.Location{Zone: "b", Region: "north"}, OtherZone},
-		"other region":    {membership.Location{Zone: "c", Region: "south"}, OtherRegion},
-		"unknown region":  {membership.Location{Zone: "b"}, OtherZone},
-		"unknown zone":    {membership.Location{Region: "south"}, Unknown},
-		"nothing is told": {membership.Location{}, Unknown},
+		"same zone":      {membership.Location{Zone: "a", Region: "north"}, SameZone},
+		"other zone":     {membership.Location{Zone: "b", Region: "north"}, OtherZone},
+		"other region":   {membership.Location{Zone: "c", Region: "south"}, OtherRegion},
+		"unknown region": {membership.Location{Zone: "b"}, OtherZone},
+		"unknown zone":   {membership.Location{Region: "south"}, Unknown},
+		"nothing known":  {membership.Location{}, Unknown},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, entry.want, Between(here, entry.other)) })
 	}
 }
 
-// TestEveryByteOfKeptConnectionsCountsForItsCall makes calls of two purposes on one kept
-// connection: each counts for its own, and all bytes that the server saw are counted.
-func TestEveryByteOfKeptConnectionsCountsForItsCall(t *testing.T) {
-	served := &Meter{}
+// TestCallsOnReusedConnectionAreCountedSeparately guards against bytes on a reused connection that are
+// counted under another call's purpose, or not at all.
+func TestCallsOnReusedConnectionAreCountedSeparately(t *testing.T) {
+	serverMeter := &Meter{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	}))
-	server.Listener = Listener{Listener: server.Listener, Meter: served, Purpose: Callers}
+	server.Listener = Listener{Listener: server.Listener, Meter: serverMeter, Purpose: Callers}
 	server.Start()
 	t.Cleanup(server.Close)
 	meter := &Meter{}
@@ -82,18 +83,18 @@
 		{Purpose: Watches, Distance: SameZone, Direction: Sent}:     true,
 		{Purpose: Watches, Distance: SameZone, Direction: Received}: true,
 	}, counts)
-	assert.Equal(t, served.countersFor(Callers, Unknown)[Received].Load(), total[Sent])
-	// The server counts a write when it has returned, which may be after the answer was read.
+	assert.Equal(t, serverMeter.countersFor(Callers, Unknown)[Received].Load(), total[Sent])
+	// The server counts a write after it has returned, which may be after the client has read it.
 	assert.Eventually(t, func() bool {
-		return served.countersFor(Callers, Unknown)[Sent].Load() == total[Received]
+		return serverMeter.countersFor(Callers, Unknown)[Sent].Load() == total[Received]
 	}, 5*time.Second, time.Millisecond)
 	watched := meter.countersFor(Watches, SameZone)[Sent].Load()
 	assert.Greater(t, watched, uint64(5000))
 	assert.Less(t, watched, uint64(5500))
 }
 
-// TestAbsentMeterLeavesTheDialer has a process without a meter dial as before.
-func TestAbsentMeterLeavesTheDialer(t *testing.T) {
+// TestNilMeterKeepsTheDialer guards against a nil meter that wraps connections.
+func TestNilMeterKeepsTheDialer(t *testing.T) {
 	var meter *Meter
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -102,9 +103,9 @@
 	assert.Same(t, near, conn)
 }
 
-// TestCountedConnectionGivesItsDescriptor has a wrapped TCP connection tell its descriptor,
-// by which a pool sees whether a kept connection is still open.
-func TestCountedConnectionGivesItsDescriptor(t *testing.T) {
+// TestCountedConnectionExposesItsDescriptor guards against counted connections without the descriptor
+// that a pool needs to check whether an idle connection is still open.
+func TestCountedConnectionExposesItsDescriptor(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -120,8 +121,8 @@
 	require.ErrorIs(t, err, errNoDescriptor)
 }
 
-// TestAnswerToAnUnreadRequestArrives has a server refuse a request whose body it doesn't
-// read: the caller reads the whole answer, since the connection is half closed first.
+// TestAnswerToAnUnreadRequestArrives guards against answers that are lost in a connection reset if the
+// server refuses a request without reading its body.
 func TestAnswerToAnUnreadRequestArrives(t *testing.T) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Connection", "close")
@@ -145,6 +146,7 @@
 	assert.ErrorIs(t, (&Meter{}).Wrap(near, Callers, Unknown).CloseWrite(), errNoHalfClose)
 }
 
+// TestCollector guards against wrong values or labels of exported metrics.
 func TestCollector(t *testing.T) {
 	meter := &Meter{}
 	meter.Add(Uses, OtherRegion, Received, 42)
--- a/internal/workerbackoff/simulation_test.go
+++ b/internal/workerbackoff/simulation_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The simulated service and what its workers ask for.
+// Sizes and times of the simulated service.
 const (
 	simWorkers        = 3
 	simZones          = 3
@@ -20,7 +20,7 @@
 	zoneQuorum        = 2
 )
 
-// sharingMode tells who goes by a node's word on a backoff besides itself.
+// sharingMode is which other nodes apply a backoff that a node reports.
 type sharingMode int
 
 const (
@@ -29,66 +29,66 @@
 	shareWithZone
 )
 
-// simulation are nodes in front of a service of which one worker rejects requests.
+// simulation has several nodes in front of a service with one worker that rejects requests.
 type simulation struct {
 	random   *rand.Rand
 	now      time.Duration
 	mode     sharingMode
 	trackers []*Tracker
-	// rejects tells which nodes' requests the worker rejects.
+	// rejects reports whether the worker rejects a node's requests.
 	rejects func(node int) bool
-	// reports holds, by node, what others say, and when it hears of it.
+	// reports holds, by receiving node, the reports of other nodes.
 	reports [][]reportedBackoff
-	// rejected are the times of rejections, served and kept count the requests that the worker
-	// would have taken: those that it got, and those that stayed away.
+	// rejected holds the times of rejections. served and withheld count the requests that the worker
+	// would have accepted: those that it got, and those that were not sent.
 	rejected         []time.Duration
 	served, withheld int
 }
 
-// reportedBackoff is another node's word.
+// reportedBackoff is another node's report, which arrives at at.
 type reportedBackoff struct {
 	from      int
 	at, until time.Duration
 }
 
-func newSimulation(nodes int, way sharingMode, shedFor func(int) bool) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(uint64(nodes), 3)), mode: way, rejects: shedFor, reports: make([][]reportedBackoff, nodes)}
+func newSimulation(nodes int, mode sharingMode, rejects func(int) bool) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(uint64(nodes), 3)), mode: mode, rejects: rejects, reports: make([][]reportedBackoff, nodes)}
 	for range nodes {
 		s.trackers = append(s.trackers, NewTracker(s.random))
 	}
 	return s
 }
 
-// closedByReports tells whether a node stays away by the word of others.
+// closedByReports reports whether other nodes' reports close the worker for a node.
 func (s *simulation) closedByReports(node int) bool {
-	witnesses := make(map[int]bool)
-	for _, heard := range s.reports[node] {
-		if s.now >= heard.at && s.now < heard.until {
-			witnesses[heard.from] = true
+	reporters := make(map[int]bool)
+	for _, received := range s.reports[node] {
+		if s.now >= received.at && s.now < received.until {
+			reporters[received.from] = true
 		}
 	}
 	switch s.mode {
 	case shareWithAll:
-		return len(witnesses) > 0
+		return len(reporters) > 0
 	case shareWithZone:
-		return len(witnesses) >= zoneQuorum
+		return len(reporters) >= zoneQuorum
 	default:
 		return false
 	}
 }
 
-// report has others hear of a backoff with their next exchange of reports.
+// report sends a backoff to other nodes with their next exchange of reports.
 func (s *simulation) report(node int) {
 	for other := range s.reports {
 		if other == node || s.mode == shareWithNone || (s.mode == shareWithZone && other%simZones != node%simZones) {
 			continue
 		}
-		heard := reportedBackoff{from: node, at: s.now + time.Duration(s.random.Int64N(int64(simReportInterval))), until: s.now + simBackoff}
-		s.reports[other] = append(s.reports[other], heard)
+		received := reportedBackoff{from: node, at: s.now + time.Duration(s.random.Int64N(int64(simReportInterval))), until: s.now + simBackoff}
+		s.reports[other] = append(s.reports[other], received)
 	}
 }
 
-// request sends a request of a node to the worker unless it is believed to be closed.
+// request sends a request of a node to the worker unless the worker is closed for the node.
 func (s *simulation) request(node int) {
 	run := Run{Worker: "w"}
 	if s.trackers[node].ClosedFor(s.now, run) > 0 || s.closedByReports(node) {
@@ -108,7 +108,7 @@
 	s.served++
 }
 
-// run has so many requests a second come to the service, of which the worker's share goes there.
+// run sends requests to the service at a rate, of which the worker gets its share.
 func (s *simulation) run(perSecond float64) {
 	for ; s.now < simDuration; s.now += simStep {
 		if s.random.Float64() < perSecond/simWorkers*simStep.Seconds() {
@@ -117,7 +117,7 @@
 	}
 }
 
-// maxRejections returns the most rejections within the span of the budget of retries.
+// maxRejections returns the most rejections in any window of the retry budget.
 func (s *simulation) maxRejections() int {
 	most, first := 0, 0
 	for index, at := range s.rejected {
@@ -129,9 +129,10 @@
 	return most
 }
 
-// TestWaysToShareBackoffs compares who goes by a node's word, where a worker rejects all requests and
-// where it rejects those of one zone alone.
-func TestWaysToShareBackoffs(t *testing.T) {
+// TestUnsharedBackoffsStayWithinTheRetryBudget guards against more rejections than the retry budget
+// covers, and against requests withheld from a worker that rejects only those of one zone. It logs
+// the results of other sharing modes for comparison.
+func TestUnsharedBackoffsStayWithinTheRetryBudget(t *testing.T) {
 	everybody := func(int) bool { return true }
 	oneZone := func(node int) bool { return node%simZones == 0 }
 	for _, size := range []struct {
@@ -139,15 +140,15 @@
 		perSecond float64
 		slack     int
 	}{{7, 22, 54}, {79, 130, 198}, {300, 150, 400}, {985, 180, 1040}} {
-		for _, way := range []sharingMode{shareWithNone, shareWithAll, shareWithZone} {
-			all := newSimulation(size.nodes, way, everybody)
+		for _, mode := range []sharingMode{shareWithNone, shareWithAll, shareWithZone} {
+			all := newSimulation(size.nodes, mode, everybody)
 			all.run(size.perSecond)
-			zone := newSimulation(size.nodes, way, oneZone)
+			zone := newSimulation(size.nodes, mode, oneZone)
 			zone.run(size.perSecond)
 			lost := float64(zone.withheld) / float64(max(zone.withheld+zone.served, 1))
-			t.Logf("%d nodes, way %d: %d rejections in 10 s where all are rejected; %.2f of what other zones would get there is lost where one zone is", size.nodes, way, all.maxRejections(), lost)
-			if way == shareWithNone {
-				assert.LessOrEqual(t, all.maxRejections(), size.slack, "the fleet's slack of retries")
+			t.Logf("%d nodes, mode %d: %d rejections in 10 s if all requests are rejected; %.2f of the other zones' requests withheld if those of one zone are", size.nodes, mode, all.maxRejections(), lost)
+			if mode == shareWithNone {
+				assert.LessOrEqual(t, all.maxRejections(), size.slack, "slack of the retry budget")
 				assert.Zero(t, zone.withheld)
 			}
 		}
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// The rule: in a window a worker gets at most ruleFactor times what its limit allows and ruleSlack
-// requests more.
+// The rule to check: in a window of ruleWindow a worker gets at most ruleFactor times what its limit
+// allows, plus ruleSlack requests.
 const (
 	ruleWindow = 4 * time.Second
 	ruleFactor = 1.5
@@ -21,22 +21,22 @@
 	simStep    = 500 * time.Microsecond
 )
 
-// strategy is one strategy to keep a limit over several nodes.
+// strategy enforces a limit over several nodes.
 type strategy interface {
-	// request takes a request at a node and tells whether it goes to the worker now.
+	// request handles a request that arrives at a node.
 	request(s *simulation, node, priority int)
 }
 
-// simulation is nodes in front of one worker with a limit.
+// simulation has several nodes in front of one worker with a limit.
 type simulation struct {
 	random *rand.Rand
 	now    time.Duration
 	nodes  int
 	rate   Rate
-	// pending are the things that happen at a time.
+	// pending holds messages that aren't delivered yet.
 	pending  []event
 	arrivals []time.Duration
-	// byPriority counts what reached the worker.
+	// byPriority counts the requests that reached the worker.
 	byPriority [PriorityLevels]int
 	messages   int
 }
@@ -46,7 +46,7 @@
 	do func()
 }
 
-// deliver has something happen once a message has come.
+// deliver calls do after the delay of one message.
 func (s *simulation) deliver(do func()) {
 	s.messages++
 	s.pending = append(s.pending, event{at: s.now + time.Millisecond + time.Duration(s.random.Int64N(int64(2*time.Millisecond))), do: do})
@@ -57,8 +57,8 @@
 	s.byPriority[priority]++
 }
 
-// run has requests come at random nodes, so many a second, for a time.
-func (s *simulation) run(way strategy, demand float64, duration time.Duration) {
+// run sends demand requests per second to random nodes for a time.
+func (s *simulation) run(strategy strategy, demand float64, duration time.Duration) {
 	for end := s.now + duration; s.now < end; s.now += simStep {
 		due := s.pending
 		s.pending = nil
@@ -71,13 +71,13 @@
 		}
 		for expected := demand * simStep.Seconds(); expected > 0; expected-- {
 			if s.random.Float64() < expected {
-				way.request(s, s.random.IntN(s.nodes), s.random.IntN(2)*5)
+				strategy.request(s, s.random.IntN(s.nodes), s.random.IntN(2)*5)
 			}
 		}
 	}
 }
 
-// worstWindow returns how many requests came in the fullest window, by what part of those allowed.
+// worstWindow returns the most requests in any window, and their fraction of what the rule allows.
 func (s *simulation) worstWindow() (count int, part float64) {
 	first := 0
 	for index, at := range s.arrivals {
@@ -89,7 +89,7 @@
 	return count, float64(count) / (ruleFactor*float64(s.rate)*ruleWindow.Seconds() + ruleSlack)
 }
 
-// utilization returns the part of what the worker takes that it gets, but for the first seconds.
+// utilization returns the fraction of the limit that is used after a start-up time.
 func (s *simulation) utilization(from time.Duration) float64 {
 	count := 0
 	for _, at := range s.arrivals {
@@ -100,7 +100,7 @@
 	return float64(count) / (s.now - from).Seconds() / float64(max(s.rate, minRate))
 }
 
-// independent has each node keep the whole limit for itself.
+// independent lets each node use the whole limit.
 type independent struct{ limiters []*Limiter }
 
 func (a *independent) request(s *simulation, node, priority int) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// equalShares gives each node an equal part of the limit.
+// equalShares gives each node an equal share of the limit.
 type equalShares struct{ levels []float64 }
 
 func (d *equalShares) request(s *simulation, node, priority int) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// replicated has each node keep a copy of the one bucket, and tell all others of each request.
+// replicated gives each node a copy of the bucket and reports each request to all others.
 type replicated struct{ copies []*bucket }
 
 func (c *replicated) request(s *simulation, node, priority int) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// central has one node grant the requests of all.
+// central lets one node grant the requests of all.
 type central struct {
 	limiter  *Limiter
 	trackers []*Tracker
@@ -174,16 +174,17 @@
 	return &simulation{random: rand.New(rand.NewPCG(seed, 7)), nodes: nodes, rate: rate}
 }
 
-// simulate plays a way for half a minute with ten times as many requests as the worker takes,
-// and at least 20 a second.
-func simulate(seed uint64, way strategy, nodes int, rate Rate) *simulation {
+// simulate runs a strategy for half a minute with ten times as many requests as the limit allows, and
+// at least 20 per second.
+func simulate(seed uint64, strategy strategy, nodes int, rate Rate) *simulation {
 	s := newSimulation(seed, nodes, rate)
-	s.run(way, max(10*float64(rate), 20), 30*time.Second)
+	s.run(strategy, max(10*float64(rate), 20), 30*time.Second)
 	return s
 }
 
-// Most of a limit is used also where there are few more requests than that.
-func TestLimitIsUsedWhereThereIsLittleMoreWork(t *testing.T) {
+// TestLimitIsUsedAtModerateOverload guards against an underused limit when demand exceeds it only
+// moderately.
+func TestLimitIsUsedAtModerateOverload(t *testing.T) {
 	for _, nodes := range []int{5, 79, 985} {
 		for _, rate := range []Rate{0.5, 2, 10} {
 			for _, times := range []float64{2, 4} {
@@ -195,9 +196,9 @@
 	}
 }
 
-// One node that grants keeps the limit and uses it, whatever the number of nodes and whatever
-// the limit; the talk depends on neither the nodes nor the requests.
-func TestOneNodeThatGrantsKeepsAndUsesTheLimit(t *testing.T) {
+// TestCentralGrantsEnforceAndUseTheLimit guards against a limit that is exceeded or underused with
+// central grants, for any number of nodes and any rate.
+func TestCentralGrantsEnforceAndUseTheLimit(t *testing.T) {
 	for _, nodes := range []int{1, 7, 79, 300, 985} {
 		for _, rate := range []Rate{0, 0.1, 0.5, 2, 10, 100} {
 			t.Run(fmt.Sprintf("%d nodes, %v a second", nodes, rate), func(t *testing.T) {
@@ -212,34 +213,33 @@
 	}
 }
 
-// The ways that were weighed. What isn't chosen breaks the rule, or leaves most of the limit
-// unused, or talks with the square of the nodes.
-func TestWaysToKeepALimit(t *testing.T) {
+// TestCompareStrategies logs the results of all strategies for comparison.
+func TestCompareStrategies(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a comparison, not a check")
 	}
 	for _, rate := range []Rate{0.1, 2, 50} {
 		for _, nodes := range []int{7, 79, 300, 985} {
-			ways := map[string]strategy{
-				"apart": &independent{limiters: limiters(nodes)}, "divided": &equalShares{levels: make([]float64, nodes)},
-				"granted": newCentral(nodes, rate),
+			strategies := map[string]strategy{
+				"independent": &independent{limiters: limiters(nodes)}, "equal shares": &equalShares{levels: make([]float64, nodes)},
+				"central": newCentral(nodes, rate),
 			}
 			if nodes <= 300 {
-				ways["copied"] = &replicated{copies: buckets(nodes)}
+				strategies["replicated"] = &replicated{copies: buckets(nodes)}
 			}
-			for _, name := range slices.Sorted(mapKeys(ways)) {
-				s := simulate(3, ways[name], nodes, rate)
+			for _, name := range slices.Sorted(mapKeys(strategies)) {
+				s := simulate(3, strategies[name], nodes, rate)
 				count, part := s.worstWindow()
-				t.Logf("%5v a second, %3d nodes, %-8s worst window %4d, %5.2f of what is allowed; used %.2f; %6.0f messages a second",
+				t.Logf("%5v a second, %3d nodes, %-12s worst window %4d, %5.2f of what is allowed; used %.2f; %6.0f messages a second",
 					rate, nodes, name, count, part, s.utilization(5*time.Second), float64(s.messages)/s.now.Seconds())
 			}
 		}
 	}
 }
 
-func mapKeys(ways map[string]strategy) func(func(string) bool) {
+func mapKeys(strategies map[string]strategy) func(func(string) bool) {
 	return func(yield func(string) bool) {
-		for name := range ways {
+		for name := range strategies {
 			if !yield(name) {
 				return
 			}
@@ -263,14 +263,16 @@
 	return made
 }
 
-// The more urgent requests go first where there is room for some only.
+// TestMoreUrgentRequestsGoFirst guards against less urgent requests that take the room of more urgent
+// ones.
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	s := newSimulation(5, 7, 2)
 	s.run(newCentral(7, 2), 40, 60*time.Second)
 	assert.Greater(t, s.byPriority[0], 4*s.byPriority[5], "%v", s.byPriority)
 }
 
-// Refusals at one moment tell different times to come back.
+// TestRefusalsAreSpread guards against nodes that are refused at the same time and ask again at the
+// same time.
 func TestRefusalsAreSpread(t *testing.T) {
 	limiter := NewLimiter()
 	waits := map[time.Duration]bool{}
@@ -282,8 +284,8 @@
 	assert.Len(t, waits, 3)
 }
 
-// A limiter that takes over from another begins empty.
-func TestNewLimiterBeginsEmpty(t *testing.T) {
+// TestNewLimiterStartsEmpty guards against a burst when a limiter takes over from another node's.
+func TestNewLimiterStartsEmpty(t *testing.T) {
 	limiter := NewLimiter()
 	answer := limiter.Acquire(time.Hour, fleet.EngineID("w"), 2, 1, 0)
 	assert.False(t, answer.Granted)
