--- a/internal/quota/failures_test.go
+++ b/internal/quota/failures_test.go
@@ -45,9 +45,9 @@
 
 // partition splits the fleet in two for some seconds.
 func (p *failurePlan) partition(random *rand.Rand, at time.Duration) {
-	part := 0.1 + 0.4*random.Float64()
-	p.schedule(at, fmt.Sprintf("partition of %.2f", part), func(f *simFleet) {
-		for _, node := range f.nodes[:max(1, int(part*float64(len(f.nodes))))] {
+	fraction := 0.1 + 0.4*random.Float64()
+	p.schedule(at, fmt.Sprintf("partition of %.2f", fraction), func(f *simFleet) {
+		for _, node := range f.nodes[:max(1, int(fraction*float64(len(f.nodes))))] {
 			node.partition = 1
 		}
 	})
@@ -60,9 +60,9 @@
 
 // killSome kills a fraction of the nodes, which restart a second later.
 func (p *failurePlan) killSome(random *rand.Rand, at time.Duration) {
-	part := 0.1 + 0.4*random.Float64()
-	p.schedule(at, fmt.Sprintf("killed %.2f", part), func(f *simFleet) {
-		for _, node := range f.nodes[:max(1, int(part*float64(len(f.nodes))))] {
+	fraction := 0.1 + 0.4*random.Float64()
+	p.schedule(at, fmt.Sprintf("killed %.2f", fraction), func(f *simFleet) {
+		for _, node := range f.nodes[:max(1, int(fraction*float64(len(f.nodes))))] {
 			f.kill(node, time.Second)
 		}
 	})
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -46,8 +46,8 @@
 			admitted[amount]++
 		}
 	}
-	part := func(amount float64) float64 { return float64(admitted[amount]) / float64(sent[amount]) }
-	require.InDelta(t, part(10), part(250), 0.01)
+	admittedFraction := func(amount float64) float64 { return float64(admitted[amount]) / float64(sent[amount]) }
+	require.InDelta(t, admittedFraction(10), admittedFraction(250), 0.01)
 }
 
 // TestRefundRestoresUnits guards against charges for requests that didn't run.
--- a/internal/relay/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -32,8 +32,8 @@
 	return node
 }
 
-// TestReaderReadsAndOthersAskTheirFirstSource guards against readers that don't read, and against others
-// that read the store or ask themselves.
+// TestReaderReadsAndOthersAskTheirFirstSource guards against readers that don't read, and against
+// others that read the store or ask themselves.
 func TestReaderReadsAndOthersAskTheirFirstSource(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"n", "a", "b"})
@@ -83,7 +83,8 @@
 	assert.True(t, selector.ShouldReadStore(time.Second))
 }
 
-// TestNodeWaitsForItsRoleAtTheFirstStart guards against nodes that read the store without being readers.
+// TestNodeWaitsForItsRoleAtTheFirstStart guards against nodes that read the store without being
+// readers.
 func TestNodeWaitsForItsRoleAtTheFirstStart(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
@@ -265,8 +266,8 @@
 	assert.True(t, selector.ShouldReadStore(2*time.Second))
 }
 
-// TestNodeStaysWithSourceThatHasNoProofYet guards against nodes that leave a source which has just begun
-// to read, when the roles of all nodes are confirmed at once.
+// TestNodeStaysWithSourceThatHasNoProofYet guards against nodes that leave a source which has just
+// begun to read, when the roles of all nodes are confirmed at once.
 func TestNodeStaysWithSourceThatHasNoProofYet(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -112,8 +112,8 @@
 	assert.Equal(t, time.Second, holder.Current().InstalledAt)
 }
 
-// TestLateProofDoesNotRenewFreshness guards against an older proof that arrives late and replaces a newer
-// one.
+// TestLateProofDoesNotRenewFreshness guards against an older proof that arrives late and replaces a
+// newer one.
 func TestLateProofDoesNotRenewFreshness(t *testing.T) {
 	freshness := NewFreshness()
 	assert.False(t, freshness.IsWithin(0, time.Hour), "no proof")
--- a/internal/workerbackoff/tracker_test.go
+++ b/internal/workerbackoff/tracker_test.go
@@ -75,13 +75,13 @@
 
 // TestEndsOfBackoffsAreJittered guards against nodes that all send again at the same time.
 func TestEndsOfBackoffsAreJittered(t *testing.T) {
-	ends := make(map[time.Duration]bool)
+	reopenTimes := make(map[time.Duration]bool)
 	for seed := range uint64(100) {
 		tracker := NewTracker(rand.New(rand.NewPCG(seed, 0)))
 		tracker.Extend(0, testRun, 3*time.Second)
-		ends[tracker.ClosedFor(0, testRun).Truncate(10*time.Millisecond)] = true
+		reopenTimes[tracker.ClosedFor(0, testRun).Truncate(10*time.Millisecond)] = true
 	}
-	assert.Greater(t, len(ends), 20)
+	assert.Greater(t, len(reopenTimes), 20)
 }
 
 // TestRetryTimesAreSpreadByPriority guards against callers that retry at the same time, or before more
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -78,7 +78,7 @@
 }
 
 // worstWindow returns the most requests in any window, and their fraction of what the rule allows.
-func (s *simulation) worstWindow() (count int, part float64) {
+func (s *simulation) worstWindow() (count int, fraction float64) {
 	first := 0
 	for index, at := range s.arrivals {
 		for s.arrivals[first] <= at-ruleWindow {
@@ -147,9 +147,9 @@
 func newCentral(nodes int, rate Rate) *central {
 	g := &central{limiter: NewLimiter()}
 	for range nodes {
-		ledger := NewTracker()
-		ledger.Observe(Observation{Worker: "w", Limited: true, Rate: rate})
-		g.trackers = append(g.trackers, ledger)
+		tracker := NewTracker()
+		tracker.Observe(Observation{Worker: "w", Limited: true, Rate: rate})
+		g.trackers = append(g.trackers, tracker)
 	}
 	return g
 }
@@ -203,10 +203,10 @@
 		for _, rate := range []Rate{0, 0.1, 0.5, 2, 10, 100} {
 			t.Run(fmt.Sprintf("%d nodes, %v a second", nodes, rate), func(t *testing.T) {
 				s := simulate(uint64(nodes), newCentral(nodes, rate), nodes, rate)
-				count, part := s.worstWindow()
-				assert.LessOrEqual(t, part, 1.0, "%d requests in a window", count)
+				count, fraction := s.worstWindow()
+				assert.LessOrEqual(t, fraction, 1.0, "%d requests in a window", count)
 				assert.GreaterOrEqual(t, s.utilization(5*time.Second), 0.8)
-				t.Logf("worst window %d (%.2f of what is allowed), used %.2f, %.0f messages a second", count, part,
+				t.Logf("worst window %d (%.2f of what is allowed), used %.2f, %.0f messages a second", count, fraction,
 					s.utilization(5*time.Second), float64(s.messages)/s.now.Seconds())
 			})
 		}
@@ -229,9 +229,9 @@
 			}
 			for _, name := range slices.Sorted(mapKeys(strategies)) {
 				s := simulate(3, strategies[name], nodes, rate)
-				count, part := s.worstWindow()
+				count, fraction := s.worstWindow()
 				t.Logf("%5v a second, %3d nodes, %-12s worst window %4d, %5.2f of what is allowed; used %.2f; %6.0f messages a second",
-					rate, nodes, name, count, part, s.utilization(5*time.Second), float64(s.messages)/s.now.Seconds())
+					rate, nodes, name, count, fraction, s.utilization(5*time.Second), float64(s.messages)/s.now.Seconds())
 			}
 		}
 	}
