--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -36,16 +36,16 @@
 	active atomic.Bool
 
 	mutex       sync.Mutex
-	ledger      *workerbackoff.Ledger
-	returnTimes workerbackoff.ReturnTimes
+	ledger      *workerbackoff.Tracker
+	returnTimes workerbackoff.RetryScheduler
 }
 
 func newWorkerBackoffs(random *rand.Rand) *workerBackoffs {
-	return &workerBackoffs{ledger: workerbackoff.NewLedger(random)}
+	return &workerBackoffs{ledger: workerbackoff.NewTracker(random)}
 }
 
 func backoffRun(worker fleet.EngineID, born backends.StartTime) workerbackoff.Run {
-	return workerbackoff.Run{Worker: worker, Born: uint64(born)}
+	return workerbackoff.Run{Worker: worker, StartTime: uint64(born)}
 }
 
 // extend records that a run asks for a backoff and reports whether this extends the current one.
@@ -53,7 +53,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.active.Store(true)
-	return b.ledger.Ask(now, run, wait)
+	return b.ledger.Extend(now, run, wait)
 }
 
 // remaining returns how long a run still receives nothing.
@@ -63,7 +63,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Closed(now, run)
+	return b.ledger.ClosedFor(now, run)
 }
 
 // begin returns how long a run still receives no requests. If it returns 0, the caller is about to
@@ -74,7 +74,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Begin(now, run)
+	return b.ledger.BeginRequest(now, run)
 }
 
 // recordAnswer records an answer that asks for no backoff, to a request sent at sentAt.
@@ -84,8 +84,8 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.Answered(run, sentAt)
-	b.active.Store(!b.ledger.Empty())
+	b.ledger.ObserveAnswer(run, sentAt)
+	b.active.Store(!b.ledger.IsEmpty())
 }
 
 // forget drops the backoff of a worker whose run has ended.
@@ -96,7 +96,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.ledger.Forget(worker)
-	b.active.Store(!b.ledger.Empty())
+	b.active.Store(!b.ledger.IsEmpty())
 }
 
 // workersInBackoff returns the workers that receive nothing at now.
@@ -106,7 +106,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Closing(now)
+	return b.ledger.ClosedWorkers(now)
 }
 
 // retryAfter returns when a caller of the given priority should retry if the first worker opens
@@ -114,7 +114,7 @@
 func (b *workerBackoffs) retryAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.returnTimes.After(opensIn, priority)
+	return b.returnTimes.Next(opensIn, priority)
 }
 
 // noteRetryAfter records that a worker asks this node for a backoff.
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -35,25 +35,25 @@
 func (c *crashDetector) recordLoss(now time.Duration, worker fleet.EngineID, fingerprint quarantine.Fingerprint, loss quarantine.Loss) (suspected, probe bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lostRuns.Note(now, worker, fingerprint, loss)
+	return c.lostRuns.Observe(now, worker, fingerprint, loss)
 }
 
-func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Proof) []quarantine.Fingerprint {
+func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lostRuns.Ended(now, worker, proof)
+	return c.lostRuns.WorkerCrashed(now, worker, proof)
 }
 
 func (c *crashDetector) markAlive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lostRuns.Alive(worker)
+	c.lostRuns.WorkerAlive(worker)
 }
 
 func (c *crashDetector) markUndecided(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lostRuns.Undecided(worker)
+	c.lostRuns.ProbeInconclusive(worker)
 }
 
 func (c *crashDetector) sweep(now time.Duration) {
@@ -64,7 +64,7 @@
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
 func fingerprintOf(current *callerRequest) quarantine.Fingerprint {
-	subject := quarantine.Subject{
+	subject := quarantine.RequestIdentity{
 		Method: current.request.Method,
 		Host:   current.request.Host,
 		Target: current.request.RequestURI,
@@ -83,7 +83,7 @@
 	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
 	case suspected:
-		g.recordWorkerCrash(worker, quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+		g.recordWorkerCrash(worker, quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
 	case probe:
 		go g.probeWorker(g.destination(current, &placement.Worker))
 	}
@@ -98,7 +98,7 @@
 	case upstream.Alive:
 		g.crashes.markAlive(destination.Engine)
 	case upstream.Dead:
-		g.noteWorkerEnded(destination.Engine, quarantine.Refused)
+		g.noteWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
 	default:
 		g.crashes.markUndecided(destination.Engine)
 	}
@@ -108,12 +108,12 @@
 // means that the worker has ended.
 func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.noteWorkerEnded(worker, quarantine.Refused)
+		g.noteWorkerEnded(worker, quarantine.ConnectionRefused)
 	}
 }
 
 // noteWorkerEnded records that a worker has ended without announcing its shutdown.
-func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Proof) {
+func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
 	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
 		g.recordWorkerCrash(worker, proof, suspects)
 	}
@@ -136,5 +136,5 @@
 	if ctx.Err() != nil {
 		return quarantine.Abandoned
 	}
-	return quarantine.BrokenOff
+	return quarantine.ConnectionBroken
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -25,7 +25,7 @@
 // forward sends a request to workers until there is a final answer.
 func (g *Gateway) forward(current *callerRequest) {
 	current.attempts = attempt.NewForwarding(current.startedAt, attempt.ForwardingPolicy{
-		Idempotent:    current.route.Idempotent() && !current.quarantineTrial,
+		Idempotent:    current.route.IsIdempotent() && !current.quarantineTrial,
 		Resumable:     current.route.Kind == routes.Streaming && current.route.Resumable && !current.quarantineTrial,
 		RetryFailures: current.route.Kind == routes.Safe,
 		MaxRuns:       current.route.MaxAttempts,
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -174,7 +174,7 @@
 
 // authenticate finds the tenant of the request's key.
 func (g *Gateway) authenticate(current *callerRequest, table *routes.Table) *refusal {
-	if current.route.Public || !table.Keyed() {
+	if current.route.Public || !table.RequiresKey() {
 		return nil
 	}
 	if !g.canServeKeyed() {
@@ -194,7 +194,7 @@
 // canServeKeyed reports whether this node's configuration is fresh enough to check keys. With
 // RevokeEverywhere, a node that has lost touch with the store serves no keyed requests.
 func (g *Gateway) canServeKeyed() bool {
-	return !g.settings().RevokeEverywhere || g.freshness.Within(g.now(), g.maxKeyedAge())
+	return !g.settings().RevokeEverywhere || g.freshness.IsWithin(g.now(), g.maxKeyedAge())
 }
 
 // maxKeyedAge returns the greatest age of the configuration at which keyed requests are served.
@@ -205,7 +205,7 @@
 // permanentUnlessStale returns the given permanent refusal if the configuration is fresh. Otherwise
 // it returns one that asks the caller to retry, since a newer configuration may allow the request.
 func (g *Gateway) permanentUnlessStale(refused refusal) *refusal {
-	if g.freshness.Within(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
+	if g.freshness.IsWithin(g.now(), time.Duration(float64(g.settings().ConfigureWithin)*permanentRefusalFraction)) {
 		return &refused
 	}
 	return &refusal{code: resultcode.NoConfiguration, reason: refused.reason + ", configuration too old", retryAfter: longRetryAfter}
--- a/internal/gateway/limitpeers.go
+++ b/internal/gateway/limitpeers.go
@@ -143,8 +143,8 @@
 
 func encodeLimit(now time.Duration, observation *workerlimit.Observation) *rpc.WorkerLimit {
 	return &rpc.WorkerLimit{
-		Worker: string(observation.Worker), Born: observation.Born, Limited: observation.Limited, Rate: float64(observation.Rate),
-		AskedAgeMillis: ceilMillis(now - observation.Asked), AnsweredAgeMillis: ageMillis(now, observation.Answered),
+		Worker: string(observation.Worker), Born: observation.StartTime, Limited: observation.Limited, Rate: float64(observation.Rate),
+		AskedAgeMillis: ceilMillis(now - observation.RequestedAt), AnsweredAgeMillis: ageMillis(now, observation.AnsweredAt),
 	}
 }
 
@@ -155,8 +155,8 @@
 		return workerlimit.Observation{}, errors.Errorf("limit of %q: %f", limit.GetWorker(), rate)
 	}
 	return workerlimit.Observation{
-		Worker: fleet.EngineID(limit.GetWorker()), Born: limit.GetBorn(), Limited: limit.GetLimited(), Rate: workerlimit.Rate(rate),
-		Asked: timeFromAge(start, limit.GetAskedAgeMillis()), Answered: timeFromAge(end, limit.GetAnsweredAgeMillis()),
+		Worker: fleet.EngineID(limit.GetWorker()), StartTime: limit.GetBorn(), Limited: limit.GetLimited(), Rate: workerlimit.Rate(rate),
+		RequestedAt: timeFromAge(start, limit.GetAskedAgeMillis()), AnsweredAt: timeFromAge(end, limit.GetAnsweredAgeMillis()),
 	}, nil
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -29,10 +29,10 @@
 	active atomic.Bool
 
 	mutex  sync.Mutex
-	ledger *workerlimit.Ledger
+	ledger *workerlimit.Tracker
 	// limiter grants requests to the workers for which this gateway is the granter.
 	limiter     *workerlimit.Limiter
-	retryTimes  workerlimit.RetryTimes
+	retryTimes  workerlimit.RetryScheduler
 	memberShare memberShare
 	// calls counts this gateway's calls to each worker with a limit since the last usage log line.
 	calls map[fleet.EngineID]map[callKind]int
@@ -54,7 +54,7 @@
 
 func newWorkerLimits() *workerLimits {
 	return &workerLimits{
-		ledger: workerlimit.NewLedger(), limiter: workerlimit.NewLimiter(),
+		ledger: workerlimit.NewTracker(), limiter: workerlimit.NewLimiter(),
 		calls:    make(map[fleet.EngineID]map[callKind]int),
 		granters: make(map[fleet.EngineID]rankedGranters), unavailableUntil: make(map[fleet.NodeID]time.Duration),
 		pendingBroadcast: make(map[fleet.EngineID]bool), announceSignal: make(chan struct{}, 1),
@@ -73,11 +73,11 @@
 	switch change {
 	case workerlimit.Unchanged:
 		return change
-	case workerlimit.Began:
+	case workerlimit.LimitAdded:
 		l.calls[observation.Worker] = make(map[callKind]int)
-	case workerlimit.Ended:
+	case workerlimit.LimitRemoved:
 		l.dropLocked(observation.Worker)
-	case workerlimit.Altered:
+	case workerlimit.LimitChanged:
 	}
 	if broadcast {
 		l.pendingBroadcast[observation.Worker] = true
@@ -133,7 +133,7 @@
 	if _, limited := l.ledger.Limit(worker.ID, uint64(worker.StartTime)); !limited {
 		return backends.AdmissionUnlimited, 0
 	}
-	if closed := l.ledger.Closed(now, worker.ID, priority); closed > 0 {
+	if closed := l.ledger.ClosedFor(now, worker.ID, priority); closed > 0 {
 		return backends.AdmissionClosed, closed
 	}
 	return backends.AdmissionLimited, 0
@@ -143,14 +143,14 @@
 func (l *workerLimits) recordRefusal(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Close(now, worker, priority, refused)
+	l.ledger.ObserveRefusal(now, worker, priority, refused)
 }
 
 // closedFor returns how long a worker has no room for a request of a priority.
 func (l *workerLimits) closedFor(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Closed(now, worker, priority)
+	return l.ledger.ClosedFor(now, worker, priority)
 }
 
 // retryAfter returns when a caller should retry that found all workers at their limits, the first
@@ -162,7 +162,7 @@
 	for _, observation := range l.ledger.Observations(now) {
 		rate += observation.Rate
 	}
-	return l.retryTimes.After(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
+	return l.retryTimes.Next(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
 }
 
 // countCall counts a call to a worker that has a limit.
@@ -198,7 +198,7 @@
 		}
 	}
 	l.limiter.Sweep(now)
-	l.active.Store(!l.ledger.Empty())
+	l.active.Store(!l.ledger.IsEmpty())
 	return uses
 }
 
@@ -214,9 +214,9 @@
 		return
 	}
 	observation := workerlimit.Observation{
-		Worker: worker.ID, Born: uint64(worker.StartTime),
+		Worker: worker.ID, StartTime: uint64(worker.StartTime),
 		Limited: info.Limit.Kind == workerlimit.Limited, Rate: info.Limit.Rate,
-		Asked: current.sentAt, Answered: g.now(),
+		RequestedAt: current.sentAt, AnsweredAt: g.now(),
 	}
 	if change := g.limits.observe(observation, true); change != workerlimit.Unchanged {
 		g.logLimitChange(observation, change, "answer")
@@ -239,7 +239,7 @@
 // logLimitChange logs a change of a known limit and its source.
 func (g *Gateway) logLimitChange(observation workerlimit.Observation, change workerlimit.Change, source string) {
 	g.events.line("worker_limit").Str("worker", string(observation.Worker)).Str("change", change.String()).Float64("rate", float64(observation.Rate)).
-		Dur("answer_age", g.now()-observation.Answered).Str("source", source).Msg("worker_limit")
+		Dur("answer_age", g.now()-observation.AnsweredAt).Str("source", source).Msg("worker_limit")
 }
 
 // logLimitUsage logs the calls to workers with limits since the last call.
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -19,7 +19,7 @@
 
 // limitObservation returns an observation of worker w's limit at a time.
 func limitObservation(rate workerlimit.Rate, at time.Duration) workerlimit.Observation {
-	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, Asked: at, Answered: at}
+	return workerlimit.Observation{Worker: "w", Limited: true, Rate: rate, RequestedAt: at, AnsweredAt: at}
 }
 
 func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
@@ -36,12 +36,12 @@
 // Encoding must not make an observation younger than the call that delivered it.
 func TestDecodedLimitIsNoYounger(t *testing.T) {
 	observation := limitObservation(2, 0)
-	observation.Asked, observation.Answered = 900*time.Millisecond, 1000*time.Millisecond
+	observation.RequestedAt, observation.AnsweredAt = 900*time.Millisecond, 1000*time.Millisecond
 	encoded := encodeLimit(5*time.Second, &observation)
 	decoded, err := decodeLimit(encoded, 100*time.Second, 100*time.Second+200*time.Millisecond)
 	require.NoError(t, err)
-	assert.Equal(t, 95900*time.Millisecond, decoded.Asked)
-	assert.Equal(t, 96200*time.Millisecond, decoded.Answered)
+	assert.Equal(t, 95900*time.Millisecond, decoded.RequestedAt)
+	assert.Equal(t, 96200*time.Millisecond, decoded.AnsweredAt)
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		_, err := decodeLimit(&rpc.WorkerLimit{Worker: "w", Limited: true, Rate: rate}, 0, 0)
 		assert.Error(t, err)
@@ -67,7 +67,7 @@
 	assert.Len(t, g.limits.takePendingBroadcast(), 1)
 	assert.Empty(t, other.limits.takePendingBroadcast(), "received limits aren't broadcast")
 
-	ended := workerlimit.Observation{Worker: "w", Asked: g.now() + time.Second, Answered: g.now() + time.Second}
+	ended := workerlimit.Observation{Worker: "w", RequestedAt: g.now() + time.Second, AnsweredAt: g.now() + time.Second}
 	g.limits.observe(ended, true)
 	require.Len(t, g.loadReport("other").GetLimits(), 1)
 	assert.False(t, g.loadReport("other").GetLimits()[0].GetLimited())
@@ -94,7 +94,7 @@
 	g.roleSettled.Store(true)
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
-	g.limits.observe(workerlimit.Observation{Worker: "w", Asked: now - time.Second, Answered: now}, false)
+	g.limits.observe(workerlimit.Observation{Worker: "w", RequestedAt: now - time.Second, AnsweredAt: now}, false)
 	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
 	assert.True(t, answer.Granted)
@@ -157,7 +157,7 @@
 func TestLimitsArePerWorkerRun(t *testing.T) {
 	g := newTestGateway(t)
 	observation := limitObservation(2, g.now())
-	observation.Born = 100
+	observation.StartTime = 100
 	g.limits.observe(observation, false)
 	intake, _ := g.limits.intake(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 0)
 	assert.Equal(t, backends.AdmissionLimited, intake)
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -89,7 +89,7 @@
 	before = p.meter.Pressure()
 	after = p.meter.Observe(now, usage)
 	p.currentLevel.Store(uint32(after))
-	p.scarcest.Store(uint32(p.meter.Scarce()))
+	p.scarcest.Store(uint32(p.meter.ScarcestResource()))
 	return before, after
 }
 
@@ -122,7 +122,7 @@
 	if before == after {
 		return
 	}
-	g.logger.Info().Stringer("pressure", after).Stringer("before", before).Stringer("scarce", g.pressure.meter.Scarce()).
+	g.logger.Info().Stringer("pressure", after).Stringer("before", before).Stringer("scarce", g.pressure.meter.ScarcestResource()).
 		Float64("processor", g.pressure.processorUse).Uint64("memory", used.memory).Int("descriptors", used.descriptors).
 		Msg("pressure_changed")
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,7 +27,7 @@
 	active atomic.Bool
 
 	mutex  sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	// changedAt holds when a record last changed here. Reports include it for reportChangesFor.
 	changedAt map[quarantine.Fingerprint]time.Duration
 	// pendingBroadcast holds the records to send to other gateways at once.
@@ -46,7 +46,7 @@
 
 func newQuarantineState() *quarantineState {
 	return &quarantineState{
-		ledger:           quarantine.NewLedger(quarantine.Options{}),
+		ledger:           quarantine.NewTracker(quarantine.Options{}),
 		changedAt:        make(map[quarantine.Fingerprint]time.Duration),
 		pendingBroadcast: make(map[quarantine.Fingerprint]bool),
 		local:            make(map[quarantine.Fingerprint]bool),
@@ -75,18 +75,18 @@
 
 // update applies a change to the ledger and returns its effect. The record is broadcast if change
 // returns true or the request becomes held.
-func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Ledger) (broadcast bool)) quarantineChange {
+func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Tracker) (broadcast bool)) quarantineChange {
 	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	before := q.ledger.Check(now, fingerprint)
 	broadcast := change(q.ledger)
 	after := q.ledger.Check(now, fingerprint)
-	outcome := quarantineChange{verdict: after, began: !before.Held && after.Held, ended: before.Held && !after.Held}
+	outcome := quarantineChange{verdict: after, began: !before.Quarantined && after.Quarantined, ended: before.Quarantined && !after.Quarantined}
 	// A single crash that another gateway saw is reported by that gateway alone. Otherwise a
 	// failure of many runs would be reported by each gateway to all others.
-	relevant := q.local[fingerprint] || after.Ends >= sharedCrashes
-	if broadcast || (before.Ends != after.Ends && relevant) {
+	relevant := q.local[fingerprint] || after.Crashes >= sharedCrashes
+	if broadcast || (before.Crashes != after.Crashes && relevant) {
 		q.changedAt[fingerprint] = now
 	}
 	// Broadcast the start of a quarantine: gateways that missed an earlier update would otherwise
@@ -95,7 +95,7 @@
 		q.pendingBroadcast[fingerprint] = true
 		signal(q.announceSignal)
 	}
-	if after.Ends >= sharedCrashes || outcome.ended {
+	if after.Crashes >= sharedCrashes || outcome.ended {
 		signal(q.storeSignal)
 	}
 	return outcome
@@ -103,9 +103,9 @@
 
 // recordCrash records that a worker crashed while this gateway had a request in flight there.
 func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
 		q.local[fingerprint] = true
-		return ledger.Ended(now, fingerprint, worker)
+		return ledger.ObserveCrash(now, fingerprint, worker)
 	})
 }
 
@@ -114,11 +114,11 @@
 	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
-		q.ledger.Answered(now, fingerprint)
+		q.ledger.ObserveAnswer(now, fingerprint)
 		return quarantineChange{}
 	}
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
-		suspected := ledger.Answered(now, fingerprint)
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
+		suspected := ledger.ObserveAnswer(now, fingerprint)
 		if suspected {
 			q.local[fingerprint] = true
 		}
@@ -129,15 +129,15 @@
 // merge merges a record of another gateway or the store. If this gateway knows of an answer or a
 // trial that the record lacks, it broadcasts it.
 func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
-	return q.update(now, record.Fingerprint, func(ledger *quarantine.Ledger) bool {
+	return q.update(now, record.Fingerprint, func(ledger *quarantine.Tracker) bool {
 		ledger.Merge(record)
-		return ledger.Beyond(record)
+		return ledger.IsAheadOf(record)
 	})
 }
 
 // release ends the quarantine of a request.
 func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool { return ledger.Release(now, fingerprint) })
+	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool { return ledger.Release(now, fingerprint) })
 }
 
 // sweep drops expired records, and returns the released requests and the number of those still
@@ -154,7 +154,7 @@
 		}
 	}
 	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.AtLeast(sharedCrashes)) > 0 {
+	if len(q.stored) > 0 || len(q.ledger.RecordsWithCrashes(sharedCrashes)) > 0 {
 		signal(q.storeSignal)
 	}
 	for fingerprint := range q.local {
@@ -162,14 +162,14 @@
 			delete(q.local, fingerprint)
 		}
 	}
-	return released, q.ledger.Held()
+	return released, q.ledger.QuarantinedCount()
 }
 
 // checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
 // this gateway acquires the trial.
 func (g *Gateway) checkQuarantine(current *callerRequest) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return nil
 	}
 	if verdict.TrialDue && g.acquireTrial(current, verdict) {
@@ -190,23 +190,23 @@
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
-	if verdict.Held {
+	if verdict.Quarantined {
 		g.recordHeldRequest(current, verdict)
 	}
-	return verdict, verdict.Held
+	return verdict, verdict.Quarantined
 }
 
 // recordHeldRequest logs and counts a request that was refused or cancelled by quarantine.
 func (g *Gateway) recordHeldRequest(current *callerRequest, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
-		Str("route", current.route.Name).Int("ends", verdict.Ends).Dur("first_end_age", verdict.FirstAge).
+		Str("route", current.route.Name).Int("ends", verdict.Crashes).Dur("first_end_age", verdict.FirstAge).
 		Dur("last_end_age", verdict.LastAge).Int("trials", verdict.Trials).Dur("retry_after", verdict.RetryAfter).Msg("request_held")
 }
 
 // recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
 // draining.
-func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Proof, fingerprints []quarantine.Fingerprint) {
+func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
 	if g.workers.IsDraining(worker) {
 		return
 	}
@@ -229,7 +229,7 @@
 	switch {
 	case change.began:
 		cancelled := g.pending.cancelQuarantined(fingerprint)
-		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Ends).
+		g.logger.Warn().Str("fingerprint", fingerprint.String()).Str("source", source).Int("ends", change.verdict.Crashes).
 			Dur("first_end_age", change.verdict.FirstAge).Dur("last_end_age", change.verdict.LastAge).
 			Int("trials", change.verdict.Trials).Int("broken_off", cancelled).Msg("quarantine_began")
 	case change.ended:
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -84,7 +84,7 @@
 	current.fingerprint = fingerprintOf(current)
 	record := quarantine.Record{Fingerprint: current.fingerprint}
 	for number := range quarantine.DefaultThreshold {
-		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: fleet.EngineID(fmt.Sprint("w", number)), At: g.now() - ago})
 	}
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	return current
@@ -98,7 +98,7 @@
 	require.NotNil(t, refused)
 	assert.Equal(t, resultcode.Quarantined, refused.code)
 	assert.True(t, resultcode.Lookup(refused.code).NotRun)
-	assert.InDelta(t, quarantine.DefaultHoldFor.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
+	assert.InDelta(t, quarantine.DefaultTrialDelay.Seconds()-1, refused.retryAfter.Seconds(), 0.5)
 	assert.ErrorIs(t, g.permitRequest(current, nil), errQuarantined, "checked again before the send")
 	other := *current
 	other.fingerprint[0]++
@@ -109,7 +109,7 @@
 func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
-	const past = quarantine.DefaultHoldFor + time.Second
+	const past = quarantine.DefaultTrialDelay + time.Second
 	first, second := heldRequest(one, past), heldRequest(other, past)
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.quarantineTrial)
@@ -123,7 +123,7 @@
 func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
+	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	assert.NotNil(t, g.checkQuarantine(current))
 	store.failed = nil
@@ -134,7 +134,7 @@
 func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultHoldFor+time.Second)
+	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.rows[current.fingerprint] = QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1"}, Version: 9}
 	store.version = 9
 	assert.Nil(t, g.checkQuarantine(current))
@@ -152,7 +152,7 @@
 	current := heldRequest(g, 0)
 	sync(true, true)
 	assert.Empty(t, store.rows, "other gateways write it")
-	g.recordWorkerCrash("w3", quarantine.Refused, []quarantine.Fingerprint{current.fingerprint})
+	g.recordWorkerCrash("w3", quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	sync(false, false)
 	store.failed = nil
@@ -226,11 +226,11 @@
 // Reports must carry recent changes, and answers the records that the other gateway lacks.
 func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
-	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Ends: []quarantine.End{{Worker: "w", At: one.now()}}}
+	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Crashes: []quarantine.Crash{{Worker: "w", At: one.now()}}}
 	one.quarantines.merge(one.now(), &single)
 	assert.Empty(t, one.loadReport("other").QuarantineRecords, "crash seen by another gateway")
 	assert.Zero(t, one.loadReport("other").QuarantineDigest)
-	one.recordWorkerCrash("v", quarantine.Refused, []quarantine.Fingerprint{{8}})
+	one.recordWorkerCrash("v", quarantine.ConnectionRefused, []quarantine.Fingerprint{{8}})
 	assert.Len(t, one.loadReport("other").QuarantineRecords, 1)
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changedAt)
@@ -240,7 +240,7 @@
 	require.Len(t, report.QuarantineRecords, 1, "recently changed")
 	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
 	require.NoError(t, err)
-	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Ends[0].At.Seconds(), 0.1)
+	assert.InDelta(t, (one.now() - 5*time.Second).Seconds(), decoded.Crashes[0].At.Seconds(), 0.1)
 
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changedAt)
@@ -256,7 +256,7 @@
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.Held(), "unreadable record ignored")
+	assert.Equal(t, 1, other.quarantines.ledger.QuarantinedCount(), "unreadable record ignored")
 }
 
 // An answer to a request that other gateways suspect must release it and be broadcast.
@@ -265,9 +265,9 @@
 	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
 	g.recordAnswered(current)
 	assert.Empty(t, g.quarantines.takePendingBroadcast())
-	record := quarantine.Record{Fingerprint: current.fingerprint, Ends: []quarantine.End{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
+	record := quarantine.Record{Fingerprint: current.fingerprint, Crashes: []quarantine.Crash{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
-	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Held)
+	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Quarantined)
 	broadcast := g.quarantines.takePendingBroadcast()
 	require.Len(t, broadcast, 1, "answer broadcast")
 	assert.True(t, broadcast[0].Answered)
@@ -279,12 +279,12 @@
 	g := quarantineGateway(t, newQuarantineStore())
 	for number := range quarantine.DefaultThreshold {
 		assert.Empty(t, g.quarantines.takePendingBroadcast(), "received records aren't broadcast")
-		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Ends: []quarantine.End{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
+		record := quarantine.Record{Fingerprint: quarantine.Fingerprint{7}, Crashes: []quarantine.Crash{{Worker: fleet.EngineID(fmt.Sprint(number)), At: g.now()}}}
 		g.quarantines.merge(g.now(), &record)
 	}
 	broadcast := g.quarantines.takePendingBroadcast()
 	require.Len(t, broadcast, 1)
-	assert.Len(t, broadcast[0].Ends, quarantine.DefaultThreshold)
+	assert.Len(t, broadcast[0].Crashes, quarantine.DefaultThreshold)
 }
 
 // A worker that drained before it was gone must not count as crashed.
@@ -294,7 +294,7 @@
 		worker := backends.Worker{ID: "w", Service: "app", Address: "127.0.0.1:9"}
 		worker.Draining = draining
 		g.workers.Observe(1, worker)
-		g.crashes.recordLoss(g.now(), "w", quarantine.Fingerprint{1}, quarantine.BrokenOff)
+		g.crashes.recordLoss(g.now(), "w", quarantine.Fingerprint{1}, quarantine.ConnectionBroken)
 		g.handleWorkerChange(worker, g.workers.ObserveGone(g.now(), 2, "w"))
 		_, recorded := g.quarantines.record(quarantine.Fingerprint{1})
 		assert.Equal(t, !draining, recorded)
--- a/internal/gateway/quarantinepeers.go
+++ b/internal/gateway/quarantinepeers.go
@@ -123,7 +123,7 @@
 	if q.ledger.Digest(sharedCrashes) == digest {
 		return nil
 	}
-	return encodeQuarantineRecords(now, q.ledger.AtLeast(sharedCrashes))
+	return encodeQuarantineRecords(now, q.ledger.RecordsWithCrashes(sharedCrashes))
 }
 
 // mergeQuarantineRecords merges records of another gateway.
@@ -148,12 +148,12 @@
 			Trials:      uint32(max(record.Trials, 0)),
 		}
 		if record.Trials > 0 {
-			message.TriedAgeMillis = ageMillis(now, record.TriedAt)
+			message.TriedAgeMillis = ageMillis(now, record.LastTrialAt)
 		}
 		if record.Answered {
 			message.AnsweredAgeMillis = ageMillis(now, record.AnsweredAt) + 1
 		}
-		for _, end := range record.Ends {
+		for _, end := range record.Crashes {
 			message.Ends = append(message.Ends, &rpc.QuarantineEnd{Worker: string(end.Worker), AgeMillis: ageMillis(now, end.At)})
 		}
 		encoded[index] = message
@@ -176,13 +176,13 @@
 	}
 	record := quarantine.Record{Fingerprint: fingerprint, Trials: int(message.GetTrials())}
 	if record.Trials > 0 {
-		record.TriedAt = timeFromAge(now, message.GetTriedAgeMillis())
+		record.LastTrialAt = timeFromAge(now, message.GetTriedAgeMillis())
 	}
 	if age := message.GetAnsweredAgeMillis(); age > 0 {
 		record.Answered, record.AnsweredAt = true, timeFromAge(now, age-1)
 	}
 	for _, end := range message.GetEnds() {
-		record.Ends = append(record.Ends, quarantine.End{Worker: fleet.EngineID(end.GetWorker()), At: timeFromAge(now, end.GetAgeMillis())})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: fleet.EngineID(end.GetWorker()), At: timeFromAge(now, end.GetAgeMillis())})
 	}
 	return record, nil
 }
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -107,10 +107,10 @@
 	g.quarantines.setStored(row)
 	record := quarantine.Record{Fingerprint: row.Fingerprint, Trials: row.Trials}
 	if row.Trials > 0 {
-		record.TriedAt = now
+		record.LastTrialAt = now
 	}
 	for _, worker := range row.Workers {
-		record.Ends = append(record.Ends, quarantine.End{Worker: worker, At: now})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Worker: worker, At: now})
 	}
 	g.handleQuarantineChange(row.Fingerprint, "store", g.quarantines.merge(now, &record))
 }
@@ -155,14 +155,14 @@
 	defer q.mutex.Unlock()
 	var changes storeChanges
 	shared := make(map[quarantine.Fingerprint]bool)
-	for _, record := range q.ledger.AtLeast(sharedCrashes) {
+	for _, record := range q.ledger.RecordsWithCrashes(sharedCrashes) {
 		shared[record.Fingerprint] = true
 		verdict := q.ledger.Check(now, record.Fingerprint)
-		orphaned := isReader && verdict.Held && verdict.LastAge > orphanedAfter
+		orphaned := isReader && verdict.Quarantined && verdict.LastAge > orphanedAfter
 		known := q.stored[record.Fingerprint]
-		outdated := known.workerCount < min(verdict.Ends, q.ledger.Threshold()) || known.trials < record.Trials
+		outdated := known.workerCount < min(verdict.Crashes, q.ledger.Threshold()) || known.trials < record.Trials
 		if outdated && (q.local[record.Fingerprint] || orphaned) && len(changes.write) < maxStoreChanges {
-			changes.write = append(changes.write, rowFromRecord(&record, verdict.Ends))
+			changes.write = append(changes.write, rowFromRecord(&record, verdict.Crashes))
 		}
 	}
 	for fingerprint := range q.stored {
@@ -176,7 +176,7 @@
 // rowFromRecord returns the row of a record with its last counted crashes.
 func rowFromRecord(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
-	for _, end := range record.Ends[len(record.Ends)-counted:] {
+	for _, end := range record.Crashes[len(record.Crashes)-counted:] {
 		row.Workers = append(row.Workers, end.Worker)
 	}
 	return row
@@ -251,7 +251,7 @@
 	}
 	ctx, cancel := context.WithTimeout(current.request.Context(), trialTimeout)
 	defer cancel()
-	row := rowFromRecord(&record, verdict.Ends)
+	row := rowFromRecord(&record, verdict.Crashes)
 	row.Trials = verdict.Trials + 1
 	stored, err := g.dependencies.Store.WriteQuarantine(ctx, row, g.quarantines.storedVersion(current.fingerprint))
 	if errors.Is(err, platform.ErrConflict) && stored.Trials == verdict.Trials {
@@ -277,7 +277,7 @@
 
 // beginTrial records that this gateway tries a held request.
 func (q *quarantineState) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
-	q.update(now, fingerprint, func(ledger *quarantine.Ledger) bool {
+	q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
 		ledger.BeginTrial(now, fingerprint, trials)
 		return true
 	})
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -36,7 +36,7 @@
 		Slack:      settings.QuotaSlack,
 		Overshoot:  settings.QuotaOvershoot,
 		Window:     settings.QuotaWindow,
-		Single:     !settings.hasOtherSeeds(),
+		Standalone: !settings.hasOtherSeeds(),
 		FirstStart: settings.FirstStart,
 	})}
 }
@@ -76,27 +76,27 @@
 func (q *quotas) isUnlimited() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Unlimited()
+	return q.limiter.IsUnlimited()
 }
 
 func (q *quotas) isNearLimit(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Near(now)
+	return q.limiter.IsNearLimit(now)
 }
 
 // isNewcomer reports whether this node doesn't know yet what was used before its start.
 func (q *quotas) isNewcomer(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.Newcomer(now)
+	return q.limiter.IsJoining(now)
 }
 
 // hasReportedSince reports whether a node has reported its usage since a time.
 func (q *quotas) hasReportedSince(node fleet.NodeID, at time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.limiter.HeardSince(node, at)
+	return q.limiter.HasReportedSince(node, at)
 }
 
 // writeReport adds this node's usage to a report to another node.
@@ -104,9 +104,9 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	report.UsesTold = true
-	report.QuotaNewcomer = q.limiter.Newcomer(now)
-	for _, use := range q.limiter.Uses(now, to) {
-		usage := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Heard}
+	report.QuotaNewcomer = q.limiter.IsJoining(now)
+	for _, use := range q.limiter.Usages(now, to) {
+		usage := &rpc.TenantUse{Tenant: string(use.Tenant), Total: use.Total, Deficit: use.Deficit, Heard: use.Acknowledged}
 		if report.QuotaNewcomer {
 			usage.Recent = use.Recent
 		}
@@ -122,16 +122,16 @@
 	usage := quota.Report{
 		Node:        fleet.NodeID(report.GetNode()),
 		Machine:     lease.HolderID(report.GetNode()).Machine(),
-		Newcomer:    report.GetQuotaNewcomer(),
+		Joining:     report.GetQuotaNewcomer(),
 		RequestRate: decodeRate(report.GetRequestRate()),
 	}
 	if report.GetPartial() {
 		usage.RequestRate = unknownRate
 	}
 	for _, use := range report.GetTenantUses() {
-		usage.Uses = append(usage.Uses, quota.Use{
+		usage.Usages = append(usage.Usages, quota.Usage{
 			Tenant: fleet.TenantName(use.GetTenant()), Total: use.GetTotal(), Recent: use.GetRecent(),
-			Deficit: use.GetDeficit(), Heard: use.GetHeard(),
+			Deficit: use.GetDeficit(), Acknowledged: use.GetHeard(),
 		})
 	}
 	q.mutex.Lock()
@@ -146,17 +146,17 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
-	q.limiter.SetRounds((len(peers) + loadExchangeFanout - 1) / loadExchangeFanout)
+	q.limiter.SetReportRounds((len(peers) + loadExchangeFanout - 1) / loadExchangeFanout)
 	present := make(map[fleet.NodeID]bool, len(peers))
 	for _, member := range peers {
 		present[member.Node] = true
 		if member.Node != view.Self.Node {
-			q.limiter.Expect(now, member.Node, lease.HolderID(member.Node).Machine())
+			q.limiter.AddPeer(now, member.Node, lease.HolderID(member.Node).Machine())
 		}
 	}
 	for _, node := range q.limiter.Peers() {
 		if member, found := view.Find(node); !present[node] && found && member.State != membership.Suspect {
-			q.limiter.Forget(now, node)
+			q.limiter.RemovePeer(now, node)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 			continue
 		}
 		for _, member := range g.usagePeers() {
-			if !g.quotas.hasReportedSince(member.Node, g.now()-quota.NearInterval) {
+			if !g.quotas.hasReportedSince(member.Node, g.now()-quota.NearLimitInterval) {
 				go g.exchangeUsage(member)
 			}
 		}
@@ -230,7 +230,7 @@
 	if g.configuration.Current() != nil && g.quotas.isUnlimited() {
 		return g.pauseInterval(unlimitedInterval)
 	}
-	return g.pause(quota.NearInterval)
+	return g.pause(quota.NearLimitInterval)
 }
 
 // updateUsagePeers updates the nodes whose usage this node expects. A node that receives requests
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -41,16 +41,16 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if role.settled {
-		s.selector.Settle(now)
+		s.selector.ConfirmRole(now)
 	}
-	s.selector.SetOthers(role.standbyCount)
+	s.selector.SetNonServingNodes(role.standbyCount)
 	s.selector.SetRole(now, role.reader, role.order)
 	s.updateReading(now)
 }
 
 // updateReading updates reading from the selector. The mutex must be held.
 func (s *sourceSelector) updateReading(now time.Duration) {
-	reading := s.selector.Reads(now)
+	reading := s.selector.ShouldReadStore(now)
 	if reading == s.reading {
 		return
 	}
@@ -71,7 +71,7 @@
 func (s *sourceSelector) peerToAsk(now time.Duration) (fleet.NodeID, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.selector.Asks(now) {
+	if !s.selector.ShouldAskPeer(now) {
 		return "", false
 	}
 	return s.selector.Source()
@@ -81,7 +81,7 @@
 func (s *sourceSelector) recordWatcher(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Watched(now)
+	s.selector.ObserveWatch(now)
 	s.updateReading(now)
 }
 
@@ -89,14 +89,14 @@
 func (s *sourceSelector) needsAll(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.selector.NeedsAll(now)
+	return s.selector.NeedsFullState(now)
 }
 
 // recordTablesKnown records that this node knows all tables.
 func (s *sourceSelector) recordTablesKnown(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Inform()
+	s.selector.MarkSynced()
 	s.updateReading(now)
 }
 
@@ -112,14 +112,14 @@
 func (s *sourceSelector) recordStoreCall(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.StoreAnswered(answered)
+	s.selector.ObserveStoreCall(answered)
 }
 
 // recordProof records a freshness proof that this node got from the store itself.
 func (s *sourceSelector) recordProof(now, provenAt time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.selector.Proven(now, now-provenAt)
+	s.selector.ObserveOwnProof(now, now-provenAt)
 }
 
 // hasProofWithin reports whether this node has a freshness proof from the store itself that is no
@@ -127,14 +127,14 @@
 func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.selector.ProvenWithin(now, within)
+	return s.selector.HasProofWithin(now, within)
 }
 
 // recordResponse records a peer's response and reports whether another peer is asked next.
 func (s *sourceSelector) recordResponse(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	changed := s.selector.Answered(now, from, age, proven)
+	changed := s.selector.ObserveAnswer(now, from, age, proven)
 	s.updateReading(now)
 	return changed
 }
@@ -143,7 +143,7 @@
 func (s *sourceSelector) recordFailure(now time.Duration, from fleet.NodeID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	changed := s.selector.Failed(now, from)
+	changed := s.selector.ObserveFailure(now, from)
 	s.updateReading(now)
 	return changed
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -54,7 +54,7 @@
 		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
 		return current.attempts.Expired()
 	default:
-		g.noteLostRun(current, placement, quarantine.BrokenOff)
+		g.noteLostRun(current, placement, quarantine.ConnectionBroken)
 		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
 		return current.attempts.Truncated(g.now(), run, current.rememberCopy(placement))
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -131,14 +131,14 @@
 func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
 	g.reportInvalidInput("", rows.Invalid)
 	if current := g.configuration.Current(); current != nil {
-		rows.Document.KeepQuotas(current.Table)
+		rows.Document.KeepUnreadableQuotas(current.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
 	if err != nil {
 		g.logger.Error().Uint64("version", uint64(rows.Document.Version)).Err(err).Msg("configuration_refused")
 		return
 	}
-	if g.configuration.Offer(now, rows.DocumentRevision, compiled) {
+	if g.configuration.InstallIfNewer(now, rows.DocumentRevision, compiled) {
 		g.quotas.setLimits(now, compiled.Tenants())
 		for _, service := range rows.Document.Services {
 			if service.Engine != nil {
@@ -183,7 +183,7 @@
 	g.rollout.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
-	g.noteWorkerEnded(worker, quarantine.RowGone)
+	g.noteWorkerEnded(worker, quarantine.RowRemoved)
 }
 
 // observeWorkerStart records a start time that a worker reports itself, independently of its row.
@@ -219,6 +219,6 @@
 		g.forgetPreviousRun(worker.ID)
 	}
 	if change == backends.Gone {
-		g.noteWorkerEnded(worker.ID, quarantine.RowGone)
+		g.noteWorkerEnded(worker.ID, quarantine.RowRemoved)
 	}
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,35 +8,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-func subject() Subject {
-	return Subject{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
+func testIdentity() RequestIdentity {
+	return RequestIdentity{Caller: "tenant", Method: "POST", Host: "host.example", Target: "/a/b?c=d", Body: []byte("body")}
 }
 
-// TestSameRequestHasTheSameFingerprint whoever computes it: nodes compare them.
+// TestSameRequestHasTheSameFingerprint guards against fingerprints that differ between nodes or
+// versions.
 func TestSameRequestHasTheSameFingerprint(t *testing.T) {
-	one, other := subject(), subject()
+	one, other := testIdentity(), testIdentity()
 	assert.Equal(t, one.Fingerprint(), other.Fingerprint())
-	assert.Equal(t, "43dfe41e11e7f707f78b6151f72c5a94", one.Fingerprint().String(), "no node may compute another one")
+	assert.Equal(t, "43dfe41e11e7f707f78b6151f72c5a94", one.Fingerprint().String(), "must not change between versions")
 	assert.Equal(t, one.Fingerprint().String()[:12], one.Fingerprint().Short())
 }
 
-// TestEachPartTellsRequestsApart, also where one field's end could be another's beginning.
-func TestEachPartTellsRequestsApart(t *testing.T) {
+// TestEachFieldChangesTheFingerprint guards against fields that are left out, and against ambiguous
+// boundaries between fields.
+func TestEachFieldChangesTheFingerprint(t *testing.T) {
 	seen := map[Fingerprint]string{}
-	for name, change := range map[string]func(*Subject){
-		"as it is":       func(*Subject) {},
-		"caller":         func(s *Subject) { s.Caller = "other" },
-		"no caller":      func(s *Subject) { s.Caller = "" },
-		"method":         func(s *Subject) { s.Method = "PUT" },
-		"host":           func(s *Subject) { s.Host = "other.example" },
-		"path":           func(s *Subject) { s.Target = "/a/c?c=d" },
-		"query":          func(s *Subject) { s.Target = "/a/b?c=e" },
-		"body":           func(s *Subject) { s.Body = []byte("bodz") },
-		"no body":        func(s *Subject) { s.Body = nil },
-		"moved boundary": func(s *Subject) { s.Target, s.Body = "/a/b?c=dbo", []byte("dy") },
-		"moved host":     func(s *Subject) { s.Host, s.Target = "host.example/a", "/b?c=d" },
+	for name, change := range map[string]func(*RequestIdentity){
+		"unchanged":      func(*RequestIdentity) {},
+		"caller":         func(s *RequestIdentity) { s.Caller = "other" },
+		"no caller":      func(s *RequestIdentity) { s.Caller = "" },
+		"method":         func(s *RequestIdentity) { s.Method = "PUT" },
+		"host":           func(s *RequestIdentity) { s.Host = "other.example" },
+		"path":           func(s *RequestIdentity) { s.Target = "/a/c?c=d" },
+		"query":          func(s *RequestIdentity) { s.Target = "/a/b?c=e" },
+		"body":           func(s *RequestIdentity) { s.Body = []byte("bodz") },
+		"no body":        func(s *RequestIdentity) { s.Body = nil },
+		"moved boundary": func(s *RequestIdentity) { s.Target, s.Body = "/a/b?c=dbo", []byte("dy") },
+		"moved host":     func(s *RequestIdentity) { s.Host, s.Target = "host.example/a", "/b?c=d" },
 	} {
-		changed := subject()
+		changed := testIdentity()
 		change(&changed)
 		fingerprint := changed.Fingerprint()
 		assert.Empty(t, seen[fingerprint], name)
@@ -44,12 +46,13 @@
 	}
 }
 
-func TestFingerprintsAreReadBack(t *testing.T) {
-	one := subject()
+// TestFingerprintRoundTrips guards against fingerprints that don't survive String and ParseFingerprint.
+func TestFingerprintRoundTrips(t *testing.T) {
+	one := testIdentity()
 	fingerprint := one.Fingerprint()
-	read, err := ParseFingerprint(fingerprint.String())
+	parsed, err := ParseFingerprint(fingerprint.String())
 	require.NoError(t, err)
-	assert.Equal(t, fingerprint, read)
+	assert.Equal(t, fingerprint, parsed)
 	for _, bad := range []string{"", "zz", "43df", strings.Repeat("0", 34)} {
 		_, err := ParseFingerprint(bad)
 		assert.Error(t, err, bad)
--- /dev/null
+++ b/internal/quarantine/simulation_test.go
@@ -0,0 +1,365 @@
+package quarantine
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/tillerfall/tillerfall/internal/fleet"
+)
+
+// The simulation has nodes with a tracker each, workers that crash at random or while running a
+// harmful request, and callers that retry lost requests. Its time is virtual.
+
+// event is a function that runs at a time.
+type event struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(a, b int) bool {
+	return q[a].at < q[b].at || (q[a].at == q[b].at && q[a].order < q[b].order)
+}
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// simulationConfig configures a simulation.
+type simulationConfig struct {
+	seed uint64
+	// rate is in requests per second.
+	nodes, workers int
+	rate           float64
+	// harmful is the number of harmful requests, each of which is sent repeatedly.
+	harmful int
+	// crashInterval is the mean time between crashes of single workers, rackCrashInterval between
+	// crashes of a quarter of them; 0 means none.
+	crashInterval, rackCrashInterval time.Duration
+	// fullCrashInterval is the mean time between crashes of all workers at once; 0 means none.
+	fullCrashInterval time.Duration
+	// hotFraction is the fraction of requests with one of three popular bodies.
+	hotFraction float64
+	// lossFraction is the fraction of messages between nodes that are lost.
+	lossFraction float64
+	// options configures the trackers.
+	options Options
+	// owners, if not 0, is the number of nodes, chosen by the fingerprint, that are notified of a
+	// crash. They notify all nodes once a request is quarantined.
+	owners int
+	// withoutForwarding keeps a node from notifying all others of a request that it quarantines
+	// because of a notification.
+	withoutForwarding bool
+}
+
+// simulation runs one configuration.
+type simulation struct {
+	simulationConfig
+	random     *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	scheduled  int
+	trackers   []*Tracker
+	up         []bool
+	runNumbers []int
+	running    [][]*simulatedRun
+
+	outcome simulationOutcome
+	// thirdCrashAt is, by harmful body, when it crashed the third worker. harmfulCounts counts the
+	// crashes by harmful body, and its late arrivals under a prefixed key.
+	thirdCrashAt  map[string]time.Duration
+	harmfulCounts map[string]int
+}
+
+// simulatedRun is a request that was sent to a worker.
+type simulatedRun struct {
+	body  string
+	node  int
+	tries int
+}
+
+// simulationOutcome is the result of a simulation.
+type simulationOutcome struct {
+	harmless, refused       int
+	crashes, harmfulCrashes int
+	lateArrivals            int
+	// lateArrivals counts the harmful requests that reached workers more than three seconds after
+	// the third crash, maxLateArrivals the most of one body.
+	maxLateArrivals, messages int
+}
+
+func simulate(config simulationConfig) simulationOutcome {
+	s := &simulation{
+		simulationConfig: config, random: rand.New(rand.NewPCG(config.seed, 1)),
+		thirdCrashAt: make(map[string]time.Duration), harmfulCounts: make(map[string]int),
+	}
+	for range config.nodes {
+		s.trackers = append(s.trackers, NewTracker(config.options))
+	}
+	for range config.workers {
+		s.up = append(s.up, true)
+		s.runNumbers = append(s.runNumbers, 0)
+		s.running = append(s.running, nil)
+	}
+	s.arrive(0)
+	for number := range config.harmful {
+		s.arriveHarmful(fmt.Sprint("harmful-", number))
+	}
+	s.scheduleCrashes(config.crashInterval, 1)
+	s.scheduleCrashes(config.rackCrashInterval, max(config.workers/4, 1))
+	s.scheduleCrashes(config.fullCrashInterval, config.workers)
+	const duration = 60 * time.Second
+	for s.queue.Len() > 0 && s.now < duration {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
+		next.run()
+	}
+	return s.outcome
+}
+
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.scheduled, run: run})
+}
+
+// exponential returns an exponentially distributed time.
+func (s *simulation) exponential(mean time.Duration) time.Duration {
+	return time.Duration(s.random.ExpFloat64() * float64(mean))
+}
+
+// arrive sends harmless requests at the configured rate.
+func (s *simulation) arrive(number int) {
+	body := fmt.Sprint("harmless-", number)
+	if s.random.Float64() < s.hotFraction {
+		body = fmt.Sprint("hot-", s.random.IntN(3))
+	}
+	s.outcome.harmless++
+	s.send(&simulatedRun{body: body, node: s.random.IntN(s.nodes)})
+	s.schedule(s.exponential(time.Duration(float64(time.Second)/s.rate)), func() { s.arrive(number + 1) })
+}
+
+// arriveHarmful sends a harmful request repeatedly, to random nodes.
+func (s *simulation) arriveHarmful(body string) {
+	s.schedule(s.exponential(1500*time.Millisecond), func() {
+		s.send(&simulatedRun{body: body, node: s.random.IntN(s.nodes)})
+		s.arriveHarmful(body)
+	})
+}
+
+func isHarmful(body string) bool { return len(body) > 7 && body[:7] == "harmful" }
+
+func fingerprintOf(body string) Fingerprint {
+	subject := RequestIdentity{Body: []byte(body)}
+	return subject.Fingerprint()
+}
+
+// send sends a request to a random worker unless it is quarantined. It is lost if the worker is down.
+func (s *simulation) send(run *simulatedRun) {
+	if s.trackers[run.node].Check(s.now, fingerprintOf(run.body)).Quarantined {
+		if !isHarmful(run.body) {
+			s.outcome.refused++
+		}
+		return
+	}
+	worker := s.random.IntN(s.workers)
+	if !s.up[worker] {
+		return
+	}
+	s.running[worker] = append(s.running[worker], run)
+	if !isHarmful(run.body) {
+		s.schedule(s.exponential(400*time.Millisecond), func() { s.answer(worker, run) })
+		return
+	}
+	if third, ended := s.thirdCrashAt[run.body]; ended && s.now > third+3*time.Second {
+		s.outcome.lateArrivals++
+		s.harmfulCounts["late "+run.body]++
+		s.outcome.maxLateArrivals = max(s.outcome.maxLateArrivals, s.harmfulCounts["late "+run.body])
+	}
+	name := s.runNumbers[worker]
+	s.schedule(30*time.Millisecond+s.exponential(80*time.Millisecond), func() {
+		if s.runNumbers[worker] == name && s.up[worker] {
+			s.countHarmfulCrash(run.body)
+			s.crash(worker)
+		}
+	})
+}
+
+// countHarmfulCrash counts the workers that a harmful request has crashed.
+func (s *simulation) countHarmfulCrash(body string) {
+	s.outcome.harmfulCrashes++
+	s.harmfulCounts[body]++
+	if s.harmfulCounts[body] == 3 {
+		s.thirdCrashAt[body] = s.now
+	}
+}
+
+// answer completes a run if its worker is still up.
+func (s *simulation) answer(worker int, run *simulatedRun) {
+	at := slices.Index(s.running[worker], run)
+	if at < 0 {
+		return
+	}
+	s.running[worker] = slices.Delete(s.running[worker], at, at+1)
+	fingerprint := fingerprintOf(run.body)
+	if s.trackers[run.node].ObserveAnswer(s.now, fingerprint) {
+		s.notifyPeers(run.node, fingerprint)
+	}
+}
+
+// scheduleCrashes crashes count workers at random times.
+func (s *simulation) scheduleCrashes(every time.Duration, count int) {
+	if every <= 0 {
+		return
+	}
+	s.schedule(s.exponential(every), func() {
+		first := s.random.IntN(s.workers)
+		for offset := range count {
+			s.crash((first + offset) % s.workers)
+		}
+		s.scheduleCrashes(every, count)
+	})
+}
+
+// crash crashes a worker with all its runs. Another one replaces it after some seconds. Half of the
+// callers that lost a run retry, a third of these at once.
+func (s *simulation) crash(worker int) {
+	if !s.up[worker] {
+		return
+	}
+	s.outcome.crashes++
+	s.up[worker] = false
+	lost := s.running[worker]
+	s.running[worker] = nil
+	name := fleet.EngineID(fmt.Sprintf("w%d-%d", worker, s.runNumbers[worker]))
+	s.runNumbers[worker]++
+	for _, run := range lost {
+		s.schedule(50*time.Millisecond, func() {
+			fingerprint := fingerprintOf(run.body)
+			if s.trackers[run.node].ObserveCrash(s.now, fingerprint, name) {
+				s.notifyPeers(run.node, fingerprint)
+			}
+		})
+		if run.tries < 3 && !isHarmful(run.body) && s.random.Float64() < 0.5 {
+			again := &simulatedRun{body: run.body, node: s.random.IntN(s.nodes), tries: run.tries + 1}
+			s.schedule(time.Duration(s.random.IntN(3))*300*time.Millisecond, func() { s.send(again) })
+		}
+	}
+	s.schedule(time.Second+s.exponential(2*time.Second), func() { s.up[worker] = true })
+}
+
+// notifyPeers sends the record of a request to other nodes.
+func (s *simulation) notifyPeers(from int, fingerprint Fingerprint) {
+	record, _ := s.trackers[from].Record(fingerprint)
+	for to := range s.nodes {
+		chosen := s.owners == 0 || (to+int(fingerprint[0]))%s.nodes < s.owners || s.trackers[from].Check(s.now, fingerprint).Quarantined
+		if to == from || !chosen {
+			continue
+		}
+		s.outcome.messages++
+		if s.random.Float64() < s.lossFraction {
+			continue
+		}
+		sent := s.now
+		s.schedule(time.Duration(5+s.random.IntN(60))*time.Millisecond, func() { s.receive(to, &record, s.now-sent) })
+	}
+}
+
+// receive merges a record at a node. The delay adds to its ages.
+func (s *simulation) receive(to int, sent *Record, delay time.Duration) {
+	received := sent.clone()
+	for index := range received.Crashes {
+		received.Crashes[index].At += delay
+	}
+	received.AnsweredAt += delay
+	before := s.trackers[to].Check(s.now, sent.Fingerprint).Quarantined
+	s.trackers[to].Merge(&received)
+	quarantinedNow := !before && s.trackers[to].Check(s.now, sent.Fingerprint).Quarantined
+	if s.trackers[to].IsAheadOf(&received) || (quarantinedNow && !s.withoutForwarding) {
+		s.notifyPeers(to, sent.Fingerprint)
+	}
+}
+
+// defaultConfig returns a fleet with single and rack-wide crashes and popular requests.
+func defaultConfig(seed uint64) simulationConfig {
+	return simulationConfig{
+		seed: seed, nodes: 7, workers: 18, rate: 100, harmful: 3,
+		crashInterval: 1500 * time.Millisecond, rackCrashInterval: 10 * time.Second, hotFraction: 0.1, lossFraction: 0.02,
+	}
+}
+
+// simulateAll sums the outcomes of a configuration over seeds.
+func simulateAll(seeds uint64, change func(*simulationConfig)) simulationOutcome {
+	var sum simulationOutcome
+	for seed := range seeds {
+		config := defaultConfig(seed)
+		change(&config)
+		outcome := simulate(config)
+		sum.harmless += outcome.harmless
+		sum.refused += outcome.refused
+		sum.crashes += outcome.crashes
+		sum.harmfulCrashes += outcome.harmfulCrashes
+		sum.lateArrivals += outcome.lateArrivals
+		sum.maxLateArrivals = max(sum.maxLateArrivals, outcome.maxLateArrivals)
+		sum.messages += outcome.messages
+	}
+	return sum
+}
+
+// smallService has few workers that sometimes crash all at once, and many popular requests, which are
+// then in flight at all workers. Nothing is answered while all workers are down.
+func smallService(config *simulationConfig) {
+	config.workers, config.rate, config.hotFraction = 4, 40, 0.5
+	config.crashInterval, config.rackCrashInterval = 4*time.Second, 0
+	config.fullCrashInterval = 8 * time.Second
+}
+
+// TestQuarantineStopsHarmfulRequestsAndFewOthers guards against harmful requests that keep crashing
+// workers, and against harmless ones that are refused. It compares thresholds, grace periods and
+// notification schemes.
+func TestQuarantineStopsHarmfulRequestsAndFewOthers(t *testing.T) {
+	const seeds = 8
+	outcomes := make(map[string]simulationOutcome)
+	for _, variant := range []struct {
+		name   string
+		change func(*simulationConfig)
+	}{
+		{"no quarantine", func(c *simulationConfig) { c.options.Threshold = 1000 }},
+		{"threshold 2", func(c *simulationConfig) { c.options.Threshold = 2 }},
+		{"threshold 3", func(*simulationConfig) {}},
+		{"threshold 4", func(c *simulationConfig) { c.options.Threshold = 4 }},
+		{"3, a fifth of the messages lost", func(c *simulationConfig) { c.lossFraction = 0.2 }},
+		{"3, a fifth lost, without forwarding", func(c *simulationConfig) { c.lossFraction, c.withoutForwarding = 0.2, true }},
+		{"3, two owners", func(c *simulationConfig) { c.owners = 2 }},
+		{"3, two owners, a fifth lost", func(c *simulationConfig) { c.owners, c.lossFraction = 2, 0.2 }},
+		{"3, 40 nodes", func(c *simulationConfig) { c.nodes, c.workers, c.rate = 40, 100, 600 }},
+		{"3, 40 nodes, two owners", func(c *simulationConfig) { c.nodes, c.workers, c.rate, c.owners = 40, 100, 600, 2 }},
+		{"small service", smallService},
+		{"small service, no grace period", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 1 }},
+		{"small service, grace period 3 s", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 3 * time.Second }},
+		{"small service, grace period 30 s", func(c *simulationConfig) { smallService(c); c.options.GracePeriod = 30 * time.Second }},
+		{"small service, two owners", func(c *simulationConfig) { smallService(c); c.owners = 2 }},
+	} {
+		outcomes[variant.name] = simulateAll(seeds, variant.change)
+		t.Logf("%-38s %+v", variant.name, outcomes[variant.name])
+	}
+	assert.Greater(t, outcomes["no quarantine"].maxLateArrivals, 10, "the simulation must show the fault")
+	for name, refusedFraction := range map[string]float64{
+		"threshold 3": 1e-4, "3, a fifth of the messages lost": 1e-4, "3, 40 nodes": 1e-4, "small service": 0.03,
+	} {
+		outcome := outcomes[name]
+		assert.LessOrEqual(t, outcome.maxLateArrivals, 3, name)
+		assert.LessOrEqual(t, float64(outcome.refused), refusedFraction*float64(outcome.harmless), name)
+	}
+}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -18,8 +18,8 @@
 	smallTenant fleet.TenantName = "small"
 )
 
-// testOptions are bounds as an operator sets them: a tenth of the limit and about a
-// quarter of a second of the large tenant's rate.
+// testOptions returns typical options: an overshoot of a tenth, and a slack of about a quarter of a
+// second of the large tenant's rate.
 func testOptions(first bool) Options {
 	return Options{Slack: 110_000, Overshoot: 0.1, Window: 8 * time.Second, FirstStart: first}
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// promptTokens draws the size of a request: most are short, some are very long.
+// promptTokens draws the size of a request, mostly short and sometimes very long.
 func promptTokens(random *rand.Rand) float64 {
 	if random.IntN(3) > 0 {
 		return 200 + 1400*random.Float64()
@@ -42,13 +42,13 @@
 // meanTokens is the mean of promptTokens.
 const meanTokens = 4300
 
-// load offers requests of all tenants for a time, at a multiple of the limits.
+// load sends requests of all tenants at a multiple of their limits.
 type load struct {
 	multiple float64
-	// pick chooses the node of a request.
-	pick func(*simFleet) *simNode
-	// trouble is called in each step.
-	trouble func(*simFleet)
+	// pickNode chooses the node that gets a request.
+	pickNode func(*simFleet) *simNode
+	// onStep is called in each step, if set.
+	onStep func(*simFleet)
 }
 
 func anyNode(f *simFleet) *simNode { return f.nodes[f.random.IntN(len(f.nodes))] }
@@ -61,52 +61,51 @@
 				if f.random.Float64() >= chance {
 					continue
 				}
-				if node := l.pick(f); node.down == 0 {
+				if node := l.pickNode(f); node.downUntil == 0 {
 					f.request(node, tenant, promptTokens(f.random))
 				}
 			}
 		}
-		if l.trouble != nil {
-			l.trouble(f)
+		if l.onStep != nil {
+			l.onStep(f)
 		}
 		f.advance()
 	}
 }
 
-// lagPart is the part of a burst by which nodes may take a bucket for emptier than it
-// is, since they hear late of each other.
-const lagPart = 0.2
+// lagFraction is the fraction of a burst by which nodes may underestimate what is left, since reports
+// are delayed.
+const lagFraction = 0.2
 
-// TestNothingWithinTheLimitIsRefused has a tenant use a half to nine tenths of its
-// limit at nodes that are all well. What a single bucket would hold is admitted, but
-// for the last lagPart of it.
-func TestNothingWithinTheLimitIsRefused(t *testing.T) {
+// TestRequestsWithinTheLimitAreAdmitted guards against refusals of requests that a single bucket
+// would admit, up to lagFraction, while a tenant uses 50% to 90% of its limit without failures.
+func TestRequestsWithinTheLimitAreAdmitted(t *testing.T) {
 	for seed := range uint64(40) {
 		limit := testLimits()[bigTenant]
 		f := newSimFleet(seed, 12, testOptions(true), map[fleet.TenantName]Limit{bigTenant: limit}, false)
 		single := newAccount(f.now, limit, limit.Burst)
-		f.decided = func(amount float64, decision Decision) {
-			single.drain(f.now, shares{touch: 1})
+		f.onDecision = func(amount float64, decision Decision) {
+			single.drain(f.now, shares{reachable: 1})
 			left := single.available(1, false)
 			if decision.Admitted {
 				single.take(f.now, amount)
 				return
 			}
-			require.Less(t, left, amount+lagPart*limit.Burst, "seed %d: refused %.0f of %.0f", seed, amount, left)
+			require.Less(t, left, amount+lagFraction*limit.Burst, "seed %d: refused %.0f of %.0f", seed, amount, left)
 		}
-		load{multiple: 0.5 + 0.1*float64(seed%5), pick: anyNode}.run(f, 20*time.Second)
+		load{multiple: 0.5 + 0.1*float64(seed%5), pickNode: anyNode}.run(f, 20*time.Second)
 	}
 }
 
-// TestFloodGetsItsWholeLimit has a tenant send four times its limit: it gets as much
-// as a single bucket would give, and no more than the tolerance above.
-func TestFloodGetsItsWholeLimit(t *testing.T) {
+// TestOverloadedTenantGetsItsWholeLimit guards against a tenant that sends four times its limit and
+// gets less than a single bucket would give, or more than the tolerance above it.
+func TestOverloadedTenantGetsItsWholeLimit(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
-		load{multiple: 4, pick: anyNode}.run(f, 16*time.Second)
+		load{multiple: 4, pickNode: anyNode}.run(f, 16*time.Second)
 		for tenant, limit := range f.limits {
 			used := 0.0
-			for _, use := range f.log {
+			for _, use := range f.admissions {
 				if use.tenant == tenant {
 					used += use.amount
 				}
@@ -118,74 +117,75 @@
 	}
 }
 
-// seeds is the number of random histories.
-const seeds = 60
-
-// failedSeeds are histories in which a limit was exceeded: 1126 is a partition just after
-// nodes were added, whose sides drew each other's beliefs down once it had healed; 1003 one
-// soon after a start of all, whose sides noticed it too late.
-var failedSeeds = []uint64{1003, 1126}
-
-// TestLimitsHoldWhateverFails has tenants send four times their limits while nodes
-// are cut off from each other, killed, restarted together and added, limits are
-// lowered and raised, callers go to a few nodes alone, and clocks run up to 9% off.
-func TestLimitsHoldWhateverFails(t *testing.T) {
-	histories := slices.Clone(failedSeeds)
-	for seed := range uint64(seeds) {
-		histories = append(histories, seed)
+// seedCount is the number of random failure allSeeds.
+const seedCount = 60
+
+// regressionSeeds covers two past failures. 1126 is a partition just after nodes were added, whose
+// sides lowered each other's deficits once it had healed. 1003 is a partition soon after a start of
+// all nodes, which was detected too late.
+var regressionSeeds = []uint64{1003, 1126}
+
+// TestLimitsHoldUnderFailures guards against exceeded limits under overload while nodes are
+// partitioned, killed, restarted together or added, limits change, callers use a few nodes only, or
+// clocks drift by up to 9%.
+func TestLimitsHoldUnderFailures(t *testing.T) {
+	allSeeds := slices.Clone(regressionSeeds)
+	for seed := range uint64(seedCount) {
+		allSeeds = append(allSeeds, seed)
 	}
-	for _, seed := range histories {
+	for _, seed := range allSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			holdsWhateverFails(t, seed)
+			checkLimitsHold(t, seed)
 		})
 	}
 }
 
-func holdsWhateverFails(t *testing.T, seed uint64) {
+func checkLimitsHold(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newSimFleet(seed, 3+random.IntN(18), testOptions(random.IntN(2) == 0), testLimits(), random.IntN(2) == 0)
-	trouble := newTrouble(random)
-	flood := load{multiple: 1 + 3.2*random.Float64(), pick: trouble.pick, trouble: trouble.step}
-	load{multiple: 0.55, pick: anyNode}.run(f, time.Duration(2+random.IntN(3))*time.Second)
+	failures := newFailurePlan(random)
+	flood := load{multiple: 1 + 3.2*random.Float64(), pickNode: failures.pickNode, onStep: failures.applyDue}
+	load{multiple: 0.55, pickNode: anyNode}.run(f, time.Duration(2+random.IntN(3))*time.Second)
 	flood.run(f, 20*time.Second)
 	for tenant, limit := range testLimits() {
-		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, troubles %v", seed, tenant, trouble.names)
+		require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s, failures %v", seed, tenant, failures.descriptions)
 	}
 }
 
-// TestFrozenNodeSpoilsNothing has a node freeze for some seconds while a tenant uses a good
-// half of its limit: neither it nor the others believe afterwards that all was used up.
-func TestFrozenNodeSpoilsNothing(t *testing.T) {
+// TestFrozenNodeCausesNoRefusals guards against refusals after a node was frozen for some seconds,
+// while a tenant uses 60% of its limit.
+func TestFrozenNodeCausesNoRefusals(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 12, testOptions(true), testLimits(), false)
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		frozen := f.nodes[0]
-		frozen.frozen = f.now + 7*time.Second
+		frozen.frozenUntil = f.now + 7*time.Second
 		awake := func(f *simFleet) *simNode {
-			if f.now < frozen.frozen {
+			if f.now < frozen.frozenUntil {
 				return f.nodes[1+f.random.IntN(len(f.nodes)-1)]
 			}
 			return anyNode(f)
 		}
-		load{multiple: 0.6, pick: awake}.run(f, 7*time.Second)
-		asked, refused := 0, 0
-		f.decided = func(_ float64, decision Decision) {
-			asked++
+		load{multiple: 0.6, pickNode: awake}.run(f, 7*time.Second)
+		requests, refused := 0, 0
+		f.onDecision = func(_ float64, decision Decision) {
+			requests++
 			if !decision.Admitted {
 				refused++
 			}
 		}
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
-		require.Less(t, float64(refused), 0.02*float64(asked), "seed %d", seed)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
+		require.Less(t, float64(refused), 0.02*float64(requests), "seed %d", seed)
 	}
 }
 
-// TestLowerLimitBindsAfterAWindow lowers a limit far below what the tenant sends.
-func TestLowerLimitBindsAfterAWindow(t *testing.T) {
+// TestLoweredLimitIsEnforced guards against a tenant that exceeds a limit which was lowered far below
+// its load.
+func TestLoweredLimitIsEnforced(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newSimFleet(seed, 10, testOptions(true), testLimits(), false)
-		load{multiple: 0.6, pick: anyNode}.run(f, 4*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		lower := Limit{Rate: 60_000, Burst: 60_000}
 		sent := f.limits[bigTenant]
 		for _, node := range f.nodes {
@@ -193,7 +193,7 @@
 		}
 		at := f.now
 		f.limits = map[fleet.TenantName]Limit{bigTenant: sent}
-		load{multiple: 0.6, pick: anyNode}.run(f, 12*time.Second)
+		load{multiple: 0.6, pickNode: anyNode}.run(f, 12*time.Second)
 		require.Negative(t, f.excess(bigTenant, lower, at), "seed %d", seed)
 	}
 }
--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -1,19 +1,21 @@
-// Package relay decides from whom a node learns what changes in the store: from
-// the store itself, or from another node that reads it. It is a state machine
-// without I/O and clock.
+// Package relay decides where a node gets changes of the store from: from the store itself, or from
+// another node that reads it. A proof is the store's confirmation that a node's state was current at
+// some time. The package is a state machine without I/O and clock.
 //
-// Invariants. A node that is to read by its role always reads, and asks peers
-// only while the store gives it no proof. A node that is
-// asked by others reads, so that a chain of nodes always ends at the store. A
-// node that has restarted reads until it knows everything once, whoever told, or
-// until its role is settled: after a restart of all nodes the peers know no more than
-// it does. At the first start of the whole fleet there are no callers yet, so nodes
-// wait for their roles instead. Until then a node asks peers only if the store
-// doesn't answer it soon: while all nodes learn of each other they would ask many
-// different ones, which would all read. A node
-// that hears nothing from any peer reads. A node whose peers answer but have old
-// proofs moves on among the first MaxSources of them, and tries the store itself
-// now and then: the more nodes there are, the less often each.
+// The rules are:
+//
+//   - A node whose role is to read always reads the store. It asks peers only while it has no fresh
+//     proof from the store.
+//   - A node that other nodes ask reads the store, so every chain of nodes ends at the store.
+//   - A restarted node reads until it has the full state once, from any source, or until its role is
+//     confirmed: after a restart of all nodes, peers have no more state than it does. Until then it
+//     asks peers only if the store doesn't answer soon. While the nodes discover each other, they
+//     would ask many different peers, which would then all read.
+//   - At the first start of the whole fleet there are no callers yet, and nodes wait for their roles
+//     instead.
+//   - A node that gets no answer from any peer reads.
+//   - A node whose peers answer with stale proofs rotates through its first MaxSources peers and
+//     occasionally probes the store itself. The more nodes there are, the less often each probes.
 package relay
 
 import (
@@ -24,94 +26,89 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Options sets up a Selector. Zero fields take the defaults.
+// Options configures a Selector. Zero fields take the defaults.
 type Options struct {
 	Self fleet.NodeID
-	// Random spreads the nodes' own tries of the store; required.
+	// Random spreads the nodes' probes of the store; required.
 	Random *rand.Rand
-	// StaleAfter is the age of a proof from which on a peer counts as out of the
-	// store's reach.
+	// StaleAfter is the age from which on a proof is stale, so that its peer counts as cut off from
+	// the store.
 	StaleAfter time.Duration
-	// SilentAfter is the time without any answer of a peer after which the node
-	// reads itself.
-	SilentAfter time.Duration
-	// WatchedFor is how long a node reads after it was last asked.
-	WatchedFor time.Duration
-	// ReturnAfter is how long a node stays with a source that isn't its first.
-	ReturnAfter time.Duration
-	// TryInterval is the mean time between a node's own tries of the store while
-	// its peers answer with old proofs; TryFor is how long a try lasts. In a large
-	// fleet the interval of a node that callers aren't sent to grows, so that the
-	// tries of all such nodes together are TrySpacing apart in the mean.
-	TryInterval time.Duration
-	TryFor      time.Duration
-	TrySpacing  time.Duration
-	// PatientFor is how long a node that has just started leaves the store to answer
-	// before it asks peers as well.
-	PatientFor time.Duration
-	// AwaitRole has the node wait for its role before it reads, instead of reading
-	// at once.
+	// PeerTimeout is the time without an answer of any peer after which the node reads the store.
+	PeerTimeout time.Duration
+	// WatchLinger is how long a node reads after it was last asked.
+	WatchLinger time.Duration
+	// FailbackAfter is how long a node stays with a source that isn't its first.
+	FailbackAfter time.Duration
+	// ProbeInterval is the mean time between a node's probes of the store while its peers answer
+	// with stale proofs; ProbeDuration is how long a probe lasts. At nodes that don't serve callers
+	// the interval grows with their number, so that their probes together are ProbeSpacing apart on
+	// average.
+	ProbeInterval time.Duration
+	ProbeDuration time.Duration
+	ProbeSpacing  time.Duration
+	// StoreGracePeriod is how long a node that has just started waits for the store before it asks
+	// peers as well.
+	StoreGracePeriod time.Duration
+	// AwaitRole makes the node wait for its role before it reads.
 	AwaitRole bool
-	// ProofAwaited is how long a node that has awaited its role stays with a source that
-	// answers without a proof: that one has just begun to read. If all moved on, each would ask
-	// many for everything, and these would all read the store.
-	ProofAwaited time.Duration
-	// AloneAfter is the time without any answer of a peer after which the node is on its
-	// own: it needs everything that the store holds.
-	AloneAfter time.Duration
+	// ProofGracePeriod is how long a node that has awaited its role stays with a source that answers
+	// without a proof, since that source may have just begun to read. If every node moved on, each
+	// would ask many peers for the full state, and all of these would read the store.
+	ProofGracePeriod time.Duration
+	// IsolatedAfter is the time without an answer of any peer after which the node needs the full
+	// state from the store.
+	IsolatedAfter time.Duration
 	// MaxSources bounds the peers that are asked in turn.
 	MaxSources int
 }
 
 // Defaults of Options.
 const (
-	DefaultStaleAfter  = 1300 * time.Millisecond
-	DefaultSilentAfter = 1200 * time.Millisecond
-	DefaultWatchedFor  = 3 * time.Second
-	DefaultReturnAfter = 4 * time.Second
-	DefaultTryInterval = 4 * time.Second
-	DefaultTryFor      = 400 * time.Millisecond
-	DefaultTrySpacing  = 200 * time.Millisecond
-	// DefaultPatientFor is many times what the store takes for an answer when
-	// nothing ails it.
-	DefaultPatientFor = 150 * time.Millisecond
-	DefaultMaxSources = 9
-	// DefaultAloneAfter is some turns over all sources: slow peers are many, and all of a zone
-	// that read everything at once make the store slow too.
-	DefaultAloneAfter = 5 * time.Second
-	// DefaultProofAwaited is some times what reading 3,000 rows over 12 ms takes.
-	DefaultProofAwaited = time.Second
+	DefaultStaleAfter    = 1300 * time.Millisecond
+	DefaultPeerTimeout   = 1200 * time.Millisecond
+	DefaultWatchLinger   = 3 * time.Second
+	DefaultFailbackAfter = 4 * time.Second
+	DefaultProbeInterval = 4 * time.Second
+	DefaultProbeDuration = 400 * time.Millisecond
+	DefaultProbeSpacing  = 200 * time.Millisecond
+	// DefaultStoreGracePeriod is many times the store's usual response time.
+	DefaultStoreGracePeriod = 150 * time.Millisecond
+	DefaultMaxSources       = 9
+	// DefaultIsolatedAfter allows for several rounds over all sources. A short interruption that
+	// affects a whole zone must not make all its nodes read the full state at once.
+	DefaultIsolatedAfter = 5 * time.Second
+	// DefaultProofGracePeriod is several times what a node takes to read the full state.
+	DefaultProofGracePeriod = time.Second
 )
 
-// Selector decides for one node. It isn't safe for concurrent use.
+// Selector decides for one node what it reads and whom it asks. It isn't safe for concurrent use.
 type Selector struct {
 	options Options
 	// reader is set while the node's role is to read.
 	reader  bool
 	sources []fleet.NodeID
-	// position is that of the source in use, chosen at chosenAt.
-	position int
-	chosenAt time.Duration
+	// sourceIndex is the index of the current source, which was chosen at sourceChosenAt.
+	sourceIndex    int
+	sourceChosenAt time.Duration
 
 	started    time.Duration
 	answeredAt time.Duration
 	freshAt    time.Duration
 	watchedAt  time.Duration
-	tryAt      time.Duration
+	probeAt    time.Duration
 	answered   bool
 	fresh      bool
 	watched    bool
-	// informed is set once the node has known everything, settled once it knows its
-	// role.
-	informed  bool
-	settled   bool
-	settledAt time.Duration
+	// synced is set once the node has had the full state, roleConfirmed once its role is confirmed.
+	synced          bool
+	roleConfirmed   bool
+	roleConfirmedAt time.Duration
 	// storeAnswered is set while the node's last call to the store was answered.
 	storeAnswered bool
-	// others is the number of nodes that callers aren't sent to if this is one of
-	// them, else 0.
-	others int
-	// ownProvenAt is the time of the node's own newest proof.
+	// nonServingNodes is the number of nodes that don't serve callers if this is one of them, else 0.
+	nonServingNodes int
+	// ownProvenAt is the time of the newest proof that the node got from the store itself.
 	ownProvenAt time.Duration
 	ownProven   bool
 }
@@ -122,11 +119,11 @@
 		field    *time.Duration
 		fallback time.Duration
 	}{
-		{&options.StaleAfter, DefaultStaleAfter}, {&options.SilentAfter, DefaultSilentAfter},
-		{&options.WatchedFor, DefaultWatchedFor}, {&options.ReturnAfter, DefaultReturnAfter},
-		{&options.TryInterval, DefaultTryInterval}, {&options.TryFor, DefaultTryFor},
-		{&options.TrySpacing, DefaultTrySpacing}, {&options.PatientFor, DefaultPatientFor},
-		{&options.ProofAwaited, DefaultProofAwaited}, {&options.AloneAfter, DefaultAloneAfter},
+		{&options.StaleAfter, DefaultStaleAfter}, {&options.PeerTimeout, DefaultPeerTimeout},
+		{&options.WatchLinger, DefaultWatchLinger}, {&options.FailbackAfter, DefaultFailbackAfter},
+		{&options.ProbeInterval, DefaultProbeInterval}, {&options.ProbeDuration, DefaultProbeDuration},
+		{&options.ProbeSpacing, DefaultProbeSpacing}, {&options.StoreGracePeriod, DefaultStoreGracePeriod},
+		{&options.ProofGracePeriod, DefaultProofGracePeriod}, {&options.IsolatedAfter, DefaultIsolatedAfter},
 	} {
 		if *bound.field <= 0 {
 			*bound.field = bound.fallback
@@ -136,12 +133,12 @@
 		options.MaxSources = DefaultMaxSources
 	}
 	selector := &Selector{options: options, started: now}
-	selector.scheduleTry(now)
+	selector.scheduleProbe(now)
 	return selector
 }
 
-// SetRole says whether the node's role is to read, and whom it asks otherwise,
-// in order.
+// SetRole sets whether the node's role is to read the store, and the peers that it asks otherwise, in
+// order of preference.
 func (s *Selector) SetRole(now time.Duration, reader bool, sources []fleet.NodeID) {
 	s.reader = reader
 	sources = slices.DeleteFunc(slices.Clone(sources), func(node fleet.NodeID) bool { return node == s.options.Self })
@@ -149,100 +146,100 @@
 	if slices.Equal(sources, s.sources) {
 		return
 	}
-	current, asked := s.Source()
+	current, found := s.Source()
 	s.sources = sources
-	s.position = 0
-	if kept := slices.Index(sources, current); asked && kept > 0 && now < s.chosenAt+s.options.ReturnAfter {
-		s.position = kept
+	s.sourceIndex = 0
+	if kept := slices.Index(sources, current); found && kept > 0 && now < s.sourceChosenAt+s.options.FailbackAfter {
+		s.sourceIndex = kept
 	}
 }
 
-// Settle says that the node knows its role: from now on SetRole's word counts.
-func (s *Selector) Settle(now time.Duration) {
-	if !s.settled {
-		s.settled, s.settledAt = true, now
+// ConfirmRole records that the role set by SetRole is definite. Only the first call counts.
+func (s *Selector) ConfirmRole(now time.Duration) {
+	if !s.roleConfirmed {
+		s.roleConfirmed, s.roleConfirmedAt = true, now
 	}
 }
 
-// AwaitRole has a node that doesn't know its role yet wait for it: there is so much to read
-// that not all can at once.
+// AwaitRole makes a node without a confirmed role wait for it, since the full state is too large for
+// all nodes to read at once.
 func (s *Selector) AwaitRole() { s.options.AwaitRole = true }
 
-// SetOthers says how many nodes callers aren't sent to, this one among them; 0 if
-// callers are sent to this one.
-func (s *Selector) SetOthers(count int) { s.others = count }
+// SetNonServingNodes sets the number of nodes that don't serve callers, including this one; 0 if
+// this one serves callers.
+func (s *Selector) SetNonServingNodes(count int) { s.nonServingNodes = count }
 
-// StoreAnswered takes in whether the node's last call to the store was answered.
-func (s *Selector) StoreAnswered(answered bool) { s.storeAnswered = answered }
+// ObserveStoreCall records whether the store answered the node's last call.
+func (s *Selector) ObserveStoreCall(answered bool) { s.storeAnswered = answered }
 
-// Source returns the peer to ask now; false if there is none.
+// Source returns the current source among the peers; false if there is none.
 func (s *Selector) Source() (fleet.NodeID, bool) {
-	if s.position >= len(s.sources) {
+	if s.sourceIndex >= len(s.sources) {
 		return "", false
 	}
-	return s.sources[s.position], true
+	return s.sources[s.sourceIndex], true
 }
 
-// Asks tells whether the node is to ask a peer at now. A node whose role is to
-// read asks only while it has no fresh proof of its own.
-func (s *Selector) Asks(now time.Duration) bool {
+// ShouldAskPeer reports whether the node is to ask a peer at now. A node whose role is to read asks
+// only while it has no fresh proof of its own.
+func (s *Selector) ShouldAskPeer(now time.Duration) bool {
 	if _, found := s.Source(); !found {
 		return false
 	}
-	if !s.settled && (s.options.AwaitRole || s.storeAnswered || now < s.started+s.options.PatientFor) {
+	if !s.roleConfirmed && (s.options.AwaitRole || s.storeAnswered || now < s.started+s.options.StoreGracePeriod) {
 		return false
 	}
 	return !s.reader || !s.ownProven || now >= s.ownProvenAt+s.options.StaleAfter
 }
 
-// Proven takes in that the node itself has proof by the store, of an age.
-func (s *Selector) Proven(now, age time.Duration) {
+// ObserveOwnProof records a proof of the given age that the node got from the store itself.
+func (s *Selector) ObserveOwnProof(now, age time.Duration) {
 	s.ownProven, s.ownProvenAt = true, max(s.ownProvenAt, now-age)
 }
 
-// ProvenWithin tells whether the node itself has a proof by the store that isn't older
-// than within.
-func (s *Selector) ProvenWithin(now, within time.Duration) bool {
-	return s.ownProven && now <= s.ownProvenAt+within
+// HasProofWithin reports whether the node has a proof from the store itself that is at most maxAge
+// old.
+func (s *Selector) HasProofWithin(now, maxAge time.Duration) bool {
+	return s.ownProven && now <= s.ownProvenAt+maxAge
 }
 
-// Inform takes in that the node knows everything, by whoever told.
-func (s *Selector) Inform() { s.informed = true }
+// MarkSynced records that the node has the full state, from any source.
+func (s *Selector) MarkSynced() { s.synced = true }
 
-// Reads tells whether the node is to read the store at now.
-func (s *Selector) Reads(now time.Duration) bool {
+// ShouldReadStore reports whether the node is to read the store at now.
+func (s *Selector) ShouldReadStore(now time.Duration) bool {
 	switch {
 	case s.reader:
 		return true
-	case !s.informed && !s.options.AwaitRole && (!s.settled || !s.answered):
+	case !s.synced && !s.options.AwaitRole && (!s.roleConfirmed || !s.answered):
 		return true
-	case !s.settled:
+	case !s.roleConfirmed:
 		return false
-	case s.watched && now < s.watchedAt+s.options.WatchedFor:
+	case s.watched && now < s.watchedAt+s.options.WatchLinger:
 		return true
-	case now >= s.lastAnswer()+s.options.SilentAfter:
+	case now >= s.lastAnswer()+s.options.PeerTimeout:
 		return true
-	case now < s.lastFresh()+s.options.StaleAfter+s.options.SilentAfter:
+	case now < s.lastFresh()+s.options.StaleAfter+s.options.PeerTimeout:
 		return false
 	}
-	if now >= s.tryAt+s.options.TryFor {
-		s.scheduleTry(now)
+	if now >= s.probeAt+s.options.ProbeDuration {
+		s.scheduleProbe(now)
 	}
-	return now >= s.tryAt
+	return now >= s.probeAt
 }
 
-// NeedsAll tells whether the node, if it reads, needs everything that the store holds, since
-// others ask it or nobody answers it. Otherwise it reads for its proof and for changes.
-func (s *Selector) NeedsAll(now time.Duration) bool {
-	asked := s.watched && now < s.watchedAt+s.options.WatchedFor
-	return asked || now >= s.lastAnswer()+s.options.AloneAfter
+// NeedsFullState reports whether the node, if it reads, needs all that the store holds, because
+// other nodes ask it or no peer answers it. Otherwise it reads for a proof and for changes only.
+func (s *Selector) NeedsFullState(now time.Duration) bool {
+	watched := s.watched && now < s.watchedAt+s.options.WatchLinger
+	return watched || now >= s.lastAnswer()+s.options.IsolatedAfter
 }
 
 func (s *Selector) lastAnswer() time.Duration {
 	if s.answered {
 		return s.answeredAt
 	}
-	return max(s.started, s.settledAt)
+	return max(s.started, s.roleConfirmedAt)
 }
 
 func (s *Selector) lastFresh() time.Duration {
@@ -252,50 +249,52 @@
 	return s.started
 }
 
-// scheduleTry sets when the node next tries the store by itself.
-func (s *Selector) scheduleTry(now time.Duration) {
-	mean := int64(max(s.options.TryInterval, time.Duration(s.others)*s.options.TrySpacing))
-	s.tryAt = now + time.Duration(mean/2+s.options.Random.Int64N(mean+1))
+// scheduleProbe sets when the node next probes the store.
+func (s *Selector) scheduleProbe(now time.Duration) {
+	mean := int64(max(s.options.ProbeInterval, time.Duration(s.nonServingNodes)*s.options.ProbeSpacing))
+	s.probeAt = now + time.Duration(mean/2+s.options.Random.Int64N(mean+1))
 }
 
-// Watched notes that another node has asked this one.
-func (s *Selector) Watched(now time.Duration) { s.watched, s.watchedAt = true, now }
+// ObserveWatch records that another node has asked this one.
+func (s *Selector) ObserveWatch(now time.Duration) { s.watched, s.watchedAt = true, now }
 
-// Answered takes in a source's answer: the age of its proof, and whether it has
-// one. It tells whether the node moved on to another source.
-func (s *Selector) Answered(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
+// ObserveAnswer records a source's answer, with the age of its proof; proven is false if it has
+// none. It reports whether the node switched to another source.
+func (s *Selector) ObserveAnswer(now time.Duration, from fleet.NodeID, age time.Duration, proven bool) bool {
 	s.answered, s.answeredAt = true, now
 	if proven && age < s.options.StaleAfter {
 		s.fresh, s.freshAt = true, now
-		return s.returnToFirst(now)
+		return s.failBack(now)
 	}
-	if s.options.AwaitRole && !s.fresh && now < s.settledAt+s.options.ProofAwaited {
+	if s.options.AwaitRole && !s.fresh && now < s.roleConfirmedAt+s.options.ProofGracePeriod {
 		return false
 	}
-	return s.moveOn(now, from)
+	return s.nextSource(now, from)
 }
 
-// Failed takes in that a source gave no answer. It tells whether the node moved
-// on to another one.
-func (s *Selector) Failed(now time.Duration, from fleet.NodeID) bool { return s.moveOn(now, from) }
+// ObserveFailure records that a source didn't answer. It reports whether the node switched to
+// another source.
+func (s *Selector) ObserveFailure(now time.Duration, from fleet.NodeID) bool {
+	return s.nextSource(now, from)
+}
 
-// moveOn takes the next source after one that was of no use.
-func (s *Selector) moveOn(now time.Duration, from fleet.NodeID) bool {
+// nextSource switches to the next source if from is the current one. It reports whether it did.
+func (s *Selector) nextSource(now time.Duration, from fleet.NodeID) bool {
 	current, found := s.Source()
 	if !found || current != from || len(s.sources) < 2 {
 		return false
 	}
-	s.position = (s.position + 1) % len(s.sources)
-	s.chosenAt = now
+	s.sourceIndex = (s.sourceIndex + 1) % len(s.sources)
+	s.sourceChosenAt = now
 	return true
 }
 
-// returnToFirst goes back to the first source after a while, so that readers
-// by chance stop reading.
-func (s *Selector) returnToFirst(now time.Duration) bool {
-	if s.position == 0 || now < s.chosenAt+s.options.ReturnAfter {
+// failBack returns to the first source after FailbackAfter, so that nodes which read only because
+// they were asked stop reading. It reports whether it did.
+func (s *Selector) failBack(now time.Duration) bool {
+	if s.sourceIndex == 0 || now < s.sourceChosenAt+s.options.FailbackAfter {
 		return false
 	}
-	s.position, s.chosenAt = 0, now
+	s.sourceIndex, s.sourceChosenAt = 0, now
 	return true
 }
--- a/internal/relay/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -12,17 +12,16 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// newStarted returns the selector of a node that knows nothing yet.
+// newStarted returns the selector of a node that has just started.
 func newStarted(self fleet.NodeID, seed uint64) *Selector {
 	return New(0, Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))})
 }
 
-// newSelector returns the selector of a node that has known everything once and
-// knows its role.
+// newSelector returns the selector of a node that has had the full state and whose role is confirmed.
 func newSelector(self fleet.NodeID, seed uint64) *Selector {
 	selector := newStarted(self, seed)
-	selector.Inform()
-	selector.Settle(0)
+	selector.MarkSynced()
+	selector.ConfirmRole(0)
 	return selector
 }
 
@@ -33,166 +32,176 @@
 	return node
 }
 
-func TestReaderReadsAndOthersAskTheFirst(t *testing.T) {
+// TestReaderReadsAndOthersAskTheirFirstSource guards against readers that don't read, and against
+// others that read the store or ask themselves.
+func TestReaderReadsAndOthersAskTheirFirstSource(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"n", "a", "b"})
-	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "not itself")
-	assert.True(t, selector.Asks(0))
-	assert.False(t, selector.Reads(0))
+	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "a node must not ask itself")
+	assert.True(t, selector.ShouldAskPeer(0))
+	assert.False(t, selector.ShouldReadStore(0))
 	selector.SetRole(0, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
-	assert.True(t, selector.Asks(0), "the store has proven nothing yet")
-	selector.Proven(time.Second, 200*time.Millisecond)
-	assert.False(t, selector.Asks(2*time.Second))
-	assert.True(t, selector.Asks(time.Second-200*time.Millisecond+DefaultStaleAfter), "the store gives no proof any more")
-	assert.True(t, selector.Reads(time.Minute))
+	assert.True(t, selector.ShouldReadStore(0))
+	assert.True(t, selector.ShouldAskPeer(0), "no proof from the store yet")
+	selector.ObserveOwnProof(time.Second, 200*time.Millisecond)
+	assert.False(t, selector.ShouldAskPeer(2*time.Second))
+	assert.True(t, selector.ShouldAskPeer(time.Second-200*time.Millisecond+DefaultStaleAfter), "the last proof is stale")
+	assert.True(t, selector.ShouldReadStore(time.Minute))
 }
 
-// TestNodeThatHasJustStartedReadsUntilItKnowsEverything has all nodes restart at
-// once: peers answer, but know nothing, or not everything.
-func TestNodeThatHasJustStartedReadsUntilItKnowsEverything(t *testing.T) {
+// TestStartedNodeReadsUntilSynced guards against nodes that stop reading after a restart of all nodes,
+// when peers answer without the full state.
+func TestStartedNodeReadsUntilSynced(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
-	assert.False(t, selector.Asks(0), "many different nodes would be asked, and read")
-	assert.True(t, selector.Asks(DefaultPatientFor), "the store doesn't answer: peers are asked at the same time")
-	selector.StoreAnswered(true)
-	assert.False(t, selector.Asks(DefaultPatientFor))
-	selector.StoreAnswered(false)
-	assert.True(t, selector.Asks(DefaultPatientFor))
-	selector.Answered(time.Millisecond, "a", 0, false)
-	assert.True(t, selector.Reads(time.Millisecond))
-	selector.Answered(2*time.Millisecond, "a", 0, true)
-	assert.True(t, selector.Reads(2*time.Millisecond), "a proof of one table isn't all")
-	selector.Inform()
-	assert.False(t, selector.Reads(2*time.Millisecond))
+	assert.True(t, selector.ShouldReadStore(0))
+	assert.False(t, selector.ShouldAskPeer(0), "the store may still answer")
+	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod), "the store does not answer")
+	selector.ObserveStoreCall(true)
+	assert.False(t, selector.ShouldAskPeer(DefaultStoreGracePeriod))
+	selector.ObserveStoreCall(false)
+	assert.True(t, selector.ShouldAskPeer(DefaultStoreGracePeriod))
+	selector.ObserveAnswer(time.Millisecond, "a", 0, false)
+	assert.True(t, selector.ShouldReadStore(time.Millisecond))
+	selector.ObserveAnswer(2*time.Millisecond, "a", 0, true)
+	assert.True(t, selector.ShouldReadStore(2*time.Millisecond), "a proof of one table is not the full state")
+	selector.MarkSynced()
+	assert.False(t, selector.ShouldReadStore(2*time.Millisecond))
 }
 
-// TestNodeThatKnowsItsRoleLeavesReadingToTheReaders has the store be slow or down
-// while all nodes restart: nodes whose peers answer don't all wait at the store.
-func TestNodeThatKnowsItsRoleLeavesReadingToTheReaders(t *testing.T) {
+// TestConfirmedNodeLeavesReadingToReaders guards against all nodes reading a slow store after a restart
+// although their peers answer.
+func TestConfirmedNodeLeavesReadingToReaders(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	selector.Settle(time.Second)
-	assert.True(t, selector.Asks(time.Second))
-	assert.True(t, selector.Reads(time.Second), "no peer has answered yet")
-	selector.Answered(time.Second, "a", 0, false)
-	assert.False(t, selector.Reads(time.Second))
+	selector.ConfirmRole(time.Second)
+	assert.True(t, selector.ShouldAskPeer(time.Second))
+	assert.True(t, selector.ShouldReadStore(time.Second), "no peer has answered yet")
+	selector.ObserveAnswer(time.Second, "a", 0, false)
+	assert.False(t, selector.ShouldReadStore(time.Second))
 	selector.SetRole(time.Second, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(time.Second))
+	assert.True(t, selector.ShouldReadStore(time.Second))
 }
 
-// TestNodeWaitsForItsRoleAtTheFirstStart has nobody but the readers read.
+// TestNodeWaitsForItsRoleAtTheFirstStart guards against nodes that read the store without being
+// readers.
 func TestNodeWaitsForItsRoleAtTheFirstStart(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.False(t, selector.Reads(DefaultSilentAfter))
-	assert.False(t, selector.Asks(DefaultSilentAfter))
-	selector.Settle(2 * time.Second)
-	assert.True(t, selector.Asks(2*time.Second))
-	assert.False(t, selector.Reads(2*time.Second+DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter), "no peer answers")
-	selector.Answered(4*time.Second, "a", 0, true)
-	assert.False(t, selector.Reads(4*time.Second))
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	assert.False(t, selector.ShouldAskPeer(DefaultPeerTimeout))
+	selector.ConfirmRole(2 * time.Second)
+	assert.True(t, selector.ShouldAskPeer(2*time.Second))
+	assert.False(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout), "no peer answers")
+	selector.ObserveAnswer(4*time.Second, "a", 0, true)
+	assert.False(t, selector.ShouldReadStore(4*time.Second))
 }
 
+// TestNodeWithoutAnAnswerReads guards against nodes that stay without updates while no peer answers.
 func TestNodeWithoutAnAnswerReads(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.False(t, selector.Reads(DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(DefaultSilentAfter))
-	selector.Answered(2*time.Second, "a", time.Second, true)
-	assert.False(t, selector.Reads(2*time.Second))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter))
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	selector.ObserveAnswer(2*time.Second, "a", time.Second, true)
+	assert.False(t, selector.ShouldReadStore(2*time.Second))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout))
 }
 
-func TestSilentOrStaleSourceIsLeftAndFirstTriedAgainLater(t *testing.T) {
+// TestFailoverAndFailback guards against nodes that stay with a silent or stale source, or never return
+// to their first one.
+func TestFailoverAndFailback(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
-	assert.True(t, selector.Failed(time.Second, "a"))
-	assert.False(t, selector.Failed(time.Second, "a"), "it was left already")
-	assert.True(t, selector.Answered(time.Second, "b", DefaultStaleAfter, true))
+	assert.True(t, selector.ObserveFailure(time.Second, "a"))
+	assert.False(t, selector.ObserveFailure(time.Second, "a"), "no longer the current source")
+	assert.True(t, selector.ObserveAnswer(time.Second, "b", DefaultStaleAfter, true))
 	assert.Equal(t, fleet.NodeID("c"), source(t, selector))
-	assert.False(t, selector.Answered(2*time.Second, "c", time.Second, true))
+	assert.False(t, selector.ObserveAnswer(2*time.Second, "c", time.Second, true))
 	assert.Equal(t, fleet.NodeID("c"), source(t, selector))
-	assert.True(t, selector.Answered(time.Second+DefaultReturnAfter, "c", time.Second, true))
+	assert.True(t, selector.ObserveAnswer(time.Second+DefaultFailbackAfter, "c", time.Second, true))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
 }
 
-func TestNewOrderKeepsASourceThatWasJustChosen(t *testing.T) {
+// TestNewOrderKeepsRecentSource guards against nodes that leave a recently chosen source whenever the
+// order of sources changes.
+func TestNewOrderKeepsRecentSource(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b", "c"})
-	selector.Failed(time.Second, "a")
+	selector.ObserveFailure(time.Second, "a")
 	selector.SetRole(2*time.Second, false, []fleet.NodeID{"a", "d", "b"})
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
 	selector.SetRole(3*time.Second, false, []fleet.NodeID{"a", "d"})
-	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "b is gone")
+	assert.Equal(t, fleet.NodeID("a"), source(t, selector), "b is no longer a source")
 }
 
-func TestNodeThatIsAskedReadsForAWhile(t *testing.T) {
+// TestWatchedNodeReadsForAWhile guards against chains of nodes that don't end at the store, and against
+// nodes that read forever once asked.
+func TestWatchedNodeReadsForAWhile(t *testing.T) {
 	selector := newSelector("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	selector.Answered(time.Second, "a", 0, true)
-	selector.Watched(time.Second)
-	assert.True(t, selector.Reads(2*time.Second))
+	selector.ObserveAnswer(time.Second, "a", 0, true)
+	selector.ObserveWatch(time.Second)
+	assert.True(t, selector.ShouldReadStore(2*time.Second))
 	for now := 2 * time.Second; now < 5*time.Second; now += time.Second / 2 {
-		selector.Answered(now, "a", 0, true)
+		selector.ObserveAnswer(now, "a", 0, true)
 	}
-	assert.False(t, selector.Reads(time.Second+DefaultWatchedFor))
+	assert.False(t, selector.ShouldReadStore(time.Second+DefaultWatchLinger))
 }
 
-// TestStoreOutOfEverybodysReachIsNotStormed counts the nodes that read while
-// all peers answer with old proofs.
-func TestStoreOutOfEverybodysReachIsNotStormed(t *testing.T) {
+// TestUnreachableStoreIsNotFlooded guards against most nodes reading the store at once while all peers
+// answer with stale proofs.
+func TestUnreachableStoreIsNotFlooded(t *testing.T) {
 	const nodes = 79
 	reading := 0
-	looks := 0
+	steps := 0
 	for number := range uint64(nodes) {
 		selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
 		selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 		for now := time.Second; now < 20*time.Second; now += 100 * time.Millisecond {
-			selector.Answered(now, source(t, selector), now, true)
+			selector.ObserveAnswer(now, source(t, selector), now, true)
 			if now < 5*time.Second {
 				continue
 			}
-			looks++
-			if selector.Reads(now) {
+			steps++
+			if selector.ShouldReadStore(now) {
 				reading++
 			}
 		}
 	}
-	assert.Positive(t, reading, "some try")
-	assert.Less(t, float64(reading)/float64(looks), 0.15)
+	assert.Positive(t, reading, "some nodes must probe")
+	assert.Less(t, float64(reading)/float64(steps), 0.15)
 }
 
-// TestTriesDontGrowWithTheFleet counts the nodes that try the store at a time while
-// all peers answer with old proofs: as many in a fleet of 680 as in one of 79.
-func TestTriesDontGrowWithTheFleet(t *testing.T) {
-	trying := func(nodes int) float64 {
-		reading, looks := 0, 0
+// TestProbesDontGrowWithTheFleet guards against a number of concurrent probes that grows with the fleet
+// while all peers answer with stale proofs.
+func TestProbesDontGrowWithTheFleet(t *testing.T) {
+	probing := func(nodes int) float64 {
+		reading, steps := 0, 0
 		for number := range uint64(nodes) {
 			selector := newSelector(fleet.NodeID(fmt.Sprint("n", number)), number)
-			selector.SetOthers(nodes)
+			selector.SetNonServingNodes(nodes)
 			selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
 			for now := time.Second; now < 200*time.Second; now += 100 * time.Millisecond {
-				selector.Answered(now, source(t, selector), now, true)
-				if now >= 5*time.Second && selector.Reads(now) {
+				selector.ObserveAnswer(now, source(t, selector), now, true)
+				if now >= 5*time.Second && selector.ShouldReadStore(now) {
 					reading++
 				}
 			}
-			looks = 1950
+			steps = 1950
 		}
-		return float64(reading) / float64(looks)
+		return float64(reading) / float64(steps)
 	}
-	bound := 1.5 * float64(DefaultTryFor) / float64(DefaultTrySpacing)
+	bound := 1.5 * float64(DefaultProbeDuration) / float64(DefaultProbeSpacing)
 	for _, nodes := range []int{79, 195, 680} {
-		assert.InDelta(t, bound, trying(nodes), bound, "%d nodes", nodes)
+		assert.InDelta(t, bound, probing(nodes), bound, "%d nodes", nodes)
 	}
 }
 
-// TestWatchersMeetAtANodeThatReachesTheStore has a part of the nodes refused by
-// the store: the others end with a fresh proof all the same, and few nodes read.
-func TestWatchersMeetAtANodeThatReachesTheStore(t *testing.T) {
+// TestNodesConvergeOnSourcesThatReachTheStore guards against nodes without a fresh proof, or too many
+// readers, if the store refuses some of the nodes.
+func TestNodesConvergeOnSourcesThatReachTheStore(t *testing.T) {
 	const nodes = 60
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -211,13 +220,13 @@
 			for _, node := range order {
 				selector := selectors[node]
 				selector.SetRole(now, node == order[0], order)
-				if selector.Reads(now) && !refused[node] {
+				if selector.ShouldReadStore(now) && !refused[node] {
 					provenAt[node] = now
 				}
-				if from, found := selector.Source(); found && selector.Asks(now) {
-					selectors[from].Watched(now)
+				if from, found := selector.Source(); found && selector.ShouldAskPeer(now) {
+					selectors[from].ObserveWatch(now)
 					at, proven := provenAt[from]
-					selector.Answered(now, from, now-at, proven)
+					selector.ObserveAnswer(now, from, now-at, proven)
 					if proven {
 						provenAt[node] = max(provenAt[node], at-200*time.Millisecond)
 					}
@@ -233,7 +242,7 @@
 		}
 		reading := 0
 		for _, node := range order {
-			if selectors[node].Reads(12 * time.Second) {
+			if selectors[node].ShouldReadStore(12 * time.Second) {
 				reading++
 			}
 		}
@@ -241,57 +250,57 @@
 	}
 }
 
-// TestNodeThatIsToldToAwaitItsRoleDoes has a node that has just restarted find that there is
-// much to read: it reads by its role, or if nobody tells it.
-func TestNodeThatIsToldToAwaitItsRoleDoes(t *testing.T) {
+// TestAwaitRoleStopsReading guards against a restarted node that reads a large state before its role is
+// confirmed, or never reads if no peer answers.
+func TestAwaitRoleStopsReading(t *testing.T) {
 	selector := newStarted("n", 1)
 	selector.SetRole(0, false, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(0))
+	assert.True(t, selector.ShouldReadStore(0))
 	selector.AwaitRole()
-	assert.False(t, selector.Reads(DefaultSilentAfter))
-	selector.Settle(2 * time.Second)
-	assert.True(t, selector.Asks(2*time.Second))
-	assert.False(t, selector.Reads(2*time.Second+DefaultSilentAfter-1))
-	assert.True(t, selector.Reads(2*time.Second+DefaultSilentAfter), "no peer answers")
+	assert.False(t, selector.ShouldReadStore(DefaultPeerTimeout))
+	selector.ConfirmRole(2 * time.Second)
+	assert.True(t, selector.ShouldAskPeer(2*time.Second))
+	assert.False(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout-1))
+	assert.True(t, selector.ShouldReadStore(2*time.Second+DefaultPeerTimeout), "no peer answers")
 	selector.SetRole(2*time.Second, true, []fleet.NodeID{"a"})
-	assert.True(t, selector.Reads(2*time.Second))
+	assert.True(t, selector.ShouldReadStore(2*time.Second))
 }
 
-// TestNodeStaysWithAReaderThatHasJustBegun has all nodes learn their roles at once: the first
-// source has no proof yet.
-func TestNodeStaysWithAReaderThatHasJustBegun(t *testing.T) {
+// TestNodeStaysWithSourceThatHasNoProofYet guards against nodes that leave a source which has just
+// begun to read, when the roles of all nodes are confirmed at once.
+func TestNodeStaysWithSourceThatHasNoProofYet(t *testing.T) {
 	selector := New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Settle(2 * time.Second)
-	soon := 2*time.Second + DefaultProofAwaited - 1
-	assert.False(t, selector.Answered(soon, "a", 0, false))
+	selector.ConfirmRole(2 * time.Second)
+	soon := 2*time.Second + DefaultProofGracePeriod - 1
+	assert.False(t, selector.ObserveAnswer(soon, "a", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
-	assert.True(t, selector.Failed(soon, "a"), "no answer is another thing")
+	assert.True(t, selector.ObserveFailure(soon, "a"), "a source that does not answer is left")
 	assert.Equal(t, fleet.NodeID("b"), source(t, selector))
-	assert.True(t, selector.Answered(soon+1, "b", 0, false))
+	assert.True(t, selector.ObserveAnswer(soon+1, "b", 0, false))
 	assert.Equal(t, fleet.NodeID("a"), source(t, selector))
 
 	selector = New(0, Options{Self: "n", Random: rand.New(rand.NewPCG(1, 1)), AwaitRole: true})
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Settle(2 * time.Second)
-	assert.False(t, selector.Answered(soon-1, "a", 0, true))
-	assert.True(t, selector.Answered(soon, "a", 0, false), "it has had a proof before")
+	selector.ConfirmRole(2 * time.Second)
+	assert.False(t, selector.ObserveAnswer(soon-1, "a", 0, true))
+	assert.True(t, selector.ObserveAnswer(soon, "a", 0, false), "the source had a proof before")
 }
 
-// TestNodeThatReadsForAMomentDoesNotNeedAll: its peers are slow, or answer with old proofs; one
-// that others ask, or that nobody answers for long, does.
-func TestNodeThatReadsForAMomentDoesNotNeedAll(t *testing.T) {
+// TestBriefReadDoesNotNeedFullState guards against nodes that read the full state although their peers
+// are only slow, and against watched or isolated nodes that don't read it.
+func TestBriefReadDoesNotNeedFullState(t *testing.T) {
 	selector := New(0, Options{Self: "self", Random: rand.New(rand.NewPCG(1, 1))})
-	selector.Settle(0)
+	selector.ConfirmRole(0)
 	selector.SetRole(0, false, []fleet.NodeID{"a", "b"})
-	selector.Inform()
-	selector.Answered(time.Second, "a", 0, true)
-	now := time.Second + DefaultSilentAfter
-	assert.True(t, selector.Reads(now))
-	assert.False(t, selector.NeedsAll(now))
-	selector.Watched(now)
-	assert.True(t, selector.NeedsAll(now))
-	now += DefaultWatchedFor
-	assert.False(t, selector.NeedsAll(now))
-	assert.True(t, selector.NeedsAll(time.Second+DefaultAloneAfter))
+	selector.MarkSynced()
+	selector.ObserveAnswer(time.Second, "a", 0, true)
+	now := time.Second + DefaultPeerTimeout
+	assert.True(t, selector.ShouldReadStore(now))
+	assert.False(t, selector.NeedsFullState(now))
+	selector.ObserveWatch(now)
+	assert.True(t, selector.NeedsFullState(now))
+	now += DefaultWatchLinger
+	assert.False(t, selector.NeedsFullState(now))
+	assert.True(t, selector.NeedsFullState(time.Second+DefaultIsolatedAfter))
 }
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,6 +1,5 @@
-// Package suspension notices that the machine was suspended. The processes stand still then,
-// as when they are stopped, but the runtime's timers and deadlines don't count that time, and
-// what other machines sent meanwhile is lost or late: connections may be dead without a word.
+// Package suspension detects that the machine was suspended. The runtime's timers and deadlines don't
+// count the suspended time, and connections may have been lost without notice.
 package suspension
 
 import (
@@ -10,60 +9,57 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// leastSuspension is the least time that counts as a suspension: the two clocks are read one
-// after the other, and a thread may have to wait in between.
-const leastSuspension = 100 * time.Millisecond
+// minSuspension is the shortest time that counts as a suspension. The two clocks are read one after
+// the other, and the thread may be preempted in between.
+const minSuspension = 100 * time.Millisecond
 
 // Detector compares a clock that counts suspended time with one that doesn't. It is safe for
 // concurrent use.
 type Detector struct {
-	counting, running fleet.Clock
+	bootClock, monotonicClock fleet.Clock
 
 	mutex sync.Mutex
-	// ahead is the least time by which the counting clock was ahead since the last
-	// suspension.
-	ahead time.Duration
-	count uint64
+	// offset is the smallest lead of bootClock over monotonicClock since the last suspension.
+	offset time.Duration
+	count  uint64
 }
 
-// NewDetector returns a detector over a clock that counts suspended time and one that stands
-// still meanwhile.
-func NewDetector(counting, running fleet.Clock) *Detector {
-	detector := &Detector{counting: counting, running: running}
-	detector.ahead = detector.difference()
+// NewDetector returns a detector that compares bootClock, which counts suspended time, with
+// monotonicClock, which doesn't.
+func NewDetector(bootClock, monotonicClock fleet.Clock) *Detector {
+	detector := &Detector{bootClock: bootClock, monotonicClock: monotonicClock}
+	detector.offset = detector.currentOffset()
 	return detector
 }
 
-// difference returns by how much the counting clock is ahead. The running clock is read
-// first: a thread that waits in between makes it greater, and the next look finds the
-// true one.
-func (d *Detector) difference() time.Duration {
-	running := d.running.Now()
-	return d.counting.Now() - running
+// currentOffset returns the lead of bootClock over monotonicClock. monotonicClock is read first, so
+// preemption in between can only increase the result.
+func (d *Detector) currentOffset() time.Duration {
+	monotonic := d.monotonicClock.Now()
+	return d.bootClock.Now() - monotonic
 }
 
-// Check returns for how long the machine was suspended since the last call, and 0 if it
-// wasn't.
+// Check returns for how long the machine was suspended since the last call; 0 if it wasn't.
 func (d *Detector) Check() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	first := d.difference()
-	if first-d.ahead < leastSuspension {
-		d.ahead = min(d.ahead, first)
+	first := d.currentOffset()
+	if first-d.offset < minSuspension {
+		d.offset = min(d.offset, first)
 		return 0
 	}
-	// A second look tells a suspension from a wait between the two readings.
-	again := min(first, d.difference())
-	slept := again - d.ahead
-	if slept < leastSuspension {
+	// A second reading distinguishes a suspension from preemption between the two readings.
+	again := min(first, d.currentOffset())
+	suspended := again - d.offset
+	if suspended < minSuspension {
 		return 0
 	}
-	d.ahead = again
+	d.offset = again
 	d.count++
-	return slept
+	return suspended
 }
 
-// Count returns the number of suspensions so far, as found by Check.
+// Count returns the number of suspensions that Check has detected.
 func (d *Detector) Count() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,10 +1,9 @@
-// Package traffic counts the bytes that a process sends and receives, by what they
-// are for and by how far they go.
+// Package traffic counts the bytes that a process sends and receives, by purpose and distance.
 //
-// A caller names both in the context of a call (With). Connections made by Dial, and
-// calls made through RoundTripper, count for what the context names. The side that
-// calls counts both directions, so that the sum over all processes holds each byte
-// between two of them once. Bytes are those of the connection, without TCP's and IP's own.
+// With labels the context of a call with both. Connections made by Dial and calls made through
+// RoundTripper are counted under the context's label. The calling side counts both directions, so
+// the sum over all processes contains each byte between two of them once. TCP and IP headers aren't
+// counted.
 package traffic
 
 import (
@@ -14,87 +13,85 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// Purpose tells what bytes are for.
+// Purpose is what bytes are sent for.
 type Purpose uint8
 
 // Purposes.
 const (
-	// Other is what no caller has named.
+	// Other is traffic without a label.
 	Other Purpose = iota
-	// Probes are the messages by which nodes learn who is alive.
+	// Probes are the failure detector's messages between nodes.
 	Probes
-	// Exchanges are whole memberships.
+	// Exchanges are transfers of the full membership.
 	Exchanges
-	// Loads are nodes' reports of what they have sent to workers.
+	// Loads are nodes' reports of the requests that they have sent to workers.
 	Loads
-	// Announcements are reports of single placements and of changes at once.
+	// Announcements are immediate reports of single placements and of changes.
 	Announcements
-	// Uses is what tenants have used.
+	// Uses are reports of tenants' quota usage.
 	Uses
-	// Watches bring rows of the store from another node.
+	// Watches are rows of the store that another node relays.
 	Watches
-	// Store is what goes to and comes from the store.
+	// Store is traffic with the store itself.
 	Store
-	// CacheEvents are the changes of caches that a node follows.
+	// CacheEvents are events of the caches that a node subscribes to.
 	CacheEvents
-	// WorkerCalls are reports of workers and orders to them.
+	// WorkerCalls are workers' reports and commands to workers.
 	WorkerCalls
-	// Requests are callers' requests as they go to workers, and the answers.
+	// Requests are callers' requests as forwarded to workers, and the answers.
 	Requests
-	// Callers are callers' requests as they come in, and the answers.
+	// Callers are incoming requests of callers, and the answers.
 	Callers
-	// Directory is the questions of callers and the answers.
+	// Directory is callers' queries of the directory, and the answers.
 	Directory
-	// Quarantine is what nodes tell at once of requests that end workers.
+	// Quarantine is immediate reports between nodes of requests that crash workers.
 	Quarantine
-	// Limits are the questions for requests to workers with limits, and what nodes tell at once
-	// of limits.
+	// Limits is requests for grants to workers with rate limits, and immediate reports of such limits.
 	Limits
-	// purposes is the number of purposes.
-	purposes
+	// purposeCount is the number of purposes.
+	purposeCount
 )
 
 // purposeNames are the purposes' names in metrics and log lines.
-var purposeNames = [purposes]string{
+var purposeNames = [purposeCount]string{
 	"other", "probes", "exchanges", "loads", "announcements", "uses", "watches", "store", "cache_events", "worker_calls",
 	"requests", "callers", "directory", "quarantine", "limits",
 }
 
 // String returns the purpose's name.
 func (p Purpose) String() string {
-	if p < purposes {
+	if p < purposeCount {
 		return purposeNames[p]
 	}
 	return purposeNames[Other]
 }
 
-// Distance tells how far bytes go.
+// Distance is how far bytes travel.
 type Distance uint8
 
 // Distances.
 const (
-	// Unknown is the distance to whom no place is known of.
+	// Unknown is the distance to a peer of unknown location.
 	Unknown Distance = iota
 	SameZone
 	OtherZone
 	OtherRegion
-	// distances is the number of distances.
-	distances
+	// distanceCount is the number of distances.
+	distanceCount
 )
 
 // distanceNames are the distances' names in metrics and log lines.
-var distanceNames = [distances]string{"unknown", "same_zone", "other_zone", "other_region"}
+var distanceNames = [distanceCount]string{"unknown", "same_zone", "other_zone", "other_region"}
 
 // String returns the distance's name.
 func (d Distance) String() string {
-	if d < distances {
+	if d < distanceCount {
 		return distanceNames[d]
 	}
 	return distanceNames[Unknown]
 }
 
-// Between returns the distance between two places, of which names may be empty if they
-// aren't known.
+// Between returns the distance between two locations. Empty names in a location are unknown.
 func Between(one, other membership.Location) Distance {
 	switch {
 	case one.Zone == "" || other.Zone == "":
@@ -108,24 +105,24 @@
 	}
 }
 
-// Direction tells where bytes go to.
+// Direction is whether bytes are sent or received.
 type Direction uint8
 
 // Directions.
 const (
 	Sent Direction = iota
 	Received
-	// directions is the number of directions.
-	directions
+	// directionCount is the number of directions.
+	directionCount
 )
 
 // directionNames are the directions' names in metrics and log lines.
-var directionNames = [directions]string{"sent", "received"}
+var directionNames = [directionCount]string{"sent", "received"}
 
 // String returns the direction's name.
 func (d Direction) String() string { return directionNames[d&1] }
 
-// Count is the bytes of one purpose, distance and direction since the start.
+// Count is the number of bytes of one purpose, distance and direction since the process started.
 type Count struct {
 	Purpose   Purpose
 	Distance  Distance
@@ -133,32 +130,32 @@
 	Bytes     uint64
 }
 
-// account counts the bytes of one purpose and distance.
-type account [directions]atomic.Uint64
+// counters holds the byte counts of one purpose and distance, by direction.
+type counters [directionCount]atomic.Uint64
 
-// Meter counts bytes. It is safe for concurrent use; its zero value is ready.
+// Meter counts bytes. It is safe for concurrent use; its zero value is ready to use.
 type Meter struct {
-	accounts [purposes][distances]account
+	counters [purposeCount][distanceCount]counters
 }
 
-// Add counts bytes.
+// Add adds bytes to the count of a purpose, distance and direction.
 func (m *Meter) Add(purpose Purpose, distance Distance, direction Direction, bytes int) {
 	if bytes > 0 {
-		m.account(purpose, distance)[direction].Add(uint64(bytes))
+		m.countersFor(purpose, distance)[direction].Add(uint64(bytes))
 	}
 }
 
-func (m *Meter) account(purpose Purpose, distance Distance) *account {
-	return &m.accounts[purpose][distance]
+func (m *Meter) countersFor(purpose Purpose, distance Distance) *counters {
+	return &m.counters[purpose][distance]
 }
 
-// Counts returns all counts that aren't zero, by purpose, distance and direction.
+// Counts returns all counts that aren't zero, sorted by purpose, distance and direction.
 func (m *Meter) Counts() []Count {
 	var counts []Count
-	for purpose := range purposes {
-		for distance := range distances {
-			for direction := range directions {
-				if bytes := m.accounts[purpose][distance][direction].Load(); bytes > 0 {
+	for purpose := range purposeCount {
+		for distance := range distanceCount {
+			for direction := range directionCount {
+				if bytes := m.counters[purpose][distance][direction].Load(); bytes > 0 {
 					counts = append(counts, Count{Purpose: purpose, Distance: distance, Direction: direction, Bytes: bytes})
 				}
 			}
@@ -167,22 +164,22 @@
 	return counts
 }
 
-// label is what a context names.
+// label is the purpose and distance that a context carries.
 type label struct {
 	purpose  Purpose
 	distance Distance
 }
 
-// labelKey is the key of a context's label.
+// labelKey is the context key of a label.
 type labelKey struct{}
 
-// With returns a context whose calls count for a purpose and a distance.
+// With returns a context whose calls are counted under a purpose and a distance.
 func With(ctx context.Context, purpose Purpose, distance Distance) context.Context {
 	return context.WithValue(ctx, labelKey{}, label{purpose: purpose, distance: distance})
 }
 
-// labelOf returns what a context names: Other and Unknown if nothing.
+// labelOf returns the context's label; Other and Unknown if it has none.
 func labelOf(ctx context.Context) label {
-	named, _ := ctx.Value(labelKey{}).(label)
-	return named
+	found, _ := ctx.Value(labelKey{}).(label)
+	return found
 }
