--- a/cmd/tillerfall/control.go
+++ b/cmd/tillerfall/control.go
@@ -116,7 +116,7 @@
 	if errors.As(err, &refused) && refused.Code() == twirp.Malformed {
 		return resultcode.New(resultcode.StatementSyntax, refused.Msg())
 	}
-	if parsed, unread := operator.Parse(statement); unread == nil && parsed.ReadsOnly() {
+	if parsed, unread := operator.Parse(statement); unread == nil && parsed.IsReadOnly() {
 		return resultcode.New(resultcode.NoRouter, "the router's answer was lost: "+err.Error())
 	}
 	return resultcode.New(resultcode.CommandUncertain,
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -54,7 +54,7 @@
 	// snapshotWanted is set when changes of the configuration couldn't be applied.
 	snapshotWanted atomic.Bool
 	routers        *routers
-	engines        *engine.Connections
+	engines        *engine.ConnectionPool
 	budget         attempt.RetryBudget
 	concurrency    *concurrency
 	duplicates     *duplicates
@@ -89,7 +89,7 @@
 		metrics:  newMetrics(registry),
 		config:   config.NewHolder(),
 		routers:  newRouters(clock, settings.ranking(), settings.Routers, time.Duration(settings.Sync.BackoffMax)),
-		engines: engine.NewConnections(engine.Options{
+		engines: engine.NewConnectionPool(engine.Options{
 			ConnectTimeout: time.Duration(settings.Engines.ConnectTimeout),
 			HeaderTimeout:  time.Duration(settings.Engines.HeaderTimeout),
 		}),
--- a/internal/engine/checksum.go
+++ b/internal/engine/checksum.go
@@ -9,9 +9,9 @@
 // fieldSeparator keeps adjacent names in a checksum from running together.
 const fieldSeparator = "\x00"
 
-// Sum computes the checksum over owner, weights and hashes. It guards against
+// ComputeChecksum computes the checksum over owner, weights and hashes. It guards against
 // mixing bundles up, not against forgery.
-func (b *KVBundle) Sum() uint64 {
+func (b *KVBundle) ComputeChecksum() uint64 {
 	digest := xxhash.New()
 	for _, name := range []string{
 		string(b.Tenant),
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -31,7 +31,7 @@
 
 // New returns a client of the engine at an address.
 func New(address fleet.Address, options Options) *Client {
-	return NewConnections(options).Client(address)
+	return NewConnectionPool(options).Client(address)
 }
 
 // CloseIdle closes the connections that no exchange uses, also those of other
@@ -84,8 +84,8 @@
 	return answer, err
 }
 
-// Events waits up to wait for cache events after a sequence number.
-func (c *Client) Events(ctx context.Context, after uint64, wait time.Duration) (CacheEvents, error) {
+// PollCacheEvents waits up to wait for cache events after a sequence number.
+func (c *Client) PollCacheEvents(ctx context.Context, after uint64, wait time.Duration) (CacheEvents, error) {
 	var answer CacheEvents
 	path := fmt.Sprintf("%s?after=%d&wait_ms=%d", PathEvents, after, wait.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, wait+c.options.HeaderTimeout)
@@ -94,15 +94,15 @@
 	return answer, err
 }
 
-// Cache asks for the whole set of cached blocks.
-func (c *Client) Cache(ctx context.Context) (CacheSnapshot, error) {
+// CacheSnapshot asks for the whole set of cached blocks.
+func (c *Client) CacheSnapshot(ctx context.Context) (CacheSnapshot, error) {
 	var answer CacheSnapshot
 	err := c.call(ctx, http.MethodGet, PathCache, nil, &answer)
 	return answer, err
 }
 
-// Order sends a fenced order.
-func (c *Client) Order(ctx context.Context, order Order) error {
+// SendOrder sends a fenced order.
+func (c *Client) SendOrder(ctx context.Context, order Order) error {
 	return c.call(ctx, http.MethodPost, PathOrders, order, nil)
 }
 
@@ -112,7 +112,7 @@
 	if err := c.call(ctx, http.MethodPost, PathExport, request, &answer); err != nil {
 		return KVBundle{}, err
 	}
-	if answer.Sum() != answer.Checksum || answer.Tenant != request.Tenant || answer.Weights != request.Weights {
+	if answer.ComputeChecksum() != answer.Checksum || answer.Tenant != request.Tenant || answer.Weights != request.Weights {
 		return KVBundle{}, &Error{Code: ErrorChecksum, Message: "bundle fails its check", Sent: true}
 	}
 	return answer, nil
@@ -142,7 +142,7 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, c.options.MaxBodyBytes+1))
 	if err != nil {
-		return lost(ctx, err)
+		return connectionLost(ctx, err)
 	}
 	if int64(len(data)) > c.options.MaxBodyBytes {
 		return &Error{Code: ErrorProtocol, Message: "answer over the limit", Sent: true}
@@ -169,7 +169,7 @@
 	case err != nil && !connected.Load():
 		return nil, &Error{Code: ErrorConnect, Message: err.Error(), Cause: err}
 	case err != nil:
-		return nil, lost(ctx, err)
+		return nil, connectionLost(ctx, err)
 	case response.StatusCode >= http.StatusMultipleChoices:
 		defer response.Body.Close()
 		return nil, c.readError(response)
@@ -195,7 +195,7 @@
 	return request, nil
 }
 
-func lost(ctx context.Context, err error) *Error {
+func connectionLost(ctx context.Context, err error) *Error {
 	if ctx.Err() != nil {
 		err = errors.Wrap(ctx.Err(), err.Error())
 	}
--- a/internal/engine/connections.go
+++ b/internal/engine/connections.go
@@ -44,18 +44,18 @@
 	return o
 }
 
-// Connections are what the clients of many engines share, so that a process
+// ConnectionPool are what the clients of many engines share, so that a process
 // can know thousands of engines at little cost.
-type Connections struct {
+type ConnectionPool struct {
 	options Options
 	streams *http.Client
 	control *http.Client
 }
 
-// NewConnections returns an empty set of connections.
-func NewConnections(options Options) *Connections {
+// NewConnectionPool returns an empty set of connections.
+func NewConnectionPool(options Options) *ConnectionPool {
 	options = options.withDefaults()
-	return &Connections{
+	return &ConnectionPool{
 		options: options,
 		streams: newHTTPClient(options, true),
 		control: newHTTPClient(options, false),
@@ -63,7 +63,7 @@
 }
 
 // Client returns a client of the engine at an address.
-func (c *Connections) Client(address fleet.Address) *Client {
+func (c *ConnectionPool) Client(address fleet.Address) *Client {
 	return &Client{
 		base:    "http://" + string(address),
 		options: c.options,
--- a/internal/engine/frames.go
+++ b/internal/engine/frames.go
@@ -49,8 +49,8 @@
 type FrameDecoder struct {
 	reader       *bufio.Reader
 	maxLineBytes int
-	// long gathers a line that is longer than the reader's buffer.
-	long []byte
+	// longLine gathers a line that is longer than the reader's buffer.
+	longLine []byte
 }
 
 // decoderBufferBytes is the memory of an open stream for reading; ordinary
@@ -121,12 +121,12 @@
 // readLongLine goes on with a line that fills the reader's buffer, up to one
 // buffer over the bound.
 func (d *FrameDecoder) readLongLine(start []byte) ([]byte, error) {
-	d.long = append(d.long[:0], start...)
+	d.longLine = append(d.longLine[:0], start...)
 	for {
 		part, err := d.reader.ReadSlice('\n')
-		d.long = append(d.long, part...)
-		if err != bufio.ErrBufferFull || len(d.long) > d.maxLineBytes {
-			return d.long, err
+		d.longLine = append(d.longLine, part...)
+		if err != bufio.ErrBufferFull || len(d.longLine) > d.maxLineBytes {
+			return d.longLine, err
 		}
 	}
 }
--- a/internal/engine/frames_test.go
+++ b/internal/engine/frames_test.go
@@ -103,7 +103,7 @@
 
 func TestChecksumCoversOwnerWeightsAndHashes(t *testing.T) {
 	bundle := engine.KVBundle{Tenant: "a", Weights: engine.Weights{Model: "m", Version: "v"}, Hashes: []fleet.BlockHash{1, 2}}
-	sum := bundle.Sum()
+	sum := bundle.ComputeChecksum()
 	for _, change := range []func(*engine.KVBundle){
 		func(b *engine.KVBundle) { b.Tenant = "b" },
 		func(b *engine.KVBundle) { b.Weights.Model, b.Weights.Adapter = "", "m" },
@@ -112,6 +112,6 @@
 	} {
 		changed := bundle
 		change(&changed)
-		assert.NotEqual(t, sum, changed.Sum())
+		assert.NotEqual(t, sum, changed.ComputeChecksum())
 	}
 }
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -15,8 +15,8 @@
 	writeJSON(writer, httpStatus(failure.Code), body)
 }
 
-// WriteAnswer answers a request with a JSON body.
-func WriteAnswer(writer http.ResponseWriter, body any) {
+// WriteResponse answers a request with a JSON body.
+func WriteResponse(writer http.ResponseWriter, body any) {
 	writeJSON(writer, http.StatusOK, body)
 }
 
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -12,20 +12,20 @@
 // Stream reads the frames of one stream from one connection. It isn't safe for
 // concurrent use, save Close.
 type Stream struct {
-	id       fleet.StreamID
-	body     io.ReadCloser
-	decoder  *FrameDecoder
-	next     int
-	accepted bool
-	ended    bool
+	id        fleet.StreamID
+	body      io.ReadCloser
+	decoder   *FrameDecoder
+	nextIndex int
+	accepted  bool
+	ended     bool
 }
 
 func newStream(id fleet.StreamID, offset int, response *http.Response, maxLineBytes int) *Stream {
 	return &Stream{
-		id:      id,
-		body:    response.Body,
-		decoder: NewFrameDecoder(response.Body, maxLineBytes),
-		next:    offset,
+		id:        id,
+		body:      response.Body,
+		decoder:   NewFrameDecoder(response.Body, maxLineBytes),
+		nextIndex: offset,
 	}
 }
 
@@ -43,16 +43,16 @@
 	if err != nil {
 		return Frame{}, s.fail(ctx, err)
 	}
-	if problem := s.check(frame); problem != "" {
+	if problem := s.validate(frame); problem != "" {
 		s.Close()
 		return Frame{}, &Error{Code: ErrorProtocol, Message: problem, Sent: true}
 	}
-	s.follow(frame)
+	s.advance(frame)
 	return frame, nil
 }
 
 // Offset is the number of the token that a resume has to ask for.
-func (s *Stream) Offset() int { return s.next }
+func (s *Stream) Offset() int { return s.nextIndex }
 
 // ID is the identifier of the stream.
 func (s *Stream) ID() fleet.StreamID { return s.id }
@@ -80,29 +80,29 @@
 	return failure
 }
 
-// check returns what is wrong with a frame, or "".
-func (s *Stream) check(frame Frame) string {
+// validate returns what is wrong with a frame, or "".
+func (s *Stream) validate(frame Frame) string {
 	if frame.Stream != s.id {
 		return fmt.Sprintf("frame of stream %q on stream %q", frame.Stream, s.id)
 	}
 	if s.accepted == (frame.Kind == FrameAccepted) {
 		return fmt.Sprintf("frame %q out of place", frame.Kind)
 	}
-	if frame.Kind == FrameToken && frame.Index != s.next {
-		return fmt.Sprintf("token %d where %d was due", frame.Index, s.next)
+	if frame.Kind == FrameToken && frame.Index != s.nextIndex {
+		return fmt.Sprintf("token %d where %d was due", frame.Index, s.nextIndex)
 	}
-	if frame.Kind == FrameDone && frame.Count != s.next {
-		return fmt.Sprintf("final count %d after %d tokens", frame.Count, s.next)
+	if frame.Kind == FrameDone && frame.Count != s.nextIndex {
+		return fmt.Sprintf("final count %d after %d tokens", frame.Count, s.nextIndex)
 	}
 	return ""
 }
 
-func (s *Stream) follow(frame Frame) {
+func (s *Stream) advance(frame Frame) {
 	switch frame.Kind {
 	case FrameAccepted:
 		s.accepted = true
 	case FrameToken:
-		s.next++
+		s.nextIndex++
 	case FrameDone, FrameError:
 		s.ended = true
 		s.Close()
--- a/internal/operator/grammar.go
+++ b/internal/operator/grammar.go
@@ -26,8 +26,8 @@
 // IsQuery tells whether the statement only reads one router's view.
 func (s *Statement) IsQuery() bool { return s.Show != nil || s.Where != nil || s.Explain != nil }
 
-// ReadsOnly tells whether the statement changes nothing.
-func (s *Statement) ReadsOnly() bool { return s.IsQuery() || s.Lookup != nil }
+// IsReadOnly tells whether the statement changes nothing.
+func (s *Statement) IsReadOnly() bool { return s.IsQuery() || s.Lookup != nil }
 
 // Word is a name with its place in the statement.
 type Word struct {
@@ -58,12 +58,12 @@
 
 // PrefixStatement names a prefix by block hash or by text.
 type PrefixStatement struct {
-	Hash *Word           `parser:"  'hash' @@"`
-	Text *PrefixByScoped `parser:"| 'text' @@"`
+	Hash *Word         `parser:"  'hash' @@"`
+	Text *ScopedPrefix `parser:"| 'text' @@"`
 }
 
-// PrefixByScoped is a prefix text with the scope that it is hashed in.
-type PrefixByScoped struct {
+// ScopedPrefix is a prefix text with the scope that it is hashed in.
+type ScopedPrefix struct {
 	Text   *Word `parser:"@@"`
 	Tenant *Word `parser:"'tenant' @@"`
 	Model  *Word `parser:"'model' @@"`
--- a/internal/operator/mutate.go
+++ b/internal/operator/mutate.go
@@ -26,27 +26,27 @@
 			return document, resultcode.New(resultcode.CommandImpossible, fmt.Sprintf("engine %q isn't drained", run.Engine))
 		}
 		next := config.Canonical(document)
-		next.Directives = slices.DeleteFunc(next.Directives, isDirective(run, config.DirectiveDrain))
+		next.Directives = slices.DeleteFunc(next.Directives, matchDirective(run, config.DirectiveDrain))
 		return next, nil
 	}
 }
 
 func hasDirective(document config.Document, run fleet.EngineRun, kind config.DirectiveKind) bool {
-	return slices.ContainsFunc(document.Directives, isDirective(run, kind))
+	return slices.ContainsFunc(document.Directives, matchDirective(run, kind))
 }
 
-func isDirective(run fleet.EngineRun, kind config.DirectiveKind) func(config.Directive) bool {
+func matchDirective(run fleet.EngineRun, kind config.DirectiveKind) func(config.Directive) bool {
 	return func(directive config.Directive) bool {
-		return concerns(directive, run) && directive.Kind == kind
+		return appliesTo(directive, run) && directive.Kind == kind
 	}
 }
 
-// directEngine sets a standing order, in place of an earlier one of its kind.
-func directEngine(run fleet.EngineRun, kind config.DirectiveKind, role string) Mutation {
+// setDirective sets a standing order, in place of an earlier one of its kind.
+func setDirective(run fleet.EngineRun, kind config.DirectiveKind, role string) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(document)
 		next.Directives = slices.DeleteFunc(next.Directives, func(directive config.Directive) bool {
-			return supersededBy(directive, run, kind)
+			return isSuperseded(directive, run, kind)
 		})
 		next.Directives = append(next.Directives, config.Directive{
 			Engine: run.Engine, Incarnation: run.Incarnation, Kind: kind, Role: role,
@@ -55,13 +55,13 @@
 	}
 }
 
-func concerns(directive config.Directive, run fleet.EngineRun) bool {
+func appliesTo(directive config.Directive, run fleet.EngineRun) bool {
 	return directive.Engine == run.Engine && directive.Incarnation == run.Incarnation
 }
 
-// supersededBy tells whether a new order ends an earlier one: the same order
+// isSuperseded tells whether a new order ends an earlier one: the same order
 // of the same run, or any order of a run that is over.
-func supersededBy(directive config.Directive, run fleet.EngineRun, kind config.DirectiveKind) bool {
+func isSuperseded(directive config.Directive, run fleet.EngineRun, kind config.DirectiveKind) bool {
 	if directive.Engine != run.Engine {
 		return false
 	}
@@ -122,9 +122,9 @@
 	}
 }
 
-// replaceAll puts a whole configuration in place of the present one. Operators'
+// replaceConfiguration puts a whole configuration in place of the present one. Operators'
 // orders of single engines stay: a file doesn't hold them.
-func replaceAll(replacement config.Document) Mutation {
+func replaceConfiguration(replacement config.Document) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(replacement)
 		next.Revision = document.Revision
@@ -153,12 +153,12 @@
 func findVersion(versions []config.Version, target fleet.Weights) (int, error) {
 	position := slices.IndexFunc(versions, func(version config.Version) bool { return version.Name == target.Version })
 	if position < 0 {
-		return 0, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no version %q of %s", target.Version, weightsName(target)))
+		return 0, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no version %q of %s", target.Version, formatModelName(target)))
 	}
 	return position, nil
 }
 
-func weightsName(weights fleet.Weights) string {
+func formatModelName(weights fleet.Weights) string {
 	if weights.Adapter == "" {
 		return string(weights.Model)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -20,8 +20,8 @@
 
 // stubSource is a fixed view of a small fleet.
 type stubSource struct {
-	document config.Document
-	asked    []fleet.BlockHash
+	document      config.Document
+	queriedHashes []fleet.BlockHash
 }
 
 func (s *stubSource) Configuration() (config.Document, bool) { return s.document, true }
@@ -37,7 +37,7 @@
 	return []Waiting{{Request: "q1", Attempt: 1, Tenant: "t", Class: "counter"}, {Request: "q2", Tenant: "u", Class: "batch"}}
 }
 func (s *stubSource) Holders(hashes []fleet.BlockHash) []Holder {
-	s.asked = hashes
+	s.queriedHashes = hashes
 	return []Holder{{Run: fleet.EngineRun{Engine: "e1", Incarnation: 4}, Blocks: 1}}
 }
 func (s *stubSource) RequestBlocks(request fleet.RequestID) ([]fleet.BlockHash, bool) {
@@ -53,9 +53,9 @@
 type stubStore struct {
 	document config.Document
 	failure  error
-	done     map[string]Outcome
-	// remembers has a token that was used get its first outcome again.
-	remembers bool
+	outcomes map[string]Outcome
+	// deduplicates has a token that was used get its first outcome again.
+	deduplicates bool
 }
 
 func (s *stubStore) Commit(_ context.Context, change Change) (Outcome, error) {
@@ -65,7 +65,7 @@
 	if change.ExpectedRevision != 0 && change.ExpectedRevision != s.document.Revision {
 		return Outcome{}, resultcode.New(resultcode.RevisionConflict, "changed")
 	}
-	if outcome, known := s.done[change.Token]; known && s.remembers {
+	if outcome, known := s.outcomes[change.Token]; known && s.deduplicates {
 		return outcome, nil
 	}
 	next, err := change.Mutate(s.document)
@@ -78,12 +78,12 @@
 	}
 	next.Revision = s.document.Revision + 1
 	s.document = next
-	s.done[change.Token] = Outcome{Revision: next.Revision, Statement: change.Statement}
-	return s.done[change.Token], nil
+	s.outcomes[change.Token] = Outcome{Revision: next.Revision, Statement: change.Statement}
+	return s.outcomes[change.Token], nil
 }
 
 func (s *stubStore) Lookup(_ context.Context, token string) (Outcome, bool, error) {
-	outcome, found := s.done[token]
+	outcome, found := s.outcomes[token]
 	return outcome, found, s.failure
 }
 
@@ -121,7 +121,7 @@
 	document.Revision = 10
 	source := &stubSource{document: *document}
 	source.document.Directives = []config.Directive{{Engine: "e2", Incarnation: 7, Kind: config.DirectiveDrain}}
-	store := &stubStore{document: *document, done: map[string]Outcome{}}
+	store := &stubStore{document: *document, outcomes: map[string]Outcome{}}
 	return fixture{source, store, NewRunner(source, store, stubReadiness{readiness})}
 }
 
@@ -214,7 +214,7 @@
 	result := f.run(`where prefix text "` + text + `" tenant t model m:a`)
 	require.Equal(t, resultcode.OK, result.Code, result.Message)
 	scope := fleet.CacheScope{Tenant: "t", Weights: fleet.Weights{Model: "m", Adapter: "a", Version: "a1"}}
-	assert.Equal(t, prompt.HashBlocks(scope, text, 4), f.source.asked)
+	assert.Equal(t, prompt.HashBlocks(scope, text, 4), f.source.queriedHashes)
 }
 
 func TestEngineCommandsWriteDirectivesOfTheRun(t *testing.T) {
@@ -234,16 +234,16 @@
 	assert.Equal(t, resultcode.CommandImpossible, f.run("admit e2").Code, "a retired run doesn't come back")
 }
 
-// unheardSource lists an engine that hasn't named its run.
-type unheardSource struct{ *stubSource }
+// unknownRunSource lists an engine that hasn't named its run.
+type unknownRunSource struct{ *stubSource }
 
-func (unheardSource) Engines() []Engine {
+func (unknownRunSource) Engines() []Engine {
 	return []Engine{{Run: fleet.EngineRun{Engine: "e1"}, State: "unknown"}}
 }
 
 func TestOrderNeedsARun(t *testing.T) {
 	f := newFixture(t, nil)
-	runner := NewRunner(unheardSource{f.source}, f.store, stubReadiness{})
+	runner := NewRunner(unknownRunSource{f.source}, f.store, stubReadiness{})
 	for _, statement := range []string{"drain e1", "retire e1", "admit e1", "role e1 decode"} {
 		result := runner.Run(context.Background(), Request{Statement: statement})
 		assert.Equal(t, resultcode.CommandImpossible, result.Code, statement)
@@ -313,7 +313,7 @@
 
 func TestTokenOfAnotherCommandIsRefused(t *testing.T) {
 	f := newFixture(t, nil)
-	f.store.remembers = true
+	f.store.deduplicates = true
 	first := f.run("drain e1")
 	require.Equal(t, resultcode.OK, first.Code)
 	assert.Equal(t, first, f.run("drain e1"), "the same command again")
@@ -325,12 +325,12 @@
 
 func TestLongStatementsAreRecordedByDigest(t *testing.T) {
 	f := newFixture(t, nil)
-	f.store.remembers = true
-	padding := strings.Repeat("# ü\n", maxRecordedStatement)
+	f.store.deduplicates = true
+	padding := strings.Repeat("# ü\n", maxRecordedBytes)
 	long := "apply " + padding + baseYAML
 	require.Equal(t, resultcode.OK, f.run(long).Code)
-	recorded := f.store.done["token"].Statement
-	assert.Less(t, len(recorded), maxRecordedStatement)
+	recorded := f.store.outcomes["token"].Statement
+	assert.Less(t, len(recorded), maxRecordedBytes)
 	assert.True(t, utf8.ValidString(recorded))
 	assert.Equal(t, resultcode.OK, f.run(long).Code, "the same command again")
 	assert.Equal(t, resultcode.CommandImpossible, f.run(long+"\n").Code, "another of the same beginning")
--- a/internal/operator/parse.go
+++ b/internal/operator/parse.go
@@ -33,20 +33,20 @@
 // MaxStatementBytes bounds a statement, a whole configuration included.
 const MaxStatementBytes = 4 << 20
 
-// maxWordsBytes bounds every statement but apply.
-const maxWordsBytes = 64 << 10
+// maxPlainStatementBytes bounds every statement but apply.
+const maxPlainStatementBytes = 64 << 10
 
 // Parse turns text into a syntax tree or returns a *SyntaxError.
 func Parse(text string) (*Statement, error) {
 	if document, found := cutApply(text); found {
 		return &Statement{Apply: &document}, nil
 	}
-	if len(text) > maxWordsBytes {
-		return nil, &SyntaxError{Column: 1, Message: fmt.Sprintf("the statement is over %d bytes", maxWordsBytes)}
+	if len(text) > maxPlainStatementBytes {
+		return nil, &SyntaxError{Column: 1, Message: fmt.Sprintf("the statement is over %d bytes", maxPlainStatementBytes)}
 	}
 	statement, err := statementParser.ParseString("", text)
 	if err != nil {
-		return nil, describe(text, err)
+		return nil, newSyntaxError(text, err)
 	}
 	return statement, nil
 }
@@ -64,10 +64,10 @@
 	return rest[1:], true
 }
 
-func describe(text string, err error) error {
+func newSyntaxError(text string, err error) error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
-		return describeToken(text, unexpected)
+		return newUnexpectedTokenError(text, unexpected)
 	}
 	var located participle.Error
 	if errors.As(err, &located) {
@@ -76,7 +76,7 @@
 	return &SyntaxError{Column: 1, Message: err.Error()}
 }
 
-func describeToken(text string, err *participle.UnexpectedTokenError) error {
+func newUnexpectedTokenError(text string, err *participle.UnexpectedTokenError) error {
 	token := err.Unexpected
 	before := text[:min(max(token.Pos.Offset, 0), len(text))]
 	expected := expectedKeywords(before)
@@ -84,7 +84,7 @@
 	if token.EOF() {
 		result.Message = "the statement ends too early"
 	} else {
-		result.Suggestion = nearest(token.Value, expected)
+		result.Suggestion = closestMatch(token.Value, expected)
 	}
 	if len(expected) > 0 && result.Suggestion == "" {
 		result.Message += "; expected " + strings.Join(expected, ", ")
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -61,7 +61,7 @@
 		return planWhere(statement.Where, source)
 	case statement.Explain != nil:
 		request := fleet.RequestID(statement.Explain.Text)
-		return Plan{Query: func() Result { return explain(source, request) }}, nil
+		return Plan{Query: func() Result { return explainRequest(source, request) }}, nil
 	case statement.Lookup != nil:
 		return Plan{LookupToken: statement.Lookup.Text}, nil
 	case statement.Apply != nil:
@@ -75,11 +75,11 @@
 	case statement.Admit != nil:
 		return planEngine(statement.Admit, source, admitEngine)
 	case statement.Drain != nil:
-		return planEngine(statement.Drain, source, directive(config.DirectiveDrain, ""))
+		return planEngine(statement.Drain, source, directiveMutation(config.DirectiveDrain, ""))
 	case statement.Retire != nil && statement.Retire.Engine != nil:
-		return planEngine(statement.Retire.Engine, source, directive(config.DirectiveRetire, ""))
+		return planEngine(statement.Retire.Engine, source, directiveMutation(config.DirectiveRetire, ""))
 	case statement.Role != nil:
-		return planEngine(statement.Role.Engine, source, directive(config.DirectiveRole, statement.Role.Role))
+		return planEngine(statement.Role.Engine, source, directiveMutation(config.DirectiveRole, statement.Role.Role))
 	case statement.Retire != nil:
 		return planVersion(statement.Retire.Version, false)
 	case statement.Promote != nil:
@@ -88,8 +88,8 @@
 	return Plan{}, &PlanError{Code: resultcode.StatementUnknown, Column: 1, Message: "unknown statement"}
 }
 
-func directive(kind config.DirectiveKind, role string) func(fleet.EngineRun) Mutation {
-	return func(run fleet.EngineRun) Mutation { return directEngine(run, kind, role) }
+func directiveMutation(kind config.DirectiveKind, role string) func(fleet.EngineRun) Mutation {
+	return func(run fleet.EngineRun) Mutation { return setDirective(run, kind, role) }
 }
 
 func planEngine(name *Word, source Source, mutation func(fleet.EngineRun) Mutation) (Plan, error) {
@@ -114,21 +114,21 @@
 }
 
 func planVersion(reference *VersionReference, promote bool) (Plan, error) {
-	target := parseWeights(reference.Target.Text)
+	target := parseModelName(reference.Target.Text)
 	target.Version = fleet.VersionName(reference.Version.Text)
 	if target.Model == "" {
 		return Plan{}, notFound(reference.Target, "model")
 	}
 	if !promote {
-		return Plan{Command: &Command{Mutate: locate(reference, target, retireVersion(target))}}, nil
+		return Plan{Command: &Command{Mutate: withErrorColumn(reference, target, retireVersion(target))}}, nil
 	}
 	promotes := func(config.Document) []fleet.Weights { return []fleet.Weights{target} }
-	return Plan{Command: &Command{Mutate: locate(reference, target, promoteVersion(target)), Promotes: promotes}}, nil
+	return Plan{Command: &Command{Mutate: withErrorColumn(reference, target, promoteVersion(target)), Promotes: promotes}}, nil
 }
 
-// locate makes a mutation that doesn't find its version point at the word that
+// withErrorColumn makes a mutation that doesn't find its version point at the word that
 // is wrong. Only the mutation can tell: the router's view may be behind.
-func locate(reference *VersionReference, target fleet.Weights, mutation Mutation) Mutation {
+func withErrorColumn(reference *VersionReference, target fleet.Weights, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
 		var coded *resultcode.Error
@@ -143,7 +143,7 @@
 	}
 }
 
-func parseWeights(text string) fleet.Weights {
+func parseModelName(text string) fleet.Weights {
 	model, adapter, _ := strings.Cut(text, config.AdapterSeparator)
 	return fleet.Weights{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
 }
@@ -154,7 +154,7 @@
 		return Plan{}, &PlanError{Code: resultcode.ConfigInvalid, Message: err.Error()}
 	}
 	promotes := func(before config.Document) []fleet.Weights { return newlyServing(before, *document) }
-	return Plan{Command: &Command{Mutate: replaceAll(*document), Promotes: promotes}}, nil
+	return Plan{Command: &Command{Mutate: replaceConfiguration(*document), Promotes: promotes}}, nil
 }
 
 // newlyServing returns the weights that serve after a change in place of
@@ -206,14 +206,14 @@
 	hashes, found := source.RequestBlocks(fleet.RequestID(name.Text))
 	if !found {
 		return Plan{}, &PlanError{
-			Code: resultcode.TargetNotFound, Column: name.Pos.Column, Message: unknownRequest(fleet.RequestID(name.Text)),
+			Code: resultcode.TargetNotFound, Column: name.Pos.Column, Message: unknownRequestMessage(fleet.RequestID(name.Text)),
 		}
 	}
 	return planHolders(hashes, source), nil
 }
 
-// unknownRequest says that only the router which placed a request knows it.
-func unknownRequest(request fleet.RequestID) string {
+// unknownRequestMessage says that only the router which placed a request knows it.
+func unknownRequestMessage(request fleet.RequestID) string {
 	return fmt.Sprintf("no recent request %q at this router", request)
 }
 
@@ -228,7 +228,7 @@
 	return planHolders([]fleet.BlockHash{fleet.BlockHash(hash)}, source), nil
 }
 
-func planText(prefix *PrefixByScoped, source Source) (Plan, error) {
+func planText(prefix *ScopedPrefix, source Source) (Plan, error) {
 	document, known := source.Configuration()
 	if !known {
 		return Plan{}, &PlanError{Code: resultcode.NoConfiguration, Message: "no configuration is known yet"}
@@ -236,7 +236,7 @@
 	if !slices.ContainsFunc(document.Tenants, func(t config.Tenant) bool { return string(t.Name) == prefix.Tenant.Text }) {
 		return Plan{}, notFound(prefix.Tenant, "tenant")
 	}
-	wanted := parseWeights(prefix.Model.Text)
+	wanted := parseModelName(prefix.Model.Text)
 	for _, weights := range servingWeights(document) {
 		if weights.Model != wanted.Model || weights.Adapter != wanted.Adapter {
 			continue
@@ -259,5 +259,5 @@
 }
 
 func planHolders(hashes []fleet.BlockHash, source Source) Plan {
-	return Plan{Query: func() Result { return holders(source, hashes) }}
+	return Plan{Query: func() Result { return listHolders(source, hashes) }}
 }
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -100,23 +100,23 @@
 
 func unknownColumn(column int, name string, selected table) *PlanError {
 	message := fmt.Sprintf("no column %q to filter by; there are %s", name, strings.Join(selected.columns, ", "))
-	if suggestion := nearest(name, selected.columns); suggestion != "" {
+	if suggestion := closestMatch(name, selected.columns); suggestion != "" {
 		message += fmt.Sprintf("; did you mean %q?", suggestion)
 	}
 	return &PlanError{Code: resultcode.StatementSyntax, Column: column, Message: message}
 }
 
 func listTable(source Source, selected table, filters []rowFilter) Result {
-	result := Result{Columns: columnsOf(selected.columns)}
+	result := Result{Columns: newColumns(selected.columns)}
 	for _, row := range selected.rows(source) {
-		if passes(row, filters) {
+		if matchesAll(row, filters) {
 			result.Rows = append(result.Rows, row)
 		}
 	}
 	return result
 }
 
-func columnsOf(names []string) []Column {
+func newColumns(names []string) []Column {
 	columns := make([]Column, 0, len(names))
 	for _, name := range names {
 		columns = append(columns, Column{Name: name})
@@ -124,7 +124,7 @@
 	return columns
 }
 
-func passes(row Row, filters []rowFilter) bool {
+func matchesAll(row Row, filters []rowFilter) bool {
 	for _, filter := range filters {
 		if (row[filter.position] == filter.value) != filter.equal {
 			return false
@@ -138,18 +138,18 @@
 	for _, engine := range source.Engines() {
 		var loaded []string
 		for _, weights := range engine.Loaded {
-			loaded = append(loaded, weightsName(weights)+"@"+string(weights.Version))
+			loaded = append(loaded, formatModelName(weights)+"@"+string(weights.Version))
 		}
 		rows = append(rows, Row{
 			string(engine.Run.Engine), formatIncarnation(engine.Run), string(engine.Address), string(engine.Zone),
-			string(engine.Pool), engine.Role, engine.State, engine.LeavingBy, formatFlag(engine.Owned), strconv.Itoa(engine.InFlight),
-			strconv.Itoa(engine.PrefillTokens), strconv.Itoa(engine.CachedBlocks), formatFlag(engine.CacheTrusted), strings.Join(loaded, ","),
+			string(engine.Pool), engine.Role, engine.State, engine.LeavingBy, formatYesNo(engine.Owned), strconv.Itoa(engine.InFlight),
+			strconv.Itoa(engine.PrefillTokens), strconv.Itoa(engine.CachedBlocks), formatYesNo(engine.CacheTrusted), strings.Join(loaded, ","),
 		})
 	}
 	return rows
 }
 
-func formatFlag(flag bool) string {
+func formatYesNo(flag bool) string {
 	if flag {
 		return "yes"
 	}
@@ -205,7 +205,7 @@
 		for _, version := range versions {
 			weights := fleet.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
 			rows = append(rows, Row{
-				weightsName(weights), string(version.Name), string(version.State), string(model.Pool), strconv.Itoa(loaded[weights]),
+				formatModelName(weights), string(version.Name), string(version.State), string(model.Pool), strconv.Itoa(loaded[weights]),
 			})
 		}
 	}
@@ -233,7 +233,7 @@
 	for _, waiting := range source.Waiting() {
 		rows = append(rows, Row{
 			string(waiting.Request), strconv.FormatUint(uint64(waiting.Attempt), 10), string(waiting.Tenant), string(waiting.Class),
-			weightsName(waiting.Weights), string(waiting.Weights.Version), formatDuration(waiting.Waited), waiting.Reason,
+			formatModelName(waiting.Weights), string(waiting.Weights.Version), formatDuration(waiting.Waited), waiting.Reason,
 		})
 	}
 	return rows
@@ -251,8 +251,8 @@
 	return []Row{{strconv.FormatUint(uint64(document.Revision), 10)}}
 }
 
-func holders(source Source, hashes []fleet.BlockHash) Result {
-	result := Result{Columns: columnsOf([]string{"engine", "incarnation", "blocks", "of"})}
+func listHolders(source Source, hashes []fleet.BlockHash) Result {
+	result := Result{Columns: newColumns([]string{"engine", "incarnation", "blocks", "of"})}
 	for _, holder := range source.Holders(hashes) {
 		result.Rows = append(result.Rows, Row{
 			string(holder.Run.Engine), formatIncarnation(holder.Run), strconv.Itoa(holder.Blocks), strconv.Itoa(len(hashes)),
@@ -261,14 +261,14 @@
 	return result
 }
 
-func explain(source Source, request fleet.RequestID) Result {
+func explainRequest(source Source, request fleet.RequestID) Result {
 	explanation, found := source.Explain(request)
 	if !found {
-		return failure(resultcode.TargetNotFound, unknownRequest(request))
+		return failure(resultcode.TargetNotFound, unknownRequestMessage(request))
 	}
 	result := Result{
 		Message: explanation.Outcome,
-		Columns: columnsOf([]string{
+		Columns: newColumns([]string{
 			"engine", "incarnation", "chosen", "rejected", "cached_tokens", "queue", "prefill", "interference", "zone", "recompute",
 		}),
 	}
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -120,13 +120,13 @@
 		Token:            token,
 		ExpectedRevision: request.ExpectedRevision,
 		Statement:        statement,
-		Mutate:           noteColumn(&wrongColumn, r.guard(command)),
+		Mutate:           recordErrorColumn(&wrongColumn, r.requireReadiness(command)),
 	})
 	if err != nil {
 		return commitFailure(token, err)
 	}
 	if outcome.Statement != statement {
-		return tokenReused(token, outcome)
+		return tokenReuseFailure(token, outcome)
 	}
 	result := outcomeResult(token, outcome)
 	if outcome.Code == resultcode.TargetNotFound {
@@ -135,8 +135,8 @@
 	return result
 }
 
-// noteColumn keeps the place of the wrong word of the last run of a mutation.
-func noteColumn(column *int, mutation Mutation) Mutation {
+// recordErrorColumn keeps the place of the wrong word of the last run of a mutation.
+func recordErrorColumn(column *int, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
 		*column = 0
@@ -148,9 +148,9 @@
 	}
 }
 
-// guard refuses a promotion while the weights aren't loaded widely enough. It
+// requireReadiness refuses a promotion while the weights aren't loaded widely enough. It
 // asks at each run of the mutation, on the configuration that is changed.
-func (r *Runner) guard(command *Command) Mutation {
+func (r *Runner) requireReadiness(command *Command) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := command.Mutate(document)
 		if err != nil || command.Promotes == nil {
@@ -184,23 +184,23 @@
 // Bounds of a statement's record: a row of the table service is no place for a
 // whole configuration.
 const (
-	maxRecordedStatement = 1024
-	recordedBeginning    = 200
+	maxRecordedBytes    = 1024
+	recordedPrefixBytes = 200
 )
 
 // recordedStatement returns a statement as it is recorded under its token.
 // Records of different statements differ.
 func recordedStatement(statement string) string {
-	if len(statement) <= maxRecordedStatement {
+	if len(statement) <= maxRecordedBytes {
 		return statement
 	}
-	beginning := strings.ToValidUTF8(statement[:recordedBeginning], "")
+	beginning := strings.ToValidUTF8(statement[:recordedPrefixBytes], "")
 	return fmt.Sprintf("%s\n… %d bytes, SHA-256 %x", beginning, len(statement), sha256.Sum256([]byte(statement)))
 }
 
-// tokenReused reports a command that wasn't run, because its token is that of
+// tokenReuseFailure reports a command that wasn't run, because its token is that of
 // another one. The other's outcome must not pass for its own.
-func tokenReused(token string, other Outcome) Result {
+func tokenReuseFailure(token string, other Outcome) Result {
 	first, _, _ := strings.Cut(other.Statement, "\n")
 	message := fmt.Sprintf("not done: this token is that of another command, %q at revision %d; give each command its own", first, other.Revision)
 	result := failure(resultcode.CommandImpossible, message)
--- a/internal/operator/suggest.go
+++ b/internal/operator/suggest.go
@@ -93,9 +93,9 @@
 // maxSuggestionDistance is the largest edit distance of a useful suggestion.
 const maxSuggestionDistance = 2
 
-// nearest returns the candidate with the smallest edit distance to word, or
+// closestMatch returns the candidate with the smallest edit distance to word, or
 // nothing if none is near.
-func nearest(word string, candidates []string) string {
+func closestMatch(word string, candidates []string) string {
 	best, bestDistance := "", maxSuggestionDistance+1
 	for _, candidate := range candidates {
 		if len(word) > len(candidate)+maxSuggestionDistance {
--- a/internal/router/enginewatcher.go
+++ b/internal/router/enginewatcher.go
@@ -185,7 +185,7 @@
 	wait := time.Duration(w.settings.EventWait)
 	ctx, cancel := context.WithTimeout(w.life.Context(context.Background()), wait+eventGrace)
 	defer cancel()
-	events, err := w.client.Events(ctx, after, wait)
+	events, err := w.client.PollCacheEvents(ctx, after, wait)
 	if err != nil {
 		return true, err
 	}
@@ -211,7 +211,7 @@
 func (w *engineWatcher) fetchSnapshot() error {
 	ctx, cancel := context.WithTimeout(w.life.Context(context.Background()), snapshotTimeout)
 	defer cancel()
-	snapshot, err := w.client.Cache(ctx)
+	snapshot, err := w.client.CacheSnapshot(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/router/rolloutrunner.go
+++ b/internal/router/rolloutrunner.go
@@ -78,7 +78,7 @@
 		return errors.Errorf("engine %q isn't listed any more", id)
 	}
 	defer release()
-	return client.Order(ctx, order)
+	return client.SendOrder(ctx, order)
 }
 
 // ReadyToPromote implements operator.Readiness.
--- a/lab/enginemodel/cache_test.go
+++ b/lab/enginemodel/cache_test.go
@@ -151,7 +151,7 @@
 	requireCode(t, engine.ErrorChecksum, err)
 	older := bundle
 	older.Weights.Version = "v0"
-	older.Checksum = older.Sum()
+	older.Checksum = older.ComputeChecksum()
 	_, err = target.Import(0, older)
 	requireCode(t, engine.ErrorWeightsNotLoaded, err)
 	readyAt, err := target.Import(0, bundle)
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -27,7 +27,7 @@
 		}
 		bundle.Hashes = append(bundle.Hashes, hash)
 	}
-	bundle.Checksum = bundle.Sum()
+	bundle.Checksum = bundle.ComputeChecksum()
 	return bundle, nil
 }
 
@@ -35,7 +35,7 @@
 // The engine must have loaded the weights that computed the blocks.
 func (e *Engine) Import(now time.Duration, bundle engine.KVBundle) (readyAt time.Duration, err error) {
 	e.Advance(now)
-	if bundle.Sum() != bundle.Checksum {
+	if bundle.ComputeChecksum() != bundle.Checksum {
 		return 0, e.failure(engine.ErrorChecksum, "bundle fails its check")
 	}
 	if !e.control.has(bundle.Weights) {
--- a/lab/standin/engineserver/executions.go
+++ b/lab/standin/engineserver/executions.go
@@ -37,6 +37,6 @@
 }
 
 func (h *handlers) getExecutions(writer http.ResponseWriter, _ bunrouter.Request) error {
-	engine.WriteAnswer(writer, h.server.Executions())
+	engine.WriteResponse(writer, h.server.Executions())
 	return nil
 }
--- a/lab/standin/engineserver/handlers.go
+++ b/lab/standin/engineserver/handlers.go
@@ -115,12 +115,12 @@
 	if err != nil {
 		return h.fail(writer, err)
 	}
-	engine.WriteAnswer(writer, answer)
+	engine.WriteResponse(writer, answer)
 	return nil
 }
 
 func (h *handlers) status(writer http.ResponseWriter, _ bunrouter.Request) error {
-	engine.WriteAnswer(writer, h.server.Status())
+	engine.WriteResponse(writer, h.server.Status())
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	s.mutex.Lock()
 	snapshot := s.model.CacheSnapshot(s.now())
 	s.mutex.Unlock()
-	engine.WriteAnswer(writer, snapshot)
+	engine.WriteResponse(writer, snapshot)
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	if err != nil {
 		return h.fail(writer, err)
 	}
-	engine.WriteAnswer(writer, struct{}{})
+	engine.WriteResponse(writer, struct{}{})
 	return nil
 }
 
@@ -162,7 +162,7 @@
 	if err != nil {
 		return h.fail(writer, err)
 	}
-	engine.WriteAnswer(writer, bundle)
+	engine.WriteResponse(writer, bundle)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	case <-h.life.Dying():
 		panic(http.ErrAbortHandler)
 	}
-	engine.WriteAnswer(writer, struct{}{})
+	engine.WriteResponse(writer, struct{}{})
 	return nil
 }
 
@@ -209,7 +209,7 @@
 	for {
 		answer, ready, next, changed := h.pollEvents(after)
 		if ready || waitMillis == 0 || answer.Incarnation != incarnation {
-			engine.WriteAnswer(writer, answer)
+			engine.WriteResponse(writer, answer)
 			return nil
 		}
 		select {
@@ -243,7 +243,7 @@
 }
 
 func (h *handlers) getFaults(writer http.ResponseWriter, _ bunrouter.Request) error {
-	engine.WriteAnswer(writer, h.server.Faults())
+	engine.WriteResponse(writer, h.server.Faults())
 	return nil
 }
 
@@ -256,7 +256,7 @@
 	if err != nil {
 		return h.fail(writer, &engine.Error{Code: engine.ErrorBadRequest, Message: err.Error()})
 	}
-	engine.WriteAnswer(writer, faults)
+	engine.WriteResponse(writer, faults)
 	return nil
 }
 
@@ -264,6 +264,6 @@
 // are cut.
 func (h *handlers) postRestart(writer http.ResponseWriter, _ bunrouter.Request) error {
 	h.server.nextIncarnation()
-	engine.WriteAnswer(writer, h.server.Status())
+	engine.WriteResponse(writer, h.server.Status())
 	return nil
 }
