--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -9,7 +9,7 @@
 )
 
 func (a *Agent) newOutput(admitted *call, writer http.ResponseWriter) output {
-	answer := openai.Answer{
+	answer := openai.Response{
 		Endpoint:     admitted.body.Endpoint,
 		RequestID:    admitted.id,
 		Model:        admitted.body.Model,
@@ -26,7 +26,7 @@
 // wholeOutput gathers the tokens of an answer that isn't streamed. The model's
 // output limit bounds it.
 type wholeOutput struct {
-	answer openai.Answer
+	answer openai.Response
 	writer http.ResponseWriter
 	text   strings.Builder
 }
@@ -39,7 +39,7 @@
 
 // Finish implements output.
 func (w *wholeOutput) Finish(reason string, usage openai.Usage) error {
-	return w.answer.WriteWhole(w.writer, w.text.String(), reason, usage)
+	return w.answer.WriteCompletion(w.writer, w.text.String(), reason, usage)
 }
 
 // Fail implements output. Nothing of a broken answer is shown.
--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -7,8 +7,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Answer describes the answer to one request.
-type Answer struct {
+// Response describes the answer to one request.
+type Response struct {
 	Endpoint  Endpoint
 	RequestID fleet.RequestID
 	// Model is the name that the caller asked for.
@@ -19,7 +19,7 @@
 	WriteTimeout time.Duration
 }
 
-type answerBody struct {
+type responseBody struct {
 	ID      string     `json:"id"`
 	Object  string     `json:"object"`
 	Created int64      `json:"created"`
@@ -67,8 +67,8 @@
 	}
 }
 
-func (a Answer) body(chunk bool, choices ...choice) answerBody {
-	body := answerBody{
+func (a Response) body(chunk bool, choices ...choice) responseBody {
+	body := responseBody{
 		ID:      "cmpl-" + string(a.RequestID),
 		Object:  "text_completion",
 		Created: a.Created.Unix(),
@@ -86,8 +86,8 @@
 	return body
 }
 
-// WriteWhole answers with the whole output at once.
-func (a Answer) WriteWhole(writer http.ResponseWriter, text, reason string, usage Usage) error {
+// WriteCompletion answers with the whole output at once.
+func (a Response) WriteCompletion(writer http.ResponseWriter, text, reason string, usage Usage) error {
 	whole := choice{FinishReason: &reason}
 	if a.Endpoint == Chat {
 		whole.Message = &messageBody{Role: roleAssistant, Content: text}
@@ -101,7 +101,7 @@
 }
 
 // WriteFailure answers with an error in place of the output.
-func (a Answer) WriteFailure(writer http.ResponseWriter, failure *Failure) error {
+func (a Response) WriteFailure(writer http.ResponseWriter, failure *Failure) error {
 	setWriteDeadline(writer, a.WriteTimeout)
 	return WriteFailure(writer, failure)
 }
--- a/internal/openai/answer_test.go
+++ b/internal/openai/answer_test.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-func chatAnswer() openai.Answer {
-	return openai.Answer{Endpoint: openai.Chat, RequestID: "r", Model: "m", Created: time.Unix(7, 0), IncludeUsage: true}
+func chatAnswer() openai.Response {
+	return openai.Response{Endpoint: openai.Chat, RequestID: "r", Model: "m", Created: time.Unix(7, 0), IncludeUsage: true}
 }
 
 func TestStreamEndsWithItsMark(t *testing.T) {
@@ -66,8 +66,8 @@
 
 func TestWholeAnswerAndModels(t *testing.T) {
 	recorder := httptest.NewRecorder()
-	answer := openai.Answer{Endpoint: openai.Completion, RequestID: "r", Model: "m", Created: time.Unix(7, 0)}
-	require.NoError(t, answer.WriteWhole(recorder, "text", "length", openai.Usage{PromptTokens: 2, CompletionTokens: 1}))
+	answer := openai.Response{Endpoint: openai.Completion, RequestID: "r", Model: "m", Created: time.Unix(7, 0)}
+	require.NoError(t, answer.WriteCompletion(recorder, "text", "length", openai.Usage{PromptTokens: 2, CompletionTokens: 1}))
 	want := `{"id":"cmpl-r","object":"text_completion","created":7,"model":"m",` +
 		`"choices":[{"index":0,"text":"text","logprobs":null,"finish_reason":"length"}],` +
 		`"usage":{"prompt_tokens":2,"completion_tokens":1,"total_tokens":3,"prompt_tokens_details":{"cached_tokens":0}}}`
--- a/internal/openai/headers.go
+++ b/internal/openai/headers.go
@@ -43,27 +43,27 @@
 	var options Options
 	for _, name := range []string{HeaderClass, HeaderNotRepeatable, HeaderDeadline, HeaderIdempotencyKey} {
 		if len(header.Values(name)) > 1 {
-			return Options{}, headerFailure(name, "must be given once")
+			return Options{}, invalidHeader(name, "must be given once")
 		}
 	}
 	options.Class = fleet.ClassName(header.Get(HeaderClass))
 	if value := header.Get(HeaderNotRepeatable); value != "" {
 		parsed, err := strconv.ParseBool(value)
 		if err != nil {
-			return Options{}, headerFailure(HeaderNotRepeatable, "must be true or false")
+			return Options{}, invalidHeader(HeaderNotRepeatable, "must be true or false")
 		}
 		options.NotRepeatable = parsed
 	}
 	if value := header.Get(HeaderDeadline); value != "" {
 		millis, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || millis < 1 || millis > maxDeadline.Milliseconds() {
-			return Options{}, headerFailure(HeaderDeadline, "must be a whole number of milliseconds from 1 to 86400000")
+			return Options{}, invalidHeader(HeaderDeadline, "must be a whole number of milliseconds from 1 to 86400000")
 		}
 		options.Deadline = time.Duration(millis) * time.Millisecond
 	}
 	options.IdempotencyKey = header.Get(HeaderIdempotencyKey)
 	if len(options.IdempotencyKey) > maxIdempotencyKey {
-		return Options{}, headerFailure(HeaderIdempotencyKey, "is longer than 255 bytes")
+		return Options{}, invalidHeader(HeaderIdempotencyKey, "is longer than 255 bytes")
 	}
 	return options, nil
 }
@@ -72,13 +72,13 @@
 // callers may send the same.
 func ParseRequestID(header http.Header) (string, *Failure) {
 	id := header.Get(HeaderRequestID)
-	if len(id) > maxRequestID || strings.ContainsFunc(id, notIdentifier) {
-		return "", headerFailure(HeaderRequestID, "must be at most 64 letters, digits, '-' and '_'")
+	if len(id) > maxRequestID || strings.ContainsFunc(id, isInvalidIDChar) {
+		return "", invalidHeader(HeaderRequestID, "must be at most 64 letters, digits, '-' and '_'")
 	}
 	return id, nil
 }
 
-func notIdentifier(char rune) bool {
+func isInvalidIDChar(char rune) bool {
 	switch {
 	case 'a' <= char && char <= 'z', 'A' <= char && char <= 'Z', '0' <= char && char <= '9':
 		return false
@@ -87,6 +87,6 @@
 	}
 }
 
-func headerFailure(name, message string) *Failure {
+func invalidHeader(name, message string) *Failure {
 	return &Failure{Code: resultcode.HeaderInvalid, Message: name + " " + message, Param: name}
 }
--- a/internal/openai/messages.go
+++ b/internal/openai/messages.go
@@ -31,13 +31,13 @@
 // equal beginnings share cached blocks. Content can't forge a header.
 func renderMessages(messages []message) (string, *Failure) {
 	if len(messages) == 0 {
-		return "", invalid("messages", "messages must have at least one entry")
+		return "", invalidParameter("messages", "messages must have at least one entry")
 	}
 	var text strings.Builder
 	for index, message := range messages {
 		param := fmt.Sprintf("messages[%d]", index)
 		if message.Role == nil || !slices.Contains(roles, *message.Role) {
-			return "", invalid(param+".role", "role must be one of "+strings.Join(roles, ", "))
+			return "", invalidParameter(param+".role", "role must be one of "+strings.Join(roles, ", "))
 		}
 		content, failure := message.text(param + ".content")
 		if failure != nil {
@@ -58,28 +58,28 @@
 		if *m.Role == roleAssistant {
 			return "", nil
 		}
-		return "", invalid(param, "content is required")
+		return "", invalidParameter(param, "content is required")
 	case string:
 		return content, nil
 	case []any:
 		return joinParts(content, param)
 	default:
-		return "", malformed(param, contentShape)
+		return "", malformedBody(param, invalidContentMessage)
 	}
 }
 
-const contentShape = "content must be a string or a list of text parts"
+const invalidContentMessage = "content must be a string or a list of text parts"
 
 func joinParts(parts []any, param string) (string, *Failure) {
 	var joined strings.Builder
 	for _, part := range parts {
 		fields, isObject := part.(map[string]any)
 		if !isObject {
-			return "", malformed(param, contentShape)
+			return "", malformedBody(param, invalidContentMessage)
 		}
 		text, isText := fields["text"].(string)
 		if fields["type"] != "text" || !isText {
-			return "", invalid(param, "only text parts are supported")
+			return "", invalidParameter(param, "only text parts are supported")
 		}
 		joined.WriteString(text)
 	}
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -95,10 +95,10 @@
 // Error implements error.
 func (f *Failure) Error() string { return f.Code.String() + ": " + f.Message }
 
-func invalid(param, message string) *Failure {
+func invalidParameter(param, message string) *Failure {
 	return &Failure{Code: resultcode.InvalidParameter, Message: message, Param: param}
 }
 
-func malformed(param, message string) *Failure {
+func malformedBody(param, message string) *Failure {
 	return &Failure{Code: resultcode.MalformedBody, Message: message, Param: param}
 }
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -83,10 +83,10 @@
 		return Request{}, failure
 	}
 	if body.BestOf != nil && *body.BestOf != 1 {
-		return Request{}, invalid("best_of", "best_of must be 1")
+		return Request{}, invalidParameter("best_of", "best_of must be 1")
 	}
 	if body.Echo != nil && *body.Echo {
-		return Request{}, invalid("echo", "echo is not supported")
+		return Request{}, invalidParameter("echo", "echo is not supported")
 	}
 	request.Prompt, failure = parsePrompt(body.Prompt)
 	return request, failure
@@ -95,7 +95,7 @@
 // decode reads a JSON object. Its messages name the field or the offset.
 func decode(data []byte, target any) *Failure {
 	if trimmed := bytes.TrimSpace(data); len(trimmed) == 0 || trimmed[0] != '{' {
-		return malformed("", "the body must be a JSON object")
+		return malformedBody("", "the body must be a JSON object")
 	}
 	err := json.Unmarshal(data, target)
 	var typeError *json.UnmarshalTypeError
@@ -105,11 +105,11 @@
 		return nil
 	case errors.As(err, &typeError):
 		field := strings.TrimPrefix(typeError.Field, embeddedPrefix)
-		return malformed(field, fmt.Sprintf("%q can't be a %s", field, typeError.Value))
+		return malformedBody(field, fmt.Sprintf("%q can't be a %s", field, typeError.Value))
 	case errors.As(err, &syntaxError):
-		return malformed("", fmt.Sprintf("malformed JSON at offset %d: %s", syntaxError.Offset, syntaxError.Error()))
+		return malformedBody("", fmt.Sprintf("malformed JSON at offset %d: %s", syntaxError.Offset, syntaxError.Error()))
 	default:
-		return malformed("", "malformed JSON: "+err.Error())
+		return malformedBody("", "malformed JSON: "+err.Error())
 	}
 }
 
@@ -133,28 +133,28 @@
 func (b *sharedBody) check() *Failure {
 	switch {
 	case b.Model == nil || *b.Model == "":
-		return invalid("model", "model is required")
+		return invalidParameter("model", "model is required")
 	case b.MaxTokens != nil && *b.MaxTokens < 1:
-		return invalid("max_tokens", "max_tokens must be at least 1")
+		return invalidParameter("max_tokens", "max_tokens must be at least 1")
 	case b.MaxCompletionTokens != nil && *b.MaxCompletionTokens < 1:
-		return invalid("max_completion_tokens", "max_completion_tokens must be at least 1")
+		return invalidParameter("max_completion_tokens", "max_completion_tokens must be at least 1")
 	case b.Choices != nil && *b.Choices != 1:
-		return invalid("n", "n must be 1")
-	case outside(b.Temperature, maxTemperature):
-		return invalid("temperature", fmt.Sprintf("temperature must be between 0 and %d", maxTemperature))
-	case outside(b.TopP, maxTopP):
-		return invalid("top_p", fmt.Sprintf("top_p must be between 0 and %d", maxTopP))
-	case !absent(b.Stop) && string(b.Stop) != "[]":
-		return invalid("stop", "stop sequences are not supported")
+		return invalidParameter("n", "n must be 1")
+	case isOutsideRange(b.Temperature, maxTemperature):
+		return invalidParameter("temperature", fmt.Sprintf("temperature must be between 0 and %d", maxTemperature))
+	case isOutsideRange(b.TopP, maxTopP):
+		return invalidParameter("top_p", fmt.Sprintf("top_p must be between 0 and %d", maxTopP))
+	case !isAbsent(b.Stop) && string(b.Stop) != "[]":
+		return invalidParameter("stop", "stop sequences are not supported")
 	}
 	return nil
 }
 
-func outside(value *float64, highest float64) bool {
+func isOutsideRange(value *float64, highest float64) bool {
 	return value != nil && (*value < 0 || *value > highest)
 }
 
-func absent(value json.RawMessage) bool {
+func isAbsent(value json.RawMessage) bool {
 	return len(value) == 0 || string(value) == "null"
 }
 
@@ -162,33 +162,33 @@
 func parsePrompt(value any) (string, *Failure) {
 	switch value := value.(type) {
 	case nil:
-		return "", invalid("prompt", "prompt is required")
+		return "", invalidParameter("prompt", "prompt is required")
 	case string:
 		return nonEmptyPrompt(value)
 	case []any:
 		return parsePromptList(value)
 	default:
-		return "", malformed("prompt", promptShape)
+		return "", malformedBody("prompt", invalidPromptMessage)
 	}
 }
 
-const promptShape = "prompt must be a string or a list of one string"
+const invalidPromptMessage = "prompt must be a string or a list of one string"
 
 func parsePromptList(list []any) (string, *Failure) {
 	for _, entry := range list {
 		if _, isText := entry.(string); !isText {
-			return "", malformed("prompt", promptShape)
+			return "", malformedBody("prompt", invalidPromptMessage)
 		}
 	}
 	if len(list) != 1 {
-		return "", invalid("prompt", "a list of prompts must have one entry")
+		return "", invalidParameter("prompt", "a list of prompts must have one entry")
 	}
 	return nonEmptyPrompt(list[0].(string))
 }
 
 func nonEmptyPrompt(text string) (string, *Failure) {
 	if text == "" {
-		return "", invalid("prompt", "prompt must not be empty")
+		return "", invalidParameter("prompt", "prompt must not be empty")
 	}
 	return text, nil
 }
--- a/internal/openai/stream.go
+++ b/internal/openai/stream.go
@@ -8,21 +8,21 @@
 // StreamWriter answers with server-sent events. A whole stream ends with
 // "data: [DONE]"; a broken one with an error event and without that mark.
 type StreamWriter struct {
-	answer  Answer
-	writer  http.ResponseWriter
-	started bool
+	response Response
+	writer   http.ResponseWriter
+	started  bool
 }
 
 // NewStreamWriter returns a writer that sends nothing before the first token,
 // so that an early failure still gets its own status.
-func NewStreamWriter(writer http.ResponseWriter, answer Answer) *StreamWriter {
-	return &StreamWriter{answer: answer, writer: writer}
+func NewStreamWriter(writer http.ResponseWriter, answer Response) *StreamWriter {
+	return &StreamWriter{response: answer, writer: writer}
 }
 
 // Token sends one token.
 func (s *StreamWriter) Token(text string) error {
 	next := choice{}
-	if s.answer.Endpoint == Chat {
+	if s.response.Endpoint == Chat {
 		next.Delta = &messageDelta{Content: &text}
 		if !s.started {
 			next.Delta.Role = roleAssistant
@@ -30,22 +30,22 @@
 	} else {
 		next.Text = &text
 	}
-	return s.send(s.answer.body(true, next))
+	return s.send(s.response.body(true, next))
 }
 
 // Finish ends a whole stream.
 func (s *StreamWriter) Finish(reason string, usage Usage) error {
 	last := choice{FinishReason: &reason}
-	if s.answer.Endpoint == Chat {
+	if s.response.Endpoint == Chat {
 		last.Delta = &messageDelta{}
 	} else {
 		last.Text = new(string)
 	}
-	if err := s.send(s.answer.body(true, last)); err != nil {
+	if err := s.send(s.response.body(true, last)); err != nil {
 		return err
 	}
-	if s.answer.IncludeUsage {
-		body := s.answer.body(true)
+	if s.response.IncludeUsage {
+		body := s.response.body(true)
 		body.Choices = []choice{}
 		body.Usage = usage.body()
 		if err := s.send(body); err != nil {
@@ -59,7 +59,7 @@
 // else as an event of the stream.
 func (s *StreamWriter) Fail(failure *Failure) error {
 	if !s.started {
-		return s.answer.WriteFailure(s.writer, failure)
+		return s.response.WriteFailure(s.writer, failure)
 	}
 	return s.send(failure.body())
 }
@@ -74,7 +74,7 @@
 
 func (s *StreamWriter) write(data []byte) error {
 	s.start()
-	setWriteDeadline(s.writer, s.answer.WriteTimeout)
+	setWriteDeadline(s.writer, s.response.WriteTimeout)
 	event := make([]byte, 0, len(data)+len("data: \n\n"))
 	event = append(event, "data: "...)
 	event = append(event, data...)
@@ -93,6 +93,6 @@
 	header := s.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
-	header.Set(HeaderRequestID, string(s.answer.RequestID))
+	header.Set(HeaderRequestID, string(s.response.RequestID))
 	s.writer.WriteHeader(http.StatusOK)
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -153,11 +153,11 @@
 		}
 		return answer.body, nil
 	}
-	kind := statusKind(answer.status)
+	kind := errorForStatus(answer.status)
 	if errors.Is(kind, ErrUnknownOutcome) {
 		kind = ErrUnavailable
 	}
-	return nil, statusErrorOf(kind, answer)
+	return nil, wrapStatusError(kind, answer)
 }
 
 // write sends a request that has an effect. Success is known from the status
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -8,23 +8,23 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrMalformedAnswer means that the service's answer can't be trusted.
-var ErrMalformedAnswer = errors.New("malformed answer")
+// ErrMalformedResponse means that the service's answer can't be trusted.
+var ErrMalformedResponse = errors.New("malformed answer")
 
 // maxErrorText bounds the part of an error body that goes into an error.
 const maxErrorText = 200
 
 // statusError maps a write's answer that isn't a success. Statuses that an
 // intermediary may send after the service took effect leave the outcome open.
-func statusError(answer answer) error {
-	return statusErrorOf(statusKind(answer.status), answer)
+func statusError(answer httpResult) error {
+	return wrapStatusError(errorForStatus(answer.status), answer)
 }
 
-func statusErrorOf(kind error, answer answer) error {
+func wrapStatusError(kind error, answer httpResult) error {
 	return errors.Wrapf(kind, "status %d: %s", answer.status, errorText(answer.body))
 }
 
-func statusKind(status int) error {
+func errorForStatus(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
 		return ErrRateLimited
@@ -57,10 +57,10 @@
 func decodeRow(body []byte, key string) (Row, error) {
 	var row Row
 	if err := json.Unmarshal(body, &row); err != nil {
-		return Row{}, errors.Wrap(ErrMalformedAnswer, err.Error())
+		return Row{}, errors.Wrap(ErrMalformedResponse, err.Error())
 	}
 	if row.Key != key || row.Revision == 0 {
-		return Row{}, errors.Wrapf(ErrMalformedAnswer, "row %q revision %d for key %q", row.Key, row.Revision, key)
+		return Row{}, errors.Wrapf(ErrMalformedResponse, "row %q revision %d for key %q", row.Key, row.Revision, key)
 	}
 	return row, nil
 }
@@ -70,13 +70,13 @@
 func decodeRows(body []byte, prefix, after string) ([]Row, error) {
 	var response RowsResponse
 	if err := json.Unmarshal(body, &response); err != nil {
-		return nil, errors.Wrap(ErrMalformedAnswer, err.Error())
+		return nil, errors.Wrap(ErrMalformedResponse, err.Error())
 	}
 	previous := after
 	for index, row := range response.Rows {
 		inOrder := row.Key > previous || (index == 0 && after == "")
 		if !inOrder || !strings.HasPrefix(row.Key, prefix) || row.Revision == 0 {
-			return nil, errors.Wrapf(ErrMalformedAnswer, "row %q revision %d", row.Key, row.Revision)
+			return nil, errors.Wrapf(ErrMalformedResponse, "row %q revision %d", row.Key, row.Revision)
 		}
 		previous = row.Key
 	}
@@ -87,7 +87,7 @@
 func decodeMachines(body []byte) ([]Machine, error) {
 	var response MachinesResponse
 	if err := json.Unmarshal(body, &response); err != nil {
-		return nil, errors.Wrap(ErrMalformedAnswer, err.Error())
+		return nil, errors.Wrap(ErrMalformedResponse, err.Error())
 	}
 	seen := make(map[string]bool, len(response.Machines))
 	for _, machine := range response.Machines {
@@ -95,7 +95,7 @@
 			return nil, err
 		}
 		if seen[machine.ID] {
-			return nil, errors.Wrapf(ErrMalformedAnswer, "machine %q listed twice", machine.ID)
+			return nil, errors.Wrapf(ErrMalformedResponse, "machine %q listed twice", machine.ID)
 		}
 		seen[machine.ID] = true
 	}
@@ -104,10 +104,10 @@
 
 func checkMachine(machine Machine) error {
 	if machine.ID == "" || machine.Address == "" {
-		return errors.Wrapf(ErrMalformedAnswer, "machine %q lacks its identifier or address", machine.ID)
+		return errors.Wrapf(ErrMalformedResponse, "machine %q lacks its identifier or address", machine.ID)
 	}
 	if machine.State != MachineLive && machine.State != MachineLeaving {
-		return errors.Wrapf(ErrMalformedAnswer, "machine %q has state %q", machine.ID, machine.State)
+		return errors.Wrapf(ErrMalformedResponse, "machine %q has state %q", machine.ID, machine.State)
 	}
 	return nil
 }
@@ -115,10 +115,10 @@
 func decodeWeightStoreStatus(body []byte) (WeightStoreStatus, error) {
 	var status WeightStoreStatus
 	if err := json.Unmarshal(body, &status); err != nil {
-		return WeightStoreStatus{}, errors.Wrap(ErrMalformedAnswer, err.Error())
+		return WeightStoreStatus{}, errors.Wrap(ErrMalformedResponse, err.Error())
 	}
 	if status.Loading < 0 || status.Limit < 0 {
-		return WeightStoreStatus{}, errors.Wrap(ErrMalformedAnswer, "negative count")
+		return WeightStoreStatus{}, errors.Wrap(ErrMalformedResponse, "negative count")
 	}
 	return status, nil
 }
--- a/internal/platform/decode_test.go
+++ b/internal/platform/decode_test.go
@@ -21,13 +21,13 @@
 		http.StatusFound:               ErrUnknownOutcome,
 	}
 	for status, want := range wants {
-		require.ErrorIs(t, statusError(answer{status: status}), want, "status %d", status)
+		require.ErrorIs(t, statusError(httpResult{status: status}), want, "status %d", status)
 	}
 }
 
 func TestAnswersForAnotherQuestionAreRejected(t *testing.T) {
 	_, err := decodeRow([]byte(`{"key":"other","revision":1}`), "key")
-	require.ErrorIs(t, err, ErrMalformedAnswer)
+	require.ErrorIs(t, err, ErrMalformedResponse)
 	for _, body := range []string{
 		`{"rows":[{"key":"q/1","revision":1}]}`,
 		`{"rows":[{"key":"p/2","revision":1},{"key":"p/1","revision":1}]}`,
@@ -35,10 +35,10 @@
 		`{"rows":[{"key":"p/2"}]}`,
 	} {
 		_, err = decodeRows([]byte(body), "p/", "p/0")
-		require.ErrorIs(t, err, ErrMalformedAnswer, body)
+		require.ErrorIs(t, err, ErrMalformedResponse, body)
 	}
 	_, err = decodeMachines([]byte(`{"machines":[{"id":"a","address":"1:1","state":"gone"}]}`))
-	require.ErrorIs(t, err, ErrMalformedAnswer)
+	require.ErrorIs(t, err, ErrMalformedResponse)
 }
 
 func FuzzDecodeAnswers(f *testing.F) {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxAnswerBytes bounds the memory of one answer.
-	maxAnswerBytes = 64 << 20
+	// maxResponseBytes bounds the memory of one answer.
+	maxResponseBytes = 64 << 20
 	// maxIdleConnections bounds the connections kept to the service.
 	maxIdleConnections = 4
 	// idleTimeout closes a connection before the service is likely to.
@@ -39,8 +39,8 @@
 	}
 }
 
-// answer is what came back; bodyErr tells that the body broke off.
-type answer struct {
+// httpResult is what came back; bodyErr tells that the body broke off.
+type httpResult struct {
 	status  int
 	body    []byte
 	bodyErr error
@@ -49,7 +49,7 @@
 // do sends one request. Its error is ErrUnavailable if no connection was had,
 // and lost if one was: net/http doesn't tell for certain whether a byte has
 // left by then.
-func (c *Client) do(ctx context.Context, method, path string, query url.Values, body *bytes.Reader, lost error) (answer, error) {
+func (c *Client) do(ctx context.Context, method, path string, query url.Values, body *bytes.Reader, lost error) (httpResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var connected atomic.Bool
@@ -58,18 +58,18 @@
 	})
 	request, err := c.newRequest(ctx, method, path, query, body)
 	if err != nil {
-		return answer{}, errors.Wrap(ErrInvalid, err.Error())
+		return httpResult{}, errors.Wrap(ErrInvalid, err.Error())
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
 		if connected.Load() {
-			return answer{}, errors.Wrap(lost, err.Error())
+			return httpResult{}, errors.Wrap(lost, err.Error())
 		}
-		return answer{}, errors.Wrap(ErrUnavailable, err.Error())
+		return httpResult{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	defer response.Body.Close()
 	content, err := readBounded(response.Body)
-	return answer{status: response.StatusCode, body: content, bodyErr: err}, nil
+	return httpResult{status: response.StatusCode, body: content, bodyErr: err}, nil
 }
 
 // newRequest builds a request that net/http can't send again by itself: it has
@@ -92,12 +92,12 @@
 }
 
 func readBounded(body io.Reader) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
+	content, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(content) > maxAnswerBytes {
-		return nil, errors.Errorf("answer exceeds %d bytes", maxAnswerBytes)
+	if len(content) > maxResponseBytes {
+		return nil, errors.Errorf("answer exceeds %d bytes", maxResponseBytes)
 	}
 	return content, nil
 }
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -71,7 +71,7 @@
 // reads at once.
 func carryStream(machine *attempt.Machine, dispatch attempt.Dispatch, encoded []byte) error {
 	decoder := engine.NewFrameDecoder(bytes.NewReader(encoded), maxLineBytes)
-	writer := openai.NewStreamWriter(&discardWriter{header: http.Header{}}, openai.Answer{RequestID: "measured", Model: "model-00"})
+	writer := openai.NewStreamWriter(&discardWriter{header: http.Header{}}, openai.Response{RequestID: "measured", Model: "model-00"})
 	for {
 		frame, err := decoder.Decode()
 		if errors.Is(err, io.EOF) {
