--- a/internal/engine/checksum.go
+++ b/internal/engine/checksum.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fieldSeparator keeps adjacent names in a checksum from running together.
+// fieldSeparator terminates each name in the checksum input, so that adjacent names stay distinct.
 const fieldSeparator = "\x00"
 
-// ComputeChecksum computes the checksum over owner, weights and hashes. It guards against
-// mixing bundles up, not against forgery.
+// ComputeChecksum returns the xxHash checksum of the tenant, the weights and the block hashes. It
+// detects mixed-up bundles, not forged ones.
 func (b *KVBundle) ComputeChecksum() uint64 {
 	digest := xxhash.New()
 	for _, name := range []string{
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -19,9 +19,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Client talks to one engine. It is safe for concurrent use. It never retries;
-// net/http may repeat a read (GET) on a reused connection, never a POST.
-// All its errors are *Error.
+// Client sends requests to one engine. It is safe for concurrent use. It doesn't retry; net/http
+// may retry a GET on a reused connection, but never a POST. All returned errors are of type *Error.
 type Client struct {
 	base    string
 	options Options
@@ -29,20 +28,20 @@
 	control *http.Client
 }
 
-// New returns a client of the engine at an address.
+// New returns a client for the engine at address with its own connection pool.
 func New(address fleet.Address, options Options) *Client {
 	return NewConnectionPool(options).Client(address)
 }
 
-// CloseIdle closes the connections that no exchange uses, also those of other
-// clients of the same Connections.
+// CloseIdle closes the idle connections of the client's ConnectionPool, which other clients may
+// share.
 func (c *Client) CloseIdle() {
 	c.streams.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
-// Dispatch starts a stream. The context bounds the stream's whole life on this
-// connection. Error.Outcome tells what a failure has left at the engine.
+// Dispatch starts a stream. The context covers both the request and reading the stream. On failure,
+// Error.Outcome reports whether the engine may have started the stream.
 func (c *Client) Dispatch(ctx context.Context, request DispatchRequest) (*Stream, error) {
 	response, err := c.do(ctx, c.streams, http.MethodPost, PathStreams, request)
 	if err != nil {
@@ -51,8 +50,8 @@
 	return newStream(request.StreamID, len(request.Continuation), response, c.options.MaxLineBytes), nil
 }
 
-// Resume reads a stream again from the token numbered offset. An engine that
-// doesn't hold the stream any more answers ErrorUnknownStream.
+// Resume reads a stream from the token at offset on. It fails with ErrorUnknownStream if the engine
+// no longer has the stream.
 func (c *Client) Resume(ctx context.Context, id fleet.StreamID, offset int) (*Stream, error) {
 	path := streamPath(PathResume, id) + "?offset=" + strconv.Itoa(offset)
 	response, err := c.do(ctx, c.streams, http.MethodGet, path, nil)
@@ -62,63 +61,64 @@
 	return newStream(id, offset, response, c.options.MaxLineBytes), nil
 }
 
-// Cancel stops a stream and bars any later dispatch of it. It is idempotent.
+// Cancel stops a stream and bars later dispatches with the same stream ID. It is idempotent.
 func (c *Client) Cancel(ctx context.Context, id fleet.StreamID, incarnation fleet.Incarnation) (CancelResponse, error) {
-	var answer CancelResponse
-	err := c.call(ctx, http.MethodPost, streamPath(PathCancel, id), CancelRequest{Incarnation: incarnation}, &answer)
+	var response CancelResponse
+	err := c.call(ctx, http.MethodPost, streamPath(PathCancel, id), CancelRequest{Incarnation: incarnation}, &response)
 	if err != nil {
 		return CancelResponse{}, err
 	}
-	switch answer.State {
+	switch response.State {
 	case CancelNeverRan, CancelCancelled, CancelFinished:
-		return answer, nil
+		return response, nil
 	default:
-		return CancelResponse{}, &Error{Code: ErrorProtocol, Message: "unknown cancel state", Sent: true}
+		return CancelResponse{}, &Error{Code: ErrorProtocol, Message: "cancel response has an unknown state", Sent: true}
 	}
 }
 
-// Status asks for the engine's state and its lagging load.
+// Status returns the engine's state and its last load report, which may be stale.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	var answer Status
-	err := c.call(ctx, http.MethodGet, PathStatus, nil, &answer)
-	return answer, err
+	var status Status
+	err := c.call(ctx, http.MethodGet, PathStatus, nil, &status)
+	return status, err
 }
 
-// PollCacheEvents waits up to wait for cache events after a sequence number.
+// PollCacheEvents long-polls for cache events with a sequence number above after, for up to wait.
 func (c *Client) PollCacheEvents(ctx context.Context, after uint64, wait time.Duration) (CacheEvents, error) {
-	var answer CacheEvents
+	var events CacheEvents
 	path := fmt.Sprintf("%s?after=%d&wait_ms=%d", PathEvents, after, wait.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, wait+c.options.HeaderTimeout)
 	defer cancel()
-	err := c.call(ctx, http.MethodGet, path, nil, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodGet, path, nil, &events)
+	return events, err
 }
 
-// CacheSnapshot asks for the whole set of cached blocks.
+// CacheSnapshot returns all cached blocks of the engine.
 func (c *Client) CacheSnapshot(ctx context.Context) (CacheSnapshot, error) {
-	var answer CacheSnapshot
-	err := c.call(ctx, http.MethodGet, PathCache, nil, &answer)
-	return answer, err
+	var snapshot CacheSnapshot
+	err := c.call(ctx, http.MethodGet, PathCache, nil, &snapshot)
+	return snapshot, err
 }
 
-// SendOrder sends a fenced order.
+// SendOrder sends an order, which the engine rejects if its fencing token is stale.
 func (c *Client) SendOrder(ctx context.Context, order Order) error {
 	return c.call(ctx, http.MethodPost, PathOrders, order, nil)
 }
 
-// Export asks for the cached part of a prefix and checks its checksum.
+// Export returns the cached blocks of a prefix. It fails with ErrorChecksum if the bundle's
+// checksum, tenant or weights don't match the request.
 func (c *Client) Export(ctx context.Context, request KVExportRequest) (KVBundle, error) {
-	var answer KVBundle
-	if err := c.call(ctx, http.MethodPost, PathExport, request, &answer); err != nil {
+	var bundle KVBundle
+	if err := c.call(ctx, http.MethodPost, PathExport, request, &bundle); err != nil {
 		return KVBundle{}, err
 	}
-	if answer.ComputeChecksum() != answer.Checksum || answer.Tenant != request.Tenant || answer.Weights != request.Weights {
-		return KVBundle{}, &Error{Code: ErrorChecksum, Message: "bundle fails its check", Sent: true}
+	if bundle.ComputeChecksum() != bundle.Checksum || bundle.Tenant != request.Tenant || bundle.Weights != request.Weights {
+		return KVBundle{}, &Error{Code: ErrorChecksum, Message: "KV bundle has a wrong checksum, tenant or model version", Sent: true}
 	}
-	return answer, nil
+	return bundle, nil
 }
 
-// Import hands exported blocks to the engine.
+// Import sends exported blocks to the engine.
 func (c *Client) Import(ctx context.Context, bundle KVBundle) error {
 	return c.call(ctx, http.MethodPost, PathImport, bundle, nil)
 }
@@ -127,10 +127,10 @@
 	return strings.Replace(pattern, ":id", url.PathEscape(string(id)), 1)
 }
 
-// call makes an exchange with a bounded JSON answer, which it decodes into
-// answer unless that is nil.
-func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
-	if _, bounded := ctx.Deadline(); !bounded {
+// call sends a request and decodes the JSON response, of at most MaxBodyBytes, into result unless
+// that is nil. Without a context deadline it times out after HeaderTimeout.
+func (c *Client) call(ctx context.Context, method, path string, body, result any) error {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.options.HeaderTimeout)
 		defer cancel()
@@ -145,18 +145,18 @@
 		return connectionLost(ctx, err)
 	}
 	if int64(len(data)) > c.options.MaxBodyBytes {
-		return &Error{Code: ErrorProtocol, Message: "answer over the limit", Sent: true}
+		return &Error{Code: ErrorProtocol, Message: "response body exceeds the size limit", Sent: true}
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return &Error{Code: ErrorProtocol, Message: err.Error(), Sent: true, Cause: err}
 	}
 	return nil
 }
 
-// do sends one request, once, and returns an answer below 400.
+// do sends one request without retries. A response with a status of 300 or more becomes an *Error.
 func (c *Client) do(ctx context.Context, client *http.Client, method, path string, body any) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
-	// Without GetBody net/http has no way to send the body a second time.
+	// Without GetBody, net/http can't replay the body on a retry.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	return request, nil
@@ -202,8 +202,9 @@
 	return &Error{Code: ErrorConnectionLost, Message: err.Error(), Sent: true, Cause: err}
 }
 
-// readError turns an error answer into an *Error. A body that isn't the
-// engine's own, as from a proxy between, tells nothing of what was done.
+// readError converts an error response to an *Error. A body that isn't an ErrorBody, such as one
+// from an intermediate proxy, yields ErrorProtocol, because it doesn't show whether the engine ran
+// the request.
 func (c *Client) readError(response *http.Response) *Error {
 	var body ErrorBody
 	data, err := io.ReadAll(io.LimitReader(response.Body, int64(c.options.MaxLineBytes)))
@@ -211,7 +212,7 @@
 		err = json.Unmarshal(data, &body)
 	}
 	if err != nil || body.Error == "" {
-		return &Error{Code: ErrorProtocol, Message: "answer with status " + response.Status, Sent: true}
+		return &Error{Code: ErrorProtocol, Message: "unrecognized error response with status " + response.Status, Sent: true}
 	}
 	return &Error{Code: body.Error, Message: body.Message, Incarnation: body.Incarnation, Sent: true}
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -20,9 +20,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// serveRaw answers every connection with given bytes, after reading the
-// request's head, and counts connections.
-func serveRaw(t *testing.T, answer func(net.Conn)) (fleet.Address, *atomic.Int32) {
+// serveRaw starts a TCP server that reads from each connection once and then calls respond. It
+// returns its address and the number of accepted connections.
+func serveRaw(t *testing.T, respond func(net.Conn)) (fleet.Address, *atomic.Int32) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -38,7 +38,7 @@
 				defer connection.Close()
 				buffer := make([]byte, 4096)
 				if _, err := connection.Read(buffer); err == nil {
-					answer(connection)
+					respond(connection)
 				}
 			}()
 		}
@@ -74,7 +74,7 @@
 		failure := requireEngineError(t, err)
 		require.Equal(t, engine.ErrorConnectionLost, failure.Code)
 		require.Equal(t, engine.OutcomeUnknown, failure.Outcome())
-		require.Equal(t, attempt+1, connections.Load(), "one connection for each dispatch")
+		require.Equal(t, attempt+1, connections.Load(), "each dispatch must open one connection")
 	}
 }
 
@@ -101,7 +101,7 @@
 	}))
 	defer server.Close()
 	client := engine.New(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{})
-	for wanted, codes := range map[engine.Outcome][]engine.ErrorCode{
+	for want, codes := range map[engine.Outcome][]engine.ErrorCode{
 		engine.OutcomeRejected: {engine.ErrorWrongIncarnation, engine.ErrorWeightsNotLoaded, engine.ErrorBarred,
 			engine.ErrorDraining, engine.ErrorOverloaded, engine.ErrorBadRequest},
 		engine.OutcomeUnknown: {engine.ErrorDuplicate, engine.ErrorInternal, "new_code", ""},
@@ -110,7 +110,7 @@
 			current.Store(code)
 			_, err := client.Dispatch(t.Context(), testDispatch)
 			failure := requireEngineError(t, err)
-			assert.Equal(t, wanted, failure.Outcome(), code)
+			assert.Equal(t, want, failure.Outcome(), code)
 			if code != "" {
 				assert.Equal(t, code, failure.Code)
 				assert.EqualValues(t, 7, failure.Incarnation)
@@ -119,17 +119,16 @@
 	}
 }
 
-// TestStreamTruncatedAtEveryByte cuts the answer to a dispatch after each number of
-// bytes: what the stream yields is always a beginning of the frames, and only
-// the final frame makes a regular end.
+// TestStreamTruncatedAtEveryByte guards against a truncated response that is taken for a complete
+// stream or yields anything but a prefix of its frames.
 func TestStreamTruncatedAtEveryByte(t *testing.T) {
 	body, want := encodedStream(t)
 	head := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
-	answer := append(head, body...)
+	response := append(head, body...)
 	var length atomic.Int32
-	address, _ := serveRaw(t, func(connection net.Conn) { _, _ = connection.Write(answer[:length.Load()]) })
+	address, _ := serveRaw(t, func(connection net.Conn) { _, _ = connection.Write(response[:length.Load()]) })
 	client := engine.New(address, engine.Options{})
-	for cut := range len(answer) + 1 {
+	for cut := range len(response) + 1 {
 		length.Store(int32(cut))
 		stream, err := client.Dispatch(t.Context(), testDispatch)
 		if err != nil {
@@ -140,7 +139,7 @@
 		frames, err := readAll(t.Context(), stream)
 		require.Equal(t, want[:len(frames)], frames)
 		require.Equal(t, max(0, min(len(frames)-1, 2)), stream.Offset())
-		if cut == len(answer) {
+		if cut == len(response) {
 			require.Equal(t, io.EOF, err)
 			require.Len(t, frames, len(want))
 			continue
--- a/internal/engine/connections.go
+++ b/internal/engine/connections.go
@@ -8,23 +8,24 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultConnectTimeout = 2 * time.Second
 	DefaultHeaderTimeout  = 10 * time.Second
 	DefaultMaxBodyBytes   = 64 << 20
 )
 
-// Options tune a Client. Zero values mean the defaults.
+// Options configures a ConnectionPool and its clients. Zero values select the defaults.
 type Options struct {
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout limits the time to establish a connection.
 	ConnectTimeout time.Duration
-	// HeaderTimeout bounds the wait for the head of an answer; the wait of a
-	// long poll is added to it.
+	// HeaderTimeout limits the wait for the response headers of a stream, and the whole request for
+	// other calls without a deadline of their own. A long poll adds its wait time.
 	HeaderTimeout time.Duration
-	// MaxLineBytes bounds one line of an event stream.
+	// MaxLineBytes limits the length of a line in an event stream, and of the body of an error
+	// response.
 	MaxLineBytes int
-	// MaxBodyBytes bounds the body of any other answer.
+	// MaxBodyBytes limits the body of any other response.
 	MaxBodyBytes int64
 }
 
@@ -44,15 +45,15 @@
 	return o
 }
 
-// ConnectionPool are what the clients of many engines share, so that a process
-// can know thousands of engines at little cost.
+// ConnectionPool holds the HTTP connections that the clients of many engines share, which keeps the
+// cost of each client low.
 type ConnectionPool struct {
 	options Options
 	streams *http.Client
 	control *http.Client
 }
 
-// NewConnectionPool returns an empty set of connections.
+// NewConnectionPool returns a pool without open connections.
 func NewConnectionPool(options Options) *ConnectionPool {
 	options = options.withDefaults()
 	return &ConnectionPool{
@@ -62,7 +63,7 @@
 	}
 }
 
-// Client returns a client of the engine at an address.
+// Client returns a client for the engine at address. It opens no connection.
 func (c *ConnectionPool) Client(address fleet.Address) *Client {
 	return &Client{
 		base:    "http://" + string(address),
@@ -72,21 +73,21 @@
 	}
 }
 
-// newHTTPClient makes a client of its own connections. Streams get a fresh
-// connection each: on a reused one, an idle connection that the engine has
-// dropped could not be told from a request that was lost after it arrived.
-func newHTTPClient(options Options, fresh bool) *http.Client {
+// newHTTPClient returns an HTTP client with its own connections, which doesn't follow redirects.
+// Streams disable keep-alives: on a reused connection, a request that fails because the engine
+// closed the idle connection can't be distinguished from one that the engine received.
+func newHTTPClient(options Options, disableKeepAlives bool) *http.Client {
 	dialer := &net.Dialer{Timeout: options.ConnectTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   disableKeepAlives,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     time.Minute,
 	}
-	if fresh {
+	if disableKeepAlives {
 		transport.ResponseHeaderTimeout = options.HeaderTimeout
 	}
-	refuse := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: transport, CheckRedirect: refuse}
+	rejectRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: transport, CheckRedirect: rejectRedirects}
 }
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -6,27 +6,27 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Codes that only the client gives; they never travel.
+// Error codes that the client sets itself; engines don't send them.
 const (
-	// ErrorConnect means that no connection came about, so nothing was sent.
+	// ErrorConnect means that no connection could be established, so nothing was sent.
 	ErrorConnect ErrorCode = "connect"
-	// ErrorConnectionLost means that the connection broke, or the context
-	// ended, when the engine may already have had the request.
+	// ErrorConnectionLost means that the connection failed or the context ended after the engine
+	// may have received the request.
 	ErrorConnectionLost ErrorCode = "connection_lost"
-	// ErrorProtocol means that the engine's answer couldn't be understood, was
-	// over a limit or belongs to another stream.
+	// ErrorProtocol means that the response was malformed, exceeded a limit or belonged to another
+	// stream.
 	ErrorProtocol ErrorCode = "protocol"
 )
 
-// Error is a failed exchange with an engine.
+// Error describes a failed request to an engine.
 type Error struct {
 	Code    ErrorCode
 	Message string
-	// Incarnation is the engine's own when the engine gave the error, else 0.
+	// Incarnation is the engine's incarnation if the engine sent the error, otherwise 0.
 	Incarnation fleet.Incarnation
-	// Sent is false only when certainly no byte of the request left this side.
+	// Sent is false only if no byte of the request was sent.
 	Sent bool
-	// Cause is the transport's error, nil when the engine itself answered.
+	// Cause is the underlying transport or decoding error; nil if the engine sent the error.
 	Cause error
 }
 
@@ -35,24 +35,24 @@
 	return "engine: " + string(e.Code) + ": " + e.Message
 }
 
-// Unwrap gives the transport's error, so that context errors can be told.
+// Unwrap returns Cause, which lets errors.Is match context errors.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Outcome tells what a failed dispatch has left at the engine.
+// Outcome classifies a failed dispatch by whether the engine may have run the stream.
 type Outcome int
 
-// The outcomes of a failed dispatch.
+// Outcomes of a failed dispatch.
 const (
-	// OutcomeUnknown means that the engine may hold or have run the stream.
+	// OutcomeUnknown means that the engine may have accepted or run the stream.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotSent means that the request certainly never left this side.
+	// OutcomeNotSent means that no part of the request was sent.
 	OutcomeNotSent
-	// OutcomeRejected means that the engine refused before any work.
+	// OutcomeRejected means that the engine rejected the request before doing any work.
 	OutcomeRejected
 )
 
-// Outcome tells what the failed dispatch has left at the engine. A duplicate
-// counts as unknown: an earlier dispatch of the same stream took effect.
+// Outcome returns the outcome of the failed dispatch. ErrorDuplicate yields OutcomeUnknown, because
+// an earlier dispatch of the same stream took effect.
 func (e *Error) Outcome() Outcome {
 	if !e.Sent {
 		return OutcomeNotSent
@@ -66,7 +66,7 @@
 	}
 }
 
-// httpStatus returns the HTTP status that carries an error code.
+// httpStatus returns the HTTP status for an error code.
 func httpStatus(code ErrorCode) int {
 	switch code {
 	case ErrorBadRequest, ErrorChecksum:
--- a/internal/engine/frames.go
+++ b/internal/engine/frames.go
@@ -12,14 +12,14 @@
 // EventStreamType is the media type of a stream of frames.
 const EventStreamType = "text/event-stream"
 
-// DefaultMaxLineBytes bounds one line of an event stream.
+// DefaultMaxLineBytes is the default limit for the length of a line in an event stream.
 const DefaultMaxLineBytes = 64 << 10
 
-// Errors of the frame decoder besides io.EOF and the reader's own.
+// Errors of FrameDecoder, besides io.EOF, io.ErrUnexpectedEOF and errors of the underlying reader.
 var (
-	// ErrLineTooLong means that a line is over the decoder's bound.
-	ErrLineTooLong = errors.New("line of event stream too long")
-	// ErrMalformedFrame means that an event isn't a frame.
+	// ErrLineTooLong means that a line exceeds the decoder's limit.
+	ErrLineTooLong = errors.New("event stream line too long")
+	// ErrMalformedFrame means that an event isn't a valid frame.
 	ErrMalformedFrame = errors.New("malformed frame")
 )
 
@@ -28,7 +28,7 @@
 	fieldData  = []byte("data:")
 )
 
-// WriteFrame writes a frame as one server-sent event. It doesn't flush.
+// WriteFrame writes a frame as one server-sent event, without flushing.
 func WriteFrame(writer io.Writer, frame Frame) error {
 	data, err := json.Marshal(frame)
 	if err != nil {
@@ -44,63 +44,61 @@
 	return err
 }
 
-// FrameDecoder reads frames from server-sent events (WHATWG HTML, section
-// 9.2), of which it takes the fields event and data, the latter on one line.
+// FrameDecoder decodes frames from server-sent events (WHATWG HTML, section 9.2). It reads the
+// event and data fields and ignores others; an event must have a single data line.
 type FrameDecoder struct {
 	reader       *bufio.Reader
 	maxLineBytes int
-	// longLine gathers a line that is longer than the reader's buffer.
+	// longLine accumulates a line that exceeds the reader's buffer.
 	longLine []byte
 }
 
-// decoderBufferBytes is the memory of an open stream for reading; ordinary
-// frames fit into it.
+// decoderBufferBytes is the read buffer size of an open stream. It holds a typical frame.
 const decoderBufferBytes = 2 << 10
 
-// NewFrameDecoder returns a decoder that refuses lines over maxLineBytes, line
-// ending included.
+// NewFrameDecoder returns a decoder that rejects lines longer than maxLineBytes, including the line
+// ending.
 func NewFrameDecoder(reader io.Reader, maxLineBytes int) *FrameDecoder {
 	size := min(decoderBufferBytes, maxLineBytes)
 	return &FrameDecoder{reader: bufio.NewReaderSize(reader, size), maxLineBytes: maxLineBytes}
 }
 
-// Decode returns the next frame. It returns io.EOF when the input ends between
-// two events and io.ErrUnexpectedEOF when it ends inside one: a frame counts
-// only with the blank line that closes it.
+// Decode returns the next frame. It returns io.EOF if the input ends between two events and
+// io.ErrUnexpectedEOF if it ends within one: an event is complete only after its terminating blank
+// line.
 func (d *FrameDecoder) Decode() (Frame, error) {
 	var kind, data []byte
-	begun := false
+	inEvent := false
 	for {
 		line, err := d.readLine()
 		if err != nil {
-			if err == io.EOF && begun {
+			if err == io.EOF && inEvent {
 				return Frame{}, io.ErrUnexpectedEOF
 			}
 			return Frame{}, err
 		}
 		if len(line) == 0 {
 			if data == nil {
-				kind, begun = nil, false
+				kind, inEvent = nil, false
 				continue
 			}
 			return parseFrame(kind, data)
 		}
-		begun = true
+		inEvent = true
 		if value, found := bytes.CutPrefix(line, fieldEvent); found {
 			kind = append(kind[:0], bytes.TrimPrefix(value, []byte(" "))...)
 			continue
 		}
 		if value, found := bytes.CutPrefix(line, fieldData); found {
 			if data != nil {
-				return Frame{}, errors.Wrap(ErrMalformedFrame, "second data line")
+				return Frame{}, errors.Wrap(ErrMalformedFrame, "event has more than one data line")
 			}
 			data = append([]byte{}, value...)
 		}
 	}
 }
 
-// readLine returns a line without its ending; the slice is valid until the
-// next call.
+// readLine returns the next line without its line ending. The slice is valid until the next call.
 func (d *FrameDecoder) readLine() ([]byte, error) {
 	line, err := d.reader.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -118,8 +116,8 @@
 	return bytes.TrimSuffix(line, []byte("\r")), nil
 }
 
-// readLongLine goes on with a line that fills the reader's buffer, up to one
-// buffer over the bound.
+// readLongLine reads the rest of a line that exceeds the reader's buffer. It stops at most one
+// buffer beyond the line limit.
 func (d *FrameDecoder) readLongLine(start []byte) ([]byte, error) {
 	d.longLine = append(d.longLine[:0], start...)
 	for {
@@ -145,7 +143,7 @@
 		return Frame{}, errors.Wrapf(ErrMalformedFrame, "unknown kind %q", frame.Kind)
 	}
 	if frame.Index < 0 || frame.Count < 0 || frame.PromptTokens < 0 || frame.CachedTokens < 0 {
-		return Frame{}, errors.Wrap(ErrMalformedFrame, "negative number")
+		return Frame{}, errors.Wrap(ErrMalformedFrame, "negative index or count")
 	}
 	return frame, nil
 }
--- a/internal/engine/frames_test.go
+++ b/internal/engine/frames_test.go
@@ -16,7 +16,7 @@
 
 const testMaxLineBytes = 512
 
-// encodedStream returns the bytes of a stream and its frames.
+// encodedStream returns the encoding of a complete stream and its frames.
 func encodedStream(t testing.TB) ([]byte, []engine.Frame) {
 	frames := []engine.Frame{
 		{Kind: engine.FrameAccepted, Stream: "r.1", PromptTokens: 9},
@@ -47,9 +47,9 @@
 	stream, want := encodedStream(t)
 	for cut := range len(stream) + 1 {
 		frames, err := decodeAll(iotest.OneByteReader(bytes.NewReader(stream[:cut])))
-		whole := bytes.Count(stream[:cut], []byte("\n\n"))
-		require.Len(t, frames, whole, "cut at %d", cut)
-		require.Equal(t, want[:whole], frames)
+		complete := bytes.Count(stream[:cut], []byte("\n\n"))
+		require.Len(t, frames, complete, "cut at %d", cut)
+		require.Equal(t, want[:complete], frames)
 		if bytes.HasSuffix(stream[:cut], []byte("\n\n")) || cut == 0 {
 			require.Equal(t, io.EOF, err, "cut at %d", cut)
 		} else {
@@ -63,13 +63,13 @@
 		input string
 		want  error
 	}{
-		"long line":     {"data: " + strings.Repeat("x", testMaxLineBytes) + "\n\n", engine.ErrLineTooLong},
-		"no JSON":       {"event: token\ndata: {\n\n", engine.ErrMalformedFrame},
-		"other kind":    {"event: done\ndata: {\"kind\":\"token\"}\n\n", engine.ErrMalformedFrame},
-		"no event name": {"data: {\"kind\":\"token\"}\n\n", engine.ErrMalformedFrame},
-		"unknown kind":  {"event: x\ndata: {\"kind\":\"x\"}\n\n", engine.ErrMalformedFrame},
-		"negative":      {"event: token\ndata: {\"kind\":\"token\",\"index\":-1}\n\n", engine.ErrMalformedFrame},
-		"two data":      {"event: token\ndata: {\ndata: }\n\n", engine.ErrMalformedFrame},
+		"long line":       {"data: " + strings.Repeat("x", testMaxLineBytes) + "\n\n", engine.ErrLineTooLong},
+		"invalid JSON":    {"event: token\ndata: {\n\n", engine.ErrMalformedFrame},
+		"mismatched kind": {"event: done\ndata: {\"kind\":\"token\"}\n\n", engine.ErrMalformedFrame},
+		"no event name":   {"data: {\"kind\":\"token\"}\n\n", engine.ErrMalformedFrame},
+		"unknown kind":    {"event: x\ndata: {\"kind\":\"x\"}\n\n", engine.ErrMalformedFrame},
+		"negative index":  {"event: token\ndata: {\"kind\":\"token\",\"index\":-1}\n\n", engine.ErrMalformedFrame},
+		"two data lines":  {"event: token\ndata: {\ndata: }\n\n", engine.ErrMalformedFrame},
 	} {
 		frames, err := decodeAll(strings.NewReader(test.input))
 		assert.ErrorIs(t, err, test.want, name)
@@ -94,9 +94,9 @@
 		}
 		decoder := engine.NewFrameDecoder(&buffer, 8*len(input)+testMaxLineBytes)
 		for _, frame := range frames {
-			again, err := decoder.Decode()
+			decoded, err := decoder.Decode()
 			require.NoError(t, err)
-			require.Equal(t, frame, again)
+			require.Equal(t, frame, decoded)
 		}
 	})
 }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,18 +1,17 @@
-// Package engine is the only package that knows the engines' protocol: HTTP
-// with JSON bodies, and server-sent events for token streams. Another dialect
-// of engine replaces this package and nothing else.
+// Package engine defines the protocol of inference engines and implements a client for it. The
+// protocol uses HTTP with JSON bodies, and server-sent events for token streams.
 package engine
 
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
 // Paths of the engine protocol.
 const (
-	PathStreams = "/v1/streams"            // POST dispatches
+	PathStreams = "/v1/streams"            // POST dispatches a stream
 	PathResume  = "/v1/streams/:id"        // GET resumes from ?offset=
-	PathCancel  = "/v1/streams/:id/cancel" // POST cancels and bars
+	PathCancel  = "/v1/streams/:id/cancel" // POST cancels a stream and bars its ID
 	PathStatus  = "/v1/status"             // GET
 	PathEvents  = "/v1/cache/events"       // GET ?after=SEQ&wait_ms=N, long poll
-	PathCache   = "/v1/cache"              // GET, the whole cache for resynchronisation
+	PathCache   = "/v1/cache"              // GET, a snapshot of the whole cache
 	PathOrders  = "/v1/orders"             // POST, fenced
 	PathExport  = "/v1/kv/export"          // POST
 	PathImport  = "/v1/kv/import"          // POST
@@ -25,53 +24,53 @@
 	Version fleet.VersionName `json:"version"`
 }
 
-// DispatchRequest starts one attempt of a request at an engine. The engine
-// rejects it when Incarnation isn't its own, when the weights aren't loaded,
-// or when the stream has been barred by an earlier cancel.
+// DispatchRequest starts one attempt of a request on an engine. The engine rejects it if
+// Incarnation isn't its current one, the weights aren't loaded, or an earlier cancel barred the
+// stream.
 type DispatchRequest struct {
 	StreamID    fleet.StreamID    `json:"stream_id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Tenant      fleet.TenantName  `json:"tenant"`
 	Weights     Weights           `json:"weights"`
 	Prompt      string            `json:"prompt"`
-	// MaxTokens bounds the whole output, continuation included.
+	// MaxTokens limits the whole output, including Continuation.
 	MaxTokens int `json:"max_tokens"`
-	// Priority orders waiting work at the engine; lower runs first.
+	// Priority orders the engine's waiting streams; lower values run first.
 	Priority int `json:"priority"`
-	// Continuation holds the texts of the tokens that the caller already has.
-	// The engine continues after exactly these and numbers from their count.
+	// Continuation holds the texts of the output tokens that were already generated. The engine
+	// continues after them; its first token has the index len(Continuation).
 	Continuation []string `json:"continuation,omitempty"`
 }
 
-// FrameKind tells what a stream frame carries.
+// FrameKind identifies the content of a stream frame.
 type FrameKind string
 
-// The kinds of stream frames, also their SSE event names.
+// Frame kinds, which are also the names of the server-sent events.
 const (
-	// FrameAccepted is the first frame: the engine holds the stream.
+	// FrameAccepted is the first frame: the engine has accepted the stream.
 	FrameAccepted FrameKind = "accepted"
 	// FrameToken carries one token.
 	FrameToken FrameKind = "token"
 	// FrameDone ends a complete stream and carries its token count.
 	FrameDone FrameKind = "done"
-	// FrameError ends a stream that the engine gave up.
+	// FrameError ends a stream that the engine aborted.
 	FrameError FrameKind = "error"
 )
 
 // Frame is one event of a token stream.
 type Frame struct {
 	Kind FrameKind `json:"kind"`
-	// Stream repeats the stream identifier, so that a crossed answer shows.
+	// Stream is the ID of the frame's stream, which lets the client detect a misdirected response.
 	Stream fleet.StreamID `json:"stream"`
 	// Index is the token's position in the whole output, from 0.
 	Index int    `json:"index,omitempty"`
 	Text  string `json:"text,omitempty"`
-	// Count is the number of tokens of the whole output (FrameDone).
+	// Count is the number of tokens in the whole output (FrameDone).
 	Count int `json:"count,omitempty"`
 	// FinishReason is "stop" or "length" (FrameDone).
 	FinishReason string `json:"finish_reason,omitempty"`
-	// PromptTokens and CachedTokens are sent on FrameAccepted (CachedTokens as
-	// known then) and on FrameDone (final).
+	// PromptTokens and CachedTokens are set on FrameAccepted, where CachedTokens is preliminary,
+	// and on FrameDone.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
 	CachedTokens int `json:"cached_tokens,omitempty"`
 	// Error and Message describe FrameError.
@@ -79,11 +78,11 @@
 	Message string    `json:"message,omitempty"`
 }
 
-// ErrorCode is the engine's machine-readable reason for a rejection.
+// ErrorCode is the machine-readable reason for a failed request or stream.
 type ErrorCode string
 
-// Engine error codes. Each but ErrorInternal and ErrorCancelled is sent before
-// any work has been done for the dispatch that it answers.
+// Error codes of the engine. All except ErrorInternal and ErrorCancelled mean that no work was done
+// for the rejected dispatch.
 const (
 	ErrorWrongIncarnation ErrorCode = "wrong_incarnation"
 	ErrorWeightsNotLoaded ErrorCode = "weights_not_loaded"
@@ -96,42 +95,41 @@
 	ErrorBadRequest       ErrorCode = "bad_request"
 	ErrorChecksum         ErrorCode = "checksum"
 	ErrorInternal         ErrorCode = "internal"
-	// ErrorCancelled ends the frames of a stream that was cancelled.
+	// ErrorCancelled is the code of the FrameError that ends a cancelled stream.
 	ErrorCancelled ErrorCode = "cancelled"
 )
 
-// ErrorBody is the JSON body of every answer with a status of 400 or more.
+// ErrorBody is the JSON body of every response with a status of 400 or more.
 type ErrorBody struct {
 	Error       ErrorCode         `json:"error"`
 	Message     string            `json:"message"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 }
 
-// CancelRequest asks an engine to stop a stream and to reject any later
-// dispatch of it.
+// CancelRequest asks an engine to stop a stream and to reject later dispatches of it.
 type CancelRequest struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 }
 
-// CancelState is what a cancel found.
+// CancelState is the state of a stream when its cancel request arrived.
 type CancelState string
 
-// The states that a cancel can find. After CancelNeverRan the stream is barred
-// and certainly never ran at this incarnation.
+// Cancel states. CancelNeverRan means that the stream never ran in this incarnation of the engine
+// and is now barred.
 const (
 	CancelNeverRan  CancelState = "never_ran"
 	CancelCancelled CancelState = "cancelled"
 	CancelFinished  CancelState = "finished"
 )
 
-// CancelResponse is the outcome of a cancel. A wrong incarnation is an error:
-// a newer run of the engine knows nothing of the stream.
+// CancelResponse is the response to a CancelRequest. If the incarnation doesn't match, the engine
+// responds with ErrorWrongIncarnation instead, since it has no record of the stream.
 type CancelResponse struct {
 	State  CancelState `json:"state"`
 	Tokens int         `json:"tokens"`
 }
 
-// Role tells what work an engine takes.
+// Role is the kind of work that an engine accepts.
 type Role string
 
 // Engine roles.
@@ -141,7 +139,7 @@
 	RoleDecode  Role = "decode"
 )
 
-// Status is the engine's word about itself. Load may lag.
+// Status is an engine's report of its own state. Load may be stale.
 type Status struct {
 	Engine      fleet.EngineID     `json:"engine"`
 	Incarnation fleet.Incarnation  `json:"incarnation"`
@@ -156,58 +154,58 @@
 	Load        Load               `json:"load"`
 }
 
-// Load is a lagging report of an engine's work.
+// Load is a report of an engine's work, which may be stale.
 type Load struct {
-	// MeasuredAtMillis is the engine's own elapsed time of the measurement.
+	// MeasuredAtMillis is the time of the measurement on the engine's own monotonic clock.
 	MeasuredAtMillis int64 `json:"measured_at_ms"`
 	RunningStreams   int   `json:"running_streams"`
 	WaitingStreams   int   `json:"waiting_streams"`
-	// WaitingPrefillTokens is the prompt work not yet computed.
+	// WaitingPrefillTokens is the number of prompt tokens that are still to be computed.
 	WaitingPrefillTokens int `json:"waiting_prefill_tokens"`
 	UsedBlocks           int `json:"used_blocks"`
-	// StepTokens is the token budget of one batch step, PrefillMicrosPerToken
-	// and StepMicros describe the engine's speed as it measures it.
+	// StepTokens is the token budget of one batch step. PrefillMicrosPerToken and StepMicros are
+	// the engine's measured prefill time per token and time per step, in microseconds.
 	StepTokens            int     `json:"step_tokens"`
 	PrefillMicrosPerToken float64 `json:"prefill_us_per_token"`
 	StepMicros            float64 `json:"step_us"`
 }
 
-// CacheEventKind tells what became of a block.
+// CacheEventKind is the kind of change to cached blocks.
 type CacheEventKind string
 
-// Kinds of cache events.
+// Cache event kinds.
 const (
 	BlockStored  CacheEventKind = "stored"
 	BlockRemoved CacheEventKind = "removed"
-	// CacheCleared means that every block is gone.
+	// CacheCleared means that all blocks were removed.
 	CacheCleared CacheEventKind = "cleared"
 )
 
-// CacheEvent is one batch of equal changes. Sequence numbers rise by one for
-// each event; a jump means that events were lost.
+// CacheEvent is a batch of changes of one kind. Sequence increases by one with each event; a gap
+// means that events were lost.
 type CacheEvent struct {
 	Sequence uint64            `json:"seq"`
 	Kind     CacheEventKind    `json:"kind"`
 	Hashes   []fleet.BlockHash `json:"hashes,omitempty"`
 }
 
-// CacheEvents answers a poll for events.
+// CacheEvents is the response to a poll for cache events.
 type CacheEvents struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Events      []CacheEvent      `json:"events"`
 }
 
-// CacheSnapshot is the whole set of cached blocks, consistent at Sequence.
+// CacheSnapshot is the set of all cached blocks as of the event Sequence.
 type CacheSnapshot struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Sequence    uint64            `json:"seq"`
 	Hashes      []fleet.BlockHash `json:"hashes"`
 }
 
-// OrderKind names what an order changes.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
-// Kinds of orders.
+// Order kinds.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
@@ -216,8 +214,8 @@
 	OrderResume OrderKind = "resume"
 )
 
-// Order is a fenced instruction. An engine that has seen a higher token
-// rejects it with ErrorStaleFence. Orders are idempotent.
+// Order is an administrative command to an engine, protected by a fencing token: an engine that has
+// seen a higher token rejects it with ErrorStaleFence. Orders are idempotent.
 type Order struct {
 	Fence       fleet.FencingToken `json:"fence"`
 	Incarnation fleet.Incarnation  `json:"incarnation"`
@@ -226,14 +224,14 @@
 	Role        Role               `json:"role,omitempty"`
 }
 
-// KVExportRequest asks for the cached blocks of a prefix.
+// KVExportRequest requests the cached blocks of a prefix.
 type KVExportRequest struct {
 	Tenant  fleet.TenantName  `json:"tenant"`
 	Weights Weights           `json:"weights"`
 	Hashes  []fleet.BlockHash `json:"hashes"`
 }
 
-// KVBundle carries exported blocks. Checksum covers owner, weights and hashes.
+// KVBundle holds exported blocks. Checksum covers the tenant, the weights and the hashes.
 type KVBundle struct {
 	Tenant   fleet.TenantName  `json:"tenant"`
 	Weights  Weights           `json:"weights"`
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -8,19 +8,19 @@
 	"github.com/go-faster/errors"
 )
 
-// WriteError answers a request with an error body and the status that fits its
-// code.
+// WriteError sends a failure as an ErrorBody with the HTTP status of its code.
 func WriteError(writer http.ResponseWriter, failure *Error) {
 	body := ErrorBody{Error: failure.Code, Message: failure.Message, Incarnation: failure.Incarnation}
 	writeJSON(writer, httpStatus(failure.Code), body)
 }
 
-// WriteResponse answers a request with a JSON body.
+// WriteResponse sends a JSON body with status 200.
 func WriteResponse(writer http.ResponseWriter, body any) {
 	writeJSON(writer, http.StatusOK, body)
 }
 
-// ReadRequest decodes a JSON body of at most maxBytes.
+// ReadRequest decodes a JSON request body of at most maxBytes into body. A body that is too long or
+// malformed yields an *Error with ErrorBadRequest.
 func ReadRequest(request *http.Request, maxBytes int64, body any) error {
 	data, err := io.ReadAll(io.LimitReader(request.Body, maxBytes+1))
 	if err != nil {
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// writeJSON ignores a failed write: the peer is gone and learns nothing.
+// writeJSON sends a JSON body. It ignores write errors, because the client can't be notified of
+// them.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -9,8 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Stream reads the frames of one stream from one connection. It isn't safe for
-// concurrent use, save Close.
+// Stream reads the frames of one stream from one connection. Only Close is safe for concurrent use.
 type Stream struct {
 	id        fleet.StreamID
 	body      io.ReadCloser
@@ -29,36 +28,36 @@
 	}
 }
 
-// Next returns the next frame: FrameAccepted first, then tokens without a gap,
-// then FrameDone or FrameError, and io.EOF after that. Any other end is an
-// *Error, and the stream can be resumed at Offset. When the context ends, the
-// connection is closed, and the stream can only be resumed.
+// Next returns the next frame: FrameAccepted, then tokens without gaps, then FrameDone or
+// FrameError, and after that io.EOF. It returns an *Error if the stream ends in any other way;
+// Client.Resume can then continue it at Offset. The connection is closed when ctx ends, after which
+// the stream can only be resumed.
 func (s *Stream) Next(ctx context.Context) (Frame, error) {
 	if s.ended {
 		return Frame{}, io.EOF
 	}
-	stop := context.AfterFunc(ctx, func() { s.body.Close() })
+	stopWatching := context.AfterFunc(ctx, func() { s.body.Close() })
 	frame, err := s.decoder.Decode()
-	stop()
+	stopWatching()
 	if err != nil {
 		return Frame{}, s.fail(ctx, err)
 	}
-	if problem := s.validate(frame); problem != "" {
+	if violation := s.validate(frame); violation != "" {
 		s.Close()
-		return Frame{}, &Error{Code: ErrorProtocol, Message: problem, Sent: true}
+		return Frame{}, &Error{Code: ErrorProtocol, Message: violation, Sent: true}
 	}
 	s.advance(frame)
 	return frame, nil
 }
 
-// Offset is the number of the token that a resume has to ask for.
+// Offset returns the index of the next expected token, which is the offset for Client.Resume.
 func (s *Stream) Offset() int { return s.nextIndex }
 
-// ID is the identifier of the stream.
+// ID returns the stream ID.
 func (s *Stream) ID() fleet.StreamID { return s.id }
 
-// Close gives the connection up. The engine keeps the stream for its grace
-// time; only Client.Cancel ends it at once.
+// Close closes the connection. The engine keeps the stream for a grace period, unless Client.Cancel
+// ends it.
 func (s *Stream) Close() {
 	s.body.Close()
 }
@@ -69,9 +68,9 @@
 	switch {
 	case ctx.Err() != nil:
 		failure.Cause = ctx.Err()
-		failure.Message = "stream abandoned: " + ctx.Err().Error()
+		failure.Message = "stream read interrupted: " + ctx.Err().Error()
 	case err == io.EOF:
-		// An end without a final frame must never look like a regular one.
+		// A truncated stream must not look like a complete one, so io.EOF isn't passed on.
 		failure.Cause = io.ErrUnexpectedEOF
 		failure.Message = "stream ended without a final frame"
 	case isMalformed(err):
@@ -80,19 +79,19 @@
 	return failure
 }
 
-// validate returns what is wrong with a frame, or "".
+// validate returns a description of the frame's protocol violation, or "".
 func (s *Stream) validate(frame Frame) string {
 	if frame.Stream != s.id {
-		return fmt.Sprintf("frame of stream %q on stream %q", frame.Stream, s.id)
+		return fmt.Sprintf("received a frame of stream %q on stream %q", frame.Stream, s.id)
 	}
 	if s.accepted == (frame.Kind == FrameAccepted) {
-		return fmt.Sprintf("frame %q out of place", frame.Kind)
+		return fmt.Sprintf("unexpected frame %q", frame.Kind)
 	}
 	if frame.Kind == FrameToken && frame.Index != s.nextIndex {
-		return fmt.Sprintf("token %d where %d was due", frame.Index, s.nextIndex)
+		return fmt.Sprintf("received token %d, expected %d", frame.Index, s.nextIndex)
 	}
 	if frame.Kind == FrameDone && frame.Count != s.nextIndex {
-		return fmt.Sprintf("final count %d after %d tokens", frame.Count, s.nextIndex)
+		return fmt.Sprintf("final token count is %d, received %d", frame.Count, s.nextIndex)
 	}
 	return ""
 }
