--- a/internal/operator/mutate.go
+++ b/internal/operator/mutate.go
@@ -9,13 +9,13 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Mutation is a pure function from one configuration to the next. It may run
-// several times, each time on a newer configuration. Its errors are
-// *resultcode.Error.
+// Mutation is a pure function that derives the next configuration from the current one. A commit
+// may run it several times, each time on a newer configuration. Its errors are *resultcode.Error or
+// wrap one.
 type Mutation func(config.Document) (config.Document, error)
 
-// admitEngine ends the drain of a run of an engine. A retired run has been told
-// itself to leave, which sticks to it; its next run is admitted by itself.
+// admitEngine removes the drain directive of an engine run. It fails for a retired run, because the
+// engine itself was ordered to leave; its next run is admitted without a command.
 func admitEngine(run fleet.EngineRun) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		if hasDirective(document, run, config.DirectiveRetire) {
@@ -31,17 +31,19 @@
 	}
 }
 
+// hasDirective reports whether the run has a directive of the kind.
 func hasDirective(document config.Document, run fleet.EngineRun, kind config.DirectiveKind) bool {
 	return slices.ContainsFunc(document.Directives, matchDirective(run, kind))
 }
 
+// matchDirective returns a predicate for the directives of a kind for a run.
 func matchDirective(run fleet.EngineRun, kind config.DirectiveKind) func(config.Directive) bool {
 	return func(directive config.Directive) bool {
 		return appliesTo(directive, run) && directive.Kind == kind
 	}
 }
 
-// setDirective sets a standing order, in place of an earlier one of its kind.
+// setDirective adds a directive for a run and removes those that it supersedes.
 func setDirective(run fleet.EngineRun, kind config.DirectiveKind, role string) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(document)
@@ -55,12 +57,13 @@
 	}
 }
 
+// appliesTo reports whether a directive is for the given run.
 func appliesTo(directive config.Directive, run fleet.EngineRun) bool {
 	return directive.Engine == run.Engine && directive.Incarnation == run.Incarnation
 }
 
-// isSuperseded tells whether a new order ends an earlier one: the same order
-// of the same run, or any order of a run that is over.
+// isSuperseded reports whether a new directive for a run replaces an existing one: a directive of
+// the same kind and run, or any directive of an earlier run of the engine.
 func isSuperseded(directive config.Directive, run fleet.EngineRun, kind config.DirectiveKind) bool {
 	if directive.Engine != run.Engine {
 		return false
@@ -68,9 +71,8 @@
 	return directive.Incarnation < run.Incarnation || (directive.Incarnation == run.Incarnation && directive.Kind == kind)
 }
 
-// promoteVersion makes a version the serving one. The version that served
-// before stays loaded until it is retired, for requests that were admitted
-// under it and for a way back.
+// promoteVersion makes a version the serving one. The previously serving version stays loaded until
+// it is retired, for requests that were admitted with it and for a rollback.
 func promoteVersion(target fleet.Weights) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		switch versions[position].State {
@@ -89,7 +91,7 @@
 	})
 }
 
-// retireVersion takes a version that doesn't serve out of use.
+// retireVersion retires a version that isn't serving.
 func retireVersion(target fleet.Weights) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		if versions[position].State == config.VersionServing {
@@ -101,9 +103,9 @@
 	})
 }
 
-// changeVersions changes the versions of the model or adapter that a target is
-// a version of; position is the target's among them. If change fails, the
-// document stays as it was.
+// changeVersions returns a mutation that applies change to all versions of the target's model or
+// adapter, where position is the index of the target version. If change fails, the mutation returns
+// the document unmodified.
 func changeVersions(target fleet.Weights, change func(versions []config.Version, position int) error) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(document)
@@ -122,8 +124,8 @@
 	}
 }
 
-// replaceConfiguration puts a whole configuration in place of the present one. Operators'
-// orders of single engines stay: a file doesn't hold them.
+// replaceConfiguration replaces the whole configuration except its revision and directives, which a
+// configuration file doesn't contain.
 func replaceConfiguration(replacement config.Document) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(replacement)
@@ -133,7 +135,7 @@
 	}
 }
 
-// versionsOf returns the versions of a model or adapter inside a document.
+// versionsOf returns the versions of the target's model or adapter. The slice aliases the document.
 func versionsOf(document *config.Document, target fleet.Weights) ([]config.Version, error) {
 	position := slices.IndexFunc(document.Models, func(model config.Model) bool { return model.Name == target.Model })
 	if position < 0 {
@@ -150,6 +152,7 @@
 	return model.Adapters[position].Versions, nil
 }
 
+// findVersion returns the index of the target version.
 func findVersion(versions []config.Version, target fleet.Weights) (int, error) {
 	position := slices.IndexFunc(versions, func(version config.Version) bool { return version.Name == target.Version })
 	if position < 0 {
@@ -158,6 +161,7 @@
 	return position, nil
 }
 
+// formatModelName returns "model" or "model:adapter".
 func formatModelName(weights fleet.Weights) string {
 	if weights.Adapter == "" {
 		return string(weights.Model)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// stubSource is a fixed view of a small fleet.
+// stubSource is a Source with the fixed state of a small fleet.
 type stubSource struct {
 	document      config.Document
 	queriedHashes []fleet.BlockHash
@@ -54,7 +54,7 @@
 	document config.Document
 	failure  error
 	outcomes map[string]Outcome
-	// deduplicates has a token that was used get its first outcome again.
+	// deduplicates makes Commit return the recorded outcome for a token that was used before.
 	deduplicates bool
 }
 
@@ -230,11 +230,11 @@
 		{Engine: "e2", Incarnation: 7, Kind: config.DirectiveRetire},
 	}, f.store.document.Directives)
 	require.Equal(t, resultcode.OK, f.run("admit e1").Code)
-	assert.Len(t, f.store.document.Directives, 2, "the role outlives an admit")
-	assert.Equal(t, resultcode.CommandImpossible, f.run("admit e2").Code, "a retired run doesn't come back")
+	assert.Len(t, f.store.document.Directives, 2, "admit must keep the role directive")
+	assert.Equal(t, resultcode.CommandImpossible, f.run("admit e2").Code, "a retired run can't be admitted")
 }
 
-// unknownRunSource lists an engine that hasn't named its run.
+// unknownRunSource lists an engine with an unknown incarnation.
 type unknownRunSource struct{ *stubSource }
 
 func (unknownRunSource) Engines() []Engine {
@@ -249,14 +249,14 @@
 		assert.Equal(t, resultcode.CommandImpossible, result.Code, statement)
 		assert.Positive(t, result.ErrorColumn, statement)
 	}
-	assert.Equal(t, fleet.Revision(10), f.store.document.Revision, "nothing was committed")
+	assert.Equal(t, fleet.Revision(10), f.store.document.Revision, "nothing must be committed")
 }
 
 func TestInvalidVersionTransitionsAreRejected(t *testing.T) {
 	f := newFixture(t, nil)
 	before := f.store.document
-	assert.Equal(t, resultcode.CommandImpossible, f.run("retire version m v1").Code, "v1 serves")
-	assert.Equal(t, resultcode.CommandImpossible, f.run("promote m v1").Code, "v1 serves already")
+	assert.Equal(t, resultcode.CommandImpossible, f.run("retire version m v1").Code, "v1 is serving")
+	assert.Equal(t, resultcode.CommandImpossible, f.run("promote m v1").Code, "v1 is already serving")
 	assert.Equal(t, resultcode.CommandImpossible, f.run("promote m:a a2").Code, "a2 is retired")
 	for statement, column := range map[string]int{"promote m v9": 11, "promote x v9": 9, "retire version m:z v1": 16} {
 		result := f.run(statement)
@@ -265,7 +265,7 @@
 		assert.Contains(t, result.Message, fmt.Sprintf("column %d: ", column))
 	}
 	require.Equal(t, resultcode.OK, f.run("promote m v2").Code)
-	assert.Equal(t, config.VersionServing, before.Models[0].Versions[0].State, "the mutation is pure")
+	assert.Equal(t, config.VersionServing, before.Models[0].Versions[0].State, "the mutation must not modify its input")
 	require.Equal(t, resultcode.OK, f.run("retire version m v1").Code)
 	assert.Equal(t, config.VersionRetired, f.store.document.Models[0].Versions[0].State)
 }
@@ -276,8 +276,8 @@
 	assert.Equal(t, resultcode.CommandImpossible, result.Code)
 	assert.Contains(t, result.Message, "1 of 3")
 	swapped := strings.NewReplacer("v1, state: serving", "v1, state: loading", "v2, state: loading", "v2, state: serving").Replace(baseYAML)
-	assert.Equal(t, resultcode.CommandImpossible, f.run("apply"+swapped).Code, "apply is no way around")
-	assert.Equal(t, resultcode.OK, f.run("apply"+baseYAML).Code, "nothing is promoted")
+	assert.Equal(t, resultcode.CommandImpossible, f.run("apply"+swapped).Code, "apply must check readiness too")
+	assert.Equal(t, resultcode.OK, f.run("apply"+baseYAML).Code, "an apply without promotion needs no readiness")
 }
 
 func TestApplyReportsEveryErrorAndKeepsDirectives(t *testing.T) {
@@ -289,7 +289,7 @@
 	assert.Contains(t, result.Message, "weight")
 	assert.Contains(t, result.Message, "max_stream")
 	require.Equal(t, resultcode.OK, f.run("apply "+baseYAML).Code)
-	require.Equal(t, resultcode.OK, f.run("apply "+strings.TrimSpace(baseYAML)).Code, "the first line keeps its indentation")
+	require.Equal(t, resultcode.OK, f.run("apply "+strings.TrimSpace(baseYAML)).Code, "the first line must keep its indentation")
 	assert.Len(t, f.store.document.Directives, 1)
 }
 
@@ -297,10 +297,10 @@
 	f := newFixture(t, nil)
 	stale := f.runner.Run(context.Background(), Request{Statement: "drain e1", ExpectedRevision: 3})
 	assert.Equal(t, resultcode.RevisionConflict, stale.Code)
-	assert.NotEmpty(t, stale.Token, "a command without a token gets one")
+	assert.NotEmpty(t, stale.Token, "a command without a token must get one")
 	assert.Equal(t, resultcode.TargetNotFound, f.run("lookup token").Code)
-	for _, lost := range []error{errors.New("answer lost"), resultcode.New(resultcode.CommandUncertain, "answer lost")} {
-		f.store.failure = lost
+	for _, failure := range []error{errors.New("answer lost"), resultcode.New(resultcode.CommandUncertain, "answer lost")} {
+		f.store.failure = failure
 		uncertain := f.run("drain e1")
 		assert.Equal(t, resultcode.CommandUncertain, uncertain.Code)
 		assert.Contains(t, uncertain.Message, "answer lost; ask with: lookup token")
@@ -316,7 +316,7 @@
 	f.store.deduplicates = true
 	first := f.run("drain e1")
 	require.Equal(t, resultcode.OK, first.Code)
-	assert.Equal(t, first, f.run("drain e1"), "the same command again")
+	assert.Equal(t, first, f.run("drain e1"), "a retry must return the first outcome")
 	other := f.run("retire e1")
 	assert.Equal(t, resultcode.CommandImpossible, other.Code)
 	assert.Contains(t, other.Message, `"drain e1" at revision 11`)
@@ -332,8 +332,8 @@
 	recorded := f.store.outcomes["token"].Statement
 	assert.Less(t, len(recorded), maxRecordedBytes)
 	assert.True(t, utf8.ValidString(recorded))
-	assert.Equal(t, resultcode.OK, f.run(long).Code, "the same command again")
-	assert.Equal(t, resultcode.CommandImpossible, f.run(long+"\n").Code, "another of the same beginning")
+	assert.Equal(t, resultcode.OK, f.run(long).Code, "a retry must succeed")
+	assert.Equal(t, resultcode.CommandImpossible, f.run(long+"\n").Code, "a different statement with the same beginning must be rejected")
 }
 
 func TestResultAsTextAndJSON(t *testing.T) {
@@ -355,14 +355,14 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		statement, err := Parse(text)
 		if err != nil {
-			var syntax *SyntaxError
-			require.ErrorAs(t, err, &syntax)
-			require.Positive(t, syntax.Column)
+			var syntaxError *SyntaxError
+			require.ErrorAs(t, err, &syntaxError)
+			require.Positive(t, syntaxError.Column)
 			return
 		}
 		if _, err := MakePlan(statement, source); err != nil {
-			var planning *PlanError
-			require.ErrorAs(t, err, &planning)
+			var planError *PlanError
+			require.ErrorAs(t, err, &planError)
 		}
 	})
 }
--- a/internal/operator/parse.go
+++ b/internal/operator/parse.go
@@ -8,13 +8,14 @@
 	"github.com/go-faster/errors"
 )
 
-// SyntaxError says which word of a statement is wrong.
+// SyntaxError describes the first syntax error of a statement.
 type SyntaxError struct {
-	// Column is the place of the wrong word, from 1, in characters.
+	// Column is the position of the invalid word in characters, from 1.
 	Column int
-	// Message says what was found.
+	// Message describes the error.
 	Message string
-	// Suggestion is the nearest keyword that could stand there; empty if none is near.
+	// Suggestion is the most similar keyword that is valid at this position; empty if none is
+	// similar.
 	Suggestion string
 }
 
@@ -27,16 +28,16 @@
 	return text
 }
 
-// applyKeyword begins the one statement whose rest isn't words.
+// applyKeyword starts the statement that contains a YAML configuration.
 const applyKeyword = "apply"
 
-// MaxStatementBytes bounds a statement, a whole configuration included.
+// MaxStatementBytes is the maximum size of a statement, including the configuration of "apply".
 const MaxStatementBytes = 4 << 20
 
-// maxPlainStatementBytes bounds every statement but apply.
+// maxPlainStatementBytes is the maximum size of any statement except "apply".
 const maxPlainStatementBytes = 64 << 10
 
-// Parse turns text into a syntax tree or returns a *SyntaxError.
+// Parse returns the syntax tree of a statement. Its errors are *SyntaxError.
 func Parse(text string) (*Statement, error) {
 	if document, found := cutApply(text); found {
 		return &Statement{Apply: &document}, nil
@@ -51,8 +52,8 @@
 	return statement, nil
 }
 
-// cutApply returns the YAML after the keyword apply and the one space or line
-// break behind it, so that the first line keeps its indentation.
+// cutApply returns the YAML after the keyword "apply" and a single whitespace character, so that
+// the first line keeps its indentation. It reports whether the text is an "apply" statement.
 func cutApply(text string) (string, bool) {
 	rest, found := strings.CutPrefix(strings.TrimLeft(text, " \t\r\n"), applyKeyword)
 	if !found || rest == "" {
@@ -64,6 +65,7 @@
 	return rest[1:], true
 }
 
+// newSyntaxError converts an error of the parser to a *SyntaxError.
 func newSyntaxError(text string, err error) error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
@@ -76,6 +78,7 @@
 	return &SyntaxError{Column: 1, Message: err.Error()}
 }
 
+// newUnexpectedTokenError describes an unexpected token with a suggestion or the valid keywords.
 func newUnexpectedTokenError(text string, err *participle.UnexpectedTokenError) error {
 	token := err.Unexpected
 	before := text[:min(max(token.Pos.Offset, 0), len(text))]
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -14,10 +14,12 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// PlanError is a statement that can be parsed but not planned.
+// PlanError describes why a syntactically valid statement can't be planned or its command can't be
+// applied.
 type PlanError struct {
 	Code resultcode.Code
-	// Column is the place of the word that is wrong, from 1; 0 if none is.
+	// Column is the position of the invalid word in characters, from 1; 0 if the error isn't due to
+	// a word.
 	Column  int
 	Message string
 }
@@ -30,29 +32,28 @@
 	return fmt.Sprintf("column %d: %s", e.Column, e.Message)
 }
 
-// Unwrap returns the numbered error that is recorded if a mutation fails so.
+// Unwrap returns the error with its result code, which is recorded if a mutation fails.
 func (e *PlanError) Unwrap() error { return resultcode.New(e.Code, e.Error()) }
 
-// Plan is what a statement asks for: exactly one field is set.
+// Plan is the executable form of a statement. Exactly one field is set.
 type Plan struct {
-	// Query reads the router's view.
+	// Query reads the router's state.
 	Query func() Result
 	// Command changes the configuration.
 	Command *Command
-	// LookupToken is the token of a command whose outcome is wanted.
+	// LookupToken is the token of the command whose outcome is requested.
 	LookupToken string
 }
 
 // Command is a change of the configuration.
 type Command struct {
 	Mutate Mutation
-	// Promotes lists the weights that the command makes serving, given the
-	// configuration that it is applied to.
+	// Promotes returns the model versions that the command makes serving, given the configuration
+	// that it is applied to. It is nil if the command promotes none.
 	Promotes func(before config.Document) []fleet.Weights
 }
 
-// MakePlan resolves the names in a statement against a router's view. Its
-// errors are *PlanError.
+// MakePlan resolves the names in a statement against the router's state. Its errors are *PlanError.
 func MakePlan(statement *Statement, source Source) (Plan, error) {
 	switch {
 	case statement.Show != nil:
@@ -88,10 +89,12 @@
 	return Plan{}, &PlanError{Code: resultcode.StatementUnknown, Column: 1, Message: "unknown statement"}
 }
 
+// directiveMutation returns a function that creates the setDirective mutation for a run.
 func directiveMutation(kind config.DirectiveKind, role string) func(fleet.EngineRun) Mutation {
 	return func(run fleet.EngineRun) Mutation { return setDirective(run, kind, role) }
 }
 
+// planEngine plans a command for the current run of the named engine.
 func planEngine(name *Word, source Source, mutation func(fleet.EngineRun) Mutation) (Plan, error) {
 	engines := source.Engines()
 	position := slices.IndexFunc(engines, func(engine Engine) bool { return string(engine.Run.Engine) == name.Text })
@@ -100,7 +103,7 @@
 	}
 	run := engines[position].Run
 	if run.Incarnation == 0 {
-		// An order for no run would be committed and never take effect.
+		// A directive without an incarnation would match no run and never take effect.
 		return Plan{}, &PlanError{
 			Code: resultcode.CommandImpossible, Column: name.Pos.Column,
 			Message: fmt.Sprintf("this router hasn't heard yet which run of engine %q is up", run.Engine),
@@ -126,23 +129,25 @@
 	return Plan{Command: &Command{Mutate: withErrorColumn(reference, target, promoteVersion(target)), Promotes: promotes}}, nil
 }
 
-// withErrorColumn makes a mutation that doesn't find its version point at the word that
-// is wrong. Only the mutation can tell: the router's view may be behind.
+// withErrorColumn wraps a mutation so that a TargetNotFound error carries the column of the unknown
+// target or version. This is resolved in the mutation, because the router's configuration may be
+// stale.
 func withErrorColumn(reference *VersionReference, target fleet.Weights, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
-		var coded *resultcode.Error
-		if !errors.As(err, &coded) || coded.Code != resultcode.TargetNotFound {
+		var notFoundError *resultcode.Error
+		if !errors.As(err, &notFoundError) || notFoundError.Code != resultcode.TargetNotFound {
 			return next, err
 		}
 		word := reference.Version
 		if _, missing := versionsOf(&document, target); missing != nil {
 			word = reference.Target
 		}
-		return next, &PlanError{Code: coded.Code, Column: word.Pos.Column, Message: coded.Message}
+		return next, &PlanError{Code: notFoundError.Code, Column: word.Pos.Column, Message: notFoundError.Message}
 	}
 }
 
+// parseModelName parses "model" or "model:adapter".
 func parseModelName(text string) fleet.Weights {
 	model, adapter, _ := strings.Cut(text, config.AdapterSeparator)
 	return fleet.Weights{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
@@ -157,23 +162,23 @@
 	return Plan{Command: &Command{Mutate: replaceConfiguration(*document), Promotes: promotes}}, nil
 }
 
-// newlyServing returns the weights that serve after a change in place of
-// others. Models and adapters that are new take no traffic away from weights
-// that are loaded, so they aren't among them.
+// newlyServing returns the versions that replace another serving version in a change. New models
+// and adapters are excluded, because they take over no traffic from a loaded version.
 func newlyServing(before, after config.Document) []fleet.Weights {
-	served := servingWeights(before)
+	previous := servingWeights(before)
 	var changed []fleet.Weights
 	for _, weights := range servingWeights(after) {
 		replaces := func(old fleet.Weights) bool {
 			return old.Model == weights.Model && old.Adapter == weights.Adapter && old.Version != weights.Version
 		}
-		if slices.ContainsFunc(served, replaces) {
+		if slices.ContainsFunc(previous, replaces) {
 			changed = append(changed, weights)
 		}
 	}
 	return changed
 }
 
+// servingWeights returns the serving versions of all models and adapters.
 func servingWeights(document config.Document) []fleet.Weights {
 	var serving []fleet.Weights
 	add := func(model fleet.ModelName, adapter fleet.AdapterName, versions []config.Version) {
@@ -212,7 +217,8 @@
 	return planHolders(hashes, source), nil
 }
 
-// unknownRequestMessage says that only the router which placed a request knows it.
+// unknownRequestMessage mentions the router, because only the router that placed a request has its
+// record.
 func unknownRequestMessage(request fleet.RequestID) string {
 	return fmt.Sprintf("no recent request %q at this router", request)
 }
@@ -236,9 +242,9 @@
 	if !slices.ContainsFunc(document.Tenants, func(t config.Tenant) bool { return string(t.Name) == prefix.Tenant.Text }) {
 		return Plan{}, notFound(prefix.Tenant, "tenant")
 	}
-	wanted := parseModelName(prefix.Model.Text)
+	target := parseModelName(prefix.Model.Text)
 	for _, weights := range servingWeights(document) {
-		if weights.Model != wanted.Model || weights.Adapter != wanted.Adapter {
+		if weights.Model != target.Model || weights.Adapter != target.Adapter {
 			continue
 		}
 		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), Weights: weights}
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -12,13 +12,13 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// table is a query's source of rows; every cell is text in a stable form.
+// table defines the columns of a "show" table and how its rows are read.
 type table struct {
 	columns []string
 	rows    func(Source) []Row
 }
 
-// tables holds what "show" can list.
+// tables contains the "show" tables by name.
 var tables = map[string]table{
 	"engines": {
 		columns: []string{
@@ -57,7 +57,7 @@
 	},
 }
 
-// rowFilter keeps a row if the cell compares as wanted.
+// rowFilter selects the rows whose cell at position equals value, or doesn't if equal is false.
 type rowFilter struct {
 	position int
 	value    string
--- a/internal/operator/result.go
+++ b/internal/operator/result.go
@@ -21,17 +21,17 @@
 
 // Result is the outcome of a statement.
 type Result struct {
-	// Code is resultcode.OK when the statement was done.
+	// Code is resultcode.OK if the statement succeeded.
 	Code resultcode.Code
-	// Message says what was done, or what went wrong.
+	// Message describes the outcome or the error.
 	Message string
-	// Token identifies a command, so that its outcome can be looked up.
+	// Token identifies a command, for looking up its outcome.
 	Token string
-	// Revision is the one at which a command took effect; 0 for a query.
+	// Revision is the configuration revision at which a command took effect; 0 for a query.
 	Revision fleet.Revision
 	Columns  []Column
 	Rows     []Row
-	// ErrorColumn is the place of the wrong word, from 1; 0 if there is none.
+	// ErrorColumn is the position of the invalid word in characters, from 1; 0 if there is none.
 	ErrorColumn int
 }
 
@@ -39,7 +39,7 @@
 	return Result{Code: code, Message: message}
 }
 
-// WriteText writes the result as a text table with a closing message line.
+// WriteText writes the result as a text table, followed by a summary line.
 func (r Result) WriteText(output io.Writer) error {
 	if len(r.Columns) > 0 {
 		if err := r.writeTable(output); err != nil {
@@ -85,7 +85,7 @@
 	return table.Flush()
 }
 
-// resultJSON is the documented JSON form of a result.
+// resultJSON is the documented JSON encoding of a Result.
 type resultJSON struct {
 	Code        resultcode.Code `json:"code"`
 	Name        string          `json:"name"`
@@ -99,16 +99,16 @@
 
 // MarshalJSON implements json.Marshaler.
 func (r Result) MarshalJSON() ([]byte, error) {
-	form := resultJSON{
+	encoded := resultJSON{
 		Code: r.Code, Name: r.Code.String(), Message: r.Message, Token: r.Token,
 		Revision: r.Revision, ErrorColumn: r.ErrorColumn,
 		Columns: make([]string, 0, len(r.Columns)), Rows: r.Rows,
 	}
 	for _, column := range r.Columns {
-		form.Columns = append(form.Columns, column.Name)
+		encoded.Columns = append(encoded.Columns, column.Name)
 	}
-	if form.Rows == nil {
-		form.Rows = []Row{}
+	if encoded.Rows == nil {
+		encoded.Rows = []Row{}
 	}
-	return json.Marshal(form)
+	return json.Marshal(encoded)
 }
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -14,41 +14,40 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Change is a command on its way to the table service.
+// Change is a command to be committed to the table service.
 type Change struct {
-	// Token identifies the command across retries.
+	// Token identifies the command, and makes retries of it idempotent.
 	Token string
-	// ExpectedRevision is the revision that the operator based the command on;
-	// 0 accepts any.
+	// ExpectedRevision is the revision that the configuration must have; 0 accepts any.
 	ExpectedRevision fleet.Revision
-	// Statement is the command as the operator wrote it, for the record; of a
-	// long one the beginning and a digest.
+	// Statement is the text that is recorded for the command; see recordedStatement.
 	Statement string
 	Mutate    Mutation
 }
 
-// Outcome is the recorded end of a command.
+// Outcome is the recorded outcome of a command.
 type Outcome struct {
 	// Code is resultcode.OK for a command that took effect.
 	Code resultcode.Code
-	// Revision is the one at which it took effect.
+	// Revision is the configuration revision at which the command took effect.
 	Revision fleet.Revision
 	Message  string
 	// Statement is the command that the outcome is recorded for.
 	Statement string
 }
 
-// Store commits commands. An error that isn't a *resultcode.Error leaves open
-// whether the command took effect.
+// Store commits commands and looks up their outcomes.
 type Store interface {
+	// Commit applies a change. If the error isn't a *resultcode.Error, it is unknown whether the
+	// change took effect.
 	Commit(ctx context.Context, change Change) (Outcome, error)
-	// Lookup returns the outcome of a command; false if none is recorded.
+	// Lookup returns the recorded outcome of a command, and whether there is one.
 	Lookup(ctx context.Context, token string) (Outcome, bool, error)
 }
 
-// Readiness tells whether weights can take the traffic of a model.
+// Readiness checks whether a model version can be promoted.
 type Readiness interface {
-	// ReadyToPromote returns an error that says what is missing.
+	// ReadyToPromote returns an error that describes what is missing; nil if the version is ready.
 	ReadyToPromote(document config.Document, weights fleet.Weights) error
 }
 
@@ -59,19 +58,19 @@
 	ExpectedRevision fleet.Revision
 }
 
-// Runner runs statements against one router's view and the table service.
+// Runner runs statements against the state of one router and the table service.
 type Runner struct {
 	source    Source
 	store     Store
 	readiness Readiness
 }
 
-// NewRunner returns a runner.
+// NewRunner returns a Runner that reads from source and commits to store.
 func NewRunner(source Source, store Store, readiness Readiness) *Runner {
 	return &Runner{source: source, store: store, readiness: readiness}
 }
 
-// Run parses, plans and runs a statement. Every failure is told in the result.
+// Run parses, plans and runs a statement. Failures are reported in the result.
 func (r *Runner) Run(ctx context.Context, request Request) Result {
 	statement, err := Parse(request.Statement)
 	if err != nil {
@@ -92,20 +91,20 @@
 
 func syntaxFailure(err error) Result {
 	result := failure(resultcode.StatementSyntax, err.Error())
-	var syntax *SyntaxError
-	if errors.As(err, &syntax) {
-		result.ErrorColumn = syntax.Column
+	var syntaxError *SyntaxError
+	if errors.As(err, &syntaxError) {
+		result.ErrorColumn = syntaxError.Column
 	}
 	return result
 }
 
 func planFailure(err error) Result {
-	var planning *PlanError
-	if !errors.As(err, &planning) {
+	var planError *PlanError
+	if !errors.As(err, &planError) {
 		return failure(resultcode.Internal, err.Error())
 	}
-	result := failure(planning.Code, planning.Error())
-	result.ErrorColumn = planning.Column
+	result := failure(planError.Code, planError.Error())
+	result.ErrorColumn = planError.Column
 	return result
 }
 
@@ -114,13 +113,13 @@
 	if token == "" {
 		token = uuid.NewString()
 	}
-	wrongColumn := 0
+	errorColumn := 0
 	statement := recordedStatement(request.Statement)
 	outcome, err := r.store.Commit(ctx, Change{
 		Token:            token,
 		ExpectedRevision: request.ExpectedRevision,
 		Statement:        statement,
-		Mutate:           recordErrorColumn(&wrongColumn, r.requireReadiness(command)),
+		Mutate:           recordErrorColumn(&errorColumn, r.requireReadiness(command)),
 	})
 	if err != nil {
 		return commitFailure(token, err)
@@ -130,26 +129,26 @@
 	}
 	result := outcomeResult(token, outcome)
 	if outcome.Code == resultcode.TargetNotFound {
-		result.ErrorColumn = wrongColumn
+		result.ErrorColumn = errorColumn
 	}
 	return result
 }
 
-// recordErrorColumn keeps the place of the wrong word of the last run of a mutation.
+// recordErrorColumn wraps a mutation so that column holds the error column of its last run, or 0.
 func recordErrorColumn(column *int, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
 		*column = 0
-		var planning *PlanError
-		if errors.As(err, &planning) {
-			*column = planning.Column
+		var planError *PlanError
+		if errors.As(err, &planError) {
+			*column = planError.Column
 		}
 		return next, err
 	}
 }
 
-// requireReadiness refuses a promotion while the weights aren't loaded widely enough. It
-// asks at each run of the mutation, on the configuration that is changed.
+// requireReadiness wraps a command's mutation so that it fails unless all versions that the command
+// promotes are ready. Each run of the mutation checks the configuration that it changes.
 func (r *Runner) requireReadiness(command *Command) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := command.Mutate(document)
@@ -165,13 +164,13 @@
 	}
 }
 
-// commitFailure reports a command without an outcome. One that may have taken
-// effect says how to find out.
+// commitFailure reports a command whose commit returned an error. If the command may have taken
+// effect, the message says how to look up its outcome.
 func commitFailure(token string, err error) Result {
 	code, message := resultcode.CommandUncertain, err.Error()
-	var coded *resultcode.Error
-	if errors.As(err, &coded) {
-		code, message = coded.Code, coded.Message
+	var resultError *resultcode.Error
+	if errors.As(err, &resultError) {
+		code, message = resultError.Code, resultError.Message
 	}
 	if code == resultcode.CommandUncertain {
 		message += "; ask with: lookup " + token
@@ -181,15 +180,14 @@
 	return result
 }
 
-// Bounds of a statement's record: a row of the table service is no place for a
-// whole configuration.
+// Limits for recorded statements, which keep configurations out of the table service's rows.
 const (
 	maxRecordedBytes    = 1024
 	recordedPrefixBytes = 200
 )
 
-// recordedStatement returns a statement as it is recorded under its token.
-// Records of different statements differ.
+// recordedStatement returns the text that is recorded for a statement: the statement itself, or the
+// beginning, size and SHA-256 digest of a long one. Different statements have different records.
 func recordedStatement(statement string) string {
 	if len(statement) <= maxRecordedBytes {
 		return statement
@@ -198,11 +196,11 @@
 	return fmt.Sprintf("%s\n… %d bytes, SHA-256 %x", beginning, len(statement), sha256.Sum256([]byte(statement)))
 }
 
-// tokenReuseFailure reports a command that wasn't run, because its token is that of
-// another one. The other's outcome must not pass for its own.
+// tokenReuseFailure reports a command that wasn't run because another command has used its token.
+// The outcome of the other command must not be returned for this one.
 func tokenReuseFailure(token string, other Outcome) Result {
-	first, _, _ := strings.Cut(other.Statement, "\n")
-	message := fmt.Sprintf("not done: this token is that of another command, %q at revision %d; give each command its own", first, other.Revision)
+	firstLine, _, _ := strings.Cut(other.Statement, "\n")
+	message := fmt.Sprintf("not done: this token is that of another command, %q at revision %d; give each command its own", firstLine, other.Revision)
 	result := failure(resultcode.CommandImpossible, message)
 	result.Token = token
 	return result
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -7,22 +7,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Source is one router's view, as the queries read it. Each call returns a
-// copy in a stable order.
+// Source provides the state of one router to queries. Each call returns a copy in a stable order.
 type Source interface {
-	// Configuration returns the configuration in force; false if none is known.
+	// Configuration returns the active configuration, and false if there is none yet.
 	Configuration() (config.Document, bool)
 	Engines() []Engine
 	Routers() []Router
 	Waiting() []Waiting
-	// Holders returns the engine runs that hold a prefix of the chained block
-	// hashes, with the number of leading blocks that each holds.
+	// Holders returns the engine runs that have at least the first of the chained block hashes in
+	// their cache.
 	Holders(hashes []fleet.BlockHash) []Holder
-	// RequestBlocks returns the block hashes of a recent request.
+	// RequestBlocks returns the block hashes of a recent request, and false if it is unknown.
 	RequestBlocks(request fleet.RequestID) ([]fleet.BlockHash, bool)
-	// Explain returns why a recent request was placed as it was.
+	// Explain returns the placement decision for a recent request, and false if it is unknown.
 	Explain(request fleet.RequestID) (Explanation, bool)
-	// Version returns the version of the router's program.
+	// Version returns the version of the router's software.
 	Version() string
 }
 
@@ -34,16 +33,15 @@
 	Pool    fleet.PoolName
 	Role    string
 	State   string
-	// LeavingBy names who said that the run is leaving; empty if nobody did.
+	// LeavingBy identifies who reported that the run is leaving; empty if nobody did.
 	LeavingBy string
-	// Owned tells that this router indexes the engine and places on it.
+	// Owned is true if this router indexes the engine's cache and places requests on it.
 	Owned         bool
 	Loaded        []fleet.Weights
 	InFlight      int
 	PrefillTokens int
 	CachedBlocks  int
-	// CacheTrusted is false from lost cache events on, until the cache has been
-	// read anew.
+	// CacheTrusted is false after cache events were lost, until a new cache snapshot has been read.
 	CacheTrusted bool
 }
 
@@ -67,26 +65,26 @@
 	Reason  string
 }
 
-// Holder is an engine run that holds leading blocks of a prefix.
+// Holder is an engine run that has the first Blocks blocks of a prefix in its cache.
 type Holder struct {
 	Run    fleet.EngineRun
 	Blocks int
 }
 
-// Explanation tells why a request was placed as it was.
+// Explanation describes the placement decision for a request.
 type Explanation struct {
 	Outcome string
-	// Candidates lists the engines that were weighed, best first.
+	// Candidates lists the considered engines, best first.
 	Candidates []Candidate
 }
 
-// Candidate is one engine as a decision saw it.
+// Candidate is an engine that a placement decision considered.
 type Candidate struct {
 	Run    fleet.EngineRun
 	Chosen bool
-	// Rejected names the filter that removed the engine; empty if it was scored.
+	// Rejected is the name of the filter that excluded the engine; empty if it was scored.
 	Rejected string
-	// CachedTokens is the part of the prompt expected in the engine's cache.
+	// CachedTokens is the number of prompt tokens that are expected in the engine's cache.
 	CachedTokens int
 	// Queue, Prefill, Interference, Zone and Recompute are the predicted costs.
 	Queue        time.Duration
--- a/internal/operator/suggest.go
+++ b/internal/operator/suggest.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// keywordsAfter gives the keywords that may follow a keyword directly.
+// keywordsAfter maps a keyword to the keywords that may directly follow it.
 var keywordsAfter = map[string][]string{
 	"":        {"show", "where", "explain", "lookup", "admit", "drain", "retire", "role", "promote", applyKeyword},
 	"show":    {"engines", "routers", "tenants", "models", "directives", "waiting", "revision", "version"},
@@ -11,8 +11,8 @@
 	"waiting": {"class", "tenant", "where"},
 }
 
-// expectedKeywords returns the keywords that may follow the words before the
-// wrong one; empty where any name may stand.
+// expectedKeywords returns the keywords that are valid after the text before an invalid word. The
+// result is empty where a name is expected.
 func expectedKeywords(before string) []string {
 	words := splitWords(before)
 	if len(words) == 0 {
@@ -31,6 +31,7 @@
 	return nil
 }
 
+// expectedInShow returns the keywords that are valid after words in a "show" statement.
 func expectedInShow(words []string) []string {
 	if len(words) == 1 {
 		return keywordsAfter["show"]
@@ -46,7 +47,8 @@
 	return []string{"where"}
 }
 
-// expectedInFilter returns what may follow count words of a filter list.
+// expectedInFilter returns the keywords and operators that are valid after count words of a filter
+// list.
 func expectedInFilter(count int) []string {
 	const wordsPerFilter = 4 // column, operator, value, "and"
 	switch count % wordsPerFilter {
@@ -58,6 +60,7 @@
 	return nil
 }
 
+// expectedInWhere returns the keywords that are valid after words in a "where" statement.
 func expectedInWhere(words []string) []string {
 	switch len(words) {
 	case 1, 2:
@@ -70,8 +73,8 @@
 	return nil
 }
 
-// splitWords splits the part of a statement that could be read; a quoted text
-// is one word.
+// splitWords returns the tokens of the text up to the first lexical error, without whitespace. A
+// quoted string is one word.
 func splitWords(text string) []string {
 	scanner, err := statementLexer.LexString("", text)
 	if err != nil {
@@ -90,11 +93,11 @@
 	}
 }
 
-// maxSuggestionDistance is the largest edit distance of a useful suggestion.
+// maxSuggestionDistance is the maximum edit distance of a suggestion.
 const maxSuggestionDistance = 2
 
-// closestMatch returns the candidate with the smallest edit distance to word, or
-// nothing if none is near.
+// closestMatch returns the candidate with the smallest edit distance to word, or "" if none is
+// within maxSuggestionDistance.
 func closestMatch(word string, candidates []string) string {
 	best, bestDistance := "", maxSuggestionDistance+1
 	for _, candidate := range candidates {
@@ -109,7 +112,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance in bytes.
 func editDistance(left, right string) int {
 	previous := make([]int, len(right)+1)
 	for column := range previous {
