--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -20,15 +20,16 @@
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
-	// ResultCode is the numbered code of docs/RESULT-CODES.md.
+	// ResultCode is the result code as listed in docs/RESULT-CODES.md.
 	ResultCode resultcode.Code `json:"result_code"`
-	// NotRun is true when the request certainly did not run.
+	// NotRun is true if the request certainly did not run.
 	NotRun    bool            `json:"not_run"`
 	RequestID fleet.RequestID `json:"request_id"`
-	// RetryAfterMillis is when to come back; 0 leaves it open.
+	// RetryAfterMillis is the recommended delay before a retry; 0 means none is recommended.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
+// body returns the JSON form of the failure.
 func (f *Failure) body() errorBody {
 	entry := resultcode.Lookup(f.Code)
 	detail := errorDetail{
@@ -46,7 +47,7 @@
 	return errorBody{Error: detail}
 }
 
-// errorType returns the API's name for a family of errors.
+// errorType returns the API's error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -62,7 +63,7 @@
 	}
 }
 
-// WriteFailure answers a request with an error.
+// WriteFailure sends an error response with the status and headers for the failure.
 func WriteFailure(writer http.ResponseWriter, failure *Failure) error {
 	header := writer.Header()
 	if failure.RetryAfter > 0 {
@@ -90,8 +91,8 @@
 	return err
 }
 
-// setWriteDeadline bounds the next write to a slow caller. Writers that know
-// no deadline, as in tests, go without.
+// setWriteDeadline sets the deadline for writes to a slow client. It has no effect on writers
+// without deadline support.
 func setWriteDeadline(writer http.ResponseWriter, timeout time.Duration) {
 	if timeout > 0 {
 		_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(timeout))
--- a/internal/openai/headers.go
+++ b/internal/openai/headers.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Bounds of header values.
+// Limits of header values.
 const (
 	maxDeadline       = 24 * time.Hour
 	maxIdempotencyKey = 255
@@ -18,17 +18,17 @@
 	bearerScheme      = "bearer"
 )
 
-// Options is what a request's headers ask for.
+// Options holds the settings that a request's headers specify.
 type Options struct {
-	// Class is empty when the tenant's default applies.
+	// Class is the priority class; empty selects the tenant's default.
 	Class         fleet.ClassName
 	NotRepeatable bool
-	// Deadline is the time left for the answer; 0 means none.
+	// Deadline is the time allowed for the response; 0 means no deadline.
 	Deadline       time.Duration
 	IdempotencyKey string
 }
 
-// ParseKey returns the API key.
+// ParseKey returns the API key of the Authorization header.
 func ParseKey(header http.Header) (string, *Failure) {
 	scheme, key, _ := strings.Cut(header.Get(HeaderAuthorization), " ")
 	key = strings.TrimSpace(key)
@@ -38,7 +38,7 @@
 	return key, nil
 }
 
-// ParseOptions reads the headers of our own.
+// ParseOptions parses the headers that extend the OpenAI API.
 func ParseOptions(header http.Header) (Options, *Failure) {
 	var options Options
 	for _, name := range []string{HeaderClass, HeaderNotRepeatable, HeaderDeadline, HeaderIdempotencyKey} {
@@ -68,8 +68,7 @@
 	return options, nil
 }
 
-// ParseRequestID returns the caller's identifier, or "". It isn't unique: two
-// callers may send the same.
+// ParseRequestID returns the request ID that the caller sent, or "". It isn't necessarily unique.
 func ParseRequestID(header http.Header) (string, *Failure) {
 	id := header.Get(HeaderRequestID)
 	if len(id) > maxRequestID || strings.ContainsFunc(id, isInvalidIDChar) {
@@ -78,6 +77,7 @@
 	return id, nil
 }
 
+// isInvalidIDChar reports whether a character is not allowed in a request ID.
 func isInvalidIDChar(char rune) bool {
 	switch {
 	case 'a' <= char && char <= 'z', 'A' <= char && char <= 'Z', '0' <= char && char <= '9':
--- a/internal/openai/messages.go
+++ b/internal/openai/messages.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// message is one entry of a chat.
+// message is one message of a chat.
 type message struct {
 	Role *string `json:"role"`
-	// Content is a string or a list of parts; see completionBody.Prompt.
+	// Content is a string or a list of parts. It is decoded into an interface for the same reason
+	// as completionBody.Prompt.
 	Content any `json:"content"`
 }
 
@@ -17,7 +18,7 @@
 
 var roles = []string{"system", "developer", "user", roleAssistant, "tool", "function"}
 
-// A message begins with a line that holds its role between these marks.
+// Delimiters of rendered messages. Each message starts with a header line that contains its role.
 const (
 	headerStart        = "<|"
 	headerEnd          = "|>\n"
@@ -25,10 +26,10 @@
 	messageEnd         = "\n"
 )
 
-// renderMessages turns a chat into prompt text. Each message is a header line
-// and its content; an open assistant header ends the text. Whatever is added to
-// the end of a message or chat leaves the text before it as it was, so that
-// equal beginnings share cached blocks. Content can't forge a header.
+// renderMessages renders a chat as prompt text: a header line and the content of each message, and
+// a final assistant header. Extending a chat or its last message doesn't change the text before the
+// extension, which lets prompts with a common beginning share cached blocks. Header delimiters in
+// content are escaped.
 func renderMessages(messages []message) (string, *Failure) {
 	if len(messages) == 0 {
 		return "", invalidParameter("messages", "messages must have at least one entry")
@@ -51,7 +52,8 @@
 	return text.String(), nil
 }
 
-// text returns the content: a string, or the texts of a list of parts.
+// text returns the content as a string, with the texts of parts concatenated. Failures report param
+// as the invalid field.
 func (m message) text(param string) (string, *Failure) {
 	switch content := m.Content.(type) {
 	case nil:
@@ -70,6 +72,7 @@
 
 const invalidContentMessage = "content must be a string or a list of text parts"
 
+// joinParts concatenates a list of text parts.
 func joinParts(parts []any, param string) (string, *Failure) {
 	var joined strings.Builder
 	for _, part := range parts {
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -1,7 +1,6 @@
-// Package openai is the only package that knows the callers' protocol: the
-// OpenAI HTTP API for completions, plain and as server-sent events, with a few
-// headers of our own. Another dialect of callers replaces this package and
-// nothing else.
+// Package openai implements the API for callers: the requests and responses of the OpenAI HTTP API
+// for completions, with optional streaming by server-sent events, and additional X-Tillerfall
+// headers.
 package openai
 
 import (
@@ -20,75 +19,74 @@
 
 // Request headers.
 const (
-	// HeaderAuthorization carries "Bearer KEY"; the key names the tenant.
+	// HeaderAuthorization carries "Bearer KEY", where the key identifies the tenant.
 	HeaderAuthorization = "Authorization"
-	// HeaderClass names a priority class; without it the tenant's first
-	// class applies.
+	// HeaderClass selects a priority class. The default is the tenant's first class.
 	HeaderClass = "X-Tillerfall-Class"
-	// HeaderNotRepeatable is "true" for a request that must run at most once.
+	// HeaderNotRepeatable marks a request that must run at most once. Its value is a boolean.
 	HeaderNotRepeatable = "X-Tillerfall-Not-Repeatable"
-	// HeaderDeadline is the time in milliseconds after which the caller has no
-	// use for the answer.
+	// HeaderDeadline is the time in milliseconds after which the caller no longer needs the
+	// response.
 	HeaderDeadline = "X-Tillerfall-Deadline-Ms"
-	// HeaderIdempotencyKey marks requests that are the same to the caller.
+	// HeaderIdempotencyKey identifies repetitions of the same request.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRequestID becomes the first part of the request's identifier. The
-	// answer carries the whole identifier under the same name.
+	// HeaderRequestID is the first part of the request ID. The response header of the same name
+	// carries the full request ID.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Answer headers.
+// Response headers.
 const (
 	headerRetryAfter       = "Retry-After"
 	headerRetryAfterMillis = "Retry-After-Ms"
-	// headerShouldRetry is read by OpenAI's client libraries, which otherwise
-	// repeat a request on any status of 500 or more by themselves.
+	// headerShouldRetry controls retries by OpenAI's client libraries, which by default retry on
+	// every status of 500 or more.
 	headerShouldRetry = "X-Should-Retry"
 )
 
-// Endpoint tells which form of answer a request wants.
+// Endpoint identifies the API endpoint of a request, which determines the format of the response.
 type Endpoint int
 
-// The endpoints that run a model.
+// Endpoints that run a model.
 const (
 	Chat Endpoint = iota
 	Completion
 )
 
-// Request is a decoded request body.
+// Request is a parsed request body.
 type Request struct {
 	Endpoint Endpoint
-	// Model is "model" or "model:adapter", as the caller wrote it.
+	// Model is "model" or "model:adapter", as requested.
 	Model string
-	// Prompt is the text for the engine; chat messages are rendered into it.
+	// Prompt is the prompt text, or the chat messages rendered as text.
 	Prompt string
-	// MaxTokens bounds the output; 0 means that the caller gave no bound.
+	// MaxTokens limits the output; 0 means that the request sets no limit.
 	MaxTokens int
-	// Stream asks for server-sent events.
+	// Stream requests the response as server-sent events.
 	Stream bool
-	// IncludeUsage asks for the usage at the end of a stream.
+	// IncludeUsage requests the token usage at the end of a stream.
 	IncludeUsage bool
 }
 
-// Usage counts tokens as the API reports them.
+// Usage holds the token counts that the API reports.
 type Usage struct {
 	PromptTokens int
-	// CachedTokens is the part of the prompt found in the engine's cache.
+	// CachedTokens is the number of prompt tokens that were in the engine's cache.
 	CachedTokens     int
 	CompletionTokens int
 }
 
-// Failure is an answer that isn't a result.
+// Failure is an error response.
 type Failure struct {
 	Code    resultcode.Code
 	Message string
-	// Param names the field or header at fault, if any.
+	// Param is the name of the invalid field or header, if any.
 	Param     string
 	RequestID fleet.RequestID
-	// RetryAfter is when to come back; 0 leaves it open.
+	// RetryAfter is the recommended delay before a retry; 0 means none is recommended.
 	RetryAfter time.Duration
-	// NotRepeatable is set when the caller's library must not repeat the
-	// request by itself unless it did not run.
+	// NotRepeatable forbids an automatic retry by the caller's library, unless the request did not
+	// run.
 	NotRepeatable bool
 }
 
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -9,19 +9,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Ranges of the API's parameters.
+// Upper limits of the API's parameters.
 const (
 	maxTemperature = 2
 	maxTopP        = 1
 )
 
-// embeddedPrefix is what encoding/json puts before a field of the embedded
-// sharedBody.
+// embeddedPrefix is the prefix of fields of the embedded sharedBody in errors of encoding/json.
 const embeddedPrefix = "sharedBody."
 
-// sharedBody holds the fields of both endpoints. Unknown fields are ignored,
-// as the API does; fields that would change the output and that the engines
-// can't honour are refused.
+// sharedBody holds the fields that both endpoints have. Unknown fields are ignored, as in the
+// OpenAI API. Fields that would affect the output but aren't supported by the engines are rejected.
 type sharedBody struct {
 	Model               *string         `json:"model"`
 	MaxTokens           *int            `json:"max_tokens"`
@@ -45,14 +43,14 @@
 
 type completionBody struct {
 	sharedBody
-	// Prompt is a string or a list. A long string is read by fewer passes into
-	// an interface than by way of json.RawMessage.
+	// Prompt is a string or a list. An interface takes fewer passes to decode a long string than a
+	// json.RawMessage.
 	Prompt any   `json:"prompt"`
 	BestOf *int  `json:"best_of"`
 	Echo   *bool `json:"echo"`
 }
 
-// Parse decodes a request body of an endpoint.
+// Parse decodes and validates the request body for an endpoint.
 func Parse(endpoint Endpoint, body []byte) (Request, *Failure) {
 	if endpoint == Chat {
 		return parseChat(body)
@@ -92,7 +90,7 @@
 	return request, failure
 }
 
-// decode reads a JSON object. Its messages name the field or the offset.
+// decode decodes a JSON object. The failure's message states the invalid field or the offset.
 func decode(data []byte, target any) *Failure {
 	if trimmed := bytes.TrimSpace(data); len(trimmed) == 0 || trimmed[0] != '{' {
 		return malformedBody("", "the body must be a JSON object")
@@ -113,6 +111,7 @@
 	}
 }
 
+// request validates the shared fields and converts them to a Request without a prompt.
 func (b *sharedBody) request(endpoint Endpoint) (Request, *Failure) {
 	if failure := b.check(); failure != nil {
 		return Request{}, failure
@@ -150,15 +149,17 @@
 	return nil
 }
 
+// isOutsideRange reports whether a value is present and outside the range from 0 to highest.
 func isOutsideRange(value *float64, highest float64) bool {
 	return value != nil && (*value < 0 || *value > highest)
 }
 
+// isAbsent reports whether a field is missing or null.
 func isAbsent(value json.RawMessage) bool {
 	return len(value) == 0 || string(value) == "null"
 }
 
-// parsePrompt takes a string or a list of one string.
+// parsePrompt returns the prompt of a string or a list of one string.
 func parsePrompt(value any) (string, *Failure) {
 	switch value := value.(type) {
 	case nil:
--- a/internal/openai/answer.go
+++ b/internal/openai/response.go
@@ -7,15 +7,15 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Response describes the answer to one request.
+// Response holds the properties of the response to one request.
 type Response struct {
 	Endpoint  Endpoint
 	RequestID fleet.RequestID
-	// Model is the name that the caller asked for.
+	// Model is the model name as requested.
 	Model        string
 	Created      time.Time
 	IncludeUsage bool
-	// WriteTimeout bounds each write; 0 means no bound.
+	// WriteTimeout limits each write to the client; 0 means no limit.
 	WriteTimeout time.Duration
 }
 
@@ -58,6 +58,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
+// body returns the JSON form of the usage.
 func (u Usage) body() *usageBody {
 	return &usageBody{
 		PromptTokens:        u.PromptTokens,
@@ -67,18 +68,20 @@
 	}
 }
 
-func (a Response) body(chunk bool, choices ...choice) responseBody {
+// body returns the JSON form of a response with the given choices. If chunk is set, it is one event
+// of a stream.
+func (r Response) body(chunk bool, choices ...choice) responseBody {
 	body := responseBody{
-		ID:      "cmpl-" + string(a.RequestID),
+		ID:      "cmpl-" + string(r.RequestID),
 		Object:  "text_completion",
-		Created: a.Created.Unix(),
-		Model:   a.Model,
+		Created: r.Created.Unix(),
+		Model:   r.Model,
 		Choices: choices,
 	}
-	if a.Endpoint != Chat {
+	if r.Endpoint != Chat {
 		return body
 	}
-	body.ID = "chatcmpl-" + string(a.RequestID)
+	body.ID = "chatcmpl-" + string(r.RequestID)
 	body.Object = "chat.completion"
 	if chunk {
 		body.Object = "chat.completion.chunk"
@@ -86,23 +89,23 @@
 	return body
 }
 
-// WriteCompletion answers with the whole output at once.
-func (a Response) WriteCompletion(writer http.ResponseWriter, text, reason string, usage Usage) error {
-	whole := choice{FinishReason: &reason}
-	if a.Endpoint == Chat {
-		whole.Message = &messageBody{Role: roleAssistant, Content: text}
+// WriteCompletion sends the complete output as a single JSON response.
+func (r Response) WriteCompletion(writer http.ResponseWriter, text, reason string, usage Usage) error {
+	completion := choice{FinishReason: &reason}
+	if r.Endpoint == Chat {
+		completion.Message = &messageBody{Role: roleAssistant, Content: text}
 	} else {
-		whole.Text = &text
+		completion.Text = &text
 	}
-	body := a.body(false, whole)
+	body := r.body(false, completion)
 	body.Usage = usage.body()
-	setWriteDeadline(writer, a.WriteTimeout)
-	return writeJSON(writer, http.StatusOK, a.RequestID, body)
+	setWriteDeadline(writer, r.WriteTimeout)
+	return writeJSON(writer, http.StatusOK, r.RequestID, body)
 }
 
-// WriteFailure answers with an error in place of the output.
-func (a Response) WriteFailure(writer http.ResponseWriter, failure *Failure) error {
-	setWriteDeadline(writer, a.WriteTimeout)
+// WriteFailure sends an error response, within WriteTimeout.
+func (r Response) WriteFailure(writer http.ResponseWriter, failure *Failure) error {
+	setWriteDeadline(writer, r.WriteTimeout)
 	return WriteFailure(writer, failure)
 }
 
@@ -118,7 +121,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// WriteModels answers with the names of models, in the given order.
+// WriteModels sends the list of models in the given order.
 func WriteModels(writer http.ResponseWriter, id fleet.RequestID, names []string) error {
 	list := modelList{Object: "list", Data: make([]modelBody, 0, len(names))}
 	for _, name := range names {
--- a/internal/openai/answer_test.go
+++ b/internal/openai/response_test.go
@@ -66,8 +66,8 @@
 
 func TestCompletionAndModelListBodies(t *testing.T) {
 	recorder := httptest.NewRecorder()
-	answer := openai.Response{Endpoint: openai.Completion, RequestID: "r", Model: "m", Created: time.Unix(7, 0)}
-	require.NoError(t, answer.WriteCompletion(recorder, "text", "length", openai.Usage{PromptTokens: 2, CompletionTokens: 1}))
+	response := openai.Response{Endpoint: openai.Completion, RequestID: "r", Model: "m", Created: time.Unix(7, 0)}
+	require.NoError(t, response.WriteCompletion(recorder, "text", "length", openai.Usage{PromptTokens: 2, CompletionTokens: 1}))
 	want := `{"id":"cmpl-r","object":"text_completion","created":7,"model":"m",` +
 		`"choices":[{"index":0,"text":"text","logprobs":null,"finish_reason":"length"}],` +
 		`"usage":{"prompt_tokens":2,"completion_tokens":1,"total_tokens":3,"prompt_tokens_details":{"cached_tokens":0}}}`
--- a/internal/openai/stream.go
+++ b/internal/openai/stream.go
@@ -5,21 +5,21 @@
 	"net/http"
 )
 
-// StreamWriter answers with server-sent events. A whole stream ends with
-// "data: [DONE]"; a broken one with an error event and without that mark.
+// StreamWriter sends a response as server-sent events. A complete stream ends with "data: [DONE]";
+// a failed one ends with an error event instead.
 type StreamWriter struct {
 	response Response
 	writer   http.ResponseWriter
 	started  bool
 }
 
-// NewStreamWriter returns a writer that sends nothing before the first token,
-// so that an early failure still gets its own status.
-func NewStreamWriter(writer http.ResponseWriter, answer Response) *StreamWriter {
-	return &StreamWriter{response: answer, writer: writer}
+// NewStreamWriter returns a writer that sends the response headers with the first event, so that a
+// failure before it can still set the HTTP status.
+func NewStreamWriter(writer http.ResponseWriter, response Response) *StreamWriter {
+	return &StreamWriter{response: response, writer: writer}
 }
 
-// Token sends one token.
+// Token sends the text of one token.
 func (s *StreamWriter) Token(text string) error {
 	next := choice{}
 	if s.response.Endpoint == Chat {
@@ -33,7 +33,7 @@
 	return s.send(s.response.body(true, next))
 }
 
-// Finish ends a whole stream.
+// Finish ends a complete stream with the finish reason and, if requested, the usage.
 func (s *StreamWriter) Finish(reason string, usage Usage) error {
 	last := choice{FinishReason: &reason}
 	if s.response.Endpoint == Chat {
@@ -55,8 +55,8 @@
 	return s.write([]byte("[DONE]"))
 }
 
-// Fail ends the answer with an error: with its status if nothing was sent yet,
-// else as an event of the stream.
+// Fail ends the response with an error: as an error response if nothing was sent yet, otherwise as
+// an event of the stream.
 func (s *StreamWriter) Fail(failure *Failure) error {
 	if !s.started {
 		return s.response.WriteFailure(s.writer, failure)
