--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -299,8 +299,8 @@
 	assert.Equal(t, resultcode.RevisionConflict, stale.Code)
 	assert.NotEmpty(t, stale.Token, "a command without a token must get one")
 	assert.Equal(t, resultcode.TargetNotFound, f.run("lookup token").Code)
-	for _, failure := range []error{errors.New("answer lost"), resultcode.New(resultcode.CommandUncertain, "answer lost")} {
-		f.store.failure = failure
+	for _, commitErr := range []error{errors.New("answer lost"), resultcode.New(resultcode.CommandUncertain, "answer lost")} {
+		f.store.failure = commitErr
 		uncertain := f.run("drain e1")
 		assert.Equal(t, resultcode.CommandUncertain, uncertain.Code)
 		assert.Contains(t, uncertain.Message, "answer lost; ask with: lookup token")
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -25,7 +25,7 @@
 	Mutate    Mutation
 }
 
-// Outcome is the recorded outcome of a command.
+// Outcome is the result of a command, as the table service records it.
 type Outcome struct {
 	// Code is resultcode.OK for a command that took effect.
 	Code resultcode.Code
