--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Defaults of ClientOptions.
+// Default values of ClientOptions.
 const (
 	DefaultTimeout        = 2 * time.Second
 	DefaultConnectTimeout = time.Second
@@ -24,16 +24,16 @@
 type ClientOptions struct {
 	// Address is the service's "host:port".
 	Address fleet.Address
-	// Timeout bounds one call from connect to the last byte of the answer;
-	// 0 means DefaultTimeout.
+	// Timeout limits a call from connecting to the last byte of the response; 0 means
+	// DefaultTimeout.
 	Timeout time.Duration
-	// ConnectTimeout bounds the connect alone; 0 means DefaultConnectTimeout.
+	// ConnectTimeout limits the time to connect; 0 means DefaultConnectTimeout.
 	ConnectTimeout time.Duration
 }
 
-// Client calls the platform over HTTP. It implements Tables, Objects and
-// Machines. Each method sends at most one request and never repeats it: the
-// caller decides on retries, because the service is rate-limited.
+// Client calls the platform over HTTP. It implements Tables, Objects and Machines and is safe for
+// concurrent use. Each method sends at most one request; retries are left to the caller, because
+// the service is rate-limited.
 type Client struct {
 	base    url.URL
 	timeout time.Duration
@@ -46,7 +46,7 @@
 	_ Machines = (*Client)(nil)
 )
 
-// NewClient returns a client; it doesn't connect.
+// NewClient returns a client. It opens no connection.
 func NewClient(options ClientOptions) *Client {
 	if options.Timeout <= 0 {
 		options.Timeout = DefaultTimeout
@@ -61,7 +61,7 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get implements Tables.
@@ -75,7 +75,7 @@
 	return row, wrap(err, "get row")
 }
 
-// List implements Tables. The service returns at most MaxListRows.
+// List implements Tables. The service returns at most MaxListRows rows.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	query := url.Values{
 		ParameterPrefix: {prefix},
@@ -105,8 +105,8 @@
 	return body, wrap(err, "get object")
 }
 
-// PutObject implements Objects. ErrUnknownOutcome means that the object may
-// have been replaced.
+// PutObject implements Objects. After ErrUnknownOutcome the object may or may not have been
+// replaced.
 func (c *Client) PutObject(ctx context.Context, name string, body []byte) error {
 	query := url.Values{ParameterName: {name}}
 	return wrap(c.write(ctx, http.MethodPut, PathObject, query, body), "put object")
@@ -122,7 +122,7 @@
 	return machines, wrap(err, "list machines")
 }
 
-// WeightStore returns how busy the weight store is.
+// WeightStore returns the current load of the weight store.
 func (c *Client) WeightStore(ctx context.Context) (WeightStoreStatus, error) {
 	body, err := c.read(ctx, PathWeights, nil)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return status, wrap(err, "weight store status")
 }
 
-// wrap adds the operation to an error. errors.Wrap makes an error of nil too.
+// wrap adds the operation to a non-nil error. Unlike errors.Wrap it returns nil for nil.
 func wrap(err error, operation string) error {
 	if err == nil {
 		return nil
@@ -140,35 +140,35 @@
 	return errors.Wrap(err, operation)
 }
 
-// read sends a request without effect: whatever fails is ErrUnavailable unless
-// the service said otherwise.
+// read sends a GET request and returns the response body. Since reads have no effect, failures
+// without a conclusive response are ErrUnavailable rather than ErrUnknownOutcome.
 func (c *Client) read(ctx context.Context, path string, query url.Values) ([]byte, error) {
-	answer, err := c.do(ctx, http.MethodGet, path, query, nil, ErrUnavailable)
+	result, err := c.do(ctx, http.MethodGet, path, query, nil, ErrUnavailable)
 	if err != nil {
 		return nil, err
 	}
-	if answer.status == http.StatusOK {
-		if answer.bodyErr != nil {
-			return nil, errors.Wrap(ErrUnavailable, answer.bodyErr.Error())
+	if result.status == http.StatusOK {
+		if result.bodyErr != nil {
+			return nil, errors.Wrap(ErrUnavailable, result.bodyErr.Error())
 		}
-		return answer.body, nil
+		return result.body, nil
 	}
-	kind := errorForStatus(answer.status)
+	kind := errorForStatus(result.status)
 	if errors.Is(kind, ErrUnknownOutcome) {
 		kind = ErrUnavailable
 	}
-	return nil, wrapStatusError(kind, answer)
+	return nil, wrapStatusError(kind, result)
 }
 
-// write sends a request that has an effect. Success is known from the status
-// line, so that a body that breaks off changes nothing.
+// write sends a request that has an effect. The status alone determines success, so an incomplete
+// response body is ignored.
 func (c *Client) write(ctx context.Context, method, path string, query url.Values, body []byte) error {
-	answer, err := c.do(ctx, method, path, query, bytes.NewReader(body), ErrUnknownOutcome)
+	result, err := c.do(ctx, method, path, query, bytes.NewReader(body), ErrUnknownOutcome)
 	if err != nil {
 		return err
 	}
-	if answer.status >= http.StatusOK && answer.status < http.StatusMultipleChoices {
+	if result.status >= http.StatusOK && result.status < http.StatusMultipleChoices {
 		return nil
 	}
-	return statusError(answer)
+	return statusError(result)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -12,12 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestFailedReadIsUnavailableNotUnknown loses answers in several ways: a read is
-// unavailable then, and only of a write the outcome is unknown.
+// TestFailedReadIsUnavailableNotUnknown guards against a read that reports an unknown outcome after
+// a lost response, and against a write that doesn't.
 func TestFailedReadIsUnavailableNotUnknown(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"cut before the answer": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"a gateway's status":    func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusBadGateway) },
+		"connection closed": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"gateway error":     func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusBadGateway) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(handler)
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -8,22 +8,24 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrMalformedResponse means that the service's answer can't be trusted.
+// ErrMalformedResponse means that a response of the service is invalid or doesn't match the
+// request.
 var ErrMalformedResponse = errors.New("malformed answer")
 
-// maxErrorText bounds the part of an error body that goes into an error.
+// maxErrorText limits the number of bytes of an error response that are included in an error.
 const maxErrorText = 200
 
-// statusError maps a write's answer that isn't a success. Statuses that an
-// intermediary may send after the service took effect leave the outcome open.
-func statusError(answer httpResult) error {
-	return wrapStatusError(errorForStatus(answer.status), answer)
+// statusError returns the error for an unsuccessful response to a write. A status that an
+// intermediary may send after the write took effect yields ErrUnknownOutcome.
+func statusError(result httpResult) error {
+	return wrapStatusError(errorForStatus(result.status), result)
 }
 
-func wrapStatusError(kind error, answer httpResult) error {
-	return errors.Wrapf(kind, "status %d: %s", answer.status, errorText(answer.body))
+func wrapStatusError(kind error, result httpResult) error {
+	return errors.Wrapf(kind, "status %d: %s", result.status, errorText(result.body))
 }
 
+// errorForStatus returns the error value for the HTTP status of an unsuccessful response.
 func errorForStatus(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
@@ -41,6 +43,8 @@
 	return ErrUnknownOutcome
 }
 
+// errorText returns the message of an error response, or the beginning of a body that isn't an
+// ErrorResponse.
 func errorText(body []byte) string {
 	var response ErrorResponse
 	text := string(body)
@@ -53,7 +57,7 @@
 	return strings.ToValidUTF8(text, "?")
 }
 
-// decodeRow accepts only the row that was asked for.
+// decodeRow decodes a row and checks that it has the requested key and a revision.
 func decodeRow(body []byte, key string) (Row, error) {
 	var row Row
 	if err := json.Unmarshal(body, &row); err != nil {
@@ -65,8 +69,8 @@
 	return row, nil
 }
 
-// decodeRows accepts only rows in order that begin with prefix and follow
-// after, so that paging by the last key always ends.
+// decodeRows decodes rows and checks that they are in ascending order of key, greater than after,
+// and match the prefix. The order guarantees that paging by the last key terminates.
 func decodeRows(body []byte, prefix, after string) ([]Row, error) {
 	var response RowsResponse
 	if err := json.Unmarshal(body, &response); err != nil {
@@ -83,7 +87,8 @@
 	return response.Rows, nil
 }
 
-// decodeMachines accepts only complete entries with distinct identifiers.
+// decodeMachines decodes the machine list and checks that its entries are complete and have
+// distinct IDs.
 func decodeMachines(body []byte) ([]Machine, error) {
 	var response MachinesResponse
 	if err := json.Unmarshal(body, &response); err != nil {
@@ -104,7 +109,7 @@
 
 func checkMachine(machine Machine) error {
 	if machine.ID == "" || machine.Address == "" {
-		return errors.Wrapf(ErrMalformedResponse, "machine %q lacks its identifier or address", machine.ID)
+		return errors.Wrapf(ErrMalformedResponse, "machine %q has no ID or address", machine.ID)
 	}
 	if machine.State != MachineLive && machine.State != MachineLeaving {
 		return errors.Wrapf(ErrMalformedResponse, "machine %q has state %q", machine.ID, machine.State)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the only package that knows the platform's protocols:
-// the transactional table service, the object store, the weight store and the
-// list of machines. Another dialect replaces this package and nothing else.
+// Package platform defines the interfaces to the platform's services and implements an HTTP client
+// for them: the transactional table service, the object store, the weight store and the machine
+// list.
 package platform
 
 import (
@@ -12,34 +12,36 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Errors that callers branch on.
+// Errors that calls to the platform return, wrapped with the operation.
 var (
-	// ErrConflict means that a compare of a transaction failed; nothing was written.
+	// ErrConflict means that a comparison of a transaction failed, so nothing was written.
 	ErrConflict = errors.New("compare failed")
 	// ErrNotFound means that the key or object doesn't exist.
 	ErrNotFound = errors.New("not found")
-	// ErrRateLimited means that the service refused before doing anything.
+	// ErrRateLimited means that the service rejected the request without effect due to its rate
+	// limit.
 	ErrRateLimited = errors.New("rate limited")
 	// ErrUnknownOutcome means that the request may or may not have taken effect.
 	ErrUnknownOutcome = errors.New("outcome unknown")
-	// ErrUnavailable means that the request certainly had no effect: it did not
-	// reach the service, the service refused it unread, or it was a read.
+	// ErrUnavailable means that the request certainly had no effect: it did not reach the service,
+	// the service rejected it before processing, or it was a read.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrInvalid means that the service rejected the request as malformed.
 	ErrInvalid = errors.New("invalid request")
 )
 
-// Row is one versioned value of the table service. Revision is 1 for a row
-// just created and rises by one with each write; 0 means that it doesn't exist.
+// Row is a versioned value of the table service. Revision is 1 for a new row and increases by one
+// with each write; 0 means that the row doesn't exist.
 type Row struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision uint64 `json:"revision"`
-	// StoreTime is the service's steady clock at the answer; 0 if it doesn't tell.
+	// StoreTime is the service's monotonic clock at the time of the response; 0 if it isn't
+	// reported.
 	StoreTime time.Duration `json:"-"`
 }
 
-// Compare demands a row's revision; 0 demands that the row doesn't exist.
+// Compare requires a row to have a revision; 0 requires that the row doesn't exist.
 type Compare struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
@@ -52,7 +54,7 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Transaction writes all rows or none, if every comparison holds.
+// Transaction applies all writes atomically if every comparison holds, and none otherwise.
 type Transaction struct {
 	Compares []Compare `json:"compares"`
 	Writes   []Write   `json:"writes"`
@@ -62,10 +64,11 @@
 type Tables interface {
 	// Get returns a row or ErrNotFound.
 	Get(ctx context.Context, key string) (Row, error)
-	// List returns up to limit rows whose key begins with prefix and is
-	// greater than after, in order of key.
+	// List returns up to limit rows whose key begins with prefix and is greater than after, in
+	// ascending order of key.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies a transaction. ErrUnknownOutcome must be resolved by reading.
+	// Commit applies a transaction. After ErrUnknownOutcome, the caller must read the rows to
+	// determine whether it took effect.
 	Commit(ctx context.Context, transaction Transaction) error
 }
 
@@ -75,7 +78,7 @@
 	PutObject(ctx context.Context, name string, body []byte) error
 }
 
-// MachineState is the platform's view of a machine.
+// MachineState is the state of a machine as listed by the platform.
 type MachineState string
 
 // Machine states.
@@ -84,7 +87,7 @@
 	MachineLeaving MachineState = "leaving"
 )
 
-// MachineKind tells what runs on a machine.
+// MachineKind is the kind of process that runs on a machine.
 type MachineKind string
 
 // Machine kinds.
@@ -93,7 +96,7 @@
 	MachineRouter MachineKind = "router"
 )
 
-// Machine is one entry of the lagging list.
+// Machine is an entry of the machine list, which may be stale.
 type Machine struct {
 	ID          string            `json:"id"`
 	Kind        MachineKind       `json:"kind"`
@@ -105,16 +108,16 @@
 	State       MachineState      `json:"state"`
 }
 
-// WeightStoreStatus tells how busy the weight store is.
+// WeightStoreStatus is the current load of the weight store.
 type WeightStoreStatus struct {
 	// Loading is the number of loads in progress.
 	Loading int `json:"loading"`
-	// Limit is the number of loads that run at full speed together.
+	// Limit is the number of concurrent loads that run at full speed.
 	Limit int `json:"limit"`
 }
 
-// Machines is the lagging list of live and leaving machines; it may show an
-// older state again.
+// Machines provides the list of live and leaving machines. The list may be stale, and a later call
+// may return an older state than an earlier one.
 type Machines interface {
 	ListMachines(ctx context.Context) ([]Machine, error)
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// maxResponseBytes bounds the memory of one answer.
+	// maxResponseBytes limits the size of a response body.
 	maxResponseBytes = 64 << 20
-	// maxIdleConnections bounds the connections kept to the service.
+	// maxIdleConnections limits the idle connections to the service.
 	maxIdleConnections = 4
-	// idleTimeout closes a connection before the service is likely to.
+	// idleTimeout is the time after which idle connections are closed. It should be shorter than
+	// the idle timeout of the service.
 	idleTimeout = 20 * time.Second
 )
 
-// newHTTPClient returns a client that uses no proxy and follows no redirect:
-// either could send a write twice.
+// newHTTPClient returns a client that uses no proxy and follows no redirects, either of which could
+// send a write twice.
 func newHTTPClient(connectTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Client{
@@ -39,17 +40,16 @@
 	}
 }
 
-// httpResult is what came back; bodyErr tells that the body broke off.
+// httpResult is a received response. If bodyErr is set, the body could not be read completely.
 type httpResult struct {
 	status  int
 	body    []byte
 	bodyErr error
 }
 
-// do sends one request. Its error is ErrUnavailable if no connection was had,
-// and lost if one was: net/http doesn't tell for certain whether a byte has
-// left by then.
-func (c *Client) do(ctx context.Context, method, path string, query url.Values, body *bytes.Reader, lost error) (httpResult, error) {
+// do sends one request. It fails with ErrUnavailable if no connection could be obtained, and with
+// lostError after that, because net/http doesn't report reliably whether any byte was sent.
+func (c *Client) do(ctx context.Context, method, path string, query url.Values, body *bytes.Reader, lostError error) (httpResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var connected atomic.Bool
@@ -63,7 +63,7 @@
 	response, err := c.http.Do(request)
 	if err != nil {
 		if connected.Load() {
-			return httpResult{}, errors.Wrap(lost, err.Error())
+			return httpResult{}, errors.Wrap(lostError, err.Error())
 		}
 		return httpResult{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
@@ -72,8 +72,8 @@
 	return httpResult{status: response.StatusCode, body: content, bodyErr: err}, nil
 }
 
-// newRequest builds a request that net/http can't send again by itself: it has
-// a body that can't be rewound, also where the body is empty.
+// newRequest returns a request that net/http can't retry: its body, even an empty one, can't be
+// rewound.
 func (c *Client) newRequest(ctx context.Context, method, path string, query url.Values, body *bytes.Reader) (*http.Request, error) {
 	target := c.base
 	target.Path = path
@@ -91,6 +91,7 @@
 	return request, nil
 }
 
+// readBounded reads a body of at most maxResponseBytes.
 func readBounded(body io.Reader) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(body, maxResponseBytes+1))
 	if err != nil {
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -1,23 +1,23 @@
 package platform
 
-// Paths of the platform's HTTP protocol. Bodies are JSON, but for objects,
-// which are sent as they are.
+// Paths of the platform's HTTP protocol. Bodies are JSON, except for objects, which are sent
+// unencoded.
 const (
-	// PathRow answers GET ?key= with a Row.
+	// PathRow serves GET ?key= with a Row.
 	PathRow = "/v1/tables/row"
-	// PathRows answers GET ?prefix=&after=&limit= with RowsResponse.
+	// PathRows serves GET ?prefix=&after=&limit= with a RowsResponse.
 	PathRows = "/v1/tables/rows"
-	// PathCommit takes POST of a Transaction.
+	// PathCommit accepts POST of a Transaction.
 	PathCommit = "/v1/tables/commit"
-	// PathObject answers GET ?name= and takes PUT ?name=.
+	// PathObject serves GET ?name= and accepts PUT ?name=.
 	PathObject = "/v1/objects"
-	// PathMachines answers GET with MachinesResponse.
+	// PathMachines serves GET with a MachinesResponse.
 	PathMachines = "/v1/machines"
-	// PathWeights answers GET with WeightStoreStatus.
+	// PathWeights serves GET with a WeightStoreStatus.
 	PathWeights = "/v1/weights"
 )
 
-// Names of query parameters.
+// Query parameters.
 const (
 	ParameterKey    = "key"
 	ParameterPrefix = "prefix"
@@ -26,20 +26,20 @@
 	ParameterName   = "name"
 )
 
-// MaxListRows is the greatest number of rows that one List returns.
+// MaxListRows is the maximum number of rows that one call of List returns.
 const MaxListRows = 1000
 
-// RowsResponse is the body of an answer from PathRows.
+// RowsResponse is the body of a response from PathRows.
 type RowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
-// MachinesResponse is the body of an answer from PathMachines.
+// MachinesResponse is the body of a response from PathMachines.
 type MachinesResponse struct {
 	Machines []Machine `json:"machines"`
 }
 
-// ErrorResponse is the body of every answer with a status of 400 or more.
+// ErrorResponse is the body of every response with a status of 400 or more.
 type ErrorResponse struct {
 	Message string `json:"message"`
 }
