--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,13 +9,13 @@
 
 // check runs the rules of the fields and then those between fields.
 func check(document *Document, positions strictyaml.Positions) Problems {
-	checker := &crossChecker{
-		positions: positions,
-		problems:  strictyaml.Validate(document, positions),
-		classes:   make(map[fleet.ClassName]bool, len(document.Classes)),
-		models:    make(map[fleet.ModelName]bool, len(document.Models)),
-		pools:     make(map[fleet.PoolName]bool, len(document.Pools)),
-		keyOwners: make(map[string]string, len(document.Tenants)),
+	checker := &crossFieldChecker{
+		positions:     positions,
+		problems:      strictyaml.Validate(document, positions),
+		classes:       make(map[fleet.ClassName]bool, len(document.Classes)),
+		models:        make(map[fleet.ModelName]bool, len(document.Models)),
+		pools:         make(map[fleet.PoolName]bool, len(document.Pools)),
+		firstKeyPaths: make(map[string]string, len(document.Tenants)),
 	}
 	checker.collectNames(document)
 	checker.checkTenants(document.Tenants)
@@ -26,22 +26,22 @@
 	return checker.problems
 }
 
-// crossChecker checks what one field demands of others.
-type crossChecker struct {
+// crossFieldChecker checks what one field demands of others.
+type crossFieldChecker struct {
 	positions strictyaml.Positions
 	problems  Problems
 	classes   map[fleet.ClassName]bool
 	models    map[fleet.ModelName]bool
 	pools     map[fleet.PoolName]bool
-	// keyOwners gives the path at which a key hash was first seen.
-	keyOwners map[string]string
+	// firstKeyPaths gives the path at which a key hash was first seen.
+	firstKeyPaths map[string]string
 }
 
-func (c *crossChecker) report(field, format string, arguments ...any) {
+func (c *crossFieldChecker) report(field, format string, arguments ...any) {
 	c.problems = append(c.problems, c.positions.Problem(field, fmt.Sprintf(format, arguments...)))
 }
 
-func (c *crossChecker) collectNames(document *Document) {
+func (c *crossFieldChecker) collectNames(document *Document) {
 	for _, class := range document.Classes {
 		c.classes[class.Name] = true
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *crossChecker) checkTenants(tenants []Tenant) {
+func (c *crossFieldChecker) checkTenants(tenants []Tenant) {
 	for index, tenant := range tenants {
 		path := fmt.Sprintf("tenants[%d]", index)
 		checkReferences(c, path+".classes", "class", tenant.Classes, c.classes)
@@ -62,19 +62,19 @@
 	}
 }
 
-func (c *crossChecker) checkKeys(path string, hashes []string) {
+func (c *crossFieldChecker) checkKeys(path string, hashes []string) {
 	for index, hash := range hashes {
 		field := fmt.Sprintf("%s[%d]", path, index)
-		if owner, taken := c.keyOwners[hash]; taken {
+		if owner, taken := c.firstKeyPaths[hash]; taken {
 			c.report(field, "the key occurs already as %s", owner)
 			continue
 		}
-		c.keyOwners[hash] = field
+		c.firstKeyPaths[hash] = field
 	}
 }
 
 // checkReferences demands that a list names known items, each once.
-func checkReferences[Name ~string](c *crossChecker, path, noun string, names []Name, known map[Name]bool) {
+func checkReferences[Name ~string](c *crossFieldChecker, path, noun string, names []Name, known map[Name]bool) {
 	seen := make(map[Name]bool, len(names))
 	for index, name := range names {
 		field := fmt.Sprintf("%s[%d]", path, index)
@@ -88,7 +88,7 @@
 	}
 }
 
-func (c *crossChecker) checkClasses(classes []Class) {
+func (c *crossFieldChecker) checkClasses(classes []Class) {
 	byRank := make(map[int]fleet.ClassName, len(classes))
 	totalShare := 0.0
 	for index, class := range classes {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (c *crossChecker) checkModels(models []Model) {
+func (c *crossFieldChecker) checkModels(models []Model) {
 	for index, model := range models {
 		path := fmt.Sprintf("models[%d]", index)
 		if model.Pool != "" && !c.pools[model.Pool] {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (c *crossChecker) checkVersions(path string, versions []Version) {
+func (c *crossFieldChecker) checkVersions(path string, versions []Version) {
 	if len(versions) == 0 {
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (c *crossChecker) checkDirectives(directives []Directive) {
+func (c *crossFieldChecker) checkDirectives(directives []Directive) {
 	seen := make(map[directiveKey]bool, len(directives))
 	for index, directive := range directives {
 		key := keyOf(directive)
--- a/internal/config/commit.go
+++ b/internal/config/commit.go
@@ -41,7 +41,7 @@
 	commit := &commit{store: s, request: request}
 	for attempt := range s.options.CommitAttempts {
 		if attempt > 0 {
-			if err := s.pause(ctx, attempt); err != nil {
+			if err := s.backOff(ctx, attempt); err != nil {
 				return Outcome{}, commit.failure(err)
 			}
 		}
@@ -49,7 +49,7 @@
 		if err == nil {
 			return outcome, nil
 		}
-		if !retryable(err) {
+		if !isRetryable(err) {
 			return Outcome{}, commit.failure(err)
 		}
 		commit.lastError = err
@@ -57,7 +57,7 @@
 	return Outcome{}, commit.failure(commit.lastError)
 }
 
-func (s *Store) pause(ctx context.Context, attempt int) error {
+func (s *Store) backOff(ctx context.Context, attempt int) error {
 	bound := min(s.options.BackoffBase<<min(attempt-1, 16), s.options.BackoffMax)
 	s.mutex.Lock()
 	pause := time.Duration(s.options.Random.Int64N(int64(bound) + 1))
@@ -65,7 +65,7 @@
 	return s.options.Sleep(ctx, pause)
 }
 
-func retryable(err error) bool {
+func isRetryable(err error) bool {
 	return errors.Is(err, platform.ErrConflict) ||
 		errors.Is(err, platform.ErrRateLimited) ||
 		errors.Is(err, platform.ErrUnknownOutcome) ||
@@ -223,7 +223,7 @@
 		return resultcode.New(resultcode.CommandUncertain, cause.Error())
 	case errors.Is(cause, platform.ErrConflict):
 		return resultcode.New(resultcode.RevisionConflict, "too many commands at once: "+cause.Error())
-	case retryable(cause), errors.Is(cause, context.Canceled), errors.Is(cause, context.DeadlineExceeded):
+	case isRetryable(cause), errors.Is(cause, context.Canceled), errors.Is(cause, context.DeadlineExceeded):
 		return resultcode.New(resultcode.PlatformUnavailable, cause.Error())
 	default:
 		return resultcode.New(resultcode.Internal, cause.Error())
--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// platformCall names the reads of the configuration in log lines, as the
+// platformCallName names the reads of the configuration in log lines, as the
 // metrics of platform calls do.
-const platformCall = "configuration"
+const platformCallName = "configuration"
 
 // Peers fetches configurations from other nodes.
 type Peers interface {
@@ -27,8 +27,8 @@
 	Count() int
 }
 
-// FollowOptions configures a PlatformFollower.
-type FollowOptions struct {
+// PlatformFollowerOptions configures a PlatformFollower.
+type PlatformFollowerOptions struct {
 	Follower FollowerOptions
 	// Timeout bounds one call to a peer or to the platform.
 	Timeout time.Duration
@@ -42,20 +42,20 @@
 // PlatformFollower keeps a holder up to date from peers and the platform until
 // it is stopped.
 type PlatformFollower struct {
-	life    tomb.Tomb
+	tomb    tomb.Tomb
 	store   *Store
 	holder  *Holder
 	peers   Peers
-	options FollowOptions
+	options PlatformFollowerOptions
 	wake    chan struct{}
 
-	mutex    sync.Mutex // guards follower
-	follower *Follower
-	failing  bool
+	mutex           sync.Mutex // guards follower
+	follower        *Follower
+	platformFailing bool
 }
 
-// FollowPlatform starts to follow. Stop it with Stop.
-func FollowPlatform(store *Store, holder *Holder, peers Peers, options FollowOptions) *PlatformFollower {
+// StartPlatformFollower starts to follow. Stop it with Stop.
+func StartPlatformFollower(store *Store, holder *Holder, peers Peers, options PlatformFollowerOptions) *PlatformFollower {
 	follower := &PlatformFollower{
 		store:    store,
 		holder:   holder,
@@ -64,25 +64,25 @@
 		wake:     make(chan struct{}, 1),
 		follower: NewFollower(options.Follower, options.Random, options.Clock.Now(), peers.Count()),
 	}
-	follower.life.Go(follower.run)
+	follower.tomb.Go(follower.run)
 	return follower
 }
 
-// Hear notes a revision that another node's message named. A higher one than
+// ObserveRevision notes a revision that another node's message named. A higher one than
 // the holder's makes the follower ask a peer at once.
-func (p *PlatformFollower) Hear(revision fleet.Revision) {
+func (p *PlatformFollower) ObserveRevision(revision fleet.Revision) {
 	if revision <= p.holder.Revision() {
 		return
 	}
 	p.mutex.Lock()
-	p.follower.Hear(p.options.Clock.Now(), revision)
+	p.follower.ObserveRevision(p.options.Clock.Now(), revision)
 	p.mutex.Unlock()
 	p.notify()
 }
 
-// Recount has the follower count the nodes anew, after the number may have
+// RefreshNodeCount has the follower count the nodes anew, after the number may have
 // changed.
-func (p *PlatformFollower) Recount() { p.notify() }
+func (p *PlatformFollower) RefreshNodeCount() { p.notify() }
 
 func (p *PlatformFollower) notify() {
 	select {
@@ -93,20 +93,20 @@
 
 // Stop ends the following and waits for it.
 func (p *PlatformFollower) Stop() error {
-	p.life.Kill(nil)
-	return p.life.Wait()
+	p.tomb.Kill(nil)
+	return p.tomb.Wait()
 }
 
 func (p *PlatformFollower) run() error {
-	ctx := p.life.Context(context.Background())
-	for p.life.Alive() {
+	ctx := p.tomb.Context(context.Background())
+	for p.tomb.Alive() {
 		now := p.options.Clock.Now()
 		action := p.next(now)
 		switch action.Source {
 		case SourcePeer:
-			p.askPeer(ctx)
+			p.fetchFromPeer(ctx)
 		case SourcePlatform:
-			p.askPlatform(ctx)
+			p.pollPlatform(ctx)
 		case SourceNone:
 			p.wait(action.Until - now)
 		}
@@ -118,8 +118,8 @@
 	nodes := p.peers.Count()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.follower.SetNodes(now, nodes)
-	p.follower.Learn(p.holder.Revision())
+	p.follower.SetNodeCount(now, nodes)
+	p.follower.SetLocalRevision(p.holder.Revision())
 	return p.follower.Next(now)
 }
 
@@ -127,13 +127,13 @@
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-p.life.Dying():
+	case <-p.tomb.Dying():
 	case <-p.wake:
 	case <-timer.C:
 	}
 }
 
-func (p *PlatformFollower) askPeer(ctx context.Context) {
+func (p *PlatformFollower) fetchFromPeer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
 	if err := p.peers.Fetch(ctx, p.holder); err != nil {
@@ -144,11 +144,11 @@
 	p.follower.PeerDone(p.options.Clock.Now())
 }
 
-func (p *PlatformFollower) askPlatform(ctx context.Context) {
+func (p *PlatformFollower) pollPlatform(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
 	_, err := p.store.Refresh(ctx, p.holder)
-	if !p.life.Alive() {
+	if !p.tomb.Alive() {
 		return
 	}
 	if p.options.PlatformDone != nil {
@@ -163,11 +163,11 @@
 // logTransition logs the first failure and the recovery, not each call.
 func (p *PlatformFollower) logTransition(err error) {
 	failing := err != nil
-	if failing && !p.failing {
-		p.options.Logger.Warn().Str("call", platformCall).Err(err).Msg("platform_failed")
+	if failing && !p.platformFailing {
+		p.options.Logger.Warn().Str("call", platformCallName).Err(err).Msg("platform_failed")
 	}
-	if !failing && p.failing {
-		p.options.Logger.Info().Str("call", platformCall).Msg("platform_recovered")
+	if !failing && p.platformFailing {
+		p.options.Logger.Info().Str("call", platformCallName).Msg("platform_recovered")
 	}
-	p.failing = failing
+	p.platformFailing = failing
 }
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -64,12 +64,12 @@
 	options FollowerOptions
 	random  *rand.Rand
 
-	nodes        int
-	known, heard fleet.Revision
+	nodeCount                       int
+	localRevision, observedRevision fleet.Revision
 
 	nextPeer     time.Duration
 	nextPlatform time.Duration
-	peerTries    int
+	peerAttempts int
 	failures     int
 }
 
@@ -78,10 +78,10 @@
 // part of the interval: a herd of restarted nodes asks its peers meanwhile.
 func NewFollower(options FollowerOptions, random *rand.Rand, now time.Duration, nodes int) *Follower {
 	options.setDefaults()
-	follower := &Follower{options: options, random: random, nodes: max(nodes, 1), nextPeer: now}
+	follower := &Follower{options: options, random: random, nodeCount: max(nodes, 1), nextPeer: now}
 	follower.nextPlatform = now
 	if nodes > 1 {
-		follower.nextPlatform += follower.residual(follower.interval())
+		follower.nextPlatform += follower.residualInterval(follower.platformInterval())
 	}
 	return follower
 }
@@ -94,61 +94,63 @@
 	setDefault(&o.BackoffMax, DefaultFollowerBackoffMax)
 }
 
-// SetNodes tells how many nodes poll the platform, this one included. The time
+// SetNodeCount tells how many nodes poll the platform, this one included. The time
 // to the next platform call stretches or shrinks with the interval, unless it is
 // a pause after failures: a restarted node that took its fleet for smaller than
 // it is doesn't keep to the earlier time.
-func (f *Follower) SetNodes(now time.Duration, nodes int) {
-	before := f.interval()
-	f.nodes = max(nodes, 1)
+func (f *Follower) SetNodeCount(now time.Duration, nodes int) {
+	before := f.platformInterval()
+	f.nodeCount = max(nodes, 1)
 	left := f.nextPlatform - now
 	if f.failures > 0 || left <= 0 {
 		return
 	}
-	scale := float64(f.interval()) / float64(before)
+	scale := float64(f.platformInterval()) / float64(before)
 	f.nextPlatform = now + time.Duration(float64(left)*scale)
 }
 
-// Hear notes a revision that another node's message named.
-func (f *Follower) Hear(now time.Duration, revision fleet.Revision) {
-	if revision > f.heard && revision > f.known {
-		f.peerTries = 0
+// ObserveRevision notes a revision that another node's message named.
+func (f *Follower) ObserveRevision(now time.Duration, revision fleet.Revision) {
+	if revision > f.observedRevision && revision > f.localRevision {
+		f.peerAttempts = 0
 		f.nextPeer = now
 	}
-	f.heard = max(f.heard, revision)
+	f.observedRevision = max(f.observedRevision, revision)
 }
 
-// Learn notes the revision that the node holds.
-func (f *Follower) Learn(revision fleet.Revision) {
-	if revision > f.known {
-		f.known = revision
-		f.peerTries = 0
+// SetLocalRevision notes the revision that the node holds.
+func (f *Follower) SetLocalRevision(revision fleet.Revision) {
+	if revision > f.localRevision {
+		f.localRevision = revision
+		f.peerAttempts = 0
 	}
 }
 
 // Next returns what to do at a time. After asking a source, report the end
 // with PeerDone or PlatformDone before the next call.
 func (f *Follower) Next(now time.Duration) Action {
-	if f.behind() && now >= f.nextPeer {
+	if f.isBehind() && now >= f.nextPeer {
 		return Action{Source: SourcePeer}
 	}
 	if now >= f.nextPlatform {
 		return Action{Source: SourcePlatform}
 	}
 	until := f.nextPlatform
-	if f.behind() {
+	if f.isBehind() {
 		until = min(until, f.nextPeer)
 	}
 	return Action{Source: SourceNone, Until: until}
 }
 
-// behind tells whether a peer may have something newer.
-func (f *Follower) behind() bool { return f.known == 0 || f.heard > f.known }
+// isBehind tells whether a peer may have something newer.
+func (f *Follower) isBehind() bool {
+	return f.localRevision == 0 || f.observedRevision > f.localRevision
+}
 
 // PeerDone notes that a peer was asked; Learn tells what came of it.
 func (f *Follower) PeerDone(now time.Duration) {
-	pause := doubled(f.options.PeerRetry, f.peerTries, f.options.PeerRetryMax)
-	f.peerTries++
+	pause := exponentialBackoff(f.options.PeerRetry, f.peerAttempts, f.options.PeerRetryMax)
+	f.peerAttempts++
 	f.nextPeer = now + f.jitter(pause)
 }
 
@@ -157,17 +159,17 @@
 func (f *Follower) PlatformDone(now time.Duration, succeeded bool) {
 	if succeeded {
 		f.failures = 0
-		f.nextPlatform = now + f.jitter(f.interval())
+		f.nextPlatform = now + f.jitter(f.platformInterval())
 		return
 	}
 	f.failures++
-	pause := doubled(f.options.PollInterval, f.failures, f.options.BackoffMax)
-	f.nextPlatform = now + f.jitter(max(pause, f.interval()))
+	pause := exponentialBackoff(f.options.PollInterval, f.failures, f.options.BackoffMax)
+	f.nextPlatform = now + f.jitter(max(pause, f.platformInterval()))
 }
 
-// interval is the mean time between two platform calls of this node.
-func (f *Follower) interval() time.Duration {
-	shared := float64(f.nodes) / f.options.FleetCallsPerSecond * float64(time.Second)
+// platformInterval is the mean time between two platform calls of this node.
+func (f *Follower) platformInterval() time.Duration {
+	shared := float64(f.nodeCount) / f.options.FleetCallsPerSecond * float64(time.Second)
 	return max(f.options.PollInterval, time.Duration(shared))
 }
 
@@ -176,12 +178,12 @@
 	return time.Duration(float64(pause) * (1 - pollJitter + 2*pollJitter*f.random.Float64()))
 }
 
-// residual draws the time that is left of a jittered pause at a moment in the
+// residualInterval draws the time that is left of a jittered pause at a moment in the
 // long run: first the pause that covers the moment, which is the likelier the
 // longer it is, then the part of it that is still to come. Renewals that begin
 // so occur at a constant rate (Cox, Renewal Theory, 1962, chapter 5); a plain
 // random part of the interval would bunch the second calls of a herd.
-func (f *Follower) residual(pause time.Duration) time.Duration {
+func (f *Follower) residualInterval(pause time.Duration) time.Duration {
 	const shortest, longest = 1 - pollJitter, 1 + pollJitter
 	square := shortest*shortest + f.random.Float64()*(longest*longest-shortest*shortest)
 	return time.Duration(float64(pause) * math.Sqrt(square) * f.random.Float64())
@@ -190,6 +192,6 @@
 // maxDoublings keeps the shift in doubled from overflowing.
 const maxDoublings = 16
 
-func doubled(pause time.Duration, times int, bound time.Duration) time.Duration {
+func exponentialBackoff(pause time.Duration, times int, bound time.Duration) time.Duration {
 	return min(pause<<min(times, maxDoublings), bound)
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -62,14 +62,14 @@
 	var herd []*Follower
 	for node := range nodes {
 		follower := NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, 4)
-		follower.Learn(1)
+		follower.SetLocalRevision(1)
 		herd = append(herd, follower)
 	}
 	calls := make([]int, span/time.Second)
 	for now := time.Duration(0); now < span; now += tick {
 		for _, follower := range herd {
 			if now >= learnedAt {
-				follower.SetNodes(now, nodes)
+				follower.SetNodeCount(now, nodes)
 			}
 			if follower.Next(now).Source == SourcePlatform {
 				calls[now/time.Second]++
@@ -92,10 +92,10 @@
 
 func TestSizeDoesNotShortenThePauseAfterFailures(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
-	follower.Learn(1)
+	follower.SetLocalRevision(1)
 	follower.PlatformDone(0, false)
 	until := follower.Next(0).Until
-	follower.SetNodes(0, 680)
+	follower.SetNodeCount(0, 680)
 	assert.Equal(t, until, follower.Next(0).Until)
 }
 
@@ -108,24 +108,24 @@
 
 func TestHeardRevisionSendsToPeers(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 680)
-	follower.Learn(5)
-	follower.Hear(0, 4)
+	follower.SetLocalRevision(5)
+	follower.ObserveRevision(0, 4)
 	require.Equal(t, SourceNone, follower.Next(0).Source, "a lower revision is no news")
-	follower.Hear(0, 6)
+	follower.ObserveRevision(0, 6)
 	require.Equal(t, SourcePeer, follower.Next(0).Source)
 	follower.PeerDone(0)
 	first := follower.Next(0)
 	require.Equal(t, SourceNone, first.Source)
 	assert.LessOrEqual(t, first.Until, 3*DefaultPeerRetry/2)
-	follower.Hear(0, 7)
+	follower.ObserveRevision(0, 7)
 	assert.Equal(t, SourcePeer, follower.Next(0).Source, "a newer one is asked for at once")
-	follower.Learn(7)
+	follower.SetLocalRevision(7)
 	assert.Equal(t, SourceNone, follower.Next(time.Millisecond).Source)
 }
 
 func TestPlatformFailuresBackOff(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
-	follower.Learn(1)
+	follower.SetLocalRevision(1)
 	now := time.Duration(0)
 	calls := 0
 	for now < time.Hour {
@@ -171,8 +171,8 @@
 	}
 }
 
-func followOptions() FollowOptions {
-	return FollowOptions{Timeout: time.Second, Clock: fleet.NewClock(), Random: seeded(1), Logger: zerolog.Nop()}
+func followOptions() PlatformFollowerOptions {
+	return PlatformFollowerOptions{Timeout: time.Second, Clock: fleet.NewClock(), Random: seeded(1), Logger: zerolog.Nop()}
 }
 
 func TestFollowLearnsFromPeersWhilePlatformIsDown(t *testing.T) {
@@ -181,12 +181,12 @@
 	holder := NewHolder()
 	updated := holder.Updated()
 	peers := &fakePeers{document: validDocument(7), asked: make(chan struct{}, 1)}
-	follower := FollowPlatform(newTestStore(tables, StoreOptions{}), holder, peers, followOptions())
+	follower := StartPlatformFollower(newTestStore(tables, StoreOptions{}), holder, peers, followOptions())
 	waitFor(t, updated)
 	assert.Equal(t, fleet.Revision(7), holder.Revision())
 	waitFor(t, peers.asked)
-	follower.Hear(7)
-	follower.Hear(8)
+	follower.ObserveRevision(7)
+	follower.ObserveRevision(8)
 	waitFor(t, peers.asked)
 	require.NoError(t, follower.Stop())
 }
@@ -198,7 +198,7 @@
 	updated := holder.Updated()
 	options := followOptions()
 	options.Follower = FollowerOptions{PollInterval: time.Millisecond, FleetCallsPerSecond: 1e6}
-	follower := FollowPlatform(store, holder, &fakePeers{asked: make(chan struct{}, 1)}, options)
+	follower := StartPlatformFollower(store, holder, &fakePeers{asked: make(chan struct{}, 1)}, options)
 	waitFor(t, updated)
 	require.NoError(t, follower.Stop())
 	assert.Equal(t, fleet.Revision(3), holder.Revision())
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -18,8 +18,8 @@
 	current atomic.Pointer[View]
 
 	mutex sync.Mutex
-	// log holds consecutive changes that end at the current revision.
-	log     []Change
+	// changes holds consecutive changes that end at the current revision.
+	changes []Change
 	updated chan struct{}
 }
 
@@ -62,7 +62,7 @@
 	if view.Revision() <= h.Revision() {
 		return false, nil
 	}
-	h.log = nil
+	h.changes = nil
 	h.install(view)
 	return true, nil
 }
@@ -100,7 +100,7 @@
 	if err != nil {
 		return false, false, err
 	}
-	h.appendLog(applied)
+	h.appendChanges(applied)
 	h.install(view)
 	return true, gap, nil
 }
@@ -115,10 +115,10 @@
 		return nil, true
 	}
 	missing := uint64(current - revision)
-	if missing > uint64(len(h.log)) {
+	if missing > uint64(len(h.changes)) {
 		return nil, false
 	}
-	return append(changes, h.log[uint64(len(h.log))-missing:]...), true
+	return append(changes, h.changes[uint64(len(h.changes))-missing:]...), true
 }
 
 // install puts a view in force; the mutex is held.
@@ -128,10 +128,10 @@
 	h.updated = make(chan struct{})
 }
 
-// appendLog records applied changes and drops the oldest; the mutex is held.
-func (h *Holder) appendLog(applied []Change) {
-	h.log = append(h.log, applied...)
-	if excess := len(h.log) - MaxLoggedChanges; excess > 0 {
-		h.log = append([]Change(nil), h.log[excess:]...)
+// appendChanges records applied changes and drops the oldest; the mutex is held.
+func (h *Holder) appendChanges(applied []Change) {
+	h.changes = append(h.changes, applied...)
+	if excess := len(h.changes) - MaxLoggedChanges; excess > 0 {
+		h.changes = append([]Change(nil), h.changes[excess:]...)
 	}
 }
--- a/internal/config/reference/reference.go
+++ b/internal/config/reference/reference.go
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("| `%s` | %s | %s | %s |\n", key, typeName(typeText.String()), ruleText(tag), comment), nil
 }
 
-// scalarNames are the YAML names of Go types; names from package fleet are
+// typeNames are the YAML names of Go types; names from package fleet are
 // strings.
-var scalarNames = map[string]string{
+var typeNames = map[string]string{
 	"float64":   "number",
 	"int":       "whole number",
 	"int64":     "whole number",
@@ -91,7 +91,7 @@
 }
 
 func typeName(goType string) string {
-	if name, known := scalarNames[goType]; known {
+	if name, known := typeNames[goType]; known {
 		return name
 	}
 	element, isList := strings.CutPrefix(goType, "[]")
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -89,8 +89,8 @@
 	options StoreOptions
 
 	mutex sync.Mutex // guards options.Random and sweepAfter
-	// sweepAfter is the key at which the search for old outcomes goes on.
-	sweepAfter string
+	// sweepCursor is the key at which the search for old outcomes goes on.
+	sweepCursor string
 }
 
 // NewStore returns a store. With objects nil, documents of any size stay in
--- a/internal/config/strictyaml/limits.go
+++ b/internal/config/strictyaml/limits.go
@@ -22,7 +22,7 @@
 	for _, current := range tokens {
 		counter.count(current)
 		switch {
-		case counter.brackets > MaxNesting || counter.opened > MaxNesting:
+		case counter.openBrackets > MaxNesting || counter.openedInLine > MaxNesting:
 			return limitProblem(current, "more than %d levels of nesting", MaxNesting)
 		case counter.keysInLine > MaxKeys || counter.keysByColumn[current.Position.Column] > MaxKeys:
 			return limitProblem(current, "more than %d fields in one mapping", MaxKeys)
@@ -40,10 +40,10 @@
 // limitCounter counts, without parsing, what bounds the parser's work.
 type limitCounter struct {
 	line int
-	// brackets is the number of open brackets and braces.
-	brackets int
-	// opened is the number of levels and properties that begin in this line.
-	opened       int
+	// openBrackets is the number of open openBrackets and braces.
+	openBrackets int
+	// openedInLine is the number of levels and properties that begin in this line.
+	openedInLine int
 	keysInLine   int
 	tokensInLine int
 	// keysByColumn counts the keys that begin in the same column, as those of
@@ -58,11 +58,11 @@
 	c.tokensInLine++
 	switch current.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		c.brackets++
+		c.openBrackets++
 	case token.SequenceEndType, token.MappingEndType:
-		c.brackets = max(c.brackets-1, 0)
+		c.openBrackets = max(c.openBrackets-1, 0)
 	case token.SequenceEntryType, token.MappingKeyType, token.AnchorType, token.AliasType, token.TagType:
-		c.opened++
+		c.openedInLine++
 	}
 	if next := current.Next; next != nil && next.Type == token.MappingValueType {
 		c.keysInLine++
@@ -72,7 +72,7 @@
 
 func (c *limitCounter) beginLine(position *token.Position) {
 	c.line = position.Line
-	c.opened = 0
+	c.openedInLine = 0
 	c.keysInLine = 0
 	c.tokensInLine = 0
 	for column := range c.keysByColumn {
--- a/internal/config/strictyaml/override.go
+++ b/internal/config/strictyaml/override.go
@@ -10,7 +10,7 @@
 // target at a dotted path of YAML keys. The text is taken as it is for strings
 // and read as YAML otherwise. Problems have no line.
 func Set(target any, field, text string) Problems {
-	value, known := lookUp(reflect.ValueOf(target).Elem(), strings.Split(field, "."))
+	value, known := fieldByPath(reflect.ValueOf(target).Elem(), strings.Split(field, "."))
 	if !known {
 		return Problems{{Field: field, Message: "unknown field"}}
 	}
@@ -41,8 +41,8 @@
 	return decoder.problems
 }
 
-// lookUp follows YAML keys through nested structs.
-func lookUp(value reflect.Value, keys []string) (reflect.Value, bool) {
+// fieldByPath follows YAML keys through nested structs.
+func fieldByPath(value reflect.Value, keys []string) (reflect.Value, bool) {
 	for _, key := range keys {
 		if value.Kind() != reflect.Struct {
 			return reflect.Value{}, false
--- a/internal/config/strictyaml/validate.go
+++ b/internal/config/strictyaml/validate.go
@@ -22,9 +22,9 @@
 	addressRule = "address"
 )
 
-var checker = newChecker()
+var structValidator = newStructValidator()
 
-func newChecker() *validator.Validate {
+func newStructValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	checker.RegisterTagNameFunc(displayName)
 	mustRegister(checker, nameRule, namePattern.MatchString)
@@ -57,7 +57,7 @@
 // Validate checks the "validate" tags of a struct and reports every failure,
 // located by positions, which may be nil.
 func Validate(target any, positions Positions) Problems {
-	err := checker.Struct(target)
+	err := structValidator.Struct(target)
 	if err == nil {
 		return nil
 	}
@@ -76,13 +76,13 @@
 func failureProblems(failure validator.FieldError, positions Positions) Problems {
 	_, field, _ := strings.Cut(failure.Namespace(), ".")
 	if failure.Tag() == "unique" {
-		return repeatProblems(failure, field, positions)
+		return duplicateProblems(failure, field, positions)
 	}
 	return Problems{positions.Problem(field, failureMessage(failure))}
 }
 
-// repeatProblems reports each element whose key occurred before.
-func repeatProblems(failure validator.FieldError, field string, positions Positions) Problems {
+// duplicateProblems reports each element whose key occurred before.
+func duplicateProblems(failure validator.FieldError, field string, positions Positions) Problems {
 	var problems Problems
 	elements := reflect.ValueOf(failure.Value())
 	first := make(map[any]int, elements.Len())
--- a/internal/config/transaction.go
+++ b/internal/config/transaction.go
@@ -11,10 +11,10 @@
 )
 
 // Old outcomes are searched for once in sweepInterval revisions, up to
-// sweepRows of them, so that a commit seldom costs a call more.
+// sweepPageSize of them, so that a commit seldom costs a call more.
 const (
 	sweepInterval = 16
-	sweepRows     = 64
+	sweepPageSize = 64
 )
 
 // transactionBuilder collects a transaction and the first encoding error.
@@ -55,18 +55,18 @@
 // error ends the sweep without harm: a later one deletes what this one left.
 func (s *Store) expiredOutcomes(ctx context.Context, oldest fleet.Revision) []string {
 	s.mutex.Lock()
-	after := s.sweepAfter
+	after := s.sweepCursor
 	s.mutex.Unlock()
-	rows, err := s.tables.List(ctx, prefixCommand, after, sweepRows)
+	rows, err := s.tables.List(ctx, prefixCommand, after, sweepPageSize)
 	if err != nil {
 		return nil
 	}
 	next := ""
-	if len(rows) == sweepRows {
+	if len(rows) == sweepPageSize {
 		next = rows[len(rows)-1].Key
 	}
 	s.mutex.Lock()
-	s.sweepAfter = next
+	s.sweepCursor = next
 	s.mutex.Unlock()
 	var keys []string
 	for _, row := range rows {
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -18,16 +18,16 @@
 // changes; a new revision gets a new view. What its methods return must not be
 // modified.
 type View struct {
-	document    Document
-	tenants     map[fleet.TenantName]Tenant
-	tenantByKey map[string]fleet.TenantName
-	classes     map[fleet.ClassName]Class
-	byRank      []Class
-	models      map[fleet.ModelName]Model
-	pools       map[fleet.PoolName]Pool
-	serving     map[variant]fleet.VersionName
-	states      map[fleet.Weights]VersionState
-	directives  map[fleet.EngineRun][]Directive
+	document        Document
+	tenants         map[fleet.TenantName]Tenant
+	tenantByKey     map[string]fleet.TenantName
+	classes         map[fleet.ClassName]Class
+	classesByRank   []Class
+	models          map[fleet.ModelName]Model
+	pools           map[fleet.PoolName]Pool
+	servingVersions map[variant]fleet.VersionName
+	versionStates   map[fleet.Weights]VersionState
+	directives      map[fleet.EngineRun][]Directive
 }
 
 // variant is a model or one of its adapters.
@@ -42,20 +42,20 @@
 		return nil, err
 	}
 	view := &View{
-		document:    Canonical(document),
-		tenants:     make(map[fleet.TenantName]Tenant, len(document.Tenants)),
-		tenantByKey: make(map[string]fleet.TenantName, len(document.Tenants)),
-		classes:     make(map[fleet.ClassName]Class, len(document.Classes)),
-		models:      make(map[fleet.ModelName]Model, len(document.Models)),
-		pools:       make(map[fleet.PoolName]Pool, len(document.Pools)),
-		serving:     make(map[variant]fleet.VersionName),
-		states:      make(map[fleet.Weights]VersionState),
-		directives:  make(map[fleet.EngineRun][]Directive),
+		document:        Canonical(document),
+		tenants:         make(map[fleet.TenantName]Tenant, len(document.Tenants)),
+		tenantByKey:     make(map[string]fleet.TenantName, len(document.Tenants)),
+		classes:         make(map[fleet.ClassName]Class, len(document.Classes)),
+		models:          make(map[fleet.ModelName]Model, len(document.Models)),
+		pools:           make(map[fleet.PoolName]Pool, len(document.Pools)),
+		servingVersions: make(map[variant]fleet.VersionName),
+		versionStates:   make(map[fleet.Weights]VersionState),
+		directives:      make(map[fleet.EngineRun][]Directive),
 	}
 	view.indexTenants()
 	view.indexClasses()
 	view.indexModels()
-	view.indexEngines()
+	view.indexPoolsAndDirectives()
 	return view, nil
 }
 
@@ -72,8 +72,8 @@
 	for _, class := range v.document.Classes {
 		v.classes[class.Name] = class
 	}
-	v.byRank = slices.Clone(v.document.Classes)
-	slices.SortFunc(v.byRank, func(a, b Class) int { return cmp.Compare(a.Rank, b.Rank) })
+	v.classesByRank = slices.Clone(v.document.Classes)
+	slices.SortFunc(v.classesByRank, func(a, b Class) int { return cmp.Compare(a.Rank, b.Rank) })
 }
 
 func (v *View) indexModels() {
@@ -89,14 +89,14 @@
 func (v *View) indexVersions(of variant, versions []Version) {
 	for _, version := range versions {
 		weights := fleet.Weights{Model: of.model, Adapter: of.adapter, Version: version.Name}
-		v.states[weights] = version.State
+		v.versionStates[weights] = version.State
 		if version.State == VersionServing {
-			v.serving[of] = version.Name
+			v.servingVersions[of] = version.Name
 		}
 	}
 }
 
-func (v *View) indexEngines() {
+func (v *View) indexPoolsAndDirectives() {
 	for _, pool := range v.document.Pools {
 		v.pools[pool.Name] = pool
 	}
@@ -147,7 +147,7 @@
 }
 
 // Classes returns the priority classes in order of rank, most urgent first.
-func (v *View) Classes() []Class { return v.byRank }
+func (v *View) Classes() []Class { return v.classesByRank }
 
 // Model returns a model by name.
 func (v *View) Model(name fleet.ModelName) (Model, bool) {
@@ -164,7 +164,7 @@
 // ServingVersion returns the version that new requests for a model or, with a
 // non-empty adapter, for one of its adapters get.
 func (v *View) ServingVersion(model fleet.ModelName, adapter fleet.AdapterName) (fleet.VersionName, bool) {
-	version, found := v.serving[variant{model: model, adapter: adapter}]
+	version, found := v.servingVersions[variant{model: model, adapter: adapter}]
 	return version, found
 }
 
@@ -187,7 +187,7 @@
 // VersionState returns where weights are in their life; false means that the
 // configuration doesn't know them.
 func (v *View) VersionState(weights fleet.Weights) (VersionState, bool) {
-	state, found := v.states[weights]
+	state, found := v.versionStates[weights]
 	return state, found
 }
 
--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -86,7 +86,7 @@
 // followConfiguration starts to read the configuration from peers and platform.
 func (r *Router) followConfiguration() {
 	settings := r.options.Settings
-	r.follower = config.FollowPlatform(r.store, r.holder, r.fetcher, config.FollowOptions{
+	r.follower = config.StartPlatformFollower(r.store, r.holder, r.fetcher, config.PlatformFollowerOptions{
 		Follower:     config.FollowerOptions{PollInterval: time.Duration(settings.ConfigurationInterval)},
 		Timeout:      time.Duration(settings.Platform.Timeout),
 		Clock:        r.clock,
@@ -104,7 +104,7 @@
 
 // hear notes the revision that another node's message names.
 func (r *Router) hear(header *rpc.Header) {
-	r.follower.Hear(fleet.Revision(header.GetKnownRevision()))
+	r.follower.ObserveRevision(fleet.Revision(header.GetKnownRevision()))
 }
 
 // refreshConfiguration reads the head at once, after a command.
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -64,7 +64,7 @@
 		routable := r.peers.View().Routable()
 		r.engines.setRouters(routable)
 		r.rollout.setRouters(routable)
-		r.follower.Recount()
+		r.follower.RefreshNodeCount()
 		select {
 		case <-r.life.Dying():
 			return nil
--- a/internal/router/platformpoll.go
+++ b/internal/router/platformpoll.go
@@ -25,7 +25,7 @@
 		case <-r.machines.changed:
 			r.engines.setMachines(r.machines.current())
 			r.listed.Store(true)
-			r.follower.Recount()
+			r.follower.RefreshNodeCount()
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,10 +31,10 @@
 	return Override{Field: field, Value: value}, nil
 }
 
-// CrossChecker is implemented by settings with rules between fields.
-type CrossChecker interface {
-	// CheckAcross reports each broken rule under the path of a field.
-	CheckAcross(report func(field, message string))
+// CrossFieldValidator is implemented by settings with rules between fields.
+type CrossFieldValidator interface {
+	// ValidateCrossField reports each broken rule under the path of a field.
+	ValidateCrossField(report func(field, message string))
 }
 
 // Load fills target, a pointer to a struct that holds the defaults, from a file
@@ -55,18 +55,18 @@
 		positions[override.Field] = strictyaml.Position{}
 	}
 	problems = problems.AppendNew(strictyaml.Validate(target, positions))
-	problems = problems.AppendNew(checkAcross(target, positions))
+	problems = problems.AppendNew(validateCrossField(target, positions))
 	problems.Sort()
 	return problems
 }
 
-func checkAcross(target any, positions strictyaml.Positions) Problems {
-	checker, ok := target.(CrossChecker)
+func validateCrossField(target any, positions strictyaml.Positions) Problems {
+	checker, ok := target.(CrossFieldValidator)
 	if !ok {
 		return nil
 	}
 	var problems Problems
-	checker.CheckAcross(func(field, message string) {
+	checker.ValidateCrossField(func(field, message string) {
 		problems = append(problems, positions.Problem(field, message))
 	})
 	return problems
--- a/lab/capacity/tables.go
+++ b/lab/capacity/tables.go
@@ -68,11 +68,11 @@
 	for range count {
 		random := rand.New(rand.NewPCG(queue.Random().Uint64(), 1))
 		follower := config.NewFollower(config.FollowerOptions{PollInterval: interval}, random, 0, min(count, start.configured))
-		follower.Learn(1)
+		follower.SetLocalRevision(1)
 		var step func()
 		step = func() {
 			if queue.Now() >= start.knownAfter {
-				follower.SetNodes(queue.Now(), count)
+				follower.SetNodeCount(queue.Now(), count)
 			}
 			action := follower.Next(queue.Now())
 			if action.Source != config.SourcePlatform {
--- a/lab/simulation/configuration.go
+++ b/lab/simulation/configuration.go
@@ -22,8 +22,8 @@
 // follow does what the follower wants next. One question to a peer is under
 // way at a time.
 func (r *router) follow() {
-	r.follower.SetNodes(r.now(), len(r.members.View().Routable()))
-	r.follower.Learn(r.holder.Revision())
+	r.follower.SetNodeCount(r.now(), len(r.members.View().Routable()))
+	r.follower.SetLocalRevision(r.holder.Revision())
 	switch action := r.follower.Next(r.now()); action.Source {
 	case config.SourcePeer:
 		if peer, found := r.anyPeer(); found {
@@ -71,7 +71,7 @@
 	if revision <= r.holder.Revision() {
 		return
 	}
-	r.follower.Hear(r.now(), revision)
+	r.follower.ObserveRevision(r.now(), revision)
 	r.after(0, r.follow)
 }
 
