--- a/cmd/tillerfall/control.go
+++ b/cmd/tillerfall/control.go
@@ -49,7 +49,7 @@
 		statement = strings.TrimSpace(string(input))
 	}
 	if c.AllRouters {
-		return c.executeEverywhere(statement)
+		return c.executeOnAllRouters(statement)
 	}
 	return c.execute(statement)
 }
@@ -75,15 +75,15 @@
 
 // execute sends a statement to the router and prints the result.
 func (f operatorFlags) execute(statement string) error {
-	result, err := f.ask(f.Router, statement)
+	result, err := f.send(f.Router, statement)
 	if err != nil {
 		return err
 	}
 	return f.print(result)
 }
 
-// ask sends a statement to a router. Its errors are *resultcode.Error.
-func (f operatorFlags) ask(router, statement string) (operator.Result, error) {
+// send sends a statement to a router. Its errors are *resultcode.Error.
+func (f operatorFlags) send(router, statement string) (operator.Result, error) {
 	token := f.Token
 	if token == "" {
 		token = uuid.NewString()
@@ -95,7 +95,7 @@
 		Header: &rpc.Header{Sender: "ctl"}, Statement: statement, Token: token, ExpectedRevision: f.Expect,
 	})
 	if err != nil {
-		return operator.Result{}, callFailure(err, statement, token)
+		return operator.Result{}, callError(err, statement, token)
 	}
 	return decodeResult(response), nil
 }
@@ -105,9 +105,9 @@
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// callFailure tells a call that certainly reached no router from one whose
+// callError tells a call that certainly reached no router from one whose
 // effect is unknown.
-func callFailure(err error, statement, token string) error {
+func callError(err error, statement, token string) error {
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
 		return resultcode.New(resultcode.NoRouter, dial.Error())
--- a/cmd/tillerfall/everyrouter.go
+++ b/cmd/tillerfall/everyrouter.go
@@ -23,9 +23,9 @@
 	result  operator.Result
 }
 
-// executeEverywhere puts a query to every router that the named one lists, and
+// executeOnAllRouters puts a query to every router that the named one lists, and
 // prints the answers as one table.
-func (f operatorFlags) executeEverywhere(statement string) error {
+func (f operatorFlags) executeOnAllRouters(statement string) error {
 	parsed, err := operator.Parse(statement)
 	if err != nil {
 		return resultcode.New(resultcode.StatementSyntax, err.Error())
@@ -39,7 +39,7 @@
 	}
 	var asked sync.WaitGroup
 	for index := range answers {
-		asked.Go(func() { f.askRouter(&answers[index], statement) })
+		asked.Go(func() { f.queryRouter(&answers[index], statement) })
 	}
 	asked.Wait()
 	return f.print(mergeAnswers(answers))
@@ -47,7 +47,7 @@
 
 // listRouters returns the routers to ask, in the order of the named one.
 func (f operatorFlags) listRouters() ([]routerAnswer, error) {
-	listed, err := f.ask(f.Router, "show routers")
+	listed, err := f.send(f.Router, "show routers")
 	if err != nil {
 		return nil, err
 	}
@@ -66,8 +66,8 @@
 	return answers, nil
 }
 
-func (f operatorFlags) askRouter(answer *routerAnswer, statement string) {
-	result, err := f.ask(answer.address, statement)
+func (f operatorFlags) queryRouter(answer *routerAnswer, statement string) {
+	result, err := f.send(answer.address, statement)
 	if err != nil {
 		// The call's own account speaks of commands; a query had no effect.
 		result = operator.Result{Code: resultcode.NoRouter, Message: "no answer from " + answer.address}
--- a/cmd/tillerfall/gateway.go
+++ b/cmd/tillerfall/gateway.go
@@ -33,15 +33,15 @@
 
 // Constants of the process.
 const (
-	// logLines is the number of lines that wait for a slow reader of the logs;
+	// logBufferLines is the number of lines that wait for a slow reader of the logs;
 	// more are dropped and counted.
-	logLines = 4096
+	logBufferLines = 4096
 	// gcPercent trades processor time for memory: the gateway's live heap is small.
 	gcPercent = 60
-	// memoryPart is the part of the machine's memory at which collections become
+	// memoryLimitFraction is the part of the machine's memory at which collections become
 	// frequent.
-	memoryPart = 0.7
-	megabyte   = 1 << 20
+	memoryLimitFraction = 0.7
+	megabyte            = 1 << 20
 )
 
 // Execute implements flags.Commander.
@@ -59,9 +59,9 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if settings.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMB) * memoryPart * megabyte))
+		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMB) * memoryLimitFraction * megabyte))
 	}
-	output := diode.NewWriter(os.Stdout, logLines, 0, func(missed int) {
+	output := diode.NewWriter(os.Stdout, logBufferLines, 0, func(missed int) {
 		_, _ = os.Stderr.WriteString("event=log_lines_lost count=" + strconv.Itoa(missed) + "\n")
 	})
 	defer func() { _ = output.Close() }()
@@ -95,9 +95,9 @@
 	return runProcess(process, logger)
 }
 
-// settingsCheck is the time between two looks at the settings file, which may
+// settingsPollInterval is the time between two looks at the settings file, which may
 // change without a signal.
-const settingsCheck = time.Second
+const settingsPollInterval = time.Second
 
 // watchSettings reloads the settings when the file changes or SIGHUP says so. A
 // file that can't be used leaves those in force.
@@ -105,9 +105,9 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsCheck)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := fileState(path)
+	seen := readFileVersion(path)
 	for {
 		signalled := false
 		select {
@@ -117,7 +117,7 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		present := fileState(path)
+		present := readFileVersion(path)
 		if !signalled && present == seen {
 			continue
 		}
@@ -138,7 +138,7 @@
 	modified time.Time
 }
 
-func fileState(path string) fileVersion {
+func readFileVersion(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fileVersion{}
--- a/cmd/tillerfall/router.go
+++ b/cmd/tillerfall/router.go
@@ -15,8 +15,8 @@
 	Peers    []string `long:"peer" value-name:"HOST:PORT" description:"Numeric address of a router to join through, in place of those in the file; may be given more than once"`
 }
 
-// flagsAsSettings puts the router's own flags before --set, which wins.
-func (c *routerCommand) flagsAsSettings() {
+// addFlagOverrides puts the router's own flags before --set, which wins.
+func (c *routerCommand) addFlagOverrides() {
 	var own []string
 	if c.Platform != "" {
 		own = append(own, "platform.address="+c.Platform)
@@ -29,7 +29,7 @@
 
 // Execute implements flags.Commander.
 func (c *routerCommand) Execute([]string) error {
-	c.flagsAsSettings()
+	c.addFlagOverrides()
 	settings := router.DefaultSettings()
 	if err := c.load(&settings); err != nil {
 		return err
--- a/cmd/tillerlab/fleet.go
+++ b/cmd/tillerlab/fleet.go
@@ -14,8 +14,8 @@
 	"github.com/tillerfall/tillerfall/lab/localfleet"
 )
 
-// startLimit bounds the start of the embedded fleet.
-const startLimit = 30 * time.Second
+// startTimeout bounds the start of the embedded fleet.
+const startTimeout = 30 * time.Second
 
 // fleetCommand runs an embedded fleet on loopback until it is interrupted.
 type fleetCommand struct {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	running, err := localfleet.Start(ctx, localfleet.Options{
 		Document:     *document,
@@ -44,13 +44,13 @@
 	if err != nil {
 		return errors.Wrap(err, "start fleet")
 	}
-	c.announce(running, document)
+	c.printReady(running, document)
 	waitForInterrupt()
 	return running.Stop()
 }
 
-// announce prints where the fleet listens and a request to try.
-func (c *fleetCommand) announce(running *localfleet.Fleet, document *config.Document) {
+// printReady prints where the fleet listens and a request to try.
+func (c *fleetCommand) printReady(running *localfleet.Fleet, document *config.Document) {
 	fmt.Printf("ready url=http://%s router=%s\n", running.AgentAddress(), running.RouterAddress())
 	fmt.Printf("curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer example-key-counter' "+
 		"-d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":12,\"messages\":[{\"role\":\"user\",\"content\":\"Which flag covers meter photographs?\"}]}'\n",
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -93,7 +93,7 @@
 
 // hashPrompt fills in what follows from the weights.
 func (c *call) hashPrompt(model config.Model) {
-	scope := fleet.CacheScope{Tenant: c.tenant.Name, Weights: c.weights}
+	scope := fleet.CacheScope{Tenant: c.tenant.Name, ModelVersion: c.weights}
 	c.hashes = prompt.HashBlocks(scope, c.body.Prompt, model.BlockTokens)
 	c.wholeKey = xxhash.Sum64String(c.body.Prompt)
 	c.pool = model.Pool
--- a/internal/agent/carrier.go
+++ b/internal/agent/carrier.go
@@ -21,7 +21,7 @@
 	tenant  config.Tenant
 	class   fleet.ClassName
 	maxWait time.Duration
-	weights fleet.Weights
+	weights fleet.ModelVersion
 	options openai.Options
 	body    openai.Request
 	// deadline is on the agent's clock.
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -53,7 +53,7 @@
 	prompt := f.registry.newPrompt(s)
 	f.registry.decide(s, prompt)
 	for index := range f.registry.endpoints {
-		f.registry.endpoints[index].Serves = func(fleet.Weights) bool { return true }
+		f.registry.endpoints[index].Serves = func(fleet.ModelVersion) bool { return true }
 	}
 	decision, _ := f.registry.scheduler.Schedule(scheduling.Request{
 		Pool: request.Service, PromptTokens: prompt.engine.PromptTokens, PartTokens: prompt.ends,
--- a/internal/config/holder_test.go
+++ b/internal/config/holder_test.go
@@ -142,12 +142,12 @@
 	require.NoError(t, err)
 	weights, _, found := view.ResolveModel("notes:billing")
 	require.True(t, found)
-	assert.Equal(t, fleet.Weights{Model: "notes", Adapter: "billing", Version: "a1"}, weights)
+	assert.Equal(t, fleet.ModelVersion{Model: "notes", Adapter: "billing", Version: "a1"}, weights)
 	for _, unknown := range []string{"", "notes:", "notes:x", "x", "notes:billing:a1"} {
 		_, _, found := view.ResolveModel(unknown)
 		assert.False(t, found, unknown)
 	}
-	state, _ := view.VersionState(fleet.Weights{Model: "notes", Version: "v2"})
+	state, _ := view.VersionState(fleet.ModelVersion{Model: "notes", Version: "v2"})
 	assert.Equal(t, VersionLoading, state)
 }
 
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -26,7 +26,7 @@
 	models          map[fleet.ModelName]Model
 	pools           map[fleet.PoolName]Pool
 	servingVersions map[variant]fleet.VersionName
-	versionStates   map[fleet.Weights]VersionState
+	versionStates   map[fleet.ModelVersion]VersionState
 	directives      map[fleet.EngineRun][]Directive
 }
 
@@ -49,7 +49,7 @@
 		models:          make(map[fleet.ModelName]Model, len(document.Models)),
 		pools:           make(map[fleet.PoolName]Pool, len(document.Pools)),
 		servingVersions: make(map[variant]fleet.VersionName),
-		versionStates:   make(map[fleet.Weights]VersionState),
+		versionStates:   make(map[fleet.ModelVersion]VersionState),
 		directives:      make(map[fleet.EngineRun][]Directive),
 	}
 	view.indexTenants()
@@ -88,7 +88,7 @@
 
 func (v *View) indexVersions(of variant, versions []Version) {
 	for _, version := range versions {
-		weights := fleet.Weights{Model: of.model, Adapter: of.adapter, Version: version.Name}
+		weights := fleet.ModelVersion{Model: of.model, Adapter: of.adapter, Version: version.Name}
 		v.versionStates[weights] = version.State
 		if version.State == VersionServing {
 			v.servingVersions[of] = version.Name
@@ -170,15 +170,15 @@
 
 // ResolveModel returns the weights and the model that serve what a caller asks
 // for, "model" or "model:adapter".
-func (v *View) ResolveModel(requested string) (fleet.Weights, Model, bool) {
+func (v *View) ResolveModel(requested string) (fleet.ModelVersion, Model, bool) {
 	modelName, adapterName, hasAdapter := strings.Cut(requested, AdapterSeparator)
 	if hasAdapter && adapterName == "" {
-		return fleet.Weights{}, Model{}, false
+		return fleet.ModelVersion{}, Model{}, false
 	}
-	weights := fleet.Weights{Model: fleet.ModelName(modelName), Adapter: fleet.AdapterName(adapterName)}
+	weights := fleet.ModelVersion{Model: fleet.ModelName(modelName), Adapter: fleet.AdapterName(adapterName)}
 	version, found := v.ServingVersion(weights.Model, weights.Adapter)
 	if !found {
-		return fleet.Weights{}, Model{}, false
+		return fleet.ModelVersion{}, Model{}, false
 	}
 	weights.Version = version
 	return weights, v.models[weights.Model], true
@@ -186,7 +186,7 @@
 
 // VersionState returns where weights are in their life; false means that the
 // configuration doesn't know them.
-func (v *View) VersionState(weights fleet.Weights) (VersionState, bool) {
+func (v *View) VersionState(weights fleet.ModelVersion) (VersionState, bool) {
 	state, found := v.versionStates[weights]
 	return state, found
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -74,8 +74,8 @@
 // hashes mean equal prefixes in the same scope.
 type BlockHash uint64
 
-// Weights names exactly the weights that compute a request.
-type Weights struct {
+// ModelVersion names exactly the weights that compute a request.
+type ModelVersion struct {
 	Model   ModelName
 	Adapter AdapterName
 	Version VersionName
@@ -84,8 +84,8 @@
 // CacheScope is the domain inside which cached blocks may be shared. Blocks of
 // different scopes never match, because the scope is hashed into every block.
 type CacheScope struct {
-	Tenant  TenantName
-	Weights Weights
+	Tenant       TenantName
+	ModelVersion ModelVersion
 }
 
 // EngineRun names one run of one engine: everything cached by it dies with it.
--- a/internal/operator/mutate.go
+++ b/internal/operator/mutate.go
@@ -71,7 +71,7 @@
 // promoteVersion makes a version the serving one. The version that served
 // before stays loaded until it is retired, for requests that were admitted
 // under it and for a way back.
-func promoteVersion(target fleet.Weights) Mutation {
+func promoteVersion(target fleet.ModelVersion) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		switch versions[position].State {
 		case config.VersionServing:
@@ -90,7 +90,7 @@
 }
 
 // retireVersion takes a version that doesn't serve out of use.
-func retireVersion(target fleet.Weights) Mutation {
+func retireVersion(target fleet.ModelVersion) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		if versions[position].State == config.VersionServing {
 			return resultcode.New(resultcode.CommandImpossible,
@@ -104,7 +104,7 @@
 // changeVersions changes the versions of the model or adapter that a target is
 // a version of; position is the target's among them. If change fails, the
 // document stays as it was.
-func changeVersions(target fleet.Weights, change func(versions []config.Version, position int) error) Mutation {
+func changeVersions(target fleet.ModelVersion, change func(versions []config.Version, position int) error) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(document)
 		versions, err := versionsOf(&next, target)
@@ -134,7 +134,7 @@
 }
 
 // versionsOf returns the versions of a model or adapter inside a document.
-func versionsOf(document *config.Document, target fleet.Weights) ([]config.Version, error) {
+func versionsOf(document *config.Document, target fleet.ModelVersion) ([]config.Version, error) {
 	position := slices.IndexFunc(document.Models, func(model config.Model) bool { return model.Name == target.Model })
 	if position < 0 {
 		return nil, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no model %q", target.Model))
@@ -150,7 +150,7 @@
 	return model.Adapters[position].Versions, nil
 }
 
-func findVersion(versions []config.Version, target fleet.Weights) (int, error) {
+func findVersion(versions []config.Version, target fleet.ModelVersion) (int, error) {
 	position := slices.IndexFunc(versions, func(version config.Version) bool { return version.Name == target.Version })
 	if position < 0 {
 		return 0, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no version %q of %s", target.Version, weightsName(target)))
@@ -158,7 +158,7 @@
 	return position, nil
 }
 
-func weightsName(weights fleet.Weights) string {
+func weightsName(weights fleet.ModelVersion) string {
 	if weights.Adapter == "" {
 		return string(weights.Model)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,7 +28,7 @@
 func (s *stubSource) Engines() []Engine {
 	return []Engine{
 		{Run: fleet.EngineRun{Engine: "e1", Incarnation: 4}, State: "ready", Role: "serve",
-			Loaded: []fleet.Weights{{Model: "m", Version: "v1"}}},
+			Loaded: []fleet.ModelVersion{{Model: "m", Version: "v1"}}},
 		{Run: fleet.EngineRun{Engine: "e2", Incarnation: 7}, State: "leaving", LeavingBy: "operator", Owned: true, Role: "serve"},
 	}
 }
@@ -89,7 +89,7 @@
 
 type stubReadiness struct{ err error }
 
-func (s stubReadiness) ReadyToPromote(config.Document, fleet.Weights) error { return s.err }
+func (s stubReadiness) ReadyToPromote(config.Document, fleet.ModelVersion) error { return s.err }
 
 const baseYAML = `
 tenants:
@@ -213,7 +213,7 @@
 	text := strings.Repeat("circular ", 10)
 	result := f.run(`where prefix text "` + text + `" tenant t model m:a`)
 	require.Equal(t, resultcode.OK, result.Code, result.Message)
-	scope := fleet.CacheScope{Tenant: "t", Weights: fleet.Weights{Model: "m", Adapter: "a", Version: "a1"}}
+	scope := fleet.CacheScope{Tenant: "t", ModelVersion: fleet.ModelVersion{Model: "m", Adapter: "a", Version: "a1"}}
 	assert.Equal(t, prompt.HashBlocks(scope, text, 4), f.source.asked)
 }
 
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -48,7 +48,7 @@
 	Mutate Mutation
 	// Promotes lists the weights that the command makes serving, given the
 	// configuration that it is applied to.
-	Promotes func(before config.Document) []fleet.Weights
+	Promotes func(before config.Document) []fleet.ModelVersion
 }
 
 // MakePlan resolves the names in a statement against a router's view. Its
@@ -122,13 +122,13 @@
 	if !promote {
 		return Plan{Command: &Command{Mutate: locate(reference, target, retireVersion(target))}}, nil
 	}
-	promotes := func(config.Document) []fleet.Weights { return []fleet.Weights{target} }
+	promotes := func(config.Document) []fleet.ModelVersion { return []fleet.ModelVersion{target} }
 	return Plan{Command: &Command{Mutate: locate(reference, target, promoteVersion(target)), Promotes: promotes}}, nil
 }
 
 // locate makes a mutation that doesn't find its version point at the word that
 // is wrong. Only the mutation can tell: the router's view may be behind.
-func locate(reference *VersionReference, target fleet.Weights, mutation Mutation) Mutation {
+func locate(reference *VersionReference, target fleet.ModelVersion, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
 		var coded *resultcode.Error
@@ -143,9 +143,9 @@
 	}
 }
 
-func parseWeights(text string) fleet.Weights {
+func parseWeights(text string) fleet.ModelVersion {
 	model, adapter, _ := strings.Cut(text, config.AdapterSeparator)
-	return fleet.Weights{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
+	return fleet.ModelVersion{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
 }
 
 func planApply(source string) (Plan, error) {
@@ -153,18 +153,18 @@
 	if err := problems.Err(); err != nil {
 		return Plan{}, &PlanError{Code: resultcode.ConfigInvalid, Message: err.Error()}
 	}
-	promotes := func(before config.Document) []fleet.Weights { return newlyServing(before, *document) }
+	promotes := func(before config.Document) []fleet.ModelVersion { return newlyServing(before, *document) }
 	return Plan{Command: &Command{Mutate: replaceAll(*document), Promotes: promotes}}, nil
 }
 
 // newlyServing returns the weights that serve after a change in place of
 // others. Models and adapters that are new take no traffic away from weights
 // that are loaded, so they aren't among them.
-func newlyServing(before, after config.Document) []fleet.Weights {
+func newlyServing(before, after config.Document) []fleet.ModelVersion {
 	served := servingWeights(before)
-	var changed []fleet.Weights
+	var changed []fleet.ModelVersion
 	for _, weights := range servingWeights(after) {
-		replaces := func(old fleet.Weights) bool {
+		replaces := func(old fleet.ModelVersion) bool {
 			return old.Model == weights.Model && old.Adapter == weights.Adapter && old.Version != weights.Version
 		}
 		if slices.ContainsFunc(served, replaces) {
@@ -174,12 +174,12 @@
 	return changed
 }
 
-func servingWeights(document config.Document) []fleet.Weights {
-	var serving []fleet.Weights
+func servingWeights(document config.Document) []fleet.ModelVersion {
+	var serving []fleet.ModelVersion
 	add := func(model fleet.ModelName, adapter fleet.AdapterName, versions []config.Version) {
 		for _, version := range versions {
 			if version.State == config.VersionServing {
-				serving = append(serving, fleet.Weights{Model: model, Adapter: adapter, Version: version.Name})
+				serving = append(serving, fleet.ModelVersion{Model: model, Adapter: adapter, Version: version.Name})
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 		if weights.Model != wanted.Model || weights.Adapter != wanted.Adapter {
 			continue
 		}
-		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), Weights: weights}
+		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), ModelVersion: weights}
 		hashes := prompt.HashBlocks(scope, prefix.Text.Text, blockTokens(document, weights.Model))
 		if len(hashes) == 0 {
 			return Plan{}, &PlanError{
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -194,7 +194,7 @@
 
 func modelRows(source Source) []Row {
 	document, _ := source.Configuration()
-	loaded := make(map[fleet.Weights]int)
+	loaded := make(map[fleet.ModelVersion]int)
 	for _, engine := range source.Engines() {
 		for _, weights := range engine.Loaded {
 			loaded[weights]++
@@ -203,7 +203,7 @@
 	var rows []Row
 	add := func(model config.Model, adapter fleet.AdapterName, versions []config.Version) {
 		for _, version := range versions {
-			weights := fleet.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
+			weights := fleet.ModelVersion{Model: model.Name, Adapter: adapter, Version: version.Name}
 			rows = append(rows, Row{
 				weightsName(weights), string(version.Name), string(version.State), string(model.Pool), strconv.Itoa(loaded[weights]),
 			})
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -49,7 +49,7 @@
 // Readiness tells whether weights can take the traffic of a model.
 type Readiness interface {
 	// ReadyToPromote returns an error that says what is missing.
-	ReadyToPromote(document config.Document, weights fleet.Weights) error
+	ReadyToPromote(document config.Document, weights fleet.ModelVersion) error
 }
 
 // Request is one statement as an operator sent it.
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -38,7 +38,7 @@
 	LeavingBy string
 	// Owned tells that this router indexes the engine and places on it.
 	Owned         bool
-	Loaded        []fleet.Weights
+	Loaded        []fleet.ModelVersion
 	InFlight      int
 	PrefillTokens int
 	CachedBlocks  int
@@ -62,7 +62,7 @@
 	Attempt fleet.Attempt
 	Tenant  fleet.TenantName
 	Class   fleet.ClassName
-	Weights fleet.Weights
+	Weights fleet.ModelVersion
 	Waited  time.Duration
 	Reason  string
 }
--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -15,8 +15,8 @@
 // ErrTooLarge means that a message is larger than its reader takes.
 var ErrTooLarge = errors.New("message too large")
 
-// writers keeps compressors, each of which takes some hundred KB.
-var writers sync.Pool
+// compressors keeps compressors, each of which takes some hundred KB.
+var compressors sync.Pool
 
 // Pack returns a message encoded and compressed.
 func Pack(message proto.Message) ([]byte, error) {
@@ -25,11 +25,11 @@
 		return nil, errors.Wrap(err, "encode")
 	}
 	var compressed bytes.Buffer
-	writer, err := writerTo(&compressed)
+	writer, err := newCompressor(&compressed)
 	if err != nil {
 		return nil, errors.Wrap(err, "compress")
 	}
-	defer writers.Put(writer)
+	defer compressors.Put(writer)
 	if _, err := writer.Write(content); err != nil {
 		return nil, errors.Wrap(err, "compress")
 	}
@@ -39,9 +39,9 @@
 	return compressed.Bytes(), nil
 }
 
-// writerTo returns a compressor that writes to a buffer.
-func writerTo(buffer *bytes.Buffer) (*flate.Writer, error) {
-	if kept, found := writers.Get().(*flate.Writer); found {
+// newCompressor returns a compressor that writes to a buffer.
+func newCompressor(buffer *bytes.Buffer) (*flate.Writer, error) {
+	if kept, found := compressors.Get().(*flate.Writer); found {
 		kept.Reset(buffer)
 		return kept, nil
 	}
--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -48,8 +48,8 @@
 	heard       time.Duration
 	unreachable bool
 	status      *engine.Status
-	loaded      map[fleet.Weights]struct{}
-	serves      func(fleet.Weights) bool
+	loaded      map[fleet.ModelVersion]struct{}
+	serves      func(fleet.ModelVersion) bool
 
 	feed *prefixindex.Feed
 	load loadEstimate
@@ -119,7 +119,7 @@
 	return e.leaving
 }
 
-func (e *engineState) servesWeights(weights fleet.Weights) bool {
+func (e *engineState) servesWeights(weights fleet.ModelVersion) bool {
 	_, loaded := e.loaded[weights]
 	return loaded && takesRequests(e.status.Role)
 }
@@ -139,9 +139,9 @@
 	e.heard = now
 	e.unreachable = false
 	e.status = &status
-	e.loaded = make(map[fleet.Weights]struct{}, len(status.Loaded))
+	e.loaded = make(map[fleet.ModelVersion]struct{}, len(status.Loaded))
 	for _, weights := range status.Loaded {
-		e.loaded[fleet.Weights(weights)] = struct{}{}
+		e.loaded[fleet.ModelVersion(weights)] = struct{}{}
 	}
 }
 
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -22,7 +22,7 @@
 	batch           = fleet.ClassName("batch")
 )
 
-var testWeights = fleet.Weights{Model: "model", Version: "v1"}
+var testWeights = fleet.ModelVersion{Model: "model", Version: "v1"}
 
 // testDocument has one pool with ten streams an engine and two classes.
 func testDocument(revision fleet.Revision) config.Document {
--- a/internal/placement/history.go
+++ b/internal/placement/history.go
@@ -12,7 +12,7 @@
 	Key       Key
 	Tenant    fleet.TenantName
 	Class     fleet.ClassName
-	Weights   fleet.Weights
+	Weights   fleet.ModelVersion
 	Submitted time.Duration
 	// Decided is the time of the outcome; its difference from Submitted is the wait.
 	Decided time.Duration
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -15,7 +15,7 @@
 type Request struct {
 	Key     Key
 	Tenant  fleet.TenantName
-	Weights fleet.Weights
+	Weights fleet.ModelVersion
 	Class   fleet.ClassName
 	// PromptTokens and MaxTokens are the lengths of prompt and output.
 	PromptTokens int
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -32,7 +32,7 @@
 	Condition EngineCondition
 	Leaving   LeavingSource
 	Owned     bool
-	Loaded    []fleet.Weights
+	Loaded    []fleet.ModelVersion
 	// InFlight counts the streams granted here and not known to have ended,
 	// Streams also those of other routers.
 	InFlight int
@@ -103,7 +103,7 @@
 	if state.status != nil {
 		described.Role = state.status.Role
 		for _, weights := range state.status.Loaded {
-			described.Loaded = append(described.Loaded, fleet.Weights(weights))
+			described.Loaded = append(described.Loaded, fleet.ModelVersion(weights))
 		}
 	}
 	return described
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -38,21 +38,21 @@
 	hashes := make([]fleet.BlockHash, 0, len(text)/blockBytes)
 	parent := scopeHash(scope)
 	for start := 0; start+blockBytes <= len(text); start += blockBytes {
-		parent = chain(parent, text[start:start+blockBytes])
+		parent = chainHash(parent, text[start:start+blockBytes])
 		hashes = append(hashes, fleet.BlockHash(parent))
 	}
 	return hashes
 }
 
 func scopeHash(scope fleet.CacheScope) uint64 {
-	weights := scope.Weights
+	weights := scope.ModelVersion
 	return xxhash.Sum64String(string(scope.Tenant) + scopeSeparator +
 		string(weights.Model) + scopeSeparator +
 		string(weights.Adapter) + scopeSeparator +
 		string(weights.Version))
 }
 
-func chain(parent uint64, block string) uint64 {
+func chainHash(parent uint64, block string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(parent)
 	var prefix [8]byte
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -52,8 +52,8 @@
 	return placement.Key{Request: fleet.RequestID(request), Attempt: fleet.Attempt(attempt)}
 }
 
-func decodeWeights(message *rpc.Weights) fleet.Weights {
-	return fleet.Weights{
+func decodeWeights(message *rpc.Weights) fleet.ModelVersion {
+	return fleet.ModelVersion{
 		Model:   fleet.ModelName(message.GetModel()),
 		Adapter: fleet.AdapterName(message.GetAdapter()),
 		Version: fleet.VersionName(message.GetVersion()),
--- a/internal/router/rolloutrunner.go
+++ b/internal/router/rolloutrunner.go
@@ -82,7 +82,7 @@
 }
 
 // ReadyToPromote implements operator.Readiness.
-func (r *rolloutRunner) ReadyToPromote(document config.Document, weights fleet.Weights) error {
+func (r *rolloutRunner) ReadyToPromote(document config.Document, weights fleet.ModelVersion) error {
 	engines := r.router.engines.allStatuses(r.router.life.Context(context.Background()))
 	ready, loaded, wanted := rollout.ReadyToPromote(&document, engines, weights.Model, weights.Adapter, weights.Version)
 	if ready {
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -45,7 +45,7 @@
 		result.positions[run] = number
 		result.endpoints = append(result.endpoints, scheduling.Endpoint{
 			Run: run, Pool: "pool", Ready: true,
-			Serves:        func(weights fleet.Weights) bool { return weights.Model == "m" },
+			Serves:        func(weights fleet.ModelVersion) bool { return weights.Model == "m" },
 			InFlight:      result.random.IntN(8),
 			PrefillTokens: result.random.IntN(60_000),
 		})
@@ -98,7 +98,7 @@
 func benchmarkDecision(b *testing.B, state *benchmarkFixture, blockTokens int) {
 	scheduler := scheduling.New(scheduling.DefaultOptions())
 	request := scheduling.Request{
-		ModelVersion: fleet.Weights{Model: "m"}, Pool: "pool",
+		ModelVersion: fleet.ModelVersion{Model: "m"}, Pool: "pool",
 		PromptTokens: promptTokens, BlockTokens: blockTokens,
 	}
 	histogram := hdrhistogram.New(1, int64(time.Second), 3)
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -14,7 +14,7 @@
 
 func testRequest() Request {
 	return Request{
-		ModelVersion: fleet.Weights{Model: "m", Version: "v1"},
+		ModelVersion: fleet.ModelVersion{Model: "m", Version: "v1"},
 		Pool:         "pool",
 		AgentZone:    "a",
 		PromptTokens: 1024,
@@ -29,7 +29,7 @@
 		Zone:            "a",
 		Pool:            "pool",
 		Ready:           true,
-		Serves:          func(version fleet.Weights) bool { return version.Version == "v1" },
+		Serves:          func(version fleet.ModelVersion) bool { return version.Version == "v1" },
 		MaxStreams:      8,
 		PrefillPerToken: 100 * time.Microsecond,
 		Step:            time.Millisecond,
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -25,7 +25,7 @@
 	// reset for the same run.
 	Draining bool
 	// Serves reports whether the run has the model version loaded and its role accepts requests.
-	Serves func(version fleet.Weights) bool
+	Serves func(version fleet.ModelVersion) bool
 	// InFlight is the number of streams placed here that are not known to have ended.
 	InFlight int
 	// MaxStreams limits InFlight; 0 means no limit.
@@ -97,7 +97,7 @@
 	Tenant       fleet.TenantName
 	Class        fleet.ClassName
 	Rank         int
-	ModelVersion fleet.Weights
+	ModelVersion fleet.ModelVersion
 	Pool         fleet.PoolName
 	AgentZone    fleet.ZoneName
 	PromptTokens int
--- a/lab/capacity/fleetmodel.go
+++ b/lab/capacity/fleetmodel.go
@@ -90,7 +90,9 @@
 	}
 }
 
-func servedWeights() fleet.Weights { return fleet.Weights{Model: modelName(0), Version: "v1"} }
+func servedWeights() fleet.ModelVersion {
+	return fleet.ModelVersion{Model: modelName(0), Version: "v1"}
+}
 
 // document returns a configuration of so many tenants and models, a pool to a model.
 func document(revision fleet.Revision, tenants, models int) config.Document {
--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -19,7 +19,7 @@
 		Zones:         []fleet.ZoneName{"zone"},
 		Engines:       engines,
 		Routers:       1,
-		Weights:       fleet.Weights{Model: "model", Version: "v1"},
+		Weights:       fleet.ModelVersion{Model: "model", Version: "v1"},
 		Pool:          "pool",
 		ClientLatency: time.Millisecond,
 		MaxLoads:      1,
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -310,7 +310,7 @@
 	return endpoint
 }
 
-func servesAll(fleet.Weights) bool { return true }
+func servesAll(fleet.ModelVersion) bool { return true }
 
 func commonPrefix(a, b []fleet.BlockHash) int {
 	length := 0
--- a/lab/enginemodel/engine.go
+++ b/lab/enginemodel/engine.go
@@ -171,7 +171,7 @@
 }
 
 func cacheScope(tenant fleet.TenantName, weights engine.Weights) fleet.CacheScope {
-	return fleet.CacheScope{Tenant: tenant, Weights: fleet.Weights(weights)}
+	return fleet.CacheScope{Tenant: tenant, ModelVersion: fleet.ModelVersion(weights)}
 }
 
 func (e *Engine) failure(code engine.ErrorCode, message string) *engine.Error {
--- a/lab/history/cache.go
+++ b/lab/history/cache.go
@@ -17,7 +17,7 @@
 		violations = append(violations, Violation{Invariant: CacheEntries, At: entry.At, Message: fmt.Sprintf(format, arguments...)})
 	}
 	tenants := make(map[fleet.RequestID]fleet.TenantName)
-	weights := make(map[fleet.RequestID][]fleet.Weights)
+	weights := make(map[fleet.RequestID][]fleet.ModelVersion)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case Requested:
@@ -50,8 +50,8 @@
 // mixedWeights finds answers whose tokens come from more than one set of weights.
 func mixedWeights(history *History) []Violation {
 	var violations []Violation
-	computed := make(map[fleet.StreamID]fleet.Weights)
-	answered := make(map[fleet.RequestID]fleet.Weights)
+	computed := make(map[fleet.StreamID]fleet.ModelVersion)
+	answered := make(map[fleet.RequestID]fleet.ModelVersion)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case Executed:
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -31,7 +31,7 @@
 // Resolved means that an agent chose the weights of a request.
 type Resolved struct {
 	Request  fleet.RequestID
-	Weights  fleet.Weights
+	Weights  fleet.ModelVersion
 	Revision fleet.Revision
 }
 
@@ -94,7 +94,7 @@
 	Stream  fleet.StreamID
 	Run     fleet.EngineRun
 	Tenant  fleet.TenantName
-	Weights fleet.Weights
+	Weights fleet.ModelVersion
 	// CachedBlocks were taken from the cache; ForeignBlocks are those of them
 	// that were computed for another scope.
 	CachedBlocks  int
--- a/lab/simulation/carrier.go
+++ b/lab/simulation/carrier.go
@@ -37,7 +37,7 @@
 	deadline time.Duration
 	machine  *attempt.Machine
 	maxWait  time.Duration
-	weights  fleet.Weights
+	weights  fleet.ModelVersion
 	hashes   []fleet.BlockHash
 	tried    map[fleet.Address]int
 	askedAt  map[fleet.Attempt]*link
@@ -96,7 +96,7 @@
 	class, _ := view.Class(c.request.class)
 	c.maxWait = time.Duration(class.MaxWait)
 	c.weights = weights
-	scope := fleet.CacheScope{Tenant: c.request.tenant, Weights: weights}
+	scope := fleet.CacheScope{Tenant: c.request.tenant, ModelVersion: weights}
 	c.hashes = prompt.HashBlocks(scope, c.request.prompt, resolved.BlockTokens)
 	c.agent.world.record(history.Resolved{Request: c.request.id, Weights: weights, Revision: view.Revision()})
 	return true
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -160,7 +160,7 @@
 	for _, execution := range h.model.TakeExecutions() {
 		h.world.record(history.Executed{
 			Request: history.RequestOf(execution.Stream), Stream: execution.Stream, Run: h.run(),
-			Tenant: execution.Scope.Tenant, Weights: execution.Scope.Weights,
+			Tenant: execution.Scope.Tenant, Weights: execution.Scope.ModelVersion,
 			CachedBlocks: execution.CachedBlocks, ForeignBlocks: execution.ForeignBlocks,
 		})
 	}
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -141,7 +141,7 @@
 }
 
 // ReadyToPromote implements operator.Readiness.
-func (r *router) ReadyToPromote(document config.Document, weights fleet.Weights) error {
+func (r *router) ReadyToPromote(document config.Document, weights fleet.ModelVersion) error {
 	ready, loaded, wanted := rollout.ReadyToPromote(&document, r.rolloutEngines(), weights.Model, weights.Adapter, weights.Version)
 	if ready {
 		return nil
--- a/lab/spill/workload.go
+++ b/lab/spill/workload.go
@@ -27,8 +27,8 @@
 
 func poolName(pool int) fleet.PoolName { return fleet.PoolName(fmt.Sprintf("pool-%02d", pool)) }
 
-func weightsOf(pool int) fleet.Weights {
-	return fleet.Weights{Model: fleet.ModelName(fmt.Sprintf("model-%02d", pool)), Version: "v1"}
+func weightsOf(pool int) fleet.ModelVersion {
+	return fleet.ModelVersion{Model: fleet.ModelName(fmt.Sprintf("model-%02d", pool)), Version: "v1"}
 }
 
 func tenantName(tenant int) fleet.TenantName {
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -114,7 +114,7 @@
 	stream, err := client.Dispatch(t.Context(), dispatchOf("r.1", 1))
 	require.NoError(t, err)
 	requireWhole(t, stream, 1)
-	scope := fleet.CacheScope{Tenant: "shop", Weights: fleet.Weights(testWeights)}
+	scope := fleet.CacheScope{Tenant: "shop", ModelVersion: fleet.ModelVersion(testWeights)}
 	hashes := prompt.HashBlocks(scope, testPrompt, 4)
 
 	events, err := client.Events(t.Context(), 0, 10*time.Second)
--- a/lab/workload/fleet.go
+++ b/lab/workload/fleet.go
@@ -19,7 +19,7 @@
 	Zones   []fleet.ZoneName
 	Engines int
 	Routers int
-	Weights fleet.Weights
+	Weights fleet.ModelVersion
 	Pool    fleet.PoolName
 	// ZoneLatency is one way between zones, ClientLatency one way to clients.
 	ZoneLatency   time.Duration
@@ -81,7 +81,7 @@
 		Zones:         []fleet.ZoneName{"paldi-hall", "vasna-hall", "bopal-hall"},
 		Engines:       12,
 		Routers:       3,
-		Weights:       fleet.Weights{Model: "sahayak-llm", Version: "v1"},
+		Weights:       fleet.ModelVersion{Model: "sahayak-llm", Version: "v1"},
 		Pool:          "sahayak",
 		ZoneLatency:   1500 * time.Microsecond,
 		ClientLatency: time.Millisecond,
@@ -109,7 +109,7 @@
 		Zones:         []fleet.ZoneName{"rajagiriya", "kelaniya", "nugegoda", "ratmalana"},
 		Engines:       18,
 		Routers:       4,
-		Weights:       fleet.Weights{Model: "lm-fab", Version: "v1"},
+		Weights:       fleet.ModelVersion{Model: "lm-fab", Version: "v1"},
 		Pool:          "fab",
 		ZoneLatency:   1500 * time.Microsecond,
 		ClientLatency: time.Millisecond,
