--- a/internal/router/peers_test.go
+++ b/internal/router/peers_test.go
@@ -117,6 +117,6 @@
 	options := DefaultSettings()
 	options.Node.Address = "0.0.0.0:7700"
 	var fields []string
-	options.CheckAcross(func(field, _ string) { fields = append(fields, field) })
+	options.ValidateCrossField(func(field, _ string) { fields = append(fields, field) })
 	assert.Equal(t, []string{"advertise"}, fields)
 }
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// CheckAcross implements settings.CrossChecker.
-func (s *Settings) CheckAcross(report func(field, message string)) {
+// ValidateCrossField implements settings.CrossChecker.
+func (s *Settings) ValidateCrossField(report func(field, message string)) {
 	if s.Advertise == "" && isUnspecified(s.Node.Address) {
 		report("advertise", "is required when node.address stands for all addresses of the machine")
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,8 +21,8 @@
 	Peers    []string `yaml:"peers" validate:"dive,address"`
 }
 
-// CheckAcross implements CrossChecker.
-func (e *exampleSettings) CheckAcross(report func(field, message string)) {
+// ValidateCrossField implements CrossChecker.
+func (e *exampleSettings) ValidateCrossField(report func(field, message string)) {
 	if e.MaxBody < e.MinBody {
 		report("max_body", "must be at least min_body")
 	}
