--- a/internal/config/canonical.go
+++ b/internal/config/canonical.go
@@ -19,9 +19,8 @@
 	return directiveKey{engine: directive.Engine, incarnation: directive.Incarnation, kind: directive.Kind}
 }
 
-// Canonical returns a deep copy of a document with its items in order of name
-// and empty optional lists left out, so that equal configurations compare as
-// equal.
+// Canonical returns a deep copy of a document with items sorted by name and empty lists set to nil.
+// Equal configurations have equal canonical documents.
 func Canonical(document Document) Document {
 	return Document{
 		Revision:   document.Revision,
@@ -86,7 +85,7 @@
 	return sorted
 }
 
-// cloneList copies a list; an empty one becomes nil.
+// cloneList copies a list. An empty list becomes nil.
 func cloneList[Item any](items []Item) []Item {
 	if len(items) == 0 {
 		return nil
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -11,10 +11,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// ErrRevisionGap means that a change doesn't follow the revision it was applied to.
+// ErrRevisionGap means that a change does not directly follow the revision it is applied to.
 var ErrRevisionGap = errors.New("the change doesn't follow this revision")
 
-// ItemKind names the list that a changed item belongs to.
+// ItemKind identifies the list of a document that an item belongs to.
 type ItemKind string
 
 // Kinds of items.
@@ -26,22 +26,22 @@
 	ItemDirective ItemKind = "directive"
 )
 
-// ItemChange replaces, adds or deletes one item of a document.
+// ItemChange adds, replaces or deletes one item of a document.
 type ItemChange struct {
 	Kind ItemKind `json:"kind"`
-	// Name identifies the item among those of its kind.
+	// Name identifies the item within its list.
 	Name string `json:"name"`
-	// Value is the whole new item; absent means that the item is deleted.
+	// Value is the complete new item. It is absent if the item is deleted.
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Change is the step from the revision before to Revision.
+// Change is the difference between Revision and the preceding revision.
 type Change struct {
 	Revision fleet.Revision `json:"revision"`
 	Patch    []ItemChange   `json:"patch"`
 }
 
-// itemName returns the name that identifies a directive in a change.
+// itemName returns the name of a directive in a change.
 func (d Directive) itemName() string {
 	return fmt.Sprintf("%s/%d/%s", d.Engine, d.Incarnation, d.Kind)
 }
@@ -52,8 +52,7 @@
 func poolName(p Pool) string           { return string(p.Name) }
 func directiveName(d Directive) string { return d.itemName() }
 
-// Diff returns the change that turns one document into the next. The change
-// carries the revision of the next document.
+// Diff returns the change from one document to the next. It has the revision of the next document.
 func Diff(before, after Document) (Change, error) {
 	before, after = Canonical(before), Canonical(after)
 	change := Change{Revision: after.Revision}
@@ -92,9 +91,9 @@
 	return nil
 }
 
-// Apply returns the document after a change. It fails with ErrRevisionGap
-// unless the change follows the document's revision directly. The result isn't
-// checked: NewView does so.
+// Apply returns the document after a change, in canonical order. It returns ErrRevisionGap unless
+// the change directly follows the document's revision. It does not validate the result; NewView
+// does.
 func Apply(document Document, change Change) (Document, error) {
 	if change.Revision != document.Revision+1 {
 		return Document{}, ErrRevisionGap
@@ -127,7 +126,7 @@
 	case ItemDirective:
 		return replaceItem(&document.Directives, item, directiveName)
 	default:
-		return errors.New("unknown kind of item")
+		return errors.New("unknown item kind")
 	}
 }
 
@@ -144,7 +143,7 @@
 		return err
 	}
 	if name(value) != item.Name {
-		return errors.Errorf("the value is named %q", name(value))
+		return errors.Errorf("the item's value has name %q", name(value))
 	}
 	if index >= 0 {
 		(*items)[index] = value
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// check runs the rules of the fields and then those between fields.
+// check validates the fields of a document, then the rules between fields.
 func check(document *Document, positions strictyaml.Positions) Problems {
 	checker := &crossFieldChecker{
 		positions:     positions,
@@ -26,14 +26,14 @@
 	return checker.problems
 }
 
-// crossFieldChecker checks what one field demands of others.
+// crossFieldChecker validates fields that depend on other fields.
 type crossFieldChecker struct {
 	positions strictyaml.Positions
 	problems  Problems
 	classes   map[fleet.ClassName]bool
 	models    map[fleet.ModelName]bool
 	pools     map[fleet.PoolName]bool
-	// firstKeyPaths gives the path at which a key hash was first seen.
+	// firstKeyPaths maps a key hash to the path where it occurs first.
 	firstKeyPaths map[string]string
 }
 
@@ -65,15 +65,15 @@
 func (c *crossFieldChecker) checkKeys(path string, hashes []string) {
 	for index, hash := range hashes {
 		field := fmt.Sprintf("%s[%d]", path, index)
-		if owner, taken := c.firstKeyPaths[hash]; taken {
-			c.report(field, "the key occurs already as %s", owner)
+		if first, found := c.firstKeyPaths[hash]; found {
+			c.report(field, "the key occurs already as %s", first)
 			continue
 		}
 		c.firstKeyPaths[hash] = field
 	}
 }
 
-// checkReferences demands that a list names known items, each once.
+// checkReferences reports names in a list that are unknown or listed twice.
 func checkReferences[Name ~string](c *crossFieldChecker, path, noun string, names []Name, known map[Name]bool) {
 	seen := make(map[Name]bool, len(names))
 	for index, name := range names {
@@ -92,7 +92,7 @@
 	byRank := make(map[int]fleet.ClassName, len(classes))
 	totalShare := 0.0
 	for index, class := range classes {
-		if other, taken := byRank[class.Rank]; taken {
+		if other, found := byRank[class.Rank]; found {
 			c.report(fmt.Sprintf("classes[%d].rank", index), "class %q has rank %d already", other, class.Rank)
 		} else {
 			byRank[class.Rank] = class.Name
--- a/internal/config/commit.go
+++ b/internal/config/commit.go
@@ -18,21 +18,19 @@
 	// Token identifies the command across retries: 1 to 128 letters, digits,
 	// '.', '_' or '-'.
 	Token string
-	// ExpectedRevision is the revision that the operator based the command on;
-	// 0 accepts any.
+	// ExpectedRevision is the revision that the command is based on; 0 accepts any.
 	ExpectedRevision fleet.Revision
-	// Statement is the command as the operator wrote it, for the record.
+	// Statement is the command as the operator wrote it. It is recorded with the outcome.
 	Statement string
-	// Mutate returns the changed configuration or a refusal, preferably a
-	// *resultcode.Error. It may run more than once, each time on a copy.
+	// Mutate returns the changed configuration or the reason for a refusal, preferably as a
+	// *resultcode.Error. It may be called several times, each time with a copy.
 	Mutate func(Document) (Document, error)
 }
 
-// Commit runs a command against the configuration at the head. A nil error
-// means that the outcome, success or refusal, is definite and recorded under
-// the token: the same token gets the same outcome again. Otherwise the error is
-// a *resultcode.Error: CommandUncertain if the command may have taken effect,
-// PlatformUnavailable or RevisionConflict if it certainly has not.
+// Commit applies a command to the committed configuration. If the error is nil, the outcome,
+// success or refusal, is final and recorded under the token: a repeated command with this token
+// gets the same outcome. Otherwise the error is a *resultcode.Error: CommandUncertain if the
+// command may have taken effect, PlatformUnavailable or RevisionConflict if it has not.
 func (s *Store) Commit(ctx context.Context, request CommitRequest) (Outcome, error) {
 	if !tokenPattern.MatchString(request.Token) {
 		return Outcome{}, resultcode.New(resultcode.InvalidParameter,
@@ -60,9 +58,9 @@
 func (s *Store) backOff(ctx context.Context, attempt int) error {
 	bound := min(s.options.BackoffBase<<min(attempt-1, 16), s.options.BackoffMax)
 	s.mutex.Lock()
-	pause := time.Duration(s.options.Random.Int64N(int64(bound) + 1))
+	delay := time.Duration(s.options.Random.Int64N(int64(bound) + 1))
 	s.mutex.Unlock()
-	return s.options.Sleep(ctx, pause)
+	return s.options.Sleep(ctx, delay)
 }
 
 func isRetryable(err error) bool {
@@ -72,20 +70,20 @@
 		errors.Is(err, platform.ErrUnavailable)
 }
 
-// commit is one run of Commit.
+// commit is the state of one call of Store.Commit.
 type commit struct {
 	store   *Store
 	request CommitRequest
-	// uncertain is set while a transaction of this command may still take
-	// effect; uncertainBase is the row revision that it compares.
+	// uncertain is set while a transaction of this command may still take effect. uncertainBase is
+	// the revision of the document's row that the transaction compares.
 	uncertain     bool
 	uncertainBase uint64
 	lastError     error
 }
 
-// try reads the head, then the token, and commits. The order matters: a
-// transaction of this command that compares an older head than the one read
-// has failed for good if the token's row doesn't exist afterwards.
+// try makes one attempt. It reads the document before the token's row: if the document's row is
+// newer than the one that a transaction in flight compares, and the token's row still does not
+// exist, that transaction can no longer take effect.
 func (c *commit) try(ctx context.Context) (Outcome, error) {
 	base, baseRow, err := c.store.readDocument(ctx)
 	if err != nil {
@@ -111,8 +109,7 @@
 	return outcome, err
 }
 
-// decide returns what becomes of the command on a base document. The document
-// is nil if nothing changes.
+// decide evaluates the command on a base document. The returned document is nil if nothing changes.
 func (c *commit) decide(base Document) (Outcome, *Document) {
 	expected := c.request.ExpectedRevision
 	if expected != 0 && expected != base.Revision {
@@ -156,8 +153,7 @@
 	}
 }
 
-// transaction builds the one transaction of an attempt. A refusal writes the
-// outcome alone.
+// transaction builds the transaction of one attempt. A refusal writes only the outcome.
 func (c *commit) transaction(
 	ctx context.Context, base Document, baseRow uint64, next *Document, outcome Outcome,
 ) (platform.Transaction, error) {
@@ -195,7 +191,8 @@
 	return nil
 }
 
-// documentRow puts a document that is too large for a row into an object.
+// documentRow returns the row of a document. A document over DocumentRowLimit is written to the
+// object store.
 func (s *Store) documentRow(ctx context.Context, document Document, token string) (documentRow, error) {
 	if s.objects == nil {
 		return documentRow{Document: document}, nil
@@ -209,14 +206,14 @@
 	}
 	name := objectName(document.Revision, token)
 	if err := s.objects.PutObject(ctx, name, body); err != nil {
-		// An object that nothing refers to does no harm: the command has had no
-		// effect, whatever became of the object.
+		// The command has had no effect, whether or not the object was written: an object that no
+		// row refers to is harmless.
 		return documentRow{}, errors.Wrapf(platform.ErrUnavailable, "write configuration object: %v", err)
 	}
 	return documentRow{Object: name}, nil
 }
 
-// failure is the result of a command without a recorded outcome.
+// failure returns the error of a command without a recorded outcome.
 func (c *commit) failure(cause error) error {
 	switch {
 	case c.uncertain:
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,5 +1,5 @@
-// Package config holds the operator's configuration: its schema, its checks,
-// its revisions and how they spread.
+// Package config defines the operators' configuration: its schema, its validation, its revisions
+// and their distribution among the nodes.
 package config
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Document is a whole configuration. Operators write it as YAML; the field
-// comments here are its reference.
+// Document is a complete configuration. Operators write it as YAML. The comments of the YAML fields
+// in this file are the text of the configuration reference.
 type Document struct {
-	// Revision is set by the table service at commit; operators leave it out.
+	// Revision is set at commit. It has no YAML form.
 	Revision fleet.Revision `yaml:"-" json:"revision"`
 	// Tenants lists who may call, and on what terms.
 	Tenants []Tenant `yaml:"tenants" json:"tenants" validate:"required,min=1,unique=Name,dive"`
@@ -21,12 +21,12 @@
 	Models []Model `yaml:"models" json:"models" validate:"required,min=1,unique=Name,dive"`
 	// Pools lists the sets of engines.
 	Pools []Pool `yaml:"pools" json:"pools" validate:"required,min=1,unique=Name,dive"`
-	// Directives holds what operators have ordered of single engines. The
-	// command language writes them; a YAML file leaves them out.
+	// Directives lists the operators' directives for individual engines. They are set by statements
+	// and have no YAML form.
 	Directives []Directive `yaml:"-" json:"directives,omitempty" validate:"dive"`
 }
 
-// Tenant is one paying customer of the fleet.
+// Tenant is a customer of the fleet, identified by its API keys.
 type Tenant struct {
 	// Name identifies the tenant in commands, logs and metrics.
 	Name fleet.TenantName `yaml:"name" json:"name" validate:"required,name"`
@@ -58,17 +58,17 @@
 	MinShare float64 `yaml:"min_share" json:"min_share" validate:"gte=0,lt=1"`
 }
 
-// VersionState tells where a version is in its life.
+// VersionState is the lifecycle state of a version.
 type VersionState string
 
-// States of a version. Exactly one version of a model or adapter is serving.
+// Lifecycle states of a version. Exactly one version of a model or adapter is serving.
 const (
 	VersionLoading VersionState = "loading"
 	VersionServing VersionState = "serving"
 	VersionRetired VersionState = "retired"
 )
 
-// Version is one immutable set of weights.
+// Version is an immutable set of model or adapter weights.
 type Version struct {
 	// Name identifies the version within its model or adapter.
 	Name fleet.VersionName `yaml:"name" json:"name" validate:"required,name"`
@@ -102,7 +102,8 @@
 	BlockTokens int `yaml:"block_tokens" json:"block_tokens" validate:"gte=1,lte=4096"`
 }
 
-// Pool is a set of engines; the list of machines says which.
+// Pool is a set of engines that serve the same models. The list of machines assigns engines to
+// pools.
 type Pool struct {
 	// Name identifies the pool.
 	Name fleet.PoolName `yaml:"name" json:"name" validate:"required,name"`
@@ -112,7 +113,7 @@
 	MaxLoads int `yaml:"max_loads" json:"max_loads" validate:"gte=1"`
 }
 
-// DirectiveKind tells what an operator has ordered of an engine.
+// DirectiveKind is the kind of a directive.
 type DirectiveKind string
 
 // Kinds of directives.
@@ -122,15 +123,15 @@
 	DirectiveRole   DirectiveKind = "role"
 )
 
-// Directive is an operator's standing order about one run of an engine. It
-// ends with that run: a later incarnation starts without it.
+// Directive is an operator's order for one run of an engine. It ends with that run: a later
+// incarnation starts without it.
 type Directive struct {
-	// Engine and Incarnation name the run that the order is for.
+	// Engine and Incarnation identify the run.
 	Engine      fleet.EngineID    `json:"engine" validate:"required"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
-	// Kind is drain, retire or role; a run has at most one directive of a kind.
+	// Kind is drain, retire or role. A run has at most one directive of each kind.
 	Kind DirectiveKind `json:"kind" validate:"oneof=drain retire role"`
-	// Role is the new role, with kind role.
+	// Role is the role to assign, for the kind role only.
 	Role string `json:"role,omitempty" validate:"required_if=Kind role"`
 }
 
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -8,23 +8,22 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// FollowerOptions configures a Follower. Zero values mean the defaults.
+// FollowerOptions configures a Follower. Zero fields take their default values.
 type FollowerOptions struct {
-	// PollInterval is the mean time between two platform calls of a node in a
-	// small fleet.
+	// PollInterval is the mean time between two platform calls of a node in a small fleet.
 	PollInterval time.Duration
-	// FleetCallsPerSecond bounds the platform calls of all nodes together: the
-	// interval grows with the number of nodes to keep to it.
+	// FleetCallsPerSecond bounds the rate of platform calls of all nodes together: the interval of
+	// each node grows with the number of nodes.
 	FleetCallsPerSecond float64
-	// PeerRetry is the first pause after a peer had nothing new or failed; it
-	// doubles up to PeerRetryMax.
+	// PeerRetry is the first delay after a request to a peer that failed or returned nothing new.
+	// It doubles up to PeerRetryMax.
 	PeerRetry    time.Duration
 	PeerRetryMax time.Duration
-	// BackoffMax bounds the pause after failed platform calls.
+	// BackoffMax bounds the delay after failed platform calls.
 	BackoffMax time.Duration
 }
 
-// Defaults of FollowerOptions.
+// Default values of FollowerOptions.
 const (
 	DefaultPollInterval        = time.Second
 	DefaultFleetCallsPerSecond = 20
@@ -33,11 +32,11 @@
 	DefaultFollowerBackoffMax  = 60 * time.Second
 )
 
-// pollJitter is the part of an interval by which a poll moves either way, so
-// that nodes that started together don't stay together.
+// pollJitter is the fraction by which an interval is randomly shortened or lengthened. It spreads
+// the calls of nodes that started together.
 const pollJitter = 0.5
 
-// Source tells whom to ask for a configuration.
+// Source is where to get a configuration from.
 type Source int
 
 // Sources of a configuration.
@@ -47,24 +46,25 @@
 	SourcePlatform
 )
 
-// Action is what a Follower wants done: ask a source now or, with SourceNone,
-// nothing before Until.
+// Action is the next action of a Follower: ask the source now or, with SourceNone, wait until
+// Until.
 type Action struct {
 	Source Source
 	Until  time.Duration
 }
 
-// Follower decides when a node asks its peers and when the platform for a
-// newer configuration. Peers are asked as soon as a higher revision was heard
-// of, and at the start. The platform is asked at jittered intervals that grow
-// with the fleet; that one node sees a new revision there is enough, since it
-// spreads among the nodes. It has no clock and no I/O: times are elapsed times
-// of the caller's clock. It isn't safe for concurrent use.
+// Follower decides when a node asks its peers and when the platform for a newer configuration. It
+// asks peers at the start and as soon as a higher revision is observed. It polls the platform at
+// jittered intervals that grow with the number of nodes; a new revision that one node gets there
+// spreads to the others through peers. It has no clock and does no I/O: times are elapsed times of
+// the caller's clock. It is not safe for concurrent use.
 type Follower struct {
 	options FollowerOptions
 	random  *rand.Rand
 
 	nodeCount                       int
+	// localRevision is the node's own revision, observedRevision the highest one in messages from
+	// other nodes.
 	localRevision, observedRevision fleet.Revision
 
 	nextPeer     time.Duration
@@ -73,9 +73,9 @@
 	failures     int
 }
 
-// NewFollower returns a follower that starts at a time in a fleet of nodes, as
-// far as the number is known. The first platform call comes after a random
-// part of the interval: a herd of restarted nodes asks its peers meanwhile.
+// NewFollower returns a follower that starts at time now. nodes is the number of nodes known so
+// far. With other nodes, the first platform call comes after a random part of the interval: nodes
+// that restart together ask their peers first.
 func NewFollower(options FollowerOptions, random *rand.Rand, now time.Duration, nodes int) *Follower {
 	options.setDefaults()
 	follower := &Follower{options: options, random: random, nodeCount: max(nodes, 1), nextPeer: now}
@@ -94,10 +94,8 @@
 	setDefault(&o.BackoffMax, DefaultFollowerBackoffMax)
 }
 
-// SetNodeCount tells how many nodes poll the platform, this one included. The time
-// to the next platform call stretches or shrinks with the interval, unless it is
-// a pause after failures: a restarted node that took its fleet for smaller than
-// it is doesn't keep to the earlier time.
+// SetNodeCount sets the number of nodes that poll the platform, including this one. The time to the
+// next platform call is scaled with the interval, except during a backoff after failures.
 func (f *Follower) SetNodeCount(now time.Duration, nodes int) {
 	before := f.platformInterval()
 	f.nodeCount = max(nodes, 1)
@@ -109,7 +107,7 @@
 	f.nextPlatform = now + time.Duration(float64(left)*scale)
 }
 
-// ObserveRevision notes a revision that another node's message named.
+// ObserveRevision records a revision from another node's message.
 func (f *Follower) ObserveRevision(now time.Duration, revision fleet.Revision) {
 	if revision > f.observedRevision && revision > f.localRevision {
 		f.peerAttempts = 0
@@ -118,7 +116,7 @@
 	f.observedRevision = max(f.observedRevision, revision)
 }
 
-// SetLocalRevision notes the revision that the node holds.
+// SetLocalRevision records the revision that the node holds.
 func (f *Follower) SetLocalRevision(revision fleet.Revision) {
 	if revision > f.localRevision {
 		f.localRevision = revision
@@ -126,8 +124,8 @@
 	}
 }
 
-// Next returns what to do at a time. After asking a source, report the end
-// with PeerDone or PlatformDone before the next call.
+// Next returns the action at time now. After asking a source, call PeerDone or PlatformDone before
+// the next call of Next.
 func (f *Follower) Next(now time.Duration) Action {
 	if f.isBehind() && now >= f.nextPeer {
 		return Action{Source: SourcePeer}
@@ -142,20 +140,20 @@
 	return Action{Source: SourceNone, Until: until}
 }
 
-// isBehind tells whether a peer may have something newer.
+// isBehind reports whether a peer may have a newer configuration.
 func (f *Follower) isBehind() bool {
 	return f.localRevision == 0 || f.observedRevision > f.localRevision
 }
 
-// PeerDone notes that a peer was asked; Learn tells what came of it.
+// PeerDone records the end of a request to a peer. A revision obtained from it is set with
+// SetLocalRevision.
 func (f *Follower) PeerDone(now time.Duration) {
-	pause := exponentialBackoff(f.options.PeerRetry, f.peerAttempts, f.options.PeerRetryMax)
+	delay := exponentialBackoff(f.options.PeerRetry, f.peerAttempts, f.options.PeerRetryMax)
 	f.peerAttempts++
-	f.nextPeer = now + f.jitter(pause)
+	f.nextPeer = now + f.jitter(delay)
 }
 
-// PlatformDone notes the end of a platform call. A failed one is followed by
-// a pause that doubles with each failure.
+// PlatformDone records the end of a platform call. After failures the delay grows exponentially.
 func (f *Follower) PlatformDone(now time.Duration, succeeded bool) {
 	if succeeded {
 		f.failures = 0
@@ -163,35 +161,33 @@
 		return
 	}
 	f.failures++
-	pause := exponentialBackoff(f.options.PollInterval, f.failures, f.options.BackoffMax)
-	f.nextPlatform = now + f.jitter(max(pause, f.platformInterval()))
+	delay := exponentialBackoff(f.options.PollInterval, f.failures, f.options.BackoffMax)
+	f.nextPlatform = now + f.jitter(max(delay, f.platformInterval()))
 }
 
-// platformInterval is the mean time between two platform calls of this node.
+// platformInterval returns the mean time between two platform calls of this node.
 func (f *Follower) platformInterval() time.Duration {
 	shared := float64(f.nodeCount) / f.options.FleetCallsPerSecond * float64(time.Second)
 	return max(f.options.PollInterval, time.Duration(shared))
 }
 
-// jitter moves a pause by up to pollJitter of it either way.
-func (f *Follower) jitter(pause time.Duration) time.Duration {
-	return time.Duration(float64(pause) * (1 - pollJitter + 2*pollJitter*f.random.Float64()))
+// jitter shortens or lengthens a duration by a random part of up to pollJitter.
+func (f *Follower) jitter(mean time.Duration) time.Duration {
+	return time.Duration(float64(mean) * (1 - pollJitter + 2*pollJitter*f.random.Float64()))
 }
 
-// residualInterval draws the time that is left of a jittered pause at a moment in the
-// long run: first the pause that covers the moment, which is the likelier the
-// longer it is, then the part of it that is still to come. Renewals that begin
-// so occur at a constant rate (Cox, Renewal Theory, 1962, chapter 5); a plain
-// random part of the interval would bunch the second calls of a herd.
-func (f *Follower) residualInterval(pause time.Duration) time.Duration {
+// residualInterval draws the remaining part of a jittered interval seen at a random time: first an
+// interval, with a probability proportional to its length, then a uniform part of it. The calls of
+// nodes that start together then occur at a constant rate (Cox, Renewal Theory, 1962, chapter 5).
+func (f *Follower) residualInterval(mean time.Duration) time.Duration {
 	const shortest, longest = 1 - pollJitter, 1 + pollJitter
 	square := shortest*shortest + f.random.Float64()*(longest*longest-shortest*shortest)
-	return time.Duration(float64(pause) * math.Sqrt(square) * f.random.Float64())
+	return time.Duration(float64(mean) * math.Sqrt(square) * f.random.Float64())
 }
 
-// maxDoublings keeps the shift in doubled from overflowing.
+// maxDoublings keeps the shift in exponentialBackoff from overflowing.
 const maxDoublings = 16
 
-func exponentialBackoff(pause time.Duration, times int, bound time.Duration) time.Duration {
-	return min(pause<<min(times, maxDoublings), bound)
+func exponentialBackoff(base time.Duration, doublings int, bound time.Duration) time.Duration {
+	return min(base<<min(doublings, maxDoublings), bound)
 }
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -7,23 +7,22 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// MaxLoggedChanges bounds the changes that a holder keeps for its peers.
+// MaxLoggedChanges bounds the changes that a Holder retains for its peers.
 const MaxLoggedChanges = 256
 
-// Holder keeps the configuration in force at one node. Offers come from any
-// source in any order: the highest revision wins, and a lower or equal one is
-// ignored for ever. A document that fails its checks never replaces a valid one.
-// Its methods may be called from any goroutine.
+// Holder keeps the configuration in force at one node. Documents and changes may be offered from
+// any source in any order: only a revision higher than the current one is accepted, and a document
+// that fails validation never replaces a valid one. Its methods may be called from any goroutine.
 type Holder struct {
 	current atomic.Pointer[View]
 
 	mutex sync.Mutex
-	// changes holds consecutive changes that end at the current revision.
+	// changes are consecutive and end at the current revision.
 	changes []Change
 	updated chan struct{}
 }
 
-// NewHolder returns a holder that knows no configuration.
+// NewHolder returns a holder without a configuration.
 func NewHolder() *Holder {
 	return &Holder{updated: make(chan struct{})}
 }
@@ -39,16 +38,16 @@
 	return 0
 }
 
-// Updated returns a channel that is closed when the next revision is accepted.
-// Take the channel before reading Current, so that no revision is missed.
+// Updated returns a channel that is closed when the next revision is accepted. A caller that must
+// not miss a revision calls Updated before Current.
 func (h *Holder) Updated() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.updated
 }
 
-// OfferSnapshot offers a whole document. It is accepted if its revision is
-// higher than the one in force; an error means that it fails its checks.
+// OfferSnapshot offers a whole document. It is accepted if its revision is higher than the one in
+// force. An error means that the document fails validation.
 func (h *Holder) OfferSnapshot(document Document) (accepted bool, err error) {
 	if document.Revision <= h.Revision() {
 		return false, nil
@@ -67,11 +66,10 @@
 	return true, nil
 }
 
-// OfferChanges offers consecutive changes in ascending order. Those up to the
-// revision in force are skipped. With gap set, a change is missing before one
-// that was offered and the caller should fetch the changes after Revision; the
-// changes before the gap have been applied. An error means that a change can't
-// be applied or its result fails the checks; then nothing is accepted.
+// OfferChanges offers consecutive changes in ascending order. Changes up to the revision in force
+// are skipped. If gap is true, a change is missing: those before the gap have been applied, and the
+// caller should fetch the changes after Revision. On an error nothing is accepted: a change can't
+// be applied or the result fails validation.
 func (h *Holder) OfferChanges(changes []Change) (accepted, gap bool, err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -105,8 +103,8 @@
 	return true, gap, nil
 }
 
-// ChangesAfter returns the changes that lead from a revision to the one in
-// force. ok is false if they are no longer held: then send the whole document.
+// ChangesAfter returns the changes from a revision to the one in force. If they are no longer
+// retained ok is false, and the caller has to send the whole document.
 func (h *Holder) ChangesAfter(revision fleet.Revision) (changes []Change, ok bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -121,14 +119,15 @@
 	return append(changes, h.changes[uint64(len(h.changes))-missing:]...), true
 }
 
-// install puts a view in force; the mutex is held.
+// install puts a view in force. The caller holds the mutex.
 func (h *Holder) install(view *View) {
 	h.current.Store(view)
 	close(h.updated)
 	h.updated = make(chan struct{})
 }
 
-// appendChanges records applied changes and drops the oldest; the mutex is held.
+// appendChanges retains applied changes and drops the oldest ones over the limit. The caller holds
+// the mutex.
 func (h *Holder) appendChanges(applied []Change) {
 	h.changes = append(h.changes, applied...)
 	if excess := len(h.changes) - MaxLoggedChanges; excess > 0 {
--- a/internal/config/message.go
+++ b/internal/config/message.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// SnapshotMessage encodes a document for other nodes.
+// SnapshotMessage encodes a document as a message to other nodes.
 func SnapshotMessage(document Document) (*rpc.ConfigSnapshot, error) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return &rpc.ConfigSnapshot{Revision: uint64(document.Revision), Document: encoded}, nil
 }
 
-// DocumentFromMessage decodes a document from another node. The result isn't
-// checked: offering it to a Holder does so.
+// DocumentFromMessage decodes a document from another node. It does not validate the document;
+// Holder.OfferSnapshot does.
 func DocumentFromMessage(message *rpc.ConfigSnapshot) (Document, error) {
 	var document Document
 	if err := json.Unmarshal(message.GetDocument(), &document); err != nil {
@@ -31,7 +31,7 @@
 	return document, nil
 }
 
-// ChangeMessages encodes changes for other nodes.
+// ChangeMessages encodes changes as messages to other nodes.
 func ChangeMessages(changes []Change) ([]*rpc.ConfigChange, error) {
 	messages := make([]*rpc.ConfigChange, 0, len(changes))
 	for _, change := range changes {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -10,9 +10,9 @@
 // Problems lists the errors of a configuration.
 type Problems = strictyaml.Problems
 
-// Parse reads a configuration from YAML and checks it. It reports every error
-// with line, column and field. With no problems the document is in canonical
-// order and has no revision; with problems it is nil.
+// Parse decodes and validates a YAML configuration. It reports every problem with line, column and
+// field path. Without problems the document is in canonical order and has no revision; with
+// problems it is nil.
 func Parse(source []byte) (*Document, Problems) {
 	var document Document
 	positions, problems := strictyaml.Decode(source, &document)
@@ -25,7 +25,7 @@
 	return &canonical, nil
 }
 
-// Check reports every error of a document; the problems carry fields only.
+// Check validates a document. Its problems have field paths but no positions.
 func Check(document Document) Problems {
 	return check(&document, nil)
 }
--- a/internal/config/follow.go
+++ b/internal/config/platformfollower.go
@@ -12,18 +12,18 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// platformCallName names the reads of the configuration in log lines, as the
-// metrics of platform calls do.
+// platformCallName identifies reads of the configuration in log lines and in the metrics of
+// platform calls.
 const platformCallName = "configuration"
 
 // Peers fetches configurations from other nodes.
 type Peers interface {
-	// Fetch asks one peer for what follows the holder's revision and offers
-	// the answer to the holder. It returns at once if there is no peer.
+	// Fetch asks one peer for the changes after the holder's revision and offers the response to
+	// the holder. It returns immediately if there is no peer.
 	Fetch(ctx context.Context, holder *Holder) error
-	// Count returns the number of nodes that poll the platform, this one
-	// included. Configured peers that haven't been heard from count, too:
-	// otherwise a herd of restarted nodes would take itself for a small fleet.
+	// Count returns the number of nodes that poll the platform, including this one. Configured
+	// peers count even before the first message from them; otherwise nodes that restart together
+	// would each assume a small fleet and poll too often.
 	Count() int
 }
 
@@ -35,12 +35,12 @@
 	Clock   fleet.Clock
 	Random  *rand.Rand
 	Logger  zerolog.Logger
-	// PlatformDone is called after each platform call, for metrics; nil means none.
+	// PlatformDone is called after each platform call with its error, for metrics; nil means no
+	// call.
 	PlatformDone func(error)
 }
 
-// PlatformFollower keeps a holder up to date from peers and the platform until
-// it is stopped.
+// PlatformFollower keeps a holder up to date from peers and the platform until it is stopped.
 type PlatformFollower struct {
 	tomb    tomb.Tomb
 	store   *Store
@@ -54,7 +54,7 @@
 	platformFailing bool
 }
 
-// StartPlatformFollower starts to follow. Stop it with Stop.
+// StartPlatformFollower starts a follower. End it with Stop.
 func StartPlatformFollower(store *Store, holder *Holder, peers Peers, options PlatformFollowerOptions) *PlatformFollower {
 	follower := &PlatformFollower{
 		store:    store,
@@ -68,8 +68,8 @@
 	return follower
 }
 
-// ObserveRevision notes a revision that another node's message named. A higher one than
-// the holder's makes the follower ask a peer at once.
+// ObserveRevision records a revision from another node's message. If it is higher than the
+// holder's, the follower asks a peer immediately.
 func (p *PlatformFollower) ObserveRevision(revision fleet.Revision) {
 	if revision <= p.holder.Revision() {
 		return
@@ -80,7 +80,7 @@
 	p.notify()
 }
 
-// RefreshNodeCount has the follower count the nodes anew, after the number may have
+// RefreshNodeCount makes the follower count the nodes again. Call it when their number may have
 // changed.
 func (p *PlatformFollower) RefreshNodeCount() { p.notify() }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// Stop ends the following and waits for it.
+// Stop stops the follower and waits until it has ended.
 func (p *PlatformFollower) Stop() error {
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
@@ -160,7 +160,7 @@
 	p.follower.PlatformDone(p.options.Clock.Now(), err == nil)
 }
 
-// logTransition logs the first failure and the recovery, not each call.
+// logTransition logs the first failure and the recovery of platform calls, but not each call.
 func (p *PlatformFollower) logTransition(err error) {
 	failing := err != nil
 	if failing && !p.platformFailing {
--- a/internal/config/reference/reference.go
+++ b/internal/config/reference/reference.go
@@ -1,6 +1,6 @@
-// Package reference renders the reference of a configuration or settings
-// struct from its source: one Markdown table row for each YAML field, with the
-// field's comment. Tests hold the pages in docs to it.
+// Package reference generates the reference of a configuration or settings struct from its source:
+// one Markdown table row for each YAML field, with the field's comment. Tests compare the pages in
+// docs with it.
 package reference
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Table returns the Markdown table of a struct type that is declared in a Go
-// source file. It fails if the type isn't there or a YAML field has no comment.
+// Table returns the Markdown table of a struct type declared in a Go source file. It returns an
+// error if the type is missing or a YAML field has no comment.
 func Table(sourceFile, typeName string) (string, error) {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, sourceFile, nil, parser.ParseComments)
@@ -52,7 +52,7 @@
 	return found
 }
 
-// fieldRow returns a table row, or "" for a field that YAML leaves out.
+// fieldRow returns a table row, or "" for a field without a YAML key.
 func fieldRow(files *token.FileSet, field *ast.Field) (string, error) {
 	if field.Tag == nil {
 		return "", nil
@@ -73,8 +73,7 @@
 	return fmt.Sprintf("| `%s` | %s | %s | %s |\n", key, typeName(typeText.String()), ruleText(tag), comment), nil
 }
 
-// typeNames are the YAML names of Go types; names from package fleet are
-// strings.
+// typeNames maps Go types to the type names in the tables. Types of package fleet are strings.
 var typeNames = map[string]string{
 	"float64":   "number",
 	"int":       "whole number",
@@ -108,7 +107,7 @@
 	return "mapping"
 }
 
-// ruleText shows the validation rules as they stand in the source.
+// ruleText returns the validation rules as written in the struct tag.
 func ruleText(tag reflect.StructTag) string {
 	rules := tag.Get("validate")
 	if rules == "" {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Defaults of StoreOptions.
+// Default values of StoreOptions.
 const (
 	DefaultDocumentRowLimit = 256 << 10
 	DefaultKeptChanges      = 1024
@@ -23,26 +23,25 @@
 	DefaultBackoffMax       = 2 * time.Second
 )
 
-// StoreOptions configures a Store. Zero values mean the defaults.
+// StoreOptions configures a Store. Zero fields take their default values.
 type StoreOptions struct {
-	// DocumentRowLimit is the size in bytes above which a document goes to the
-	// object store.
+	// DocumentRowLimit is the size in bytes above which a document is stored in the object store.
 	DocumentRowLimit int
-	// KeptChanges is the number of latest changes that stay in the table service.
+	// KeptChanges is the number of latest changes to retain in the table service.
 	KeptChanges uint64
-	// KeptOutcomes is the number of revisions for which a command's outcome can
-	// be looked up and its token is known to be used.
+	// KeptOutcomes is the number of revisions for which a command's outcome is retained. After that
+	// Lookup no longer finds it, and its token is no longer current to be used.
 	KeptOutcomes uint64
-	// CommitAttempts bounds the transactions that one Commit tries.
+	// CommitAttempts bounds the transactions that one call of Commit tries.
 	CommitAttempts int
-	// BackoffBase and BackoffMax bound the pause between attempts: it is drawn
-	// evenly up to a bound that doubles with each attempt ("full jitter" in
-	// Brooker, Exponential Backoff and Jitter, 2015).
+	// BackoffBase and BackoffMax bound the delay between attempts. It is drawn uniformly up to a
+	// bound that doubles with each attempt ("full jitter" in Brooker, Exponential Backoff and
+	// Jitter, 2015).
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// Random draws the pauses; nil means one with a random seed.
+	// Random draws the delays; nil means a generator with a random seed.
 	Random *rand.Rand
-	// Sleep waits or returns the context's error; nil means on a timer.
+	// Sleep waits for the delay or returns the context's error; nil means to use a timer.
 	Sleep func(ctx context.Context, pause time.Duration) error
 }
 
@@ -79,29 +78,28 @@
 	}
 }
 
-// Store keeps the configuration in the table service. Each commit writes the
-// document, the head, the change and the command's outcome in one transaction
-// that compares the document's row. Its methods may be called from any
-// goroutine.
+// Store keeps the configuration in the table service. Each commit writes the document, the head,
+// the change and the command's outcome in one transaction that compares the revision of the
+// document's row. Its methods may be called from any goroutine.
 type Store struct {
 	tables  platform.Tables
 	objects platform.Objects
 	options StoreOptions
 
 	mutex sync.Mutex // guards options.Random and sweepAfter
-	// sweepCursor is the key at which the search for old outcomes goes on.
+	// sweepCursor is the key after which the next sweep for expired outcomes starts.
 	sweepCursor string
 }
 
-// NewStore returns a store. With objects nil, documents of any size stay in
-// the table service.
+// NewStore returns a store. If objects is nil, documents of any size are stored in the table
+// service.
 func NewStore(tables platform.Tables, objects platform.Objects, options StoreOptions) *Store {
 	options.setDefaults()
 	return &Store{tables: tables, objects: objects, options: options}
 }
 
-// Load returns the document at the head. It is the empty document of revision
-// 0 if none has been committed.
+// Load returns the committed document. If there is none, it returns the empty document of revision
+// 0.
 func (s *Store) Load(ctx context.Context) (Document, error) {
 	document, _, err := s.readDocument(ctx)
 	return document, err
@@ -142,9 +140,8 @@
 	return document, nil
 }
 
-// LoadChanges returns the changes after a revision, as many as one call gives.
-// It fails with ErrRevisionGap if the next change is no longer kept: then use
-// Load.
+// LoadChanges returns up to MaxLoggedChanges changes after a revision. It returns ErrRevisionGap if
+// the next change is no longer retained; the caller should then use Load.
 func (s *Store) LoadChanges(ctx context.Context, after fleet.Revision) ([]Change, error) {
 	rows, err := s.tables.List(ctx, prefixChange, changeKey(after), MaxLoggedChanges)
 	if err != nil {
@@ -164,9 +161,8 @@
 	return changes, nil
 }
 
-// Lookup returns the outcome of a command; false means that none is recorded:
-// the command has had no effect so far, though one that is still on its way
-// may yet take effect.
+// Lookup returns the recorded outcome of a command, or false if there is none: the command has had
+// no effect so far, but may still take effect while it is in flight.
 func (s *Store) Lookup(ctx context.Context, token string) (Outcome, bool, error) {
 	row, err := s.tables.Get(ctx, commandKey(token))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -182,8 +178,9 @@
 	return outcome, true, nil
 }
 
-// Refresh brings a holder up to the head with as few calls as can be: one if
-// the holder is at most one change behind. It tells whether the holder moved.
+// Refresh updates a holder to the committed revision and reports whether the holder changed. It
+// takes one call if the holder is current, or one change behind and the head row includes the
+// change.
 func (s *Store) Refresh(ctx context.Context, holder *Holder) (bool, error) {
 	row, err := s.tables.Get(ctx, keyHead)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -196,11 +193,11 @@
 	if err := json.Unmarshal(row.Value, &head); err != nil {
 		return false, errors.Wrap(err, "decode head")
 	}
-	known := holder.Revision()
-	if head.Revision <= known {
+	current := holder.Revision()
+	if head.Revision <= current {
 		return false, nil
 	}
-	if s.refreshByChanges(ctx, holder, known, head) {
+	if s.refreshByChanges(ctx, holder, current, head) {
 		return true, nil
 	}
 	document, err := s.Load(ctx)
@@ -210,14 +207,14 @@
 	return holder.OfferSnapshot(document)
 }
 
-// refreshByChanges tells whether changes alone took the holder to the head.
-func (s *Store) refreshByChanges(ctx context.Context, holder *Holder, known fleet.Revision, head headRow) bool {
-	if known == 0 {
+// refreshByChanges reports whether changes alone brought the holder to the head's revision.
+func (s *Store) refreshByChanges(ctx context.Context, holder *Holder, current fleet.Revision, head headRow) bool {
+	if current == 0 {
 		return false
 	}
 	changes := []Change{head.Change}
-	if head.Change.Revision != known+1 {
-		loaded, err := s.LoadChanges(ctx, known)
+	if head.Change.Revision != current+1 {
+		loaded, err := s.LoadChanges(ctx, current)
 		if err != nil {
 			return false
 		}
--- a/internal/config/strictyaml/decode.go
+++ b/internal/config/strictyaml/decode.go
@@ -13,10 +13,10 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Decode reads a YAML document into target, a pointer to a struct with yaml
-// tags. Fields that the file leaves out keep their values, so that defaults can
-// be set before. It reports syntax errors, unknown and repeated fields and
-// wrong types; every problem but a syntax error lets the reading go on.
+// Decode decodes a YAML document into target, a pointer to a struct with yaml tags. Fields that are
+// not in the file keep their values, which may be defaults. It reports syntax errors, exceeded
+// limits, unknown and repeated fields, and wrong types. Decoding ends at a syntax error or an
+// exceeded limit and continues after other problems.
 func Decode(source []byte, target any) (Positions, Problems) {
 	decoder := &decoder{positions: Positions{"": {Line: 1, Column: 1}}}
 	body, problem := parseDocument(source)
@@ -30,7 +30,7 @@
 	return decoder.positions, decoder.problems
 }
 
-// parseDocument returns the one document of a file; nil means an empty file.
+// parseDocument returns the body of a file's only document, or nil if the file is empty.
 func parseDocument(source []byte) (ast.Node, *Problem) {
 	if len(source) > MaxBytes {
 		return nil, &Problem{Line: 1, Column: 1, Message: fmt.Sprintf("the file is over %d bytes", MaxBytes)}
@@ -168,7 +168,7 @@
 	target.Set(values)
 }
 
-// fieldsByKey maps the YAML keys of a struct type to its field indices.
+// fieldsByKey maps the YAML keys of a struct type to field indices.
 func fieldsByKey(structType reflect.Type) map[string]int {
 	fields := make(map[string]int, structType.NumField())
 	for index := range structType.NumField() {
--- a/internal/config/strictyaml/limits.go
+++ b/internal/config/strictyaml/limits.go
@@ -6,9 +6,8 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Limits of a file. The syntax parser's time grows with the square of the
-// nesting, of a mapping's size and of a line's length, so that a hostile file could otherwise hold
-// up a process.
+// Limits of a file. The time of the YAML parser grows with the square of the nesting depth, of a
+// mapping's size and of a line's length; the limits bound the work for a malicious file.
 const (
 	MaxBytes      = 1 << 20
 	MaxNesting    = 32
@@ -16,7 +15,7 @@
 	MaxLineTokens = 4096
 )
 
-// checkLimits returns a problem at the first place that is over a limit.
+// checkLimits returns a problem at the first token over a limit, or nil.
 func checkLimits(tokens token.Tokens) *Problem {
 	counter := limitCounter{keysByColumn: make(map[int]int)}
 	for _, current := range tokens {
@@ -37,17 +36,17 @@
 	return &Problem{Line: at.Position.Line, Column: at.Position.Column, Message: fmt.Sprintf(format, limit)}
 }
 
-// limitCounter counts, without parsing, what bounds the parser's work.
+// limitCounter counts, without parsing, the quantities that determine the parser's work.
 type limitCounter struct {
 	line int
-	// openBrackets is the number of open openBrackets and braces.
+	// openBrackets is the number of open brackets and braces.
 	openBrackets int
-	// openedInLine is the number of levels and properties that begin in this line.
+	// openedInLine is the number of levels, anchors, aliases and tags that begin in this line.
 	openedInLine int
 	keysInLine   int
 	tokensInLine int
-	// keysByColumn counts the keys that begin in the same column, as those of
-	// one block mapping do, until a line begins further left.
+	// keysByColumn counts the keys that begin in the same column, as those of one block mapping do.
+	// A line that begins further left resets the columns to its right.
 	keysByColumn map[int]int
 }
 
--- a/internal/config/strictyaml/node.go
+++ b/internal/config/strictyaml/node.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// describe names the kind of a node in a message.
+// describe returns the kind of a node as text for messages.
 func describe(node ast.Node) string {
 	switch node.(type) {
 	case nil, *ast.NullNode:
--- a/internal/config/strictyaml/override.go
+++ b/internal/config/strictyaml/override.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Set stores a value given as text, such as one from a flag, in the field of
-// target at a dotted path of YAML keys. The text is taken as it is for strings
-// and read as YAML otherwise. Problems have no line.
+// Set parses text, such as the value of a flag, into the field of target at a dotted path of YAML
+// keys. Strings are taken literally; values without a text format of their own are parsed as YAML.
+// Its problems have no position.
 func Set(target any, field, text string) Problems {
 	value, known := fieldByPath(reflect.ValueOf(target).Elem(), strings.Split(field, "."))
 	if !known {
--- a/internal/config/strictyaml/problem.go
+++ b/internal/config/strictyaml/problem.go
@@ -1,6 +1,6 @@
-// Package strictyaml reads YAML into Go structs and reports every error of a
-// file with its line, column and field path. It accepts plain data only:
-// anchors, aliases, tags and several documents in one file are errors.
+// Package strictyaml decodes YAML into Go structs and reports every error of a file with line,
+// column and field path. It accepts plain data only: anchors, aliases, tags and several documents
+// in one file are errors.
 package strictyaml
 
 import (
@@ -12,14 +12,14 @@
 
 // Problem is one error in a YAML file.
 type Problem struct {
-	// Line and Column count from 1; both are 0 where the place isn't known, as
-	// with a value that came from a flag.
+	// Line and Column count from 1. Both are 0 if the position is unknown, as for the value of a
+	// flag.
 	Line   int `json:"line"`
 	Column int `json:"column"`
 	// Field is the path of the field, such as "tenants[0].weight"; empty means
 	// the whole file.
 	Field string `json:"field"`
-	// Message says what is wrong.
+	// Message describes the error.
 	Message string `json:"message"`
 }
 
@@ -36,10 +36,10 @@
 	return text.String()
 }
 
-// Problems lists the errors of a file. An empty list means that it is valid.
+// Problems lists the errors of a file. It is empty if the file is valid.
 type Problems []Problem
 
-// Error implements error, one problem a line.
+// Error implements error. It returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
@@ -56,38 +56,38 @@
 	return p
 }
 
-// AppendNew appends the problems of fields that have none yet: a value of a
-// wrong type would otherwise be reported as missing, too.
+// AppendNew appends the problems of fields that have none yet. A value of a wrong type, for
+// example, is not also reported as missing.
 func (p Problems) AppendNew(more Problems) Problems {
-	known := make(map[string]bool, len(p))
+	reported := make(map[string]bool, len(p))
 	for _, problem := range p {
-		known[problem.Field] = true
+		reported[problem.Field] = true
 	}
 	for _, problem := range more {
-		if !known[problem.Field] {
+		if !reported[problem.Field] {
 			p = append(p, problem)
 		}
 	}
 	return p
 }
 
-// Sort orders problems by place, then by field.
+// Sort orders problems by position, then by field.
 func (p Problems) Sort() {
 	slices.SortStableFunc(p, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column), strings.Compare(a.Field, b.Field))
 	})
 }
 
-// Position is a place in a file, counted from 1.
+// Position is a position in a file. Line and column count from 1.
 type Position struct {
 	Line, Column int
 }
 
-// Positions gives the place of each field that a file holds, by path.
+// Positions maps the path of each field in a file to its position.
 type Positions map[string]Position
 
-// Find returns the place of a field or, where the file doesn't hold it, of the
-// nearest enclosing field that it holds.
+// Find returns the position of a field or, if the file does not contain it, of the nearest
+// enclosing field that it contains.
 func (p Positions) Find(field string) Position {
 	for {
 		if position, found := p[field]; found {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Problem returns a problem located at a field.
+// Problem returns a problem at the position of a field.
 func (p Positions) Problem(field, message string) Problem {
 	position := p.Find(field)
 	return Problem{Line: position.Line, Column: position.Column, Field: field, Message: message}
--- a/internal/config/strictyaml/scalar.go
+++ b/internal/config/strictyaml/scalar.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// setInteger stores a whole number; false means that it doesn't fit.
+// setInteger stores a whole number and reports whether it fits.
 func setInteger(node *ast.IntegerNode, target reflect.Value) bool {
 	switch value := node.Value.(type) {
 	case int64:
--- a/internal/config/strictyaml/validate.go
+++ b/internal/config/strictyaml/validate.go
@@ -11,30 +11,29 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// namePattern is what identifiers look like. The colon is left out because it
-// separates a model from its adapter.
+// namePattern matches identifiers. It excludes the colon, which separates a model from its adapter.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Rules of this package besides the validator's own.
+// Validation rules in addition to those of the validator package.
 const (
 	nameRule = "name"
-	// addressRule demands HOST:PORT with a numeric host.
+	// addressRule requires HOST:PORT with a numeric host.
 	addressRule = "address"
 )
 
 var structValidator = newStructValidator()
 
 func newStructValidator() *validator.Validate {
-	checker := validator.New(validator.WithRequiredStructEnabled())
-	checker.RegisterTagNameFunc(displayName)
-	mustRegister(checker, nameRule, namePattern.MatchString)
-	mustRegister(checker, addressRule, isAddress)
-	return checker
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(displayName)
+	mustRegister(validate, nameRule, namePattern.MatchString)
+	mustRegister(validate, addressRule, isAddress)
+	return validate
 }
 
-func mustRegister(checker *validator.Validate, rule string, matches func(string) bool) {
+func mustRegister(validate *validator.Validate, rule string, matches func(string) bool) {
 	check := func(field validator.FieldLevel) bool { return matches(field.Field().String()) }
-	if err := checker.RegisterValidation(rule, check); err != nil {
+	if err := validate.RegisterValidation(rule, check); err != nil {
 		panic(err)
 	}
 }
@@ -44,8 +43,7 @@
 	return err == nil
 }
 
-// displayName is a field's YAML key or, for a field that YAML leaves out, its
-// JSON key.
+// displayName returns a field's YAML key or, if it has none, its JSON key.
 func displayName(field reflect.StructField) string {
 	if key := fieldKey(field); key != "" {
 		return key
@@ -54,8 +52,8 @@
 	return key
 }
 
-// Validate checks the "validate" tags of a struct and reports every failure,
-// located by positions, which may be nil.
+// Validate checks the "validate" tags of a struct and reports every failure, with the positions of
+// the fields. positions may be nil.
 func Validate(target any, positions Positions) Problems {
 	err := structValidator.Struct(target)
 	if err == nil {
@@ -81,7 +79,7 @@
 	return Problems{positions.Problem(field, failureMessage(failure))}
 }
 
-// duplicateProblems reports each element whose key occurred before.
+// duplicateProblems reports each element whose key occurs earlier in the list.
 func duplicateProblems(failure validator.FieldError, field string, positions Positions) Problems {
 	var problems Problems
 	elements := reflect.ValueOf(failure.Value())
--- a/internal/config/transaction.go
+++ b/internal/config/transaction.go
@@ -10,14 +10,14 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Old outcomes are searched for once in sweepInterval revisions, up to
-// sweepPageSize of them, so that a commit seldom costs a call more.
+// Commits delete expired outcomes in sweeps. Every sweepInterval revisions a commit lists up to
+// sweepPageSize command rows, which costs one more table call.
 const (
 	sweepInterval = 16
 	sweepPageSize = 64
 )
 
-// transactionBuilder collects a transaction and the first encoding error.
+// transactionBuilder builds a transaction and keeps the first encoding error.
 type transactionBuilder struct {
 	transaction platform.Transaction
 	err         error
@@ -39,7 +39,7 @@
 	b.transaction.Writes = append(b.transaction.Writes, platform.Write{Key: key, Delete: true})
 }
 
-// expiredKeys returns the rows that a commit of a revision deletes.
+// expiredKeys returns the keys of the rows to delete in the commit of a revision.
 func (s *Store) expiredKeys(ctx context.Context, revision fleet.Revision) []string {
 	var keys []string
 	if uint64(revision) > s.options.KeptChanges {
@@ -51,8 +51,9 @@
 	return keys
 }
 
-// expiredOutcomes goes on through the outcomes where the last sweep ended. An
-// error ends the sweep without harm: a later one deletes what this one left.
+// expiredOutcomes continues the sweep of command rows and returns the keys of outcomes recorded
+// before the oldest revision to keep. If the rows can't be listed it returns nothing, and the next
+// sweep starts at the same key.
 func (s *Store) expiredOutcomes(ctx context.Context, oldest fleet.Revision) []string {
 	s.mutex.Lock()
 	after := s.sweepCursor
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -10,13 +10,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// AdapterSeparator stands between a model's and an adapter's name in what
-// callers ask for.
+// AdapterSeparator separates the names of the model and the adapter in a requested model.
 const AdapterSeparator = ":"
 
-// View is one configuration with its lookups, each in constant time. It never
-// changes; a new revision gets a new view. What its methods return must not be
-// modified.
+// View is an immutable revision of the configuration with constant-time lookups. Callers must not
+// modify what its methods return.
 type View struct {
 	document        Document
 	tenants         map[fleet.TenantName]Tenant
@@ -30,13 +28,13 @@
 	directives      map[fleet.EngineRun][]Directive
 }
 
-// variant is a model or one of its adapters.
+// variant identifies a base model or one of its adapters.
 type variant struct {
 	model   fleet.ModelName
 	adapter fleet.AdapterName
 }
 
-// NewView checks a document and builds its lookups. The error is a Problems.
+// NewView validates a document and builds its indexes. A returned error is of type Problems.
 func NewView(document Document) (*View, error) {
 	if err := Check(document).Err(); err != nil {
 		return nil, err
@@ -86,12 +84,12 @@
 	}
 }
 
-func (v *View) indexVersions(of variant, versions []Version) {
+func (v *View) indexVersions(target variant, versions []Version) {
 	for _, version := range versions {
-		weights := fleet.ModelVersion{Model: of.model, Adapter: of.adapter, Version: version.Name}
-		v.versionStates[weights] = version.State
+		modelVersion := fleet.ModelVersion{Model: target.model, Adapter: target.adapter, Version: version.Name}
+		v.versionStates[modelVersion] = version.State
 		if version.State == VersionServing {
-			v.servingVersions[of] = version.Name
+			v.servingVersions[target] = version.Name
 		}
 	}
 }
@@ -109,12 +107,12 @@
 // Revision returns the configuration's revision.
 func (v *View) Revision() fleet.Revision { return v.document.Revision }
 
-// Document returns the configuration in canonical order. Use Canonical to get
-// a copy that may be changed.
+// Document returns the configuration in canonical order. Callers that modify it must first copy it
+// with Canonical.
 func (v *View) Document() Document { return v.document }
 
-// HashKey returns the form in which a configuration holds an API key: the
-// lower-case hexadecimal SHA-256.
+// HashKey returns the lower-case hexadecimal SHA-256 of an API key, the form stored in a
+// configuration.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -146,7 +144,7 @@
 	return class, found
 }
 
-// Classes returns the priority classes in order of rank, most urgent first.
+// Classes returns the priority classes by ascending rank, the highest priority first.
 func (v *View) Classes() []Class { return v.classesByRank }
 
 // Model returns a model by name.
@@ -161,46 +159,46 @@
 	return pool, found
 }
 
-// ServingVersion returns the version that new requests for a model or, with a
-// non-empty adapter, for one of its adapters get.
+// ServingVersion returns the serving version of a model or, if adapter is not empty, of the model's
+// adapter.
 func (v *View) ServingVersion(model fleet.ModelName, adapter fleet.AdapterName) (fleet.VersionName, bool) {
 	version, found := v.servingVersions[variant{model: model, adapter: adapter}]
 	return version, found
 }
 
-// ResolveModel returns the weights and the model that serve what a caller asks
-// for, "model" or "model:adapter".
+// ResolveModel returns the serving version and the base model for the name in a request, "model" or
+// "model:adapter".
 func (v *View) ResolveModel(requested string) (fleet.ModelVersion, Model, bool) {
 	modelName, adapterName, hasAdapter := strings.Cut(requested, AdapterSeparator)
 	if hasAdapter && adapterName == "" {
 		return fleet.ModelVersion{}, Model{}, false
 	}
-	weights := fleet.ModelVersion{Model: fleet.ModelName(modelName), Adapter: fleet.AdapterName(adapterName)}
-	version, found := v.ServingVersion(weights.Model, weights.Adapter)
+	resolved := fleet.ModelVersion{Model: fleet.ModelName(modelName), Adapter: fleet.AdapterName(adapterName)}
+	version, found := v.ServingVersion(resolved.Model, resolved.Adapter)
 	if !found {
 		return fleet.ModelVersion{}, Model{}, false
 	}
-	weights.Version = version
-	return weights, v.models[weights.Model], true
+	resolved.Version = version
+	return resolved, v.models[resolved.Model], true
 }
 
-// VersionState returns where weights are in their life; false means that the
-// configuration doesn't know them.
-func (v *View) VersionState(weights fleet.ModelVersion) (VersionState, bool) {
-	state, found := v.versionStates[weights]
+// VersionState returns the lifecycle state of a version, or false if the configuration does not
+// contain it.
+func (v *View) VersionState(version fleet.ModelVersion) (VersionState, bool) {
+	state, found := v.versionStates[version]
 	return state, found
 }
 
-// Directives returns the operators' orders for one run of an engine.
+// Directives returns the directives for one run of an engine.
 func (v *View) Directives(run fleet.EngineRun) []Directive { return v.directives[run] }
 
-// AllowsClass tells whether the tenant may use a class.
+// AllowsClass reports whether the tenant may use a class.
 func (t Tenant) AllowsClass(name fleet.ClassName) bool { return slices.Contains(t.Classes, name) }
 
-// AllowsModel tells whether the tenant may use a model.
+// AllowsModel reports whether the tenant may use a model.
 func (t Tenant) AllowsModel(name fleet.ModelName) bool {
 	return len(t.Models) == 0 || slices.Contains(t.Models, name)
 }
 
-// DefaultClass returns the class of a request that names none.
+// DefaultClass returns the class of requests that specify none.
 func (t Tenant) DefaultClass() fleet.ClassName { return t.Classes[0] }
