--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,6 @@
-// Package logging writes one line of key=value pairs for each event, in the
-// manner of logfmt: time, level, component, node and event come first, the
-// event's own fields follow in order of name. Values with spaces, quotes or
-// control characters are quoted, so that an event never takes two lines.
+// Package logging writes each event as one line of key=value pairs (logfmt). Time, level,
+// component, node and event come first, followed by the event's own fields sorted by name. Values
+// with spaces, quotes or control characters are quoted, so that an event is always a single line.
 package logging
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Keys that every line begins with. Events must not use them for own fields.
+// Keys at the start of every line. Events must not use them for their own fields.
 const (
 	keyTime      = "time"
 	keyLevel     = "level"
@@ -28,8 +27,8 @@
 // timeLayout is RFC 3339 in UTC with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// New returns a logger of one component of a node. Level is a zerolog level
-// name, such as "info"; an unknown one counts as info.
+// New returns a logger for one component of a node. level is a zerolog level name such as "info";
+// an unknown name means info.
 func New(writer io.Writer, component string, node fleet.NodeID, level string) zerolog.Logger {
 	threshold, err := zerolog.ParseLevel(level)
 	if err != nil || threshold == zerolog.NoLevel {
@@ -44,8 +43,7 @@
 		Logger()
 }
 
-// timeHook adds the time in this package's layout, which zerolog would
-// otherwise take from a global variable.
+// timeHook adds the time in timeLayout. The layout of zerolog's own timestamp is a global variable.
 type timeHook struct{}
 
 // Run implements zerolog.Hook.
@@ -53,8 +51,8 @@
 	event.Str(keyTime, time.Now().UTC().Format(timeLayout))
 }
 
-// newFormatter turns zerolog's JSON into key=value pairs. Lines of concurrent
-// events don't mix.
+// newFormatter returns a writer that converts zerolog's JSON to key=value pairs. Concurrent events
+// are written one after the other.
 func newFormatter(writer io.Writer) zerolog.ConsoleWriter {
 	return zerolog.ConsoleWriter{
 		Out:              zerolog.SyncWriter(writer),
@@ -81,8 +79,8 @@
 	return key + "=" + quote(fmt.Sprint(value))
 }
 
-// formatValue formats a field's value. The console writer has quoted strings
-// with spaces already; JSON of lists and objects arrives as bytes.
+// formatValue formats the value of a field. zerolog.ConsoleWriter has already quoted strings with
+// spaces, and passes lists and objects as JSON bytes.
 func formatValue(value any) string {
 	switch value := value.(type) {
 	case nil:
@@ -99,7 +97,7 @@
 	}
 }
 
-// quote quotes a value that could not be read back otherwise.
+// quote quotes a value that is ambiguous without quotes.
 func quote(value string) string {
 	if value == "" || strings.ContainsFunc(value, needsQuote) {
 		return strconv.Quote(value)
--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed compresses messages between nodes. Long lists of members or rows repeat the
-// names of zones, regions and services in each entry, and shrink to a fifth.
+// Package packed encodes protobuf messages between nodes in compressed form. Long lists of members
+// or rows compress well because their entries repeat the names of zones, regions and services.
 package packed
 
 import (
@@ -12,13 +12,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrTooLarge means that a message is larger than its reader takes.
+// ErrTooLarge is returned for a message that exceeds the reader's limit.
 var ErrTooLarge = errors.New("message too large")
 
-// compressors keeps compressors, each of which takes some hundred KB.
+// compressors pools compressors for reuse; each takes several hundred KB.
 var compressors sync.Pool
 
-// Pack returns a message encoded and compressed.
+// Pack encodes and compresses a message.
 func Pack(message proto.Message) ([]byte, error) {
 	content, err := proto.Marshal(message)
 	if err != nil {
@@ -39,25 +39,26 @@
 	return compressed.Bytes(), nil
 }
 
-// newCompressor returns a compressor that writes to a buffer.
+// newCompressor returns a pooled or new compressor that writes to buffer.
 func newCompressor(buffer *bytes.Buffer) (*flate.Writer, error) {
-	if kept, found := compressors.Get().(*flate.Writer); found {
-		kept.Reset(buffer)
-		return kept, nil
+	if pooled, found := compressors.Get().(*flate.Writer); found {
+		pooled.Reset(buffer)
+		return pooled, nil
 	}
 	return flate.NewWriter(buffer, flate.BestSpeed)
 }
 
-// Unpack reads a message that Pack has returned, of at most so many bytes uncompressed.
-func Unpack(content []byte, most int64, into proto.Message) error {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(content)), most+1))
+// Unpack decompresses and decodes a message from Pack. It returns ErrTooLarge if the message is
+// longer than maxBytes uncompressed.
+func Unpack(content []byte, maxBytes int64, message proto.Message) error {
+	decompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(content)), maxBytes+1))
 	if err != nil {
 		return errors.Wrap(err, "decompress")
 	}
-	if int64(len(plain)) > most {
+	if int64(len(decompressed)) > maxBytes {
 		return ErrTooLarge
 	}
-	if err := proto.Unmarshal(plain, into); err != nil {
+	if err := proto.Unmarshal(decompressed, message); err != nil {
 		return errors.Wrap(err, "decode")
 	}
 	return nil
--- a/internal/pagetest/pagetest.go
+++ b/internal/pagetest/pagetest.go
@@ -1,4 +1,4 @@
-// Package pagetest helps tests to hold pages of docs/ to the code.
+// Package pagetest helps tests to compare the pages in docs with the code.
 package pagetest
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// describedName finds the name in the text of a metric's description, which
-// shows it no other way.
+// describedName matches the metric name in the text of a prometheus.Desc, which has no accessor for
+// it.
 var describedName = regexp.MustCompile(`fqName: "(tillerfall_[a-z_]+)"`)
 
 // MetricNames returns the names of the metrics that a registry describes.
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,6 +1,5 @@
-// Package prompt turns prompt text into tokens and tokens into chained block
-// hashes. Agents, engines and the emulator share it, because a prefix is found
-// only where both sides hash alike.
+// Package prompt converts prompt text to tokens and tokens to chained block hashes. Agents, engines
+// and the emulator share it because a prefix matches only if both sides compute the same hashes.
 package prompt
 
 import (
@@ -11,12 +10,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// bytesPerToken is the width of a token in the engine protocol's byte-level
-// tokenizer: each run of four bytes of text is one token, the last may be shorter.
+// bytesPerToken is the token width of the engine protocol's byte-level tokenizer: four bytes of
+// text are one token, and the last token may be shorter.
 const bytesPerToken = 4
 
-// scopeSeparator keeps adjacent scope fields from running together; no name
-// may contain it.
+// scopeSeparator separates the fields of a scope in its hash. Names can't contain it.
 const scopeSeparator = "\x00"
 
 // CountTokens returns the number of tokens of text.
@@ -24,15 +22,15 @@
 	return (len(text) + bytesPerToken - 1) / bytesPerToken
 }
 
-// CountBlocks returns how many whole blocks text fills. A partial last block is
-// never cached and has no hash.
+// CountBlocks returns the number of whole blocks in text. A partial last block is never cached and
+// has no hash.
 func CountBlocks(text string, blockTokens int) int {
 	return len(text) / (bytesPerToken * blockTokens)
 }
 
-// HashBlocks returns the chained hashes of the whole blocks of text, longest
-// prefix last. Every hash covers the scope and all earlier blocks. blockTokens
-// is the number of tokens in a block and must be positive.
+// HashBlocks returns the chained hashes of the whole blocks of text, ordered by prefix length. Each
+// hash covers the scope and all earlier blocks. blockTokens is the number of tokens in a block and
+// must be positive.
 func HashBlocks(scope fleet.CacheScope, text string, blockTokens int) []fleet.BlockHash {
 	blockBytes := bytesPerToken * blockTokens
 	hashes := make([]fleet.BlockHash, 0, len(text)/blockBytes)
@@ -45,11 +43,11 @@
 }
 
 func scopeHash(scope fleet.CacheScope) uint64 {
-	weights := scope.ModelVersion
+	modelVersion := scope.ModelVersion
 	return xxhash.Sum64String(string(scope.Tenant) + scopeSeparator +
-		string(weights.Model) + scopeSeparator +
-		string(weights.Adapter) + scopeSeparator +
-		string(weights.Version))
+		string(modelVersion.Model) + scopeSeparator +
+		string(modelVersion.Adapter) + scopeSeparator +
+		string(modelVersion.Version))
 }
 
 func chainHash(parent uint64, block string) uint64 {
--- a/internal/resultcode/resultcode.go
+++ b/internal/resultcode/resultcode.go
@@ -1,12 +1,12 @@
-// Package resultcode is the one table of numbered results. A code never
-// changes its meaning. docs/RESULT-CODES.md is tested against it.
+// Package resultcode defines the numbered results. A code never changes its meaning. A test
+// compares docs/RESULT-CODES.md with the table.
 package resultcode
 
 import "net/http"
 
-// Code is a numbered result. 0 is success; the thousands tell the family:
-// 1 caller's mistake, 2 refused and not run, 3 failed after it may have run,
-// 4 operator's command, 5 configuration and settings, 9 internal.
+// Code is a numbered result. 0 is success; the thousands are the family: 1 error of the caller, 2
+// refused and not run, 3 failed after it may have run, 4 operator's command, 5 configuration and
+// settings, 9 internal.
 type Code uint32
 
 // Result codes.
@@ -65,13 +65,13 @@
 // Entry describes a code.
 type Entry struct {
 	Code Code
-	// Name is the stable identifier used in logs and answers.
+	// Name is the stable identifier in logs and responses.
 	Name string
-	// Status is the HTTP status that callers get.
+	// Status is the HTTP status of the response.
 	Status int
-	// NotRun is true when a request with this result certainly did not run.
+	// NotRun is true if a request with this result has certainly not run.
 	NotRun bool
-	// Meaning says what happened and what to do.
+	// Meaning describes the result and the action to take.
 	Meaning string
 }
 
@@ -132,7 +132,7 @@
 	return index
 }
 
-// Lookup returns the entry of a code; an unknown code counts as Internal.
+// Lookup returns the entry of a code, or that of Internal for an unknown code.
 func Lookup(code Code) Entry {
 	if entry, found := byCode[code]; found {
 		return entry
@@ -143,7 +143,7 @@
 // String returns the code's name.
 func (c Code) String() string { return Lookup(c).Name }
 
-// Error is an error with a numbered code.
+// Error is an error with a result code.
 type Error struct {
 	Code    Code
 	Message string
@@ -152,5 +152,5 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Code.String() + ": " + e.Message }
 
-// New returns an error with a code.
+// New returns an error with a result code.
 func New(code Code, message string) *Error { return &Error{Code: code, Message: message} }
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -10,10 +10,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Duration is a time written as "1.5s".
+// Duration is a time.Duration written as "1.5s".
 type Duration = config.Duration
 
-// Node tells where a process runs.
+// Node identifies a process and its location.
 type Node struct {
 	// ID names the process in logs; each run adds a random part of its own.
 	ID string `yaml:"id" validate:"required,name"`
@@ -25,27 +25,27 @@
 	Address fleet.Address `yaml:"address" validate:"required,address"`
 }
 
-// runSuffixBytes is the length of the random part of a node's identifier.
+// runSuffixBytes is the length of the random part of a node identifier.
 const runSuffixBytes = 4
 
-// NewNodeID returns an identifier for this run of the process. It differs from
-// that of every other run.
+// NewNodeID returns an identifier for this run of the process, which differs from those of all
+// other runs.
 func (n Node) NewNodeID() fleet.NodeID {
 	var suffix [runSuffixBytes]byte
 	_, _ = rand.Read(suffix[:]) // never fails since Go 1.24
 	return fleet.NodeID(n.ID + "-" + hex.EncodeToString(suffix[:]))
 }
 
-// Logging says what is logged.
+// Logging configures log output.
 type Logging struct {
 	// Level is the least level that is written: debug, info, warn or error.
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
 }
 
-// DefaultLogging logs from level info on.
+// DefaultLogging returns the level info.
 func DefaultLogging() Logging { return Logging{Level: "info"} }
 
-// Memory bounds what a process takes.
+// Memory bounds the memory of a process.
 type Memory struct {
 	// SoftLimitBytes is what the Go runtime may take, stacks and unused heap
 	// included, before it collects garbage more often; 0 leaves that to the
@@ -54,14 +54,14 @@
 	SoftLimitBytes int64 `yaml:"soft_limit_bytes" validate:"omitempty,gte=16777216"`
 }
 
-// Apply sets the limit for the whole process (runtime/debug.SetMemoryLimit).
+// Apply sets the soft limit of the Go runtime for the whole process, unless it is 0.
 func (m Memory) Apply() {
 	if m.SoftLimitBytes > 0 {
 		debug.SetMemoryLimit(m.SoftLimitBytes)
 	}
 }
 
-// Platform says how the platform is reached.
+// Platform configures access to the platform.
 type Platform struct {
 	// Address is the platform's numeric HOST:PORT.
 	Address fleet.Address `yaml:"address" validate:"required,address"`
@@ -69,11 +69,11 @@
 	Timeout Duration `yaml:"timeout" validate:"gt=0"`
 }
 
-// defaultPlatformTimeout is long enough for a slow table service and short
-// enough that a call to a dead one doesn't hold up a configuration change.
+// defaultPlatformTimeout allows for a slow table service and bounds how long an unreachable one
+// delays a configuration change.
 const defaultPlatformTimeout = 2 * time.Second
 
-// DefaultPlatform sets the timeout and leaves the address to the file.
+// DefaultPlatform returns the default timeout. The address has no default.
 func DefaultPlatform() Platform {
 	return Platform{Timeout: Duration(defaultPlatformTimeout)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings loads a process's own settings: a YAML file, then flags
-// over it, checked as a whole before anything starts. Each process defines its
-// struct with yaml and validate tags and embeds the common parts of this
-// package by name.
+// Package settings loads the settings of a process from a YAML file and overrides, and validates
+// them as a whole before the process starts. Each process defines its own struct with yaml and
+// validate tags, which contains the common parts of this package as fields.
 package settings
 
 import (
@@ -14,7 +13,7 @@
 // Problems lists the errors of the settings.
 type Problems = strictyaml.Problems
 
-// Override is a value that goes before the file's, usually from a flag.
+// Override is a value that replaces one from the file, usually from a flag.
 type Override struct {
 	// Field is the dotted path of YAML keys, such as "node.zone".
 	Field string
@@ -22,7 +21,7 @@
 	Value string
 }
 
-// ParseOverride reads "field=value", the form of the --set flag.
+// ParseOverride parses "field=value", the form of the --set flag.
 func ParseOverride(text string) (Override, Problems) {
 	field, value, found := strings.Cut(text, "=")
 	if !found || field == "" {
@@ -33,13 +32,13 @@
 
 // CrossFieldValidator is implemented by settings with rules between fields.
 type CrossFieldValidator interface {
-	// ValidateCrossField reports each broken rule under the path of a field.
+	// ValidateCrossField reports each violated rule with the path of a field.
 	ValidateCrossField(report func(field, message string))
 }
 
-// Load fills target, a pointer to a struct that holds the defaults, from a file
-// and the overrides and checks it. An empty path means no file. It reports
-// every error; the target may be used only if there are none.
+// Load decodes a file into target, a pointer to a struct that holds the defaults, applies the
+// overrides and validates the result. If path is empty, no file is read. It reports every error;
+// target may be used only if there are none.
 func Load(path string, target any, overrides ...Override) Problems {
 	positions := strictyaml.Positions{}
 	var problems Problems
@@ -61,12 +60,12 @@
 }
 
 func validateCrossField(target any, positions strictyaml.Positions) Problems {
-	checker, ok := target.(CrossFieldValidator)
+	validator, ok := target.(CrossFieldValidator)
 	if !ok {
 		return nil
 	}
 	var problems Problems
-	checker.ValidateCrossField(func(field, message string) {
+	validator.ValidateCrossField(func(field, message string) {
 		problems = append(problems, positions.Problem(field, message))
 	})
 	return problems
