--- a/cmd/tillerfall/agent.go
+++ b/cmd/tillerfall/agent.go
@@ -35,7 +35,7 @@
 	return runProcess(agentProcess{Agent: instance}, logger)
 }
 
-// agentProcess adapts an agent to process.
+// agentProcess implements process for an agent.
 type agentProcess struct {
 	*agent.Agent
 }
@@ -43,7 +43,7 @@
 // Start implements process.
 func (p agentProcess) Start() error { return p.Agent.Start(context.Background()) }
 
-// Err implements process. It is asked after the agent has ended.
+// Err implements process. It must be called only after the agent has ended.
 func (p agentProcess) Err() error { return p.Stop() }
 
 func checkAgentSettings(file string) config.Problems {
--- a/cmd/tillerfall/everyrouter.go
+++ b/cmd/tillerfall/allrouters.go
@@ -10,42 +10,42 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Columns of "show routers" that tell where to ask.
+// Columns of "show routers" with the routers' names and addresses.
 const (
 	columnRouter  = "router"
 	columnAddress = "address"
 )
 
-// routerAnswer is what one router answered to a query.
+// routerAnswer is the result of a query at one router.
 type routerAnswer struct {
 	router  string
 	address string
 	result  operator.Result
 }
 
-// executeOnAllRouters puts a query to every router that the named one lists, and
-// prints the answers as one table.
+// executeOnAllRouters sends a query to all routers that f.Router lists and prints the results as
+// one table.
 func (f operatorFlags) executeOnAllRouters(statement string) error {
 	parsed, err := operator.Parse(statement)
 	if err != nil {
 		return resultcode.New(resultcode.StatementSyntax, err.Error())
 	}
 	if !parsed.IsQuery() {
-		return resultcode.New(resultcode.StatementSyntax, "only show, where and explain can be put to all routers")
+		return resultcode.New(resultcode.StatementSyntax, "only show, where and explain can be sent to all routers")
 	}
 	answers, err := f.listRouters()
 	if err != nil {
 		return err
 	}
-	var asked sync.WaitGroup
+	var group sync.WaitGroup
 	for index := range answers {
-		asked.Go(func() { f.queryRouter(&answers[index], statement) })
+		group.Go(func() { f.queryRouter(&answers[index], statement) })
 	}
-	asked.Wait()
+	group.Wait()
 	return f.print(mergeAnswers(answers))
 }
 
-// listRouters returns the routers to ask, in the order of the named one.
+// listRouters returns the routers in the order of f.Router's list, without results.
 func (f operatorFlags) listRouters() ([]routerAnswer, error) {
 	listed, err := f.send(f.Router, "show routers")
 	if err != nil {
@@ -69,15 +69,15 @@
 func (f operatorFlags) queryRouter(answer *routerAnswer, statement string) {
 	result, err := f.send(answer.address, statement)
 	if err != nil {
-		// The call's own account speaks of commands; a query had no effect.
+		// The error from send may say that a command's effect is unknown; a query has no effect.
 		result = operator.Result{Code: resultcode.NoRouter, Message: "no answer from " + answer.address}
 	}
 	answer.result = result
 }
 
-// mergeAnswers joins the routers' tables under a column for the router. Most
-// routers don't know a given request, so a target that one of them knows is
-// found; any other failure is the failure of the whole.
+// mergeAnswers joins the routers' tables and adds a column with the router's name. TargetNotFound
+// counts only if no router has found the target, as most routers don't have a given request. Any
+// other failure is the failure of the whole.
 func mergeAnswers(answers []routerAnswer) operator.Result {
 	found := slices.ContainsFunc(answers, func(answer routerAnswer) bool { return answer.result.Code == resultcode.OK })
 	var merged operator.Result
@@ -95,7 +95,7 @@
 	return merged
 }
 
-// addAnswer adds a router's rows; the first failure is kept.
+// addAnswer appends a router's rows. The code of the first failure is kept.
 func addAnswer(merged *operator.Result, answer routerAnswer) {
 	result := answer.result
 	if merged.Code == resultcode.OK {
@@ -109,7 +109,7 @@
 	}
 }
 
-// mergedColumn names the added column, unless the routers' table has that name.
+// mergedColumn returns the name of the added column, which must differ from those of the tables.
 func mergedColumn(columns []operator.Column) string {
 	if slices.Contains(columns, operator.Column{Name: columnRouter}) {
 		return "asked"
--- a/cmd/tillerfall/control.go
+++ b/cmd/tillerfall/control.go
@@ -20,7 +20,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// operatorFlags are the flags of the commands that ask a router.
+// operatorFlags are the flags of the commands that call a router.
 type operatorFlags struct {
 	Router  string        `long:"router" short:"r" default:"127.0.0.1:7700" env:"TILLERFALL_ROUTER" description:"Numeric HOST:PORT of any router"`
 	Token   string        `long:"token" description:"Token that identifies a command across retries; a random one by default"`
@@ -29,7 +29,7 @@
 	Timeout time.Duration `long:"timeout" default:"15s" description:"Longest wait for the router"`
 }
 
-// controlCommand runs one statement, from its arguments or standard input.
+// controlCommand executes one statement from its arguments or standard input.
 type controlCommand struct {
 	operatorFlags
 	AllRouters bool `long:"all-routers" description:"Put a query to every router that the named one lists"`
@@ -68,8 +68,8 @@
 	if err != nil {
 		return resultcode.New(resultcode.ConfigInvalid, err.Error())
 	}
-	// The YAML begins on the statement's first line, so that the lines of
-	// errors are those of the file.
+	// The YAML starts on the statement's first line, so that line numbers in errors are those of
+	// the file.
 	return c.execute("apply " + string(source))
 }
 
@@ -82,7 +82,7 @@
 	return f.print(result)
 }
 
-// send sends a statement to a router. Its errors are *resultcode.Error.
+// send sends a statement to a router. A returned error is a *resultcode.Error.
 func (f operatorFlags) send(router, statement string) (operator.Result, error) {
 	token := f.Token
 	if token == "" {
@@ -100,13 +100,14 @@
 	return decodeResult(response), nil
 }
 
-// newOperationsClient returns a client that never repeats a call by itself.
+// newOperationsClient returns a client without connection reuse, which never retries a call by
+// itself.
 func newOperationsClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// callError tells a call that certainly reached no router from one whose
-// effect is unknown.
+// callError distinguishes calls that certainly reached no router from those whose effect is
+// unknown.
 func callError(err error, statement, token string) error {
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
@@ -116,7 +117,7 @@
 	if errors.As(err, &refused) && refused.Code() == twirp.Malformed {
 		return resultcode.New(resultcode.StatementSyntax, refused.Msg())
 	}
-	if parsed, unread := operator.Parse(statement); unread == nil && parsed.ReadsOnly() {
+	if parsed, parseErr := operator.Parse(statement); parseErr == nil && parsed.ReadsOnly() {
 		return resultcode.New(resultcode.NoRouter, "the router's answer was lost: "+err.Error())
 	}
 	return resultcode.New(resultcode.CommandUncertain,
@@ -140,8 +141,7 @@
 	return result
 }
 
-// print writes a result to standard output and returns a failed one as an
-// error, which is told on standard error.
+// print writes a result to standard output. A failed result is also returned as an error.
 func (f operatorFlags) print(result operator.Result) error {
 	if err := f.write(result); err != nil {
 		return err
@@ -159,7 +159,7 @@
 		return encoder.Encode(result)
 	}
 	if result.Code != resultcode.OK {
-		// Some routers may have answered before another failed.
+		// Rows of the routers that answered are printed even if another router failed.
 		result = operator.Result{Columns: result.Columns, Rows: result.Rows}
 	}
 	return result.WriteText(os.Stdout)
--- a/cmd/tillerfall/gateway.go
+++ b/cmd/tillerfall/gateway.go
@@ -31,15 +31,13 @@
 	Check       bool   `long:"check" description:"Check the settings file and end"`
 }
 
-// Constants of the process.
 const (
-	// logBufferLines is the number of lines that wait for a slow reader of the logs;
-	// more are dropped and counted.
+	// logBufferLines is the number of log lines that are buffered while standard output is slow.
+	// Further lines are dropped and counted.
 	logBufferLines = 4096
-	// gcPercent trades processor time for memory: the gateway's live heap is small.
+	// gcPercent lowers memory use at the cost of processor time. The gateway's live heap is small.
 	gcPercent = 60
-	// memoryLimitFraction is the part of the machine's memory at which collections become
-	// frequent.
+	// memoryLimitFraction is the fraction of the machine's memory that is the runtime's soft limit.
 	memoryLimitFraction = 0.7
 	megabyte            = 1 << 20
 )
@@ -95,12 +93,11 @@
 	return runProcess(process, logger)
 }
 
-// settingsPollInterval is the time between two looks at the settings file, which may
-// change without a signal.
+// settingsPollInterval is the interval of checks for a changed settings file.
 const settingsPollInterval = time.Second
 
-// watchSettings reloads the settings when the file changes or SIGHUP says so. A
-// file that can't be used leaves those in force.
+// watchSettings reloads the settings when the file changes or on SIGHUP. If the file is invalid,
+// the current settings stay in force.
 func watchSettings(path string, process *gateway.Gateway, logger zerolog.Logger, stop <-chan struct{}) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -117,11 +114,11 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		present := readFileVersion(path)
-		if !signalled && present == seen {
+		current := readFileVersion(path)
+		if !signalled && current == seen {
 			continue
 		}
-		seen = present
+		seen = current
 		settings, err := platform.LoadSettings(path)
 		if err == nil {
 			err = process.Reload(*settings)
@@ -132,7 +129,7 @@
 	}
 }
 
-// fileVersion tells one state of a file from another.
+// fileVersion distinguishes versions of a file. It is zero if the file can't be read.
 type fileVersion struct {
 	size     int64
 	modified time.Time
@@ -146,7 +143,7 @@
 	return fileVersion{size: info.Size(), modified: info.ModTime()}
 }
 
-// serveMetrics serves the registry on the host of an address.
+// serveMetrics serves a registry at /metrics on the host of an address.
 func serveMetrics(address string, port int, registry *prometheus.Registry) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/cmd/tillerfall/main.go
+++ b/cmd/tillerfall/main.go
@@ -1,5 +1,4 @@
-// Command tillerfall is the product's one binary: agent, router,
-// gateway, and the operator's tools.
+// Command tillerfall runs the agent, the router and the gateway, and contains the operators' tools.
 package main
 
 import (
@@ -19,7 +18,7 @@
 const (
 	exitFailure   = 1 // the command failed; a numbered error was printed
 	exitUsage     = 2 // the command line is wrong
-	exitUncertain = 3 // the command may have taken effect; its token is to be looked up
+	exitUncertain = 3 // the command may have taken effect; look up its token
 )
 
 // commandLine is the command line of the binary.
@@ -36,13 +35,13 @@
 func main() {
 	parser := flags.NewNamedParser("tillerfall", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("", "", &commandLine{}); err != nil {
-		panic(err) // a wrong struct tag
+		panic(err) // invalid struct tag
 	}
 	_, err := parser.Parse()
 	os.Exit(report(err))
 }
 
-// report prints an error with its number and returns the exit code.
+// report prints an error with its result code and returns the exit code.
 func report(err error) int {
 	if err == nil {
 		return 0
--- a/cmd/tillerfall/process.go
+++ b/cmd/tillerfall/process.go
@@ -15,7 +15,7 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// settingsFlags are the flags that every process has.
+// settingsFlags are the flags that set common settings of an agent or router.
 type settingsFlags struct {
 	Config   string   `long:"config" short:"c" description:"Settings file (YAML)"`
 	Set      []string `long:"set" value-name:"FIELD=VALUE" description:"Setting that goes before the file's; may be given more than once"`
@@ -26,7 +26,7 @@
 	LogLevel string   `long:"log-level" description:"Least level that is logged; logging.level"`
 }
 
-// overrides returns the flags as overrides; --set comes last and wins.
+// overrides returns the flags as overrides. Those of --set come last and take precedence.
 func (f settingsFlags) overrides() ([]settings.Override, error) {
 	var overrides []settings.Override
 	for _, flag := range []settings.Override{
@@ -50,7 +50,7 @@
 	return overrides, nil
 }
 
-// load fills the settings from file and flags.
+// load loads the settings from the file and the flags.
 func (f settingsFlags) load(target any) error {
 	overrides, err := f.overrides()
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// yamlList writes texts as a YAML list on one line.
+// yamlList formats texts as a one-line YAML list.
 func yamlList(texts []string) string {
 	quoted := make([]string, 0, len(texts))
 	for _, text := range texts {
@@ -73,28 +73,29 @@
 
 func indent(text string) string { return "  " + strings.ReplaceAll(text, "\n", "\n  ") }
 
-// process is a part of the system that runs until it is stopped.
+// process is a long-running part of the system.
 type process interface {
 	// Node returns the identifier of this run.
 	Node() fleet.NodeID
 	Start() error
-	// Stop stops as planned and waits; it may be called more than once.
+	// Stop shuts the process down gracefully and waits for its end. It may be called more than
+	// once.
 	Stop() error
-	// Dead is closed when the process has ended.
+	// Dead returns a channel that is closed when the process has ended.
 	Dead() <-chan struct{}
 	Err() error
 }
 
-// runProcess runs a process until it ends or a signal asks it to stop. Signals
-// during a planned stop change nothing: the stop is bounded by itself. SIGHUP is
-// for processes that reload; others go on unmoved.
+// runProcess runs a process until it ends or receives SIGINT or SIGTERM. Further signals during the
+// shutdown are ignored, because the shutdown has a time limit of its own. SIGHUP is ignored here;
+// processes that reload their settings handle it themselves.
 func runProcess(process process, logger zerolog.Logger) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(signals)
-	unread := make(chan os.Signal, 1)
-	signal.Notify(unread, syscall.SIGHUP)
-	defer signal.Stop(unread)
+	ignored := make(chan os.Signal, 1)
+	signal.Notify(ignored, syscall.SIGHUP)
+	defer signal.Stop(ignored)
 	if err := process.Start(); err != nil {
 		return errors.Wrap(err, "start")
 	}
--- a/cmd/tillerfall/router.go
+++ b/cmd/tillerfall/router.go
@@ -15,16 +15,16 @@
 	Peers    []string `long:"peer" value-name:"HOST:PORT" description:"Numeric address of a router to join through, in place of those in the file; may be given more than once"`
 }
 
-// addFlagOverrides puts the router's own flags before --set, which wins.
+// addFlagOverrides adds the router's overrides flags before those of --set, which take precedence.
 func (c *routerCommand) addFlagOverrides() {
-	var own []string
+	var overrides []string
 	if c.Platform != "" {
-		own = append(own, "platform.address="+c.Platform)
+		overrides = append(overrides, "platform.address="+c.Platform)
 	}
 	if len(c.Peers) > 0 {
-		own = append(own, "peers="+yamlList(c.Peers))
+		overrides = append(overrides, "peers="+yamlList(c.Peers))
 	}
-	c.Set = append(own, c.Set...)
+	c.Set = append(overrides, c.Set...)
 }
 
 // Execute implements flags.Commander.
--- a/cmd/tillerfall/validate.go
+++ b/cmd/tillerfall/validate.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// validateCommand checks a file and prints every error.
+// validateCommand validates a file and prints every error.
 type validateCommand struct {
 	Kind string `long:"kind" choice:"configuration" choice:"router" choice:"agent" default:"configuration" description:"What the file holds"`
 	Args struct {
--- a/cmd/tillerlab/configuration.go
+++ b/cmd/tillerlab/configuration.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/config"
 )
 
-// readConfiguration reads and checks a configuration file (YAML).
+// readConfiguration reads and validates a YAML configuration file.
 func readConfiguration(path string) (*config.Document, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/tillerlab/engine.go
+++ b/cmd/tillerlab/engine.go
@@ -15,7 +15,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-// engineCommand runs an engine stand-in until it is interrupted.
+// engineCommand runs a simulated engine until it is interrupted.
 type engineCommand struct {
 	ID          string        `long:"id" required:"yes" description:"Engine identifier"`
 	Address     string        `long:"address" default:"127.0.0.1:0" description:"Numeric HOST:PORT to listen on"`
@@ -70,7 +70,7 @@
 	return weights, nil
 }
 
-// parseWeights reads MODEL@VERSION or MODEL:ADAPTER@VERSION.
+// parseWeights parses MODEL@VERSION or MODEL:ADAPTER@VERSION.
 func parseWeights(text string) (engine.Weights, error) {
 	name, version, found := strings.Cut(text, "@")
 	if !found || name == "" || version == "" {
--- a/cmd/tillerlab/experiment.go
+++ b/cmd/tillerlab/experiment.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/lab/experiment"
 )
 
-// experimentCommand measures the routing against rivals in the emulator.
+// experimentCommand compares the routing with other policies in the emulator.
 type experimentCommand struct {
 	Label     string    `long:"label" description:"Name of the directory of the results; default is the time"`
 	Results   string    `long:"results" default:"results" description:"Directory that holds all results"`
@@ -25,7 +25,7 @@
 	Calibrate bool      `long:"calibrate" description:"Find the fleets' capacities instead"`
 }
 
-// labelLayout makes labels that sort by time.
+// labelLayout formats labels that sort by time.
 const labelLayout = "2006-01-02T150405Z"
 
 // Execute implements flags.Commander.
--- a/cmd/tillerlab/fleet.go
+++ b/cmd/tillerlab/fleet.go
@@ -49,7 +49,7 @@
 	return running.Stop()
 }
 
-// printReady prints where the fleet listens and a request to try.
+// printReady prints the fleet's addresses and an example request.
 func (c *fleetCommand) printReady(running *localfleet.Fleet, document *config.Document) {
 	fmt.Printf("ready url=http://%s router=%s\n", running.AgentAddress(), running.RouterAddress())
 	fmt.Printf("curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer example-key-counter' "+
--- a/cmd/tillerlab/main.go
+++ b/cmd/tillerlab/main.go
@@ -1,6 +1,5 @@
-// Command tillerlab runs what is not part of the product: stand-ins for the
-// engines and the platform, the embedded fleet, the simulation, the experiments
-// and the capacity measurements.
+// Command tillerlab runs tools that are not part of the product: simulated engines and a simulated
+// platform, an embedded fleet, the simulation, the experiments and the capacity measurements.
 package main
 
 import (
@@ -30,7 +29,7 @@
 func main() {
 	parser := flags.NewNamedParser("tillerlab", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("", "", &commandLine{}); err != nil {
-		panic(err) // a wrong struct tag
+		panic(err) // invalid struct tag
 	}
 	_, err := parser.Parse()
 	os.Exit(report(err))
--- a/cmd/tillerlab/platform.go
+++ b/cmd/tillerlab/platform.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// platformCommand runs a platform stand-in until it is interrupted.
+// platformCommand runs a simulated platform until it is interrupted.
 type platformCommand struct {
 	Address        string `long:"address" default:"127.0.0.1:0" description:"Numeric HOST:PORT to listen on"`
 	Machines       string `long:"machines" description:"JSON file with the list of machines"`
@@ -38,9 +38,8 @@
 	return server.Stop()
 }
 
-// newServer returns a server that isn't started and has its list of machines. A list that is
-// taken over after the start replaces one that was posted at once: beside much load, one
-// fleet in some thirty of the integration tests never saw its engines.
+// newServer returns a server that has its list of machines but is not started. The list must be set
+// before the start; otherwise it could replace one that a client posts immediately after the start.
 func (c *platformCommand) newServer() (*platformserver.Server, error) {
 	logger := logging.New(os.Stderr, "platform", "platform", c.LogLevel)
 	server := platformserver.New(platformmodel.Options{FullSpeedLoads: c.FullSpeedLoads}, logger)
--- a/cmd/tillerlab/simulate.go
+++ b/cmd/tillerlab/simulate.go
@@ -11,11 +11,11 @@
 	"github.com/tillerfall/tillerfall/lab/simulation"
 )
 
-// errViolations ends a simulation that found violations.
+// errViolations is returned by a simulation that found violations.
 var errViolations = errors.New("the simulation found violations")
 
-// simulateCommand runs seeded histories of a whole fleet on a virtual clock and
-// checks them.
+// simulateCommand simulates seeded histories of a fleet on a virtual clock and checks their
+// invariants.
 type simulateCommand struct {
 	Seeds     int    `long:"seeds" default:"200" description:"Number of seeds to run"`
 	First     uint64 `long:"first" default:"1" description:"First seed"`
@@ -36,7 +36,7 @@
 	return err
 }
 
-// run writes what it finds and returns the number of violations.
+// run writes the results and returns the number of violations.
 func (c *simulateCommand) run(output io.Writer) (int, error) {
 	if c.Seed != 0 {
 		result, err := simulation.Report(output, simulation.Options{Seed: c.Seed})
@@ -64,7 +64,7 @@
 	return summarize(output, c.Seeds, violations)
 }
 
-// summarize writes the last line, which scripts read.
+// summarize writes the last line, which scripts parse.
 func summarize(output io.Writer, seeds, violations int) (int, error) {
 	_, err := fmt.Fprintf(output, "seeds=%d violations=%d\n", seeds, violations)
 	return violations, err
