--- a/cmd/tillerfall/allrouters_test.go
+++ b/cmd/tillerfall/allrouters_test.go
@@ -42,7 +42,7 @@
 	return listed.Rows[0].Cells[1], listed
 }
 
-func TestQueryIsPutToAllRouters(t *testing.T) {
+func TestQueryIsSentToAllRouters(t *testing.T) {
 	address, listed := startRouters(t, answerOf("revision", "7"), answerOf("revision", "6"))
 	output, _, err := run(t, "ctl", "-r", address, "--all-routers", "show", "revision")
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	assert.Equal(t, resultcode.TargetNotFound, codeOf(err))
 }
 
-func TestOnlyQueriesArePutToAllRouters(t *testing.T) {
+func TestOnlyQueriesAreSentToAllRouters(t *testing.T) {
 	address, _ := startRouters(t, answerOf("revision", "7"))
 	for _, statement := range []string{"drain e1", "apply x", "lookup t"} {
 		_, _, err := run(t, "ctl", "-r", address, "--all-routers", statement)
--- a/cmd/tillerfall/main_test.go
+++ b/cmd/tillerfall/main_test.go
@@ -87,7 +87,7 @@
 	assert.Contains(t, output, "valid")
 }
 
-func TestWrongCommandLinesGetNumberedErrors(t *testing.T) {
+func TestInvalidCommandLinesGetNumberedErrors(t *testing.T) {
 	_, _, err := run(t, "rooter")
 	_, diagnostics := captureReport(t, err)
 	assert.Contains(t, diagnostics, "error 5002 settings_invalid")
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestApplySendsTheFileAsItIs(t *testing.T) {
+func TestApplySendsFileUnchanged(t *testing.T) {
 	stub, address := startOperations(t, &rpc.ExecuteResponse{Revision: 3, Token: "t3"})
 	output, _, err := run(t, "apply", "-r", address, writeFile(t, "tenants: []\n"))
 	require.NoError(t, err)
@@ -180,7 +180,7 @@
 	return io.EOF
 }
 
-func TestSecondSignalChangesNothing(t *testing.T) {
+func TestSecondSignalIsIgnoredDuringShutdown(t *testing.T) {
 	process := &stubProcess{started: make(chan struct{}), stopping: make(chan struct{}), release: make(chan struct{})}
 	ended := make(chan error, 1)
 	var log bytes.Buffer
--- a/cmd/tillerfall/operationspage_test.go
+++ b/cmd/tillerfall/operationspage_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const operatingPage = "../../docs/OPERATIONS.md"
+const operationsPage = "../../docs/OPERATIONS.md"
 
 var (
 	// loggedEvent finds the name of an event where it is logged, or passed to
@@ -44,7 +44,7 @@
 // TestPageNamesTheLoggedEvents compares the table of events in
 // docs/OPERATIONS.md, and its examples of lines, with the code.
 func TestPageNamesTheLoggedEvents(t *testing.T) {
-	data, err := os.ReadFile(operatingPage)
+	data, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
 	page := string(data)
 	documented := make(map[string]bool)
@@ -61,7 +61,7 @@
 
 // TestPageNamesTheExitCodes holds the page's table to the constants.
 func TestPageNamesTheExitCodes(t *testing.T) {
-	page, err := os.ReadFile(operatingPage)
+	page, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
 	for code, meaning := range map[int]string{
 		0: "done", exitFailure: "failed", exitUsage: "the command line is wrong", exitUncertain: "`command_uncertain`",
--- a/cmd/tillerlab/platform_test.go
+++ b/cmd/tillerlab/platform_test.go
@@ -20,7 +20,7 @@
 // over the list of its own file, here none, which replaced the one that had just been posted:
 // the list was there at 39.254, when the stand-in wrote that it listens, and {"machines":null}
 // at 39.306.
-func TestPlatformHasItsListBeforeItListens(t *testing.T) {
+func TestPlatformLoadsMachinesBeforeListening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "machines.json")
 	require.NoError(t, os.WriteFile(path, []byte(`[{"id": "of-the-file", "kind": "engine", "address": "127.0.0.1:1"}]`), 0o600))
 	command := platformCommand{Machines: path, LogLevel: "error"}
@@ -28,18 +28,18 @@
 	require.NoError(t, err)
 	require.NoError(t, server.Start("127.0.0.1:0"))
 	defer func() { _ = server.Stop() }()
-	assert.Equal(t, []string{"of-the-file"}, listed(t, string(server.Address())))
+	assert.Equal(t, []string{"of-the-file"}, listMachines(t, string(server.Address())))
 
 	posted, err := json.Marshal(platform.MachinesResponse{Machines: []platform.Machine{{ID: "posted", Kind: platform.MachineEngine, Address: "127.0.0.1:2"}}})
 	require.NoError(t, err)
 	response, err := http.Post("http://"+string(server.Address())+platformserver.PathSetMachines, "application/json", bytes.NewReader(posted))
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	assert.Equal(t, []string{"posted"}, listed(t, string(server.Address())))
+	assert.Equal(t, []string{"posted"}, listMachines(t, string(server.Address())))
 }
 
-// listed returns the machines that a stand-in lists.
-func listed(t *testing.T, address string) []string {
+// listMachines returns the machines that a stand-in lists.
+func listMachines(t *testing.T, address string) []string {
 	t.Helper()
 	response, err := http.Get("http://" + address + platform.PathMachines)
 	require.NoError(t, err)
--- a/internal/config/faketables_test.go
+++ b/internal/config/faketables_test.go
@@ -31,27 +31,27 @@
 	delayed   []platform.Transaction
 	nextFault func() fault
 	interrupt func()
-	// arrives tells whether delayed transactions arrive before a call.
-	arrives func() bool
-	calls   int
+	// deliversDelayed tells whether delayed transactions arrive before a call.
+	deliversDelayed func() bool
+	calls           int
 	// revisions records each document revision as it was written.
 	revisions []fleet.Revision
 }
 
 func newFakeTables() *fakeTables {
 	return &fakeTables{
-		rows:      make(map[string]platform.Row),
-		objects:   make(map[string][]byte),
-		nextFault: func() fault { return faultNone },
-		interrupt: func() {},
-		arrives:   func() bool { return true },
+		rows:            make(map[string]platform.Row),
+		objects:         make(map[string][]byte),
+		nextFault:       func() fault { return faultNone },
+		interrupt:       func() {},
+		deliversDelayed: func() bool { return true },
 	}
 }
 
 func (f *fakeTables) begin() fault {
 	f.calls++
 	f.interrupt()
-	if f.arrives() {
+	if f.deliversDelayed() {
 		f.deliverDelayed()
 	}
 	return f.nextFault()
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -62,7 +62,7 @@
 	options FollowerOptions
 	random  *rand.Rand
 
-	nodeCount                       int
+	nodeCount int
 	// localRevision is the node's own revision, observedRevision the highest one in messages from
 	// other nodes.
 	localRevision, observedRevision fleet.Revision
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -17,9 +17,9 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// TestHerdKeepsToFleetBudget restarts 680 nodes at once, with the platform up
+// TestSimultaneousRestartsKeepToFleetCallLimit restarts 680 nodes at once, with the platform up
 // and down, and counts the platform's calls on a virtual clock.
-func TestHerdKeepsToFleetBudget(t *testing.T) {
+func TestSimultaneousRestartsKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes   = 680
 		span    = 120 * time.Second
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestHerdThatLearnsItsSizeKeepsToFleetBudget has each node know three others
+// TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit has each node know three others
 // at first.
-func TestHerdThatLearnsItsSizeKeepsToFleetBudget(t *testing.T) {
+func TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes     = 680
 		span      = 60 * time.Second
@@ -90,7 +90,7 @@
 	return sum
 }
 
-func TestSizeDoesNotShortenThePauseAfterFailures(t *testing.T) {
+func TestNodeCountDoesNotShortenFailureBackoff(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
 	follower.SetLocalRevision(1)
 	follower.PlatformDone(0, false)
@@ -99,14 +99,14 @@
 	assert.Equal(t, until, follower.Next(0).Until)
 }
 
-func TestLoneNodeAsksPlatformAtOnce(t *testing.T) {
+func TestSingleNodePollsPlatformImmediately(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
 	require.Equal(t, SourcePeer, follower.Next(0).Source)
 	follower.PeerDone(0)
 	assert.Equal(t, SourcePlatform, follower.Next(0).Source)
 }
 
-func TestHeardRevisionSendsToPeers(t *testing.T) {
+func TestObservedRevisionTriggersPeerRequest(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 680)
 	follower.SetLocalRevision(5)
 	follower.ObserveRevision(0, 4)
@@ -171,17 +171,17 @@
 	}
 }
 
-func followOptions() PlatformFollowerOptions {
+func testFollowerOptions() PlatformFollowerOptions {
 	return PlatformFollowerOptions{Timeout: time.Second, Clock: fleet.NewClock(), Random: seeded(1), Logger: zerolog.Nop()}
 }
 
-func TestFollowLearnsFromPeersWhilePlatformIsDown(t *testing.T) {
+func TestPlatformFollowerUpdatesFromPeersWhilePlatformIsDown(t *testing.T) {
 	tables := newFakeTables()
 	tables.nextFault = func() fault { return faultUnavailable }
 	holder := NewHolder()
 	updated := holder.Updated()
 	peers := &fakePeers{document: validDocument(7), asked: make(chan struct{}, 1)}
-	follower := StartPlatformFollower(newTestStore(tables, StoreOptions{}), holder, peers, followOptions())
+	follower := StartPlatformFollower(newTestStore(tables, StoreOptions{}), holder, peers, testFollowerOptions())
 	waitFor(t, updated)
 	assert.Equal(t, fleet.Revision(7), holder.Revision())
 	waitFor(t, peers.asked)
@@ -191,12 +191,12 @@
 	require.NoError(t, follower.Stop())
 }
 
-func TestFollowLearnsFromPlatform(t *testing.T) {
+func TestPlatformFollowerUpdatesFromPlatform(t *testing.T) {
 	store := newTestStore(newFakeTables(), StoreOptions{})
 	commitAll(t, store, 3)
 	holder := NewHolder()
 	updated := holder.Updated()
-	options := followOptions()
+	options := testFollowerOptions()
 	options.Follower = FollowerOptions{PollInterval: time.Millisecond, FleetCallsPerSecond: 1e6}
 	follower := StartPlatformFollower(store, holder, &fakePeers{asked: make(chan struct{}, 1)}, options)
 	waitFor(t, updated)
--- a/internal/config/holder_test.go
+++ b/internal/config/holder_test.go
@@ -33,7 +33,7 @@
 	return history
 }
 
-func TestApplyOfDiffGivesNextDocument(t *testing.T) {
+func TestApplyOfDiffYieldsNextDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t, 2)
 		change, err := Diff(history[0], history[1])
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestDiffHoldsOnlyWhatChanged(t *testing.T) {
+func TestDiffContainsOnlyChangedItems(t *testing.T) {
 	before := validDocument(1, "a", "b", "c")
 	after := Canonical(before)
 	after.Revision = 2
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestHolderServesItsLog(t *testing.T) {
+func TestHolderReturnsRetainedChanges(t *testing.T) {
 	holder := NewHolder()
 	_, err := holder.OfferSnapshot(validDocument(1))
 	require.NoError(t, err)
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestParseRefusesHostileFile gives files on which the syntax parser would
+// TestParseRejectsFileOverLimits gives files on which the syntax parser would
 // take minutes.
-func TestParseRefusesHostileFile(t *testing.T) {
+func TestParseRejectsFileOverLimits(t *testing.T) {
 	cases := map[string]string{
 		"[":       "levels of nesting",
 		"{a: ":    "levels of nesting",
--- a/internal/config/reference/reference_test.go
+++ b/internal/config/reference/reference_test.go
@@ -43,7 +43,7 @@
 	{"internal/router/settings.go", "Settings"},
 }
 
-func TestPageHoldsTableOfEveryStruct(t *testing.T) {
+func TestPageMatchesStructs(t *testing.T) {
 	source, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	page := string(source)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestTableRefusesFieldWithoutComment(t *testing.T) {
+func TestTableRejectsFieldWithoutComment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bare.go")
 	require.NoError(t, os.WriteFile(path, []byte("package p\ntype T struct {\n\tA int `yaml:\"a\"`\n}\n"), 0o600))
 	_, err := Table(path, "T")
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func effects(document Document, token string) int {
+func countEffects(document Document, token string) int {
 	count := 0
 	for _, directive := range document.Directives {
 		if string(directive.Engine) == token {
@@ -89,7 +89,7 @@
 			}
 			return fault(1 + random.IntN(int(faultKinds)-1))
 		}
-		tables.arrives = func() bool { return random.IntN(6) == 0 }
+		tables.deliversDelayed = func() bool { return random.IntN(6) == 0 }
 		depth := 0
 		tokens := 0
 		tables.interrupt = func() {
@@ -135,7 +135,7 @@
 		if found && recorded.Code == resultcode.OK {
 			want = 1
 		}
-		require.Equal(t, want, effects(document, token), token)
+		require.Equal(t, want, countEffects(document, token), token)
 	}
 }
 
@@ -238,7 +238,7 @@
 	assert.ErrorIs(t, err, ErrRevisionGap)
 }
 
-func TestRefreshCallsSparingly(t *testing.T) {
+func TestRefreshMinimizesTableCalls(t *testing.T) {
 	tables := newFakeTables()
 	store := newTestStore(tables, StoreOptions{KeptChanges: 8})
 	holder := NewHolder()
@@ -267,9 +267,9 @@
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-// TestSameTokenRefusedInBetween lets another sender of the same command be
+// TestConcurrentCommitsOfOneTokenGetSameOutcome lets another sender of the same command be
 // refused after the first has found the token unused.
-func TestSameTokenRefusedInBetween(t *testing.T) {
+func TestConcurrentCommitsOfOneTokenGetSameOutcome(t *testing.T) {
 	tables := newFakeTables()
 	store := newTestStore(tables, StoreOptions{})
 	commitAll(t, store, 2)
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestClockBeginsAtZeroAndGoesOn as the time passes.
-func TestClockBeginsAtZeroAndGoesOn(t *testing.T) {
+// TestClockStartsAtZeroAndAdvances as the time passes.
+func TestClockStartsAtZeroAndAdvances(t *testing.T) {
 	clock := NewClock()
 	assert.Less(t, clock.Now(), time.Second)
 	before := clock.Now()
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -28,7 +28,7 @@
 		` attempt=2 empty="" equation="a=b" list="[\"x\",\"y z\"]" request_id=r1 text="two\nlines \"quoted\""`+"\n", line)
 }
 
-func TestLevelBoundsWhatIsWritten(t *testing.T) {
+func TestLevelFiltersEvents(t *testing.T) {
 	for level, lines := range map[string]int{"debug": 2, "info": 1, "error": 0, "nonsense": 1, "": 1} {
 		var output bytes.Buffer
 		logger := New(&output, "router", "n", level)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestConcurrentEventsKeepTheirLines(t *testing.T) {
+func TestConcurrentEventsAreNotInterleaved(t *testing.T) {
 	var output bytes.Buffer
 	logger := New(&output, "router", "n", "info")
 	var group sync.WaitGroup
--- a/internal/packed/packed_test.go
+++ b/internal/packed/packed_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-func TestMessagesComeBackAsTheyWent(t *testing.T) {
+func TestUnpackRestoresPackedMessage(t *testing.T) {
 	for _, text := range []string{"", "a", strings.Repeat("zone", 10_000)} {
 		sent, received := &rpc.Member{Node: text, Capacity: 3}, &rpc.Member{}
 		content, err := packed.Pack(sent)
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestLargeOrSpoiledMessagesAreRefused also where few bytes stand for many.
-func TestLargeOrSpoiledMessagesAreRefused(t *testing.T) {
+// TestUnpackRejectsLargeOrCorruptMessage also where few bytes stand for many.
+func TestUnpackRejectsLargeOrCorruptMessage(t *testing.T) {
 	content, err := packed.Pack(&rpc.Member{Node: strings.Repeat("x", 1<<20)})
 	require.NoError(t, err)
 	assert.ErrorIs(t, packed.Unpack(content, 1<<10, &rpc.Member{}), packed.ErrTooLarge)
--- a/internal/resultcode/resultcode_test.go
+++ b/internal/resultcode/resultcode_test.go
@@ -12,7 +12,7 @@
 
 const pagePath = "../../docs/RESULT-CODES.md"
 
-func TestPageHoldsTable(t *testing.T) {
+func TestPageMatchesTable(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	var rows []string
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestFamiliesKeepTheirPromise holds each entry to what its thousand says.
-func TestFamiliesKeepTheirPromise(t *testing.T) {
+// TestEntriesMatchTheirFamily holds each entry to what its thousand says.
+func TestEntriesMatchTheirFamily(t *testing.T) {
 	for _, entry := range Table {
 		switch entry.Code / 1000 {
 		case 1:
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestUnknownCodeCountsAsInternal(t *testing.T) {
+func TestUnknownCodeIsInternal(t *testing.T) {
 	assert.Equal(t, Internal, Lookup(4999).Code)
 	assert.EqualError(t, New(Code(4999), "lost"), "internal: lost")
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -43,7 +43,7 @@
 max_body: 200
 `
 
-func TestLoadPutsFlagsOverFileOverDefaults(t *testing.T) {
+func TestLoadPrefersOverridesToFileToDefaults(t *testing.T) {
 	target := defaults()
 	problems := Load(writeFile(t, validFile), target,
 		Override{"node.zone", "vasna-hall"},
@@ -107,7 +107,7 @@
 	assert.NotEmpty(t, problems)
 }
 
-func TestMemoryLimitIsTheRuntimes(t *testing.T) {
+func TestMemoryApplySetsRuntimeLimit(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(before) })
 	Memory{}.Apply()
