--- a/cmd/tillerfall/allrouters_test.go
+++ b/cmd/tillerfall/allrouters_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// listingRouter lists routers and gives one answer to every other statement.
+// listingRouter returns a list of routers and one fixed response to all other statements.
 type listingRouter struct {
 	listed *rpc.ExecuteResponse
 	answer *rpc.ExecuteResponse
@@ -29,8 +29,8 @@
 	return &rpc.ExecuteResponse{Columns: []*rpc.Column{{Name: column}}, Rows: []*rpc.ResultRow{{Cells: []string{cell}}}}
 }
 
-// startRouters starts a router for each answer and returns the first's address
-// and the list, which more can be added to.
+// startRouters starts a router for each response. It returns the first router's address and the
+// list of routers, to which tests can add rows.
 func startRouters(t *testing.T, answers ...*rpc.ExecuteResponse) (string, *rpc.ExecuteResponse) {
 	listed := &rpc.ExecuteResponse{Columns: []*rpc.Column{{Name: "router"}, {Name: "address"}}}
 	for index, answer := range answers {
@@ -50,9 +50,9 @@
 
 	listed.Rows = append(listed.Rows, &rpc.ResultRow{Cells: []string{"r3", "127.0.0.1:1"}})
 	output, _, err = run(t, "ctl", "-r", address, "--all-routers", "show", "revision")
-	assert.Equal(t, resultcode.NoRouter, codeOf(err), "a router that is listed didn't answer")
+	assert.Equal(t, resultcode.NoRouter, codeOf(err), "a listed router does not answer")
 	assert.ErrorContains(t, err, "r3: no answer from 127.0.0.1:1")
-	assert.Contains(t, output, "r2      6", "the others' answers are shown")
+	assert.Contains(t, output, "r2      6", "the other routers' answers are printed")
 }
 
 func TestRequestIsFoundAtTheRouterThatPlacedIt(t *testing.T) {
--- a/cmd/tillerfall/main_test.go
+++ b/cmd/tillerfall/main_test.go
@@ -23,7 +23,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// run parses and runs a command line and returns its output and error.
+// run parses and executes a command line. It returns the contents of standard output and standard
+// error, and the error.
 func run(t *testing.T, arguments ...string) (output, diagnostics string, err error) {
 	t.Helper()
 	outputFile, diagnosticsFile := redirect(t, &os.Stdout), redirect(t, &os.Stderr)
@@ -103,7 +104,7 @@
 	return exitCode, read(t, file)
 }
 
-// stubOperations records the last request and gives a fixed answer.
+// stubOperations records the last request and returns a fixed response.
 type stubOperations struct {
 	last   *rpc.ExecuteRequest
 	answer *rpc.ExecuteResponse
@@ -161,7 +162,7 @@
 	assert.Equal(t, "revision=3 token=t3\n", output)
 }
 
-// stubProcess counts its stops; Stop waits until released.
+// stubProcess counts calls of Stop, which blocks until release is closed.
 type stubProcess struct {
 	started  chan struct{}
 	stopping chan struct{}
--- a/cmd/tillerfall/operationspage_test.go
+++ b/cmd/tillerfall/operationspage_test.go
@@ -15,15 +15,14 @@
 const operationsPage = "../../docs/OPERATIONS.md"
 
 var (
-	// loggedEvent finds the name of an event where it is logged, or passed to
-	// the agent's method that logs an exchange with an engine.
+	// loggedEvent matches the name of an event where it is logged or passed to logEngineError.
 	loggedEvent = regexp.MustCompile(`(?:\bMsg\(|logEngineError\(|\bEvent[A-Z][A-Za-z]* += )"([a-z_]+)"`)
 	eventRow    = regexp.MustCompile("(?m)^\\| ((?:`[a-z_]+`(?: d)?(?:, )?)+) \\| (?:both|router|agent|gateway|all) \\|")
 	quotedName  = regexp.MustCompile("`([a-z_]+)`")
 	loggedLine  = regexp.MustCompile(`event=([a-z_]+)`)
 )
 
-// loggedEvents returns the names of the events that the product logs.
+// loggedEvents returns the names of the events in the product's log calls.
 func loggedEvents(t *testing.T) map[string]bool {
 	events := make(map[string]bool)
 	for _, root := range []string{"../../internal", "."} {
@@ -41,8 +40,8 @@
 	return events
 }
 
-// TestPageNamesTheLoggedEvents compares the table of events in
-// docs/OPERATIONS.md, and its examples of lines, with the code.
+// Guards against differences between the events that the code logs and the table and examples in
+// docs/OPERATIONS.md.
 func TestPageNamesTheLoggedEvents(t *testing.T) {
 	data, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
@@ -55,11 +54,11 @@
 	}
 	assert.Equal(t, loggedEvents(t), documented)
 	for _, found := range loggedLine.FindAllStringSubmatch(page, -1) {
-		assert.True(t, documented[found[1]], "%s is in an example alone", found[1])
+		assert.True(t, documented[found[1]], "%s is in an example but not in the table", found[1])
 	}
 }
 
-// TestPageNamesTheExitCodes holds the page's table to the constants.
+// Guards against differences between the exit codes and their table in docs/OPERATIONS.md.
 func TestPageNamesTheExitCodes(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
--- a/cmd/tillerlab/platform_test.go
+++ b/cmd/tillerlab/platform_test.go
@@ -15,11 +15,8 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// Beside much load, fleets of the integration tests waited a minute for engines that their
-// platform's stand-in never listed, though it had taken the list. It listened before it took
-// over the list of its own file, here none, which replaced the one that had just been posted:
-// the list was there at 39.254, when the stand-in wrote that it listens, and {"machines":null}
-// at 39.306.
+// Guards against a simulated platform that sets its list of machines after it starts to listen, and
+// so overwrites a list posted in between.
 func TestPlatformLoadsMachinesBeforeListening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "machines.json")
 	require.NoError(t, os.WriteFile(path, []byte(`[{"id": "of-the-file", "kind": "engine", "address": "127.0.0.1:1"}]`), 0o600))
@@ -38,7 +35,7 @@
 	assert.Equal(t, []string{"posted"}, listMachines(t, string(server.Address())))
 }
 
-// listMachines returns the machines that a stand-in lists.
+// listMachines returns the IDs of the machines that a simulated platform lists.
 func listMachines(t *testing.T, address string) []string {
 	t.Helper()
 	response, err := http.Get("http://" + address + platform.PathMachines)
--- a/internal/config/benchmark_test.go
+++ b/internal/config/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// fleetDocument returns a document with a number of tenants and 13 models.
+// fleetDocument returns a document with the given number of tenants and 13 models.
 func fleetDocument(revision fleet.Revision, tenants int) Document {
 	var names []fleet.TenantName
 	for index := range tenants - 1 {
@@ -25,8 +25,8 @@
 	return Canonical(document)
 }
 
-// BenchmarkOfferChange measures a change of one tenant at one node, its size
-// and that of the whole document.
+// BenchmarkOfferChange measures the time to apply a change of one tenant, and the sizes of the
+// change and of the whole document.
 func BenchmarkOfferChange(b *testing.B) {
 	for _, tenants := range []int{8, 108, 430, 1720} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
--- a/internal/config/faketables_test.go
+++ b/internal/config/faketables_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// fault is what a fake table service does to one call.
+// fault is a failure that the fake table service injects into a call.
 type fault int
 
 const (
@@ -19,22 +19,22 @@
 	faultUnavailable
 	faultLostBefore // outcome unknown, no effect
 	faultLostAfter  // outcome unknown, after the effect
-	faultDelayed    // outcome unknown, the effect comes with a later call
+	faultDelayed    // outcome unknown, effect at a later call
 	faultKinds
 )
 
-// fakeTables is a table and object service in memory. It isn't safe for
-// concurrent use: races are made by interrupt, which runs before each call.
+// fakeTables is an in-memory table and object service. It is not safe for concurrent use: tests
+// simulate races with interrupt, which runs before each call.
 type fakeTables struct {
 	rows      map[string]platform.Row
 	objects   map[string][]byte
 	delayed   []platform.Transaction
 	nextFault func() fault
 	interrupt func()
-	// deliversDelayed tells whether delayed transactions arrive before a call.
+	// deliversDelayed reports whether delayed transactions take effect before a call.
 	deliversDelayed func() bool
 	calls           int
-	// revisions records each document revision as it was written.
+	// revisions are the revisions of the heads in the order of writing.
 	revisions []fleet.Revision
 }
 
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -17,8 +17,8 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// TestSimultaneousRestartsKeepToFleetCallLimit restarts 680 nodes at once, with the platform up
-// and down, and counts the platform's calls on a virtual clock.
+// Guards against bursts of platform calls over the fleet's limit when all nodes restart together,
+// with the platform available and unavailable.
 func TestSimultaneousRestartsKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes   = 680
@@ -27,13 +27,13 @@
 		ceiling = 1.2 * DefaultFleetCallsPerSecond
 	)
 	for _, up := range []bool{true, false} {
-		var herd []*Follower
+		var followers []*Follower
 		for node := range nodes {
-			herd = append(herd, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
+			followers = append(followers, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
 		}
 		calls := make([]int, span/(10*time.Second))
 		for now := time.Duration(0); now < span; now += tick {
-			for _, follower := range herd {
+			for _, follower := range followers {
 				switch follower.Next(now).Source {
 				case SourcePeer:
 					follower.PeerDone(now)
@@ -46,12 +46,11 @@
 		for window, count := range calls {
 			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", up, window)
 		}
-		assert.Positive(t, calls[len(calls)-1], "the platform is still asked")
+		assert.Positive(t, calls[len(calls)-1], "the platform is still polled")
 	}
 }
 
-// TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit has each node know three others
-// at first.
+// Guards against bursts of platform calls while restarted nodes know only three of their peers.
 func TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes     = 680
@@ -59,15 +58,15 @@
 		tick      = 10 * time.Millisecond
 		learnedAt = 50 * time.Millisecond
 	)
-	var herd []*Follower
+	var followers []*Follower
 	for node := range nodes {
 		follower := NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, 4)
 		follower.SetLocalRevision(1)
-		herd = append(herd, follower)
+		followers = append(followers, follower)
 	}
 	calls := make([]int, span/time.Second)
 	for now := time.Duration(0); now < span; now += tick {
-		for _, follower := range herd {
+		for _, follower := range followers {
 			if now >= learnedAt {
 				follower.SetNodeCount(now, nodes)
 			}
@@ -78,7 +77,7 @@
 		}
 	}
 	t.Logf("busiest second: %d calls", slices.Max(calls))
-	assert.Less(t, slices.Max(calls), 70, "those asked before the size was known, and the budget with its noise")
+	assert.Less(t, slices.Max(calls), 70, "calls before the fleet size was known plus the limit with its jitter")
 	assert.InEpsilon(t, DefaultFleetCallsPerSecond*len(calls), total(calls), 0.3)
 }
 
@@ -110,7 +109,7 @@
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 680)
 	follower.SetLocalRevision(5)
 	follower.ObserveRevision(0, 4)
-	require.Equal(t, SourceNone, follower.Next(0).Source, "a lower revision is no news")
+	require.Equal(t, SourceNone, follower.Next(0).Source, "a lower revision does not trigger a request")
 	follower.ObserveRevision(0, 6)
 	require.Equal(t, SourcePeer, follower.Next(0).Source)
 	follower.PeerDone(0)
@@ -118,7 +117,7 @@
 	require.Equal(t, SourceNone, first.Source)
 	assert.LessOrEqual(t, first.Until, 3*DefaultPeerRetry/2)
 	follower.ObserveRevision(0, 7)
-	assert.Equal(t, SourcePeer, follower.Next(0).Source, "a newer one is asked for at once")
+	assert.Equal(t, SourcePeer, follower.Next(0).Source, "a newer revision is requested immediately")
 	follower.SetLocalRevision(7)
 	assert.Equal(t, SourceNone, follower.Next(time.Millisecond).Source)
 }
@@ -143,7 +142,7 @@
 	assert.LessOrEqual(t, follower.Next(now).Until-now, 3*DefaultPollInterval/2)
 }
 
-// fakePeers offers a document when asked, if it has one.
+// fakePeers offers its document, unless the document's revision is 0.
 type fakePeers struct {
 	document Document
 	asked    chan struct{}
@@ -157,7 +156,7 @@
 	default:
 	}
 	if f.document.Revision == 0 {
-		return errors.New("no peer")
+		return errors.New("no peer has a configuration")
 	}
 	_, err := holder.OfferSnapshot(f.document)
 	return err
@@ -167,7 +166,7 @@
 	select {
 	case <-event:
 	case <-time.After(30 * time.Second):
-		t.Fatal("nothing happened")
+		t.Fatal("timed out waiting for the event")
 	}
 }
 
--- a/internal/config/holder_test.go
+++ b/internal/config/holder_test.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// drawHistory returns consecutive valid documents from revision 1 on.
+// drawHistory returns consecutive valid documents, starting at revision 1.
 func drawHistory(t *rapid.T, length int) []Document {
 	history := make([]Document, 0, length)
 	for revision := 1; revision <= length; revision++ {
@@ -59,8 +59,8 @@
 	assert.Equal(t, string(after.Tenants[1].Name), change.Patch[0].Name)
 }
 
-// TestHolderNeverReverts offers a history's snapshots and changes in any
-// order, with repeats and invalid documents among them.
+// Guards against a holder that replaces its configuration with an older or invalid one. Snapshots
+// and changes arrive in any order, with duplicates.
 func TestHolderNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := append([]Document{{}}, drawHistory(t, 6)...)
@@ -114,10 +114,10 @@
 	select {
 	case <-updated:
 	default:
-		t.Fatal("Updated was not closed")
+		t.Fatal("the channel of Updated was not closed")
 	}
 	_, ok := holder.ChangesAfter(1)
-	assert.False(t, ok, "dropped changes are not served")
+	assert.False(t, ok, "dropped changes are not returned")
 	changes, ok := holder.ChangesAfter(20)
 	require.True(t, ok)
 	assert.Equal(t, fleet.Revision(21), changes[0].Revision)
@@ -140,9 +140,9 @@
 	require.Empty(t, problems)
 	view, err := NewView(*document)
 	require.NoError(t, err)
-	weights, _, found := view.ResolveModel("notes:billing")
+	version, _, found := view.ResolveModel("notes:billing")
 	require.True(t, found)
-	assert.Equal(t, fleet.ModelVersion{Model: "notes", Adapter: "billing", Version: "a1"}, weights)
+	assert.Equal(t, fleet.ModelVersion{Model: "notes", Adapter: "billing", Version: "a1"}, version)
 	for _, unknown := range []string{"", "notes:", "notes:x", "x", "notes:billing:a1"} {
 		_, _, found := view.ResolveModel(unknown)
 		assert.False(t, found, unknown)
--- a/internal/config/main_test.go
+++ b/internal/config/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties; -rapid.seed goes before it.
+// TestMain sets the default seed of the property tests; the flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -19,7 +19,8 @@
 	assert.Equal(t, "urgent", string(view.Classes()[0].Name))
 }
 
-// TestParseReportsFault changes one place of the valid document at a time.
+// Guards against errors of a configuration that are missed or reported at the wrong line. Each case
+// changes one place of the valid document.
 func TestParseReportsFault(t *testing.T) {
 	cases := []struct {
 		name, old, replacement string
@@ -67,7 +68,7 @@
 					return
 				}
 			}
-			t.Fatalf("not reported:\n%v", problems)
+			t.Fatalf("expected problem not reported:\n%v", problems)
 		})
 	}
 }
@@ -94,8 +95,7 @@
 	}
 }
 
-// TestParseRejectsFileOverLimits gives files on which the syntax parser would
-// take minutes.
+// Guards against malicious files that keep the YAML parser busy for minutes.
 func TestParseRejectsFileOverLimits(t *testing.T) {
 	cases := map[string]string{
 		"[":       "levels of nesting",
--- a/internal/config/reference/reference_test.go
+++ b/internal/config/reference/reference_test.go
@@ -21,8 +21,8 @@
 
 var update = flag.Bool("update", false, "write the tables into docs/CONFIGURATION.md")
 
-// documented lists the structs whose tables stand in the page, each between
-// marks with the package's and the type's name.
+// documented lists the structs whose tables are in the page. Each table is between marks with the
+// names of the package and the type.
 var documented = []struct{ source, typeName string }{
 	{"internal/config/document.go", "Document"},
 	{"internal/config/document.go", "Tenant"},
@@ -54,14 +54,14 @@
 		begin := fmt.Sprintf("<!-- begin %s -->\n", mark)
 		end := fmt.Sprintf("<!-- end %s -->\n", mark)
 		before, rest, found := strings.Cut(page, begin)
-		require.True(t, found, "%s isn't in the page", mark)
-		held, after, found := strings.Cut(rest, end)
-		require.True(t, found, "%s has no end mark", mark)
+		require.True(t, found, "the page has no begin mark for %s", mark)
+		existing, after, found := strings.Cut(rest, end)
+		require.True(t, found, "the page has no end mark for %s", mark)
 		if *update {
 			page = before + begin + table + end + after
 			continue
 		}
-		assert.Equal(t, table, held, "run go test ./internal/config/reference -update")
+		assert.Equal(t, table, existing, "run go test ./internal/config/reference -update")
 	}
 	if *update {
 		require.NoError(t, os.WriteFile(pagePath, []byte(page), 0o644))
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -24,7 +24,7 @@
 	return NewStore(tables, tables, options)
 }
 
-// drainOnce is a command whose effect shows how often it was applied.
+// drainOnce returns a command that adds one directive each time it is applied.
 func drainOnce(token string, expected fleet.Revision) CommitRequest {
 	return CommitRequest{
 		Token:            token,
@@ -51,8 +51,9 @@
 	return count
 }
 
-// TestEveryTokenHasOneOutcome races operators over a table service that
-// refuses calls, loses answers before and after the effect, and delays effects.
+// Guards against commands that are applied twice or have contradictory outcomes, with concurrent
+// operators and a table service that rejects calls, loses responses before and after the effect,
+// and delays effects.
 func TestEveryTokenHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -79,8 +80,8 @@
 				require.NotEqual(t, resultcode.Internal, coded.Code, err)
 				tables.deliverDelayed()
 				_, found := tables.rows[commandKey(request.Token)]
-				byOther := running[request.Token] > 1 || len(results[request.Token]) > 0 || uncertain[request.Token]
-				require.False(t, found && !byOther, "%s took effect in spite of %v", request.Token, err)
+				byOtherCall := running[request.Token] > 1 || len(results[request.Token]) > 0 || uncertain[request.Token]
+				require.False(t, found && !byOtherCall, "%s took effect despite error %v", request.Token, err)
 			}
 		}
 		tables.nextFault = func() fault {
@@ -243,11 +244,11 @@
 	store := newTestStore(tables, StoreOptions{KeptChanges: 8})
 	holder := NewHolder()
 	steps := []struct{ commits, calls int }{
-		{1, 2},  // nothing known: head, document
-		{0, 1},  // up to date: head
-		{1, 1},  // one behind: head with its change
-		{5, 2},  // some behind: head, changes
-		{20, 3}, // changes gone: head, changes, document
+		{1, 2},  // no configuration: head, document
+		{0, 1},  // current: head
+		{1, 1},  // one revision behind: head with its change
+		{5, 2},  // several revisions behind: head, changes
+		{20, 3}, // changes no longer retained: head, changes, document
 	}
 	committed := 0
 	for _, step := range steps {
@@ -267,8 +268,8 @@
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-// TestConcurrentCommitsOfOneTokenGetSameOutcome lets another sender of the same command be
-// refused after the first has found the token unused.
+// Guards against a second outcome if the same command is refused for another sender after this one
+// has found the token unused.
 func TestConcurrentCommitsOfOneTokenGetSameOutcome(t *testing.T) {
 	tables := newFakeTables()
 	store := newTestStore(tables, StoreOptions{})
--- a/internal/config/testdata_test.go
+++ b/internal/config/testdata_test.go
@@ -6,7 +6,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// validYAML is a small valid configuration whose lines the tests refer to.
+// validYAML is a small valid configuration. The tests refer to its line numbers.
 const validYAML = `tenants:
   - name: citizen-app
     key_hashes: ["` + counterKeyHash + `"]
@@ -36,7 +36,7 @@
 // counterKeyHash is the SHA-256 of "example-key-counter".
 const counterKeyHash = "27c139b736e0e8c8e7292cde302b0d6fb1e6cff6b1a7413f3fafe27e70a2b166"
 
-// validDocument returns a valid configuration of one tenant for each name.
+// validDocument returns a valid configuration with the named tenants and the tenant "first".
 func validDocument(revision fleet.Revision, tenants ...fleet.TenantName) Document {
 	document := Document{
 		Revision: revision,
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -7,7 +7,6 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestClockStartsAtZeroAndAdvances as the time passes.
 func TestClockStartsAtZeroAndAdvances(t *testing.T) {
 	clock := NewClock()
 	assert.Less(t, clock.Now(), time.Second)
@@ -16,7 +15,7 @@
 	assert.GreaterOrEqual(t, clock.Now()-before, 20*time.Millisecond)
 }
 
-// BenchmarkClock compares the clock that counts suspended time with the runtime's.
+// BenchmarkClock compares the clock that includes suspensions with the runtime's clock.
 func BenchmarkClock(b *testing.B) {
 	for name, clock := range map[string]Clock{"counting": NewClock(), "runtime": NewRuntimeClock()} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/packed/packed_test.go
+++ b/internal/packed/packed_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestUnpackRejectsLargeOrCorruptMessage also where few bytes stand for many.
+// Guards against decompression bombs and corrupt messages.
 func TestUnpackRejectsLargeOrCorruptMessage(t *testing.T) {
 	content, err := packed.Pack(&rpc.Member{Node: strings.Repeat("x", 1<<20)})
 	require.NoError(t, err)
--- a/internal/pagetest/proofs_test.go
+++ b/internal/pagetest/proofs_test.go
@@ -17,7 +17,7 @@
 	definedTest = regexp.MustCompile(`(?m)^func (Test[A-Z][A-Za-z0-9]+)\(`)
 )
 
-// repositoryRoot is the way from this package to the repository's root.
+// repositoryRoot is the path from this package to the repository's root.
 const repositoryRoot = "../.."
 
 // definedTests returns the names of all tests of the repository.
@@ -37,7 +37,7 @@
 	return defined
 }
 
-// TestProofsNameTestsThatExist holds the page of proofs to the tests.
+// Guards against references in docs/PROOFS.md to tests that don't exist.
 func TestProofsNameTestsThatExist(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", "PROOFS.md"))
 	require.NoError(t, err)
--- a/internal/resultcode/resultcode_test.go
+++ b/internal/resultcode/resultcode_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestEntriesMatchTheirFamily holds each entry to what its thousand says.
+// Guards against codes whose HTTP status or NotRun contradicts the meaning of their thousand.
 func TestEntriesMatchTheirFamily(t *testing.T) {
 	for _, entry := range Table {
 		switch entry.Code / 1000 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,7 +21,7 @@
 	Peers    []string `yaml:"peers" validate:"dive,address"`
 }
 
-// ValidateCrossField implements CrossChecker.
+// ValidateCrossField implements CrossFieldValidator.
 func (e *exampleSettings) ValidateCrossField(report func(field, message string)) {
 	if e.MaxBody < e.MinBody {
 		report("max_body", "must be at least min_body")
