--- a/cmd/tillerfall/router.go
+++ b/cmd/tillerfall/router.go
@@ -15,7 +15,7 @@
 	Peers    []string `long:"peer" value-name:"HOST:PORT" description:"Numeric address of a router to join through, in place of those in the file; may be given more than once"`
 }
 
-// addFlagOverrides adds the router's overrides flags before those of --set, which take precedence.
+// addFlagOverrides adds the router's own flags before those of --set, which take precedence.
 func (c *routerCommand) addFlagOverrides() {
 	var overrides []string
 	if c.Platform != "" {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -30,7 +30,7 @@
 	// KeptChanges is the number of latest changes to retain in the table service.
 	KeptChanges uint64
 	// KeptOutcomes is the number of revisions for which a command's outcome is retained. After that
-	// Lookup no longer finds it, and its token is no longer current to be used.
+	// the outcome can no longer be looked up, and a command with the same token is a new one.
 	KeptOutcomes uint64
 	// CommitAttempts bounds the transactions that one call of Commit tries.
 	CommitAttempts int
