--- a/cmd/tillerfall/main_test.go
+++ b/cmd/tillerfall/main_test.go
@@ -23,7 +23,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// run parses and runs a command line and returns its output and error.
+// run parses and executes a command line. It returns the contents of standard output and standard
+// error, and the error.
 func run(t *testing.T, arguments ...string) (output, diagnostics string, err error) {
 	t.Helper()
 	outputFile, diagnosticsFile := redirect(t, &os.Stdout), redirect(t, &os.Stderr)
@@ -87,7 +88,7 @@
 	assert.Contains(t, output, "valid")
 }
 
-func TestWrongCommandLinesGetNumberedErrors(t *testing.T) {
+func TestInvalidCommandLinesGetNumberedErrors(t *testing.T) {
 	_, _, err := run(t, "rooter")
 	_, diagnostics := captureReport(t, err)
 	assert.Contains(t, diagnostics, "error 5002 settings_invalid")
@@ -103,7 +104,7 @@
 	return exitCode, read(t, file)
 }
 
-// stubOperations records the last request and gives a fixed answer.
+// stubOperations records the last request and returns a fixed response.
 type stubOperations struct {
 	last   *rpc.ExecuteRequest
 	answer *rpc.ExecuteResponse
@@ -153,7 +154,7 @@
 	}
 }
 
-func TestApplySendsTheFileAsItIs(t *testing.T) {
+func TestApplySendsFileUnchanged(t *testing.T) {
 	stub, address := startOperations(t, &rpc.ExecuteResponse{Revision: 3, Token: "t3"})
 	output, _, err := run(t, "apply", "-r", address, writeFile(t, "tenants: []\n"))
 	require.NoError(t, err)
@@ -161,7 +162,7 @@
 	assert.Equal(t, "revision=3 token=t3\n", output)
 }
 
-// stubProcess counts its stops; Stop waits until released.
+// stubProcess counts calls of Stop, which blocks until release is closed.
 type stubProcess struct {
 	started  chan struct{}
 	stopping chan struct{}
@@ -180,7 +181,7 @@
 	return io.EOF
 }
 
-func TestSecondSignalChangesNothing(t *testing.T) {
+func TestSecondSignalIsIgnoredDuringShutdown(t *testing.T) {
 	process := &stubProcess{started: make(chan struct{}), stopping: make(chan struct{}), release: make(chan struct{})}
 	ended := make(chan error, 1)
 	var log bytes.Buffer
--- a/cmd/tillerfall/router.go
+++ b/cmd/tillerfall/router.go
@@ -15,21 +15,21 @@
 	Peers    []string `long:"peer" value-name:"HOST:PORT" description:"Numeric address of a router to join through, in place of those in the file; may be given more than once"`
 }
 
-// flagsAsSettings puts the router's own flags before --set, which wins.
-func (c *routerCommand) flagsAsSettings() {
-	var own []string
+// addFlagOverrides adds the router's own flags before those of --set, which take precedence.
+func (c *routerCommand) addFlagOverrides() {
+	var overrides []string
 	if c.Platform != "" {
-		own = append(own, "platform.address="+c.Platform)
+		overrides = append(overrides, "platform.address="+c.Platform)
 	}
 	if len(c.Peers) > 0 {
-		own = append(own, "peers="+yamlList(c.Peers))
+		overrides = append(overrides, "peers="+yamlList(c.Peers))
 	}
-	c.Set = append(own, c.Set...)
+	c.Set = append(overrides, c.Set...)
 }
 
 // Execute implements flags.Commander.
 func (c *routerCommand) Execute([]string) error {
-	c.flagsAsSettings()
+	c.addFlagOverrides()
 	settings := router.DefaultSettings()
 	if err := c.load(&settings); err != nil {
 		return err
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -17,9 +17,9 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// TestHerdKeepsToFleetBudget restarts 680 nodes at once, with the platform up
-// and down, and counts the platform's calls on a virtual clock.
-func TestHerdKeepsToFleetBudget(t *testing.T) {
+// Guards against bursts of platform calls over the fleet's limit when all nodes restart together,
+// with the platform available and unavailable.
+func TestSimultaneousRestartsKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes   = 680
 		span    = 120 * time.Second
@@ -27,13 +27,13 @@
 		ceiling = 1.2 * DefaultFleetCallsPerSecond
 	)
 	for _, up := range []bool{true, false} {
-		var herd []*Follower
+		var followers []*Follower
 		for node := range nodes {
-			herd = append(herd, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
+			followers = append(followers, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
 		}
 		calls := make([]int, span/(10*time.Second))
 		for now := time.Duration(0); now < span; now += tick {
-			for _, follower := range herd {
+			for _, follower := range followers {
 				switch follower.Next(now).Source {
 				case SourcePeer:
 					follower.PeerDone(now)
@@ -46,30 +46,29 @@
 		for window, count := range calls {
 			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", up, window)
 		}
-		assert.Positive(t, calls[len(calls)-1], "the platform is still asked")
+		assert.Positive(t, calls[len(calls)-1], "the platform is still polled")
 	}
 }
 
-// TestHerdThatLearnsItsSizeKeepsToFleetBudget has each node know three others
-// at first.
-func TestHerdThatLearnsItsSizeKeepsToFleetBudget(t *testing.T) {
+// Guards against bursts of platform calls while restarted nodes know only three of their peers.
+func TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes     = 680
 		span      = 60 * time.Second
 		tick      = 10 * time.Millisecond
 		learnedAt = 50 * time.Millisecond
 	)
-	var herd []*Follower
+	var followers []*Follower
 	for node := range nodes {
 		follower := NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, 4)
-		follower.Learn(1)
-		herd = append(herd, follower)
+		follower.SetLocalRevision(1)
+		followers = append(followers, follower)
 	}
 	calls := make([]int, span/time.Second)
 	for now := time.Duration(0); now < span; now += tick {
-		for _, follower := range herd {
+		for _, follower := range followers {
 			if now >= learnedAt {
-				follower.SetNodes(now, nodes)
+				follower.SetNodeCount(now, nodes)
 			}
 			if follower.Next(now).Source == SourcePlatform {
 				calls[now/time.Second]++
@@ -78,7 +77,7 @@
 		}
 	}
 	t.Logf("busiest second: %d calls", slices.Max(calls))
-	assert.Less(t, slices.Max(calls), 70, "those asked before the size was known, and the budget with its noise")
+	assert.Less(t, slices.Max(calls), 70, "calls before the fleet size was known plus the limit with its jitter")
 	assert.InEpsilon(t, DefaultFleetCallsPerSecond*len(calls), total(calls), 0.3)
 }
 
@@ -90,42 +89,42 @@
 	return sum
 }
 
-func TestSizeDoesNotShortenThePauseAfterFailures(t *testing.T) {
+func TestNodeCountDoesNotShortenFailureBackoff(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
-	follower.Learn(1)
+	follower.SetLocalRevision(1)
 	follower.PlatformDone(0, false)
 	until := follower.Next(0).Until
-	follower.SetNodes(0, 680)
+	follower.SetNodeCount(0, 680)
 	assert.Equal(t, until, follower.Next(0).Until)
 }
 
-func TestLoneNodeAsksPlatformAtOnce(t *testing.T) {
+func TestSingleNodePollsPlatformImmediately(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
 	require.Equal(t, SourcePeer, follower.Next(0).Source)
 	follower.PeerDone(0)
 	assert.Equal(t, SourcePlatform, follower.Next(0).Source)
 }
 
-func TestHeardRevisionSendsToPeers(t *testing.T) {
+func TestObservedRevisionTriggersPeerRequest(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 680)
-	follower.Learn(5)
-	follower.Hear(0, 4)
-	require.Equal(t, SourceNone, follower.Next(0).Source, "a lower revision is no news")
-	follower.Hear(0, 6)
+	follower.SetLocalRevision(5)
+	follower.ObserveRevision(0, 4)
+	require.Equal(t, SourceNone, follower.Next(0).Source, "a lower revision does not trigger a request")
+	follower.ObserveRevision(0, 6)
 	require.Equal(t, SourcePeer, follower.Next(0).Source)
 	follower.PeerDone(0)
 	first := follower.Next(0)
 	require.Equal(t, SourceNone, first.Source)
 	assert.LessOrEqual(t, first.Until, 3*DefaultPeerRetry/2)
-	follower.Hear(0, 7)
-	assert.Equal(t, SourcePeer, follower.Next(0).Source, "a newer one is asked for at once")
-	follower.Learn(7)
+	follower.ObserveRevision(0, 7)
+	assert.Equal(t, SourcePeer, follower.Next(0).Source, "a newer revision is requested immediately")
+	follower.SetLocalRevision(7)
 	assert.Equal(t, SourceNone, follower.Next(time.Millisecond).Source)
 }
 
 func TestPlatformFailuresBackOff(t *testing.T) {
 	follower := NewFollower(FollowerOptions{}, seeded(1), 0, 1)
-	follower.Learn(1)
+	follower.SetLocalRevision(1)
 	now := time.Duration(0)
 	calls := 0
 	for now < time.Hour {
@@ -143,7 +142,7 @@
 	assert.LessOrEqual(t, follower.Next(now).Until-now, 3*DefaultPollInterval/2)
 }
 
-// fakePeers offers a document when asked, if it has one.
+// fakePeers offers its document, unless the document's revision is 0.
 type fakePeers struct {
 	document Document
 	asked    chan struct{}
@@ -157,7 +156,7 @@
 	default:
 	}
 	if f.document.Revision == 0 {
-		return errors.New("no peer")
+		return errors.New("no peer has a configuration")
 	}
 	_, err := holder.OfferSnapshot(f.document)
 	return err
@@ -167,38 +166,38 @@
 	select {
 	case <-event:
 	case <-time.After(30 * time.Second):
-		t.Fatal("nothing happened")
+		t.Fatal("timed out waiting for the event")
 	}
 }
 
-func followOptions() FollowOptions {
-	return FollowOptions{Timeout: time.Second, Clock: fleet.NewClock(), Random: seeded(1), Logger: zerolog.Nop()}
+func testFollowerOptions() PlatformFollowerOptions {
+	return PlatformFollowerOptions{Timeout: time.Second, Clock: fleet.NewClock(), Random: seeded(1), Logger: zerolog.Nop()}
 }
 
-func TestFollowLearnsFromPeersWhilePlatformIsDown(t *testing.T) {
+func TestPlatformFollowerUpdatesFromPeersWhilePlatformIsDown(t *testing.T) {
 	tables := newFakeTables()
 	tables.nextFault = func() fault { return faultUnavailable }
 	holder := NewHolder()
 	updated := holder.Updated()
 	peers := &fakePeers{document: validDocument(7), asked: make(chan struct{}, 1)}
-	follower := FollowPlatform(newTestStore(tables, StoreOptions{}), holder, peers, followOptions())
+	follower := StartPlatformFollower(newTestStore(tables, StoreOptions{}), holder, peers, testFollowerOptions())
 	waitFor(t, updated)
 	assert.Equal(t, fleet.Revision(7), holder.Revision())
 	waitFor(t, peers.asked)
-	follower.Hear(7)
-	follower.Hear(8)
+	follower.ObserveRevision(7)
+	follower.ObserveRevision(8)
 	waitFor(t, peers.asked)
 	require.NoError(t, follower.Stop())
 }
 
-func TestFollowLearnsFromPlatform(t *testing.T) {
+func TestPlatformFollowerUpdatesFromPlatform(t *testing.T) {
 	store := newTestStore(newFakeTables(), StoreOptions{})
 	commitAll(t, store, 3)
 	holder := NewHolder()
 	updated := holder.Updated()
-	options := followOptions()
+	options := testFollowerOptions()
 	options.Follower = FollowerOptions{PollInterval: time.Millisecond, FleetCallsPerSecond: 1e6}
-	follower := FollowPlatform(store, holder, &fakePeers{asked: make(chan struct{}, 1)}, options)
+	follower := StartPlatformFollower(store, holder, &fakePeers{asked: make(chan struct{}, 1)}, options)
 	waitFor(t, updated)
 	require.NoError(t, follower.Stop())
 	assert.Equal(t, fleet.Revision(3), holder.Revision())
--- a/internal/config/holder_test.go
+++ b/internal/config/holder_test.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// drawHistory returns consecutive valid documents from revision 1 on.
+// drawHistory returns consecutive valid documents, starting at revision 1.
 func drawHistory(t *rapid.T, length int) []Document {
 	history := make([]Document, 0, length)
 	for revision := 1; revision <= length; revision++ {
@@ -33,7 +33,7 @@
 	return history
 }
 
-func TestApplyOfDiffGivesNextDocument(t *testing.T) {
+func TestApplyOfDiffYieldsNextDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t, 2)
 		change, err := Diff(history[0], history[1])
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestDiffHoldsOnlyWhatChanged(t *testing.T) {
+func TestDiffContainsOnlyChangedItems(t *testing.T) {
 	before := validDocument(1, "a", "b", "c")
 	after := Canonical(before)
 	after.Revision = 2
@@ -59,8 +59,8 @@
 	assert.Equal(t, string(after.Tenants[1].Name), change.Patch[0].Name)
 }
 
-// TestHolderNeverReverts offers a history's snapshots and changes in any
-// order, with repeats and invalid documents among them.
+// Guards against a holder that replaces its configuration with an older or invalid one. Snapshots
+// and changes arrive in any order, with duplicates.
 func TestHolderNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := append([]Document{{}}, drawHistory(t, 6)...)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestHolderServesItsLog(t *testing.T) {
+func TestHolderReturnsRetainedChanges(t *testing.T) {
 	holder := NewHolder()
 	_, err := holder.OfferSnapshot(validDocument(1))
 	require.NoError(t, err)
@@ -114,10 +114,10 @@
 	select {
 	case <-updated:
 	default:
-		t.Fatal("Updated was not closed")
+		t.Fatal("the channel of Updated was not closed")
 	}
 	_, ok := holder.ChangesAfter(1)
-	assert.False(t, ok, "dropped changes are not served")
+	assert.False(t, ok, "dropped changes are not returned")
 	changes, ok := holder.ChangesAfter(20)
 	require.True(t, ok)
 	assert.Equal(t, fleet.Revision(21), changes[0].Revision)
@@ -140,14 +140,14 @@
 	require.Empty(t, problems)
 	view, err := NewView(*document)
 	require.NoError(t, err)
-	weights, _, found := view.ResolveModel("notes:billing")
+	version, _, found := view.ResolveModel("notes:billing")
 	require.True(t, found)
-	assert.Equal(t, fleet.Weights{Model: "notes", Adapter: "billing", Version: "a1"}, weights)
+	assert.Equal(t, fleet.ModelVersion{Model: "notes", Adapter: "billing", Version: "a1"}, version)
 	for _, unknown := range []string{"", "notes:", "notes:x", "x", "notes:billing:a1"} {
 		_, _, found := view.ResolveModel(unknown)
 		assert.False(t, found, unknown)
 	}
-	state, _ := view.VersionState(fleet.Weights{Model: "notes", Version: "v2"})
+	state, _ := view.VersionState(fleet.ModelVersion{Model: "notes", Version: "v2"})
 	assert.Equal(t, VersionLoading, state)
 }
 
--- a/internal/config/follow.go
+++ b/internal/config/platformfollower.go
@@ -12,50 +12,50 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// platformCall names the reads of the configuration in log lines, as the
-// metrics of platform calls do.
-const platformCall = "configuration"
+// platformCallName identifies reads of the configuration in log lines and in the metrics of
+// platform calls.
+const platformCallName = "configuration"
 
 // Peers fetches configurations from other nodes.
 type Peers interface {
-	// Fetch asks one peer for what follows the holder's revision and offers
-	// the answer to the holder. It returns at once if there is no peer.
+	// Fetch asks one peer for the changes after the holder's revision and offers the response to
+	// the holder. It returns immediately if there is no peer.
 	Fetch(ctx context.Context, holder *Holder) error
-	// Count returns the number of nodes that poll the platform, this one
-	// included. Configured peers that haven't been heard from count, too:
-	// otherwise a herd of restarted nodes would take itself for a small fleet.
+	// Count returns the number of nodes that poll the platform, including this one. Configured
+	// peers count even before the first message from them; otherwise nodes that restart together
+	// would each assume a small fleet and poll too often.
 	Count() int
 }
 
-// FollowOptions configures a PlatformFollower.
-type FollowOptions struct {
+// PlatformFollowerOptions configures a PlatformFollower.
+type PlatformFollowerOptions struct {
 	Follower FollowerOptions
 	// Timeout bounds one call to a peer or to the platform.
 	Timeout time.Duration
 	Clock   fleet.Clock
 	Random  *rand.Rand
 	Logger  zerolog.Logger
-	// PlatformDone is called after each platform call, for metrics; nil means none.
+	// PlatformDone is called after each platform call with its error, for metrics; nil means no
+	// call.
 	PlatformDone func(error)
 }
 
-// PlatformFollower keeps a holder up to date from peers and the platform until
-// it is stopped.
+// PlatformFollower keeps a holder up to date from peers and the platform until it is stopped.
 type PlatformFollower struct {
-	life    tomb.Tomb
+	tomb    tomb.Tomb
 	store   *Store
 	holder  *Holder
 	peers   Peers
-	options FollowOptions
+	options PlatformFollowerOptions
 	wake    chan struct{}
 
-	mutex    sync.Mutex // guards follower
-	follower *Follower
-	failing  bool
+	mutex           sync.Mutex // guards follower
+	follower        *Follower
+	platformFailing bool
 }
 
-// FollowPlatform starts to follow. Stop it with Stop.
-func FollowPlatform(store *Store, holder *Holder, peers Peers, options FollowOptions) *PlatformFollower {
+// StartPlatformFollower starts a follower. End it with Stop.
+func StartPlatformFollower(store *Store, holder *Holder, peers Peers, options PlatformFollowerOptions) *PlatformFollower {
 	follower := &PlatformFollower{
 		store:    store,
 		holder:   holder,
@@ -64,25 +64,25 @@
 		wake:     make(chan struct{}, 1),
 		follower: NewFollower(options.Follower, options.Random, options.Clock.Now(), peers.Count()),
 	}
-	follower.life.Go(follower.run)
+	follower.tomb.Go(follower.run)
 	return follower
 }
 
-// Hear notes a revision that another node's message named. A higher one than
-// the holder's makes the follower ask a peer at once.
-func (p *PlatformFollower) Hear(revision fleet.Revision) {
+// ObserveRevision records a revision from another node's message. If it is higher than the
+// holder's, the follower asks a peer immediately.
+func (p *PlatformFollower) ObserveRevision(revision fleet.Revision) {
 	if revision <= p.holder.Revision() {
 		return
 	}
 	p.mutex.Lock()
-	p.follower.Hear(p.options.Clock.Now(), revision)
+	p.follower.ObserveRevision(p.options.Clock.Now(), revision)
 	p.mutex.Unlock()
 	p.notify()
 }
 
-// Recount has the follower count the nodes anew, after the number may have
+// RefreshNodeCount makes the follower count the nodes again. Call it when their number may have
 // changed.
-func (p *PlatformFollower) Recount() { p.notify() }
+func (p *PlatformFollower) RefreshNodeCount() { p.notify() }
 
 func (p *PlatformFollower) notify() {
 	select {
@@ -91,22 +91,22 @@
 	}
 }
 
-// Stop ends the following and waits for it.
+// Stop stops the follower and waits until it has ended.
 func (p *PlatformFollower) Stop() error {
-	p.life.Kill(nil)
-	return p.life.Wait()
+	p.tomb.Kill(nil)
+	return p.tomb.Wait()
 }
 
 func (p *PlatformFollower) run() error {
-	ctx := p.life.Context(context.Background())
-	for p.life.Alive() {
+	ctx := p.tomb.Context(context.Background())
+	for p.tomb.Alive() {
 		now := p.options.Clock.Now()
 		action := p.next(now)
 		switch action.Source {
 		case SourcePeer:
-			p.askPeer(ctx)
+			p.fetchFromPeer(ctx)
 		case SourcePlatform:
-			p.askPlatform(ctx)
+			p.pollPlatform(ctx)
 		case SourceNone:
 			p.wait(action.Until - now)
 		}
@@ -118,8 +118,8 @@
 	nodes := p.peers.Count()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.follower.SetNodes(now, nodes)
-	p.follower.Learn(p.holder.Revision())
+	p.follower.SetNodeCount(now, nodes)
+	p.follower.SetLocalRevision(p.holder.Revision())
 	return p.follower.Next(now)
 }
 
@@ -127,13 +127,13 @@
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-p.life.Dying():
+	case <-p.tomb.Dying():
 	case <-p.wake:
 	case <-timer.C:
 	}
 }
 
-func (p *PlatformFollower) askPeer(ctx context.Context) {
+func (p *PlatformFollower) fetchFromPeer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
 	if err := p.peers.Fetch(ctx, p.holder); err != nil {
@@ -144,11 +144,11 @@
 	p.follower.PeerDone(p.options.Clock.Now())
 }
 
-func (p *PlatformFollower) askPlatform(ctx context.Context) {
+func (p *PlatformFollower) pollPlatform(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
 	_, err := p.store.Refresh(ctx, p.holder)
-	if !p.life.Alive() {
+	if !p.tomb.Alive() {
 		return
 	}
 	if p.options.PlatformDone != nil {
@@ -160,14 +160,14 @@
 	p.follower.PlatformDone(p.options.Clock.Now(), err == nil)
 }
 
-// logTransition logs the first failure and the recovery, not each call.
+// logTransition logs the first failure and the recovery of platform calls, but not each call.
 func (p *PlatformFollower) logTransition(err error) {
 	failing := err != nil
-	if failing && !p.failing {
-		p.options.Logger.Warn().Str("call", platformCall).Err(err).Msg("platform_failed")
+	if failing && !p.platformFailing {
+		p.options.Logger.Warn().Str("call", platformCallName).Err(err).Msg("platform_failed")
 	}
-	if !failing && p.failing {
-		p.options.Logger.Info().Str("call", platformCall).Msg("platform_recovered")
+	if !failing && p.platformFailing {
+		p.options.Logger.Info().Str("call", platformCallName).Msg("platform_recovered")
 	}
-	p.failing = failing
+	p.platformFailing = failing
 }
--- a/internal/config/strictyaml/limits.go
+++ b/internal/config/strictyaml/limits.go
@@ -6,9 +6,8 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Limits of a file. The syntax parser's time grows with the square of the
-// nesting, of a mapping's size and of a line's length, so that a hostile file could otherwise hold
-// up a process.
+// Limits of a file. The time of the YAML parser grows with the square of the nesting depth, of a
+// mapping's size and of a line's length; the limits bound the work for a malicious file.
 const (
 	MaxBytes      = 1 << 20
 	MaxNesting    = 32
@@ -16,13 +15,13 @@
 	MaxLineTokens = 4096
 )
 
-// checkLimits returns a problem at the first place that is over a limit.
+// checkLimits returns a problem at the first token over a limit, or nil.
 func checkLimits(tokens token.Tokens) *Problem {
 	counter := limitCounter{keysByColumn: make(map[int]int)}
 	for _, current := range tokens {
 		counter.count(current)
 		switch {
-		case counter.brackets > MaxNesting || counter.opened > MaxNesting:
+		case counter.openBrackets > MaxNesting || counter.openedInLine > MaxNesting:
 			return limitProblem(current, "more than %d levels of nesting", MaxNesting)
 		case counter.keysInLine > MaxKeys || counter.keysByColumn[current.Position.Column] > MaxKeys:
 			return limitProblem(current, "more than %d fields in one mapping", MaxKeys)
@@ -37,17 +36,17 @@
 	return &Problem{Line: at.Position.Line, Column: at.Position.Column, Message: fmt.Sprintf(format, limit)}
 }
 
-// limitCounter counts, without parsing, what bounds the parser's work.
+// limitCounter counts, without parsing, the quantities that determine the parser's work.
 type limitCounter struct {
 	line int
-	// brackets is the number of open brackets and braces.
-	brackets int
-	// opened is the number of levels and properties that begin in this line.
-	opened       int
+	// openBrackets is the number of open brackets and braces.
+	openBrackets int
+	// openedInLine is the number of levels, anchors, aliases and tags that begin in this line.
+	openedInLine int
 	keysInLine   int
 	tokensInLine int
-	// keysByColumn counts the keys that begin in the same column, as those of
-	// one block mapping do, until a line begins further left.
+	// keysByColumn counts the keys that begin in the same column, as those of one block mapping do.
+	// A line that begins further left resets the columns to its right.
 	keysByColumn map[int]int
 }
 
@@ -58,11 +57,11 @@
 	c.tokensInLine++
 	switch current.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		c.brackets++
+		c.openBrackets++
 	case token.SequenceEndType, token.MappingEndType:
-		c.brackets = max(c.brackets-1, 0)
+		c.openBrackets = max(c.openBrackets-1, 0)
 	case token.SequenceEntryType, token.MappingKeyType, token.AnchorType, token.AliasType, token.TagType:
-		c.opened++
+		c.openedInLine++
 	}
 	if next := current.Next; next != nil && next.Type == token.MappingValueType {
 		c.keysInLine++
@@ -72,7 +71,7 @@
 
 func (c *limitCounter) beginLine(position *token.Position) {
 	c.line = position.Line
-	c.opened = 0
+	c.openedInLine = 0
 	c.keysInLine = 0
 	c.tokensInLine = 0
 	for column := range c.keysByColumn {
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -7,8 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestClockBeginsAtZeroAndGoesOn as the time passes.
-func TestClockBeginsAtZeroAndGoesOn(t *testing.T) {
+func TestClockStartsAtZeroAndAdvances(t *testing.T) {
 	clock := NewClock()
 	assert.Less(t, clock.Now(), time.Second)
 	before := clock.Now()
@@ -16,7 +15,7 @@
 	assert.GreaterOrEqual(t, clock.Now()-before, 20*time.Millisecond)
 }
 
-// BenchmarkClock compares the clock that counts suspended time with the runtime's.
+// BenchmarkClock compares the clock that includes suspensions with the runtime's clock.
 func BenchmarkClock(b *testing.B) {
 	for name, clock := range map[string]Clock{"counting": NewClock(), "runtime": NewRuntimeClock()} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/operator/mutate.go
+++ b/internal/operator/mutate.go
@@ -73,7 +73,7 @@
 
 // promoteVersion makes a version the serving one. The previously serving version stays loaded until
 // it is retired, for requests that were admitted with it and for a rollback.
-func promoteVersion(target fleet.Weights) Mutation {
+func promoteVersion(target fleet.ModelVersion) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		switch versions[position].State {
 		case config.VersionServing:
@@ -92,7 +92,7 @@
 }
 
 // retireVersion retires a version that isn't serving.
-func retireVersion(target fleet.Weights) Mutation {
+func retireVersion(target fleet.ModelVersion) Mutation {
 	return changeVersions(target, func(versions []config.Version, position int) error {
 		if versions[position].State == config.VersionServing {
 			return resultcode.New(resultcode.CommandImpossible,
@@ -106,7 +106,7 @@
 // changeVersions returns a mutation that applies change to all versions of the target's model or
 // adapter, where position is the index of the target version. If change fails, the mutation returns
 // the document unmodified.
-func changeVersions(target fleet.Weights, change func(versions []config.Version, position int) error) Mutation {
+func changeVersions(target fleet.ModelVersion, change func(versions []config.Version, position int) error) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next := config.Canonical(document)
 		versions, err := versionsOf(&next, target)
@@ -136,7 +136,7 @@
 }
 
 // versionsOf returns the versions of the target's model or adapter. The slice aliases the document.
-func versionsOf(document *config.Document, target fleet.Weights) ([]config.Version, error) {
+func versionsOf(document *config.Document, target fleet.ModelVersion) ([]config.Version, error) {
 	position := slices.IndexFunc(document.Models, func(model config.Model) bool { return model.Name == target.Model })
 	if position < 0 {
 		return nil, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no model %q", target.Model))
@@ -153,7 +153,7 @@
 }
 
 // findVersion returns the index of the target version.
-func findVersion(versions []config.Version, target fleet.Weights) (int, error) {
+func findVersion(versions []config.Version, target fleet.ModelVersion) (int, error) {
 	position := slices.IndexFunc(versions, func(version config.Version) bool { return version.Name == target.Version })
 	if position < 0 {
 		return 0, resultcode.New(resultcode.TargetNotFound, fmt.Sprintf("no version %q of %s", target.Version, formatModelName(target)))
@@ -162,7 +162,7 @@
 }
 
 // formatModelName returns "model" or "model:adapter".
-func formatModelName(weights fleet.Weights) string {
+func formatModelName(weights fleet.ModelVersion) string {
 	if weights.Adapter == "" {
 		return string(weights.Model)
 	}
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -50,7 +50,7 @@
 	Mutate Mutation
 	// Promotes returns the model versions that the command makes serving, given the configuration
 	// that it is applied to. It is nil if the command promotes none.
-	Promotes func(before config.Document) []fleet.Weights
+	Promotes func(before config.Document) []fleet.ModelVersion
 }
 
 // MakePlan resolves the names in a statement against the router's state. Its errors are *PlanError.
@@ -125,14 +125,14 @@
 	if !promote {
 		return Plan{Command: &Command{Mutate: withErrorColumn(reference, target, retireVersion(target))}}, nil
 	}
-	promotes := func(config.Document) []fleet.Weights { return []fleet.Weights{target} }
+	promotes := func(config.Document) []fleet.ModelVersion { return []fleet.ModelVersion{target} }
 	return Plan{Command: &Command{Mutate: withErrorColumn(reference, target, promoteVersion(target)), Promotes: promotes}}, nil
 }
 
 // withErrorColumn wraps a mutation so that a TargetNotFound error carries the column of the unknown
 // target or version. This is resolved in the mutation, because the router's configuration may be
 // stale.
-func withErrorColumn(reference *VersionReference, target fleet.Weights, mutation Mutation) Mutation {
+func withErrorColumn(reference *VersionReference, target fleet.ModelVersion, mutation Mutation) Mutation {
 	return func(document config.Document) (config.Document, error) {
 		next, err := mutation(document)
 		var notFoundError *resultcode.Error
@@ -148,9 +148,9 @@
 }
 
 // parseModelName parses "model" or "model:adapter".
-func parseModelName(text string) fleet.Weights {
+func parseModelName(text string) fleet.ModelVersion {
 	model, adapter, _ := strings.Cut(text, config.AdapterSeparator)
-	return fleet.Weights{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
+	return fleet.ModelVersion{Model: fleet.ModelName(model), Adapter: fleet.AdapterName(adapter)}
 }
 
 func planApply(source string) (Plan, error) {
@@ -158,17 +158,17 @@
 	if err := problems.Err(); err != nil {
 		return Plan{}, &PlanError{Code: resultcode.ConfigInvalid, Message: err.Error()}
 	}
-	promotes := func(before config.Document) []fleet.Weights { return newlyServing(before, *document) }
+	promotes := func(before config.Document) []fleet.ModelVersion { return newlyServing(before, *document) }
 	return Plan{Command: &Command{Mutate: replaceConfiguration(*document), Promotes: promotes}}, nil
 }
 
 // newlyServing returns the versions that replace another serving version in a change. New models
 // and adapters are excluded, because they take over no traffic from a loaded version.
-func newlyServing(before, after config.Document) []fleet.Weights {
+func newlyServing(before, after config.Document) []fleet.ModelVersion {
 	previous := servingWeights(before)
-	var changed []fleet.Weights
+	var changed []fleet.ModelVersion
 	for _, weights := range servingWeights(after) {
-		replaces := func(old fleet.Weights) bool {
+		replaces := func(old fleet.ModelVersion) bool {
 			return old.Model == weights.Model && old.Adapter == weights.Adapter && old.Version != weights.Version
 		}
 		if slices.ContainsFunc(previous, replaces) {
@@ -179,12 +179,12 @@
 }
 
 // servingWeights returns the serving versions of all models and adapters.
-func servingWeights(document config.Document) []fleet.Weights {
-	var serving []fleet.Weights
+func servingWeights(document config.Document) []fleet.ModelVersion {
+	var serving []fleet.ModelVersion
 	add := func(model fleet.ModelName, adapter fleet.AdapterName, versions []config.Version) {
 		for _, version := range versions {
 			if version.State == config.VersionServing {
-				serving = append(serving, fleet.Weights{Model: model, Adapter: adapter, Version: version.Name})
+				serving = append(serving, fleet.ModelVersion{Model: model, Adapter: adapter, Version: version.Name})
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 		if weights.Model != target.Model || weights.Adapter != target.Adapter {
 			continue
 		}
-		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), Weights: weights}
+		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), ModelVersion: weights}
 		hashes := prompt.HashBlocks(scope, prefix.Text.Text, blockTokens(document, weights.Model))
 		if len(hashes) == 0 {
 			return Plan{}, &PlanError{
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -48,7 +48,7 @@
 // Readiness checks whether a model version can be promoted.
 type Readiness interface {
 	// ReadyToPromote returns an error that describes what is missing; nil if the version is ready.
-	ReadyToPromote(document config.Document, weights fleet.Weights) error
+	ReadyToPromote(document config.Document, weights fleet.ModelVersion) error
 }
 
 // Request is one statement as an operator sent it.
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -37,7 +37,7 @@
 	LeavingBy string
 	// Owned is true if this router indexes the engine's cache and places requests on it.
 	Owned         bool
-	Loaded        []fleet.Weights
+	Loaded        []fleet.ModelVersion
 	InFlight      int
 	PrefillTokens int
 	CachedBlocks  int
@@ -60,7 +60,7 @@
 	Attempt fleet.Attempt
 	Tenant  fleet.TenantName
 	Class   fleet.ClassName
-	Weights fleet.Weights
+	Weights fleet.ModelVersion
 	Waited  time.Duration
 	Reason  string
 }
