--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -6,50 +6,50 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// roomKey names a pool as seen by one class.
-type roomKey struct {
+// capacityKey names a pool as seen by one class.
+type capacityKey struct {
 	pool  fleet.PoolName
 	class fleet.ClassName
 }
 
-// room tells whether any engine of a pool may get work, and if not, when its
+// poolCapacity tells whether any engine of a pool may get work, and if not, when its
 // queue should have drained enough; 0 means only an event can tell.
-type room struct {
-	open  bool
-	opens time.Duration
+type poolCapacity struct {
+	available   bool
+	availableAt time.Duration
 }
 
-// roomIn tells whether any engine may get the request now, without regard to
+// capacityFor tells whether any engine may get the request now, without regard to
 // its prefix.
-func (c *Core) roomIn(now time.Duration, waiting *waitingRequest) room {
-	key := roomKey{pool: waiting.model.Pool, class: waiting.request.Class}
-	known, found := c.rooms[key]
+func (c *Core) capacityFor(now time.Duration, waiting *waitingRequest) poolCapacity {
+	key := capacityKey{pool: waiting.model.Pool, class: waiting.request.Class}
+	known, found := c.capacities[key]
 	if found {
 		return known
 	}
-	var result room
+	var result poolCapacity
 	limit := c.streamLimit(waiting)
 	for _, state := range c.byPool[key.pool] {
-		if !state.ready(now, c.options.ReadyFor) || state.streams() >= limit {
+		if !state.isReady(now, c.options.StatusTTL) || state.streams() >= limit {
 			continue
 		}
 		excess := c.queueExcess(now, state, waiting)
 		if excess <= 0 {
-			result = room{open: true}
+			result = poolCapacity{available: true}
 			break
 		}
-		if result.opens == 0 || now+excess < result.opens {
-			result.opens = now + excess
+		if result.availableAt == 0 || now+excess < result.availableAt {
+			result.availableAt = now + excess
 		}
 	}
-	c.rooms[key] = result
+	c.capacities[key] = result
 	return result
 }
 
-// share returns the part of an engine that a request may use. The reserve is
-// open to a class that is owed a dispatch by its minimum share: better classes
+// usableFraction returns the part of an engine that a request may use. The reserve is
+// open to a class that is owed a dispatch by its minimum usableFraction: better classes
 // may hold all the rest for as long as they have work.
-func (c *Core) share(waiting *waitingRequest) float64 {
+func (c *Core) usableFraction(waiting *waitingRequest) float64 {
 	if waiting.rank <= c.bestRank || c.options.ReserveFraction <= 0 {
 		return 1
 	}
@@ -62,18 +62,18 @@
 // streamLimit returns the bound on an engine's streams for a request.
 func (c *Core) streamLimit(waiting *waitingRequest) int {
 	policy, _ := c.view.Pool(waiting.model.Pool)
-	return max(int(float64(policy.MaxStreams)*c.share(waiting)), 1)
+	return max(int(float64(policy.MaxStreams)*c.usableFraction(waiting)), 1)
 }
 
 // queueTokens returns the prompt work at an engine ahead of a rank.
 func (c *Core) queueTokens(now time.Duration, state *engineState, rank int) int {
-	state.forgetOverdue(now)
-	return max(state.load.tokens(now)-state.worseRankTokens(rank), 0)
+	state.dropOverduePrefills(now)
+	return max(state.load.tokens(now)-state.lowerPriorityTokens(rank), 0)
 }
 
 // queueExcess returns by how much an engine's queue is over the bound for a
 // request; it may get work at 0 or less.
 func (c *Core) queueExcess(now time.Duration, state *engineState, waiting *waitingRequest) time.Duration {
-	queue := time.Duration(c.queueTokens(now, state, waiting.rank)) * state.load.speed()
-	return queue - time.Duration(float64(c.options.MaxEngineQueue)*c.share(waiting))
+	queue := time.Duration(c.queueTokens(now, state, waiting.rank)) * state.load.timePerToken()
+	return queue - time.Duration(float64(c.options.MaxEngineQueue)*c.usableFraction(waiting))
 }
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -35,9 +35,9 @@
 	// reconsiderAt is when the next look is worth its cost; heldFor is the
 	// grant whose computation of a common prefix is waited for, if any.
 	reconsiderAt time.Duration
-	looks        int
-	heldFor      *grantState
-	parkedAt     *engineState
+	backoffSteps int
+	blockedOn    *grantState
+	parkedOn     *engineState
 	parkedTokens int
 	// reason says why the last look placed it nowhere.
 	reason string
@@ -56,8 +56,8 @@
 	scheduler *scheduling.Scheduler
 
 	engines map[fleet.EngineID]*engineState
-	// past remembers the engines that the list doesn't show any more.
-	past map[fleet.EngineID]pastRun
+	// pastRuns remembers the engines that the list doesn't show any more.
+	pastRuns map[fleet.EngineID]pastRun
 	// ordered lists every engine by identifier, byPool those of each pool that
 	// are owned and not leaving.
 	ordered []*engineState
@@ -75,10 +75,10 @@
 	outcomes []Outcome
 	history  *history
 
-	choice   choice
-	hopeless []*waitingRequest
-	rooms    map[roomKey]room
-	nextLook time.Duration
+	choice         choice
+	infeasible     []*waitingRequest
+	capacities     map[capacityKey]poolCapacity
+	nextReconsider time.Duration
 
 	matches   []prefixindex.Match
 	matchStep uint64
@@ -89,19 +89,19 @@
 func New(options Options) *Core {
 	options = options.withDefaults()
 	return &Core{
-		options:   options,
-		owned:     func(fleet.EngineID) bool { return true },
-		flow:      flowcontrol.New(options.Flow),
-		index:     prefixindex.New(options.Index),
-		scheduler: scheduling.New(options.Scheduling),
-		engines:   make(map[fleet.EngineID]*engineState),
-		past:      make(map[fleet.EngineID]pastRun),
-		byPool:    make(map[fleet.PoolName][]*engineState),
-		foreign:   make(map[fleet.PoolName]int),
-		waiting:   make(map[Key]*waitingRequest),
-		grants:    make(map[Key]*grantState),
-		history:   newHistory(options.ExplainRing),
-		rooms:     make(map[roomKey]room),
+		options:    options,
+		owned:      func(fleet.EngineID) bool { return true },
+		flow:       flowcontrol.New(options.Flow),
+		index:      prefixindex.New(options.Index),
+		scheduler:  scheduling.New(options.Scheduling),
+		engines:    make(map[fleet.EngineID]*engineState),
+		pastRuns:   make(map[fleet.EngineID]pastRun),
+		byPool:     make(map[fleet.PoolName][]*engineState),
+		foreign:    make(map[fleet.PoolName]int),
+		waiting:    make(map[Key]*waitingRequest),
+		grants:     make(map[Key]*grantState),
+		history:    newHistory(options.ExplainRing),
+		capacities: make(map[capacityKey]poolCapacity),
 	}
 }
 
@@ -120,10 +120,10 @@
 	}
 	for _, state := range c.ordered {
 		c.applyDirectives(state)
-		c.place(state)
+		c.updatePools(state)
 	}
 	c.refreshRequests()
-	c.recheck(now)
+	c.recheckWaiting(now)
 	c.Tick(now)
 }
 
@@ -156,7 +156,7 @@
 			waiting.rank = class.Rank
 			waiting.maxWait = time.Duration(class.MaxWait)
 		}
-		if model, found := c.view.Model(waiting.request.Weights.Model); found {
+		if model, found := c.view.Model(waiting.request.ModelVersion.Model); found {
 			waiting.model = model
 		}
 	}
@@ -180,7 +180,7 @@
 		return
 	}
 	c.enqueue(now, waiting)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 func (c *Core) enqueue(now time.Duration, waiting *waitingRequest) {
@@ -188,7 +188,7 @@
 	if request.Deadline > 0 {
 		waiting.deadline = now + request.Deadline
 	}
-	waiting.model, _ = c.view.Model(request.Weights.Model)
+	waiting.model, _ = c.view.Model(request.ModelVersion.Model)
 	if class, found := c.view.Class(request.Class); found {
 		waiting.rank = class.Rank
 		waiting.maxWait = time.Duration(class.MaxWait)
@@ -224,7 +224,7 @@
 	if waiting == nil || !c.flow.Remove(now, key) {
 		return false
 	}
-	c.leaveQueue(waiting)
+	c.dequeue(waiting)
 	return true
 }
 
@@ -246,7 +246,7 @@
 			state.feed.Tick(now)
 		}
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 // advance moves the time and refuses and expires what is overdue.
@@ -274,8 +274,8 @@
 	if len(c.grantExpiry) > 0 {
 		consider(c.grantExpiry[0].expires)
 	}
-	if len(c.waiting) > 0 && c.nextLook > 0 {
-		consider(c.nextLook)
+	if len(c.waiting) > 0 && c.nextReconsider > 0 {
+		consider(c.nextReconsider)
 	}
 	return wake, found
 }
@@ -289,20 +289,20 @@
 
 // conclude gives a request its one outcome.
 func (c *Core) conclude(waiting *waitingRequest, outcome Outcome) {
-	c.leaveQueue(waiting)
+	c.dequeue(waiting)
 	c.outcomes = append(c.outcomes, outcome)
 	c.history.add(Explanation{
-		Key:       waiting.request.Key,
-		Tenant:    waiting.request.Tenant,
-		Class:     waiting.request.Class,
-		Weights:   waiting.request.Weights,
-		Submitted: waiting.submitted,
-		Decided:   c.now,
-		Outcome:   outcome,
+		Key:          waiting.request.Key,
+		Tenant:       waiting.request.Tenant,
+		Class:        waiting.request.Class,
+		ModelVersion: waiting.request.ModelVersion,
+		Submitted:    waiting.submitted,
+		Decided:      c.now,
+		Outcome:      outcome,
 	})
 }
 
-func (c *Core) leaveQueue(waiting *waitingRequest) {
+func (c *Core) dequeue(waiting *waitingRequest) {
 	c.unpark(waiting)
 	delete(c.waiting, waiting.request.Key)
 }
--- a/internal/placement/core_bench_test.go
+++ b/internal/placement/core_bench_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// BenchmarkPumpWhileFull measures one event at a router whose engines are full
+// BenchmarkDispatchWhileFull measures one event at a router whose engines are full
 // and whose queue is long.
-func BenchmarkPumpWhileFull(b *testing.B) {
+func BenchmarkDispatchWhileFull(b *testing.B) {
 	for _, waiting := range []int{10, 100, 900} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			bench := newBench(b, 18)
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -23,7 +23,7 @@
 	return outcomes[0].(Refusal).Code
 }
 
-func TestRequestsThatCannotWaitHere(t *testing.T) {
+func TestUnplaceableRequestsAreRejectedOrHandedBack(t *testing.T) {
 	b := newUnconfiguredBench(t)
 	assert.Equal(t, resultcode.NoConfiguration, refusalCode(t, b.submit(request("r", urgent, "p", 1))))
 	b.configure(testDocument(3))
@@ -34,10 +34,10 @@
 
 	b.addEngine("engine0", 1)
 	loading := request("r", urgent, "p", 1)
-	loading.Weights.Version = "v2"
+	loading.ModelVersion.Version = "v2"
 	assert.Equal(t, resultcode.StaleWeights, refusalCode(t, b.submit(loading)))
 	loading.KnownRevision = 4
-	assert.Equal(t, []Outcome{HandBack{Key: keyOf("r"), Reason: HandBackBehind}}, b.submit(loading))
+	assert.Equal(t, []Outcome{HandBack{Key: keyOf("r"), Reason: HandBackStaleConfiguration}}, b.submit(loading))
 	excluded := request("r", urgent, "p", 1)
 	excluded.Excluded = []fleet.EngineRun{{Engine: "engine0", Incarnation: 1}}
 	assert.Equal(t, []Outcome{HandBack{Key: keyOf("r"), Reason: HandBackNoEngine}}, b.submit(excluded))
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestWaitingRequestsOfRetiredWeightsAreRefused(t *testing.T) {
+func TestWaitingRequestsOfRetiredVersionAreRefused(t *testing.T) {
 	b := newBench(t, 1)
 	b.fill()
 	require.Empty(t, b.submit(request("waits", urgent, "p", 1)))
@@ -89,7 +89,7 @@
 	assert.Empty(t, b.advance(time.Hour))
 }
 
-func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
+func TestInfeasibleDeadlineIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, 1)
 	hopeless := request("r", urgent, "p", 1000) // 1.6 s of prefill
 	hopeless.Deadline = time.Second
@@ -153,7 +153,7 @@
 	require.Empty(t, b.submit(warm), "asked again, it still has one outcome")
 	outcomes := b.advance(300 * time.Millisecond)
 	require.Len(t, outcomes, 1)
-	assert.Zero(t, b.core.engines["engine0"].parkedBefore(maxRank))
+	assert.Zero(t, b.core.engines["engine0"].parkedAhead(maxRank))
 	assert.Equal(t, fleet.EngineID("engine0"), outcomes[0].(Grant).Run.Engine)
 
 	busy = b.status("engine0", 1)
@@ -163,9 +163,9 @@
 	assert.Equal(t, fleet.EngineID("engine1"), b.submitGranted(warm).Run.Engine)
 }
 
-// TestWarmEngineIsNotWaitedForInVain has a warm engine whose queue never gets
+// TestWaitForBusyWarmEngineIsBounded has a warm engine whose queue never gets
 // shorter than 0.7 s, and idle ones where computing the prefix takes 0.3 s.
-func TestWarmEngineIsNotWaitedForInVain(t *testing.T) {
+func TestWaitForBusyWarmEngineIsBounded(t *testing.T) {
 	b := newBench(t, 4)
 	warm := request("r", urgent, "circular", 200)
 	b.core.ObserveCacheSnapshot(b.now, "engine0", engine.CacheSnapshot{Incarnation: 1, Sequence: 1, Hashes: warm.Blocks})
@@ -187,9 +187,9 @@
 	assert.NotEqual(t, fleet.EngineID("engine0"), outcomes[0].(Grant).Run.Engine)
 }
 
-// TestLongStreamsAreNotWaitedFor has a prefix of 160 ms at an engine whose ten
+// TestRequestDoesNotWaitForLongStreams has a prefix of 160 ms at an engine whose ten
 // streams last eight seconds, so that one ends each 800 ms.
-func TestLongStreamsAreNotWaitedFor(t *testing.T) {
+func TestRequestDoesNotWaitForLongStreams(t *testing.T) {
 	b := newBench(t, 1)
 	warm := request("r", urgent, "circular", 100)
 	b.core.ObserveCacheSnapshot(b.now, "engine0", engine.CacheSnapshot{Incarnation: 1, Sequence: 1, Hashes: warm.Blocks})
@@ -205,7 +205,7 @@
 	assert.Equal(t, fleet.EngineID("engine1"), b.submitGranted(warm).Run.Engine)
 }
 
-func TestWaitingRequestsLeaveWithTheLastEngine(t *testing.T) {
+func TestWaitingRequestsAreHandedBackWithTheLastEngine(t *testing.T) {
 	b := newBench(t, 1)
 	b.fill()
 	require.Empty(t, b.submit(request("w", urgent, "p", 1)))
@@ -213,7 +213,7 @@
 	assert.Equal(t, []Outcome{HandBack{Key: keyOf("w"), Reason: HandBackNoEngine}}, b.core.TakeOutcomes())
 }
 
-func TestLostFirstTokenReportHoldsNobodyForLong(t *testing.T) {
+func TestLostFirstTokenReportBlocksFollowersOnlyBriefly(t *testing.T) {
 	b := newBench(t, 2)
 	b.submitGranted(request("r0", urgent, "circular", 200))
 	require.Empty(t, b.submit(request("r1", urgent, "circular", 200)))
@@ -234,7 +234,7 @@
 	b.submitGranted(request("u", urgent, "circular", 200))
 }
 
-func TestBatchLeavesRoomForUrgentWork(t *testing.T) {
+func TestReserveIsKeptForUrgentClass(t *testing.T) {
 	b := newBench(t, 1)
 	granted := 0
 	for number := range 20 {
@@ -283,7 +283,7 @@
 	assert.Equal(t, []Key{keyOf("b1")}, keysOf(outcomes))
 }
 
-func TestResubmittedAttemptGivesItsGrantUp(t *testing.T) {
+func TestResubmittedAttemptReleasesItsGrant(t *testing.T) {
 	b := newBench(t, 1)
 	for range 50 {
 		grant := b.submitGranted(request("r", urgent, "p", 1))
@@ -405,7 +405,7 @@
 		b.advance(24 * time.Hour)
 		require.Zero(t, b.inFlight())
 		for _, state := range b.core.ordered {
-			require.Zero(t, state.parkedBefore(maxRank))
+			require.Zero(t, state.parkedAhead(maxRank))
 		}
 	})
 }
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -8,13 +8,13 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// maxLookDelay bounds, in units of Options.Reconsider, how long a request that
+// maxBackoffSteps bounds, in units of Options.Reconsider, how long a request that
 // waits for a warm engine goes without another look.
-const maxLookDelay = 5
+const maxBackoffSteps = 5
 
-// minimumLookDelay keeps a queue that is hardly over its bound from causing a
+// minReconsiderDelay keeps a queue that is hardly over its bound from causing a
 // burst of looks.
-const minimumLookDelay = time.Millisecond
+const minReconsiderDelay = time.Millisecond
 
 // choice is the engine that admit found for the request it accepted last.
 type choice struct {
@@ -23,17 +23,17 @@
 	decision scheduling.Decision
 }
 
-// pump places waiting requests as long as engines take them.
-func (c *Core) pump(now time.Duration) {
-	c.nextLook = 0
+// dispatchWaiting places waiting requests as long as engines take them.
+func (c *Core) dispatchWaiting(now time.Duration) {
+	c.nextReconsider = 0
 	if len(c.waiting) == 0 {
 		return
 	}
 	admit := func(item flowcontrol.Item) bool { return c.admit(now, c.waiting[item.Key]) }
 	for {
-		clear(c.rooms)
+		clear(c.capacities)
 		_, found := c.flow.Next(now, admit)
-		c.refuseHopeless(now)
+		c.refuseInfeasible(now)
 		if !found {
 			return
 		}
@@ -43,25 +43,25 @@
 
 // admit looks for an engine for one request and notes it in c.choice.
 func (c *Core) admit(now time.Duration, waiting *waitingRequest) bool {
-	if waiting == nil || !c.worthALook(now, waiting) {
+	if waiting == nil || !c.shouldReconsider(now, waiting) {
 		return false
 	}
-	pool := c.roomIn(now, waiting)
-	if !pool.open {
+	pool := c.capacityFor(now, waiting)
+	if !pool.available {
 		waiting.reason = "every engine of the pool is full"
-		c.lookAgain(pool.opens)
+		c.reconsiderBy(pool.availableAt)
 		return false
 	}
 	c.unpark(waiting)
 	decision, found := c.schedule(now, waiting)
 	if !found {
 		waiting.reason = "no engine is ready with the weights"
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return false
 	}
 	if decision.Late {
-		c.hopeless = append(c.hopeless, waiting)
-		c.postpone(waiting, now)
+		c.infeasible = append(c.infeasible, waiting)
+		c.backOff(waiting, now)
 		return false
 	}
 	state := c.engines[decision.Endpoint.Run.Engine]
@@ -72,18 +72,18 @@
 	return true
 }
 
-// worthALook tells whether anything can have changed since the last look.
-func (c *Core) worthALook(now time.Duration, waiting *waitingRequest) bool {
-	if waiting.heldFor != nil {
-		if waiting.heldFor.stillComputing(now) {
-			c.lookAgain(waiting.heldFor.computingUntil)
+// shouldReconsider tells whether anything can have changed since the last look.
+func (c *Core) shouldReconsider(now time.Duration, waiting *waitingRequest) bool {
+	if waiting.blockedOn != nil {
+		if waiting.blockedOn.isPrefilling(now) {
+			c.reconsiderBy(waiting.blockedOn.prefillOverdueAt)
 			return false
 		}
-		waiting.heldFor = nil
+		waiting.blockedOn = nil
 		return true
 	}
 	if now < waiting.reconsiderAt {
-		c.lookAgain(waiting.reconsiderAt)
+		c.reconsiderBy(waiting.reconsiderAt)
 		return false
 	}
 	return true
@@ -95,13 +95,13 @@
 	if state.streams() >= c.streamLimit(waiting) {
 		waiting.reason = "the cheapest engine's streams are taken"
 		c.park(waiting, state, decision)
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return true
 	}
 	if c.queueExcess(now, state, waiting) > 0 {
 		waiting.reason = "the cheapest engine's queue is full"
 		c.park(waiting, state, decision)
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return true
 	}
 	pending, computing := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
@@ -110,44 +110,44 @@
 		return false
 	}
 	waiting.reason = "an earlier request computes the common prefix"
-	waiting.heldFor = computing
+	waiting.blockedOn = computing
 	c.park(waiting, state, decision)
-	c.lookAgain(computing.computingUntil)
+	c.reconsiderBy(computing.prefillOverdueAt)
 	return true
 }
 
-// postpone puts the next look off, the longer the more looks were in vain.
-func (c *Core) postpone(waiting *waitingRequest, now time.Duration) {
-	waiting.looks = min(waiting.looks+1, maxLookDelay)
-	waiting.reconsiderAt = now + time.Duration(waiting.looks)*c.options.Reconsider
-	c.lookAgain(waiting.reconsiderAt)
+// backOff puts the next look off, the longer the more looks were in vain.
+func (c *Core) backOff(waiting *waitingRequest, now time.Duration) {
+	waiting.backoffSteps = min(waiting.backoffSteps+1, maxBackoffSteps)
+	waiting.reconsiderAt = now + time.Duration(waiting.backoffSteps)*c.options.ReconsiderInterval
+	c.reconsiderBy(waiting.reconsiderAt)
 }
 
-// lookAgain asks for a Tick at a time; 0 asks for none.
-func (c *Core) lookAgain(at time.Duration) {
+// reconsiderBy asks for a Tick at a time; 0 asks for none.
+func (c *Core) reconsiderBy(at time.Duration) {
 	if at <= 0 {
 		return
 	}
-	at = max(at, c.now+minimumLookDelay)
-	if c.nextLook == 0 || at < c.nextLook {
-		c.nextLook = at
+	at = max(at, c.now+minReconsiderDelay)
+	if c.nextReconsider == 0 || at < c.nextReconsider {
+		c.nextReconsider = at
 	}
 }
 
 // park counts a waiting request's work against the engine it waits for, so
 // that those behind it see the whole queue.
 func (c *Core) park(waiting *waitingRequest, state *engineState, decision scheduling.Decision) {
-	waiting.parkedAt = state
+	waiting.parkedOn = state
 	waiting.parkedTokens = max(waiting.tokens()-decision.CachedTokens, 0)
 	state.park(waiting.rank, waiting.parkedTokens)
 }
 
 func (c *Core) unpark(waiting *waitingRequest) {
-	if waiting.parkedAt == nil {
+	if waiting.parkedOn == nil {
 		return
 	}
-	waiting.parkedAt.unpark(waiting.rank, waiting.parkedTokens)
-	waiting.parkedAt = nil
+	waiting.parkedOn.unpark(waiting.rank, waiting.parkedTokens)
+	waiting.parkedOn = nil
 	waiting.parkedTokens = 0
 }
 
@@ -179,9 +179,9 @@
 	c.history.last().Decision = &decision
 }
 
-// refuseHopeless refuses the requests that no engine can serve in time.
-func (c *Core) refuseHopeless(now time.Duration) {
-	for _, waiting := range c.hopeless {
+// refuseInfeasible refuses the requests that no engine can serve in time.
+func (c *Core) refuseInfeasible(now time.Duration) {
+	for _, waiting := range c.infeasible {
 		key := waiting.request.Key
 		if c.waiting[key] != waiting || !c.flow.Remove(now, key) {
 			continue
@@ -193,5 +193,5 @@
 			RetryAfter: c.flow.Spread(c.options.MaxEngineQueue),
 		}))
 	}
-	c.hopeless = c.hopeless[:0]
+	c.infeasible = c.infeasible[:0]
 }
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -7,9 +7,9 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// explainedEndpoints is the number of engines up to which decisions are kept
+// maxExplainedEndpoints is the number of engines up to which decisions are kept
 // with every candidate.
-const explainedEndpoints = 64
+const maxExplainedEndpoints = 64
 
 // schedule lets the scheduler choose among all engines of the pool, those with
 // a full queue or no free stream included: waiting for one may be cheaper than
@@ -27,14 +27,14 @@
 		Tenant:       request.Tenant,
 		Class:        request.Class,
 		Rank:         waiting.rank,
-		ModelVersion: request.Weights,
+		ModelVersion: request.ModelVersion,
 		Pool:         waiting.model.Pool,
 		AgentZone:    request.AgentZone,
 		PromptTokens: waiting.tokens(),
 		MaxTokens:    request.MaxTokens,
 		BlockTokens:  waiting.model.BlockTokens,
 		Excluded:     request.Excluded,
-		Explain:      len(c.endpoints) <= explainedEndpoints,
+		Explain:      len(c.endpoints) <= maxExplainedEndpoints,
 
 		RecomputeDiscount: waiting.recomputeDiscount(now, c.options.WarmWaitFraction),
 	}
@@ -66,13 +66,13 @@
 		state := c.engines[match.Run.Engine]
 		if state != nil && state.run == match.Run {
 			state.matchedBlocks = match.Blocks
-			state.matchedAt = c.matchStep
+			state.matchedStep = c.matchStep
 		}
 	}
 }
 
 func (c *Core) endpoint(now time.Duration, waiting *waitingRequest, state *engineState, limit int) scheduling.Endpoint {
-	parked := state.parkedBefore(waiting.rank)
+	parked := state.parkedAhead(waiting.rank)
 	output := time.Duration(waiting.request.MaxTokens) * state.load.step
 	slot := state.slotWait(limit, parked.requests, output)
 	ahead := c.queueTokens(now, state, waiting.rank) + parked.tokens
@@ -81,22 +81,22 @@
 		Address:         state.machine.Address,
 		Zone:            state.machine.Zone,
 		Pool:            state.machine.Pool,
-		Ready:           state.ready(now, c.options.ReadyFor),
-		Draining:        state.leavingBy() != LeavingNone,
+		Ready:           state.isReady(now, c.options.StatusTTL),
+		Draining:        state.leavingSource() != LeavingNone,
 		Serves:          state.serves,
 		InFlight:        state.streams(),
-		PrefillTokens:   max(ahead, int(slot/state.load.speed())),
+		PrefillTokens:   max(ahead, int(slot/state.load.timePerToken())),
 		PrefillPerToken: state.load.perToken,
 		Step:            state.load.step,
 		StepTokens:      state.load.stepTokens,
 	}
-	if state.matchedAt == c.matchStep {
+	if state.matchedStep == c.matchStep {
 		endpoint.CachedBlocks = state.matchedBlocks
 	}
 	pending, computing := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
 	endpoint.PendingBlocks = max(pending, endpoint.CachedBlocks)
 	if pending > endpoint.CachedBlocks {
-		endpoint.PendingRemaining = max(computing.computedAt-now, 0)
+		endpoint.PendingRemaining = max(computing.prefillDoneAt-now, 0)
 	}
 	return endpoint
 }
--- a/internal/placement/engines_test.go
+++ b/internal/placement/engines_test.go
@@ -13,11 +13,11 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// TestLeavingSticksToTheRun lets each source say that an engine leaves and
+// TestLeavingPersistsForTheRun lets each source say that an engine leaves and
 // then take it back.
-func TestLeavingSticksToTheRun(t *testing.T) {
+func TestLeavingPersistsForTheRun(t *testing.T) {
 	leave := map[LeavingSource]func(*bench){
-		LeavingList: func(b *bench) {
+		LeavingMachineList: func(b *bench) {
 			leaving := machine("engine0", 1)
 			leaving.State = platform.MachineLeaving
 			b.core.ObserveMachine(b.now, leaving)
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestAdmitDoesNotBringBackALeavingRun ends a drain of a run that has said
+// TestEndedDrainDoesNotReviveALeavingRun ends a drain of a run that has said
 // itself, or of which the list has said, that it is leaving.
-func TestAdmitDoesNotBringBackALeavingRun(t *testing.T) {
+func TestEndedDrainDoesNotReviveALeavingRun(t *testing.T) {
 	b := newBench(t, 1)
 	document := testDocument(2)
 	document.Directives = []config.Directive{{Engine: "engine0", Incarnation: 1, Kind: config.DirectiveDrain}}
@@ -85,7 +85,7 @@
 	leaving.State = platform.MachineLeaving
 	b.core.ObserveMachine(b.now, leaving)
 	b.configure(testDocument(3))
-	assert.Equal(t, LeavingList, b.core.Snapshot(b.now).Engines[0].Leaving)
+	assert.Equal(t, LeavingMachineList, b.core.Snapshot(b.now).Engines[0].Leaving)
 	assert.Equal(t, []Outcome{HandBack{Key: keyOf("r"), Reason: HandBackNoEngine}},
 		b.submit(request("r", urgent, "p", 1)))
 }
@@ -123,7 +123,7 @@
 	assert.Zero(t, granted.ExpectedCachedTokens)
 }
 
-func TestForgottenEngineIsRememberedInShort(t *testing.T) {
+func TestRemovedEngineKeepsItsIncarnation(t *testing.T) {
 	b := newBench(t, 1)
 	b.submitGranted(request("r", urgent, "p", 1))
 	b.addEngine("engine0", 5)
@@ -209,9 +209,9 @@
 	const slowBy = 5000 // the engine's clock loses one part in 5,000
 	for second := range 36_000 {
 		now := time.Duration(second) * time.Second
-		load.take(now, engine.Load{MeasuredAtMillis: (now - now/slowBy).Milliseconds()}, DefaultDispatchDelay)
+		load.applyReport(now, engine.Load{MeasuredAtMillis: (now - now/slowBy).Milliseconds()}, DefaultDispatchDelay)
 	}
-	assert.InDelta(t, float64(35_999*time.Second), float64(load.measured), float64(5*time.Millisecond))
+	assert.InDelta(t, float64(35_999*time.Second), float64(load.measuredAt), float64(5*time.Millisecond))
 }
 
 func TestSuspectEngineGetsNoWorkUntilItsNextStatus(t *testing.T) {
@@ -225,7 +225,7 @@
 	assert.Empty(t, b.core.NeedsStatus())
 }
 
-func TestOwnershipDecidesWhatIsFollowedAndPlaced(t *testing.T) {
+func TestOnlyOwnedEnginesAreFollowedAndPlaced(t *testing.T) {
 	b := newBench(t, 2)
 	assert.Equal(t, []fleet.EngineID{"engine0", "engine1"}, b.core.NeedsSnapshot())
 	b.core.SetOwned(func(id fleet.EngineID) bool { return id == "engine1" })
@@ -239,9 +239,9 @@
 	assert.IsType(t, HandBack{}, b.submit(request("s", urgent, "p", 1))[0])
 }
 
-// TestLostOwnershipLeavesOnlyTheRun takes an engine away while a request waits
+// TestLostOwnershipReleasesEngineState takes an engine away while a request waits
 // for it and a grant is open, and gives it back.
-func TestLostOwnershipLeavesOnlyTheRun(t *testing.T) {
+func TestLostOwnershipReleasesEngineState(t *testing.T) {
 	b := newBench(t, 1)
 	state := b.core.engines["engine0"]
 	grant := b.submitGranted(request("open", urgent, "p", 1))
--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -14,10 +14,10 @@
 
 // Sources of the word that an engine is leaving.
 const (
-	LeavingNone     LeavingSource = ""
-	LeavingList     LeavingSource = "machine_list"
-	LeavingOperator LeavingSource = "operator"
-	LeavingEngine   LeavingSource = "engine"
+	LeavingNone        LeavingSource = ""
+	LeavingMachineList LeavingSource = "machine_list"
+	LeavingOperator    LeavingSource = "operator"
+	LeavingEngine      LeavingSource = "engine"
 )
 
 // pastRun is what is kept of an engine after its machine is forgotten, so that
@@ -35,17 +35,17 @@
 	// leaving is the word of the list or the engine, which lag: it sticks.
 	// directed is the standing order in the configuration, which never reverts
 	// to a lower revision: an operator can end a drain.
-	leaving  LeavingSource
-	directed bool
+	leaving       LeavingSource
+	drainDirected bool
 	// inPool tells that the core's list of pool has the engine.
 	inPool bool
 	pool   fleet.PoolName
-	// foreignTo is the pool in whose count of foreign engines the engine is;
+	// foreignPool is the pool in whose count of foreign engines the engine is;
 	// empty when it is in none.
-	foreignTo fleet.PoolName
+	foreignPool fleet.PoolName
 
-	// heard is when the run last gave its status; valid if status isn't nil.
-	heard       time.Duration
+	// statusAt is when the run last gave its status; valid if status isn't nil.
+	statusAt    time.Duration
 	unreachable bool
 	status      *engine.Status
 	loaded      map[fleet.Weights]struct{}
@@ -53,10 +53,10 @@
 
 	feed *prefixindex.Feed
 	load loadEstimate
-	// computing lists the grants whose prompt isn't known to be computed, in
+	// prefilling lists the grants whose prompt isn't known to be computed, in
 	// order of grant.
-	computing []*grantState
-	inFlight  int
+	prefilling []*grantState
+	inFlight   int
 
 	// parked is the work that waits here for this engine, by rank; nil while no
 	// work ever did.
@@ -67,7 +67,7 @@
 
 	// matchedBlocks belongs to the decision numbered by matchedAt.
 	matchedBlocks int
-	matchedAt     uint64
+	matchedStep   uint64
 }
 
 func newEngineState(id fleet.EngineID, past pastRun) *engineState {
@@ -75,27 +75,27 @@
 		run:     fleet.EngineRun{Engine: id, Incarnation: past.incarnation},
 		leaving: past.leaving,
 	}
-	state.serves = state.servesWeights
+	state.serves = state.servesModelVersion
 	return state
 }
 
-// begin starts over with a newer run: nothing of the old one holds.
-func (e *engineState) begin(incarnation fleet.Incarnation) {
+// reset starts over with a newer run: nothing of the old one holds.
+func (e *engineState) reset(incarnation fleet.Incarnation) {
 	e.run.Incarnation = incarnation
 	e.leaving = LeavingNone
-	e.directed = false
+	e.drainDirected = false
 	e.unreachable = false
 	e.status = nil
 	e.loaded = nil
 	e.feed = nil
 	e.load = loadEstimate{}
-	e.computing = nil
+	e.prefilling = nil
 	e.inFlight = 0
 }
 
-// disown drops what only the owner of an engine needs. Its run stays known, and
+// releaseOwnership drops what only the owner of an engine needs. Its run stays known, and
 // whether that is leaving; grants that are under way end by themselves.
-func (e *engineState) disown() {
+func (e *engineState) releaseOwnership() {
 	e.status = nil
 	e.loaded = nil
 	e.load = loadEstimate{}
@@ -103,40 +103,40 @@
 	e.releaseParked()
 }
 
-// leave notes the first of list and engine that says the run is leaving. It
+// markLeaving notes the first of list and engine that says the run is leaving. It
 // sticks.
-func (e *engineState) leave(source LeavingSource) {
+func (e *engineState) markLeaving(source LeavingSource) {
 	if e.leaving == LeavingNone {
 		e.leaving = source
 	}
 }
 
-// leavingBy tells who says that the run is leaving.
-func (e *engineState) leavingBy() LeavingSource {
-	if e.leaving == LeavingNone && e.directed {
+// leavingSource tells who says that the run is leaving.
+func (e *engineState) leavingSource() LeavingSource {
+	if e.leaving == LeavingNone && e.drainDirected {
 		return LeavingOperator
 	}
 	return e.leaving
 }
 
-func (e *engineState) servesWeights(weights fleet.Weights) bool {
+func (e *engineState) servesModelVersion(weights fleet.Weights) bool {
 	_, loaded := e.loaded[weights]
 	return loaded && takesRequests(e.status.Role)
 }
 
 func takesRequests(role engine.Role) bool { return role == engine.RoleServe || role == "" }
 
-func (e *engineState) ready(now, readyFor time.Duration) bool {
-	return e.status != nil && !e.unreachable && now-e.heard <= readyFor
+func (e *engineState) isReady(now, readyFor time.Duration) bool {
+	return e.status != nil && !e.unreachable && now-e.statusAt <= readyFor
 }
 
-// placeable tells whether the engine may get work here once it is ready.
-func (e *engineState) placeable() bool {
-	return e.owned && e.leavingBy() == LeavingNone
+// isPlaceable tells whether the engine may get work here once it is ready.
+func (e *engineState) isPlaceable() bool {
+	return e.owned && e.leavingSource() == LeavingNone
 }
 
-func (e *engineState) takeStatus(now time.Duration, status engine.Status) {
-	e.heard = now
+func (e *engineState) updateStatus(now time.Duration, status engine.Status) {
+	e.statusAt = now
 	e.unreachable = false
 	e.status = &status
 	e.loaded = make(map[fleet.Weights]struct{}, len(status.Loaded))
@@ -155,7 +155,7 @@
 func (e *engineState) pendingBlocks(blocks []fleet.BlockHash, rank int) (int, *grantState) {
 	longest := 0
 	var computing *grantState
-	for _, grant := range e.computing {
+	for _, grant := range e.prefilling {
 		if grant.rank > rank {
 			continue
 		}
@@ -184,15 +184,15 @@
 	return low
 }
 
-// streamTimeShare is the weight of the newest stream in the mean.
-const streamTimeShare = 0.1
+// streamTimeSmoothing is the weight of the newest stream in the mean.
+const streamTimeSmoothing = 0.1
 
-func (e *engineState) noteStreamTime(lasted time.Duration) {
+func (e *engineState) recordStreamTime(lasted time.Duration) {
 	if e.streamTime == 0 {
 		e.streamTime = lasted
 		return
 	}
-	e.streamTime += time.Duration(streamTimeShare * float64(lasted-e.streamTime))
+	e.streamTime += time.Duration(streamTimeSmoothing * float64(lasted-e.streamTime))
 }
 
 // slotWait predicts how long a request waits for a stream to end, behind the
@@ -210,11 +210,11 @@
 	return lasting * time.Duration(missing) / time.Duration(max(streams, 1))
 }
 
-// worseRankTokens returns the prompt work placed here that an engine which
+// lowerPriorityTokens returns the prompt work placed here that an engine which
 // honours priorities computes after a request of the given rank.
-func (e *engineState) worseRankTokens(rank int) int {
+func (e *engineState) lowerPriorityTokens(rank int) int {
 	total := 0
-	for _, grant := range e.computing {
+	for _, grant := range e.prefilling {
 		if grant.rank > rank {
 			total += grant.uncachedTokens
 		}
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -14,11 +14,11 @@
 	rank           int
 	uncachedTokens int
 	grantedAt      time.Duration
-	// computedAt is when the prompt should be computed, computingUntil when it
+	// prefillDoneAt is when the prompt should be computed, computingUntil when it
 	// counts as computed even if no report says so.
-	computedAt     time.Duration
-	computingUntil time.Duration
-	phase          Phase
+	prefillDoneAt    time.Duration
+	prefillOverdueAt time.Duration
+	phase            Phase
 	// expires is when the grant counts as over unless a report comes.
 	expires   time.Duration
 	heapIndex int
@@ -29,17 +29,17 @@
 	neverRan bool
 }
 
-// runtimeSlack multiplies the predicted run time of a stream before its grant
+// runtimeSlackFactor multiplies the predicted run time of a stream before its grant
 // counts as lost.
-const runtimeSlack = 4
+const runtimeSlackFactor = 4
 
 // minimumRuntime is the least time that an accepted grant is kept without a
 // further report.
 const minimumRuntime = 30 * time.Second
 
-// computingSlack is added to twice the predicted time of a prompt's computation
+// prefillSlack is added to twice the predicted time of a prompt's computation
 // before it counts as over without a report.
-const computingSlack = 100 * time.Millisecond
+const prefillSlack = 100 * time.Millisecond
 
 // grantHeap orders grants by expiry.
 type grantHeap []*grantState
@@ -85,13 +85,13 @@
 // startGrant counts a new grant as in flight.
 func (c *Core) startGrant(now time.Duration, grant *grantState) {
 	state := grant.engine
-	queued := time.Duration(state.load.tokens(now)+grant.uncachedTokens) * state.load.speed()
+	queued := time.Duration(state.load.tokens(now)+grant.uncachedTokens) * state.load.timePerToken()
 	grant.grantedAt = now
-	grant.computedAt = now + queued + state.load.step
-	grant.computingUntil = grant.computedAt + (grant.computedAt - now) + computingSlack
+	grant.prefillDoneAt = now + queued + state.load.step
+	grant.prefillOverdueAt = grant.prefillDoneAt + (grant.prefillDoneAt - now) + prefillSlack
 	grant.expires = now + c.options.GrantValid + c.options.ReportGrace
 	state.load.add(now, grant)
-	state.computing = append(state.computing, grant)
+	state.prefilling = append(state.prefilling, grant)
 	state.inFlight++
 	c.grants[grant.request.Key] = grant
 	heap.Push(&c.grantExpiry, grant)
@@ -107,7 +107,7 @@
 	grant.endedAt = now
 	grant.neverRan = neverRan
 	grant.request.Blocks = nil
-	state.finishComputing(grant)
+	state.endPrefill(grant)
 	state.inFlight--
 	if neverRan {
 		state.load.retract(now, grant, c.options.DispatchDelay)
@@ -136,22 +136,22 @@
 	}
 }
 
-// forgetOverdue stops counting prompts as being computed whose report is overdue.
-func (e *engineState) forgetOverdue(now time.Duration) {
-	e.computing = slices.DeleteFunc(e.computing, func(grant *grantState) bool {
-		return grant.computingUntil <= now
+// dropOverduePrefills stops counting prompts as being computed whose report is overdue.
+func (e *engineState) dropOverduePrefills(now time.Duration) {
+	e.prefilling = slices.DeleteFunc(e.prefilling, func(grant *grantState) bool {
+		return grant.prefillOverdueAt <= now
 	})
 }
 
-// stillComputing tells whether others may wait for the grant's prompt.
-func (g *grantState) stillComputing(now time.Duration) bool {
-	return !g.ended && g.phase < PhaseFirstToken && now < g.computingUntil
+// isPrefilling tells whether others may wait for the grant's prompt.
+func (g *grantState) isPrefilling(now time.Duration) bool {
+	return !g.ended && g.phase < PhaseFirstToken && now < g.prefillOverdueAt
 }
 
-// finishComputing notes that a grant's prompt isn't being computed any more.
-func (e *engineState) finishComputing(grant *grantState) {
-	if position := slices.Index(e.computing, grant); position >= 0 {
-		e.computing = slices.Delete(e.computing, position, position+1)
+// endPrefill notes that a grant's prompt isn't being computed any more.
+func (e *engineState) endPrefill(grant *grantState) {
+	if position := slices.Index(e.prefilling, grant); position >= 0 {
+		e.prefilling = slices.Delete(e.prefilling, position, position+1)
 	}
 }
 
@@ -162,38 +162,38 @@
 	c.advance(now)
 	grant := c.grants[report.Key]
 	if grant != nil && grant.engine.run == report.Run {
-		c.progress(now, grant, report)
+		c.applyReport(now, grant, report)
 	}
 	if report.EngineLost {
-		c.doubt(report)
+		c.markUnreachable(report)
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-func (c *Core) progress(now time.Duration, grant *grantState, report AttemptReport) {
+func (c *Core) applyReport(now time.Duration, grant *grantState, report AttemptReport) {
 	if report.Phase <= grant.phase {
 		return
 	}
 	if report.Phase == PhaseFinished {
-		grant.engine.noteStreamTime(now - grant.grantedAt)
+		grant.engine.recordStreamTime(now - grant.grantedAt)
 	}
-	if report.Phase.ended() {
+	if report.Phase.isTerminal() {
 		c.endGrant(now, grant, report.Phase != PhaseFinished && grant.phase == 0)
 		return
 	}
 	if report.Phase == PhaseFirstToken {
-		c.promptComputed(grant)
+		c.finishPrefill(grant)
 	}
 	grant.phase = report.Phase
 	grant.expires = now + c.longestRuntime(grant)
 	heap.Fix(&c.grantExpiry, grant.heapIndex)
 }
 
-// promptComputed tells the index what the engine now holds, ahead of its late
+// finishPrefill tells the index what the engine now holds, ahead of its late
 // cache events.
-func (c *Core) promptComputed(grant *grantState) {
+func (c *Core) finishPrefill(grant *grantState) {
 	state := grant.engine
-	state.finishComputing(grant)
+	state.endPrefill(grant)
 	if state.feed != nil {
 		c.index.Store(state.run, grant.request.Blocks)
 	}
@@ -205,13 +205,13 @@
 	state := grant.engine
 	step := max(state.load.step, time.Millisecond) + time.Duration(state.load.stepTokens)*state.load.perToken
 	output := time.Duration(grant.request.MaxTokens) * step
-	prompt := time.Duration(grant.uncachedTokens) * state.load.speed()
-	return max(runtimeSlack*(output+prompt), minimumRuntime) + c.options.ReportGrace
+	prompt := time.Duration(grant.uncachedTokens) * state.load.timePerToken()
+	return max(runtimeSlackFactor*(output+prompt), minimumRuntime) + c.options.ReportGrace
 }
 
-// doubt stops placing on an engine that an agent couldn't reach, until it gives
+// markUnreachable stops placing on an engine that an agent couldn't reach, until it gives
 // its status again.
-func (c *Core) doubt(report AttemptReport) {
+func (c *Core) markUnreachable(report AttemptReport) {
 	state := c.engines[report.Run.Engine]
 	if state == nil || state.run != report.Run || state.unreachable {
 		return
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -101,7 +101,7 @@
 // request has a prompt of the given blocks; equal prompts have equal blocks.
 func request(name string, class fleet.ClassName, prompt string, blocks int) Request {
 	made := Request{
-		Key: keyOf(name), Tenant: "tenant", Weights: testWeights, Class: class,
+		Key: keyOf(name), Tenant: "tenant", ModelVersion: testWeights, Class: class,
 		PromptTokens: blocks*testBlockTokens + 1, MaxTokens: 10, AgentZone: "zone",
 	}
 	seed := uint64(len(prompt)) << 32
--- a/internal/placement/history.go
+++ b/internal/placement/history.go
@@ -9,11 +9,11 @@
 
 // Explanation tells how one attempt was decided.
 type Explanation struct {
-	Key       Key
-	Tenant    fleet.TenantName
-	Class     fleet.ClassName
-	Weights   fleet.Weights
-	Submitted time.Duration
+	Key          Key
+	Tenant       fleet.TenantName
+	Class        fleet.ClassName
+	ModelVersion fleet.Weights
+	Submitted    time.Duration
 	// Decided is the time of the outcome; its difference from Submitted is the wait.
 	Decided time.Duration
 	// Outcome is nil while the attempt waits; Waiting then says why.
@@ -69,17 +69,17 @@
 			explanations = append(explanations, waiting.explain())
 		}
 	}
-	sortNewestAttempt(explanations)
+	sortNewestFirst(explanations)
 	return append(explanations, c.history.find(request)...)
 }
 
 func (w *waitingRequest) explain() Explanation {
 	return Explanation{
-		Key:       w.request.Key,
-		Tenant:    w.request.Tenant,
-		Class:     w.request.Class,
-		Weights:   w.request.Weights,
-		Submitted: w.submitted,
-		Waiting:   w.reason,
+		Key:          w.request.Key,
+		Tenant:       w.request.Tenant,
+		Class:        w.request.Class,
+		ModelVersion: w.request.ModelVersion,
+		Submitted:    w.submitted,
+		Waiting:      w.reason,
 	}
 }
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -18,29 +18,29 @@
 	// offset maps the engine's elapsed clock to ours: the smallest difference
 	// seen between the receipt of a report and its measurement.
 	offset time.Duration
-	// measured is the last report's measurement on our clock, measuredMillis on
+	// measuredAt is the last report's measurement on our clock, measuredMillis on
 	// the engine's, received its receipt.
-	measured       time.Duration
+	measuredAt     time.Duration
 	measuredMillis int64
-	received       time.Duration
+	receivedAt     time.Duration
 	reported       bool
 
 	queueTokens float64
-	asOf        time.Duration
+	updatedAt   time.Duration
 
 	perToken   time.Duration
 	step       time.Duration
 	stepTokens int
 
 	foreignStreams int
-	// recent holds the grants that may still differ between a late report and
+	// recentGrants holds the grants that may still differ between a late report and
 	// our own count, in order of grant.
-	recent []*grantState
+	recentGrants []*grantState
 }
 
-// speed returns the time that one prompt token takes, the fixed cost of batch
+// timePerToken returns the time that one prompt token takes, the fixed cost of batch
 // steps included.
-func (l *loadEstimate) speed() time.Duration {
+func (l *loadEstimate) timePerToken() time.Duration {
 	perToken := l.perToken
 	if perToken <= 0 {
 		perToken = scheduling.DefaultPrefillPerToken
@@ -54,12 +54,12 @@
 
 // advance drains the queue up to now.
 func (l *loadEstimate) advance(now time.Duration) {
-	if now <= l.asOf {
+	if now <= l.updatedAt {
 		return
 	}
-	drained := float64(now-l.asOf) / float64(l.speed())
+	drained := float64(now-l.updatedAt) / float64(l.timePerToken())
 	l.queueTokens = max(l.queueTokens-drained, 0)
-	l.asOf = now
+	l.updatedAt = now
 }
 
 // tokens returns the estimated prompt work at now.
@@ -72,54 +72,54 @@
 func (l *loadEstimate) add(now time.Duration, grant *grantState) {
 	l.advance(now)
 	l.queueTokens += float64(grant.uncachedTokens)
-	l.recent = append(l.recent, grant)
+	l.recentGrants = append(l.recentGrants, grant)
 }
 
-// take replaces the estimate by a report received at now. A report measured
+// applyReport replaces the estimate by a report received at now. A report measured
 // earlier than the last one is dropped.
-func (l *loadEstimate) take(now time.Duration, report engine.Load, dispatchDelay time.Duration) {
+func (l *loadEstimate) applyReport(now time.Duration, report engine.Load, dispatchDelay time.Duration) {
 	if l.reported && report.MeasuredAtMillis < l.measuredMillis {
 		return
 	}
-	l.mapMeasurement(now, report.MeasuredAtMillis)
+	l.alignClock(now, report.MeasuredAtMillis)
 	l.perToken = time.Duration(report.PrefillMicrosPerToken * float64(time.Microsecond))
 	l.step = time.Duration(report.StepMicros * float64(time.Microsecond))
 	l.stepTokens = report.StepTokens
-	l.countForeign(report, dispatchDelay)
+	l.countForeignStreams(report, dispatchDelay)
 	l.replay(now, float64(report.WaitingPrefillTokens), dispatchDelay)
 }
 
-// mapMeasurement finds the time of a measurement on our clock.
-func (l *loadEstimate) mapMeasurement(now time.Duration, millis int64) {
+// alignClock finds the time of a measurement on our clock.
+func (l *loadEstimate) alignClock(now time.Duration, millis int64) {
 	elapsed := time.Duration(millis) * time.Millisecond
 	offset := now - elapsed
 	if l.reported {
-		drift := (now - l.received) / clockDriftDivisor
+		drift := (now - l.receivedAt) / clockDriftDivisor
 		offset = min(offset, l.offset+drift)
 	}
 	l.offset = offset
-	l.measured = min(elapsed+offset, now)
+	l.measuredAt = min(elapsed+offset, now)
 	l.measuredMillis = millis
-	l.received = now
+	l.receivedAt = now
 	l.reported = true
 }
 
-// countForeign finds the streams that other routers placed: the reported ones
+// countForeignStreams finds the streams that other routers placed: the reported ones
 // less our own that the report must include.
-func (l *loadEstimate) countForeign(report engine.Load, dispatchDelay time.Duration) {
+func (l *loadEstimate) countForeignStreams(report engine.Load, dispatchDelay time.Duration) {
 	own := 0
-	kept := l.recent[:0]
-	for _, grant := range l.recent {
-		if grant.ended && grant.endedAt <= l.measured {
+	kept := l.recentGrants[:0]
+	for _, grant := range l.recentGrants {
+		if grant.ended && grant.endedAt <= l.measuredAt {
 			continue
 		}
 		kept = append(kept, grant)
-		if grant.grantedAt+dispatchDelay <= l.measured && !grant.neverRan {
+		if grant.grantedAt+dispatchDelay <= l.measuredAt && !grant.neverRan {
 			own++
 		}
 	}
-	clear(l.recent[len(kept):])
-	l.recent = kept
+	clear(l.recentGrants[len(kept):])
+	l.recentGrants = kept
 	l.foreignStreams = max(report.RunningStreams+report.WaitingStreams-own, 0)
 }
 
@@ -128,10 +128,10 @@
 // isn't added, so that the two sources don't count the same work twice.
 func (l *loadEstimate) replay(now time.Duration, reportedTokens float64, dispatchDelay time.Duration) {
 	l.queueTokens = reportedTokens
-	l.asOf = l.measured
-	for _, grant := range l.recent {
+	l.updatedAt = l.measuredAt
+	for _, grant := range l.recentGrants {
 		arrives := grant.grantedAt + dispatchDelay
-		if arrives <= l.measured || grant.neverRan {
+		if arrives <= l.measuredAt || grant.neverRan {
 			continue
 		}
 		l.advance(min(arrives, now))
@@ -142,7 +142,7 @@
 
 // retract takes back the work of a grant that never ran.
 func (l *loadEstimate) retract(now time.Duration, grant *grantState, dispatchDelay time.Duration) {
-	if l.reported && grant.grantedAt+dispatchDelay <= l.measured {
+	if l.reported && grant.grantedAt+dispatchDelay <= l.measuredAt {
 		return
 	}
 	l.advance(now)
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -20,34 +20,34 @@
 	}
 	c.advance(now)
 	id := fleet.EngineID(machine.ID)
-	if machine.Incarnation < c.newestRun(id) {
+	if machine.Incarnation < c.newestIncarnation(id) {
 		return
 	}
 	state := c.engines[id]
 	if state == nil {
 		state = c.addEngine(id)
 	}
-	c.beginIfNewer(now, state, machine.Incarnation)
+	c.resetIfNewer(now, state, machine.Incarnation)
 	state.machine = machine
 	if machine.State == platform.MachineLeaving {
-		state.leave(LeavingList)
+		state.markLeaving(LeavingMachineList)
 	}
 	c.applyDirectives(state)
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// newestRun returns the highest incarnation ever known of an engine.
-func (c *Core) newestRun(id fleet.EngineID) fleet.Incarnation {
+// newestIncarnation returns the highest incarnation ever known of an engine.
+func (c *Core) newestIncarnation(id fleet.EngineID) fleet.Incarnation {
 	if state := c.engines[id]; state != nil {
 		return state.run.Incarnation
 	}
-	return c.past[id].incarnation
+	return c.pastRuns[id].incarnation
 }
 
 func (c *Core) addEngine(id fleet.EngineID) *engineState {
-	state := newEngineState(id, c.past[id])
-	delete(c.past, id)
+	state := newEngineState(id, c.pastRuns[id])
+	delete(c.pastRuns, id)
 	state.owned = c.owned(id)
 	c.engines[id] = state
 	position, _ := slices.BinarySearchFunc(c.ordered, state, compareEngines)
@@ -64,13 +64,13 @@
 	}
 	c.advance(now)
 	c.dropGrantsOf(now, state)
-	c.past[id] = pastRun{incarnation: state.run.Incarnation, leaving: state.leaving}
+	c.pastRuns[id] = pastRun{incarnation: state.run.Incarnation, leaving: state.leaving}
 	delete(c.engines, id)
 	position, _ := slices.BinarySearchFunc(c.ordered, state, compareEngines)
 	c.ordered = slices.Delete(c.ordered, position, position+1)
 	state.owned = false
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 // ObserveStatus takes an engine's word about itself. An engine that the list
@@ -81,14 +81,14 @@
 		return
 	}
 	c.advance(now)
-	c.beginIfNewer(now, state, status.Incarnation)
-	state.takeStatus(now, status)
-	state.load.take(now, status.Load, c.options.DispatchDelay)
+	c.resetIfNewer(now, state, status.Incarnation)
+	state.updateStatus(now, status)
+	state.load.applyReport(now, status.Load, c.options.DispatchDelay)
 	if status.Leaving {
-		state.leave(LeavingEngine)
+		state.markLeaving(LeavingEngine)
 	}
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 // ObserveUnreachable notes that an engine didn't answer. It gets no work until
@@ -97,7 +97,7 @@
 	if state := c.engines[id]; state != nil {
 		c.advance(now)
 		state.unreachable = true
-		c.pump(now)
+		c.dispatchWaiting(now)
 	}
 }
 
@@ -138,9 +138,9 @@
 	if state.feed == nil {
 		return nil
 	}
-	if c.beginIfNewer(now, state, incarnation) {
+	if c.resetIfNewer(now, state, incarnation) {
 		c.engineChanged(now, state)
-		c.pump(now)
+		c.dispatchWaiting(now)
 	}
 	return state
 }
@@ -157,7 +157,7 @@
 // status and its whole cache once.
 func (c *Core) Synchronised() bool {
 	for _, state := range c.ordered {
-		if !state.placeable() {
+		if !state.isPlaceable() {
 			continue
 		}
 		if state.status == nil || state.feed == nil || state.feed.Counts().Snapshots == 0 {
@@ -184,13 +184,13 @@
 	for _, state := range c.ordered {
 		state.owned = owned(state.run.Engine)
 		if !state.owned {
-			state.disown()
+			state.releaseOwnership()
 		}
-		c.follow(state)
-		c.place(state)
+		c.updateFeed(state)
+		c.updatePools(state)
 	}
-	c.recheck(c.now)
-	c.pump(c.now)
+	c.recheckWaiting(c.now)
+	c.dispatchWaiting(c.now)
 }
 
 // selectEngines returns the owned engines that match, by identifier.
@@ -206,16 +206,16 @@
 
 func compareEngines(a, b *engineState) int { return cmp.Compare(a.run.Engine, b.run.Engine) }
 
-// beginIfNewer starts over with a newer run of an engine.
-func (c *Core) beginIfNewer(now time.Duration, state *engineState, incarnation fleet.Incarnation) bool {
+// resetIfNewer starts over with a newer run of an engine.
+func (c *Core) resetIfNewer(now time.Duration, state *engineState, incarnation fleet.Incarnation) bool {
 	if incarnation <= state.run.Incarnation {
 		return false
 	}
 	c.dropGrantsOf(now, state)
 	c.index.RemoveRun(state.run)
-	state.begin(incarnation)
+	state.reset(incarnation)
 	c.applyDirectives(state)
-	c.follow(state)
+	c.updateFeed(state)
 	return true
 }
 
@@ -225,13 +225,13 @@
 	if c.view == nil {
 		return
 	}
-	state.directed = slices.ContainsFunc(c.view.Directives(state.run), func(directive config.Directive) bool {
+	state.drainDirected = slices.ContainsFunc(c.view.Directives(state.run), func(directive config.Directive) bool {
 		return directive.Kind == config.DirectiveDrain || directive.Kind == config.DirectiveRetire
 	})
 }
 
-// follow starts or stops keeping the index of an engine's cache.
-func (c *Core) follow(state *engineState) {
+// updateFeed starts or stops keeping the index of an engine's cache.
+func (c *Core) updateFeed(state *engineState) {
 	if state.owned && state.feed == nil {
 		state.feed = prefixindex.NewFeed(c.index, state.run, c.options.Feed)
 	}
@@ -244,17 +244,17 @@
 // engineChanged brings the lists up to date after a change of one engine, and
 // gives an outcome to the requests that no engine is left for.
 func (c *Core) engineChanged(now time.Duration, state *engineState) {
-	c.follow(state)
-	if c.place(state) {
-		c.recheck(now)
+	c.updateFeed(state)
+	if c.updatePools(state) {
+		c.recheckWaiting(now)
 	}
 }
 
-// place brings an engine's place in the pools up to date. It returns true when
+// updatePools brings an engine's updatePools in the pools up to date. It returns true when
 // a pool lost the engine.
-func (c *Core) place(state *engineState) bool {
-	c.countForeign(state)
-	wanted := state.placeable()
+func (c *Core) updatePools(state *engineState) bool {
+	c.updateForeignCount(state)
+	wanted := state.isPlaceable()
 	if wanted && state.inPool && state.pool == state.machine.Pool {
 		return false
 	}
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -13,21 +13,21 @@
 
 // Defaults of Options.
 const (
-	DefaultGrantValid       = 2 * time.Second
-	DefaultReportGrace      = 3 * time.Second
-	DefaultMaxEngineQueue   = 250 * time.Millisecond
-	DefaultReserveFraction  = 0.2
-	DefaultReadyFor         = 5 * time.Second
-	DefaultDispatchDelay    = 5 * time.Millisecond
-	DefaultWarmWaitFraction = 0.1
-	DefaultReconsider       = 10 * time.Millisecond
-	DefaultHoldTokens       = 512
-	DefaultMaxHops          = 3
-	DefaultMaxForeignHops   = 8
-	DefaultMaxSpills        = affinity.MaxSpills
-	DefaultSpillWait        = 250 * time.Millisecond
-	DefaultSpillQueue       = 4
-	DefaultExplainRing      = 512
+	DefaultGrantValid         = 2 * time.Second
+	DefaultReportGrace        = 3 * time.Second
+	DefaultMaxEngineQueue     = 250 * time.Millisecond
+	DefaultReserveFraction    = 0.2
+	DefaultStatusTTL          = 5 * time.Second
+	DefaultDispatchDelay      = 5 * time.Millisecond
+	DefaultWarmWaitFraction   = 0.1
+	DefaultReconsiderInterval = 10 * time.Millisecond
+	DefaultHoldTokens         = 512
+	DefaultMaxHops            = 3
+	DefaultMaxForeignHops     = 8
+	DefaultMaxSpills          = affinity.MaxSpills
+	DefaultSpillWait          = 250 * time.Millisecond
+	DefaultSpillQueue         = 4
+	DefaultExplainRing        = 512
 
 	// defaultScanDepth is deep, because a look at a request that waits for an
 	// engine or a prefix is cheap.
@@ -52,13 +52,13 @@
 	// ReserveFraction is the part of an engine's streams and queue that only
 	// the best class may use. A negative value means none.
 	ReserveFraction float64
-	// ReadyFor is how long an engine's last word keeps it ready.
-	ReadyFor time.Duration
+	// StatusTTL is how long an engine's last word keeps it ready.
+	StatusTTL time.Duration
 	// DispatchDelay is the least time from a grant until the engine knows of it.
 	DispatchDelay time.Duration
-	// Reconsider is the least time between two looks at a request that waits
+	// ReconsiderInterval is the least time between two looks at a request that waits
 	// for a warm engine.
-	Reconsider time.Duration
+	ReconsiderInterval time.Duration
 	// WarmWaitFraction is the part of its class's longest wait after which a
 	// request doesn't wait for a warm engine any more while others are idle. A
 	// negative value means never.
@@ -98,9 +98,9 @@
 	setDefault(&o.ReportGrace, DefaultReportGrace)
 	setDefault(&o.MaxEngineQueue, DefaultMaxEngineQueue)
 	setDefault(&o.ReserveFraction, DefaultReserveFraction)
-	setDefault(&o.ReadyFor, DefaultReadyFor)
+	setDefault(&o.StatusTTL, DefaultStatusTTL)
 	setDefault(&o.DispatchDelay, DefaultDispatchDelay)
-	setDefault(&o.Reconsider, DefaultReconsider)
+	setDefault(&o.ReconsiderInterval, DefaultReconsiderInterval)
 	setDefault(&o.WarmWaitFraction, DefaultWarmWaitFraction)
 	setDefault(&o.HoldTokens, DefaultHoldTokens)
 	setDefault(&o.MaxHops, DefaultMaxHops)
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -13,10 +13,10 @@
 
 // Request is one attempt that an agent asks to have placed.
 type Request struct {
-	Key     Key
-	Tenant  fleet.TenantName
-	Weights fleet.Weights
-	Class   fleet.ClassName
+	Key          Key
+	Tenant       fleet.TenantName
+	ModelVersion fleet.Weights
+	Class        fleet.ClassName
 	// PromptTokens and MaxTokens are the lengths of prompt and output.
 	PromptTokens int
 	MaxTokens    int
@@ -78,11 +78,11 @@
 	HandBackDraining HandBackReason = "draining"
 	// HandBackNoEngine means that no engine of the model is owned here.
 	HandBackNoEngine HandBackReason = "no_engine"
-	// HandBackBehind means that the agent knows a newer configuration.
-	HandBackBehind HandBackReason = "configuration_behind"
-	// HandBackWarming means that this router has just started and doesn't know the
+	// HandBackStaleConfiguration means that the agent knows a newer configuration.
+	HandBackStaleConfiguration HandBackReason = "configuration_behind"
+	// HandBackWarmingUp means that this router has just started and doesn't know the
 	// caches of its engines yet, and that others may.
-	HandBackWarming HandBackReason = "warming_up"
+	HandBackWarmingUp HandBackReason = "warming_up"
 	// HandBackSaturated means that the engines owned here are busy for longer
 	// than it is worth to wait, and that other routers own more of the pool.
 	HandBackSaturated HandBackReason = "saturated"
@@ -121,8 +121,8 @@
 	PhaseAbandoned
 )
 
-// ended tells whether the attempt takes no more of the engine.
-func (p Phase) ended() bool { return p >= PhaseFinished }
+// isTerminal tells whether the attempt takes no more of the engine.
+func (p Phase) isTerminal() bool { return p >= PhaseFinished }
 
 // AttemptReport is an agent's word on a granted attempt. Reports may come late,
 // twice or not at all.
--- a/internal/placement/parked.go
+++ b/internal/placement/parked.go
@@ -29,14 +29,14 @@
 // releaseParked gives the counts of an engine of another owner back once no
 // work waits for it: a router lists hundreds of engines for each that it owns.
 func (e *engineState) releaseParked() {
-	if !e.owned && e.parkedBefore(maxRank) == (parkedWork{}) {
+	if !e.owned && e.parkedAhead(maxRank) == (parkedWork{}) {
 		e.parked = nil
 	}
 }
 
-// parkedBefore returns the work that waits for this engine and goes before a
+// parkedAhead returns the work that waits for this engine and goes before a
 // request of the given rank.
-func (e *engineState) parkedBefore(rank int) parkedWork {
+func (e *engineState) parkedAhead(rank int) parkedWork {
 	var total parkedWork
 	for _, work := range e.parked[:min(rank+1, len(e.parked))] {
 		total.requests += work.requests
--- a/internal/placement/reject.go
+++ b/internal/placement/reject.go
@@ -23,14 +23,14 @@
 			RetryAfter: c.flow.Spread(0),
 		}
 	}
-	if outcome := c.rejectWeights(request); outcome != nil {
+	if outcome := c.rejectModelVersion(request); outcome != nil {
 		return outcome
 	}
-	model, _ := c.view.Model(request.Weights.Model)
+	model, _ := c.view.Model(request.ModelVersion.Model)
 	if c.hasEngine(model.Pool, request.Excluded) {
 		return nil
 	}
-	if request.vainHops() < c.maxHops(model.Pool) {
+	if request.nonSpillHops() < c.maxHops(model.Pool) {
 		return HandBack{Key: request.Key, Reason: HandBackNoEngine}
 	}
 	return Refusal{
@@ -49,18 +49,18 @@
 	return c.options.MaxHops
 }
 
-func (c *Core) rejectWeights(request *Request) Outcome {
-	state, _ := c.view.VersionState(request.Weights)
+func (c *Core) rejectModelVersion(request *Request) Outcome {
+	state, _ := c.view.VersionState(request.ModelVersion)
 	if state == config.VersionServing {
 		return nil
 	}
 	if request.KnownRevision > c.view.Revision() {
-		return HandBack{Key: request.Key, Reason: HandBackBehind}
+		return HandBack{Key: request.Key, Reason: HandBackStaleConfiguration}
 	}
 	return Refusal{
 		Key:    request.Key,
 		Code:   resultcode.StaleWeights,
-		Reason: "version " + string(request.Weights.Version) + " isn't serving",
+		Reason: "version " + string(request.ModelVersion.Version) + " isn't serving",
 	}
 }
 
@@ -73,9 +73,9 @@
 	return false
 }
 
-// recheck gives an outcome to the waiting requests that can't wait here any
+// recheckWaiting gives an outcome to the waiting requests that can't wait here any
 // more, in order of submission.
-func (c *Core) recheck(now time.Duration) {
+func (c *Core) recheckWaiting(now time.Duration) {
 	queued := make([]*waitingRequest, 0, len(c.waiting))
 	for _, waiting := range c.waiting {
 		queued = append(queued, waiting)
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -90,13 +90,13 @@
 		Address:      state.machine.Address,
 		Zone:         state.machine.Zone,
 		Pool:         state.machine.Pool,
-		Condition:    state.condition(now, c.options.ReadyFor),
-		Leaving:      state.leavingBy(),
+		Condition:    state.condition(now, c.options.StatusTTL),
+		Leaving:      state.leavingSource(),
 		Owned:        state.owned,
 		InFlight:     state.inFlight,
 		Streams:      state.streams(),
 		QueueTokens:  tokens,
-		QueueTime:    time.Duration(tokens) * state.load.speed(),
+		QueueTime:    time.Duration(tokens) * state.load.timePerToken(),
 		CachedBlocks: c.index.BlocksOf(state.run),
 		CacheTrusted: state.feed != nil && !state.feed.Distrusted(),
 	}
@@ -111,11 +111,11 @@
 
 func (e *engineState) condition(now, readyFor time.Duration) EngineCondition {
 	switch {
-	case e.leavingBy() != LeavingNone:
+	case e.leavingSource() != LeavingNone:
 		return EngineLeaving
 	case e.unreachable:
 		return EngineUnreachable
-	case !e.ready(now, readyFor):
+	case !e.isReady(now, readyFor):
 		return EngineUnknown
 	default:
 		return EngineReady
@@ -130,7 +130,7 @@
 	return c.flow.Position(now, key)
 }
 
-func sortNewestAttempt(explanations []Explanation) {
+func sortNewestFirst(explanations []Explanation) {
 	slices.SortFunc(explanations, func(a, b Explanation) int {
 		return cmp.Compare(b.Key.Attempt, a.Key.Attempt)
 	})
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -14,16 +14,16 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// newPartBench has two engines, of which the router owns the first.
-func newPartBench(t *testing.T) *bench {
+// newPartialOwnerBench has two engines, of which the router owns the first.
+func newPartialOwnerBench(t *testing.T) *bench {
 	b := newBench(t, 2)
 	b.core.SetOwned(func(id fleet.EngineID) bool { return id == "engine0" })
 	return b
 }
 
-// fillPart lets the owned engine's queue reach its bound with prompts of 1,600
+// fillOwnedEngine lets the owned engine's queue reach its bound with prompts of 1,600
 // tokens, which take 160 ms each.
-func (b *bench) fillPart() {
+func (b *bench) fillOwnedEngine() {
 	for number := range 3 {
 		made := request(fmt.Sprintf("fill%d", number), urgent, fmt.Sprintf("filler%d", number), 100)
 		made = withSpills(made, DefaultMaxSpills)
@@ -40,18 +40,18 @@
 	return []Outcome{HandBack{Key: keyOf(name), Reason: reason}}
 }
 
-// longQueue makes as many requests wait as the bound on the queue lets.
-func (b *bench) longQueue() {
+// fillQueue makes as many requests wait as the bound on the queue lets.
+func (b *bench) fillQueue() {
 	for number := range DefaultSpillQueue {
 		made := request(fmt.Sprintf("queued%d", number), urgent, fmt.Sprintf("queue%d", number), 100)
 		require.Empty(b.t, b.submit(withSpills(made, DefaultMaxSpills)))
 	}
 }
 
-func TestSaturatedPartHandsBackAtOnce(t *testing.T) {
-	b := newPartBench(t)
-	b.fillPart()
-	b.longQueue()
+func TestSaturatedPartialOwnerHandsBackAtOnce(t *testing.T) {
+	b := newPartialOwnerBench(t)
+	b.fillOwnedEngine()
+	b.fillQueue()
 	for spills := range DefaultMaxSpills {
 		name := fmt.Sprintf("spills%d", spills)
 		assert.Equal(t, handedBack(name, HandBackSaturated), b.submit(withSpills(request(name, urgent, "new", 1), spills)))
@@ -62,15 +62,15 @@
 	assert.Equal(t, waiting+1, b.core.Snapshot(b.now).WaitingRequests)
 }
 
-func TestWholeCopyNeverSpills(t *testing.T) {
+func TestSoleOwnerNeverSpills(t *testing.T) {
 	b := newBench(t, 1)
-	b.fillPart()
-	b.longQueue()
+	b.fillOwnedEngine()
+	b.fillQueue()
 	assert.Empty(t, b.submit(request("first", urgent, "new", 1)))
 
-	part := newPartBench(t)
-	part.fillPart()
-	part.longQueue()
+	part := newPartialOwnerBench(t)
+	part.fillOwnedEngine()
+	part.fillQueue()
 	leaving := machine("engine1", 1)
 	leaving.State = platform.MachineLeaving
 	part.core.ObserveMachine(part.now, leaving)
@@ -79,11 +79,11 @@
 	assert.Empty(t, part.core.foreign)
 }
 
-// TestWantOfTimeIsSpilledBeforeItIsRefused submits a request that the owned
+// TestTightDeadlineSpillsBeforeRefusal submits a request that the owned
 // engine can't answer before its deadline.
-func TestWantOfTimeIsSpilledBeforeItIsRefused(t *testing.T) {
-	b := newPartBench(t)
-	b.fillPart()
+func TestTightDeadlineSpillsBeforeRefusal(t *testing.T) {
+	b := newPartialOwnerBench(t)
+	b.fillOwnedEngine()
 	urgentSoon := request("soon", urgent, "new", 100)
 	urgentSoon.Deadline = 100 * time.Millisecond
 	assert.Equal(t, handedBack("soon", HandBackSaturated), b.submit(urgentSoon))
@@ -101,10 +101,10 @@
 	assert.Positive(t, refusal.RetryAfter)
 }
 
-// TestWarmPrefixIsWorthAWait fills the engine by 400 ms over its bound: too
+// TestWarmPrefixRaisesTolerableWait fills the engine by 400 ms over its bound: too
 // long for a cold prompt, and less than a cached one of 6,400 tokens saves.
-func TestWarmPrefixIsWorthAWait(t *testing.T) {
-	b := newPartBench(t)
+func TestWarmPrefixRaisesTolerableWait(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	warm := request("warm", urgent, "circular", 400)
 	b.core.ObserveCacheSnapshot(b.now, "engine0", engine.CacheSnapshot{Incarnation: 1, Sequence: 1, Hashes: warm.Blocks})
 	status := b.status("engine0", 1)
@@ -114,8 +114,8 @@
 	assert.Empty(t, b.submit(warm))
 }
 
-func TestPartWithoutReadyEngineHandsBack(t *testing.T) {
-	b := newPartBench(t)
+func TestPartialOwnerWithoutReadyEngineHandsBack(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	b.core.ObserveUnreachable(b.now, "engine0")
 	spilled := withSpills(request("spilled", urgent, "p", 1), DefaultMaxSpills)
 	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills aren't hops in vain")
@@ -124,10 +124,10 @@
 	assert.Empty(t, b.submit(last))
 }
 
-// TestPartWithoutEngineRefusesInTheEnd follows a request whose pool has no
+// TestPoolWithoutOwnerIsRefusedAfterMaxHops follows a request whose pool has no
 // owner among the routers that it reaches.
-func TestPartWithoutEngineRefusesInTheEnd(t *testing.T) {
-	b := newPartBench(t)
+func TestPoolWithoutOwnerIsRefusedAfterMaxHops(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	b.core.SetOwned(func(fleet.EngineID) bool { return false })
 	made := request("r", urgent, "p", 1)
 	for made.Hops = 0; made.Hops < DefaultMaxForeignHops; made.Hops++ {
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -27,7 +27,7 @@
 	request := placement.Request{
 		Key:                keyOf(message.GetRequestId(), message.GetAttempt()),
 		Tenant:             fleet.TenantName(message.GetTenant()),
-		Weights:            decodeWeights(message.GetWeights()),
+		ModelVersion:       decodeWeights(message.GetWeights()),
 		Class:              fleet.ClassName(message.GetClass()),
 		PromptTokens:       int(message.GetPromptTokens()),
 		MaxTokens:          int(message.GetMaxTokens()),
@@ -96,7 +96,7 @@
 // a hand-back.
 func agentChooses(reason placement.HandBackReason) bool {
 	switch reason {
-	case placement.HandBackSaturated, placement.HandBackNoEngine, placement.HandBackWarming:
+	case placement.HandBackSaturated, placement.HandBackNoEngine, placement.HandBackWarmingUp:
 		return true
 	default:
 		return false
--- a/internal/router/operatorsource.go
+++ b/internal/router/operatorsource.go
@@ -79,7 +79,7 @@
 			Attempt: key.Attempt,
 			Tenant:  call.request.Tenant,
 			Class:   call.request.Class,
-			Weights: call.request.Weights,
+			Weights: call.request.ModelVersion,
 			Waited:  now - call.submitted,
 		})
 	}
--- a/internal/router/placementserver.go
+++ b/internal/router/placementserver.go
@@ -68,11 +68,11 @@
 	case request.KnownRevision == 0:
 		return ""
 	case !s.router.configured.Load():
-		return placement.HandBackBehind
+		return placement.HandBackStaleConfiguration
 	case !s.router.listed.Load():
 		return placement.HandBackNoEngine
 	case request.Hops == 0 && s.router.warmingUp():
-		return placement.HandBackWarming
+		return placement.HandBackWarmingUp
 	}
 	return ""
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -130,7 +130,7 @@
 	assert.Contains(t, body, "no configuration")
 	code, _ = status(PathHealth)
 	assert.Equal(t, http.StatusOK, code)
-	assert.Equal(t, string(placement.HandBackBehind), place(t, r, "early").GetHandBack().GetReason(), "the agent knows more")
+	assert.Equal(t, string(placement.HandBackStaleConfiguration), place(t, r, "early").GetHandBack().GetReason(), "the agent knows more")
 	ignorant := placeRequest("ignorant")
 	ignorant.Header = nil
 	refused, err := placementClient(r).Place(context.Background(), ignorant)
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -32,7 +32,7 @@
 	require.Eventually(t, second.Ready, patience, pollTime)
 	handedBack := place(t, second, "q").GetHandBack()
 	require.NotNil(t, handedBack)
-	assert.Equal(t, string(placement.HandBackWarming), handedBack.GetReason())
+	assert.Equal(t, string(placement.HandBackWarmingUp), handedBack.GetReason())
 	assert.Empty(t, handedBack.GetRouters(), "the agent knows the order")
 
 	again := placeRequest("again")
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -76,7 +76,7 @@
 	return placement.Request{
 		Key:          placement.Key{Request: fleet.RequestID(id), Attempt: 1},
 		Tenant:       tenantName(0),
-		Weights:      servedWeights(),
+		ModelVersion: servedWeights(),
 		Class:        className,
 		PromptTokens: len(blocks)*blockTokens + 1,
 		MaxTokens:    200,
--- a/lab/emulator/carrier.go
+++ b/lab/emulator/carrier.go
@@ -114,7 +114,7 @@
 	question := placement.Request{
 		Key:                c.last,
 		Tenant:             request.Tenant,
-		Weights:            request.Weights,
+		ModelVersion:       request.Weights,
 		Class:              request.Class,
 		PromptTokens:       c.call.promptTokens,
 		MaxTokens:          request.OutputTokens,
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -124,7 +124,7 @@
 func (c *clairvoyant) Submit(now time.Duration, request placement.Request) {
 	c.expire(now)
 	class, _ := c.setup.View.Class(request.Class)
-	model, _ := c.setup.View.Model(request.Weights.Model)
+	model, _ := c.setup.View.Model(request.ModelVersion.Model)
 	item := &clairvoyantItem{request: request, rank: class.Rank, model: model, expires: now + request.Deadline}
 	refusal := c.flow.Enqueue(now, flowcontrol.Item{
 		Key:      request.Key,
@@ -266,7 +266,7 @@
 		Tenant:       request.Tenant,
 		Class:        request.Class,
 		Rank:         item.rank,
-		ModelVersion: request.Weights,
+		ModelVersion: request.ModelVersion,
 		Pool:         item.model.Pool,
 		AgentZone:    request.AgentZone,
 		PromptTokens: request.PromptTokens,
--- a/lab/simulation/placing.go
+++ b/lab/simulation/placing.go
@@ -22,7 +22,7 @@
 	c.askedAt[ask.Attempt] = at
 	target := a.world.routerAt(at.address)
 	question := placement.Request{
-		Key: placement.Key{Request: c.request.id, Attempt: ask.Attempt}, Tenant: c.request.tenant, Weights: c.weights,
+		Key: placement.Key{Request: c.request.id, Attempt: ask.Attempt}, Tenant: c.request.tenant, ModelVersion: c.weights,
 		Class: c.request.class, PromptTokens: prompt.CountTokens(c.request.prompt), MaxTokens: c.request.maxTokens,
 		Blocks: slices.Clone(c.hashes), Deadline: max(c.deadline-a.now(), time.Millisecond), Excluded: ask.Excluded,
 		ContinuationTokens: ask.ContinuationTokens, AgentZone: a.zone, Hops: c.handBacks, KnownRevision: a.holder.Revision(),
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -146,7 +146,7 @@
 func (r *router) place(request placement.Request, reply func(any) time.Duration) {
 	r.hear(request.KnownRevision)
 	if request.KnownRevision > 0 && r.holder.Current() == nil {
-		reply(r.placeAnswer(placement.HandBack{Key: request.Key, Reason: placement.HandBackBehind}, 0))
+		reply(r.placeAnswer(placement.HandBack{Key: request.Key, Reason: placement.HandBackStaleConfiguration}, 0))
 		return
 	}
 	blocks := request.Blocks
@@ -239,7 +239,7 @@
 			r.step(func(now time.Duration) {
 				key := placement.Key{Request: fleet.RequestID("probe-" + string(r.node)), Attempt: 1}
 				r.core.Submit(now, placement.Request{
-					Key: key, Tenant: tenants[0], Class: classes[0], Weights: weights, PromptTokens: 1, MaxTokens: 1,
+					Key: key, Tenant: tenants[0], Class: classes[0], ModelVersion: weights, PromptTokens: 1, MaxTokens: 1,
 				})
 			})
 		}
--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -75,7 +75,7 @@
 	c.tried[c.at.member.Node]++
 	question := placement.Request{
 		Key:    placement.Key{Request: c.request.ID, Attempt: c.attempt},
-		Tenant: c.request.Tenant, Weights: c.request.Weights, Class: c.request.Class,
+		Tenant: c.request.Tenant, ModelVersion: c.request.Weights, Class: c.request.Class,
 		PromptTokens: c.request.PromptTokens(), MaxTokens: c.request.OutputTokens,
 		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.near.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
 	}
