--- a/internal/flowcontrol/classqueue.go
+++ b/internal/flowcontrol/classqueue.go
@@ -13,11 +13,11 @@
 	item     Item
 	enqueued time.Duration
 	expires  time.Duration // 0 means never
-	// byDeadline tells that the item's deadline comes before the class's limit.
-	byDeadline bool
-	queue      *classQueue
-	flow       *flow
-	heapIndex  int
+	// expiresByDeadline tells that the item's deadline comes before the class's limit.
+	expiresByDeadline bool
+	queue             *classQueue
+	flow              *flow
+	heapIndex         int
 }
 
 // flow is the queue of one tenant in one class and lane, first in first out.
@@ -26,9 +26,9 @@
 	weight  float64
 	entries []*entry
 	cost    float64
-	// start is the virtual start time of the flow's next dispatch. It is kept
+	// startTag is the virtual startTag time of the flow's next dispatch. It is kept
 	// while the flow is empty, so that leaving and coming back gains nothing.
-	start float64
+	startTag float64
 }
 
 // classQueue holds the waiting items of one class in one lane.
@@ -36,10 +36,10 @@
 	policy ClassPolicy
 	flows  map[fleet.TenantName]*flow
 	// active lists the flows that have items, by virtual start time.
-	active  []*flow
-	virtual float64
-	waiting int
-	cost    float64
+	active      []*flow
+	virtualTime float64
+	waiting     int
+	cost        float64
 	// credit is the part of a dispatch that the class is owed by its minimum share.
 	credit float64
 	meter  rateMeter
@@ -49,12 +49,12 @@
 	return &classQueue{
 		policy: policy,
 		flows:  make(map[fleet.TenantName]*flow),
-		meter:  rateMeter{last: now},
+		meter:  rateMeter{updatedAt: now},
 	}
 }
 
 func compareFlows(a, b *flow) int {
-	if order := cmp.Compare(a.start, b.start); order != 0 {
+	if order := cmp.Compare(a.startTag, b.startTag); order != 0 {
 		return order
 	}
 	return cmp.Compare(a.tenant, b.tenant)
@@ -79,7 +79,7 @@
 	}
 	if len(f.entries) == 0 {
 		f.weight = weight
-		f.start = max(f.start, q.virtual)
+		f.startTag = max(f.startTag, q.virtualTime)
 		q.activate(f)
 	}
 	f.entries = append(f.entries, e)
@@ -122,14 +122,14 @@
 	f := e.flow
 	q.remove(now, e)
 	if now > e.enqueued {
-		q.meter.serve(e.item.Cost)
+		q.meter.record(e.item.Cost)
 	}
 	stillActive := len(f.entries) > 0
 	if stillActive {
 		q.deactivate(f)
 	}
-	q.virtual = max(q.virtual, f.start)
-	f.start += e.item.Cost / f.weight
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	f.startTag += e.item.Cost / f.weight
 	if stillActive {
 		q.activate(f)
 	}
@@ -147,9 +147,9 @@
 	return total
 }
 
-// workAhead returns the tokens that are served before a new item of a tenant:
+// tokensAhead returns the tokens that are served before a new item of a tenant:
 // its own waiting work at its fair share, and never more than all that waits.
-func (q *classQueue) workAhead(tenant fleet.TenantName, weight float64) float64 {
+func (q *classQueue) tokensAhead(tenant fleet.TenantName, weight float64) float64 {
 	own := 0.0
 	if f := q.flows[tenant]; f != nil {
 		own = f.cost
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -18,12 +18,12 @@
 	entries map[Key]*entry
 	lanes   []*lane
 	byName  map[Lane]*lane
-	// firstLane is where the next decision starts, so that lanes take turns.
-	firstLane int
-	expiry    expiryHeap
-	// refused holds expired items that Expire hasn't returned yet.
-	refused []Refusal
-	waiting map[fleet.TenantName]int
+	// nextLane is where the next decision starts, so that lanes take turns.
+	nextLane int
+	expiry   expiryHeap
+	// pendingRefusals holds expired items that Expire hasn't returned yet.
+	pendingRefusals []Refusal
+	waiting         map[fleet.TenantName]int
 }
 
 // New returns a controller without any class; ApplyPolicy names them.
@@ -71,14 +71,14 @@
 // setExpiry works out when the entry must be refused.
 func (e *entry) setExpiry() {
 	e.expires = e.item.Deadline
-	e.byDeadline = e.item.Deadline > 0
+	e.expiresByDeadline = e.item.Deadline > 0
 	limit := e.queue.policy.MaxWait
 	if limit <= 0 {
 		return
 	}
-	if !e.byDeadline || e.enqueued+limit < e.item.Deadline {
+	if !e.expiresByDeadline || e.enqueued+limit < e.item.Deadline {
 		e.expires = e.enqueued + limit
-		e.byDeadline = false
+		e.expiresByDeadline = false
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	tenant := c.table.tenant(item.Tenant)
 	tenant.Name = item.Tenant
-	if refusal := c.check(now, l, queue, tenant, item); refusal != nil {
+	if refusal := c.checkAdmission(now, l, queue, tenant, item); refusal != nil {
 		return refusal
 	}
 	e := &entry{item: item, enqueued: now, heapIndex: notInHeap}
@@ -133,30 +133,30 @@
 // Next takes out the item that goes next among those that admit accepts.
 // Items that have expired are never offered.
 func (c *Controller) Next(now time.Duration, admit func(Item) bool) (Item, bool) {
-	c.collectExpired(now)
+	c.expireOverdue(now)
 	budget := c.options.MaxScan
 	for turn := range c.lanes {
-		position := (c.firstLane + turn) % len(c.lanes)
+		position := (c.nextLane + turn) % len(c.lanes)
 		l := c.lanes[position]
 		e := c.nextInLane(l, &budget, admit)
 		if e == nil {
 			continue
 		}
 		e.queue.dispatch(now, e)
-		l.settle(e.queue, c.table.shareScale)
-		c.forget(e)
-		c.firstLane = position + 1
+		l.updateCredits(e.queue, c.table.shareScale)
+		c.removeFromIndexes(e)
+		c.nextLane = position + 1
 		return e.item, true
 	}
 	if len(c.lanes) > 0 {
 		// A scan that ran out of budget goes on elsewhere the next time.
-		c.firstLane = (c.firstLane + 1) % len(c.lanes)
+		c.nextLane = (c.nextLane + 1) % len(c.lanes)
 	}
 	return Item{}, false
 }
 
 func (c *Controller) nextInLane(l *lane, budget *int, admit func(Item) bool) *entry {
-	for _, queue := range l.decisionOrder() {
+	for _, queue := range l.dispatchOrder() {
 		for _, f := range queue.active {
 			depth := min(len(f.entries), c.options.ScanDepth, *budget)
 			for _, e := range f.entries[:depth] {
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// Owed tells whether a class has waiting items in a lane and is owed a dispatch
+// HasShareCredit tells whether a class has waiting items in a lane and is owed a dispatch
 // by its minimum share. Next offers its items first then.
-func (c *Controller) Owed(name Lane, class fleet.ClassName) bool {
+func (c *Controller) HasShareCredit(name Lane, class fleet.ClassName) bool {
 	l := c.byName[name]
 	if l == nil {
 		return false
@@ -181,8 +181,8 @@
 	return queue != nil && queue.waiting > 0 && queue.credit >= 1
 }
 
-// forget drops an entry that has left its queue from the indexes.
-func (c *Controller) forget(e *entry) {
+// removeFromIndexes drops an entry that has left its queue from the indexes.
+func (c *Controller) removeFromIndexes(e *entry) {
 	c.expiry.drop(e)
 	delete(c.entries, e.item.Key)
 	c.waiting[e.item.Tenant]--
@@ -199,31 +199,31 @@
 		return false
 	}
 	e.queue.remove(now, e)
-	c.forget(e)
+	c.removeFromIndexes(e)
 	return true
 }
 
 // Expire takes out and returns the items that have waited too long, and
 // returns those that Enqueue has displaced.
 func (c *Controller) Expire(now time.Duration) []Refusal {
-	c.collectExpired(now)
-	refused := c.refused
-	c.refused = nil
+	c.expireOverdue(now)
+	refused := c.pendingRefusals
+	c.pendingRefusals = nil
 	return refused
 }
 
-func (c *Controller) collectExpired(now time.Duration) {
+func (c *Controller) expireOverdue(now time.Duration) {
 	for len(c.expiry) > 0 && c.expiry[0].expires <= now {
 		e := c.expiry[0]
 		e.queue.remove(now, e)
-		c.forget(e)
-		c.refused = append(c.refused, *c.expired(e))
+		c.removeFromIndexes(e)
+		c.pendingRefusals = append(c.pendingRefusals, *c.expiryRefusal(e))
 	}
 }
 
 // NextExpiry returns when the next item expires; false when none can.
 func (c *Controller) NextExpiry() (time.Duration, bool) {
-	if len(c.refused) > 0 {
+	if len(c.pendingRefusals) > 0 {
 		return 0, true
 	}
 	if len(c.expiry) == 0 {
@@ -235,7 +235,7 @@
 // Drain takes out and returns every waiting item, best class first and oldest
 // first within it. Items that have expired are left to Expire.
 func (c *Controller) Drain(now time.Duration) []Item {
-	c.collectExpired(now)
+	c.expireOverdue(now)
 	left := make([]*entry, 0, len(c.entries))
 	for _, e := range c.entries {
 		left = append(left, e)
@@ -244,7 +244,7 @@
 	items := make([]Item, len(left))
 	for position, e := range left {
 		e.queue.remove(now, e)
-		c.forget(e)
+		c.removeFromIndexes(e)
 		items[position] = e.item
 	}
 	return items
@@ -290,5 +290,5 @@
 	queue.meter.advance(now, queue.waiting > 0)
 	policy := c.table.tenant(tenant)
 	policy.Name = tenant
-	return l.waitEstimate(queue, policy)
+	return l.predictWait(queue, policy)
 }
--- a/internal/flowcontrol/controller_test.go
+++ b/internal/flowcontrol/controller_test.go
@@ -135,12 +135,12 @@
 	})
 }
 
-func TestExpiryDecidesAgainstDispatchAtTheSameInstant(t *testing.T) {
+func TestExpiryWinsOverDispatchAtTheSameInstant(t *testing.T) {
 	controller := newController(Policy{Classes: []ClassPolicy{{Name: urgent, MaxWait: time.Second}}})
 	entered := item("r", "a", urgent, 1)
 	require.Nil(t, controller.Enqueue(0, entered))
 
-	_, found := controller.Next(time.Second, anything)
+	_, found := controller.Next(time.Second, admitAll)
 	assert.False(t, found, "an expired item must not be dispatched")
 	assert.False(t, controller.Remove(time.Second, entered.Key), "nor withdrawn")
 	due, pending := controller.NextExpiry()
@@ -152,12 +152,12 @@
 	assert.Empty(t, controller.Expire(2*time.Second))
 
 	require.Nil(t, controller.Enqueue(0, entered))
-	_, found = controller.Next(time.Second-1, anything)
+	_, found = controller.Next(time.Second-1, admitAll)
 	assert.True(t, found)
 	assert.Empty(t, controller.Expire(time.Second), "a dispatched item must not be refused")
 }
 
-func TestBatchDoesNotShutOutTheUrgentWorkOfItsTenant(t *testing.T) {
+func TestFullTenantQueueAdmitsUrgentItems(t *testing.T) {
 	policy := twoClasses(0)
 	policy.Tenants = []TenantPolicy{{Name: "a", Weight: 1, MaxWaiting: 3}}
 	controller := newController(policy)
@@ -176,7 +176,7 @@
 	assert.Equal(t, resultcode.TenantQueueFull, refusal.Code)
 }
 
-func TestPolicyChangeReachesWhatWaits(t *testing.T) {
+func TestPolicyChangeAppliesToWaitingItems(t *testing.T) {
 	controller := newController(Policy{Classes: []ClassPolicy{{Name: urgent, MaxWait: time.Hour}}})
 	require.Nil(t, controller.Enqueue(0, item("r", "a", urgent, 1)))
 	controller.ApplyPolicy(Policy{Classes: []ClassPolicy{{Name: urgent, MaxWait: time.Second}}})
@@ -187,6 +187,6 @@
 	refusal := controller.Enqueue(0, item("new", "a", urgent, 1))
 	require.NotNil(t, refusal)
 	assert.Equal(t, resultcode.ClassNotAllowed, refusal.Code)
-	_, found := controller.Next(1, anything)
+	_, found := controller.Next(1, admitAll)
 	assert.True(t, found, "an item of a class that is gone is still served")
 }
--- a/internal/flowcontrol/fairness_test.go
+++ b/internal/flowcontrol/fairness_test.go
@@ -38,7 +38,7 @@
 	return Item{Key: Key{Request: fleet.RequestID(name), Attempt: 1}, Tenant: tenant, Class: class, Cost: cost}
 }
 
-func anything(Item) bool { return true }
+func admitAll(Item) bool { return true }
 
 // meanWait serves one item each 10 ms for 20 s and returns the mean wait of
 // the steady tenant, which offers somewhat under half of that, while the other
@@ -67,7 +67,7 @@
 				require.Nil(t, controller.Enqueue(now, steady))
 			}
 		}
-		next, found := controller.Next(now, anything)
+		next, found := controller.Next(now, admitAll)
 		if found && next.Tenant == "steady" {
 			total += now - enqueued[next.Key]
 			served++
@@ -97,27 +97,27 @@
 	}
 	counts := map[fleet.TenantName]int{}
 	for range 400 {
-		next, found := controller.Next(0, anything)
+		next, found := controller.Next(0, admitAll)
 		require.True(t, found)
 		counts[next.Tenant]++
 	}
 	assert.InDelta(t, 300, counts["large"], 2)
 }
 
-func TestIdleTenantSavesNoShareUp(t *testing.T) {
+func TestIdleTenantAccumulatesNoShare(t *testing.T) {
 	controller := newController(twoClasses(0))
 	for number := range 200 {
 		require.Nil(t, controller.Enqueue(0, item(fmt.Sprintf("a%d", number), "a", urgent, 10)))
 	}
 	for range 100 {
-		controller.Next(0, anything)
+		controller.Next(0, admitAll)
 	}
 	for number := range 100 {
 		require.Nil(t, controller.Enqueue(0, item(fmt.Sprintf("b%d", number), "b", urgent, 10)))
 	}
 	counts := map[fleet.TenantName]int{}
 	for range 100 {
-		next, _ := controller.Next(0, anything)
+		next, _ := controller.Next(0, admitAll)
 		counts[next.Tenant]++
 	}
 	assert.InDelta(t, 50, counts["b"], 1)
@@ -130,7 +130,7 @@
 	for number := range 1000 {
 		require.Nil(t, controller.Enqueue(0, item(fmt.Sprintf("u%d", number), "counter", urgent, 10)))
 		require.Nil(t, controller.Enqueue(0, item(fmt.Sprintf("b%d", number+1), "night", batch, 10)))
-		next, found := controller.Next(0, anything)
+		next, found := controller.Next(0, admitAll)
 		require.True(t, found)
 		sinceBatch++
 		if next.Class == batch {
@@ -146,11 +146,11 @@
 	controller := newController(twoClasses(0))
 	require.Nil(t, controller.Enqueue(0, item("b", "night", batch, 1)))
 	require.Nil(t, controller.Enqueue(1, item("u", "counter", urgent, 1000)))
-	next, _ := controller.Next(2, anything)
+	next, _ := controller.Next(2, admitAll)
 	assert.Equal(t, urgent, next.Class)
 }
 
-func TestUnadmittedItemBlocksNeitherLaneNorNeighbour(t *testing.T) {
+func TestUnadmittedItemsDoNotBlockOthers(t *testing.T) {
 	controller := newController(twoClasses(0))
 	for number := range 5 {
 		blocked := item(fmt.Sprintf("blocked%d", number), "a", urgent, 1)
@@ -177,7 +177,7 @@
 	assert.False(t, found)
 }
 
-func TestHopelessDeadlineIsRefusedAtOnceAndReturnsSpread(t *testing.T) {
+func TestInfeasibleDeadlineIsRefusedWithJitteredRetry(t *testing.T) {
 	controller := newController(twoClasses(0))
 	for number := range 300 {
 		require.Nil(t, controller.Enqueue(0, item(fmt.Sprintf("r%d", number), "a", urgent, 100)))
@@ -185,7 +185,7 @@
 	now := time.Duration(0)
 	for range 100 {
 		now += 10 * time.Millisecond
-		_, found := controller.Next(now, anything)
+		_, found := controller.Next(now, admitAll)
 		require.True(t, found)
 	}
 	// 200 items of 100 tokens at 10,000 tokens a second are two seconds.
@@ -219,7 +219,7 @@
 	for tick := range 1000 {
 		now := time.Duration(tick) * 10 * time.Millisecond
 		require.Empty(t, controller.Expire(now), "an accepted item must not time out at a steady rate")
-		controller.Next(now, anything)
+		controller.Next(now, admitAll)
 		for number := range 3 {
 			refusal := controller.Enqueue(now, item(fmt.Sprintf("r%d.%d", tick, number), "a", urgent, 100))
 			if refusal == nil {
--- a/internal/flowcontrol/flowcontrol.go
+++ b/internal/flowcontrol/flowcontrol.go
@@ -54,7 +54,7 @@
 	defaultMaxScan       = 4096
 	defaultMinRetryAfter = 100 * time.Millisecond
 	defaultMaxRetryAfter = time.Minute
-	defaultRetrySpread   = 0.5
+	defaultRetryJitter   = 0.5
 	defaultWeight        = 1
 	defaultMaxWaiting    = 1024
 )
@@ -71,8 +71,8 @@
 	// MinRetryAfter and MaxRetryAfter bound a refusal's RetryAfter before spreading.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
-	// RetrySpread is the greatest part by which RetryAfter is lengthened at random.
-	RetrySpread float64
+	// RetryJitter is the greatest part by which RetryAfter is lengthened at random.
+	RetryJitter float64
 	// UnknownTenant applies to tenants that the policy doesn't name.
 	UnknownTenant TenantPolicy
 }
@@ -82,7 +82,7 @@
 	setDefault(&o.MaxScan, defaultMaxScan)
 	setDefault(&o.MinRetryAfter, defaultMinRetryAfter)
 	setDefault(&o.MaxRetryAfter, defaultMaxRetryAfter)
-	setDefault(&o.RetrySpread, defaultRetrySpread)
+	setDefault(&o.RetryJitter, defaultRetryJitter)
 	setDefault(&o.UnknownTenant.Weight, defaultWeight)
 	setDefault(&o.UnknownTenant.MaxWaiting, defaultMaxWaiting)
 	return o
--- a/internal/flowcontrol/lane.go
+++ b/internal/flowcontrol/lane.go
@@ -40,9 +40,9 @@
 	return queue
 }
 
-// decisionOrder lists the classes in the order in which they may dispatch:
+// dispatchOrder lists the classes in the order in which they may dispatch:
 // first those owed a whole dispatch by their minimum share, then by rank.
-func (l *lane) decisionOrder() []*classQueue {
+func (l *lane) dispatchOrder() []*classQueue {
 	l.order = l.order[:0]
 	for _, queue := range l.classes {
 		if queue.waiting > 0 && queue.credit >= 1 {
@@ -57,9 +57,9 @@
 	return l.order
 }
 
-// settle books one dispatch against the minimum shares. Credit is capped, so
+// updateCredits books one dispatch against the minimum shares. Credit is capped, so
 // that a class which couldn't use it doesn't save it up for a burst.
-func (l *lane) settle(served *classQueue, scale float64) {
+func (l *lane) updateCredits(served *classQueue, scale float64) {
 	for _, queue := range l.classes {
 		if queue.waiting == 0 {
 			continue
@@ -69,26 +69,26 @@
 	served.credit = max(served.credit-1, 0)
 }
 
-// waitEstimate predicts how long a new item would wait; false when too little
+// predictWait predicts how long a new item would wait; false when too little
 // service has been seen to tell.
-func (l *lane) waitEstimate(queue *classQueue, tenant TenantPolicy) (time.Duration, bool) {
-	ahead := queue.workAhead(tenant.Name, tenant.Weight)
+func (l *lane) predictWait(queue *classQueue, tenant TenantPolicy) (time.Duration, bool) {
+	ahead := queue.tokensAhead(tenant.Name, tenant.Weight)
 	if ahead <= 0 {
 		return 0, true
 	}
-	rate, known := queue.meter.perSecond()
+	rate, known := queue.meter.tokensPerSecond()
 	if !known {
 		return 0, false
 	}
 	return secondsToDuration(ahead / rate), true
 }
 
-// maxEstimate keeps a prediction from overflowing a duration.
-const maxEstimate = 24 * time.Hour
+// maxPredictedWait keeps a prediction from overflowing a duration.
+const maxPredictedWait = 24 * time.Hour
 
 func secondsToDuration(seconds float64) time.Duration {
-	if seconds >= maxEstimate.Seconds() {
-		return maxEstimate
+	if seconds >= maxPredictedWait.Seconds() {
+		return maxPredictedWait
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/flowcontrol/rate.go
+++ b/internal/flowcontrol/rate.go
@@ -8,40 +8,40 @@
 // rateWindow is the time constant over which observed service is forgotten.
 const rateWindow = 10 * time.Second
 
-// minimumBusy is the busy time that must have been observed before a rate
+// minBusyTime is the busy time that must have been observed before a rate
 // counts as known.
-const minimumBusy = 200 * time.Millisecond
+const minBusyTime = 200 * time.Millisecond
 
 // rateMeter measures the service rate of a queue while it has a backlog, as a
 // quotient of two exponentially decayed sums.
 type rateMeter struct {
-	served float64 // tokens
-	busy   float64 // seconds
-	last   time.Duration
+	servedTokens float64 // tokens
+	busySeconds  float64 // seconds
+	updatedAt    time.Duration
 }
 
 // advance accounts for the time since the last call, during which the queue
 // had a backlog or not.
 func (m *rateMeter) advance(now time.Duration, backlogged bool) {
-	if now <= m.last {
+	if now <= m.updatedAt {
 		return
 	}
-	kept := math.Exp(-float64(now-m.last) / float64(rateWindow))
-	m.served *= kept
-	m.busy *= kept
+	kept := math.Exp(-float64(now-m.updatedAt) / float64(rateWindow))
+	m.servedTokens *= kept
+	m.busySeconds *= kept
 	if backlogged {
-		m.busy += rateWindow.Seconds() * (1 - kept)
+		m.busySeconds += rateWindow.Seconds() * (1 - kept)
 	}
-	m.last = now
+	m.updatedAt = now
 }
 
-// serve counts work that left a backlogged queue.
-func (m *rateMeter) serve(cost float64) { m.served += cost }
+// record counts work that left a backlogged queue.
+func (m *rateMeter) record(cost float64) { m.servedTokens += cost }
 
-// perSecond returns tokens a second; false when too little has been seen.
-func (m *rateMeter) perSecond() (float64, bool) {
-	if m.busy < minimumBusy.Seconds() || m.served <= 0 {
+// tokensPerSecond returns tokens a second; false when too little has been seen.
+func (m *rateMeter) tokensPerSecond() (float64, bool) {
+	if m.busySeconds < minBusyTime.Seconds() || m.servedTokens <= 0 {
 		return 0, false
 	}
-	return m.served / m.busy, true
+	return m.servedTokens / m.busySeconds, true
 }
--- a/internal/flowcontrol/refuse.go
+++ b/internal/flowcontrol/refuse.go
@@ -7,15 +7,15 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// predictedShare is the part of a class's longest wait up to which a predicted
+// maxPredictedFraction is the part of a class's longest wait up to which a predicted
 // wait is accepted. Predictions err to both sides; at the limit itself, half of
 // the accepted items would wait in full and then be refused.
-const predictedShare = 0.8
+const maxPredictedFraction = 0.8
 
-// check refuses an item that has no room or no hope.
-func (c *Controller) check(now time.Duration, l *lane, queue *classQueue, tenant TenantPolicy, item Item) *Refusal {
+// checkAdmission refuses an item that has no room or no hope.
+func (c *Controller) checkAdmission(now time.Duration, l *lane, queue *classQueue, tenant TenantPolicy, item Item) *Refusal {
 	queue.meter.advance(now, queue.waiting > 0)
-	wait, known := l.waitEstimate(queue, tenant)
+	wait, known := l.predictWait(queue, tenant)
 	full := c.waiting[item.Tenant] >= tenant.MaxWaiting
 	if full && c.displaceable(item.Tenant, queue.policy.Rank) == nil {
 		return c.refuse(item.Key, resultcode.TenantQueueFull, "the tenant's queue is full", wait)
@@ -30,7 +30,7 @@
 		return c.refuse(item.Key, resultcode.DeadlineTooShort,
 			"the predicted wait is over the deadline", now+wait-item.Deadline)
 	}
-	limit := time.Duration(predictedShare * float64(queue.policy.MaxWait))
+	limit := time.Duration(maxPredictedFraction * float64(queue.policy.MaxWait))
 	if limit > 0 && wait > limit {
 		return c.refuse(item.Key, resultcode.Overloaded,
 			"the predicted wait is near or over the class's limit", wait-limit)
@@ -41,13 +41,13 @@
 // refuse makes a refusal whose retry time is spread, so that callers refused
 // together don't come back together.
 func (c *Controller) refuse(key Key, code resultcode.Code, reason string, retryAfter time.Duration) *Refusal {
-	return &Refusal{Key: key, Code: code, Reason: reason, RetryAfter: c.Spread(retryAfter)}
+	return &Refusal{Key: key, Code: code, Reason: reason, RetryAfter: c.JitterRetryAfter(retryAfter)}
 }
 
-// Spread bounds a retry time and lengthens it by a random part.
-func (c *Controller) Spread(retryAfter time.Duration) time.Duration {
+// JitterRetryAfter bounds a retry time and lengthens it by a random part.
+func (c *Controller) JitterRetryAfter(retryAfter time.Duration) time.Duration {
 	bounded := min(max(retryAfter, c.options.MinRetryAfter), c.options.MaxRetryAfter)
-	extra := c.options.RetrySpread * c.options.Random.Float64()
+	extra := c.options.RetryJitter * c.options.Random.Float64()
 	return bounded + time.Duration(extra*float64(bounded))
 }
 
@@ -80,18 +80,18 @@
 func (c *Controller) displace(now time.Duration, e *entry) {
 	tenant := c.table.tenant(e.item.Tenant)
 	tenant.Name = e.item.Tenant
-	wait, _ := c.byName[e.item.Lane].waitEstimate(e.queue, tenant)
+	wait, _ := c.byName[e.item.Lane].predictWait(e.queue, tenant)
 	e.queue.remove(now, e)
-	c.forget(e)
-	c.refused = append(c.refused, *c.refuse(e.item.Key, resultcode.TenantQueueFull,
+	c.removeFromIndexes(e)
+	c.pendingRefusals = append(c.pendingRefusals, *c.refuse(e.item.Key, resultcode.TenantQueueFull,
 		"the tenant's queue is full of requests of better classes", wait))
 }
 
-func (c *Controller) expired(e *entry) *Refusal {
+func (c *Controller) expiryRefusal(e *entry) *Refusal {
 	tenant := c.table.tenant(e.item.Tenant)
 	tenant.Name = e.item.Tenant
-	wait, _ := c.byName[e.item.Lane].waitEstimate(e.queue, tenant)
-	if e.byDeadline {
+	wait, _ := c.byName[e.item.Lane].predictWait(e.queue, tenant)
+	if e.expiresByDeadline {
 		return c.refuse(e.item.Key, resultcode.DeadlineTooShort, "the deadline passed in the queue", wait)
 	}
 	return c.refuse(e.item.Key, resultcode.QueueTimeout, "no engine became free within the class's limit", wait)
--- a/internal/flowcontrol/snapshot.go
+++ b/internal/flowcontrol/snapshot.go
@@ -67,7 +67,7 @@
 
 func (c *Controller) describe(now time.Duration, l *lane, queue *classQueue) ClassWaiting {
 	queue.meter.advance(now, queue.waiting > 0)
-	rate, _ := queue.meter.perSecond()
+	rate, _ := queue.meter.tokensPerSecond()
 	class := ClassWaiting{
 		Lane:            l.name,
 		Class:           queue.policy.Name,
@@ -77,7 +77,7 @@
 		TokensPerSecond: rate,
 	}
 	for _, f := range queue.active {
-		wait, known := l.waitEstimate(queue, TenantPolicy{Name: f.tenant, Weight: f.weight})
+		wait, known := l.predictWait(queue, TenantPolicy{Name: f.tenant, Weight: f.weight})
 		class.Tenants = append(class.Tenants, TenantWaiting{
 			Tenant:        f.tenant,
 			Waiting:       len(f.entries),
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -53,7 +53,7 @@
 	if waiting.rank <= c.bestRank || c.options.ReserveFraction <= 0 {
 		return 1
 	}
-	if c.flow.Owed(waiting.lane, waiting.request.Class) {
+	if c.flow.HasShareCredit(waiting.lane, waiting.request.Class) {
 		return 1
 	}
 	return 1 - c.options.ReserveFraction
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -190,7 +190,7 @@
 			Key:        key,
 			Code:       resultcode.DeadlineTooShort,
 			Reason:     "no engine is predicted to answer before the deadline",
-			RetryAfter: c.flow.Spread(c.options.MaxEngineQueue),
+			RetryAfter: c.flow.JitterRetryAfter(c.options.MaxEngineQueue),
 		}))
 	}
 	c.infeasible = c.infeasible[:0]
--- a/internal/placement/reject.go
+++ b/internal/placement/reject.go
@@ -20,7 +20,7 @@
 			Key:        request.Key,
 			Code:       resultcode.NoConfiguration,
 			Reason:     "this router has no configuration yet",
-			RetryAfter: c.flow.Spread(0),
+			RetryAfter: c.flow.JitterRetryAfter(0),
 		}
 	}
 	if outcome := c.rejectModelVersion(request); outcome != nil {
@@ -37,7 +37,7 @@
 		Key:        request.Key,
 		Code:       resultcode.NoEngine,
 		Reason:     "no engine of pool " + string(model.Pool) + " takes requests",
-		RetryAfter: c.flow.Spread(time.Second),
+		RetryAfter: c.flow.JitterRetryAfter(time.Second),
 	}
 }
 
