--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -41,8 +41,8 @@
 	scope := Scope(engine.Model, version, engine.Tenant, engine.Isolated)
 	scoped := &promptScope{version: version, scope: scope, hashes: hashParts(scope, engine.Parts)}
 	store := StoreRun(engine.Store)
-	scoped.storedParts = r.parts.index.Held(store, scoped.hashes)
-	r.matches = r.parts.index.LookupFew(scoped.hashes, maxHolders+1, r.options.Random.IntN(1<<16), r.matches)
+	scoped.storedParts = r.parts.index.CachedPrefix(store, scoped.hashes)
+	r.matches = r.parts.index.LookupLimited(scoped.hashes, maxHolders+1, r.options.Random.IntN(1<<16), r.matches)
 	scoped.holders = make([]holder, 0, len(r.matches))
 	for _, match := range r.matches {
 		if match.Run != store {
@@ -55,5 +55,5 @@
 
 // heldParts returns the number of leading parts that an engine is expected to hold.
 func (r *Registry) heldParts(parts *promptScope, state *workerState) int {
-	return r.parts.index.Held(state.worker.Run(), parts.hashes)
+	return r.parts.index.CachedPrefix(state.worker.Run(), parts.hashes)
 }
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -149,7 +149,7 @@
 // now, by identifier. Each is named once until the feed asks again.
 func (c *Core) NeedsSnapshot() []fleet.EngineID {
 	return c.selectEngines(func(state *engineState) bool {
-		return state.feed != nil && state.feed.WantSnapshot(c.now)
+		return state.feed != nil && state.feed.RequestSnapshot(c.now)
 	})
 }
 
--- a/internal/prefixindex/bank.go
+++ b/internal/prefixindex/bank.go
@@ -20,8 +20,8 @@
 	// sweptPerChange is how many entries are swept for each changed block while
 	// a removed run waits to be reclaimed.
 	sweptPerChange = 4
-	// lookAhead is how many blocks of a prompt are read together.
-	lookAhead = 64
+	// lookupBatch is how many blocks of a prompt are read together.
+	lookupBatch = 64
 )
 
 // bank holds the blocks of up to 64 runs.
@@ -41,8 +41,8 @@
 	// sweeping is the set of dead slots that the present sweep clears,
 	// nextSwept the segment it has come to, sweepCredit the entries it may visit.
 	sweeping    uint64
-	nextSwept   int
-	sweepCredit int
+	nextSegment int
+	sweepBudget int
 }
 
 func newBank(number int) *bank { return &bank{number: number} }
@@ -118,9 +118,9 @@
 // no run with an unbroken prefix holds.
 func (b *bank) lookup(hashes []fleet.BlockHash, matches []Match) []Match {
 	unbroken := b.live
-	var holders [lookAhead]uint64
+	var holders [lookupBatch]uint64
 	for depth := 0; depth < len(hashes); {
-		chunk := hashes[depth:min(depth+lookAhead, len(hashes))]
+		chunk := hashes[depth:min(depth+lookupBatch, len(hashes))]
 		b.holdersOfAll(chunk, &holders)
 		for position := range chunk {
 			holding := unbroken & holders[position]
@@ -141,8 +141,8 @@
 // included. It works out all home buckets, reads one word of each, and only
 // then compares: in the short loop of reads the processor waits for many cache
 // misses at once instead of for one after another.
-func (b *bank) holdersOfAll(hashes []fleet.BlockHash, holders *[lookAhead]uint64) {
-	var homes [lookAhead]*bucket
+func (b *bank) holdersOfAll(hashes []fleet.BlockHash, holders *[lookupBatch]uint64) {
+	var homes [lookupBatch]*bucket
 	for position, hash := range hashes {
 		mixed := mix(hash)
 		homes[position] = b.segmentOf(mixed).homeBucket(mixed)
@@ -176,8 +176,8 @@
 	return matches
 }
 
-// kept is the set of slots whose entries are of use.
-func (b *bank) kept() uint64 { return b.live | b.hidden }
+// usedSlots is the set of slots whose entries are of use.
+func (b *bank) usedSlots() uint64 { return b.live | b.hidden }
 
 func (b *bank) bytes() int {
 	total := bankBytes
--- a/internal/prefixindex/directory.go
+++ b/internal/prefixindex/directory.go
@@ -3,12 +3,12 @@
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
 const (
-	// directoryFrom is the number of banks from which on a directory is kept: a search in
+	// minDirectoryBanks is the number of banks from which on a directory is kept: a search in
 	// fewer costs no more than the directory's upkeep.
-	directoryFrom = 8
-	// directorySpare is how many blocks beyond twice those in the index a directory may
+	minDirectoryBanks = 8
+	// directorySlack is how many blocks beyond twice those in the index a directory may
 	// name before it is made anew.
-	directorySpare = 4096
+	directorySlack = 4096
 )
 
 // directory tells which banks may hold a block, so that a search doesn't look into each of
@@ -33,35 +33,35 @@
 	return s
 }
 
-// note takes in that a bank holds a block.
-func (d directory) note(hash fleet.BlockHash, number int) {
+// add takes in that a bank holds a block.
+func (d directory) add(hash fleet.BlockHash, number int) {
 	set := d[hash]
 	if !set.has(number) {
 		d[hash] = set.with(number)
 	}
 }
 
-// noteEntry keeps the directory up with a new entry of a bank, and makes it anew when the
+// addToDirectory keeps the directory up with a new entry of a bank, and makes it anew when the
 // index has got many banks or the directory names too much that is gone.
-func (x *Index) noteEntry(hash fleet.BlockHash, number int) {
+func (x *Index) addToDirectory(hash fleet.BlockHash, number int) {
 	switch {
-	case len(x.banks) < directoryFrom:
+	case len(x.banks) < minDirectoryBanks:
 		return
-	case x.directory == nil || len(x.directory) > 2*x.Blocks()+directorySpare:
-		x.makeDirectory()
+	case x.directory == nil || len(x.directory) > 2*x.Blocks()+directorySlack:
+		x.rebuildDirectory()
 	default:
-		x.directory.note(hash, number)
+		x.directory.add(hash, number)
 	}
 }
 
-// makeDirectory names the banks of all blocks.
-func (x *Index) makeDirectory() {
+// rebuildDirectory names the banks of all blocks.
+func (x *Index) rebuildDirectory() {
 	x.directory = make(directory)
 	for number, bank := range x.banks {
 		for at := range bank.segments {
 			for _, entry := range bank.segments[at].table {
 				if entry.holders != 0 {
-					x.directory.note(entry.hash, number)
+					x.directory.add(entry.hash, number)
 				}
 			}
 		}
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -11,7 +11,7 @@
 // Defaults of FeedOptions.
 const (
 	DefaultReorderWindow  = 32
-	DefaultHoleTimeout    = 100 * time.Millisecond
+	DefaultGapTimeout     = 100 * time.Millisecond
 	DefaultReplayLimit    = 4096
 	DefaultResyncInterval = time.Second
 )
@@ -21,8 +21,8 @@
 	// ReorderWindow is how many sequence numbers an event may be early before
 	// the missing ones count as lost.
 	ReorderWindow uint64
-	// HoleTimeout is how long a missing event is waited for.
-	HoleTimeout time.Duration
+	// GapTimeout is how long a missing event is waited for.
+	GapTimeout time.Duration
 	// ReplayLimit bounds the events kept for replay after a snapshot.
 	ReplayLimit int
 	// ResyncInterval is the least time between two requests for a snapshot, so
@@ -34,8 +34,8 @@
 	if o.ReorderWindow == 0 {
 		o.ReorderWindow = DefaultReorderWindow
 	}
-	if o.HoleTimeout == 0 {
-		o.HoleTimeout = DefaultHoleTimeout
+	if o.GapTimeout == 0 {
+		o.GapTimeout = DefaultGapTimeout
 	}
 	if o.ReplayLimit == 0 {
 		o.ReplayLimit = DefaultReplayLimit
@@ -76,17 +76,17 @@
 
 	// applied is the last sequence number up to which nothing is missing.
 	applied uint64
-	// ahead holds later events by rising sequence number.
-	ahead     []engine.CacheEvent
-	holeSince time.Duration
-
-	distrusted bool
-	// askedAt is when a snapshot was last asked for, if ever.
-	askedAt time.Duration
-	asked   bool
-	// load is the snapshot that is being stored, if any.
-	load   *snapshotLoad
-	counts FeedCounts
+	// buffered holds later events by rising sequence number.
+	buffered []engine.CacheEvent
+	gapSince time.Duration
+
+	outOfSync bool
+	// requestedAt is when a snapshot was last asked for, if ever.
+	requestedAt time.Duration
+	requested   bool
+	// loading is the snapshot that is being stored, if any.
+	loading *snapshotLoad
+	counts  FeedCounts
 }
 
 // NewFeed returns the feed of a run and adds the run to the index. The feed is
@@ -95,19 +95,19 @@
 func NewFeed(index *Index, run fleet.EngineRun, options FeedOptions) *Feed {
 	index.AddRun(run)
 	return &Feed{
-		index:      index,
-		run:        run,
-		options:    options.withDefaults(),
-		distrusted: true,
+		index:     index,
+		run:       run,
+		options:   options.withDefaults(),
+		outOfSync: true,
 	}
 }
 
 // Run returns the engine run that the feed follows.
 func (f *Feed) Run() fleet.EngineRun { return f.run }
 
-// Distrusted tells whether there was no snapshot yet or events have been lost
+// OutOfSync tells whether there was no snapshot yet or events have been lost
 // since the last one.
-func (f *Feed) Distrusted() bool { return f.distrusted }
+func (f *Feed) OutOfSync() bool { return f.outOfSync }
 
 // Counts returns what the feed has met so far.
 func (f *Feed) Counts() FeedCounts { return f.counts }
@@ -115,10 +115,10 @@
 // After returns the highest sequence number seen, from which the engine is to
 // be polled.
 func (f *Feed) After() uint64 {
-	if len(f.ahead) == 0 {
+	if len(f.buffered) == 0 {
 		return f.applied
 	}
-	return max(f.applied, f.ahead[len(f.ahead)-1].Sequence)
+	return max(f.applied, f.buffered[len(f.buffered)-1].Sequence)
 }
 
 // Apply takes the answer to a poll at time now. It returns false when the
@@ -138,86 +138,86 @@
 
 // Tick gives up missing events that are overdue at time now.
 func (f *Feed) Tick(now time.Duration) {
-	if f.distrusted || len(f.ahead) == 0 {
+	if f.outOfSync || len(f.buffered) == 0 {
 		return
 	}
-	if now-f.holeSince >= f.options.HoleTimeout {
-		f.distrust()
+	if now-f.gapSince >= f.options.GapTimeout {
+		f.markOutOfSync()
 	}
 }
 
-// WantSnapshot tells whether a snapshot is to be fetched now, and notes that it
+// RequestSnapshot tells whether a snapshot is to be fetched now, and notes that it
 // is. It stays false for ResyncInterval afterwards.
-func (f *Feed) WantSnapshot(now time.Duration) bool {
-	if !f.distrusted || f.load != nil {
+func (f *Feed) RequestSnapshot(now time.Duration) bool {
+	if !f.outOfSync || f.loading != nil {
 		return false
 	}
-	if f.asked && now-f.askedAt < f.options.ResyncInterval {
+	if f.requested && now-f.requestedAt < f.options.ResyncInterval {
 		return false
 	}
-	f.asked = true
-	f.askedAt = now
+	f.requested = true
+	f.requestedAt = now
 	return true
 }
 
 // accept sorts one event into place.
 func (f *Feed) accept(now time.Duration, event engine.CacheEvent) {
-	position, present := slices.BinarySearchFunc(f.ahead, event.Sequence, compareSequence)
+	position, present := slices.BinarySearchFunc(f.buffered, event.Sequence, compareSequence)
 	if event.Sequence <= f.applied || present {
 		f.counts.Duplicates++
 		return
 	}
-	if f.distrusted {
-		f.applyNow(event)
-		f.keep(position, event)
+	if f.outOfSync {
+		f.applyEvent(event)
+		f.buffer(position, event)
 		return
 	}
 	if event.Sequence == f.applied+1 {
-		f.applyNow(event)
+		f.applyEvent(event)
 		f.applied++
-		f.applyReady()
-		f.holeSince = now
+		f.applyBuffered()
+		f.gapSince = now
 		return
 	}
-	if len(f.ahead) == 0 {
-		f.holeSince = now
+	if len(f.buffered) == 0 {
+		f.gapSince = now
 	}
-	f.keep(position, event)
+	f.buffer(position, event)
 	if event.Sequence-f.applied > f.options.ReorderWindow {
-		f.distrust()
+		f.markOutOfSync()
 	}
 }
 
-// keep holds an event for later, within ReplayLimit. Of too many the oldest
+// buffer holds an event for later, within ReplayLimit. Of too many the oldest
 // go, which a snapshot must then cover.
-func (f *Feed) keep(position int, event engine.CacheEvent) {
-	f.ahead = slices.Insert(f.ahead, position, event)
-	if excess := len(f.ahead) - f.options.ReplayLimit; excess > 0 {
-		f.ahead = slices.Delete(f.ahead, 0, excess)
+func (f *Feed) buffer(position int, event engine.CacheEvent) {
+	f.buffered = slices.Insert(f.buffered, position, event)
+	if excess := len(f.buffered) - f.options.ReplayLimit; excess > 0 {
+		f.buffered = slices.Delete(f.buffered, 0, excess)
 	}
 }
 
-// distrust gives up the missing events and applies those that waited for them.
-func (f *Feed) distrust() {
-	f.distrusted = true
+// markOutOfSync gives up the missing events and applies those that waited for them.
+func (f *Feed) markOutOfSync() {
+	f.outOfSync = true
 	f.counts.Gaps++
-	for _, event := range f.ahead {
-		f.applyNow(event)
+	for _, event := range f.buffered {
+		f.applyEvent(event)
 	}
 }
 
-// applyReady applies held events as far as none is missing.
-func (f *Feed) applyReady() {
+// applyBuffered applies held events as far as none is missing.
+func (f *Feed) applyBuffered() {
 	ready := 0
-	for ready < len(f.ahead) && f.ahead[ready].Sequence == f.applied+1 {
-		f.applyNow(f.ahead[ready])
+	for ready < len(f.buffered) && f.buffered[ready].Sequence == f.applied+1 {
+		f.applyEvent(f.buffered[ready])
 		f.applied++
 		ready++
 	}
-	f.ahead = slices.Delete(f.ahead, 0, ready)
+	f.buffered = slices.Delete(f.buffered, 0, ready)
 }
 
-func (f *Feed) applyNow(event engine.CacheEvent) {
+func (f *Feed) applyEvent(event engine.CacheEvent) {
 	f.counts.Applied++
 	switch event.Kind {
 	case engine.BlockStored:
--- a/internal/prefixindex/feed_snapshot.go
+++ b/internal/prefixindex/feed_snapshot.go
@@ -38,10 +38,10 @@
 		f.counts.StaleSnapshots++
 		return false
 	}
-	f.StopSnapshot()
+	f.AbortSnapshot()
 	// From here on events are kept for replay, as after a loss.
-	f.distrusted = true
-	f.load = &snapshotLoad{
+	f.outOfSync = true
+	f.loading = &snapshotLoad{
 		replacement: f.index.BeginReplace(f.run),
 		sequence:    snapshot.Sequence,
 		hashes:      snapshot.Hashes,
@@ -52,50 +52,50 @@
 // ContinueSnapshot stores up to limit more blocks of the begun snapshot. It
 // returns true once when the snapshot is in force.
 func (f *Feed) ContinueSnapshot(now time.Duration, limit int) bool {
-	if f.load == nil {
+	if f.loading == nil {
 		return false
 	}
-	piece := f.load.hashes[:min(limit, len(f.load.hashes))]
-	f.load.replacement.Store(piece)
-	f.load.hashes = f.load.hashes[len(piece):]
-	if len(f.load.hashes) > 0 {
+	piece := f.loading.hashes[:min(limit, len(f.loading.hashes))]
+	f.loading.replacement.Store(piece)
+	f.loading.hashes = f.loading.hashes[len(piece):]
+	if len(f.loading.hashes) > 0 {
 		return false
 	}
 	return f.finishSnapshot(now)
 }
 
-// StopSnapshot gives up a begun snapshot. It must be called when the feed is
+// AbortSnapshot gives up a begun snapshot. It must be called when the feed is
 // dropped, so that the index can use the memory again.
-func (f *Feed) StopSnapshot() {
-	if f.load == nil {
+func (f *Feed) AbortSnapshot() {
+	if f.loading == nil {
 		return
 	}
-	f.load.replacement.Abort()
-	f.load = nil
+	f.loading.replacement.Abort()
+	f.loading = nil
 }
 
 func (f *Feed) finishSnapshot(now time.Duration) bool {
-	load := f.load
-	f.load = nil
+	load := f.loading
+	f.loading = nil
 	if !load.replacement.Commit() {
 		return false
 	}
 	f.counts.Snapshots++
 	f.applied = load.sequence
-	f.ahead = slices.DeleteFunc(f.ahead, func(event engine.CacheEvent) bool {
+	f.buffered = slices.DeleteFunc(f.buffered, func(event engine.CacheEvent) bool {
 		return event.Sequence <= load.sequence
 	})
-	f.distrusted = false
-	f.applyReady()
-	f.resumeWaiting(now)
+	f.outOfSync = false
+	f.applyBuffered()
+	f.checkRemainingGap(now)
 	return true
 }
 
-// resumeWaiting decides, after a snapshot, whether events missing beyond it may
+// checkRemainingGap decides, after a snapshot, whether events missing beyond it may
 // still come or are lost too.
-func (f *Feed) resumeWaiting(now time.Duration) {
-	f.holeSince = now
+func (f *Feed) checkRemainingGap(now time.Duration) {
+	f.gapSince = now
 	if f.After()-f.applied > f.options.ReorderWindow {
-		f.distrust()
+		f.markOutOfSync()
 	}
 }
--- a/internal/prefixindex/feed_test.go
+++ b/internal/prefixindex/feed_test.go
@@ -35,24 +35,24 @@
 	index, feed := newTestFeed()
 	removed := engine.CacheEvent{Sequence: 3, Kind: engine.BlockRemoved, Hashes: []fleet.BlockHash{2}}
 	require.True(t, apply(feed, 0, removed, storedEvent(1), storedEvent(1), storedEvent(2), removed))
-	assert.False(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync())
 	assert.Empty(t, index.HoldersOf(2), "the removal takes effect after the store")
 	assert.EqualValues(t, 3, feed.After())
 	assert.EqualValues(t, 2, feed.Counts().Duplicates)
 }
 
-func TestNewFeedWantsSnapshot(t *testing.T) {
+func TestNewFeedRequestsSnapshot(t *testing.T) {
 	index := New(Options{})
 	feed := NewFeed(index, testRun(1, 7), FeedOptions{})
 	apply(feed, 0, storedEvent(41))
 	assert.Equal(t, 1, index.BlocksOf(testRun(1, 7)), "events count before the snapshot")
-	require.True(t, feed.WantSnapshot(0))
+	require.True(t, feed.RequestSnapshot(0))
 	feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 40, Hashes: testHashes(0, 3)})
-	assert.False(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync())
 	assert.Equal(t, 4, index.BlocksOf(testRun(1, 7)))
 }
 
-func TestFeedDropsOtherIncarnations(t *testing.T) {
+func TestFeedRejectsOtherIncarnations(t *testing.T) {
 	index, feed := newTestFeed()
 	stale := engine.CacheEvents{Incarnation: 6, Events: []engine.CacheEvent{storedEvent(1)}}
 	assert.False(t, feed.Apply(0, stale))
@@ -61,25 +61,25 @@
 	assert.EqualValues(t, 2, feed.Counts().StaleRuns)
 }
 
-func TestFeedDistrustsAfterGap(t *testing.T) {
+func TestFeedIsOutOfSyncAfterGap(t *testing.T) {
 	index, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(3))
-	assert.False(t, feed.Distrusted(), "event 2 may still come")
-	feed.Tick(DefaultHoleTimeout)
-	require.True(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync(), "event 2 may still come")
+	feed.Tick(DefaultGapTimeout)
+	require.True(t, feed.OutOfSync())
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)))
-	assert.True(t, feed.WantSnapshot(time.Second))
-	assert.False(t, feed.WantSnapshot(time.Second+1), "asked for already")
-	assert.True(t, feed.WantSnapshot(2*time.Second), "the answer was lost")
+	assert.True(t, feed.RequestSnapshot(time.Second))
+	assert.False(t, feed.RequestSnapshot(time.Second+1), "asked for already")
+	assert.True(t, feed.RequestSnapshot(2*time.Second), "the answer was lost")
 }
 
 func TestFeedSnapshotDropsOlderAndReplaysLater(t *testing.T) {
 	index, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(6), storedEvent(7), storedEvent(8))
-	require.True(t, feed.Distrusted())
+	require.True(t, feed.OutOfSync())
 	snapshot := engine.CacheSnapshot{Incarnation: 7, Sequence: 7, Hashes: []fleet.BlockHash{50}}
 	require.True(t, feed.ApplySnapshot(0, snapshot))
-	assert.False(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync())
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)), "the snapshot and event 8")
 	apply(feed, 0, storedEvent(6))
 	assert.Empty(t, index.HoldersOf(6))
@@ -97,9 +97,9 @@
 	apply(feed, 0, storedEvent(2), storedEvent(3))
 	assert.Equal(t, 3, index.BlocksOf(run), "the old set counts")
 	assert.Empty(t, index.Lookup(testHashes(100, 1), nil), "the new set doesn't yet")
-	assert.False(t, feed.WantSnapshot(time.Hour))
+	assert.False(t, feed.RequestSnapshot(time.Hour))
 	require.True(t, feed.ContinueSnapshot(0, 6))
-	assert.False(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync())
 	assert.Equal(t, 11, index.BlocksOf(run), "the snapshot and event 3")
 	assert.Empty(t, index.HoldersOf(1))
 
@@ -110,13 +110,13 @@
 	assert.Zero(t, index.Blocks())
 }
 
-func TestFeedStaysDistrustedWhenSnapshotPredatesLoss(t *testing.T) {
+func TestFeedStaysOutOfSyncWhenSnapshotPredatesLoss(t *testing.T) {
 	_, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(9))
 	require.True(t, feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 3}))
-	assert.True(t, feed.Distrusted())
+	assert.True(t, feed.OutOfSync())
 	require.True(t, feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 8}))
-	assert.False(t, feed.Distrusted())
+	assert.False(t, feed.OutOfSync())
 	assert.EqualValues(t, 9, feed.After())
 }
 
@@ -149,7 +149,7 @@
 		apply(feed, 0, delayed...)
 		end := engine.CacheEvent{Sequence: uint64(total) + 100, Kind: engine.BlockStored}
 		apply(feed, 0, end)
-		require.True(t, feed.Distrusted())
+		require.True(t, feed.OutOfSync())
 		snapshot := engine.CacheSnapshot{Incarnation: 7, Sequence: end.Sequence}
 		for hash := fleet.BlockHash(0); hash < 10; hash++ {
 			if cache[hash] {
@@ -157,7 +157,7 @@
 			}
 		}
 		require.True(t, feed.ApplySnapshot(0, snapshot))
-		require.False(t, feed.Distrusted())
+		require.False(t, feed.OutOfSync())
 		for hash, held := range cache {
 			assert.Equal(t, held, len(index.HoldersOf(hash)) == 1, "block %d", hash)
 		}
--- a/internal/prefixindex/few.go
+++ b/internal/prefixindex/few.go
@@ -7,25 +7,25 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// LookupFew appends to into[:0] runs that hold a prefix of a prompt, like Lookup, but at
+// LookupLimited appends to into[:0] runs that hold a prefix of a prompt, like Lookup, but at
 // most limit runs for each length of prefix: a prefix that thousands of runs hold would
 // else cost a choice milliseconds. offset is any number at or above 0; it sets where the
 // search begins, so that different offsets find different runs.
-func (x *Index) LookupFew(hashes []fleet.BlockHash, limit, offset int, into []Match) []Match {
-	search := &few{
-		hashes: hashes, limit: limit, offset: offset, found: make([]int, len(hashes)+1), matches: into[:0],
+func (x *Index) LookupLimited(hashes []fleet.BlockHash, limit, offset int, into []Match) []Match {
+	search := &limitedSearch{
+		hashes: hashes, limit: limit, offset: offset, foundByLength: make([]int, len(hashes)+1), matches: into[:0],
 	}
 	if x.directory == nil {
-		search.all(x.banks)
+		search.searchAllBanks(x.banks)
 	} else {
-		search.named(x.banks, x.directory.banksOf(hashes))
+		search.searchDirectory(x.banks, x.directory.banksOf(hashes))
 	}
 	slices.SortFunc(search.matches, compareMatches)
 	return search.matches
 }
 
-// Held returns the number of leading blocks of a prompt that a run holds.
-func (x *Index) Held(run fleet.EngineRun, hashes []fleet.BlockHash) int {
+// CachedPrefix returns the number of leading blocks of a prompt that a run holds.
+func (x *Index) CachedPrefix(run fleet.EngineRun, hashes []fleet.BlockHash) int {
 	where, known := x.runs[run]
 	if !known || where.bank.counts[where.slot] == 0 {
 		return 0
@@ -38,68 +38,68 @@
 	return len(hashes)
 }
 
-// few is a search for few runs of each length.
-type few struct {
+// limitedSearch is a search for limitedSearch runs of each length.
+type limitedSearch struct {
 	hashes []fleet.BlockHash
 	limit  int
 	offset int
-	// found counts the matches of each length.
-	found   []int
-	matches []Match
+	// foundByLength counts the matches of each length.
+	foundByLength []int
+	matches       []Match
 }
 
-// all looks into each bank.
-func (f *few) all(banks []*bank) {
+// searchAllBanks looks into each bank.
+func (f *limitedSearch) searchAllBanks(banks []*bank) {
 	for number := range banks {
-		f.lookInto(banks[(number+f.offset)%len(banks)])
+		f.searchBank(banks[(number+f.offset)%len(banks)])
 	}
 }
 
-// named looks into the banks that may hold a block, those with the longest prefixes first,
+// searchDirectory looks into the banks that may hold a block, those with the longest prefixes first,
 // until there are enough runs of each length.
-func (f *few) named(banks []*bank, sets []bankSet) {
+func (f *limitedSearch) searchDirectory(banks []*bank, sets []bankSet) {
 	var seen bankSet
 	for depth := len(sets); depth > 0; depth-- {
 		for step := range banks {
 			number := (step + f.offset) % len(banks)
-			if f.found[depth] >= f.limit {
+			if f.foundByLength[depth] >= f.limit {
 				break
 			}
 			if sets[depth-1].has(number) && !seen.has(number) {
 				seen = seen.with(number)
-				f.lookInto(banks[number])
+				f.searchBank(banks[number])
 			}
 		}
 	}
 }
 
-// lookInto takes the runs of one bank.
-func (f *few) lookInto(b *bank) {
+// searchBank takes the runs of one bank.
+func (f *limitedSearch) searchBank(b *bank) {
 	if b.entries == 0 {
 		return
 	}
 	unbroken := b.live
 	for depth, hash := range f.hashes {
 		holding := unbroken & b.holders(hash)
-		f.take(b, unbroken&^holding, depth)
+		f.appendMatches(b, unbroken&^holding, depth)
 		unbroken = holding
 		if unbroken == 0 {
 			return
 		}
 	}
-	f.take(b, unbroken, len(f.hashes))
+	f.appendMatches(b, unbroken, len(f.hashes))
 }
 
-// take takes the runs of a mask until there are enough of their length.
-func (f *few) take(b *bank, mask uint64, blocks int) {
+// appendMatches takes the runs of a mask until there are enough of their length.
+func (f *limitedSearch) appendMatches(b *bank, mask uint64, blocks int) {
 	if blocks == 0 {
 		return
 	}
 	first := f.offset % slotsPerBank
 	rotated := bits.RotateLeft64(mask, -first)
-	for ; rotated != 0 && f.found[blocks] < f.limit; rotated &= rotated - 1 {
+	for ; rotated != 0 && f.foundByLength[blocks] < f.limit; rotated &= rotated - 1 {
 		run := b.runs[(bits.TrailingZeros64(rotated)+first)%slotsPerBank]
 		f.matches = append(f.matches, Match{Run: run, Blocks: blocks})
-		f.found[blocks]++
+		f.foundByLength[blocks]++
 	}
 }
--- a/internal/prefixindex/few_test.go
+++ b/internal/prefixindex/few_test.go
@@ -10,14 +10,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestFewAgreeWithAll compares LookupFew and Held with Lookup over random indexes of
+// TestLookupLimitedAgreesWithLookup compares LookupFew and Held with Lookup over random indexes of
 // several banks.
-func TestFewAgreeWithAll(t *testing.T) {
-	t.Run("each bank", func(t *testing.T) { testFewAgree(t, false) })
-	t.Run("directory", func(t *testing.T) { testFewAgree(t, true) })
+func TestLookupLimitedAgreesWithLookup(t *testing.T) {
+	t.Run("each bank", func(t *testing.T) { testLookupLimited(t, false) })
+	t.Run("directory", func(t *testing.T) { testLookupLimited(t, true) })
 }
 
-func testFewAgree(t *testing.T, directed bool) {
+func testLookupLimited(t *testing.T, directed bool) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 20 {
@@ -37,7 +37,7 @@
 		index.Remove(runs[1], prompt[:1])
 		assert.Equal(t, directed, index.directory != nil)
 		all := index.Lookup(prompt, nil)
-		assert.Equal(t, all, index.LookupFew(prompt, len(runs), random.IntN(100), nil))
+		assert.Equal(t, all, index.LookupLimited(prompt, len(runs), random.IntN(100), nil))
 		held := make(map[fleet.EngineRun]int)
 		lengths := make(map[int]int)
 		for _, match := range all {
@@ -45,11 +45,11 @@
 			lengths[match.Blocks]++
 		}
 		for _, run := range runs {
-			assert.Equal(t, held[run], index.Held(run, prompt))
+			assert.Equal(t, held[run], index.CachedPrefix(run, prompt))
 		}
 		const limit = 3
 		few := make(map[int]int)
-		for _, match := range index.LookupFew(prompt, limit, random.IntN(100), nil) {
+		for _, match := range index.LookupLimited(prompt, limit, random.IntN(100), nil) {
 			assert.Equal(t, held[match.Run], match.Blocks)
 			few[match.Blocks]++
 		}
@@ -69,7 +69,7 @@
 	}
 	found := make(map[fleet.EngineID]bool)
 	for offset := range 4 {
-		for _, match := range index.LookupFew([]fleet.BlockHash{7}, 2, offset, nil) {
+		for _, match := range index.LookupLimited([]fleet.BlockHash{7}, 2, offset, nil) {
 			found[match.Run.Engine] = true
 		}
 	}
@@ -79,18 +79,18 @@
 // TestDirectoryStaysSmall has blocks come and go.
 func TestDirectoryStaysSmall(t *testing.T) {
 	index := New(Options{Directory: true})
-	runs := make([]fleet.EngineRun, directoryFrom*slotsPerBank)
+	runs := make([]fleet.EngineRun, minDirectoryBanks*slotsPerBank)
 	for number := range runs {
 		runs[number] = fleet.EngineRun{Engine: fleet.EngineID(fmt.Sprint("e", number))}
 		index.AddRun(runs[number])
 	}
-	for number := range 5 * directorySpare {
+	for number := range 5 * directorySlack {
 		run := runs[number%len(runs)]
 		hash := []fleet.BlockHash{fleet.BlockHash(number + 1)}
 		index.Store(run, hash)
-		assert.Len(t, index.LookupFew(hash, 1, number, nil), 1)
+		assert.Len(t, index.LookupLimited(hash, 1, number, nil), 1)
 		index.Remove(run, hash)
-		assert.Empty(t, index.LookupFew(hash, 1, number, nil))
+		assert.Empty(t, index.LookupLimited(hash, 1, number, nil))
 	}
-	assert.LessOrEqual(t, len(index.directory), directorySpare+2)
+	assert.LessOrEqual(t, len(index.directory), directorySlack+2)
 }
--- a/internal/prefixindex/prefixindex.go
+++ b/internal/prefixindex/prefixindex.go
@@ -45,12 +45,12 @@
 // Index maps block hashes to the engine runs that hold them. It isn't safe for
 // concurrent use.
 type Index struct {
-	maxBlocks int
-	directed  bool
-	directory directory
-	banks     []*bank
-	runs      map[fleet.EngineRun]location
-	dropped   uint64
+	maxBlocks    int
+	useDirectory bool
+	directory    directory
+	banks        []*bank
+	runs         map[fleet.EngineRun]location
+	evicted      uint64
 }
 
 // New returns an empty index.
@@ -60,9 +60,9 @@
 		maxBlocks = DefaultMaxBlocks
 	}
 	return &Index{
-		maxBlocks: maxBlocks,
-		directed:  options.Directory,
-		runs:      make(map[fleet.EngineRun]location),
+		maxBlocks:    maxBlocks,
+		useDirectory: options.Directory,
+		runs:         make(map[fleet.EngineRun]location),
 	}
 }
 
@@ -110,14 +110,14 @@
 		if !where.bank.add(hash, where.slot) {
 			continue
 		}
-		if x.directed {
-			x.noteEntry(hash, where.bank.number)
+		if x.useDirectory {
+			x.addToDirectory(hash, where.bank.number)
 		}
 		if x.Blocks() > x.maxBlocks {
-			x.drop(hash)
+			x.evict(hash)
 		}
 	}
-	where.bank.reclaimFor(len(hashes))
+	where.bank.reclaimIncrementally(len(hashes))
 }
 
 // Remove records that a run no longer holds blocks.
@@ -129,7 +129,7 @@
 	for _, hash := range hashes {
 		where.bank.remove(hash, where.slot)
 	}
-	where.bank.reclaimFor(len(hashes))
+	where.bank.reclaimIncrementally(len(hashes))
 }
 
 // Replace makes hashes the whole set of a run's blocks. Its time grows with
@@ -202,8 +202,8 @@
 	return total
 }
 
-// Dropped returns how many entries were dropped to stay within MaxBlocks.
-func (x *Index) Dropped() uint64 { return x.dropped }
+// Evicted returns how many entries were dropped to stay within MaxBlocks.
+func (x *Index) Evicted() uint64 { return x.evicted }
 
 // Reclaim frees the memory of all removed runs at once. It walks the whole
 // index, so it suits idle moments only.
@@ -235,16 +235,16 @@
 	return location{bank: added, slot: slot}
 }
 
-// drop removes one entry other than keep from the largest bank.
-func (x *Index) drop(keep fleet.BlockHash) {
+// evict removes one entry other than keep from the largest bank.
+func (x *Index) evict(keep fleet.BlockHash) {
 	largest := x.banks[0]
 	for _, bank := range x.banks[1:] {
 		if bank.entries > largest.entries {
 			largest = bank
 		}
 	}
-	if largest.drop(keep) {
-		x.dropped++
+	if largest.evict(keep) {
+		x.evicted++
 	}
 }
 
--- a/internal/prefixindex/prefixindex_test.go
+++ b/internal/prefixindex/prefixindex_test.go
@@ -96,11 +96,11 @@
 			case 3:
 				index.Replace(run, hashes)
 				clear(expected[run])
-				expected.store(run, hashes)
+				expected.add(run, hashes)
 			case 8:
 				replaceInPieces(index, run, hashes)
 				clear(expected[run])
-				expected.store(run, hashes)
+				expected.add(run, hashes)
 			case 4:
 				index.Remove(run, hashes)
 				for _, hash := range hashes {
@@ -108,7 +108,7 @@
 				}
 			default:
 				index.Store(run, hashes)
-				expected.store(run, hashes)
+				expected.add(run, hashes)
 			}
 			checkAgainstModel(t, index, expected)
 		}
@@ -127,7 +127,7 @@
 	replacement.Commit()
 }
 
-func (m model) store(run fleet.EngineRun, hashes []fleet.BlockHash) {
+func (m model) add(run fleet.EngineRun, hashes []fleet.BlockHash) {
 	if m[run] == nil {
 		return
 	}
@@ -180,7 +180,7 @@
 	assert.Len(t, index.HoldersOf(2), slotsPerBank)
 }
 
-func TestMaxBlocksDropsAndCounts(t *testing.T) {
+func TestMaxBlocksEvictsAndCounts(t *testing.T) {
 	const limit = 500
 	index := New(Options{MaxBlocks: limit})
 	for engine := range 4 {
@@ -191,7 +191,7 @@
 		index.Store(testRun(0, 1), testHashes(from, 100))
 		require.LessOrEqual(t, index.Blocks(), limit)
 	}
-	assert.EqualValues(t, 100+10000-limit, index.Dropped())
+	assert.EqualValues(t, 100+10000-limit, index.Evicted())
 	total := index.BlocksOf(testRun(1, 1))
 	assert.Greater(t, total, 50, "shared blocks outlive those of one run")
 	assert.Equal(t, limit, index.BlocksOf(testRun(0, 1)))
--- a/internal/prefixindex/reclaim.go
+++ b/internal/prefixindex/reclaim.go
@@ -6,48 +6,48 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// dropSample is how many entries are compared when one must be dropped.
-const dropSample = 8
+// evictionSample is how many entries are compared when one must be dropped.
+const evictionSample = 8
 
-// reclaimFor goes on with the sweep of dead slots in proportion to the number
+// reclaimIncrementally goes on with the sweep of dead slots in proportion to the number
 // of changed blocks.
-func (b *bank) reclaimFor(changes int) {
+func (b *bank) reclaimIncrementally(changes int) {
 	if b.dead == 0 {
 		return
 	}
-	b.sweepCredit += changes * sweptPerChange
-	for b.dead != 0 && b.sweepCredit >= len(b.segments[b.nextSwept].table) {
-		b.sweepNext()
+	b.sweepBudget += changes * sweptPerChange
+	for b.dead != 0 && b.sweepBudget >= len(b.segments[b.nextSegment].table) {
+		b.sweepSegment()
 	}
 }
 
 // reclaimAll frees every dead slot.
 func (b *bank) reclaimAll() {
 	b.sweeping = 0
-	b.nextSwept = 0
+	b.nextSegment = 0
 	for b.dead != 0 {
-		b.sweepNext()
+		b.sweepSegment()
 	}
 }
 
-// sweepNext sweeps one segment. A sweep clears the slots that were dead when
+// sweepSegment sweeps one segment. A sweep clears the slots that were dead when
 // it began; it frees them when it has come round.
-func (b *bank) sweepNext() {
-	if b.nextSwept == 0 {
+func (b *bank) sweepSegment() {
+	if b.nextSegment == 0 {
 		b.sweeping = b.dead
 	}
-	swept := &b.segments[b.nextSwept]
-	b.sweepCredit = max(b.sweepCredit-max(len(swept.table), 1), 0)
+	swept := &b.segments[b.nextSegment]
+	b.sweepBudget = max(b.sweepBudget-max(len(swept.table), 1), 0)
 	b.entries -= swept.sweep(b.sweeping)
-	b.nextSwept++
-	if b.nextSwept < segmentCount {
+	b.nextSegment++
+	if b.nextSegment < segmentCount {
 		return
 	}
-	b.nextSwept = 0
+	b.nextSegment = 0
 	b.dead &^= b.sweeping
 	b.sweeping = 0
 	if b.dead == 0 {
-		b.sweepCredit = 0
+		b.sweepBudget = 0
 	}
 }
 
@@ -73,43 +73,43 @@
 	return removed
 }
 
-// candidate is an entry that may be dropped.
-type candidate struct {
+// evictionCandidate is an entry that may be dropped.
+type evictionCandidate struct {
 	segment  *segment
 	position int
 	holders  int
 }
 
-// drop removes the entry with the fewest holders among a few neighbours
+// evict removes the entry with the fewest holders among a few neighbours
 // of keep's position: block hashes are random, so neighbours are a sample, and
 // a block that many runs hold is likelier to be asked for again.
-func (b *bank) drop(keep fleet.BlockHash) bool {
+func (b *bank) evict(keep fleet.BlockHash) bool {
 	mixed := mix(keep)
-	best := candidate{holders: slotsPerBank + 1}
+	best := evictionCandidate{holders: slotsPerBank + 1}
 	sampled := 0
-	for offset := 0; offset < segmentCount && sampled < dropSample; offset++ {
+	for offset := 0; offset < segmentCount && sampled < evictionSample; offset++ {
 		segment := &b.segments[(int(mixed%segmentCount)+offset)%segmentCount]
-		sampled += segment.sample(keep, b.kept(), dropSample-sampled, &best)
+		sampled += segment.sampleCandidates(keep, b.usedSlots(), evictionSample-sampled, &best)
 	}
 	if best.segment == nil {
 		return false
 	}
-	b.forget(best.segment.table[best.position].holders & b.kept())
+	b.decrementCounts(best.segment.table[best.position].holders & b.usedSlots())
 	best.segment.delete(best.position)
 	b.entries--
 	return true
 }
 
-// forget lowers the counts of the holders of a dropped entry.
-func (b *bank) forget(holders uint64) {
+// decrementCounts lowers the counts of the holders of a dropped entry.
+func (b *bank) decrementCounts(holders uint64) {
 	for ; holders != 0; holders &= holders - 1 {
 		b.counts[bits.TrailingZeros64(holders)]--
 	}
 }
 
-// sample looks at up to wanted entries from the home position of keep on, never
+// sampleCandidates looks at up to wanted entries from the home position of keep on, never
 // at keep's own, updates best and returns how many it has seen.
-func (s *segment) sample(keep fleet.BlockHash, kept uint64, wanted int, best *candidate) int {
+func (s *segment) sampleCandidates(keep fleet.BlockHash, kept uint64, wanted int, best *evictionCandidate) int {
 	sampled := 0
 	position := s.home(mix(keep))
 	for range s.table {
@@ -118,7 +118,7 @@
 			sampled++
 			holders := bits.OnesCount64(seen.holders & kept)
 			if holders < best.holders {
-				*best = candidate{segment: s, position: position, holders: holders}
+				*best = evictionCandidate{segment: s, position: position, holders: holders}
 			}
 		}
 		if sampled == wanted {
--- a/lab/emulator/rival.go
+++ b/lab/emulator/rival.go
@@ -182,7 +182,7 @@
 			continue
 		}
 		known.feed.Tick(r.now)
-		if known.feed.WantSnapshot(r.now) {
+		if known.feed.RequestSnapshot(r.now) {
 			wanted = append(wanted, known.run.Engine)
 		}
 	}
