--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -37,11 +37,11 @@
 type entry struct {
 	// width is that of a first key as of asOf, count the decayed number of
 	// requests as of asOf.
-	width float64
-	count float64
-	asOf  time.Duration
-	// grownAt is when the width last doubled.
-	grownAt time.Duration
+	width     float64
+	count     float64
+	updatedAt time.Duration
+	// widenedAt is when the width last doubled.
+	widenedAt time.Duration
 }
 
 // Table remembers the keys that need more than one router.
@@ -66,7 +66,7 @@
 // Choose returns how a prompt of the given blocks is to be routed and counts
 // it. A prompt without a whole block goes by the key whole.
 func (t *Table) Choose(now time.Duration, blocks []fleet.BlockHash, whole uint64) Choice {
-	choice := Choice{keys: t.keys(blocks, whole), width: 1, ticket: t.options.Random.Uint64()}
+	choice := Choice{keys: t.keys(blocks, whole), width: 1, tieBreaker: t.options.Random.Uint64()}
 	root, found := t.entries.Get(choice.Key())
 	if !found {
 		return choice
@@ -109,7 +109,7 @@
 	for _, key := range keys {
 		child, found := t.entries.Get(key)
 		if !found {
-			child = &entry{asOf: now}
+			child = &entry{updatedAt: now}
 			t.entries.Add(key, child)
 		}
 		t.decay(now, child)
@@ -121,31 +121,31 @@
 	return spreads
 }
 
-// Spilled notes that a router handed a request back as saturated and that
+// RecordSpill notes that a router handed a request back as saturated and that
 // another one placed it at once. A choice made under an earlier width says
 // nothing about the present one. Widths are bounded by the number of routers
 // that serve.
-func (t *Table) Spilled(now time.Duration, choice Choice, serving int) {
+func (t *Table) RecordSpill(now time.Duration, choice Choice, serving int) {
 	root, found := t.entries.Get(choice.Key())
 	if !found {
-		root = &entry{width: 1, asOf: now, grownAt: now - t.options.GrowEvery}
+		root = &entry{width: 1, updatedAt: now, widenedAt: now - t.options.GrowInterval}
 		t.entries.Add(choice.Key(), root)
 	}
 	t.decay(now, root)
-	if choice.width < int(math.Round(root.width)) || now-root.grownAt < t.options.GrowEvery {
+	if choice.width < int(math.Round(root.width)) || now-root.widenedAt < t.options.GrowInterval {
 		return
 	}
 	root.width = math.Min(2*float64(choice.width), math.Max(float64(serving), 1))
-	root.grownAt = now
+	root.widenedAt = now
 }
 
 // decay brings an entry up to date.
 func (t *Table) decay(now time.Duration, e *entry) {
-	if now <= e.asOf {
+	if now <= e.updatedAt {
 		return
 	}
-	kept := math.Exp2(-float64(now-e.asOf) / float64(t.options.HalfLife))
+	kept := math.Exp2(-float64(now-e.updatedAt) / float64(t.options.HalfLife))
 	e.width = math.Max(e.width*kept, 1)
 	e.count *= kept
-	e.asOf = now
+	e.updatedAt = now
 }
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -49,13 +49,13 @@
 func widen(table *Table, family uint64, times int) time.Duration {
 	var now time.Duration
 	for range times {
-		now += DefaultGrowEvery
-		table.Spilled(now, table.Choose(now, blocks(family, 0, 0), 0), 64)
+		now += DefaultGrowInterval
+		table.RecordSpill(now, table.Choose(now, blocks(family, 0, 0), 0), 64)
 	}
 	return now
 }
 
-func TestColdPrefixStaysAtOneRouterWithoutMemory(t *testing.T) {
+func TestColdPrefixStaysAtOneRouterUntracked(t *testing.T) {
 	table, list := newTable(Options{}), routers(16)
 	for request := range uint64(100) {
 		choice := table.Choose(0, blocks(1, request%5, request), 0)
@@ -66,29 +66,29 @@
 	assert.Equal(t, uint64(7), table.Choose(0, nil, 7).Key())
 }
 
-func TestWidthDoublesOncePerStepAndDecays(t *testing.T) {
+func TestWidthDoublesOncePerIntervalAndDecays(t *testing.T) {
 	table := newTable(Options{})
 	prompt := blocks(1, 1, 1)
 	narrow := table.Choose(0, prompt, 0)
 	for range 50 {
-		table.Spilled(0, narrow, 16)
+		table.RecordSpill(0, narrow, 16)
 	}
 	two := table.Choose(0, prompt, 0)
 	require.Equal(t, 2, two.Width(), "a burst of hand-backs is one reason to grow")
-	table.Spilled(DefaultGrowEvery, narrow, 16)
-	require.Equal(t, 2, table.Choose(DefaultGrowEvery, prompt, 0).Width(), "chosen before it grew")
-	table.Spilled(DefaultGrowEvery/2, two, 16)
-	require.Equal(t, 2, table.Choose(DefaultGrowEvery, prompt, 0).Width(), "too early")
-	table.Spilled(DefaultGrowEvery, two, 3)
-	require.Equal(t, 3, table.Choose(DefaultGrowEvery, prompt, 0).Width(), "there are no more routers")
-	assert.Equal(t, 2, table.Choose(DefaultGrowEvery+DefaultHalfLife, prompt, 0).Width())
+	table.RecordSpill(DefaultGrowInterval, narrow, 16)
+	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "chosen before it grew")
+	table.RecordSpill(DefaultGrowInterval/2, two, 16)
+	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "too early")
+	table.RecordSpill(DefaultGrowInterval, two, 3)
+	require.Equal(t, 3, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "there are no more routers")
+	assert.Equal(t, 2, table.Choose(DefaultGrowInterval+DefaultHalfLife, prompt, 0).Width())
 	assert.Equal(t, 1, table.Choose(10*DefaultHalfLife, prompt, 0).Width())
 	assert.NotContains(t, table.entries.Keys(), two.Key(), "what needs one router isn't remembered")
 }
 
-// TestFamilyIsSplitByItsChildren gives a family of forty equal children four
+// TestPrefixFamilyIsSplitByLongerPrefixes gives a family of forty equal children four
 // routers: each child must stay at one.
-func TestFamilyIsSplitByItsChildren(t *testing.T) {
+func TestPrefixFamilyIsSplitByLongerPrefixes(t *testing.T) {
 	table, list := newTable(Options{}), routers(16)
 	now := widen(table, 1, 2)
 	used := make(map[fleet.NodeID]int)
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestOneHotPrefixIsReplicated gives a long common prefix with different ends
+// TestHotPrefixIsSpreadEvenly gives a long common prefix with different ends
 // four routers: each must get its part.
-func TestOneHotPrefixIsReplicated(t *testing.T) {
+func TestHotPrefixIsSpreadEvenly(t *testing.T) {
 	table, list := newTable(Options{}), routers(16)
 	now := widen(table, 1, 2)
 	used := make(map[fleet.NodeID]int)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestTableIsBoundedByMaxKeys(t *testing.T) {
 	table := newTable(Options{MaxKeys: 10})
 	for family := range uint64(100) {
 		widen(table, family, 3)
--- a/internal/affinity/choice.go
+++ b/internal/affinity/choice.go
@@ -13,8 +13,8 @@
 	keys    []uint64
 	width   int
 	spreads []int
-	// ticket picks among routers that are as good as each other.
-	ticket uint64
+	// tieBreaker picks among routers that are as good as each other.
+	tieBreaker uint64
 }
 
 // Key ranks the routers; see membership.Rank.
@@ -34,7 +34,7 @@
 	serving = min(max(serving, 1), len(ranked))
 	width := min(max(c.width, 1), serving)
 	last := c.keys[len(c.keys)-1]
-	within := c.chosen(ranked[:width])
+	within := c.orderWithinWidth(ranked[:width])
 	wider := min(2*width, serving)
 	ordered := make([]membership.Member, 0, len(ranked))
 	ordered = append(ordered, within[0])
@@ -43,9 +43,9 @@
 	return append(ordered, ranked[wider:]...)
 }
 
-// chosen orders the routers within the width, the one chosen first. Each longer
+// orderWithinWidth orders the routers within the width, the one orderWithinWidth first. Each longer
 // key narrows them down to the first of its own rank.
-func (c Choice) chosen(routers []membership.Member) []membership.Member {
+func (c Choice) orderWithinWidth(routers []membership.Member) []membership.Member {
 	ordered := slices.Clone(routers)
 	count := len(ordered)
 	for level, spread := range c.spreads {
@@ -55,7 +55,7 @@
 		copy(ordered, membership.Rank(c.keys[level+1], "", ordered[:count]))
 		count = min(spread, count)
 	}
-	picked := int(c.ticket % uint64(count))
+	picked := int(c.tieBreaker % uint64(count))
 	ordered[0], ordered[picked] = ordered[picked], ordered[0]
 	return ordered
 }
--- a/internal/affinity/options.go
+++ b/internal/affinity/options.go
@@ -7,12 +7,12 @@
 
 // Defaults of Options.
 const (
-	DefaultFirstDepth = 4
-	DefaultDepthRatio = 4
-	DefaultLevels     = 4
-	DefaultMaxKeys    = 8192
-	DefaultHalfLife   = 30 * time.Second
-	DefaultGrowEvery  = 250 * time.Millisecond
+	DefaultFirstDepth   = 4
+	DefaultDepthRatio   = 4
+	DefaultLevels       = 4
+	DefaultMaxKeys      = 8192
+	DefaultHalfLife     = 30 * time.Second
+	DefaultGrowInterval = 250 * time.Millisecond
 )
 
 // Options sets up a Table. A zero field takes its default.
@@ -28,9 +28,9 @@
 	MaxKeys int
 	// HalfLife is the time in which an unused width and a count of requests halve.
 	HalfLife time.Duration
-	// GrowEvery is the least time between two doublings of one width: a doubling
+	// GrowInterval is the least time between two doublings of one width: a doubling
 	// shows its effect once the routers' queues have had time to drain.
-	GrowEvery time.Duration
+	GrowInterval time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -39,7 +39,7 @@
 	setDefault(&o.Levels, DefaultLevels)
 	setDefault(&o.MaxKeys, DefaultMaxKeys)
 	setDefault(&o.HalfLife, DefaultHalfLife)
-	setDefault(&o.GrowEvery, DefaultGrowEvery)
+	setDefault(&o.GrowInterval, DefaultGrowInterval)
 	return o
 }
 
--- a/internal/affinity/routers.go
+++ b/internal/affinity/routers.go
@@ -7,9 +7,9 @@
 
 // Routers is what an agent knows of the routers. It is immutable.
 type Routers struct {
-	// Near is where the agent is.
-	Near    membership.Location
-	Members []membership.Member
+	// Location is where the agent is.
+	Location membership.Location
+	Members  []membership.Member
 	// Pools says which routers own engines of which pool; nil while every router
 	// owns every engine.
 	Pools *membership.PoolMap
@@ -33,7 +33,7 @@
 // others stand by.
 func (r Routers) rank(choice Choice, pool fleet.PoolName) ([]membership.Member, int) {
 	if r.Pools != nil {
-		return r.Pools.Rank(choice.Key(), pool, r.Near)
+		return r.Pools.Rank(choice.Key(), pool, r.Location)
 	}
-	return membership.RankForPool(pool, r.Near, r.Members), 1
+	return membership.RankForPool(pool, r.Location, r.Members), 1
 }
--- a/internal/affinity/routers_test.go
+++ b/internal/affinity/routers_test.go
@@ -30,7 +30,7 @@
 		for _, zone := range []fleet.ZoneName{"a", "b", "c"} {
 			table := New(Options{Random: rand.New(rand.NewPCG(uint64(prompt), 1))})
 			choice := table.Choose(0, []fleet.BlockHash{fleet.BlockHash(prompt + 1)}, 0)
-			known := Routers{Near: membership.Location{Zone: zone}, Members: members}
+			known := Routers{Location: membership.Location{Zone: zone}, Members: members}
 			order := known.Order(choice, "pool")
 			if first == nil {
 				first = order
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestPoolIsTakenOverAndTakenBack(t *testing.T) {
+func TestPoolFailsOverAndBack(t *testing.T) {
 	members := routersOf("a", "b", "c")
 	choice := New(Options{Random: rand.New(rand.NewPCG(1, 1))}).Choose(0, nil, 1)
 	before := Routers{Members: members}.Order(choice, "pool")
@@ -74,14 +74,14 @@
 	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address has the same place")
 }
 
-func TestRoutersOfTheRegionComeFirst(t *testing.T) {
+func TestRoutersInTheSameRegionComeFirst(t *testing.T) {
 	members := routersOf("a", "a", "b", "b")
 	members[0].Region, members[1].Region = "north", "north"
 	members[2].Region, members[3].Region = "south", "south"
 	choice := New(Options{Random: rand.New(rand.NewPCG(1, 1))}).Choose(0, nil, 1)
 	for pool := range 20 {
 		near := membership.Location{Region: "south", Zone: "a"}
-		order := Routers{Near: near, Members: members}.Order(choice, fleet.PoolName(fmt.Sprint(pool)))
+		order := Routers{Location: near, Members: members}.Order(choice, fleet.PoolName(fmt.Sprint(pool)))
 		assert.Equal(t, fleet.RegionName("south"), order[0].Region)
 		assert.Equal(t, fleet.RegionName("south"), order[1].Region)
 	}
--- a/internal/agent/ranking.go
+++ b/internal/agent/ranking.go
@@ -75,7 +75,7 @@
 }
 
 func (k *ranking) routers() affinity.Routers {
-	return affinity.Routers{Near: k.near, Members: k.members, Pools: k.pools}
+	return affinity.Routers{Location: k.near, Members: k.members, Pools: k.pools}
 }
 
 // route decides how a call's prompt is routed and counts it.
@@ -90,5 +90,5 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	serving := r.ranking.routers().Serving(by.choice, by.pool)
-	r.ranking.table.Spilled(r.clock.Now(), by.choice, serving)
+	r.ranking.table.RecordSpill(r.clock.Now(), by.choice, serving)
 }
--- a/lab/emulator/ranking.go
+++ b/lab/emulator/ranking.go
@@ -68,13 +68,13 @@
 
 func (k *ranking) routers() affinity.Routers {
 	return affinity.Routers{
-		Near:    membership.Location{Zone: k.zone},
-		Members: k.emulator.members,
-		Pools:   k.emulator.pools,
+		Location: membership.Location{Zone: k.zone},
+		Members:  k.emulator.members,
+		Pools:    k.emulator.pools,
 	}
 }
 
 // spilled notes that a router was saturated and another one had room.
 func (k *ranking) spilled(now time.Duration, choice affinity.Choice) {
-	k.table.Spilled(now, choice, k.routers().Serving(choice, k.pool()))
+	k.table.RecordSpill(now, choice, k.routers().Serving(choice, k.pool()))
 }
--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -110,7 +110,7 @@
 	case placement.Grant:
 		if c.spills > 0 && c.spills < affinity.MaxSpills {
 			_, serving := c.agent.world.pools.Rank(c.choice.Key(), c.pool, c.agent.near)
-			c.agent.table.Spilled(c.agent.world.queue.Now(), c.choice, serving)
+			c.agent.table.RecordSpill(c.agent.world.queue.Now(), c.choice, serving)
 		}
 		c.spills = 0
 		c.grant = outcome
