--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -6,21 +6,20 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// capacityKey names a pool as seen by one class.
+// capacityKey identifies the capacity of a pool for one class.
 type capacityKey struct {
 	pool  fleet.PoolName
 	class fleet.ClassName
 }
 
-// poolCapacity tells whether any engine of a pool may get work, and if not, when its
-// queue should have drained enough; 0 means only an event can tell.
+// poolCapacity describes whether any engine of a pool accepts work. If none does, availableAt is
+// when a queue is expected to have drained enough; 0 means that no time is known.
 type poolCapacity struct {
 	available   bool
 	availableAt time.Duration
 }
 
-// capacityFor tells whether any engine may get the request now, without regard to
-// its prefix.
+// capacityFor returns the capacity of the request's pool now, regardless of cached prefixes.
 func (c *Core) capacityFor(now time.Duration, waiting *waitingRequest) poolCapacity {
 	key := capacityKey{pool: waiting.model.Pool, class: waiting.request.Class}
 	known, found := c.capacities[key]
@@ -46,9 +45,9 @@
 	return result
 }
 
-// usableFraction returns the part of an engine that a request may use. The reserve is
-// open to a class that is owed a dispatch by its minimum usableFraction: better classes
-// may hold all the rest for as long as they have work.
+// usableFraction returns the fraction of an engine that a request may use. The reserve is open to a
+// class with enough minimum-share credit, because higher-priority classes may keep the rest busy
+// indefinitely.
 func (c *Core) usableFraction(waiting *waitingRequest) float64 {
 	if waiting.rank <= c.bestRank || c.options.ReserveFraction <= 0 {
 		return 1
@@ -59,20 +58,20 @@
 	return 1 - c.options.ReserveFraction
 }
 
-// streamLimit returns the bound on an engine's streams for a request.
+// streamLimit returns the maximum number of streams at an engine for a request to be placed there.
 func (c *Core) streamLimit(waiting *waitingRequest) int {
 	policy, _ := c.view.Pool(waiting.model.Pool)
 	return max(int(float64(policy.MaxStreams)*c.usableFraction(waiting)), 1)
 }
 
-// queueTokens returns the prompt work at an engine ahead of a rank.
+// queueTokens returns the prompt tokens queued at an engine ahead of a rank.
 func (c *Core) queueTokens(now time.Duration, state *engineState, rank int) int {
 	state.dropOverduePrefills(now)
 	return max(state.load.tokens(now)-state.lowerPriorityTokens(rank), 0)
 }
 
-// queueExcess returns by how much an engine's queue is over the bound for a
-// request; it may get work at 0 or less.
+// queueExcess returns how far an engine's queue exceeds the bound for a request. The engine accepts
+// the request at 0 or less.
 func (c *Core) queueExcess(now time.Duration, state *engineState, waiting *waitingRequest) time.Duration {
 	queue := time.Duration(c.queueTokens(now, state, waiting.rank)) * state.load.timePerToken()
 	return queue - time.Duration(float64(c.options.MaxEngineQueue)*c.usableFraction(waiting))
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -1,11 +1,10 @@
-// Package placement is the whole decision state of a router: which engines
-// there are and what they hold, which requests wait, and which engine each one
-// gets. It joins the prefix index, the scheduler and flow control. A Core has
-// no I/O, goroutine or clock; the same calls with the same seed give the same
-// outcomes. It isn't safe for concurrent use.
+// Package placement holds the decision state of a router: the engines, their load and cached
+// prefixes, and the waiting requests. It combines the prefix index, the scheduler and flow control
+// to choose an engine for each request. A Core has no I/O, goroutines or clock; the same calls with
+// the same seed give the same outcomes. It isn't safe for concurrent use.
 //
-// Work waits here rather than at the engines, because its order can still
-// change here: an engine gets no more than a bounded queue.
+// Each engine's queue is bounded. Requests beyond the bound wait in the Core, where they can still
+// be reordered.
 package placement
 
 import (
@@ -18,32 +17,32 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// waitingRequest is a submitted request that has no outcome yet.
+// waitingRequest is a submitted request without an outcome.
 type waitingRequest struct {
 	request   Request
 	sequence  uint64
 	submitted time.Duration
 	deadline  time.Duration // absolute; 0 means none
 	rank      int
-	// maxWait is the longest wait of its class; 0 means no bound.
+	// maxWait is the class's maximum wait; 0 means no bound.
 	maxWait time.Duration
 	model   config.Model
-	// lane is where flow control holds the request; its model may have moved to
+	// lane is the lane in which flow control queued the request. The model may have moved to
 	// another pool since.
 	lane flowcontrol.Lane
 
-	// reconsiderAt is when the next look is worth its cost; heldFor is the
-	// grant whose computation of a common prefix is waited for, if any.
+	// reconsiderAt is the earliest time of the next placement attempt. blockedOn is the grant whose
+	// computation of a common prefix the request waits for, if any.
 	reconsiderAt time.Duration
 	backoffSteps int
 	blockedOn    *grantState
 	parkedOn     *engineState
 	parkedTokens int
-	// reason says why the last look placed it nowhere.
+	// reason says why the last placement attempt failed.
 	reason string
 }
 
-// Core is a router's decision state.
+// Core is the decision state of a router.
 type Core struct {
 	options   Options
 	now       time.Duration
@@ -56,13 +55,13 @@
 	scheduler *scheduling.Scheduler
 
 	engines map[fleet.EngineID]*engineState
-	// pastRuns remembers the engines that the list doesn't show any more.
+	// pastRuns holds what is kept of engines that have left the machine list.
 	pastRuns map[fleet.EngineID]pastRun
-	// ordered lists every engine by identifier, byPool those of each pool that
-	// are owned and not leaving.
+	// ordered lists every engine by identifier; byPool lists the owned engines of each pool that
+	// aren't leaving.
 	ordered []*engineState
 	byPool  map[fleet.PoolName][]*engineState
-	// foreign counts the engines of each pool that other routers alone own.
+	// foreign counts the engines of each pool that only other routers own.
 	foreign map[fleet.PoolName]int
 
 	waiting  map[Key]*waitingRequest
@@ -105,9 +104,8 @@
 	}
 }
 
-// ApplyConfig takes over a configuration. A revision that isn't higher than the
-// present one is ignored. Waiting requests of weights that don't serve any
-// more are refused.
+// ApplyConfig applies a configuration. It ignores a revision that isn't higher than the current
+// one. Waiting requests whose model version is no longer serving are refused.
 func (c *Core) ApplyConfig(now time.Duration, view *config.View) {
 	if c.view != nil && view.Revision() <= c.view.Revision() {
 		return
@@ -147,8 +145,8 @@
 	return policy
 }
 
-// refreshRequests brings what waiting requests hold of the configuration up to
-// date. Models that are gone are dealt with by recheck.
+// refreshRequests updates the class and model settings of waiting requests. It leaves removed
+// models to recheckWaiting.
 func (c *Core) refreshRequests() {
 	for _, waiting := range c.waiting {
 		c.unpark(waiting)
@@ -162,10 +160,9 @@
 	}
 }
 
-// Submit asks for a placement. Exactly one outcome follows, at once or later,
-// unless Withdraw returns true first. A key that already waits is left as it
-// is and shares its outcome; a key with a grant gives the grant up, because an
-// agent that asks again hasn't got it.
+// Submit requests a placement. Exactly one outcome follows, at once or later, unless Withdraw
+// returns true first. Submitting a key that already waits has no effect. Submitting a key that has
+// a grant releases the grant, because an agent that asks again didn't receive it.
 func (c *Core) Submit(now time.Duration, request Request) {
 	c.advance(now)
 	if _, found := c.waiting[request.Key]; found {
@@ -216,8 +213,8 @@
 	c.concludeRefused(now)
 }
 
-// Withdraw takes back a request whose caller is gone. It returns true when the
-// request still waited; then no outcome follows.
+// Withdraw cancels a request whose caller is gone. It reports whether the request was still
+// waiting; if so, no outcome follows.
 func (c *Core) Withdraw(now time.Duration, key Key) bool {
 	c.advance(now)
 	waiting := c.waiting[key]
@@ -228,8 +225,7 @@
 	return true
 }
 
-// Drain hands every waiting request back, and from now on every new one.
-// Grants in flight are still counted and reported on.
+// Drain hands back every waiting request and all later ones. Grants in flight are still tracked.
 func (c *Core) Drain(now time.Duration) {
 	c.advance(now)
 	c.draining = true
@@ -238,7 +234,7 @@
 	}
 }
 
-// Tick does what is due at now. Call it at NextWake or earlier.
+// Tick does the work that is due at now. Call it at NextWake or earlier.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	for _, state := range c.ordered {
@@ -249,21 +245,21 @@
 	c.dispatchWaiting(now)
 }
 
-// advance moves the time and refuses and expires what is overdue.
+// advance moves the clock, expires overdue grants and refuses expired requests.
 func (c *Core) advance(now time.Duration) {
 	c.now = max(c.now, now)
 	c.expireGrants(now)
 	c.concludeRefused(now)
 }
 
-// concludeRefused gives the requests that flow control gave up their outcome.
+// concludeRefused concludes the requests that flow control refused.
 func (c *Core) concludeRefused(now time.Duration) {
 	for _, refusal := range c.flow.Expire(now) {
 		c.conclude(c.waiting[refusal.Key], Refusal(refusal))
 	}
 }
 
-// NextWake returns when Tick is due next; false when nothing is.
+// NextWake returns when Tick is next due, and false if nothing is.
 func (c *Core) NextWake() (time.Duration, bool) {
 	wake, found := c.flow.NextExpiry()
 	consider := func(at time.Duration) {
@@ -287,7 +283,7 @@
 	return outcomes
 }
 
-// conclude gives a request its one outcome.
+// conclude records the outcome of a request and removes it from the queue.
 func (c *Core) conclude(waiting *waitingRequest, outcome Outcome) {
 	c.dequeue(waiting)
 	c.outcomes = append(c.outcomes, outcome)
--- a/internal/placement/core_bench_test.go
+++ b/internal/placement/core_bench_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// BenchmarkPlace measures one placement of a 32k-token prompt on a fleet of
-// the smaller sites' size: submit, grant and three reports.
+// BenchmarkPlace measures one placement of a 32k-token prompt: submit, grant and three reports.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{12, 48, 192} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -36,8 +35,7 @@
 	}
 }
 
-// BenchmarkDispatchWhileFull measures one event at a router whose engines are full
-// and whose queue is long.
+// BenchmarkDispatchWhileFull measures one Tick of a router with full engines and a long queue.
 func BenchmarkDispatchWhileFull(b *testing.B) {
 	for _, waiting := range []int{10, 100, 900} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -41,10 +41,10 @@
 	excluded := request("r", urgent, "p", 1)
 	excluded.Excluded = []fleet.EngineRun{{Engine: "engine0", Incarnation: 1}}
 	assert.Equal(t, []Outcome{HandBack{Key: keyOf("r"), Reason: HandBackNoEngine}}, b.submit(excluded))
-	assert.Equal(t, resultcode.ClassNotAllowed, refusalCode(t, b.submit(request("r", "unheard", "p", 1))))
+	assert.Equal(t, resultcode.ClassNotAllowed, refusalCode(t, b.submit(request("r", "unknown", "p", 1))))
 }
 
-// fill takes every stream of a bench's engines.
+// fill submits requests until every stream of the engines is taken.
 func (b *bench) fill() []Grant {
 	var grants []Grant
 	for number := 0; ; number++ {
@@ -114,10 +114,10 @@
 	b := newBench(t, 12)
 	first := b.submitGranted(request("r0", urgent, "circular", 200))
 	for number := 1; number < 30; number++ {
-		// The same 200 blocks, then a question of its own.
+		// The same 200 blocks, then a different question.
 		follower := request(fmt.Sprintf("r%d", number), urgent, "circular", 200)
 		follower.PromptTokens += 8
-		require.Empty(t, b.submit(follower), "a second engine must not compute the prefix too")
+		require.Empty(t, b.submit(follower), "a second engine must not compute the same prefix")
 	}
 	b.now += 330 * time.Millisecond
 	granted := b.report(first, PhaseFirstToken)
@@ -139,9 +139,9 @@
 	assert.Equal(t, first.Run, outcomes[0].(Grant).Run)
 }
 
-// TestWarmEngineIsWaitedForOnlyWhileCheaper has a prefix of 1.6 s at an engine
-// with work of 0.4 s or of 8 s before it. Computing it again costs 1.6 s and, at
-// half of the engines busy, 4 s of others' time.
+// TestWarmEngineIsWaitedForOnlyWhileCheaper guards against waiting for a warm engine when computing
+// the prefix again is cheaper. The prefix takes 1.6 s; the warm engine has 0.4 s of work queued,
+// then 8 s.
 func TestWarmEngineIsWaitedForOnlyWhileCheaper(t *testing.T) {
 	b := newBench(t, 2)
 	warm := request("r", urgent, "circular", 1000)
@@ -150,7 +150,7 @@
 	busy.Load.WaitingPrefillTokens = 4_000
 	b.core.ObserveStatus(b.now, busy)
 	require.Empty(t, b.submit(warm))
-	require.Empty(t, b.submit(warm), "asked again, it still has one outcome")
+	require.Empty(t, b.submit(warm), "a resubmitted request still has one outcome")
 	outcomes := b.advance(300 * time.Millisecond)
 	require.Len(t, outcomes, 1)
 	assert.Zero(t, b.core.engines["engine0"].parkedAhead(maxRank))
@@ -163,8 +163,8 @@
 	assert.Equal(t, fleet.EngineID("engine1"), b.submitGranted(warm).Run.Engine)
 }
 
-// TestWaitForBusyWarmEngineIsBounded has a warm engine whose queue never gets
-// shorter than 0.7 s, and idle ones where computing the prefix takes 0.3 s.
+// TestWaitForBusyWarmEngineIsBounded guards against waiting in vain for a warm engine whose queue
+// stays at 0.7 s while idle engines could compute the prefix in 0.3 s.
 func TestWaitForBusyWarmEngineIsBounded(t *testing.T) {
 	b := newBench(t, 4)
 	warm := request("r", urgent, "circular", 200)
@@ -187,8 +187,8 @@
 	assert.NotEqual(t, fleet.EngineID("engine0"), outcomes[0].(Grant).Run.Engine)
 }
 
-// TestRequestDoesNotWaitForLongStreams has a prefix of 160 ms at an engine whose ten
-// streams last eight seconds, so that one ends each 800 ms.
+// TestRequestDoesNotWaitForLongStreams guards against waiting for one of ten streams of eight
+// seconds when computing the prefix elsewhere takes 160 ms.
 func TestRequestDoesNotWaitForLongStreams(t *testing.T) {
 	b := newBench(t, 1)
 	warm := request("r", urgent, "circular", 100)
@@ -240,14 +240,14 @@
 	for number := range 20 {
 		granted += len(b.submit(request(fmt.Sprintf("b%d", number), batch, fmt.Sprintf("b%d", number), 1)))
 	}
-	assert.Equal(t, 8, granted, "a fifth of ten streams is kept")
+	assert.Equal(t, 8, granted, "a fifth of ten streams is reserved")
 	b.submitGranted(request("u0", urgent, "u0", 1))
 	b.submitGranted(request("u1", urgent, "u1", 1))
 	assert.Empty(t, b.submit(request("u2", urgent, "u2", 1)))
 }
 
-// TestMinimumShareHoldsWhileUrgentWorkFillsEveryEngine ends one stream after
-// the other while both classes always have work.
+// TestMinimumShareHoldsWhileUrgentWorkFillsEveryEngine guards against starvation of a class with a
+// minimum share while a higher-priority class always has work.
 func TestMinimumShareHoldsWhileUrgentWorkFillsEveryEngine(t *testing.T) {
 	b := newBench(t, 1)
 	running := b.fill()
@@ -276,7 +276,7 @@
 	b.submitGranted(request("b0", batch, "b0", 300)) // 480 ms, over the bound
 	require.Empty(t, b.submit(request("b1", batch, "b1", 1)))
 	b.submitGranted(request("u0", urgent, "u0", 300))
-	require.Empty(t, b.submit(request("u1", urgent, "u1", 1)), "urgent work has its bound too")
+	require.Empty(t, b.submit(request("u1", urgent, "u1", 1)), "urgent work is bounded too")
 	outcomes := b.advance(300 * time.Millisecond)
 	assert.Equal(t, []Key{keyOf("u1")}, keysOf(outcomes))
 	outcomes = b.advance(time.Second)
@@ -293,8 +293,8 @@
 	}
 }
 
-// TestEverySubmitHasOneOutcome runs random histories of everything that a core
-// can be told and counts the outcomes.
+// TestEverySubmitHasOneOutcome guards against lost and duplicate outcomes in random histories of
+// all the core's inputs.
 func TestEverySubmitHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(t, 2)
@@ -410,8 +410,7 @@
 	})
 }
 
-// TestSameCallsGiveSameOutcomes replays one history, with more waiting requests
-// and engines than a map would iterate alike twice.
+// TestSameCallsGiveSameOutcomes guards against outcomes that depend on map iteration order.
 func TestSameCallsGiveSameOutcomes(t *testing.T) {
 	replay := func() []Outcome {
 		b := newBench(t, 8)
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -8,22 +8,22 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// maxBackoffSteps bounds, in units of Options.Reconsider, how long a request that
-// waits for a warm engine goes without another look.
+// maxBackoffSteps bounds the backoff between placement attempts, in units of
+// Options.ReconsiderInterval.
 const maxBackoffSteps = 5
 
-// minReconsiderDelay keeps a queue that is hardly over its bound from causing a
-// burst of looks.
+// minReconsiderDelay is the minimum time until the next placement attempt. It prevents bursts of
+// attempts while a queue is barely over its bound.
 const minReconsiderDelay = time.Millisecond
 
-// choice is the engine that admit found for the request it accepted last.
+// choice is the engine that admit selected for the last accepted request.
 type choice struct {
 	waiting  *waitingRequest
 	state    *engineState
 	decision scheduling.Decision
 }
 
-// dispatchWaiting places waiting requests as long as engines take them.
+// dispatchWaiting places waiting requests until no engine accepts one.
 func (c *Core) dispatchWaiting(now time.Duration) {
 	c.nextReconsider = 0
 	if len(c.waiting) == 0 {
@@ -41,15 +41,15 @@
 	}
 }
 
-// admit looks for an engine for one request and notes it in c.choice.
+// admit reports whether a request can be placed now, and stores the selected engine in c.choice.
 func (c *Core) admit(now time.Duration, waiting *waitingRequest) bool {
 	if waiting == nil || !c.shouldReconsider(now, waiting) {
 		return false
 	}
-	pool := c.capacityFor(now, waiting)
-	if !pool.available {
+	capacity := c.capacityFor(now, waiting)
+	if !capacity.available {
 		waiting.reason = "every engine of the pool is full"
-		c.reconsiderBy(pool.availableAt)
+		c.reconsiderBy(capacity.availableAt)
 		return false
 	}
 	c.unpark(waiting)
@@ -72,7 +72,7 @@
 	return true
 }
 
-// shouldReconsider tells whether anything can have changed since the last look.
+// shouldReconsider reports whether the result of a placement attempt may differ from the last one.
 func (c *Core) shouldReconsider(now time.Duration, waiting *waitingRequest) bool {
 	if waiting.blockedOn != nil {
 		if waiting.blockedOn.isPrefilling(now) {
@@ -89,8 +89,8 @@
 	return true
 }
 
-// mustWait tells whether the cheapest engine is one to wait for: it has enough
-// queued, or computes now what the request would otherwise compute again.
+// mustWait reports whether the request should wait for the cheapest engine: its streams or queue
+// are full, or it is already computing a prefix that the request shares.
 func (c *Core) mustWait(now time.Duration, waiting *waitingRequest, state *engineState, decision scheduling.Decision) bool {
 	if state.streams() >= c.streamLimit(waiting) {
 		waiting.reason = "the cheapest engine's streams are taken"
@@ -104,26 +104,26 @@
 		c.backOff(waiting, now)
 		return true
 	}
-	pending, computing := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
+	pending, prefilling := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
 	uncomputed := (pending - decision.Endpoint.CachedBlocks) * waiting.model.BlockTokens
 	if c.options.HoldTokens < 0 || uncomputed < c.options.HoldTokens {
 		return false
 	}
 	waiting.reason = "an earlier request computes the common prefix"
-	waiting.blockedOn = computing
+	waiting.blockedOn = prefilling
 	c.park(waiting, state, decision)
-	c.reconsiderBy(computing.prefillOverdueAt)
+	c.reconsiderBy(prefilling.prefillOverdueAt)
 	return true
 }
 
-// backOff puts the next look off, the longer the more looks were in vain.
+// backOff delays the next placement attempt, longer after each failed one.
 func (c *Core) backOff(waiting *waitingRequest, now time.Duration) {
 	waiting.backoffSteps = min(waiting.backoffSteps+1, maxBackoffSteps)
 	waiting.reconsiderAt = now + time.Duration(waiting.backoffSteps)*c.options.ReconsiderInterval
 	c.reconsiderBy(waiting.reconsiderAt)
 }
 
-// reconsiderBy asks for a Tick at a time; 0 asks for none.
+// reconsiderBy requests a Tick at the given time; 0 requests none.
 func (c *Core) reconsiderBy(at time.Duration) {
 	if at <= 0 {
 		return
@@ -134,8 +134,8 @@
 	}
 }
 
-// park counts a waiting request's work against the engine it waits for, so
-// that those behind it see the whole queue.
+// park adds a waiting request's work to the engine that it waits for, so that later requests see
+// the whole queue.
 func (c *Core) park(waiting *waitingRequest, state *engineState, decision scheduling.Decision) {
 	waiting.parkedOn = state
 	waiting.parkedTokens = max(waiting.tokens()-decision.CachedTokens, 0)
@@ -151,7 +151,8 @@
 	waiting.parkedTokens = 0
 }
 
-// tokens is the length of what the engine has to hold before it goes on.
+// tokens returns the number of tokens that the engine must have in its cache before it generates
+// output.
 func (w *waitingRequest) tokens() int {
 	return w.request.PromptTokens + w.request.ContinuationTokens
 }
@@ -179,7 +180,7 @@
 	c.history.last().Decision = &decision
 }
 
-// refuseInfeasible refuses the requests that no engine can serve in time.
+// refuseInfeasible refuses the requests that no engine can answer before their deadline.
 func (c *Core) refuseInfeasible(now time.Duration) {
 	for _, waiting := range c.infeasible {
 		key := waiting.request.Key
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -7,13 +7,13 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// maxExplainedEndpoints is the number of engines up to which decisions are kept
-// with every candidate.
+// maxExplainedEndpoints is the largest number of engines for which a decision records every
+// candidate.
 const maxExplainedEndpoints = 64
 
-// schedule lets the scheduler choose among all engines of the pool, those with
-// a full queue or no free stream included: waiting for one may be cheaper than
-// computing again. The wait for a stream is given as prompt work of its length.
+// schedule runs the scheduler over all engines of the pool. It includes engines with a full queue
+// or no free stream, because waiting for one may cost less than computing the prefix again. The
+// wait for a stream counts as prompt work of the same duration.
 func (c *Core) schedule(now time.Duration, waiting *waitingRequest) (scheduling.Decision, bool) {
 	request := &waiting.request
 	c.matchBlocks(request.Blocks)
@@ -47,18 +47,18 @@
 	return c.scheduler.Schedule(query, c.endpoints, c.options.Random)
 }
 
-// recomputeDiscount grows with the time that a request has waited, up to the
-// whole price at the given part of its longest wait. A better class, or requests
-// of which more is cached, may keep a warm engine busy for as long as they come.
+// recomputeDiscount returns the discount on the cost of recomputing a prefix. It grows linearly
+// with the time waited, from 0 to 1 at the given fraction of the maximum wait. It bounds the wait
+// for a warm engine that requests with a higher priority or a longer cached prefix keep busy.
 func (w *waitingRequest) recomputeDiscount(now time.Duration, fraction float64) float64 {
-	patience := float64(w.maxWait) * fraction
-	if patience <= 0 {
+	warmWait := float64(w.maxWait) * fraction
+	if warmWait <= 0 {
 		return 0
 	}
-	return min(float64(now-w.submitted)/patience, 1)
+	return min(float64(now-w.submitted)/warmWait, 1)
 }
 
-// matchBlocks marks the engines with the prefix that each holds.
+// matchBlocks stores on each engine the length of the cached prefix of a prompt.
 func (c *Core) matchBlocks(blocks []fleet.BlockHash) {
 	c.matchStep++
 	c.matches = c.index.Lookup(blocks, c.matches)
@@ -93,10 +93,10 @@
 	if state.matchedStep == c.matchStep {
 		endpoint.CachedBlocks = state.matchedBlocks
 	}
-	pending, computing := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
+	pending, prefilling := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
 	endpoint.PendingBlocks = max(pending, endpoint.CachedBlocks)
 	if pending > endpoint.CachedBlocks {
-		endpoint.PendingRemaining = max(computing.prefillDoneAt-now, 0)
+		endpoint.PendingRemaining = max(prefilling.prefillDoneAt-now, 0)
 	}
 	return endpoint
 }
--- a/internal/placement/engines_test.go
+++ b/internal/placement/engines_test.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// TestLeavingPersistsForTheRun lets each source say that an engine leaves and
-// then take it back.
+// TestLeavingPersistsForTheRun guards against a leaving run that becomes placeable again when its
+// source no longer reports it as leaving.
 func TestLeavingPersistsForTheRun(t *testing.T) {
 	leave := map[LeavingSource]func(*bench){
 		LeavingMachineList: func(b *bench) {
@@ -28,12 +28,12 @@
 			b.core.ObserveStatus(b.now, status)
 		},
 	}
-	for source, say := range leave {
+	for source, report := range leave {
 		t.Run(string(source), func(t *testing.T) {
 			b := newBench(t, 1)
-			say(b)
-			for _, sayToo := range leave {
-				sayToo(b)
+			report(b)
+			for _, reportAlso := range leave {
+				reportAlso(b)
 			}
 			b.now += time.Second
 			b.core.ForgetMachine(b.now, "engine0")
@@ -45,13 +45,12 @@
 
 			b.addEngine("engine0", 2)
 			grant := b.submitGranted(request("r", urgent, "p", 1))
-			assert.Equal(t, fleet.Incarnation(2), grant.Run.Incarnation, "a new run starts without it")
+			assert.Equal(t, fleet.Incarnation(2), grant.Run.Incarnation, "a new run isn't leaving")
 		})
 	}
 }
 
-// TestDrainHoldsUntilANewerRevisionEndsIt drains an engine, shows the core an
-// older configuration again, and then a newer one without the drain.
+// TestDrainHoldsUntilANewerRevisionEndsIt guards against an older configuration ending a drain.
 func TestDrainHoldsUntilANewerRevisionEndsIt(t *testing.T) {
 	for _, kind := range []config.DirectiveKind{config.DirectiveDrain, config.DirectiveRetire} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -65,7 +64,7 @@
 			b.core.ForgetMachine(b.now, "engine0")
 			b.addEngine("engine0", 1)
 			assert.Equal(t, LeavingOperator, b.core.Snapshot(b.now).Engines[0].Leaving)
-			assert.Equal(t, handedBack, b.submit(request("r", urgent, "p", 1)), "an older revision ends nothing")
+			assert.Equal(t, handedBack, b.submit(request("r", urgent, "p", 1)), "an older revision doesn't end the drain")
 
 			b.configure(testDocument(4))
 			assert.Equal(t, LeavingNone, b.core.Snapshot(b.now).Engines[0].Leaving)
@@ -74,8 +73,8 @@
 	}
 }
 
-// TestEndedDrainDoesNotReviveALeavingRun ends a drain of a run that has said
-// itself, or of which the list has said, that it is leaving.
+// TestEndedDrainDoesNotReviveALeavingRun guards against the end of a drain reviving a run that the
+// machine list reports as leaving.
 func TestEndedDrainDoesNotReviveALeavingRun(t *testing.T) {
 	b := newBench(t, 1)
 	document := testDocument(2)
@@ -98,13 +97,13 @@
 	b.core.ObserveCacheSnapshot(b.now, "engine0", engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Hashes: prompt.Blocks})
 	require.NotEmpty(t, b.core.HoldersOf(prompt.Blocks[0]))
 
-	// The cache poll is the first to meet the new run.
+	// The cache poll is the first to report the new run.
 	b.core.ObserveCacheEvents(b.now, "engine0", engine.CacheEvents{Incarnation: 2})
 	assert.Empty(t, b.core.HoldersOf(prompt.Blocks[0]))
 	assert.Zero(t, b.inFlight())
-	assert.Empty(t, b.submit(request("waits", urgent, "p", 1)), "the new run hasn't given its status")
+	assert.Empty(t, b.submit(request("waits", urgent, "p", 1)), "the new run hasn't reported its status")
 
-	// Old words about the old run come late.
+	// Messages about the old run arrive late.
 	b.core.ObserveStatus(b.now, b.status("engine0", 1))
 	stale := machine("engine0", 1)
 	stale.Address = "127.0.0.9:9"
@@ -133,7 +132,7 @@
 	assert.Empty(t, b.core.ordered)
 	assert.Zero(t, b.inFlight())
 	b.addEngine("engine0", 4)
-	assert.Empty(t, b.core.Snapshot(b.now).Engines, "an older run stays gone")
+	assert.Empty(t, b.core.Snapshot(b.now).Engines, "an older run stays removed")
 	b.addEngine("engine0", 5)
 	b.submitGranted(request("t", urgent, "p", 1))
 	assert.Equal(t, []fleet.EngineID{"engine0"}, b.core.NeedsSnapshot())
@@ -147,13 +146,13 @@
 	require.Equal(t, 2, b.inFlight())
 
 	b.advance(DefaultGrantValid)
-	assert.Equal(t, 2, b.inFlight(), "the agent may still dispatch and its report be under way")
+	assert.Equal(t, 2, b.inFlight(), "the report may still be in flight")
 	b.advance(DefaultReportGrace)
 	assert.Equal(t, 1, b.inFlight(), "no report of acceptance came")
 	b.report(lost, PhaseFinished)
 	b.report(accepted, PhaseFirstToken)
 	b.report(accepted, PhaseAccepted)
-	assert.Equal(t, PhaseFirstToken, b.core.grants[accepted.Key].phase, "reports may be crossed")
+	assert.Equal(t, PhaseFirstToken, b.core.grants[accepted.Key].phase, "an earlier phase must not replace a later one")
 	b.advance(time.Hour)
 	assert.Zero(t, b.inFlight(), "the report of the end was lost")
 	b.report(accepted, PhaseFinished)
@@ -164,8 +163,8 @@
 	assert.Equal(t, uint64(2), snapshot.LostGrants)
 }
 
-// TestLateLoadReportIsCorrected grants 1,601 tokens (160 ms at 100 µs a token),
-// then gives reports from before and after the engine had the request.
+// TestLateLoadReportIsCorrected guards against load reports that hide a later grant or count one
+// twice. The grant has 1,601 tokens, 160 ms at 100 µs per token.
 func TestLateLoadReportIsCorrected(t *testing.T) {
 	b := newBench(t, 1)
 	early := b.status("engine0", 1)
@@ -201,7 +200,7 @@
 	older.Load.RunningStreams = 1
 	b.now += 10 * time.Millisecond
 	b.core.ObserveStatus(b.now, older)
-	assert.Zero(t, queue().Streams, "the one stream reported is ours, which has ended since")
+	assert.Zero(t, queue().Streams, "the one reported stream was placed here and has ended since")
 }
 
 func TestSlowEngineClockDoesNotAgeReports(t *testing.T) {
@@ -239,8 +238,8 @@
 	assert.IsType(t, HandBack{}, b.submit(request("s", urgent, "p", 1))[0])
 }
 
-// TestLostOwnershipReleasesEngineState takes an engine away while a request waits
-// for it and a grant is open, and gives it back.
+// TestLostOwnershipReleasesEngineState guards against state that outlasts ownership while a request
+// waits for the engine and a grant is in flight, and against its use once ownership returns.
 func TestLostOwnershipReleasesEngineState(t *testing.T) {
 	b := newBench(t, 1)
 	state := b.core.engines["engine0"]
@@ -251,13 +250,13 @@
 	assert.Nil(t, state.status)
 	assert.Nil(t, state.feed)
 	state.unpark(0, 100)
-	assert.Nil(t, state.parked, "the counts outlast the work that waits")
+	assert.Nil(t, state.parked, "the counts must be freed with the last waiting request")
 	b.report(grant, PhaseFinished)
 	assert.Zero(t, b.inFlight())
 
 	b.core.SetOwned(func(fleet.EngineID) bool { return true })
 	assert.Equal(t, []fleet.EngineID{"engine0"}, b.core.NeedsStatus())
-	assert.Empty(t, b.submit(request("waits", urgent, "p", 1)), "its status is of another time")
+	assert.Empty(t, b.submit(request("waits", urgent, "p", 1)), "the status from before must not be used")
 	b.core.ObserveStatus(b.now, b.status("engine0", 1))
 	assert.Len(t, b.core.TakeOutcomes(), 1)
 }
--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -9,10 +9,10 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// LeavingSource tells who said first that an engine run is leaving.
+// LeavingSource identifies what first reported that an engine run is leaving.
 type LeavingSource string
 
-// Sources of the word that an engine is leaving.
+// Sources of a leaving state.
 const (
 	LeavingNone        LeavingSource = ""
 	LeavingMachineList LeavingSource = "machine_list"
@@ -20,31 +20,31 @@
 	LeavingEngine      LeavingSource = "engine"
 )
 
-// pastRun is what is kept of an engine after its machine is forgotten, so that
-// a lagging list can't bring back an older run or make a leaving one stay.
+// pastRun is what is kept of an engine that has left the machine list. It prevents a stale list
+// from reviving an older run or one that was leaving.
 type pastRun struct {
 	incarnation fleet.Incarnation
 	leaving     LeavingSource
 }
 
-// engineState is what is known of the newest run of one listed engine.
+// engineState is the state of the newest run of a listed engine.
 type engineState struct {
 	run     fleet.EngineRun
 	machine platform.Machine
 	owned   bool
-	// leaving is the word of the list or the engine, which lag: it sticks.
-	// directed is the standing order in the configuration, which never reverts
-	// to a lower revision: an operator can end a drain.
+	// leaving is set once by the machine list or the engine and stays set for the run, because both
+	// may lag. drainDirected follows the drain or retire directive of the current configuration, so
+	// an operator can end a drain.
 	leaving       LeavingSource
 	drainDirected bool
-	// inPool tells that the core's list of pool has the engine.
+	// inPool reports whether Core.byPool lists the engine under pool.
 	inPool bool
 	pool   fleet.PoolName
-	// foreignPool is the pool in whose count of foreign engines the engine is;
-	// empty when it is in none.
+	// foreignPool is the pool under which Core.foreign counts the engine; empty if it isn't
+	// counted.
 	foreignPool fleet.PoolName
 
-	// statusAt is when the run last gave its status; valid if status isn't nil.
+	// statusAt is when the run last reported its status; valid if status isn't nil.
 	statusAt    time.Duration
 	unreachable bool
 	status      *engine.Status
@@ -53,19 +53,17 @@
 
 	feed *prefixindex.Feed
 	load loadEstimate
-	// prefilling lists the grants whose prompt isn't known to be computed, in
-	// order of grant.
+	// prefilling lists the grants whose prompts aren't known to be computed, in order of grant.
 	prefilling []*grantState
 	inFlight   int
 
-	// parked is the work that waits here for this engine, by rank; nil while no
-	// work ever did.
+	// parked is the work waiting in the Core for this engine, by rank; nil until first used.
 	parked []parkedWork
 
-	// streamTime is the mean time that streams have lasted here; 0 if none ended.
+	// streamTime is the moving average of stream durations; 0 if no stream has ended.
 	streamTime time.Duration
 
-	// matchedBlocks belongs to the decision numbered by matchedAt.
+	// matchedBlocks is valid for the decision numbered matchedStep.
 	matchedBlocks int
 	matchedStep   uint64
 }
@@ -79,7 +77,7 @@
 	return state
 }
 
-// reset starts over with a newer run: nothing of the old one holds.
+// reset replaces the state by that of a newer run.
 func (e *engineState) reset(incarnation fleet.Incarnation) {
 	e.run.Incarnation = incarnation
 	e.leaving = LeavingNone
@@ -93,8 +91,8 @@
 	e.inFlight = 0
 }
 
-// releaseOwnership drops what only the owner of an engine needs. Its run stays known, and
-// whether that is leaving; grants that are under way end by themselves.
+// releaseOwnership drops the state that only the owner of an engine needs. The run and its leaving
+// state are kept; grants in flight end as usual.
 func (e *engineState) releaseOwnership() {
 	e.status = nil
 	e.loaded = nil
@@ -103,15 +101,14 @@
 	e.releaseParked()
 }
 
-// markLeaving notes the first of list and engine that says the run is leaving. It
-// sticks.
+// markLeaving records the first source that reported the run as leaving.
 func (e *engineState) markLeaving(source LeavingSource) {
 	if e.leaving == LeavingNone {
 		e.leaving = source
 	}
 }
 
-// leavingSource tells who says that the run is leaving.
+// leavingSource returns the source that reported the run as leaving, or LeavingNone.
 func (e *engineState) leavingSource() LeavingSource {
 	if e.leaving == LeavingNone && e.drainDirected {
 		return LeavingOperator
@@ -119,8 +116,8 @@
 	return e.leaving
 }
 
-func (e *engineState) servesModelVersion(weights fleet.Weights) bool {
-	_, loaded := e.loaded[weights]
+func (e *engineState) servesModelVersion(version fleet.Weights) bool {
+	_, loaded := e.loaded[version]
 	return loaded && takesRequests(e.status.Role)
 }
 
@@ -130,7 +127,7 @@
 	return e.status != nil && !e.unreachable && now-e.statusAt <= readyFor
 }
 
-// isPlaceable tells whether the engine may get work here once it is ready.
+// isPlaceable reports whether the engine may get work from this router once it is ready.
 func (e *engineState) isPlaceable() bool {
 	return e.owned && e.leavingSource() == LeavingNone
 }
@@ -140,21 +137,20 @@
 	e.unreachable = false
 	e.status = &status
 	e.loaded = make(map[fleet.Weights]struct{}, len(status.Loaded))
-	for _, weights := range status.Loaded {
-		e.loaded[fleet.Weights(weights)] = struct{}{}
+	for _, version := range status.Loaded {
+		e.loaded[fleet.Weights(version)] = struct{}{}
 	}
 }
 
-// streams returns the streams at the engine: those placed here and not known
-// to have ended, and those of others by the last report.
+// streams returns the number of streams at the engine: those placed here and not known to have
+// ended, and those of other routers as of the last report.
 func (e *engineState) streams() int { return e.inFlight + e.load.foreignStreams }
 
-// pendingBlocks returns how many leading blocks are being computed for an
-// earlier grant, and for which. Grants of worse rank don't count: the engine
-// may put them off for a long time.
+// pendingBlocks returns how many leading blocks are being computed for an earlier grant, and that
+// grant. Grants of lower priority don't count, because the engine may postpone them.
 func (e *engineState) pendingBlocks(blocks []fleet.BlockHash, rank int) (int, *grantState) {
 	longest := 0
-	var computing *grantState
+	var prefilling *grantState
 	for _, grant := range e.prefilling {
 		if grant.rank > rank {
 			continue
@@ -162,15 +158,14 @@
 		common := commonPrefix(blocks, grant.request.Blocks)
 		if common > longest {
 			longest = common
-			computing = grant
+			prefilling = grant
 		}
 	}
-	return longest, computing
+	return longest, prefilling
 }
 
-// commonPrefix returns the number of leading blocks that two prompts share.
-// Hashes are chained, so equal hashes at one position mean equal prefixes and
-// a binary search finds the end.
+// commonPrefix returns the number of leading blocks that two prompts share. Hashes are chained, so
+// equal hashes at one position mean equal prefixes, and a binary search finds the end.
 func commonPrefix(a, b []fleet.BlockHash) int {
 	low, high := 0, min(len(a), len(b))
 	for low < high {
@@ -184,7 +179,7 @@
 	return low
 }
 
-// streamTimeSmoothing is the weight of the newest stream in the mean.
+// streamTimeSmoothing is the weight of the newest stream in the moving average.
 const streamTimeSmoothing = 0.1
 
 func (e *engineState) recordStreamTime(lasted time.Duration) {
@@ -195,23 +190,23 @@
 	e.streamTime += time.Duration(streamTimeSmoothing * float64(lasted-e.streamTime))
 }
 
-// slotWait predicts how long a request waits for a stream to end, behind the
-// given number of others that wait too. Streams count as ending evenly.
-func (e *engineState) slotWait(limit, waitingBefore int, output time.Duration) time.Duration {
+// slotWait predicts how long a request waits for a free stream behind waitingAhead other requests.
+// It assumes that streams end at an even rate.
+func (e *engineState) slotWait(limit, waitingAhead int, output time.Duration) time.Duration {
 	streams := e.streams()
-	missing := streams + waitingBefore + 1 - limit
+	missing := streams + waitingAhead + 1 - limit
 	if missing <= 0 {
 		return 0
 	}
-	lasting := e.streamTime
-	if lasting == 0 {
-		lasting = output
+	duration := e.streamTime
+	if duration == 0 {
+		duration = output
 	}
-	return lasting * time.Duration(missing) / time.Duration(max(streams, 1))
+	return duration * time.Duration(missing) / time.Duration(max(streams, 1))
 }
 
-// lowerPriorityTokens returns the prompt work placed here that an engine which
-// honours priorities computes after a request of the given rank.
+// lowerPriorityTokens returns the prompt tokens placed here that an engine which honours priorities
+// computes after a request of the given rank.
 func (e *engineState) lowerPriorityTokens(rank int) int {
 	total := 0
 	for _, grant := range e.prefilling {
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -7,38 +7,37 @@
 	"time"
 )
 
-// grantState is one grant that counts as in flight.
+// grantState is a grant in flight.
 type grantState struct {
 	request        *Request
 	engine         *engineState
 	rank           int
 	uncachedTokens int
 	grantedAt      time.Duration
-	// prefillDoneAt is when the prompt should be computed, computingUntil when it
-	// counts as computed even if no report says so.
+	// prefillDoneAt is the predicted end of the prefill. From prefillOverdueAt on the prefill
+	// counts as done even without a report.
 	prefillDoneAt    time.Duration
 	prefillOverdueAt time.Duration
 	phase            Phase
-	// expires is when the grant counts as over unless a report comes.
+	// expires is when the grant counts as lost unless a report arrives.
 	expires   time.Duration
 	heapIndex int
 
 	ended   bool
 	endedAt time.Duration
-	// neverRan tells that the engine didn't get the attempt.
+	// neverRan is set if the engine didn't receive the attempt.
 	neverRan bool
 }
 
-// runtimeSlackFactor multiplies the predicted run time of a stream before its grant
-// counts as lost.
+// runtimeSlackFactor multiplies the predicted duration of a stream to get the time after which its
+// grant counts as lost.
 const runtimeSlackFactor = 4
 
-// minimumRuntime is the least time that an accepted grant is kept without a
-// further report.
+// minimumRuntime is the least time for which an accepted grant is kept without a further report.
 const minimumRuntime = 30 * time.Second
 
-// prefillSlack is added to twice the predicted time of a prompt's computation
-// before it counts as over without a report.
+// prefillSlack is added to twice the predicted duration of a prefill to get the time after which it
+// counts as done without a report.
 const prefillSlack = 100 * time.Millisecond
 
 // grantHeap orders grants by expiry.
@@ -82,7 +81,7 @@
 	return cmp.Compare(a.Attempt, b.Attempt)
 }
 
-// startGrant counts a new grant as in flight.
+// startGrant records a new grant as in flight.
 func (c *Core) startGrant(now time.Duration, grant *grantState) {
 	state := grant.engine
 	queued := time.Duration(state.load.tokens(now)+grant.uncachedTokens) * state.load.timePerToken()
@@ -97,7 +96,7 @@
 	heap.Push(&c.grantExpiry, grant)
 }
 
-// endGrant takes a grant out of the counts.
+// endGrant removes a grant from the load of its engine and from the core's indexes.
 func (c *Core) endGrant(now time.Duration, grant *grantState, neverRan bool) {
 	if grant.ended {
 		return
@@ -123,41 +122,41 @@
 	}
 }
 
-// dropGrantsOf forgets the grants of a run that is over.
+// dropGrantsOf ends the grants of a run that is over.
 func (c *Core) dropGrantsOf(now time.Duration, state *engineState) {
-	var over []*grantState
+	var ended []*grantState
 	for _, grant := range c.grantExpiry {
 		if grant.engine == state {
-			over = append(over, grant)
+			ended = append(ended, grant)
 		}
 	}
-	for _, grant := range over {
+	for _, grant := range ended {
 		c.endGrant(now, grant, false)
 	}
 }
 
-// dropOverduePrefills stops counting prompts as being computed whose report is overdue.
+// dropOverduePrefills removes the prefills whose report is overdue.
 func (e *engineState) dropOverduePrefills(now time.Duration) {
 	e.prefilling = slices.DeleteFunc(e.prefilling, func(grant *grantState) bool {
 		return grant.prefillOverdueAt <= now
 	})
 }
 
-// isPrefilling tells whether others may wait for the grant's prompt.
+// isPrefilling reports whether other requests may wait for the grant's prompt.
 func (g *grantState) isPrefilling(now time.Duration) bool {
 	return !g.ended && g.phase < PhaseFirstToken && now < g.prefillOverdueAt
 }
 
-// endPrefill notes that a grant's prompt isn't being computed any more.
+// endPrefill removes a grant from the prefills in progress.
 func (e *engineState) endPrefill(grant *grantState) {
 	if position := slices.Index(e.prefilling, grant); position >= 0 {
 		e.prefilling = slices.Delete(e.prefilling, position, position+1)
 	}
 }
 
-// Report takes an agent's word on a granted attempt. Reports of attempts that
-// aren't in flight here, or of another run, change nothing but the doubt about
-// a lost engine.
+// Report applies an agent's report on a granted attempt. A report on an attempt that isn't in
+// flight here, or of another run, has no effect, except that EngineLost still marks the engine
+// unreachable.
 func (c *Core) Report(now time.Duration, report AttemptReport) {
 	c.advance(now)
 	grant := c.grants[report.Key]
@@ -189,8 +188,7 @@
 	heap.Fix(&c.grantExpiry, grant.heapIndex)
 }
 
-// finishPrefill tells the index what the engine now holds, ahead of its late
-// cache events.
+// finishPrefill adds a computed prompt to the index ahead of the engine's cache events.
 func (c *Core) finishPrefill(grant *grantState) {
 	state := grant.engine
 	state.endPrefill(grant)
@@ -200,7 +198,7 @@
 	grant.request.Blocks = nil
 }
 
-// longestRuntime bounds the time until an accepted stream must have ended.
+// longestRuntime returns the time after which an accepted stream counts as lost.
 func (c *Core) longestRuntime(grant *grantState) time.Duration {
 	state := grant.engine
 	step := max(state.load.step, time.Millisecond) + time.Duration(state.load.stepTokens)*state.load.perToken
@@ -209,8 +207,7 @@
 	return max(runtimeSlackFactor*(output+prompt), minimumRuntime) + c.options.ReportGrace
 }
 
-// markUnreachable stops placing on an engine that an agent couldn't reach, until it gives
-// its status again.
+// markUnreachable stops placement on an engine that an agent couldn't reach until its next status.
 func (c *Core) markUnreachable(report AttemptReport) {
 	state := c.engines[report.Run.Engine]
 	if state == nil || state.run != report.Run || state.unreachable {
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -24,7 +24,7 @@
 
 var testWeights = fleet.Weights{Model: "model", Version: "v1"}
 
-// testDocument has one pool with ten streams an engine and two classes.
+// testDocument returns a configuration of one pool with ten streams per engine and two classes.
 func testDocument(revision fleet.Revision) config.Document {
 	return config.Document{
 		Revision: revision,
@@ -85,7 +85,7 @@
 	b.core.ObserveStatus(b.now, b.status(id, incarnation))
 }
 
-// status is an idle engine's status, measured now, at 100 µs a token.
+// status returns the status of an idle engine, measured now, at 100 µs per token.
 func (b *bench) status(id fleet.EngineID, incarnation fleet.Incarnation) engine.Status {
 	return engine.Status{
 		Engine: id, Incarnation: incarnation, Role: engine.RoleServe, BlockTokens: testBlockTokens,
@@ -98,7 +98,8 @@
 
 func keyOf(request string) Key { return Key{Request: fleet.RequestID(request), Attempt: 1} }
 
-// request has a prompt of the given blocks; equal prompts have equal blocks.
+// request returns a request whose prompt has the given number of blocks. Equal prompts have equal
+// blocks.
 func request(name string, class fleet.ClassName, prompt string, blocks int) Request {
 	made := Request{
 		Key: keyOf(name), Tenant: "tenant", ModelVersion: testWeights, Class: class,
--- a/internal/placement/history.go
+++ b/internal/placement/history.go
@@ -7,23 +7,23 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Explanation tells how one attempt was decided.
+// Explanation describes how an attempt was decided.
 type Explanation struct {
 	Key          Key
 	Tenant       fleet.TenantName
 	Class        fleet.ClassName
 	ModelVersion fleet.Weights
 	Submitted    time.Duration
-	// Decided is the time of the outcome; its difference from Submitted is the wait.
+	// Decided is the time of the outcome; Decided minus Submitted is the wait.
 	Decided time.Duration
-	// Outcome is nil while the attempt waits; Waiting then says why.
+	// Outcome is nil while the attempt waits; Waiting then gives the reason.
 	Outcome Outcome
 	Waiting string
-	// Decision is the scheduler's word; nil if it wasn't asked or found nothing.
+	// Decision is the scheduler's decision; nil if the scheduler wasn't run or found no engine.
 	Decision *scheduling.Decision
 }
 
-// history is a ring of the latest explanations.
+// history is a ring buffer of the latest explanations.
 type history struct {
 	ring []Explanation
 	next int
@@ -43,7 +43,7 @@
 	h.next = (h.next + 1) % h.size
 }
 
-// last returns the explanation added last.
+// last returns the most recently added explanation.
 func (h *history) last() *Explanation {
 	return &h.ring[(h.next+h.size-1)%h.size]
 }
@@ -60,8 +60,8 @@
 	return found
 }
 
-// Explain returns what is known of a request's attempts, newest first: those
-// that wait and the latest decisions.
+// Explain returns the explanations of a request's attempts: first the waiting ones by falling
+// attempt number, then the recent decisions, newest first.
 func (c *Core) Explain(request fleet.RequestID) []Explanation {
 	var explanations []Explanation
 	for key, waiting := range c.waiting {
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -7,19 +7,19 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// clockDriftDivisor is the inverse of the greatest rate at which an engine's
-// clock may run slow against ours; the smallest offset is let rise by it.
+// clockDriftDivisor is the inverse of the maximum rate at which an engine's clock may run slow. The
+// clock offset may rise at this rate.
 const clockDriftDivisor = 2000
 
-// loadEstimate corrects an engine's lagging load report by what was granted
-// since its measurement. The prompt work is a fluid that drains at the engine's
-// speed; it is replayed from the report's measurement with each new report.
+// loadEstimate corrects an engine's delayed load reports by the grants made since their
+// measurement. Prompt work drains continuously at the engine's speed; each new report replays it
+// from the time of measurement.
 type loadEstimate struct {
-	// offset maps the engine's elapsed clock to ours: the smallest difference
-	// seen between the receipt of a report and its measurement.
+	// offset maps the engine's elapsed clock to the local clock. It is the smallest observed
+	// difference between the receipt of a report and its measurement, corrected for drift.
 	offset time.Duration
-	// measuredAt is the last report's measurement on our clock, measuredMillis on
-	// the engine's, received its receipt.
+	// measuredAt is the time of the last report's measurement on the local clock, measuredMillis on
+	// the engine's clock; receivedAt is its receipt.
 	measuredAt     time.Duration
 	measuredMillis int64
 	receivedAt     time.Duration
@@ -33,13 +33,13 @@
 	stepTokens int
 
 	foreignStreams int
-	// recentGrants holds the grants that may still differ between a late report and
-	// our own count, in order of grant.
+	// recentGrants holds, in order of grant, the grants that a delayed report may not include yet
+	// or may still include.
 	recentGrants []*grantState
 }
 
-// timePerToken returns the time that one prompt token takes, the fixed cost of batch
-// steps included.
+// timePerToken returns the time to compute one prompt token, including the fixed cost of batch
+// steps.
 func (l *loadEstimate) timePerToken() time.Duration {
 	perToken := l.perToken
 	if perToken <= 0 {
@@ -62,21 +62,21 @@
 	l.updatedAt = now
 }
 
-// tokens returns the estimated prompt work at now.
+// tokens returns the estimated prompt tokens queued at now.
 func (l *loadEstimate) tokens(now time.Duration) int {
 	l.advance(now)
 	return int(l.queueTokens)
 }
 
-// add counts a grant made at now.
+// add adds a grant made at now.
 func (l *loadEstimate) add(now time.Duration, grant *grantState) {
 	l.advance(now)
 	l.queueTokens += float64(grant.uncachedTokens)
 	l.recentGrants = append(l.recentGrants, grant)
 }
 
-// applyReport replaces the estimate by a report received at now. A report measured
-// earlier than the last one is dropped.
+// applyReport replaces the estimate by a report received at now. It drops a report measured before
+// the last one.
 func (l *loadEstimate) applyReport(now time.Duration, report engine.Load, dispatchDelay time.Duration) {
 	if l.reported && report.MeasuredAtMillis < l.measuredMillis {
 		return
@@ -89,7 +89,7 @@
 	l.replay(now, float64(report.WaitingPrefillTokens), dispatchDelay)
 }
 
-// alignClock finds the time of a measurement on our clock.
+// alignClock maps the time of a measurement to the local clock.
 func (l *loadEstimate) alignClock(now time.Duration, millis int64) {
 	elapsed := time.Duration(millis) * time.Millisecond
 	offset := now - elapsed
@@ -104,8 +104,8 @@
 	l.reported = true
 }
 
-// countForeignStreams finds the streams that other routers placed: the reported ones
-// less our own that the report must include.
+// countForeignStreams counts the streams placed by other routers: the reported ones minus the local
+// ones that the report must include.
 func (l *loadEstimate) countForeignStreams(report engine.Load, dispatchDelay time.Duration) {
 	own := 0
 	kept := l.recentGrants[:0]
@@ -123,9 +123,8 @@
 	l.foreignStreams = max(report.RunningStreams+report.WaitingStreams-own, 0)
 }
 
-// replay starts from the reported work and adds the grants made since at the
-// time that the engine gets them. A grant that the report may already include
-// isn't added, so that the two sources don't count the same work twice.
+// replay starts from the reported work and adds later grants at the time that the engine receives
+// them. It skips grants that the report may already include, to avoid counting their work twice.
 func (l *loadEstimate) replay(now time.Duration, reportedTokens float64, dispatchDelay time.Duration) {
 	l.queueTokens = reportedTokens
 	l.updatedAt = l.measuredAt
@@ -140,7 +139,7 @@
 	l.advance(now)
 }
 
-// retract takes back the work of a grant that never ran.
+// retract removes the work of a grant that never ran.
 func (l *loadEstimate) retract(now time.Duration, grant *grantState, dispatchDelay time.Duration) {
 	if l.reported && grant.grantedAt+dispatchDelay <= l.measuredAt {
 		return
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// ObserveMachine takes one entry of the list of machines. Entries of other
-// kinds and of a run older than the newest known are ignored.
+// ObserveMachine applies an entry of the machine list. It ignores entries of other kinds and of a
+// run older than the newest known one.
 func (c *Core) ObserveMachine(now time.Duration, machine platform.Machine) {
 	if machine.Kind != platform.MachineEngine {
 		return
@@ -37,7 +37,7 @@
 	c.dispatchWaiting(now)
 }
 
-// newestIncarnation returns the highest incarnation ever known of an engine.
+// newestIncarnation returns the highest known incarnation of an engine.
 func (c *Core) newestIncarnation(id fleet.EngineID) fleet.Incarnation {
 	if state := c.engines[id]; state != nil {
 		return state.run.Incarnation
@@ -55,8 +55,8 @@
 	return state
 }
 
-// ForgetMachine notes that the list doesn't show an engine any more. All that
-// stays known is its newest run and whether that was leaving.
+// ForgetMachine removes an engine that has left the machine list. Only its newest incarnation and
+// its leaving state are kept.
 func (c *Core) ForgetMachine(now time.Duration, id fleet.EngineID) {
 	state := c.engines[id]
 	if state == nil {
@@ -73,8 +73,8 @@
 	c.dispatchWaiting(now)
 }
 
-// ObserveStatus takes an engine's word about itself. An engine that the list
-// doesn't show is ignored, since its address isn't known.
+// ObserveStatus applies a status reported by an engine. It ignores an engine that isn't in the
+// machine list, because its address isn't known.
 func (c *Core) ObserveStatus(now time.Duration, status engine.Status) {
 	state := c.engines[status.Engine]
 	if state == nil || status.Incarnation < state.run.Incarnation {
@@ -91,8 +91,7 @@
 	c.dispatchWaiting(now)
 }
 
-// ObserveUnreachable notes that an engine didn't answer. It gets no work until
-// its next status.
+// ObserveUnreachable records that an engine didn't answer. It gets no work until its next status.
 func (c *Core) ObserveUnreachable(now time.Duration, id fleet.EngineID) {
 	if state := c.engines[id]; state != nil {
 		c.advance(now)
@@ -101,15 +100,15 @@
 	}
 }
 
-// NeedsStatus returns the engines whose status is wanted at once, by
-// identifier: those that haven't given one or were said to be lost.
+// NeedsStatus returns, by identifier, the owned engines whose status is needed at once: those
+// without a status and those marked unreachable.
 func (c *Core) NeedsStatus() []fleet.EngineID {
 	return c.selectEngines(func(state *engineState) bool {
 		return state.status == nil || state.unreachable
 	})
 }
 
-// ObserveCacheEvents takes an engine's answer to a poll for cache events.
+// ObserveCacheEvents applies an engine's answer to a poll for cache events.
 func (c *Core) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
 	state := c.cacheSource(now, id, events.Incarnation)
 	if state == nil {
@@ -118,7 +117,7 @@
 	state.feed.Apply(now, events)
 }
 
-// ObserveCacheSnapshot takes the whole set of an engine's cached blocks.
+// ObserveCacheSnapshot applies a snapshot of an engine's cached blocks.
 func (c *Core) ObserveCacheSnapshot(now time.Duration, id fleet.EngineID, snapshot engine.CacheSnapshot) {
 	state := c.cacheSource(now, id, snapshot.Incarnation)
 	if state == nil {
@@ -127,8 +126,8 @@
 	state.feed.ApplySnapshot(now, snapshot)
 }
 
-// cacheSource returns the engine whose feed takes an answer of the given
-// incarnation, or nil. An answer of a newer one ends the run known so far.
+// cacheSource returns the engine whose feed accepts an answer of the given incarnation, or nil. A
+// newer incarnation replaces the current run.
 func (c *Core) cacheSource(now time.Duration, id fleet.EngineID, incarnation fleet.Incarnation) *engineState {
 	state := c.engines[id]
 	if state == nil || incarnation < state.run.Incarnation {
@@ -145,16 +144,16 @@
 	return state
 }
 
-// NeedsSnapshot returns the engines whose cached blocks are to be fetched whole
-// now, by identifier. Each is named once until the feed asks again.
+// NeedsSnapshot returns, by identifier, the engines whose cache snapshot is to be fetched now. It
+// names an engine once per request of its feed.
 func (c *Core) NeedsSnapshot() []fleet.EngineID {
 	return c.selectEngines(func(state *engineState) bool {
 		return state.feed != nil && state.feed.RequestSnapshot(c.now)
 	})
 }
 
-// Synchronised tells whether every engine that gets requests here has given its
-// status and its whole cache once.
+// Synchronised reports whether every engine that this router places on has reported its status and
+// has had a complete cache snapshot.
 func (c *Core) Synchronised() bool {
 	for _, state := range c.ordered {
 		if !state.isPlaceable() {
@@ -167,8 +166,8 @@
 	return true
 }
 
-// EventsAfter returns the sequence number and the incarnation from which an
-// engine's cache events are to be polled; false when they aren't followed.
+// EventsAfter returns the sequence number and incarnation from which to poll an engine's cache
+// events, and false if the router doesn't follow them.
 func (c *Core) EventsAfter(id fleet.EngineID) (uint64, fleet.Incarnation, bool) {
 	state := c.engines[id]
 	if state == nil || state.feed == nil {
@@ -177,8 +176,8 @@
 	return state.feed.After(), state.run.Incarnation, true
 }
 
-// SetOwned says which engines this router owns. Only these get requests here
-// and only their caches are followed.
+// SetOwned sets which engines this router owns. The router places requests on owned engines only
+// and follows only their caches.
 func (c *Core) SetOwned(owned func(fleet.EngineID) bool) {
 	c.owned = owned
 	for _, state := range c.ordered {
@@ -206,7 +205,7 @@
 
 func compareEngines(a, b *engineState) int { return cmp.Compare(a.run.Engine, b.run.Engine) }
 
-// resetIfNewer starts over with a newer run of an engine.
+// resetIfNewer replaces an engine's run by a newer one and reports whether it did.
 func (c *Core) resetIfNewer(now time.Duration, state *engineState, incarnation fleet.Incarnation) bool {
 	if incarnation <= state.run.Incarnation {
 		return false
@@ -219,8 +218,7 @@
 	return true
 }
 
-// applyDirectives takes over the operators' standing orders about the present
-// run, as the newest known configuration has them.
+// applyDirectives applies the operators' directives on the current run.
 func (c *Core) applyDirectives(state *engineState) {
 	if c.view == nil {
 		return
@@ -230,7 +228,7 @@
 	})
 }
 
-// updateFeed starts or stops keeping the index of an engine's cache.
+// updateFeed starts or stops indexing an engine's cache according to ownership.
 func (c *Core) updateFeed(state *engineState) {
 	if state.owned && state.feed == nil {
 		state.feed = prefixindex.NewFeed(c.index, state.run, c.options.Feed)
@@ -241,8 +239,8 @@
 	}
 }
 
-// engineChanged brings the lists up to date after a change of one engine, and
-// gives an outcome to the requests that no engine is left for.
+// engineChanged updates the indexes after a change of one engine, and concludes the waiting
+// requests that have no engine left.
 func (c *Core) engineChanged(now time.Duration, state *engineState) {
 	c.updateFeed(state)
 	if c.updatePools(state) {
@@ -250,8 +248,7 @@
 	}
 }
 
-// updatePools brings an engine's updatePools in the pools up to date. It returns true when
-// a pool lost the engine.
+// updatePools updates the pool that lists an engine. It reports whether a pool lost the engine.
 func (c *Core) updatePools(state *engineState) bool {
 	c.updateForeignCount(state)
 	wanted := state.isPlaceable()
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -29,60 +29,55 @@
 	DefaultSpillQueue         = 4
 	DefaultExplainRing        = 512
 
-	// defaultScanDepth is deep, because a look at a request that waits for an
-	// engine or a prefix is cheap.
+	// defaultScanDepth exceeds flow control's default because an attempt that waits for an engine
+	// or a prefix is cheap.
 	defaultScanDepth = 64
 )
 
-// Options sets up a Core. A zero field takes its default.
+// Options configures a Core. Zero fields take their defaults.
 type Options struct {
 	Node fleet.NodeID
 	Zone fleet.ZoneName
-	// Random breaks ties and spreads retry times; required.
+	// Random breaks ties and adds jitter to retry times; required.
 	Random *rand.Rand
-	// GrantValid is the time within which an agent must dispatch.
+	// GrantValid is the time within which an agent must dispatch a granted attempt.
 	GrantValid time.Duration
-	// ReportGrace is how much later than expected a report may come before the
-	// grant counts as over.
+	// ReportGrace is how late a report may be before the grant counts as lost.
 	ReportGrace time.Duration
-	// MaxEngineQueue bounds the prompt work, as predicted time, that is given
-	// to an engine ahead of its computing it. What is over it waits here, where
-	// its order can still change.
+	// MaxEngineQueue bounds the predicted prefill time queued at an engine. Further requests wait
+	// in the Core, where they can still be reordered.
 	MaxEngineQueue time.Duration
-	// ReserveFraction is the part of an engine's streams and queue that only
-	// the best class may use. A negative value means none.
+	// ReserveFraction is the fraction of an engine's streams and queue reserved for the best class.
+	// A negative value reserves nothing.
 	ReserveFraction float64
-	// StatusTTL is how long an engine's last word keeps it ready.
+	// StatusTTL is how long a status keeps an engine ready.
 	StatusTTL time.Duration
-	// DispatchDelay is the least time from a grant until the engine knows of it.
+	// DispatchDelay is the minimum time from a grant until the engine receives the request.
 	DispatchDelay time.Duration
-	// ReconsiderInterval is the least time between two looks at a request that waits
+	// ReconsiderInterval is the minimum time between two placement attempts of a request that waits
 	// for a warm engine.
 	ReconsiderInterval time.Duration
-	// WarmWaitFraction is the part of its class's longest wait after which a
-	// request doesn't wait for a warm engine any more while others are idle. A
-	// negative value means never.
+	// WarmWaitFraction is the fraction of the class's maximum wait after which a request no longer
+	// waits for a warm engine while others are idle. A negative value disables this limit.
 	WarmWaitFraction float64
-	// HoldTokens is the length of an uncomputed common prefix from which on a
-	// request waits until the engine that computes it is done, since an engine
-	// that got both at once would compute it twice. A negative value means never.
+	// HoldTokens is the minimum length of an uncomputed common prefix for which a request waits
+	// until another request has computed it. This prevents an engine from computing the prefix
+	// twice. A negative value disables the wait.
 	HoldTokens int
-	// MaxHops bounds the hand-backs of a request for want of an engine.
+	// MaxHops bounds the hand-backs of a request for lack of an engine.
 	MaxHops int
-	// MaxForeignHops takes its place while other routers own engines of the pool:
-	// after a change of the routers an engine may have no owner for a moment, and
-	// agents back off between hand-backs.
+	// MaxForeignHops replaces MaxHops while other routers own engines of the pool: while ownership
+	// moves, an engine may briefly have no owner, and agents back off between hand-backs.
 	MaxForeignHops int
-	// MaxSpills bounds the hand-backs of a request that finds the engines of one
-	// router after the other saturated; the router asked then queues or refuses
-	// it. Only a router that owns a part of the pool hands back. A negative value
-	// means never.
+	// MaxSpills bounds the hand-backs of a request to routers whose engines are saturated. After
+	// that the router queues or refuses it. Only a router that owns part of a pool spills. A
+	// negative value disables spilling.
 	MaxSpills int
-	// SpillWait is the predicted wait from which on a request that has nothing
-	// cached here is handed back; a cached prefix adds the time that it saves.
+	// SpillWait is the predicted wait above which a request without a cached prefix is handed back.
+	// A cached prefix adds the time that it saves.
 	SpillWait time.Duration
-	// SpillQueue is the number of waiting requests for each owned engine of the
-	// pool from which on new ones are handed back whatever is predicted.
+	// SpillQueue is the number of waiting requests per owned engine of the pool at which new ones
+	// are handed back regardless of the predicted wait.
 	SpillQueue int
 	// ExplainRing is the number of decisions kept for Explain.
 	ExplainRing int
--- a/internal/placement/reject.go
+++ b/internal/placement/reject.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// maxHops bounds the hand-backs in vain of a request for a pool.
+// maxHops returns the bound on the hand-backs of a request for lack of an engine.
 func (c *Core) maxHops(pool fleet.PoolName) int {
 	if c.foreign[pool] > 0 {
 		return c.options.MaxForeignHops
@@ -73,8 +73,8 @@
 	return false
 }
 
-// recheckWaiting gives an outcome to the waiting requests that can't wait here any
-// more, in order of submission.
+// recheckWaiting concludes, in order of submission, the waiting requests that can't wait here any
+// more.
 func (c *Core) recheckWaiting(now time.Duration) {
 	queued := make([]*waitingRequest, 0, len(c.waiting))
 	for _, waiting := range c.waiting {
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/flowcontrol"
 )
 
-// EngineCondition sums up whether an engine gets requests.
+// EngineCondition summarises whether an engine gets requests.
 type EngineCondition string
 
 // Conditions of an engine.
@@ -18,11 +18,11 @@
 	EngineReady       EngineCondition = "ready"
 	EngineLeaving     EngineCondition = "leaving"
 	EngineUnreachable EngineCondition = "unreachable"
-	// EngineUnknown means that the present run hasn't given its status lately.
+	// EngineUnknown means that the current run hasn't reported its status recently.
 	EngineUnknown EngineCondition = "unknown"
 )
 
-// EngineSnapshot describes one listed engine.
+// EngineSnapshot describes a listed engine.
 type EngineSnapshot struct {
 	Run       fleet.EngineRun
 	Address   fleet.Address
@@ -33,15 +33,15 @@
 	Leaving   LeavingSource
 	Owned     bool
 	Loaded    []fleet.Weights
-	// InFlight counts the streams granted here and not known to have ended,
-	// Streams also those of other routers.
+	// InFlight counts the streams granted here and not known to have ended. Streams also includes
+	// those of other routers.
 	InFlight int
 	Streams  int
 	// QueueTokens and QueueTime are the estimated prompt work.
 	QueueTokens int
 	QueueTime   time.Duration
-	// CachedBlocks is the number of blocks that the index has for the run;
-	// CacheTrusted is false after lost events, until a snapshot.
+	// CachedBlocks is the number of blocks that the index holds for the run. CacheTrusted is false
+	// from a loss of events until the next snapshot.
 	CachedBlocks int
 	CacheTrusted bool
 }
@@ -53,8 +53,8 @@
 	Draining bool
 	Engines  []EngineSnapshot
 	Waiting  []flowcontrol.ClassWaiting
-	// WaitingRequests and InFlight count requests and grants; LostGrants counts
-	// grants whose end was never reported.
+	// WaitingRequests and InFlight count requests and grants; LostGrants counts the grants whose
+	// end was never reported.
 	WaitingRequests int
 	InFlight        int
 	LostGrants      uint64
@@ -62,7 +62,7 @@
 	IndexBytes      int
 }
 
-// Snapshot returns the state at now, engines by identifier.
+// Snapshot returns the state at now, with engines ordered by identifier.
 func (c *Core) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		Node:            c.options.Node,
@@ -102,8 +102,8 @@
 	}
 	if state.status != nil {
 		described.Role = state.status.Role
-		for _, weights := range state.status.Loaded {
-			described.Loaded = append(described.Loaded, fleet.Weights(weights))
+		for _, version := range state.status.Loaded {
+			described.Loaded = append(described.Loaded, fleet.Weights(version))
 		}
 	}
 	return described
@@ -122,10 +122,10 @@
 	}
 }
 
-// HoldersOf returns the engine runs believed to hold a block.
+// HoldersOf returns the engine runs that hold a block according to the index.
 func (c *Core) HoldersOf(hash fleet.BlockHash) []fleet.EngineRun { return c.index.HoldersOf(hash) }
 
-// Position tells where a waiting attempt stands; false when it doesn't wait.
+// Position returns the queue position of a waiting attempt, and false if it isn't waiting.
 func (c *Core) Position(now time.Duration, key Key) (flowcontrol.Position, bool) {
 	return c.flow.Position(now, key)
 }
--- a/internal/placement/spill.go
+++ b/internal/placement/spill.go
@@ -8,15 +8,14 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// canSpill tells whether another router may place a request that finds the
-// engines here saturated: some engines of the pool belong to others only, and
-// the agent hasn't been handed the request back too often.
+// canSpill reports whether a request may be handed back because the engines here are saturated:
+// other routers own engines of the pool, and the request hasn't reached MaxSpills.
 func (c *Core) canSpill(waiting *waitingRequest) bool {
 	return waiting.request.Spills < c.options.MaxSpills && c.foreign[waiting.model.Pool] > 0
 }
 
-// spill returns the hand-back of a new request that would do better at another
-// router, or nil.
+// spill returns the hand-back of a new request that another router is likely to serve sooner, or
+// nil.
 func (c *Core) spill(now time.Duration, waiting *waitingRequest) Outcome {
 	foreign := c.foreign[waiting.model.Pool] > 0
 	if foreign && waiting.request.nonSpillHops() < c.options.MaxHops && !c.hasReadyEngine(now, waiting) {
@@ -28,12 +27,11 @@
 	return nil
 }
 
-// nonSpillHops counts the routers that handed the request back for another reason
-// than being saturated.
+// nonSpillHops counts the hops for reasons other than saturation.
 func (r *Request) nonSpillHops() int { return r.Hops - r.Spills }
 
-// spillRefused returns the outcome of a request that is refused here: a
-// hand-back if it is for want of capacity and another router may have some.
+// spillRefused returns the outcome of a request that flow control or the scheduler refused: a
+// hand-back if capacity is short and another router may have some, else the refusal.
 func (c *Core) spillRefused(waiting *waitingRequest, refusal flowcontrol.Refusal) Outcome {
 	shortOfCapacity := refusal.Code == resultcode.Overloaded || refusal.Code == resultcode.DeadlineTooShort
 	if shortOfCapacity && c.canSpill(waiting) {
@@ -42,8 +40,8 @@
 	return Refusal(refusal)
 }
 
-// hasReadyEngine tells whether an engine of the request's pool is ready with its
-// weights.
+// hasReadyEngine reports whether an engine of the request's pool is ready and serves its model
+// version.
 func (c *Core) hasReadyEngine(now time.Duration, waiting *waitingRequest) bool {
 	for _, state := range c.byPool[waiting.model.Pool] {
 		if state.isReady(now, c.options.StatusTTL) && state.serves(waiting.request.ModelVersion) {
@@ -53,14 +51,13 @@
 	return false
 }
 
-// isSaturated tells whether a request would wait here for longer than it is
-// worth, or so long that it would miss its deadline.
+// isSaturated reports whether the predicted wait or the queue here is too long for a request.
 func (c *Core) isSaturated(now time.Duration, waiting *waitingRequest) bool {
 	clear(c.capacities)
-	pool := c.capacityFor(now, waiting)
+	capacity := c.capacityFor(now, waiting)
 	lane := flowcontrol.Lane(waiting.model.Pool)
 	queued := c.flow.WaitingIn(lane)
-	if pool.available && queued == 0 {
+	if capacity.available && queued == 0 {
 		return false
 	}
 	if queued >= c.options.SpillQueue*len(c.byPool[waiting.model.Pool]) {
@@ -70,14 +67,14 @@
 	if !known {
 		wait = 0
 	}
-	if pool.availableAt > now {
-		wait += pool.availableAt - now
+	if capacity.availableAt > now {
+		wait += capacity.availableAt - now
 	}
 	return wait > c.tolerableWait(now, waiting)
 }
 
-// tolerableWait is how long a request may wait here: SpillWait and the time to
-// compute elsewhere what an engine here holds, as far as its deadline lets it.
+// tolerableWait returns how long a request may wait here: SpillWait plus the time that the cached
+// prefix saves, limited by the request's deadline.
 func (c *Core) tolerableWait(now time.Duration, waiting *waitingRequest) time.Duration {
 	cached, uncached := c.prefillTimes(waiting)
 	tolerable := c.options.SpillWait + cached
@@ -87,8 +84,8 @@
 	return tolerable
 }
 
-// prefillTimes returns the time to compute the longest prefix that an owned
-// engine holds, and the time to compute the rest of the prompt.
+// prefillTimes returns the time to compute the longest prefix that an owned engine holds, and the
+// least time in which an owned engine computes the rest of the prompt.
 func (c *Core) prefillTimes(waiting *waitingRequest) (cached, uncached time.Duration) {
 	c.matchBlocks(waiting.request.Blocks)
 	for position, state := range c.byPool[waiting.model.Pool] {
@@ -96,9 +93,9 @@
 		if state.matchedStep == c.matchStep {
 			tokens = min(state.matchedBlocks*waiting.model.BlockTokens, waiting.tokens())
 		}
-		speed := state.load.timePerToken()
-		cached = max(cached, time.Duration(tokens)*speed)
-		rest := time.Duration(waiting.tokens()-tokens) * speed
+		perToken := state.load.timePerToken()
+		cached = max(cached, time.Duration(tokens)*perToken)
+		rest := time.Duration(waiting.tokens()-tokens) * perToken
 		if position == 0 || rest < uncached {
 			uncached = rest
 		}
@@ -106,8 +103,7 @@
 	return cached, uncached
 }
 
-// updateForeignCount brings the number of engines that only other routers place on
-// up to date.
+// updateForeignCount updates the count of engines that only other routers own.
 func (c *Core) updateForeignCount(state *engineState) {
 	listed := c.engines[state.run.Engine] == state
 	pool := fleet.PoolName("")
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-// fillOwnedEngine lets the owned engine's queue reach its bound with prompts of 1,600
-// tokens, which take 160 ms each.
+// fillOwnedEngine fills the owned engine's queue to its bound with prompts of 1,600 tokens, 160 ms
+// each.
 func (b *bench) fillOwnedEngine() {
 	for number := range 3 {
 		made := request(fmt.Sprintf("fill%d", number), urgent, fmt.Sprintf("filler%d", number), 100)
@@ -40,7 +40,7 @@
 	return []Outcome{HandBack{Key: keyOf(name), Reason: reason}}
 }
 
-// fillQueue makes as many requests wait as the bound on the queue lets.
+// fillQueue queues as many requests as SpillQueue allows.
 func (b *bench) fillQueue() {
 	for number := range DefaultSpillQueue {
 		made := request(fmt.Sprintf("queued%d", number), urgent, fmt.Sprintf("queue%d", number), 100)
@@ -58,7 +58,7 @@
 	}
 	waiting := b.core.Snapshot(b.now).WaitingRequests
 	last := withSpills(request("last", urgent, "new", 1), DefaultMaxSpills)
-	assert.Empty(t, b.submit(last), "the last router keeps it")
+	assert.Empty(t, b.submit(last), "the last router queues it")
 	assert.Equal(t, waiting+1, b.core.Snapshot(b.now).WaitingRequests)
 }
 
@@ -68,19 +68,19 @@
 	b.fillQueue()
 	assert.Empty(t, b.submit(request("first", urgent, "new", 1)))
 
-	part := newPartialOwnerBench(t)
-	part.fillOwnedEngine()
-	part.fillQueue()
+	partial := newPartialOwnerBench(t)
+	partial.fillOwnedEngine()
+	partial.fillQueue()
 	leaving := machine("engine1", 1)
 	leaving.State = platform.MachineLeaving
-	part.core.ObserveMachine(part.now, leaving)
-	assert.Empty(t, part.submit(request("first", urgent, "new", 1)), "the others' last engine is leaving")
-	part.core.ForgetMachine(part.now, "engine1")
-	assert.Empty(t, part.core.foreign)
+	partial.core.ObserveMachine(partial.now, leaving)
+	assert.Empty(t, partial.submit(request("first", urgent, "new", 1)), "the last engine of other routers is leaving")
+	partial.core.ForgetMachine(partial.now, "engine1")
+	assert.Empty(t, partial.core.foreign)
 }
 
-// TestTightDeadlineSpillsBeforeRefusal submits a request that the owned
-// engine can't answer before its deadline.
+// TestTightDeadlineSpillsBeforeRefusal guards against refusing a request that another router may
+// answer before its deadline.
 func TestTightDeadlineSpillsBeforeRefusal(t *testing.T) {
 	b := newPartialOwnerBench(t)
 	b.fillOwnedEngine()
@@ -101,8 +101,8 @@
 	assert.Positive(t, refusal.RetryAfter)
 }
 
-// TestWarmPrefixRaisesTolerableWait fills the engine by 400 ms over its bound: too
-// long for a cold prompt, and less than a cached one of 6,400 tokens saves.
+// TestWarmPrefixRaisesTolerableWait guards against spilling a request whose cached prefix saves
+// more than the wait. The queue exceeds its bound by 400 ms; the cached prefix has 6,400 tokens.
 func TestWarmPrefixRaisesTolerableWait(t *testing.T) {
 	b := newPartialOwnerBench(t)
 	warm := request("warm", urgent, "circular", 400)
@@ -118,14 +118,14 @@
 	b := newPartialOwnerBench(t)
 	b.core.ObserveUnreachable(b.now, "engine0")
 	spilled := withSpills(request("spilled", urgent, "p", 1), DefaultMaxSpills)
-	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills aren't hops in vain")
+	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills don't count as failed hops")
 	last := request("last", urgent, "p", 1)
 	last.Hops = DefaultMaxHops
 	assert.Empty(t, b.submit(last))
 }
 
-// TestPoolWithoutOwnerIsRefusedAfterMaxHops follows a request whose pool has no
-// owner among the routers that it reaches.
+// TestPoolWithoutOwnerIsRefusedAfterMaxHops guards against endless hand-backs of a request whose
+// pool has no owner.
 func TestPoolWithoutOwnerIsRefusedAfterMaxHops(t *testing.T) {
 	b := newPartialOwnerBench(t)
 	b.core.SetOwned(func(fleet.EngineID) bool { return false })
