--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -118,10 +118,10 @@
 
 func (e *engineState) servesModelVersion(version fleet.Weights) bool {
 	_, loaded := e.loaded[version]
-	return loaded && takesRequests(e.status.Role)
+	return loaded && acceptsRequests(e.status.Role)
 }
 
-func takesRequests(role engine.Role) bool { return role == engine.RoleServe || role == "" }
+func acceptsRequests(role engine.Role) bool { return role == engine.RoleServe || role == "" }
 
 func (e *engineState) isReady(now, readyFor time.Duration) bool {
 	return e.status != nil && !e.unreachable && now-e.statusAt <= readyFor
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -22,7 +22,7 @@
 	batch           = fleet.ClassName("batch")
 )
 
-var testWeights = fleet.Weights{Model: "model", Version: "v1"}
+var testModelVersion = fleet.Weights{Model: "model", Version: "v1"}
 
 // testDocument returns a configuration of one pool with ten streams per engine and two classes.
 func testDocument(revision fleet.Revision) config.Document {
@@ -89,7 +89,7 @@
 func (b *bench) status(id fleet.EngineID, incarnation fleet.Incarnation) engine.Status {
 	return engine.Status{
 		Engine: id, Incarnation: incarnation, Role: engine.RoleServe, BlockTokens: testBlockTokens,
-		Loaded: []engine.Weights{engine.Weights(testWeights)},
+		Loaded: []engine.Weights{engine.Weights(testModelVersion)},
 		Load: engine.Load{
 			MeasuredAtMillis: b.now.Milliseconds(), StepTokens: 1000, PrefillMicrosPerToken: 100, StepMicros: 1000,
 		},
@@ -102,7 +102,7 @@
 // blocks.
 func request(name string, class fleet.ClassName, prompt string, blocks int) Request {
 	made := Request{
-		Key: keyOf(name), Tenant: "tenant", ModelVersion: testWeights, Class: class,
+		Key: keyOf(name), Tenant: "tenant", ModelVersion: testModelVersion, Class: class,
 		PromptTokens: blocks*testBlockTokens + 1, MaxTokens: 10, AgentZone: "zone",
 	}
 	seed := uint64(len(prompt)) << 32
