--- a/internal/flowcontrol/classqueue.go
+++ b/internal/flowcontrol/classqueue.go
@@ -8,26 +8,26 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// entry is one waiting item and where it stands.
+// entry is a waiting item and its position in the queue.
 type entry struct {
 	item     Item
 	enqueued time.Duration
 	expires  time.Duration // 0 means never
-	// expiresByDeadline tells that the item's deadline comes before the class's limit.
+	// expiresByDeadline is set if the item's deadline precedes the class's limit.
 	expiresByDeadline bool
 	queue             *classQueue
 	flow              *flow
 	heapIndex         int
 }
 
-// flow is the queue of one tenant in one class and lane, first in first out.
+// flow is the FIFO queue of one tenant in one class and lane.
 type flow struct {
 	tenant  fleet.TenantName
 	weight  float64
 	entries []*entry
 	cost    float64
-	// startTag is the virtual startTag time of the flow's next dispatch. It is kept
-	// while the flow is empty, so that leaving and coming back gains nothing.
+	// startTag is the virtual start time of the flow's next dispatch. It is kept while the flow is
+	// empty, to prevent a tenant from gaining share by leaving and returning.
 	startTag float64
 }
 
@@ -35,12 +35,12 @@
 type classQueue struct {
 	policy ClassPolicy
 	flows  map[fleet.TenantName]*flow
-	// active lists the flows that have items, by virtual start time.
+	// active lists the flows with items, by start tag.
 	active      []*flow
 	virtualTime float64
 	waiting     int
 	cost        float64
-	// credit is the part of a dispatch that the class is owed by its minimum share.
+	// credit is the fraction of a dispatch that the minimum share entitles the class to.
 	credit float64
 	meter  rateMeter
 }
@@ -90,7 +90,7 @@
 	e.queue = q
 }
 
-// remove takes an entry out without charging its tenant.
+// remove removes an entry without charging its tenant.
 func (q *classQueue) remove(now time.Duration, e *entry) {
 	q.meter.advance(now, q.waiting > 0)
 	f := e.flow
@@ -117,7 +117,7 @@
 	}
 }
 
-// dispatch takes an entry out and charges its tenant's share.
+// dispatch removes an entry and charges its tenant's share.
 func (q *classQueue) dispatch(now time.Duration, e *entry) {
 	f := e.flow
 	q.remove(now, e)
@@ -135,8 +135,7 @@
 	}
 }
 
-// activeWeight returns the sum of the weights of the tenants that wait, the
-// given one included.
+// activeWeight returns the sum of the weights of the waiting tenants, including the given one.
 func (q *classQueue) activeWeight(tenant fleet.TenantName, weight float64) float64 {
 	total := weight
 	for _, f := range q.active {
@@ -147,8 +146,8 @@
 	return total
 }
 
-// tokensAhead returns the tokens that are served before a new item of a tenant:
-// its own waiting work at its fair share, and never more than all that waits.
+// tokensAhead returns the tokens to be served before a new item of a tenant: the tenant's own
+// waiting tokens scaled by its fair share, at most all waiting tokens.
 func (q *classQueue) tokensAhead(tenant fleet.TenantName, weight float64) float64 {
 	own := 0.0
 	if f := q.flows[tenant]; f != nil {
@@ -157,8 +156,7 @@
 	return min(q.cost, own*q.activeWeight(tenant, weight)/weight)
 }
 
-// applyWeights takes over changed weights and forgets idle tenants that the
-// table no longer names.
+// applyWeights applies changed weights and removes idle tenants that the policy no longer lists.
 func (q *classQueue) applyWeights(table policyTable) {
 	for tenant, f := range q.flows {
 		_, known := table.tenants[tenant]
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -10,23 +10,23 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Controller holds the waiting items of one router. Every item that Enqueue
-// took leaves it exactly once: by Next, Remove, Expire or Drain.
+// Controller holds the waiting items of a router. Every item accepted by Enqueue leaves exactly
+// once: through Next, Remove, Expire or Drain.
 type Controller struct {
 	options Options
 	table   policyTable
 	entries map[Key]*entry
 	lanes   []*lane
 	byName  map[Lane]*lane
-	// nextLane is where the next decision starts, so that lanes take turns.
+	// nextLane is the lane with which the next decision starts; lanes take turns.
 	nextLane int
 	expiry   expiryHeap
-	// pendingRefusals holds expired items that Expire hasn't returned yet.
+	// pendingRefusals holds refusals that Expire hasn't returned yet.
 	pendingRefusals []Refusal
 	waiting         map[fleet.TenantName]int
 }
 
-// New returns a controller without any class; ApplyPolicy names them.
+// New returns a controller without classes; ApplyPolicy sets them.
 func New(options Options) *Controller {
 	options = options.withDefaults()
 	return &Controller{
@@ -38,9 +38,9 @@
 	}
 }
 
-// ApplyPolicy takes over a changed configuration. What waits keeps waiting
-// under the new ranks, weights and limits; items of a class that is gone keep
-// the class's last policy, while new ones are refused.
+// ApplyPolicy applies a changed configuration. Waiting items stay queued under the new ranks,
+// weights and limits. Items of a removed class keep the class's last policy, while new ones are
+// refused.
 func (c *Controller) ApplyPolicy(policy Policy) {
 	c.table = newPolicyTable(policy, c.options.UnknownTenant)
 	for _, l := range c.lanes {
@@ -68,7 +68,7 @@
 	heap.Init(&c.expiry)
 }
 
-// setExpiry works out when the entry must be refused.
+// setExpiry computes when the entry expires.
 func (e *entry) setExpiry() {
 	e.expires = e.item.Deadline
 	e.expiresByDeadline = e.item.Deadline > 0
@@ -82,10 +82,10 @@
 	}
 }
 
-// Enqueue takes an item or says why not. A key that already waits is left as
-// it is. When the tenant's queue is full, the item displaces the tenant's
-// newest one of the worst class if that ranks behind it, so that a tenant's
-// batch can't shut out its urgent requests; Expire returns the displaced one.
+// Enqueue queues an item or returns why it is refused. A key that already waits is left unchanged.
+// If the tenant's queue is full, the item displaces the tenant's newest item of its lowest-priority
+// class, provided that class has a lower priority than the item's. This prevents batch requests
+// from blocking a tenant's urgent ones. Expire returns the displaced item.
 func (c *Controller) Enqueue(now time.Duration, item Item) *Refusal {
 	if _, found := c.entries[item.Key]; found {
 		return nil
@@ -130,8 +130,7 @@
 	return l
 }
 
-// Next takes out the item that goes next among those that admit accepts.
-// Items that have expired are never offered.
+// Next removes and returns the next item that admit accepts. It never offers expired items.
 func (c *Controller) Next(now time.Duration, admit func(Item) bool) (Item, bool) {
 	c.expireOverdue(now)
 	budget := c.options.MaxScan
@@ -149,7 +148,7 @@
 		return e.item, true
 	}
 	if len(c.lanes) > 0 {
-		// A scan that ran out of budget goes on elsewhere the next time.
+		// A scan that exhausted its budget continues in another lane next time.
 		c.nextLane = (c.nextLane + 1) % len(c.lanes)
 	}
 	return Item{}, false
@@ -170,8 +169,8 @@
 	return nil
 }
 
-// HasShareCredit tells whether a class has waiting items in a lane and is owed a dispatch
-// by its minimum share. Next offers its items first then.
+// HasShareCredit reports whether a class has waiting items in a lane and enough minimum-share
+// credit for a dispatch. Next then offers its items first.
 func (c *Controller) HasShareCredit(name Lane, class fleet.ClassName) bool {
 	l := c.byName[name]
 	if l == nil {
@@ -181,7 +180,7 @@
 	return queue != nil && queue.waiting > 0 && queue.credit >= 1
 }
 
-// removeFromIndexes drops an entry that has left its queue from the indexes.
+// removeFromIndexes removes an entry that has left its queue from the controller's indexes.
 func (c *Controller) removeFromIndexes(e *entry) {
 	c.expiry.drop(e)
 	delete(c.entries, e.item.Key)
@@ -191,8 +190,7 @@
 	}
 }
 
-// Remove withdraws an item. It returns false when the item doesn't wait any
-// more, because another transition has decided on it.
+// Remove withdraws an item. It returns false if the item no longer waits.
 func (c *Controller) Remove(now time.Duration, key Key) bool {
 	e, found := c.entries[key]
 	if !found {
@@ -203,8 +201,8 @@
 	return true
 }
 
-// Expire takes out and returns the items that have waited too long, and
-// returns those that Enqueue has displaced.
+// Expire removes the expired items and returns their refusals, together with those of items
+// displaced by Enqueue.
 func (c *Controller) Expire(now time.Duration) []Refusal {
 	c.expireOverdue(now)
 	refused := c.pendingRefusals
@@ -221,7 +219,7 @@
 	}
 }
 
-// NextExpiry returns when the next item expires; false when none can.
+// NextExpiry returns when the next item expires, and false if none can.
 func (c *Controller) NextExpiry() (time.Duration, bool) {
 	if len(c.pendingRefusals) > 0 {
 		return 0, true
@@ -232,8 +230,8 @@
 	return c.expiry[0].expires, true
 }
 
-// Drain takes out and returns every waiting item, best class first and oldest
-// first within it. Items that have expired are left to Expire.
+// Drain removes and returns every waiting item, by class rank and then by age. Expired items are
+// left to Expire.
 func (c *Controller) Drain(now time.Duration) []Item {
 	c.expireOverdue(now)
 	left := make([]*entry, 0, len(c.entries))
@@ -263,7 +261,7 @@
 // Waiting returns the number of waiting items.
 func (c *Controller) Waiting() int { return len(c.entries) }
 
-// WaitingIn returns the number of waiting items of a lane.
+// WaitingIn returns the number of waiting items in a lane.
 func (c *Controller) WaitingIn(name Lane) int {
 	l := c.byName[name]
 	if l == nil {
@@ -276,8 +274,8 @@
 	return total
 }
 
-// PredictWait predicts how long a new item of a class and tenant would wait;
-// false when too little service has been seen to tell.
+// PredictWait predicts the wait of a new item of a class and tenant. It returns false if the
+// service rate isn't known yet.
 func (c *Controller) PredictWait(now time.Duration, name Lane, class fleet.ClassName, tenant fleet.TenantName) (time.Duration, bool) {
 	l := c.byName[name]
 	if l == nil {
--- a/internal/flowcontrol/controller_test.go
+++ b/internal/flowcontrol/controller_test.go
@@ -14,14 +14,14 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// modelItem is what the naive model of the state machine test remembers.
+// modelItem is a waiting item in the model of TestEveryItemLeavesExactlyOnce.
 type modelItem struct {
 	item    Item
 	expires time.Duration
 }
 
-// TestEveryItemLeavesExactlyOnce runs random histories against a map of what
-// must be waiting and when it must expire.
+// TestEveryItemLeavesExactlyOnce guards against lost, duplicated and unexpired items in random
+// histories, compared with a map of the waiting items.
 func TestEveryItemLeavesExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{
@@ -41,7 +41,7 @@
 		sequence := 0
 		leave := func(key Key) {
 			left, found := waiting[key]
-			require.True(t, found, "%v left twice or never came", key)
+			require.True(t, found, "%v left twice or was never enqueued", key)
 			perTenant[left.item.Tenant]--
 			delete(waiting, key)
 		}
@@ -70,7 +70,7 @@
 					require.Empty(t, displaced)
 					return
 				}
-				require.Equal(t, full, len(displaced) == 1, "the bound holds by displacing one item")
+				require.Equal(t, full, len(displaced) == 1, "a full queue must displace one item")
 				for _, refusal := range displaced {
 					require.Equal(t, resultcode.TenantQueueFull, refusal.Code)
 					require.Equal(t, entered.Tenant, waiting[refusal.Key].item.Tenant)
@@ -169,7 +169,7 @@
 		require.Nil(t, controller.Enqueue(4, item(fmt.Sprint("u", number), "a", urgent, 1)))
 		displaced := controller.Expire(4)
 		require.Len(t, displaced, 1)
-		assert.Equal(t, fleet.RequestID(fmt.Sprint("b", 2-number)), displaced[0].Key.Request, "the newest goes")
+		assert.Equal(t, fleet.RequestID(fmt.Sprint("b", 2-number)), displaced[0].Key.Request, "the newest item is displaced")
 	}
 	refusal := controller.Enqueue(5, item("u3", "a", urgent, 1))
 	require.NotNil(t, refusal)
@@ -188,5 +188,5 @@
 	require.NotNil(t, refusal)
 	assert.Equal(t, resultcode.ClassNotAllowed, refusal.Code)
 	_, found := controller.Next(1, admitAll)
-	assert.True(t, found, "an item of a class that is gone is still served")
+	assert.True(t, found, "an item of a removed class is still served")
 }
--- a/internal/flowcontrol/expiry.go
+++ b/internal/flowcontrol/expiry.go
@@ -8,7 +8,7 @@
 // expiryHeap orders the entries that can expire, earliest first.
 type expiryHeap []*entry
 
-// notInHeap marks an entry that never expires.
+// notInHeap is the heap index of an entry that isn't in the heap.
 const notInHeap = -1
 
 func (h expiryHeap) Len() int { return len(h) }
--- a/internal/flowcontrol/fairness_test.go
+++ b/internal/flowcontrol/fairness_test.go
@@ -40,9 +40,8 @@
 
 func admitAll(Item) bool { return true }
 
-// meanWait serves one item each 10 ms for 20 s and returns the mean wait of
-// the steady tenant, which offers somewhat under half of that, while the other
-// tenant offers perTick items each 10 ms.
+// meanWait serves one item every 10 ms for 20 s and returns the mean wait of the steady tenant,
+// which offers 0.4 of the capacity, while the other tenant offers perTick items every 10 ms.
 func meanWait(t *testing.T, perTick int, weight float64) time.Duration {
 	policy := twoClasses(0)
 	policy.Tenants = []TenantPolicy{
@@ -139,7 +138,7 @@
 		}
 		require.LessOrEqual(t, sinceBatch, 11, "batch starved")
 	}
-	assert.InDelta(t, 100, batches, 2, "batch takes no more than its share either")
+	assert.InDelta(t, 100, batches, 2, "batch must not exceed its share")
 }
 
 func TestRankIsStrictWithoutMinimumShare(t *testing.T) {
@@ -192,16 +191,16 @@
 	fits := item("fits", "a", urgent, 100)
 	fits.Deadline = now + 2500*time.Millisecond
 	require.Nil(t, controller.Enqueue(now, fits))
-	// A tenant with little of its own before it waits only for its share.
+	// A tenant with little queued work waits only for its own share.
 	require.Nil(t, controller.Enqueue(now, item("light", "b", urgent, 100)))
 	light := item("light2", "b", urgent, 100)
 	light.Deadline = now + 100*time.Millisecond
 	require.Nil(t, controller.Enqueue(now, light))
 	seen := map[time.Duration]bool{}
 	for number := range 20 {
-		hopeless := item(fmt.Sprintf("h%d", number), "a", urgent, 100)
-		hopeless.Deadline = now + time.Second
-		refusal := controller.Enqueue(now, hopeless)
+		infeasible := item(fmt.Sprintf("h%d", number), "a", urgent, 100)
+		infeasible.Deadline = now + time.Second
+		refusal := controller.Enqueue(now, infeasible)
 		require.NotNil(t, refusal)
 		assert.Equal(t, resultcode.DeadlineTooShort, refusal.Code)
 		assert.Greater(t, refusal.RetryAfter, 900*time.Millisecond)
--- a/internal/flowcontrol/flowcontrol.go
+++ b/internal/flowcontrol/flowcontrol.go
@@ -1,12 +1,10 @@
-// Package flowcontrol decides which waiting request goes next and which is
-// refused: classes by rank, weighted fair shares among the tenants of a class,
-// a guaranteed minimum share against starvation, bounded queues, deadlines.
-// It has no I/O and no clock of its own; a Controller isn't safe for
-// concurrent use.
+// Package flowcontrol decides which waiting request is served next and which is refused. It orders
+// classes by rank, shares each class among tenants by weight, guarantees minimum shares, bounds
+// queues and enforces deadlines. It has no I/O and no clock; a Controller isn't safe for concurrent
+// use.
 //
-// The fair share is start-time fair queuing (Goyal, Vin, Cheng: "Start-time
-// Fair Queuing", SIGCOMM 1996) with a request's tokens in place of a packet's
-// length.
+// Fair sharing uses start-time fair queuing (Goyal, Vin, Cheng: "Start-time Fair Queuing", SIGCOMM
+// 1996) with a request's tokens as the packet length.
 package flowcontrol
 
 import (
@@ -17,26 +15,26 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Key identifies one waiting attempt.
+// Key identifies a waiting attempt.
 type Key struct {
 	Request fleet.RequestID
 	Attempt fleet.Attempt
 }
 
-// Lane names a set of engines. Items of different lanes never compete, so
-// neither blocks the other and shares are kept for each lane apart.
+// Lane names a set of engines. Items of different lanes don't compete: a lane can't block another
+// one, and shares are accounted per lane.
 type Lane string
 
-// Item is one waiting request.
+// Item is a waiting request.
 type Item struct {
 	Key    Key
 	Tenant fleet.TenantName
 	Class  fleet.ClassName
 	Lane   Lane
-	// Cost is the request's charge against its tenant's share, in tokens.
+	// Cost is charged against the tenant's share, in tokens.
 	Cost float64
-	// Deadline is the absolute time, on the caller's clock, after which the
-	// request is of no use; 0 means none.
+	// Deadline is the absolute time, on the caller's clock, after which the request is useless; 0
+	// means none.
 	Deadline time.Duration
 }
 
@@ -59,21 +57,20 @@
 	defaultMaxWaiting    = 1024
 )
 
-// Options sets up a Controller. A zero field takes its default.
+// Options configures a Controller. Zero fields take their defaults.
 type Options struct {
-	// Random spreads the retry times; required.
+	// Random adds jitter to retry times; required.
 	Random *rand.Rand
-	// ScanDepth bounds how many items of one tenant, class and lane Next looks
-	// at behind one that isn't admitted.
+	// ScanDepth bounds how many items of a flow Next offers to admit.
 	ScanDepth int
-	// MaxScan bounds the calls of admit in one Next.
+	// MaxScan bounds the calls of admit per Next.
 	MaxScan int
-	// MinRetryAfter and MaxRetryAfter bound a refusal's RetryAfter before spreading.
+	// MinRetryAfter and MaxRetryAfter bound a refusal's RetryAfter before jitter.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
-	// RetryJitter is the greatest part by which RetryAfter is lengthened at random.
+	// RetryJitter is the largest fraction by which RetryAfter is lengthened at random.
 	RetryJitter float64
-	// UnknownTenant applies to tenants that the policy doesn't name.
+	// UnknownTenant applies to tenants that the policy doesn't list.
 	UnknownTenant TenantPolicy
 }
 
--- a/internal/flowcontrol/lane.go
+++ b/internal/flowcontrol/lane.go
@@ -8,12 +8,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// lane holds the classes that compete for one set of engines.
+// lane holds the classes that compete for a set of engines.
 type lane struct {
 	name Lane
-	// classes is sorted by rank, then name.
+	// classes is sorted by rank, then by name.
 	classes []*classQueue
-	// order is scratch space for the order of one decision.
+	// order is scratch space for dispatchOrder.
 	order []*classQueue
 }
 
@@ -40,8 +40,8 @@
 	return queue
 }
 
-// dispatchOrder lists the classes in the order in which they may dispatch:
-// first those owed a whole dispatch by their minimum share, then by rank.
+// dispatchOrder returns the classes in the order in which they may dispatch: those with credit for
+// a whole dispatch first, then the rest, each by rank.
 func (l *lane) dispatchOrder() []*classQueue {
 	l.order = l.order[:0]
 	for _, queue := range l.classes {
@@ -57,8 +57,8 @@
 	return l.order
 }
 
-// updateCredits books one dispatch against the minimum shares. Credit is capped, so
-// that a class which couldn't use it doesn't save it up for a burst.
+// updateCredits accounts a dispatch against the minimum shares. Credit is capped, so a class can't
+// save it for a burst.
 func (l *lane) updateCredits(served *classQueue, scale float64) {
 	for _, queue := range l.classes {
 		if queue.waiting == 0 {
@@ -69,8 +69,8 @@
 	served.credit = max(served.credit-1, 0)
 }
 
-// predictWait predicts how long a new item would wait; false when too little
-// service has been seen to tell.
+// predictWait predicts the wait of a new item. It returns false if items are queued ahead and
+// the service rate isn't known yet.
 func (l *lane) predictWait(queue *classQueue, tenant TenantPolicy) (time.Duration, bool) {
 	ahead := queue.tokensAhead(tenant.Name, tenant.Weight)
 	if ahead <= 0 {
@@ -83,7 +83,7 @@
 	return secondsToDuration(ahead / rate), true
 }
 
-// maxPredictedWait keeps a prediction from overflowing a duration.
+// maxPredictedWait prevents the prediction from overflowing a time.Duration.
 const maxPredictedWait = 24 * time.Hour
 
 func secondsToDuration(seconds float64) time.Duration {
--- a/internal/flowcontrol/policy.go
+++ b/internal/flowcontrol/policy.go
@@ -6,38 +6,38 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// ClassPolicy is what the configuration says of one priority class.
+// ClassPolicy is the configuration of a priority class.
 type ClassPolicy struct {
 	Name fleet.ClassName
 	// Rank orders the classes; a lower rank is served first.
 	Rank int
 	// MaxWait bounds the time an item waits before it is refused; 0 means no bound.
 	MaxWait time.Duration
-	// MinShare is the share of a lane's dispatches that the class gets while a
-	// class of better rank also has work; 0 means none.
+	// MinShare is the fraction of a lane's dispatches guaranteed to the class while higher-priority
+	// classes have work; 0 means none.
 	MinShare float64
 }
 
-// TenantPolicy is what the configuration says of one tenant.
+// TenantPolicy is the configuration of a tenant.
 type TenantPolicy struct {
 	Name fleet.TenantName
 	// Weight is the tenant's share of a class relative to other tenants.
 	Weight float64
-	// MaxWaiting bounds the tenant's waiting items in all classes and lanes.
+	// MaxWaiting bounds the tenant's waiting items across all classes and lanes.
 	MaxWaiting int
 }
 
-// Policy is the part of the configuration that flow control follows.
+// Policy is the configuration of flow control.
 type Policy struct {
 	Classes []ClassPolicy
 	Tenants []TenantPolicy
 }
 
-// policyTable is a Policy prepared for look-ups.
+// policyTable is a Policy indexed by name.
 type policyTable struct {
 	classes map[fleet.ClassName]ClassPolicy
 	tenants map[fleet.TenantName]TenantPolicy
-	// shareScale keeps the sum of all minimum shares at one or less.
+	// shareScale limits the sum of all minimum shares to 1.
 	shareScale float64
 	fallback   TenantPolicy
 }
@@ -63,8 +63,8 @@
 	return table
 }
 
-// tenant returns a tenant's policy. A tenant that this node hasn't learnt of
-// yet gets the fallback, because its agent may know a newer configuration.
+// tenant returns a tenant's policy. An unknown tenant gets the fallback, because its agent may have
+// a newer configuration.
 func (t policyTable) tenant(name fleet.TenantName) TenantPolicy {
 	policy, found := t.tenants[name]
 	if !found {
--- a/internal/flowcontrol/rate.go
+++ b/internal/flowcontrol/rate.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// rateWindow is the time constant over which observed service is forgotten.
+// rateWindow is the time constant of the rate's exponential decay.
 const rateWindow = 10 * time.Second
 
-// minBusyTime is the busy time that must have been observed before a rate
-// counts as known.
+// minBusyTime is the observed busy time from which a rate counts as known.
 const minBusyTime = 200 * time.Millisecond
 
-// rateMeter measures the service rate of a queue while it has a backlog, as a
-// quotient of two exponentially decayed sums.
+// rateMeter measures a queue's service rate while it has a backlog, as the quotient of two
+// exponentially decayed sums.
 type rateMeter struct {
-	servedTokens float64 // tokens
-	busySeconds  float64 // seconds
+	servedTokens float64
+	busySeconds  float64
 	updatedAt    time.Duration
 }
 
-// advance accounts for the time since the last call, during which the queue
-// had a backlog or not.
+// advance accounts for the time since the last call, during which the queue was either backlogged
+// or not.
 func (m *rateMeter) advance(now time.Duration, backlogged bool) {
 	if now <= m.updatedAt {
 		return
@@ -35,10 +34,10 @@
 	m.updatedAt = now
 }
 
-// record counts work that left a backlogged queue.
+// record counts tokens served from a backlogged queue.
 func (m *rateMeter) record(cost float64) { m.servedTokens += cost }
 
-// tokensPerSecond returns tokens a second; false when too little has been seen.
+// tokensPerSecond returns the service rate, and false if it isn't known yet.
 func (m *rateMeter) tokensPerSecond() (float64, bool) {
 	if m.busySeconds < minBusyTime.Seconds() || m.servedTokens <= 0 {
 		return 0, false
--- a/internal/flowcontrol/refuse.go
+++ b/internal/flowcontrol/refuse.go
@@ -7,12 +7,13 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// maxPredictedFraction is the part of a class's longest wait up to which a predicted
-// wait is accepted. Predictions err to both sides; at the limit itself, half of
-// the accepted items would wait in full and then be refused.
+// maxPredictedFraction is the fraction of a class's maximum wait up to which a predicted wait is
+// accepted. The margin covers the error of predictions: items accepted near the limit often time
+// out.
 const maxPredictedFraction = 0.8
 
-// checkAdmission refuses an item that has no room or no hope.
+// checkAdmission returns a refusal for an item that has no room in the queue or can't be served in
+// time, else nil.
 func (c *Controller) checkAdmission(now time.Duration, l *lane, queue *classQueue, tenant TenantPolicy, item Item) *Refusal {
 	queue.meter.advance(now, queue.waiting > 0)
 	wait, known := l.predictWait(queue, tenant)
@@ -38,21 +39,21 @@
 	return nil
 }
 
-// refuse makes a refusal whose retry time is spread, so that callers refused
-// together don't come back together.
+// refuse returns a refusal with jitter in its retry time, to prevent refused callers from retrying
+// at the same time.
 func (c *Controller) refuse(key Key, code resultcode.Code, reason string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Key: key, Code: code, Reason: reason, RetryAfter: c.JitterRetryAfter(retryAfter)}
 }
 
-// JitterRetryAfter bounds a retry time and lengthens it by a random part.
+// JitterRetryAfter bounds a retry time and adds jitter to it.
 func (c *Controller) JitterRetryAfter(retryAfter time.Duration) time.Duration {
 	bounded := min(max(retryAfter, c.options.MinRetryAfter), c.options.MaxRetryAfter)
 	extra := c.options.RetryJitter * c.options.Random.Float64()
 	return bounded + time.Duration(extra*float64(bounded))
 }
 
-// displaceable returns the newest waiting item of the tenant's worst class, if
-// that ranks behind the given rank.
+// displaceable returns the newest waiting item of the tenant's lowest-priority class, if that class
+// has a lower priority than the given rank, else nil.
 func (c *Controller) displaceable(tenant fleet.TenantName, rank int) *entry {
 	var newest *entry
 	for _, l := range c.lanes {
--- a/internal/flowcontrol/snapshot.go
+++ b/internal/flowcontrol/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TenantWaiting describes the waiting items of one tenant in a class and lane.
+// TenantWaiting describes the waiting items of a tenant in a class and lane.
 type TenantWaiting struct {
 	Tenant  fleet.TenantName
 	Waiting int
@@ -16,13 +16,13 @@
 	Cost float64
 	// Oldest is how long the tenant's first item has waited.
 	Oldest time.Duration
-	// PredictedWait is what a new item would wait; RateKnown is false while too
-	// little service has been seen to tell.
+	// PredictedWait is the predicted wait of a new item; RateKnown is false while the service rate
+	// isn't known yet.
 	PredictedWait time.Duration
 	RateKnown     bool
 }
 
-// ClassWaiting describes the waiting items of one class in one lane.
+// ClassWaiting describes the waiting items of a class in a lane.
 type ClassWaiting struct {
 	Lane    Lane
 	Class   fleet.ClassName
@@ -30,28 +30,28 @@
 	Waiting int
 	// Cost is the waiting work in tokens.
 	Cost float64
-	// TokensPerSecond is the observed rate of service; 0 while unknown.
+	// TokensPerSecond is the observed service rate; 0 while unknown.
 	TokensPerSecond float64
-	// Tenants lists the tenants that wait, the next to be served first.
+	// Tenants lists the waiting tenants, the next to be served first.
 	Tenants []TenantWaiting
 }
 
-// Position tells where one item stands.
+// Position is the queue position of an item.
 type Position struct {
 	Item Item
 	// Waited is the time since the item was enqueued.
 	Waited time.Duration
-	// AheadInFlow counts the tenant's own items before it in class and lane.
+	// AheadInFlow counts the tenant's own items ahead in the same class and lane.
 	AheadInFlow int
-	// AheadInClass counts the other items of its class and lane, and
-	// AheadInRank those of better classes in its lane.
+	// AheadInClass counts the other tenants' items in the same class and lane, and AheadInRank the
+	// items of higher-priority classes in the lane.
 	AheadInClass int
 	AheadInRank  int
-	// Expires is when the item is refused; 0 means never.
+	// Expires is when the item expires; 0 means never.
 	Expires time.Duration
 }
 
-// Snapshot lists who waits, by lane, rank, class and order of service.
+// Snapshot returns the waiting items by lane, rank, class and order of service.
 func (c *Controller) Snapshot(now time.Duration) []ClassWaiting {
 	var snapshot []ClassWaiting
 	for _, l := range c.lanes {
@@ -90,7 +90,7 @@
 	return class
 }
 
-// Position tells where an item stands; false when it doesn't wait.
+// Position returns the queue position of an item, and false if it isn't waiting.
 func (c *Controller) Position(now time.Duration, key Key) (Position, bool) {
 	e, found := c.entries[key]
 	if !found {
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -91,11 +91,11 @@
 
 func TestInfeasibleDeadlineIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, 1)
-	hopeless := request("r", urgent, "p", 1000) // 1.6 s of prefill
-	hopeless.Deadline = time.Second
-	assert.Equal(t, resultcode.DeadlineTooShort, refusalCode(t, b.submit(hopeless)))
-	hopeless.Deadline = 3 * time.Second
-	b.submitGranted(hopeless)
+	infeasible := request("r", urgent, "p", 1000) // 1.6 s of prefill
+	infeasible.Deadline = time.Second
+	assert.Equal(t, resultcode.DeadlineTooShort, refusalCode(t, b.submit(infeasible)))
+	infeasible.Deadline = 3 * time.Second
+	b.submitGranted(infeasible)
 }
 
 func TestQueueTimeoutIsRefusedWhenDue(t *testing.T) {
