--- a/internal/prefixindex/bank.go
+++ b/internal/prefixindex/bank.go
@@ -6,40 +6,40 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Slot is a small dense number that stands for one engine run in its bank.
-// A new incarnation gets a new slot, so that forgetting a dead run is one step.
+// Slot is a small dense number that identifies an engine run within its bank. A new incarnation
+// gets a new slot, so removing a run takes constant time.
 type Slot uint16
 
 const (
 	// slotsPerBank is the number of bits in an entry's mask.
 	slotsPerBank = 64
-	// segmentBits and segmentCount split a bank, so that growing or sweeping one
-	// part takes microseconds and never stalls a decision.
+	// segmentBits and segmentCount split a bank, to keep the growth or sweep of a table short
+	// enough not to delay a decision.
 	segmentBits  = 10
 	segmentCount = 1 << segmentBits
-	// sweptPerChange is how many entries are swept for each changed block while
-	// a removed run waits to be reclaimed.
+	// sweptPerChange is the number of entries swept per changed block while removed runs are being
+	// reclaimed.
 	sweptPerChange = 4
-	// lookupBatch is how many blocks of a prompt are read together.
+	// lookupBatch is the number of blocks of a prompt that are read together.
 	lookupBatch = 64
 )
 
 // bank holds the blocks of up to 64 runs.
 type bank struct {
-	// number is the bank's place in the index.
+	// number is the bank's position in the index.
 	number   int
 	segments [segmentCount]segment
 	entries  int
 	runs     [slotsPerBank]fleet.EngineRun
 	counts   [slotsPerBank]int
-	// Every slot is free or has its bit in exactly one of these: live slots
-	// match, hidden ones belong to a Replacement, dead ones wait for a sweep.
+	// Each slot is free or in exactly one of these sets: live slots match lookups, hidden slots
+	// belong to a Replacement, dead slots are to be swept.
 	live   uint64
 	hidden uint64
 	dead   uint64
 
-	// sweeping is the set of dead slots that the present sweep clears,
-	// nextSwept the segment it has come to, sweepCredit the entries it may visit.
+	// sweeping is the set of dead slots that the current sweep clears, nextSegment the segment to
+	// sweep next, sweepBudget the number of entries that it may visit.
 	sweeping    uint64
 	nextSegment int
 	sweepBudget int
@@ -49,7 +49,7 @@
 
 func bit(slot Slot) uint64 { return 1 << slot }
 
-// allocate gives a run a free slot, if there is one.
+// allocate assigns a free slot to a run, if there is one.
 func (b *bank) allocate(run fleet.EngineRun) (Slot, bool) {
 	free := ^(b.live | b.hidden | b.dead)
 	if free == 0 {
@@ -62,7 +62,7 @@
 	return slot, true
 }
 
-// retire makes a slot's entries void.
+// retire marks a slot's entries as invalid.
 func (b *bank) retire(slot Slot) {
 	b.live &^= bit(slot)
 	b.hidden &^= bit(slot)
@@ -71,7 +71,7 @@
 	b.counts[slot] = 0
 }
 
-// add records a holder and tells whether that took a new entry.
+// add records a holder and reports whether it created a new entry.
 func (b *bank) add(hash fleet.BlockHash, slot Slot) bool {
 	mixed := mix(hash)
 	segment := b.segmentOf(mixed)
@@ -90,7 +90,7 @@
 	return false
 }
 
-// remove takes a holder away, and the entry with the last one.
+// remove removes a holder, and the entry with its last holder.
 func (b *bank) remove(hash fleet.BlockHash, slot Slot) {
 	mixed := mix(hash)
 	segment := b.segmentOf(mixed)
@@ -114,8 +114,8 @@
 	return b.segmentOf(mixed).holders(hash, mixed) & b.live
 }
 
-// lookup appends the runs that hold a prefix. It stops at the first block that
-// no run with an unbroken prefix holds.
+// lookup appends the runs that hold a prefix. It stops at the first block that no run with an
+// unbroken prefix holds.
 func (b *bank) lookup(hashes []fleet.BlockHash, matches []Match) []Match {
 	unbroken := b.live
 	var holders [lookupBatch]uint64
@@ -137,10 +137,9 @@
 	return b.appendMatches(unbroken, len(hashes), matches)
 }
 
-// holdersOfAll finds the holders of up to lookAhead blocks, dead slots
-// included. It works out all home buckets, reads one word of each, and only
-// then compares: in the short loop of reads the processor waits for many cache
-// misses at once instead of for one after another.
+// holdersOfAll finds the holders of up to lookupBatch blocks, including dead slots. It computes all
+// home buckets and reads one word of each before it compares any entry, so that the processor
+// overlaps the cache misses.
 func (b *bank) holdersOfAll(hashes []fleet.BlockHash, holders *[lookupBatch]uint64) {
 	var homes [lookupBatch]*bucket
 	for position, hash := range hashes {
@@ -152,7 +151,7 @@
 		touched |= homes[position][0].holders
 	}
 	if touched == 0 {
-		// A block whose home position is empty has no entry at all.
+		// A block whose home position is empty has no entry.
 		clear(holders[:])
 		return
 	}
@@ -176,7 +175,7 @@
 	return matches
 }
 
-// usedSlots is the set of slots whose entries are of use.
+// usedSlots is the set of slots with valid entries.
 func (b *bank) usedSlots() uint64 { return b.live | b.hidden }
 
 func (b *bank) bytes() int {
--- a/internal/prefixindex/benchmark_test.go
+++ b/internal/prefixindex/benchmark_test.go
@@ -16,8 +16,8 @@
 	batchSize = 64
 )
 
-// filledIndex returns an index of benchmarkBlocks distinct blocks: the hot ones
-// at every run, a tenth of the rest at two or three, the others at one.
+// filledIndex returns an index of benchmarkBlocks distinct blocks. Every run holds the hot blocks;
+// a tenth of the others have two or three holders, the rest one.
 func filledIndex(random *rand.Rand) (*Index, []fleet.BlockHash) {
 	index := New(Options{})
 	hashes := make([]fleet.BlockHash, benchmarkBlocks)
@@ -47,8 +47,8 @@
 	return statistics.HeapAlloc
 }
 
-// BenchmarkMemory reports the bytes a block, by the tables' own count and as
-// the heap has grown.
+// BenchmarkMemory reports the bytes per block, as counted by the tables and by the growth of the
+// heap.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		before := heapBytes()
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkLookup looks up prompts of which every run holds every block, the
-// most work, each at another place of the table.
+// BenchmarkLookup looks up prompts whose blocks are all held by every run, the most expensive case,
+// at varying places in the table.
 func BenchmarkLookup(b *testing.B) {
 	index, hashes := filledIndex(rand.New(rand.NewPCG(1, 2)))
 	for name, blocks := range map[string]int{"512-blocks": 512, "2048-blocks": 2048} {
@@ -81,8 +81,7 @@
 	}
 }
 
-// BenchmarkChange stores a block, or a batch, and removes an older one of the
-// same run, in a full-size index that stays at its size.
+// BenchmarkChange stores and removes a block, or a batch of blocks, in a full-size index.
 func BenchmarkChange(b *testing.B) {
 	for name, batch := range map[string]int{"one-by-one": 1, "batches-of-64": batchSize} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/prefixindex/directory.go
+++ b/internal/prefixindex/directory.go
@@ -3,19 +3,19 @@
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
 const (
-	// minDirectoryBanks is the number of banks from which on a directory is kept: a search in
-	// fewer costs no more than the directory's upkeep.
+	// minDirectoryBanks is the number of banks from which a directory is kept. With fewer banks,
+	// searching each costs no more than maintaining the directory.
 	minDirectoryBanks = 8
-	// directorySlack is how many blocks beyond twice those in the index a directory may
-	// name before it is made anew.
+	// directorySlack is the number of blocks, beyond twice those in the index, that a directory may
+	// list before it is rebuilt.
 	directorySlack = 4096
 )
 
-// directory tells which banks may hold a block, so that a search doesn't look into each of
-// them. A bank that has dropped a block may still be named.
+// directory maps each block to the banks that may hold it, so that a search can skip the others. It
+// may still list a bank that has dropped the block.
 type directory map[fleet.BlockHash]bankSet
 
-// bankSet is a set of banks by number.
+// bankSet is a set of bank numbers.
 type bankSet []uint64
 
 func (s bankSet) has(number int) bool {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// add takes in that a bank holds a block.
+// add records that a bank holds a block.
 func (d directory) add(hash fleet.BlockHash, number int) {
 	set := d[hash]
 	if !set.has(number) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// addToDirectory keeps the directory up with a new entry of a bank, and makes it anew when the
-// index has got many banks or the directory names too much that is gone.
+// addToDirectory adds a new entry of a bank to the directory. It builds the directory once the
+// index has enough banks, and rebuilds it when it lists too many dropped blocks.
 func (x *Index) addToDirectory(hash fleet.BlockHash, number int) {
 	switch {
 	case len(x.banks) < minDirectoryBanks:
@@ -54,12 +54,12 @@
 	}
 }
 
-// rebuildDirectory names the banks of all blocks.
+// rebuildDirectory builds the directory from all entries.
 func (x *Index) rebuildDirectory() {
 	x.directory = make(directory)
 	for number, bank := range x.banks {
-		for at := range bank.segments {
-			for _, entry := range bank.segments[at].table {
+		for position := range bank.segments {
+			for _, entry := range bank.segments[position].table {
 				if entry.holders != 0 {
 					x.directory.add(entry.hash, number)
 				}
@@ -68,8 +68,8 @@
 	}
 }
 
-// banksOf returns the banks that may hold the first blocks of a prompt, by their number;
-// the last set is the one of all blocks.
+// banksOf returns, for each prefix of a prompt, the banks that may hold all its blocks. It stops at
+// the first prefix that no bank can hold.
 func (d directory) banksOf(hashes []fleet.BlockHash) []bankSet {
 	sets := make([]bankSet, 0, len(hashes))
 	for depth, hash := range hashes {
@@ -85,15 +85,15 @@
 	return sets
 }
 
-// intersect returns the banks that are in both sets, nil if there is none.
-func intersect(one, other bankSet) bankSet {
-	both := make(bankSet, min(len(one), len(other)))
-	any := uint64(0)
+// intersect returns the banks that are in both sets, nil if there are none.
+func intersect(a, b bankSet) bankSet {
+	both := make(bankSet, min(len(a), len(b)))
+	combined := uint64(0)
 	for word := range both {
-		both[word] = one[word] & other[word]
-		any |= both[word]
+		both[word] = a[word] & b[word]
+		combined |= both[word]
 	}
-	if any == 0 {
+	if combined == 0 {
 		return nil
 	}
 	return both
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -16,17 +16,17 @@
 	DefaultResyncInterval = time.Second
 )
 
-// FeedOptions sets the limits of a Feed; zero fields take the defaults.
+// FeedOptions sets the limits of a Feed. Zero fields take their defaults.
 type FeedOptions struct {
-	// ReorderWindow is how many sequence numbers an event may be early before
-	// the missing ones count as lost.
+	// ReorderWindow is how many sequence numbers an event may be ahead before the missing ones
+	// count as lost.
 	ReorderWindow uint64
-	// GapTimeout is how long a missing event is waited for.
+	// GapTimeout is how long to wait for a missing event.
 	GapTimeout time.Duration
 	// ReplayLimit bounds the events kept for replay after a snapshot.
 	ReplayLimit int
-	// ResyncInterval is the least time between two requests for a snapshot, so
-	// that a stream that always loses events costs a bounded number of them.
+	// ResyncInterval is the minimum time between two requests for a snapshot. It bounds the cost of
+	// a stream that keeps losing events.
 	ResyncInterval time.Duration
 }
 
@@ -46,52 +46,48 @@
 	return o
 }
 
-// FeedCounts counts what a feed has met.
+// FeedCounts counts the events and snapshots of a feed.
 type FeedCounts struct {
 	Applied    uint64
 	Duplicates uint64
-	// StaleRuns counts answers of another incarnation, which are dropped whole.
+	// StaleRuns counts answers of another incarnation, which are dropped.
 	StaleRuns uint64
 	// Gaps counts the times that events were found lost.
 	Gaps      uint64
 	Snapshots uint64
-	// StaleSnapshots counts snapshots older than what is already applied.
+	// StaleSnapshots counts snapshots older than the applied events.
 	StaleSnapshots uint64
 }
 
-// Feed brings the cache events of one engine run into an index, in order and
-// once each. Events that come a little early are held back.
+// Feed applies the cache events of an engine run to an index, in order and once each. It buffers
+// events that arrive slightly early.
 //
-// After a loss the run is distrusted until a snapshot: events are still applied
-// as they come and are kept for replay, since the snapshot is consistent at one
-// sequence number only. The blocks of a distrusted run count in full. A lost
-// removal makes the index promise a prefix that is gone, which costs one
-// recomputation at an engine that would compute the prefix anyway; a discount
-// would move hot prefixes away from engines that do hold them each time that an
-// event is lost, and so recompute much more.
+// After a loss the feed is out of sync until the next snapshot. Events are still applied as they
+// arrive, and are kept for replay because a snapshot is consistent at a single sequence number
+// only. The blocks of a run that is out of sync count in full: a stale block costs at most one
+// recomputation, while a discount would move popular prefixes away from engines that hold them.
 type Feed struct {
 	index   *Index
 	run     fleet.EngineRun
 	options FeedOptions
 
-	// applied is the last sequence number up to which nothing is missing.
+	// applied is the last sequence number before the first missing event.
 	applied uint64
 	// buffered holds later events by rising sequence number.
 	buffered []engine.CacheEvent
 	gapSince time.Duration
 
 	outOfSync bool
-	// requestedAt is when a snapshot was last asked for, if ever.
+	// requestedAt is when a snapshot was last requested; valid if requested is set.
 	requestedAt time.Duration
 	requested   bool
-	// loading is the snapshot that is being stored, if any.
+	// loading is the snapshot being stored, if any.
 	loading *snapshotLoad
 	counts  FeedCounts
 }
 
-// NewFeed returns the feed of a run and adds the run to the index. The feed is
-// distrusted until its first snapshot: a router that has just started doesn't
-// know what an engine cached before.
+// NewFeed returns the feed of a run and adds the run to the index. The feed is out of sync until
+// its first snapshot, because the earlier contents of the engine's cache aren't known.
 func NewFeed(index *Index, run fleet.EngineRun, options FeedOptions) *Feed {
 	index.AddRun(run)
 	return &Feed{
@@ -105,15 +101,14 @@
 // Run returns the engine run that the feed follows.
 func (f *Feed) Run() fleet.EngineRun { return f.run }
 
-// OutOfSync tells whether there was no snapshot yet or events have been lost
-// since the last one.
+// OutOfSync reports whether the feed has had no snapshot yet, or has lost events since the last
+// one.
 func (f *Feed) OutOfSync() bool { return f.outOfSync }
 
-// Counts returns what the feed has met so far.
+// Counts returns the feed's counts.
 func (f *Feed) Counts() FeedCounts { return f.counts }
 
-// After returns the highest sequence number seen, from which the engine is to
-// be polled.
+// After returns the highest sequence number received, from which to poll the engine.
 func (f *Feed) After() uint64 {
 	if len(f.buffered) == 0 {
 		return f.applied
@@ -121,9 +116,9 @@
 	return max(f.applied, f.buffered[len(f.buffered)-1].Sequence)
 }
 
-// Apply takes the answer to a poll at time now. It returns false when the
-// answer is of another incarnation: a higher one means that this run is dead
-// and the caller must remove it and start a new feed.
+// Apply applies the answer to a poll at time now. It returns false if the answer is of another
+// incarnation. If that incarnation is higher, the run has ended, and the caller must remove it and
+// start a new feed.
 func (f *Feed) Apply(now time.Duration, events engine.CacheEvents) bool {
 	if events.Incarnation != f.run.Incarnation {
 		f.counts.StaleRuns++
@@ -146,8 +141,8 @@
 	}
 }
 
-// RequestSnapshot tells whether a snapshot is to be fetched now, and notes that it
-// is. It stays false for ResyncInterval afterwards.
+// RequestSnapshot reports whether a snapshot is to be fetched now. If so, it records the request
+// and returns false for the next ResyncInterval.
 func (f *Feed) RequestSnapshot(now time.Duration) bool {
 	if !f.outOfSync || f.loading != nil {
 		return false
@@ -160,7 +155,7 @@
 	return true
 }
 
-// accept sorts one event into place.
+// accept applies, buffers or drops an event according to its sequence number.
 func (f *Feed) accept(now time.Duration, event engine.CacheEvent) {
 	position, present := slices.BinarySearchFunc(f.buffered, event.Sequence, compareSequence)
 	if event.Sequence <= f.applied || present {
@@ -188,8 +183,8 @@
 	}
 }
 
-// buffer holds an event for later, within ReplayLimit. Of too many the oldest
-// go, which a snapshot must then cover.
+// buffer inserts an event into the buffer. Over ReplayLimit it drops the oldest events, which a
+// later snapshot must then cover.
 func (f *Feed) buffer(position int, event engine.CacheEvent) {
 	f.buffered = slices.Insert(f.buffered, position, event)
 	if excess := len(f.buffered) - f.options.ReplayLimit; excess > 0 {
@@ -197,7 +192,7 @@
 	}
 }
 
-// markOutOfSync gives up the missing events and applies those that waited for them.
+// markOutOfSync gives up the missing events and applies the buffered ones.
 func (f *Feed) markOutOfSync() {
 	f.outOfSync = true
 	f.counts.Gaps++
@@ -206,7 +201,7 @@
 	}
 }
 
-// applyBuffered applies held events as far as none is missing.
+// applyBuffered applies buffered events up to the next missing one.
 func (f *Feed) applyBuffered() {
 	ready := 0
 	for ready < len(f.buffered) && f.buffered[ready].Sequence == f.applied+1 {
--- a/internal/prefixindex/feed_snapshot.go
+++ b/internal/prefixindex/feed_snapshot.go
@@ -8,17 +8,16 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// snapshotLoad is a snapshot that is being brought into the index.
+// snapshotLoad is a snapshot that is being stored in the index.
 type snapshotLoad struct {
 	replacement *Replacement
 	sequence    uint64
 	hashes      []fleet.BlockHash
 }
 
-// ApplySnapshot replaces the run's blocks by a snapshot and replays the events
-// after it. It returns false, and changes nothing, when the snapshot is of
-// another incarnation or older than what is already applied. Its time grows
-// with the snapshot; BeginSnapshot does the same in pieces.
+// ApplySnapshot replaces the run's blocks by a snapshot and replays later events. It returns false,
+// without effect, if the snapshot is of another incarnation or older than the applied events. Its
+// duration grows with the snapshot; BeginSnapshot and ContinueSnapshot do the same in steps.
 func (f *Feed) ApplySnapshot(now time.Duration, snapshot engine.CacheSnapshot) bool {
 	if !f.BeginSnapshot(snapshot) {
 		return false
@@ -26,9 +25,9 @@
 	return f.ContinueSnapshot(now, len(snapshot.Hashes))
 }
 
-// BeginSnapshot takes a snapshot that ContinueSnapshot then stores. Until that
-// is done the old blocks go on counting. It returns false like ApplySnapshot;
-// an unfinished earlier snapshot is given up.
+// BeginSnapshot starts to load a snapshot, which ContinueSnapshot stores. The old blocks stay valid
+// until it is complete. It returns false under the same conditions as ApplySnapshot. It aborts an
+// unfinished earlier snapshot.
 func (f *Feed) BeginSnapshot(snapshot engine.CacheSnapshot) bool {
 	if snapshot.Incarnation != f.run.Incarnation {
 		f.counts.StaleRuns++
@@ -39,7 +38,7 @@
 		return false
 	}
 	f.AbortSnapshot()
-	// From here on events are kept for replay, as after a loss.
+	// Events are kept for replay from here on, as after a loss.
 	f.outOfSync = true
 	f.loading = &snapshotLoad{
 		replacement: f.index.BeginReplace(f.run),
@@ -49,8 +48,8 @@
 	return true
 }
 
-// ContinueSnapshot stores up to limit more blocks of the begun snapshot. It
-// returns true once when the snapshot is in force.
+// ContinueSnapshot stores up to limit more blocks of the snapshot. It returns true when the
+// snapshot has taken effect.
 func (f *Feed) ContinueSnapshot(now time.Duration, limit int) bool {
 	if f.loading == nil {
 		return false
@@ -64,8 +63,8 @@
 	return f.finishSnapshot(now)
 }
 
-// AbortSnapshot gives up a begun snapshot. It must be called when the feed is
-// dropped, so that the index can use the memory again.
+// AbortSnapshot aborts an unfinished snapshot. Call it before dropping the feed, to release the
+// index's memory.
 func (f *Feed) AbortSnapshot() {
 	if f.loading == nil {
 		return
@@ -91,8 +90,8 @@
 	return true
 }
 
-// checkRemainingGap decides, after a snapshot, whether events missing beyond it may
-// still come or are lost too.
+// checkRemainingGap decides, after a snapshot, whether events missing beyond it may still arrive or
+// count as lost.
 func (f *Feed) checkRemainingGap(now time.Duration) {
 	f.gapSince = now
 	if f.After()-f.applied > f.options.ReorderWindow {
--- a/internal/prefixindex/feed_test.go
+++ b/internal/prefixindex/feed_test.go
@@ -45,7 +45,7 @@
 	index := New(Options{})
 	feed := NewFeed(index, testRun(1, 7), FeedOptions{})
 	apply(feed, 0, storedEvent(41))
-	assert.Equal(t, 1, index.BlocksOf(testRun(1, 7)), "events count before the snapshot")
+	assert.Equal(t, 1, index.BlocksOf(testRun(1, 7)), "events are applied before the snapshot")
 	require.True(t, feed.RequestSnapshot(0))
 	feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 40, Hashes: testHashes(0, 3)})
 	assert.False(t, feed.OutOfSync())
@@ -64,13 +64,13 @@
 func TestFeedIsOutOfSyncAfterGap(t *testing.T) {
 	index, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(3))
-	assert.False(t, feed.OutOfSync(), "event 2 may still come")
+	assert.False(t, feed.OutOfSync(), "event 2 may still arrive")
 	feed.Tick(DefaultGapTimeout)
 	require.True(t, feed.OutOfSync())
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)))
 	assert.True(t, feed.RequestSnapshot(time.Second))
-	assert.False(t, feed.RequestSnapshot(time.Second+1), "asked for already")
-	assert.True(t, feed.RequestSnapshot(2*time.Second), "the answer was lost")
+	assert.False(t, feed.RequestSnapshot(time.Second+1), "a snapshot has been requested already")
+	assert.True(t, feed.RequestSnapshot(2*time.Second), "a lost answer is requested again")
 }
 
 func TestFeedSnapshotDropsOlderAndReplaysLater(t *testing.T) {
@@ -95,8 +95,8 @@
 	require.True(t, feed.BeginSnapshot(snapshot))
 	require.False(t, feed.ContinueSnapshot(0, 6))
 	apply(feed, 0, storedEvent(2), storedEvent(3))
-	assert.Equal(t, 3, index.BlocksOf(run), "the old set counts")
-	assert.Empty(t, index.Lookup(testHashes(100, 1), nil), "the new set doesn't yet")
+	assert.Equal(t, 3, index.BlocksOf(run), "the old set stays valid")
+	assert.Empty(t, index.Lookup(testHashes(100, 1), nil), "the new set isn't valid yet")
 	assert.False(t, feed.RequestSnapshot(time.Hour))
 	require.True(t, feed.ContinueSnapshot(0, 6))
 	assert.False(t, feed.OutOfSync())
@@ -105,7 +105,7 @@
 
 	require.True(t, feed.BeginSnapshot(engine.CacheSnapshot{Incarnation: 7, Sequence: 9, Hashes: testHashes(0, 4)}))
 	index.RemoveRun(run)
-	assert.False(t, feed.ContinueSnapshot(0, 4), "the run died meanwhile")
+	assert.False(t, feed.ContinueSnapshot(0, 4), "the run was removed meanwhile")
 	index.Reclaim()
 	assert.Zero(t, index.Blocks())
 }
@@ -120,8 +120,8 @@
 	assert.EqualValues(t, 9, feed.After())
 }
 
-// TestFeedConvergesAfterLoss loses, doubles and swaps events at random; after
-// a snapshot and the rest of the events the index equals the engine's cache.
+// TestFeedConvergesAfterLoss guards against an index that differs from the engine's cache after
+// lost, duplicated and reordered events, a snapshot and the remaining events.
 func TestFeedConvergesAfterLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, feed := newTestFeed()
--- a/internal/prefixindex/few_test.go
+++ b/internal/prefixindex/lookup_limited_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestLookupLimitedAgreesWithLookup compares LookupFew and Held with Lookup over random indexes of
-// several banks.
+// TestLookupLimitedAgreesWithLookup guards against LookupLimited and CachedPrefix differing from
+// Lookup over random indexes of several banks.
 func TestLookupLimitedAgreesWithLookup(t *testing.T) {
 	t.Run("each bank", func(t *testing.T) { testLookupLimited(t, false) })
 	t.Run("directory", func(t *testing.T) { testLookupLimited(t, true) })
@@ -48,18 +48,19 @@
 			assert.Equal(t, held[run], index.CachedPrefix(run, prompt))
 		}
 		const limit = 3
-		few := make(map[int]int)
+		counts := make(map[int]int)
 		for _, match := range index.LookupLimited(prompt, limit, random.IntN(100), nil) {
 			assert.Equal(t, held[match.Run], match.Blocks)
-			few[match.Blocks]++
+			counts[match.Blocks]++
 		}
 		for length, count := range lengths {
-			assert.Equal(t, min(count, limit), few[length], "of length %d", length)
+			assert.Equal(t, min(count, limit), counts[length], "of length %d", length)
 		}
 	}
 }
 
-// TestOffsetsFindDifferentHolders of a block that all runs hold.
+// TestOffsetsFindDifferentHolders guards against lookups that always return the same holders of a
+// block that all runs hold.
 func TestOffsetsFindDifferentHolders(t *testing.T) {
 	index := New(Options{})
 	for number := range 4 * slotsPerBank {
@@ -76,7 +77,7 @@
 	assert.Len(t, found, 8)
 }
 
-// TestDirectoryStaysSmall has blocks come and go.
+// TestDirectoryStaysSmall guards against a directory that grows with removed blocks.
 func TestDirectoryStaysSmall(t *testing.T) {
 	index := New(Options{Directory: true})
 	runs := make([]fleet.EngineRun, minDirectoryBanks*slotsPerBank)
--- a/internal/prefixindex/prefixindex.go
+++ b/internal/prefixindex/prefixindex.go
@@ -1,11 +1,10 @@
-// Package prefixindex records which engine runs hold which cached blocks, as
-// far as cache events tell. It is a guess: the engine alone decides a hit. The
-// package has no I/O and no clock of its own.
+// Package prefixindex records which engine runs hold which cached blocks, as reported by cache
+// events. The index is approximate: only the engine decides whether a block is a hit. The package
+// has no I/O and no clock.
 //
-// Runs are numbered by slots, 64 to a bank. A bank is an open-addressing table
-// from block hash to a bit mask of slots, 16 bytes an entry. Forgetting a run
-// clears one bit of the bank's live mask; its bits in the entries are reclaimed
-// by an incremental sweep, and only then is the slot used again.
+// Each run has a slot in a bank of 64. A bank is an open-addressing table from block hash to a bit
+// mask of slots, 16 bytes per entry. Removing a run clears its bit in the bank's live mask; an
+// incremental sweep then reclaims its bits in the entries, after which the slot is reused.
 package prefixindex
 
 import (
@@ -16,34 +15,32 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// DefaultMaxBlocks bounds an index when Options leave it open: 4 Mi entries
-// take up to 96 MB.
+// DefaultMaxBlocks is the default of Options.MaxBlocks. 4 Mi entries take up to 96 MB.
 const DefaultMaxBlocks = 4 << 20
 
-// Match tells how many leading blocks of a prompt one engine run holds.
+// Match is the number of leading blocks of a prompt that an engine run holds.
 type Match struct {
 	Run    fleet.EngineRun
 	Blocks int
 }
 
-// Options sets an index's limits.
+// Options sets the limits of an index.
 type Options struct {
-	// MaxBlocks bounds the number of entries; 0 means DefaultMaxBlocks. At the
-	// bound, storing a block drops another one.
+	// MaxBlocks bounds the number of entries; 0 means DefaultMaxBlocks. At the bound, storing a
+	// block evicts another one.
 	MaxBlocks int
-	// Directory keeps the banks of each block at hand, at some 60 bytes a block, so that
-	// LookupFew takes as long with thousands of runs as with hundreds.
+	// Directory keeps a map from each block to its banks, at about 60 bytes per block, to keep
+	// LookupLimited fast with thousands of runs.
 	Directory bool
 }
 
-// location is where the index keeps a run.
+// location is the bank and slot of a run.
 type location struct {
 	bank *bank
 	slot Slot
 }
 
-// Index maps block hashes to the engine runs that hold them. It isn't safe for
-// concurrent use.
+// Index maps block hashes to the engine runs that hold them. It isn't safe for concurrent use.
 type Index struct {
 	maxBlocks    int
 	useDirectory bool
@@ -66,7 +63,7 @@
 	}
 }
 
-// AddRun makes a run known, with no blocks. Adding a known run does nothing.
+// AddRun adds a run without blocks. Adding a known run has no effect.
 func (x *Index) AddRun(run fleet.EngineRun) {
 	if _, known := x.runs[run]; known {
 		return
@@ -74,8 +71,8 @@
 	x.runs[run] = x.allocate(run)
 }
 
-// RemoveRun forgets a run at once and in constant time; the memory of its
-// blocks is reclaimed bit by bit by later calls of Store and Remove.
+// RemoveRun removes a run in constant time. Later calls of Store and Remove reclaim the memory of
+// its blocks incrementally.
 func (x *Index) RemoveRun(run fleet.EngineRun) {
 	where, known := x.runs[run]
 	if !known {
@@ -85,7 +82,7 @@
 	delete(x.runs, run)
 }
 
-// Clear forgets the blocks of a run, which stays known.
+// Clear removes the blocks of a run, which stays known.
 func (x *Index) Clear(run fleet.EngineRun) {
 	where, known := x.runs[run]
 	if !known || where.bank.counts[where.slot] == 0 {
@@ -95,8 +92,8 @@
 	x.runs[run] = x.allocate(run)
 }
 
-// Store records that a run holds blocks. It does nothing for an unknown run,
-// so that a late event can't revive a dead one.
+// Store records that a run holds blocks. It has no effect for an unknown run, so a late event can't
+// revive a removed one.
 func (x *Index) Store(run fleet.EngineRun, hashes []fleet.BlockHash) {
 	where, known := x.runs[run]
 	if !known {
@@ -132,25 +129,24 @@
 	where.bank.reclaimIncrementally(len(hashes))
 }
 
-// Replace makes hashes the whole set of a run's blocks. Its time grows with
-// their number; BeginReplace does the same in pieces.
+// Replace replaces all blocks of a run. Its duration grows with their number; BeginReplace does the
+// same in steps.
 func (x *Index) Replace(run fleet.EngineRun, hashes []fleet.BlockHash) {
 	x.Clear(run)
 	x.Store(run, hashes)
 }
 
-// Correct applies what an engine itself said of a prompt: it held the first
-// held blocks and none of the others.
+// Correct applies an engine's own report on a prompt: it held the first held blocks and none of the
+// others.
 func (x *Index) Correct(run fleet.EngineRun, hashes []fleet.BlockHash, held int) {
 	held = min(max(held, 0), len(hashes))
 	x.Store(run, hashes[:held])
 	x.Remove(run, hashes[held:])
 }
 
-// Lookup appends to into[:0] every run that holds at least the first block of
-// a prompt, with the length of the unbroken prefix that it holds: an engine may
-// evict a block and keep later ones, which then can't be used. Longer prefixes
-// come first, equal ones by engine and incarnation.
+// Lookup appends to into[:0] every run that holds at least the first block of a prompt, with the
+// length of its unbroken prefix. Blocks after a missing one don't count, because an engine can't
+// use them. Matches are ordered by falling length, then by engine and incarnation.
 func (x *Index) Lookup(hashes []fleet.BlockHash, into []Match) []Match {
 	matches := into[:0]
 	for _, bank := range x.banks {
@@ -173,9 +169,8 @@
 	return holders
 }
 
-// Blocks returns the number of entries. It includes entries of removed runs
-// that haven't been reclaimed yet, and counts a block once for each bank of 64
-// runs that holds it.
+// Blocks returns the number of entries. It includes entries of removed runs that haven't been
+// reclaimed yet, and counts a block once per bank that holds it.
 func (x *Index) Blocks() int {
 	total := 0
 	for _, bank := range x.banks {
@@ -193,7 +188,7 @@
 	return where.bank.counts[where.slot]
 }
 
-// Bytes returns the memory that the tables take.
+// Bytes returns the memory used by the tables.
 func (x *Index) Bytes() int {
 	total := 0
 	for _, bank := range x.banks {
@@ -202,19 +197,19 @@
 	return total
 }
 
-// Evicted returns how many entries were dropped to stay within MaxBlocks.
+// Evicted returns the number of entries evicted to stay within MaxBlocks.
 func (x *Index) Evicted() uint64 { return x.evicted }
 
-// Reclaim frees the memory of all removed runs at once. It walks the whole
-// index, so it suits idle moments only.
+// Reclaim frees the memory of all removed runs at once. It visits the whole index, so call it only
+// when idle.
 func (x *Index) Reclaim() {
 	for _, bank := range x.banks {
 		bank.reclaimAll()
 	}
 }
 
-// allocate finds a slot: a free one, then one whose reclaim can be completed
-// now, then one in a new bank.
+// allocate returns a free slot, else one whose reclaim can be completed now, else one in a new
+// bank.
 func (x *Index) allocate(run fleet.EngineRun) location {
 	for _, bank := range x.banks {
 		if slot, found := bank.allocate(run); found {
@@ -235,7 +230,7 @@
 	return location{bank: added, slot: slot}
 }
 
-// evict removes one entry other than keep from the largest bank.
+// evict removes an entry other than keep from the largest bank.
 func (x *Index) evict(keep fleet.BlockHash) {
 	largest := x.banks[0]
 	for _, bank := range x.banks[1:] {
--- a/internal/prefixindex/prefixindex_test.go
+++ b/internal/prefixindex/prefixindex_test.go
@@ -26,7 +26,7 @@
 	return hashes
 }
 
-// model is the index as a map of sets.
+// model is a reference implementation of the index with maps of sets.
 type model map[fleet.EngineRun]map[fleet.BlockHash]bool
 
 func (m model) lookup(hashes []fleet.BlockHash) map[fleet.EngineRun]int {
@@ -70,8 +70,8 @@
 	assert.GreaterOrEqual(t, index.Blocks(), expected.distinct())
 }
 
-// TestIndexMatchesModel compares random histories, with restarts of engines
-// and few distinct blocks so that entries are often shared, with plain sets.
+// TestIndexMatchesModel guards against an index that differs from plain sets in random histories
+// with engine restarts and many shared blocks.
 func TestIndexMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, expected := New(Options{}), model{}
@@ -146,8 +146,8 @@
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 1)))
 }
 
-// TestReusedSlotNeverMatchesOldBlocks restarts engines far more often than a
-// bank has slots, so that every slot is used again.
+// TestReusedSlotNeverMatchesOldBlocks guards against blocks of a removed run that match the next
+// run in its slot.
 func TestReusedSlotNeverMatchesOldBlocks(t *testing.T) {
 	index := New(Options{})
 	index.AddRun(testRun(0, 1))
@@ -193,6 +193,6 @@
 	}
 	assert.EqualValues(t, 100+10000-limit, index.Evicted())
 	total := index.BlocksOf(testRun(1, 1))
-	assert.Greater(t, total, 50, "shared blocks outlive those of one run")
+	assert.Greater(t, total, 50, "shared blocks are evicted last")
 	assert.Equal(t, limit, index.BlocksOf(testRun(0, 1)))
 }
--- a/internal/prefixindex/reclaim.go
+++ b/internal/prefixindex/reclaim.go
@@ -6,11 +6,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// evictionSample is how many entries are compared when one must be dropped.
+// evictionSample is the number of entries compared to select one for eviction.
 const evictionSample = 8
 
-// reclaimIncrementally goes on with the sweep of dead slots in proportion to the number
-// of changed blocks.
+// reclaimIncrementally continues the sweep of dead slots in proportion to the number of changed
+// blocks.
 func (b *bank) reclaimIncrementally(changes int) {
 	if b.dead == 0 {
 		return
@@ -30,8 +30,8 @@
 	}
 }
 
-// sweepSegment sweeps one segment. A sweep clears the slots that were dead when
-// it began; it frees them when it has come round.
+// sweepSegment sweeps the next segment. A sweep clears the slots that were dead when it started,
+// and frees them when it has visited every segment.
 func (b *bank) sweepSegment() {
 	if b.nextSegment == 0 {
 		b.sweeping = b.dead
@@ -51,9 +51,8 @@
 	}
 }
 
-// sweep takes slots out of every entry and returns how many entries went with
-// their last holder. A deletion moves a later entry into the same position,
-// which is then looked at again.
+// sweep removes slots from every entry and returns how many entries lost their last holder. A
+// deletion may move a later entry into the same position, so sweep checks that position again.
 func (s *segment) sweep(dead uint64) int {
 	removed := 0
 	for position := 0; position < len(s.table); {
@@ -73,16 +72,16 @@
 	return removed
 }
 
-// evictionCandidate is an entry that may be dropped.
+// evictionCandidate is an entry that may be evicted.
 type evictionCandidate struct {
 	segment  *segment
 	position int
 	holders  int
 }
 
-// evict removes the entry with the fewest holders among a few neighbours
-// of keep's position: block hashes are random, so neighbours are a sample, and
-// a block that many runs hold is likelier to be asked for again.
+// evict removes the entry with the fewest holders among a few neighbours of keep's position. Block
+// hashes are random, so neighbours are a random sample, and blocks with many holders are more
+// likely to be requested again.
 func (b *bank) evict(keep fleet.BlockHash) bool {
 	mixed := mix(keep)
 	best := evictionCandidate{holders: slotsPerBank + 1}
@@ -100,15 +99,15 @@
 	return true
 }
 
-// decrementCounts lowers the counts of the holders of a dropped entry.
+// decrementCounts decrements the counts of the holders of an evicted entry.
 func (b *bank) decrementCounts(holders uint64) {
 	for ; holders != 0; holders &= holders - 1 {
 		b.counts[bits.TrailingZeros64(holders)]--
 	}
 }
 
-// sampleCandidates looks at up to wanted entries from the home position of keep on, never
-// at keep's own, updates best and returns how many it has seen.
+// sampleCandidates visits up to wanted entries from the home position of keep onwards, except
+// keep's own. It updates best and returns the number of entries visited.
 func (s *segment) sampleCandidates(keep fleet.BlockHash, kept uint64, wanted int, best *evictionCandidate) int {
 	sampled := 0
 	position := s.home(mix(keep))
--- a/internal/prefixindex/replacement.go
+++ b/internal/prefixindex/replacement.go
@@ -2,9 +2,9 @@
 
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
-// Replacement is a new set of blocks for a run, built in pieces while lookups
-// go on with the old set. It has a slot of its own that no lookup matches until
-// Commit. Exactly one of Commit and Abort must be called.
+// Replacement is a new set of blocks for a run, built in steps while lookups still use the old set.
+// It has its own slot, which lookups ignore until Commit. Exactly one of Commit and Abort must be
+// called.
 type Replacement struct {
 	index *Index
 	run   fleet.EngineRun
@@ -23,8 +23,8 @@
 	r.index.storeAt(r.where, hashes)
 }
 
-// Commit makes the new set the run's blocks. It returns false, and forgets the
-// set, when the run was removed meanwhile.
+// Commit replaces the run's blocks by the new set. It returns false and discards the set if the run
+// has been removed.
 func (r *Replacement) Commit() bool {
 	old, known := r.index.runs[r.run]
 	if !known {
@@ -37,16 +37,16 @@
 	return true
 }
 
-// Abort forgets the new set.
+// Abort discards the new set.
 func (r *Replacement) Abort() { r.where.bank.retire(r.where.slot) }
 
-// hide takes a slot out of lookups but keeps its entries.
+// hide removes a slot from lookups but keeps its entries.
 func (b *bank) hide(slot Slot) {
 	b.live &^= bit(slot)
 	b.hidden |= bit(slot)
 }
 
-// show ends hide.
+// show makes a hidden slot live again.
 func (b *bank) show(slot Slot) {
 	b.hidden &^= bit(slot)
 	b.live |= bit(slot)
--- a/internal/prefixindex/segment.go
+++ b/internal/prefixindex/segment.go
@@ -11,17 +11,18 @@
 	entryBytes = int(unsafe.Sizeof(entry{}))
 	bankBytes  = int(unsafe.Sizeof(bank{}))
 
-	// A table grows when more than maxLoadNumerator/maxLoadDenominator is used.
+	// A table grows when its load exceeds maxLoadNumerator/maxLoadDenominator.
 	maxLoadNumerator   = 4
 	maxLoadDenominator = 5
-	// bucketEntries share a cache line of 64 bytes. Capacities are multiples of it.
+	// bucketEntries is the number of entries in a cache line of 64 bytes. Capacities are multiples
+	// of it.
 	bucketEntries = 4
 	// minCapacity is the first capacity of a segment.
 	minCapacity = 8
-	// pageEntries fill one 8 KiB page of the allocator, to which large tables
-	// are rounded up anyway.
+	// pageEntries is the number of entries in an 8 KiB page, to which the allocator rounds large
+	// tables up.
 	pageEntries = 512
-	// growthDivisor sets the growth of small tables to an eighth.
+	// growthDivisor sets the growth of a table to an eighth.
 	growthDivisor = 8
 )
 
@@ -31,7 +32,7 @@
 	holders uint64
 }
 
-// holdersIf returns the mask if the entry is of a block, else 0.
+// holdersIf returns the holders if the entry is for the given block, else 0.
 func (e *entry) holdersIf(hash fleet.BlockHash) uint64 {
 	holders := e.holders
 	if e.hash != hash {
@@ -43,11 +44,11 @@
 // bucket is an aligned group of entries.
 type bucket [bucketEntries]entry
 
-// emptyBucket stands for any bucket of a segment without entries.
+// emptyBucket represents any bucket of a segment without entries.
 var emptyBucket bucket
 
-// holders returns the mask of a block if its entry is in the bucket, else 0.
-// It compares without branching: which entry matches can't be predicted.
+// holders returns the holders of a block if its entry is in the bucket, else 0. It avoids branches,
+// because which entry matches is unpredictable.
 func (b *bucket) holders(hash fleet.BlockHash) uint64 {
 	return b[0].holdersIf(hash) |
 		b[1].holdersIf(hash) |
@@ -55,16 +56,16 @@
 		b[3].holdersIf(hash)
 }
 
-// segment is an open-addressing table with linear probing from the first entry
-// of a bucket, and deletion by backward shift (Knuth, The Art of Computer
-// Programming, 6.4, algorithm R), so that no tombstones gather.
+// segment is an open-addressing table with linear probing from the first entry of a bucket, and
+// deletion by backward shift (Knuth, The Art of Computer Programming, 6.4, algorithm R), which
+// avoids tombstones.
 type segment struct {
 	table []entry
 	used  int
 }
 
-// mix spreads a hash over all bits: another engine's block hashes need not be
-// uniform. It is a finalizer of the MurmurHash3 kind.
+// mix spreads a hash over all bits, because an engine's block hashes may not be uniform. It is a
+// finalizer like that of MurmurHash3.
 func mix(hash fleet.BlockHash) uint64 {
 	mixed := uint64(hash)
 	mixed ^= mixed >> 32
@@ -75,8 +76,7 @@
 	return mixed
 }
 
-// home maps the upper bits of a mixed hash to the first position of a bucket,
-// without division.
+// home maps the upper bits of a mixed hash to the first position of a bucket without a division.
 func (s *segment) home(mixed uint64) int {
 	bucket, _ := bits.Mul64(mixed, uint64(len(s.table)/bucketEntries))
 	return int(bucket) * bucketEntries
@@ -114,7 +114,7 @@
 	return (*bucket)(s.table[home : home+bucketEntries])
 }
 
-// holders returns the mask of a block, 0 if it has no entry.
+// holders returns the holders of a block, 0 if it has no entry.
 func (s *segment) holders(hash fleet.BlockHash, mixed uint64) uint64 {
 	position, found := s.find(hash, mixed)
 	if !found {
@@ -140,8 +140,7 @@
 	s.table[position] = placed
 }
 
-// delete empties a position and moves later entries of the same probe
-// sequence back.
+// delete empties a position and moves later entries of the same probe sequence back.
 func (s *segment) delete(hole int) {
 	s.used--
 	position := hole
@@ -159,7 +158,7 @@
 	s.table[hole] = entry{}
 }
 
-// distance counts the steps from one position to another.
+// distance returns the number of steps from one position to another.
 func (s *segment) distance(from, to int) int {
 	if to >= from {
 		return to - from
--- a/internal/prefixindex/segment_test.go
+++ b/internal/prefixindex/segment_test.go
@@ -9,9 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestSegmentMatchesMap crowds one segment, so that probe sequences run into
-// each other and around the end; the index's own tests spread few blocks over
-// many segments.
+// TestSegmentMatchesMap guards against errors of overlapping and wrapping probe sequences in a
+// crowded segment.
 func TestSegmentMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table segment
