--- a/internal/prefixindex/prefixindex.go
+++ b/internal/prefixindex/prefixindex.go
@@ -34,8 +34,8 @@
 	Directory bool
 }
 
-// location is the bank and slot of a run.
-type location struct {
+// runLocation is the bank and slot of a run.
+type runLocation struct {
 	bank *bank
 	slot Slot
 }
@@ -46,7 +46,7 @@
 	useDirectory bool
 	directory    directory
 	banks        []*bank
-	runs         map[fleet.EngineRun]location
+	runs         map[fleet.EngineRun]runLocation
 	evicted      uint64
 }
 
@@ -59,7 +59,7 @@
 	return &Index{
 		maxBlocks:    maxBlocks,
 		useDirectory: options.Directory,
-		runs:         make(map[fleet.EngineRun]location),
+		runs:         make(map[fleet.EngineRun]runLocation),
 	}
 }
 
@@ -102,7 +102,7 @@
 	x.storeAt(where, hashes)
 }
 
-func (x *Index) storeAt(where location, hashes []fleet.BlockHash) {
+func (x *Index) storeAt(where runLocation, hashes []fleet.BlockHash) {
 	for _, hash := range hashes {
 		if !where.bank.add(hash, where.slot) {
 			continue
@@ -210,10 +210,10 @@
 
 // allocate returns a free slot, else one whose reclaim can be completed now, else one in a new
 // bank.
-func (x *Index) allocate(run fleet.EngineRun) location {
+func (x *Index) allocate(run fleet.EngineRun) runLocation {
 	for _, bank := range x.banks {
 		if slot, found := bank.allocate(run); found {
-			return location{bank: bank, slot: slot}
+			return runLocation{bank: bank, slot: slot}
 		}
 	}
 	for _, bank := range x.banks {
@@ -222,12 +222,12 @@
 		}
 		bank.reclaimAll()
 		slot, _ := bank.allocate(run)
-		return location{bank: bank, slot: slot}
+		return runLocation{bank: bank, slot: slot}
 	}
 	added := newBank(len(x.banks))
 	x.banks = append(x.banks, added)
 	slot, _ := added.allocate(run)
-	return location{bank: added, slot: slot}
+	return runLocation{bank: added, slot: slot}
 }
 
 // evict removes an entry other than keep from the largest bank.
--- a/internal/prefixindex/replacement.go
+++ b/internal/prefixindex/replacement.go
@@ -6,21 +6,21 @@
 // It has its own slot, which lookups ignore until Commit. Exactly one of Commit and Abort must be
 // called.
 type Replacement struct {
-	index *Index
-	run   fleet.EngineRun
-	where location
+	index    *Index
+	run      fleet.EngineRun
+	location runLocation
 }
 
 // BeginReplace starts a replacement of a run's blocks.
 func (x *Index) BeginReplace(run fleet.EngineRun) *Replacement {
 	where := x.allocate(run)
 	where.bank.hide(where.slot)
-	return &Replacement{index: x, run: run, where: where}
+	return &Replacement{index: x, run: run, location: where}
 }
 
 // Store adds blocks to the new set.
 func (r *Replacement) Store(hashes []fleet.BlockHash) {
-	r.index.storeAt(r.where, hashes)
+	r.index.storeAt(r.location, hashes)
 }
 
 // Commit replaces the run's blocks by the new set. It returns false and discards the set if the run
@@ -32,13 +32,13 @@
 		return false
 	}
 	old.bank.retire(old.slot)
-	r.where.bank.show(r.where.slot)
-	r.index.runs[r.run] = r.where
+	r.location.bank.show(r.location.slot)
+	r.index.runs[r.run] = r.location
 	return true
 }
 
 // Abort discards the new set.
-func (r *Replacement) Abort() { r.where.bank.retire(r.where.slot) }
+func (r *Replacement) Abort() { r.location.bank.retire(r.location.slot) }
 
 // hide removes a slot from lookups but keeps its entries.
 func (b *bank) hide(slot Slot) {
