--- a/internal/prefixindex/lookup_limited.go
+++ b/internal/prefixindex/lookup_limited.go
@@ -26,12 +26,12 @@
 
 // CachedPrefix returns the number of leading blocks of a prompt that a run holds.
 func (x *Index) CachedPrefix(run fleet.EngineRun, hashes []fleet.BlockHash) int {
-	where, known := x.runs[run]
-	if !known || where.bank.counts[where.slot] == 0 {
+	location, known := x.runs[run]
+	if !known || location.bank.counts[location.slot] == 0 {
 		return 0
 	}
 	for depth, hash := range hashes {
-		if where.bank.holders(hash)&bit(where.slot) == 0 {
+		if location.bank.holders(hash)&bit(location.slot) == 0 {
 			return depth
 		}
 	}
--- a/internal/prefixindex/prefixindex.go
+++ b/internal/prefixindex/prefixindex.go
@@ -74,59 +74,59 @@
 // RemoveRun removes a run in constant time. Later calls of Store and Remove reclaim the memory of
 // its blocks incrementally.
 func (x *Index) RemoveRun(run fleet.EngineRun) {
-	where, known := x.runs[run]
+	location, known := x.runs[run]
 	if !known {
 		return
 	}
-	where.bank.retire(where.slot)
+	location.bank.retire(location.slot)
 	delete(x.runs, run)
 }
 
 // Clear removes the blocks of a run, which stays known.
 func (x *Index) Clear(run fleet.EngineRun) {
-	where, known := x.runs[run]
-	if !known || where.bank.counts[where.slot] == 0 {
+	location, known := x.runs[run]
+	if !known || location.bank.counts[location.slot] == 0 {
 		return
 	}
-	where.bank.retire(where.slot)
+	location.bank.retire(location.slot)
 	x.runs[run] = x.allocate(run)
 }
 
 // Store records that a run holds blocks. It has no effect for an unknown run, so a late event can't
 // revive a removed one.
 func (x *Index) Store(run fleet.EngineRun, hashes []fleet.BlockHash) {
-	where, known := x.runs[run]
+	location, known := x.runs[run]
 	if !known {
 		return
 	}
-	x.storeAt(where, hashes)
+	x.storeAt(location, hashes)
 }
 
-func (x *Index) storeAt(where runLocation, hashes []fleet.BlockHash) {
+func (x *Index) storeAt(location runLocation, hashes []fleet.BlockHash) {
 	for _, hash := range hashes {
-		if !where.bank.add(hash, where.slot) {
+		if !location.bank.add(hash, location.slot) {
 			continue
 		}
 		if x.useDirectory {
-			x.addToDirectory(hash, where.bank.number)
+			x.addToDirectory(hash, location.bank.number)
 		}
 		if x.Blocks() > x.maxBlocks {
 			x.evict(hash)
 		}
 	}
-	where.bank.reclaimIncrementally(len(hashes))
+	location.bank.reclaimIncrementally(len(hashes))
 }
 
 // Remove records that a run no longer holds blocks.
 func (x *Index) Remove(run fleet.EngineRun, hashes []fleet.BlockHash) {
-	where, known := x.runs[run]
+	location, known := x.runs[run]
 	if !known {
 		return
 	}
 	for _, hash := range hashes {
-		where.bank.remove(hash, where.slot)
+		location.bank.remove(hash, location.slot)
 	}
-	where.bank.reclaimIncrementally(len(hashes))
+	location.bank.reclaimIncrementally(len(hashes))
 }
 
 // Replace replaces all blocks of a run. Its duration grows with their number; BeginReplace does the
@@ -181,11 +181,11 @@
 
 // BlocksOf returns the number of blocks that a run holds.
 func (x *Index) BlocksOf(run fleet.EngineRun) int {
-	where, known := x.runs[run]
+	location, known := x.runs[run]
 	if !known {
 		return 0
 	}
-	return where.bank.counts[where.slot]
+	return location.bank.counts[location.slot]
 }
 
 // Bytes returns the memory used by the tables.
--- a/internal/prefixindex/replacement.go
+++ b/internal/prefixindex/replacement.go
@@ -13,9 +13,9 @@
 
 // BeginReplace starts a replacement of a run's blocks.
 func (x *Index) BeginReplace(run fleet.EngineRun) *Replacement {
-	where := x.allocate(run)
-	where.bank.hide(where.slot)
-	return &Replacement{index: x, run: run, location: where}
+	location := x.allocate(run)
+	location.bank.hide(location.slot)
+	return &Replacement{index: x, run: run, location: location}
 }
 
 // Store adds blocks to the new set.
