--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -1,17 +1,14 @@
-// Package affinity decides which routers an agent asks for a prompt, so that
-// prompts which begin alike meet the same router, as far as one router's
-// engines can carry them.
+// Package affinity chooses the routers that an agent asks for a prompt. It sends prompts with a
+// common prefix to the same router, as far as the engines of one router can serve them.
 //
-// A prompt has several keys, the hashes of longer and longer beginnings. The
-// first key ranks the routers. Its width, 1 at first, says how many of the rank
-// serve the prompts that share it: it doubles when a router hands such a prompt
-// back as saturated and another one takes it, and decays with time. Which of
-// these routers a prompt goes to is decided by its longer keys, so that prompts
-// with more in common still meet. A longer key's part of the width is its part
-// of the requests; it is spread over more than one router only if it needs more
-// than one.
+// A prompt has several keys, the hashes of prefixes of increasing length. The first key ranks the
+// routers. Its width, initially 1, is the number of routers from the top of the rank that serve
+// prompts with this key. The width doubles when a router hands such a prompt back as saturated and
+// another router places it, and decays over time. Within the width the longer keys select the
+// router, which keeps prompts with longer common prefixes together. A longer key gets a part of the
+// width proportional to its part of the requests, and at least one router.
 //
-// A Table has no I/O, goroutine or clock, and isn't safe for concurrent use.
+// A Table has no I/O, goroutines or clock, and isn't safe for concurrent use.
 package affinity
 
 import (
@@ -23,20 +20,20 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// MaxSpills is the number of saturated routers in a row after which a request
-// goes back to its first choice and waits there: when all are busy, waiting
-// where the prefix is warm costs the least.
+// MaxSpills is the number of consecutive saturated routers after which a request returns to its
+// first choice and waits there: if all routers are busy, waiting for the cached prefix is the
+// cheapest.
 const MaxSpills = 2
 
-// priorCount stands for requests that weren't counted. It makes a key that has
-// just become wide spread its requests evenly until it is known which of its
-// longer keys they have.
+// priorCount is added to the request counts when estimating a key's part of the requests. A key
+// that has just become wide therefore spreads its requests evenly until its longer keys have been
+// counted.
 const priorCount = 4
 
-// entry is what is remembered of one key.
+// entry is the state of a key.
 type entry struct {
-	// width is that of a first key as of asOf, count the decayed number of
-	// requests as of asOf.
+	// width applies to first keys; count is the decayed number of requests. Both are as of
+	// updatedAt.
 	width     float64
 	count     float64
 	updatedAt time.Duration
@@ -44,7 +41,7 @@
 	widenedAt time.Duration
 }
 
-// Table remembers the keys that need more than one router.
+// Table tracks the keys that need more than one router.
 type Table struct {
 	options Options
 	entries *simplelru.LRU[uint64, *entry]
@@ -60,13 +57,13 @@
 	return &Table{options: options, entries: entries}
 }
 
-// Len returns the number of keys that are remembered.
+// Len returns the number of tracked keys.
 func (t *Table) Len() int { return t.entries.Len() }
 
-// Choose returns how a prompt of the given blocks is to be routed and counts
-// it. A prompt without a whole block goes by the key whole.
-func (t *Table) Choose(now time.Duration, blocks []fleet.BlockHash, whole uint64) Choice {
-	choice := Choice{keys: t.keys(blocks, whole), width: 1, tieBreaker: t.options.Random.Uint64()}
+// Choose returns the routing of a prompt and counts the request. A prompt without a full block uses
+// fallbackKey.
+func (t *Table) Choose(now time.Duration, blocks []fleet.BlockHash, fallbackKey uint64) Choice {
+	choice := Choice{keys: t.keys(blocks, fallbackKey), width: 1, tieBreaker: t.options.Random.Uint64()}
 	root, found := t.entries.Get(choice.Key())
 	if !found {
 		return choice
@@ -79,14 +76,14 @@
 	}
 	root.count++
 	choice.spreads = t.spreads(now, choice.keys[1:], root, choice.width)
-	t.entries.Get(choice.Key()) // the first key is more recent than the longer ones
+	t.entries.Get(choice.Key()) // keeps the first key more recent than the longer ones
 	return choice
 }
 
-// keys returns a prompt's keys, the shortest beginning first.
-func (t *Table) keys(blocks []fleet.BlockHash, whole uint64) []uint64 {
+// keys returns a prompt's keys, the shortest prefix first.
+func (t *Table) keys(blocks []fleet.BlockHash, fallbackKey uint64) []uint64 {
 	if len(blocks) == 0 {
-		return []uint64{whole}
+		return []uint64{fallbackKey}
 	}
 	keys := make([]uint64, 0, t.options.Levels)
 	depth := t.options.FirstDepth
@@ -101,8 +98,8 @@
 	return keys
 }
 
-// spreads counts the request under its longer keys and returns over how many
-// routers each is spread.
+// spreads counts the request under its longer keys and returns the number of routers that each is
+// spread over.
 func (t *Table) spreads(now time.Duration, keys []uint64, root *entry, width int) []int {
 	spreads := make([]int, 0, len(keys))
 	within := width
@@ -121,10 +118,9 @@
 	return spreads
 }
 
-// RecordSpill notes that a router handed a request back as saturated and that
-// another one placed it at once. A choice made under an earlier width says
-// nothing about the present one. Widths are bounded by the number of routers
-// that serve.
+// RecordSpill records that a router handed a request back as saturated and that another router
+// placed it at once. It ignores a choice made under a smaller width than the current one. serving,
+// the number of serving routers, bounds the width.
 func (t *Table) RecordSpill(now time.Duration, choice Choice, serving int) {
 	root, found := t.entries.Get(choice.Key())
 	if !found {
@@ -139,7 +135,7 @@
 	root.widenedAt = now
 }
 
-// decay brings an entry up to date.
+// decay applies the decay since the entry's last update.
 func (t *Table) decay(now time.Duration, e *entry) {
 	if now <= e.updatedAt {
 		return
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -28,8 +28,8 @@
 	return list
 }
 
-// blocks makes a prompt of 80 blocks: the first 8 belong to the family, those up
-// to 32 to the child, the rest to the request.
+// blocks returns a prompt of 80 blocks: the first 8 are common to the family, those up to 32 to the
+// child, the rest are specific to the request.
 func blocks(family, child, request uint64) []fleet.BlockHash {
 	made := make([]fleet.BlockHash, 80)
 	for position := range made {
@@ -45,7 +45,7 @@
 	return made
 }
 
-// widen makes a family's width grow by spilling.
+// widen grows the width of a family's first key by recorded spills.
 func widen(table *Table, family uint64, times int) time.Duration {
 	var now time.Duration
 	for range times {
@@ -74,20 +74,20 @@
 		table.RecordSpill(0, narrow, 16)
 	}
 	two := table.Choose(0, prompt, 0)
-	require.Equal(t, 2, two.Width(), "a burst of hand-backs is one reason to grow")
+	require.Equal(t, 2, two.Width(), "a burst of hand-backs doubles the width once")
 	table.RecordSpill(DefaultGrowInterval, narrow, 16)
-	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "chosen before it grew")
+	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "a choice made before the width grew is ignored")
 	table.RecordSpill(DefaultGrowInterval/2, two, 16)
-	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "too early")
+	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "the interval hasn't passed")
 	table.RecordSpill(DefaultGrowInterval, two, 3)
-	require.Equal(t, 3, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "there are no more routers")
+	require.Equal(t, 3, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "the number of routers bounds the width")
 	assert.Equal(t, 2, table.Choose(DefaultGrowInterval+DefaultHalfLife, prompt, 0).Width())
 	assert.Equal(t, 1, table.Choose(10*DefaultHalfLife, prompt, 0).Width())
-	assert.NotContains(t, table.entries.Keys(), two.Key(), "what needs one router isn't remembered")
+	assert.NotContains(t, table.entries.Keys(), two.Key(), "a key that needs one router isn't tracked")
 }
 
-// TestPrefixFamilyIsSplitByLongerPrefixes gives a family of forty equal children four
-// routers: each child must stay at one.
+// TestPrefixFamilyIsSplitByLongerPrefixes guards against spreading a longer prefix over several
+// routers. A family of forty equal children has four routers.
 func TestPrefixFamilyIsSplitByLongerPrefixes(t *testing.T) {
 	table, list := newTable(Options{}), routers(16)
 	now := widen(table, 1, 2)
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestHotPrefixIsSpreadEvenly gives a long common prefix with different ends
-// four routers: each must get its part.
+// TestHotPrefixIsSpreadEvenly guards against overloading one of four routers that share a long
+// common prefix.
 func TestHotPrefixIsSpreadEvenly(t *testing.T) {
 	table, list := newTable(Options{}), routers(16)
 	now := widen(table, 1, 2)
@@ -137,8 +137,8 @@
 	assert.Equal(t, 10, table.Len())
 }
 
-// TestOrderAsksEveryRouterOnce checks what failover relies on, and that a
-// saturated first choice is followed by a router that a wider key would use.
+// TestOrderAsksEveryRouterOnce guards against missing or duplicate routers in the failover order,
+// and against a second choice outside the doubled width.
 func TestOrderAsksEveryRouterOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable(Options{})
@@ -154,7 +154,7 @@
 		if width < serving {
 			require.Contains(t, ranked[width:min(2*width, serving)], ordered[1])
 		}
-		require.ElementsMatch(t, ranked[:serving], ordered[:serving], "those that serve come first")
+		require.ElementsMatch(t, ranked[:serving], ordered[:serving], "serving routers come first")
 		require.Empty(t, choice.Order(nil, 0))
 	})
 }
--- a/internal/affinity/options.go
+++ b/internal/affinity/options.go
@@ -15,21 +15,21 @@
 	DefaultGrowInterval = 250 * time.Millisecond
 )
 
-// Options sets up a Table. A zero field takes its default.
+// Options configures a Table. Zero fields take their defaults.
 type Options struct {
-	// Random spreads requests over routers that are as good as each other; required.
+	// Random spreads requests over equally suitable routers; required.
 	Random *rand.Rand
-	// FirstDepth is the number of leading blocks in a prompt's first key. Each
-	// further key has DepthRatio times as many, up to Levels keys.
+	// FirstDepth is the number of leading blocks in a prompt's first key. Each further key covers
+	// DepthRatio times as many blocks, up to Levels keys.
 	FirstDepth int
 	DepthRatio int
 	Levels     int
-	// MaxKeys bounds the keys that are remembered, least recently used first out.
+	// MaxKeys bounds the number of tracked keys; the least recently used are evicted first.
 	MaxKeys int
-	// HalfLife is the time in which an unused width and a count of requests halve.
+	// HalfLife is the half-life of unused widths and request counts.
 	HalfLife time.Duration
-	// GrowInterval is the least time between two doublings of one width: a doubling
-	// shows its effect once the routers' queues have had time to drain.
+	// GrowInterval is the minimum time between two doublings of a width. It gives the routers'
+	// queues time to drain before the next doubling.
 	GrowInterval time.Duration
 }
 
--- a/internal/affinity/routers_test.go
+++ b/internal/affinity/routers_test.go
@@ -30,16 +30,16 @@
 		for _, zone := range []fleet.ZoneName{"a", "b", "c"} {
 			table := New(Options{Random: rand.New(rand.NewPCG(uint64(prompt), 1))})
 			choice := table.Choose(0, []fleet.BlockHash{fleet.BlockHash(prompt + 1)}, 0)
-			known := Routers{Location: membership.Location{Zone: zone}, Members: members}
-			order := known.Order(choice, "pool")
+			view := Routers{Location: membership.Location{Zone: zone}, Members: members}
+			order := view.Order(choice, "pool")
 			if first == nil {
 				first = order
 			}
 			require.Equal(t, first, order)
-			require.Equal(t, 1, known.Serving(choice, "pool"))
+			require.Equal(t, 1, view.Serving(choice, "pool"))
 		}
 	}
-	assert.ElementsMatch(t, members, first, "the others stand by")
+	assert.ElementsMatch(t, members, first, "the others are standbys")
 }
 
 func TestPoolsHaveDifferentRouters(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 	assert.Equal(t, before[1:], Routers{Members: left}.Order(choice, "pool"))
 	after := Routers{Members: back}.Order(choice, "pool")
-	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address has the same place")
+	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address keeps its rank")
 }
 
 func TestRoutersInTheSameRegionComeFirst(t *testing.T) {
