--- a/internal/flowcontrol/classqueue.go
+++ b/internal/flowcontrol/classqueue.go
@@ -40,7 +40,8 @@
 	virtualTime float64
 	waiting     int
 	cost        float64
-	// credit is the fraction of a dispatch that the minimum share entitles the class to.
+	// credit is the number of dispatches, including fractions, that the minimum share entitles the
+	// class to.
 	credit float64
 	meter  rateMeter
 }
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -163,7 +163,7 @@
 	assert.Equal(t, fleet.EngineID("engine1"), b.submitGranted(warm).Run.Engine)
 }
 
-// TestWaitForBusyWarmEngineIsBounded guards against waiting in vain for a warm engine whose queue
+// TestWaitForBusyWarmEngineIsBounded guards against an unbounded wait for a warm engine whose queue
 // stays at 0.7 s while idle engines could compute the prefix in 0.3 s.
 func TestWaitForBusyWarmEngineIsBounded(t *testing.T) {
 	b := newBench(t, 4)
--- a/internal/placement/engines_test.go
+++ b/internal/placement/engines_test.go
@@ -148,7 +148,7 @@
 	b.advance(DefaultGrantValid)
 	assert.Equal(t, 2, b.inFlight(), "the report may still be in flight")
 	b.advance(DefaultReportGrace)
-	assert.Equal(t, 1, b.inFlight(), "no report of acceptance came")
+	assert.Equal(t, 1, b.inFlight(), "the acceptance was never reported")
 	b.report(lost, PhaseFinished)
 	b.report(accepted, PhaseFirstToken)
 	b.report(accepted, PhaseAccepted)
--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -12,7 +12,7 @@
 // LeavingSource identifies what first reported that an engine run is leaving.
 type LeavingSource string
 
-// Sources of a leaving state.
+// Sources of a report that an engine run is leaving.
 const (
 	LeavingNone        LeavingSource = ""
 	LeavingMachineList LeavingSource = "machine_list"
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -69,9 +69,9 @@
 	// MaxForeignHops replaces MaxHops while other routers own engines of the pool: while ownership
 	// moves, an engine may briefly have no owner, and agents back off between hand-backs.
 	MaxForeignHops int
-	// MaxSpills bounds the hand-backs of a request to routers whose engines are saturated. After
-	// that the router queues or refuses it. Only a router that owns part of a pool spills. A
-	// negative value disables spilling.
+	// MaxSpills bounds the hand-backs of a request by saturated routers. After that the router
+	// queues or refuses it. Only a router that owns part of a pool spills. A negative value
+	// disables spilling.
 	MaxSpills int
 	// SpillWait is the predicted wait above which a request without a cached prefix is handed back.
 	// A cached prefix adds the time that it saves.
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -41,7 +41,7 @@
 	QueueTokens int
 	QueueTime   time.Duration
 	// CachedBlocks is the number of blocks that the index holds for the run. CacheTrusted is false
-	// from a loss of events until the next snapshot.
+	// before the first cache snapshot, and from a loss of events until the next one.
 	CachedBlocks int
 	CacheTrusted bool
 }
--- a/internal/placement/spill.go
+++ b/internal/placement/spill.go
@@ -9,7 +9,8 @@
 )
 
 // canSpill reports whether a request may be handed back because the engines here are saturated:
-// other routers own engines of the pool, and the request hasn't reached MaxSpills.
+// some engines of the pool are owned only by other routers, and the request hasn't reached
+// MaxSpills.
 func (c *Core) canSpill(waiting *waitingRequest) bool {
 	return waiting.request.Spills < c.options.MaxSpills && c.foreign[waiting.model.Pool] > 0
 }
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -118,7 +118,7 @@
 	b := newPartialOwnerBench(t)
 	b.core.ObserveUnreachable(b.now, "engine0")
 	spilled := withSpills(request("spilled", urgent, "p", 1), DefaultMaxSpills)
-	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills don't count as failed hops")
+	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills don't count towards MaxHops")
 	last := request("last", urgent, "p", 1)
 	last.Hops = DefaultMaxHops
 	assert.Empty(t, b.submit(last))
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -101,8 +101,8 @@
 // Run returns the engine run that the feed follows.
 func (f *Feed) Run() fleet.EngineRun { return f.run }
 
-// OutOfSync reports whether the feed has had no snapshot yet, or has lost events since the last
-// one.
+// OutOfSync reports whether the feed needs a snapshot: none has been applied yet, events have been
+// lost since the last one, or one is being stored.
 func (f *Feed) OutOfSync() bool { return f.outOfSync }
 
 // Counts returns the feed's counts.
--- a/internal/prefixindex/lookup_limited.go
+++ b/internal/prefixindex/lookup_limited.go
@@ -10,7 +10,7 @@
 // LookupLimited appends to into[:0] runs that hold a prefix of a prompt, like Lookup, but at most
 // limit runs for each prefix length. It bounds the cost of a lookup for a prefix that thousands of
 // runs hold. offset, which must not be negative, sets where the search starts; different offsets
-// return different runs.
+// may return different runs.
 func (x *Index) LookupLimited(hashes []fleet.BlockHash, limit, offset int, into []Match) []Match {
 	search := &limitedSearch{
 		hashes: hashes, limit: limit, offset: offset, foundByLength: make([]int, len(hashes)+1), matches: into[:0],
