--- a/internal/affinity/routers_test.go
+++ b/internal/affinity/routers_test.go
@@ -30,16 +30,16 @@
 		for _, zone := range []fleet.ZoneName{"a", "b", "c"} {
 			table := New(Options{Random: rand.New(rand.NewPCG(uint64(prompt), 1))})
 			choice := table.Choose(0, []fleet.BlockHash{fleet.BlockHash(prompt + 1)}, 0)
-			known := Routers{Near: membership.Location{Zone: zone}, Members: members}
-			order := known.Order(choice, "pool")
+			view := Routers{Location: membership.Location{Zone: zone}, Members: members}
+			order := view.Order(choice, "pool")
 			if first == nil {
 				first = order
 			}
 			require.Equal(t, first, order)
-			require.Equal(t, 1, known.Serving(choice, "pool"))
+			require.Equal(t, 1, view.Serving(choice, "pool"))
 		}
 	}
-	assert.ElementsMatch(t, members, first, "the others stand by")
+	assert.ElementsMatch(t, members, first, "the others are standbys")
 }
 
 func TestPoolsHaveDifferentRouters(t *testing.T) {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestPoolIsTakenOverAndTakenBack(t *testing.T) {
+func TestPoolFailsOverAndBack(t *testing.T) {
 	members := routersOf("a", "b", "c")
 	choice := New(Options{Random: rand.New(rand.NewPCG(1, 1))}).Choose(0, nil, 1)
 	before := Routers{Members: members}.Order(choice, "pool")
@@ -71,17 +71,17 @@
 	}
 	assert.Equal(t, before[1:], Routers{Members: left}.Order(choice, "pool"))
 	after := Routers{Members: back}.Order(choice, "pool")
-	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address has the same place")
+	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address keeps its rank")
 }
 
-func TestRoutersOfTheRegionComeFirst(t *testing.T) {
+func TestRoutersInTheSameRegionComeFirst(t *testing.T) {
 	members := routersOf("a", "a", "b", "b")
 	members[0].Region, members[1].Region = "north", "north"
 	members[2].Region, members[3].Region = "south", "south"
 	choice := New(Options{Random: rand.New(rand.NewPCG(1, 1))}).Choose(0, nil, 1)
 	for pool := range 20 {
 		near := membership.Location{Region: "south", Zone: "a"}
-		order := Routers{Near: near, Members: members}.Order(choice, fleet.PoolName(fmt.Sprint(pool)))
+		order := Routers{Location: near, Members: members}.Order(choice, fleet.PoolName(fmt.Sprint(pool)))
 		assert.Equal(t, fleet.RegionName("south"), order[0].Region)
 		assert.Equal(t, fleet.RegionName("south"), order[1].Region)
 	}
--- a/internal/flowcontrol/classqueue.go
+++ b/internal/flowcontrol/classqueue.go
@@ -8,39 +8,40 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// entry is one waiting item and where it stands.
+// entry is a waiting item and its position in the queue.
 type entry struct {
 	item     Item
 	enqueued time.Duration
 	expires  time.Duration // 0 means never
-	// byDeadline tells that the item's deadline comes before the class's limit.
-	byDeadline bool
-	queue      *classQueue
-	flow       *flow
-	heapIndex  int
+	// expiresByDeadline is set if the item's deadline precedes the class's limit.
+	expiresByDeadline bool
+	queue             *classQueue
+	flow              *flow
+	heapIndex         int
 }
 
-// flow is the queue of one tenant in one class and lane, first in first out.
+// flow is the FIFO queue of one tenant in one class and lane.
 type flow struct {
 	tenant  fleet.TenantName
 	weight  float64
 	entries []*entry
 	cost    float64
-	// start is the virtual start time of the flow's next dispatch. It is kept
-	// while the flow is empty, so that leaving and coming back gains nothing.
-	start float64
+	// startTag is the virtual start time of the flow's next dispatch. It is kept while the flow is
+	// empty, to prevent a tenant from gaining share by leaving and returning.
+	startTag float64
 }
 
 // classQueue holds the waiting items of one class in one lane.
 type classQueue struct {
 	policy ClassPolicy
 	flows  map[fleet.TenantName]*flow
-	// active lists the flows that have items, by virtual start time.
-	active  []*flow
-	virtual float64
-	waiting int
-	cost    float64
-	// credit is the part of a dispatch that the class is owed by its minimum share.
+	// active lists the flows with items, by start tag.
+	active      []*flow
+	virtualTime float64
+	waiting     int
+	cost        float64
+	// credit is the number of dispatches, including fractions, that the minimum share entitles the
+	// class to.
 	credit float64
 	meter  rateMeter
 }
@@ -49,12 +50,12 @@
 	return &classQueue{
 		policy: policy,
 		flows:  make(map[fleet.TenantName]*flow),
-		meter:  rateMeter{last: now},
+		meter:  rateMeter{updatedAt: now},
 	}
 }
 
 func compareFlows(a, b *flow) int {
-	if order := cmp.Compare(a.start, b.start); order != 0 {
+	if order := cmp.Compare(a.startTag, b.startTag); order != 0 {
 		return order
 	}
 	return cmp.Compare(a.tenant, b.tenant)
@@ -79,7 +80,7 @@
 	}
 	if len(f.entries) == 0 {
 		f.weight = weight
-		f.start = max(f.start, q.virtual)
+		f.startTag = max(f.startTag, q.virtualTime)
 		q.activate(f)
 	}
 	f.entries = append(f.entries, e)
@@ -90,7 +91,7 @@
 	e.queue = q
 }
 
-// remove takes an entry out without charging its tenant.
+// remove removes an entry without charging its tenant.
 func (q *classQueue) remove(now time.Duration, e *entry) {
 	q.meter.advance(now, q.waiting > 0)
 	f := e.flow
@@ -117,26 +118,25 @@
 	}
 }
 
-// dispatch takes an entry out and charges its tenant's share.
+// dispatch removes an entry and charges its tenant's share.
 func (q *classQueue) dispatch(now time.Duration, e *entry) {
 	f := e.flow
 	q.remove(now, e)
 	if now > e.enqueued {
-		q.meter.serve(e.item.Cost)
+		q.meter.record(e.item.Cost)
 	}
 	stillActive := len(f.entries) > 0
 	if stillActive {
 		q.deactivate(f)
 	}
-	q.virtual = max(q.virtual, f.start)
-	f.start += e.item.Cost / f.weight
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	f.startTag += e.item.Cost / f.weight
 	if stillActive {
 		q.activate(f)
 	}
 }
 
-// activeWeight returns the sum of the weights of the tenants that wait, the
-// given one included.
+// activeWeight returns the sum of the weights of the waiting tenants, including the given one.
 func (q *classQueue) activeWeight(tenant fleet.TenantName, weight float64) float64 {
 	total := weight
 	for _, f := range q.active {
@@ -147,9 +147,9 @@
 	return total
 }
 
-// workAhead returns the tokens that are served before a new item of a tenant:
-// its own waiting work at its fair share, and never more than all that waits.
-func (q *classQueue) workAhead(tenant fleet.TenantName, weight float64) float64 {
+// tokensAhead returns the tokens to be served before a new item of a tenant: the tenant's own
+// waiting tokens scaled by its fair share, at most all waiting tokens.
+func (q *classQueue) tokensAhead(tenant fleet.TenantName, weight float64) float64 {
 	own := 0.0
 	if f := q.flows[tenant]; f != nil {
 		own = f.cost
@@ -157,8 +157,7 @@
 	return min(q.cost, own*q.activeWeight(tenant, weight)/weight)
 }
 
-// applyWeights takes over changed weights and forgets idle tenants that the
-// table no longer names.
+// applyWeights applies changed weights and removes idle tenants that the policy no longer lists.
 func (q *classQueue) applyWeights(table policyTable) {
 	for tenant, f := range q.flows {
 		_, known := table.tenants[tenant]
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -10,23 +10,23 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Controller holds the waiting items of one router. Every item that Enqueue
-// took leaves it exactly once: by Next, Remove, Expire or Drain.
+// Controller holds the waiting items of a router. Every item accepted by Enqueue leaves exactly
+// once: through Next, Remove, Expire or Drain.
 type Controller struct {
 	options Options
 	table   policyTable
 	entries map[Key]*entry
 	lanes   []*lane
 	byName  map[Lane]*lane
-	// firstLane is where the next decision starts, so that lanes take turns.
-	firstLane int
-	expiry    expiryHeap
-	// refused holds expired items that Expire hasn't returned yet.
-	refused []Refusal
-	waiting map[fleet.TenantName]int
+	// nextLane is the lane with which the next decision starts; lanes take turns.
+	nextLane int
+	expiry   expiryHeap
+	// pendingRefusals holds refusals that Expire hasn't returned yet.
+	pendingRefusals []Refusal
+	waiting         map[fleet.TenantName]int
 }
 
-// New returns a controller without any class; ApplyPolicy names them.
+// New returns a controller without classes; ApplyPolicy sets them.
 func New(options Options) *Controller {
 	options = options.withDefaults()
 	return &Controller{
@@ -38,9 +38,9 @@
 	}
 }
 
-// ApplyPolicy takes over a changed configuration. What waits keeps waiting
-// under the new ranks, weights and limits; items of a class that is gone keep
-// the class's last policy, while new ones are refused.
+// ApplyPolicy applies a changed configuration. Waiting items stay queued under the new ranks,
+// weights and limits. Items of a removed class keep the class's last policy, while new ones are
+// refused.
 func (c *Controller) ApplyPolicy(policy Policy) {
 	c.table = newPolicyTable(policy, c.options.UnknownTenant)
 	for _, l := range c.lanes {
@@ -68,24 +68,24 @@
 	heap.Init(&c.expiry)
 }
 
-// setExpiry works out when the entry must be refused.
+// setExpiry computes when the entry expires.
 func (e *entry) setExpiry() {
 	e.expires = e.item.Deadline
-	e.byDeadline = e.item.Deadline > 0
+	e.expiresByDeadline = e.item.Deadline > 0
 	limit := e.queue.policy.MaxWait
 	if limit <= 0 {
 		return
 	}
-	if !e.byDeadline || e.enqueued+limit < e.item.Deadline {
+	if !e.expiresByDeadline || e.enqueued+limit < e.item.Deadline {
 		e.expires = e.enqueued + limit
-		e.byDeadline = false
+		e.expiresByDeadline = false
 	}
 }
 
-// Enqueue takes an item or says why not. A key that already waits is left as
-// it is. When the tenant's queue is full, the item displaces the tenant's
-// newest one of the worst class if that ranks behind it, so that a tenant's
-// batch can't shut out its urgent requests; Expire returns the displaced one.
+// Enqueue queues an item or returns why it is refused. A key that already waits is left unchanged.
+// If the tenant's queue is full, the item displaces the tenant's newest item of its lowest-priority
+// class, provided that class has a lower priority than the item's. This prevents batch requests
+// from blocking a tenant's urgent ones. Expire returns the displaced item.
 func (c *Controller) Enqueue(now time.Duration, item Item) *Refusal {
 	if _, found := c.entries[item.Key]; found {
 		return nil
@@ -105,7 +105,7 @@
 	}
 	tenant := c.table.tenant(item.Tenant)
 	tenant.Name = item.Tenant
-	if refusal := c.check(now, l, queue, tenant, item); refusal != nil {
+	if refusal := c.checkAdmission(now, l, queue, tenant, item); refusal != nil {
 		return refusal
 	}
 	e := &entry{item: item, enqueued: now, heapIndex: notInHeap}
@@ -130,33 +130,32 @@
 	return l
 }
 
-// Next takes out the item that goes next among those that admit accepts.
-// Items that have expired are never offered.
+// Next removes and returns the next item that admit accepts. It never offers expired items.
 func (c *Controller) Next(now time.Duration, admit func(Item) bool) (Item, bool) {
-	c.collectExpired(now)
+	c.expireOverdue(now)
 	budget := c.options.MaxScan
 	for turn := range c.lanes {
-		position := (c.firstLane + turn) % len(c.lanes)
+		position := (c.nextLane + turn) % len(c.lanes)
 		l := c.lanes[position]
 		e := c.nextInLane(l, &budget, admit)
 		if e == nil {
 			continue
 		}
 		e.queue.dispatch(now, e)
-		l.settle(e.queue, c.table.shareScale)
-		c.forget(e)
-		c.firstLane = position + 1
+		l.updateCredits(e.queue, c.table.shareScale)
+		c.removeFromIndexes(e)
+		c.nextLane = position + 1
 		return e.item, true
 	}
 	if len(c.lanes) > 0 {
-		// A scan that ran out of budget goes on elsewhere the next time.
-		c.firstLane = (c.firstLane + 1) % len(c.lanes)
+		// A scan that exhausted its budget continues in another lane next time.
+		c.nextLane = (c.nextLane + 1) % len(c.lanes)
 	}
 	return Item{}, false
 }
 
 func (c *Controller) nextInLane(l *lane, budget *int, admit func(Item) bool) *entry {
-	for _, queue := range l.decisionOrder() {
+	for _, queue := range l.dispatchOrder() {
 		for _, f := range queue.active {
 			depth := min(len(f.entries), c.options.ScanDepth, *budget)
 			for _, e := range f.entries[:depth] {
@@ -170,9 +169,9 @@
 	return nil
 }
 
-// Owed tells whether a class has waiting items in a lane and is owed a dispatch
-// by its minimum share. Next offers its items first then.
-func (c *Controller) Owed(name Lane, class fleet.ClassName) bool {
+// HasShareCredit reports whether a class has waiting items in a lane and enough minimum-share
+// credit for a dispatch. Next then offers its items first.
+func (c *Controller) HasShareCredit(name Lane, class fleet.ClassName) bool {
 	l := c.byName[name]
 	if l == nil {
 		return false
@@ -181,8 +180,8 @@
 	return queue != nil && queue.waiting > 0 && queue.credit >= 1
 }
 
-// forget drops an entry that has left its queue from the indexes.
-func (c *Controller) forget(e *entry) {
+// removeFromIndexes removes an entry that has left its queue from the controller's indexes.
+func (c *Controller) removeFromIndexes(e *entry) {
 	c.expiry.drop(e)
 	delete(c.entries, e.item.Key)
 	c.waiting[e.item.Tenant]--
@@ -191,39 +190,38 @@
 	}
 }
 
-// Remove withdraws an item. It returns false when the item doesn't wait any
-// more, because another transition has decided on it.
+// Remove withdraws an item. It returns false if the item no longer waits.
 func (c *Controller) Remove(now time.Duration, key Key) bool {
 	e, found := c.entries[key]
 	if !found {
 		return false
 	}
 	e.queue.remove(now, e)
-	c.forget(e)
+	c.removeFromIndexes(e)
 	return true
 }
 
-// Expire takes out and returns the items that have waited too long, and
-// returns those that Enqueue has displaced.
+// Expire removes the expired items and returns their refusals, together with those of items
+// displaced by Enqueue.
 func (c *Controller) Expire(now time.Duration) []Refusal {
-	c.collectExpired(now)
-	refused := c.refused
-	c.refused = nil
+	c.expireOverdue(now)
+	refused := c.pendingRefusals
+	c.pendingRefusals = nil
 	return refused
 }
 
-func (c *Controller) collectExpired(now time.Duration) {
+func (c *Controller) expireOverdue(now time.Duration) {
 	for len(c.expiry) > 0 && c.expiry[0].expires <= now {
 		e := c.expiry[0]
 		e.queue.remove(now, e)
-		c.forget(e)
-		c.refused = append(c.refused, *c.expired(e))
+		c.removeFromIndexes(e)
+		c.pendingRefusals = append(c.pendingRefusals, *c.expiryRefusal(e))
 	}
 }
 
-// NextExpiry returns when the next item expires; false when none can.
+// NextExpiry returns when the next item expires, and false if none can.
 func (c *Controller) NextExpiry() (time.Duration, bool) {
-	if len(c.refused) > 0 {
+	if len(c.pendingRefusals) > 0 {
 		return 0, true
 	}
 	if len(c.expiry) == 0 {
@@ -232,10 +230,10 @@
 	return c.expiry[0].expires, true
 }
 
-// Drain takes out and returns every waiting item, best class first and oldest
-// first within it. Items that have expired are left to Expire.
+// Drain removes and returns every waiting item, by class rank and then by age. Expired items are
+// left to Expire.
 func (c *Controller) Drain(now time.Duration) []Item {
-	c.collectExpired(now)
+	c.expireOverdue(now)
 	left := make([]*entry, 0, len(c.entries))
 	for _, e := range c.entries {
 		left = append(left, e)
@@ -244,7 +242,7 @@
 	items := make([]Item, len(left))
 	for position, e := range left {
 		e.queue.remove(now, e)
-		c.forget(e)
+		c.removeFromIndexes(e)
 		items[position] = e.item
 	}
 	return items
@@ -263,7 +261,7 @@
 // Waiting returns the number of waiting items.
 func (c *Controller) Waiting() int { return len(c.entries) }
 
-// WaitingIn returns the number of waiting items of a lane.
+// WaitingIn returns the number of waiting items in a lane.
 func (c *Controller) WaitingIn(name Lane) int {
 	l := c.byName[name]
 	if l == nil {
@@ -276,8 +274,8 @@
 	return total
 }
 
-// PredictWait predicts how long a new item of a class and tenant would wait;
-// false when too little service has been seen to tell.
+// PredictWait predicts the wait of a new item of a class and tenant. It returns false if the
+// service rate isn't known yet.
 func (c *Controller) PredictWait(now time.Duration, name Lane, class fleet.ClassName, tenant fleet.TenantName) (time.Duration, bool) {
 	l := c.byName[name]
 	if l == nil {
@@ -290,5 +288,5 @@
 	queue.meter.advance(now, queue.waiting > 0)
 	policy := c.table.tenant(tenant)
 	policy.Name = tenant
-	return l.waitEstimate(queue, policy)
+	return l.predictWait(queue, policy)
 }
--- a/internal/flowcontrol/lane.go
+++ b/internal/flowcontrol/lane.go
@@ -8,12 +8,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// lane holds the classes that compete for one set of engines.
+// lane holds the classes that compete for a set of engines.
 type lane struct {
 	name Lane
-	// classes is sorted by rank, then name.
+	// classes is sorted by rank, then by name.
 	classes []*classQueue
-	// order is scratch space for the order of one decision.
+	// order is scratch space for dispatchOrder.
 	order []*classQueue
 }
 
@@ -40,9 +40,9 @@
 	return queue
 }
 
-// decisionOrder lists the classes in the order in which they may dispatch:
-// first those owed a whole dispatch by their minimum share, then by rank.
-func (l *lane) decisionOrder() []*classQueue {
+// dispatchOrder returns the classes in the order in which they may dispatch: those with credit for
+// a whole dispatch first, then the rest, each by rank.
+func (l *lane) dispatchOrder() []*classQueue {
 	l.order = l.order[:0]
 	for _, queue := range l.classes {
 		if queue.waiting > 0 && queue.credit >= 1 {
@@ -57,9 +57,9 @@
 	return l.order
 }
 
-// settle books one dispatch against the minimum shares. Credit is capped, so
-// that a class which couldn't use it doesn't save it up for a burst.
-func (l *lane) settle(served *classQueue, scale float64) {
+// updateCredits accounts a dispatch against the minimum shares. Credit is capped, so a class can't
+// save it for a burst.
+func (l *lane) updateCredits(served *classQueue, scale float64) {
 	for _, queue := range l.classes {
 		if queue.waiting == 0 {
 			continue
@@ -69,26 +69,26 @@
 	served.credit = max(served.credit-1, 0)
 }
 
-// waitEstimate predicts how long a new item would wait; false when too little
-// service has been seen to tell.
-func (l *lane) waitEstimate(queue *classQueue, tenant TenantPolicy) (time.Duration, bool) {
-	ahead := queue.workAhead(tenant.Name, tenant.Weight)
+// predictWait predicts the wait of a new item. It returns false if items are queued ahead and
+// the service rate isn't known yet.
+func (l *lane) predictWait(queue *classQueue, tenant TenantPolicy) (time.Duration, bool) {
+	ahead := queue.tokensAhead(tenant.Name, tenant.Weight)
 	if ahead <= 0 {
 		return 0, true
 	}
-	rate, known := queue.meter.perSecond()
+	rate, known := queue.meter.tokensPerSecond()
 	if !known {
 		return 0, false
 	}
 	return secondsToDuration(ahead / rate), true
 }
 
-// maxEstimate keeps a prediction from overflowing a duration.
-const maxEstimate = 24 * time.Hour
+// maxPredictedWait prevents the prediction from overflowing a time.Duration.
+const maxPredictedWait = 24 * time.Hour
 
 func secondsToDuration(seconds float64) time.Duration {
-	if seconds >= maxEstimate.Seconds() {
-		return maxEstimate
+	if seconds >= maxPredictedWait.Seconds() {
+		return maxPredictedWait
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -1,11 +1,10 @@
-// Package placement is the whole decision state of a router: which engines
-// there are and what they hold, which requests wait, and which engine each one
-// gets. It joins the prefix index, the scheduler and flow control. A Core has
-// no I/O, goroutine or clock; the same calls with the same seed give the same
-// outcomes. It isn't safe for concurrent use.
+// Package placement holds the decision state of a router: the engines, their load and cached
+// prefixes, and the waiting requests. It combines the prefix index, the scheduler and flow control
+// to choose an engine for each request. A Core has no I/O, goroutines or clock; the same calls with
+// the same seed give the same outcomes. It isn't safe for concurrent use.
 //
-// Work waits here rather than at the engines, because its order can still
-// change here: an engine gets no more than a bounded queue.
+// Each engine's queue is bounded. Requests beyond the bound wait in the Core, where they can still
+// be reordered.
 package placement
 
 import (
@@ -18,32 +17,32 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// waitingRequest is a submitted request that has no outcome yet.
+// waitingRequest is a submitted request without an outcome.
 type waitingRequest struct {
 	request   Request
 	sequence  uint64
 	submitted time.Duration
 	deadline  time.Duration // absolute; 0 means none
 	rank      int
-	// maxWait is the longest wait of its class; 0 means no bound.
+	// maxWait is the class's maximum wait; 0 means no bound.
 	maxWait time.Duration
 	model   config.Model
-	// lane is where flow control holds the request; its model may have moved to
+	// lane is the lane in which flow control queued the request. The model may have moved to
 	// another pool since.
 	lane flowcontrol.Lane
 
-	// reconsiderAt is when the next look is worth its cost; heldFor is the
-	// grant whose computation of a common prefix is waited for, if any.
+	// reconsiderAt is the earliest time of the next placement attempt. blockedOn is the grant whose
+	// computation of a common prefix the request waits for, if any.
 	reconsiderAt time.Duration
-	looks        int
-	heldFor      *grantState
-	parkedAt     *engineState
+	backoffSteps int
+	blockedOn    *grantState
+	parkedOn     *engineState
 	parkedTokens int
-	// reason says why the last look placed it nowhere.
+	// reason says why the last placement attempt failed.
 	reason string
 }
 
-// Core is a router's decision state.
+// Core is the decision state of a router.
 type Core struct {
 	options   Options
 	now       time.Duration
@@ -56,13 +55,13 @@
 	scheduler *scheduling.Scheduler
 
 	engines map[fleet.EngineID]*engineState
-	// past remembers the engines that the list doesn't show any more.
-	past map[fleet.EngineID]pastRun
-	// ordered lists every engine by identifier, byPool those of each pool that
-	// are owned and not leaving.
+	// pastRuns holds what is kept of engines that have left the machine list.
+	pastRuns map[fleet.EngineID]pastRun
+	// ordered lists every engine by identifier; byPool lists the owned engines of each pool that
+	// aren't leaving.
 	ordered []*engineState
 	byPool  map[fleet.PoolName][]*engineState
-	// foreign counts the engines of each pool that other routers alone own.
+	// foreign counts the engines of each pool that only other routers own.
 	foreign map[fleet.PoolName]int
 
 	waiting  map[Key]*waitingRequest
@@ -75,10 +74,10 @@
 	outcomes []Outcome
 	history  *history
 
-	choice   choice
-	hopeless []*waitingRequest
-	rooms    map[roomKey]room
-	nextLook time.Duration
+	choice         choice
+	infeasible     []*waitingRequest
+	capacities     map[capacityKey]poolCapacity
+	nextReconsider time.Duration
 
 	matches   []prefixindex.Match
 	matchStep uint64
@@ -89,25 +88,24 @@
 func New(options Options) *Core {
 	options = options.withDefaults()
 	return &Core{
-		options:   options,
-		owned:     func(fleet.EngineID) bool { return true },
-		flow:      flowcontrol.New(options.Flow),
-		index:     prefixindex.New(options.Index),
-		scheduler: scheduling.New(options.Scheduling),
-		engines:   make(map[fleet.EngineID]*engineState),
-		past:      make(map[fleet.EngineID]pastRun),
-		byPool:    make(map[fleet.PoolName][]*engineState),
-		foreign:   make(map[fleet.PoolName]int),
-		waiting:   make(map[Key]*waitingRequest),
-		grants:    make(map[Key]*grantState),
-		history:   newHistory(options.ExplainRing),
-		rooms:     make(map[roomKey]room),
+		options:    options,
+		owned:      func(fleet.EngineID) bool { return true },
+		flow:       flowcontrol.New(options.Flow),
+		index:      prefixindex.New(options.Index),
+		scheduler:  scheduling.New(options.Scheduling),
+		engines:    make(map[fleet.EngineID]*engineState),
+		pastRuns:   make(map[fleet.EngineID]pastRun),
+		byPool:     make(map[fleet.PoolName][]*engineState),
+		foreign:    make(map[fleet.PoolName]int),
+		waiting:    make(map[Key]*waitingRequest),
+		grants:     make(map[Key]*grantState),
+		history:    newHistory(options.ExplainRing),
+		capacities: make(map[capacityKey]poolCapacity),
 	}
 }
 
-// ApplyConfig takes over a configuration. A revision that isn't higher than the
-// present one is ignored. Waiting requests of weights that don't serve any
-// more are refused.
+// ApplyConfig applies a configuration. It ignores a revision that isn't higher than the current
+// one. Waiting requests whose model version is no longer serving are refused.
 func (c *Core) ApplyConfig(now time.Duration, view *config.View) {
 	if c.view != nil && view.Revision() <= c.view.Revision() {
 		return
@@ -120,10 +118,10 @@
 	}
 	for _, state := range c.ordered {
 		c.applyDirectives(state)
-		c.place(state)
+		c.updatePools(state)
 	}
 	c.refreshRequests()
-	c.recheck(now)
+	c.recheckWaiting(now)
 	c.Tick(now)
 }
 
@@ -147,8 +145,8 @@
 	return policy
 }
 
-// refreshRequests brings what waiting requests hold of the configuration up to
-// date. Models that are gone are dealt with by recheck.
+// refreshRequests updates the class and model settings of waiting requests. It leaves removed
+// models to recheckWaiting.
 func (c *Core) refreshRequests() {
 	for _, waiting := range c.waiting {
 		c.unpark(waiting)
@@ -156,16 +154,15 @@
 			waiting.rank = class.Rank
 			waiting.maxWait = time.Duration(class.MaxWait)
 		}
-		if model, found := c.view.Model(waiting.request.Weights.Model); found {
+		if model, found := c.view.Model(waiting.request.ModelVersion.Model); found {
 			waiting.model = model
 		}
 	}
 }
 
-// Submit asks for a placement. Exactly one outcome follows, at once or later,
-// unless Withdraw returns true first. A key that already waits is left as it
-// is and shares its outcome; a key with a grant gives the grant up, because an
-// agent that asks again hasn't got it.
+// Submit requests a placement. Exactly one outcome follows, at once or later, unless Withdraw
+// returns true first. Submitting a key that already waits has no effect. Submitting a key that has
+// a grant releases the grant, because an agent that asks again didn't receive it.
 func (c *Core) Submit(now time.Duration, request Request) {
 	c.advance(now)
 	if _, found := c.waiting[request.Key]; found {
@@ -180,7 +177,7 @@
 		return
 	}
 	c.enqueue(now, waiting)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 func (c *Core) enqueue(now time.Duration, waiting *waitingRequest) {
@@ -188,7 +185,7 @@
 	if request.Deadline > 0 {
 		waiting.deadline = now + request.Deadline
 	}
-	waiting.model, _ = c.view.Model(request.Weights.Model)
+	waiting.model, _ = c.view.Model(request.ModelVersion.Model)
 	if class, found := c.view.Class(request.Class); found {
 		waiting.rank = class.Rank
 		waiting.maxWait = time.Duration(class.MaxWait)
@@ -216,20 +213,19 @@
 	c.concludeRefused(now)
 }
 
-// Withdraw takes back a request whose caller is gone. It returns true when the
-// request still waited; then no outcome follows.
+// Withdraw cancels a request whose caller is gone. It reports whether the request was still
+// waiting; if so, no outcome follows.
 func (c *Core) Withdraw(now time.Duration, key Key) bool {
 	c.advance(now)
 	waiting := c.waiting[key]
 	if waiting == nil || !c.flow.Remove(now, key) {
 		return false
 	}
-	c.leaveQueue(waiting)
+	c.dequeue(waiting)
 	return true
 }
 
-// Drain hands every waiting request back, and from now on every new one.
-// Grants in flight are still counted and reported on.
+// Drain hands back every waiting request and all later ones. Grants in flight are still tracked.
 func (c *Core) Drain(now time.Duration) {
 	c.advance(now)
 	c.draining = true
@@ -238,7 +234,7 @@
 	}
 }
 
-// Tick does what is due at now. Call it at NextWake or earlier.
+// Tick does the work that is due at now. Call it at NextWake or earlier.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	for _, state := range c.ordered {
@@ -246,24 +242,24 @@
 			state.feed.Tick(now)
 		}
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// advance moves the time and refuses and expires what is overdue.
+// advance moves the clock, expires overdue grants and refuses expired requests.
 func (c *Core) advance(now time.Duration) {
 	c.now = max(c.now, now)
 	c.expireGrants(now)
 	c.concludeRefused(now)
 }
 
-// concludeRefused gives the requests that flow control gave up their outcome.
+// concludeRefused concludes the requests that flow control refused.
 func (c *Core) concludeRefused(now time.Duration) {
 	for _, refusal := range c.flow.Expire(now) {
 		c.conclude(c.waiting[refusal.Key], Refusal(refusal))
 	}
 }
 
-// NextWake returns when Tick is due next; false when nothing is.
+// NextWake returns when Tick is next due, and false if nothing is.
 func (c *Core) NextWake() (time.Duration, bool) {
 	wake, found := c.flow.NextExpiry()
 	consider := func(at time.Duration) {
@@ -274,8 +270,8 @@
 	if len(c.grantExpiry) > 0 {
 		consider(c.grantExpiry[0].expires)
 	}
-	if len(c.waiting) > 0 && c.nextLook > 0 {
-		consider(c.nextLook)
+	if len(c.waiting) > 0 && c.nextReconsider > 0 {
+		consider(c.nextReconsider)
 	}
 	return wake, found
 }
@@ -287,22 +283,22 @@
 	return outcomes
 }
 
-// conclude gives a request its one outcome.
+// conclude records the outcome of a request and removes it from the queue.
 func (c *Core) conclude(waiting *waitingRequest, outcome Outcome) {
-	c.leaveQueue(waiting)
+	c.dequeue(waiting)
 	c.outcomes = append(c.outcomes, outcome)
 	c.history.add(Explanation{
-		Key:       waiting.request.Key,
-		Tenant:    waiting.request.Tenant,
-		Class:     waiting.request.Class,
-		Weights:   waiting.request.Weights,
-		Submitted: waiting.submitted,
-		Decided:   c.now,
-		Outcome:   outcome,
+		Key:          waiting.request.Key,
+		Tenant:       waiting.request.Tenant,
+		Class:        waiting.request.Class,
+		ModelVersion: waiting.request.ModelVersion,
+		Submitted:    waiting.submitted,
+		Decided:      c.now,
+		Outcome:      outcome,
 	})
 }
 
-func (c *Core) leaveQueue(waiting *waitingRequest) {
+func (c *Core) dequeue(waiting *waitingRequest) {
 	c.unpark(waiting)
 	delete(c.waiting, waiting.request.Key)
 }
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -8,32 +8,32 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// maxLookDelay bounds, in units of Options.Reconsider, how long a request that
-// waits for a warm engine goes without another look.
-const maxLookDelay = 5
+// maxBackoffSteps bounds the backoff between placement attempts, in units of
+// Options.ReconsiderInterval.
+const maxBackoffSteps = 5
 
-// minimumLookDelay keeps a queue that is hardly over its bound from causing a
-// burst of looks.
-const minimumLookDelay = time.Millisecond
+// minReconsiderDelay is the minimum time until the next placement attempt. It prevents bursts of
+// attempts while a queue is barely over its bound.
+const minReconsiderDelay = time.Millisecond
 
-// choice is the engine that admit found for the request it accepted last.
+// choice is the engine that admit selected for the last accepted request.
 type choice struct {
 	waiting  *waitingRequest
 	state    *engineState
 	decision scheduling.Decision
 }
 
-// pump places waiting requests as long as engines take them.
-func (c *Core) pump(now time.Duration) {
-	c.nextLook = 0
+// dispatchWaiting places waiting requests until no engine accepts one.
+func (c *Core) dispatchWaiting(now time.Duration) {
+	c.nextReconsider = 0
 	if len(c.waiting) == 0 {
 		return
 	}
 	admit := func(item flowcontrol.Item) bool { return c.admit(now, c.waiting[item.Key]) }
 	for {
-		clear(c.rooms)
+		clear(c.capacities)
 		_, found := c.flow.Next(now, admit)
-		c.refuseHopeless(now)
+		c.refuseInfeasible(now)
 		if !found {
 			return
 		}
@@ -41,27 +41,27 @@
 	}
 }
 
-// admit looks for an engine for one request and notes it in c.choice.
+// admit reports whether a request can be placed now, and stores the selected engine in c.choice.
 func (c *Core) admit(now time.Duration, waiting *waitingRequest) bool {
-	if waiting == nil || !c.worthALook(now, waiting) {
+	if waiting == nil || !c.shouldReconsider(now, waiting) {
 		return false
 	}
-	pool := c.roomIn(now, waiting)
-	if !pool.open {
+	capacity := c.capacityFor(now, waiting)
+	if !capacity.available {
 		waiting.reason = "every engine of the pool is full"
-		c.lookAgain(pool.opens)
+		c.reconsiderBy(capacity.availableAt)
 		return false
 	}
 	c.unpark(waiting)
 	decision, found := c.schedule(now, waiting)
 	if !found {
 		waiting.reason = "no engine is ready with the weights"
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return false
 	}
 	if decision.Late {
-		c.hopeless = append(c.hopeless, waiting)
-		c.postpone(waiting, now)
+		c.infeasible = append(c.infeasible, waiting)
+		c.backOff(waiting, now)
 		return false
 	}
 	state := c.engines[decision.Endpoint.Run.Engine]
@@ -72,86 +72,87 @@
 	return true
 }
 
-// worthALook tells whether anything can have changed since the last look.
-func (c *Core) worthALook(now time.Duration, waiting *waitingRequest) bool {
-	if waiting.heldFor != nil {
-		if waiting.heldFor.stillComputing(now) {
-			c.lookAgain(waiting.heldFor.computingUntil)
+// shouldReconsider reports whether the result of a placement attempt may differ from the last one.
+func (c *Core) shouldReconsider(now time.Duration, waiting *waitingRequest) bool {
+	if waiting.blockedOn != nil {
+		if waiting.blockedOn.isPrefilling(now) {
+			c.reconsiderBy(waiting.blockedOn.prefillOverdueAt)
 			return false
 		}
-		waiting.heldFor = nil
+		waiting.blockedOn = nil
 		return true
 	}
 	if now < waiting.reconsiderAt {
-		c.lookAgain(waiting.reconsiderAt)
+		c.reconsiderBy(waiting.reconsiderAt)
 		return false
 	}
 	return true
 }
 
-// mustWait tells whether the cheapest engine is one to wait for: it has enough
-// queued, or computes now what the request would otherwise compute again.
+// mustWait reports whether the request should wait for the cheapest engine: its streams or queue
+// are full, or it is already computing a prefix that the request shares.
 func (c *Core) mustWait(now time.Duration, waiting *waitingRequest, state *engineState, decision scheduling.Decision) bool {
 	if state.streams() >= c.streamLimit(waiting) {
 		waiting.reason = "the cheapest engine's streams are taken"
 		c.park(waiting, state, decision)
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return true
 	}
 	if c.queueExcess(now, state, waiting) > 0 {
 		waiting.reason = "the cheapest engine's queue is full"
 		c.park(waiting, state, decision)
-		c.postpone(waiting, now)
+		c.backOff(waiting, now)
 		return true
 	}
-	pending, computing := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
+	pending, prefilling := state.pendingBlocks(waiting.request.Blocks, waiting.rank)
 	uncomputed := (pending - decision.Endpoint.CachedBlocks) * waiting.model.BlockTokens
 	if c.options.HoldTokens < 0 || uncomputed < c.options.HoldTokens {
 		return false
 	}
 	waiting.reason = "an earlier request computes the common prefix"
-	waiting.heldFor = computing
+	waiting.blockedOn = prefilling
 	c.park(waiting, state, decision)
-	c.lookAgain(computing.computingUntil)
+	c.reconsiderBy(prefilling.prefillOverdueAt)
 	return true
 }
 
-// postpone puts the next look off, the longer the more looks were in vain.
-func (c *Core) postpone(waiting *waitingRequest, now time.Duration) {
-	waiting.looks = min(waiting.looks+1, maxLookDelay)
-	waiting.reconsiderAt = now + time.Duration(waiting.looks)*c.options.Reconsider
-	c.lookAgain(waiting.reconsiderAt)
+// backOff delays the next placement attempt, longer after each failed one.
+func (c *Core) backOff(waiting *waitingRequest, now time.Duration) {
+	waiting.backoffSteps = min(waiting.backoffSteps+1, maxBackoffSteps)
+	waiting.reconsiderAt = now + time.Duration(waiting.backoffSteps)*c.options.ReconsiderInterval
+	c.reconsiderBy(waiting.reconsiderAt)
 }
 
-// lookAgain asks for a Tick at a time; 0 asks for none.
-func (c *Core) lookAgain(at time.Duration) {
+// reconsiderBy requests a Tick at the given time; 0 requests none.
+func (c *Core) reconsiderBy(at time.Duration) {
 	if at <= 0 {
 		return
 	}
-	at = max(at, c.now+minimumLookDelay)
-	if c.nextLook == 0 || at < c.nextLook {
-		c.nextLook = at
+	at = max(at, c.now+minReconsiderDelay)
+	if c.nextReconsider == 0 || at < c.nextReconsider {
+		c.nextReconsider = at
 	}
 }
 
-// park counts a waiting request's work against the engine it waits for, so
-// that those behind it see the whole queue.
+// park adds a waiting request's work to the engine that it waits for, so that later requests see
+// the whole queue.
 func (c *Core) park(waiting *waitingRequest, state *engineState, decision scheduling.Decision) {
-	waiting.parkedAt = state
+	waiting.parkedOn = state
 	waiting.parkedTokens = max(waiting.tokens()-decision.CachedTokens, 0)
 	state.park(waiting.rank, waiting.parkedTokens)
 }
 
 func (c *Core) unpark(waiting *waitingRequest) {
-	if waiting.parkedAt == nil {
+	if waiting.parkedOn == nil {
 		return
 	}
-	waiting.parkedAt.unpark(waiting.rank, waiting.parkedTokens)
-	waiting.parkedAt = nil
+	waiting.parkedOn.unpark(waiting.rank, waiting.parkedTokens)
+	waiting.parkedOn = nil
 	waiting.parkedTokens = 0
 }
 
-// tokens is the length of what the engine has to hold before it goes on.
+// tokens returns the number of tokens that the engine must have in its cache before it generates
+// output.
 func (w *waitingRequest) tokens() int {
 	return w.request.PromptTokens + w.request.ContinuationTokens
 }
@@ -179,9 +180,9 @@
 	c.history.last().Decision = &decision
 }
 
-// refuseHopeless refuses the requests that no engine can serve in time.
-func (c *Core) refuseHopeless(now time.Duration) {
-	for _, waiting := range c.hopeless {
+// refuseInfeasible refuses the requests that no engine can answer before their deadline.
+func (c *Core) refuseInfeasible(now time.Duration) {
+	for _, waiting := range c.infeasible {
 		key := waiting.request.Key
 		if c.waiting[key] != waiting || !c.flow.Remove(now, key) {
 			continue
@@ -190,8 +191,8 @@
 			Key:        key,
 			Code:       resultcode.DeadlineTooShort,
 			Reason:     "no engine is predicted to answer before the deadline",
-			RetryAfter: c.flow.Spread(c.options.MaxEngineQueue),
+			RetryAfter: c.flow.JitterRetryAfter(c.options.MaxEngineQueue),
 		}))
 	}
-	c.hopeless = c.hopeless[:0]
+	c.infeasible = c.infeasible[:0]
 }
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -22,9 +22,9 @@
 	batch           = fleet.ClassName("batch")
 )
 
-var testWeights = fleet.ModelVersion{Model: "model", Version: "v1"}
+var testModelVersion = fleet.ModelVersion{Model: "model", Version: "v1"}
 
-// testDocument has one pool with ten streams an engine and two classes.
+// testDocument returns a configuration of one pool with ten streams per engine and two classes.
 func testDocument(revision fleet.Revision) config.Document {
 	return config.Document{
 		Revision: revision,
@@ -85,11 +85,11 @@
 	b.core.ObserveStatus(b.now, b.status(id, incarnation))
 }
 
-// status is an idle engine's status, measured now, at 100 µs a token.
+// status returns the status of an idle engine, measured now, at 100 µs per token.
 func (b *bench) status(id fleet.EngineID, incarnation fleet.Incarnation) engine.Status {
 	return engine.Status{
 		Engine: id, Incarnation: incarnation, Role: engine.RoleServe, BlockTokens: testBlockTokens,
-		Loaded: []engine.Weights{engine.Weights(testWeights)},
+		Loaded: []engine.Weights{engine.Weights(testModelVersion)},
 		Load: engine.Load{
 			MeasuredAtMillis: b.now.Milliseconds(), StepTokens: 1000, PrefillMicrosPerToken: 100, StepMicros: 1000,
 		},
@@ -98,10 +98,11 @@
 
 func keyOf(request string) Key { return Key{Request: fleet.RequestID(request), Attempt: 1} }
 
-// request has a prompt of the given blocks; equal prompts have equal blocks.
+// request returns a request whose prompt has the given number of blocks. Equal prompts have equal
+// blocks.
 func request(name string, class fleet.ClassName, prompt string, blocks int) Request {
 	made := Request{
-		Key: keyOf(name), Tenant: "tenant", Weights: testWeights, Class: class,
+		Key: keyOf(name), Tenant: "tenant", ModelVersion: testModelVersion, Class: class,
 		PromptTokens: blocks*testBlockTokens + 1, MaxTokens: 10, AgentZone: "zone",
 	}
 	seed := uint64(len(prompt)) << 32
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -12,42 +12,42 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// ObserveMachine takes one entry of the list of machines. Entries of other
-// kinds and of a run older than the newest known are ignored.
+// ObserveMachine applies an entry of the machine list. It ignores entries of other kinds and of a
+// run older than the newest known one.
 func (c *Core) ObserveMachine(now time.Duration, machine platform.Machine) {
 	if machine.Kind != platform.MachineEngine {
 		return
 	}
 	c.advance(now)
 	id := fleet.EngineID(machine.ID)
-	if machine.Incarnation < c.newestRun(id) {
+	if machine.Incarnation < c.newestIncarnation(id) {
 		return
 	}
 	state := c.engines[id]
 	if state == nil {
 		state = c.addEngine(id)
 	}
-	c.beginIfNewer(now, state, machine.Incarnation)
+	c.resetIfNewer(now, state, machine.Incarnation)
 	state.machine = machine
 	if machine.State == platform.MachineLeaving {
-		state.leave(LeavingList)
+		state.markLeaving(LeavingMachineList)
 	}
 	c.applyDirectives(state)
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// newestRun returns the highest incarnation ever known of an engine.
-func (c *Core) newestRun(id fleet.EngineID) fleet.Incarnation {
+// newestIncarnation returns the highest known incarnation of an engine.
+func (c *Core) newestIncarnation(id fleet.EngineID) fleet.Incarnation {
 	if state := c.engines[id]; state != nil {
 		return state.run.Incarnation
 	}
-	return c.past[id].incarnation
+	return c.pastRuns[id].incarnation
 }
 
 func (c *Core) addEngine(id fleet.EngineID) *engineState {
-	state := newEngineState(id, c.past[id])
-	delete(c.past, id)
+	state := newEngineState(id, c.pastRuns[id])
+	delete(c.pastRuns, id)
 	state.owned = c.owned(id)
 	c.engines[id] = state
 	position, _ := slices.BinarySearchFunc(c.ordered, state, compareEngines)
@@ -55,8 +55,8 @@
 	return state
 }
 
-// ForgetMachine notes that the list doesn't show an engine any more. All that
-// stays known is its newest run and whether that was leaving.
+// ForgetMachine removes an engine that has left the machine list. Only its newest incarnation and
+// its leaving state are kept.
 func (c *Core) ForgetMachine(now time.Duration, id fleet.EngineID) {
 	state := c.engines[id]
 	if state == nil {
@@ -64,52 +64,51 @@
 	}
 	c.advance(now)
 	c.dropGrantsOf(now, state)
-	c.past[id] = pastRun{incarnation: state.run.Incarnation, leaving: state.leaving}
+	c.pastRuns[id] = pastRun{incarnation: state.run.Incarnation, leaving: state.leaving}
 	delete(c.engines, id)
 	position, _ := slices.BinarySearchFunc(c.ordered, state, compareEngines)
 	c.ordered = slices.Delete(c.ordered, position, position+1)
 	state.owned = false
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// ObserveStatus takes an engine's word about itself. An engine that the list
-// doesn't show is ignored, since its address isn't known.
+// ObserveStatus applies a status reported by an engine. It ignores an engine that isn't in the
+// machine list, because its address isn't known.
 func (c *Core) ObserveStatus(now time.Duration, status engine.Status) {
 	state := c.engines[status.Engine]
 	if state == nil || status.Incarnation < state.run.Incarnation {
 		return
 	}
 	c.advance(now)
-	c.beginIfNewer(now, state, status.Incarnation)
-	state.takeStatus(now, status)
-	state.load.take(now, status.Load, c.options.DispatchDelay)
+	c.resetIfNewer(now, state, status.Incarnation)
+	state.updateStatus(now, status)
+	state.load.applyReport(now, status.Load, c.options.DispatchDelay)
 	if status.Leaving {
-		state.leave(LeavingEngine)
+		state.markLeaving(LeavingEngine)
 	}
 	c.engineChanged(now, state)
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// ObserveUnreachable notes that an engine didn't answer. It gets no work until
-// its next status.
+// ObserveUnreachable records that an engine didn't answer. It gets no work until its next status.
 func (c *Core) ObserveUnreachable(now time.Duration, id fleet.EngineID) {
 	if state := c.engines[id]; state != nil {
 		c.advance(now)
 		state.unreachable = true
-		c.pump(now)
+		c.dispatchWaiting(now)
 	}
 }
 
-// NeedsStatus returns the engines whose status is wanted at once, by
-// identifier: those that haven't given one or were said to be lost.
+// NeedsStatus returns, by identifier, the owned engines whose status is needed at once: those
+// without a status and those marked unreachable.
 func (c *Core) NeedsStatus() []fleet.EngineID {
 	return c.selectEngines(func(state *engineState) bool {
 		return state.status == nil || state.unreachable
 	})
 }
 
-// ObserveCacheEvents takes an engine's answer to a poll for cache events.
+// ObserveCacheEvents applies an engine's answer to a poll for cache events.
 func (c *Core) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
 	state := c.cacheSource(now, id, events.Incarnation)
 	if state == nil {
@@ -118,7 +117,7 @@
 	state.feed.Apply(now, events)
 }
 
-// ObserveCacheSnapshot takes the whole set of an engine's cached blocks.
+// ObserveCacheSnapshot applies a snapshot of an engine's cached blocks.
 func (c *Core) ObserveCacheSnapshot(now time.Duration, id fleet.EngineID, snapshot engine.CacheSnapshot) {
 	state := c.cacheSource(now, id, snapshot.Incarnation)
 	if state == nil {
@@ -127,8 +126,8 @@
 	state.feed.ApplySnapshot(now, snapshot)
 }
 
-// cacheSource returns the engine whose feed takes an answer of the given
-// incarnation, or nil. An answer of a newer one ends the run known so far.
+// cacheSource returns the engine whose feed accepts an answer of the given incarnation, or nil. A
+// newer incarnation replaces the current run.
 func (c *Core) cacheSource(now time.Duration, id fleet.EngineID, incarnation fleet.Incarnation) *engineState {
 	state := c.engines[id]
 	if state == nil || incarnation < state.run.Incarnation {
@@ -138,26 +137,26 @@
 	if state.feed == nil {
 		return nil
 	}
-	if c.beginIfNewer(now, state, incarnation) {
+	if c.resetIfNewer(now, state, incarnation) {
 		c.engineChanged(now, state)
-		c.pump(now)
+		c.dispatchWaiting(now)
 	}
 	return state
 }
 
-// NeedsSnapshot returns the engines whose cached blocks are to be fetched whole
-// now, by identifier. Each is named once until the feed asks again.
+// NeedsSnapshot returns, by identifier, the engines whose cache snapshot is to be fetched now. It
+// names an engine once per request of its feed.
 func (c *Core) NeedsSnapshot() []fleet.EngineID {
 	return c.selectEngines(func(state *engineState) bool {
-		return state.feed != nil && state.feed.WantSnapshot(c.now)
+		return state.feed != nil && state.feed.RequestSnapshot(c.now)
 	})
 }
 
-// Synchronised tells whether every engine that gets requests here has given its
-// status and its whole cache once.
+// Synchronised reports whether every engine that this router places on has reported its status and
+// has had a complete cache snapshot.
 func (c *Core) Synchronised() bool {
 	for _, state := range c.ordered {
-		if !state.placeable() {
+		if !state.isPlaceable() {
 			continue
 		}
 		if state.status == nil || state.feed == nil || state.feed.Counts().Snapshots == 0 {
@@ -167,8 +166,8 @@
 	return true
 }
 
-// EventsAfter returns the sequence number and the incarnation from which an
-// engine's cache events are to be polled; false when they aren't followed.
+// EventsAfter returns the sequence number and incarnation from which to poll an engine's cache
+// events, and false if the router doesn't follow them.
 func (c *Core) EventsAfter(id fleet.EngineID) (uint64, fleet.Incarnation, bool) {
 	state := c.engines[id]
 	if state == nil || state.feed == nil {
@@ -177,20 +176,20 @@
 	return state.feed.After(), state.run.Incarnation, true
 }
 
-// SetOwned says which engines this router owns. Only these get requests here
-// and only their caches are followed.
+// SetOwned sets which engines this router owns. The router places requests on owned engines only
+// and follows only their caches.
 func (c *Core) SetOwned(owned func(fleet.EngineID) bool) {
 	c.owned = owned
 	for _, state := range c.ordered {
 		state.owned = owned(state.run.Engine)
 		if !state.owned {
-			state.disown()
+			state.releaseOwnership()
 		}
-		c.follow(state)
-		c.place(state)
+		c.updateFeed(state)
+		c.updatePools(state)
 	}
-	c.recheck(c.now)
-	c.pump(c.now)
+	c.recheckWaiting(c.now)
+	c.dispatchWaiting(c.now)
 }
 
 // selectEngines returns the owned engines that match, by identifier.
@@ -206,32 +205,31 @@
 
 func compareEngines(a, b *engineState) int { return cmp.Compare(a.run.Engine, b.run.Engine) }
 
-// beginIfNewer starts over with a newer run of an engine.
-func (c *Core) beginIfNewer(now time.Duration, state *engineState, incarnation fleet.Incarnation) bool {
+// resetIfNewer replaces an engine's run by a newer one and reports whether it did.
+func (c *Core) resetIfNewer(now time.Duration, state *engineState, incarnation fleet.Incarnation) bool {
 	if incarnation <= state.run.Incarnation {
 		return false
 	}
 	c.dropGrantsOf(now, state)
 	c.index.RemoveRun(state.run)
-	state.begin(incarnation)
+	state.reset(incarnation)
 	c.applyDirectives(state)
-	c.follow(state)
+	c.updateFeed(state)
 	return true
 }
 
-// applyDirectives takes over the operators' standing orders about the present
-// run, as the newest known configuration has them.
+// applyDirectives applies the operators' directives on the current run.
 func (c *Core) applyDirectives(state *engineState) {
 	if c.view == nil {
 		return
 	}
-	state.directed = slices.ContainsFunc(c.view.Directives(state.run), func(directive config.Directive) bool {
+	state.drainDirected = slices.ContainsFunc(c.view.Directives(state.run), func(directive config.Directive) bool {
 		return directive.Kind == config.DirectiveDrain || directive.Kind == config.DirectiveRetire
 	})
 }
 
-// follow starts or stops keeping the index of an engine's cache.
-func (c *Core) follow(state *engineState) {
+// updateFeed starts or stops indexing an engine's cache according to ownership.
+func (c *Core) updateFeed(state *engineState) {
 	if state.owned && state.feed == nil {
 		state.feed = prefixindex.NewFeed(c.index, state.run, c.options.Feed)
 	}
@@ -241,20 +239,19 @@
 	}
 }
 
-// engineChanged brings the lists up to date after a change of one engine, and
-// gives an outcome to the requests that no engine is left for.
+// engineChanged updates the indexes after a change of one engine, and concludes the waiting
+// requests that have no engine left.
 func (c *Core) engineChanged(now time.Duration, state *engineState) {
-	c.follow(state)
-	if c.place(state) {
-		c.recheck(now)
+	c.updateFeed(state)
+	if c.updatePools(state) {
+		c.recheckWaiting(now)
 	}
 }
 
-// place brings an engine's place in the pools up to date. It returns true when
-// a pool lost the engine.
-func (c *Core) place(state *engineState) bool {
-	c.countForeign(state)
-	wanted := state.placeable()
+// updatePools updates the pool that lists an engine. It reports whether a pool lost the engine.
+func (c *Core) updatePools(state *engineState) bool {
+	c.updateForeignCount(state)
+	wanted := state.isPlaceable()
 	if wanted && state.inPool && state.pool == state.machine.Pool {
 		return false
 	}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/flowcontrol"
 )
 
-// EngineCondition sums up whether an engine gets requests.
+// EngineCondition summarises whether an engine gets requests.
 type EngineCondition string
 
 // Conditions of an engine.
@@ -18,11 +18,11 @@
 	EngineReady       EngineCondition = "ready"
 	EngineLeaving     EngineCondition = "leaving"
 	EngineUnreachable EngineCondition = "unreachable"
-	// EngineUnknown means that the present run hasn't given its status lately.
+	// EngineUnknown means that the current run hasn't reported its status recently.
 	EngineUnknown EngineCondition = "unknown"
 )
 
-// EngineSnapshot describes one listed engine.
+// EngineSnapshot describes a listed engine.
 type EngineSnapshot struct {
 	Run       fleet.EngineRun
 	Address   fleet.Address
@@ -33,15 +33,15 @@
 	Leaving   LeavingSource
 	Owned     bool
 	Loaded    []fleet.ModelVersion
-	// InFlight counts the streams granted here and not known to have ended,
-	// Streams also those of other routers.
+	// InFlight counts the streams granted here and not known to have ended. Streams also includes
+	// those of other routers.
 	InFlight int
 	Streams  int
 	// QueueTokens and QueueTime are the estimated prompt work.
 	QueueTokens int
 	QueueTime   time.Duration
-	// CachedBlocks is the number of blocks that the index has for the run;
-	// CacheTrusted is false after lost events, until a snapshot.
+	// CachedBlocks is the number of blocks that the index holds for the run. CacheTrusted is false
+	// before the first cache snapshot, and from a loss of events until the next one.
 	CachedBlocks int
 	CacheTrusted bool
 }
@@ -53,8 +53,8 @@
 	Draining bool
 	Engines  []EngineSnapshot
 	Waiting  []flowcontrol.ClassWaiting
-	// WaitingRequests and InFlight count requests and grants; LostGrants counts
-	// grants whose end was never reported.
+	// WaitingRequests and InFlight count requests and grants; LostGrants counts the grants whose
+	// end was never reported.
 	WaitingRequests int
 	InFlight        int
 	LostGrants      uint64
@@ -62,7 +62,7 @@
 	IndexBytes      int
 }
 
-// Snapshot returns the state at now, engines by identifier.
+// Snapshot returns the state at now, with engines ordered by identifier.
 func (c *Core) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		Node:            c.options.Node,
@@ -90,20 +90,20 @@
 		Address:      state.machine.Address,
 		Zone:         state.machine.Zone,
 		Pool:         state.machine.Pool,
-		Condition:    state.condition(now, c.options.ReadyFor),
-		Leaving:      state.leavingBy(),
+		Condition:    state.condition(now, c.options.StatusTTL),
+		Leaving:      state.leavingSource(),
 		Owned:        state.owned,
 		InFlight:     state.inFlight,
 		Streams:      state.streams(),
 		QueueTokens:  tokens,
-		QueueTime:    time.Duration(tokens) * state.load.speed(),
+		QueueTime:    time.Duration(tokens) * state.load.timePerToken(),
 		CachedBlocks: c.index.BlocksOf(state.run),
-		CacheTrusted: state.feed != nil && !state.feed.Distrusted(),
+		CacheTrusted: state.feed != nil && !state.feed.OutOfSync(),
 	}
 	if state.status != nil {
 		described.Role = state.status.Role
-		for _, weights := range state.status.Loaded {
-			described.Loaded = append(described.Loaded, fleet.ModelVersion(weights))
+		for _, version := range state.status.Loaded {
+			described.Loaded = append(described.Loaded, fleet.ModelVersion(version))
 		}
 	}
 	return described
@@ -111,26 +111,26 @@
 
 func (e *engineState) condition(now, readyFor time.Duration) EngineCondition {
 	switch {
-	case e.leavingBy() != LeavingNone:
+	case e.leavingSource() != LeavingNone:
 		return EngineLeaving
 	case e.unreachable:
 		return EngineUnreachable
-	case !e.ready(now, readyFor):
+	case !e.isReady(now, readyFor):
 		return EngineUnknown
 	default:
 		return EngineReady
 	}
 }
 
-// HoldersOf returns the engine runs believed to hold a block.
+// HoldersOf returns the engine runs that hold a block according to the index.
 func (c *Core) HoldersOf(hash fleet.BlockHash) []fleet.EngineRun { return c.index.HoldersOf(hash) }
 
-// Position tells where a waiting attempt stands; false when it doesn't wait.
+// Position returns the queue position of a waiting attempt, and false if it isn't waiting.
 func (c *Core) Position(now time.Duration, key Key) (flowcontrol.Position, bool) {
 	return c.flow.Position(now, key)
 }
 
-func sortNewestAttempt(explanations []Explanation) {
+func sortNewestFirst(explanations []Explanation) {
 	slices.SortFunc(explanations, func(a, b Explanation) int {
 		return cmp.Compare(b.Key.Attempt, a.Key.Attempt)
 	})
--- a/internal/placement/spill.go
+++ b/internal/placement/spill.go
@@ -8,59 +8,57 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// spillable tells whether another router may place a request that finds the
-// engines here saturated: some engines of the pool belong to others only, and
-// the agent hasn't been handed the request back too often.
-func (c *Core) spillable(waiting *waitingRequest) bool {
+// canSpill reports whether a request may be handed back because the engines here are saturated:
+// some engines of the pool are owned only by other routers, and the request hasn't reached
+// MaxSpills.
+func (c *Core) canSpill(waiting *waitingRequest) bool {
 	return waiting.request.Spills < c.options.MaxSpills && c.foreign[waiting.model.Pool] > 0
 }
 
-// spill returns the hand-back of a new request that would do better at another
-// router, or nil.
+// spill returns the hand-back of a new request that another router is likely to serve sooner, or
+// nil.
 func (c *Core) spill(now time.Duration, waiting *waitingRequest) Outcome {
 	foreign := c.foreign[waiting.model.Pool] > 0
-	if foreign && waiting.request.vainHops() < c.options.MaxHops && !c.anyReady(now, waiting) {
+	if foreign && waiting.request.nonSpillHops() < c.options.MaxHops && !c.hasReadyEngine(now, waiting) {
 		return HandBack{Key: waiting.request.Key, Reason: HandBackNoEngine}
 	}
-	if c.spillable(waiting) && c.saturated(now, waiting) {
+	if c.canSpill(waiting) && c.isSaturated(now, waiting) {
 		return HandBack{Key: waiting.request.Key, Reason: HandBackSaturated}
 	}
 	return nil
 }
 
-// vainHops counts the routers that handed the request back for another reason
-// than being saturated.
-func (r *Request) vainHops() int { return r.Hops - r.Spills }
+// nonSpillHops counts the hops for reasons other than saturation.
+func (r *Request) nonSpillHops() int { return r.Hops - r.Spills }
 
-// spillRefused returns the outcome of a request that is refused here: a
-// hand-back if it is for want of capacity and another router may have some.
+// spillRefused returns the outcome of a request that flow control or the scheduler refused: a
+// hand-back if capacity is short and another router may have some, else the refusal.
 func (c *Core) spillRefused(waiting *waitingRequest, refusal flowcontrol.Refusal) Outcome {
 	shortOfCapacity := refusal.Code == resultcode.Overloaded || refusal.Code == resultcode.DeadlineTooShort
-	if shortOfCapacity && c.spillable(waiting) {
+	if shortOfCapacity && c.canSpill(waiting) {
 		return HandBack{Key: refusal.Key, Reason: HandBackSaturated}
 	}
 	return Refusal(refusal)
 }
 
-// anyReady tells whether an engine of the request's pool is ready with its
-// weights.
-func (c *Core) anyReady(now time.Duration, waiting *waitingRequest) bool {
+// hasReadyEngine reports whether an engine of the request's pool is ready and serves its model
+// version.
+func (c *Core) hasReadyEngine(now time.Duration, waiting *waitingRequest) bool {
 	for _, state := range c.byPool[waiting.model.Pool] {
-		if state.ready(now, c.options.ReadyFor) && state.serves(waiting.request.Weights) {
+		if state.isReady(now, c.options.StatusTTL) && state.serves(waiting.request.ModelVersion) {
 			return true
 		}
 	}
 	return false
 }
 
-// saturated tells whether a request would wait here for longer than it is
-// worth, or so long that it would miss its deadline.
-func (c *Core) saturated(now time.Duration, waiting *waitingRequest) bool {
-	clear(c.rooms)
-	pool := c.roomIn(now, waiting)
+// isSaturated reports whether the predicted wait or the queue here is too long for a request.
+func (c *Core) isSaturated(now time.Duration, waiting *waitingRequest) bool {
+	clear(c.capacities)
+	capacity := c.capacityFor(now, waiting)
 	lane := flowcontrol.Lane(waiting.model.Pool)
 	queued := c.flow.WaitingIn(lane)
-	if pool.open && queued == 0 {
+	if capacity.available && queued == 0 {
 		return false
 	}
 	if queued >= c.options.SpillQueue*len(c.byPool[waiting.model.Pool]) {
@@ -70,16 +68,16 @@
 	if !known {
 		wait = 0
 	}
-	if pool.opens > now {
-		wait += pool.opens - now
+	if capacity.availableAt > now {
+		wait += capacity.availableAt - now
 	}
 	return wait > c.tolerableWait(now, waiting)
 }
 
-// tolerableWait is how long a request may wait here: SpillWait and the time to
-// compute elsewhere what an engine here holds, as far as its deadline lets it.
+// tolerableWait returns how long a request may wait here: SpillWait plus the time that the cached
+// prefix saves, limited by the request's deadline.
 func (c *Core) tolerableWait(now time.Duration, waiting *waitingRequest) time.Duration {
-	cached, uncached := c.promptTime(waiting)
+	cached, uncached := c.prefillTimes(waiting)
 	tolerable := c.options.SpillWait + cached
 	if waiting.deadline > 0 {
 		tolerable = min(tolerable, waiting.deadline-now-uncached)
@@ -87,18 +85,18 @@
 	return tolerable
 }
 
-// promptTime returns the time to compute the longest prefix that an owned
-// engine holds, and the time to compute the rest of the prompt.
-func (c *Core) promptTime(waiting *waitingRequest) (cached, uncached time.Duration) {
+// prefillTimes returns the time to compute the longest prefix that an owned engine holds, and the
+// least time in which an owned engine computes the rest of the prompt.
+func (c *Core) prefillTimes(waiting *waitingRequest) (cached, uncached time.Duration) {
 	c.matchBlocks(waiting.request.Blocks)
 	for position, state := range c.byPool[waiting.model.Pool] {
 		tokens := 0
-		if state.matchedAt == c.matchStep {
+		if state.matchedStep == c.matchStep {
 			tokens = min(state.matchedBlocks*waiting.model.BlockTokens, waiting.tokens())
 		}
-		speed := state.load.speed()
-		cached = max(cached, time.Duration(tokens)*speed)
-		rest := time.Duration(waiting.tokens()-tokens) * speed
+		perToken := state.load.timePerToken()
+		cached = max(cached, time.Duration(tokens)*perToken)
+		rest := time.Duration(waiting.tokens()-tokens) * perToken
 		if position == 0 || rest < uncached {
 			uncached = rest
 		}
@@ -106,20 +104,19 @@
 	return cached, uncached
 }
 
-// countForeign brings the number of engines that only other routers place on
-// up to date.
-func (c *Core) countForeign(state *engineState) {
+// updateForeignCount updates the count of engines that only other routers own.
+func (c *Core) updateForeignCount(state *engineState) {
 	listed := c.engines[state.run.Engine] == state
 	pool := fleet.PoolName("")
-	if listed && !state.owned && state.leavingBy() == LeavingNone {
+	if listed && !state.owned && state.leavingSource() == LeavingNone {
 		pool = state.machine.Pool
 	}
-	if pool == state.foreignTo {
+	if pool == state.foreignPool {
 		return
 	}
-	c.addForeign(state.foreignTo, -1)
+	c.addForeign(state.foreignPool, -1)
 	c.addForeign(pool, 1)
-	state.foreignTo = pool
+	state.foreignPool = pool
 }
 
 func (c *Core) addForeign(pool fleet.PoolName, change int) {
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -14,16 +14,16 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// newPartBench has two engines, of which the router owns the first.
-func newPartBench(t *testing.T) *bench {
+// newPartialOwnerBench has two engines, of which the router owns the first.
+func newPartialOwnerBench(t *testing.T) *bench {
 	b := newBench(t, 2)
 	b.core.SetOwned(func(id fleet.EngineID) bool { return id == "engine0" })
 	return b
 }
 
-// fillPart lets the owned engine's queue reach its bound with prompts of 1,600
-// tokens, which take 160 ms each.
-func (b *bench) fillPart() {
+// fillOwnedEngine fills the owned engine's queue to its bound with prompts of 1,600 tokens, 160 ms
+// each.
+func (b *bench) fillOwnedEngine() {
 	for number := range 3 {
 		made := request(fmt.Sprintf("fill%d", number), urgent, fmt.Sprintf("filler%d", number), 100)
 		made = withSpills(made, DefaultMaxSpills)
@@ -40,50 +40,50 @@
 	return []Outcome{HandBack{Key: keyOf(name), Reason: reason}}
 }
 
-// longQueue makes as many requests wait as the bound on the queue lets.
-func (b *bench) longQueue() {
+// fillQueue queues as many requests as SpillQueue allows.
+func (b *bench) fillQueue() {
 	for number := range DefaultSpillQueue {
 		made := request(fmt.Sprintf("queued%d", number), urgent, fmt.Sprintf("queue%d", number), 100)
 		require.Empty(b.t, b.submit(withSpills(made, DefaultMaxSpills)))
 	}
 }
 
-func TestSaturatedPartHandsBackAtOnce(t *testing.T) {
-	b := newPartBench(t)
-	b.fillPart()
-	b.longQueue()
+func TestSaturatedPartialOwnerHandsBackAtOnce(t *testing.T) {
+	b := newPartialOwnerBench(t)
+	b.fillOwnedEngine()
+	b.fillQueue()
 	for spills := range DefaultMaxSpills {
 		name := fmt.Sprintf("spills%d", spills)
 		assert.Equal(t, handedBack(name, HandBackSaturated), b.submit(withSpills(request(name, urgent, "new", 1), spills)))
 	}
 	waiting := b.core.Snapshot(b.now).WaitingRequests
 	last := withSpills(request("last", urgent, "new", 1), DefaultMaxSpills)
-	assert.Empty(t, b.submit(last), "the last router keeps it")
+	assert.Empty(t, b.submit(last), "the last router queues it")
 	assert.Equal(t, waiting+1, b.core.Snapshot(b.now).WaitingRequests)
 }
 
-func TestWholeCopyNeverSpills(t *testing.T) {
+func TestSoleOwnerNeverSpills(t *testing.T) {
 	b := newBench(t, 1)
-	b.fillPart()
-	b.longQueue()
+	b.fillOwnedEngine()
+	b.fillQueue()
 	assert.Empty(t, b.submit(request("first", urgent, "new", 1)))
 
-	part := newPartBench(t)
-	part.fillPart()
-	part.longQueue()
+	partial := newPartialOwnerBench(t)
+	partial.fillOwnedEngine()
+	partial.fillQueue()
 	leaving := machine("engine1", 1)
 	leaving.State = platform.MachineLeaving
-	part.core.ObserveMachine(part.now, leaving)
-	assert.Empty(t, part.submit(request("first", urgent, "new", 1)), "the others' last engine is leaving")
-	part.core.ForgetMachine(part.now, "engine1")
-	assert.Empty(t, part.core.foreign)
+	partial.core.ObserveMachine(partial.now, leaving)
+	assert.Empty(t, partial.submit(request("first", urgent, "new", 1)), "the last engine of other routers is leaving")
+	partial.core.ForgetMachine(partial.now, "engine1")
+	assert.Empty(t, partial.core.foreign)
 }
 
-// TestWantOfTimeIsSpilledBeforeItIsRefused submits a request that the owned
-// engine can't answer before its deadline.
-func TestWantOfTimeIsSpilledBeforeItIsRefused(t *testing.T) {
-	b := newPartBench(t)
-	b.fillPart()
+// TestTightDeadlineSpillsBeforeRefusal guards against refusing a request that another router may
+// answer before its deadline.
+func TestTightDeadlineSpillsBeforeRefusal(t *testing.T) {
+	b := newPartialOwnerBench(t)
+	b.fillOwnedEngine()
 	urgentSoon := request("soon", urgent, "new", 100)
 	urgentSoon.Deadline = 100 * time.Millisecond
 	assert.Equal(t, handedBack("soon", HandBackSaturated), b.submit(urgentSoon))
@@ -101,10 +101,10 @@
 	assert.Positive(t, refusal.RetryAfter)
 }
 
-// TestWarmPrefixIsWorthAWait fills the engine by 400 ms over its bound: too
-// long for a cold prompt, and less than a cached one of 6,400 tokens saves.
-func TestWarmPrefixIsWorthAWait(t *testing.T) {
-	b := newPartBench(t)
+// TestWarmPrefixRaisesTolerableWait guards against spilling a request whose cached prefix saves
+// more than the wait. The queue exceeds its bound by 400 ms; the cached prefix has 6,400 tokens.
+func TestWarmPrefixRaisesTolerableWait(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	warm := request("warm", urgent, "circular", 400)
 	b.core.ObserveCacheSnapshot(b.now, "engine0", engine.CacheSnapshot{Incarnation: 1, Sequence: 1, Hashes: warm.Blocks})
 	status := b.status("engine0", 1)
@@ -114,20 +114,20 @@
 	assert.Empty(t, b.submit(warm))
 }
 
-func TestPartWithoutReadyEngineHandsBack(t *testing.T) {
-	b := newPartBench(t)
+func TestPartialOwnerWithoutReadyEngineHandsBack(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	b.core.ObserveUnreachable(b.now, "engine0")
 	spilled := withSpills(request("spilled", urgent, "p", 1), DefaultMaxSpills)
-	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills aren't hops in vain")
+	assert.Equal(t, handedBack("spilled", HandBackNoEngine), b.submit(spilled), "spills don't count towards MaxHops")
 	last := request("last", urgent, "p", 1)
 	last.Hops = DefaultMaxHops
 	assert.Empty(t, b.submit(last))
 }
 
-// TestPartWithoutEngineRefusesInTheEnd follows a request whose pool has no
-// owner among the routers that it reaches.
-func TestPartWithoutEngineRefusesInTheEnd(t *testing.T) {
-	b := newPartBench(t)
+// TestPoolWithoutOwnerIsRefusedAfterMaxHops guards against endless hand-backs of a request whose
+// pool has no owner.
+func TestPoolWithoutOwnerIsRefusedAfterMaxHops(t *testing.T) {
+	b := newPartialOwnerBench(t)
 	b.core.SetOwned(func(fleet.EngineID) bool { return false })
 	made := request("r", urgent, "p", 1)
 	for made.Hops = 0; made.Hops < DefaultMaxForeignHops; made.Hops++ {
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -11,22 +11,22 @@
 // Defaults of FeedOptions.
 const (
 	DefaultReorderWindow  = 32
-	DefaultHoleTimeout    = 100 * time.Millisecond
+	DefaultGapTimeout     = 100 * time.Millisecond
 	DefaultReplayLimit    = 4096
 	DefaultResyncInterval = time.Second
 )
 
-// FeedOptions sets the limits of a Feed; zero fields take the defaults.
+// FeedOptions sets the limits of a Feed. Zero fields take their defaults.
 type FeedOptions struct {
-	// ReorderWindow is how many sequence numbers an event may be early before
-	// the missing ones count as lost.
+	// ReorderWindow is how many sequence numbers an event may be ahead before the missing ones
+	// count as lost.
 	ReorderWindow uint64
-	// HoleTimeout is how long a missing event is waited for.
-	HoleTimeout time.Duration
+	// GapTimeout is how long to wait for a missing event.
+	GapTimeout time.Duration
 	// ReplayLimit bounds the events kept for replay after a snapshot.
 	ReplayLimit int
-	// ResyncInterval is the least time between two requests for a snapshot, so
-	// that a stream that always loses events costs a bounded number of them.
+	// ResyncInterval is the minimum time between two requests for a snapshot. It bounds the cost of
+	// a stream that keeps losing events.
 	ResyncInterval time.Duration
 }
 
@@ -34,8 +34,8 @@
 	if o.ReorderWindow == 0 {
 		o.ReorderWindow = DefaultReorderWindow
 	}
-	if o.HoleTimeout == 0 {
-		o.HoleTimeout = DefaultHoleTimeout
+	if o.GapTimeout == 0 {
+		o.GapTimeout = DefaultGapTimeout
 	}
 	if o.ReplayLimit == 0 {
 		o.ReplayLimit = DefaultReplayLimit
@@ -46,84 +46,79 @@
 	return o
 }
 
-// FeedCounts counts what a feed has met.
+// FeedCounts counts the events and snapshots of a feed.
 type FeedCounts struct {
 	Applied    uint64
 	Duplicates uint64
-	// StaleRuns counts answers of another incarnation, which are dropped whole.
+	// StaleRuns counts answers of another incarnation, which are dropped.
 	StaleRuns uint64
 	// Gaps counts the times that events were found lost.
 	Gaps      uint64
 	Snapshots uint64
-	// StaleSnapshots counts snapshots older than what is already applied.
+	// StaleSnapshots counts snapshots older than the applied events.
 	StaleSnapshots uint64
 }
 
-// Feed brings the cache events of one engine run into an index, in order and
-// once each. Events that come a little early are held back.
+// Feed applies the cache events of an engine run to an index, in order and once each. It buffers
+// events that arrive slightly early.
 //
-// After a loss the run is distrusted until a snapshot: events are still applied
-// as they come and are kept for replay, since the snapshot is consistent at one
-// sequence number only. The blocks of a distrusted run count in full. A lost
-// removal makes the index promise a prefix that is gone, which costs one
-// recomputation at an engine that would compute the prefix anyway; a discount
-// would move hot prefixes away from engines that do hold them each time that an
-// event is lost, and so recompute much more.
+// After a loss the feed is out of sync until the next snapshot. Events are still applied as they
+// arrive, and are kept for replay because a snapshot is consistent at a single sequence number
+// only. The blocks of a run that is out of sync count in full: a stale block costs at most one
+// recomputation, while a discount would move popular prefixes away from engines that hold them.
 type Feed struct {
 	index   *Index
 	run     fleet.EngineRun
 	options FeedOptions
 
-	// applied is the last sequence number up to which nothing is missing.
+	// applied is the last sequence number before the first missing event.
 	applied uint64
-	// ahead holds later events by rising sequence number.
-	ahead     []engine.CacheEvent
-	holeSince time.Duration
-
-	distrusted bool
-	// askedAt is when a snapshot was last asked for, if ever.
-	askedAt time.Duration
-	asked   bool
-	// load is the snapshot that is being stored, if any.
-	load   *snapshotLoad
-	counts FeedCounts
+	// buffered holds later events by rising sequence number.
+	buffered []engine.CacheEvent
+	gapSince time.Duration
+
+	outOfSync bool
+	// requestedAt is when a snapshot was last requested; valid if requested is set.
+	requestedAt time.Duration
+	requested   bool
+	// loading is the snapshot being stored, if any.
+	loading *snapshotLoad
+	counts  FeedCounts
 }
 
-// NewFeed returns the feed of a run and adds the run to the index. The feed is
-// distrusted until its first snapshot: a router that has just started doesn't
-// know what an engine cached before.
+// NewFeed returns the feed of a run and adds the run to the index. The feed is out of sync until
+// its first snapshot, because the earlier contents of the engine's cache aren't known.
 func NewFeed(index *Index, run fleet.EngineRun, options FeedOptions) *Feed {
 	index.AddRun(run)
 	return &Feed{
-		index:      index,
-		run:        run,
-		options:    options.withDefaults(),
-		distrusted: true,
+		index:     index,
+		run:       run,
+		options:   options.withDefaults(),
+		outOfSync: true,
 	}
 }
 
 // Run returns the engine run that the feed follows.
 func (f *Feed) Run() fleet.EngineRun { return f.run }
 
-// Distrusted tells whether there was no snapshot yet or events have been lost
-// since the last one.
-func (f *Feed) Distrusted() bool { return f.distrusted }
+// OutOfSync reports whether the feed needs a snapshot: none has been applied yet, events have been
+// lost since the last one, or one is being stored.
+func (f *Feed) OutOfSync() bool { return f.outOfSync }
 
-// Counts returns what the feed has met so far.
+// Counts returns the feed's counts.
 func (f *Feed) Counts() FeedCounts { return f.counts }
 
-// After returns the highest sequence number seen, from which the engine is to
-// be polled.
+// After returns the highest sequence number received, from which to poll the engine.
 func (f *Feed) After() uint64 {
-	if len(f.ahead) == 0 {
+	if len(f.buffered) == 0 {
 		return f.applied
 	}
-	return max(f.applied, f.ahead[len(f.ahead)-1].Sequence)
+	return max(f.applied, f.buffered[len(f.buffered)-1].Sequence)
 }
 
-// Apply takes the answer to a poll at time now. It returns false when the
-// answer is of another incarnation: a higher one means that this run is dead
-// and the caller must remove it and start a new feed.
+// Apply applies the answer to a poll at time now. It returns false if the answer is of another
+// incarnation. If that incarnation is higher, the run has ended, and the caller must remove it and
+// start a new feed.
 func (f *Feed) Apply(now time.Duration, events engine.CacheEvents) bool {
 	if events.Incarnation != f.run.Incarnation {
 		f.counts.StaleRuns++
@@ -138,86 +133,86 @@
 
 // Tick gives up missing events that are overdue at time now.
 func (f *Feed) Tick(now time.Duration) {
-	if f.distrusted || len(f.ahead) == 0 {
+	if f.outOfSync || len(f.buffered) == 0 {
 		return
 	}
-	if now-f.holeSince >= f.options.HoleTimeout {
-		f.distrust()
+	if now-f.gapSince >= f.options.GapTimeout {
+		f.markOutOfSync()
 	}
 }
 
-// WantSnapshot tells whether a snapshot is to be fetched now, and notes that it
-// is. It stays false for ResyncInterval afterwards.
-func (f *Feed) WantSnapshot(now time.Duration) bool {
-	if !f.distrusted || f.load != nil {
+// RequestSnapshot reports whether a snapshot is to be fetched now. If so, it records the request
+// and returns false for the next ResyncInterval.
+func (f *Feed) RequestSnapshot(now time.Duration) bool {
+	if !f.outOfSync || f.loading != nil {
 		return false
 	}
-	if f.asked && now-f.askedAt < f.options.ResyncInterval {
+	if f.requested && now-f.requestedAt < f.options.ResyncInterval {
 		return false
 	}
-	f.asked = true
-	f.askedAt = now
+	f.requested = true
+	f.requestedAt = now
 	return true
 }
 
-// accept sorts one event into place.
+// accept applies, buffers or drops an event according to its sequence number.
 func (f *Feed) accept(now time.Duration, event engine.CacheEvent) {
-	position, present := slices.BinarySearchFunc(f.ahead, event.Sequence, compareSequence)
+	position, present := slices.BinarySearchFunc(f.buffered, event.Sequence, compareSequence)
 	if event.Sequence <= f.applied || present {
 		f.counts.Duplicates++
 		return
 	}
-	if f.distrusted {
-		f.applyNow(event)
-		f.keep(position, event)
+	if f.outOfSync {
+		f.applyEvent(event)
+		f.buffer(position, event)
 		return
 	}
 	if event.Sequence == f.applied+1 {
-		f.applyNow(event)
+		f.applyEvent(event)
 		f.applied++
-		f.applyReady()
-		f.holeSince = now
+		f.applyBuffered()
+		f.gapSince = now
 		return
 	}
-	if len(f.ahead) == 0 {
-		f.holeSince = now
+	if len(f.buffered) == 0 {
+		f.gapSince = now
 	}
-	f.keep(position, event)
+	f.buffer(position, event)
 	if event.Sequence-f.applied > f.options.ReorderWindow {
-		f.distrust()
+		f.markOutOfSync()
 	}
 }
 
-// keep holds an event for later, within ReplayLimit. Of too many the oldest
-// go, which a snapshot must then cover.
-func (f *Feed) keep(position int, event engine.CacheEvent) {
-	f.ahead = slices.Insert(f.ahead, position, event)
-	if excess := len(f.ahead) - f.options.ReplayLimit; excess > 0 {
-		f.ahead = slices.Delete(f.ahead, 0, excess)
+// buffer inserts an event into the buffer. Over ReplayLimit it drops the oldest events, which a
+// later snapshot must then cover.
+func (f *Feed) buffer(position int, event engine.CacheEvent) {
+	f.buffered = slices.Insert(f.buffered, position, event)
+	if excess := len(f.buffered) - f.options.ReplayLimit; excess > 0 {
+		f.buffered = slices.Delete(f.buffered, 0, excess)
 	}
 }
 
-// distrust gives up the missing events and applies those that waited for them.
-func (f *Feed) distrust() {
-	f.distrusted = true
+// markOutOfSync gives up the missing events and applies the buffered ones.
+func (f *Feed) markOutOfSync() {
+	f.outOfSync = true
 	f.counts.Gaps++
-	for _, event := range f.ahead {
-		f.applyNow(event)
+	for _, event := range f.buffered {
+		f.applyEvent(event)
 	}
 }
 
-// applyReady applies held events as far as none is missing.
-func (f *Feed) applyReady() {
+// applyBuffered applies buffered events up to the next missing one.
+func (f *Feed) applyBuffered() {
 	ready := 0
-	for ready < len(f.ahead) && f.ahead[ready].Sequence == f.applied+1 {
-		f.applyNow(f.ahead[ready])
+	for ready < len(f.buffered) && f.buffered[ready].Sequence == f.applied+1 {
+		f.applyEvent(f.buffered[ready])
 		f.applied++
 		ready++
 	}
-	f.ahead = slices.Delete(f.ahead, 0, ready)
+	f.buffered = slices.Delete(f.buffered, 0, ready)
 }
 
-func (f *Feed) applyNow(event engine.CacheEvent) {
+func (f *Feed) applyEvent(event engine.CacheEvent) {
 	f.counts.Applied++
 	switch event.Kind {
 	case engine.BlockStored:
--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -75,7 +75,7 @@
 	c.tried[c.at.member.Node]++
 	question := placement.Request{
 		Key:    placement.Key{Request: c.request.ID, Attempt: c.attempt},
-		Tenant: c.request.Tenant, Weights: c.request.Weights, Class: c.request.Class,
+		Tenant: c.request.Tenant, ModelVersion: c.request.Weights, Class: c.request.Class,
 		PromptTokens: c.request.PromptTokens(), MaxTokens: c.request.OutputTokens,
 		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.near.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
 	}
@@ -110,7 +110,7 @@
 	case placement.Grant:
 		if c.spills > 0 && c.spills < affinity.MaxSpills {
 			_, serving := c.agent.world.pools.Rank(c.choice.Key(), c.pool, c.agent.near)
-			c.agent.table.Spilled(c.agent.world.queue.Now(), c.choice, serving)
+			c.agent.table.RecordSpill(c.agent.world.queue.Now(), c.choice, serving)
 		}
 		c.spills = 0
 		c.grant = outcome
