--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// learnConfiguration offers a configuration that another node sent. The holder
+// offerConfiguration offers a configuration that another node sent. The holder
 // ignores revisions that aren't higher than its own.
-func (r *Router) learnConfiguration(message *rpc.ConfigSnapshot, sender string) {
+func (r *Router) offerConfiguration(message *rpc.ConfigSnapshot, sender string) {
 	if message == nil || fleet.Revision(message.GetRevision()) <= r.holder.Revision() {
 		return
 	}
@@ -38,7 +38,7 @@
 			r.applyConfiguration(view)
 		}
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return nil
 		case <-updated:
 		}
@@ -80,13 +80,13 @@
 }
 
 func (r *Router) configurationMessage() *rpc.ConfigSnapshot {
-	return r.snapshots.encode(r.holder.Current(), r.logger)
+	return r.configSnapshots.encode(r.holder.Current(), r.logger)
 }
 
 // followConfiguration starts to read the configuration from peers and platform.
 func (r *Router) followConfiguration() {
 	settings := r.options.Settings
-	r.follower = config.FollowPlatform(r.store, r.holder, r.fetcher, config.FollowOptions{
+	r.configFollower = config.FollowPlatform(r.configStore, r.holder, r.fetcher, config.FollowOptions{
 		Follower:     config.FollowerOptions{PollInterval: time.Duration(settings.ConfigurationInterval)},
 		Timeout:      time.Duration(settings.Platform.Timeout),
 		Clock:        r.clock,
@@ -102,16 +102,16 @@
 	}
 }
 
-// hear notes the revision that another node's message names.
-func (r *Router) hear(header *rpc.Header) {
-	r.follower.Hear(fleet.Revision(header.GetKnownRevision()))
+// observeRevision notes the revision that another node's message names.
+func (r *Router) observeRevision(header *rpc.Header) {
+	r.configFollower.Hear(fleet.Revision(header.GetKnownRevision()))
 }
 
 // refreshConfiguration reads the head at once, after a command.
 func (r *Router) refreshConfiguration() {
-	ctx, cancel := context.WithTimeout(r.life.Context(context.Background()), time.Duration(r.options.Settings.Platform.Timeout))
+	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), time.Duration(r.options.Settings.Platform.Timeout))
 	defer cancel()
-	if _, err := r.store.Refresh(ctx, r.holder); err != nil {
+	if _, err := r.configStore.Refresh(ctx, r.holder); err != nil {
 		r.logger.Debug().Err(err).Msg("configuration_refresh_failed")
 	}
 }
--- a/internal/router/enginefleet.go
+++ b/internal/router/enginefleet.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// needsInterval is the time between two questions to the core which engines
+// pollRequestInterval is the time between two questions to the core which engines
 // want an extra poll.
-const needsInterval = 100 * time.Millisecond
+const pollRequestInterval = 100 * time.Millisecond
 
 // engineFleet keeps a watcher for each engine that is listed and owned, and
 // tells the core which engines there are.
@@ -25,33 +25,33 @@
 	metrics  *metrics
 	settings Settings
 	logger   zerolog.Logger
-	board    *statusBoard
+	statuses *statusCache
 
 	mutex    sync.Mutex
 	machines map[fleet.EngineID]platform.Machine
 	watchers map[fleet.EngineID]*engineWatcher
-	// unheard holds the entries that say that an engine is leaving but name no
+	// pendingLeaving holds the entries that say that an engine is leaving but name no
 	// run, until the engine's run is heard.
-	unheard map[fleet.EngineID]platform.Machine
-	routers []membership.Member
-	// shared says which engines are owned here, listed is the list that it is by.
-	shared  *ownership
-	listed  []platform.Machine
-	stopped bool
+	pendingLeaving map[fleet.EngineID]platform.Machine
+	routers        []membership.Member
+	// ownership says which engines are owned here, listed is the list that it is by.
+	ownership *ownership
+	listed    []platform.Machine
+	stopped   bool
 }
 
 func newEngineFleet(node fleet.NodeID, placer *placer, metrics *metrics, settings Settings, logger zerolog.Logger) *engineFleet {
 	return &engineFleet{
-		node:     node,
-		placer:   placer,
-		metrics:  metrics,
-		settings: settings,
-		logger:   logger,
-		board:    newStatusBoard(placer.clock),
-		shared:   newOwnership(node, nil, nil, settings.IndexReplicas),
-		machines: make(map[fleet.EngineID]platform.Machine),
-		watchers: make(map[fleet.EngineID]*engineWatcher),
-		unheard:  make(map[fleet.EngineID]platform.Machine),
+		node:           node,
+		placer:         placer,
+		metrics:        metrics,
+		settings:       settings,
+		logger:         logger,
+		statuses:       newStatusCache(placer.clock),
+		ownership:      newOwnership(node, nil, nil, settings.IndexReplicas),
+		machines:       make(map[fleet.EngineID]platform.Machine),
+		watchers:       make(map[fleet.EngineID]*engineWatcher),
+		pendingLeaving: make(map[fleet.EngineID]platform.Machine),
 	}
 }
 
@@ -60,7 +60,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.listed = listed
-	f.share()
+	f.updateOwnership()
 	present := make(map[fleet.EngineID]bool, len(listed))
 	for _, machine := range listed {
 		if machine.Kind != platform.MachineEngine {
@@ -72,7 +72,7 @@
 	}
 	for id := range f.machines {
 		if !present[id] {
-			f.forgetMachine(id)
+			f.removeMachine(id)
 		}
 	}
 	f.reconcile()
@@ -85,40 +85,40 @@
 	f.machines[id] = machine
 	f.logger.Info().Str("engine", machine.ID).Uint64("incarnation", uint64(machine.Incarnation)).
 		Str("address", string(machine.Address)).Str("state", string(machine.State)).Msg("machine_listed")
-	named := f.nameRun(machine)
-	delete(f.unheard, id)
+	named := f.withIncarnation(machine)
+	delete(f.pendingLeaving, id)
 	if named.Incarnation == 0 && named.State == platform.MachineLeaving {
-		f.unheard[id] = named
+		f.pendingLeaving[id] = named
 	}
 	f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
 }
 
-// nameRun takes an entry that names no run for one of the run last heard: the
+// withIncarnation takes an entry that names no run for one of the run last heard: the
 // core ignores what the list says of older runs.
-func (f *engineFleet) nameRun(machine platform.Machine) platform.Machine {
+func (f *engineFleet) withIncarnation(machine platform.Machine) platform.Machine {
 	if machine.Incarnation == 0 {
-		machine.Incarnation = f.board.lastRun(fleet.EngineID(machine.ID))
+		machine.Incarnation = f.statuses.lastIncarnation(fleet.EngineID(machine.ID))
 	}
 	return machine
 }
 
-// observeUnheard tells the core that engines are leaving whose runs have been
+// resolvePendingLeaving tells the core that engines are leaving whose runs have been
 // heard by now; the mutex is held. Later runs are others.
-func (f *engineFleet) observeUnheard() {
-	for id, machine := range f.unheard {
-		named := f.nameRun(machine)
+func (f *engineFleet) resolvePendingLeaving() {
+	for id, machine := range f.pendingLeaving {
+		named := f.withIncarnation(machine)
 		if named.Incarnation == 0 {
 			continue
 		}
-		delete(f.unheard, id)
+		delete(f.pendingLeaving, id)
 		f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
 	}
 }
 
-func (f *engineFleet) forgetMachine(id fleet.EngineID) {
+func (f *engineFleet) removeMachine(id fleet.EngineID) {
 	delete(f.machines, id)
-	delete(f.unheard, id)
-	f.board.forget(id)
+	delete(f.pendingLeaving, id)
+	f.statuses.remove(id)
 	f.logger.Info().Str("engine", string(id)).Msg("machine_gone")
 	f.placer.do(func(now time.Duration, core *placement.Core) { core.ForgetMachine(now, id) })
 }
@@ -131,18 +131,18 @@
 		return
 	}
 	f.routers = slices.Clone(routable)
-	f.share()
+	f.updateOwnership()
 	f.reconcile()
 }
 
-// share shares the engines anew among the routers; the mutex is held. The core
+// updateOwnership shares the engines anew among the routers; the mutex is held. The core
 // learns of it before it learns of a new engine.
-func (f *engineFleet) share() {
+func (f *engineFleet) updateOwnership() {
 	if f.settings.IndexReplicas == 0 {
 		return
 	}
-	f.shared = newOwnership(f.node, f.listed, f.routers, f.settings.IndexReplicas)
-	owned := f.shared.owns
+	f.ownership = newOwnership(f.node, f.listed, f.routers, f.settings.IndexReplicas)
+	owned := f.ownership.owns
 	f.placer.do(func(_ time.Duration, core *placement.Core) { core.SetOwned(owned) })
 }
 
@@ -153,14 +153,14 @@
 	}
 	for id, watcher := range f.watchers {
 		machine, listed := f.machines[id]
-		if listed && machine.Address == watcher.address && f.shared.owns(id) {
+		if listed && machine.Address == watcher.address && f.ownership.owns(id) {
 			continue
 		}
 		delete(f.watchers, id)
 		watcher.stop()
 	}
 	for id, machine := range f.machines {
-		if f.watchers[id] != nil || !f.shared.owns(id) {
+		if f.watchers[id] != nil || !f.ownership.owns(id) {
 			continue
 		}
 		watcher := newEngineWatcher(machine, f)
@@ -171,7 +171,7 @@
 
 // run passes the core's wishes on to the watchers until dying is closed.
 func (f *engineFleet) run(dying <-chan struct{}) error {
-	ticker := time.NewTicker(needsInterval)
+	ticker := time.NewTicker(pollRequestInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -179,12 +179,12 @@
 			f.stop()
 			return nil
 		case <-ticker.C:
-			f.passNeeds()
+			f.requestPolls()
 		}
 	}
 }
 
-func (f *engineFleet) passNeeds() {
+func (f *engineFleet) requestPolls() {
 	var status, snapshots []fleet.EngineID
 	f.placer.do(func(_ time.Duration, core *placement.Core) {
 		status = core.NeedsStatus()
@@ -192,15 +192,15 @@
 	})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.observeUnheard()
+	f.resolvePendingLeaving()
 	for _, id := range status {
 		if watcher := f.watchers[id]; watcher != nil {
-			notify(watcher.statusWanted)
+			notify(watcher.statusRequested)
 		}
 	}
 	for _, id := range snapshots {
 		if watcher := f.watchers[id]; watcher != nil {
-			notify(watcher.snapshotWanted)
+			notify(watcher.snapshotRequested)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	f.watchers = make(map[fleet.EngineID]*engineWatcher)
 	f.mutex.Unlock()
 	for _, watcher := range watchers {
-		watcher.life.Kill(nil)
+		watcher.tomb.Kill(nil)
 	}
 	for _, watcher := range watchers {
 		watcher.stop()
--- a/internal/router/enginefleet_test.go
+++ b/internal/router/enginefleet_test.go
@@ -9,8 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// setStateWithoutRun lists the first engine in a state, and no engine's run.
-func (f *testFleet) setStateWithoutRun(state platform.MachineState) {
+// listWithoutIncarnation lists the first engine in a state, and no engine's run.
+func (f *testFleet) listWithoutIncarnation(state platform.MachineState) {
 	machines := f.machines()
 	machines[0].State = state
 	for index := range machines {
@@ -22,25 +22,25 @@
 func (f *testFleet) awaitReady(r *Router, count int) {
 	require.Eventually(f.t, func() bool {
 		return len(execute(f.t, r, "show engines where state = ready").GetRows()) == count
-	}, patience, pollTime)
+	}, waitTimeout, pollInterval)
 }
 
-func TestLeavingEntryWithoutRunConcernsTheRunHeard(t *testing.T) {
+func TestLeavingEntryWithoutIncarnationAppliesToObservedRun(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
-	f.setStateWithoutRun(platform.MachineLive)
+	f.listWithoutIncarnation(platform.MachineLive)
 	r := f.startReadyRouter("r")
-	f.setStateWithoutRun(platform.MachineLeaving)
+	f.listWithoutIncarnation(platform.MachineLeaving)
 	f.awaitReady(r, 1)
 	assert.Equal(t, "e1", place(t, r, "a").GetGrant().GetRun().GetEngine())
 
 	late := f.startRouter("late")
 	require.Eventually(t, func() bool {
 		return len(execute(t, late, "show engines where state = leaving and leaving_by = machine_list").GetRows()) == 1
-	}, patience, pollTime, "a router that starts after the list said so")
+	}, waitTimeout, pollInterval, "a router that starts after the list said so")
 
-	f.setStateWithoutRun(platform.MachineLive)
-	require.Eventually(t, func() bool { return r.machines.current()[0].State == platform.MachineLive }, patience, pollTime)
+	f.listWithoutIncarnation(platform.MachineLive)
+	require.Eventually(t, func() bool { return r.machines.current()[0].State == platform.MachineLive }, waitTimeout, pollInterval)
 	f.awaitReady(r, 1)
 	require.NoError(t, f.engines[0].Restart())
 	f.awaitReady(r, 2)
--- a/internal/router/enginestatus.go
+++ b/internal/router/enginestatus.go
@@ -15,96 +15,96 @@
 )
 
 const (
-	// statusFresh is the age up to which an engine's status is used for rollout.
-	statusFresh = 5 * time.Second
-	// askedStatusAge is the age up to which an engine isn't asked again, whether
+	// maxStatusAge is the age up to which an engine's status is used for rollout.
+	maxStatusAge = 5 * time.Second
+	// minRepollInterval is the age up to which an engine isn't asked again, whether
 	// it answered or not.
-	askedStatusAge = 2 * time.Second
-	// parallelStatusCalls bounds the calls to engines at a time.
-	parallelStatusCalls = 32
+	minRepollInterval = 2 * time.Second
+	// maxParallelStatusCalls bounds the calls to engines at a time.
+	maxParallelStatusCalls = 32
 )
 
-// heardStatus is an engine's last word about itself.
-type heardStatus struct {
-	status engine.Status
-	at     time.Duration
+// timedStatus is an engine's last word about itself.
+type timedStatus struct {
+	status     engine.Status
+	observedAt time.Duration
 }
 
-// statusBoard keeps the last status of each engine. It is safe for concurrent use.
-type statusBoard struct {
+// statusCache keeps the last status of each engine. It is safe for concurrent use.
+type statusCache struct {
 	clock fleet.Clock
-	// asking lets one caller at a time ask engines, so that none mistakes a
+	// pollMutex lets one caller at a time ask engines, so that none mistakes a
 	// question under way for an engine that doesn't answer.
-	asking sync.Mutex
+	pollMutex sync.Mutex
 
 	mutex    sync.Mutex
-	statuses map[fleet.EngineID]heardStatus
-	asked    map[fleet.EngineID]time.Duration
+	statuses map[fleet.EngineID]timedStatus
+	polledAt map[fleet.EngineID]time.Duration
 }
 
-func newStatusBoard(clock fleet.Clock) *statusBoard {
-	return &statusBoard{
+func newStatusCache(clock fleet.Clock) *statusCache {
+	return &statusCache{
 		clock:    clock,
-		statuses: make(map[fleet.EngineID]heardStatus),
-		asked:    make(map[fleet.EngineID]time.Duration),
+		statuses: make(map[fleet.EngineID]timedStatus),
+		polledAt: make(map[fleet.EngineID]time.Duration),
 	}
 }
 
-func (b *statusBoard) note(status engine.Status) {
+func (b *statusCache) record(status engine.Status) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if known := b.statuses[status.Engine]; status.Incarnation < known.status.Incarnation {
 		return
 	}
-	b.statuses[status.Engine] = heardStatus{status: status, at: b.clock.Now()}
+	b.statuses[status.Engine] = timedStatus{status: status, observedAt: b.clock.Now()}
 }
 
-func (b *statusBoard) forget(id fleet.EngineID) {
+func (b *statusCache) remove(id fleet.EngineID) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	delete(b.statuses, id)
-	delete(b.asked, id)
+	delete(b.polledAt, id)
 }
 
-// shouldAsk tells whether an engine is to be asked now, and notes that it is.
-func (b *statusBoard) shouldAsk(id fleet.EngineID) bool {
+// claimPoll tells whether an engine is to be asked now, and notes that it is.
+func (b *statusCache) claimPoll(id fleet.EngineID) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.clock.Now()
 	heard, known := b.statuses[id]
-	asked, everAsked := b.asked[id]
-	if known && now-heard.at <= askedStatusAge || everAsked && now-asked <= askedStatusAge {
+	asked, everAsked := b.polledAt[id]
+	if known && now-heard.observedAt <= minRepollInterval || everAsked && now-asked <= minRepollInterval {
 		return false
 	}
-	b.asked[id] = now
+	b.polledAt[id] = now
 	return true
 }
 
-// find returns a status that isn't older than an age.
-func (b *statusBoard) find(id fleet.EngineID, age time.Duration) (engine.Status, bool) {
+// lookup returns a status that isn't older than an age.
+func (b *statusCache) lookup(id fleet.EngineID, age time.Duration) (engine.Status, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	heard, found := b.statuses[id]
-	return heard.status, found && b.clock.Now()-heard.at <= age
+	return heard.status, found && b.clock.Now()-heard.observedAt <= age
 }
 
-// lastRun returns the run that an engine last named; 0 if it was never heard.
-func (b *statusBoard) lastRun(id fleet.EngineID) fleet.Incarnation {
+// lastIncarnation returns the run that an engine last named; 0 if it was never heard.
+func (b *statusCache) lastIncarnation(id fleet.EngineID) fleet.Incarnation {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.statuses[id].status.Incarnation
 }
 
-// allStatuses returns the listed engines with a fresh status, by identifier.
+// freshStatuses returns the listed engines with a fresh status, by identifier.
 // Those that no watcher of this router has heard lately are asked now.
-func (f *engineFleet) allStatuses(ctx context.Context) []rollout.Engine {
+func (f *engineFleet) freshStatuses(ctx context.Context) []rollout.Engine {
 	listed := f.listedEngines()
-	f.board.asking.Lock()
-	f.askSilent(ctx, listed)
-	f.board.asking.Unlock()
+	f.statuses.pollMutex.Lock()
+	f.pollStaleStatuses(ctx, listed)
+	f.statuses.pollMutex.Unlock()
 	var engines []rollout.Engine
 	for _, machine := range listed {
-		if status, fresh := f.board.find(fleet.EngineID(machine.ID), statusFresh); fresh {
+		if status, fresh := f.statuses.lookup(fleet.EngineID(machine.ID), maxStatusAge); fresh {
 			engines = append(engines, rollout.Engine{Pool: machine.Pool, Status: status})
 		}
 	}
@@ -120,18 +120,18 @@
 	return listed
 }
 
-func (f *engineFleet) askSilent(ctx context.Context, listed []platform.Machine) {
+func (f *engineFleet) pollStaleStatuses(ctx context.Context, listed []platform.Machine) {
 	queue := make(chan platform.Machine)
 	var workers sync.WaitGroup
-	for range min(len(listed), parallelStatusCalls) {
+	for range min(len(listed), maxParallelStatusCalls) {
 		workers.Go(func() {
 			for machine := range queue {
-				f.askStatus(ctx, machine)
+				f.pollStatus(ctx, machine)
 			}
 		})
 	}
 	for _, machine := range listed {
-		if f.board.shouldAsk(fleet.EngineID(machine.ID)) {
+		if f.statuses.claimPoll(fleet.EngineID(machine.ID)) {
 			queue <- machine
 		}
 	}
@@ -139,14 +139,14 @@
 	workers.Wait()
 }
 
-func (f *engineFleet) askStatus(ctx context.Context, machine platform.Machine) {
+func (f *engineFleet) pollStatus(ctx context.Context, machine platform.Machine) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	client := engine.New(machine.Address, engine.Options{})
 	defer client.CloseIdle()
 	status, err := client.Status(ctx)
 	if err == nil && string(status.Engine) == machine.ID {
-		f.board.note(status)
+		f.statuses.record(status)
 	}
 }
 
--- a/internal/router/enginewatcher.go
+++ b/internal/router/enginewatcher.go
@@ -20,15 +20,15 @@
 const (
 	statusTimeout   = time.Second
 	snapshotTimeout = 10 * time.Second
-	// eventGrace is how much longer than the poll's wait an answer may take.
-	eventGrace = 2 * time.Second
-	// unreachableAfter is the number of failed status polls in a row after which
+	// eventTimeoutMargin is how much longer than the poll's wait an answer may take.
+	eventTimeoutMargin = 2 * time.Second
+	// unreachableFailures is the number of failed status polls in a row after which
 	// an engine that accepts connections counts as unreachable.
-	unreachableAfter = 2
-	minEngineBackoff = 100 * time.Millisecond
-	maxEngineBackoff = 2 * time.Second
-	// unfollowedPause is how long to wait while the core follows no events.
-	unfollowedPause = 500 * time.Millisecond
+	unreachableFailures = 2
+	minEngineBackoff    = 100 * time.Millisecond
+	maxEngineBackoff    = 2 * time.Second
+	// untrackedEventsPause is how long to wait while the core follows no events.
+	untrackedEventsPause = 500 * time.Millisecond
 )
 
 // engineWatcher follows one owned engine: its status, its cache events and,
@@ -38,42 +38,42 @@
 	address  fleet.Address
 	client   *engine.Client
 	placer   *placer
-	board    *statusBoard
+	statuses *statusCache
 	metrics  *metrics
 	settings Settings
 	logger   zerolog.Logger
-	life     tomb.Tomb
+	tomb     tomb.Tomb
 
-	statusWanted   chan struct{}
-	snapshotWanted chan struct{}
+	statusRequested   chan struct{}
+	snapshotRequested chan struct{}
 }
 
 func newEngineWatcher(machine platform.Machine, engines *engineFleet) *engineWatcher {
 	return &engineWatcher{
-		id:             fleet.EngineID(machine.ID),
-		address:        machine.Address,
-		client:         engine.New(machine.Address, engine.Options{}),
-		placer:         engines.placer,
-		board:          engines.board,
-		metrics:        engines.metrics,
-		settings:       engines.settings,
-		logger:         engines.logger.With().Str("engine", machine.ID).Str("address", string(machine.Address)).Logger(),
-		statusWanted:   make(chan struct{}, 1),
-		snapshotWanted: make(chan struct{}, 1),
+		id:                fleet.EngineID(machine.ID),
+		address:           machine.Address,
+		client:            engine.New(machine.Address, engine.Options{}),
+		placer:            engines.placer,
+		statuses:          engines.statuses,
+		metrics:           engines.metrics,
+		settings:          engines.settings,
+		logger:            engines.logger.With().Str("engine", machine.ID).Str("address", string(machine.Address)).Logger(),
+		statusRequested:   make(chan struct{}, 1),
+		snapshotRequested: make(chan struct{}, 1),
 	}
 }
 
 func (w *engineWatcher) start() {
-	w.life.Go(func() error {
-		w.life.Go(w.followEvents)
-		w.life.Go(w.fetchSnapshots)
+	w.tomb.Go(func() error {
+		w.tomb.Go(w.followEvents)
+		w.tomb.Go(w.fetchSnapshots)
 		return w.pollStatus()
 	})
 }
 
 func (w *engineWatcher) stop() {
-	w.life.Kill(nil)
-	_ = w.life.Wait()
+	w.tomb.Kill(nil)
+	_ = w.tomb.Wait()
 	w.client.CloseIdle()
 }
 
@@ -92,21 +92,21 @@
 		err := w.pollStatusOnce()
 		pause := jitter(time.Duration(w.settings.StatusInterval))
 		if err != nil {
-			w.statusFailed(&failing, err)
+			w.handleStatusFailure(&failing, err)
 			pause = pauses.NextBackOff()
 		} else {
-			w.statusRecovered(failing)
+			w.logRecovery(failing)
 			failing = outage{}
 			pauses.Reset()
 		}
-		if !w.pause(pause, w.statusWanted, err == nil) {
+		if !w.sleep(pause, w.statusRequested, err == nil) {
 			return nil
 		}
 	}
 }
 
 func (w *engineWatcher) pollStatusOnce() error {
-	ctx, cancel := context.WithTimeout(w.life.Context(context.Background()), statusTimeout)
+	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), statusTimeout)
 	defer cancel()
 	status, err := w.client.Status(ctx)
 	if err != nil {
@@ -115,7 +115,7 @@
 	if status.Engine != w.id {
 		return errors.Errorf("engine %q answers at this address", status.Engine)
 	}
-	w.board.note(status)
+	w.statuses.record(status)
 	w.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveStatus(now, status) })
 	return nil
 }
@@ -123,54 +123,54 @@
 // outage counts failed status polls in a row.
 type outage struct {
 	failures int
-	// reported is set once the engine counts as unreachable.
-	reported bool
+	// isReported is set once the engine counts as unreachable.
+	isReported bool
 }
 
-// add counts a failure and tells whether the engine counts as unreachable from
+// recordFailure counts a failure and tells whether the engine counts as unreachable from
 // now on: at once if it accepts no connection.
-func (o *outage) add(err error) bool {
+func (o *outage) recordFailure(err error) bool {
 	o.failures++
-	if o.reported {
+	if o.isReported {
 		return false
 	}
 	var exchange *engine.Error
 	refused := errors.As(err, &exchange) && !exchange.Sent
-	o.reported = refused || o.failures >= unreachableAfter
-	return o.reported
+	o.isReported = refused || o.failures >= unreachableFailures
+	return o.isReported
 }
 
-func (w *engineWatcher) statusFailed(failing *outage, err error) {
-	if !w.life.Alive() {
+func (w *engineWatcher) handleStatusFailure(failing *outage, err error) {
+	if !w.tomb.Alive() {
 		return
 	}
 	w.metrics.engineErrors.WithLabelValues("status").Inc()
-	if !failing.add(err) {
+	if !failing.recordFailure(err) {
 		return
 	}
 	w.logger.Warn().Err(err).Msg("engine_unreachable")
 	w.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveUnreachable(now, w.id) })
 }
 
-func (w *engineWatcher) statusRecovered(failing outage) {
-	if failing.reported {
+func (w *engineWatcher) logRecovery(failing outage) {
+	if failing.isReported {
 		w.logger.Info().Int("failures", failing.failures).Msg("engine_reachable")
 	}
 }
 
 func (w *engineWatcher) followEvents() error {
 	pauses := newEngineBackoff()
-	for w.life.Alive() {
+	for w.tomb.Alive() {
 		followed, err := w.pollEvents()
 		switch {
 		case err != nil:
 			w.metrics.engineErrors.WithLabelValues("events").Inc()
-			w.pause(pauses.NextBackOff(), nil, false)
+			w.sleep(pauses.NextBackOff(), nil, false)
 		case !followed:
-			w.pause(unfollowedPause, nil, false)
+			w.sleep(untrackedEventsPause, nil, false)
 		default:
 			pauses.Reset()
-			w.pause(time.Duration(w.settings.EventPause), nil, false)
+			w.sleep(time.Duration(w.settings.EventPause), nil, false)
 		}
 	}
 	return nil
@@ -183,7 +183,7 @@
 		return false, nil
 	}
 	wait := time.Duration(w.settings.EventWait)
-	ctx, cancel := context.WithTimeout(w.life.Context(context.Background()), wait+eventGrace)
+	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), wait+eventTimeoutMargin)
 	defer cancel()
 	events, err := w.client.Events(ctx, after, wait)
 	if err != nil {
@@ -197,11 +197,11 @@
 func (w *engineWatcher) fetchSnapshots() error {
 	for {
 		select {
-		case <-w.life.Dying():
+		case <-w.tomb.Dying():
 			return nil
-		case <-w.snapshotWanted:
+		case <-w.snapshotRequested:
 		}
-		if err := w.fetchSnapshot(); err != nil && w.life.Alive() {
+		if err := w.fetchSnapshot(); err != nil && w.tomb.Alive() {
 			w.metrics.engineErrors.WithLabelValues("snapshot").Inc()
 			w.logger.Debug().Err(err).Msg("cache_snapshot_failed")
 		}
@@ -209,7 +209,7 @@
 }
 
 func (w *engineWatcher) fetchSnapshot() error {
-	ctx, cancel := context.WithTimeout(w.life.Context(context.Background()), snapshotTimeout)
+	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), snapshotTimeout)
 	defer cancel()
 	snapshot, err := w.client.Cache(ctx)
 	if err != nil {
@@ -220,15 +220,15 @@
 	return nil
 }
 
-// pause waits, unless woken early, and tells whether the watcher goes on.
-func (w *engineWatcher) pause(duration time.Duration, early <-chan struct{}, mayWake bool) bool {
+// sleep waits, unless woken early, and tells whether the watcher goes on.
+func (w *engineWatcher) sleep(duration time.Duration, early <-chan struct{}, mayWake bool) bool {
 	if !mayWake {
 		early = nil
 	}
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-w.life.Dying():
+	case <-w.tomb.Dying():
 		return false
 	case <-early:
 	case <-timer.C:
--- a/internal/router/enginewatcher_test.go
+++ b/internal/router/enginewatcher_test.go
@@ -18,9 +18,9 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// answerEventsAtOnce puts a proxy before the fleet's engine that lets no poll
+// proxyEventsWithoutWait puts a proxy before the fleet's engine that lets no poll
 // for events wait, as an engine with news does, and counts the calls.
-func answerEventsAtOnce(t *testing.T, f *testFleet) (events, statuses *atomic.Int64) {
+func proxyEventsWithoutWait(t *testing.T, f *testFleet) (events, statuses *atomic.Int64) {
 	target, err := url.Parse("http://" + string(f.engines[0].Address()))
 	require.NoError(t, err)
 	forward := httputil.NewSingleHostReverseProxy(target)
@@ -44,20 +44,20 @@
 	return events, statuses
 }
 
-func TestEventPollsPauseBetweenAnswers(t *testing.T) {
+func TestEventPollsPauseBetweenResponses(t *testing.T) {
 	const enough = 20
 	for _, pause := range []time.Duration{0, time.Hour} {
 		f := newTestFleet(t, 1)
 		f.commitConfiguration()
-		events, statuses := answerEventsAtOnce(t, f)
+		events, statuses := proxyEventsWithoutWait(t, f)
 		r := f.startRouter("r", func(options *Settings) { options.EventPause = settings.Duration(pause) })
-		require.Eventually(t, func() bool { return events.Load() > 0 }, patience, pollTime)
+		require.Eventually(t, func() bool { return events.Load() > 0 }, waitTimeout, pollInterval)
 		if pause == 0 {
-			require.Eventually(t, func() bool { return events.Load() > enough }, patience, pollTime)
+			require.Eventually(t, func() bool { return events.Load() > enough }, waitTimeout, pollInterval)
 			continue
 		}
 		before := statuses.Load()
-		require.Eventually(t, func() bool { return statuses.Load() > before+enough }, patience, pollTime)
+		require.Eventually(t, func() bool { return statuses.Load() > before+enough }, waitTimeout, pollInterval)
 		assert.EqualValues(t, 1, events.Load(), "polled again within the pause")
 		require.NoError(t, r.Stop(), "the pause holds up no stop")
 	}
@@ -75,7 +75,7 @@
 	} {
 		var failing outage
 		for index, err := range testCase.errors {
-			assert.Equal(t, testCase.reported[index], failing.add(err), "%s: failure %d", name, index+1)
+			assert.Equal(t, testCase.reported[index], failing.recordFailure(err), "%s: failure %d", name, index+1)
 		}
 	}
 }
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -24,9 +24,9 @@
 
 const (
 	anyPort = fleet.Address("127.0.0.1:0")
-	// patience bounds the wait for what is only a matter of time.
-	patience = 30 * time.Second
-	pollTime = 5 * time.Millisecond
+	// waitTimeout bounds the wait for what is only a matter of time.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 const configuration = `
@@ -64,8 +64,8 @@
 	return f
 }
 
-// slowLoads keeps engines from ever loading further weights.
-func (f *testFleet) slowLoads() {
+// blockLoads keeps engines from ever loading further weights.
+func (f *testFleet) blockLoads() {
 	for _, server := range f.engines {
 		faults := server.Faults()
 		faults.LoadTimeMillis = time.Hour.Milliseconds()
@@ -111,13 +111,13 @@
 	return r
 }
 
-// joining has a router join through another.
-func joining(other *Router) func(*Settings) {
+// joinThrough has a router join through another.
+func joinThrough(other *Router) func(*Settings) {
 	return func(options *Settings) { options.Peers = []fleet.Address{other.Address()} }
 }
 
-// cutOff gives a router a platform that never answers.
-func cutOff(options *Settings) { options.Platform.Address = "127.0.0.1:1" }
+// withoutPlatform gives a router a platform that never answers.
+func withoutPlatform(options *Settings) { options.Platform.Address = "127.0.0.1:1" }
 
 func (f *testFleet) startReadyRouter(name string, adjustments ...func(*Settings)) *Router {
 	r := f.startRouter(name, adjustments...)
@@ -134,8 +134,8 @@
 				ready++
 			}
 		}
-		return r.Ready() && ready == len(f.engines) && !r.warmingUp()
-	}, patience, pollTime)
+		return r.Ready() && ready == len(f.engines) && !r.isWarmingUp()
+	}, waitTimeout, pollInterval)
 }
 
 func placementClient(r *Router) rpc.Placement {
@@ -146,7 +146,7 @@
 	return &rpc.PlaceRequest{
 		Header: &rpc.Header{Sender: "agent", KnownRevision: 1}, RequestId: id, Attempt: 1, Tenant: "ward", Class: "counter",
 		Weights: &rpc.Weights{Model: "m", Version: "v1"}, PromptTokens: 64, MaxTokens: 8,
-		BlockHashes: []uint64{1, 2, 3, 4}, DeadlineMillis: uint32((2 * patience).Milliseconds()),
+		BlockHashes: []uint64{1, 2, 3, 4}, DeadlineMillis: uint32((2 * waitTimeout).Milliseconds()),
 	}
 }
 
@@ -173,8 +173,8 @@
 	require.NoError(t, err)
 }
 
-// fill takes every place of the fleet, and keeps it by reports.
-func (f *testFleet) fill(r *Router) []*rpc.PlaceResponse {
+// fillStreams takes every place of the fleet, and keeps it by reports.
+func (f *testFleet) fillStreams(r *Router) []*rpc.PlaceResponse {
 	var granted []*rpc.PlaceResponse
 	for number := range 2 * len(f.engines) {
 		response := place(f.t, r, fmt.Sprintf("fill-%d", number))
--- a/internal/router/http.go
+++ b/internal/router/http.go
@@ -35,7 +35,7 @@
 	mux.GET(PathReady, bunrouter.HTTPHandlerFunc(r.serveReady))
 	mux.GET(PathMetrics, bunrouter.HTTPHandler(promhttp.HandlerFor(r.metrics.registry, promhttp.HandlerOpts{})))
 	for _, handler := range handlers {
-		mux.POST(handler.PathPrefix()+"*method", bunrouter.HTTPHandler(r.bounded(handler)))
+		mux.POST(handler.PathPrefix()+"*method", bunrouter.HTTPHandler(r.limitBody(handler)))
 	}
 	return &http.Server{
 		Handler:           mux,
@@ -46,10 +46,10 @@
 	}
 }
 
-// bounded reads a body of bounded size within a bounded time before the handler
+// limitBody reads a body of limitBody size within a limitBody time before the handler
 // begins. The server's own ReadTimeout would go on to run while a placement
 // call waits, and cancel it.
-func (r *Router) bounded(handler http.Handler) http.Handler {
+func (r *Router) limitBody(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		controller := http.NewResponseController(writer)
 		_ = controller.SetReadDeadline(time.Now().Add(readBodyTimeout))
@@ -69,15 +69,15 @@
 }
 
 func (r *Router) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	if reason := r.notReady(); reason != "" {
+	if reason := r.notReadyReason(); reason != "" {
 		http.Error(writer, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// notReady says why the router can't place requests; empty when it can.
-func (r *Router) notReady() string {
+// notReadyReason says why the router can't place requests; empty when it can.
+func (r *Router) notReadyReason() string {
 	switch {
 	case r.isStopping():
 		return "stopping"
--- a/internal/router/machinefeed.go
+++ b/internal/router/machinefeed.go
@@ -7,28 +7,28 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// machineFeed keeps the encoded list of machines of every kind, for routers
+// allMachinesEncoding keeps the encoded list of machines of every kind, for routers
 // that follow this one's. It is encoded when the first of them asks.
-type machineFeed struct {
-	// engines is the list that the feed was made of.
-	engines *rpc.MachineList
+type allMachinesEncoding struct {
+	// source is the list that the feed was made of.
+	source  *rpc.MachineList
 	message *rpc.MachineList
 }
 
-// encodedWhole returns the list with the machines that agents don't use, or nil
+// encodedAll returns the list with the machines that agents don't use, or nil
 // if none is known. It must not be written to.
-func (l *machineList) encodedWhole() *rpc.MachineList {
+func (l *machineList) encodedAll() *rpc.MachineList {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.feed.engines != l.message {
-		l.feed = machineFeed{engines: l.message, message: encodeWhole(l.machines, l.message.GetMachines())}
+	if l.allMachines.source != l.message {
+		l.allMachines = allMachinesEncoding{source: l.message, message: encodeAllMachines(l.machines, l.message.GetMachines())}
 	}
-	return l.feed.message
+	return l.allMachines.message
 }
 
-// encodeWhole encodes machines of every kind and shares the messages of engines,
+// encodeAllMachines encodes machines of every kind and shares the messages of engines,
 // which are in the same order.
-func encodeWhole(machines []platform.Machine, engines []*rpc.Machine) *rpc.MachineList {
+func encodeAllMachines(machines []platform.Machine, engines []*rpc.Machine) *rpc.MachineList {
 	whole := &rpc.MachineList{Machines: make([]*rpc.Machine, 0, len(machines))}
 	digest := xxhash.New()
 	for _, machine := range machines {
@@ -58,5 +58,5 @@
 		others = l.machines
 	}
 	l.fromPlatform = true
-	l.replace(l.newest(decodeMachines(message), others))
+	l.replace(l.mergeNewest(decodeMachines(message), others))
 }
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// missedReads is the number of intervals without a successful read after
+	// maxMissedReads is the number of intervals without a successful read after
 	// which a reader's list counts as out of date.
-	missedReads = 5
+	maxMissedReads = 5
 	// followsPerRead is how often a follower asks its reader in the time between
 	// two reads: the two pauses add up.
 	followsPerRead = 2
-	// confirmations is the number of exchanges with a new reader until its list
+	// confirmationExchanges is the number of exchanges with a new reader until its list
 	// counts as at least as new as the former reader's.
-	confirmations = 2
-	// maxWaits is how often in a row a follower waits for readers that answer but
+	confirmationExchanges = 2
+	// maxReaderWaits is how often in a row a follower waits for readers that answer but
 	// haven't read yet, as in a herd that restarts, before it reads itself.
-	maxWaits = 2
+	maxReaderWaits = 2
 )
 
-// errNotReading means that a router answered that it doesn't read the list.
-var errNotReading = errors.New("router doesn't read the list of machines")
+// errNotReader means that a router answered that it doesn't read the list.
+var errNotReader = errors.New("router doesn't read the list of machines")
 
 // machineFollower keeps the list of machines up to date: a few routers of each
 // region read the platform's, the others follow one of these and get changes.
 // A router that finds no reader reads itself. Only the polling goroutine calls
 // refresh.
 type machineFollower struct {
-	router *Router
-	lists  fleetsync.Subscriber
-	// feed answers routers that follow this one.
-	feed *fleetsync.Publisher
-	// reader is the router that is followed, exchanges how many there were with it.
-	reader    fleet.NodeID
-	exchanges int
-	waits     int
+	router     *Router
+	subscriber fleetsync.Subscriber
+	// publisher answers routers that follow this one.
+	publisher *fleetsync.Publisher
+	// followed is the router that is followed, exchanges how many there were with it.
+	followed    fleet.NodeID
+	exchanges   int
+	readerWaits int
 	// readAt is when the platform last gave its list, in nanoseconds of the
 	// router's clock; 0 means never.
 	readAt atomic.Int64
 }
 
 func newMachineFollower(r *Router) *machineFollower {
-	return &machineFollower{router: r, feed: fleetsync.NewPublisher(r.node)}
+	return &machineFollower{router: r, publisher: fleetsync.NewPublisher(r.node)}
 }
 
 // refresh brings the list up to date, from the platform or a reader. A reader
@@ -68,16 +68,16 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, errNotReading) && m.waits < maxWaits:
-		m.waits++
+	case errors.Is(err, errNotReader) && m.readerWaits < maxReaderWaits:
+		m.readerWaits++
 		return nil
 	default:
-		return m.read()
+		return m.readPlatform()
 	}
 }
 
 func (m *machineFollower) readOrFollow(others []membership.Member) error {
-	err := m.read()
+	err := m.readPlatform()
 	if err != nil && m.followAny(others) == nil {
 		m.router.metrics.platformErrors.WithLabelValues("machines").Inc()
 		return nil
@@ -89,23 +89,23 @@
 // It fails with errNotReading if one of them answered.
 func (m *machineFollower) followAny(readers []membership.Member) error {
 	failed := errors.New("no other router reads the list of machines")
-	for _, reader := range m.ordered(readers) {
+	for _, reader := range m.orderReaders(readers) {
 		err := m.follow(reader)
 		if err == nil {
 			return nil
 		}
 		m.router.logger.Debug().Str("reader", string(reader.Node)).Err(err).Msg("machine_follow_failed")
-		if !errors.Is(failed, errNotReading) {
+		if !errors.Is(failed, errNotReader) {
 			failed = err
 		}
 	}
 	return failed
 }
 
-// ordered returns readers with the one that is followed first. A router that
+// orderReaders returns readers with the one that is followed first. A router that
 // follows none begins with any, so that their followers are about as many.
-func (m *machineFollower) ordered(readers []membership.Member) []membership.Member {
-	first := slices.IndexFunc(readers, func(member membership.Member) bool { return member.Node == m.reader })
+func (m *machineFollower) orderReaders(readers []membership.Member) []membership.Member {
+	first := slices.IndexFunc(readers, func(member membership.Member) bool { return member.Node == m.followed })
 	if first < 0 && len(readers) > 0 {
 		first = newRandom().IntN(len(readers))
 	}
@@ -113,16 +113,16 @@
 	return append(slices.Clone(readers[first:]), readers[:first]...)
 }
 
-// read reads the platform's list.
-func (m *machineFollower) read() error {
-	ctx, cancel := context.WithTimeout(m.router.life.Context(context.Background()), time.Duration(m.router.options.Settings.Platform.Timeout))
+// readPlatform reads the platform's list.
+func (m *machineFollower) readPlatform() error {
+	ctx, cancel := context.WithTimeout(m.router.tomb.Context(context.Background()), time.Duration(m.router.options.Settings.Platform.Timeout))
 	defer cancel()
 	machines, err := m.router.options.Machines.ListMachines(ctx)
 	if err != nil {
 		return err
 	}
-	m.reader = ""
-	m.waits = 0
+	m.followed = ""
+	m.readerWaits = 0
 	m.router.machines.setFromPlatform(machines)
 	m.readAt.Store(int64(max(m.router.clock.Now(), 1)))
 	return nil
@@ -134,14 +134,14 @@
 func (m *machineFollower) isCurrent() bool {
 	readAt := time.Duration(m.readAt.Load())
 	settings := m.router.options.Settings
-	longest := missedReads*time.Duration(settings.MachineInterval) + time.Duration(settings.Platform.Timeout)
+	longest := maxMissedReads*time.Duration(settings.MachineInterval) + time.Duration(settings.Platform.Timeout)
 	return readAt > 0 && m.router.clock.Now()-readAt <= longest
 }
 
 // interval returns the mean time from one refresh to the next.
 func (m *machineFollower) interval() time.Duration {
 	interval := time.Duration(m.router.options.Settings.MachineInterval)
-	if m.reader != "" || m.waits > 0 {
+	if m.followed != "" || m.readerWaits > 0 {
 		interval /= followsPerRead
 	}
 	return interval
@@ -149,10 +149,10 @@
 
 // follow asks a reader for what has changed.
 func (m *machineFollower) follow(reader membership.Member) error {
-	ctx, cancel := context.WithTimeout(m.router.life.Context(context.Background()), peerTimeout)
+	ctx, cancel := context.WithTimeout(m.router.tomb.Context(context.Background()), peerTimeout)
 	defer cancel()
 	held := &rpc.SyncRequest{}
-	m.lists.Request(held)
+	m.subscriber.Request(held)
 	answer, err := m.router.fetcher.client(reader).Changes(ctx, &rpc.ChangesRequest{
 		Header:             m.router.header(),
 		After:              uint64(m.router.holder.Revision()),
@@ -165,41 +165,41 @@
 		return errors.Wrapf(err, "ask router %s", reader.Node)
 	}
 	if !answer.GetMachinesCurrent() {
-		return errNotReading
+		return errNotReader
 	}
-	m.take(reader, held, answer)
-	if err := m.router.fetcher.take(m.router.holder, reader, answer); err != nil {
+	m.applyAnswer(reader, held, answer)
+	if err := m.router.fetcher.applyConfiguration(m.router.holder, reader, answer); err != nil {
 		m.router.logger.Debug().Err(err).Msg("configuration_fetch_failed")
 	}
 	return nil
 }
 
-// take puts the list after an answer in force.
-func (m *machineFollower) take(reader membership.Member, held *rpc.SyncRequest, answer *rpc.ChangesResponse) {
-	if reader.Node != m.reader {
-		m.reader = reader.Node
+// applyAnswer puts the list after an answer in force.
+func (m *machineFollower) applyAnswer(reader membership.Member, held *rpc.SyncRequest, answer *rpc.ChangesResponse) {
+	if reader.Node != m.followed {
+		m.followed = reader.Node
 		m.exchanges = 0
 	}
 	m.exchanges++
-	m.waits = 0
-	before := m.lists.Machines()
-	m.lists.Apply(held, &rpc.SyncResponse{
+	m.readerWaits = 0
+	before := m.subscriber.Machines()
+	m.subscriber.Apply(held, &rpc.SyncResponse{
 		Header: answer.GetHeader(), Machines: answer.GetMachines(), MachinesStep: answer.GetMachinesStep(),
 	})
-	machines := m.lists.Machines()
-	if machines != nil && (machines != before || m.exchanges <= confirmations) {
-		m.router.machines.setFromReader(machines, m.exchanges < confirmations)
+	machines := m.subscriber.Machines()
+	if machines != nil && (machines != before || m.exchanges <= confirmationExchanges) {
+		m.router.machines.setFromReader(machines, m.exchanges < confirmationExchanges)
 	}
 }
 
-// answer adds what a router lacks that follows this one.
-func (m *machineFollower) answer(request *rpc.ChangesRequest, response *rpc.ChangesResponse) {
+// answerFollower adds what a router lacks that follows this one.
+func (m *machineFollower) answerFollower(request *rpc.ChangesRequest, response *rpc.ChangesResponse) {
 	if !m.isCurrent() {
 		return
 	}
 	response.MachinesCurrent = true
 	step := &rpc.SyncResponse{}
-	m.feed.AnswerMachines(m.router.machines.encodedWhole(), &rpc.SyncRequest{
+	m.publisher.AnswerMachines(m.router.machines.encodedAll(), &rpc.SyncRequest{
 		VersionsOf:      request.GetMachinesVersionsOf(),
 		MachinesVersion: request.GetMachinesVersion(),
 		MachinesDigest:  request.GetMachinesDigest(),
--- a/internal/router/machinefollower_test.go
+++ b/internal/router/machinefollower_test.go
@@ -20,8 +20,8 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// countedMachines is the platform's list with its reads counted.
-type countedMachines struct {
+// countingMachines is the platform's list with its reads counted.
+type countingMachines struct {
 	platform.Machines
 	reads atomic.Int64
 
@@ -31,7 +31,7 @@
 	down  bool
 }
 
-func (c *countedMachines) ListMachines(ctx context.Context) ([]platform.Machine, error) {
+func (c *countingMachines) ListMachines(ctx context.Context) ([]platform.Machine, error) {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	c.reads.Add(1)
@@ -41,14 +41,14 @@
 	return c.Machines.ListMachines(ctx)
 }
 
-func (c *countedMachines) setDown(down bool) {
+func (c *countingMachines) setDown(down bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.down = down
 }
 
-// startCounted starts routers of one region that join through the first.
-func startCounted(t *testing.T, f *testFleet, count int) (routers []*Router, lists []*countedMachines) {
+// startRoutersCountingReads starts routers of one region that join through the first.
+func startRoutersCountingReads(t *testing.T, f *testFleet, count int) (routers []*Router, lists []*countingMachines) {
 	var seeds []fleet.Address
 	for number := range count {
 		options := DefaultSettings()
@@ -58,7 +58,7 @@
 		options.MachineInterval = settings.Duration(20 * time.Millisecond)
 		options.Peers = seeds
 		client := platform.NewClient(platform.ClientOptions{Address: f.platform.Address()})
-		list := &countedMachines{Machines: client}
+		list := &countingMachines{Machines: client}
 		r := New(Options{Settings: options, Logger: zerolog.Nop(), Tables: client, Objects: client, Machines: list})
 		require.NoError(t, r.Start())
 		t.Cleanup(func() { _ = r.Stop() })
@@ -93,20 +93,20 @@
 				}
 			}
 			return true
-		}, patience, pollTime, "%s", r.node)
+		}, waitTimeout, pollInterval, "%s", r.node)
 	}
 }
 
 // awaitReads waits until a list has been read some more times.
-func awaitReads(t *testing.T, by *countedMachines, more int64) {
+func awaitReads(t *testing.T, by *countingMachines, more int64) {
 	until := by.reads.Load() + more
-	require.Eventually(t, func() bool { return by.reads.Load() >= until }, patience, pollTime)
+	require.Eventually(t, func() bool { return by.reads.Load() >= until }, waitTimeout, pollInterval)
 }
 
 func TestFewRoutersReadTheListOfMachines(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 6)
+	routers, lists := startRoutersCountingReads(t, f, 6)
 	awaitListed(t, []string{"a"}, routers...)
 	var readers, followers []int
 	for number, r := range routers {
@@ -143,12 +143,12 @@
 	}
 }
 
-// TestPlatformDownLeavesTheLastList stops the platform for readers and
+// TestPlatformOutageKeepsLastMachineList stops the platform for readers and
 // followers alike.
-func TestPlatformDownLeavesTheLastList(t *testing.T) {
+func TestPlatformOutageKeepsLastMachineList(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 5)
+	routers, lists := startRoutersCountingReads(t, f, 5)
 	awaitListed(t, []string{"a"}, routers...)
 	for _, list := range lists {
 		list.setDown(true)
@@ -164,10 +164,10 @@
 	awaitListed(t, []string{"b"}, routers...)
 }
 
-func TestReaderThatThePlatformDoesNotAnswerFollowsAnother(t *testing.T) {
+func TestReaderWithoutPlatformFollowsAnotherReader(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 2)
+	routers, lists := startRoutersCountingReads(t, f, 2)
 	awaitListed(t, []string{"a"}, routers...)
 	lists[0].setDown(true)
 	f.platform.SetMachines([]platform.Machine{machine("b", 1, platform.MachineLive)})
@@ -178,23 +178,23 @@
 	awaitListed(t, []string{"b"}, routers...)
 }
 
-func TestRouterThatDoesNotReadIsNotFollowed(t *testing.T) {
+func TestRouterWithStaleReadIsNotFollowed(t *testing.T) {
 	f := newTestFleet(t, 0)
-	routers, lists := startCounted(t, f, 1)
+	routers, lists := startRoutersCountingReads(t, f, 1)
 	r := routers[0]
-	require.Eventually(t, r.listing.isCurrent, patience, pollTime)
+	require.Eventually(t, r.machineFollower.isCurrent, waitTimeout, pollInterval)
 	answer := &rpc.ChangesResponse{}
-	r.listing.answer(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.True(t, answer.GetMachinesCurrent())
 	lists[0].setDown(true)
-	require.Eventually(t, func() bool { return !r.listing.isCurrent() }, patience, pollTime)
+	require.Eventually(t, func() bool { return !r.machineFollower.isCurrent() }, waitTimeout, pollInterval)
 	answer = &rpc.ChangesResponse{}
-	r.listing.answer(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.False(t, answer.GetMachinesCurrent())
 }
 
-// TestOlderListOfAnotherReaderDoesNotWin changes to a reader that lags.
-func TestOlderListOfAnotherReaderDoesNotWin(t *testing.T) {
+// TestStaleListFromNewReaderKeepsEngines changes to a reader that lags.
+func TestStaleListFromNewReaderKeepsEngines(t *testing.T) {
 	list := newMachineList()
 	newer := []platform.Machine{machine("a", 2, platform.MachineLeaving), machine("b", 1, platform.MachineLive)}
 	list.setFromReader(encodeMachines(newer), false)
@@ -205,13 +205,13 @@
 	assert.Equal(t, newer[:1], list.current(), "leaving sticks; the reader has read again")
 }
 
-// TestRestartedRouterTakesTheListFromAPeer starts a router beside a dead
+// TestRestartedRouterFetchesMachineListFromPeer starts a router beside a dead
 // platform, with an hour between two reads.
-func TestRestartedRouterTakesTheListFromAPeer(t *testing.T) {
+func TestRestartedRouterFetchesMachineListFromPeer(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), cutOff, func(options *Settings) {
+	second := f.startReadyRouter("r2", joinThrough(first), withoutPlatform, func(options *Settings) {
 		options.MachineInterval = settings.Duration(time.Hour)
 	})
 	assert.NotNil(t, place(t, second, "q").GetGrant())
--- a/internal/router/machinelist.go
+++ b/internal/router/machinelist.go
@@ -20,13 +20,13 @@
 // It is safe for concurrent use.
 type machineList struct {
 	mutex        sync.Mutex
-	known        bool
+	isSet        bool
 	fromPlatform bool
 	// machines is sorted by ID and replaced as a whole.
-	machines []platform.Machine
-	message  *rpc.MachineList
-	feed     machineFeed
-	changed  chan struct{}
+	machines    []platform.Machine
+	message     *rpc.MachineList
+	allMachines allMachinesEncoding
+	changed     chan struct{}
 }
 
 func newMachineList() *machineList {
@@ -38,7 +38,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.fromPlatform = true
-	l.replace(l.newest(listed, nil))
+	l.replace(l.mergeNewest(listed, nil))
 }
 
 // offer takes a list that an agent or peer remembers. It is merged with others
@@ -52,13 +52,13 @@
 	if l.fromPlatform {
 		return
 	}
-	l.replace(l.newest(decodeMachines(message), l.machines))
+	l.replace(l.mergeNewest(decodeMachines(message), l.machines))
 }
 
-// newest returns the newest entry of each machine. A run that was once seen
+// mergeNewest returns the mergeNewest entry of each machine. A run that was once seen
 // leaving stays so, because a lagging list may show older states again. An entry
 // that names no run can't stay: it would bar the machine's later runs as well.
-func (l *machineList) newest(listed, others []platform.Machine) []platform.Machine {
+func (l *machineList) mergeNewest(listed, others []platform.Machine) []platform.Machine {
 	byID := make(map[string]platform.Machine, len(listed))
 	for _, machine := range slices.Concat(listed, others) {
 		kept, found := byID[machine.ID]
@@ -89,10 +89,10 @@
 
 // replace puts a list in place; the mutex is held.
 func (l *machineList) replace(machines []platform.Machine) {
-	if l.known && slices.Equal(l.machines, machines) {
+	if l.isSet && slices.Equal(l.machines, machines) {
 		return
 	}
-	l.known = true
+	l.isSet = true
 	l.machines = machines
 	l.message = encodeMachines(machines)
 	select {
@@ -105,7 +105,7 @@
 func (l *machineList) isKnown() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.known
+	return l.isSet
 }
 
 // current returns the list, which must not be written to.
--- a/internal/router/machinelist_test.go
+++ b/internal/router/machinelist_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestMachineListsOfAgentsStandInUntilThePlatformAnswers(t *testing.T) {
+func TestAgentMachineListsAreMergedUntilPlatformRead(t *testing.T) {
 	list := newMachineList()
 	require.False(t, list.isKnown())
 	list.offer(&rpc.MachineList{})
@@ -33,7 +33,7 @@
 	assert.Equal(t, listed, list.current(), "the platform is the authority")
 }
 
-func TestLaggingMachineListDoesNotGoBack(t *testing.T) {
+func TestStaleMachineListDoesNotRevertEntries(t *testing.T) {
 	list := newMachineList()
 	list.setFromPlatform([]platform.Machine{machine("a", 2, platform.MachineLeaving), machine("b", 2, platform.MachineLive)})
 	list.setFromPlatform([]platform.Machine{machine("a", 2, platform.MachineLive), machine("b", 1, platform.MachineLeaving)})
@@ -45,7 +45,7 @@
 	assert.Equal(t, []platform.Machine{machine("c", 0, platform.MachineLive)}, list.current(), "no run is named that stays leaving")
 }
 
-func TestMachineListDigestTellsListsApart(t *testing.T) {
+func TestMachineListDigestDistinguishesLists(t *testing.T) {
 	digests := make(map[uint64]bool)
 	for _, machines := range [][]platform.Machine{
 		nil,
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		var request rpc.PlaceRequest
 		if proto.Unmarshal(encoded, &request) == nil {
-			decoded, err := decodePlace(&request)
+			decoded, err := decodePlaceRequest(&request)
 			require.True(t, err != nil || decoded.Key.Attempt > 0)
 		}
 		var sync rpc.SyncRequest
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -14,8 +14,8 @@
 // tokens in blocks of sixteen.
 const maxBlockHashes = 1 << 16
 
-// decodePlace reads a placement request from its transmitted form.
-func decodePlace(message *rpc.PlaceRequest) (placement.Request, error) {
+// decodePlaceRequest reads a placement request from its transmitted form.
+func decodePlaceRequest(message *rpc.PlaceRequest) (placement.Request, error) {
 	switch {
 	case message.GetRequestId() == "":
 		return placement.Request{}, twirp.RequiredArgumentError("request_id")
@@ -25,7 +25,7 @@
 		return placement.Request{}, twirp.InvalidArgumentError("block_hashes", "too many")
 	}
 	request := placement.Request{
-		Key:                keyOf(message.GetRequestId(), message.GetAttempt()),
+		Key:                placementKey(message.GetRequestId(), message.GetAttempt()),
 		Tenant:             fleet.TenantName(message.GetTenant()),
 		Weights:            decodeWeights(message.GetWeights()),
 		Class:              fleet.ClassName(message.GetClass()),
@@ -48,7 +48,7 @@
 	return request, nil
 }
 
-func keyOf(request string, attempt uint32) placement.Key {
+func placementKey(request string, attempt uint32) placement.Key {
 	return placement.Key{Request: fleet.RequestID(request), Attempt: fleet.Attempt(attempt)}
 }
 
@@ -81,20 +81,20 @@
 		response.Outcome = &rpc.PlaceResponse_Refusal{Refusal: &rpc.Refusal{
 			Code:             uint32(outcome.Code),
 			Reason:           outcome.Reason,
-			RetryAfterMillis: millis(outcome.RetryAfter),
+			RetryAfterMillis: ceilMillis(outcome.RetryAfter),
 		}}
 	case placement.HandBack:
 		handBack := &rpc.HandBack{Reason: string(outcome.Reason)}
-		if !agentChooses(outcome.Reason) {
+		if !agentOrdersRouters(outcome.Reason) {
 			handBack.Routers = routers
 		}
 		response.Outcome = &rpc.PlaceResponse_HandBack{HandBack: handBack}
 	}
 }
 
-// agentChooses tells whether an agent follows its own order of the routers after
+// agentOrdersRouters tells whether an agent follows its own order of the routers after
 // a hand-back.
-func agentChooses(reason placement.HandBackReason) bool {
+func agentOrdersRouters(reason placement.HandBackReason) bool {
 	switch reason {
 	case placement.HandBackSaturated, placement.HandBackNoEngine, placement.HandBackWarming:
 		return true
@@ -109,13 +109,13 @@
 		Address:              string(grant.Address),
 		Priority:             int32(grant.Priority),
 		ExpectedCachedTokens: uint32(max(grant.ExpectedCachedTokens, 0)),
-		ValidMillis:          millis(grant.ValidFor),
+		ValidMillis:          ceilMillis(grant.ValidFor),
 		BlockTokens:          uint32(grant.BlockTokens),
 	}
 }
 
-// millis rounds up, so that a wait is never told shorter than it is.
-func millis(duration time.Duration) uint32 {
+// ceilMillis rounds up, so that a wait is never told shorter than it is.
+func ceilMillis(duration time.Duration) uint32 {
 	return uint32(max((duration+time.Millisecond-1)/time.Millisecond, 0))
 }
 
@@ -131,7 +131,7 @@
 func decodeReport(message *rpc.AttemptReport) (placement.AttemptReport, bool) {
 	phase, known := phases[message.GetPhase()]
 	return placement.AttemptReport{
-		Key:          keyOf(message.GetRequestId(), message.GetAttempt()),
+		Key:          placementKey(message.GetRequestId(), message.GetAttempt()),
 		Run:          decodeRun(message.GetRun()),
 		Phase:        phase,
 		CachedTokens: int(message.GetCachedTokens()),
--- a/internal/router/operationspage_test.go
+++ b/internal/router/operationspage_test.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/pagetest"
 )
 
-// TestPageNamesTheRoutersMetrics compares docs/OPERATIONS.md with what a router
+// TestOperationsPageListsRouterMetrics compares docs/OPERATIONS.md with what a router
 // registers.
-func TestPageNamesTheRoutersMetrics(t *testing.T) {
+func TestOperationsPageListsRouterMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	registered := pagetest.MetricNames(newTestFleet(t, 0).startRouter("r").metrics.registry)
--- a/internal/router/operatorsource.go
+++ b/internal/router/operatorsource.go
@@ -134,7 +134,7 @@
 
 // RequestBlocks implements operator.Source.
 func (s operatorSource) RequestBlocks(request fleet.RequestID) ([]fleet.BlockHash, bool) {
-	return s.router.placer.recent.find(request)
+	return s.router.placer.recent.lookup(request)
 }
 
 // Explain implements operator.Source. It tells of the latest attempt.
--- a/internal/router/ownership.go
+++ b/internal/router/ownership.go
@@ -27,7 +27,7 @@
 	engines := make([]membership.EngineSite, 0, len(listed))
 	for _, machine := range listed {
 		if machine.Kind == platform.MachineEngine {
-			site := siteOf(machine)
+			site := engineSite(machine)
 			o.sites[fleet.EngineID(machine.ID)] = site
 			engines = append(engines, site)
 		}
@@ -36,7 +36,7 @@
 	return o
 }
 
-func siteOf(machine platform.Machine) membership.EngineSite {
+func engineSite(machine platform.Machine) membership.EngineSite {
 	return membership.EngineSite{
 		Pool:     machine.Pool,
 		Location: membership.Location{Region: machine.Region, Zone: machine.Zone},
--- a/internal/router/peerfetch.go
+++ b/internal/router/peerfetch.go
@@ -44,7 +44,7 @@
 
 // Fetch implements config.Peers.
 func (p *peerFetcher) Fetch(ctx context.Context, holder *config.Holder) error {
-	peer, found := p.anyPeer()
+	peer, found := p.randomPeer()
 	if !found {
 		return nil
 	}
@@ -57,16 +57,16 @@
 		return errors.Wrapf(err, "ask router %s", peer.Node)
 	}
 	p.router.machines.offer(answer.GetMachines())
-	return p.take(holder, peer, answer)
+	return p.applyConfiguration(holder, peer, answer)
 }
 
 func (p *peerFetcher) client(peer membership.Member) rpc.Peer {
 	return rpc.NewPeerProtobufClient("http://"+string(peer.Address), p.http)
 }
 
-func (p *peerFetcher) take(holder *config.Holder, peer membership.Member, answer *rpc.ChangesResponse) error {
+func (p *peerFetcher) applyConfiguration(holder *config.Holder, peer membership.Member, answer *rpc.ChangesResponse) error {
 	if snapshot := answer.GetSnapshot(); snapshot != nil {
-		p.router.learnConfiguration(snapshot, string(peer.Node))
+		p.router.offerConfiguration(snapshot, string(peer.Node))
 		return nil
 	}
 	changes, err := config.ChangesFromMessages(answer.GetChanges())
@@ -77,8 +77,8 @@
 	return err
 }
 
-// anyPeer returns a random router that takes work, other than this one.
-func (p *peerFetcher) anyPeer() (membership.Member, bool) {
+// randomPeer returns a random router that takes work, other than this one.
+func (p *peerFetcher) randomPeer() (membership.Member, bool) {
 	var others []membership.Member
 	for _, member := range p.router.peers.View().Routable() {
 		if member.Node != p.router.node {
@@ -100,7 +100,7 @@
 func (r *Router) fetchMachines() error {
 	r.awaitPeer(jitter(machineFetchInterval))
 	for !r.machines.isKnown() {
-		ctx, cancel := context.WithTimeout(r.life.Context(context.Background()), peerTimeout)
+		ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), peerTimeout)
 		if err := r.fetcher.Fetch(ctx, r.holder); err != nil {
 			r.logger.Debug().Err(err).Msg("machine_fetch_failed")
 		}
@@ -122,7 +122,7 @@
 			return
 		}
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return
 		case <-timer.C:
 			return
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -56,17 +56,17 @@
 	return addresses
 }
 
-// followMembers shares the engines and the lease anew with each change of the
+// applyMembership shares the engines and the lease anew with each change of the
 // membership.
-func (r *Router) followMembers() error {
+func (r *Router) applyMembership() error {
 	for {
 		changed := r.peers.Changed()
 		routable := r.peers.View().Routable()
 		r.engines.setRouters(routable)
 		r.rollout.setRouters(routable)
-		r.follower.Recount()
+		r.configFollower.Recount()
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return nil
 		case <-changed:
 		}
--- a/internal/router/peers_test.go
+++ b/internal/router/peers_test.go
@@ -16,30 +16,30 @@
 
 func awaitRoutable(t *testing.T, count int, routers ...*Router) {
 	for _, r := range routers {
-		require.Eventually(t, func() bool { return len(r.peers.View().Routable()) == count }, patience, pollTime)
+		require.Eventually(t, func() bool { return len(r.peers.View().Routable()) == count }, waitTimeout, pollInterval)
 	}
 }
 
-func TestCutOffRouterLearnsFromItsPeers(t *testing.T) {
+func TestRouterWithoutPlatformSyncsFromPeers(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), cutOff)
+	second := f.startReadyRouter("r2", joinThrough(first), withoutPlatform)
 	assert.NotNil(t, place(t, second, "q").GetGrant())
 	require.Zero(t, execute(t, first, "drain e0").GetCode())
-	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, patience, pollTime)
+	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	assert.Len(t, execute(t, second, "show routers").GetRows(), 2)
 }
 
-func TestStoppingRouterNamesOthersAndLeaves(t *testing.T) {
+func TestStoppingRouterHandsBackAndLeavesMembership(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first))
+	second := f.startReadyRouter("r2", joinThrough(first))
 	awaitRoutable(t, 2, first, second)
-	f.fill(first)
+	f.fillStreams(first)
 	waiting := placeAsync(context.Background(), first, "waits")
-	require.Eventually(t, func() bool { return first.placer.openCalls() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return first.placer.openCallCount() == 1 }, waitTimeout, pollInterval)
 	require.NoError(t, first.Stop())
 	assert.Equal(t, []string{string(second.Address())}, (<-waiting).GetHandBack().GetRouters())
 	awaitRoutable(t, 1, second)
@@ -47,11 +47,11 @@
 	assert.True(t, !known || member.State == membership.Leaving, "told, not suspected")
 }
 
-func TestDeadPeersDoNotHoldUpAStop(t *testing.T) {
+func TestDeadPeersDoNotDelayStop(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), func(options *Settings) {
+	second := f.startReadyRouter("r2", joinThrough(first), func(options *Settings) {
 		options.StopTimeout = settings.Duration(time.Hour)
 	})
 	awaitRoutable(t, 2, first, second)
@@ -65,7 +65,7 @@
 	f.commitConfiguration()
 	oneOwner := func(options *Settings) { options.IndexReplicas = 1 }
 	first := f.startRouter("r1", oneOwner)
-	second := f.startRouter("r2", oneOwner, joining(first))
+	second := f.startRouter("r2", oneOwner, joinThrough(first))
 	awaitRoutable(t, 2, first, second)
 	owned := func(r *Router) map[fleet.EngineID]bool {
 		engines := make(map[fleet.EngineID]bool)
@@ -84,10 +84,10 @@
 			}
 		}
 		return len(ownedByFirst)+len(ownedBySecond) == 4
-	}, patience, pollTime)
-	assert.Len(t, first.engines.allStatuses(context.Background()), 4, "the rollout sees them all")
+	}, waitTimeout, pollInterval)
+	assert.Len(t, first.engines.freshStatuses(context.Background()), 4, "the rollout sees them all")
 	require.NoError(t, first.Stop())
-	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, patience, pollTime)
+	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, waitTimeout, pollInterval)
 }
 
 func TestRoutersInTheListOfMachinesAreSeeds(t *testing.T) {
@@ -110,7 +110,7 @@
 	seeds := []fleet.Address{"127.0.0.1:2", "127.0.0.1:3"}
 	router := f.startRouter("r3", func(options *Settings) { options.Peers = seeds })
 	assert.GreaterOrEqual(t, router.fetcher.Count(), 1+len(seeds))
-	require.Eventually(t, func() bool { return router.fetcher.Count() == 4 }, patience, pollTime)
+	require.Eventually(t, func() bool { return router.fetcher.Count() == 4 }, waitTimeout, pollInterval)
 }
 
 func TestUnspecifiedAddressNeedsAnAdvertisedOne(t *testing.T) {
--- a/internal/router/peerserver.go
+++ b/internal/router/peerserver.go
@@ -15,12 +15,12 @@
 
 // Changes implements rpc.Peer.
 func (s *peerServer) Changes(ctx context.Context, message *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
-	s.router.hear(message.GetHeader())
+	s.router.observeRevision(message.GetHeader())
 	response, err := s.Peer.Changes(ctx, message)
 	switch {
 	case err != nil:
 	case message.GetMachinesFollowed():
-		s.router.listing.answer(message, response)
+		s.router.machineFollower.answerFollower(message, response)
 	case message.GetMachinesWanted():
 		response.Machines = s.router.machines.encoded()
 	}
--- a/internal/router/placementserver.go
+++ b/internal/router/placementserver.go
@@ -25,11 +25,11 @@
 // Place implements rpc.Placement. It waits for the core's outcome; a call that
 // the agent cancels withdraws the request.
 func (s *placementServer) Place(ctx context.Context, message *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
-	request, err := decodePlace(message)
+	request, err := decodePlaceRequest(message)
 	if err != nil {
 		return nil, err
 	}
-	s.router.hear(message.GetHeader())
+	s.router.observeRevision(message.GetHeader())
 	started := s.router.clock.Now()
 	outcome, err := s.decide(ctx, request)
 	waited := s.router.clock.Now() - started
@@ -50,7 +50,7 @@
 
 // decide asks the core, once it knows configuration and engines.
 func (s *placementServer) decide(ctx context.Context, request placement.Request) (placement.Outcome, error) {
-	if reason := s.unprepared(request); reason != "" {
+	if reason := s.unpreparedReason(request); reason != "" {
 		outcome := placement.HandBack{Key: request.Key, Reason: reason}
 		s.router.metrics.observeOutcome(request.Class, outcome, 0)
 		return outcome, nil
@@ -58,12 +58,12 @@
 	return s.router.placer.place(ctx, request)
 }
 
-// unprepared says why a router that has just started hands a request back;
+// unpreparedReason says why a router that has just started hands a request back;
 // empty when it doesn't. The answer shows an agent that knows a configuration
 // that this router is behind, and the agent brings it up to date. A request that
 // was handed back once is placed here even while the engines aren't known well:
 // when all routers have restarted, no other is better.
-func (s *placementServer) unprepared(request placement.Request) placement.HandBackReason {
+func (s *placementServer) unpreparedReason(request placement.Request) placement.HandBackReason {
 	switch {
 	case request.KnownRevision == 0:
 		return ""
@@ -71,7 +71,7 @@
 		return placement.HandBackBehind
 	case !s.router.listed.Load():
 		return placement.HandBackNoEngine
-	case request.Hops == 0 && s.router.warmingUp():
+	case request.Hops == 0 && s.router.isWarmingUp():
 		return placement.HandBackWarming
 	}
 	return ""
@@ -94,7 +94,7 @@
 
 // Report implements rpc.Placement.
 func (s *placementServer) Report(_ context.Context, message *rpc.ReportRequest) (*rpc.ReportResponse, error) {
-	s.router.hear(message.GetHeader())
+	s.router.observeRevision(message.GetHeader())
 	s.router.placer.do(func(now time.Duration, core *placement.Core) {
 		for _, encoded := range message.GetReports() {
 			if report, known := decodeReport(encoded); known {
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -62,11 +62,11 @@
 func (p *placer) do(step func(now time.Duration, core *placement.Core)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.step(step)
+	p.doLocked(step)
 }
 
-// step is do with the mutex held.
-func (p *placer) step(step func(now time.Duration, core *placement.Core)) {
+// doLocked is do with the mutex held.
+func (p *placer) doLocked(step func(now time.Duration, core *placement.Core)) {
 	now := p.clock.Now()
 	step(now, p.core)
 	for _, outcome := range p.core.TakeOutcomes() {
@@ -125,14 +125,14 @@
 	}
 }
 
-// idleTick is the longest time between two ticks.
-const idleTick = time.Second
+// maxTickInterval is the longest time between two ticks.
+const maxTickInterval = time.Second
 
 // tick does what is due and returns the time until the next tick.
 func (p *placer) tick() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.step(func(now time.Duration, core *placement.Core) {
+	p.doLocked(func(now time.Duration, core *placement.Core) {
 		if at, due := core.NextWake(); due && at <= now {
 			core.Tick(now)
 		}
@@ -141,9 +141,9 @@
 	p.armed = due
 	p.nextAt = at
 	if !due {
-		return idleTick
+		return maxTickInterval
 	}
-	return min(max(at-p.clock.Now(), time.Millisecond), idleTick)
+	return min(max(at-p.clock.Now(), time.Millisecond), maxTickInterval)
 }
 
 // place submits a request and waits for its outcome. When the context ends
@@ -173,7 +173,7 @@
 	}
 	p.calls[request.Key] = call
 	p.recent.add(request.Key.Request, request.Blocks)
-	p.step(func(now time.Duration, core *placement.Core) {
+	p.doLocked(func(now time.Duration, core *placement.Core) {
 		call.submitted = now
 		started := time.Now()
 		core.Submit(now, request)
@@ -209,21 +209,21 @@
 	key := call.request.Key
 	if p.calls[key] == call {
 		delete(p.calls, key)
-		p.step(func(now time.Duration, core *placement.Core) { core.Withdraw(now, key) })
+		p.doLocked(func(now time.Duration, core *placement.Core) { core.Withdraw(now, key) })
 		p.metrics.withdrawn.Inc()
 		return
 	}
 	select {
 	case outcome, delivered := <-call.outcome:
 		if delivered {
-			p.step(func(now time.Duration, _ *placement.Core) { p.abandon(now, outcome) })
+			p.doLocked(func(now time.Duration, _ *placement.Core) { p.abandon(now, outcome) })
 		}
 	default:
 	}
 }
 
-// openCalls returns the number of calls that wait.
-func (p *placer) openCalls() int {
+// openCallCount returns the number of calls that wait.
+func (p *placer) openCallCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.calls)
--- a/internal/router/platformpoll.go
+++ b/internal/router/platformpoll.go
@@ -13,19 +13,19 @@
 
 // pollMachines keeps the list of machines up to date until the router stops.
 func (r *Router) pollMachines() error {
-	return r.pollPlatform("machines", r.listing.interval, r.listing.refresh)
+	return r.pollPlatform("machines", r.machineFollower.interval, r.machineFollower.refresh)
 }
 
-// followMachines hands each new list of machines on.
-func (r *Router) followMachines() error {
+// applyMachines hands each new list of machines on.
+func (r *Router) applyMachines() error {
 	for {
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return nil
 		case <-r.machines.changed:
 			r.engines.setMachines(r.machines.current())
 			r.listed.Store(true)
-			r.follower.Recount()
+			r.configFollower.Recount()
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	for {
 		err := read()
 		pause := jitter(interval())
-		if err != nil && r.life.Alive() {
+		if err != nil && r.tomb.Alive() {
 			r.metrics.platformErrors.WithLabelValues(call).Inc()
 			pause = max(pauses.NextBackOff(), pause)
 			if !failing {
@@ -62,7 +62,7 @@
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-r.life.Dying():
+	case <-r.tomb.Dying():
 		return false
 	case <-timer.C:
 		return true
--- a/internal/router/recent.go
+++ b/internal/router/recent.go
@@ -29,6 +29,6 @@
 	r.blocks.Add(request, blocks)
 }
 
-func (r *recentRequests) find(request fleet.RequestID) ([]fleet.BlockHash, bool) {
+func (r *recentRequests) lookup(request fleet.RequestID) ([]fleet.BlockHash, bool) {
 	return r.blocks.Get(request)
 }
--- a/internal/router/rolloutrunner.go
+++ b/internal/router/rolloutrunner.go
@@ -46,7 +46,7 @@
 		Lease:    runner.keeper,
 		Orderer:  runner,
 		Document: r.document,
-		Engines:  func() []rollout.Engine { return r.engines.allStatuses(r.life.Context(context.Background())) },
+		Engines:  func() []rollout.Engine { return r.engines.freshStatuses(r.tomb.Context(context.Background())) },
 		Planner:  rollout.NewPlanner(rollout.PlannerSettings{}),
 		Clock:    r.clock,
 		Logger:   r.logger,
@@ -83,7 +83,7 @@
 
 // ReadyToPromote implements operator.Readiness.
 func (r *rolloutRunner) ReadyToPromote(document config.Document, weights fleet.Weights) error {
-	engines := r.router.engines.allStatuses(r.router.life.Context(context.Background()))
+	engines := r.router.engines.freshStatuses(r.router.tomb.Context(context.Background()))
 	ready, loaded, wanted := rollout.ReadyToPromote(&document, engines, weights.Model, weights.Adapter, weights.Version)
 	if ready {
 		return nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,21 +38,21 @@
 
 // Router is one router process.
 type Router struct {
-	options   Options
-	node      fleet.NodeID
-	clock     fleet.Clock
-	logger    zerolog.Logger
-	metrics   *metrics
-	placer    *placer
-	engines   *engineFleet
-	machines  *machineList
-	lists     *fleetsync.Publisher
-	holder    *config.Holder
-	store     *config.Store
-	follower  *config.PlatformFollower
-	fetcher   *peerFetcher
-	listing   *machineFollower
-	snapshots snapshotCache
+	options         Options
+	node            fleet.NodeID
+	clock           fleet.Clock
+	logger          zerolog.Logger
+	metrics         *metrics
+	placer          *placer
+	engines         *engineFleet
+	machines        *machineList
+	listPublisher   *fleetsync.Publisher
+	holder          *config.Holder
+	configStore     *config.Store
+	configFollower  *config.PlatformFollower
+	fetcher         *peerFetcher
+	machineFollower *machineFollower
+	configSnapshots snapshotCache
 
 	address  fleet.Address
 	listener net.Listener
@@ -60,7 +60,7 @@
 	peers    *peer.Peer
 	rollout  *rolloutRunner
 
-	life     tomb.Tomb
+	tomb     tomb.Tomb
 	stopping atomic.Bool
 	// configured and listed are set once the core has a configuration and a
 	// list of engines.
@@ -88,17 +88,17 @@
 	placer := newPlacer(core, clock, metrics, options.Settings.MaxWaitingCalls)
 	metrics.registry.MustRegister(collector{placer: placer})
 	return &Router{
-		options:  options,
-		node:     node,
-		clock:    clock,
-		logger:   options.Logger,
-		metrics:  metrics,
-		placer:   placer,
-		engines:  newEngineFleet(node, placer, metrics, options.Settings, options.Logger),
-		machines: newMachineList(),
-		lists:    fleetsync.NewPublisher(node),
-		holder:   config.NewHolder(),
-		store:    config.NewStore(options.Tables, options.Objects, config.StoreOptions{}),
+		options:       options,
+		node:          node,
+		clock:         clock,
+		logger:        options.Logger,
+		metrics:       metrics,
+		placer:        placer,
+		engines:       newEngineFleet(node, placer, metrics, options.Settings, options.Logger),
+		machines:      newMachineList(),
+		listPublisher: fleetsync.NewPublisher(node),
+		holder:        config.NewHolder(),
+		configStore:   config.NewStore(options.Tables, options.Objects, config.StoreOptions{}),
 	}
 }
 
@@ -113,16 +113,16 @@
 	}
 	r.listener = listener
 	r.address = r.advertisedAddress()
-	if err := r.startParts(); err != nil {
+	if err := r.startComponents(); err != nil {
 		_ = listener.Close()
 		return err
 	}
-	r.life.Go(r.run)
+	r.tomb.Go(r.run)
 	r.logger.Info().Str("address", string(r.address)).Str("version", r.options.Version).Msg("router_started")
 	return nil
 }
 
-func (r *Router) startParts() error {
+func (r *Router) startComponents() error {
 	var err error
 	if r.rollout, err = newRolloutRunner(r); err != nil {
 		return err
@@ -136,13 +136,13 @@
 		rpc.NewPeerServer(&peerServer{Peer: r.peers, router: r}),
 	)
 	r.fetcher = newPeerFetcher(r)
-	r.listing = newMachineFollower(r)
+	r.machineFollower = newMachineFollower(r)
 	r.followConfiguration()
 	return nil
 }
 
 func (r *Router) newOperationsServer() *operationsServer {
-	store := &commandStore{store: r.store, refresh: r.refreshConfiguration}
+	store := &commandStore{store: r.configStore, refresh: r.refreshConfiguration}
 	return &operationsServer{
 		router:  r,
 		runner:  operator.NewRunner(operatorSource{router: r}, store, r.rollout),
@@ -153,14 +153,14 @@
 
 // run starts the goroutines of the router.
 func (r *Router) run() error {
-	r.life.Go(r.serve)
-	r.life.Go(func() error { return r.placer.run(r.life.Dying()) })
-	r.life.Go(func() error { return r.engines.run(r.life.Dying()) })
-	r.life.Go(r.pollMachines)
-	r.life.Go(r.followMachines)
-	r.life.Go(r.fetchMachines)
-	r.life.Go(r.applyConfigurations)
-	r.life.Go(r.followMembers)
+	r.tomb.Go(r.serve)
+	r.tomb.Go(func() error { return r.placer.run(r.tomb.Dying()) })
+	r.tomb.Go(func() error { return r.engines.run(r.tomb.Dying()) })
+	r.tomb.Go(r.pollMachines)
+	r.tomb.Go(r.applyMachines)
+	r.tomb.Go(r.fetchMachines)
+	r.tomb.Go(r.applyConfigurations)
+	r.tomb.Go(r.applyMembership)
 	r.peers.Start()
 	r.rollout.start()
 	return nil
@@ -181,13 +181,13 @@
 func (r *Router) Node() fleet.NodeID { return r.node }
 
 // Ready tells whether the router can place requests.
-func (r *Router) Ready() bool { return r.notReady() == "" }
+func (r *Router) Ready() bool { return r.notReadyReason() == "" }
 
 // Dead is closed when the router has ended, by itself or by Stop.
-func (r *Router) Dead() <-chan struct{} { return r.life.Dead() }
+func (r *Router) Dead() <-chan struct{} { return r.tomb.Dead() }
 
 // Err returns why the router ended; nil after a planned stop.
-func (r *Router) Err() error { return r.life.Err() }
+func (r *Router) Err() error { return r.tomb.Err() }
 
 func (r *Router) isStopping() bool { return r.stopping.Load() }
 
@@ -202,7 +202,7 @@
 
 func (r *Router) stop() error {
 	r.stopping.Store(true)
-	r.logger.Info().Int("waiting", r.placer.openCalls()).Msg("router_stopping")
+	r.logger.Info().Int("waiting", r.placer.openCallCount()).Msg("router_stopping")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(r.options.Settings.StopTimeout))
 	defer cancel()
 	r.placer.do(func(now time.Duration, core *placement.Core) { core.Drain(now) })
@@ -211,10 +211,10 @@
 	parts.Go(r.rollout.stop)
 	parts.Go(func() { r.stopServer(ctx) })
 	waitFor(ctx, &parts)
-	r.life.Kill(nil)
-	_ = r.follower.Stop()
+	r.tomb.Kill(nil)
+	_ = r.configFollower.Stop()
 	_ = r.peers.Stop()
-	err := r.life.Wait()
+	err := r.tomb.Wait()
 	r.logger.Info().Msg("router_stopped")
 	return err
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -35,7 +35,7 @@
 	assert.Len(t, explained.GetRows(), 2)
 }
 
-func TestMalformedPlaceIsRefused(t *testing.T) {
+func TestMalformedPlaceRequestIsRejected(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
@@ -49,43 +49,43 @@
 	assert.NotNil(t, place(t, r, "next").GetGrant(), "the router goes on")
 }
 
-func TestCancelledCallGivesItsPlaceBack(t *testing.T) {
+func TestCancelledCallReleasesItsQueueEntry(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
-	granted := f.fill(r)
+	granted := f.fillStreams(r)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancelled := placeAsync(ctx, r, "gone")
-	require.Eventually(t, func() bool { return r.placer.openCalls() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.placer.openCallCount() == 1 }, waitTimeout, pollInterval)
 	listed := execute(t, r, "show waiting tenant ward")
 	require.Len(t, listed.GetRows(), 1)
 	assert.Equal(t, "gone", listed.GetRows()[0].GetCells()[0])
 	cancel()
 	require.Nil(t, <-cancelled)
-	require.Eventually(t, func() bool { return r.placer.snapshot().WaitingRequests == 0 }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.placer.snapshot().WaitingRequests == 0 }, waitTimeout, pollInterval)
 	waiting := placeAsync(context.Background(), r, "stays")
 	reportPhase(t, r, granted[0], rpc.AttemptPhase_ATTEMPT_PHASE_FINISHED)
 	assert.NotNil(t, (<-waiting).GetGrant())
 }
 
-func TestSupersededCallLeavesTheRequestToTheLaterOne(t *testing.T) {
+func TestLaterCallSupersedesEarlierCall(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
-	granted := f.fill(r)
+	granted := f.fillStreams(r)
 	earlier := placeAsync(context.Background(), r, "twice")
-	require.Eventually(t, func() bool { return r.placer.openCalls() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.placer.openCallCount() == 1 }, waitTimeout, pollInterval)
 	later := placeAsync(context.Background(), r, "twice")
 	require.Nil(t, <-earlier)
 	reportPhase(t, r, granted[0], rpc.AttemptPhase_ATTEMPT_PHASE_FINISHED)
 	assert.NotNil(t, (<-later).GetGrant())
 }
 
-func TestUndeliveredGrantIsGivenBack(t *testing.T) {
+func TestUndeliveredGrantIsAbandoned(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
-	request, err := decodePlace(placeRequest("q"))
+	request, err := decodePlaceRequest(placeRequest("q"))
 	require.NoError(t, err)
 	call := r.placer.submit(request)
 	require.Len(t, call.outcome, 1)
@@ -94,23 +94,23 @@
 	assert.Zero(t, r.placer.snapshot().InFlight)
 }
 
-func TestStopHandsWaitingRequestsBack(t *testing.T) {
+func TestStopHandsBackWaitingRequests(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
-	f.fill(r)
+	f.fillStreams(r)
 	var waiting []<-chan *rpc.PlaceResponse
 	for _, id := range []string{"a", "b", "c"} {
 		waiting = append(waiting, placeAsync(context.Background(), r, id))
 	}
-	require.Eventually(t, func() bool { return r.placer.openCalls() == len(waiting) }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.placer.openCallCount() == len(waiting) }, waitTimeout, pollInterval)
 	f.platform.SetFaults(platformserver.Faults{Down: true})
 	go func() { _ = r.Stop() }()
 	require.NoError(t, r.Stop(), "a second stop waits for the first")
 	for _, answer := range waiting {
 		assert.Equal(t, string(placement.HandBackDraining), (<-answer).GetHandBack().GetReason())
 	}
-	assert.Zero(t, r.placer.openCalls())
+	assert.Zero(t, r.placer.openCallCount())
 	<-r.Dead()
 }
 
@@ -146,7 +146,7 @@
 	assert.Contains(t, body, `tillerfall_router_outcomes_total{class="counter",code="2008",outcome="refused"} 1`)
 }
 
-func TestRestartWithThePlatformDownLearnsFromAnAgent(t *testing.T) {
+func TestRestartDuringPlatformOutageRecoversFromAgent(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r")
@@ -175,12 +175,12 @@
 	assert.NotNil(t, place(t, restarted, "q").GetGrant())
 }
 
-func TestAgentThatIsBehindGetsTheChangesAlone(t *testing.T) {
+func TestOutdatedAgentGetsOnlyConfigurationChanges(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
 	require.Zero(t, execute(t, r, "drain e0").GetCode())
-	require.Eventually(t, func() bool { return r.holder.Revision() == 2 }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent", KnownRevision: 1}}
 	answer, err := placementClient(r).Sync(context.Background(), request)
 	require.NoError(t, err)
@@ -200,7 +200,7 @@
 	r := f.startReadyRouter("r")
 	old := r.configurationMessage()
 	require.Zero(t, execute(t, r, "drain e0").GetCode())
-	require.Eventually(t, func() bool { return r.holder.Revision() == 2 }, patience, pollTime)
+	require.Eventually(t, func() bool { return r.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	_, err := placementClient(r).Sync(context.Background(), &rpc.SyncRequest{Config: old})
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, r.holder.Revision())
@@ -208,7 +208,7 @@
 
 func TestOperatorsCommands(t *testing.T) {
 	f := newTestFleet(t, 2)
-	f.slowLoads()
+	f.blockLoads()
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
 	assert.Equal(t, uint32(resultcode.CommandImpossible), execute(t, r, "promote m v2").GetCode(), "v2 isn't loaded")
@@ -217,25 +217,25 @@
 	assert.Equal(t, drained.GetRevision(), execute(t, r, "lookup "+drained.GetToken()).GetRevision())
 	require.Eventually(t, func() bool {
 		return len(execute(t, r, "show engines where state = leaving and leaving_by = operator and owned = yes").GetRows()) == 1
-	}, patience, pollTime)
+	}, waitTimeout, pollInterval)
 	for _, id := range []string{"a", "b"} {
 		assert.Equal(t, "e1", place(t, r, id).GetGrant().GetRun().GetEngine())
 	}
 	require.Zero(t, execute(t, r, "admit e0").GetCode())
 	require.Eventually(t, func() bool {
 		return len(execute(t, r, "show engines where state = ready").GetRows()) == 2
-	}, patience, pollTime)
+	}, waitTimeout, pollInterval)
 	f.platform.SetFaults(platformserver.Faults{Down: true})
 	lost := execute(t, r, "drain e1")
 	assert.Contains(t, []uint32{uint32(resultcode.PlatformUnavailable), uint32(resultcode.CommandUncertain)}, lost.GetCode())
 }
 
-func TestPromotionFollowsTheLoadOfTheWeights(t *testing.T) {
+func TestPromotionWaitsForVersionToLoad(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
 	first, second := f.startReadyRouter("r1"), f.startReadyRouter("r2")
-	require.Eventually(t, func() bool { return execute(t, first, "promote m v2").GetCode() == 0 }, patience, 20*pollTime)
-	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, patience, pollTime)
+	require.Eventually(t, func() bool { return execute(t, first, "promote m v2").GetCode() == 0 }, waitTimeout, 20*pollInterval)
+	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	request := placeRequest("q")
 	request.Weights.Version = "v2"
 	response, err := placementClient(second).Place(context.Background(), request)
@@ -243,16 +243,16 @@
 	assert.NotNil(t, response.GetGrant(), "%v", response)
 }
 
-func TestFailedOverLeaseStillRetiresAnEngine(t *testing.T) {
+func TestEngineIsRetiredAfterLeaseFailover(t *testing.T) {
 	f := newTestFleet(t, 1)
-	f.slowLoads()
+	f.blockLoads()
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	require.Eventually(t, func() bool { _, held := first.rollout.keeper.Fence(); return held }, patience, pollTime)
+	require.Eventually(t, func() bool { _, held := first.rollout.keeper.Fence(); return held }, waitTimeout, pollInterval)
 	second := f.startReadyRouter("r2")
 	require.NoError(t, first.Stop())
 	require.Zero(t, execute(t, second, "retire e0").GetCode())
-	require.Eventually(t, func() bool { return f.engines[0].Status().Leaving }, patience, pollTime)
+	require.Eventually(t, func() bool { return f.engines[0].Status().Leaving }, waitTimeout, pollInterval)
 }
 
 // callUntilStopped places and finishes requests one after another, until the
@@ -293,8 +293,8 @@
 		})
 	}
 	require.Eventually(t, func() bool {
-		return testutil.CollectAndCount(r.metrics.outcomes) > 0 && r.placer.openCalls() > 0
-	}, patience, pollTime)
+		return testutil.CollectAndCount(r.metrics.outcomes) > 0 && r.placer.openCallCount() > 0
+	}, waitTimeout, pollInterval)
 	require.NoError(t, r.Stop())
 	group.Wait()
 	close(refusals)
--- a/internal/router/syncserver.go
+++ b/internal/router/syncserver.go
@@ -13,8 +13,8 @@
 // Sync implements rpc.Placement. Configuration and machine list go to the side
 // that lacks them.
 func (s *placementServer) Sync(_ context.Context, message *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-	s.router.learnConfiguration(message.GetConfig(), message.GetHeader().GetSender())
-	s.router.hear(message.GetHeader())
+	s.router.offerConfiguration(message.GetConfig(), message.GetHeader().GetSender())
+	s.router.observeRevision(message.GetHeader())
 	s.router.machines.offer(message.GetMachines())
 	response := &rpc.SyncResponse{
 		Header:         s.router.header(),
@@ -25,7 +25,7 @@
 	if err := s.answerConfiguration(message, response); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	s.router.lists.Answer(s.router.peers.View(), s.router.machines.encoded(), message, response)
+	s.router.listPublisher.Answer(s.router.peers.View(), s.router.machines.encoded(), message, response)
 	return response, nil
 }
 
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -16,38 +16,38 @@
 // the router which placed before it knows to be warm. It is safe for concurrent
 // use.
 type warmup struct {
-	mutex sync.Mutex
-	begun bool
-	since time.Duration
-	done  bool
+	mutex     sync.Mutex
+	isStarted bool
+	startedAt time.Duration
+	isDone    bool
 }
 
-// over tells whether the router knows its engines, or has waited long enough.
+// isOver tells whether the router knows its engines, or has waited long enough.
 // Once it is true it stays so.
-func (w *warmup) over(now time.Duration, synchronised func() bool) bool {
+func (w *warmup) isOver(now time.Duration, synchronised func() bool) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.done {
+	if w.isDone {
 		return true
 	}
-	if !w.begun {
-		w.begun = true
-		w.since = now
+	if !w.isStarted {
+		w.isStarted = true
+		w.startedAt = now
 	}
-	w.done = now-w.since >= warmupLimit || synchronised()
-	return w.done
+	w.isDone = now-w.startedAt >= warmupLimit || synchronised()
+	return w.isDone
 }
 
-// warmingUp tells whether requests are better placed by another router. With
+// isWarmingUp tells whether requests are better placed by another router. With
 // shared engines it never is: nobody else places on the engines owned here.
-func (r *Router) warmingUp() bool {
-	if r.options.Settings.IndexReplicas > 0 || r.warmup.over(r.clock.Now(), r.synchronised) {
+func (r *Router) isWarmingUp() bool {
+	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronised) {
 		return false
 	}
 	return len(r.otherRouters(1)) > 0
 }
 
-func (r *Router) synchronised() bool {
+func (r *Router) isSynchronised() bool {
 	known := false
 	r.placer.do(func(_ time.Duration, core *placement.Core) { known = core.Synchronised() })
 	return known
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// answerAfter makes every engine answer late.
-func (f *testFleet) answerAfter(delay time.Duration) {
+// delayAnswers makes every engine answer late.
+func (f *testFleet) delayAnswers(delay time.Duration) {
 	for _, server := range f.engines {
 		faults := server.Faults()
 		faults.AnswerDelayMillis = delay.Milliseconds()
@@ -21,15 +21,15 @@
 	}
 }
 
-func TestRouterLeavesRequestsToOthersUntilItKnowsTheCaches(t *testing.T) {
+func TestWarmingRouterHandsRequestsBack(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	f.answerAfter(time.Hour)
-	second := f.startRouter("r2", joining(first))
-	second.warmup.begun, second.warmup.since = true, time.Hour // not over by time
+	f.delayAnswers(time.Hour)
+	second := f.startRouter("r2", joinThrough(first))
+	second.warmup.isStarted, second.warmup.startedAt = true, time.Hour // not over by time
 	awaitRoutable(t, 2, first, second)
-	require.Eventually(t, second.Ready, patience, pollTime)
+	require.Eventually(t, second.Ready, waitTimeout, pollInterval)
 	handedBack := place(t, second, "q").GetHandBack()
 	require.NotNil(t, handedBack)
 	assert.Equal(t, string(placement.HandBackWarming), handedBack.GetReason())
@@ -42,33 +42,33 @@
 		response, _ := placementClient(second).Place(context.Background(), again)
 		answer <- response
 	}()
-	require.Eventually(t, func() bool { return second.placer.openCalls() == 1 }, patience, pollTime, "one hop is enough")
-	f.answerAfter(0)
+	require.Eventually(t, func() bool { return second.placer.openCallCount() == 1 }, waitTimeout, pollInterval, "one hop is enough")
+	f.delayAnswers(0)
 	assert.NotNil(t, (<-answer).GetGrant())
-	require.Eventually(t, func() bool { return !second.warmingUp() }, patience, pollTime)
+	require.Eventually(t, func() bool { return !second.isWarmingUp() }, waitTimeout, pollInterval)
 	assert.NotNil(t, place(t, second, "known").GetGrant())
 }
 
-func TestLoneRouterPlacesAtOnce(t *testing.T) {
+func TestSingleRouterSkipsWarmup(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
-	f.answerAfter(time.Hour)
+	f.delayAnswers(time.Hour)
 	alone := f.startRouter("r")
-	alone.warmup.begun, alone.warmup.since = true, time.Hour
-	require.Eventually(t, alone.Ready, patience, pollTime)
-	assert.False(t, alone.warmingUp())
+	alone.warmup.isStarted, alone.warmup.startedAt = true, time.Hour
+	require.Eventually(t, alone.Ready, waitTimeout, pollInterval)
+	assert.False(t, alone.isWarmingUp())
 }
 
 func TestWarmupIsBounded(t *testing.T) {
 	var w warmup
 	never := func() bool { return false }
-	assert.False(t, w.over(time.Minute, never))
-	assert.False(t, w.over(time.Minute+warmupLimit-1, never))
-	assert.True(t, w.over(time.Minute+warmupLimit, never))
-	assert.True(t, w.over(time.Minute, never), "once over, it stays so")
+	assert.False(t, w.isOver(time.Minute, never))
+	assert.False(t, w.isOver(time.Minute+warmupLimit-1, never))
+	assert.True(t, w.isOver(time.Minute+warmupLimit, never))
+	assert.True(t, w.isOver(time.Minute, never), "once over, it stays so")
 }
 
-func TestWarmupEndsWhenTheEnginesAreKnown(t *testing.T) {
+func TestWarmupEndsWhenEnginesAreSynchronised(t *testing.T) {
 	var w warmup
-	assert.True(t, w.over(0, func() bool { return true }))
+	assert.True(t, w.isOver(0, func() bool { return true }))
 }
