--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -24,7 +24,7 @@
 	}
 	view := a.config.Current()
 	if view == nil {
-		return nil, config.Tenant{}, a.notNow(resultcode.NoConfiguration, "no configuration is known yet")
+		return nil, config.Tenant{}, a.temporaryFailure(resultcode.NoConfiguration, "no configuration is known yet")
 	}
 	tenant, found := view.TenantByKey(key)
 	if !found {
@@ -36,7 +36,7 @@
 // admit checks a request against the configuration and prepares it.
 func (a *Agent) admit(
 	endpoint openai.Endpoint, view *config.View, tenant config.Tenant, writer http.ResponseWriter, request *http.Request,
-) (*call, *openai.Failure) {
+) (*admittedRequest, *openai.Failure) {
 	options, failure := openai.ParseOptions(request.Header)
 	if failure != nil {
 		return nil, failure
@@ -60,7 +60,7 @@
 	case !tenant.AllowsModel(model.Name):
 		return nil, &openai.Failure{Code: resultcode.ModelNotAllowed, Message: fmt.Sprintf("model %q is not allowed", body.Model), Param: "model"}
 	}
-	return a.prepare(&call{
+	return a.prepare(&admittedRequest{
 		tenant:  tenant,
 		class:   class.Name,
 		maxWait: time.Duration(class.MaxWait),
@@ -72,7 +72,7 @@
 
 // prepare fills in what follows from the model. An output limit over the
 // model's own is lowered to it.
-func (a *Agent) prepare(admitted *call, model config.Model) (*call, *openai.Failure) {
+func (a *Agent) prepare(admitted *admittedRequest, model config.Model) (*admittedRequest, *openai.Failure) {
 	admitted.promptTokens = prompt.CountTokens(admitted.body.Prompt)
 	if admitted.promptTokens > model.MaxPromptTokens {
 		message := fmt.Sprintf("the prompt has %d tokens; the model takes %d", admitted.promptTokens, model.MaxPromptTokens)
@@ -92,10 +92,10 @@
 }
 
 // hashPrompt fills in what follows from the weights.
-func (c *call) hashPrompt(model config.Model) {
+func (c *admittedRequest) hashPrompt(model config.Model) {
 	scope := fleet.CacheScope{Tenant: c.tenant.Name, Weights: c.weights}
 	c.hashes = prompt.HashBlocks(scope, c.body.Prompt, model.BlockTokens)
-	c.wholeKey = xxhash.Sum64String(c.body.Prompt)
+	c.promptKey = xxhash.Sum64String(c.body.Prompt)
 	c.pool = model.Pool
 }
 
@@ -116,7 +116,7 @@
 	limits := a.settings.HTTP
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(time.Duration(limits.BodyTimeout)))
-	buffer := bytes.NewBuffer(make([]byte, 0, min(max(request.ContentLength, 0)+bytes.MinRead, maxEarlyBuffer)))
+	buffer := bytes.NewBuffer(make([]byte, 0, min(max(request.ContentLength, 0)+bytes.MinRead, maxInitialBuffer)))
 	_, err := buffer.ReadFrom(http.MaxBytesReader(writer, request.Body, limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -131,6 +131,6 @@
 	return buffer.Bytes(), nil
 }
 
-// maxEarlyBuffer bounds the memory that a caller gets for a body before it
+// maxInitialBuffer bounds the memory that a caller gets for a body before it
 // arrives. Most bodies fit into it and are read without growing it.
-const maxEarlyBuffer = 64 << 10
+const maxInitialBuffer = 64 << 10
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -53,23 +53,23 @@
 	lists fleetsync.Subscriber
 	// snapshotWanted is set when changes of the configuration couldn't be applied.
 	snapshotWanted atomic.Bool
-	routers        *routers
+	routers        *routerSet
 	engines        *engine.Connections
 	budget         attempt.RetryBudget
-	concurrency    *concurrency
-	duplicates     *duplicates
-	running        *gate
+	concurrency    *concurrencyLimiter
+	duplicates     *duplicateFilter
+	running        *admissionGate
 
-	server   *http.Server
-	listener net.Listener
-	syncNow  chan *link
+	server       *http.Server
+	listener     net.Listener
+	syncRequests chan *routerState
 
-	// life runs the agent; calls runs what requests have under way, which ends
+	// tomb runs the agent; calls runs what requests have under way, which ends
 	// after the requests themselves.
-	life      tomb.Tomb
-	calls     tomb.Tomb
-	graceOver chan struct{}
-	drained   chan struct{}
+	tomb         tomb.Tomb
+	calls        tomb.Tomb
+	graceExpired chan struct{}
+	drained      chan struct{}
 }
 
 // New returns an agent that isn't started. The settings must have been checked.
@@ -88,18 +88,18 @@
 		registry: registry,
 		metrics:  newMetrics(registry),
 		config:   config.NewHolder(),
-		routers:  newRouters(clock, settings.ranking(), settings.Routers, time.Duration(settings.Sync.BackoffMax)),
+		routers:  newRouterSet(clock, settings.newRanking(), settings.Routers, time.Duration(settings.Sync.BackoffMax)),
 		engines: engine.NewConnections(engine.Options{
 			ConnectTimeout: time.Duration(settings.Engines.ConnectTimeout),
 			HeaderTimeout:  time.Duration(settings.Engines.HeaderTimeout),
 		}),
-		budget:      &sharedBudget{budget: attempt.NewBudget(settings.Requests.budget())},
-		concurrency: newConcurrency(settings.Requests.MaxConcurrent),
-		duplicates:  newDuplicates(settings.Requests.IdempotencyKeys),
-		running:     newGate(),
-		syncNow:     make(chan *link, 1),
-		graceOver:   make(chan struct{}),
-		drained:     make(chan struct{}),
+		budget:       &lockedBudget{budget: attempt.NewBudget(settings.Requests.budget())},
+		concurrency:  newConcurrencyLimiter(settings.Requests.MaxConcurrent),
+		duplicates:   newDuplicateFilter(settings.Requests.IdempotencyKeys),
+		running:      newAdmissionGate(),
+		syncRequests: make(chan *routerState, 1),
+		graceExpired: make(chan struct{}),
+		drained:      make(chan struct{}),
 	}
 	a.server = a.newServer()
 	return a, nil
@@ -138,9 +138,9 @@
 		<-a.calls.Dying()
 		return nil
 	})
-	a.life.Go(a.serve)
-	a.life.Go(a.syncLoop)
-	a.life.Go(func() error { return a.supervise(ctx) })
+	a.tomb.Go(a.serve)
+	a.tomb.Go(a.syncLoop)
+	a.tomb.Go(func() error { return a.supervise(ctx) })
 	a.logger.Info().Str("address", listener.Addr().String()).Msg("agent_started")
 	return nil
 }
@@ -152,7 +152,7 @@
 func (a *Agent) Node() fleet.NodeID { return a.node }
 
 // Dead is closed when the agent has ended.
-func (a *Agent) Dead() <-chan struct{} { return a.life.Dead() }
+func (a *Agent) Dead() <-chan struct{} { return a.tomb.Dead() }
 
 // Stop refuses new requests, lets running ones finish within the grace and
 // returns when the agent has ended. Further calls wait for the same end.
@@ -160,8 +160,8 @@
 	if a.listener == nil {
 		return nil // never started
 	}
-	a.life.Kill(nil)
-	return a.life.Wait()
+	a.tomb.Kill(nil)
+	return a.tomb.Wait()
 }
 
 func (a *Agent) serve() error {
@@ -174,8 +174,8 @@
 func (a *Agent) supervise(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-		a.life.Kill(nil)
-	case <-a.life.Dying():
+		a.tomb.Kill(nil)
+	case <-a.tomb.Dying():
 	}
 	a.drain()
 	return nil
@@ -185,7 +185,7 @@
 // old ones run.
 func (a *Agent) drain() {
 	grace := time.Duration(a.settings.StopGrace)
-	idle := a.running.shut()
+	idle := a.running.close()
 	a.server.SetKeepAlivesEnabled(false)
 	a.logger.Info().Dur("grace_ms", grace).Msg("agent_stopping")
 	select {
@@ -193,7 +193,7 @@
 	case <-time.After(grace):
 		a.logger.Warn().Msg("stop_grace_over")
 	}
-	close(a.graceOver)
+	close(a.graceExpired)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.HTTP.WriteTimeout))
 	defer cancel()
 	if err := a.server.Shutdown(ctx); err != nil {
--- a/internal/agent/carrier.go
+++ b/internal/agent/carrier.go
@@ -14,8 +14,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// call is an admitted request.
-type call struct {
+// admittedRequest is an admitted request.
+type admittedRequest struct {
 	id      fleet.RequestID
 	arrived time.Duration
 	tenant  config.Tenant
@@ -29,10 +29,10 @@
 	maxTokens    int
 	promptTokens int
 	hashes       []fleet.BlockHash
-	// wholeKey chooses the router for a prompt of less than a block, which can't
+	// promptKey chooses the router for a prompt of less than a block, which can't
 	// share a cached one.
-	wholeKey uint64
-	pool     fleet.PoolName
+	promptKey uint64
+	pool      fleet.PoolName
 }
 
 // output is where a request's answer goes. An error means that the caller
@@ -43,13 +43,13 @@
 	Fail(failure *openai.Failure) error
 }
 
-// carrier drives one request's machine: it turns actions into calls to routers
+// requestRunner drives one request's machine: it turns actions into calls to routers
 // and engines, and their answers into events. All but the calls run on the
 // goroutine of the HTTP handler, so a caller that reads slowly holds up its own
 // stream alone: frames are left unread at the engine.
-type carrier struct {
+type requestRunner struct {
 	agent   *Agent
-	call    *call
+	request *admittedRequest
 	machine *attempt.Machine
 	output  output
 	logger  zerolog.Logger
@@ -62,43 +62,43 @@
 	// tried, askedAt and handBacks are written by the placing call alone, which
 	// the machine never has two of at a time.
 	tried     map[fleet.Address]int
-	askedAt   map[fleet.Attempt]*link
+	placedBy  map[fleet.Attempt]*routerState
 	handBacks uint32
-	// routing is set when the request is first placed; spills counts the
+	// route is set when the request is first placed; spills counts the
 	// saturated routers since its last grant. Both belong to the placing call.
-	routing *routing
-	spills  int
+	route  *route
+	spills int
 
-	outputBroken bool
-	firstToken   time.Duration
+	outputFailed bool
+	firstTokenAt time.Duration
 	// result is the code of the answer; aborted is set when there was none.
 	result  resultcode.Code
 	aborted bool
 	usage   openai.Usage
 }
 
-func newCarrier(a *Agent, call *call, out output) *carrier {
+func newRequestRunner(a *Agent, call *admittedRequest, out output) *requestRunner {
 	request := attempt.Request{ID: call.id, Repeatable: !call.options.NotRepeatable, Deadline: call.deadline}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &carrier{
+	return &requestRunner{
 		agent:           a,
-		call:            call,
+		request:         call,
 		machine:         attempt.New(request, a.settings.Requests.policy(), a.budget, random),
 		output:          out,
 		logger:          a.logger.With().Str("request_id", string(call.id)).Logger(),
 		events:          make(chan attempt.Event),
 		cancelOperation: func() {},
 		tried:           make(map[fleet.Address]int),
-		askedAt:         make(map[fleet.Attempt]*link),
+		placedBy:        make(map[fleet.Attempt]*routerState),
 	}
 }
 
 // run carries the request to its end. The context ends when the caller is gone.
-func (c *carrier) run(caller context.Context) {
+func (c *requestRunner) run(caller context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c.context = ctx
-	deadline := time.NewTimer(c.call.deadline - c.agent.clock.Now())
+	deadline := time.NewTimer(c.request.deadline - c.agent.clock.Now())
 	defer deadline.Stop()
 	c.perform(c.machine.Start(c.agent.clock.Now()))
 	for c.machine.Phase() != attempt.PhaseFinished {
@@ -109,49 +109,49 @@
 			event = attempt.CallerGone{}
 		case <-deadline.C:
 			event = attempt.DeadlinePassed{}
-		case <-c.agent.graceOver:
+		case <-c.agent.graceExpired:
 			event = attempt.Stopping{}
 		}
 		c.handle(event)
 	}
 }
 
-func (c *carrier) handle(event attempt.Event) {
+func (c *requestRunner) handle(event attempt.Event) {
 	c.logger.Debug().Type("event", event).Stringer("phase", c.machine.Phase()).Msg("attempt_event")
 	c.perform(c.machine.Handle(c.agent.clock.Now(), event))
-	if c.outputBroken && c.machine.Phase() != attempt.PhaseFinished {
+	if c.outputFailed && c.machine.Phase() != attempt.PhaseFinished {
 		c.perform(c.machine.Handle(c.agent.clock.Now(), attempt.CallerGone{}))
 	}
 }
 
-func (c *carrier) perform(actions []attempt.Action) {
+func (c *requestRunner) perform(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case attempt.RequestPlacement:
-			c.start(action.Delay, func(ctx context.Context) { c.deliver(ctx, c.place(ctx, action)) })
+			c.startOperation(action.Delay, func(ctx context.Context) { c.deliver(ctx, c.place(ctx, action)) })
 		case attempt.Dispatch:
 			c.logger.Debug().Str("engine", string(action.Run.Engine)).Str("stream", string(action.Stream)).Msg("dispatch")
-			c.start(0, func(ctx context.Context) { c.dispatch(ctx, action) })
+			c.startOperation(0, func(ctx context.Context) { c.dispatch(ctx, action) })
 		case attempt.Resume:
-			c.start(action.Delay, func(ctx context.Context) { c.resume(ctx, action) })
+			c.startOperation(action.Delay, func(ctx context.Context) { c.resume(ctx, action) })
 		case attempt.CancelAndFence:
 			c.cancel(action)
 		case attempt.Report:
-			c.agent.report(c.askedAt[action.Attempt], c.call.id, action)
+			c.agent.report(c.placedBy[action.Attempt], c.request.id, action)
 		default:
-			c.answer(action)
+			c.writeOutput(action)
 		}
 	}
 }
 
-// start begins an operation in place of the one under way.
-func (c *carrier) start(delay time.Duration, operation func(context.Context)) {
+// startOperation begins an operation in place of the one under way.
+func (c *requestRunner) startOperation(delay time.Duration, operation func(context.Context)) {
 	c.cancelOperation()
 	ctx, cancel := context.WithCancel(c.context)
 	c.cancelOperation = cancel
 	c.agent.calls.Go(func() error {
 		defer cancel()
-		if wait(ctx, delay) {
+		if sleep(ctx, delay) {
 			operation(ctx)
 		}
 		return nil
@@ -160,7 +160,7 @@
 
 // deliver hands an event to the machine. A grant that nobody takes any more is
 // given back to its router.
-func (c *carrier) deliver(ctx context.Context, event attempt.Event) bool {
+func (c *requestRunner) deliver(ctx context.Context, event attempt.Event) bool {
 	select {
 	case c.events <- event:
 		return true
@@ -168,12 +168,12 @@
 	}
 	if grant, isGrant := event.(attempt.Granted); isGrant {
 		report := attempt.Report{Attempt: grant.Attempt, Run: grant.Run, Phase: attempt.ReportAbandoned}
-		c.agent.report(c.askedAt[grant.Attempt], c.call.id, report)
+		c.agent.report(c.placedBy[grant.Attempt], c.request.id, report)
 	}
 	return false
 }
 
-func wait(ctx context.Context, delay time.Duration) bool {
+func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
 	}
@@ -187,13 +187,13 @@
 	}
 }
 
-// answer carries out what the caller sees.
-func (c *carrier) answer(action attempt.Action) {
+// writeOutput carries out what the caller sees.
+func (c *requestRunner) writeOutput(action attempt.Action) {
 	var err error
 	switch action := action.(type) {
 	case attempt.EmitToken:
-		if c.firstToken == 0 {
-			c.firstToken = c.agent.clock.Now()
+		if c.firstTokenAt == 0 {
+			c.firstTokenAt = c.agent.clock.Now()
 		}
 		err = c.output.Token(action.Text)
 	case attempt.Finish:
@@ -208,17 +208,17 @@
 		err = c.output.Fail(&openai.Failure{
 			Code:          action.Code,
 			Message:       action.Reason,
-			RequestID:     c.call.id,
+			RequestID:     c.request.id,
 			RetryAfter:    action.RetryAfter,
-			NotRepeatable: c.call.options.NotRepeatable,
+			NotRepeatable: c.request.options.NotRepeatable,
 		})
 	case attempt.Abort:
 		c.aborted = true
 	}
-	c.outputBroken = c.outputBroken || err != nil
+	c.outputFailed = c.outputFailed || err != nil
 }
 
-// notRun tells whether the request certainly did not run.
-func (c *carrier) notRun() bool {
+// didNotRun tells whether the request certainly did not run.
+func (c *requestRunner) didNotRun() bool {
 	return !c.aborted && resultcode.Lookup(c.result).NotRun
 }
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -12,21 +12,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// cancelTries is how often a best-effort cancel is sent.
-const cancelTries = 3
+// maxCancelTries is how often a best-effort cancel is sent.
+const maxCancelTries = 3
 
-// cancelPause is the time between two tries of a best-effort cancel.
-const cancelPause = 200 * time.Millisecond
+// cancelRetryDelay is the time between two tries of a best-effort cancel.
+const cancelRetryDelay = 200 * time.Millisecond
 
-func (c *carrier) dispatch(ctx context.Context, action attempt.Dispatch) {
-	weights := c.call.weights
+func (c *requestRunner) dispatch(ctx context.Context, action attempt.Dispatch) {
+	weights := c.request.weights
 	stream, err := c.agent.engines.Client(action.Address).Dispatch(ctx, engine.DispatchRequest{
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
-		Tenant:       c.call.tenant.Name,
+		Tenant:       c.request.tenant.Name,
 		Weights:      engine.Weights{Model: weights.Model, Adapter: weights.Adapter, Version: weights.Version},
-		Prompt:       c.call.body.Prompt,
-		MaxTokens:    c.call.maxTokens,
+		Prompt:       c.request.body.Prompt,
+		MaxTokens:    c.request.maxTokens,
 		Priority:     action.Priority,
 		Continuation: action.Continuation,
 	})
@@ -35,7 +35,7 @@
 		c.deliver(ctx, dispatchFailure(action.Operation, err))
 		return
 	}
-	c.read(ctx, action.Operation, action.Run, stream)
+	c.readStream(ctx, action.Operation, action.Run, stream)
 }
 
 func dispatchFailure(operation attempt.Operation, err error) attempt.Event {
@@ -55,10 +55,10 @@
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-func (c *carrier) resume(ctx context.Context, action attempt.Resume) {
+func (c *requestRunner) resume(ctx context.Context, action attempt.Resume) {
 	stream, err := c.agent.engines.Client(action.Address).Resume(ctx, action.Stream, action.Offset)
 	if err == nil {
-		c.read(ctx, action.Operation, action.Run, stream)
+		c.readStream(ctx, action.Operation, action.Run, stream)
 		return
 	}
 	c.logEngineError("resume_failed", action.Run, err)
@@ -74,10 +74,10 @@
 	c.deliver(ctx, attempt.ResumeFailed{Operation: action.Operation})
 }
 
-// read delivers a stream's frames until its end. Each is taken from the
+// readStream delivers a stream's frames until its end. Each is taken from the
 // connection only after the one before has been handled. The time that the
 // handling takes doesn't count as the engine's silence.
-func (c *carrier) read(ctx context.Context, operation attempt.Operation, run fleet.EngineRun, stream *engine.Stream) {
+func (c *requestRunner) readStream(ctx context.Context, operation attempt.Operation, run fleet.EngineRun, stream *engine.Stream) {
 	defer stream.Close()
 	idle := time.Duration(c.agent.settings.Engines.StreamIdleTimeout)
 	silence := time.AfterFunc(idle, stream.Close)
@@ -101,26 +101,26 @@
 }
 
 // cancel stops a stream. A best-effort cancel outlives its request.
-func (c *carrier) cancel(action attempt.CancelAndFence) {
+func (c *requestRunner) cancel(action attempt.CancelAndFence) {
 	if action.Operation != 0 {
-		c.start(action.Delay, func(ctx context.Context) {
+		c.startOperation(action.Delay, func(ctx context.Context) {
 			c.deliver(ctx, c.cancelOnce(ctx, action))
 		})
 		return
 	}
 	c.agent.calls.Go(func() error {
-		for range cancelTries {
+		for range maxCancelTries {
 			failed, isFailure := c.cancelOnce(context.Background(), action).(attempt.CancelFailed)
 			if !isFailure || failed.Code == engine.ErrorWrongIncarnation {
 				return nil
 			}
-			time.Sleep(cancelPause)
+			time.Sleep(cancelRetryDelay)
 		}
 		return nil
 	})
 }
 
-func (c *carrier) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
+func (c *requestRunner) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
 	defer stop()
 	answer, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
@@ -134,7 +134,7 @@
 }
 
 // logEngineError logs a failed exchange, unless the agent has ended it itself.
-func (c *carrier) logEngineError(event string, run fleet.EngineRun, err error) {
+func (c *requestRunner) logEngineError(event string, run fleet.EngineRun, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -2,51 +2,51 @@
 
 import "sync"
 
-// gate counts the running requests and lets no more in once it is shut.
-type gate struct {
-	mutex   sync.Mutex
-	running int
-	isShut  bool
-	idle    chan struct{}
+// admissionGate counts the running requests and lets no more in once it is shut.
+type admissionGate struct {
+	mutex    sync.Mutex
+	running  int
+	isClosed bool
+	idle     chan struct{}
 }
 
-func newGate() *gate { return &gate{idle: make(chan struct{})} }
+func newAdmissionGate() *admissionGate { return &admissionGate{idle: make(chan struct{})} }
 
-func (g *gate) enter() bool {
+func (g *admissionGate) enter() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.isShut {
+	if g.isClosed {
 		return false
 	}
 	g.running++
 	return true
 }
 
-func (g *gate) leave() {
+func (g *admissionGate) leave() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.running--
 	g.closeIfIdle()
 }
 
-// shut returns a channel that is closed once no request runs. It must be
+// close returns a channel that is closed once no request runs. It must be
 // called once.
-func (g *gate) shut() <-chan struct{} {
+func (g *admissionGate) close() <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.isShut = true
+	g.isClosed = true
 	g.closeIfIdle()
 	return g.idle
 }
 
-func (g *gate) open() bool {
+func (g *admissionGate) isOpen() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return !g.isShut
+	return !g.isClosed
 }
 
-func (g *gate) closeIfIdle() {
-	if g.isShut && g.running == 0 {
+func (g *admissionGate) closeIfIdle() {
+	if g.isClosed && g.running == 0 {
 		close(g.idle)
 	}
 }
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -25,14 +25,14 @@
 
 func (a *Agent) routes() http.Handler {
 	router := bunrouter.New(
-		bunrouter.WithNotFoundHandler(a.unknownPath),
-		bunrouter.WithMethodNotAllowedHandler(a.unknownPath),
+		bunrouter.WithNotFoundHandler(a.serveUnknownPath),
+		bunrouter.WithMethodNotAllowedHandler(a.serveUnknownPath),
 	)
 	router.POST(openai.PathChatCompletions, a.completionHandler(openai.Chat))
 	router.POST(openai.PathCompletions, a.completionHandler(openai.Completion))
-	router.GET(openai.PathModels, a.models)
-	router.GET(PathHealth, a.health)
-	router.GET(PathReady, a.ready)
+	router.GET(openai.PathModels, a.serveModels)
+	router.GET(PathHealth, a.serveHealth)
+	router.GET(PathReady, a.serveReady)
 	metricsHandler := promhttp.HandlerFor(a.registry, promhttp.HandlerOpts{})
 	router.GET(PathMetrics, bunrouter.HTTPHandler(metricsHandler))
 	return router
@@ -50,13 +50,13 @@
 
 func (a *Agent) completionHandler(endpoint openai.Endpoint) bunrouter.HandlerFunc {
 	return func(writer http.ResponseWriter, request bunrouter.Request) error {
-		a.complete(endpoint, writer, request.Request)
+		a.serveCompletion(endpoint, writer, request.Request)
 		return nil
 	}
 }
 
-// complete serves one request to a model.
-func (a *Agent) complete(endpoint openai.Endpoint, writer http.ResponseWriter, request *http.Request) {
+// serveCompletion serves one request to a model.
+func (a *Agent) serveCompletion(endpoint openai.Endpoint, writer http.ResponseWriter, request *http.Request) {
 	arrived := a.clock.Now()
 	a.setWriteDeadline(writer)
 	id, failure := newRequestID(request.Header)
@@ -65,7 +65,7 @@
 		return
 	}
 	if !a.running.enter() {
-		a.refuse(writer, id, a.notNow(resultcode.Stopping, "the agent is stopping"))
+		a.refuse(writer, id, a.temporaryFailure(resultcode.Stopping, "the agent is stopping"))
 		return
 	}
 	defer a.running.leave()
@@ -77,7 +77,7 @@
 		return
 	}
 	if code := a.concurrency.acquire(tenant.Name, tenant.MaxConcurrent); code != resultcode.OK {
-		a.refuse(writer, id, a.notNow(code, resultcode.Lookup(code).Meaning))
+		a.refuse(writer, id, a.temporaryFailure(code, resultcode.Lookup(code).Meaning))
 		return
 	}
 	defer a.concurrency.release(tenant.Name)
@@ -88,11 +88,11 @@
 	}
 	admitted.id = id
 	admitted.arrived = arrived
-	a.carry(admitted, writer, request)
+	a.runRequest(admitted, writer, request)
 }
 
-// carry runs an admitted request, unless its idempotency key is known.
-func (a *Agent) carry(admitted *call, writer http.ResponseWriter, request *http.Request) {
+// runRequest runs an admitted request, unless its idempotency key is known.
+func (a *Agent) runRequest(admitted *admittedRequest, writer http.ResponseWriter, request *http.Request) {
 	key := idempotencyKey{tenant: admitted.tenant.Name, key: admitted.options.IdempotencyKey}
 	guarded := admitted.options.NotRepeatable && key.key != ""
 	if guarded && !a.duplicates.begin(key) {
@@ -108,40 +108,40 @@
 	if guarded {
 		defer func() { a.duplicates.end(key, notRun) }()
 	}
-	carrier := newCarrier(a, admitted, a.newOutput(admitted, writer))
+	carrier := newRequestRunner(a, admitted, a.newOutput(admitted, writer))
 	carrier.run(request.Context())
-	notRun = carrier.notRun()
-	a.noteEnd(carrier)
+	notRun = carrier.didNotRun()
+	a.recordEnd(carrier)
 }
 
-func (a *Agent) noteEnd(c *carrier) {
+func (a *Agent) recordEnd(c *requestRunner) {
 	stats := c.machine.Stats()
 	a.metrics.addStats(stats)
 	a.metrics.outputTokens.Add(float64(c.machine.Emitted()))
 	code := c.result.String()
 	if c.aborted {
-		code = abortedCode
-		a.metrics.aborted(c.call.class)
+		code = abortedLabel
+		a.metrics.countAborted(c.request.class)
 	} else {
-		a.metrics.ended(c.result, c.call.class)
+		a.metrics.countEnd(c.result, c.request.class)
 	}
 	firstToken := time.Duration(0)
-	if c.firstToken > 0 {
-		firstToken = c.firstToken - c.call.arrived
-		a.metrics.sawFirstToken(c.call.class, firstToken)
+	if c.firstTokenAt > 0 {
+		firstToken = c.firstTokenAt - c.request.arrived
+		a.metrics.observeFirstToken(c.request.class, firstToken)
 	}
 	a.metrics.promptTokens.Add(float64(c.usage.PromptTokens))
 	a.metrics.cachedTokens.Add(float64(c.usage.CachedTokens))
 	c.logger.Info().Str("code", code).
-		Str("tenant", string(c.call.tenant.Name)).Str("class", string(c.call.class)).Str("model", c.call.body.Model).
-		Int("prompt_tokens", c.call.promptTokens).Int("cached_tokens", c.usage.CachedTokens).
+		Str("tenant", string(c.request.tenant.Name)).Str("class", string(c.request.class)).Str("model", c.request.body.Model).
+		Int("prompt_tokens", c.request.promptTokens).Int("cached_tokens", c.usage.CachedTokens).
 		Int("output_tokens", c.machine.Emitted()).Int("dispatches", stats.Dispatches).Int("resumes", stats.Resumes).
-		Dur("first_token_ms", firstToken).Dur("duration_ms", a.clock.Now()-c.call.arrived).
+		Dur("first_token_ms", firstToken).Dur("duration_ms", a.clock.Now()-c.request.arrived).
 		Msg("request_finished")
 }
 
-// notNow is a refusal that tells when to come back, spread over as long again.
-func (a *Agent) notNow(code resultcode.Code, message string) *openai.Failure {
+// temporaryFailure is a refusal that tells when to come back, spread over as long again.
+func (a *Agent) temporaryFailure(code resultcode.Code, message string) *openai.Failure {
 	least := time.Duration(a.settings.Requests.RetryAfter)
 	retryAfter := least + time.Duration(rand.Int64N(int64(least)))
 	return &openai.Failure{Code: code, Message: message, RetryAfter: retryAfter}
@@ -149,7 +149,7 @@
 
 func (a *Agent) refuse(writer http.ResponseWriter, id fleet.RequestID, failure *openai.Failure) {
 	failure.RequestID = id
-	a.metrics.ended(failure.Code, "")
+	a.metrics.countEnd(failure.Code, "")
 	a.logger.Info().Str("request_id", string(id)).Str("code", failure.Code.String()).
 		Str("reason", failure.Message).Msg("request_refused")
 	if err := openai.WriteFailure(writer, failure); err != nil {
@@ -162,7 +162,7 @@
 	_ = http.NewResponseController(writer).SetWriteDeadline(deadline)
 }
 
-func (a *Agent) models(writer http.ResponseWriter, request bunrouter.Request) error {
+func (a *Agent) serveModels(writer http.ResponseWriter, request bunrouter.Request) error {
 	a.setWriteDeadline(writer)
 	id, failure := newRequestID(request.Header)
 	if failure != nil {
@@ -196,19 +196,19 @@
 	return names
 }
 
-func (a *Agent) unknownPath(writer http.ResponseWriter, request bunrouter.Request) error {
+func (a *Agent) serveUnknownPath(writer http.ResponseWriter, request bunrouter.Request) error {
 	a.setWriteDeadline(writer)
 	id, _ := newRequestID(request.Header)
 	a.refuse(writer, id, &openai.Failure{Code: resultcode.UnknownPath, Message: "no such path or method"})
 	return nil
 }
 
-func (a *Agent) health(writer http.ResponseWriter, _ bunrouter.Request) error {
+func (a *Agent) serveHealth(writer http.ResponseWriter, _ bunrouter.Request) error {
 	a.setWriteDeadline(writer)
 	return writeText(writer, http.StatusOK, "ok")
 }
 
-func (a *Agent) ready(writer http.ResponseWriter, _ bunrouter.Request) error {
+func (a *Agent) serveReady(writer http.ResponseWriter, _ bunrouter.Request) error {
 	a.setWriteDeadline(writer)
 	if code := a.readiness(); code != resultcode.OK {
 		return writeText(writer, http.StatusServiceUnavailable, code.String())
@@ -219,11 +219,11 @@
 // readiness returns why new requests would be refused, or OK.
 func (a *Agent) readiness() resultcode.Code {
 	switch {
-	case !a.running.open():
+	case !a.running.isOpen():
 		return resultcode.Stopping
 	case a.config.Current() == nil:
 		return resultcode.NoConfiguration
-	case !a.routers.reachable(time.Duration(a.settings.Sync.Interval) * unreachableIntervals):
+	case !a.routers.isReachable(time.Duration(a.settings.Sync.Interval) * unreachableIntervals):
 		return resultcode.NoRouter
 	default:
 		return resultcode.OK
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -177,7 +177,7 @@
 		f.machines = pushed
 	}
 	answer := &rpc.SyncResponse{Header: f.header(), MachinesWanted: f.machines == nil}
-	f.lists.Answer(membership.NewView(1, membership.Member{}, nil), f.machines, request, answer)
+	f.lists.FillResponse(membership.NewView(1, membership.Member{}, nil), f.machines, request, answer)
 	if request.GetHeader().GetKnownRevision() < f.revision {
 		if f.changes != nil && !request.GetConfigSnapshotWanted() {
 			answer.ConfigChanges = f.changes
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -11,20 +11,20 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// concurrency counts the unfinished requests of each tenant and of all.
-type concurrency struct {
+// concurrencyLimiter counts the unfinished requests of each tenant and of all.
+type concurrencyLimiter struct {
 	mutex    sync.Mutex
 	max      int
 	total    int
 	byTenant map[fleet.TenantName]int
 }
 
-func newConcurrency(max int) *concurrency {
-	return &concurrency{max: max, byTenant: make(map[fleet.TenantName]int)}
+func newConcurrencyLimiter(max int) *concurrencyLimiter {
+	return &concurrencyLimiter{max: max, byTenant: make(map[fleet.TenantName]int)}
 }
 
 // acquire counts a request in, or returns the code of the limit it is over.
-func (c *concurrency) acquire(tenant fleet.TenantName, maxOfTenant int) resultcode.Code {
+func (c *concurrencyLimiter) acquire(tenant fleet.TenantName, maxOfTenant int) resultcode.Code {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.byTenant[tenant] >= maxOfTenant {
@@ -38,7 +38,7 @@
 	return resultcode.OK
 }
 
-func (c *concurrency) release(tenant fleet.TenantName) {
+func (c *concurrencyLimiter) release(tenant fleet.TenantName) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.total--
@@ -53,24 +53,24 @@
 	key    string
 }
 
-// duplicates remembers the idempotency keys of requests that must run at most
+// duplicateFilter remembers the idempotency keys of requests that must run at most
 // once: of all that are running, and of a bounded number that may have run.
-type duplicates struct {
+type duplicateFilter struct {
 	mutex    sync.Mutex
 	running  map[idempotencyKey]struct{}
 	finished *simplelru.LRU[idempotencyKey, struct{}]
 }
 
-func newDuplicates(size int) *duplicates {
+func newDuplicateFilter(size int) *duplicateFilter {
 	finished, err := simplelru.NewLRU[idempotencyKey, struct{}](max(size, 1), nil)
 	if err != nil {
 		panic(err) // only for a size below 1
 	}
-	return &duplicates{running: make(map[idempotencyKey]struct{}), finished: finished}
+	return &duplicateFilter{running: make(map[idempotencyKey]struct{}), finished: finished}
 }
 
 // begin tells whether the key is new, and notes it.
-func (d *duplicates) begin(key idempotencyKey) bool {
+func (d *duplicateFilter) begin(key idempotencyKey) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	_, isRunning := d.running[key]
@@ -83,7 +83,7 @@
 
 // end forgets the key of a request that certainly did not run, so that its
 // caller can come back with it.
-func (d *duplicates) end(key idempotencyKey, notRun bool) {
+func (d *duplicateFilter) end(key idempotencyKey, notRun bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.running, key)
@@ -92,21 +92,21 @@
 	}
 }
 
-// sharedBudget is a retry budget for concurrent use.
-type sharedBudget struct {
+// lockedBudget is a retry budget for concurrent use.
+type lockedBudget struct {
 	mutex  sync.Mutex
 	budget *attempt.Budget
 }
 
 // Deposit implements attempt.RetryBudget.
-func (s *sharedBudget) Deposit(now time.Duration) {
+func (s *lockedBudget) Deposit(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.Deposit(now)
 }
 
 // Withdraw implements attempt.RetryBudget.
-func (s *sharedBudget) Withdraw(now time.Duration) bool {
+func (s *lockedBudget) Withdraw(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.budget.Withdraw(now)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -15,8 +15,8 @@
 // firstTokenBuckets reach from a cached status lookup to a long cold prompt.
 var firstTokenBuckets = []float64{.01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4, 12.8, 25.6, 60}
 
-// abortedCode labels requests whose caller went away.
-const abortedCode = "caller_gone"
+// abortedLabel labels requests whose caller went away.
+const abortedLabel = "caller_gone"
 
 type metrics struct {
 	requests       *prometheus.CounterVec
@@ -68,15 +68,15 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help})
 }
 
-func (m *metrics) ended(code resultcode.Code, class fleet.ClassName) {
+func (m *metrics) countEnd(code resultcode.Code, class fleet.ClassName) {
 	m.requests.WithLabelValues(code.String(), string(class)).Inc()
 }
 
-func (m *metrics) aborted(class fleet.ClassName) {
-	m.requests.WithLabelValues(abortedCode, string(class)).Inc()
+func (m *metrics) countAborted(class fleet.ClassName) {
+	m.requests.WithLabelValues(abortedLabel, string(class)).Inc()
 }
 
-func (m *metrics) sawFirstToken(class fleet.ClassName, after time.Duration) {
+func (m *metrics) observeFirstToken(class fleet.ClassName, after time.Duration) {
 	m.firstToken.WithLabelValues(string(class)).Observe(after.Seconds())
 }
 
--- a/internal/agent/operationspage_test.go
+++ b/internal/agent/operationspage_test.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/pagetest"
 )
 
-// TestPageNamesTheAgentsMetrics compares docs/OPERATIONS.md with what an agent
+// TestOperationsPageListsAgentMetrics compares docs/OPERATIONS.md with what an agent
 // registers.
-func TestPageNamesTheAgentsMetrics(t *testing.T) {
+func TestOperationsPageListsAgentMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	registry := prometheus.NewRegistry()
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/openai"
 )
 
-func (a *Agent) newOutput(admitted *call, writer http.ResponseWriter) output {
+func (a *Agent) newOutput(admitted *admittedRequest, writer http.ResponseWriter) output {
 	answer := openai.Answer{
 		Endpoint:     admitted.body.Endpoint,
 		RequestID:    admitted.id,
@@ -20,29 +20,29 @@
 	if admitted.body.Stream {
 		return openai.NewStreamWriter(writer, answer)
 	}
-	return &wholeOutput{answer: answer, writer: writer}
+	return &bufferedOutput{answer: answer, writer: writer}
 }
 
-// wholeOutput gathers the tokens of an answer that isn't streamed. The model's
+// bufferedOutput gathers the tokens of an answer that isn't streamed. The model's
 // output limit bounds it.
-type wholeOutput struct {
+type bufferedOutput struct {
 	answer openai.Answer
 	writer http.ResponseWriter
 	text   strings.Builder
 }
 
 // Token implements output.
-func (w *wholeOutput) Token(text string) error {
+func (w *bufferedOutput) Token(text string) error {
 	w.text.WriteString(text)
 	return nil
 }
 
 // Finish implements output.
-func (w *wholeOutput) Finish(reason string, usage openai.Usage) error {
+func (w *bufferedOutput) Finish(reason string, usage openai.Usage) error {
 	return w.answer.WriteWhole(w.writer, w.text.String(), reason, usage)
 }
 
 // Fail implements output. Nothing of a broken answer is shown.
-func (w *wholeOutput) Fail(failure *openai.Failure) error {
+func (w *bufferedOutput) Fail(failure *openai.Failure) error {
 	return w.answer.WriteFailure(w.writer, failure)
 }
--- a/internal/agent/ranking.go
+++ b/internal/agent/ranking.go
@@ -10,16 +10,16 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// routing is what the order of a request's routers follows from.
-type routing struct {
+// route is what the order of a request's routers follows from.
+type route struct {
 	choice affinity.Choice
 	pool   fleet.PoolName
 }
 
-// ranking knows which routers are likely to hold a prefix and to serve a pool.
+// routerRanking knows which routers are likely to hold a prefix and to serve a pool.
 // The mutex of routers guards it.
-type ranking struct {
-	near     membership.Location
+type routerRanking struct {
+	location membership.Location
 	table    *affinity.Table
 	members  []membership.Member
 	machines *rpc.MachineList
@@ -28,14 +28,14 @@
 	pools *membership.PoolMap
 }
 
-func newRanking(near membership.Location, firstDepth int) ranking {
+func newRouterRanking(near membership.Location, firstDepth int) routerRanking {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return ranking{near: near, table: affinity.New(affinity.Options{Random: random, FirstDepth: firstDepth})}
+	return routerRanking{location: near, table: affinity.New(affinity.Options{Random: random, FirstDepth: firstDepth})}
 }
 
-// learn takes over what a router knows of the fleet; no members or no machines
+// update takes over what a router knows of the fleet; no members or no machines
 // mean no news of them.
-func (k *ranking) learn(members []membership.Member, machines *rpc.MachineList, replicas int) {
+func (k *routerRanking) update(members []membership.Member, machines *rpc.MachineList, replicas int) {
 	changed := replicas != k.replicas
 	k.replicas = replicas
 	if len(members) > 0 && !slices.Equal(members, k.members) {
@@ -47,11 +47,11 @@
 		changed = true
 	}
 	if changed {
-		k.rebuild()
+		k.rebuildPools()
 	}
 }
 
-func (k *ranking) rebuild() {
+func (k *routerRanking) rebuildPools() {
 	k.pools = nil
 	if k.replicas == 0 || len(k.machines.GetMachines()) == 0 {
 		return
@@ -69,26 +69,26 @@
 	k.pools = membership.NewPoolMap(sites, k.members, k.replicas)
 }
 
-// rank returns the members in the order in which a request asks them.
-func (k *ranking) rank(by routing) []membership.Member {
-	return k.routers().Order(by.choice, by.pool)
+// order returns the members in the order in which a request asks them.
+func (k *routerRanking) order(by route) []membership.Member {
+	return k.affinityRouters().Order(by.choice, by.pool)
 }
 
-func (k *ranking) routers() affinity.Routers {
-	return affinity.Routers{Near: k.near, Members: k.members, Pools: k.pools}
+func (k *routerRanking) affinityRouters() affinity.Routers {
+	return affinity.Routers{Near: k.location, Members: k.members, Pools: k.pools}
 }
 
-// route decides how a call's prompt is routed and counts it.
-func (r *routers) route(c *call) routing {
+// newRoute decides how a call's prompt is routed and counts it.
+func (r *routerSet) newRoute(c *admittedRequest) route {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return routing{choice: r.ranking.table.Choose(r.clock.Now(), c.hashes, c.wholeKey), pool: c.pool}
+	return route{choice: r.ranking.table.Choose(r.clock.Now(), c.hashes, c.promptKey), pool: c.pool}
 }
 
-// spilled notes that a router was saturated and another one placed the request.
-func (r *routers) spilled(by routing) {
+// recordSpill notes that a router was saturated and another one placed the request.
+func (r *routerSet) recordSpill(by route) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	serving := r.ranking.routers().Serving(by.choice, by.pool)
+	serving := r.ranking.affinityRouters().Serving(by.choice, by.pool)
 	r.ranking.table.Spilled(r.clock.Now(), by.choice, serving)
 }
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -13,14 +13,14 @@
 // maxReportBatch bounds the reports of one message.
 const maxReportBatch = 256
 
-// reportTries is how often a batch is sent; reports are idempotent.
-const reportTries = 2
+// maxReportTries is how often a batch is sent; reports are idempotent.
+const maxReportTries = 2
 
 // reportQueue holds the reports for one router. At most one sender empties it.
 type reportQueue struct {
-	mutex   sync.Mutex
-	pending []*rpc.AttemptReport
-	sending bool
+	mutex     sync.Mutex
+	pending   []*rpc.AttemptReport
+	isSending bool
 	// urgent is signalled when a report must not wait for the interval.
 	urgent chan struct{}
 }
@@ -43,13 +43,13 @@
 		default:
 		}
 	}
-	start = !q.sending
-	q.sending = true
+	start = !q.isSending
+	q.isSending = true
 	return start, false
 }
 
-// take removes the next batch. An empty one ends the sender.
-func (q *reportQueue) take() []*rpc.AttemptReport {
+// takeBatch removes the next batch. An empty one ends the sender.
+func (q *reportQueue) takeBatch() []*rpc.AttemptReport {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	count := min(len(q.pending), maxReportBatch)
@@ -57,15 +57,15 @@
 	q.pending = q.pending[count:]
 	if count == 0 {
 		q.pending = nil
-		q.sending = false
+		q.isSending = false
 	}
 	return batch
 }
 
-func (q *reportQueue) idle() bool {
+func (q *reportQueue) isIdle() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return !q.sending
+	return !q.isSending
 }
 
 var reportPhases = map[attempt.ReportPhase]rpc.AttemptPhase{
@@ -77,7 +77,7 @@
 }
 
 // report queues a report for the router that granted the attempt.
-func (a *Agent) report(to *link, request fleet.RequestID, report attempt.Report) {
+func (a *Agent) report(to *routerState, request fleet.RequestID, report attempt.Report) {
 	if to == nil {
 		return
 	}
@@ -102,13 +102,13 @@
 
 // sendReports sends batches until none are left: a final report at once, with
 // all that wait, others after the interval.
-func (a *Agent) sendReports(to *link) error {
+func (a *Agent) sendReports(to *routerState) error {
 	for {
 		select {
 		case <-to.reports.urgent:
 		case <-time.After(time.Duration(a.settings.Sync.ReportInterval)):
 		}
-		batch := to.reports.take()
+		batch := to.reports.takeBatch()
 		if len(batch) == 0 {
 			return nil
 		}
@@ -116,18 +116,18 @@
 	}
 }
 
-func (a *Agent) sendBatch(to *link, batch []*rpc.AttemptReport) {
+func (a *Agent) sendBatch(to *routerState, batch []*rpc.AttemptReport) {
 	for try := 1; ; try++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
 		answer, err := to.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
 		cancel()
 		if err == nil {
-			a.noteAnswer(to, answer.GetHeader())
+			a.handleAnswerHeader(to, answer.GetHeader())
 			return
 		}
-		if try == reportTries {
+		if try == maxReportTries {
 			a.metrics.droppedReports.Add(float64(len(batch)))
-			a.routerFailed(to, "report", err)
+			a.handleRouterFailure(to, "report", err)
 			return
 		}
 	}
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -20,92 +20,92 @@
 const (
 	routerConnectTimeout = time.Second
 	routerIdleTimeout    = time.Minute
-	maxIdleToRouter      = 64
-	// firstBackoff is how long a router isn't chosen after its first failure.
-	firstBackoff = 200 * time.Millisecond
+	maxIdleConnections   = 64
+	// initialBackoff is how long a router isn't chosen after its first failure.
+	initialBackoff = 200 * time.Millisecond
 )
 
-// link is what the agent knows of one router. Its fields but address, client
+// routerState is what the agent knows of one router. Its fields but address, client
 // and reports are guarded by the mutex of routers.
-type link struct {
+type routerState struct {
 	address fleet.Address
 	client  rpc.Placement
 	reports reportQueue
 
-	failures int
-	retryAt  time.Duration
-	stopping bool
+	failures   int
+	retryAt    time.Duration
+	isStopping bool
 	// revision is the router's configuration as of its last answer; answered
 	// is false before the first.
-	revision fleet.Revision
-	answered bool
+	revision    fleet.Revision
+	hasAnswered bool
 	// machinesWanted is set when the router has asked for the machine list.
 	machinesWanted bool
 	// waiting counts the requests that wait at the router.
 	waiting int
-	// life ends when the router stops answering, and is then replaced.
-	life context.Context
-	end  context.CancelFunc
+	// aliveContext ends when the router stops answering, and is then replaced.
+	aliveContext context.Context
+	cancelAlive  context.CancelFunc
 }
 
-// routers is the set of routers that the agent may ask.
-type routers struct {
+// routerSet is the set of routerSet that the agent may ask.
+type routerSet struct {
 	clock      fleet.Clock
 	seeds      []fleet.Address
 	backoffMax time.Duration
 	client     *http.Client
 
 	mutex   sync.Mutex
-	ranking ranking
-	links   map[fleet.Address]*link
+	ranking routerRanking
+	states  map[fleet.Address]*routerState
 	// followed is the router that the lists are followed from.
-	followed *link
-	rotation int
-	lastSeen time.Duration
-	seen     bool
+	followed     *routerState
+	rotation     int
+	lastAnswerAt time.Duration
+	anyAnswered  bool
 }
 
-func newRouters(clock fleet.Clock, ranking ranking, seeds []fleet.Address, backoffMax time.Duration) *routers {
+func newRouterSet(clock fleet.Clock, ranking routerRanking, seeds []fleet.Address, backoffMax time.Duration) *routerSet {
 	dialer := &net.Dialer{Timeout: routerConnectTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: maxIdleToRouter,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     routerIdleTimeout,
 	}
-	return &routers{
+	return &routerSet{
 		clock:      clock,
 		ranking:    ranking,
 		seeds:      seeds,
 		backoffMax: backoffMax,
 		client:     &http.Client{Transport: transport},
-		links:      make(map[fleet.Address]*link),
+		states:     make(map[fleet.Address]*routerState),
 		rotation:   rand.IntN(math.MaxInt32),
 	}
 }
 
-// link returns the link to an address; the mutex is held.
-func (r *routers) link(address fleet.Address) *link {
-	if known, found := r.links[address]; found {
+// getOrCreate returns the getOrCreate to an address; the mutex is held.
+func (r *routerSet) getOrCreate(address fleet.Address) *routerState {
+	if known, found := r.states[address]; found {
 		return known
 	}
-	created := &link{
+	created := &routerState{
 		address: address,
 		client:  rpc.NewPlacementProtobufClient("http://"+string(address), r.client),
 	}
-	created.life, created.end = context.WithCancel(context.Background())
-	r.links[address] = created
+	created.aliveContext, created.cancelAlive = context.WithCancel(context.Background())
+	r.states[address] = created
 	return created
 }
 
 // choose returns the router to ask for a request. Routers that the request
 // has tried, that have failed lately or that are stopping come last.
-func (r *routers) choose(by routing, preferred []fleet.Address, tried map[fleet.Address]int) *link {
+func (r *routerSet) choose(by route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var best *link
+	var best *routerState
 	bestPenalty := 0
 	for _, address := range r.candidates(by, preferred) {
-		candidate := r.link(address)
+		candidate := r.getOrCreate(address)
 		penalty := r.penalty(candidate) + tried[address]*(penaltyStopping+1)
 		if best == nil || penalty < bestPenalty {
 			best, bestPenalty = candidate, penalty
@@ -120,9 +120,9 @@
 	penaltyStopping = 2
 )
 
-func (r *routers) penalty(candidate *link) int {
+func (r *routerSet) penalty(candidate *routerState) int {
 	switch {
-	case candidate.stopping:
+	case candidate.isStopping:
 		return penaltyStopping
 	case candidate.retryAt > r.clock.Now():
 		return penaltyFailed
@@ -132,14 +132,14 @@
 }
 
 // candidates lists preferred routers, then the members by rank, then the seeds.
-func (r *routers) candidates(by routing, preferred []fleet.Address) []fleet.Address {
+func (r *routerSet) candidates(by route, preferred []fleet.Address) []fleet.Address {
 	var addresses []fleet.Address
 	for _, address := range preferred {
 		if _, err := netip.ParseAddrPort(string(address)); err == nil {
 			addresses = append(addresses, address)
 		}
 	}
-	for _, member := range r.ranking.rank(by) {
+	for _, member := range r.ranking.order(by) {
 		addresses = append(addresses, member.Address)
 	}
 	return append(addresses, r.rankedSeeds(by)...)
@@ -147,7 +147,7 @@
 
 // rankedSeeds orders the seeds like members, so that agents agree on the router
 // of a request before they know any member.
-func (r *routers) rankedSeeds(by routing) []fleet.Address {
+func (r *routerSet) rankedSeeds(by route) []fleet.Address {
 	seeds := affinity.Routers{Members: make([]membership.Member, 0, len(r.seeds))}
 	for _, address := range r.seeds {
 		seeds.Members = append(seeds.Members, membership.Member{Node: fleet.NodeID(address), Address: address, State: membership.Alive})
@@ -159,85 +159,85 @@
 	return addresses
 }
 
-// enter counts a request that begins to wait at a router. The context ends if
+// beginWait counts a request that begins to wait at a router. The context ends if
 // the router fails meanwhile.
-func (r *routers) enter(at *link) context.Context {
+func (r *routerSet) beginWait(at *routerState) context.Context {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	at.waiting++
-	return at.life
+	return at.aliveContext
 }
 
-func (r *routers) leave(at *link) {
+func (r *routerSet) endWait(at *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	at.waiting--
 }
 
-// answered notes an answer and the revision in its header.
-func (r *routers) answered(by *link, header *rpc.Header) {
+// recordAnswer notes an answer and the revision in its header.
+func (r *routerSet) recordAnswer(by *routerState, header *rpc.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	by.failures = 0
 	by.retryAt = 0
-	by.answered = true
+	by.hasAnswered = true
 	by.revision = fleet.Revision(header.GetKnownRevision())
-	r.lastSeen = r.clock.Now()
-	r.seen = true
+	r.lastAnswerAt = r.clock.Now()
+	r.anyAnswered = true
 }
 
-// fail notes that a router didn't answer, and releases the requests that wait
+// recordFailure notes that a router didn't answer, and releases the requests that wait
 // there.
-func (r *routers) fail(at *link) {
+func (r *routerSet) recordFailure(at *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.answered = false
-	at.end()
-	at.life, at.end = context.WithCancel(context.Background())
+	at.hasAnswered = false
+	at.cancelAlive()
+	at.aliveContext, at.cancelAlive = context.WithCancel(context.Background())
 	now := r.clock.Now()
 	if at.retryAt > now {
 		return // one outage, noticed by several calls
 	}
-	backoff := firstBackoff << min(at.failures, maxBackoffShift)
+	backoff := initialBackoff << min(at.failures, maxBackoffShift)
 	at.failures++
 	at.retryAt = now + min(backoff, r.backoffMax)
 }
 
 const maxBackoffShift = 10
 
-// synced notes what a router has said about itself in an exchange.
-func (r *routers) synced(with *link, answer *rpc.SyncResponse) {
+// recordSync notes what a router has said about itself in an exchange.
+func (r *routerSet) recordSync(with *routerState, answer *rpc.SyncResponse) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	with.stopping = answer.GetStopping()
+	with.isStopping = answer.GetStopping()
 	with.machinesWanted = answer.GetMachinesWanted()
 }
 
-func (r *routers) wantsMachines(at *link) bool {
+func (r *routerSet) wantsMachines(at *routerState) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return at.machinesWanted
 }
 
-// behind tells whether a router has answered with an older revision than ours.
-func (r *routers) behind(at *link, ours fleet.Revision) bool {
+// isBehind tells whether a router has answered with an older revision than ours.
+func (r *routerSet) isBehind(at *routerState, ours fleet.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return at.answered && at.revision < ours
+	return at.hasAnswered && at.revision < ours
 }
 
-// learn takes over what the routers know of the routers and the engines.
-func (r *routers) learn(members []membership.Member, machines *rpc.MachineList, replicas int) {
+// update takes over what the routers know of the routers and the engines.
+func (r *routerSet) update(members []membership.Member, machines *rpc.MachineList, replicas int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ranking.learn(members, machines, replicas)
+	r.ranking.update(members, machines, replicas)
 	if len(members) > 0 {
 		r.prune()
 	}
 }
 
 // prune forgets the routers that are no members any more and hold nothing.
-func (r *routers) prune() {
+func (r *routerSet) prune() {
 	keep := make(map[fleet.Address]bool, len(r.ranking.members)+len(r.seeds))
 	for _, member := range r.ranking.members {
 		keep[member.Address] = true
@@ -245,24 +245,24 @@
 	for _, seed := range r.seeds {
 		keep[seed] = true
 	}
-	for address, known := range r.links {
-		if !keep[address] && known.waiting == 0 && known.reports.idle() {
-			known.end()
-			delete(r.links, address)
+	for address, known := range r.states {
+		if !keep[address] && known.waiting == 0 && known.reports.isIdle() {
+			known.cancelAlive()
+			delete(r.states, address)
 		}
 	}
 }
 
-// knowsEngines tells whether the list of machines has been heard.
-func (r *routers) knowsEngines() bool {
+// hasEngines tells whether the list of machines has been heard.
+func (r *routerSet) hasEngines() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.ranking.machines.GetMachines()) > 0
 }
 
-// reachable tells whether some router has answered within a time.
-func (r *routers) reachable(within time.Duration) bool {
+// isReachable tells whether some router has answered within a time.
+func (r *routerSet) isReachable(within time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.seen && r.clock.Now()-r.lastSeen <= within
+	return r.anyAnswered && r.clock.Now()-r.lastAnswerAt <= within
 }
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -168,8 +168,8 @@
 	return attempt.BudgetOptions{Ratio: s.RetryRatio, FloorPerSecond: s.RetryFloor, Burst: s.RetryBurst}
 }
 
-// ranking returns how this agent orders the routers.
-func (s Settings) ranking() ranking {
+// newRanking returns how this agent orders the routers.
+func (s Settings) newRanking() routerRanking {
 	near := membership.Location{Region: s.Node.Region, Zone: s.Node.Zone}
-	return newRanking(near, s.Requests.AffinityBlocks)
+	return newRouterRanking(near, s.Requests.AffinityBlocks)
 }
--- a/internal/agent/sync.go
+++ b/internal/agent/sync.go
@@ -22,7 +22,7 @@
 		a.syncRound()
 		select {
 		case <-time.After(a.syncPause()):
-		case at := <-a.syncNow:
+		case at := <-a.syncRequests:
 			a.syncWith(at)
 		case <-a.drained:
 			return nil
@@ -36,14 +36,14 @@
 // moment what the agent alone would remember if the routers died then.
 func (a *Agent) syncPause() time.Duration {
 	interval := time.Duration(a.settings.Sync.Interval)
-	if a.config.Current() == nil || !a.routers.knowsEngines() || !a.routers.reachable(interval*unreachableIntervals) {
-		interval /= urgentSyncs
+	if a.config.Current() == nil || !a.routers.hasEngines() || !a.routers.isReachable(interval*unreachableIntervals) {
+		interval /= urgentRoundsPerInterval
 	}
 	return interval + time.Duration((rand.Float64()-0.5)*syncJitter*float64(interval))
 }
 
-// urgentSyncs is the number of rounds in an interval while something is lacking.
-const urgentSyncs = 4
+// urgentRoundsPerInterval is the number of rounds in an interval while something is lacking.
+const urgentRoundsPerInterval = 4
 
 // unreachableIntervals is the number of rounds without any router's answer
 // after which the agent isn't ready and asks more often.
@@ -59,43 +59,43 @@
 
 // syncWith exchanges news with one router, and a second time at once if its
 // answer shows that it lacks something.
-func (a *Agent) syncWith(at *link) {
+func (a *Agent) syncWith(at *routerState) {
 	if !a.exchange(at) {
 		return
 	}
 	lacksMachines := a.routers.wantsMachines(at) && a.lists.Machines() != nil
-	if lacksMachines || a.routers.behind(at, a.config.Revision()) {
+	if lacksMachines || a.routers.isBehind(at, a.config.Revision()) {
 		a.exchange(at)
 	}
 }
 
-func (a *Agent) exchange(at *link) bool {
+func (a *Agent) exchange(at *routerState) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
 	defer cancel()
 	request := a.syncRequest(at)
 	answer, err := at.client.Sync(ctx, request)
 	if err != nil {
-		a.routerFailed(at, "sync", err)
+		a.handleRouterFailure(at, "sync", err)
 		return false
 	}
-	a.routers.answered(at, answer.GetHeader())
-	a.routers.synced(at, answer)
+	a.routers.recordAnswer(at, answer.GetHeader())
+	a.routers.recordSync(at, answer)
 	a.lists.Apply(request, answer)
-	a.routers.learn(a.lists.Members(), a.lists.Machines(), int(answer.GetIndexReplicas()))
-	a.takeConfig(at, answer)
+	a.routers.update(a.lists.Members(), a.lists.Machines(), int(answer.GetIndexReplicas()))
+	a.applyConfig(at, answer)
 	return true
 }
 
 // syncRequest asks for the lists only of the router that they are followed from.
-func (a *Agent) syncRequest(at *link) *rpc.SyncRequest {
+func (a *Agent) syncRequest(at *routerState) *rpc.SyncRequest {
 	request := &rpc.SyncRequest{
 		Header:               a.header(),
 		Config:               a.snapshotFor(at),
 		ConfigSnapshotWanted: a.snapshotWanted.Load(),
-		WithoutLists:         !a.routers.follows(at),
+		WithoutLists:         !a.routers.isFollowed(at),
 	}
 	if !request.GetWithoutLists() {
-		a.lists.Request(request)
+		a.lists.FillRequest(request)
 	}
 	if a.routers.wantsMachines(at) {
 		request.Machines = a.lists.Machines()
@@ -104,9 +104,9 @@
 }
 
 // snapshotFor returns the configuration for a router that is behind, else nil.
-func (a *Agent) snapshotFor(at *link) *rpc.ConfigSnapshot {
+func (a *Agent) snapshotFor(at *routerState) *rpc.ConfigSnapshot {
 	view := a.config.Current()
-	if view == nil || !a.routers.behind(at, view.Revision()) {
+	if view == nil || !a.routers.isBehind(at, view.Revision()) {
 		return nil
 	}
 	snapshot, err := config.SnapshotMessage(view.Document())
@@ -117,9 +117,9 @@
 	return snapshot
 }
 
-// takeConfig takes over what an answer brings of the configuration. If changes
+// applyConfig takes over what an answer brings of the configuration. If changes
 // can't be applied, the next exchange asks for the whole document.
-func (a *Agent) takeConfig(from *link, answer *rpc.SyncResponse) {
+func (a *Agent) applyConfig(from *routerState, answer *rpc.SyncResponse) {
 	if answer.GetConfig() == nil && len(answer.GetConfigChanges()) == 0 {
 		return
 	}
@@ -152,24 +152,24 @@
 	return accepted, err
 }
 
-// noteAnswer takes the header of a router's answer and starts an exchange if
+// handleAnswerHeader takes the header of a router's answer and starts an exchange if
 // either side is behind.
-func (a *Agent) noteAnswer(by *link, header *rpc.Header) {
-	a.routers.answered(by, header)
+func (a *Agent) handleAnswerHeader(by *routerState, header *rpc.Header) {
+	a.routers.recordAnswer(by, header)
 	if fleet.Revision(header.GetKnownRevision()) != a.config.Revision() {
 		a.requestSync(by)
 	}
 }
 
-func (a *Agent) requestSync(with *link) {
+func (a *Agent) requestSync(with *routerState) {
 	select {
-	case a.syncNow <- with:
+	case a.syncRequests <- with:
 	default: // an exchange is due already
 	}
 }
 
-func (a *Agent) routerFailed(at *link, call string, err error) {
-	a.routers.fail(at)
+func (a *Agent) handleRouterFailure(at *routerState, call string, err error) {
+	a.routers.recordFailure(at)
 	a.metrics.routerFailures.Inc()
 	a.logger.Warn().Err(err).Str("router", string(at.address)).Str("call", call).Msg("router_failed")
 }
--- a/internal/agent/synctargets_test.go
+++ b/internal/agent/synctargets_test.go
@@ -14,8 +14,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-func knownRouters(count int) *routers {
-	r := newRouters(fleet.NewClock(), newRanking(membership.Location{}, 1), []fleet.Address{"127.0.0.1:1"}, time.Minute)
+func newTestRouterSet(count int) *routerSet {
+	r := newRouterSet(fleet.NewClock(), newRouterRanking(membership.Location{}, 1), []fleet.Address{"127.0.0.1:1"}, time.Minute)
 	var members []membership.Member
 	for number := range count {
 		members = append(members, membership.Member{
@@ -23,52 +23,52 @@
 			Address: fleet.Address(fmt.Sprintf("10.0.0.%d:7400", number+1)), State: membership.Alive,
 		})
 	}
-	r.learn(members, nil, 0)
-	r.answered(r.link(members[0].Address), &rpc.Header{})
+	r.update(members, nil, 0)
+	r.recordAnswer(r.getOrCreate(members[0].Address), &rpc.Header{})
 	return r
 }
 
-func TestRoundsFollowOneRouterAndSurveyAllInTurn(t *testing.T) {
+func TestRoundsFollowOneRouterAndProbeAllInTurn(t *testing.T) {
 	const count = 20
-	r := knownRouters(count)
+	r := newTestRouterSet(count)
 	asked := make(map[fleet.Address]bool)
 	exchanges := 0
-	for range count * surveyRounds {
+	for range count * probeRounds {
 		targets := r.syncTargets()
 		exchanges += len(targets)
-		assert.True(t, r.follows(targets[0]))
+		assert.True(t, r.isFollowed(targets[0]))
 		for _, target := range targets {
 			asked[target.address] = true
 		}
 	}
 	// A router that is followed when its turn comes isn't asked a second time.
 	assert.Len(t, asked, count)
-	assert.LessOrEqual(t, exchanges, count*surveyRounds+count)
+	assert.LessOrEqual(t, exchanges, count*probeRounds+count)
 }
 
-func TestFailedOrStoppingRouterIsFollowedNoMore(t *testing.T) {
-	r := knownRouters(3)
+func TestFailedOrStoppingRouterIsNotFollowed(t *testing.T) {
+	r := newTestRouterSet(3)
 	first := r.syncTargets()[0]
-	r.fail(first)
+	r.recordFailure(first)
 	second := r.syncTargets()[0]
 	require.NotSame(t, first, second)
-	r.synced(second, &rpc.SyncResponse{Stopping: true})
+	r.recordSync(second, &rpc.SyncResponse{Stopping: true})
 	third := r.syncTargets()[0]
 	assert.NotSame(t, first, third)
 	assert.NotSame(t, second, third)
 }
 
-func TestSeedsAreAskedOnceAllMembersFail(t *testing.T) {
-	r := knownRouters(1)
-	r.fail(r.syncTargets()[0])
+func TestSeedsAreSyncTargetsWhenAllMembersFail(t *testing.T) {
+	r := newTestRouterSet(1)
+	r.recordFailure(r.syncTargets()[0])
 	assert.EqualValues(t, "127.0.0.1:1", r.syncTargets()[0].address)
 }
 
-func TestRouterWithWaitingRequestsIsAsked(t *testing.T) {
-	r := knownRouters(20)
-	waitedFor := r.link("10.0.0.7:7400")
-	r.enter(waitedFor)
-	for range surveyRounds {
+func TestRouterWithWaitingRequestsIsSyncTarget(t *testing.T) {
+	r := newTestRouterSet(20)
+	waitedFor := r.getOrCreate("10.0.0.7:7400")
+	r.beginWait(waitedFor)
+	for range probeRounds {
 		assert.Contains(t, r.syncTargets(), waitedFor)
 	}
 }
@@ -77,7 +77,7 @@
 	const routerCount, agents = 20, 400
 	followers := make(map[fleet.Address]int)
 	for range agents {
-		followers[knownRouters(routerCount).syncTargets()[0].address]++
+		followers[newTestRouterSet(routerCount).syncTargets()[0].address]++
 	}
 	for address, count := range followers {
 		assert.Less(t, count, 4*agents/routerCount, address)
@@ -85,16 +85,16 @@
 	assert.Len(t, followers, routerCount)
 }
 
-// TestAgentThatLacksSomethingAsksAgainSoon hears a router that knows neither
+// TestIncompleteAgentSyncsMoreOften hears a router that knows neither
 // configuration nor engines: a whole interval later the routers that did know
 // may be gone.
-func TestAgentThatLacksSomethingAsksAgainSoon(t *testing.T) {
+func TestIncompleteAgentSyncsMoreOften(t *testing.T) {
 	own := DefaultSettings()
 	a, err := New(own, Dependencies{})
 	require.NoError(t, err)
-	a.routers = knownRouters(1)
+	a.routers = newTestRouterSet(1)
 	longest := time.Duration(float64(own.Sync.Interval) * (1 + syncJitter))
-	assert.Less(t, a.syncPause(), longest/urgentSyncs)
+	assert.Less(t, a.syncPause(), longest/urgentRoundsPerInterval)
 
 	_, err = a.config.OfferSnapshot(config.Document{
 		Revision: 1,
@@ -110,8 +110,8 @@
 		Pools: []config.Pool{{Name: "p", MaxStreams: 1, MaxLoads: 1}},
 	})
 	require.NoError(t, err)
-	assert.Less(t, a.syncPause(), longest/urgentSyncs, "the engines aren't known yet")
+	assert.Less(t, a.syncPause(), longest/urgentRoundsPerInterval, "the engines aren't known yet")
 
-	a.routers.learn(nil, &rpc.MachineList{Digest: 1, Machines: []*rpc.Machine{{Id: "engine-1"}}}, 0)
-	assert.Greater(t, a.syncPause(), longest/urgentSyncs)
+	a.routers.update(nil, &rpc.MachineList{Digest: 1, Machines: []*rpc.Machine{{Id: "engine-1"}}}, 0)
+	assert.Greater(t, a.syncPause(), longest/urgentRoundsPerInterval)
 }
--- a/internal/fleetsync/changelog.go
+++ b/internal/fleetsync/changelog.go
@@ -17,14 +17,14 @@
 	// version is raised by each change; 0 means that nothing was ever set.
 	version uint64
 	// entries is sorted by name.
-	entries []versioned[T]
+	entries []versionedEntry[T]
 	// removals holds the last removed names in the order of their versions.
 	removals []removal
-	// floor is the oldest version from which the changes are known.
-	floor uint64
+	// oldestVersion is the oldest version from which the changes are known.
+	oldestVersion uint64
 }
 
-type versioned[T any] struct {
+type versionedEntry[T any] struct {
 	value   T
 	changed uint64
 }
@@ -43,7 +43,7 @@
 // set puts a list in place, which must be sorted by name and without doubles.
 func (l *changelog[T]) set(listed []T) {
 	next := l.version + 1
-	entries := make([]versioned[T], 0, len(listed))
+	entries := make([]versionedEntry[T], 0, len(listed))
 	var removed []removal
 	changes := 0
 	rest := l.entries
@@ -52,7 +52,7 @@
 			removed = append(removed, removal{name: l.name(rest[0].value), version: next})
 			rest = rest[1:]
 		}
-		entry := versioned[T]{value: value, changed: next}
+		entry := versionedEntry[T]{value: value, changed: next}
 		if len(rest) > 0 && l.name(rest[0].value) == l.name(value) {
 			if l.equal(rest[0].value, value) {
 				entry.changed = rest[0].changed
@@ -72,16 +72,16 @@
 	}
 	l.version = next
 	l.entries = entries
-	l.remember(removed)
+	l.recordRemovals(removed)
 }
 
-func (l *changelog[T]) remember(removed []removal) {
+func (l *changelog[T]) recordRemovals(removed []removal) {
 	l.removals = append(l.removals, removed...)
 	excess := len(l.removals) - maxRemovals
 	if excess <= 0 {
 		return
 	}
-	l.floor = l.removals[excess-1].version
+	l.oldestVersion = l.removals[excess-1].version
 	l.removals = slices.Clone(l.removals[excess:])
 }
 
@@ -89,7 +89,7 @@
 func (l *changelog[T]) since(version uint64) (delta[T], bool) {
 	var step delta[T]
 	switch {
-	case version == 0 || version < l.floor || version > l.version:
+	case version == 0 || version < l.oldestVersion || version > l.version:
 		return step, false
 	case version == l.version:
 		return step, true
@@ -103,17 +103,17 @@
 		return cmp.Compare(r.version, from)
 	})
 	for _, gone := range l.removals[first:] {
-		if !l.holds(gone.name) {
+		if !l.contains(gone.name) {
 			step.removed = append(step.removed, gone.name)
 		}
 	}
 	return step, true
 }
 
-// holds tells whether the list has an entry now, as one that was removed and
+// contains tells whether the list has an entry now, as one that was removed and
 // came back.
-func (l *changelog[T]) holds(name string) bool {
-	_, found := slices.BinarySearchFunc(l.entries, name, func(entry versioned[T], name string) int {
+func (l *changelog[T]) contains(name string) bool {
+	_, found := slices.BinarySearchFunc(l.entries, name, func(entry versionedEntry[T], name string) int {
 		return cmp.Compare(l.name(entry.value), name)
 	})
 	return found
@@ -128,8 +128,8 @@
 	return values
 }
 
-// apply returns a sorted list after a step.
-func apply[T any](listed []T, step delta[T], name func(T) string) []T {
+// applyDelta returns a sorted list after a step.
+func applyDelta[T any](listed []T, step delta[T], name func(T) string) []T {
 	byName := func(entry T, wanted string) int { return cmp.Compare(name(entry), wanted) }
 	merged := slices.Clone(listed)
 	for _, gone := range step.removed {
--- a/internal/fleetsync/fleetsync_test.go
+++ b/internal/fleetsync/fleetsync_test.go
@@ -15,21 +15,21 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// source is a router's two lists beside its publisher.
-type source struct {
+// fakeRouter is a router's two lists beside its publisher.
+type fakeRouter struct {
 	publisher *Publisher
 	view      *membership.View
 	machines  *rpc.MachineList
 }
 
-func newSource(node fleet.NodeID, members []membership.Member, machines []*rpc.Machine) *source {
-	s := &source{publisher: NewPublisher(node)}
+func newFakeRouter(node fleet.NodeID, members []membership.Member, machines []*rpc.Machine) *fakeRouter {
+	s := &fakeRouter{publisher: NewPublisher(node)}
 	s.setMembers(members)
 	s.setMachines(machines)
 	return s
 }
 
-func (s *source) setMembers(members []membership.Member) {
+func (s *fakeRouter) setMembers(members []membership.Member) {
 	version := uint64(1)
 	if s.view != nil {
 		version = s.view.Version + 1
@@ -38,7 +38,7 @@
 }
 
 // setMachines gives the list a digest that tells its content.
-func (s *source) setMachines(machines []*rpc.Machine) {
+func (s *fakeRouter) setMachines(machines []*rpc.Machine) {
 	digest := uint64(1)
 	for _, machine := range machines {
 		for _, char := range fmt.Sprint(machine.GetId(), machine.GetIncarnation()) {
@@ -48,22 +48,22 @@
 	s.machines = &rpc.MachineList{Digest: digest, Machines: machines}
 }
 
-func (s *source) answer(request *rpc.SyncRequest) *rpc.SyncResponse {
+func (s *fakeRouter) answer(request *rpc.SyncRequest) *rpc.SyncResponse {
 	response := &rpc.SyncResponse{Header: &rpc.Header{Sender: string(s.publisher.node)}}
-	s.publisher.Answer(s.view, s.machines, request, response)
+	s.publisher.FillResponse(s.view, s.machines, request, response)
 	return response
 }
 
-func exchange(subscriber *Subscriber, with *source) (*rpc.SyncRequest, *rpc.SyncResponse) {
+func exchange(subscriber *Subscriber, with *fakeRouter) (*rpc.SyncRequest, *rpc.SyncResponse) {
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent-0123456789abcdef"}}
-	subscriber.Request(request)
+	subscriber.FillRequest(request)
 	answer := with.answer(request)
 	subscriber.Apply(request, answer)
 	return request, answer
 }
 
-func requireSame(t require.TestingT, subscriber *Subscriber, with *source) {
-	require.Equal(t, published(with.view.Routable()), subscriber.Members())
+func requireSame(t require.TestingT, subscriber *Subscriber, with *fakeRouter) {
+	require.Equal(t, normalizeMembers(with.view.Routable()), subscriber.Members())
 	require.True(t, proto.Equal(with.machines, subscriber.Machines()), "machines differ")
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// draw fills a list with a random part of eight names, each of some run.
-func draw[T any](t *rapid.T, label string, entry func(number, run int) T) []T {
+// drawEntries fills a list with a random part of eight names, each of some run.
+func drawEntries[T any](t *rapid.T, label string, entry func(number, run int) T) []T {
 	var entries []T
 	for number := range 8 {
 		if run := rapid.IntRange(0, 3).Draw(t, label); run > 0 {
@@ -96,16 +96,16 @@
 	return entries
 }
 
-// TestSubscriberEndsWithTheListsOfTheRouterItAsked changes lists, restarts
+// TestSubscriberConvergesToPublisherLists changes lists, restarts
 // routers, moves between them, and loses, delays and repeats answers.
-func TestSubscriberEndsWithTheListsOfTheRouterItAsked(t *testing.T) {
+func TestSubscriberConvergesToPublisherLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sources := make([]*source, 2)
+		sources := make([]*fakeRouter, 2)
 		runs := 0
 		start := func(index int) {
 			runs++
 			node := fleet.NodeID(fmt.Sprintf("router-%d-%d", index, runs))
-			sources[index] = newSource(node, draw(t, "members", member), draw(t, "machines", machine))
+			sources[index] = newFakeRouter(node, drawEntries(t, "members", member), drawEntries(t, "machines", machine))
 		}
 		start(0)
 		start(1)
@@ -119,14 +119,14 @@
 			index := rapid.IntRange(0, 1).Draw(t, "router")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
-				sources[index].setMembers(draw(t, "members", member))
+				sources[index].setMembers(drawEntries(t, "members", member))
 			case 1:
-				sources[index].setMachines(draw(t, "machines", machine))
+				sources[index].setMachines(drawEntries(t, "machines", machine))
 			case 2:
 				start(index)
 			case 3:
 				request := &rpc.SyncRequest{}
-				subscriber.Request(request)
+				subscriber.FillRequest(request)
 				held = append(held, late{request: request, answer: sources[index].answer(request)})
 			case 4:
 				if len(held) > 0 {
@@ -143,7 +143,7 @@
 	})
 }
 
-func fleetOf(routers, engines int) *source {
+func newFakeFleet(routers, engines int) *fakeRouter {
 	var members []membership.Member
 	for number := range routers {
 		members = append(members, member(number, 1))
@@ -152,11 +152,11 @@
 	for number := range engines {
 		machines = append(machines, machine(number, 1))
 	}
-	return newSource("router-000-0000000000000001", members, machines)
+	return newFakeRouter("router-000-0000000000000001", members, machines)
 }
 
-func TestSuspicionIsNoChange(t *testing.T) {
-	with := fleetOf(3, 1)
+func TestSuspicionIsNotPublished(t *testing.T) {
+	with := newFakeFleet(3, 1)
 	subscriber := &Subscriber{}
 	exchange(subscriber, with)
 	suspected := []membership.Member{member(0, 1), member(1, 1), member(2, 1)}
@@ -167,8 +167,8 @@
 	assert.Nil(t, answer.GetMembersStep())
 }
 
-func TestForgottenRemovalsBringTheWholeList(t *testing.T) {
-	with := fleetOf(2, 1)
+func TestDroppedRemovalsSendWholeList(t *testing.T) {
+	with := newFakeFleet(2, 1)
 	subscriber := &Subscriber{}
 	exchange(subscriber, with)
 	for run := range maxRemovals + 2 {
@@ -181,8 +181,8 @@
 	assert.LessOrEqual(t, len(with.publisher.members.removals), maxRemovals)
 }
 
-func TestExchangeWithoutListsLeavesThemAlone(t *testing.T) {
-	with := fleetOf(3, 3)
+func TestExchangeWithoutListsLeavesListsUnchanged(t *testing.T) {
+	with := newFakeFleet(3, 3)
 	subscriber := &Subscriber{}
 	answer := with.answer(&rpc.SyncRequest{WithoutLists: true})
 	subscriber.Apply(&rpc.SyncRequest{}, answer)
@@ -190,9 +190,9 @@
 	assert.Empty(t, subscriber.Members())
 }
 
-// TestEveryFieldOfAMachineCounts fails when a field is added that
+// TestEqualMachinesComparesEveryField fails when a field is added that
 // equalMachines doesn't compare.
-func TestEveryFieldOfAMachineCounts(t *testing.T) {
+func TestEqualMachinesComparesEveryField(t *testing.T) {
 	fields := (&rpc.Machine{}).ProtoReflect().Descriptor().Fields()
 	for index := range fields.Len() {
 		field := fields.Get(index)
@@ -208,8 +208,8 @@
 	assert.True(t, equalMachines(machine(1, 1), machine(1, 1)))
 }
 
-func TestEmptyListsAreNoNews(t *testing.T) {
-	with := fleetOf(2, 2)
+func TestEmptyListsAreIgnored(t *testing.T) {
+	with := newFakeFleet(2, 2)
 	subscriber := &Subscriber{}
 	exchange(subscriber, with)
 	with.setMembers(nil)
--- a/internal/fleetsync/publisher.go
+++ b/internal/fleetsync/publisher.go
@@ -13,12 +13,12 @@
 	node fleet.NodeID
 
 	mutex sync.Mutex
-	// view is the version of the membership's last view, source the machine
+	// viewVersion is the version of the membership's last viewVersion, source the machine
 	// list as last given.
-	view     uint64
-	source   *rpc.MachineList
-	members  changelog[membership.Member]
-	machines changelog[*rpc.Machine]
+	viewVersion uint64
+	source      *rpc.MachineList
+	members     changelog[membership.Member]
+	machines    changelog[*rpc.Machine]
 }
 
 // NewPublisher returns the side of a router's run, which knows no list yet.
@@ -52,10 +52,10 @@
 			a.GetKind() == b.GetKind()
 }
 
-// Answer adds to a response what a request's sender lacks of the two lists.
+// FillResponse adds to a response what a request's sender lacks of the two lists.
 // Machines must be sorted by identifier and not be written to afterwards; nil
 // means that they aren't known.
-func (p *Publisher) Answer(
+func (p *Publisher) FillResponse(
 	view *membership.View, machines *rpc.MachineList, request *rpc.SyncRequest, response *rpc.SyncResponse,
 ) {
 	p.mutex.Lock()
@@ -64,28 +64,28 @@
 	if request.GetWithoutLists() {
 		return
 	}
-	p.answerMembers(request, response)
+	p.fillMembers(request, response)
 	if p.source != nil {
-		p.answerMachines(request, response)
+		p.fillMachines(request, response)
 	}
 }
 
-// AnswerMachines is Answer for the list of machines alone, from a publisher
+// FillMachinesResponse is Answer for the list of machines alone, from a publisher
 // that is asked for nothing else.
-func (p *Publisher) AnswerMachines(machines *rpc.MachineList, request *rpc.SyncRequest, response *rpc.SyncResponse) {
+func (p *Publisher) FillMachinesResponse(machines *rpc.MachineList, request *rpc.SyncRequest, response *rpc.SyncResponse) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.updateMachines(machines)
 	if p.source != nil {
-		p.answerMachines(request, response)
+		p.fillMachines(request, response)
 	}
 }
 
 // update takes over lists that have changed; the mutex is held.
 func (p *Publisher) update(view *membership.View, machines *rpc.MachineList) {
-	if view.Version > p.view || p.members.version == 0 {
-		p.view = view.Version
-		p.members.set(published(view.Routable()))
+	if view.Version > p.viewVersion || p.members.version == 0 {
+		p.viewVersion = view.Version
+		p.members.set(normalizeMembers(view.Routable()))
 	}
 	p.updateMachines(machines)
 }
@@ -97,9 +97,9 @@
 	}
 }
 
-// published strips members of what agents don't use, so that a suspicion that
+// normalizeMembers strips members of what agents don't use, so that a suspicion that
 // comes to nothing is no change for them.
-func published(routable []membership.Member) []membership.Member {
+func normalizeMembers(routable []membership.Member) []membership.Member {
 	members := make([]membership.Member, 0, len(routable))
 	for _, member := range routable {
 		member.State = membership.Alive
@@ -109,8 +109,8 @@
 	return members
 }
 
-func (p *Publisher) answerMembers(request *rpc.SyncRequest, response *rpc.SyncResponse) {
-	base := p.known(request, request.GetMembershipVersion())
+func (p *Publisher) fillMembers(request *rpc.SyncRequest, response *rpc.SyncResponse) {
+	base := p.knownVersion(request, request.GetMembershipVersion())
 	step, known := p.members.since(base)
 	if known && base == p.members.version {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-func (p *Publisher) answerMachines(request *rpc.SyncRequest, response *rpc.SyncResponse) {
-	base := p.known(request, request.GetMachinesVersion())
+func (p *Publisher) fillMachines(request *rpc.SyncRequest, response *rpc.SyncResponse) {
+	base := p.knownVersion(request, request.GetMachinesVersion())
 	isSame := request.GetMachinesDigest() == p.source.GetDigest()
 	step, known := p.machines.since(base)
 	switch {
@@ -143,8 +143,8 @@
 	response.Machines = &rpc.MachineList{Digest: p.source.GetDigest(), Machines: step.changed}
 }
 
-// known returns a version that a request names, or 0 if it is of another run.
-func (p *Publisher) known(request *rpc.SyncRequest, version uint64) uint64 {
+// knownVersion returns a version that a request names, or 0 if it is of another run.
+func (p *Publisher) knownVersion(request *rpc.SyncRequest, version uint64) uint64 {
 	if request.GetVersionsOf() != string(p.node) {
 		return 0
 	}
--- a/internal/fleetsync/subscriber.go
+++ b/internal/fleetsync/subscriber.go
@@ -21,8 +21,8 @@
 	machines        *rpc.MachineList
 }
 
-// Request adds to a request what the subscriber holds.
-func (s *Subscriber) Request(request *rpc.SyncRequest) {
+// FillRequest adds to a request what the subscriber holds.
+func (s *Subscriber) FillRequest(request *rpc.SyncRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	request.VersionsOf = s.router
@@ -53,7 +53,7 @@
 
 func (s *Subscriber) applyMembers(answer *rpc.SyncResponse) {
 	step := answer.GetMembersStep()
-	if !follows(step, s.membersVersion) {
+	if !canApply(step, s.membersVersion) {
 		return
 	}
 	changed := make([]membership.Member, 0, len(answer.GetMembers()))
@@ -66,7 +66,7 @@
 	if step.GetBase() == 0 {
 		slices.SortFunc(members, func(a, b membership.Member) int { return cmp.Compare(a.Node, b.Node) })
 	} else {
-		members = apply(s.members, delta[membership.Member]{changed: changed, removed: step.GetRemoved()}, memberName)
+		members = applyDelta(s.members, delta[membership.Member]{changed: changed, removed: step.GetRemoved()}, memberName)
 	}
 	if len(members) == 0 {
 		s.membersVersion = 0
@@ -79,10 +79,10 @@
 func (s *Subscriber) applyMachines(request *rpc.SyncRequest, answer *rpc.SyncResponse) {
 	step := answer.GetMachinesStep()
 	if step.GetBase() != 0 && step.GetBase() == step.GetVersion() {
-		s.adoptMachines(request, step)
+		s.adoptMachinesVersion(request, step)
 		return
 	}
-	if !follows(step, s.machinesVersion) {
+	if !canApply(step, s.machinesVersion) {
 		return
 	}
 	machines := answer.GetMachines().GetMachines()
@@ -90,7 +90,7 @@
 		slices.SortFunc(machines, func(a, b *rpc.Machine) int { return cmp.Compare(a.GetId(), b.GetId()) })
 	} else {
 		change := delta[*rpc.Machine]{changed: machines, removed: step.GetRemoved()}
-		machines = apply(s.machines.GetMachines(), change, (*rpc.Machine).GetId)
+		machines = applyDelta(s.machines.GetMachines(), change, (*rpc.Machine).GetId)
 	}
 	if len(machines) == 0 {
 		s.machinesVersion = 0
@@ -100,17 +100,17 @@
 	s.machinesVersion = step.GetVersion()
 }
 
-// adoptMachines takes over the version of a router whose list has the digest
+// adoptMachinesVersion takes over the version of a router whose list has the digest
 // that the request named.
-func (s *Subscriber) adoptMachines(request *rpc.SyncRequest, step *rpc.ListStep) {
+func (s *Subscriber) adoptMachinesVersion(request *rpc.SyncRequest, step *rpc.ListStep) {
 	if request.GetMachinesDigest() == s.machines.GetDigest() {
 		s.machinesVersion = step.GetVersion()
 	}
 }
 
-// follows tells whether a step leads on from the version that is held. A whole
+// canApply tells whether a step leads on from the version that is held. A whole
 // list replaces any that isn't newer.
-func follows(step *rpc.ListStep, held uint64) bool {
+func canApply(step *rpc.ListStep, held uint64) bool {
 	if step.GetVersion() == 0 || step.GetVersion() < held {
 		return false
 	}
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -152,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(m.router.tomb.Context(context.Background()), peerTimeout)
 	defer cancel()
 	held := &rpc.SyncRequest{}
-	m.subscriber.Request(held)
+	m.subscriber.FillRequest(held)
 	answer, err := m.router.fetcher.client(reader).Changes(ctx, &rpc.ChangesRequest{
 		Header:             m.router.header(),
 		After:              uint64(m.router.holder.Revision()),
@@ -199,7 +199,7 @@
 	}
 	response.MachinesCurrent = true
 	step := &rpc.SyncResponse{}
-	m.publisher.AnswerMachines(m.router.machines.encodedAll(), &rpc.SyncRequest{
+	m.publisher.FillMachinesResponse(m.router.machines.encodedAll(), &rpc.SyncRequest{
 		VersionsOf:      request.GetMachinesVersionsOf(),
 		MachinesVersion: request.GetMachinesVersion(),
 		MachinesDigest:  request.GetMachinesDigest(),
--- a/internal/router/peers_test.go
+++ b/internal/router/peers_test.go
@@ -60,7 +60,7 @@
 	<-second.Dead()
 }
 
-func TestEnginesAreSharedAmongRouters(t *testing.T) {
+func TestEngineOwnershipIsDividedAmongRouters(t *testing.T) {
 	f := newTestFleet(t, 4)
 	f.commitConfiguration()
 	oneOwner := func(options *Settings) { options.IndexReplicas = 1 }
@@ -90,7 +90,7 @@
 	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, waitTimeout, pollInterval)
 }
 
-func TestRoutersInTheListOfMachinesAreSeeds(t *testing.T) {
+func TestListedRoutersAreSeeds(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
@@ -101,7 +101,7 @@
 	awaitRoutable(t, 2, first, second)
 }
 
-func TestUnheardRoutersCount(t *testing.T) {
+func TestPeerCountIncludesUnseenRouters(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.platform.SetMachines(append(f.machines(),
 		platform.Machine{ID: "r1", Kind: platform.MachineRouter, Address: "127.0.0.1:1", Incarnation: 1, State: platform.MachineLive},
--- a/internal/router/syncserver.go
+++ b/internal/router/syncserver.go
@@ -25,7 +25,7 @@
 	if err := s.answerConfiguration(message, response); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	s.router.listPublisher.Answer(s.router.peers.View(), s.router.machines.encoded(), message, response)
+	s.router.listPublisher.FillResponse(s.router.peers.View(), s.router.machines.encoded(), message, response)
 	return response, nil
 }
 
--- a/lab/capacity/lists.go
+++ b/lab/capacity/lists.go
@@ -19,7 +19,7 @@
 // Sync implements rpc.Placement.
 func (s *listServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	response := &rpc.SyncResponse{Header: header()}
-	s.publisher.Answer(s.view, s.machines, request, response)
+	s.publisher.FillResponse(s.view, s.machines, request, response)
 	return response, nil
 }
 
@@ -35,7 +35,7 @@
 	var subscriber fleetsync.Subscriber
 	return placementCost(o, server, func(ctx context.Context, client rpc.Placement) error {
 		request := &rpc.SyncRequest{Header: header()}
-		subscriber.Request(request)
+		subscriber.FillRequest(request)
 		answer, err := client.Sync(ctx, request)
 		if err != nil {
 			return err
--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -90,7 +90,7 @@
 		s.calls++
 	}
 	step := &rpc.SyncResponse{}
-	s.feed.AnswerMachines(s.lists[s.calls%len(s.lists)], &rpc.SyncRequest{
+	s.feed.FillMachinesResponse(s.lists[s.calls%len(s.lists)], &rpc.SyncRequest{
 		VersionsOf:      request.GetMachinesVersionsOf(),
 		MachinesVersion: request.GetMachinesVersion(),
 		MachinesDigest:  request.GetMachinesDigest(),
@@ -121,7 +121,7 @@
 	var lists fleetsync.Subscriber
 	return e.cost(o, func(ctx context.Context) error {
 		held := &rpc.SyncRequest{}
-		lists.Request(held)
+		lists.FillRequest(held)
 		answer, err := client.Changes(ctx, &rpc.ChangesRequest{
 			Header: header(), After: 1 << 20, MachinesFollowed: true, MachinesVersionsOf: held.GetVersionsOf(),
 			MachinesVersion: held.GetMachinesVersion(), MachinesDigest: held.GetMachinesDigest(),
