--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -48,8 +48,8 @@
 	return status, answer
 }
 
-// scan returns the one scanner that reads an answer; it reads ahead.
-func scan(response *http.Response) *bufio.Scanner { return bufio.NewScanner(response.Body) }
+// newScanner returns the one scanner that reads an answer; it reads ahead.
+func newScanner(response *http.Response) *bufio.Scanner { return bufio.NewScanner(response.Body) }
 
 // readEvents reads a stream's events up to its end or to a number of them.
 func readEvents(t *testing.T, scanner *bufio.Scanner, most int) (tokens, events []string) {
@@ -74,7 +74,7 @@
 
 const allEvents = 10000
 
-func TestBadRequestsGetNumberedErrors(t *testing.T) {
+func TestInvalidRequestsReturnResultCodes(t *testing.T) {
 	a := startAgent(t, nil, startRouter(t, startEngine(t, "a", time.Millisecond)))
 	cases := map[string]struct {
 		path, body, header string
@@ -109,13 +109,13 @@
 	assert.Equal(t, http.StatusOK, status)
 }
 
-func TestStreamAndPlainAnswerAreWhole(t *testing.T) {
+func TestStreamedAndBufferedAnswersAreComplete(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, nil, router)
 	response := post(t, a, openai.PathCompletions, completionBody(20, true), "X-Request-Id: caller")
 	defer response.Body.Close()
 	assert.True(t, strings.HasPrefix(response.Header.Get("X-Request-Id"), "caller-"))
-	tokens, events := readEvents(t, scan(response), allEvents)
+	tokens, events := readEvents(t, newScanner(response), allEvents)
 	require.NoError(t, enginemodel.VerifyOutput(testPrompt, tokens))
 	assert.Len(t, tokens, 20)
 	assert.Equal(t, "[DONE]", events[len(events)-1])
@@ -131,34 +131,34 @@
 	require.Eventually(t, func() bool {
 		phases := router.phases()
 		return len(phases) == 6 && phases[5] == rpc.AttemptPhase_ATTEMPT_PHASE_FINISHED
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 	_, metrics := get(t, a, agent.PathMetrics)
 	assert.Contains(t, metrics, `tillerfall_agent_requests_total{class="urgent",code="ok"} 2`)
 }
 
-func TestCallerThatClosesEarlyCancelsAtTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsEngineStream(t *testing.T) {
 	server := startEngine(t, "a", 5*time.Millisecond)
 	router := startRouter(t, server)
 	a := startAgent(t, nil, router)
 	response := post(t, a, openai.PathCompletions, completionBody(400, true))
-	_, events := readEvents(t, scan(response), 2)
+	_, events := readEvents(t, newScanner(response), 2)
 	require.Len(t, events, 2)
 	response.Body.Close()
-	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, patience, pollEvery)
+	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
 	require.Eventually(t, func() bool {
 		phases := router.phases()
 		return len(phases) > 0 && phases[len(phases)-1] == rpc.AttemptPhase_ATTEMPT_PHASE_FAILED
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-func TestStreamContinuesElsewhereAfterItsEngineDied(t *testing.T) {
+func TestStreamContinuesAfterEngineFailure(t *testing.T) {
 	first := startEngine(t, "a", 5*time.Millisecond)
 	second := startEngine(t, "b", time.Millisecond)
 	router := startRouter(t, first, second)
 	a := startAgent(t, nil, router)
 	response := post(t, a, openai.PathCompletions, completionBody(200, true))
 	defer response.Body.Close()
-	stream := scan(response)
+	stream := newScanner(response)
 	begin, events := readEvents(t, stream, 3)
 	require.Len(t, events, 3)
 	first.Kill()
@@ -169,7 +169,7 @@
 	assert.Len(t, whole, 200)
 }
 
-func TestNotRepeatableRequestWithLostAnswersIsDispatchedOnce(t *testing.T) {
+func TestNonRepeatableRequestIsDispatchedOnce(t *testing.T) {
 	first := startEngine(t, "a", time.Millisecond)
 	second := startEngine(t, "b", time.Millisecond)
 	router := startRouter(t, first, second)
@@ -189,12 +189,12 @@
 	assert.Equal(t, resultcode.DuplicateRequest, answer.Error.ResultCode)
 }
 
-func TestDeadRouterLosesItsWaitingRequests(t *testing.T) {
+func TestWaitingRequestsLeaveUnresponsiveRouter(t *testing.T) {
 	server := startEngine(t, "a", time.Millisecond)
 	routers := []*fakeRouter{startRouter(t, server), startRouter(t, server)}
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Timeout = settings.Duration(300 * time.Millisecond) }, routers...)
 	for _, frozen := range routers {
-		thaw := frozen.freeze()
+		thaw := frozen.blockAnswers()
 		// The deadline is below the class's longest wait, so that a question left
 		// at the frozen router fails.
 		response := post(t, a, openai.PathCompletions, completionBody(2, false), "X-Tillerfall-Deadline-Ms: 15000")
@@ -204,10 +204,10 @@
 	}
 }
 
-func TestCallerThatLeavesWithdrawsItsQuestion(t *testing.T) {
+func TestCallerDisconnectCancelsPlacement(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Interval = settings.Duration(time.Hour) }, router)
-	defer router.freeze()()
+	defer router.blockAnswers()()
 	ctx, leave := context.WithCancel(context.Background())
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, openai.PathCompletions, strings.NewReader(completionBody(2, false)))
 	request.Header.Set("Authorization", "Bearer "+testKey)
@@ -219,15 +219,15 @@
 	counts := func() (held, withdrawn int) {
 		router.mutex.Lock()
 		defer router.mutex.Unlock()
-		return router.held, router.withdrawn
+		return router.blockedCalls, router.cancelledCalls
 	}
-	require.Eventually(t, func() bool { held, _ := counts(); return held == 1 }, patience, pollEvery)
+	require.Eventually(t, func() bool { held, _ := counts(); return held == 1 }, waitTimeout, pollInterval)
 	leave()
-	require.Eventually(t, func() bool { _, withdrawn := counts(); return withdrawn == 1 }, patience, pollEvery)
+	require.Eventually(t, func() bool { _, withdrawn := counts(); return withdrawn == 1 }, waitTimeout, pollInterval)
 	<-served
 }
 
-func TestNoRouterIsAnsweredAtOnce(t *testing.T) {
+func TestUnreachableRouterFailsRequestImmediately(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, nil, router)
 	router.server.CloseClientConnections()
@@ -240,7 +240,7 @@
 	assert.True(t, answer.Error.NotRun)
 }
 
-func TestAgentBringsARestartedRouterUpToDate(t *testing.T) {
+func TestAgentRestoresStateOfRestartedRouter(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	startAgent(t, nil, router)
 	router.mutex.Lock()
@@ -250,14 +250,14 @@
 		router.mutex.Lock()
 		defer router.mutex.Unlock()
 		return router.revision == uint64(testDocument().Revision) && router.config != nil && router.machines.GetDigest() == 5
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-func TestPlannedStopCutsNoStream(t *testing.T) {
+func TestGracefulStopFinishesStreams(t *testing.T) {
 	a := startAgent(t, nil, startRouter(t, startEngine(t, "a", 5*time.Millisecond)))
 	response := post(t, a, openai.PathCompletions, completionBody(100, true))
 	defer response.Body.Close()
-	stream := scan(response)
+	stream := newScanner(response)
 	_, events := readEvents(t, stream, 1)
 	require.Len(t, events, 1)
 	stopped := make(chan error, 2)
@@ -267,7 +267,7 @@
 	require.Eventually(t, func() bool {
 		status, _ := get(t, a, agent.PathReady)
 		return status == http.StatusServiceUnavailable
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	_, answer := decode(t, post(t, a, openai.PathCompletions, completionBody(2, false)))
 	require.NotNil(t, answer.Error)
 	assert.Equal(t, resultcode.Stopping, answer.Error.ResultCode)
@@ -290,7 +290,7 @@
 	assert.Equal(t, resultcode.TenantConcurrency, answer.Error.ResultCode)
 }
 
-func TestWaitingRequestMovesToThePromotedVersion(t *testing.T) {
+func TestWaitingRequestSwitchesToPromotedVersion(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Interval = settings.Duration(time.Hour) }, router)
 	promoted := testDocument()
@@ -307,7 +307,7 @@
 	assert.Equal(t, http.StatusOK, status)
 }
 
-func TestChangesOfTheConfigurationThatCannotBeAppliedGiveWayToTheDocument(t *testing.T) {
+func TestFailedConfigurationChangeFetchesSnapshot(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, nil, router)
 	document := testDocument()
@@ -323,15 +323,15 @@
 	require.Eventually(t, func() bool {
 		status, _ := decode(t, post(t, a, openai.PathCompletions, `{"model":"drafts","prompt":"p","max_tokens":1}`))
 		return status != http.StatusNotFound
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
-// TestDeadlineThatPassesWhileWaitingIsAnsweredAtOnce answers while the router
+// TestDeadlineDuringPlacementFailsRequestImmediately answers while the router
 // still holds the question, and withdraws that.
-func TestDeadlineThatPassesWhileWaitingIsAnsweredAtOnce(t *testing.T) {
+func TestDeadlineDuringPlacementFailsRequestImmediately(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
-	a := startAgent(t, func(own *agent.Settings) { own.Sync.Timeout = settings.Duration(patience) }, router)
-	thaw := router.freeze()
+	a := startAgent(t, func(own *agent.Settings) { own.Sync.Timeout = settings.Duration(waitTimeout) }, router)
+	thaw := router.blockAnswers()
 	defer thaw()
 	for _, stream := range []bool{false, true} {
 		response := post(t, a, openai.PathCompletions, completionBody(2, stream), "X-Tillerfall-Deadline-Ms: 200")
@@ -344,6 +344,6 @@
 	require.Eventually(t, func() bool {
 		router.mutex.Lock()
 		defer router.mutex.Unlock()
-		return router.withdrawn == 2
-	}, patience, pollEvery)
+		return router.cancelledCalls == 2
+	}, waitTimeout, pollInterval)
 }
--- a/internal/agent/apipage_test.go
+++ b/internal/agent/apipage_test.go
@@ -16,8 +16,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// TestPageOfTheAPI compares docs/API.md with the code.
-func TestPageOfTheAPI(t *testing.T) {
+// TestAPIPageMatchesCode compares docs/API.md with the code.
+func TestAPIPageMatchesCode(t *testing.T) {
 	data, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
 	page := string(data)
@@ -63,8 +63,8 @@
 	"retry_after_ms": true,
 }
 
-// TestPageNamesAllOfAFailure compares the page with the answer that has most.
-func TestPageNamesAllOfAFailure(t *testing.T) {
+// TestAPIPageListsFailureFields compares the page with the answer that has most.
+func TestAPIPageListsFailureFields(t *testing.T) {
 	page, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
 	answer := httptest.NewRecorder()
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -28,11 +28,11 @@
 )
 
 const (
-	testKey     = "counter-key"
-	patience    = 20 * time.Second
-	pollEvery   = 5 * time.Millisecond
-	maxBody     = 1 << 16
-	blockTokens = 4
+	testKey      = "counter-key"
+	waitTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
+	maxBody      = 1 << 16
+	blockTokens  = 4
 )
 
 var testPrompt = strings.Repeat("Tariff circular, clause one: every ward office shows the new screen. ", 4)
@@ -65,16 +65,16 @@
 	revision uint64
 	config   *rpc.ConfigSnapshot
 	// changes are sent instead of the snapshot.
-	changes  []*rpc.ConfigChange
-	machines *rpc.MachineList
-	lists    *fleetsync.Publisher
-	reports  []*rpc.AttemptReport
-	places   int
-	// hold keeps every answer back until it is closed; held and withdrawn count
+	changes    []*rpc.ConfigChange
+	machines   *rpc.MachineList
+	lists      *fleetsync.Publisher
+	reports    []*rpc.AttemptReport
+	placements int
+	// blocked keeps every answer back until it is closed; held and withdrawn count
 	// the questions that met it and that were given up meanwhile.
-	hold      chan struct{}
-	held      int
-	withdrawn int
+	blocked        chan struct{}
+	blockedCalls   int
+	cancelledCalls int
 	// retired is refused as a version that no longer serves.
 	retired string
 }
@@ -102,9 +102,9 @@
 
 func (f *fakeRouter) wait(ctx context.Context) {
 	f.mutex.Lock()
-	hold := f.hold
+	hold := f.blocked
 	if hold != nil {
-		f.held++
+		f.blockedCalls++
 	}
 	f.mutex.Unlock()
 	if hold == nil {
@@ -115,20 +115,20 @@
 	case <-ctx.Done():
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.withdrawn++
+		f.cancelledCalls++
 	}
 }
 
-// freeze keeps all answers back until the returned function is called.
-func (f *fakeRouter) freeze() (thaw func()) {
+// blockAnswers keeps all answers back until the returned function is called.
+func (f *fakeRouter) blockAnswers() (thaw func()) {
 	hold := make(chan struct{})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hold = hold
+	f.blocked = hold
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.hold = nil
+		f.blocked = nil
 		close(hold)
 	}
 }
@@ -144,13 +144,13 @@
 			Outcome: &rpc.PlaceResponse_Refusal{Refusal: refusal},
 		}, nil
 	}
-	chosen := f.engines[f.places%len(f.engines)]
-	f.places++
+	chosen := f.engines[f.placements%len(f.engines)]
+	f.placements++
 	status := chosen.Status()
 	grant := &rpc.Grant{
 		Run:         &rpc.EngineRun{Engine: string(status.Engine), Incarnation: uint64(status.Incarnation)},
 		Address:     string(chosen.Address()),
-		ValidMillis: uint32(patience.Milliseconds()),
+		ValidMillis: uint32(waitTimeout.Milliseconds()),
 	}
 	return &rpc.PlaceResponse{
 		Header: f.header(), RequestId: request.GetRequestId(), Attempt: request.GetAttempt(),
@@ -231,7 +231,7 @@
 	require.Eventually(t, func() bool {
 		status, _ := get(t, started, agent.PathReady)
 		return status == http.StatusOK
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 	return started
 }
 
--- a/internal/agent/slow_test.go
+++ b/internal/agent/slow_test.go
@@ -16,9 +16,9 @@
 	"github.com/tillerfall/tillerfall/internal/openai"
 )
 
-// slowWriter is the connection of a caller that reads nothing until it is
+// blockingWriter is the connection of a caller that reads nothing until it is
 // released, or whose writes then time out.
-type slowWriter struct {
+type blockingWriter struct {
 	header  http.Header
 	blocked chan struct{}
 	release chan struct{}
@@ -28,19 +28,19 @@
 	body bytes.Buffer
 }
 
-func newSlowWriter(failure error) *slowWriter {
-	return &slowWriter{
+func newBlockingWriter(failure error) *blockingWriter {
+	return &blockingWriter{
 		header: http.Header{}, blocked: make(chan struct{}), release: make(chan struct{}), failure: failure,
 	}
 }
 
-func (w *slowWriter) Header() http.Header { return w.header }
+func (w *blockingWriter) Header() http.Header { return w.header }
 
-func (w *slowWriter) WriteHeader(int) {}
+func (w *blockingWriter) WriteHeader(int) {}
 
-func (w *slowWriter) Flush() {}
+func (w *blockingWriter) Flush() {}
 
-func (w *slowWriter) Write(data []byte) (int, error) {
+func (w *blockingWriter) Write(data []byte) (int, error) {
 	w.once.Do(func() { close(w.blocked) })
 	<-w.release
 	if w.failure != nil {
@@ -49,20 +49,20 @@
 	return w.body.Write(data)
 }
 
-func slowRequest(maxTokens int) *http.Request {
+func newStreamRequest(maxTokens int) *http.Request {
 	body := strings.NewReader(completionBody(maxTokens, true))
 	request := httptest.NewRequest(http.MethodPost, openai.PathCompletions, body)
 	request.Header.Set("Authorization", "Bearer "+testKey)
 	return request
 }
 
-func TestSlowCallerGetsAllAndHoldsUpNobody(t *testing.T) {
+func TestSlowCallerDoesNotBlockOtherRequests(t *testing.T) {
 	a := startAgent(t, nil, startRouter(t, startEngine(t, "a", time.Millisecond)))
-	slow := newSlowWriter(nil)
+	slow := newBlockingWriter(nil)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		a.Handler().ServeHTTP(slow, slowRequest(100))
+		a.Handler().ServeHTTP(slow, newStreamRequest(100))
 	}()
 	<-slow.blocked
 	for range 3 {
@@ -75,12 +75,12 @@
 	assert.True(t, strings.HasSuffix(slow.body.String(), "data: [DONE]\n\n"))
 }
 
-func TestCallerOverTheWriteTimeoutIsCancelledAtTheEngine(t *testing.T) {
+func TestWriteTimeoutCancelsEngineStream(t *testing.T) {
 	server := startEngine(t, "a", 5*time.Millisecond)
 	a := startAgent(t, nil, startRouter(t, server))
-	stuck := newSlowWriter(os.ErrDeadlineExceeded)
+	stuck := newBlockingWriter(os.ErrDeadlineExceeded)
 	close(stuck.release)
-	a.Handler().ServeHTTP(stuck, slowRequest(400))
-	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, patience, pollEvery)
+	a.Handler().ServeHTTP(stuck, newStreamRequest(400))
+	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
 	assert.Less(t, server.Counters().OutputTokens, int64(400))
 }
--- a/internal/agent/stuck_test.go
+++ b/internal/agent/stuck_test.go
@@ -21,15 +21,15 @@
 const (
 	// longOutput is over what the buffers of both ends of a connection hold.
 	longOutput = 20000
-	// mostTaken is over what the small buffers hold, in tokens.
-	mostTaken    = 1000
-	smallBuffer  = 4096
-	stuckCallers = 3
+	// maxTokensRead is over what the small buffers hold, in tokens.
+	maxTokensRead = 1000
+	smallBuffer   = 4096
+	stuckCallers  = 3
 )
 
-// startStuckCaller asks for a long stream over a connection with a small
+// startNonReadingCaller asks for a long stream over a connection with a small
 // receive buffer and reads nothing of it.
-func startStuckCaller(t *testing.T, a *agent.Agent) {
+func startNonReadingCaller(t *testing.T, a *agent.Agent) {
 	connection, err := net.Dial("tcp", string(a.Address()))
 	require.NoError(t, err)
 	t.Cleanup(func() { connection.Close() })
@@ -52,10 +52,10 @@
 	return int(value)
 }
 
-// TestCallersThatStopReading holds up real connections: what the agent takes
+// TestNonReadingCallersAreBoundedAndCancelled holds up real connections: what the agent takes
 // from the engines for them stays bounded, other requests go on, and after the
 // write timeout the streams are cancelled at the engine and the callers counted as gone.
-func TestCallersThatStopReading(t *testing.T) {
+func TestNonReadingCallersAreBoundedAndCancelled(t *testing.T) {
 	server := startEngine(t, "a", time.Millisecond)
 	router := startRouter(t, server)
 	document := testDocument()
@@ -68,20 +68,20 @@
 		own.HTTP.WriteBufferBytes = smallBuffer
 	}, router)
 	for range stuckCallers {
-		startStuckCaller(t, a)
+		startNonReadingCaller(t, a)
 	}
 	require.Eventually(t, func() bool {
 		return metric(t, a, "tillerfall_agent_running_requests") == stuckCallers
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 	status, _ := decode(t, post(t, a, openai.PathCompletions, completionBody(20, false)))
 	require.Equal(t, http.StatusOK, status)
 	require.Eventually(t, func() bool {
 		return metric(t, a, "tillerfall_agent_running_requests") == 0
-	}, patience, pollEvery)
-	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, patience, pollEvery)
+	}, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
 	taken := metric(t, a, "tillerfall_agent_output_tokens_total")
 	t.Logf("%d of %d tokens were taken from the engine", taken, stuckCallers*longOutput)
-	assert.Less(t, taken, stuckCallers*mostTaken)
+	assert.Less(t, taken, stuckCallers*maxTokensRead)
 	_, text := get(t, a, agent.PathMetrics)
 	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, stuckCallers)
 	assert.Contains(t, text, gone)
