--- a/internal/router/machinefeed.go
+++ b/internal/router/allmachines.go
@@ -7,16 +7,16 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// allMachinesEncoding keeps the encoded list of machines of every kind, for routers
-// that follow this one's. It is encoded when the first of them asks.
+// allMachinesEncoding caches the encoded list of machines of every kind, which routers that follow
+// this one fetch. It is built on first use.
 type allMachinesEncoding struct {
-	// source is the list that the feed was made of.
+	// source identifies the machine list that message was built from.
 	source  *rpc.MachineList
 	message *rpc.MachineList
 }
 
-// encodedAll returns the list with the machines that agents don't use, or nil
-// if none is known. It must not be written to.
+// encodedAll returns the encoded list of machines of every kind, including those that agents don't
+// use, or nil if no list is known. The result must not be modified.
 func (l *machineList) encodedAll() *rpc.MachineList {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -26,8 +26,8 @@
 	return l.allMachines.message
 }
 
-// encodeAllMachines encodes machines of every kind and shares the messages of engines,
-// which are in the same order.
+// encodeAllMachines encodes machines of every kind. It reuses the messages in engines, which must
+// be in the same order as the engines in machines.
 func encodeAllMachines(machines []platform.Machine, engines []*rpc.Machine) *rpc.MachineList {
 	whole := &rpc.MachineList{Machines: make([]*rpc.Machine, 0, len(machines))}
 	digest := xxhash.New()
@@ -47,9 +47,8 @@
 	return whole
 }
 
-// setFromReader takes the list of a router that reads the platform's. Its first
-// one may be older than what the reader before had: machines that it lacks stay
-// until it has read again.
+// setFromReader stores the list of a router that reads the platform's list. The first list of a new
+// reader may be older than that of the previous one, so machines that are missing from it are kept.
 func (l *machineList) setFromReader(message *rpc.MachineList, first bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// BenchmarkPlace measures one placement and its last report over loopback, with
-// the hashes of a prompt of 32,768 tokens.
+// BenchmarkPlace measures a placement and its final report over loopback, with the block hashes of
+// a prompt of 32,768 tokens.
 func BenchmarkPlace(b *testing.B) {
 	f := newTestFleet(b, 12)
 	f.commitConfiguration()
--- a/internal/router/collector.go
+++ b/internal/router/collector.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// Descriptions of the gauges that are read from the core.
+// Descriptions of the metrics read from the placement core.
 var (
 	waitingDescription = prometheus.NewDesc(metricsNamespace+"_waiting",
 		"Waiting requests by class.", []string{"class"}, nil)
@@ -31,7 +31,7 @@
 		"Configuration revision in force; 0 before the first.", nil, nil)
 )
 
-// collector reads the gauges from the core at each scrape.
+// collector reads metrics from the placement core on each scrape.
 type collector struct {
 	placer *placer
 }
@@ -85,7 +85,7 @@
 	metrics <- prometheus.MustNewConstMetric(lostGrantsDescription, prometheus.CounterValue, float64(snapshot.LostGrants))
 }
 
-// snapshot returns the core's state.
+// snapshot returns the state of the placement core.
 func (p *placer) snapshot() placement.Snapshot {
 	var snapshot placement.Snapshot
 	p.do(func(now time.Duration, core *placement.Core) { snapshot = core.Snapshot(now) })
--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// offerConfiguration offers a configuration that another node sent. The holder
-// ignores revisions that aren't higher than its own.
+// offerConfiguration offers a configuration received from another node to the holder, which ignores
+// revisions that are not newer than its own.
 func (r *Router) offerConfiguration(message *rpc.ConfigSnapshot, sender string) {
 	if message == nil || fleet.Revision(message.GetRevision()) <= r.holder.Revision() {
 		return
@@ -30,7 +30,7 @@
 	r.logger.Info().Str("sender", sender).Uint64("revision", message.GetRevision()).Msg("configuration_learned")
 }
 
-// applyConfigurations hands each accepted configuration to the core.
+// applyConfigurations passes each accepted configuration to the placement core.
 func (r *Router) applyConfigurations() error {
 	for {
 		updated := r.holder.Updated()
@@ -51,15 +51,15 @@
 	r.logger.Info().Uint64("revision", uint64(view.Revision())).Msg("configuration_applied")
 }
 
-// snapshotCache keeps the encoded form of the configuration in force, which
-// many agents ask for after a change.
+// snapshotCache caches the encoded form of the current configuration, which many agents request
+// after a change.
 type snapshotCache struct {
 	mutex    sync.Mutex
 	revision fleet.Revision
 	message  *rpc.ConfigSnapshot
 }
 
-// encode returns the encoded form of a view; nil for none.
+// encode returns the encoded form of view, or nil if view is nil or can't be encoded.
 func (c *snapshotCache) encode(view *config.View, logger zerolog.Logger) *rpc.ConfigSnapshot {
 	if view == nil {
 		return nil
@@ -83,7 +83,7 @@
 	return r.configSnapshots.encode(r.holder.Current(), r.logger)
 }
 
-// followConfiguration starts to read the configuration from peers and platform.
+// followConfiguration starts following the configuration from peers and the platform.
 func (r *Router) followConfiguration() {
 	settings := r.options.Settings
 	r.configFollower = config.FollowPlatform(r.configStore, r.holder, r.fetcher, config.FollowOptions{
@@ -102,12 +102,12 @@
 	}
 }
 
-// observeRevision notes the revision that another node's message names.
+// observeRevision records the configuration revision in another node's message header.
 func (r *Router) observeRevision(header *rpc.Header) {
 	r.configFollower.Hear(fleet.Revision(header.GetKnownRevision()))
 }
 
-// refreshConfiguration reads the head at once, after a command.
+// refreshConfiguration reads the latest configuration immediately after a command.
 func (r *Router) refreshConfiguration() {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), time.Duration(r.options.Settings.Platform.Timeout))
 	defer cancel()
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,4 +1,3 @@
-// Package router joins placement, membership, configuration and rollout into
-// the router process: it answers agents, peers and operators over twirp,
-// follows the engines that it owns, and stops without losing a request.
+// Package router implements the router process: it serves agents, peers and operators over twirp,
+// tracks the engines it owns, and drains its requests on a graceful stop.
 package router
--- a/internal/router/enginefleet.go
+++ b/internal/router/enginefleet.go
@@ -13,12 +13,11 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// pollRequestInterval is the time between two questions to the core which engines
-// want an extra poll.
+// pollRequestInterval is how often the placement core is asked which engines need an extra poll.
 const pollRequestInterval = 100 * time.Millisecond
 
-// engineFleet keeps a watcher for each engine that is listed and owned, and
-// tells the core which engines there are.
+// engineFleet runs a watcher for each listed engine that this router owns, and reports the listed
+// engines to the placement core.
 type engineFleet struct {
 	node     fleet.NodeID
 	placer   *placer
@@ -30,11 +29,11 @@
 	mutex    sync.Mutex
 	machines map[fleet.EngineID]platform.Machine
 	watchers map[fleet.EngineID]*engineWatcher
-	// pendingLeaving holds the entries that say that an engine is leaving but name no
-	// run, until the engine's run is heard.
+	// pendingLeaving holds entries that mark an engine as leaving but name no incarnation, until
+	// the engine's incarnation is known.
 	pendingLeaving map[fleet.EngineID]platform.Machine
 	routers        []membership.Member
-	// ownership says which engines are owned here, listed is the list that it is by.
+	// ownership determines which engines this router owns. It is derived from listed.
 	ownership *ownership
 	listed    []platform.Machine
 	stopped   bool
@@ -55,7 +54,7 @@
 	}
 }
 
-// setMachines takes a new list of machines.
+// setMachines applies a new list of machines.
 func (f *engineFleet) setMachines(listed []platform.Machine) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -85,16 +84,16 @@
 	f.machines[id] = machine
 	f.logger.Info().Str("engine", machine.ID).Uint64("incarnation", uint64(machine.Incarnation)).
 		Str("address", string(machine.Address)).Str("state", string(machine.State)).Msg("machine_listed")
-	named := f.withIncarnation(machine)
+	resolved := f.withIncarnation(machine)
 	delete(f.pendingLeaving, id)
-	if named.Incarnation == 0 && named.State == platform.MachineLeaving {
-		f.pendingLeaving[id] = named
+	if resolved.Incarnation == 0 && resolved.State == platform.MachineLeaving {
+		f.pendingLeaving[id] = resolved
 	}
-	f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
+	f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, resolved) })
 }
 
-// withIncarnation takes an entry that names no run for one of the run last heard: the
-// core ignores what the list says of older runs.
+// withIncarnation fills in the last observed incarnation of an engine if its entry names none. The
+// placement core ignores entries for older incarnations.
 func (f *engineFleet) withIncarnation(machine platform.Machine) platform.Machine {
 	if machine.Incarnation == 0 {
 		machine.Incarnation = f.statuses.lastIncarnation(fleet.EngineID(machine.ID))
@@ -102,16 +101,16 @@
 	return machine
 }
 
-// resolvePendingLeaving tells the core that engines are leaving whose runs have been
-// heard by now; the mutex is held. Later runs are others.
+// resolvePendingLeaving reports engines as leaving once their incarnation is known. Later
+// incarnations are not affected. The mutex must be held.
 func (f *engineFleet) resolvePendingLeaving() {
 	for id, machine := range f.pendingLeaving {
-		named := f.withIncarnation(machine)
-		if named.Incarnation == 0 {
+		resolved := f.withIncarnation(machine)
+		if resolved.Incarnation == 0 {
 			continue
 		}
 		delete(f.pendingLeaving, id)
-		f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
+		f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, resolved) })
 	}
 }
 
@@ -123,7 +122,7 @@
 	f.placer.do(func(now time.Duration, core *placement.Core) { core.ForgetMachine(now, id) })
 }
 
-// setRouters takes a new view of the routers, which share the engines.
+// setRouters applies a new list of the routers that share the engines.
 func (f *engineFleet) setRouters(routable []membership.Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -135,8 +134,8 @@
 	f.reconcile()
 }
 
-// updateOwnership shares the engines anew among the routers; the mutex is held. The core
-// learns of it before it learns of a new engine.
+// updateOwnership recomputes which engines this router owns and updates the placement core, which
+// must know the ownership before it learns of new engines. The mutex must be held.
 func (f *engineFleet) updateOwnership() {
 	if f.settings.IndexReplicas == 0 {
 		return
@@ -146,7 +145,7 @@
 	f.placer.do(func(_ time.Duration, core *placement.Core) { core.SetOwned(owned) })
 }
 
-// reconcile starts and stops watchers; the mutex is held.
+// reconcile starts and stops watchers to match the owned engines. The mutex must be held.
 func (f *engineFleet) reconcile() {
 	if f.stopped {
 		return
@@ -169,7 +168,7 @@
 	}
 }
 
-// run passes the core's wishes on to the watchers until dying is closed.
+// run forwards poll requests from the placement core to the watchers until dying is closed.
 func (f *engineFleet) run(dying <-chan struct{}) error {
 	ticker := time.NewTicker(pollRequestInterval)
 	defer ticker.Stop()
--- a/internal/router/enginefleet_test.go
+++ b/internal/router/enginefleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// listWithoutIncarnation lists the first engine in a state, and no engine's run.
+// listWithoutIncarnation publishes a list without incarnations, with the first engine in state.
 func (f *testFleet) listWithoutIncarnation(state platform.MachineState) {
 	machines := f.machines()
 	machines[0].State = state
@@ -37,7 +37,7 @@
 	late := f.startRouter("late")
 	require.Eventually(t, func() bool {
 		return len(execute(t, late, "show engines where state = leaving and leaving_by = machine_list").GetRows()) == 1
-	}, waitTimeout, pollInterval, "a router that starts after the list said so")
+	}, waitTimeout, pollInterval, "router started after the engine was listed as leaving")
 
 	f.listWithoutIncarnation(platform.MachineLive)
 	require.Eventually(t, func() bool { return r.machines.current()[0].State == platform.MachineLive }, waitTimeout, pollInterval)
--- a/internal/router/enginestatus.go
+++ b/internal/router/enginestatus.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxStatusAge is the age up to which an engine's status is used for rollout.
+	// maxStatusAge is the maximum age of an engine status used for rollouts.
 	maxStatusAge = 5 * time.Second
-	// minRepollInterval is the age up to which an engine isn't asked again, whether
-	// it answered or not.
+	// minRepollInterval is the time after an answer or a poll during which an engine isn't polled
+	// again.
 	minRepollInterval = 2 * time.Second
-	// maxParallelStatusCalls bounds the calls to engines at a time.
+	// maxParallelStatusCalls limits concurrent status calls to engines.
 	maxParallelStatusCalls = 32
 )
 
-// timedStatus is an engine's last word about itself.
+// timedStatus is an engine status with the time of its receipt.
 type timedStatus struct {
 	status     engine.Status
 	observedAt time.Duration
 }
 
-// statusCache keeps the last status of each engine. It is safe for concurrent use.
+// statusCache holds the last status of each engine. It is safe for concurrent use.
 type statusCache struct {
 	clock fleet.Clock
-	// pollMutex lets one caller at a time ask engines, so that none mistakes a
-	// question under way for an engine that doesn't answer.
+	// pollMutex serializes polls, so that no caller mistakes an engine with a poll in flight for
+	// one that doesn't answer.
 	pollMutex sync.Mutex
 
 	mutex    sync.Mutex
@@ -66,37 +66,37 @@
 	delete(b.polledAt, id)
 }
 
-// claimPoll tells whether an engine is to be asked now, and notes that it is.
+// claimPoll reports whether an engine is due for a poll, and if so records the poll.
 func (b *statusCache) claimPoll(id fleet.EngineID) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.clock.Now()
-	heard, known := b.statuses[id]
-	asked, everAsked := b.polledAt[id]
-	if known && now-heard.observedAt <= minRepollInterval || everAsked && now-asked <= minRepollInterval {
+	cached, known := b.statuses[id]
+	polled, everPolled := b.polledAt[id]
+	if known && now-cached.observedAt <= minRepollInterval || everPolled && now-polled <= minRepollInterval {
 		return false
 	}
 	b.polledAt[id] = now
 	return true
 }
 
-// lookup returns a status that isn't older than an age.
+// lookup returns an engine's status if it is not older than age.
 func (b *statusCache) lookup(id fleet.EngineID, age time.Duration) (engine.Status, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	heard, found := b.statuses[id]
-	return heard.status, found && b.clock.Now()-heard.observedAt <= age
+	cached, found := b.statuses[id]
+	return cached.status, found && b.clock.Now()-cached.observedAt <= age
 }
 
-// lastIncarnation returns the run that an engine last named; 0 if it was never heard.
+// lastIncarnation returns the incarnation in an engine's last status, or 0 if there is none.
 func (b *statusCache) lastIncarnation(id fleet.EngineID) fleet.Incarnation {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.statuses[id].status.Incarnation
 }
 
-// freshStatuses returns the listed engines with a fresh status, by identifier.
-// Those that no watcher of this router has heard lately are asked now.
+// freshStatuses returns the listed engines that have a fresh status, sorted by identifier. It polls
+// engines without a recent one.
 func (f *engineFleet) freshStatuses(ctx context.Context) []rollout.Engine {
 	listed := f.listedEngines()
 	f.statuses.pollMutex.Lock()
@@ -111,7 +111,7 @@
 	return engines
 }
 
-// listedEngines returns the listed engines by identifier.
+// listedEngines returns the listed engines sorted by identifier.
 func (f *engineFleet) listedEngines() []platform.Machine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -150,7 +150,7 @@
 	}
 }
 
-// client returns a client of a listed engine, to be released after use.
+// client returns a client for a listed engine. The caller must call release after use.
 func (f *engineFleet) client(id fleet.EngineID) (client *engine.Client, release func(), found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/router/enginewatcher.go
+++ b/internal/router/enginewatcher.go
@@ -16,23 +16,24 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Limits of the calls to engines.
+// Timeouts, thresholds and delays of calls to engines.
 const (
 	statusTimeout   = time.Second
 	snapshotTimeout = 10 * time.Second
-	// eventTimeoutMargin is how much longer than the poll's wait an answer may take.
+	// eventTimeoutMargin is added to the wait of a long poll to get its timeout.
 	eventTimeoutMargin = 2 * time.Second
-	// unreachableFailures is the number of failed status polls in a row after which
-	// an engine that accepts connections counts as unreachable.
+	// unreachableFailures is the number of consecutive failed status polls after which an engine
+	// that accepts connections is considered unreachable.
 	unreachableFailures = 2
 	minEngineBackoff    = 100 * time.Millisecond
 	maxEngineBackoff    = 2 * time.Second
-	// untrackedEventsPause is how long to wait while the core follows no events.
+	// untrackedEventsPause is the delay before checking again whether the placement core tracks the
+	// engine's events.
 	untrackedEventsPause = 500 * time.Millisecond
 )
 
-// engineWatcher follows one owned engine: its status, its cache events and,
-// after lost events, its whole cache.
+// engineWatcher follows one owned engine: its status, its cache events and, when events were lost,
+// snapshots of its cache.
 type engineWatcher struct {
 	id       fleet.EngineID
 	address  fleet.Address
@@ -77,29 +78,29 @@
 	w.client.CloseIdle()
 }
 
-// notify asks for an extra poll without waiting.
-func notify(wanted chan<- struct{}) {
+// notify signals signal without blocking.
+func notify(signal chan<- struct{}) {
 	select {
-	case wanted <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
 func (w *engineWatcher) pollStatus() error {
 	var failing outage
-	pauses := newEngineBackoff()
+	delays := newEngineBackoff()
 	for {
 		err := w.pollStatusOnce()
-		pause := jitter(time.Duration(w.settings.StatusInterval))
+		delay := jitter(time.Duration(w.settings.StatusInterval))
 		if err != nil {
 			w.handleStatusFailure(&failing, err)
-			pause = pauses.NextBackOff()
+			delay = delays.NextBackOff()
 		} else {
 			w.logRecovery(failing)
 			failing = outage{}
-			pauses.Reset()
+			delays.Reset()
 		}
-		if !w.sleep(pause, w.statusRequested, err == nil) {
+		if !w.sleep(delay, w.statusRequested, err == nil) {
 			return nil
 		}
 	}
@@ -113,29 +114,29 @@
 		return err
 	}
 	if status.Engine != w.id {
-		return errors.Errorf("engine %q answers at this address", status.Engine)
+		return errors.Errorf("status of unexpected engine %q", status.Engine)
 	}
 	w.statuses.record(status)
 	w.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveStatus(now, status) })
 	return nil
 }
 
-// outage counts failed status polls in a row.
+// outage tracks consecutive failed status polls.
 type outage struct {
 	failures int
-	// isReported is set once the engine counts as unreachable.
+	// isReported is set once the engine has been reported as unreachable.
 	isReported bool
 }
 
-// recordFailure counts a failure and tells whether the engine counts as unreachable from
-// now on: at once if it accepts no connection.
+// recordFailure counts a failed poll and reports whether the engine has just become unreachable. A
+// refused connection makes it unreachable immediately.
 func (o *outage) recordFailure(err error) bool {
 	o.failures++
 	if o.isReported {
 		return false
 	}
-	var exchange *engine.Error
-	refused := errors.As(err, &exchange) && !exchange.Sent
+	var engineErr *engine.Error
+	refused := errors.As(err, &engineErr) && !engineErr.Sent
 	o.isReported = refused || o.failures >= unreachableFailures
 	return o.isReported
 }
@@ -159,27 +160,27 @@
 }
 
 func (w *engineWatcher) followEvents() error {
-	pauses := newEngineBackoff()
+	delays := newEngineBackoff()
 	for w.tomb.Alive() {
-		followed, err := w.pollEvents()
+		tracked, err := w.pollEvents()
 		switch {
 		case err != nil:
 			w.metrics.engineErrors.WithLabelValues("events").Inc()
-			w.sleep(pauses.NextBackOff(), nil, false)
-		case !followed:
+			w.sleep(delays.NextBackOff(), nil, false)
+		case !tracked:
 			w.sleep(untrackedEventsPause, nil, false)
 		default:
-			pauses.Reset()
+			delays.Reset()
 			w.sleep(time.Duration(w.settings.EventPause), nil, false)
 		}
 	}
 	return nil
 }
 
-func (w *engineWatcher) pollEvents() (followed bool, err error) {
+func (w *engineWatcher) pollEvents() (tracked bool, err error) {
 	var after uint64
-	w.placer.do(func(_ time.Duration, core *placement.Core) { after, _, followed = core.EventsAfter(w.id) })
-	if !followed {
+	w.placer.do(func(_ time.Duration, core *placement.Core) { after, _, tracked = core.EventsAfter(w.id) })
+	if !tracked {
 		return false, nil
 	}
 	wait := time.Duration(w.settings.EventWait)
@@ -220,7 +221,8 @@
 	return nil
 }
 
-// sleep waits, unless woken early, and tells whether the watcher goes on.
+// sleep waits for duration, or until early is signalled if mayWake is set. It reports whether the
+// watcher is still running.
 func (w *engineWatcher) sleep(duration time.Duration, early <-chan struct{}, mayWake bool) bool {
 	if !mayWake {
 		early = nil
@@ -241,14 +243,14 @@
 }
 
 func newBackoff(initial, maximum time.Duration) *backoff.ExponentialBackOff {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = initial
-	pauses.MaxInterval = maximum
-	return pauses
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = initial
+	delays.MaxInterval = maximum
+	return delays
 }
 
-// jitter returns a time between three quarters of mean and five quarters of it,
-// so that many nodes don't poll in step.
+// jitter returns a random duration between 3/4 and 5/4 of mean, so that nodes don't poll in
+// lockstep.
 func jitter(mean time.Duration) time.Duration {
 	return mean*3/4 + rand.N(mean/2+1)
 }
--- a/internal/router/enginewatcher_test.go
+++ b/internal/router/enginewatcher_test.go
@@ -18,8 +18,8 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// proxyEventsWithoutWait puts a proxy before the fleet's engine that lets no poll
-// for events wait, as an engine with news does, and counts the calls.
+// proxyEventsWithoutWait puts a proxy before the fleet's engine that disables the wait of event
+// polls, and counts event and status calls.
 func proxyEventsWithoutWait(t *testing.T, f *testFleet) (events, statuses *atomic.Int64) {
 	target, err := url.Parse("http://" + string(f.engines[0].Address()))
 	require.NoError(t, err)
@@ -58,8 +58,8 @@
 		}
 		before := statuses.Load()
 		require.Eventually(t, func() bool { return statuses.Load() > before+enough }, waitTimeout, pollInterval)
-		assert.EqualValues(t, 1, events.Load(), "polled again within the pause")
-		require.NoError(t, r.Stop(), "the pause holds up no stop")
+		assert.EqualValues(t, 1, events.Load(), "events were polled again within the pause")
+		require.NoError(t, r.Stop(), "the pause must not delay a stop")
 	}
 }
 
@@ -69,9 +69,9 @@
 		errors   []error
 		reported []bool
 	}{
-		"no connection":                 {[]error{refused, refused, refused}, []bool{true, false, false}},
-		"no answer":                     {[]error{lost, lost, lost}, []bool{false, true, false}},
-		"no answer, then no connection": {[]error{lost, refused, lost}, []bool{false, true, false}},
+		"connection refused":                   {[]error{refused, refused, refused}, []bool{true, false, false}},
+		"no response":                          {[]error{lost, lost, lost}, []bool{false, true, false}},
+		"no response, then connection refused": {[]error{lost, refused, lost}, []bool{false, true, false}},
 	} {
 		var failing outage
 		for index, err := range testCase.errors {
--- a/internal/router/explanation.go
+++ b/internal/router/explanation.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// describeExplanation turns the core's account of a decision into an operator's.
+// describeExplanation converts a placement explanation to its form for operators.
 func describeExplanation(explanation placement.Explanation) operator.Explanation {
 	described := operator.Explanation{Outcome: fmt.Sprintf("attempt %d: %s", explanation.Key.Attempt, describeOutcome(explanation))}
 	if explanation.Decision == nil {
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -24,7 +24,7 @@
 
 const (
 	anyPort = fleet.Address("127.0.0.1:0")
-	// waitTimeout bounds the wait for what is only a matter of time.
+	// waitTimeout limits each wait for a condition.
 	waitTimeout  = 30 * time.Second
 	pollInterval = 5 * time.Millisecond
 )
@@ -40,7 +40,7 @@
   - {name: p, max_streams: 2, max_loads: 2}
 `
 
-// testFleet is a platform with engines on loopback.
+// testFleet is a platform server with engine servers on loopback.
 type testFleet struct {
 	t        testing.TB
 	platform *platformserver.Server
@@ -64,7 +64,7 @@
 	return f
 }
 
-// blockLoads keeps engines from ever loading further weights.
+// blockLoads keeps engines from loading further model versions.
 func (f *testFleet) blockLoads() {
 	for _, server := range f.engines {
 		faults := server.Faults()
@@ -111,12 +111,12 @@
 	return r
 }
 
-// joinThrough has a router join through another.
+// joinThrough makes a router join through another one.
 func joinThrough(other *Router) func(*Settings) {
 	return func(options *Settings) { options.Peers = []fleet.Address{other.Address()} }
 }
 
-// withoutPlatform gives a router a platform that never answers.
+// withoutPlatform configures a platform address that refuses connections.
 func withoutPlatform(options *Settings) { options.Platform.Address = "127.0.0.1:1" }
 
 func (f *testFleet) startReadyRouter(name string, adjustments ...func(*Settings)) *Router {
@@ -125,7 +125,8 @@
 	return r
 }
 
-// awaitEngines waits until the router places on every engine and knows its cache.
+// awaitEngines waits until the router is ready, has finished its warm-up and can place requests on
+// every engine.
 func (f *testFleet) awaitEngines(r *Router) {
 	require.Eventually(f.t, func() bool {
 		ready := 0
@@ -156,7 +157,7 @@
 	return response
 }
 
-// placeAsync makes a call that may wait; its answer is nil if the call fails.
+// placeAsync starts a placement call. The channel yields its response, or nil if the call failed.
 func placeAsync(ctx context.Context, r *Router, id string) <-chan *rpc.PlaceResponse {
 	answers := make(chan *rpc.PlaceResponse, 1)
 	go func() {
@@ -173,7 +174,8 @@
 	require.NoError(t, err)
 }
 
-// fillStreams takes every place of the fleet, and keeps it by reports.
+// fillStreams takes every stream of the fleet and reports first tokens, so that the grants stay in
+// flight.
 func (f *testFleet) fillStreams(r *Router) []*rpc.PlaceResponse {
 	var granted []*rpc.PlaceResponse
 	for number := range 2 * len(f.engines) {
--- a/internal/router/http.go
+++ b/internal/router/http.go
@@ -13,15 +13,14 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Paths besides those of the twirp services.
+// Paths served besides the twirp services.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 	PathMetrics = "/metrics"
 )
 
-// Limits of the HTTP server. There is no limit on an answer's time: placement
-// calls wait.
+// Limits of the HTTP server. There is no write timeout because placement calls may wait for long.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readBodyTimeout   = 30 * time.Second
@@ -46,9 +45,8 @@
 	}
 }
 
-// limitBody reads a body of limitBody size within a limitBody time before the handler
-// begins. The server's own ReadTimeout would go on to run while a placement
-// call waits, and cancel it.
+// limitBody reads a request body, limited in size and time, before it calls handler. The server's
+// ReadTimeout isn't used because it would also cancel waiting placement calls.
 func (r *Router) limitBody(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		controller := http.NewResponseController(writer)
@@ -76,7 +74,7 @@
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// notReadyReason says why the router can't place requests; empty when it can.
+// notReadyReason returns why the router can't place requests, or "" if it can.
 func (r *Router) notReadyReason() string {
 	switch {
 	case r.isStopping():
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	// maxMissedReads is the number of intervals without a successful read after
-	// which a reader's list counts as out of date.
+	// maxMissedReads is the number of intervals without a successful read after which a reader's
+	// list is stale.
 	maxMissedReads = 5
-	// followsPerRead is how often a follower asks its reader in the time between
-	// two reads: the two pauses add up.
+	// followsPerRead is the number of times a follower polls its reader per read interval, since
+	// the delays of both add up.
 	followsPerRead = 2
-	// confirmationExchanges is the number of exchanges with a new reader until its list
-	// counts as at least as new as the former reader's.
+	// confirmationExchanges is the number of exchanges with a new reader after which its list is
+	// considered at least as new as that of the previous reader.
 	confirmationExchanges = 2
-	// maxReaderWaits is how often in a row a follower waits for readers that answer but
-	// haven't read yet, as in a herd that restarts, before it reads itself.
+	// maxReaderWaits is the number of consecutive refreshes that a follower skips while readers
+	// answer but have not read the list yet, such as after a restart of all routers. After that it
+	// reads the list itself.
 	maxReaderWaits = 2
 )
 
-// errNotReader means that a router answered that it doesn't read the list.
-var errNotReader = errors.New("router doesn't read the list of machines")
+// errNotReader reports that a router has no recently read list of machines.
+var errNotReader = errors.New("router has no current list of machines")
 
-// machineFollower keeps the list of machines up to date: a few routers of each
-// region read the platform's, the others follow one of these and get changes.
-// A router that finds no reader reads itself. Only the polling goroutine calls
-// refresh.
+// machineFollower keeps the list of machines up to date. A few routers of each region read the list
+// from the platform; the others follow one of these readers and fetch changes. A router that finds
+// no reader reads the platform itself. Only the polling goroutine calls refresh.
 type machineFollower struct {
 	router     *Router
 	subscriber fleetsync.Subscriber
-	// publisher answers routers that follow this one.
+	// publisher serves the list to routers that follow this one.
 	publisher *fleetsync.Publisher
-	// followed is the router that is followed, exchanges how many there were with it.
+	// followed is the reader that this router follows; exchanges counts the exchanges with it.
 	followed    fleet.NodeID
 	exchanges   int
 	readerWaits int
-	// readAt is when the platform last gave its list, in nanoseconds of the
-	// router's clock; 0 means never.
+	// readAt is the time of the last successful read from the platform, in nanoseconds of the
+	// router's clock, or 0 if there was none.
 	readAt atomic.Int64
 }
 
@@ -54,8 +54,8 @@
 	return &machineFollower{router: r, publisher: fleetsync.NewPublisher(r.node)}
 }
 
-// refresh brings the list up to date, from the platform or a reader. A reader
-// that the platform doesn't answer follows another.
+// refresh updates the list from the platform or from a reader. A reader that can't reach the
+// platform follows another reader.
 func (m *machineFollower) refresh() error {
 	readers := fleetsync.Readers(m.router.options.Settings.Node.Region, m.router.peers.View().Routable())
 	others := slices.DeleteFunc(slices.Clone(readers), func(member membership.Member) bool {
@@ -85,25 +85,25 @@
 	return err
 }
 
-// followAny follows the first of the readers that answers with a current list.
-// It fails with errNotReading if one of them answered.
+// followAny follows the first reader that answers with a current list. It returns errNotReader if a
+// router answered that isn't a reader and none had a current list.
 func (m *machineFollower) followAny(readers []membership.Member) error {
-	failed := errors.New("no other router reads the list of machines")
+	lastErr := errors.New("no other router serves the list of machines")
 	for _, reader := range m.orderReaders(readers) {
 		err := m.follow(reader)
 		if err == nil {
 			return nil
 		}
 		m.router.logger.Debug().Str("reader", string(reader.Node)).Err(err).Msg("machine_follow_failed")
-		if !errors.Is(failed, errNotReader) {
-			failed = err
+		if !errors.Is(lastErr, errNotReader) {
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
-// orderReaders returns readers with the one that is followed first. A router that
-// follows none begins with any, so that their followers are about as many.
+// orderReaders returns readers rotated to start with the followed one. A router that follows none
+// starts at a random reader, which spreads followers evenly.
 func (m *machineFollower) orderReaders(readers []membership.Member) []membership.Member {
 	first := slices.IndexFunc(readers, func(member membership.Member) bool { return member.Node == m.followed })
 	if first < 0 && len(readers) > 0 {
@@ -113,7 +113,7 @@
 	return append(slices.Clone(readers[first:]), readers[:first]...)
 }
 
-// readPlatform reads the platform's list.
+// readPlatform reads the list from the platform.
 func (m *machineFollower) readPlatform() error {
 	ctx, cancel := context.WithTimeout(m.router.tomb.Context(context.Background()), time.Duration(m.router.options.Settings.Platform.Timeout))
 	defer cancel()
@@ -128,17 +128,16 @@
 	return nil
 }
 
-// isCurrent tells whether the list was lately read from the platform by this
-// router itself. A list that came from a reader isn't passed on: two routers that
-// each take the other for a reader would follow each other.
+// isCurrent reports whether this router itself has recently read the list from the platform. Lists
+// received from a reader are not passed on, because two routers could otherwise follow each other.
 func (m *machineFollower) isCurrent() bool {
 	readAt := time.Duration(m.readAt.Load())
 	settings := m.router.options.Settings
-	longest := maxMissedReads*time.Duration(settings.MachineInterval) + time.Duration(settings.Platform.Timeout)
-	return readAt > 0 && m.router.clock.Now()-readAt <= longest
+	maxAge := maxMissedReads*time.Duration(settings.MachineInterval) + time.Duration(settings.Platform.Timeout)
+	return readAt > 0 && m.router.clock.Now()-readAt <= maxAge
 }
 
-// interval returns the mean time from one refresh to the next.
+// interval returns the mean time between refreshes.
 func (m *machineFollower) interval() time.Duration {
 	interval := time.Duration(m.router.options.Settings.MachineInterval)
 	if m.followed != "" || m.readerWaits > 0 {
@@ -147,35 +146,35 @@
 	return interval
 }
 
-// follow asks a reader for what has changed.
+// follow fetches changes from a reader.
 func (m *machineFollower) follow(reader membership.Member) error {
 	ctx, cancel := context.WithTimeout(m.router.tomb.Context(context.Background()), peerTimeout)
 	defer cancel()
-	held := &rpc.SyncRequest{}
-	m.subscriber.FillRequest(held)
+	request := &rpc.SyncRequest{}
+	m.subscriber.FillRequest(request)
 	answer, err := m.router.fetcher.client(reader).Changes(ctx, &rpc.ChangesRequest{
 		Header:             m.router.header(),
 		After:              uint64(m.router.holder.Revision()),
 		MachinesFollowed:   true,
-		MachinesVersionsOf: held.GetVersionsOf(),
-		MachinesVersion:    held.GetMachinesVersion(),
-		MachinesDigest:     held.GetMachinesDigest(),
+		MachinesVersionsOf: request.GetVersionsOf(),
+		MachinesVersion:    request.GetMachinesVersion(),
+		MachinesDigest:     request.GetMachinesDigest(),
 	})
 	if err != nil {
-		return errors.Wrapf(err, "ask router %s", reader.Node)
+		return errors.Wrapf(err, "request machines from router %s", reader.Node)
 	}
 	if !answer.GetMachinesCurrent() {
 		return errNotReader
 	}
-	m.applyAnswer(reader, held, answer)
+	m.applyAnswer(reader, request, answer)
 	if err := m.router.fetcher.applyConfiguration(m.router.holder, reader, answer); err != nil {
 		m.router.logger.Debug().Err(err).Msg("configuration_fetch_failed")
 	}
 	return nil
 }
 
-// applyAnswer puts the list after an answer in force.
-func (m *machineFollower) applyAnswer(reader membership.Member, held *rpc.SyncRequest, answer *rpc.ChangesResponse) {
+// applyAnswer applies a reader's answer to the list of machines.
+func (m *machineFollower) applyAnswer(reader membership.Member, request *rpc.SyncRequest, answer *rpc.ChangesResponse) {
 	if reader.Node != m.followed {
 		m.followed = reader.Node
 		m.exchanges = 0
@@ -183,7 +182,7 @@
 	m.exchanges++
 	m.readerWaits = 0
 	before := m.subscriber.Machines()
-	m.subscriber.Apply(held, &rpc.SyncResponse{
+	m.subscriber.Apply(request, &rpc.SyncResponse{
 		Header: answer.GetHeader(), Machines: answer.GetMachines(), MachinesStep: answer.GetMachinesStep(),
 	})
 	machines := m.subscriber.Machines()
@@ -192,7 +191,7 @@
 	}
 }
 
-// answerFollower adds what a router lacks that follows this one.
+// answerFollower adds the changes that a follower is missing to response.
 func (m *machineFollower) answerFollower(request *rpc.ChangesRequest, response *rpc.ChangesResponse) {
 	if !m.isCurrent() {
 		return
--- a/internal/router/machinefollower_test.go
+++ b/internal/router/machinefollower_test.go
@@ -20,13 +20,12 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// countingMachines is the platform's list with its reads counted.
+// countingMachines counts the reads of the platform's list and can simulate an outage.
 type countingMachines struct {
 	platform.Machines
 	reads atomic.Int64
 
-	// mutex is held for reading by each read of the list, so that none that
-	// began before setDown goes on after it.
+	// mutex is read-locked during a read, so that no earlier read continues after setDown returns.
 	mutex sync.RWMutex
 	down  bool
 }
@@ -36,7 +35,7 @@
 	defer c.mutex.RUnlock()
 	c.reads.Add(1)
 	if c.down {
-		return nil, errors.New("the platform is down")
+		return nil, errors.New("platform is down")
 	}
 	return c.Machines.ListMachines(ctx)
 }
@@ -69,7 +68,7 @@
 	return routers, lists
 }
 
-// isReader tells whether a router is one of those chosen to read the list.
+// isReader reports whether a router is a designated reader of the list.
 func isReader(r *Router) bool {
 	for _, reader := range fleetsync.Readers("west", r.peers.View().Routable()) {
 		if reader.Node == r.node {
@@ -97,7 +96,7 @@
 	}
 }
 
-// awaitReads waits until a list has been read some more times.
+// awaitReads waits for a number of further reads.
 func awaitReads(t *testing.T, by *countingMachines, more int64) {
 	until := by.reads.Load() + more
 	require.Eventually(t, func() bool { return by.reads.Load() >= until }, waitTimeout, pollInterval)
@@ -128,13 +127,13 @@
 	awaitReads(t, lists[readers[0]], 10)
 	for _, number := range followers {
 		r := routers[number]
-		assert.Equal(t, before[number], lists[number].reads.Load(), "%s reads itself", r.node)
-		assert.Equal(t, []fleet.Address{"127.0.0.1:1"}, r.listedRouters(), "routers are seeds at followers too")
+		assert.Equal(t, before[number], lists[number].reads.Load(), "follower %s read the platform's list", r.node)
+		assert.Equal(t, []fleet.Address{"127.0.0.1:1"}, r.listedRouters(), "followers must know listed routers as seeds")
 		assert.Equal(t, platform.MachineLeaving, r.machines.current()[0].State)
 	}
 
 	require.NoError(t, routers[readers[0]].server.Close())
-	require.NoError(t, routers[readers[0]].peers.Stop(), "it dies without a word")
+	require.NoError(t, routers[readers[0]].peers.Stop(), "stop without announcement")
 	f.platform.SetMachines([]platform.Machine{machine("d", 1, platform.MachineLive)})
 	for number, r := range routers {
 		if number != readers[0] {
@@ -143,8 +142,8 @@
 	}
 }
 
-// TestPlatformOutageKeepsLastMachineList stops the platform for readers and
-// followers alike.
+// TestPlatformOutageKeepsLastMachineList guards against losing machines while no router can read
+// the list.
 func TestPlatformOutageKeepsLastMachineList(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
@@ -193,20 +192,21 @@
 	assert.False(t, answer.GetMachinesCurrent())
 }
 
-// TestStaleListFromNewReaderKeepsEngines changes to a reader that lags.
+// TestStaleListFromNewReaderKeepsEngines guards against losing engines when the new reader lags
+// behind the previous one.
 func TestStaleListFromNewReaderKeepsEngines(t *testing.T) {
 	list := newMachineList()
 	newer := []platform.Machine{machine("a", 2, platform.MachineLeaving), machine("b", 1, platform.MachineLive)}
 	list.setFromReader(encodeMachines(newer), false)
 	older := encodeMachines([]platform.Machine{machine("a", 2, platform.MachineLive)})
 	list.setFromReader(older, true)
-	assert.Equal(t, newer, list.current(), "an engine that the former reader listed is gone")
+	assert.Equal(t, newer, list.current(), "engines known from the previous reader must be kept")
 	list.setFromReader(older, false)
-	assert.Equal(t, newer[:1], list.current(), "leaving sticks; the reader has read again")
+	assert.Equal(t, newer[:1], list.current(), "the leaving state must be kept after confirmation")
 }
 
-// TestRestartedRouterFetchesMachineListFromPeer starts a router beside a dead
-// platform, with an hour between two reads.
+// TestRestartedRouterFetchesMachineListFromPeer guards against a router that waits for its next
+// read although a peer has the list.
 func TestRestartedRouterFetchesMachineListFromPeer(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
--- a/internal/router/machinelist.go
+++ b/internal/router/machinelist.go
@@ -13,16 +13,14 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// machineList is what this router knows of the machines. The platform's list
-// is the authority on which machines exist. Until it has been read, lists that
-// agents and peers remember stand in: an entry that is out of date costs failed
-// status polls and nothing else, since an engine proves its identity itself.
-// It is safe for concurrent use.
+// machineList holds the known machines. The platform's list is authoritative. Until it has been
+// read, lists from agents and peers are used instead: an outdated entry only causes failed status
+// polls, because engines prove their identity. It is safe for concurrent use.
 type machineList struct {
 	mutex        sync.Mutex
 	isSet        bool
 	fromPlatform bool
-	// machines is sorted by ID and replaced as a whole.
+	// machines is sorted by ID and only ever replaced as a whole.
 	machines    []platform.Machine
 	message     *rpc.MachineList
 	allMachines allMachinesEncoding
@@ -33,7 +31,7 @@
 	return &machineList{changed: make(chan struct{}, 1)}
 }
 
-// setFromPlatform takes a list that the platform gave.
+// setFromPlatform stores a list read from the platform.
 func (l *machineList) setFromPlatform(listed []platform.Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -41,8 +39,8 @@
 	l.replace(l.mergeNewest(listed, nil))
 }
 
-// offer takes a list that an agent or peer remembers. It is merged with others
-// until the platform has been heard, and ignored afterwards.
+// offer merges a list cached by an agent or peer. It has no effect once the platform's list has
+// been read.
 func (l *machineList) offer(message *rpc.MachineList) {
 	if len(message.GetMachines()) == 0 {
 		return
@@ -55,20 +53,20 @@
 	l.replace(l.mergeNewest(decodeMachines(message), l.machines))
 }
 
-// mergeNewest returns the mergeNewest entry of each machine. A run that was once seen
-// leaving stays so, because a lagging list may show older states again. An entry
-// that names no run can't stay: it would bar the machine's later runs as well.
+// mergeNewest returns the newest entry of each machine in listed and others. An incarnation that
+// was seen leaving stays leaving, because a stale list may show an older state. This doesn't apply
+// to entries without an incarnation, which would also affect later incarnations of the machine.
 func (l *machineList) mergeNewest(listed, others []platform.Machine) []platform.Machine {
 	byID := make(map[string]platform.Machine, len(listed))
 	for _, machine := range slices.Concat(listed, others) {
-		kept, found := byID[machine.ID]
-		if !found || supersedes(machine, kept) {
+		existing, found := byID[machine.ID]
+		if !found || supersedes(machine, existing) {
 			byID[machine.ID] = machine
 		}
 	}
 	for _, machine := range l.machines {
-		kept, found := byID[machine.ID]
-		if found && machine.Incarnation != 0 && supersedes(machine, kept) {
+		existing, found := byID[machine.ID]
+		if found && machine.Incarnation != 0 && supersedes(machine, existing) {
 			byID[machine.ID] = machine
 		}
 	}
@@ -87,7 +85,7 @@
 	return machine.State == platform.MachineLeaving && other.State != platform.MachineLeaving
 }
 
-// replace puts a list in place; the mutex is held.
+// replace stores a list and signals a change. The mutex must be held.
 func (l *machineList) replace(machines []platform.Machine) {
 	if l.isSet && slices.Equal(l.machines, machines) {
 		return
@@ -101,29 +99,29 @@
 	}
 }
 
-// isKnown tells whether a list has been seen from any source.
+// isKnown reports whether a list from any source has been stored.
 func (l *machineList) isKnown() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.isSet
 }
 
-// current returns the list, which must not be written to.
+// current returns the list, which must not be modified.
 func (l *machineList) current() []platform.Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.machines
 }
 
-// encoded returns the list for other nodes, or nil if none is known. It must
-// not be written to.
+// encoded returns the encoded list of engines, or nil if no list is known. The result must not be
+// modified.
 func (l *machineList) encoded() *rpc.MachineList {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.message
 }
 
-// encodeMachines encodes the engines of a list, the only machines that agents use.
+// encodeMachines encodes the engines of a list; agents use no other machines.
 func encodeMachines(machines []platform.Machine) *rpc.MachineList {
 	message := &rpc.MachineList{}
 	digest := xxhash.New()
@@ -150,7 +148,7 @@
 	}
 }
 
-// digestMachine adds one machine; a separator keeps adjacent fields apart.
+// digestMachine adds a machine to digest. Fields are separated to keep the encoding unambiguous.
 func digestMachine(digest *xxhash.Digest, machine platform.Machine) {
 	const separator = "\x00"
 	for _, field := range []string{
--- a/internal/router/machinelist_test.go
+++ b/internal/router/machinelist_test.go
@@ -22,15 +22,15 @@
 	list := newMachineList()
 	require.False(t, list.isKnown())
 	list.offer(&rpc.MachineList{})
-	require.False(t, list.isKnown(), "an empty memory tells nothing")
+	require.False(t, list.isKnown(), "an empty list must be ignored")
 	list.offer(encodeMachines([]platform.Machine{machine("a", 1, platform.MachineLive), machine("b", 2, platform.MachineLive)}))
 	list.offer(encodeMachines([]platform.Machine{machine("a", 3, platform.MachineLive), machine("b", 1, platform.MachineLive)}))
 	merged := []platform.Machine{machine("a", 3, platform.MachineLive), machine("b", 2, platform.MachineLive)}
-	assert.Equal(t, merged, list.current(), "the newest run of each")
+	assert.Equal(t, merged, list.current(), "the newest incarnation of each machine must win")
 	listed := []platform.Machine{machine("a", 3, platform.MachineLive)}
 	list.setFromPlatform(listed)
 	list.offer(encodeMachines(merged))
-	assert.Equal(t, listed, list.current(), "the platform is the authority")
+	assert.Equal(t, listed, list.current(), "the platform's list must be authoritative")
 }
 
 func TestStaleMachineListDoesNotRevertEntries(t *testing.T) {
@@ -39,10 +39,10 @@
 	list.setFromPlatform([]platform.Machine{machine("a", 2, platform.MachineLive), machine("b", 1, platform.MachineLeaving)})
 	assert.Equal(t, []platform.Machine{machine("a", 2, platform.MachineLeaving), machine("b", 2, platform.MachineLive)}, list.current())
 	list.setFromPlatform([]platform.Machine{machine("a", 3, platform.MachineLive)})
-	assert.Equal(t, []platform.Machine{machine("a", 3, platform.MachineLive)}, list.current(), "a new run isn't leaving")
+	assert.Equal(t, []platform.Machine{machine("a", 3, platform.MachineLive)}, list.current(), "a new incarnation must not be leaving")
 	list.setFromPlatform([]platform.Machine{machine("c", 0, platform.MachineLeaving)})
 	list.setFromPlatform([]platform.Machine{machine("c", 0, platform.MachineLive)})
-	assert.Equal(t, []platform.Machine{machine("c", 0, platform.MachineLive)}, list.current(), "no run is named that stays leaving")
+	assert.Equal(t, []platform.Machine{machine("c", 0, platform.MachineLive)}, list.current(), "an entry without incarnation must not stay leaving")
 }
 
 func TestMachineListDigestDistinguishesLists(t *testing.T) {
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -10,11 +10,11 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// maxBlockHashes bounds the hashes of one message: a prompt of a million
-// tokens in blocks of sixteen.
+// maxBlockHashes limits the block hashes of a request: 2^16 blocks of 16 tokens cover a prompt of a
+// million tokens.
 const maxBlockHashes = 1 << 16
 
-// decodePlaceRequest reads a placement request from its transmitted form.
+// decodePlaceRequest validates and decodes a placement request.
 func decodePlaceRequest(message *rpc.PlaceRequest) (placement.Request, error) {
 	switch {
 	case message.GetRequestId() == "":
@@ -71,8 +71,8 @@
 	return &rpc.EngineRun{Engine: string(run.Engine), Incarnation: uint64(run.Incarnation)}
 }
 
-// encodeOutcome fills a response with an outcome; routers is where a request
-// that is handed back may go, unless the agent chooses itself.
+// encodeOutcome sets the outcome of response. For a hand-back, routers lists the alternatives,
+// unless the agent uses its own order.
 func encodeOutcome(response *rpc.PlaceResponse, outcome placement.Outcome, routers []string) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
@@ -92,8 +92,7 @@
 	}
 }
 
-// agentOrdersRouters tells whether an agent follows its own order of the routers after
-// a hand-back.
+// agentOrdersRouters reports whether an agent uses its own order of routers after a hand-back.
 func agentOrdersRouters(reason placement.HandBackReason) bool {
 	switch reason {
 	case placement.HandBackSaturated, placement.HandBackNoEngine, placement.HandBackWarming:
@@ -114,7 +113,8 @@
 	}
 }
 
-// ceilMillis rounds up, so that a wait is never told shorter than it is.
+// ceilMillis converts a duration to milliseconds, rounded up so that a wait is never reported too
+// short.
 func ceilMillis(duration time.Duration) uint32 {
 	return uint32(max((duration+time.Millisecond-1)/time.Millisecond, 0))
 }
@@ -127,7 +127,7 @@
 	rpc.AttemptPhase_ATTEMPT_PHASE_ABANDONED:   placement.PhaseAbandoned,
 }
 
-// decodeReport reads a report; false means that its phase is unknown.
+// decodeReport decodes a report. The second result is false if its phase is unknown.
 func decodeReport(message *rpc.AttemptReport) (placement.AttemptReport, bool) {
 	phase, known := phases[message.GetPhase()]
 	return placement.AttemptReport{
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -14,15 +14,15 @@
 
 const metricsNamespace = "tillerfall_router"
 
-// Labels of outcomes that have no result code.
+// Values of the outcome label.
 const (
 	outcomeGranted    = "granted"
 	outcomeHandedBack = "handed_back"
 	outcomeRefused    = "refused"
 )
 
-// metrics holds a router's counters and histograms; the gauges are read from
-// the core at each scrape.
+// metrics holds a router's counters and histograms. The collector reads gauges from the placement
+// core on each scrape.
 type metrics struct {
 	registry       *prometheus.Registry
 	outcomes       *prometheus.CounterVec
--- a/internal/router/operationspage_test.go
+++ b/internal/router/operationspage_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/pagetest"
 )
 
-// TestOperationsPageListsRouterMetrics compares docs/OPERATIONS.md with what a router
-// registers.
+// TestOperationsPageListsRouterMetrics guards against differences between docs/OPERATIONS.md and
+// the registered metrics.
 func TestOperationsPageListsRouterMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/internal/router/operationsserver.go
+++ b/internal/router/operationsserver.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// operationsServer answers operators.
+// operationsServer serves operators' statements.
 type operationsServer struct {
 	router  *Router
 	runner  *operator.Runner
@@ -23,11 +23,11 @@
 
 var _ rpc.Operations = (*operationsServer)(nil)
 
-// maxLoggedStatement bounds the part of a statement that is logged.
+// maxLoggedStatement limits how many bytes of a statement are logged.
 const maxLoggedStatement = 200
 
-// Execute implements rpc.Operations. A command goes on when its caller is gone,
-// so that its outcome is recorded under its token.
+// Execute implements rpc.Operations. A command continues when its caller disconnects, so that its
+// outcome is recorded under its token.
 func (s *operationsServer) Execute(ctx context.Context, message *rpc.ExecuteRequest) (*rpc.ExecuteResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.timeout)
 	defer cancel()
@@ -41,8 +41,8 @@
 	return encodeResult(s.router.header(), result), nil
 }
 
-// summarize returns the start of a statement's first line: a whole
-// configuration doesn't belong in a log.
+// summarize returns the start of a statement's first line, since a statement may contain a whole
+// configuration.
 func summarize(statement string) string {
 	line, _, _ := strings.Cut(statement, "\n")
 	return line[:min(len(line), maxLoggedStatement)]
@@ -66,8 +66,8 @@
 	return response
 }
 
-// commandStore commits operators' commands to the table service and brings this
-// router's own configuration up to date with them.
+// commandStore commits operators' commands to the table service and then refreshes this router's
+// configuration.
 type commandStore struct {
 	store   *config.Store
 	refresh func()
--- a/internal/router/operatorsource.go
+++ b/internal/router/operatorsource.go
@@ -11,10 +11,10 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// maxListedWaiting bounds the waiting requests that a query lists.
+// maxListedWaiting limits the waiting requests that a query returns.
 const maxListedWaiting = 1000
 
-// operatorSource is the router's view for operators' queries.
+// operatorSource provides the router's state to operators' queries.
 type operatorSource struct {
 	router *Router
 }
@@ -67,7 +67,7 @@
 // Waiting implements operator.Source.
 func (s operatorSource) Waiting() []operator.Waiting { return s.router.placer.waiting() }
 
-// waiting lists the open calls, the longest wait first.
+// waiting returns the open calls, longest wait first.
 func (p *placer) waiting() []operator.Waiting {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -102,8 +102,8 @@
 	return ""
 }
 
-// Holders implements operator.Source. Hashes are chained, so an engine that
-// lacks a block holds none of those after it.
+// Holders implements operator.Source. Block hashes are chained, so an engine that is missing a
+// block has none of the following ones.
 func (s operatorSource) Holders(hashes []fleet.BlockHash) []operator.Holder {
 	blocks := make(map[fleet.EngineRun]int)
 	s.router.placer.do(func(_ time.Duration, core *placement.Core) {
@@ -137,7 +137,7 @@
 	return s.router.placer.recent.lookup(request)
 }
 
-// Explain implements operator.Source. It tells of the latest attempt.
+// Explain implements operator.Source. It describes the latest attempt.
 func (s operatorSource) Explain(request fleet.RequestID) (operator.Explanation, bool) {
 	var explanations []placement.Explanation
 	s.router.placer.do(func(_ time.Duration, core *placement.Core) { explanations = core.Explain(request) })
--- a/internal/router/ownership.go
+++ b/internal/router/ownership.go
@@ -8,16 +8,16 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// ownership tells which engines one router owns, by one list of machines and
-// one view of the routers. It is immutable.
+// ownership determines which engines a router owns, given a list of machines and a list of routers.
+// It is immutable.
 type ownership struct {
 	node  fleet.NodeID
 	pools *membership.PoolMap
 	sites map[fleet.EngineID]membership.EngineSite
 }
 
-// newOwnership returns the sharing of engines; with 0 replicas, or before any
-// router is known, this router owns them all.
+// newOwnership returns the ownership of engines for node. With 0 replicas, or while no routers are
+// known, node owns all engines.
 func newOwnership(node fleet.NodeID, listed []platform.Machine, routers []membership.Member, replicas int) *ownership {
 	o := &ownership{node: node}
 	if replicas == 0 || len(routers) == 0 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// owns tells whether this router indexes an engine and places requests on it.
+// owns reports whether this router indexes an engine and places requests on it.
 func (o *ownership) owns(id fleet.EngineID) bool {
 	if o.pools == nil {
 		return true
--- a/internal/router/peerfetch.go
+++ b/internal/router/peerfetch.go
@@ -26,8 +26,8 @@
 	return &peerFetcher{router: r, http: &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}}
 }
 
-// Count implements config.Peers. A restarted router hears of the others one by
-// one, while it knows at once which it is configured with and which are listed.
+// Count implements config.Peers. It includes configured and listed routers, since a restarted
+// router discovers the members only gradually.
 func (p *peerFetcher) Count() int {
 	known := map[fleet.Address]bool{p.router.address: true}
 	for _, member := range p.router.peers.View().Routable() {
@@ -54,7 +54,7 @@
 		MachinesWanted: !p.router.machines.isKnown(),
 	})
 	if err != nil {
-		return errors.Wrapf(err, "ask router %s", peer.Node)
+		return errors.Wrapf(err, "request changes from router %s", peer.Node)
 	}
 	p.router.machines.offer(answer.GetMachines())
 	return p.applyConfiguration(holder, peer, answer)
@@ -77,7 +77,7 @@
 	return err
 }
 
-// randomPeer returns a random router that takes work, other than this one.
+// randomPeer returns a random routable router other than this one.
 func (p *peerFetcher) randomPeer() (membership.Member, bool) {
 	var others []membership.Member
 	for _, member := range p.router.peers.View().Routable() {
@@ -91,12 +91,12 @@
 	return others[rand.IntN(len(others))], true
 }
 
-// machineFetchInterval is the mean time between two questions to peers for a
-// list of machines, while none is known.
+// machineFetchInterval is the mean time between requests to peers while no list of machines is
+// known.
 const machineFetchInterval = 500 * time.Millisecond
 
-// fetchMachines asks peers for a list of machines until one is known, at first
-// as soon as there is a peer: a router that restarts alone serves at once.
+// fetchMachines requests a list of machines from peers until one is known. It starts as soon as
+// there is a peer, so that a restarted router becomes ready quickly.
 func (r *Router) fetchMachines() error {
 	r.awaitPeer(jitter(machineFetchInterval))
 	for !r.machines.isKnown() {
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// awaitPeer waits until another router is known, for a bounded time.
-func (r *Router) awaitPeer(longest time.Duration) {
-	timer := time.NewTimer(longest)
+// awaitPeer waits until another router is known, for at most timeout.
+func (r *Router) awaitPeer(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		changed := r.peers.Changed()
@@ -131,5 +131,5 @@
 	}
 }
 
-// peerTimeout bounds one question to a peer.
+// peerTimeout limits a request to a peer.
 const peerTimeout = time.Second
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -11,11 +11,10 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// leaveTimeout bounds the announcement of a planned stop: dead peers must not
-// hold it up.
+// leaveTimeout limits the announcement of a graceful stop, which dead peers must not delay.
 const leaveTimeout = time.Second
 
-// newPeer returns this router's place among the routers.
+// newPeer returns this router's membership peer.
 func (r *Router) newPeer() (*peer.Peer, error) {
 	node := r.options.Settings.Node
 	return peer.New(peer.Options{
@@ -31,7 +30,7 @@
 	})
 }
 
-// advertisedAddress is where others reach the router.
+// advertisedAddress returns the address at which other nodes reach the router.
 func (r *Router) advertisedAddress() fleet.Address {
 	if advertised := r.options.Settings.Advertise; advertised != "" {
 		return advertised
@@ -39,7 +38,7 @@
 	return fleet.Address(r.listener.Addr().String())
 }
 
-// isUnspecified tells whether an address stands for all of a machine's own.
+// isUnspecified reports whether an address is the unspecified address, such as 0.0.0.0.
 func isUnspecified(address fleet.Address) bool {
 	parsed, err := netip.ParseAddrPort(string(address))
 	return err == nil && parsed.Addr().IsUnspecified()
@@ -56,8 +55,8 @@
 	return addresses
 }
 
-// applyMembership shares the engines and the lease anew with each change of the
-// membership.
+// applyMembership updates the ownership of engines and the lease candidates on each membership
+// change.
 func (r *Router) applyMembership() error {
 	for {
 		changed := r.peers.Changed()
@@ -73,7 +72,7 @@
 	}
 }
 
-// leaveMembership tells other routers of the planned stop.
+// leaveMembership announces the graceful stop to other routers.
 func (r *Router) leaveMembership() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
--- a/internal/router/peers_test.go
+++ b/internal/router/peers_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, []string{string(second.Address())}, (<-waiting).GetHandBack().GetRouters())
 	awaitRoutable(t, 1, second)
 	member, known := second.peers.View().Find(first.Node())
-	assert.True(t, !known || member.State == membership.Leaving, "told, not suspected")
+	assert.True(t, !known || member.State == membership.Leaving, "the stopping router must announce its departure")
 }
 
 func TestDeadPeersDoNotDelayStop(t *testing.T) {
@@ -85,7 +85,7 @@
 		}
 		return len(ownedByFirst)+len(ownedBySecond) == 4
 	}, waitTimeout, pollInterval)
-	assert.Len(t, first.engines.freshStatuses(context.Background()), 4, "the rollout sees them all")
+	assert.Len(t, first.engines.freshStatuses(context.Background()), 4, "rollouts must see all engines")
 	require.NoError(t, first.Stop())
 	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, waitTimeout, pollInterval)
 }
--- a/internal/router/peerserver.go
+++ b/internal/router/peerserver.go
@@ -6,8 +6,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// peerServer answers other routers: the peer itself, and the list of machines
-// to routers that have none or follow this one's.
+// peerServer serves other routers. It extends the membership peer by the list of machines, for
+// routers that have none or follow this one.
 type peerServer struct {
 	rpc.Peer
 	router *Router
--- a/internal/router/placementserver.go
+++ b/internal/router/placementserver.go
@@ -11,10 +11,10 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// maxHandBackRouters bounds the routers that a hand-back names.
+// maxHandBackRouters limits the alternative routers in a hand-back.
 const maxHandBackRouters = 4
 
-// placementServer answers agents.
+// placementServer serves agents.
 type placementServer struct {
 	router *Router
 	logger zerolog.Logger
@@ -22,8 +22,8 @@
 
 var _ rpc.Placement = (*placementServer)(nil)
 
-// Place implements rpc.Placement. It waits for the core's outcome; a call that
-// the agent cancels withdraws the request.
+// Place implements rpc.Placement. It waits for the outcome; if the agent cancels the call, the
+// request is withdrawn.
 func (s *placementServer) Place(ctx context.Context, message *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
 	request, err := decodePlaceRequest(message)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return response, nil
 }
 
-// decide asks the core, once it knows configuration and engines.
+// decide submits a request to the placement core once configuration and engines are known.
 func (s *placementServer) decide(ctx context.Context, request placement.Request) (placement.Outcome, error) {
 	if reason := s.unpreparedReason(request); reason != "" {
 		outcome := placement.HandBack{Key: request.Key, Reason: reason}
@@ -58,11 +58,10 @@
 	return s.router.placer.place(ctx, request)
 }
 
-// unpreparedReason says why a router that has just started hands a request back;
-// empty when it doesn't. The answer shows an agent that knows a configuration
-// that this router is behind, and the agent brings it up to date. A request that
-// was handed back once is placed here even while the engines aren't known well:
-// when all routers have restarted, no other is better.
+// unpreparedReason returns why a recently started router hands a request back, or "" if it doesn't.
+// The answer shows an agent that has a newer configuration that this router is behind, and the
+// agent then updates it. A request that was already handed back is placed even during warm-up:
+// after a restart of all routers, no other router is better prepared.
 func (s *placementServer) unpreparedReason(request placement.Request) placement.HandBackReason {
 	switch {
 	case request.KnownRevision == 0:
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -12,35 +12,34 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// errSuperseded ends a call whose attempt was asked for again: the agent has
-// given the earlier call up.
+// errSuperseded ends a call when a later call for the same attempt arrives, since the agent has
+// abandoned the earlier one.
 var errSuperseded = errors.New("superseded by a later call for the same attempt")
 
-// overloadedRetryAfter is the mean time after which an agent should come back
-// after a refusal for too many open calls.
+// overloadedRetryAfter is the mean Retry-After of requests refused because of too many open calls.
 const overloadedRetryAfter = time.Second
 
-// openCall is one placement call that waits for its outcome.
+// openCall is a placement call that waits for its outcome.
 type openCall struct {
 	request   placement.Request
 	submitted time.Duration
-	// outcome is closed without a value when the call is superseded.
+	// outcome is closed without a value if the call is superseded.
 	outcome chan placement.Outcome
 }
 
-// placer guards the placement core by a mutex, gives outcomes to the calls that
-// wait for them and wakes the core when something is due.
+// placer serializes access to the placement core, delivers outcomes to waiting calls and ticks the
+// core when a timer of it is due.
 type placer struct {
 	clock    fleet.Clock
 	metrics  *metrics
 	maxCalls int
-	// wake tells the timer that something is due earlier than it knows.
+	// wake signals that the core's next wake-up is earlier than the timer is set for.
 	wake chan struct{}
 
 	mutex sync.Mutex
 	core  *placement.Core
 	calls map[placement.Key]*openCall
-	// recent remembers the blocks of late requests for operators.
+	// recent keeps the block hashes of recent requests for operators.
 	recent *recentRequests
 	nextAt time.Duration
 	armed  bool
@@ -58,14 +57,14 @@
 	}
 }
 
-// do runs a step on the core and delivers the outcomes that it gave.
+// do calls step with the core and delivers the resulting outcomes.
 func (p *placer) do(step func(now time.Duration, core *placement.Core)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.doLocked(step)
 }
 
-// doLocked is do with the mutex held.
+// doLocked implements do. The mutex must be held.
 func (p *placer) doLocked(step func(now time.Duration, core *placement.Core)) {
 	now := p.clock.Now()
 	step(now, p.core)
@@ -87,7 +86,7 @@
 	call.outcome <- outcome
 }
 
-// abandon gives back a grant that nobody waits for.
+// abandon releases a grant that no call waits for.
 func (p *placer) abandon(now time.Duration, outcome placement.Outcome) {
 	grant, granted := outcome.(placement.Grant)
 	if !granted {
@@ -96,7 +95,7 @@
 	p.core.Report(now, placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
 }
 
-// arm wakes the timer if the core is due earlier than the timer knows.
+// arm signals the timer if the core is due earlier than the timer is set for.
 func (p *placer) arm() {
 	at, due := p.core.NextWake()
 	if !due || (p.armed && p.nextAt <= at) {
@@ -110,7 +109,7 @@
 	}
 }
 
-// run ticks the core when something is due, until dying is closed.
+// run ticks the core when it is due, until dying is closed.
 func (p *placer) run(dying <-chan struct{}) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -125,10 +124,10 @@
 	}
 }
 
-// maxTickInterval is the longest time between two ticks.
+// maxTickInterval is the maximum time between ticks.
 const maxTickInterval = time.Second
 
-// tick does what is due and returns the time until the next tick.
+// tick runs the core if it is due and returns the time until the next tick.
 func (p *placer) tick() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -146,8 +145,8 @@
 	return min(max(at-p.clock.Now(), time.Millisecond), maxTickInterval)
 }
 
-// place submits a request and waits for its outcome. When the context ends
-// first, the request is withdrawn, or its grant given back.
+// place submits a request and waits for its outcome. If ctx ends first, it withdraws the request or
+// releases its grant.
 func (p *placer) place(ctx context.Context, request placement.Request) (placement.Outcome, error) {
 	call := p.submit(request)
 	select {
@@ -182,7 +181,7 @@
 	return call
 }
 
-// supersede ends the earlier call of an attempt; the mutex is held.
+// supersede ends an earlier call for the same attempt. The mutex must be held.
 func (p *placer) supersede(key placement.Key) {
 	if earlier := p.calls[key]; earlier != nil {
 		close(earlier.outcome)
@@ -190,7 +189,7 @@
 	}
 }
 
-// refuseOverload refuses a call before the core hears of it.
+// refuseOverload refuses a call without submitting it to the core.
 func (p *placer) refuseOverload(call *openCall) {
 	refusal := placement.Refusal{
 		Key:        call.request.Key,
@@ -202,7 +201,7 @@
 	call.outcome <- refusal
 }
 
-// withdraw takes back a call whose agent is gone.
+// withdraw cancels a call whose agent has disconnected.
 func (p *placer) withdraw(call *openCall) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -222,7 +221,7 @@
 	}
 }
 
-// openCallCount returns the number of calls that wait.
+// openCallCount returns the number of waiting calls.
 func (p *placer) openCallCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/router/platformpoll.go
+++ b/internal/router/platformpoll.go
@@ -4,8 +4,7 @@
 	"time"
 )
 
-// Pauses after failed calls to the platform, which is rate-limited and may be
-// down for long: they grow to the second bound.
+// Backoff after failed calls to the platform, which is rate-limited and may have long outages.
 const (
 	minPlatformBackoff = 500 * time.Millisecond
 	maxPlatformBackoff = 30 * time.Second
@@ -16,7 +15,7 @@
 	return r.pollPlatform("machines", r.machineFollower.interval, r.machineFollower.refresh)
 }
 
-// applyMachines hands each new list of machines on.
+// applyMachines passes each new list of machines to the engine fleet.
 func (r *Router) applyMachines() error {
 	for {
 		select {
@@ -30,36 +29,35 @@
 	}
 }
 
-// pollPlatform repeats a read at a mean interval, with jitter, and backs off
-// while it fails.
+// pollPlatform repeats read at a mean interval, with jitter, and backs off while it fails.
 func (r *Router) pollPlatform(call string, interval func() time.Duration, read func() error) error {
-	pauses := newBackoff(minPlatformBackoff, maxPlatformBackoff)
+	delays := newBackoff(minPlatformBackoff, maxPlatformBackoff)
 	failing := false
 	for {
 		err := read()
-		pause := jitter(interval())
+		delay := jitter(interval())
 		if err != nil && r.tomb.Alive() {
 			r.metrics.platformErrors.WithLabelValues(call).Inc()
-			pause = max(pauses.NextBackOff(), pause)
+			delay = max(delays.NextBackOff(), delay)
 			if !failing {
 				r.logger.Warn().Str("call", call).Err(err).Msg("platform_failed")
 			}
 		} else {
-			pauses.Reset()
+			delays.Reset()
 			if failing {
 				r.logger.Info().Str("call", call).Msg("platform_recovered")
 			}
 		}
 		failing = err != nil
-		if !r.sleep(pause) {
+		if !r.sleep(delay) {
 			return nil
 		}
 	}
 }
 
-// sleep waits and tells whether the router goes on.
-func (r *Router) sleep(pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep waits for delay and reports whether the router is still running.
+func (r *Router) sleep(delay time.Duration) bool {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-r.tomb.Dying():
--- a/internal/router/recent.go
+++ b/internal/router/recent.go
@@ -6,13 +6,12 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// maxRecentRequests bounds the requests whose blocks are remembered: at 2,000
-// blocks each they take 4 MB.
+// maxRecentRequests limits the requests whose block hashes are kept. With 2,000 blocks each, they
+// take 4 MB.
 const maxRecentRequests = 256
 
-// recentRequests remembers the block hashes of the latest requests, so that
-// operators can ask where the prefix of one lives. Its cache is safe for
-// concurrent use.
+// recentRequests keeps the block hashes of recent requests, so that operators can query which
+// engines cache a request's prefix. It is safe for concurrent use.
 type recentRequests struct {
 	blocks *lru.Cache[fleet.RequestID, []fleet.BlockHash]
 }
@@ -20,7 +19,7 @@
 func newRecentRequests() *recentRequests {
 	blocks, err := lru.New[fleet.RequestID, []fleet.BlockHash](maxRecentRequests)
 	if err != nil {
-		panic(err) // only for a size that isn't positive
+		panic(err) // unreachable: the size is positive
 	}
 	return &recentRequests{blocks: blocks}
 }
--- a/internal/router/rolloutrunner.go
+++ b/internal/router/rolloutrunner.go
@@ -16,15 +16,14 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// rolloutLeaseKey is the lease's row in the table service.
+// rolloutLeaseKey is the key of the rollout lease in the table service.
 const rolloutLeaseKey = "lease/rollout"
 
-// rolloutCandidates is the number of routers that poll the lease, so that its
-// load on the table service doesn't grow with the fleet.
+// rolloutCandidates is the number of routers that poll the lease, which limits the load on the
+// table service.
 const rolloutCandidates = 3
 
-// rolloutRunner turns the configuration into orders to engines while this
-// router holds the lease.
+// rolloutRunner sends rollout orders to engines while this router holds the lease.
 type rolloutRunner struct {
 	router     *Router
 	keeper     *lease.Keeper
@@ -39,7 +38,7 @@
 	}
 	election, err := lease.NewElection(settings, lease.NewHolderID(r.node, rand.Uint64()), newRandom())
 	if err != nil {
-		return nil, errors.Wrap(err, "lease")
+		return nil, errors.Wrap(err, "configure rollout lease")
 	}
 	runner := &rolloutRunner{router: r, keeper: lease.NewKeeper(election, r.options.Tables, r.clock, r.logger)}
 	runner.controller = rollout.NewController(rollout.ControllerOptions{
@@ -59,13 +58,13 @@
 	r.controller.Start()
 }
 
-// stop ends the orders under way and then gives up the lease.
+// stop waits for orders in flight and then releases the lease.
 func (r *rolloutRunner) stop() {
 	_ = r.controller.Stop()
 	_ = r.keeper.Stop()
 }
 
-// setRouters chooses the routers that poll the lease.
+// setRouters updates whether this router is a candidate for the lease.
 func (r *rolloutRunner) setRouters(routable []membership.Member) {
 	candidates := membership.Owners(rolloutLeaseKey, routable, rolloutCandidates)
 	r.keeper.SetEligible(slices.Contains(candidates, r.router.node))
@@ -75,7 +74,7 @@
 func (r *rolloutRunner) Order(ctx context.Context, id fleet.EngineID, order engine.Order) error {
 	client, release, found := r.router.engines.client(id)
 	if !found {
-		return errors.Errorf("engine %q isn't listed any more", id)
+		return errors.Errorf("engine %q is no longer listed", id)
 	}
 	defer release()
 	return client.Order(ctx, order)
@@ -91,7 +90,7 @@
 	return errors.Errorf("%d of %d engines have version %q loaded", loaded, wanted, weights.Version)
 }
 
-// document returns the configuration in force; nil if none is known.
+// document returns the current configuration, or nil if none is known.
 func (r *Router) document() *config.Document {
 	view := r.holder.Current()
 	if view == nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,20 +23,20 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Options sets up a Router.
+// Options configures a Router.
 type Options struct {
 	Settings Settings
 	Logger   zerolog.Logger
-	// Version is the version of the program, for operators.
+	// Version is the program version shown to operators.
 	Version string
-	// Tables, Objects and Machines are the platform's services; nil means the
-	// platform of the settings.
+	// Tables, Objects and Machines are the platform's services. If Tables is nil, all three are
+	// replaced by a client for the platform in Settings.
 	Tables   platform.Tables
 	Objects  platform.Objects
 	Machines platform.Machines
 }
 
-// Router is one router process.
+// Router is one instance of the router process.
 type Router struct {
 	options         Options
 	node            fleet.NodeID
@@ -62,8 +62,8 @@
 
 	tomb     tomb.Tomb
 	stopping atomic.Bool
-	// configured and listed are set once the core has a configuration and a
-	// list of engines.
+	// configured and listed are set once the placement core has a configuration and a list of
+	// engines.
 	configured atomic.Bool
 	listed     atomic.Bool
 	warmup     warmup
@@ -71,7 +71,7 @@
 	stopErr    error
 }
 
-// New returns a router that hasn't started.
+// New returns a router. Call Start to run it.
 func New(options Options) *Router {
 	node := options.Settings.Node.NewNodeID()
 	if options.Tables == nil {
@@ -104,8 +104,8 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Start listens and begins to serve. It returns once the router's address is
-// known; readiness follows when configuration and machines are known.
+// Start listens and begins to serve. It returns once the router's address is known; the router
+// becomes ready when it has a configuration and a list of machines.
 func (r *Router) Start() error {
 	listener, err := net.Listen("tcp", string(r.options.Settings.Node.Address))
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// run starts the goroutines of the router.
+// run starts the router's goroutines.
 func (r *Router) run() error {
 	r.tomb.Go(r.serve)
 	r.tomb.Go(func() error { return r.placer.run(r.tomb.Dying()) })
@@ -174,27 +174,27 @@
 	return errors.Wrap(err, "serve")
 }
 
-// Address returns the address at which others reach the router, after Start.
+// Address returns the address at which other nodes reach the router. It is valid after Start.
 func (r *Router) Address() fleet.Address { return r.address }
 
-// Node returns the identifier of this run.
+// Node returns the identifier of this instance.
 func (r *Router) Node() fleet.NodeID { return r.node }
 
-// Ready tells whether the router can place requests.
+// Ready reports whether the router can place requests.
 func (r *Router) Ready() bool { return r.notReadyReason() == "" }
 
-// Dead is closed when the router has ended, by itself or by Stop.
+// Dead returns a channel that is closed when the router has terminated.
 func (r *Router) Dead() <-chan struct{} { return r.tomb.Dead() }
 
-// Err returns why the router ended; nil after a planned stop.
+// Err returns why the router terminated, or nil after a graceful stop.
 func (r *Router) Err() error { return r.tomb.Err() }
 
 func (r *Router) isStopping() bool { return r.stopping.Load() }
 
-// Stop stops the router as planned: not ready, out of the membership, waiting
-// requests handed back, open calls answered, lease released. It takes no
-// longer than the settings allow, whatever peers and platform do. Further
-// calls wait for the first.
+// Stop stops the router gracefully: it reports not ready, leaves the membership, hands waiting
+// requests back, finishes open calls and releases the lease. It returns within the stop timeout of
+// the settings even if peers or the platform don't respond. Concurrent and later calls wait for the
+// first one.
 func (r *Router) Stop() error {
 	r.stopOnce.Do(func() { r.stopErr = r.stop() })
 	return r.stopErr
@@ -219,7 +219,7 @@
 	return err
 }
 
-// stopServer answers the open calls and closes what is left at the time limit.
+// stopServer waits for open calls and closes the remaining ones when ctx ends.
 func (r *Router) stopServer(ctx context.Context) {
 	if err := r.server.Shutdown(ctx); err != nil {
 		r.logger.Warn().Err(err).Msg("open_calls_cut")
@@ -227,7 +227,7 @@
 	}
 }
 
-// waitFor waits for the parts or until the context ends.
+// waitFor waits for parts or until ctx ends.
 func waitFor(ctx context.Context, parts *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
@@ -244,7 +244,7 @@
 	return &rpc.Header{Sender: string(r.node), KnownRevision: uint64(r.holder.Revision())}
 }
 
-// otherRouters returns the addresses of up to limit routers besides this one, those of its zone first.
+// otherRouters returns the addresses of up to limit other routers, those in the same zone first.
 func (r *Router) otherRouters(limit int) []string {
 	var near, far []string
 	for _, member := range r.peers.View().Routable() {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -46,7 +46,7 @@
 	response, err := placementClient(r).Place(context.Background(), unknown)
 	require.NoError(t, err)
 	assert.Equal(t, uint32(resultcode.StaleWeights), response.GetRefusal().GetCode())
-	assert.NotNil(t, place(t, r, "next").GetGrant(), "the router goes on")
+	assert.NotNil(t, place(t, r, "next").GetGrant(), "the router must keep placing requests")
 }
 
 func TestCancelledCallReleasesItsQueueEntry(t *testing.T) {
@@ -106,7 +106,7 @@
 	require.Eventually(t, func() bool { return r.placer.openCallCount() == len(waiting) }, waitTimeout, pollInterval)
 	f.platform.SetFaults(platformserver.Faults{Down: true})
 	go func() { _ = r.Stop() }()
-	require.NoError(t, r.Stop(), "a second stop waits for the first")
+	require.NoError(t, r.Stop(), "the second stop must wait for the first")
 	for _, answer := range waiting {
 		assert.Equal(t, string(placement.HandBackDraining), (<-answer).GetHandBack().GetReason())
 	}
@@ -130,10 +130,10 @@
 	assert.Contains(t, body, "no configuration")
 	code, _ = status(PathHealth)
 	assert.Equal(t, http.StatusOK, code)
-	assert.Equal(t, string(placement.HandBackBehind), place(t, r, "early").GetHandBack().GetReason(), "the agent knows more")
-	ignorant := placeRequest("ignorant")
-	ignorant.Header = nil
-	refused, err := placementClient(r).Place(context.Background(), ignorant)
+	assert.Equal(t, string(placement.HandBackBehind), place(t, r, "early").GetHandBack().GetReason(), "an agent with a newer configuration must be handed back")
+	withoutRevision := placeRequest("without-revision")
+	withoutRevision.Header = nil
+	refused, err := placementClient(r).Place(context.Background(), withoutRevision)
 	require.NoError(t, err)
 	assert.Equal(t, uint32(resultcode.NoConfiguration), refused.GetRefusal().GetCode())
 	assert.NotZero(t, refused.GetRefusal().GetRetryAfterMillis())
@@ -170,7 +170,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, known.GetConfig().GetRevision(), answer.GetHeader().GetKnownRevision())
 	assert.False(t, answer.GetMachinesWanted())
-	assert.Nil(t, answer.GetMachines(), "the agent has this list")
+	assert.Nil(t, answer.GetMachines(), "the agent already has this list")
 	f.awaitEngines(restarted)
 	assert.NotNil(t, place(t, restarted, "q").GetGrant())
 }
@@ -211,7 +211,7 @@
 	f.blockLoads()
 	f.commitConfiguration()
 	r := f.startReadyRouter("r")
-	assert.Equal(t, uint32(resultcode.CommandImpossible), execute(t, r, "promote m v2").GetCode(), "v2 isn't loaded")
+	assert.Equal(t, uint32(resultcode.CommandImpossible), execute(t, r, "promote m v2").GetCode(), "v2 is not loaded")
 	drained := execute(t, r, "drain e0")
 	assert.Zero(t, drained.GetCode(), drained.GetMessage())
 	assert.Equal(t, drained.GetRevision(), execute(t, r, "lookup "+drained.GetToken()).GetRevision())
@@ -255,8 +255,8 @@
 	require.Eventually(t, func() bool { return f.engines[0].Status().Leaving }, waitTimeout, pollInterval)
 }
 
-// callUntilStopped places and finishes requests one after another, until the
-// router hands one back or can't be reached. It returns the refusals.
+// callUntilStopped places and finishes requests one after another, until the router hands one back,
+// refuses one or can't be reached. It returns the refusals.
 func callUntilStopped(r *Router, caller int) (granted int, refused []*rpc.Refusal) {
 	client := placementClient(r)
 	for number := 0; ; number++ {
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// Settings is a router's own settings. The field comments are the reference.
+// Settings holds a router's settings. The field comments are rendered as the reference.
 type Settings struct {
 	// Node tells where the router runs and on which address it listens.
 	Node settings.Node `yaml:"node"`
@@ -59,7 +59,7 @@
 	MaxWaitingCalls int `yaml:"max_waiting_calls" validate:"gte=1"`
 }
 
-// Defaults of the settings.
+// Default values of the settings.
 const (
 	defaultStatusInterval        = 250 * time.Millisecond
 	defaultEventWait             = 5 * time.Second
@@ -72,7 +72,7 @@
 	defaultMaxWaitingCalls       = 20_000
 )
 
-// DefaultSettings returns the settings that a file or flags complete.
+// DefaultSettings returns the defaults that a settings file and flags override.
 func DefaultSettings() Settings {
 	return Settings{
 		Logging:               settings.DefaultLogging(),
--- a/internal/router/syncserver.go
+++ b/internal/router/syncserver.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Sync implements rpc.Placement. Configuration and machine list go to the side
-// that lacks them.
+// Sync implements rpc.Placement. It exchanges the configuration and the list of machines with an
+// agent; the side that is behind is updated.
 func (s *placementServer) Sync(_ context.Context, message *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	s.router.offerConfiguration(message.GetConfig(), message.GetHeader().GetSender())
 	s.router.observeRevision(message.GetHeader())
@@ -29,16 +29,16 @@
 	return response, nil
 }
 
-// answerConfiguration adds what an agent that is behind lacks: the changes, or
-// the whole document if they aren't held or are of no use to the agent.
+// answerConfiguration adds the configuration changes that an agent is missing, or the whole
+// document if the changes are not available or the agent can't apply them.
 func (s *placementServer) answerConfiguration(message *rpc.SyncRequest, response *rpc.SyncResponse) error {
 	known := message.GetHeader().GetKnownRevision()
 	if known >= response.GetHeader().GetKnownRevision() {
 		return nil
 	}
 	if known > 0 && !message.GetConfigSnapshotWanted() {
-		changes, held := s.router.holder.ChangesAfter(fleet.Revision(known))
-		if held {
+		changes, available := s.router.holder.ChangesAfter(fleet.Revision(known))
+		if available {
 			var err error
 			response.ConfigChanges, err = config.ChangeMessages(changes)
 			return err
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -7,14 +7,13 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// warmupLimit bounds how long a router that has just learned of its engines
-// leaves requests to others: an engine may not answer.
+// warmupLimit limits how long a started router hands requests to others, since an engine may never
+// answer.
 const warmupLimit = 3 * time.Second
 
-// warmup tells whether a router that has started still lacks the caches and
-// queues of its engines. One that places meanwhile would recompute prefixes that
-// the router which placed before it knows to be warm. It is safe for concurrent
-// use.
+// warmup tracks whether a started router is still missing the caches and queues of its engines.
+// Placing requests before that would recompute prefixes that are already cached. It is safe for
+// concurrent use.
 type warmup struct {
 	mutex     sync.Mutex
 	isStarted bool
@@ -22,8 +21,8 @@
 	isDone    bool
 }
 
-// isOver tells whether the router knows its engines, or has waited long enough.
-// Once it is true it stays so.
+// isOver reports whether the engines are synchronised or the warm-up has reached its time limit.
+// Once true, it stays true.
 func (w *warmup) isOver(now time.Duration, synchronised func() bool) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -38,8 +37,8 @@
 	return w.isDone
 }
 
-// isWarmingUp tells whether requests are better placed by another router. With
-// shared engines it never is: nobody else places on the engines owned here.
+// isWarmingUp reports whether another router should place requests instead. It is always false when
+// routers share engines, because only the owners place requests on an engine.
 func (r *Router) isWarmingUp() bool {
 	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronised) {
 		return false
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// delayAnswers makes every engine answer late.
+// delayAnswers delays the answers of every engine.
 func (f *testFleet) delayAnswers(delay time.Duration) {
 	for _, server := range f.engines {
 		faults := server.Faults()
@@ -27,13 +27,13 @@
 	first := f.startReadyRouter("r1")
 	f.delayAnswers(time.Hour)
 	second := f.startRouter("r2", joinThrough(first))
-	second.warmup.isStarted, second.warmup.startedAt = true, time.Hour // not over by time
+	second.warmup.isStarted, second.warmup.startedAt = true, time.Hour // keep warm-up within its time limit
 	awaitRoutable(t, 2, first, second)
 	require.Eventually(t, second.Ready, waitTimeout, pollInterval)
 	handedBack := place(t, second, "q").GetHandBack()
 	require.NotNil(t, handedBack)
 	assert.Equal(t, string(placement.HandBackWarming), handedBack.GetReason())
-	assert.Empty(t, handedBack.GetRouters(), "the agent knows the order")
+	assert.Empty(t, handedBack.GetRouters(), "the agent must use its own order")
 
 	again := placeRequest("again")
 	again.Hops = 1
@@ -42,7 +42,7 @@
 		response, _ := placementClient(second).Place(context.Background(), again)
 		answer <- response
 	}()
-	require.Eventually(t, func() bool { return second.placer.openCallCount() == 1 }, waitTimeout, pollInterval, "one hop is enough")
+	require.Eventually(t, func() bool { return second.placer.openCallCount() == 1 }, waitTimeout, pollInterval, "a request that was handed back once must be placed")
 	f.delayAnswers(0)
 	assert.NotNil(t, (<-answer).GetGrant())
 	require.Eventually(t, func() bool { return !second.isWarmingUp() }, waitTimeout, pollInterval)
@@ -65,7 +65,7 @@
 	assert.False(t, w.isOver(time.Minute, never))
 	assert.False(t, w.isOver(time.Minute+warmupLimit-1, never))
 	assert.True(t, w.isOver(time.Minute+warmupLimit, never))
-	assert.True(t, w.isOver(time.Minute, never), "once over, it stays so")
+	assert.True(t, w.isOver(time.Minute, never), "warm-up must not resume")
 }
 
 func TestWarmupEndsWhenEnginesAreSynchronised(t *testing.T) {
