--- a/internal/fleetsync/changelog.go
+++ b/internal/fleetsync/changelog.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// maxRemovals bounds the removed entries that a changelog remembers. A
-// subscriber that lacks older ones gets the whole list.
+// maxRemovals limits the removed entries that a changelog keeps. A subscriber at an older version
+// gets the whole list.
 const maxRemovals = 4096
 
-// changelog is a list of named entries that knows at which version each has
-// last changed.
+// changelog is a versioned list of named entries that records the version of each entry's last
+// change.
 type changelog[T any] struct {
 	name  func(T) string
 	equal func(a, b T) bool
-	// version is raised by each change; 0 means that nothing was ever set.
+	// version is incremented by each change; 0 means that no list has been set.
 	version uint64
 	// entries is sorted by name.
 	entries []versionedEntry[T]
-	// removals holds the last removed names in the order of their versions.
+	// removals holds the last removed names, ordered by version.
 	removals []removal
-	// oldestVersion is the oldest version from which the changes are known.
+	// oldestVersion is the oldest version for which the later changes are known.
 	oldestVersion uint64
 }
 
@@ -34,13 +34,13 @@
 	version uint64
 }
 
-// delta is the step from one version to another.
+// delta holds the changes between two versions.
 type delta[T any] struct {
 	changed []T
 	removed []string
 }
 
-// set puts a list in place, which must be sorted by name and without doubles.
+// set replaces the list. listed must be sorted by name and contain no duplicates.
 func (l *changelog[T]) set(listed []T) {
 	next := l.version + 1
 	entries := make([]versionedEntry[T], 0, len(listed))
@@ -64,8 +64,8 @@
 		}
 		entries = append(entries, entry)
 	}
-	for _, gone := range rest {
-		removed = append(removed, removal{name: l.name(gone.value), version: next})
+	for _, entry := range rest {
+		removed = append(removed, removal{name: l.name(entry.value), version: next})
 	}
 	if changes+len(removed) == 0 && l.version > 0 {
 		return
@@ -85,7 +85,7 @@
 	l.removals = slices.Clone(l.removals[excess:])
 }
 
-// since returns the changes after a version; false if they aren't known.
+// since returns the changes after version. The second result is false if they are not known.
 func (l *changelog[T]) since(version uint64) (delta[T], bool) {
 	var step delta[T]
 	switch {
@@ -102,16 +102,16 @@
 	first, _ := slices.BinarySearchFunc(l.removals, version+1, func(r removal, from uint64) int {
 		return cmp.Compare(r.version, from)
 	})
-	for _, gone := range l.removals[first:] {
-		if !l.contains(gone.name) {
-			step.removed = append(step.removed, gone.name)
+	for _, removal := range l.removals[first:] {
+		if !l.contains(removal.name) {
+			step.removed = append(step.removed, removal.name)
 		}
 	}
 	return step, true
 }
 
-// contains tells whether the list has an entry now, as one that was removed and
-// came back.
+// contains reports whether the list currently has an entry; a removed entry may have been added
+// again.
 func (l *changelog[T]) contains(name string) bool {
 	_, found := slices.BinarySearchFunc(l.entries, name, func(entry versionedEntry[T], name string) int {
 		return cmp.Compare(l.name(entry.value), name)
@@ -119,7 +119,7 @@
 	return found
 }
 
-// all returns the whole list.
+// all returns the values of all entries.
 func (l *changelog[T]) all() []T {
 	values := make([]T, 0, len(l.entries))
 	for _, entry := range l.entries {
@@ -128,12 +128,12 @@
 	return values
 }
 
-// applyDelta returns a sorted list after a step.
+// applyDelta returns a copy of a sorted list with the changes applied.
 func applyDelta[T any](listed []T, step delta[T], name func(T) string) []T {
 	byName := func(entry T, wanted string) int { return cmp.Compare(name(entry), wanted) }
 	merged := slices.Clone(listed)
-	for _, gone := range step.removed {
-		if index, found := slices.BinarySearchFunc(merged, gone, byName); found {
+	for _, removed := range step.removed {
+		if index, found := slices.BinarySearchFunc(merged, removed, byName); found {
 			merged = slices.Delete(merged, index, index+1)
 		}
 	}
--- a/internal/fleetsync/fleetsync_test.go
+++ b/internal/fleetsync/fleetsync_test.go
@@ -15,7 +15,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// fakeRouter is a router's two lists beside its publisher.
+// fakeRouter holds a router's lists and their publisher.
 type fakeRouter struct {
 	publisher *Publisher
 	view      *membership.View
@@ -37,7 +37,7 @@
 	s.view = membership.NewView(version, membership.Member{}, members)
 }
 
-// setMachines gives the list a digest that tells its content.
+// setMachines sets the list with a digest computed from its content.
 func (s *fakeRouter) setMachines(machines []*rpc.Machine) {
 	digest := uint64(1)
 	for _, machine := range machines {
@@ -54,17 +54,17 @@
 	return response
 }
 
-func exchange(subscriber *Subscriber, with *fakeRouter) (*rpc.SyncRequest, *rpc.SyncResponse) {
+func exchange(subscriber *Subscriber, router *fakeRouter) (*rpc.SyncRequest, *rpc.SyncResponse) {
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent-0123456789abcdef"}}
 	subscriber.FillRequest(request)
-	answer := with.answer(request)
+	answer := router.answer(request)
 	subscriber.Apply(request, answer)
 	return request, answer
 }
 
-func requireSame(t require.TestingT, subscriber *Subscriber, with *fakeRouter) {
-	require.Equal(t, normalizeMembers(with.view.Routable()), subscriber.Members())
-	require.True(t, proto.Equal(with.machines, subscriber.Machines()), "machines differ")
+func requireSame(t require.TestingT, subscriber *Subscriber, router *fakeRouter) {
+	require.Equal(t, normalizeMembers(router.view.Routable()), subscriber.Members())
+	require.True(t, proto.Equal(router.machines, subscriber.Machines()), "machines differ")
 }
 
 func member(number, run int) membership.Member {
@@ -82,7 +82,7 @@
 	}
 }
 
-// drawEntries fills a list with a random part of eight names, each of some run.
+// drawEntries returns entries for a random subset of eight names, each with a random run number.
 func drawEntries[T any](t *rapid.T, label string, entry func(number, run int) T) []T {
 	var entries []T
 	for number := range 8 {
@@ -96,50 +96,50 @@
 	return entries
 }
 
-// TestSubscriberConvergesToPublisherLists changes lists, restarts
-// routers, moves between them, and loses, delays and repeats answers.
+// TestSubscriberConvergesToPublisherLists guards against lists that diverge after changes,
+// restarts, switches between routers, and lost, delayed or repeated answers.
 func TestSubscriberConvergesToPublisherLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sources := make([]*fakeRouter, 2)
+		routers := make([]*fakeRouter, 2)
 		runs := 0
 		start := func(index int) {
 			runs++
 			node := fleet.NodeID(fmt.Sprintf("router-%d-%d", index, runs))
-			sources[index] = newFakeRouter(node, drawEntries(t, "members", member), drawEntries(t, "machines", machine))
+			routers[index] = newFakeRouter(node, drawEntries(t, "members", member), drawEntries(t, "machines", machine))
 		}
 		start(0)
 		start(1)
 		subscriber := &Subscriber{}
-		type late struct {
+		type delayedAnswer struct {
 			request *rpc.SyncRequest
 			answer  *rpc.SyncResponse
 		}
-		var held []late
+		var delayed []delayedAnswer
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			index := rapid.IntRange(0, 1).Draw(t, "router")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
-				sources[index].setMembers(drawEntries(t, "members", member))
+				routers[index].setMembers(drawEntries(t, "members", member))
 			case 1:
-				sources[index].setMachines(drawEntries(t, "machines", machine))
+				routers[index].setMachines(drawEntries(t, "machines", machine))
 			case 2:
 				start(index)
 			case 3:
 				request := &rpc.SyncRequest{}
 				subscriber.FillRequest(request)
-				held = append(held, late{request: request, answer: sources[index].answer(request)})
+				delayed = append(delayed, delayedAnswer{request: request, answer: routers[index].answer(request)})
 			case 4:
-				if len(held) > 0 {
-					chosen := held[rapid.IntRange(0, len(held)-1).Draw(t, "late")]
+				if len(delayed) > 0 {
+					chosen := delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")]
 					subscriber.Apply(chosen.request, chosen.answer)
 				}
 			default:
-				exchange(subscriber, sources[index])
-				requireSame(t, subscriber, sources[index])
+				exchange(subscriber, routers[index])
+				requireSame(t, subscriber, routers[index])
 			}
 		}
-		exchange(subscriber, sources[0])
-		requireSame(t, subscriber, sources[0])
+		exchange(subscriber, routers[0])
+		requireSame(t, subscriber, routers[0])
 	})
 }
 
@@ -156,42 +156,41 @@
 }
 
 func TestSuspicionIsNotPublished(t *testing.T) {
-	with := newFakeFleet(3, 1)
+	router := newFakeFleet(3, 1)
 	subscriber := &Subscriber{}
-	exchange(subscriber, with)
+	exchange(subscriber, router)
 	suspected := []membership.Member{member(0, 1), member(1, 1), member(2, 1)}
 	suspected[1].State = membership.Suspect
 	suspected[2].Incarnation = 2
-	with.setMembers(suspected)
-	_, answer := exchange(subscriber, with)
+	router.setMembers(suspected)
+	_, answer := exchange(subscriber, router)
 	assert.Nil(t, answer.GetMembersStep())
 }
 
 func TestDroppedRemovalsSendWholeList(t *testing.T) {
-	with := newFakeFleet(2, 1)
+	router := newFakeFleet(2, 1)
 	subscriber := &Subscriber{}
-	exchange(subscriber, with)
+	exchange(subscriber, router)
 	for run := range maxRemovals + 2 {
-		with.setMembers([]membership.Member{member(0, 1), member(1, run+2)})
-		with.answer(&rpc.SyncRequest{})
+		router.setMembers([]membership.Member{member(0, 1), member(1, run+2)})
+		router.answer(&rpc.SyncRequest{})
 	}
-	_, answer := exchange(subscriber, with)
+	_, answer := exchange(subscriber, router)
 	assert.Zero(t, answer.GetMembersStep().GetBase())
-	requireSame(t, subscriber, with)
-	assert.LessOrEqual(t, len(with.publisher.members.removals), maxRemovals)
+	requireSame(t, subscriber, router)
+	assert.LessOrEqual(t, len(router.publisher.members.removals), maxRemovals)
 }
 
 func TestExchangeWithoutListsLeavesListsUnchanged(t *testing.T) {
-	with := newFakeFleet(3, 3)
+	router := newFakeFleet(3, 3)
 	subscriber := &Subscriber{}
-	answer := with.answer(&rpc.SyncRequest{WithoutLists: true})
+	answer := router.answer(&rpc.SyncRequest{WithoutLists: true})
 	subscriber.Apply(&rpc.SyncRequest{}, answer)
 	assert.Empty(t, answer.GetMembers())
 	assert.Empty(t, subscriber.Members())
 }
 
-// TestEqualMachinesComparesEveryField fails when a field is added that
-// equalMachines doesn't compare.
+// TestEqualMachinesComparesEveryField guards against a new field that equalMachines ignores.
 func TestEqualMachinesComparesEveryField(t *testing.T) {
 	fields := (&rpc.Machine{}).ProtoReflect().Descriptor().Fields()
 	for index := range fields.Len() {
@@ -209,16 +208,16 @@
 }
 
 func TestEmptyListsAreIgnored(t *testing.T) {
-	with := newFakeFleet(2, 2)
+	router := newFakeFleet(2, 2)
 	subscriber := &Subscriber{}
-	exchange(subscriber, with)
-	with.setMembers(nil)
-	with.setMachines(nil)
-	exchange(subscriber, with)
+	exchange(subscriber, router)
+	router.setMembers(nil)
+	router.setMachines(nil)
+	exchange(subscriber, router)
 	assert.Len(t, subscriber.Members(), 2)
 	assert.Len(t, subscriber.Machines().GetMachines(), 2)
-	with.setMembers([]membership.Member{member(7, 1)})
-	with.setMachines([]*rpc.Machine{machine(7, 1)})
-	exchange(subscriber, with)
-	requireSame(t, subscriber, with)
+	router.setMembers([]membership.Member{member(7, 1)})
+	router.setMachines([]*rpc.Machine{machine(7, 1)})
+	exchange(subscriber, router)
+	requireSame(t, subscriber, router)
 }
--- a/internal/fleetsync/publisher.go
+++ b/internal/fleetsync/publisher.go
@@ -8,20 +8,19 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Publisher is one run of a router's side.
+// Publisher is the sending side, for one router instance.
 type Publisher struct {
 	node fleet.NodeID
 
 	mutex sync.Mutex
-	// viewVersion is the version of the membership's last viewVersion, source the machine
-	// list as last given.
+	// viewVersion is the version of the last membership view; source is the last list of machines.
 	viewVersion uint64
 	source      *rpc.MachineList
 	members     changelog[membership.Member]
 	machines    changelog[*rpc.Machine]
 }
 
-// NewPublisher returns the side of a router's run, which knows no list yet.
+// NewPublisher returns a Publisher without lists for the router instance node.
 func NewPublisher(node fleet.NodeID) *Publisher {
 	return &Publisher{
 		node: node,
@@ -38,8 +37,7 @@
 
 func memberName(member membership.Member) string { return string(member.Node) }
 
-// equalMachines compares field by field, since proto.Equal is too slow for
-// each of ten thousand machines at each change.
+// equalMachines compares all fields of two machines. proto.Equal is too slow for large fleets.
 func equalMachines(a, b *rpc.Machine) bool {
 	return a == b ||
 		a.GetId() == b.GetId() &&
@@ -52,9 +50,9 @@
 			a.GetKind() == b.GetKind()
 }
 
-// FillResponse adds to a response what a request's sender lacks of the two lists.
-// Machines must be sorted by identifier and not be written to afterwards; nil
-// means that they aren't known.
+// FillResponse adds the changes of both lists that the sender of request is missing to response.
+// The machines must be sorted by identifier and not be modified afterwards; nil means that they are
+// not known.
 func (p *Publisher) FillResponse(
 	view *membership.View, machines *rpc.MachineList, request *rpc.SyncRequest, response *rpc.SyncResponse,
 ) {
@@ -70,8 +68,8 @@
 	}
 }
 
-// FillMachinesResponse is Answer for the list of machines alone, from a publisher
-// that is asked for nothing else.
+// FillMachinesResponse is like FillResponse for the list of machines alone. The Publisher must not
+// be used for the list of routers.
 func (p *Publisher) FillMachinesResponse(machines *rpc.MachineList, request *rpc.SyncRequest, response *rpc.SyncResponse) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -81,7 +79,7 @@
 	}
 }
 
-// update takes over lists that have changed; the mutex is held.
+// update stores lists that have changed. The mutex must be held.
 func (p *Publisher) update(view *membership.View, machines *rpc.MachineList) {
 	if view.Version > p.viewVersion || p.members.version == 0 {
 		p.viewVersion = view.Version
@@ -97,8 +95,8 @@
 	}
 }
 
-// normalizeMembers strips members of what agents don't use, so that a suspicion that
-// comes to nothing is no change for them.
+// normalizeMembers clears the fields that agents don't use, so that a transient suspicion is not a
+// change for them.
 func normalizeMembers(routable []membership.Member) []membership.Member {
 	members := make([]membership.Member, 0, len(routable))
 	for _, member := range routable {
@@ -143,7 +141,7 @@
 	response.Machines = &rpc.MachineList{Digest: p.source.GetDigest(), Machines: step.changed}
 }
 
-// knownVersion returns a version that a request names, or 0 if it is of another run.
+// knownVersion returns version if request refers to this router instance, or 0 otherwise.
 func (p *Publisher) knownVersion(request *rpc.SyncRequest, version uint64) uint64 {
 	if request.GetVersionsOf() != string(p.node) {
 		return 0
--- a/internal/fleetsync/readers.go
+++ b/internal/fleetsync/readers.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// readersPerRegion is the number of routers of a region that read the
-	// platform's list of machines, so that its load doesn't grow with the fleet.
+	// readersPerRegion is the number of routers per region that read the platform's list of
+	// machines, which limits the load on the platform.
 	readersPerRegion = 3
-	// readersKey sets their choice apart from those of leases.
+	// readersKey keeps the selection independent of that of lease candidates.
 	readersKey = "machines/"
 )
 
-// Readers returns the routers of a region that read the platform's list of
-// machines for the others, best first, by rendezvous hashing. Routers whose
-// views of the membership differ may choose differently: a router that is asked
-// tells whether it reads.
+// Readers returns the routers of a region that read the platform's list of machines for the others,
+// ordered by rendezvous hashing. Routers with different views of the membership may get different
+// results, so a router that is asked for its list reports whether it is current.
 func Readers(region fleet.RegionName, members []membership.Member) []membership.Member {
 	local := make([]membership.Member, 0, len(members))
 	for _, member := range members {
--- a/internal/fleetsync/subscriber.go
+++ b/internal/fleetsync/subscriber.go
@@ -9,11 +9,11 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Subscriber is an agent's side. Its zero value holds nothing.
+// Subscriber is the receiving side. Its zero value is ready to use and holds no lists.
 type Subscriber struct {
 	mutex sync.Mutex
-	// router is the run that the versions are of. A version of 0 means that
-	// the list, if there is one, is of another run.
+	// router is the router instance that the versions refer to. A version of 0 means that there is
+	// no list or that it is from another instance.
 	router          string
 	membersVersion  uint64
 	machinesVersion uint64
@@ -21,7 +21,7 @@
 	machines        *rpc.MachineList
 }
 
-// FillRequest adds to a request what the subscriber holds.
+// FillRequest adds the versions and the digest of the current lists to request.
 func (s *Subscriber) FillRequest(request *rpc.SyncRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -31,10 +31,9 @@
 	request.MachinesDigest = s.machines.GetDigest()
 }
 
-// Apply takes over the answer to a request that Request has filled. Answers
-// may come in any order: one that doesn't follow from what is held now is
-// dropped, and the next exchange brings what it had. Lists that would be empty
-// are no news, since they are of no help.
+// Apply applies the answer to a request filled by FillRequest. Answers may arrive in any order: one
+// that doesn't apply to the current version is dropped, and a later exchange delivers its changes.
+// An empty list is ignored.
 func (s *Subscriber) Apply(request *rpc.SyncRequest, answer *rpc.SyncResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,16 +99,16 @@
 	s.machinesVersion = step.GetVersion()
 }
 
-// adoptMachinesVersion takes over the version of a router whose list has the digest
-// that the request named.
+// adoptMachinesVersion switches to the version of a router whose list has the digest sent in
+// request.
 func (s *Subscriber) adoptMachinesVersion(request *rpc.SyncRequest, step *rpc.ListStep) {
 	if request.GetMachinesDigest() == s.machines.GetDigest() {
 		s.machinesVersion = step.GetVersion()
 	}
 }
 
-// canApply tells whether a step leads on from the version that is held. A whole
-// list replaces any that isn't newer.
+// canApply reports whether a step applies to the version held. A whole list replaces any list that
+// is not newer.
 func canApply(step *rpc.ListStep, held uint64) bool {
 	if step.GetVersion() == 0 || step.GetVersion() < held {
 		return false
@@ -117,16 +116,14 @@
 	return step.GetBase() == 0 || step.GetBase() == held
 }
 
-// Members returns the routers that may be asked, sorted by node. The slice
-// must not be written to.
+// Members returns the routable routers, sorted by node. The slice must not be modified.
 func (s *Subscriber) Members() []membership.Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.members
 }
 
-// Machines returns the list of engines, or nil if none is held. It must not be
-// written to.
+// Machines returns the list of engines, or nil if there is none. It must not be modified.
 func (s *Subscriber) Machines() *rpc.MachineList {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/fleetsync/traffic_test.go
+++ b/internal/fleetsync/traffic_test.go
@@ -19,37 +19,36 @@
 const (
 	secondsPerDay = 86400
 	changesPerDay = 1476
-	// simulatedChanges are made; all cost about the same.
+	// simulatedChanges is the number of changes that are made; the total for a day is extrapolated.
 	simulatedChanges = 123
 	agentsPerRouter  = 10
 )
 
-// TestSyncTrafficPerDayIsBounded counts what one agent and its router exchange with one
-// exchange a second: encoded messages, and bytes on the connection. The bounds
-// are far above what was measured and far below a whole list a second.
+// TestSyncTrafficPerDayIsBounded guards against sending whole lists: it counts the encoded bytes
+// and the bytes on the connection of one exchange per second between an agent and its router.
 func TestSyncTrafficPerDayIsBounded(t *testing.T) {
 	for _, size := range []struct{ routers, engines int }{{50, 700}, {200, 2900}, {680, 10000}} {
 		t.Run(fmt.Sprintf("%d routers", size.routers), func(t *testing.T) {
-			with := newFakeFleet(size.routers, size.engines)
+			router := newFakeFleet(size.routers, size.engines)
 			subscriber := &Subscriber{}
-			whole := encodedSize(exchange(subscriber, with))
-			steady := encodedSize(exchange(subscriber, with))
-			members := dailyChangeBytes(subscriber, with, func(run int) {
-				replaced := append([]membership.Member(nil), with.view.Routable()...)
+			whole := encodedSize(exchange(subscriber, router))
+			steady := encodedSize(exchange(subscriber, router))
+			members := dailyChangeBytes(subscriber, router, func(run int) {
+				replaced := append([]membership.Member(nil), router.view.Routable()...)
 				replaced[run%size.routers] = member(run%size.routers, run+2)
-				with.setMembers(replaced)
+				router.setMembers(replaced)
 			})
-			machines := dailyChangeBytes(subscriber, with, func(run int) {
-				replaced := append([]*rpc.Machine(nil), with.machines.GetMachines()...)
+			machines := dailyChangeBytes(subscriber, router, func(run int) {
+				replaced := append([]*rpc.Machine(nil), router.machines.GetMachines()...)
 				replaced[run%size.engines] = machine(run%size.engines, run+2)
-				with.setMachines(replaced)
+				router.setMachines(replaced)
 			})
-			requireSame(t, subscriber, with)
-			wire := wireSize(t, with, subscriber)
+			requireSame(t, subscriber, router)
+			wire := wireSize(t, router, subscriber)
 			changed := float64(members+machines) / secondsPerDay
-			t.Logf("whole lists %d bytes; exchange without news %d bytes encoded, %d on the connection", whole, steady, wire)
-			t.Logf("changes of a day: routers %.1f B/s, engines %.1f B/s an agent", float64(members)/secondsPerDay, float64(machines)/secondsPerDay)
-			t.Logf("an agent %.0f B/s encoded, %.0f B/s on the connection; a router with %d agents %.0f B/s on the connection",
+			t.Logf("whole lists: %d bytes; exchange without changes: %d bytes encoded, %d on the connection", whole, steady, wire)
+			t.Logf("daily changes per agent: routers %.1f B/s, engines %.1f B/s", float64(members)/secondsPerDay, float64(machines)/secondsPerDay)
+			t.Logf("agent: %.0f B/s encoded, %.0f B/s on the connection; router with %d agents: %.0f B/s on the connection",
 				float64(steady)+changed, float64(wire)+changed, agentsPerRouter, agentsPerRouter*(float64(wire)+changed))
 			require.Less(t, steady, 200)
 			require.Less(t, changed, 50.0)
@@ -62,29 +61,28 @@
 	return proto.Size(request) + proto.Size(answer)
 }
 
-// dailyChangeBytes returns the bytes of the exchanges that bring a day's dailyChangeBytes, beyond
-// those of exchanges without news.
-func dailyChangeBytes(subscriber *Subscriber, with *fakeRouter, change func(run int)) int {
-	steady := encodedSize(exchange(subscriber, with))
+// dailyChangeBytes returns the bytes that a day's changes add to exchanges without changes.
+func dailyChangeBytes(subscriber *Subscriber, router *fakeRouter, change func(run int)) int {
+	steady := encodedSize(exchange(subscriber, router))
 	total := 0
 	for run := range simulatedChanges {
 		change(run)
-		total += encodedSize(exchange(subscriber, with)) - steady
+		total += encodedSize(exchange(subscriber, router)) - steady
 	}
 	return total * changesPerDay / simulatedChanges
 }
 
-// syncServer serves the syncServer of a source alone.
+// syncServer implements only the Sync method of a fake router.
 type syncServer struct {
 	rpc.Placement
-	source *fakeRouter
+	router *fakeRouter
 }
 
 func (l syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-	return l.source.answer(request), nil
+	return l.router.answer(request), nil
 }
 
-// countingConn counts the bytes of both directions.
+// countingConn counts the bytes sent and received.
 type countingConn struct {
 	net.Conn
 	count *atomic.Int64
@@ -102,10 +100,9 @@
 	return n, err
 }
 
-// wireSize returns the bytes of an exchange without news on a connection that
-// is kept open.
-func wireSize(t *testing.T, with *fakeRouter, subscriber *Subscriber) int {
-	server := httptest.NewServer(rpc.NewPlacementServer(syncServer{source: with}))
+// wireSize returns the mean bytes per exchange without changes on a persistent connection.
+func wireSize(t *testing.T, router *fakeRouter, subscriber *Subscriber) int {
+	server := httptest.NewServer(rpc.NewPlacementServer(syncServer{router: router}))
 	defer server.Close()
 	var count atomic.Int64
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
