--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// authenticate returns the tenant of a request's key.
+// authenticate returns the current configuration and the tenant of the request's API key.
 func (a *Agent) authenticate(header http.Header) (*config.View, config.Tenant, *openai.Failure) {
 	key, failure := openai.ParseKey(header)
 	if failure != nil {
@@ -33,7 +33,7 @@
 	return view, tenant, nil
 }
 
-// admit checks a request against the configuration and prepares it.
+// admit validates a request against the configuration and prepares it.
 func (a *Agent) admit(
 	endpoint openai.Endpoint, view *config.View, tenant config.Tenant, writer http.ResponseWriter, request *http.Request,
 ) (*admittedRequest, *openai.Failure) {
@@ -70,8 +70,8 @@
 	}, model)
 }
 
-// prepare fills in what follows from the model. An output limit over the
-// model's own is lowered to it.
+// prepare checks the prompt length and sets the output limit, the deadline and the prompt's hashes.
+// An output limit above the model's is lowered to it.
 func (a *Agent) prepare(admitted *admittedRequest, model config.Model) (*admittedRequest, *openai.Failure) {
 	admitted.promptTokens = prompt.CountTokens(admitted.body.Prompt)
 	if admitted.promptTokens > model.MaxPromptTokens {
@@ -79,8 +79,8 @@
 		return nil, &openai.Failure{Code: resultcode.PromptTooLong, Message: message}
 	}
 	admitted.maxTokens = model.MaxOutputTokens
-	if asked := admitted.body.MaxTokens; asked > 0 {
-		admitted.maxTokens = min(asked, model.MaxOutputTokens)
+	if requested := admitted.body.MaxTokens; requested > 0 {
+		admitted.maxTokens = min(requested, model.MaxOutputTokens)
 	}
 	timeout := admitted.options.Deadline
 	if timeout == 0 {
@@ -91,7 +91,7 @@
 	return admitted, nil
 }
 
-// hashPrompt fills in what follows from the weights.
+// hashPrompt sets the block hashes, the prompt key and the pool, which depend on the model version.
 func (c *admittedRequest) hashPrompt(model config.Model) {
 	scope := fleet.CacheScope{Tenant: c.tenant.Name, Weights: c.weights}
 	c.hashes = prompt.HashBlocks(scope, c.body.Prompt, model.BlockTokens)
@@ -99,19 +99,19 @@
 	c.pool = model.Pool
 }
 
-func chooseClass(view *config.View, tenant config.Tenant, asked fleet.ClassName) (config.Class, *openai.Failure) {
-	if asked == "" {
-		asked = tenant.DefaultClass()
+func chooseClass(view *config.View, tenant config.Tenant, requested fleet.ClassName) (config.Class, *openai.Failure) {
+	if requested == "" {
+		requested = tenant.DefaultClass()
 	}
-	class, found := view.Class(asked)
-	if !found || !tenant.AllowsClass(asked) {
-		message := fmt.Sprintf("class %q is not allowed", asked)
+	class, found := view.Class(requested)
+	if !found || !tenant.AllowsClass(requested) {
+		message := fmt.Sprintf("class %q is not allowed", requested)
 		return config.Class{}, &openai.Failure{Code: resultcode.ClassNotAllowed, Message: message, Param: openai.HeaderClass}
 	}
 	return class, nil
 }
 
-// readBody reads the body within its limits of size and time.
+// readBody reads the body within the limits of size and time.
 func (a *Agent) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, *openai.Failure) {
 	limits := a.settings.HTTP
 	controller := http.NewResponseController(writer)
@@ -126,11 +126,10 @@
 	case err != nil:
 		return nil, &openai.Failure{Code: resultcode.MalformedBody, Message: "the body did not arrive whole"}
 	}
-	// From here on a read only waits for the caller to go away.
+	// Later reads only detect that the caller has disconnected.
 	_ = controller.SetReadDeadline(time.Time{})
 	return buffer.Bytes(), nil
 }
 
-// maxInitialBuffer bounds the memory that a caller gets for a body before it
-// arrives. Most bodies fit into it and are read without growing it.
+// maxInitialBuffer limits the memory allocated for a body before it arrives.
 const maxInitialBuffer = 64 << 10
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,14 +1,11 @@
-// Package agent is the process beside each caller. It takes requests in the
-// callers' protocol, asks a router which engine gets each, dispatches it there
-// itself, passes the tokens on, and resumes, cancels or tries again as package
-// attempt decides.
+// Package agent implements the process beside each caller. It serves an OpenAI-compatible API, asks
+// a router which engine gets each request, dispatches the request there itself and forwards the
+// tokens. Package attempt decides when to resume, cancel or retry.
 //
-// An agent learns its configuration from the routers, takes the highest
-// revision from any of them and brings routers that are behind up to date. It
-// can't tell whether the revision that it has is the newest: while no router
-// can be reached it goes on checking requests by the last one, without a limit
-// of time, isn't ready, and refuses them as "no_router" with a Retry-After,
-// since nothing can be placed. Streams that run at engines go on.
+// An agent receives its configuration from the routers. It uses the highest revision it has seen
+// and updates routers that are behind. While no router is reachable, it is not ready and keeps
+// validating requests with its last configuration, however old, but refuses them as "no_router"
+// with a Retry-After, since they can't be placed. Streams that already run at engines continue.
 package agent
 
 import (
@@ -31,14 +28,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleetsync"
 )
 
-// Dependencies are what an agent gets from its process.
+// Dependencies are provided by the process that runs the agent.
 type Dependencies struct {
 	Logger zerolog.Logger
-	// Registry takes the agent's metrics; nil makes a new one.
+	// Registry receives the agent's metrics; nil creates a new registry.
 	Registry *prometheus.Registry
 }
 
-// Agent is one run of the process. It can't be started again.
+// Agent is one instance of the agent process. It can't be restarted.
 type Agent struct {
 	settings Settings
 	node     fleet.NodeID
@@ -48,10 +45,10 @@
 	metrics  *metrics
 
 	config *config.Holder
-	// lists are the routers' lists. That of engines is remembered also for
-	// those routers that restart while the platform is down.
+	// lists holds the routers' lists of routers and engines. The list of engines also serves to
+	// restore routers that restart during a platform outage.
 	lists fleetsync.Subscriber
-	// snapshotWanted is set when changes of the configuration couldn't be applied.
+	// snapshotWanted is set when configuration changes could not be applied.
 	snapshotWanted atomic.Bool
 	routers        *routerSet
 	engines        *engine.Connections
@@ -64,15 +61,15 @@
 	listener     net.Listener
 	syncRequests chan *routerState
 
-	// tomb runs the agent; calls runs what requests have under way, which ends
-	// after the requests themselves.
+	// tomb tracks the agent's own goroutines; calls tracks those of requests, which may outlive
+	// their requests.
 	tomb         tomb.Tomb
 	calls        tomb.Tomb
 	graceExpired chan struct{}
 	drained      chan struct{}
 }
 
-// New returns an agent that isn't started. The settings must have been checked.
+// New returns an agent that is not started. The settings must have been validated.
 func New(settings Settings, dependencies Dependencies) (*Agent, error) {
 	registry := dependencies.Registry
 	if registry == nil {
@@ -117,8 +114,8 @@
 	}
 }
 
-// boundWriteBuffer keeps the kernel from growing the buffer of a caller that
-// doesn't read. A connection that can't be bounded works all the same.
+// boundWriteBuffer keeps the kernel from growing the send buffer of a caller that doesn't read.
+// Errors are ignored because the connection works without the bound.
 func (a *Agent) boundWriteBuffer(ctx context.Context, connection net.Conn) context.Context {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 		_ = tcp.SetWriteBuffer(a.settings.HTTP.WriteBufferBytes)
@@ -126,8 +123,7 @@
 	return ctx
 }
 
-// Start listens and serves until Stop is called or the context ends; the end of
-// the context is a planned stop too.
+// Start listens and serves until Stop is called or ctx ends. Both stop the agent gracefully.
 func (a *Agent) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", string(a.settings.Node.Address))
 	if err != nil {
@@ -145,20 +141,20 @@
 	return nil
 }
 
-// Address returns the address that a started agent listens on.
+// Address returns the address on which a started agent listens.
 func (a *Agent) Address() fleet.Address { return fleet.Address(a.listener.Addr().String()) }
 
-// Node returns the identifier of this run.
+// Node returns the identifier of this instance.
 func (a *Agent) Node() fleet.NodeID { return a.node }
 
-// Dead is closed when the agent has ended.
+// Dead returns a channel that is closed when the agent has terminated.
 func (a *Agent) Dead() <-chan struct{} { return a.tomb.Dead() }
 
-// Stop refuses new requests, lets running ones finish within the grace and
-// returns when the agent has ended. Further calls wait for the same end.
+// Stop refuses new requests, lets running ones finish within the grace period and returns when the
+// agent has terminated. Concurrent and later calls wait as well.
 func (a *Agent) Stop() error {
 	if a.listener == nil {
-		return nil // never started
+		return nil // not started
 	}
 	a.tomb.Kill(nil)
 	return a.tomb.Wait()
@@ -181,8 +177,7 @@
 	return nil
 }
 
-// drain ends the agent. New requests are refused, not cut off, for as long as
-// old ones run.
+// drain stops the agent. New requests are answered with a refusal as long as old ones run.
 func (a *Agent) drain() {
 	grace := time.Duration(a.settings.StopGrace)
 	idle := a.running.close()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -48,10 +48,10 @@
 	return status, answer
 }
 
-// newScanner returns the one scanner that reads an answer; it reads ahead.
+// newScanner returns a scanner for an answer. It reads ahead, so an answer needs a single one.
 func newScanner(response *http.Response) *bufio.Scanner { return bufio.NewScanner(response.Body) }
 
-// readEvents reads a stream's events up to its end or to a number of them.
+// readEvents reads a stream's events until its end or until there are most.
 func readEvents(t *testing.T, scanner *bufio.Scanner, most int) (tokens, events []string) {
 	for len(events) < most && scanner.Scan() {
 		data, isData := strings.CutPrefix(scanner.Text(), "data: ")
@@ -81,19 +81,19 @@
 		status             int
 		code               resultcode.Code
 	}{
-		"no key":          {openai.PathCompletions, "{}", "Authorization: ", 401, resultcode.MissingKey},
-		"wrong key":       {openai.PathCompletions, "{}", "Authorization: Bearer x", 401, resultcode.WrongKey},
-		"malformed":       {openai.PathCompletions, `{"model"`, "", 400, resultcode.MalformedBody},
-		"too large":       {openai.PathCompletions, strings.Repeat(" ", maxBody+1), "", 413, resultcode.BodyTooLarge},
-		"unknown model":   {openai.PathCompletions, `{"model":"x","prompt":"p"}`, "", 404, resultcode.UnknownModel},
-		"negative limit":  {openai.PathCompletions, `{"model":"notes","prompt":"p","max_tokens":-1}`, "", 400, resultcode.InvalidParameter},
-		"prompt too long": {openai.PathCompletions, `{"model":"notes","prompt":"` + strings.Repeat("p", 8001) + `"}`, "", 400, resultcode.PromptTooLong},
-		"unknown class":   {openai.PathCompletions, "{}", "X-Tillerfall-Class: x", 403, resultcode.ClassNotAllowed},
-		"other's class":   {openai.PathCompletions, "{}", "X-Tillerfall-Class: batch", 403, resultcode.ClassNotAllowed},
-		"bad deadline":    {openai.PathCompletions, "{}", "X-Tillerfall-Deadline-Ms: soon", 400, resultcode.HeaderInvalid},
-		"bad request id":  {openai.PathCompletions, "{}", "X-Request-Id: a b", 400, resultcode.HeaderInvalid},
-		"unknown path":    {"/v1/files", "{}", "", 404, resultcode.UnknownPath},
-		"wrong method":    {openai.PathModels, "{}", "", 404, resultcode.UnknownPath},
+		"no key":                  {openai.PathCompletions, "{}", "Authorization: ", 401, resultcode.MissingKey},
+		"wrong key":               {openai.PathCompletions, "{}", "Authorization: Bearer x", 401, resultcode.WrongKey},
+		"malformed":               {openai.PathCompletions, `{"model"`, "", 400, resultcode.MalformedBody},
+		"too large":               {openai.PathCompletions, strings.Repeat(" ", maxBody+1), "", 413, resultcode.BodyTooLarge},
+		"unknown model":           {openai.PathCompletions, `{"model":"x","prompt":"p"}`, "", 404, resultcode.UnknownModel},
+		"negative limit":          {openai.PathCompletions, `{"model":"notes","prompt":"p","max_tokens":-1}`, "", 400, resultcode.InvalidParameter},
+		"prompt too long":         {openai.PathCompletions, `{"model":"notes","prompt":"` + strings.Repeat("p", 8001) + `"}`, "", 400, resultcode.PromptTooLong},
+		"unknown class":           {openai.PathCompletions, "{}", "X-Tillerfall-Class: x", 403, resultcode.ClassNotAllowed},
+		"class of another tenant": {openai.PathCompletions, "{}", "X-Tillerfall-Class: batch", 403, resultcode.ClassNotAllowed},
+		"bad deadline":            {openai.PathCompletions, "{}", "X-Tillerfall-Deadline-Ms: soon", 400, resultcode.HeaderInvalid},
+		"bad request id":          {openai.PathCompletions, "{}", "X-Request-Id: a b", 400, resultcode.HeaderInvalid},
+		"unknown path":            {"/v1/files", "{}", "", 404, resultcode.UnknownPath},
+		"wrong method":            {openai.PathModels, "{}", "", 404, resultcode.UnknownPath},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -193,14 +193,14 @@
 	server := startEngine(t, "a", time.Millisecond)
 	routers := []*fakeRouter{startRouter(t, server), startRouter(t, server)}
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Timeout = settings.Duration(300 * time.Millisecond) }, routers...)
-	for _, frozen := range routers {
-		thaw := frozen.blockAnswers()
-		// The deadline is below the class's longest wait, so that a question left
-		// at the frozen router fails.
+	for _, blocked := range routers {
+		unblock := blocked.blockAnswers()
+		// The deadline is below the class's maximum wait, so a request that stays at the blocked
+		// router fails.
 		response := post(t, a, openai.PathCompletions, completionBody(2, false), "X-Tillerfall-Deadline-Ms: 15000")
 		status, _ := decode(t, response)
 		assert.Equal(t, http.StatusOK, status)
-		thaw()
+		unblock()
 	}
 }
 
@@ -261,7 +261,7 @@
 	_, events := readEvents(t, stream, 1)
 	require.Len(t, events, 1)
 	stopped := make(chan error, 2)
-	for range cap(stopped) { // the second signal must not cut what the first promised
+	for range cap(stopped) { // a second stop must not cut running streams
 		go func() { stopped <- a.Stop() }()
 	}
 	require.Eventually(t, func() bool {
@@ -326,13 +326,13 @@
 	}, waitTimeout, pollInterval)
 }
 
-// TestDeadlineDuringPlacementFailsRequestImmediately answers while the router
-// still holds the question, and withdraws that.
+// TestDeadlineDuringPlacementFailsRequestImmediately guards against a request that outlives its
+// deadline, or a placement that isn't cancelled, while a router holds the call.
 func TestDeadlineDuringPlacementFailsRequestImmediately(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(own *agent.Settings) { own.Sync.Timeout = settings.Duration(waitTimeout) }, router)
-	thaw := router.blockAnswers()
-	defer thaw()
+	unblock := router.blockAnswers()
+	defer unblock()
 	for _, stream := range []bool{false, true} {
 		response := post(t, a, openai.PathCompletions, completionBody(2, stream), "X-Tillerfall-Deadline-Ms: 200")
 		assert.NotEmpty(t, response.Header.Get("Retry-After"))
--- a/internal/agent/apipage_test.go
+++ b/internal/agent/apipage_test.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// TestAPIPageMatchesCode compares docs/API.md with the code.
+// TestAPIPageMatchesCode guards against differences between docs/API.md and the code.
 func TestAPIPageMatchesCode(t *testing.T) {
 	data, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
@@ -51,11 +51,11 @@
 		names[entry.Name] = true
 	}
 	for _, found := range regexp.MustCompile("`([a-z]+_[a-z_]+)`").FindAllStringSubmatch(page, -1) {
-		assert.True(t, names[found[1]] || documentedFields[found[1]], "%s is neither a result nor a field", found[1])
+		assert.True(t, names[found[1]] || documentedFields[found[1]], "%s is neither a result name nor a documented field", found[1])
 	}
 }
 
-// documentedFields are the names of the page that aren't results.
+// documentedFields are the identifiers on the page that are not result names.
 var documentedFields = map[string]bool{
 	"default_deadline": true, "max_tokens": true, "max_completion_tokens": true, "max_output_tokens": true,
 	"max_prompt_tokens": true, "max_concurrent": true, "max_waiting": true, "max_wait": true, "best_of": true,
@@ -63,7 +63,8 @@
 	"retry_after_ms": true,
 }
 
-// TestAPIPageListsFailureFields compares the page with the answer that has most.
+// TestAPIPageListsFailureFields guards against headers and fields of failures that the page doesn't
+// list.
 func TestAPIPageListsFailureFields(t *testing.T) {
 	page, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -12,10 +12,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// maxCancelTries is how often a best-effort cancel is sent.
+// maxCancelTries is the maximum number of tries of a best-effort cancel.
 const maxCancelTries = 3
 
-// cancelRetryDelay is the time between two tries of a best-effort cancel.
+// cancelRetryDelay is the delay between tries of a best-effort cancel.
 const cancelRetryDelay = 200 * time.Millisecond
 
 func (c *requestRunner) dispatch(ctx context.Context, action attempt.Dispatch) {
@@ -74,18 +74,17 @@
 	c.deliver(ctx, attempt.ResumeFailed{Operation: action.Operation})
 }
 
-// readStream delivers a stream's frames until its end. Each is taken from the
-// connection only after the one before has been handled. The time that the
-// handling takes doesn't count as the engine's silence.
+// readStream delivers a stream's frames until it ends. It reads a frame only after the previous one
+// was handled. The idle timeout doesn't run while a frame is handled.
 func (c *requestRunner) readStream(ctx context.Context, operation attempt.Operation, run fleet.EngineRun, stream *engine.Stream) {
 	defer stream.Close()
 	idle := time.Duration(c.agent.settings.Engines.StreamIdleTimeout)
-	silence := time.AfterFunc(idle, stream.Close)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(idle, stream.Close)
+	defer idleTimer.Stop()
 	for {
-		silence.Reset(idle)
+		idleTimer.Reset(idle)
 		frame, err := stream.Next(ctx)
-		silence.Stop()
+		idleTimer.Stop()
 		if err != nil {
 			c.logEngineError("stream_broken", run, err)
 			c.deliver(ctx, attempt.StreamBroken{Operation: operation})
@@ -100,7 +99,7 @@
 	}
 }
 
-// cancel stops a stream. A best-effort cancel outlives its request.
+// cancel stops a stream. A best-effort cancel may outlive its request.
 func (c *requestRunner) cancel(action attempt.CancelAndFence) {
 	if action.Operation != 0 {
 		c.startOperation(action.Delay, func(ctx context.Context) {
@@ -121,8 +120,8 @@
 }
 
 func (c *requestRunner) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
+	defer cancel()
 	answer, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
 	if err != nil {
 		c.logEngineError("cancel_failed", action.Run, err)
@@ -133,7 +132,7 @@
 	return attempt.CancelAnswered{Operation: action.Operation, State: answer.State}
 }
 
-// logEngineError logs a failed exchange, unless the agent has ended it itself.
+// logEngineError logs a failed call, unless the agent itself cancelled it.
 func (c *requestRunner) logEngineError(event string, run fleet.EngineRun, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -142,8 +141,8 @@
 		Uint64("incarnation", uint64(run.Incarnation)).Msg(event)
 }
 
-// engineError returns the typed error of an exchange. The engine's client gives
-// no other; one that comes all the same says nothing of what was done.
+// engineError returns err as an engine.Error. The engine client returns no other type; any other
+// error is treated as a call with unknown outcome.
 func engineError(err error) *engine.Error {
 	var failure *engine.Error
 	if errors.As(err, &failure) {
--- a/internal/agent/export_test.go
+++ b/internal/agent/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// Handler lets tests answer to a writer of their own.
+// Handler returns the agent's HTTP handler for tests with their own response writer.
 func (a *Agent) Handler() http.Handler { return a.server.Handler }
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// admissionGate counts the running requests and lets no more in once it is shut.
+// admissionGate counts running requests and admits no more once it is closed.
 type admissionGate struct {
 	mutex    sync.Mutex
 	running  int
@@ -29,8 +29,8 @@
 	g.closeIfIdle()
 }
 
-// close returns a channel that is closed once no request runs. It must be
-// called once.
+// close closes the gate and returns a channel that is closed once no request is running. It must be
+// called only once.
 func (g *admissionGate) close() <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// Paths for operators, beside those of package openai.
+// Operational paths, in addition to those of package openai.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -38,7 +38,8 @@
 	return router
 }
 
-// newRequestID returns a unique identifier that begins with the caller's own.
+// newRequestID returns a unique identifier, prefixed with the caller's own identifier if there is
+// one.
 func newRequestID(header http.Header) (fleet.RequestID, *openai.Failure) {
 	unique := strings.ReplaceAll(uuid.NewString(), "-", "")
 	prefix, failure := openai.ParseRequestID(header)
@@ -55,7 +56,7 @@
 	}
 }
 
-// serveCompletion serves one request to a model.
+// serveCompletion serves a completion request.
 func (a *Agent) serveCompletion(endpoint openai.Endpoint, writer http.ResponseWriter, request *http.Request) {
 	arrived := a.clock.Now()
 	a.setWriteDeadline(writer)
@@ -91,7 +92,8 @@
 	a.runRequest(admitted, writer, request)
 }
 
-// runRequest runs an admitted request, unless its idempotency key is known.
+// runRequest runs an admitted request, or refuses it if it must not be repeated and its idempotency
+// key has been used.
 func (a *Agent) runRequest(admitted *admittedRequest, writer http.ResponseWriter, request *http.Request) {
 	key := idempotencyKey{tenant: admitted.tenant.Name, key: admitted.options.IdempotencyKey}
 	guarded := admitted.options.NotRepeatable && key.key != ""
@@ -103,15 +105,15 @@
 		})
 		return
 	}
-	// A request that ends by a panic may have run.
-	notRun := false
+	// A request that ends with a panic may have run.
+	didNotRun := false
 	if guarded {
-		defer func() { a.duplicates.end(key, notRun) }()
+		defer func() { a.duplicates.end(key, didNotRun) }()
 	}
-	carrier := newRequestRunner(a, admitted, a.newOutput(admitted, writer))
-	carrier.run(request.Context())
-	notRun = carrier.didNotRun()
-	a.recordEnd(carrier)
+	runner := newRequestRunner(a, admitted, a.newOutput(admitted, writer))
+	runner.run(request.Context())
+	didNotRun = runner.didNotRun()
+	a.recordEnd(runner)
 }
 
 func (a *Agent) recordEnd(c *requestRunner) {
@@ -140,10 +142,11 @@
 		Msg("request_finished")
 }
 
-// temporaryFailure is a refusal that tells when to come back, spread over as long again.
+// temporaryFailure returns a refusal with a Retry-After between one and two times the configured
+// minimum, which spreads retries.
 func (a *Agent) temporaryFailure(code resultcode.Code, message string) *openai.Failure {
-	least := time.Duration(a.settings.Requests.RetryAfter)
-	retryAfter := least + time.Duration(rand.Int64N(int64(least)))
+	minimum := time.Duration(a.settings.Requests.RetryAfter)
+	retryAfter := minimum + time.Duration(rand.Int64N(int64(minimum)))
 	return &openai.Failure{Code: code, Message: message, RetryAfter: retryAfter}
 }
 
@@ -177,7 +180,8 @@
 	return openai.WriteModels(writer, id, servedModels(view, tenant))
 }
 
-// servedModels lists what the tenant may ask for, in the configuration's order.
+// servedModels lists the models and adapters available to the tenant, in the order of the
+// configuration.
 func servedModels(view *config.View, tenant config.Tenant) []string {
 	var names []string
 	for _, model := range view.Document().Models {
@@ -216,7 +220,7 @@
 	return writeText(writer, http.StatusOK, "ready")
 }
 
-// readiness returns why new requests would be refused, or OK.
+// readiness returns the code with which new requests would be refused, or OK.
 func (a *Agent) readiness() resultcode.Code {
 	switch {
 	case !a.running.isOpen():
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// fakeRouter grants the engines in turn.
+// fakeRouter is a router that grants engines in turn.
 type fakeRouter struct {
 	server *httptest.Server
 
@@ -64,18 +64,18 @@
 	engines  []*engineserver.Server
 	revision uint64
 	config   *rpc.ConfigSnapshot
-	// changes are sent instead of the snapshot.
+	// changes are sent instead of config, unless a snapshot is requested.
 	changes    []*rpc.ConfigChange
 	machines   *rpc.MachineList
 	lists      *fleetsync.Publisher
 	reports    []*rpc.AttemptReport
 	placements int
-	// blocked keeps every answer back until it is closed; held and withdrawn count
-	// the questions that met it and that were given up meanwhile.
+	// blocked delays every answer until it is closed. blockedCalls counts the calls that were
+	// delayed, cancelledCalls those cancelled meanwhile.
 	blocked        chan struct{}
 	blockedCalls   int
 	cancelledCalls int
-	// retired is refused as a version that no longer serves.
+	// retired is the model version for which placements are refused as stale.
 	retired string
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// blockAnswers keeps all answers back until the returned function is called.
-func (f *fakeRouter) blockAnswers() (thaw func()) {
+// blockAnswers delays all answers until unblock is called.
+func (f *fakeRouter) blockAnswers() (unblock func()) {
 	hold := make(chan struct{})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -248,7 +248,7 @@
 	return response.StatusCode, string(body)
 }
 
-// post sends a body with the tenant's key and more headers as "Name: value".
+// post sends a body with the tenant's key and additional headers given as "Name: value".
 func post(t *testing.T, a *agent.Agent, path, body string, headers ...string) *http.Response {
 	request, err := http.NewRequest(http.MethodPost, "http://"+string(a.Address())+path, strings.NewReader(body))
 	require.NoError(t, err)
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// concurrencyLimiter counts the unfinished requests of each tenant and of all.
+// concurrencyLimiter limits the unfinished requests of each tenant and in total.
 type concurrencyLimiter struct {
 	mutex    sync.Mutex
 	max      int
@@ -23,11 +23,11 @@
 	return &concurrencyLimiter{max: max, byTenant: make(map[fleet.TenantName]int)}
 }
 
-// acquire counts a request in, or returns the code of the limit it is over.
-func (c *concurrencyLimiter) acquire(tenant fleet.TenantName, maxOfTenant int) resultcode.Code {
+// acquire admits a request, or returns the code of the limit that it would exceed.
+func (c *concurrencyLimiter) acquire(tenant fleet.TenantName, tenantMax int) resultcode.Code {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.byTenant[tenant] >= maxOfTenant {
+	if c.byTenant[tenant] >= tenantMax {
 		return resultcode.TenantConcurrency
 	}
 	if c.total >= c.max {
@@ -53,8 +53,8 @@
 	key    string
 }
 
-// duplicateFilter remembers the idempotency keys of requests that must run at most
-// once: of all that are running, and of a bounded number that may have run.
+// duplicateFilter keeps the idempotency keys of requests that must run at most once: those of all
+// running requests, and of a limited number of finished ones that may have run.
 type duplicateFilter struct {
 	mutex    sync.Mutex
 	running  map[idempotencyKey]struct{}
@@ -64,12 +64,12 @@
 func newDuplicateFilter(size int) *duplicateFilter {
 	finished, err := simplelru.NewLRU[idempotencyKey, struct{}](max(size, 1), nil)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // unreachable: the size is positive
 	}
 	return &duplicateFilter{running: make(map[idempotencyKey]struct{}), finished: finished}
 }
 
-// begin tells whether the key is new, and notes it.
+// begin records a key and reports whether it is new.
 func (d *duplicateFilter) begin(key idempotencyKey) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,18 +81,18 @@
 	return true
 }
 
-// end forgets the key of a request that certainly did not run, so that its
-// caller can come back with it.
-func (d *duplicateFilter) end(key idempotencyKey, notRun bool) {
+// end releases a key. It is kept as used unless the request certainly did not run, in which case
+// the caller may retry with the same key.
+func (d *duplicateFilter) end(key idempotencyKey, didNotRun bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.running, key)
-	if !notRun {
+	if !didNotRun {
 		d.finished.Add(key, struct{}{})
 	}
 }
 
-// lockedBudget is a retry budget for concurrent use.
+// lockedBudget is a retry budget that is safe for concurrent use.
 type lockedBudget struct {
 	mutex  sync.Mutex
 	budget *attempt.Budget
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -12,10 +12,10 @@
 
 const metricsNamespace = "tillerfall_agent"
 
-// firstTokenBuckets reach from a cached status lookup to a long cold prompt.
+// firstTokenBuckets are histogram buckets in seconds.
 var firstTokenBuckets = []float64{.01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4, 12.8, 25.6, 60}
 
-// abortedLabel labels requests whose caller went away.
+// abortedLabel is the code label of requests whose caller disconnected.
 const abortedLabel = "caller_gone"
 
 type metrics struct {
--- a/internal/agent/nonreading_test.go
+++ b/internal/agent/nonreading_test.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// longOutput is over what the buffers of both ends of a connection hold.
+	// longOutput is a number of tokens that exceeds the connection buffers of both ends.
 	longOutput = 20000
-	// maxTokensRead is over what the small buffers hold, in tokens.
+	// maxTokensRead is above the number of tokens that the small buffers hold.
 	maxTokensRead = 1000
 	smallBuffer   = 4096
 	stuckCallers  = 3
 )
 
-// startNonReadingCaller asks for a long stream over a connection with a small
-// receive buffer and reads nothing of it.
+// startNonReadingCaller requests a long stream over a connection with a small receive buffer and
+// never reads it.
 func startNonReadingCaller(t *testing.T, a *agent.Agent) {
 	connection, err := net.Dial("tcp", string(a.Address()))
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 }
 
-// metric reads a counter or gauge without labels; -1 if there is none.
+// metric returns the value of a metric without labels, or -1 if there is none.
 func metric(t *testing.T, a *agent.Agent, name string) int {
 	_, text := get(t, a, agent.PathMetrics)
 	found := regexp.MustCompile(`(?m)^` + name + ` (\S+)$`).FindStringSubmatch(text)
@@ -52,9 +52,9 @@
 	return int(value)
 }
 
-// TestNonReadingCallersAreBoundedAndCancelled holds up real connections: what the agent takes
-// from the engines for them stays bounded, other requests go on, and after the
-// write timeout the streams are cancelled at the engine and the callers counted as gone.
+// TestNonReadingCallersAreBoundedAndCancelled guards against callers on real connections that stop
+// reading: they must not make the agent buffer without limit or block other requests, and their
+// streams must be cancelled after the write timeout.
 func TestNonReadingCallersAreBoundedAndCancelled(t *testing.T) {
 	server := startEngine(t, "a", time.Millisecond)
 	router := startRouter(t, server)
@@ -79,9 +79,9 @@
 		return metric(t, a, "tillerfall_agent_running_requests") == 0
 	}, waitTimeout, pollInterval)
 	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
-	taken := metric(t, a, "tillerfall_agent_output_tokens_total")
-	t.Logf("%d of %d tokens were taken from the engine", taken, stuckCallers*longOutput)
-	assert.Less(t, taken, stuckCallers*maxTokensRead)
+	tokensRead := metric(t, a, "tillerfall_agent_output_tokens_total")
+	t.Logf("%d of %d tokens were read from the engine", tokensRead, stuckCallers*longOutput)
+	assert.Less(t, tokensRead, stuckCallers*maxTokensRead)
 	_, text := get(t, a, agent.PathMetrics)
 	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, stuckCallers)
 	assert.Contains(t, text, gone)
--- a/internal/agent/operationspage_test.go
+++ b/internal/agent/operationspage_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/pagetest"
 )
 
-// TestOperationsPageListsAgentMetrics compares docs/OPERATIONS.md with what an agent
-// registers.
+// TestOperationsPageListsAgentMetrics guards against differences between docs/OPERATIONS.md and the
+// registered metrics.
 func TestOperationsPageListsAgentMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -23,8 +23,8 @@
 	return &bufferedOutput{answer: answer, writer: writer}
 }
 
-// bufferedOutput gathers the tokens of an answer that isn't streamed. The model's
-// output limit bounds it.
+// bufferedOutput collects the tokens of an answer that is not streamed. Its size is limited by the
+// model's output limit.
 type bufferedOutput struct {
 	answer openai.Answer
 	writer http.ResponseWriter
@@ -42,7 +42,7 @@
 	return w.answer.WriteWhole(w.writer, w.text.String(), reason, usage)
 }
 
-// Fail implements output. Nothing of a broken answer is shown.
+// Fail implements output. Collected tokens are discarded.
 func (w *bufferedOutput) Fail(failure *openai.Failure) error {
 	return w.answer.WriteFailure(w.writer, failure)
 }
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -15,56 +15,56 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// placeTimeoutMargin is added to a class's longest wait before a router that holds a
-// question counts as failed.
+// placeTimeoutMargin is added to the maximum wait of a class to get the timeout of a placement
+// call.
 const placeTimeoutMargin = 5 * time.Second
 
-var errMismatchedAnswer = errors.New("answer to another question")
+var errMismatchedAnswer = errors.New("answer for another request or attempt")
 
-// place asks one router for an engine and returns its answer as an event.
-func (c *requestRunner) place(ctx context.Context, ask attempt.RequestPlacement) attempt.Event {
-	at := c.chooseRouter(ask)
-	c.placedBy[ask.Attempt] = at
-	routerLife := c.agent.routers.beginWait(at)
-	defer c.agent.routers.endWait(at)
+// place requests a placement from a router and returns the outcome as an event.
+func (c *requestRunner) place(ctx context.Context, action attempt.RequestPlacement) attempt.Event {
+	router := c.chooseRouter(action)
+	c.placedBy[action.Attempt] = router
+	aliveContext := c.agent.routers.beginWait(router)
+	defer c.agent.routers.endWait(router)
 	ctx, cancel := context.WithTimeout(ctx, c.request.maxWait+placeTimeoutMargin)
 	defer cancel()
-	defer context.AfterFunc(routerLife, cancel)()
-	answer, err := at.client.Place(ctx, c.placeRequest(ask))
-	if err == nil && (answer.GetRequestId() != string(c.request.id) || answer.GetAttempt() != uint32(ask.Attempt)) {
+	defer context.AfterFunc(aliveContext, cancel)()
+	answer, err := router.client.Place(ctx, c.placeRequest(action))
+	if err == nil && (answer.GetRequestId() != string(c.request.id) || answer.GetAttempt() != uint32(action.Attempt)) {
 		err = errMismatchedAnswer
 	}
 	if err != nil {
-		c.handlePlacementFailure(ctx, at, err)
-		return attempt.PlacementFailed{Operation: ask.Operation}
+		c.handlePlacementFailure(ctx, router, err)
+		return attempt.PlacementFailed{Operation: action.Operation}
 	}
-	c.agent.handleAnswerHeader(at, answer.GetHeader())
-	return c.placementEvent(ask, at, answer)
+	c.agent.handleAnswerHeader(router, answer.GetHeader())
+	return c.placementEvent(action, router, answer)
 }
 
 // chooseRouter returns the router to ask and counts the try.
-func (c *requestRunner) chooseRouter(ask attempt.RequestPlacement) *routerState {
+func (c *requestRunner) chooseRouter(action attempt.RequestPlacement) *routerState {
 	if c.route == nil {
-		by := c.agent.routers.newRoute(c.request)
-		c.route = &by
+		selected := c.agent.routers.newRoute(c.request)
+		c.route = &selected
 	}
-	at := c.agent.routers.choose(*c.route, ask.Preferred, c.tried)
-	c.tried[at.address]++
-	return at
+	router := c.agent.routers.choose(*c.route, action.Preferred, c.tried)
+	c.tried[router.address]++
+	return router
 }
 
-// handlePlacementFailure blames the router, unless the question was withdrawn or
-// the router has been blamed already.
-func (c *requestRunner) handlePlacementFailure(ctx context.Context, at *routerState, err error) {
+// handlePlacementFailure records the router's failure, unless the call was cancelled by the request
+// or by a failure already recorded.
+func (c *requestRunner) handlePlacementFailure(ctx context.Context, router *routerState, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	c.agent.handleRouterFailure(at, "place", err)
+	c.agent.handleRouterFailure(router, "place", err)
 }
 
-func (c *requestRunner) placeRequest(ask attempt.RequestPlacement) *rpc.PlaceRequest {
-	excluded := make([]*rpc.EngineRun, 0, len(ask.Excluded))
-	for _, run := range ask.Excluded {
+func (c *requestRunner) placeRequest(action attempt.RequestPlacement) *rpc.PlaceRequest {
+	excluded := make([]*rpc.EngineRun, 0, len(action.Excluded))
+	for _, run := range action.Excluded {
 		excluded = append(excluded, encodeRun(run))
 	}
 	hashes := make([]uint64, 0, len(c.request.hashes))
@@ -75,7 +75,7 @@
 	return &rpc.PlaceRequest{
 		Header:    c.agent.header(),
 		RequestId: string(c.request.id),
-		Attempt:   uint32(ask.Attempt),
+		Attempt:   uint32(action.Attempt),
 		Tenant:    string(c.request.tenant.Name),
 		Weights: &rpc.Weights{
 			Model:   string(weights.Model),
@@ -88,34 +88,34 @@
 		BlockHashes:        hashes,
 		DeadlineMillis:     uint32(max(c.request.deadline-c.agent.clock.Now(), time.Millisecond).Milliseconds()),
 		Excluded:           excluded,
-		ContinuationTokens: uint32(ask.ContinuationTokens),
+		ContinuationTokens: uint32(action.ContinuationTokens),
 		AgentZone:          string(c.agent.settings.Node.Zone),
 		Hops:               c.handBacks,
 		Spills:             uint32(c.spills),
 	}
 }
 
-func (c *requestRunner) placementEvent(ask attempt.RequestPlacement, at *routerState, answer *rpc.PlaceResponse) attempt.Event {
+func (c *requestRunner) placementEvent(action attempt.RequestPlacement, router *routerState, answer *rpc.PlaceResponse) attempt.Event {
 	switch outcome := answer.GetOutcome().(type) {
 	case *rpc.PlaceResponse_Grant:
 		c.recordGrant()
-		return c.grantEvent(ask, outcome.Grant)
+		return c.grantEvent(action, outcome.Grant)
 	case *rpc.PlaceResponse_Refusal:
-		return c.refusalEvent(ask, at, outcome.Refusal)
+		return c.refusalEvent(action, router, outcome.Refusal)
 	case *rpc.PlaceResponse_HandBack:
 		c.recordHandBack(outcome.HandBack)
 		routers := make([]fleet.Address, 0, len(outcome.HandBack.GetRouters()))
 		for _, address := range outcome.HandBack.GetRouters() {
 			routers = append(routers, fleet.Address(address))
 		}
-		return attempt.Redirected{Operation: ask.Operation, Routers: routers}
+		return attempt.Redirected{Operation: action.Operation, Routers: routers}
 	default:
-		return attempt.PlacementFailed{Operation: ask.Operation}
+		return attempt.PlacementFailed{Operation: action.Operation}
 	}
 }
 
-// recordHandBack counts a hand-back. When several routers are saturated, the
-// request goes back to its first choice and waits there.
+// recordHandBack counts a hand-back. After several saturated routers, the request returns to its
+// first choice and waits there.
 func (c *requestRunner) recordHandBack(handBack *rpc.HandBack) {
 	c.handBacks++
 	if handBack.GetReason() != string(placement.HandBackSaturated) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// recordGrant widens the prefix's routing if another router than the saturated
-// one had room.
+// recordGrant spreads the prefix over more routers if a saturated router's request was granted by
+// another one.
 func (c *requestRunner) recordGrant() {
 	if c.spills > 0 && c.spills < affinity.MaxSpills {
 		c.agent.routers.recordSpill(*c.route)
@@ -137,14 +137,14 @@
 	c.spills = 0
 }
 
-func (c *requestRunner) grantEvent(ask attempt.RequestPlacement, grant *rpc.Grant) attempt.Event {
+func (c *requestRunner) grantEvent(action attempt.RequestPlacement, grant *rpc.Grant) attempt.Event {
 	if _, err := netip.ParseAddrPort(grant.GetAddress()); err != nil || grant.GetRun().GetEngine() == "" {
 		c.agent.logger.Error().Str("request_id", string(c.request.id)).Str("address", grant.GetAddress()).Msg("grant_malformed")
-		return attempt.PlacementFailed{Operation: ask.Operation}
+		return attempt.PlacementFailed{Operation: action.Operation}
 	}
 	event := attempt.Granted{
-		Operation: ask.Operation,
-		Attempt:   ask.Attempt,
+		Operation: action.Operation,
+		Attempt:   action.Attempt,
 		Run: fleet.EngineRun{
 			Engine:      fleet.EngineID(grant.GetRun().GetEngine()),
 			Incarnation: fleet.Incarnation(grant.GetRun().GetIncarnation()),
@@ -158,32 +158,32 @@
 	return event
 }
 
-// refusalEvent treats a router that has no configuration yet as one that hands
-// back: the exchange started by its answer brings it up to date.
-func (c *requestRunner) refusalEvent(ask attempt.RequestPlacement, at *routerState, refusal *rpc.Refusal) attempt.Event {
+// refusalEvent converts a refusal to an event. A router without configuration is treated as one
+// that hands the request back; a sync updates it.
+func (c *requestRunner) refusalEvent(action attempt.RequestPlacement, router *routerState, refusal *rpc.Refusal) attempt.Event {
 	code := resultcode.Code(refusal.GetCode())
 	switch code {
 	case resultcode.NoConfiguration:
-		c.agent.requestSync(at)
-		return attempt.Redirected{Operation: ask.Operation}
+		c.agent.requestSync(router)
+		return attempt.Redirected{Operation: action.Operation}
 	case resultcode.StaleWeights:
-		if ask.ContinuationTokens == 0 && c.switchVersion(at) {
-			return attempt.Redirected{Operation: ask.Operation}
+		if action.ContinuationTokens == 0 && c.switchVersion(router) {
+			return attempt.Redirected{Operation: action.Operation}
 		}
 	}
 	return attempt.Refused{
-		Operation:  ask.Operation,
+		Operation:  action.Operation,
 		Code:       code,
 		Reason:     refusal.GetReason(),
 		RetryAfter: time.Duration(refusal.GetRetryAfterMillis()) * time.Millisecond,
 	}
 }
 
-// switchVersion moves a request whose version was retired while it waited to
-// the one that serves now. It must not have any output yet: weights never
-// change within one.
-func (c *requestRunner) switchVersion(at *routerState) bool {
-	c.agent.syncWith(at)
+// switchVersion moves a request whose model version was retired while it waited to the serving
+// version. It must not be called after the first token, since the version never changes within an
+// output.
+func (c *requestRunner) switchVersion(router *routerState) bool {
+	c.agent.syncWith(router)
 	view := c.agent.config.Current()
 	weights, model, found := view.ResolveModel(c.request.body.Model)
 	if !found || weights == c.request.weights {
--- a/internal/agent/ranking.go
+++ b/internal/agent/ranking.go
@@ -10,21 +10,22 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// route is what the order of a request's routers follows from.
+// route determines the order of routers for a request.
 type route struct {
 	choice affinity.Choice
 	pool   fleet.PoolName
 }
 
-// routerRanking knows which routers are likely to hold a prefix and to serve a pool.
-// The mutex of routers guards it.
+// routerRanking orders routers by how likely they are to have a prefix cached and by the pools they
+// serve. It is guarded by the mutex of routerSet.
 type routerRanking struct {
 	location membership.Location
 	table    *affinity.Table
 	members  []membership.Member
 	machines *rpc.MachineList
 	replicas int
-	// pools says which routers serve which pool; nil while all serve all.
+	// pools maps pools to the routers that serve them; nil means that every router serves all
+	// pools.
 	pools *membership.PoolMap
 }
 
@@ -33,8 +34,7 @@
 	return routerRanking{location: near, table: affinity.New(affinity.Options{Random: random, FirstDepth: firstDepth})}
 }
 
-// update takes over what a router knows of the fleet; no members or no machines
-// mean no news of them.
+// update applies the latest lists and the number of index replicas. Empty lists are ignored.
 func (k *routerRanking) update(members []membership.Member, machines *rpc.MachineList, replicas int) {
 	changed := replicas != k.replicas
 	k.replicas = replicas
@@ -69,26 +69,26 @@
 	k.pools = membership.NewPoolMap(sites, k.members, k.replicas)
 }
 
-// order returns the members in the order in which a request asks them.
-func (k *routerRanking) order(by route) []membership.Member {
-	return k.affinityRouters().Order(by.choice, by.pool)
+// order returns the members in the order in which a request should try them.
+func (k *routerRanking) order(route route) []membership.Member {
+	return k.affinityRouters().Order(route.choice, route.pool)
 }
 
 func (k *routerRanking) affinityRouters() affinity.Routers {
 	return affinity.Routers{Near: k.location, Members: k.members, Pools: k.pools}
 }
 
-// newRoute decides how a call's prompt is routed and counts it.
-func (r *routerSet) newRoute(c *admittedRequest) route {
+// newRoute chooses the route of a request's prompt and counts it.
+func (r *routerSet) newRoute(request *admittedRequest) route {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return route{choice: r.ranking.table.Choose(r.clock.Now(), c.hashes, c.promptKey), pool: c.pool}
+	return route{choice: r.ranking.table.Choose(r.clock.Now(), request.hashes, request.promptKey), pool: request.pool}
 }
 
-// recordSpill notes that a router was saturated and another one placed the request.
-func (r *routerSet) recordSpill(by route) {
+// recordSpill records that another router placed the request because the chosen one was saturated.
+func (r *routerSet) recordSpill(route route) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	serving := r.ranking.affinityRouters().Serving(by.choice, by.pool)
-	r.ranking.table.Spilled(r.clock.Now(), by.choice, serving)
+	serving := r.ranking.affinityRouters().Serving(route.choice, route.pool)
+	r.ranking.table.Spilled(r.clock.Now(), route.choice, serving)
 }
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -10,23 +10,23 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// maxReportBatch bounds the reports of one message.
+// maxReportBatch limits the reports in a message.
 const maxReportBatch = 256
 
-// maxReportTries is how often a batch is sent; reports are idempotent.
+// maxReportTries is the maximum number of tries for a batch; reports are idempotent.
 const maxReportTries = 2
 
-// reportQueue holds the reports for one router. At most one sender empties it.
+// reportQueue holds the pending reports for a router. At most one sender drains it.
 type reportQueue struct {
 	mutex     sync.Mutex
 	pending   []*rpc.AttemptReport
 	isSending bool
-	// urgent is signalled when a report must not wait for the interval.
+	// urgent is signalled when a report must be sent immediately.
 	urgent chan struct{}
 }
 
-// add appends a report. start tells that the caller has to start a sender;
-// without room the report is dropped.
+// add appends a report, or drops it if the queue is full. If start is true, the caller must start a
+// sender.
 func (q *reportQueue) add(report *rpc.AttemptReport, limit int, final bool) (start, dropped bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return start, false
 }
 
-// takeBatch removes the next batch. An empty one ends the sender.
+// takeBatch removes and returns the next batch. An empty batch ends the sender.
 func (q *reportQueue) takeBatch() []*rpc.AttemptReport {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -77,8 +77,8 @@
 }
 
 // report queues a report for the router that granted the attempt.
-func (a *Agent) report(to *routerState, request fleet.RequestID, report attempt.Report) {
-	if to == nil {
+func (a *Agent) report(router *routerState, request fleet.RequestID, report attempt.Report) {
+	if router == nil {
 		return
 	}
 	message := &rpc.AttemptReport{
@@ -91,43 +91,43 @@
 		EngineLost:   report.EngineLost,
 	}
 	final := report.Phase != attempt.ReportAccepted && report.Phase != attempt.ReportFirstToken
-	start, dropped := to.reports.add(message, a.settings.Sync.ReportQueue, final)
+	start, dropped := router.reports.add(message, a.settings.Sync.ReportQueue, final)
 	if dropped {
 		a.metrics.droppedReports.Inc()
 	}
 	if start {
-		a.calls.Go(func() error { return a.sendReports(to) })
+		a.calls.Go(func() error { return a.sendReports(router) })
 	}
 }
 
-// sendReports sends batches until none are left: a final report at once, with
-// all that wait, others after the interval.
-func (a *Agent) sendReports(to *routerState) error {
+// sendReports sends batches until the queue is empty. A final report is sent immediately together
+// with all pending ones; others wait for the report interval.
+func (a *Agent) sendReports(router *routerState) error {
 	for {
 		select {
-		case <-to.reports.urgent:
+		case <-router.reports.urgent:
 		case <-time.After(time.Duration(a.settings.Sync.ReportInterval)):
 		}
-		batch := to.reports.takeBatch()
+		batch := router.reports.takeBatch()
 		if len(batch) == 0 {
 			return nil
 		}
-		a.sendBatch(to, batch)
+		a.sendBatch(router, batch)
 	}
 }
 
-func (a *Agent) sendBatch(to *routerState, batch []*rpc.AttemptReport) {
+func (a *Agent) sendBatch(router *routerState, batch []*rpc.AttemptReport) {
 	for try := 1; ; try++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
-		answer, err := to.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
+		answer, err := router.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
 		cancel()
 		if err == nil {
-			a.handleAnswerHeader(to, answer.GetHeader())
+			a.handleAnswerHeader(router, answer.GetHeader())
 			return
 		}
 		if try == maxReportTries {
 			a.metrics.droppedReports.Add(float64(len(batch)))
-			a.handleRouterFailure(to, "report", err)
+			a.handleRouterFailure(router, "report", err)
 			return
 		}
 	}
--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// admittedRequest is an admitted request.
+// admittedRequest is a request that passed validation.
 type admittedRequest struct {
 	id      fleet.RequestID
 	arrived time.Duration
@@ -24,29 +24,28 @@
 	weights fleet.Weights
 	options openai.Options
 	body    openai.Request
-	// deadline is on the agent's clock.
+	// deadline is a time of the agent's clock.
 	deadline     time.Duration
 	maxTokens    int
 	promptTokens int
 	hashes       []fleet.BlockHash
-	// promptKey chooses the router for a prompt of less than a block, which can't
-	// share a cached one.
+	// promptKey selects the router for a prompt shorter than a block, which can't share cached
+	// blocks.
 	promptKey uint64
 	pool      fleet.PoolName
 }
 
-// output is where a request's answer goes. An error means that the caller
-// doesn't read it any more.
+// output receives a request's answer. An error means that the caller no longer reads it.
 type output interface {
 	Token(text string) error
 	Finish(reason string, usage openai.Usage) error
 	Fail(failure *openai.Failure) error
 }
 
-// requestRunner drives one request's machine: it turns actions into calls to routers
-// and engines, and their answers into events. All but the calls run on the
-// goroutine of the HTTP handler, so a caller that reads slowly holds up its own
-// stream alone: frames are left unread at the engine.
+// requestRunner drives the state machine of a request: it executes actions as calls to routers and
+// engines and feeds the results back as events. Everything except the calls runs on the goroutine
+// of the HTTP handler, so a slow caller only delays its own stream, whose frames stay unread at the
+// engine.
 type requestRunner struct {
 	agent   *Agent
 	request *admittedRequest
@@ -55,37 +54,37 @@
 	logger  zerolog.Logger
 
 	events chan attempt.Event
-	// context ends with the request; cancelOperation ends the call under way.
+	// context ends with the request; cancelOperation cancels the operation in flight.
 	context         context.Context
 	cancelOperation context.CancelFunc
 
-	// tried, askedAt and handBacks are written by the placing call alone, which
-	// the machine never has two of at a time.
+	// tried, placedBy and handBacks are only written by the placement call, of which at most one is
+	// in flight.
 	tried     map[fleet.Address]int
 	placedBy  map[fleet.Attempt]*routerState
 	handBacks uint32
-	// route is set when the request is first placed; spills counts the
-	// saturated routers since its last grant. Both belong to the placing call.
+	// route is set by the first placement call; spills counts the saturated routers since the last
+	// grant. Both are only accessed by the placement call.
 	route  *route
 	spills int
 
 	outputFailed bool
 	firstTokenAt time.Duration
-	// result is the code of the answer; aborted is set when there was none.
+	// result is the result code of the answer; aborted is set if there was no answer.
 	result  resultcode.Code
 	aborted bool
 	usage   openai.Usage
 }
 
-func newRequestRunner(a *Agent, call *admittedRequest, out output) *requestRunner {
-	request := attempt.Request{ID: call.id, Repeatable: !call.options.NotRepeatable, Deadline: call.deadline}
+func newRequestRunner(a *Agent, admitted *admittedRequest, output output) *requestRunner {
+	request := attempt.Request{ID: admitted.id, Repeatable: !admitted.options.NotRepeatable, Deadline: admitted.deadline}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &requestRunner{
 		agent:           a,
-		request:         call,
+		request:         admitted,
 		machine:         attempt.New(request, a.settings.Requests.policy(), a.budget, random),
-		output:          out,
-		logger:          a.logger.With().Str("request_id", string(call.id)).Logger(),
+		output:          output,
+		logger:          a.logger.With().Str("request_id", string(admitted.id)).Logger(),
 		events:          make(chan attempt.Event),
 		cancelOperation: func() {},
 		tried:           make(map[fleet.Address]int),
@@ -93,7 +92,7 @@
 	}
 }
 
-// run carries the request to its end. The context ends when the caller is gone.
+// run runs the request to completion. The context caller ends when the caller disconnects.
 func (c *requestRunner) run(caller context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -144,7 +143,7 @@
 	}
 }
 
-// startOperation begins an operation in place of the one under way.
+// startOperation cancels the operation in flight and starts a new one after delay.
 func (c *requestRunner) startOperation(delay time.Duration, operation func(context.Context)) {
 	c.cancelOperation()
 	ctx, cancel := context.WithCancel(c.context)
@@ -158,8 +157,8 @@
 	})
 }
 
-// deliver hands an event to the machine. A grant that nobody takes any more is
-// given back to its router.
+// deliver sends an event to the state machine. A grant that can't be delivered is reported as
+// abandoned to its router.
 func (c *requestRunner) deliver(ctx context.Context, event attempt.Event) bool {
 	select {
 	case c.events <- event:
@@ -187,7 +186,7 @@
 	}
 }
 
-// writeOutput carries out what the caller sees.
+// writeOutput executes an action that is visible to the caller.
 func (c *requestRunner) writeOutput(action attempt.Action) {
 	var err error
 	switch action := action.(type) {
@@ -218,7 +217,7 @@
 	c.outputFailed = c.outputFailed || err != nil
 }
 
-// didNotRun tells whether the request certainly did not run.
+// didNotRun reports whether the request certainly did not run.
 func (c *requestRunner) didNotRun() bool {
 	return !c.aborted && resultcode.Lookup(c.result).NotRun
 }
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -16,17 +16,17 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Bounds of the connections to routers. A waiting request holds one.
+// Limits of connections to routers. Each waiting request uses one connection.
 const (
 	routerConnectTimeout = time.Second
 	routerIdleTimeout    = time.Minute
 	maxIdleConnections   = 64
-	// initialBackoff is how long a router isn't chosen after its first failure.
+	// initialBackoff is the backoff after a router's first failure.
 	initialBackoff = 200 * time.Millisecond
 )
 
-// routerState is what the agent knows of one router. Its fields but address, client
-// and reports are guarded by the mutex of routers.
+// routerState is the agent's state for a router. All fields except address, client and reports are
+// guarded by the mutex of routerSet.
 type routerState struct {
 	address fleet.Address
 	client  rpc.Placement
@@ -35,20 +35,20 @@
 	failures   int
 	retryAt    time.Duration
 	isStopping bool
-	// revision is the router's configuration as of its last answer; answered
-	// is false before the first.
+	// revision is the router's configuration revision in its last answer; hasAnswered is false
+	// before the first answer and after a failure.
 	revision    fleet.Revision
 	hasAnswered bool
-	// machinesWanted is set when the router has asked for the machine list.
+	// machinesWanted is set if the router asked for the list of machines.
 	machinesWanted bool
-	// waiting counts the requests that wait at the router.
+	// waiting counts the requests that wait for the router.
 	waiting int
-	// aliveContext ends when the router stops answering, and is then replaced.
+	// aliveContext is cancelled and replaced when the router fails.
 	aliveContext context.Context
 	cancelAlive  context.CancelFunc
 }
 
-// routerSet is the set of routerSet that the agent may ask.
+// routerSet holds the routers that the agent may use.
 type routerSet struct {
 	clock      fleet.Clock
 	seeds      []fleet.Address
@@ -58,7 +58,7 @@
 	mutex   sync.Mutex
 	ranking routerRanking
 	states  map[fleet.Address]*routerState
-	// followed is the router that the lists are followed from.
+	// followed is the router from which lists are replicated.
 	followed     *routerState
 	rotation     int
 	lastAnswerAt time.Duration
@@ -83,10 +83,10 @@
 	}
 }
 
-// getOrCreate returns the getOrCreate to an address; the mutex is held.
+// getOrCreate returns the state of the router at address. The mutex must be held.
 func (r *routerSet) getOrCreate(address fleet.Address) *routerState {
-	if known, found := r.states[address]; found {
-		return known
+	if state, found := r.states[address]; found {
+		return state
 	}
 	created := &routerState{
 		address: address,
@@ -97,14 +97,14 @@
 	return created
 }
 
-// choose returns the router to ask for a request. Routers that the request
-// has tried, that have failed lately or that are stopping come last.
-func (r *routerSet) choose(by route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
+// choose returns the router for a placement. Routers that the request has already tried, that
+// failed recently or that are stopping are ranked last.
+func (r *routerSet) choose(route route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var best *routerState
 	bestPenalty := 0
-	for _, address := range r.candidates(by, preferred) {
+	for _, address := range r.candidates(route, preferred) {
 		candidate := r.getOrCreate(address)
 		penalty := r.penalty(candidate) + tried[address]*(penaltyStopping+1)
 		if best == nil || penalty < bestPenalty {
@@ -114,7 +114,7 @@
 	return best
 }
 
-// Penalties of routers in choose.
+// Penalties in choose; lower is better.
 const (
 	penaltyFailed   = 1
 	penaltyStopping = 2
@@ -131,102 +131,101 @@
 	}
 }
 
-// candidates lists preferred routers, then the members by rank, then the seeds.
-func (r *routerSet) candidates(by route, preferred []fleet.Address) []fleet.Address {
+// candidates returns the preferred routers, then the members in order of the route, then the seeds.
+func (r *routerSet) candidates(route route, preferred []fleet.Address) []fleet.Address {
 	var addresses []fleet.Address
 	for _, address := range preferred {
 		if _, err := netip.ParseAddrPort(string(address)); err == nil {
 			addresses = append(addresses, address)
 		}
 	}
-	for _, member := range r.ranking.order(by) {
+	for _, member := range r.ranking.order(route) {
 		addresses = append(addresses, member.Address)
 	}
-	return append(addresses, r.rankedSeeds(by)...)
+	return append(addresses, r.rankedSeeds(route)...)
 }
 
-// rankedSeeds orders the seeds like members, so that agents agree on the router
-// of a request before they know any member.
-func (r *routerSet) rankedSeeds(by route) []fleet.Address {
+// rankedSeeds orders the seeds in the same way as members, so that agents choose the same router
+// for a request before they know the members.
+func (r *routerSet) rankedSeeds(route route) []fleet.Address {
 	seeds := affinity.Routers{Members: make([]membership.Member, 0, len(r.seeds))}
 	for _, address := range r.seeds {
 		seeds.Members = append(seeds.Members, membership.Member{Node: fleet.NodeID(address), Address: address, State: membership.Alive})
 	}
 	addresses := make([]fleet.Address, 0, len(r.seeds))
-	for _, seed := range seeds.Order(by.choice, by.pool) {
+	for _, seed := range seeds.Order(route.choice, route.pool) {
 		addresses = append(addresses, seed.Address)
 	}
 	return addresses
 }
 
-// beginWait counts a request that begins to wait at a router. The context ends if
-// the router fails meanwhile.
-func (r *routerSet) beginWait(at *routerState) context.Context {
+// beginWait counts a request that waits for a router. The returned context is cancelled if the
+// router fails.
+func (r *routerSet) beginWait(router *routerState) context.Context {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.waiting++
-	return at.aliveContext
+	router.waiting++
+	return router.aliveContext
 }
 
-func (r *routerSet) endWait(at *routerState) {
+func (r *routerSet) endWait(router *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.waiting--
+	router.waiting--
 }
 
-// recordAnswer notes an answer and the revision in its header.
-func (r *routerSet) recordAnswer(by *routerState, header *rpc.Header) {
+// recordAnswer records an answer and the revision in its header.
+func (r *routerSet) recordAnswer(router *routerState, header *rpc.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	by.failures = 0
-	by.retryAt = 0
-	by.hasAnswered = true
-	by.revision = fleet.Revision(header.GetKnownRevision())
+	router.failures = 0
+	router.retryAt = 0
+	router.hasAnswered = true
+	router.revision = fleet.Revision(header.GetKnownRevision())
 	r.lastAnswerAt = r.clock.Now()
 	r.anyAnswered = true
 }
 
-// recordFailure notes that a router didn't answer, and releases the requests that wait
-// there.
-func (r *routerSet) recordFailure(at *routerState) {
+// recordFailure records a failed call to a router and cancels the requests that wait for it.
+func (r *routerSet) recordFailure(router *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.hasAnswered = false
-	at.cancelAlive()
-	at.aliveContext, at.cancelAlive = context.WithCancel(context.Background())
+	router.hasAnswered = false
+	router.cancelAlive()
+	router.aliveContext, router.cancelAlive = context.WithCancel(context.Background())
 	now := r.clock.Now()
-	if at.retryAt > now {
-		return // one outage, noticed by several calls
+	if router.retryAt > now {
+		return // already recorded by another call
 	}
-	backoff := initialBackoff << min(at.failures, maxBackoffShift)
-	at.failures++
-	at.retryAt = now + min(backoff, r.backoffMax)
+	backoff := initialBackoff << min(router.failures, maxBackoffShift)
+	router.failures++
+	router.retryAt = now + min(backoff, r.backoffMax)
 }
 
 const maxBackoffShift = 10
 
-// recordSync notes what a router has said about itself in an exchange.
-func (r *routerSet) recordSync(with *routerState, answer *rpc.SyncResponse) {
+// recordSync records what a router reported about itself in a sync.
+func (r *routerSet) recordSync(router *routerState, answer *rpc.SyncResponse) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	with.isStopping = answer.GetStopping()
-	with.machinesWanted = answer.GetMachinesWanted()
+	router.isStopping = answer.GetStopping()
+	router.machinesWanted = answer.GetMachinesWanted()
 }
 
-func (r *routerSet) wantsMachines(at *routerState) bool {
+func (r *routerSet) wantsMachines(router *routerState) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return at.machinesWanted
+	return router.machinesWanted
 }
 
-// isBehind tells whether a router has answered with an older revision than ours.
-func (r *routerSet) isBehind(at *routerState, ours fleet.Revision) bool {
+// isBehind reports whether the router's revision is older than ours.
+func (r *routerSet) isBehind(router *routerState, ours fleet.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return at.hasAnswered && at.revision < ours
+	return router.hasAnswered && router.revision < ours
 }
 
-// update takes over what the routers know of the routers and the engines.
+// update applies the latest lists of routers and engines.
 func (r *routerSet) update(members []membership.Member, machines *rpc.MachineList, replicas int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -236,7 +235,8 @@
 	}
 }
 
-// prune forgets the routers that are no members any more and hold nothing.
+// prune removes routers that are neither members nor seeds and have no waiting requests or pending
+// reports.
 func (r *routerSet) prune() {
 	keep := make(map[fleet.Address]bool, len(r.ranking.members)+len(r.seeds))
 	for _, member := range r.ranking.members {
@@ -245,22 +245,22 @@
 	for _, seed := range r.seeds {
 		keep[seed] = true
 	}
-	for address, known := range r.states {
-		if !keep[address] && known.waiting == 0 && known.reports.isIdle() {
-			known.cancelAlive()
+	for address, state := range r.states {
+		if !keep[address] && state.waiting == 0 && state.reports.isIdle() {
+			state.cancelAlive()
 			delete(r.states, address)
 		}
 	}
 }
 
-// hasEngines tells whether the list of machines has been heard.
+// hasEngines reports whether a list of engines is known.
 func (r *routerSet) hasEngines() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.ranking.machines.GetMachines()) > 0
 }
 
-// isReachable tells whether some router has answered within a time.
+// isReachable reports whether any router has answered within the given time.
 func (r *routerSet) isReachable(within time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// Settings is an agent's own file; the field comments here are its reference.
+// Settings holds an agent's settings. The field comments are rendered as the reference.
 type Settings struct {
 	// Node says where the agent runs and listens.
 	Node settings.Node `yaml:"node"`
@@ -32,7 +32,7 @@
 	StopGrace settings.Duration `yaml:"stop_grace" validate:"gt=0"`
 }
 
-// HTTPSettings bounds what callers may send and how slowly.
+// HTTPSettings limits the requests and connections of callers.
 type HTTPSettings struct {
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64 `yaml:"max_body_bytes" validate:"gte=1"`
@@ -52,7 +52,7 @@
 	WriteBufferBytes int `yaml:"write_buffer_bytes" validate:"gte=4096"`
 }
 
-// RequestSettings bounds the requests and their tries.
+// RequestSettings limits requests and their retries.
 type RequestSettings struct {
 	// MaxConcurrent bounds the unfinished requests of all tenants; the
 	// configuration bounds those of each tenant.
@@ -84,7 +84,7 @@
 	AffinityBlocks int `yaml:"affinity_blocks" validate:"gte=1"`
 }
 
-// EngineSettings bounds the exchanges with engines.
+// EngineSettings limits calls to engines.
 type EngineSettings struct {
 	// ConnectTimeout bounds the making of a connection.
 	ConnectTimeout settings.Duration `yaml:"connect_timeout" validate:"gt=0"`
@@ -97,7 +97,7 @@
 	CancelTimeout settings.Duration `yaml:"cancel_timeout" validate:"gt=0"`
 }
 
-// SyncSettings says how the agent keeps up with the routers.
+// SyncSettings configures the exchange of state with routers.
 type SyncSettings struct {
 	// Interval is the time between two exchanges.
 	Interval settings.Duration `yaml:"interval" validate:"gt=0"`
@@ -112,7 +112,7 @@
 	ReportQueue int `yaml:"report_queue" validate:"gte=1"`
 }
 
-// DefaultSettings returns the settings that a file starts from.
+// DefaultSettings returns the defaults that a settings file overrides.
 func DefaultSettings() Settings {
 	return Settings{
 		Logging: settings.DefaultLogging(),
@@ -168,7 +168,7 @@
 	return attempt.BudgetOptions{Ratio: s.RetryRatio, FloorPerSecond: s.RetryFloor, Burst: s.RetryBurst}
 }
 
-// newRanking returns how this agent orders the routers.
+// newRanking returns the ranking of routers for this agent's location.
 func (s Settings) newRanking() routerRanking {
 	near := membership.Location{Region: s.Node.Region, Zone: s.Node.Zone}
 	return newRouterRanking(near, s.Requests.AffinityBlocks)
--- a/internal/agent/slow_test.go
+++ b/internal/agent/slow_test.go
@@ -16,8 +16,8 @@
 	"github.com/tillerfall/tillerfall/internal/openai"
 )
 
-// blockingWriter is the connection of a caller that reads nothing until it is
-// released, or whose writes then time out.
+// blockingWriter is a response writer whose writes block until release is closed and then fail if
+// failure is set.
 type blockingWriter struct {
 	header  http.Header
 	blocked chan struct{}
@@ -71,16 +71,16 @@
 	}
 	close(slow.release)
 	<-served
-	assert.Equal(t, 101, strings.Count(slow.body.String(), `"text":"`)) // the last is empty
+	assert.Equal(t, 101, strings.Count(slow.body.String(), `"text":"`)) // including an empty last chunk
 	assert.True(t, strings.HasSuffix(slow.body.String(), "data: [DONE]\n\n"))
 }
 
 func TestWriteTimeoutCancelsEngineStream(t *testing.T) {
 	server := startEngine(t, "a", 5*time.Millisecond)
 	a := startAgent(t, nil, startRouter(t, server))
-	stuck := newBlockingWriter(os.ErrDeadlineExceeded)
-	close(stuck.release)
-	a.Handler().ServeHTTP(stuck, newStreamRequest(400))
+	timedOut := newBlockingWriter(os.ErrDeadlineExceeded)
+	close(timedOut.release)
+	a.Handler().ServeHTTP(timedOut, newStreamRequest(400))
 	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
 	assert.Less(t, server.Counters().OutputTokens, int64(400))
 }
--- a/internal/agent/sync.go
+++ b/internal/agent/sync.go
@@ -11,29 +11,28 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// syncJitter is the part of the interval by which rounds are spread, so that
-// agents that started together don't ask together.
+// syncJitter is the fraction of the interval by which rounds are spread, so that agents started
+// together don't sync in lockstep.
 const syncJitter = 0.2
 
-// syncLoop exchanges membership and configuration with the routers. It runs on
-// while the agent drains, since running requests may need to be placed again.
+// syncLoop exchanges lists and configuration with the routers. It continues while the agent drains,
+// since running requests may need another placement.
 func (a *Agent) syncLoop() error {
 	for {
 		a.syncRound()
 		select {
 		case <-time.After(a.syncPause()):
-		case at := <-a.syncRequests:
-			a.syncWith(at)
+		case router := <-a.syncRequests:
+			a.syncWith(router)
 		case <-a.drained:
 			return nil
 		}
 	}
 }
 
-// syncPause returns the time until the next round. It is short while the agent
-// lacks what every request needs: a router, a configuration, or the engines. A
-// router that knows none yet answers all the same, and may learn in the next
-// moment what the agent alone would remember if the routers died then.
+// syncPause returns the time until the next round. It is shorter while no router, no configuration
+// or no engine is known. A reachable router may itself know no engines yet; polling it often makes
+// it likely that the agent learns of them before the router fails.
 func (a *Agent) syncPause() time.Duration {
 	interval := time.Duration(a.settings.Sync.Interval)
 	if a.config.Current() == nil || !a.routers.hasEngines() || !a.routers.isReachable(interval*unreachableIntervals) {
@@ -42,11 +41,11 @@
 	return interval + time.Duration((rand.Float64()-0.5)*syncJitter*float64(interval))
 }
 
-// urgentRoundsPerInterval is the number of rounds in an interval while something is lacking.
+// urgentRoundsPerInterval is the number of rounds per interval while required state is missing.
 const urgentRoundsPerInterval = 4
 
-// unreachableIntervals is the number of rounds without any router's answer
-// after which the agent isn't ready and asks more often.
+// unreachableIntervals is the number of intervals without an answer from any router after which the
+// agent is not ready and syncs more often.
 const unreachableIntervals = 5
 
 func (a *Agent) syncRound() {
@@ -57,56 +56,56 @@
 	group.Wait()
 }
 
-// syncWith exchanges news with one router, and a second time at once if its
-// answer shows that it lacks something.
-func (a *Agent) syncWith(at *routerState) {
-	if !a.exchange(at) {
+// syncWith syncs with a router, and immediately again if the answer shows that the router is
+// missing state.
+func (a *Agent) syncWith(router *routerState) {
+	if !a.exchange(router) {
 		return
 	}
-	lacksMachines := a.routers.wantsMachines(at) && a.lists.Machines() != nil
-	if lacksMachines || a.routers.isBehind(at, a.config.Revision()) {
-		a.exchange(at)
+	lacksMachines := a.routers.wantsMachines(router) && a.lists.Machines() != nil
+	if lacksMachines || a.routers.isBehind(router, a.config.Revision()) {
+		a.exchange(router)
 	}
 }
 
-func (a *Agent) exchange(at *routerState) bool {
+func (a *Agent) exchange(router *routerState) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
 	defer cancel()
-	request := a.syncRequest(at)
-	answer, err := at.client.Sync(ctx, request)
+	request := a.syncRequest(router)
+	answer, err := router.client.Sync(ctx, request)
 	if err != nil {
-		a.handleRouterFailure(at, "sync", err)
+		a.handleRouterFailure(router, "sync", err)
 		return false
 	}
-	a.routers.recordAnswer(at, answer.GetHeader())
-	a.routers.recordSync(at, answer)
+	a.routers.recordAnswer(router, answer.GetHeader())
+	a.routers.recordSync(router, answer)
 	a.lists.Apply(request, answer)
 	a.routers.update(a.lists.Members(), a.lists.Machines(), int(answer.GetIndexReplicas()))
-	a.applyConfig(at, answer)
+	a.applyConfig(router, answer)
 	return true
 }
 
-// syncRequest asks for the lists only of the router that they are followed from.
-func (a *Agent) syncRequest(at *routerState) *rpc.SyncRequest {
+// syncRequest builds a sync request. Lists are only requested from the followed router.
+func (a *Agent) syncRequest(router *routerState) *rpc.SyncRequest {
 	request := &rpc.SyncRequest{
 		Header:               a.header(),
-		Config:               a.snapshotFor(at),
+		Config:               a.snapshotFor(router),
 		ConfigSnapshotWanted: a.snapshotWanted.Load(),
-		WithoutLists:         !a.routers.isFollowed(at),
+		WithoutLists:         !a.routers.isFollowed(router),
 	}
 	if !request.GetWithoutLists() {
 		a.lists.FillRequest(request)
 	}
-	if a.routers.wantsMachines(at) {
+	if a.routers.wantsMachines(router) {
 		request.Machines = a.lists.Machines()
 	}
 	return request
 }
 
-// snapshotFor returns the configuration for a router that is behind, else nil.
-func (a *Agent) snapshotFor(at *routerState) *rpc.ConfigSnapshot {
+// snapshotFor returns the configuration to send to a router that is behind, or nil.
+func (a *Agent) snapshotFor(router *routerState) *rpc.ConfigSnapshot {
 	view := a.config.Current()
-	if view == nil || !a.routers.isBehind(at, view.Revision()) {
+	if view == nil || !a.routers.isBehind(router, view.Revision()) {
 		return nil
 	}
 	snapshot, err := config.SnapshotMessage(view.Document())
@@ -117,22 +116,22 @@
 	return snapshot
 }
 
-// applyConfig takes over what an answer brings of the configuration. If changes
-// can't be applied, the next exchange asks for the whole document.
-func (a *Agent) applyConfig(from *routerState, answer *rpc.SyncResponse) {
+// applyConfig applies the configuration in an answer. If changes can't be applied, the next sync
+// requests the whole document.
+func (a *Agent) applyConfig(router *routerState, answer *rpc.SyncResponse) {
 	if answer.GetConfig() == nil && len(answer.GetConfigChanges()) == 0 {
 		return
 	}
 	accepted, err := a.offerConfig(answer)
 	a.snapshotWanted.Store(err != nil)
 	if err != nil {
-		a.logger.Warn().Err(err).Str("router", string(from.address)).Msg("configuration_rejected")
+		a.logger.Warn().Err(err).Str("router", string(router.address)).Msg("configuration_rejected")
 		return
 	}
 	if accepted {
 		a.metrics.revision.Set(float64(a.config.Revision()))
 		a.logger.Info().Uint64("revision", uint64(a.config.Revision())).
-			Str("router", string(from.address)).Msg("configuration_learned")
+			Str("router", string(router.address)).Msg("configuration_learned")
 	}
 }
 
@@ -152,26 +151,26 @@
 	return accepted, err
 }
 
-// handleAnswerHeader takes the header of a router's answer and starts an exchange if
-// either side is behind.
-func (a *Agent) handleAnswerHeader(by *routerState, header *rpc.Header) {
-	a.routers.recordAnswer(by, header)
+// handleAnswerHeader records a router's answer and requests a sync if the configuration revisions
+// differ.
+func (a *Agent) handleAnswerHeader(router *routerState, header *rpc.Header) {
+	a.routers.recordAnswer(router, header)
 	if fleet.Revision(header.GetKnownRevision()) != a.config.Revision() {
-		a.requestSync(by)
+		a.requestSync(router)
 	}
 }
 
-func (a *Agent) requestSync(with *routerState) {
+func (a *Agent) requestSync(router *routerState) {
 	select {
-	case a.syncRequests <- with:
-	default: // an exchange is due already
+	case a.syncRequests <- router:
+	default: // a sync is already pending
 	}
 }
 
-func (a *Agent) handleRouterFailure(at *routerState, call string, err error) {
-	a.routers.recordFailure(at)
+func (a *Agent) handleRouterFailure(router *routerState, call string, err error) {
+	a.routers.recordFailure(router)
 	a.metrics.routerFailures.Inc()
-	a.logger.Warn().Err(err).Str("router", string(at.address)).Str("call", call).Msg("router_failed")
+	a.logger.Warn().Err(err).Str("router", string(router.address)).Str("call", call).Msg("router_failed")
 }
 
 func (a *Agent) header() *rpc.Header {
--- a/internal/agent/synctargets.go
+++ b/internal/agent/synctargets.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// maxSyncTargets bounds the routers of one round of exchanges.
+	// maxSyncTargets limits the routers of a sync round.
 	maxSyncTargets = 8
-	// probeRounds is the number of rounds from one router other than the
-	// followed one to the next. It bounds how long an agent without requests
-	// misses a configuration that the followed router, cut off, misses too.
+	// probeRounds is the number of rounds between probes of a router other than the followed one.
+	// It limits how long an idle agent uses an outdated configuration if the followed router is
+	// partitioned.
 	probeRounds = 3
-	// meanFollowRounds is the mean number of rounds after which another router is
-	// followed, so that routers that come back get their share of agents.
+	// meanFollowRounds is the mean number of rounds after which the agent follows another router,
+	// which rebalances agents onto restarted routers.
 	meanFollowRounds = 600
 )
 
-// syncTargets returns the routers to exchange news with: the one whose lists
-// are followed; those where requests wait, so that a dead one is noticed; and
-// in some rounds the next in turn of all.
+// syncTargets returns the routers of a sync round: the followed one, those with waiting requests so
+// that their failure is detected, and in every probe round the next router in rotation. Until a
+// router has answered, all are included up to the limit.
 func (r *routerSet) syncTargets() []*routerState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -43,8 +43,8 @@
 	return targets
 }
 
-// syncAddresses lists the members. It adds the seeds until a router has
-// answered and while no member is in good order.
+// syncAddresses returns the members' addresses. It adds the seeds until a router has answered and
+// while every member is failed or stopping.
 func (r *routerSet) syncAddresses() []fleet.Address {
 	addresses := make([]fleet.Address, 0, len(r.ranking.members)+len(r.seeds))
 	needsSeeds := true
@@ -58,7 +58,8 @@
 	return addresses
 }
 
-// updateFollowed keeps following a router, or chooses another at random among the best.
+// updateFollowed keeps the followed router, or picks a random one among those with the lowest
+// penalty.
 func (r *routerSet) updateFollowed(addresses []fleet.Address) {
 	current := r.followed
 	if r.isUsable(current, addresses) && rand.IntN(meanFollowRounds) > 0 {
@@ -78,15 +79,15 @@
 	r.followed = best[rand.IntN(len(best))]
 }
 
-// isUsable tells whether a link is in use, in good order and to one of the addresses.
-func (r *routerSet) isUsable(known *routerState, addresses []fleet.Address) bool {
-	return known != nil && r.states[known.address] == known && r.penalty(known) == 0 &&
-		slices.Contains(addresses, known.address)
+// isUsable reports whether a router is still in use, has no penalty and is one of addresses.
+func (r *routerSet) isUsable(state *routerState, addresses []fleet.Address) bool {
+	return state != nil && r.states[state.address] == state && r.penalty(state) == 0 &&
+		slices.Contains(addresses, state.address)
 }
 
-// isFollowed tells whether the lists are followed from a router.
-func (r *routerSet) isFollowed(at *routerState) bool {
+// isFollowed reports whether lists are replicated from a router.
+func (r *routerSet) isFollowed(router *routerState) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.followed == at
+	return r.followed == router
 }
--- a/internal/agent/synctargets_test.go
+++ b/internal/agent/synctargets_test.go
@@ -41,7 +41,7 @@
 			asked[target.address] = true
 		}
 	}
-	// A router that is followed when its turn comes isn't asked a second time.
+	// The followed router isn't added a second time when it is its turn.
 	assert.Len(t, asked, count)
 	assert.LessOrEqual(t, exchanges, count*probeRounds+count)
 }
@@ -66,10 +66,10 @@
 
 func TestRouterWithWaitingRequestsIsSyncTarget(t *testing.T) {
 	r := newTestRouterSet(20)
-	waitedFor := r.getOrCreate("10.0.0.7:7400")
-	r.beginWait(waitedFor)
+	withRequests := r.getOrCreate("10.0.0.7:7400")
+	r.beginWait(withRequests)
 	for range probeRounds {
-		assert.Contains(t, r.syncTargets(), waitedFor)
+		assert.Contains(t, r.syncTargets(), withRequests)
 	}
 }
 
@@ -85,9 +85,8 @@
 	assert.Len(t, followers, routerCount)
 }
 
-// TestIncompleteAgentSyncsMoreOften hears a router that knows neither
-// configuration nor engines: a whole interval later the routers that did know
-// may be gone.
+// TestIncompleteAgentSyncsMoreOften guards against an agent that waits a whole interval although
+// its router has no configuration or engines yet.
 func TestIncompleteAgentSyncsMoreOften(t *testing.T) {
 	own := DefaultSettings()
 	a, err := New(own, Dependencies{})
@@ -110,7 +109,7 @@
 		Pools: []config.Pool{{Name: "p", MaxStreams: 1, MaxLoads: 1}},
 	})
 	require.NoError(t, err)
-	assert.Less(t, a.syncPause(), longest/urgentRoundsPerInterval, "the engines aren't known yet")
+	assert.Less(t, a.syncPause(), longest/urgentRoundsPerInterval, "no engines are known yet")
 
 	a.routers.update(nil, &rpc.MachineList{Digest: 1, Machines: []*rpc.Machine{{Id: "engine-1"}}}, 0)
 	assert.Greater(t, a.syncPause(), longest/urgentRoundsPerInterval)
