--- a/internal/agent/nonreading_test.go
+++ b/internal/agent/nonreading_test.go
@@ -22,9 +22,9 @@
 	// longOutput is a number of tokens that exceeds the connection buffers of both ends.
 	longOutput = 20000
 	// maxTokensRead is above the number of tokens that the small buffers hold.
-	maxTokensRead = 1000
-	smallBuffer   = 4096
-	stuckCallers  = 3
+	maxTokensRead     = 1000
+	smallBuffer       = 4096
+	nonReadingCallers = 3
 )
 
 // startNonReadingCaller requests a long stream over a connection with a small receive buffer and
@@ -67,11 +67,11 @@
 		own.HTTP.WriteTimeout = settings.Duration(time.Second)
 		own.HTTP.WriteBufferBytes = smallBuffer
 	}, router)
-	for range stuckCallers {
+	for range nonReadingCallers {
 		startNonReadingCaller(t, a)
 	}
 	require.Eventually(t, func() bool {
-		return metric(t, a, "tillerfall_agent_running_requests") == stuckCallers
+		return metric(t, a, "tillerfall_agent_running_requests") == nonReadingCallers
 	}, waitTimeout, pollInterval)
 	status, _ := decode(t, post(t, a, openai.PathCompletions, completionBody(20, false)))
 	require.Equal(t, http.StatusOK, status)
@@ -80,9 +80,9 @@
 	}, waitTimeout, pollInterval)
 	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
 	tokensRead := metric(t, a, "tillerfall_agent_output_tokens_total")
-	t.Logf("%d of %d tokens were read from the engine", tokensRead, stuckCallers*longOutput)
-	assert.Less(t, tokensRead, stuckCallers*maxTokensRead)
+	t.Logf("%d of %d tokens were read from the engine", tokensRead, nonReadingCallers*longOutput)
+	assert.Less(t, tokensRead, nonReadingCallers*maxTokensRead)
 	_, text := get(t, a, agent.PathMetrics)
-	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, stuckCallers)
+	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, nonReadingCallers)
 	assert.Contains(t, text, gone)
 }
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -24,7 +24,7 @@
 // place requests a placement from a router and returns the outcome as an event.
 func (c *requestRunner) place(ctx context.Context, action attempt.RequestPlacement) attempt.Event {
 	router := c.chooseRouter(action)
-	c.placedBy[action.Attempt] = router
+	c.routerByAttempt[action.Attempt] = router
 	aliveContext := c.agent.routers.beginWait(router)
 	defer c.agent.routers.endWait(router)
 	ctx, cancel := context.WithTimeout(ctx, c.request.maxWait+placeTimeoutMargin)
@@ -48,8 +48,8 @@
 		selected := c.agent.routers.newRoute(c.request)
 		c.route = &selected
 	}
-	router := c.agent.routers.choose(*c.route, action.Preferred, c.tried)
-	c.tried[router.address]++
+	router := c.agent.routers.chooseRouter(*c.route, action.Preferred, c.tries)
+	c.tries[router.address]++
 	return router
 }
 
@@ -124,7 +124,7 @@
 	c.agent.metrics.spills.Inc()
 	c.spills++
 	if c.spills >= affinity.MaxSpills {
-		clear(c.tried)
+		clear(c.tries)
 	}
 }
 
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -18,9 +18,9 @@
 
 // reportQueue holds the pending reports for a router. At most one sender drains it.
 type reportQueue struct {
-	mutex     sync.Mutex
-	pending   []*rpc.AttemptReport
-	isSending bool
+	mutex         sync.Mutex
+	pending       []*rpc.AttemptReport
+	senderRunning bool
 	// urgent is signalled when a report must be sent immediately.
 	urgent chan struct{}
 }
@@ -43,8 +43,8 @@
 		default:
 		}
 	}
-	start = !q.isSending
-	q.isSending = true
+	start = !q.senderRunning
+	q.senderRunning = true
 	return start, false
 }
 
@@ -57,7 +57,7 @@
 	q.pending = q.pending[count:]
 	if count == 0 {
 		q.pending = nil
-		q.isSending = false
+		q.senderRunning = false
 	}
 	return batch
 }
@@ -65,7 +65,7 @@
 func (q *reportQueue) isIdle() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return !q.isSending
+	return !q.senderRunning
 }
 
 var reportPhases = map[attempt.ReportPhase]rpc.AttemptPhase{
--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -58,11 +58,11 @@
 	context         context.Context
 	cancelOperation context.CancelFunc
 
-	// tried, placedBy and handBacks are only written by the placement call, of which at most one is
+	// tries, placedBy and handBacks are only written by the placement call, of which at most one is
 	// in flight.
-	tried     map[fleet.Address]int
-	placedBy  map[fleet.Attempt]*routerState
-	handBacks uint32
+	tries           map[fleet.Address]int
+	routerByAttempt map[fleet.Attempt]*routerState
+	handBacks       uint32
 	// route is set by the first placement call; spills counts the saturated routers since the last
 	// grant. Both are only accessed by the placement call.
 	route  *route
@@ -87,8 +87,8 @@
 		logger:          a.logger.With().Str("request_id", string(admitted.id)).Logger(),
 		events:          make(chan attempt.Event),
 		cancelOperation: func() {},
-		tried:           make(map[fleet.Address]int),
-		placedBy:        make(map[fleet.Attempt]*routerState),
+		tries:           make(map[fleet.Address]int),
+		routerByAttempt: make(map[fleet.Attempt]*routerState),
 	}
 }
 
@@ -136,7 +136,7 @@
 		case attempt.CancelAndFence:
 			c.cancel(action)
 		case attempt.Report:
-			c.agent.report(c.placedBy[action.Attempt], c.request.id, action)
+			c.agent.report(c.routerByAttempt[action.Attempt], c.request.id, action)
 		default:
 			c.writeOutput(action)
 		}
@@ -167,7 +167,7 @@
 	}
 	if grant, isGrant := event.(attempt.Granted); isGrant {
 		report := attempt.Report{Attempt: grant.Attempt, Run: grant.Run, Phase: attempt.ReportAbandoned}
-		c.agent.report(c.placedBy[grant.Attempt], c.request.id, report)
+		c.agent.report(c.routerByAttempt[grant.Attempt], c.request.id, report)
 	}
 	return false
 }
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -97,9 +97,9 @@
 	return created
 }
 
-// choose returns the router for a placement. Routers that the request has already tried, that
+// chooseRouter returns the router for a placement. Routers that the request has already tried, that
 // failed recently or that are stopping are ranked last.
-func (r *routerSet) choose(route route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
+func (r *routerSet) chooseRouter(route route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var best *routerState
