--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -58,8 +58,8 @@
 	context         context.Context
 	cancelOperation context.CancelFunc
 
-	// tries, placedBy and handBacks are only written by the placement call, of which at most one is
-	// in flight.
+	// tries, routerByAttempt and handBacks are only written by the placement call, of which at
+	// most one is in flight.
 	tries           map[fleet.Address]int
 	routerByAttempt map[fleet.Attempt]*routerState
 	handBacks       uint32
--- a/internal/agent/synctargets.go
+++ b/internal/agent/synctargets.go
@@ -79,7 +79,7 @@
 	r.followed = best[rand.IntN(len(best))]
 }
 
-// isUsable reports whether a router is still in use, has no penalty and is one of addresses.
+// isUsable reports whether a router is still in the set, has no penalty and is one of addresses.
 func (r *routerSet) isUsable(state *routerState, addresses []fleet.Address) bool {
 	return state != nil && r.states[state.address] == state && r.penalty(state) == 0 &&
 		slices.Contains(addresses, state.address)
--- a/internal/router/enginestatus.go
+++ b/internal/router/enginestatus.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// client returns a client for a listed engine. The caller must call release after use.
+// client returns a client for a listed engine. If found, the caller must call release after use.
 func (f *engineFleet) client(id fleet.EngineID) (client *engine.Client, release func(), found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -28,7 +28,7 @@
 }
 
 // placer serializes access to the placement core, delivers outcomes to waiting calls and ticks the
-// core when a timer of it is due.
+// core when it is due.
 type placer struct {
 	clock    fleet.Clock
 	metrics  *metrics
