--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,11 +55,11 @@
 	budget         attempt.RetryBudget
 	concurrency    *concurrencyLimiter
 	duplicates     *duplicateFilter
-	running        *admissionGate
+	gate           *admissionGate
 
-	server       *http.Server
-	listener     net.Listener
-	syncRequests chan *routerState
+	server    *http.Server
+	listener  net.Listener
+	syncQueue chan *routerState
 
 	// tomb tracks the agent's own goroutines; calls tracks those of requests, which may outlive
 	// their requests.
@@ -93,8 +93,8 @@
 		budget:       &lockedBudget{budget: attempt.NewBudget(settings.Requests.budget())},
 		concurrency:  newConcurrencyLimiter(settings.Requests.MaxConcurrent),
 		duplicates:   newDuplicateFilter(settings.Requests.IdempotencyKeys),
-		running:      newAdmissionGate(),
-		syncRequests: make(chan *routerState, 1),
+		gate:         newAdmissionGate(),
+		syncQueue:    make(chan *routerState, 1),
 		graceExpired: make(chan struct{}),
 		drained:      make(chan struct{}),
 	}
@@ -180,7 +180,7 @@
 // drain stops the agent. New requests are answered with a refusal as long as old ones run.
 func (a *Agent) drain() {
 	grace := time.Duration(a.settings.StopGrace)
-	idle := a.running.close()
+	idle := a.gate.close()
 	a.server.SetKeepAlivesEnabled(false)
 	a.logger.Info().Dur("grace_ms", grace).Msg("agent_stopping")
 	select {
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -65,11 +65,11 @@
 		a.refuse(writer, id, failure)
 		return
 	}
-	if !a.running.enter() {
+	if !a.gate.enter() {
 		a.refuse(writer, id, a.temporaryFailure(resultcode.Stopping, "the agent is stopping"))
 		return
 	}
-	defer a.running.leave()
+	defer a.gate.leave()
 	a.metrics.running.Inc()
 	defer a.metrics.running.Dec()
 	view, tenant, failure := a.authenticate(request.Header)
@@ -125,7 +125,7 @@
 		code = abortedLabel
 		a.metrics.countAborted(c.request.class)
 	} else {
-		a.metrics.countEnd(c.result, c.request.class)
+		a.metrics.countResult(c.result, c.request.class)
 	}
 	firstToken := time.Duration(0)
 	if c.firstTokenAt > 0 {
@@ -152,7 +152,7 @@
 
 func (a *Agent) refuse(writer http.ResponseWriter, id fleet.RequestID, failure *openai.Failure) {
 	failure.RequestID = id
-	a.metrics.countEnd(failure.Code, "")
+	a.metrics.countResult(failure.Code, "")
 	a.logger.Info().Str("request_id", string(id)).Str("code", failure.Code.String()).
 		Str("reason", failure.Message).Msg("request_refused")
 	if err := openai.WriteFailure(writer, failure); err != nil {
@@ -223,7 +223,7 @@
 // readiness returns the code with which new requests would be refused, or OK.
 func (a *Agent) readiness() resultcode.Code {
 	switch {
-	case !a.running.isOpen():
+	case !a.gate.isOpen():
 		return resultcode.Stopping
 	case a.config.Current() == nil:
 		return resultcode.NoConfiguration
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -68,7 +68,7 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help})
 }
 
-func (m *metrics) countEnd(code resultcode.Code, class fleet.ClassName) {
+func (m *metrics) countResult(code resultcode.Code, class fleet.ClassName) {
 	m.requests.WithLabelValues(code.String(), string(class)).Inc()
 }
 
--- a/internal/agent/sync.go
+++ b/internal/agent/sync.go
@@ -22,7 +22,7 @@
 		a.syncRound()
 		select {
 		case <-time.After(a.syncPause()):
-		case router := <-a.syncRequests:
+		case router := <-a.syncQueue:
 			a.syncWith(router)
 		case <-a.drained:
 			return nil
@@ -162,7 +162,7 @@
 
 func (a *Agent) requestSync(router *routerState) {
 	select {
-	case a.syncRequests <- router:
+	case a.syncQueue <- router:
 	default: // a sync is already pending
 	}
 }
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -40,9 +40,9 @@
 	core  *placement.Core
 	calls map[placement.Key]*openCall
 	// recent keeps the block hashes of recent requests for operators.
-	recent *recentRequests
-	nextAt time.Duration
-	armed  bool
+	recent     *recentRequests
+	nextTickAt time.Duration
+	armed      bool
 }
 
 func newPlacer(core *placement.Core, clock fleet.Clock, metrics *metrics, maxCalls int) *placer {
@@ -98,11 +98,11 @@
 // arm signals the timer if the core is due earlier than the timer is set for.
 func (p *placer) arm() {
 	at, due := p.core.NextWake()
-	if !due || (p.armed && p.nextAt <= at) {
+	if !due || (p.armed && p.nextTickAt <= at) {
 		return
 	}
 	p.armed = true
-	p.nextAt = at
+	p.nextTickAt = at
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -138,7 +138,7 @@
 	})
 	at, due := p.core.NextWake()
 	p.armed = due
-	p.nextAt = at
+	p.nextTickAt = at
 	if !due {
 		return maxTickInterval
 	}
