--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -114,7 +114,7 @@
 	return best
 }
 
-// Penalties in chooseRouter; lower is better.
+// Penalties of routers; lower is better.
 const (
 	penaltyFailed   = 1
 	penaltyStopping = 2
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -88,18 +88,18 @@
 // followAny follows the first reader that answers with a current list. It returns errNotReader if a
 // router answered that isn't a reader and none had a current list.
 func (m *machineFollower) followAny(readers []membership.Member) error {
-	lastErr := errors.New("no other router serves the list of machines")
+	followErr := errors.New("no other router serves the list of machines")
 	for _, reader := range m.orderReaders(readers) {
 		err := m.follow(reader)
 		if err == nil {
 			return nil
 		}
 		m.router.logger.Debug().Str("reader", string(reader.Node)).Err(err).Msg("machine_follow_failed")
-		if !errors.Is(lastErr, errNotReader) {
-			lastErr = err
+		if !errors.Is(followErr, errNotReader) {
+			followErr = err
 		}
 	}
-	return lastErr
+	return followErr
 }
 
 // orderReaders returns readers rotated to start with the followed one. A router that follows none
