--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,14 +1,11 @@
-// Package agent is the process beside each caller. It takes requests in the
-// callers' protocol, asks a router which engine gets each, dispatches it there
-// itself, passes the tokens on, and resumes, cancels or tries again as package
-// attempt decides.
+// Package agent implements the process beside each caller. It serves an OpenAI-compatible API, asks
+// a router which engine gets each request, dispatches the request there itself and forwards the
+// tokens. Package attempt decides when to resume, cancel or retry.
 //
-// An agent learns its configuration from the routers, takes the highest
-// revision from any of them and brings routers that are behind up to date. It
-// can't tell whether the revision that it has is the newest: while no router
-// can be reached it goes on checking requests by the last one, without a limit
-// of time, isn't ready, and refuses them as "no_router" with a Retry-After,
-// since nothing can be placed. Streams that run at engines go on.
+// An agent receives its configuration from the routers. It uses the highest revision it has seen
+// and updates routers that are behind. While no router is reachable, it is not ready and keeps
+// validating requests with its last configuration, however old, but refuses them as "no_router"
+// with a Retry-After, since they can't be placed. Streams that already run at engines continue.
 package agent
 
 import (
@@ -31,14 +28,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleetsync"
 )
 
-// Dependencies are what an agent gets from its process.
+// Dependencies are provided by the process that runs the agent.
 type Dependencies struct {
 	Logger zerolog.Logger
-	// Registry takes the agent's metrics; nil makes a new one.
+	// Registry receives the agent's metrics; nil creates a new registry.
 	Registry *prometheus.Registry
 }
 
-// Agent is one run of the process. It can't be started again.
+// Agent is one instance of the agent process. It can't be restarted.
 type Agent struct {
 	settings Settings
 	node     fleet.NodeID
@@ -48,31 +45,31 @@
 	metrics  *metrics
 
 	config *config.Holder
-	// lists are the routers' lists. That of engines is remembered also for
-	// those routers that restart while the platform is down.
+	// lists holds the routers' lists of routers and engines. The list of engines also serves to
+	// restore routers that restart during a platform outage.
 	lists fleetsync.Subscriber
-	// snapshotWanted is set when changes of the configuration couldn't be applied.
+	// snapshotWanted is set when configuration changes could not be applied.
 	snapshotWanted atomic.Bool
-	routers        *routers
+	routers        *routerSet
 	engines        *engine.ConnectionPool
 	budget         attempt.RetryBudget
-	concurrency    *concurrency
-	duplicates     *duplicates
-	running        *gate
-
-	server   *http.Server
-	listener net.Listener
-	syncNow  chan *link
-
-	// life runs the agent; calls runs what requests have under way, which ends
-	// after the requests themselves.
-	life      tomb.Tomb
-	calls     tomb.Tomb
-	graceOver chan struct{}
-	drained   chan struct{}
+	concurrency    *concurrencyLimiter
+	duplicates     *duplicateFilter
+	gate           *admissionGate
+
+	server    *http.Server
+	listener  net.Listener
+	syncQueue chan *routerState
+
+	// tomb tracks the agent's own goroutines; calls tracks those of requests, which may outlive
+	// their requests.
+	tomb         tomb.Tomb
+	calls        tomb.Tomb
+	graceExpired chan struct{}
+	drained      chan struct{}
 }
 
-// New returns an agent that isn't started. The settings must have been checked.
+// New returns an agent that is not started. The settings must have been validated.
 func New(settings Settings, dependencies Dependencies) (*Agent, error) {
 	registry := dependencies.Registry
 	if registry == nil {
@@ -88,18 +85,18 @@
 		registry: registry,
 		metrics:  newMetrics(registry),
 		config:   config.NewHolder(),
-		routers:  newRouters(clock, settings.ranking(), settings.Routers, time.Duration(settings.Sync.BackoffMax)),
+		routers:  newRouterSet(clock, settings.newRanking(), settings.Routers, time.Duration(settings.Sync.BackoffMax)),
 		engines: engine.NewConnectionPool(engine.Options{
 			ConnectTimeout: time.Duration(settings.Engines.ConnectTimeout),
 			HeaderTimeout:  time.Duration(settings.Engines.HeaderTimeout),
 		}),
-		budget:      &sharedBudget{budget: attempt.NewBudget(settings.Requests.budget())},
-		concurrency: newConcurrency(settings.Requests.MaxConcurrent),
-		duplicates:  newDuplicates(settings.Requests.IdempotencyKeys),
-		running:     newGate(),
-		syncNow:     make(chan *link, 1),
-		graceOver:   make(chan struct{}),
-		drained:     make(chan struct{}),
+		budget:       &lockedBudget{budget: attempt.NewBudget(settings.Requests.budget())},
+		concurrency:  newConcurrencyLimiter(settings.Requests.MaxConcurrent),
+		duplicates:   newDuplicateFilter(settings.Requests.IdempotencyKeys),
+		gate:         newAdmissionGate(),
+		syncQueue:    make(chan *routerState, 1),
+		graceExpired: make(chan struct{}),
+		drained:      make(chan struct{}),
 	}
 	a.server = a.newServer()
 	return a, nil
@@ -117,8 +114,8 @@
 	}
 }
 
-// boundWriteBuffer keeps the kernel from growing the buffer of a caller that
-// doesn't read. A connection that can't be bounded works all the same.
+// boundWriteBuffer keeps the kernel from growing the send buffer of a caller that doesn't read.
+// Errors are ignored because the connection works without the bound.
 func (a *Agent) boundWriteBuffer(ctx context.Context, connection net.Conn) context.Context {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 		_ = tcp.SetWriteBuffer(a.settings.HTTP.WriteBufferBytes)
@@ -126,8 +123,7 @@
 	return ctx
 }
 
-// Start listens and serves until Stop is called or the context ends; the end of
-// the context is a planned stop too.
+// Start listens and serves until Stop is called or ctx ends. Both stop the agent gracefully.
 func (a *Agent) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", string(a.settings.Node.Address))
 	if err != nil {
@@ -138,30 +134,30 @@
 		<-a.calls.Dying()
 		return nil
 	})
-	a.life.Go(a.serve)
-	a.life.Go(a.syncLoop)
-	a.life.Go(func() error { return a.supervise(ctx) })
+	a.tomb.Go(a.serve)
+	a.tomb.Go(a.syncLoop)
+	a.tomb.Go(func() error { return a.supervise(ctx) })
 	a.logger.Info().Str("address", listener.Addr().String()).Msg("agent_started")
 	return nil
 }
 
-// Address returns the address that a started agent listens on.
+// Address returns the address on which a started agent listens.
 func (a *Agent) Address() fleet.Address { return fleet.Address(a.listener.Addr().String()) }
 
-// Node returns the identifier of this run.
+// Node returns the identifier of this instance.
 func (a *Agent) Node() fleet.NodeID { return a.node }
 
-// Dead is closed when the agent has ended.
-func (a *Agent) Dead() <-chan struct{} { return a.life.Dead() }
+// Dead returns a channel that is closed when the agent has terminated.
+func (a *Agent) Dead() <-chan struct{} { return a.tomb.Dead() }
 
-// Stop refuses new requests, lets running ones finish within the grace and
-// returns when the agent has ended. Further calls wait for the same end.
+// Stop refuses new requests, lets running ones finish within the grace period and returns when the
+// agent has terminated. Concurrent and later calls wait as well.
 func (a *Agent) Stop() error {
 	if a.listener == nil {
-		return nil // never started
+		return nil // not started
 	}
-	a.life.Kill(nil)
-	return a.life.Wait()
+	a.tomb.Kill(nil)
+	return a.tomb.Wait()
 }
 
 func (a *Agent) serve() error {
@@ -174,18 +170,17 @@
 func (a *Agent) supervise(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-		a.life.Kill(nil)
-	case <-a.life.Dying():
+		a.tomb.Kill(nil)
+	case <-a.tomb.Dying():
 	}
 	a.drain()
 	return nil
 }
 
-// drain ends the agent. New requests are refused, not cut off, for as long as
-// old ones run.
+// drain stops the agent. New requests are answered with a refusal as long as old ones run.
 func (a *Agent) drain() {
 	grace := time.Duration(a.settings.StopGrace)
-	idle := a.running.shut()
+	idle := a.gate.close()
 	a.server.SetKeepAlivesEnabled(false)
 	a.logger.Info().Dur("grace_ms", grace).Msg("agent_stopping")
 	select {
@@ -193,7 +188,7 @@
 	case <-time.After(grace):
 		a.logger.Warn().Msg("stop_grace_over")
 	}
-	close(a.graceOver)
+	close(a.graceExpired)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.HTTP.WriteTimeout))
 	defer cancel()
 	if err := a.server.Shutdown(ctx); err != nil {
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -12,21 +12,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// cancelTries is how often a best-effort cancel is sent.
-const cancelTries = 3
+// maxCancelTries is the maximum number of tries of a best-effort cancel.
+const maxCancelTries = 3
 
-// cancelPause is the time between two tries of a best-effort cancel.
-const cancelPause = 200 * time.Millisecond
+// cancelRetryDelay is the delay between tries of a best-effort cancel.
+const cancelRetryDelay = 200 * time.Millisecond
 
-func (c *carrier) dispatch(ctx context.Context, action attempt.Dispatch) {
-	weights := c.call.weights
+func (c *requestRunner) dispatch(ctx context.Context, action attempt.Dispatch) {
+	weights := c.request.weights
 	stream, err := c.agent.engines.Client(action.Address).Dispatch(ctx, engine.DispatchRequest{
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
-		Tenant:       c.call.tenant.Name,
+		Tenant:       c.request.tenant.Name,
 		Weights:      engine.Weights{Model: weights.Model, Adapter: weights.Adapter, Version: weights.Version},
-		Prompt:       c.call.body.Prompt,
-		MaxTokens:    c.call.maxTokens,
+		Prompt:       c.request.body.Prompt,
+		MaxTokens:    c.request.maxTokens,
 		Priority:     action.Priority,
 		Continuation: action.Continuation,
 	})
@@ -35,7 +35,7 @@
 		c.deliver(ctx, dispatchFailure(action.Operation, err))
 		return
 	}
-	c.read(ctx, action.Operation, action.Run, stream)
+	c.readStream(ctx, action.Operation, action.Run, stream)
 }
 
 func dispatchFailure(operation attempt.Operation, err error) attempt.Event {
@@ -55,10 +55,10 @@
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-func (c *carrier) resume(ctx context.Context, action attempt.Resume) {
+func (c *requestRunner) resume(ctx context.Context, action attempt.Resume) {
 	stream, err := c.agent.engines.Client(action.Address).Resume(ctx, action.Stream, action.Offset)
 	if err == nil {
-		c.read(ctx, action.Operation, action.Run, stream)
+		c.readStream(ctx, action.Operation, action.Run, stream)
 		return
 	}
 	c.logEngineError("resume_failed", action.Run, err)
@@ -74,18 +74,17 @@
 	c.deliver(ctx, attempt.ResumeFailed{Operation: action.Operation})
 }
 
-// read delivers a stream's frames until its end. Each is taken from the
-// connection only after the one before has been handled. The time that the
-// handling takes doesn't count as the engine's silence.
-func (c *carrier) read(ctx context.Context, operation attempt.Operation, run fleet.EngineRun, stream *engine.Stream) {
+// readStream delivers a stream's frames until it ends. It reads a frame only after the previous one
+// was handled. The idle timeout doesn't run while a frame is handled.
+func (c *requestRunner) readStream(ctx context.Context, operation attempt.Operation, run fleet.EngineRun, stream *engine.Stream) {
 	defer stream.Close()
 	idle := time.Duration(c.agent.settings.Engines.StreamIdleTimeout)
-	silence := time.AfterFunc(idle, stream.Close)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(idle, stream.Close)
+	defer idleTimer.Stop()
 	for {
-		silence.Reset(idle)
+		idleTimer.Reset(idle)
 		frame, err := stream.Next(ctx)
-		silence.Stop()
+		idleTimer.Stop()
 		if err != nil {
 			c.logEngineError("stream_broken", run, err)
 			c.deliver(ctx, attempt.StreamBroken{Operation: operation})
@@ -100,29 +99,29 @@
 	}
 }
 
-// cancel stops a stream. A best-effort cancel outlives its request.
-func (c *carrier) cancel(action attempt.CancelAndFence) {
+// cancel stops a stream. A best-effort cancel may outlive its request.
+func (c *requestRunner) cancel(action attempt.CancelAndFence) {
 	if action.Operation != 0 {
-		c.start(action.Delay, func(ctx context.Context) {
+		c.startOperation(action.Delay, func(ctx context.Context) {
 			c.deliver(ctx, c.cancelOnce(ctx, action))
 		})
 		return
 	}
 	c.agent.calls.Go(func() error {
-		for range cancelTries {
+		for range maxCancelTries {
 			failed, isFailure := c.cancelOnce(context.Background(), action).(attempt.CancelFailed)
 			if !isFailure || failed.Code == engine.ErrorWrongIncarnation {
 				return nil
 			}
-			time.Sleep(cancelPause)
+			time.Sleep(cancelRetryDelay)
 		}
 		return nil
 	})
 }
 
-func (c *carrier) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
-	defer stop()
+func (c *requestRunner) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
+	defer cancel()
 	answer, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
 	if err != nil {
 		c.logEngineError("cancel_failed", action.Run, err)
@@ -133,8 +132,8 @@
 	return attempt.CancelAnswered{Operation: action.Operation, State: answer.State}
 }
 
-// logEngineError logs a failed exchange, unless the agent has ended it itself.
-func (c *carrier) logEngineError(event string, run fleet.EngineRun, err error) {
+// logEngineError logs a failed call, unless the agent itself cancelled it.
+func (c *requestRunner) logEngineError(event string, run fleet.EngineRun, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -142,8 +141,8 @@
 		Uint64("incarnation", uint64(run.Incarnation)).Msg(event)
 }
 
-// engineError returns the typed error of an exchange. The engine's client gives
-// no other; one that comes all the same says nothing of what was done.
+// engineError returns err as an engine.Error. The engine client returns no other type; any other
+// error is treated as a call with unknown outcome.
 func engineError(err error) *engine.Error {
 	var failure *engine.Error
 	if errors.As(err, &failure) {
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -28,11 +28,11 @@
 )
 
 const (
-	testKey     = "counter-key"
-	patience    = 20 * time.Second
-	pollEvery   = 5 * time.Millisecond
-	maxBody     = 1 << 16
-	blockTokens = 4
+	testKey      = "counter-key"
+	waitTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
+	maxBody      = 1 << 16
+	blockTokens  = 4
 )
 
 var testPrompt = strings.Repeat("Tariff circular, clause one: every ward office shows the new screen. ", 4)
@@ -56,7 +56,7 @@
 	}
 }
 
-// fakeRouter grants the engines in turn.
+// fakeRouter is a router that grants engines in turn.
 type fakeRouter struct {
 	server *httptest.Server
 
@@ -64,18 +64,18 @@
 	engines  []*engineserver.Server
 	revision uint64
 	config   *rpc.ConfigSnapshot
-	// changes are sent instead of the snapshot.
-	changes  []*rpc.ConfigChange
-	machines *rpc.MachineList
-	lists    *fleetsync.Publisher
-	reports  []*rpc.AttemptReport
-	places   int
-	// hold keeps every answer back until it is closed; held and withdrawn count
-	// the questions that met it and that were given up meanwhile.
-	hold      chan struct{}
-	held      int
-	withdrawn int
-	// retired is refused as a version that no longer serves.
+	// changes are sent instead of config, unless a snapshot is requested.
+	changes    []*rpc.ConfigChange
+	machines   *rpc.MachineList
+	lists      *fleetsync.Publisher
+	reports    []*rpc.AttemptReport
+	placements int
+	// blocked delays every answer until it is closed. blockedCalls counts the calls that were
+	// delayed, cancelledCalls those cancelled meanwhile.
+	blocked        chan struct{}
+	blockedCalls   int
+	cancelledCalls int
+	// retired is the model version for which placements are refused as stale.
 	retired string
 }
 
@@ -102,9 +102,9 @@
 
 func (f *fakeRouter) wait(ctx context.Context) {
 	f.mutex.Lock()
-	hold := f.hold
+	hold := f.blocked
 	if hold != nil {
-		f.held++
+		f.blockedCalls++
 	}
 	f.mutex.Unlock()
 	if hold == nil {
@@ -115,20 +115,20 @@
 	case <-ctx.Done():
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.withdrawn++
+		f.cancelledCalls++
 	}
 }
 
-// freeze keeps all answers back until the returned function is called.
-func (f *fakeRouter) freeze() (thaw func()) {
+// blockAnswers delays all answers until unblock is called.
+func (f *fakeRouter) blockAnswers() (unblock func()) {
 	hold := make(chan struct{})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hold = hold
+	f.blocked = hold
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.hold = nil
+		f.blocked = nil
 		close(hold)
 	}
 }
@@ -144,13 +144,13 @@
 			Outcome: &rpc.PlaceResponse_Refusal{Refusal: refusal},
 		}, nil
 	}
-	chosen := f.engines[f.places%len(f.engines)]
-	f.places++
+	chosen := f.engines[f.placements%len(f.engines)]
+	f.placements++
 	status := chosen.Status()
 	grant := &rpc.Grant{
 		Run:         &rpc.EngineRun{Engine: string(status.Engine), Incarnation: uint64(status.Incarnation)},
 		Address:     string(chosen.Address()),
-		ValidMillis: uint32(patience.Milliseconds()),
+		ValidMillis: uint32(waitTimeout.Milliseconds()),
 	}
 	return &rpc.PlaceResponse{
 		Header: f.header(), RequestId: request.GetRequestId(), Attempt: request.GetAttempt(),
@@ -177,7 +177,7 @@
 		f.machines = pushed
 	}
 	answer := &rpc.SyncResponse{Header: f.header(), MachinesWanted: f.machines == nil}
-	f.lists.Answer(membership.NewView(1, membership.Member{}, nil), f.machines, request, answer)
+	f.lists.FillResponse(membership.NewView(1, membership.Member{}, nil), f.machines, request, answer)
 	if request.GetHeader().GetKnownRevision() < f.revision {
 		if f.changes != nil && !request.GetConfigSnapshotWanted() {
 			answer.ConfigChanges = f.changes
@@ -231,7 +231,7 @@
 	require.Eventually(t, func() bool {
 		status, _ := get(t, started, agent.PathReady)
 		return status == http.StatusOK
-	}, patience, pollEvery)
+	}, waitTimeout, pollInterval)
 	return started
 }
 
@@ -248,7 +248,7 @@
 	return response.StatusCode, string(body)
 }
 
-// post sends a body with the tenant's key and more headers as "Name: value".
+// post sends a body with the tenant's key and additional headers given as "Name: value".
 func post(t *testing.T, a *agent.Agent, path, body string, headers ...string) *http.Response {
 	request, err := http.NewRequest(http.MethodPost, "http://"+string(a.Address())+path, strings.NewReader(body))
 	require.NoError(t, err)
--- a/internal/agent/stuck_test.go
+++ b/internal/agent/nonreading_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// longOutput is over what the buffers of both ends of a connection hold.
+	// longOutput is a number of tokens that exceeds the connection buffers of both ends.
 	longOutput = 20000
-	// mostTaken is over what the small buffers hold, in tokens.
-	mostTaken    = 1000
-	smallBuffer  = 4096
-	stuckCallers = 3
+	// maxTokensRead is above the number of tokens that the small buffers hold.
+	maxTokensRead     = 1000
+	smallBuffer       = 4096
+	nonReadingCallers = 3
 )
 
-// startStuckCaller asks for a long stream over a connection with a small
-// receive buffer and reads nothing of it.
-func startStuckCaller(t *testing.T, a *agent.Agent) {
+// startNonReadingCaller requests a long stream over a connection with a small receive buffer and
+// never reads it.
+func startNonReadingCaller(t *testing.T, a *agent.Agent) {
 	connection, err := net.Dial("tcp", string(a.Address()))
 	require.NoError(t, err)
 	t.Cleanup(func() { connection.Close() })
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 }
 
-// metric reads a counter or gauge without labels; -1 if there is none.
+// metric returns the value of a metric without labels, or -1 if there is none.
 func metric(t *testing.T, a *agent.Agent, name string) int {
 	_, text := get(t, a, agent.PathMetrics)
 	found := regexp.MustCompile(`(?m)^` + name + ` (\S+)$`).FindStringSubmatch(text)
@@ -52,10 +52,10 @@
 	return int(value)
 }
 
-// TestCallersThatStopReading holds up real connections: what the agent takes
-// from the engines for them stays bounded, other requests go on, and after the
-// write timeout the streams are cancelled at the engine and the callers counted as gone.
-func TestCallersThatStopReading(t *testing.T) {
+// TestNonReadingCallersAreBoundedAndCancelled guards against callers on real connections that stop
+// reading: they must not make the agent buffer without limit or block other requests, and their
+// streams must be cancelled after the write timeout.
+func TestNonReadingCallersAreBoundedAndCancelled(t *testing.T) {
 	server := startEngine(t, "a", time.Millisecond)
 	router := startRouter(t, server)
 	document := testDocument()
@@ -67,22 +67,22 @@
 		own.HTTP.WriteTimeout = settings.Duration(time.Second)
 		own.HTTP.WriteBufferBytes = smallBuffer
 	}, router)
-	for range stuckCallers {
-		startStuckCaller(t, a)
+	for range nonReadingCallers {
+		startNonReadingCaller(t, a)
 	}
 	require.Eventually(t, func() bool {
-		return metric(t, a, "tillerfall_agent_running_requests") == stuckCallers
-	}, patience, pollEvery)
+		return metric(t, a, "tillerfall_agent_running_requests") == nonReadingCallers
+	}, waitTimeout, pollInterval)
 	status, _ := decode(t, post(t, a, openai.PathCompletions, completionBody(20, false)))
 	require.Equal(t, http.StatusOK, status)
 	require.Eventually(t, func() bool {
 		return metric(t, a, "tillerfall_agent_running_requests") == 0
-	}, patience, pollEvery)
-	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, patience, pollEvery)
-	taken := metric(t, a, "tillerfall_agent_output_tokens_total")
-	t.Logf("%d of %d tokens were taken from the engine", taken, stuckCallers*longOutput)
-	assert.Less(t, taken, stuckCallers*mostTaken)
+	}, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return server.Status().Load.RunningStreams == 0 }, waitTimeout, pollInterval)
+	tokensRead := metric(t, a, "tillerfall_agent_output_tokens_total")
+	t.Logf("%d of %d tokens were read from the engine", tokensRead, nonReadingCallers*longOutput)
+	assert.Less(t, tokensRead, nonReadingCallers*maxTokensRead)
 	_, text := get(t, a, agent.PathMetrics)
-	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, stuckCallers)
+	gone := fmt.Sprintf(`tillerfall_agent_requests_total{class="urgent",code="caller_gone"} %d`, nonReadingCallers)
 	assert.Contains(t, text, gone)
 }
--- a/internal/agent/operationspage_test.go
+++ b/internal/agent/operationspage_test.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/pagetest"
 )
 
-// TestPageNamesTheAgentsMetrics compares docs/OPERATIONS.md with what an agent
-// registers.
-func TestPageNamesTheAgentsMetrics(t *testing.T) {
+// TestOperationsPageListsAgentMetrics guards against differences between docs/OPERATIONS.md and the
+// registered metrics.
+func TestOperationsPageListsAgentMetrics(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	registry := prometheus.NewRegistry()
--- a/internal/agent/carrier.go
+++ b/internal/agent/requestrunner.go
@@ -14,8 +14,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// call is an admitted request.
-type call struct {
+// admittedRequest is a request that passed validation.
+type admittedRequest struct {
 	id      fleet.RequestID
 	arrived time.Duration
 	tenant  config.Tenant
@@ -24,81 +24,80 @@
 	weights fleet.ModelVersion
 	options openai.Options
 	body    openai.Request
-	// deadline is on the agent's clock.
+	// deadline is a time of the agent's clock.
 	deadline     time.Duration
 	maxTokens    int
 	promptTokens int
 	hashes       []fleet.BlockHash
-	// wholeKey chooses the router for a prompt of less than a block, which can't
-	// share a cached one.
-	wholeKey uint64
-	pool     fleet.PoolName
+	// promptKey selects the router for a prompt shorter than a block, which can't share cached
+	// blocks.
+	promptKey uint64
+	pool      fleet.PoolName
 }
 
-// output is where a request's answer goes. An error means that the caller
-// doesn't read it any more.
+// output receives a request's answer. An error means that the caller no longer reads it.
 type output interface {
 	Token(text string) error
 	Finish(reason string, usage openai.Usage) error
 	Fail(failure *openai.Failure) error
 }
 
-// carrier drives one request's machine: it turns actions into calls to routers
-// and engines, and their answers into events. All but the calls run on the
-// goroutine of the HTTP handler, so a caller that reads slowly holds up its own
-// stream alone: frames are left unread at the engine.
-type carrier struct {
+// requestRunner drives the state machine of a request: it executes actions as calls to routers and
+// engines and feeds the results back as events. Everything except the calls runs on the goroutine
+// of the HTTP handler, so a slow caller only delays its own stream, whose frames stay unread at the
+// engine.
+type requestRunner struct {
 	agent   *Agent
-	call    *call
+	request *admittedRequest
 	machine *attempt.Machine
 	output  output
 	logger  zerolog.Logger
 
 	events chan attempt.Event
-	// context ends with the request; cancelOperation ends the call under way.
+	// context ends with the request; cancelOperation cancels the operation in flight.
 	context         context.Context
 	cancelOperation context.CancelFunc
 
-	// tried, askedAt and handBacks are written by the placing call alone, which
-	// the machine never has two of at a time.
-	tried     map[fleet.Address]int
-	askedAt   map[fleet.Attempt]*link
-	handBacks uint32
-	// routing is set when the request is first placed; spills counts the
-	// saturated routers since its last grant. Both belong to the placing call.
-	routing *routing
-	spills  int
-
-	outputBroken bool
-	firstToken   time.Duration
-	// result is the code of the answer; aborted is set when there was none.
+	// tries, routerByAttempt and handBacks are only written by the placement call, of which at
+	// most one is in flight.
+	tries           map[fleet.Address]int
+	routerByAttempt map[fleet.Attempt]*routerState
+	handBacks       uint32
+	// route is set by the first placement call; spills counts the saturated routers since the last
+	// grant. Both are only accessed by the placement call.
+	route  *route
+	spills int
+
+	outputFailed bool
+	firstTokenAt time.Duration
+	// result is the result code of the answer; aborted is set if there was no answer.
 	result  resultcode.Code
 	aborted bool
 	usage   openai.Usage
 }
 
-func newCarrier(a *Agent, call *call, out output) *carrier {
-	request := attempt.Request{ID: call.id, Repeatable: !call.options.NotRepeatable, Deadline: call.deadline}
+func newRequestRunner(a *Agent, admitted *admittedRequest, output output) *requestRunner {
+	request := attempt.Request{ID: admitted.id, Repeatable: !admitted.options.NotRepeatable, Deadline: admitted.deadline}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &carrier{
+	return &requestRunner{
 		agent:           a,
-		call:            call,
+		request:         admitted,
 		machine:         attempt.New(request, a.settings.Requests.policy(), a.budget, random),
-		output:          out,
-		logger:          a.logger.With().Str("request_id", string(call.id)).Logger(),
+		output:          output,
+		logger:          a.logger.With().Str("request_id", string(admitted.id)).Logger(),
 		events:          make(chan attempt.Event),
 		cancelOperation: func() {},
-		tried:           make(map[fleet.Address]int),
-		askedAt:         make(map[fleet.Attempt]*link),
+		tries:           make(map[fleet.Address]int),
+		routerByAttempt: make(map[fleet.Attempt]*routerState),
 	}
 }
 
-// run carries the request to its end. The context ends when the caller is gone.
-func (c *carrier) run(caller context.Context) {
+// run runs the request to completion. The context caller ends when the caller disconnects.
+func (c *requestRunner) run(caller context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c.context = ctx
-	deadline := time.NewTimer(c.call.deadline - c.agent.clock.Now())
+	deadline := time.NewTimer(c.request.deadline - c.agent.clock.Now())
 	defer deadline.Stop()
 	c.perform(c.machine.Start(c.agent.clock.Now()))
 	for c.machine.Phase() != attempt.PhaseFinished {
@@ -109,58 +108,58 @@
 			event = attempt.CallerGone{}
 		case <-deadline.C:
 			event = attempt.DeadlinePassed{}
-		case <-c.agent.graceOver:
+		case <-c.agent.graceExpired:
 			event = attempt.Stopping{}
 		}
 		c.handle(event)
 	}
 }
 
-func (c *carrier) handle(event attempt.Event) {
+func (c *requestRunner) handle(event attempt.Event) {
 	c.logger.Debug().Type("event", event).Stringer("phase", c.machine.Phase()).Msg("attempt_event")
 	c.perform(c.machine.Handle(c.agent.clock.Now(), event))
-	if c.outputBroken && c.machine.Phase() != attempt.PhaseFinished {
+	if c.outputFailed && c.machine.Phase() != attempt.PhaseFinished {
 		c.perform(c.machine.Handle(c.agent.clock.Now(), attempt.CallerGone{}))
 	}
 }
 
-func (c *carrier) perform(actions []attempt.Action) {
+func (c *requestRunner) perform(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case attempt.RequestPlacement:
-			c.start(action.Delay, func(ctx context.Context) { c.deliver(ctx, c.place(ctx, action)) })
+			c.startOperation(action.Delay, func(ctx context.Context) { c.deliver(ctx, c.place(ctx, action)) })
 		case attempt.Dispatch:
 			c.logger.Debug().Str("engine", string(action.Run.Engine)).Str("stream", string(action.Stream)).Msg("dispatch")
-			c.start(0, func(ctx context.Context) { c.dispatch(ctx, action) })
+			c.startOperation(0, func(ctx context.Context) { c.dispatch(ctx, action) })
 		case attempt.Resume:
-			c.start(action.Delay, func(ctx context.Context) { c.resume(ctx, action) })
+			c.startOperation(action.Delay, func(ctx context.Context) { c.resume(ctx, action) })
 		case attempt.CancelAndFence:
 			c.cancel(action)
 		case attempt.Report:
-			c.agent.report(c.askedAt[action.Attempt], c.call.id, action)
+			c.agent.report(c.routerByAttempt[action.Attempt], c.request.id, action)
 		default:
-			c.answer(action)
+			c.writeOutput(action)
 		}
 	}
 }
 
-// start begins an operation in place of the one under way.
-func (c *carrier) start(delay time.Duration, operation func(context.Context)) {
+// startOperation cancels the operation in flight and starts a new one after delay.
+func (c *requestRunner) startOperation(delay time.Duration, operation func(context.Context)) {
 	c.cancelOperation()
 	ctx, cancel := context.WithCancel(c.context)
 	c.cancelOperation = cancel
 	c.agent.calls.Go(func() error {
 		defer cancel()
-		if wait(ctx, delay) {
+		if sleep(ctx, delay) {
 			operation(ctx)
 		}
 		return nil
 	})
 }
 
-// deliver hands an event to the machine. A grant that nobody takes any more is
-// given back to its router.
-func (c *carrier) deliver(ctx context.Context, event attempt.Event) bool {
+// deliver sends an event to the state machine. A grant that can't be delivered is reported as
+// abandoned to its router.
+func (c *requestRunner) deliver(ctx context.Context, event attempt.Event) bool {
 	select {
 	case c.events <- event:
 		return true
@@ -168,12 +167,12 @@
 	}
 	if grant, isGrant := event.(attempt.Granted); isGrant {
 		report := attempt.Report{Attempt: grant.Attempt, Run: grant.Run, Phase: attempt.ReportAbandoned}
-		c.agent.report(c.askedAt[grant.Attempt], c.call.id, report)
+		c.agent.report(c.routerByAttempt[grant.Attempt], c.request.id, report)
 	}
 	return false
 }
 
-func wait(ctx context.Context, delay time.Duration) bool {
+func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
 	}
@@ -187,13 +186,13 @@
 	}
 }
 
-// answer carries out what the caller sees.
-func (c *carrier) answer(action attempt.Action) {
+// writeOutput executes an action that is visible to the caller.
+func (c *requestRunner) writeOutput(action attempt.Action) {
 	var err error
 	switch action := action.(type) {
 	case attempt.EmitToken:
-		if c.firstToken == 0 {
-			c.firstToken = c.agent.clock.Now()
+		if c.firstTokenAt == 0 {
+			c.firstTokenAt = c.agent.clock.Now()
 		}
 		err = c.output.Token(action.Text)
 	case attempt.Finish:
@@ -208,17 +207,17 @@
 		err = c.output.Fail(&openai.Failure{
 			Code:          action.Code,
 			Message:       action.Reason,
-			RequestID:     c.call.id,
+			RequestID:     c.request.id,
 			RetryAfter:    action.RetryAfter,
-			NotRepeatable: c.call.options.NotRepeatable,
+			NotRepeatable: c.request.options.NotRepeatable,
 		})
 	case attempt.Abort:
 		c.aborted = true
 	}
-	c.outputBroken = c.outputBroken || err != nil
+	c.outputFailed = c.outputFailed || err != nil
 }
 
-// notRun tells whether the request certainly did not run.
-func (c *carrier) notRun() bool {
+// didNotRun reports whether the request certainly did not run.
+func (c *requestRunner) didNotRun() bool {
 	return !c.aborted && resultcode.Lookup(c.result).NotRun
 }
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -16,96 +16,96 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Bounds of the connections to routers. A waiting request holds one.
+// Limits of connections to routers. Each waiting request uses one connection.
 const (
 	routerConnectTimeout = time.Second
 	routerIdleTimeout    = time.Minute
-	maxIdleToRouter      = 64
-	// firstBackoff is how long a router isn't chosen after its first failure.
-	firstBackoff = 200 * time.Millisecond
+	maxIdleConnections   = 64
+	// initialBackoff is the backoff after a router's first failure.
+	initialBackoff = 200 * time.Millisecond
 )
 
-// link is what the agent knows of one router. Its fields but address, client
-// and reports are guarded by the mutex of routers.
-type link struct {
+// routerState is the agent's state for a router. All fields except address, client and reports are
+// guarded by the mutex of routerSet.
+type routerState struct {
 	address fleet.Address
 	client  rpc.Placement
 	reports reportQueue
 
-	failures int
-	retryAt  time.Duration
-	stopping bool
-	// revision is the router's configuration as of its last answer; answered
-	// is false before the first.
-	revision fleet.Revision
-	answered bool
-	// machinesWanted is set when the router has asked for the machine list.
+	failures   int
+	retryAt    time.Duration
+	isStopping bool
+	// revision is the router's configuration revision in its last answer; hasAnswered is false
+	// before the first answer and after a failure.
+	revision    fleet.Revision
+	hasAnswered bool
+	// machinesWanted is set if the router asked for the list of machines.
 	machinesWanted bool
-	// waiting counts the requests that wait at the router.
+	// waiting counts the requests that wait for the router.
 	waiting int
-	// life ends when the router stops answering, and is then replaced.
-	life context.Context
-	end  context.CancelFunc
+	// aliveContext is cancelled and replaced when the router fails.
+	aliveContext context.Context
+	cancelAlive  context.CancelFunc
 }
 
-// routers is the set of routers that the agent may ask.
-type routers struct {
+// routerSet holds the routers that the agent may use.
+type routerSet struct {
 	clock      fleet.Clock
 	seeds      []fleet.Address
 	backoffMax time.Duration
 	client     *http.Client
 
 	mutex   sync.Mutex
-	ranking ranking
-	links   map[fleet.Address]*link
-	// followed is the router that the lists are followed from.
-	followed *link
-	rotation int
-	lastSeen time.Duration
-	seen     bool
+	ranking routerRanking
+	states  map[fleet.Address]*routerState
+	// followed is the router from which lists are replicated.
+	followed     *routerState
+	rotation     int
+	lastAnswerAt time.Duration
+	anyAnswered  bool
 }
 
-func newRouters(clock fleet.Clock, ranking ranking, seeds []fleet.Address, backoffMax time.Duration) *routers {
+func newRouterSet(clock fleet.Clock, ranking routerRanking, seeds []fleet.Address, backoffMax time.Duration) *routerSet {
 	dialer := &net.Dialer{Timeout: routerConnectTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: maxIdleToRouter,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     routerIdleTimeout,
 	}
-	return &routers{
+	return &routerSet{
 		clock:      clock,
 		ranking:    ranking,
 		seeds:      seeds,
 		backoffMax: backoffMax,
 		client:     &http.Client{Transport: transport},
-		links:      make(map[fleet.Address]*link),
+		states:     make(map[fleet.Address]*routerState),
 		rotation:   rand.IntN(math.MaxInt32),
 	}
 }
 
-// link returns the link to an address; the mutex is held.
-func (r *routers) link(address fleet.Address) *link {
-	if known, found := r.links[address]; found {
-		return known
+// getOrCreate returns the state of the router at address. The mutex must be held.
+func (r *routerSet) getOrCreate(address fleet.Address) *routerState {
+	if state, found := r.states[address]; found {
+		return state
 	}
-	created := &link{
+	created := &routerState{
 		address: address,
 		client:  rpc.NewPlacementProtobufClient("http://"+string(address), r.client),
 	}
-	created.life, created.end = context.WithCancel(context.Background())
-	r.links[address] = created
+	created.aliveContext, created.cancelAlive = context.WithCancel(context.Background())
+	r.states[address] = created
 	return created
 }
 
-// choose returns the router to ask for a request. Routers that the request
-// has tried, that have failed lately or that are stopping come last.
-func (r *routers) choose(by routing, preferred []fleet.Address, tried map[fleet.Address]int) *link {
+// chooseRouter returns the router for a placement. Routers that the request has already tried, that
+// failed recently or that are stopping are ranked last.
+func (r *routerSet) chooseRouter(route route, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var best *link
+	var best *routerState
 	bestPenalty := 0
-	for _, address := range r.candidates(by, preferred) {
-		candidate := r.link(address)
+	for _, address := range r.candidates(route, preferred) {
+		candidate := r.getOrCreate(address)
 		penalty := r.penalty(candidate) + tried[address]*(penaltyStopping+1)
 		if best == nil || penalty < bestPenalty {
 			best, bestPenalty = candidate, penalty
@@ -114,15 +114,15 @@
 	return best
 }
 
-// Penalties of routers in choose.
+// Penalties of routers; lower is better.
 const (
 	penaltyFailed   = 1
 	penaltyStopping = 2
 )
 
-func (r *routers) penalty(candidate *link) int {
+func (r *routerSet) penalty(candidate *routerState) int {
 	switch {
-	case candidate.stopping:
+	case candidate.isStopping:
 		return penaltyStopping
 	case candidate.retryAt > r.clock.Now():
 		return penaltyFailed
@@ -131,113 +131,113 @@
 	}
 }
 
-// candidates lists preferred routers, then the members by rank, then the seeds.
-func (r *routers) candidates(by routing, preferred []fleet.Address) []fleet.Address {
+// candidates returns the preferred routers, then the members in order of the route, then the seeds.
+func (r *routerSet) candidates(route route, preferred []fleet.Address) []fleet.Address {
 	var addresses []fleet.Address
 	for _, address := range preferred {
 		if _, err := netip.ParseAddrPort(string(address)); err == nil {
 			addresses = append(addresses, address)
 		}
 	}
-	for _, member := range r.ranking.rank(by) {
+	for _, member := range r.ranking.order(route) {
 		addresses = append(addresses, member.Address)
 	}
-	return append(addresses, r.rankedSeeds(by)...)
+	return append(addresses, r.rankedSeeds(route)...)
 }
 
-// rankedSeeds orders the seeds like members, so that agents agree on the router
-// of a request before they know any member.
-func (r *routers) rankedSeeds(by routing) []fleet.Address {
+// rankedSeeds orders the seeds in the same way as members, so that agents choose the same router
+// for a request before they know the members.
+func (r *routerSet) rankedSeeds(route route) []fleet.Address {
 	seeds := affinity.Routers{Members: make([]membership.Member, 0, len(r.seeds))}
 	for _, address := range r.seeds {
 		seeds.Members = append(seeds.Members, membership.Member{Node: fleet.NodeID(address), Address: address, State: membership.Alive})
 	}
 	addresses := make([]fleet.Address, 0, len(r.seeds))
-	for _, seed := range seeds.Order(by.choice, by.pool) {
+	for _, seed := range seeds.Order(route.choice, route.pool) {
 		addresses = append(addresses, seed.Address)
 	}
 	return addresses
 }
 
-// enter counts a request that begins to wait at a router. The context ends if
-// the router fails meanwhile.
-func (r *routers) enter(at *link) context.Context {
+// beginWait counts a request that waits for a router. The returned context is cancelled if the
+// router fails.
+func (r *routerSet) beginWait(router *routerState) context.Context {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.waiting++
-	return at.life
+	router.waiting++
+	return router.aliveContext
 }
 
-func (r *routers) leave(at *link) {
+func (r *routerSet) endWait(router *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.waiting--
+	router.waiting--
 }
 
-// answered notes an answer and the revision in its header.
-func (r *routers) answered(by *link, header *rpc.Header) {
+// recordAnswer records an answer and the revision in its header.
+func (r *routerSet) recordAnswer(router *routerState, header *rpc.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	by.failures = 0
-	by.retryAt = 0
-	by.answered = true
-	by.revision = fleet.Revision(header.GetKnownRevision())
-	r.lastSeen = r.clock.Now()
-	r.seen = true
+	router.failures = 0
+	router.retryAt = 0
+	router.hasAnswered = true
+	router.revision = fleet.Revision(header.GetKnownRevision())
+	r.lastAnswerAt = r.clock.Now()
+	r.anyAnswered = true
 }
 
-// fail notes that a router didn't answer, and releases the requests that wait
-// there.
-func (r *routers) fail(at *link) {
+// recordFailure records a failed call to a router and cancels the requests that wait for it.
+func (r *routerSet) recordFailure(router *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at.answered = false
-	at.end()
-	at.life, at.end = context.WithCancel(context.Background())
+	router.hasAnswered = false
+	router.cancelAlive()
+	router.aliveContext, router.cancelAlive = context.WithCancel(context.Background())
 	now := r.clock.Now()
-	if at.retryAt > now {
-		return // one outage, noticed by several calls
+	if router.retryAt > now {
+		return // already recorded by another call
 	}
-	backoff := firstBackoff << min(at.failures, maxBackoffShift)
-	at.failures++
-	at.retryAt = now + min(backoff, r.backoffMax)
+	backoff := initialBackoff << min(router.failures, maxBackoffShift)
+	router.failures++
+	router.retryAt = now + min(backoff, r.backoffMax)
 }
 
 const maxBackoffShift = 10
 
-// synced notes what a router has said about itself in an exchange.
-func (r *routers) synced(with *link, answer *rpc.SyncResponse) {
+// recordSync records what a router reported about itself in a sync.
+func (r *routerSet) recordSync(router *routerState, answer *rpc.SyncResponse) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	with.stopping = answer.GetStopping()
-	with.machinesWanted = answer.GetMachinesWanted()
+	router.isStopping = answer.GetStopping()
+	router.machinesWanted = answer.GetMachinesWanted()
 }
 
-func (r *routers) wantsMachines(at *link) bool {
+func (r *routerSet) wantsMachines(router *routerState) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return at.machinesWanted
+	return router.machinesWanted
 }
 
-// behind tells whether a router has answered with an older revision than ours.
-func (r *routers) behind(at *link, ours fleet.Revision) bool {
+// isBehind reports whether the router's revision is older than ours.
+func (r *routerSet) isBehind(router *routerState, ours fleet.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return at.answered && at.revision < ours
+	return router.hasAnswered && router.revision < ours
 }
 
-// learn takes over what the routers know of the routers and the engines.
-func (r *routers) learn(members []membership.Member, machines *rpc.MachineList, replicas int) {
+// update applies the latest lists of routers and engines.
+func (r *routerSet) update(members []membership.Member, machines *rpc.MachineList, replicas int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ranking.learn(members, machines, replicas)
+	r.ranking.update(members, machines, replicas)
 	if len(members) > 0 {
 		r.prune()
 	}
 }
 
-// prune forgets the routers that are no members any more and hold nothing.
-func (r *routers) prune() {
+// prune removes routers that are neither members nor seeds and have no waiting requests or pending
+// reports.
+func (r *routerSet) prune() {
 	keep := make(map[fleet.Address]bool, len(r.ranking.members)+len(r.seeds))
 	for _, member := range r.ranking.members {
 		keep[member.Address] = true
@@ -245,24 +245,24 @@
 	for _, seed := range r.seeds {
 		keep[seed] = true
 	}
-	for address, known := range r.links {
-		if !keep[address] && known.waiting == 0 && known.reports.idle() {
-			known.end()
-			delete(r.links, address)
+	for address, state := range r.states {
+		if !keep[address] && state.waiting == 0 && state.reports.isIdle() {
+			state.cancelAlive()
+			delete(r.states, address)
 		}
 	}
 }
 
-// knowsEngines tells whether the list of machines has been heard.
-func (r *routers) knowsEngines() bool {
+// hasEngines reports whether a list of engines is known.
+func (r *routerSet) hasEngines() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.ranking.machines.GetMachines()) > 0
 }
 
-// reachable tells whether some router has answered within a time.
-func (r *routers) reachable(within time.Duration) bool {
+// isReachable reports whether any router has answered within the given time.
+func (r *routerSet) isReachable(within time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.seen && r.clock.Now()-r.lastSeen <= within
+	return r.anyAnswered && r.clock.Now()-r.lastAnswerAt <= within
 }
--- a/internal/fleetsync/changelog.go
+++ b/internal/fleetsync/changelog.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// maxRemovals bounds the removed entries that a changelog remembers. A
-// subscriber that lacks older ones gets the whole list.
+// maxRemovals limits the removed entries that a changelog keeps. A subscriber at an older version
+// gets the whole list.
 const maxRemovals = 4096
 
-// changelog is a list of named entries that knows at which version each has
-// last changed.
+// changelog is a versioned list of named entries that records the version of each entry's last
+// change.
 type changelog[T any] struct {
 	name  func(T) string
 	equal func(a, b T) bool
-	// version is raised by each change; 0 means that nothing was ever set.
+	// version is incremented by each change; 0 means that no list has been set.
 	version uint64
 	// entries is sorted by name.
-	entries []versioned[T]
-	// removals holds the last removed names in the order of their versions.
+	entries []versionedEntry[T]
+	// removals holds the last removed names, ordered by version.
 	removals []removal
-	// floor is the oldest version from which the changes are known.
-	floor uint64
+	// oldestVersion is the oldest version for which the later changes are known.
+	oldestVersion uint64
 }
 
-type versioned[T any] struct {
+type versionedEntry[T any] struct {
 	value   T
 	changed uint64
 }
@@ -34,16 +34,16 @@
 	version uint64
 }
 
-// delta is the step from one version to another.
+// delta holds the changes between two versions.
 type delta[T any] struct {
 	changed []T
 	removed []string
 }
 
-// set puts a list in place, which must be sorted by name and without doubles.
+// set replaces the list. listed must be sorted by name and contain no duplicates.
 func (l *changelog[T]) set(listed []T) {
 	next := l.version + 1
-	entries := make([]versioned[T], 0, len(listed))
+	entries := make([]versionedEntry[T], 0, len(listed))
 	var removed []removal
 	changes := 0
 	rest := l.entries
@@ -52,7 +52,7 @@
 			removed = append(removed, removal{name: l.name(rest[0].value), version: next})
 			rest = rest[1:]
 		}
-		entry := versioned[T]{value: value, changed: next}
+		entry := versionedEntry[T]{value: value, changed: next}
 		if len(rest) > 0 && l.name(rest[0].value) == l.name(value) {
 			if l.equal(rest[0].value, value) {
 				entry.changed = rest[0].changed
@@ -64,32 +64,32 @@
 		}
 		entries = append(entries, entry)
 	}
-	for _, gone := range rest {
-		removed = append(removed, removal{name: l.name(gone.value), version: next})
+	for _, entry := range rest {
+		removed = append(removed, removal{name: l.name(entry.value), version: next})
 	}
 	if changes+len(removed) == 0 && l.version > 0 {
 		return
 	}
 	l.version = next
 	l.entries = entries
-	l.remember(removed)
+	l.recordRemovals(removed)
 }
 
-func (l *changelog[T]) remember(removed []removal) {
+func (l *changelog[T]) recordRemovals(removed []removal) {
 	l.removals = append(l.removals, removed...)
 	excess := len(l.removals) - maxRemovals
 	if excess <= 0 {
 		return
 	}
-	l.floor = l.removals[excess-1].version
+	l.oldestVersion = l.removals[excess-1].version
 	l.removals = slices.Clone(l.removals[excess:])
 }
 
-// since returns the changes after a version; false if they aren't known.
+// since returns the changes after version. The second result is false if they are not known.
 func (l *changelog[T]) since(version uint64) (delta[T], bool) {
 	var step delta[T]
 	switch {
-	case version == 0 || version < l.floor || version > l.version:
+	case version == 0 || version < l.oldestVersion || version > l.version:
 		return step, false
 	case version == l.version:
 		return step, true
@@ -102,24 +102,24 @@
 	first, _ := slices.BinarySearchFunc(l.removals, version+1, func(r removal, from uint64) int {
 		return cmp.Compare(r.version, from)
 	})
-	for _, gone := range l.removals[first:] {
-		if !l.holds(gone.name) {
-			step.removed = append(step.removed, gone.name)
+	for _, removal := range l.removals[first:] {
+		if !l.contains(removal.name) {
+			step.removed = append(step.removed, removal.name)
 		}
 	}
 	return step, true
 }
 
-// holds tells whether the list has an entry now, as one that was removed and
-// came back.
-func (l *changelog[T]) holds(name string) bool {
-	_, found := slices.BinarySearchFunc(l.entries, name, func(entry versioned[T], name string) int {
+// contains reports whether the list currently has an entry; a removed entry may have been added
+// again.
+func (l *changelog[T]) contains(name string) bool {
+	_, found := slices.BinarySearchFunc(l.entries, name, func(entry versionedEntry[T], name string) int {
 		return cmp.Compare(l.name(entry.value), name)
 	})
 	return found
 }
 
-// all returns the whole list.
+// all returns the values of all entries.
 func (l *changelog[T]) all() []T {
 	values := make([]T, 0, len(l.entries))
 	for _, entry := range l.entries {
@@ -128,12 +128,12 @@
 	return values
 }
 
-// apply returns a sorted list after a step.
-func apply[T any](listed []T, step delta[T], name func(T) string) []T {
+// applyDelta returns a copy of a sorted list with the changes applied.
+func applyDelta[T any](listed []T, step delta[T], name func(T) string) []T {
 	byName := func(entry T, wanted string) int { return cmp.Compare(name(entry), wanted) }
 	merged := slices.Clone(listed)
-	for _, gone := range step.removed {
-		if index, found := slices.BinarySearchFunc(merged, gone, byName); found {
+	for _, removed := range step.removed {
+		if index, found := slices.BinarySearchFunc(merged, removed, byName); found {
 			merged = slices.Delete(merged, index, index+1)
 		}
 	}
--- a/internal/router/configuration.go
+++ b/internal/router/configuration.go
@@ -13,9 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// learnConfiguration offers a configuration that another node sent. The holder
-// ignores revisions that aren't higher than its own.
-func (r *Router) learnConfiguration(message *rpc.ConfigSnapshot, sender string) {
+// offerConfiguration offers a configuration received from another node to the holder, which ignores
+// revisions that are not newer than its own.
+func (r *Router) offerConfiguration(message *rpc.ConfigSnapshot, sender string) {
 	if message == nil || fleet.Revision(message.GetRevision()) <= r.holder.Revision() {
 		return
 	}
@@ -30,7 +30,7 @@
 	r.logger.Info().Str("sender", sender).Uint64("revision", message.GetRevision()).Msg("configuration_learned")
 }
 
-// applyConfigurations hands each accepted configuration to the core.
+// applyConfigurations passes each accepted configuration to the placement core.
 func (r *Router) applyConfigurations() error {
 	for {
 		updated := r.holder.Updated()
@@ -38,7 +38,7 @@
 			r.applyConfiguration(view)
 		}
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return nil
 		case <-updated:
 		}
@@ -51,15 +51,15 @@
 	r.logger.Info().Uint64("revision", uint64(view.Revision())).Msg("configuration_applied")
 }
 
-// snapshotCache keeps the encoded form of the configuration in force, which
-// many agents ask for after a change.
+// snapshotCache caches the encoded form of the current configuration, which many agents request
+// after a change.
 type snapshotCache struct {
 	mutex    sync.Mutex
 	revision fleet.Revision
 	message  *rpc.ConfigSnapshot
 }
 
-// encode returns the encoded form of a view; nil for none.
+// encode returns the encoded form of view, or nil if view is nil or can't be encoded.
 func (c *snapshotCache) encode(view *config.View, logger zerolog.Logger) *rpc.ConfigSnapshot {
 	if view == nil {
 		return nil
@@ -80,13 +80,13 @@
 }
 
 func (r *Router) configurationMessage() *rpc.ConfigSnapshot {
-	return r.snapshots.encode(r.holder.Current(), r.logger)
+	return r.configSnapshots.encode(r.holder.Current(), r.logger)
 }
 
-// followConfiguration starts to read the configuration from peers and platform.
+// followConfiguration starts following the configuration from peers and the platform.
 func (r *Router) followConfiguration() {
 	settings := r.options.Settings
-	r.follower = config.StartPlatformFollower(r.store, r.holder, r.fetcher, config.PlatformFollowerOptions{
+	r.configFollower = config.StartPlatformFollower(r.configStore, r.holder, r.fetcher, config.PlatformFollowerOptions{
 		Follower:     config.FollowerOptions{PollInterval: time.Duration(settings.ConfigurationInterval)},
 		Timeout:      time.Duration(settings.Platform.Timeout),
 		Clock:        r.clock,
@@ -102,16 +102,16 @@
 	}
 }
 
-// hear notes the revision that another node's message names.
-func (r *Router) hear(header *rpc.Header) {
-	r.follower.ObserveRevision(fleet.Revision(header.GetKnownRevision()))
+// observeRevision records the configuration revision in another node's message header.
+func (r *Router) observeRevision(header *rpc.Header) {
+	r.configFollower.ObserveRevision(fleet.Revision(header.GetKnownRevision()))
 }
 
-// refreshConfiguration reads the head at once, after a command.
+// refreshConfiguration reads the latest configuration immediately after a command.
 func (r *Router) refreshConfiguration() {
-	ctx, cancel := context.WithTimeout(r.life.Context(context.Background()), time.Duration(r.options.Settings.Platform.Timeout))
+	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), time.Duration(r.options.Settings.Platform.Timeout))
 	defer cancel()
-	if _, err := r.store.Refresh(ctx, r.holder); err != nil {
+	if _, err := r.configStore.Refresh(ctx, r.holder); err != nil {
 		r.logger.Debug().Err(err).Msg("configuration_refresh_failed")
 	}
 }
--- a/internal/router/enginefleet.go
+++ b/internal/router/enginefleet.go
@@ -13,54 +13,53 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// needsInterval is the time between two questions to the core which engines
-// want an extra poll.
-const needsInterval = 100 * time.Millisecond
+// pollRequestInterval is how often the placement core is asked which engines need an extra poll.
+const pollRequestInterval = 100 * time.Millisecond
 
-// engineFleet keeps a watcher for each engine that is listed and owned, and
-// tells the core which engines there are.
+// engineFleet runs a watcher for each listed engine that this router owns, and reports the listed
+// engines to the placement core.
 type engineFleet struct {
 	node     fleet.NodeID
 	placer   *placer
 	metrics  *metrics
 	settings Settings
 	logger   zerolog.Logger
-	board    *statusBoard
+	statuses *statusCache
 
 	mutex    sync.Mutex
 	machines map[fleet.EngineID]platform.Machine
 	watchers map[fleet.EngineID]*engineWatcher
-	// unheard holds the entries that say that an engine is leaving but name no
-	// run, until the engine's run is heard.
-	unheard map[fleet.EngineID]platform.Machine
-	routers []membership.Member
-	// shared says which engines are owned here, listed is the list that it is by.
-	shared  *ownership
-	listed  []platform.Machine
-	stopped bool
+	// pendingLeaving holds entries that mark an engine as leaving but name no incarnation, until
+	// the engine's incarnation is known.
+	pendingLeaving map[fleet.EngineID]platform.Machine
+	routers        []membership.Member
+	// ownership determines which engines this router owns. It is derived from listed.
+	ownership *ownership
+	listed    []platform.Machine
+	stopped   bool
 }
 
 func newEngineFleet(node fleet.NodeID, placer *placer, metrics *metrics, settings Settings, logger zerolog.Logger) *engineFleet {
 	return &engineFleet{
-		node:     node,
-		placer:   placer,
-		metrics:  metrics,
-		settings: settings,
-		logger:   logger,
-		board:    newStatusBoard(placer.clock),
-		shared:   newOwnership(node, nil, nil, settings.IndexReplicas),
-		machines: make(map[fleet.EngineID]platform.Machine),
-		watchers: make(map[fleet.EngineID]*engineWatcher),
-		unheard:  make(map[fleet.EngineID]platform.Machine),
+		node:           node,
+		placer:         placer,
+		metrics:        metrics,
+		settings:       settings,
+		logger:         logger,
+		statuses:       newStatusCache(placer.clock),
+		ownership:      newOwnership(node, nil, nil, settings.IndexReplicas),
+		machines:       make(map[fleet.EngineID]platform.Machine),
+		watchers:       make(map[fleet.EngineID]*engineWatcher),
+		pendingLeaving: make(map[fleet.EngineID]platform.Machine),
 	}
 }
 
-// setMachines takes a new list of machines.
+// setMachines applies a new list of machines.
 func (f *engineFleet) setMachines(listed []platform.Machine) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.listed = listed
-	f.share()
+	f.updateOwnership()
 	present := make(map[fleet.EngineID]bool, len(listed))
 	for _, machine := range listed {
 		if machine.Kind != platform.MachineEngine {
@@ -72,7 +71,7 @@
 	}
 	for id := range f.machines {
 		if !present[id] {
-			f.forgetMachine(id)
+			f.removeMachine(id)
 		}
 	}
 	f.reconcile()
@@ -85,45 +84,45 @@
 	f.machines[id] = machine
 	f.logger.Info().Str("engine", machine.ID).Uint64("incarnation", uint64(machine.Incarnation)).
 		Str("address", string(machine.Address)).Str("state", string(machine.State)).Msg("machine_listed")
-	named := f.nameRun(machine)
-	delete(f.unheard, id)
-	if named.Incarnation == 0 && named.State == platform.MachineLeaving {
-		f.unheard[id] = named
+	resolved := f.withIncarnation(machine)
+	delete(f.pendingLeaving, id)
+	if resolved.Incarnation == 0 && resolved.State == platform.MachineLeaving {
+		f.pendingLeaving[id] = resolved
 	}
-	f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
+	f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, resolved) })
 }
 
-// nameRun takes an entry that names no run for one of the run last heard: the
-// core ignores what the list says of older runs.
-func (f *engineFleet) nameRun(machine platform.Machine) platform.Machine {
+// withIncarnation fills in the last observed incarnation of an engine if its entry names none. The
+// placement core ignores entries for older incarnations.
+func (f *engineFleet) withIncarnation(machine platform.Machine) platform.Machine {
 	if machine.Incarnation == 0 {
-		machine.Incarnation = f.board.lastRun(fleet.EngineID(machine.ID))
+		machine.Incarnation = f.statuses.lastIncarnation(fleet.EngineID(machine.ID))
 	}
 	return machine
 }
 
-// observeUnheard tells the core that engines are leaving whose runs have been
-// heard by now; the mutex is held. Later runs are others.
-func (f *engineFleet) observeUnheard() {
-	for id, machine := range f.unheard {
-		named := f.nameRun(machine)
-		if named.Incarnation == 0 {
+// resolvePendingLeaving reports engines as leaving once their incarnation is known. Later
+// incarnations are not affected. The mutex must be held.
+func (f *engineFleet) resolvePendingLeaving() {
+	for id, machine := range f.pendingLeaving {
+		resolved := f.withIncarnation(machine)
+		if resolved.Incarnation == 0 {
 			continue
 		}
-		delete(f.unheard, id)
-		f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, named) })
+		delete(f.pendingLeaving, id)
+		f.placer.do(func(now time.Duration, core *placement.Core) { core.ObserveMachine(now, resolved) })
 	}
 }
 
-func (f *engineFleet) forgetMachine(id fleet.EngineID) {
+func (f *engineFleet) removeMachine(id fleet.EngineID) {
 	delete(f.machines, id)
-	delete(f.unheard, id)
-	f.board.forget(id)
+	delete(f.pendingLeaving, id)
+	f.statuses.remove(id)
 	f.logger.Info().Str("engine", string(id)).Msg("machine_gone")
 	f.placer.do(func(now time.Duration, core *placement.Core) { core.ForgetMachine(now, id) })
 }
 
-// setRouters takes a new view of the routers, which share the engines.
+// setRouters applies a new list of the routers that share the engines.
 func (f *engineFleet) setRouters(routable []membership.Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -131,36 +130,36 @@
 		return
 	}
 	f.routers = slices.Clone(routable)
-	f.share()
+	f.updateOwnership()
 	f.reconcile()
 }
 
-// share shares the engines anew among the routers; the mutex is held. The core
-// learns of it before it learns of a new engine.
-func (f *engineFleet) share() {
+// updateOwnership recomputes which engines this router owns and updates the placement core, which
+// must know the ownership before it learns of new engines. The mutex must be held.
+func (f *engineFleet) updateOwnership() {
 	if f.settings.IndexReplicas == 0 {
 		return
 	}
-	f.shared = newOwnership(f.node, f.listed, f.routers, f.settings.IndexReplicas)
-	owned := f.shared.owns
+	f.ownership = newOwnership(f.node, f.listed, f.routers, f.settings.IndexReplicas)
+	owned := f.ownership.owns
 	f.placer.do(func(_ time.Duration, core *placement.Core) { core.SetOwned(owned) })
 }
 
-// reconcile starts and stops watchers; the mutex is held.
+// reconcile starts and stops watchers to match the owned engines. The mutex must be held.
 func (f *engineFleet) reconcile() {
 	if f.stopped {
 		return
 	}
 	for id, watcher := range f.watchers {
 		machine, listed := f.machines[id]
-		if listed && machine.Address == watcher.address && f.shared.owns(id) {
+		if listed && machine.Address == watcher.address && f.ownership.owns(id) {
 			continue
 		}
 		delete(f.watchers, id)
 		watcher.stop()
 	}
 	for id, machine := range f.machines {
-		if f.watchers[id] != nil || !f.shared.owns(id) {
+		if f.watchers[id] != nil || !f.ownership.owns(id) {
 			continue
 		}
 		watcher := newEngineWatcher(machine, f)
@@ -169,9 +168,9 @@
 	}
 }
 
-// run passes the core's wishes on to the watchers until dying is closed.
+// run forwards poll requests from the placement core to the watchers until dying is closed.
 func (f *engineFleet) run(dying <-chan struct{}) error {
-	ticker := time.NewTicker(needsInterval)
+	ticker := time.NewTicker(pollRequestInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -179,12 +178,12 @@
 			f.stop()
 			return nil
 		case <-ticker.C:
-			f.passNeeds()
+			f.requestPolls()
 		}
 	}
 }
 
-func (f *engineFleet) passNeeds() {
+func (f *engineFleet) requestPolls() {
 	var status, snapshots []fleet.EngineID
 	f.placer.do(func(_ time.Duration, core *placement.Core) {
 		status = core.NeedsStatus()
@@ -192,15 +191,15 @@
 	})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.observeUnheard()
+	f.resolvePendingLeaving()
 	for _, id := range status {
 		if watcher := f.watchers[id]; watcher != nil {
-			notify(watcher.statusWanted)
+			notify(watcher.statusRequested)
 		}
 	}
 	for _, id := range snapshots {
 		if watcher := f.watchers[id]; watcher != nil {
-			notify(watcher.snapshotWanted)
+			notify(watcher.snapshotRequested)
 		}
 	}
 }
@@ -212,7 +211,7 @@
 	f.watchers = make(map[fleet.EngineID]*engineWatcher)
 	f.mutex.Unlock()
 	for _, watcher := range watchers {
-		watcher.life.Kill(nil)
+		watcher.tomb.Kill(nil)
 	}
 	for _, watcher := range watchers {
 		watcher.stop()
--- a/internal/router/http.go
+++ b/internal/router/http.go
@@ -13,15 +13,14 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Paths besides those of the twirp services.
+// Paths served besides the twirp services.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 	PathMetrics = "/metrics"
 )
 
-// Limits of the HTTP server. There is no limit on an answer's time: placement
-// calls wait.
+// Limits of the HTTP server. There is no write timeout because placement calls may wait for long.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readBodyTimeout   = 30 * time.Second
@@ -35,7 +34,7 @@
 	mux.GET(PathReady, bunrouter.HTTPHandlerFunc(r.serveReady))
 	mux.GET(PathMetrics, bunrouter.HTTPHandler(promhttp.HandlerFor(r.metrics.registry, promhttp.HandlerOpts{})))
 	for _, handler := range handlers {
-		mux.POST(handler.PathPrefix()+"*method", bunrouter.HTTPHandler(r.bounded(handler)))
+		mux.POST(handler.PathPrefix()+"*method", bunrouter.HTTPHandler(r.limitBody(handler)))
 	}
 	return &http.Server{
 		Handler:           mux,
@@ -46,10 +45,9 @@
 	}
 }
 
-// bounded reads a body of bounded size within a bounded time before the handler
-// begins. The server's own ReadTimeout would go on to run while a placement
-// call waits, and cancel it.
-func (r *Router) bounded(handler http.Handler) http.Handler {
+// limitBody reads a request body, limited in size and time, before it calls handler. The server's
+// ReadTimeout isn't used because it would also cancel waiting placement calls.
+func (r *Router) limitBody(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		controller := http.NewResponseController(writer)
 		_ = controller.SetReadDeadline(time.Now().Add(readBodyTimeout))
@@ -69,15 +67,15 @@
 }
 
 func (r *Router) serveReady(writer http.ResponseWriter, _ *http.Request) {
-	if reason := r.notReady(); reason != "" {
+	if reason := r.notReadyReason(); reason != "" {
 		http.Error(writer, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// notReady says why the router can't place requests; empty when it can.
-func (r *Router) notReady() string {
+// notReadyReason returns why the router can't place requests, or "" if it can.
+func (r *Router) notReadyReason() string {
 	switch {
 	case r.isStopping():
 		return "stopping"
--- a/internal/router/machinefollower_test.go
+++ b/internal/router/machinefollower_test.go
@@ -20,35 +20,34 @@
 	"github.com/tillerfall/tillerfall/internal/settings"
 )
 
-// countedMachines is the platform's list with its reads counted.
-type countedMachines struct {
+// countingMachines counts the reads of the platform's list and can simulate an outage.
+type countingMachines struct {
 	platform.Machines
 	reads atomic.Int64
 
-	// mutex is held for reading by each read of the list, so that none that
-	// began before setDown goes on after it.
+	// mutex is read-locked during a read, so that no earlier read continues after setDown returns.
 	mutex sync.RWMutex
 	down  bool
 }
 
-func (c *countedMachines) ListMachines(ctx context.Context) ([]platform.Machine, error) {
+func (c *countingMachines) ListMachines(ctx context.Context) ([]platform.Machine, error) {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	c.reads.Add(1)
 	if c.down {
-		return nil, errors.New("the platform is down")
+		return nil, errors.New("platform is down")
 	}
 	return c.Machines.ListMachines(ctx)
 }
 
-func (c *countedMachines) setDown(down bool) {
+func (c *countingMachines) setDown(down bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.down = down
 }
 
-// startCounted starts routers of one region that join through the first.
-func startCounted(t *testing.T, f *testFleet, count int) (routers []*Router, lists []*countedMachines) {
+// startRoutersCountingReads starts routers of one region that join through the first.
+func startRoutersCountingReads(t *testing.T, f *testFleet, count int) (routers []*Router, lists []*countingMachines) {
 	var seeds []fleet.Address
 	for number := range count {
 		options := DefaultSettings()
@@ -58,7 +57,7 @@
 		options.MachineInterval = settings.Duration(20 * time.Millisecond)
 		options.Peers = seeds
 		client := platform.NewClient(platform.ClientOptions{Address: f.platform.Address()})
-		list := &countedMachines{Machines: client}
+		list := &countingMachines{Machines: client}
 		r := New(Options{Settings: options, Logger: zerolog.Nop(), Tables: client, Objects: client, Machines: list})
 		require.NoError(t, r.Start())
 		t.Cleanup(func() { _ = r.Stop() })
@@ -69,7 +68,7 @@
 	return routers, lists
 }
 
-// isReader tells whether a router is one of those chosen to read the list.
+// isReader reports whether a router is a designated reader of the list.
 func isReader(r *Router) bool {
 	for _, reader := range fleetsync.Readers("west", r.peers.View().Routable()) {
 		if reader.Node == r.node {
@@ -93,20 +92,20 @@
 				}
 			}
 			return true
-		}, patience, pollTime, "%s", r.node)
+		}, waitTimeout, pollInterval, "%s", r.node)
 	}
 }
 
-// awaitReads waits until a list has been read some more times.
-func awaitReads(t *testing.T, by *countedMachines, more int64) {
+// awaitReads waits for a number of further reads.
+func awaitReads(t *testing.T, by *countingMachines, more int64) {
 	until := by.reads.Load() + more
-	require.Eventually(t, func() bool { return by.reads.Load() >= until }, patience, pollTime)
+	require.Eventually(t, func() bool { return by.reads.Load() >= until }, waitTimeout, pollInterval)
 }
 
 func TestFewRoutersReadTheListOfMachines(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 6)
+	routers, lists := startRoutersCountingReads(t, f, 6)
 	awaitListed(t, []string{"a"}, routers...)
 	var readers, followers []int
 	for number, r := range routers {
@@ -128,13 +127,13 @@
 	awaitReads(t, lists[readers[0]], 10)
 	for _, number := range followers {
 		r := routers[number]
-		assert.Equal(t, before[number], lists[number].reads.Load(), "%s reads itself", r.node)
-		assert.Equal(t, []fleet.Address{"127.0.0.1:1"}, r.listedRouters(), "routers are seeds at followers too")
+		assert.Equal(t, before[number], lists[number].reads.Load(), "follower %s read the platform's list", r.node)
+		assert.Equal(t, []fleet.Address{"127.0.0.1:1"}, r.listedRouters(), "followers must know listed routers as seeds")
 		assert.Equal(t, platform.MachineLeaving, r.machines.current()[0].State)
 	}
 
 	require.NoError(t, routers[readers[0]].server.Close())
-	require.NoError(t, routers[readers[0]].peers.Stop(), "it dies without a word")
+	require.NoError(t, routers[readers[0]].peers.Stop(), "stop without announcement")
 	f.platform.SetMachines([]platform.Machine{machine("d", 1, platform.MachineLive)})
 	for number, r := range routers {
 		if number != readers[0] {
@@ -143,12 +142,12 @@
 	}
 }
 
-// TestPlatformDownLeavesTheLastList stops the platform for readers and
-// followers alike.
-func TestPlatformDownLeavesTheLastList(t *testing.T) {
+// TestPlatformOutageKeepsLastMachineList guards against losing machines while no router can read
+// the list.
+func TestPlatformOutageKeepsLastMachineList(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 5)
+	routers, lists := startRoutersCountingReads(t, f, 5)
 	awaitListed(t, []string{"a"}, routers...)
 	for _, list := range lists {
 		list.setDown(true)
@@ -164,10 +163,10 @@
 	awaitListed(t, []string{"b"}, routers...)
 }
 
-func TestReaderThatThePlatformDoesNotAnswerFollowsAnother(t *testing.T) {
+func TestReaderWithoutPlatformFollowsAnotherReader(t *testing.T) {
 	f := newTestFleet(t, 0)
 	f.platform.SetMachines([]platform.Machine{machine("a", 1, platform.MachineLive)})
-	routers, lists := startCounted(t, f, 2)
+	routers, lists := startRoutersCountingReads(t, f, 2)
 	awaitListed(t, []string{"a"}, routers...)
 	lists[0].setDown(true)
 	f.platform.SetMachines([]platform.Machine{machine("b", 1, platform.MachineLive)})
@@ -178,40 +177,41 @@
 	awaitListed(t, []string{"b"}, routers...)
 }
 
-func TestRouterThatDoesNotReadIsNotFollowed(t *testing.T) {
+func TestRouterWithStaleReadIsNotFollowed(t *testing.T) {
 	f := newTestFleet(t, 0)
-	routers, lists := startCounted(t, f, 1)
+	routers, lists := startRoutersCountingReads(t, f, 1)
 	r := routers[0]
-	require.Eventually(t, r.listing.isCurrent, patience, pollTime)
+	require.Eventually(t, r.machineFollower.isCurrent, waitTimeout, pollInterval)
 	answer := &rpc.ChangesResponse{}
-	r.listing.answer(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.True(t, answer.GetMachinesCurrent())
 	lists[0].setDown(true)
-	require.Eventually(t, func() bool { return !r.listing.isCurrent() }, patience, pollTime)
+	require.Eventually(t, func() bool { return !r.machineFollower.isCurrent() }, waitTimeout, pollInterval)
 	answer = &rpc.ChangesResponse{}
-	r.listing.answer(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.False(t, answer.GetMachinesCurrent())
 }
 
-// TestOlderListOfAnotherReaderDoesNotWin changes to a reader that lags.
-func TestOlderListOfAnotherReaderDoesNotWin(t *testing.T) {
+// TestStaleListFromNewReaderKeepsEngines guards against losing engines when the new reader lags
+// behind the previous one.
+func TestStaleListFromNewReaderKeepsEngines(t *testing.T) {
 	list := newMachineList()
 	newer := []platform.Machine{machine("a", 2, platform.MachineLeaving), machine("b", 1, platform.MachineLive)}
 	list.setFromReader(encodeMachines(newer), false)
 	older := encodeMachines([]platform.Machine{machine("a", 2, platform.MachineLive)})
 	list.setFromReader(older, true)
-	assert.Equal(t, newer, list.current(), "an engine that the former reader listed is gone")
+	assert.Equal(t, newer, list.current(), "engines known from the previous reader must be kept")
 	list.setFromReader(older, false)
-	assert.Equal(t, newer[:1], list.current(), "leaving sticks; the reader has read again")
+	assert.Equal(t, newer[:1], list.current(), "the leaving state must be kept after confirmation")
 }
 
-// TestRestartedRouterTakesTheListFromAPeer starts a router beside a dead
-// platform, with an hour between two reads.
-func TestRestartedRouterTakesTheListFromAPeer(t *testing.T) {
+// TestRestartedRouterFetchesMachineListFromPeer guards against a router that waits for its next
+// read although a peer has the list.
+func TestRestartedRouterFetchesMachineListFromPeer(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), cutOff, func(options *Settings) {
+	second := f.startReadyRouter("r2", joinThrough(first), withoutPlatform, func(options *Settings) {
 		options.MachineInterval = settings.Duration(time.Hour)
 	})
 	assert.NotNil(t, place(t, second, "q").GetGrant())
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -10,12 +10,12 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// maxBlockHashes bounds the hashes of one message: a prompt of a million
-// tokens in blocks of sixteen.
+// maxBlockHashes limits the block hashes of a request: 2^16 blocks of 16 tokens cover a prompt of a
+// million tokens.
 const maxBlockHashes = 1 << 16
 
-// decodePlace reads a placement request from its transmitted form.
-func decodePlace(message *rpc.PlaceRequest) (placement.Request, error) {
+// decodePlaceRequest validates and decodes a placement request.
+func decodePlaceRequest(message *rpc.PlaceRequest) (placement.Request, error) {
 	switch {
 	case message.GetRequestId() == "":
 		return placement.Request{}, twirp.RequiredArgumentError("request_id")
@@ -25,7 +25,7 @@
 		return placement.Request{}, twirp.InvalidArgumentError("block_hashes", "too many")
 	}
 	request := placement.Request{
-		Key:                keyOf(message.GetRequestId(), message.GetAttempt()),
+		Key:                placementKey(message.GetRequestId(), message.GetAttempt()),
 		Tenant:             fleet.TenantName(message.GetTenant()),
 		ModelVersion:       decodeWeights(message.GetWeights()),
 		Class:              fleet.ClassName(message.GetClass()),
@@ -48,7 +48,7 @@
 	return request, nil
 }
 
-func keyOf(request string, attempt uint32) placement.Key {
+func placementKey(request string, attempt uint32) placement.Key {
 	return placement.Key{Request: fleet.RequestID(request), Attempt: fleet.Attempt(attempt)}
 }
 
@@ -71,8 +71,8 @@
 	return &rpc.EngineRun{Engine: string(run.Engine), Incarnation: uint64(run.Incarnation)}
 }
 
-// encodeOutcome fills a response with an outcome; routers is where a request
-// that is handed back may go, unless the agent chooses itself.
+// encodeOutcome sets the outcome of response. For a hand-back, routers lists the alternatives,
+// unless the agent uses its own order.
 func encodeOutcome(response *rpc.PlaceResponse, outcome placement.Outcome, routers []string) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
@@ -81,20 +81,19 @@
 		response.Outcome = &rpc.PlaceResponse_Refusal{Refusal: &rpc.Refusal{
 			Code:             uint32(outcome.Code),
 			Reason:           outcome.Reason,
-			RetryAfterMillis: millis(outcome.RetryAfter),
+			RetryAfterMillis: ceilMillis(outcome.RetryAfter),
 		}}
 	case placement.HandBack:
 		handBack := &rpc.HandBack{Reason: string(outcome.Reason)}
-		if !agentChooses(outcome.Reason) {
+		if !agentOrdersRouters(outcome.Reason) {
 			handBack.Routers = routers
 		}
 		response.Outcome = &rpc.PlaceResponse_HandBack{HandBack: handBack}
 	}
 }
 
-// agentChooses tells whether an agent follows its own order of the routers after
-// a hand-back.
-func agentChooses(reason placement.HandBackReason) bool {
+// agentOrdersRouters reports whether an agent uses its own order of routers after a hand-back.
+func agentOrdersRouters(reason placement.HandBackReason) bool {
 	switch reason {
 	case placement.HandBackSaturated, placement.HandBackNoEngine, placement.HandBackWarmingUp:
 		return true
@@ -109,13 +108,14 @@
 		Address:              string(grant.Address),
 		Priority:             int32(grant.Priority),
 		ExpectedCachedTokens: uint32(max(grant.ExpectedCachedTokens, 0)),
-		ValidMillis:          millis(grant.ValidFor),
+		ValidMillis:          ceilMillis(grant.ValidFor),
 		BlockTokens:          uint32(grant.BlockTokens),
 	}
 }
 
-// millis rounds up, so that a wait is never told shorter than it is.
-func millis(duration time.Duration) uint32 {
+// ceilMillis converts a duration to milliseconds, rounded up so that a wait is never reported too
+// short.
+func ceilMillis(duration time.Duration) uint32 {
 	return uint32(max((duration+time.Millisecond-1)/time.Millisecond, 0))
 }
 
@@ -127,11 +127,11 @@
 	rpc.AttemptPhase_ATTEMPT_PHASE_ABANDONED:   placement.PhaseAbandoned,
 }
 
-// decodeReport reads a report; false means that its phase is unknown.
+// decodeReport decodes a report. The second result is false if its phase is unknown.
 func decodeReport(message *rpc.AttemptReport) (placement.AttemptReport, bool) {
 	phase, known := phases[message.GetPhase()]
 	return placement.AttemptReport{
-		Key:          keyOf(message.GetRequestId(), message.GetAttempt()),
+		Key:          placementKey(message.GetRequestId(), message.GetAttempt()),
 		Run:          decodeRun(message.GetRun()),
 		Phase:        phase,
 		CachedTokens: int(message.GetCachedTokens()),
--- a/internal/router/ownership.go
+++ b/internal/router/ownership.go
@@ -8,16 +8,16 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// ownership tells which engines one router owns, by one list of machines and
-// one view of the routers. It is immutable.
+// ownership determines which engines a router owns, given a list of machines and a list of routers.
+// It is immutable.
 type ownership struct {
 	node  fleet.NodeID
 	pools *membership.PoolMap
 	sites map[fleet.EngineID]membership.EngineSite
 }
 
-// newOwnership returns the sharing of engines; with 0 replicas, or before any
-// router is known, this router owns them all.
+// newOwnership returns the ownership of engines for node. With 0 replicas, or while no routers are
+// known, node owns all engines.
 func newOwnership(node fleet.NodeID, listed []platform.Machine, routers []membership.Member, replicas int) *ownership {
 	o := &ownership{node: node}
 	if replicas == 0 || len(routers) == 0 {
@@ -27,7 +27,7 @@
 	engines := make([]membership.EngineSite, 0, len(listed))
 	for _, machine := range listed {
 		if machine.Kind == platform.MachineEngine {
-			site := siteOf(machine)
+			site := engineSite(machine)
 			o.sites[fleet.EngineID(machine.ID)] = site
 			engines = append(engines, site)
 		}
@@ -36,14 +36,14 @@
 	return o
 }
 
-func siteOf(machine platform.Machine) membership.EngineSite {
+func engineSite(machine platform.Machine) membership.EngineSite {
 	return membership.EngineSite{
 		Pool:     machine.Pool,
 		Location: membership.Location{Region: machine.Region, Zone: machine.Zone},
 	}
 }
 
-// owns tells whether this router indexes an engine and places requests on it.
+// owns reports whether this router indexes an engine and places requests on it.
 func (o *ownership) owns(id fleet.EngineID) bool {
 	if o.pools == nil {
 		return true
--- a/internal/router/peerfetch.go
+++ b/internal/router/peerfetch.go
@@ -26,8 +26,8 @@
 	return &peerFetcher{router: r, http: &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}}
 }
 
-// Count implements config.Peers. A restarted router hears of the others one by
-// one, while it knows at once which it is configured with and which are listed.
+// Count implements config.Peers. It includes configured and listed routers, since a restarted
+// router discovers the members only gradually.
 func (p *peerFetcher) Count() int {
 	known := map[fleet.Address]bool{p.router.address: true}
 	for _, member := range p.router.peers.View().Routable() {
@@ -44,7 +44,7 @@
 
 // Fetch implements config.Peers.
 func (p *peerFetcher) Fetch(ctx context.Context, holder *config.Holder) error {
-	peer, found := p.anyPeer()
+	peer, found := p.randomPeer()
 	if !found {
 		return nil
 	}
@@ -54,19 +54,19 @@
 		MachinesWanted: !p.router.machines.isKnown(),
 	})
 	if err != nil {
-		return errors.Wrapf(err, "ask router %s", peer.Node)
+		return errors.Wrapf(err, "request changes from router %s", peer.Node)
 	}
 	p.router.machines.offer(answer.GetMachines())
-	return p.take(holder, peer, answer)
+	return p.applyConfiguration(holder, peer, answer)
 }
 
 func (p *peerFetcher) client(peer membership.Member) rpc.Peer {
 	return rpc.NewPeerProtobufClient("http://"+string(peer.Address), p.http)
 }
 
-func (p *peerFetcher) take(holder *config.Holder, peer membership.Member, answer *rpc.ChangesResponse) error {
+func (p *peerFetcher) applyConfiguration(holder *config.Holder, peer membership.Member, answer *rpc.ChangesResponse) error {
 	if snapshot := answer.GetSnapshot(); snapshot != nil {
-		p.router.learnConfiguration(snapshot, string(peer.Node))
+		p.router.offerConfiguration(snapshot, string(peer.Node))
 		return nil
 	}
 	changes, err := config.ChangesFromMessages(answer.GetChanges())
@@ -77,8 +77,8 @@
 	return err
 }
 
-// anyPeer returns a random router that takes work, other than this one.
-func (p *peerFetcher) anyPeer() (membership.Member, bool) {
+// randomPeer returns a random routable router other than this one.
+func (p *peerFetcher) randomPeer() (membership.Member, bool) {
 	var others []membership.Member
 	for _, member := range p.router.peers.View().Routable() {
 		if member.Node != p.router.node {
@@ -91,16 +91,16 @@
 	return others[rand.IntN(len(others))], true
 }
 
-// machineFetchInterval is the mean time between two questions to peers for a
-// list of machines, while none is known.
+// machineFetchInterval is the mean time between requests to peers while no list of machines is
+// known.
 const machineFetchInterval = 500 * time.Millisecond
 
-// fetchMachines asks peers for a list of machines until one is known, at first
-// as soon as there is a peer: a router that restarts alone serves at once.
+// fetchMachines requests a list of machines from peers until one is known. It starts as soon as
+// there is a peer, so that a restarted router becomes ready quickly.
 func (r *Router) fetchMachines() error {
 	r.awaitPeer(jitter(machineFetchInterval))
 	for !r.machines.isKnown() {
-		ctx, cancel := context.WithTimeout(r.life.Context(context.Background()), peerTimeout)
+		ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), peerTimeout)
 		if err := r.fetcher.Fetch(ctx, r.holder); err != nil {
 			r.logger.Debug().Err(err).Msg("machine_fetch_failed")
 		}
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// awaitPeer waits until another router is known, for a bounded time.
-func (r *Router) awaitPeer(longest time.Duration) {
-	timer := time.NewTimer(longest)
+// awaitPeer waits until another router is known, for at most timeout.
+func (r *Router) awaitPeer(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		changed := r.peers.Changed()
@@ -122,7 +122,7 @@
 			return
 		}
 		select {
-		case <-r.life.Dying():
+		case <-r.tomb.Dying():
 			return
 		case <-timer.C:
 			return
@@ -131,5 +131,5 @@
 	}
 }
 
-// peerTimeout bounds one question to a peer.
+// peerTimeout limits a request to a peer.
 const peerTimeout = time.Second
--- a/internal/router/peers_test.go
+++ b/internal/router/peers_test.go
@@ -16,42 +16,42 @@
 
 func awaitRoutable(t *testing.T, count int, routers ...*Router) {
 	for _, r := range routers {
-		require.Eventually(t, func() bool { return len(r.peers.View().Routable()) == count }, patience, pollTime)
+		require.Eventually(t, func() bool { return len(r.peers.View().Routable()) == count }, waitTimeout, pollInterval)
 	}
 }
 
-func TestCutOffRouterLearnsFromItsPeers(t *testing.T) {
+func TestRouterWithoutPlatformSyncsFromPeers(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), cutOff)
+	second := f.startReadyRouter("r2", joinThrough(first), withoutPlatform)
 	assert.NotNil(t, place(t, second, "q").GetGrant())
 	require.Zero(t, execute(t, first, "drain e0").GetCode())
-	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, patience, pollTime)
+	require.Eventually(t, func() bool { return second.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	assert.Len(t, execute(t, second, "show routers").GetRows(), 2)
 }
 
-func TestStoppingRouterNamesOthersAndLeaves(t *testing.T) {
+func TestStoppingRouterHandsBackAndLeavesMembership(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first))
+	second := f.startReadyRouter("r2", joinThrough(first))
 	awaitRoutable(t, 2, first, second)
-	f.fill(first)
+	f.fillStreams(first)
 	waiting := placeAsync(context.Background(), first, "waits")
-	require.Eventually(t, func() bool { return first.placer.openCalls() == 1 }, patience, pollTime)
+	require.Eventually(t, func() bool { return first.placer.openCallCount() == 1 }, waitTimeout, pollInterval)
 	require.NoError(t, first.Stop())
 	assert.Equal(t, []string{string(second.Address())}, (<-waiting).GetHandBack().GetRouters())
 	awaitRoutable(t, 1, second)
 	member, known := second.peers.View().Find(first.Node())
-	assert.True(t, !known || member.State == membership.Leaving, "told, not suspected")
+	assert.True(t, !known || member.State == membership.Leaving, "the stopping router must announce its departure")
 }
 
-func TestDeadPeersDoNotHoldUpAStop(t *testing.T) {
+func TestDeadPeersDoNotDelayStop(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	second := f.startReadyRouter("r2", joining(first), func(options *Settings) {
+	second := f.startReadyRouter("r2", joinThrough(first), func(options *Settings) {
 		options.StopTimeout = settings.Duration(time.Hour)
 	})
 	awaitRoutable(t, 2, first, second)
@@ -60,12 +60,12 @@
 	<-second.Dead()
 }
 
-func TestEnginesAreSharedAmongRouters(t *testing.T) {
+func TestEngineOwnershipIsDividedAmongRouters(t *testing.T) {
 	f := newTestFleet(t, 4)
 	f.commitConfiguration()
 	oneOwner := func(options *Settings) { options.IndexReplicas = 1 }
 	first := f.startRouter("r1", oneOwner)
-	second := f.startRouter("r2", oneOwner, joining(first))
+	second := f.startRouter("r2", oneOwner, joinThrough(first))
 	awaitRoutable(t, 2, first, second)
 	owned := func(r *Router) map[fleet.EngineID]bool {
 		engines := make(map[fleet.EngineID]bool)
@@ -84,13 +84,13 @@
 			}
 		}
 		return len(ownedByFirst)+len(ownedBySecond) == 4
-	}, patience, pollTime)
-	assert.Len(t, first.engines.allStatuses(context.Background()), 4, "the rollout sees them all")
+	}, waitTimeout, pollInterval)
+	assert.Len(t, first.engines.freshStatuses(context.Background()), 4, "rollouts must see all engines")
 	require.NoError(t, first.Stop())
-	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, patience, pollTime)
+	require.Eventually(t, func() bool { return len(owned(second)) == 4 }, waitTimeout, pollInterval)
 }
 
-func TestRoutersInTheListOfMachinesAreSeeds(t *testing.T) {
+func TestListedRoutersAreSeeds(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
@@ -101,7 +101,7 @@
 	awaitRoutable(t, 2, first, second)
 }
 
-func TestUnheardRoutersCount(t *testing.T) {
+func TestPeerCountIncludesUnseenRouters(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.platform.SetMachines(append(f.machines(),
 		platform.Machine{ID: "r1", Kind: platform.MachineRouter, Address: "127.0.0.1:1", Incarnation: 1, State: platform.MachineLive},
@@ -110,7 +110,7 @@
 	seeds := []fleet.Address{"127.0.0.1:2", "127.0.0.1:3"}
 	router := f.startRouter("r3", func(options *Settings) { options.Peers = seeds })
 	assert.GreaterOrEqual(t, router.fetcher.Count(), 1+len(seeds))
-	require.Eventually(t, func() bool { return router.fetcher.Count() == 4 }, patience, pollTime)
+	require.Eventually(t, func() bool { return router.fetcher.Count() == 4 }, waitTimeout, pollInterval)
 }
 
 func TestUnspecifiedAddressNeedsAnAdvertisedOne(t *testing.T) {
--- a/internal/router/peerserver.go
+++ b/internal/router/peerserver.go
@@ -6,8 +6,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// peerServer answers other routers: the peer itself, and the list of machines
-// to routers that have none or follow this one's.
+// peerServer serves other routers. It extends the membership peer by the list of machines, for
+// routers that have none or follow this one.
 type peerServer struct {
 	rpc.Peer
 	router *Router
@@ -15,12 +15,12 @@
 
 // Changes implements rpc.Peer.
 func (s *peerServer) Changes(ctx context.Context, message *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
-	s.router.hear(message.GetHeader())
+	s.router.observeRevision(message.GetHeader())
 	response, err := s.Peer.Changes(ctx, message)
 	switch {
 	case err != nil:
 	case message.GetMachinesFollowed():
-		s.router.listing.answer(message, response)
+		s.router.machineFollower.answerFollower(message, response)
 	case message.GetMachinesWanted():
 		response.Machines = s.router.machines.encoded()
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,36 +23,36 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Options sets up a Router.
+// Options configures a Router.
 type Options struct {
 	Settings Settings
 	Logger   zerolog.Logger
-	// Version is the version of the program, for operators.
+	// Version is the program version shown to operators.
 	Version string
-	// Tables, Objects and Machines are the platform's services; nil means the
-	// platform of the settings.
+	// Tables, Objects and Machines are the platform's services. If Tables is nil, all three are
+	// replaced by a client for the platform in Settings.
 	Tables   platform.Tables
 	Objects  platform.Objects
 	Machines platform.Machines
 }
 
-// Router is one router process.
+// Router is one instance of the router process.
 type Router struct {
-	options   Options
-	node      fleet.NodeID
-	clock     fleet.Clock
-	logger    zerolog.Logger
-	metrics   *metrics
-	placer    *placer
-	engines   *engineFleet
-	machines  *machineList
-	lists     *fleetsync.Publisher
-	holder    *config.Holder
-	store     *config.Store
-	follower  *config.PlatformFollower
-	fetcher   *peerFetcher
-	listing   *machineFollower
-	snapshots snapshotCache
+	options         Options
+	node            fleet.NodeID
+	clock           fleet.Clock
+	logger          zerolog.Logger
+	metrics         *metrics
+	placer          *placer
+	engines         *engineFleet
+	machines        *machineList
+	listPublisher   *fleetsync.Publisher
+	holder          *config.Holder
+	configStore     *config.Store
+	configFollower  *config.PlatformFollower
+	fetcher         *peerFetcher
+	machineFollower *machineFollower
+	configSnapshots snapshotCache
 
 	address  fleet.Address
 	listener net.Listener
@@ -60,10 +60,10 @@
 	peers    *peer.Peer
 	rollout  *rolloutRunner
 
-	life     tomb.Tomb
+	tomb     tomb.Tomb
 	stopping atomic.Bool
-	// configured and listed are set once the core has a configuration and a
-	// list of engines.
+	// configured and listed are set once the placement core has a configuration and a list of
+	// engines.
 	configured atomic.Bool
 	listed     atomic.Bool
 	warmup     warmup
@@ -71,7 +71,7 @@
 	stopErr    error
 }
 
-// New returns a router that hasn't started.
+// New returns a router. Call Start to run it.
 func New(options Options) *Router {
 	node := options.Settings.Node.NewNodeID()
 	if options.Tables == nil {
@@ -88,24 +88,24 @@
 	placer := newPlacer(core, clock, metrics, options.Settings.MaxWaitingCalls)
 	metrics.registry.MustRegister(collector{placer: placer})
 	return &Router{
-		options:  options,
-		node:     node,
-		clock:    clock,
-		logger:   options.Logger,
-		metrics:  metrics,
-		placer:   placer,
-		engines:  newEngineFleet(node, placer, metrics, options.Settings, options.Logger),
-		machines: newMachineList(),
-		lists:    fleetsync.NewPublisher(node),
-		holder:   config.NewHolder(),
-		store:    config.NewStore(options.Tables, options.Objects, config.StoreOptions{}),
+		options:       options,
+		node:          node,
+		clock:         clock,
+		logger:        options.Logger,
+		metrics:       metrics,
+		placer:        placer,
+		engines:       newEngineFleet(node, placer, metrics, options.Settings, options.Logger),
+		machines:      newMachineList(),
+		listPublisher: fleetsync.NewPublisher(node),
+		holder:        config.NewHolder(),
+		configStore:   config.NewStore(options.Tables, options.Objects, config.StoreOptions{}),
 	}
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Start listens and begins to serve. It returns once the router's address is
-// known; readiness follows when configuration and machines are known.
+// Start listens and begins to serve. It returns once the router's address is known; the router
+// becomes ready when it has a configuration and a list of machines.
 func (r *Router) Start() error {
 	listener, err := net.Listen("tcp", string(r.options.Settings.Node.Address))
 	if err != nil {
@@ -113,16 +113,16 @@
 	}
 	r.listener = listener
 	r.address = r.advertisedAddress()
-	if err := r.startParts(); err != nil {
+	if err := r.startComponents(); err != nil {
 		_ = listener.Close()
 		return err
 	}
-	r.life.Go(r.run)
+	r.tomb.Go(r.run)
 	r.logger.Info().Str("address", string(r.address)).Str("version", r.options.Version).Msg("router_started")
 	return nil
 }
 
-func (r *Router) startParts() error {
+func (r *Router) startComponents() error {
 	var err error
 	if r.rollout, err = newRolloutRunner(r); err != nil {
 		return err
@@ -136,13 +136,13 @@
 		rpc.NewPeerServer(&peerServer{Peer: r.peers, router: r}),
 	)
 	r.fetcher = newPeerFetcher(r)
-	r.listing = newMachineFollower(r)
+	r.machineFollower = newMachineFollower(r)
 	r.followConfiguration()
 	return nil
 }
 
 func (r *Router) newOperationsServer() *operationsServer {
-	store := &commandStore{store: r.store, refresh: r.refreshConfiguration}
+	store := &commandStore{store: r.configStore, refresh: r.refreshConfiguration}
 	return &operationsServer{
 		router:  r,
 		runner:  operator.NewRunner(operatorSource{router: r}, store, r.rollout),
@@ -151,16 +151,16 @@
 	}
 }
 
-// run starts the goroutines of the router.
+// run starts the router's goroutines.
 func (r *Router) run() error {
-	r.life.Go(r.serve)
-	r.life.Go(func() error { return r.placer.run(r.life.Dying()) })
-	r.life.Go(func() error { return r.engines.run(r.life.Dying()) })
-	r.life.Go(r.pollMachines)
-	r.life.Go(r.followMachines)
-	r.life.Go(r.fetchMachines)
-	r.life.Go(r.applyConfigurations)
-	r.life.Go(r.followMembers)
+	r.tomb.Go(r.serve)
+	r.tomb.Go(func() error { return r.placer.run(r.tomb.Dying()) })
+	r.tomb.Go(func() error { return r.engines.run(r.tomb.Dying()) })
+	r.tomb.Go(r.pollMachines)
+	r.tomb.Go(r.applyMachines)
+	r.tomb.Go(r.fetchMachines)
+	r.tomb.Go(r.applyConfigurations)
+	r.tomb.Go(r.applyMembership)
 	r.peers.Start()
 	r.rollout.start()
 	return nil
@@ -174,27 +174,27 @@
 	return errors.Wrap(err, "serve")
 }
 
-// Address returns the address at which others reach the router, after Start.
+// Address returns the address at which other nodes reach the router. It is valid after Start.
 func (r *Router) Address() fleet.Address { return r.address }
 
-// Node returns the identifier of this run.
+// Node returns the identifier of this instance.
 func (r *Router) Node() fleet.NodeID { return r.node }
 
-// Ready tells whether the router can place requests.
-func (r *Router) Ready() bool { return r.notReady() == "" }
+// Ready reports whether the router can place requests.
+func (r *Router) Ready() bool { return r.notReadyReason() == "" }
 
-// Dead is closed when the router has ended, by itself or by Stop.
-func (r *Router) Dead() <-chan struct{} { return r.life.Dead() }
+// Dead returns a channel that is closed when the router has terminated.
+func (r *Router) Dead() <-chan struct{} { return r.tomb.Dead() }
 
-// Err returns why the router ended; nil after a planned stop.
-func (r *Router) Err() error { return r.life.Err() }
+// Err returns why the router terminated, or nil after a graceful stop.
+func (r *Router) Err() error { return r.tomb.Err() }
 
 func (r *Router) isStopping() bool { return r.stopping.Load() }
 
-// Stop stops the router as planned: not ready, out of the membership, waiting
-// requests handed back, open calls answered, lease released. It takes no
-// longer than the settings allow, whatever peers and platform do. Further
-// calls wait for the first.
+// Stop stops the router gracefully: it reports not ready, leaves the membership, hands waiting
+// requests back, finishes open calls and releases the lease. It returns within the stop timeout of
+// the settings even if peers or the platform don't respond. Concurrent and later calls wait for the
+// first one.
 func (r *Router) Stop() error {
 	r.stopOnce.Do(func() { r.stopErr = r.stop() })
 	return r.stopErr
@@ -202,7 +202,7 @@
 
 func (r *Router) stop() error {
 	r.stopping.Store(true)
-	r.logger.Info().Int("waiting", r.placer.openCalls()).Msg("router_stopping")
+	r.logger.Info().Int("waiting", r.placer.openCallCount()).Msg("router_stopping")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(r.options.Settings.StopTimeout))
 	defer cancel()
 	r.placer.do(func(now time.Duration, core *placement.Core) { core.Drain(now) })
@@ -211,15 +211,15 @@
 	parts.Go(r.rollout.stop)
 	parts.Go(func() { r.stopServer(ctx) })
 	waitFor(ctx, &parts)
-	r.life.Kill(nil)
-	_ = r.follower.Stop()
+	r.tomb.Kill(nil)
+	_ = r.configFollower.Stop()
 	_ = r.peers.Stop()
-	err := r.life.Wait()
+	err := r.tomb.Wait()
 	r.logger.Info().Msg("router_stopped")
 	return err
 }
 
-// stopServer answers the open calls and closes what is left at the time limit.
+// stopServer waits for open calls and closes the remaining ones when ctx ends.
 func (r *Router) stopServer(ctx context.Context) {
 	if err := r.server.Shutdown(ctx); err != nil {
 		r.logger.Warn().Err(err).Msg("open_calls_cut")
@@ -227,7 +227,7 @@
 	}
 }
 
-// waitFor waits for the parts or until the context ends.
+// waitFor waits for parts or until ctx ends.
 func waitFor(ctx context.Context, parts *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
@@ -244,7 +244,7 @@
 	return &rpc.Header{Sender: string(r.node), KnownRevision: uint64(r.holder.Revision())}
 }
 
-// otherRouters returns the addresses of up to limit routers besides this one, those of its zone first.
+// otherRouters returns the addresses of up to limit other routers, those in the same zone first.
 func (r *Router) otherRouters(limit int) []string {
 	var near, far []string
 	for _, member := range r.peers.View().Routable() {
--- a/internal/router/syncserver.go
+++ b/internal/router/syncserver.go
@@ -10,11 +10,11 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Sync implements rpc.Placement. Configuration and machine list go to the side
-// that lacks them.
+// Sync implements rpc.Placement. It exchanges the configuration and the list of machines with an
+// agent; the side that is behind is updated.
 func (s *placementServer) Sync(_ context.Context, message *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-	s.router.learnConfiguration(message.GetConfig(), message.GetHeader().GetSender())
-	s.router.hear(message.GetHeader())
+	s.router.offerConfiguration(message.GetConfig(), message.GetHeader().GetSender())
+	s.router.observeRevision(message.GetHeader())
 	s.router.machines.offer(message.GetMachines())
 	response := &rpc.SyncResponse{
 		Header:         s.router.header(),
@@ -25,20 +25,20 @@
 	if err := s.answerConfiguration(message, response); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	s.router.lists.Answer(s.router.peers.View(), s.router.machines.encoded(), message, response)
+	s.router.listPublisher.FillResponse(s.router.peers.View(), s.router.machines.encoded(), message, response)
 	return response, nil
 }
 
-// answerConfiguration adds what an agent that is behind lacks: the changes, or
-// the whole document if they aren't held or are of no use to the agent.
+// answerConfiguration adds the configuration changes that an agent is missing, or the whole
+// document if the changes are not available or the agent can't apply them.
 func (s *placementServer) answerConfiguration(message *rpc.SyncRequest, response *rpc.SyncResponse) error {
 	known := message.GetHeader().GetKnownRevision()
 	if known >= response.GetHeader().GetKnownRevision() {
 		return nil
 	}
 	if known > 0 && !message.GetConfigSnapshotWanted() {
-		changes, held := s.router.holder.ChangesAfter(fleet.Revision(known))
-		if held {
+		changes, available := s.router.holder.ChangesAfter(fleet.Revision(known))
+		if available {
 			var err error
 			response.ConfigChanges, err = config.ChangeMessages(changes)
 			return err
