--- a/cmd/tillerfall/gateway.go
+++ b/cmd/tillerfall/gateway.go
@@ -69,7 +69,7 @@
 	registry := prometheus.NewRegistry()
 	meter := &traffic.Meter{}
 	store := platform.NewStore(settings.StoreAddress, meter)
-	engines := platform.NewEngines(meter)
+	engines := platform.NewEngineClient(meter)
 	process, err := gateway.New(*settings, gateway.Dependencies{
 		Store:   store,
 		Leases:  platform.NewLeaseTables(store),
