--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// CheckAcross implements settings.CrossChecker.
+// ValidateCrossField implements settings.CrossFieldValidator.
 func (s *Settings) ValidateCrossField(report func(field, message string)) {
 	if s.Advertise == "" && isUnspecified(s.Node.Address) {
 		report("advertise", "is required when node.address stands for all addresses of the machine")
