--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -36,12 +36,12 @@
 	active atomic.Bool
 
 	mutex       sync.Mutex
-	ledger      *workerbackoff.Tracker
+	tracker     *workerbackoff.Tracker
 	returnTimes workerbackoff.RetryScheduler
 }
 
 func newWorkerBackoffs(random *rand.Rand) *workerBackoffs {
-	return &workerBackoffs{ledger: workerbackoff.NewTracker(random)}
+	return &workerBackoffs{tracker: workerbackoff.NewTracker(random)}
 }
 
 func backoffRun(worker fleet.EngineID, born backends.StartTime) workerbackoff.Run {
@@ -53,7 +53,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.active.Store(true)
-	return b.ledger.Extend(now, run, wait)
+	return b.tracker.Extend(now, run, wait)
 }
 
 // remaining returns how long a run still receives nothing.
@@ -63,7 +63,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.ClosedFor(now, run)
+	return b.tracker.ClosedFor(now, run)
 }
 
 // begin returns how long a run still receives no requests. If it returns 0, the caller is about to
@@ -74,7 +74,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.BeginRequest(now, run)
+	return b.tracker.BeginRequest(now, run)
 }
 
 // recordAnswer records an answer that asks for no backoff, to a request sent at sentAt.
@@ -84,8 +84,8 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.ObserveAnswer(run, sentAt)
-	b.active.Store(!b.ledger.IsEmpty())
+	b.tracker.ObserveAnswer(run, sentAt)
+	b.active.Store(!b.tracker.IsEmpty())
 }
 
 // forget drops the backoff of a worker whose run has ended.
@@ -95,8 +95,8 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.Forget(worker)
-	b.active.Store(!b.ledger.IsEmpty())
+	b.tracker.Forget(worker)
+	b.active.Store(!b.tracker.IsEmpty())
 }
 
 // workersInBackoff returns the workers that receive nothing at now.
@@ -106,7 +106,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.ClosedWorkers(now)
+	return b.tracker.ClosedWorkers(now)
 }
 
 // retryAfter returns when a caller of the given priority should retry if the first worker opens
@@ -117,10 +117,10 @@
 	return b.returnTimes.Next(opensIn, priority)
 }
 
-// noteRetryAfter records that a worker asks this node for a backoff.
-func (g *Gateway) noteRetryAfter(source noticeSource, wait time.Duration) {
+// recordRetryAfter records that a worker asks this node for a backoff.
+func (g *Gateway) recordRetryAfter(source noticeSource, wait time.Duration) {
 	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(source.kind)).Inc()
-	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.born), wait)
+	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.startTime), wait)
 	g.events.line("worker_notice").Str("worker", string(source.worker)).Str("notice", noticeRetryAfter).Str("source", string(source.kind)).
 		Dur("retry_after", wait).Bool("longer", longer).Msg("worker_notice")
 }
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -31,9 +31,9 @@
 	log   *cachefeed.Log
 	// changed is closed at the next change.
 	changed chan struct{}
-	// lastAskedAt is the time of the last request, valid if wasAsked.
-	lastAskedAt time.Duration
-	wasAsked    bool
+	// lastRequestAt is the time of the last request, valid if wasAsked.
+	lastRequestAt time.Duration
+	wasRequested  bool
 	// following is the number of caches that this gateway follows, followingSince when it became
 	// nonzero.
 	following      int
@@ -89,14 +89,14 @@
 func (c *cacheLog) recordRequest(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lastAskedAt, c.wasAsked = now, true
+	c.lastRequestAt, c.wasRequested = now, true
 }
 
 // isWanted reports whether there was a recent request.
 func (c *cacheLog) isWanted(now time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.wasAsked && now <= c.lastAskedAt+cacheInterestTimeout
+	return c.wasRequested && now <= c.lastRequestAt+cacheInterestTimeout
 }
 
 // setFollowing sets how many caches this gateway follows.
@@ -109,10 +109,10 @@
 	c.following = caches
 }
 
-// answer returns the response to a question, whether it contains anything new, and a channel that
+// delta returns the response to a question, whether it contains anything new, and a channel that
 // is closed at the next change. ready is false while the caches aren't known yet: an incomplete
-// answer would make the follower drop what it knows.
-func (c *cacheLog) answer(now time.Duration, question cachefeed.Query) (answer cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
+// delta would make the follower drop what it knows.
+func (c *cacheLog) delta(now time.Duration, question cachefeed.Query) (answer cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
@@ -144,7 +144,7 @@
 	timer := time.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for waiting := true; ; {
-		answer, found, ready, changed := log.answer(g.now(), question)
+		answer, found, ready, changed := log.delta(g.now(), question)
 		switch {
 		case found || (ready && !waiting):
 			return encodeCachesResponse(answer), nil
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -29,10 +29,10 @@
 
 // followedCache identifies one cache that is followed.
 type followedCache struct {
-	run     fleet.EngineRun
-	born    backends.StartTime
-	address fleet.Address
-	zone    fleet.ZoneName
+	run       fleet.EngineRun
+	startTime backends.StartTime
+	address   fleet.Address
+	zone      fleet.ZoneName
 }
 
 // followCaches follows the caches of engines and KV cache stores, each in its own goroutine, and
@@ -107,7 +107,7 @@
 	for _, worker := range g.workers.WorkersInUse() {
 		service, known := held.Table.Service(worker.Service)
 		if known && len(worker.Versions) > 0 {
-			add(followedCache{run: worker.Run(), born: worker.StartTime, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
+			add(followedCache{run: worker.Run(), startTime: worker.StartTime, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
 		}
 	}
 	for _, store := range held.Table.Stores() {
@@ -160,11 +160,11 @@
 // followCache applies the events of one cache until the context ends.
 func (g *Gateway) followCache(ctx context.Context, cache followedCache) {
 	ctx = traffic.With(ctx, traffic.CacheEvents, g.distanceTo(cache.zone))
-	ctx = g.withNoticesFrom(ctx, noticeSource{worker: cache.run.Engine, born: cache.born, kind: callCacheEvents})
+	ctx = g.withNoticesFrom(ctx, noticeSource{worker: cache.run.Engine, startTime: cache.startTime, kind: callCacheEvents})
 	var epoch, since uint64
 	reachable := true
 	for ctx.Err() == nil {
-		g.awaitBackoff(ctx, backoffRun(cache.run.Engine, cache.born))
+		g.awaitBackoff(ctx, backoffRun(cache.run.Engine, cache.startTime))
 		g.countCall(cache.run.Engine, callCacheEvents)
 		events, err := g.dependencies.Engines.CacheEvents(ctx, cache.address, since, cacheEventsWait)
 		if err != nil {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -38,7 +38,7 @@
 	return c.lostRuns.Observe(now, worker, fingerprint, loss)
 }
 
-func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
+func (c *crashDetector) markCrashed(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lostRuns.WorkerCrashed(now, worker, proof)
@@ -50,7 +50,7 @@
 	c.lostRuns.WorkerAlive(worker)
 }
 
-func (c *crashDetector) markUndecided(worker fleet.EngineID) {
+func (c *crashDetector) markInconclusive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lostRuns.ProbeInconclusive(worker)
@@ -76,9 +76,9 @@
 	return subject.Fingerprint()
 }
 
-// noteLostRun records that a run brought no complete answer. If the worker's side broke off, it has
+// recordLostRun records that a run brought no complete answer. If the worker's side broke off, it has
 // the worker probed.
-func (g *Gateway) noteLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
+func (g *Gateway) recordLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
 	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
@@ -98,23 +98,23 @@
 	case upstream.Alive:
 		g.crashes.markAlive(destination.Engine)
 	case upstream.Dead:
-		g.noteWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
+		g.recordWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
 	default:
-		g.crashes.markUndecided(destination.Engine)
+		g.crashes.markInconclusive(destination.Engine)
 	}
 }
 
-// noteUnreachable records that no connection to a worker could be opened. A refused connection
+// recordUnreachable records that no connection to a worker could be opened. A refused connection
 // means that the worker has ended.
-func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
+func (g *Gateway) recordUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.noteWorkerEnded(worker, quarantine.ConnectionRefused)
+		g.recordWorkerEnded(worker, quarantine.ConnectionRefused)
 	}
 }
 
-// noteWorkerEnded records that a worker has ended without announcing its shutdown.
-func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
-	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
+// recordWorkerEnded records that a worker has ended without announcing its shutdown.
+func (g *Gateway) recordWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
+	if suspects := g.crashes.markCrashed(g.now(), worker, proof); len(suspects) > 0 {
 		g.recordWorkerCrash(worker, proof, suspects)
 	}
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -63,11 +63,11 @@
 	case writeErr == nil:
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 	case errors.Is(writeErr, errCallerWrite):
-		g.noteLostRun(current, placement, quarantine.Abandoned)
+		g.recordLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Cancelled, writeErr.Error())
 		return attempt.Step{Kind: attempt.StepAbort}
 	default:
-		g.noteLostRun(current, placement, lossOf(ctx))
+		g.recordLostRun(current, placement, lossOf(ctx))
 		g.recordOutcome(current, placement, backends.Lost, writeErr.Error())
 		return attempt.Step{Kind: attempt.StepAbort}
 	}
@@ -81,7 +81,7 @@
 
 // handleBodyError returns the next step after an answer broke off before any of it was relayed.
 func (g *Gateway) handleBodyError(ctx context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
-	g.noteLostRun(current, placement, lossOf(ctx))
+	g.recordLostRun(current, placement, lossOf(ctx))
 	if current.isCallerGone() {
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepAbort}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -142,7 +142,7 @@
 	if current.tenant != nil && !g.canServeKeyed() {
 		return errStaleConfiguration
 	}
-	if _, quarantined := g.checkHeld(current); quarantined {
+	if _, quarantined := g.quarantineVerdict(current); quarantined {
 		return errQuarantined
 	}
 	return g.checkTarget(current, worker)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -67,7 +67,7 @@
 		return attempt.Step{Kind: attempt.StepAbort}
 	}
 	g.checkSuspension()
-	if verdict, quarantined := g.checkHeld(current); quarantined {
+	if verdict, quarantined := g.quarantineVerdict(current); quarantined {
 		return current.attempts.Denied(resultcode.Quarantined, reasonQuarantined, verdict.RetryAfter)
 	}
 	now := g.now()
@@ -106,9 +106,9 @@
 	}
 	defer answer.Close()
 	info := g.dependencies.Codec.ReadResponse(answer.Status, answer.Header)
-	g.reportInvalidInput(current.metadata.RequestID, info.Unreadable)
+	g.reportInvalidInput(current.metadata.RequestID, info.Invalid)
 	g.observeLimit(current, &placement.Worker, info)
-	g.noteAnswerNotice(&placement.Worker, current.sentAt, info)
+	g.applyAnswerNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
 		g.workers.ObserveVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
@@ -156,7 +156,7 @@
 	var failure *upstream.ExchangeError
 	sent := !errors.As(err, &failure) || failure.Stage == upstream.Sent
 	if sent {
-		g.noteLostRun(current, placement, lossOf(sending))
+		g.recordLostRun(current, placement, lossOf(sending))
 	}
 	switch {
 	case current.isCallerGone():
@@ -186,7 +186,7 @@
 		g.recordOutcome(current, placement, backends.Cancelled, err.Error())
 		return current.attempts.NotSent(g.now(), run)
 	case !sent:
-		g.noteUnreachable(placement.Worker.ID, err)
+		g.recordUnreachable(placement.Worker.ID, err)
 		g.recordOutcome(current, placement, backends.Unreachable, err.Error())
 		return current.attempts.NotSent(g.now(), run)
 	default:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -293,7 +293,7 @@
 	g.life.Go(g.runRegistration)
 	g.life.Go(g.exchangeLoads)
 	g.life.Go(g.announceLoads)
-	g.life.Go(g.driveUsageExchange)
+	g.life.Go(g.runUsageExchange)
 	g.life.Go(g.runRollout)
 	g.life.Go(g.runDeliveryDirector)
 	g.life.Go(g.announceDeliveries)
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -191,7 +191,7 @@
 func (l *workerLimits) grant(now time.Duration, observation workerlimit.Observation, members, priority int) workerlimit.Grant {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	rate, limited := l.ledger.Limit(observation.Worker, observation.StartTime)
+	rate, limited := l.tracker.Limit(observation.Worker, observation.StartTime)
 	if !limited {
 		return workerlimit.Grant{Granted: true}
 	}
@@ -222,7 +222,7 @@
 func (l *workerLimits) knownObservation(worker fleet.EngineID) (workerlimit.Observation, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Observation(worker)
+	return l.tracker.Observation(worker)
 }
 
 // limitPriority returns a request's priority at a worker's limit. A continued run has the highest,
--- a/internal/gateway/limitpeers.go
+++ b/internal/gateway/limitpeers.go
@@ -52,7 +52,7 @@
 	defer l.mutex.Unlock()
 	observations := make([]workerlimit.Observation, 0, len(l.pendingBroadcast))
 	for worker := range l.pendingBroadcast {
-		if observation, known := l.ledger.Observation(worker); known {
+		if observation, known := l.tracker.Observation(worker); known {
 			observations = append(observations, observation)
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return encodeLimits(now, l.ledger.Observations(now))
+	return encodeLimits(now, l.tracker.Observations(now))
 }
 
 // applyLimits applies the limits in another gateway's report. start is a time before the report was
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -28,8 +28,8 @@
 	// active is set while a limit is known. Without one, requests skip the mutex.
 	active atomic.Bool
 
-	mutex  sync.Mutex
-	ledger *workerlimit.Tracker
+	mutex   sync.Mutex
+	tracker *workerlimit.Tracker
 	// limiter grants requests to the workers for which this gateway is the granter.
 	limiter     *workerlimit.Limiter
 	retryTimes  workerlimit.RetryScheduler
@@ -54,7 +54,7 @@
 
 func newWorkerLimits() *workerLimits {
 	return &workerLimits{
-		ledger: workerlimit.NewTracker(), limiter: workerlimit.NewLimiter(),
+		tracker: workerlimit.NewTracker(), limiter: workerlimit.NewLimiter(),
 		calls:    make(map[fleet.EngineID]map[callKind]int),
 		granters: make(map[fleet.EngineID]rankedGranters), unavailableUntil: make(map[fleet.NodeID]time.Duration),
 		pendingBroadcast: make(map[fleet.EngineID]bool), announceSignal: make(chan struct{}, 1),
@@ -69,7 +69,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.active.Store(true)
-	change := l.ledger.Observe(observation)
+	change := l.tracker.Observe(observation)
 	switch change {
 	case workerlimit.Unchanged:
 		return change
@@ -100,7 +100,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Forget(worker)
+	l.tracker.Forget(worker)
 	l.dropLocked(worker)
 }
 
@@ -117,23 +117,23 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, limited := l.ledger.Limit(worker, uint64(born)); !limited {
+	if _, limited := l.tracker.Limit(worker, uint64(born)); !limited {
 		return workerlimit.Observation{}, false
 	}
-	return l.ledger.Observation(worker)
+	return l.tracker.Observation(worker)
 }
 
-// intake returns whether a worker takes a request of a priority and, if not, for how long.
-func (l *workerLimits) intake(now time.Duration, worker *backends.Worker, priority int) (backends.Admission, time.Duration) {
+// admission returns whether a worker takes a request of a priority and, if not, for how long.
+func (l *workerLimits) admission(now time.Duration, worker *backends.Worker, priority int) (backends.Admission, time.Duration) {
 	if !l.active.Load() {
 		return backends.AdmissionUnlimited, 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, limited := l.ledger.Limit(worker.ID, uint64(worker.StartTime)); !limited {
+	if _, limited := l.tracker.Limit(worker.ID, uint64(worker.StartTime)); !limited {
 		return backends.AdmissionUnlimited, 0
 	}
-	if closed := l.ledger.ClosedFor(now, worker.ID, priority); closed > 0 {
+	if closed := l.tracker.ClosedFor(now, worker.ID, priority); closed > 0 {
 		return backends.AdmissionClosed, closed
 	}
 	return backends.AdmissionLimited, 0
@@ -143,14 +143,14 @@
 func (l *workerLimits) recordRefusal(now time.Duration, worker fleet.EngineID, priority int, refused workerlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.ObserveRefusal(now, worker, priority, refused)
+	l.tracker.ObserveRefusal(now, worker, priority, refused)
 }
 
 // closedFor returns how long a worker has no room for a request of a priority.
 func (l *workerLimits) closedFor(now time.Duration, worker fleet.EngineID, priority int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.ClosedFor(now, worker, priority)
+	return l.tracker.ClosedFor(now, worker, priority)
 }
 
 // retryAfter returns when a caller should retry that found all workers at their limits, the first
@@ -159,7 +159,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var rate workerlimit.Rate
-	for _, observation := range l.ledger.Observations(now) {
+	for _, observation := range l.tracker.Observations(now) {
 		rate += observation.Rate
 	}
 	return l.retryTimes.Next(now, opensIn, rate/workerlimit.Rate(max(sharers, 1)))
@@ -191,14 +191,14 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var uses []limitUsage
-	for _, observation := range l.ledger.Observations(now) {
+	for _, observation := range l.tracker.Observations(now) {
 		if counts := l.calls[observation.Worker]; observation.Limited && counts != nil {
 			uses = append(uses, limitUsage{observation: observation, calls: counts})
 			l.calls[observation.Worker] = make(map[callKind]int)
 		}
 	}
 	l.limiter.Sweep(now)
-	l.active.Store(!l.ledger.IsEmpty())
+	l.active.Store(!l.tracker.IsEmpty())
 	return uses
 }
 
--- a/internal/gateway/limits_benchmark_test.go
+++ b/internal/gateway/limits_benchmark_test.go
@@ -39,12 +39,12 @@
 	}
 }
 
-// BenchmarkIntake checks one candidate of a choice.
-func BenchmarkIntake(b *testing.B) {
+// BenchmarkAdmission checks one candidate of a choice.
+func BenchmarkAdmission(b *testing.B) {
 	limits := newWorkerLimits()
 	limits.observe(limitObservation(2, 0), false)
 	worker := &backends.Worker{ID: "w"}
 	for b.Loop() {
-		limits.intake(0, worker, 5)
+		limits.admission(0, worker, 5)
 	}
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -25,8 +25,8 @@
 	Limit workerlimit.Statement
 	// Unknown lists the server's headers about itself that the codec doesn't know.
 	Unknown []string
-	// Unreadable lists the server's headers about itself that couldn't be parsed.
-	Unreadable []InvalidInput
+	// Invalid lists the server's headers about itself that couldn't be parsed.
+	Invalid []InvalidInput
 }
 
 // appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
@@ -71,9 +71,9 @@
 // noticeSource identifies the worker's run that a notice is about, and the kind of call that
 // brought it.
 type noticeSource struct {
-	worker fleet.EngineID
-	born   backends.StartTime
-	kind   callKind
+	worker    fleet.EngineID
+	startTime backends.StartTime
+	kind      callKind
 }
 
 // isFirst records a header of a worker and reports whether it has not been logged before. It
@@ -111,10 +111,10 @@
 		return
 	}
 	if notice.Draining {
-		g.noteDraining(source)
+		g.recordDraining(source)
 	}
 	if notice.RetryAfter > 0 {
-		g.noteRetryAfter(source, notice.RetryAfter)
+		g.recordRetryAfter(source, notice.RetryAfter)
 	}
 }
 
@@ -128,10 +128,10 @@
 	}
 }
 
-// noteDraining records that a worker's answer announces its shutdown.
-func (g *Gateway) noteDraining(source noticeSource) {
+// recordDraining records that a worker's answer announces its shutdown.
+func (g *Gateway) recordDraining(source noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.born}, string(source.kind))
+	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.startTime}, string(source.kind))
 }
 
 // observeDraining records that a worker is draining, as reported by an answer or a peer.
@@ -143,14 +143,14 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// noteAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
+// applyAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
 // answers that are neither signed nor a worker's statement that it did not run the request, since
 // others may not come from the worker.
-func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
+func (g *Gateway) applyAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.applyNotice(noticeSource{worker: worker.ID, born: worker.StartTime, kind: callRequest}, &info.Notice)
+	g.applyNotice(noticeSource{worker: worker.ID, startTime: worker.StartTime, kind: callRequest}, &info.Notice)
 	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
 		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.StartTime), sentAt)
 	}
@@ -170,7 +170,7 @@
 // withNoticesFrom returns a context in which the notices of a worker's answers are handled.
 func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
-		g.reportInvalidInput("", notice.Unreadable)
+		g.reportInvalidInput("", notice.Invalid)
 		g.applyNotice(source, &notice)
 	})
 }
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -40,7 +40,7 @@
 	plannedRates map[membership.Location]float64
 
 	pressures map[fleet.NodeID]reportedPressure
-	weights   map[fleet.NodeID]float64
+	factors   map[fleet.NodeID]float64
 }
 
 // reportedPressure is a node's pressure as reported by itself or by another node.
@@ -154,9 +154,9 @@
 	return found && report.pressure == pressureUnreachable && now <= report.measured+rateLifetime
 }
 
-// capacityWeights returns the fraction of their capacity with which nodes under pressure count. It
+// capacityFactors returns the fraction of their capacity with which nodes under pressure count. It
 // returns the same map while nothing changes.
-func (o *originTracker) capacityWeights(now time.Duration) map[fleet.NodeID]float64 {
+func (o *originTracker) capacityFactors(now time.Duration) map[fleet.NodeID]float64 {
 	weights := make(map[fleet.NodeID]float64)
 	for node, report := range o.nodesUnderPressure(now) {
 		// Nodes near an unreachable one may be lost as well. It is replaced only after the
@@ -167,10 +167,10 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !maps.Equal(weights, o.weights) {
-		o.weights = weights
+	if !maps.Equal(weights, o.factors) {
+		o.factors = weights
 	}
-	return o.weights
+	return o.factors
 }
 
 // originRates returns the request rates by location, as far as this node knows them.
--- a/internal/gateway/peerfailures.go
+++ b/internal/gateway/peerfailures.go
@@ -37,10 +37,10 @@
 	return f.consecutive[node] >= unreachableAfter
 }
 
-// noteExchange records the result of an exchange with another node. Until an unreachable node
+// recordExchange records the result of an exchange with another node. Until an unreachable node
 // answers again, this node's reports to its watchers list it, so that idle nodes stop directing
 // callers to it before the membership's gossip has spread its failure.
-func (g *Gateway) noteExchange(node fleet.NodeID, answered bool) {
+func (g *Gateway) recordExchange(node fleet.NodeID, answered bool) {
 	if g.unresponsivePeers.record(node, answered) && !g.isStopping() {
 		g.origins.setPressure(g.now(), node, pressureUnreachable)
 		g.events.line("node_silent").Str("peer", string(node)).Msg("node_silent")
--- a/internal/gateway/peerfailures_test.go
+++ b/internal/gateway/peerfailures_test.go
@@ -30,11 +30,11 @@
 func TestCallersAreNotDirectedToAnUnreachableNode(t *testing.T) {
 	g, watcher := newTestGateway(t), newTestGateway(t)
 	lost := membership.Member{Node: "lost", State: membership.Alive}
-	g.noteExchange(lost.Node, false)
+	g.recordExchange(lost.Node, false)
 	assert.False(t, g.origins.isUnreachable(g.now(), lost.Node))
-	g.noteExchange(lost.Node, false)
+	g.recordExchange(lost.Node, false)
 	require.True(t, g.origins.isUnreachable(g.now(), lost.Node))
-	assert.Empty(t, g.origins.capacityWeights(g.now()), "it is not replaced yet, since nodes near it may be lost, too")
+	assert.Empty(t, g.origins.capacityFactors(g.now()), "it is not replaced yet, since nodes near it may be lost, too")
 	_, pressures := g.originReport(g.now())
 	watcher.applyOriginReport(watcher.now(), nil, pressures)
 	assert.True(t, watcher.origins.isUnreachable(watcher.now(), lost.Node))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -149,7 +149,7 @@
 	defer cancel()
 	start := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
-	g.noteExchange(member.Node, err == nil)
+	g.recordExchange(member.Node, err == nil)
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
@@ -206,7 +206,7 @@
 		Node:        string(g.node),
 		RequestRate: encodeRate(g.demand.ownRate()),
 		Pressure:    uint32(g.pressure.level()),
-		Named:       g.namedVersions(now),
+		Named:       g.encodeRecentVersions(now),
 		Limits:      g.limits.encodedLimits(now),
 	}
 	report.Loads = g.encodeLoads(g.workers.OwnLoad())
@@ -230,7 +230,7 @@
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.StartTime)})
 	}
 	if _, holds := g.lease.Fence(); holds {
-		report.Weights = g.dueVersions(now, to)
+		report.Weights = g.versionsToReport(now, to)
 	}
 	g.quotas.writeReport(now, report, to)
 	g.deliveries.writeReport(now, report, to)
@@ -244,8 +244,8 @@
 	return report
 }
 
-// namedVersions returns the newest model versions with the time since each was named.
-func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
+// encodeRecentVersions returns the newest model versions with the time since each was named.
+func (g *Gateway) encodeRecentVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
 	for model, namings := range g.rollout.recentVersions() {
 		for _, naming := range namings {
@@ -257,8 +257,8 @@
 	return named
 }
 
-// applyNamedVersions records when other gateways heard of model versions.
-func (g *Gateway) applyNamedVersions(named []*rpc.NamedVersion) {
+// applyPeerVersions records when other gateways heard of model versions.
+func (g *Gateway) applyPeerVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
@@ -266,9 +266,9 @@
 	}
 }
 
-// dueVersions returns the engines' model versions to include in a report to a gateway. The lease
+// versionsToReport returns the engines' model versions to include in a report to a gateway. The lease
 // holder is their authority.
-func (g *Gateway) dueVersions(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
+func (g *Gateway) versionsToReport(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
 		for model, version := range worker.Versions {
@@ -309,7 +309,7 @@
 	for _, run := range report.GetDraining() {
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), StartTime: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
-	g.applyNamedVersions(report.GetNamed())
+	g.applyPeerVersions(report.GetNamed())
 	g.quotas.applyReport(now, report)
 	g.demand.setPeerRate(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
 	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -30,7 +30,7 @@
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Admission = func(worker *backends.Worker) (backends.Admission, time.Duration) {
-			intake, opensIn := g.limits.intake(now, worker, priority)
+			intake, opensIn := g.limits.admission(now, worker, priority)
 			current.atLimit = current.atLimit || intake == backends.AdmissionClosed
 			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.StartTime)); backoff > 0 {
 				return backends.AdmissionClosed, max(backoff, opensIn)
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -58,23 +58,23 @@
 // capacity, and against reports that are outdated or have expired.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := newTestGateway(t)
-	assert.Empty(t, g.origins.capacityWeights(0))
+	assert.Empty(t, g.origins.capacityFactors(0))
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
-	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
+	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityFactors(now))
 	g.updateRoles(now)
-	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().pressureWeights["other"])
+	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().capacityFactors["other"])
 	_, pressures := g.originReport(now)
 	require.Len(t, pressures, 1)
 	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
-	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older report is ignored")
-	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a report that isn't renewed expires")
+	assert.NotEmpty(t, g.origins.capacityFactors(now), "an older report is ignored")
+	assert.Empty(t, g.origins.capacityFactors(now+rateLifetime+time.Second), "a report that isn't renewed expires")
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
-	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityWeights(g.now())["other"])
+	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityFactors(g.now())["other"])
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: 77})
 	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown value counts as the highest")
 	g.applyLoadReport(&rpc.LoadReport{Node: "other"})
-	assert.Empty(t, g.origins.capacityWeights(g.now()))
+	assert.Empty(t, g.origins.capacityFactors(g.now()))
 }
 
 // TestOwnPressureIsReported guards against a node that doesn't report its own pressure to peers and
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -26,8 +26,8 @@
 	// active is set by the first record. Until then requests skip the mutex.
 	active atomic.Bool
 
-	mutex  sync.Mutex
-	ledger *quarantine.Tracker
+	mutex   sync.Mutex
+	tracker *quarantine.Tracker
 	// changedAt holds when a record last changed here. Reports include it for reportChangesFor.
 	changedAt map[quarantine.Fingerprint]time.Duration
 	// pendingBroadcast holds the records to send to other gateways at once.
@@ -46,7 +46,7 @@
 
 func newQuarantineState() *quarantineState {
 	return &quarantineState{
-		ledger:           quarantine.NewTracker(quarantine.Options{}),
+		tracker:          quarantine.NewTracker(quarantine.Options{}),
 		changedAt:        make(map[quarantine.Fingerprint]time.Duration),
 		pendingBroadcast: make(map[quarantine.Fingerprint]bool),
 		local:            make(map[quarantine.Fingerprint]bool),
@@ -63,7 +63,7 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.ledger.Check(now, fingerprint)
+	return q.tracker.Check(now, fingerprint)
 }
 
 // quarantineChange is the effect of an update on one request.
@@ -79,9 +79,9 @@
 	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	before := q.ledger.Check(now, fingerprint)
-	broadcast := change(q.ledger)
-	after := q.ledger.Check(now, fingerprint)
+	before := q.tracker.Check(now, fingerprint)
+	broadcast := change(q.tracker)
+	after := q.tracker.Check(now, fingerprint)
 	outcome := quarantineChange{verdict: after, began: !before.Quarantined && after.Quarantined, ended: before.Quarantined && !after.Quarantined}
 	// A single crash that another gateway saw is reported by that gateway alone. Otherwise a
 	// failure of many runs would be reported by each gateway to all others.
@@ -114,7 +114,7 @@
 	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
-		q.ledger.ObserveAnswer(now, fingerprint)
+		q.tracker.ObserveAnswer(now, fingerprint)
 		return quarantineChange{}
 	}
 	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
@@ -153,16 +153,16 @@
 			delete(q.changedAt, fingerprint)
 		}
 	}
-	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.RecordsWithCrashes(sharedCrashes)) > 0 {
+	released = q.tracker.Sweep(now)
+	if len(q.stored) > 0 || len(q.tracker.RecordsWithCrashes(sharedCrashes)) > 0 {
 		signal(q.storeSignal)
 	}
 	for fingerprint := range q.local {
-		if _, known := q.ledger.Record(fingerprint); !known {
+		if _, known := q.tracker.Record(fingerprint); !known {
 			delete(q.local, fingerprint)
 		}
 	}
-	return released, q.ledger.QuarantinedCount()
+	return released, q.tracker.QuarantinedCount()
 }
 
 // checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
@@ -176,28 +176,28 @@
 		current.quarantineTrial = true
 		return nil
 	}
-	g.recordHeldRequest(current, verdict)
+	g.recordQuarantinedRequest(current, verdict)
 	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, longRetryAfter)}
 }
 
 // reasonQuarantined is the refusal reason of a quarantined request.
 const reasonQuarantined = "workers ended under it"
 
-// checkHeld reports whether a request is held, and logs it if so. The trial of a held request
+// quarantineVerdict reports whether a request is held, and logs it if so. The trial of a held request
 // passes.
-func (g *Gateway) checkHeld(current *callerRequest) (quarantine.Verdict, bool) {
+func (g *Gateway) quarantineVerdict(current *callerRequest) (quarantine.Verdict, bool) {
 	if current.quarantineTrial {
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if verdict.Quarantined {
-		g.recordHeldRequest(current, verdict)
+		g.recordQuarantinedRequest(current, verdict)
 	}
 	return verdict, verdict.Quarantined
 }
 
-// recordHeldRequest logs and counts a request that was refused or cancelled by quarantine.
-func (g *Gateway) recordHeldRequest(current *callerRequest, verdict quarantine.Verdict) {
+// recordQuarantinedRequest logs and counts a request that was refused or cancelled by quarantine.
+func (g *Gateway) recordQuarantinedRequest(current *callerRequest, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
 		Str("route", current.route.Name).Int("ends", verdict.Crashes).Dur("first_end_age", verdict.FirstAge).
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -72,8 +72,8 @@
 	return g
 }
 
-// heldRequest returns a request that the gateway holds, with crashes that long ago.
-func heldRequest(g *Gateway, ago time.Duration) *callerRequest {
+// quarantinedRequest returns a request that the gateway holds, with crashes that long ago.
+func quarantinedRequest(g *Gateway, ago time.Duration) *callerRequest {
 	current := &callerRequest{
 		request:  httptest.NewRequest("POST", "/a", nil),
 		metadata: Metadata{RequestID: "r"},
@@ -93,7 +93,7 @@
 // A quarantined request must be refused before any send, with a result that says it wasn't run.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	refused := g.checkQuarantine(current)
 	require.NotNil(t, refused)
 	assert.Equal(t, resultcode.Quarantined, refused.code)
@@ -110,12 +110,12 @@
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
 	const past = quarantine.DefaultTrialDelay + time.Second
-	first, second := heldRequest(one, past), heldRequest(other, past)
+	first, second := quarantinedRequest(one, past), quarantinedRequest(other, past)
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.quarantineTrial)
 	assert.NoError(t, one.permitRequest(first, nil))
 	assert.NotNil(t, other.checkQuarantine(second), "stored trial is newer")
-	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "no second trial")
+	assert.NotNil(t, one.checkQuarantine(quarantinedRequest(one, past)), "no second trial")
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
 }
 
@@ -123,7 +123,7 @@
 func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
+	current := quarantinedRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	assert.NotNil(t, g.checkQuarantine(current))
 	store.failed = nil
@@ -134,7 +134,7 @@
 func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
+	current := quarantinedRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.rows[current.fingerprint] = QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1"}, Version: 9}
 	store.version = 9
 	assert.Nil(t, g.checkQuarantine(current))
@@ -149,7 +149,7 @@
 		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
 		g.applyStoreChanges(&changes)
 	}
-	current := heldRequest(g, 0)
+	current := quarantinedRequest(g, 0)
 	sync(true, true)
 	assert.Empty(t, store.rows, "other gateways write it")
 	g.recordWorkerCrash("w3", quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
@@ -171,7 +171,7 @@
 func TestOrphanedRecordIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, orphanedAfter+time.Second)
+	current := quarantinedRequest(g, orphanedAfter+time.Second)
 	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), false, true).write)
 	assert.Len(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write, 1)
 	g.applyQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
@@ -181,7 +181,7 @@
 // A removed row must release the request, also against peers that still report it.
 func TestRemovedRowEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
 	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Deleted: true}
 	g.applyQuarantineRow(&gone)
@@ -190,7 +190,7 @@
 	g.applyQuarantineRow(&gone)
 	assert.Nil(t, g.checkQuarantine(current))
 	g.quarantines.takePendingBroadcast()
-	heldRequest(g, time.Second)
+	quarantinedRequest(g, time.Second)
 	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the hold")
 	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "release broadcast")
 }
@@ -199,7 +199,7 @@
 // snapshot must not.
 func TestRowMissingFromSnapshotEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	g.quarantines.setStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
 	g.quarantineTable.apply(&watchcache.Update{Revision: 6, Complete: true}, gapNone)
 	assert.NotNil(t, g.checkQuarantine(current))
@@ -210,7 +210,7 @@
 // The start of a quarantine must cancel pending sends of the request, but not its trial.
 func TestQuarantineCancelsPendingSends(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	var causes []error
 	for _, send := range []*pendingSend{
 		{fingerprint: current.fingerprint}, {fingerprint: current.fingerprint, quarantineTrial: true}, {fingerprint: quarantine.Fingerprint{1}},
@@ -235,7 +235,7 @@
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
-	current := heldRequest(one, 5*time.Second)
+	current := quarantinedRequest(one, 5*time.Second)
 	report := one.loadReport("other")
 	require.Len(t, report.QuarantineRecords, 1, "recently changed")
 	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
@@ -256,7 +256,7 @@
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.QuarantinedCount(), "unreadable record ignored")
+	assert.Equal(t, 1, other.quarantines.tracker.QuarantinedCount(), "unreadable record ignored")
 }
 
 // An answer to a request that other gateways suspect must release it and be broadcast.
--- a/internal/gateway/quarantinepeers.go
+++ b/internal/gateway/quarantinepeers.go
@@ -47,7 +47,7 @@
 	defer q.mutex.Unlock()
 	records := make([]quarantine.Record, 0, len(q.pendingBroadcast))
 	for fingerprint := range q.pendingBroadcast {
-		if record, known := q.ledger.Record(fingerprint); known {
+		if record, known := q.tracker.Record(fingerprint); known {
 			records = append(records, record)
 		}
 	}
@@ -93,10 +93,10 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	report.QuarantineDigest = q.ledger.Digest(sharedCrashes)
+	report.QuarantineDigest = q.tracker.Digest(sharedCrashes)
 	var records []quarantine.Record
 	for fingerprint, at := range q.changedAt {
-		if record, known := q.ledger.Record(fingerprint); known && now <= at+reportChangesFor {
+		if record, known := q.tracker.Record(fingerprint); known && now <= at+reportChangesFor {
 			records = append(records, record)
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.ledger.Digest(sharedCrashes)
+	return q.tracker.Digest(sharedCrashes)
 }
 
 // missingRecords returns the shared records if a gateway's digest differs from this one's.
@@ -120,10 +120,10 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.ledger.Digest(sharedCrashes) == digest {
+	if q.tracker.Digest(sharedCrashes) == digest {
 		return nil
 	}
-	return encodeQuarantineRecords(now, q.ledger.RecordsWithCrashes(sharedCrashes))
+	return encodeQuarantineRecords(now, q.tracker.RecordsWithCrashes(sharedCrashes))
 }
 
 // mergeQuarantineRecords merges records of another gateway.
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -155,12 +155,12 @@
 	defer q.mutex.Unlock()
 	var changes storeChanges
 	shared := make(map[quarantine.Fingerprint]bool)
-	for _, record := range q.ledger.RecordsWithCrashes(sharedCrashes) {
+	for _, record := range q.tracker.RecordsWithCrashes(sharedCrashes) {
 		shared[record.Fingerprint] = true
-		verdict := q.ledger.Check(now, record.Fingerprint)
+		verdict := q.tracker.Check(now, record.Fingerprint)
 		orphaned := isReader && verdict.Quarantined && verdict.LastAge > orphanedAfter
 		known := q.stored[record.Fingerprint]
-		outdated := known.workerCount < min(verdict.Crashes, q.ledger.Threshold()) || known.trials < record.Trials
+		outdated := known.workerCount < min(verdict.Crashes, q.tracker.Threshold()) || known.trials < record.Trials
 		if outdated && (q.local[record.Fingerprint] || orphaned) && len(changes.write) < maxStoreChanges {
 			changes.write = append(changes.write, rowFromRecord(&record, verdict.Crashes))
 		}
@@ -272,7 +272,7 @@
 func (q *quarantineState) record(fingerprint quarantine.Fingerprint) (quarantine.Record, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.ledger.Record(fingerprint)
+	return q.tracker.Record(fingerprint)
 }
 
 // beginTrial records that this gateway tries a held request.
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -85,8 +85,8 @@
 	return q.limiter.IsNearLimit(now)
 }
 
-// isNewcomer reports whether this node doesn't know yet what was used before its start.
-func (q *quotas) isNewcomer(now time.Duration) bool {
+// isJoining reports whether this node doesn't know yet what was used before its start.
+func (q *quotas) isJoining(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.IsJoining(now)
@@ -206,11 +206,11 @@
 	}
 }
 
-// driveUsageExchange exchanges usage with the nodes that share loads while a tenant is near its
+// runUsageExchange exchanges usage with the nodes that share loads while a tenant is near its
 // quota or this node is a newcomer. It does so more often than loads are shared.
-func (g *Gateway) driveUsageExchange() error {
+func (g *Gateway) runUsageExchange() error {
 	for g.pauseForUsage() {
-		if !g.quotas.isNearLimit(g.now()) && !g.quotas.isNewcomer(g.now()) {
+		if !g.quotas.isNearLimit(g.now()) && !g.quotas.isJoining(g.now()) {
 			continue
 		}
 		for _, member := range g.usagePeers() {
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -60,20 +60,20 @@
 	demand float64
 	// fallbackCandidate is set while this node is a fallback candidate for the rollout lease.
 	fallbackCandidate bool
-	// origins, pressureWeights and minSizes are the options that the roles were derived from: the
+	// demandByLocation, pressureWeights and minSizes are the options that the roles were derived from: the
 	// demand by location, the weights of nodes under pressure, and the least sizes of the serving
 	// groups.
-	origins         map[membership.Location]float64
-	pressureWeights map[fleet.NodeID]float64
-	minSizes        map[membership.Location]int
+	demandByLocation     map[membership.Location]float64
+	capacityFactors      map[fleet.NodeID]float64
+	minServingByLocation map[membership.Location]int
 	// isReader is set if this node reads the store, isCandidate if it competes for the rollout
 	// lease. sharesLoads is set if it exchanges loads: the serving nodes, the candidates and
 	// fallback candidates do.
 	isReader    bool
 	isCandidate bool
 	sharesLoads bool
-	// standbyCount is the number of nodes that aren't serving, if this is one of them.
-	standbyCount int
+	// nonServingCount is the number of nodes that aren't serving, if this is one of them.
+	nonServingCount int
 	// readerOrder are the readers that this node asks for changes of the store, best first.
 	readerOrder []fleet.NodeID
 	// loadPeers are the other nodes that share loads, empty if this one doesn't.
@@ -92,13 +92,13 @@
 	candidates := all.Candidates(rolloutLease)
 	roles := &nodeRoles{
 		Roles: all, view: view, demand: demand, fallbackCandidate: fallback,
-		origins: options.DemandByLocation, pressureWeights: options.CapacityFactors, minSizes: options.MinServingByLocation,
+		demandByLocation: options.DemandByLocation, capacityFactors: options.CapacityFactors, minServingByLocation: options.MinServingByLocation,
 		isReader:    all.IsReader(self),
 		isCandidate: slices.Contains(candidates, self),
 		readerOrder: all.ReaderOrder(zone, self),
 	}
 	if !all.IsServing(self) {
-		roles.standbyCount = len(view.Routable()) - len(all.Serving)
+		roles.nonServingCount = len(view.Routable()) - len(all.Serving)
 	}
 	roles.sharesLoads = roles.isCandidate || fallback || all.IsServing(self)
 	if !roles.sharesLoads {
@@ -116,7 +116,7 @@
 // receives reports of a few nodes first. It would take a single location for the origin of all
 // requests and hold a group size that is far too large.
 func (g *Gateway) roleOptions(now time.Duration, demand float64, previous *nodeRoles) membership.RoleOptions {
-	options := membership.RoleOptions{CapacityFactors: g.origins.capacityWeights(now)}
+	options := membership.RoleOptions{CapacityFactors: g.origins.capacityFactors(now)}
 	origins := g.origins.plan(g.originRates(now))
 	if previous == nil || now < planningDelay {
 		return options
@@ -128,7 +128,7 @@
 
 // optionsChanged reports whether the options differ from those that the roles were derived from.
 func (r *nodeRoles) optionsChanged(options membership.RoleOptions) bool {
-	return !maps.Equal(r.origins, options.DemandByLocation) || !maps.Equal(r.pressureWeights, options.CapacityFactors) || !maps.Equal(r.minSizes, options.MinServingByLocation)
+	return !maps.Equal(r.demandByLocation, options.DemandByLocation) || !maps.Equal(r.capacityFactors, options.CapacityFactors) || !maps.Equal(r.minServingByLocation, options.MinServingByLocation)
 }
 
 // maintainRoles keeps this node's roles up to date with the membership and the demand.
@@ -157,7 +157,7 @@
 	}
 	settled := !g.isJoining(now)
 	reader := roles.isReader && settled
-	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, standbyCount: roles.standbyCount})
+	g.sources.setRole(now, sourceRole{settled: settled, reader: reader, order: roles.readerOrder, nonServingCount: roles.nonServingCount})
 	if serves := roles.IsServing(g.node); previous == nil || previous.IsServing(g.node) != serves || len(previous.Serving) != len(roles.Serving) {
 		g.logger.Info().Bool("serves", serves).Int("serving", len(roles.Serving)).Bool("reads", reader).
 			Int("members", len(view.Routable())).Float64("request_rate", g.demand.total(now)).Msg("roles_changed")
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -32,8 +32,8 @@
 	reader  bool
 	// order lists the peers to ask otherwise, best first.
 	order []fleet.NodeID
-	// standbyCount is the number of nodes that aren't serving, if this is one of them.
-	standbyCount int
+	// nonServingCount is the number of nodes that aren't serving, if this is one of them.
+	nonServingCount int
 }
 
 // setRole sets this node's role.
@@ -43,7 +43,7 @@
 	if role.settled {
 		s.selector.ConfirmRole(now)
 	}
-	s.selector.SetNonServingNodes(role.standbyCount)
+	s.selector.SetNonServingNodes(role.nonServingCount)
 	s.selector.SetRole(now, role.reader, role.order)
 	s.updateReading(now)
 }
@@ -85,8 +85,8 @@
 	s.updateReading(now)
 }
 
-// needsAll reports whether this node needs the complete tables.
-func (s *sourceSelector) needsAll(now time.Duration) bool {
+// needsFullState reports whether this node needs the complete tables.
+func (s *sourceSelector) needsFullState(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.NeedsFullState(now)
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -127,7 +127,7 @@
 // handleNotice handles the notices in a response of the store.
 func (f *storeFollower) handleNotice(notice Notice) {
 	g := f.gateway
-	g.reportInvalidInput("", notice.Unreadable)
+	g.reportInvalidInput("", notice.Invalid)
 	g.logUnknownHeaders(noticeSource{worker: storeLogName, kind: callStore}, notice.Unknown)
 	if notice.RetryAfter == 0 {
 		return
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -46,15 +46,15 @@
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case current.isCallerGone() || errors.Is(err, errCallerWrite):
-		g.noteLostRun(current, placement, quarantine.Abandoned)
+		g.recordLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil:
-		g.noteLostRun(current, placement, quarantine.Abandoned)
+		g.recordLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
 		return current.attempts.Expired()
 	default:
-		g.noteLostRun(current, placement, quarantine.ConnectionBroken)
+		g.recordLostRun(current, placement, quarantine.ConnectionBroken)
 		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
 		answer.Close()
 		return current.attempts.Truncated(g.now(), run, current.rememberCopy(placement))
@@ -101,7 +101,7 @@
 		}
 		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
-		if relayErr := r.relayWholeEvents(relay); relayErr != nil {
+		if relayErr := r.relayCompleteEvents(relay); relayErr != nil {
 			return relayErr
 		}
 		switch {
@@ -117,8 +117,8 @@
 	}
 }
 
-// relayWholeEvents passes the whole events in the buffer on and removes them from it.
-func (r *eventRelay) relayWholeEvents(relay func(events []byte) error) error {
+// relayCompleteEvents passes the whole events in the buffer on and removes them from it.
+func (r *eventRelay) relayCompleteEvents(relay func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
 		return nil
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -25,7 +25,7 @@
 // that reads temporarily because its peers are slow follows only the changes of what it knows,
 // which spares the store complete reads.
 func (g *Gateway) shouldReadAllWorkers() bool {
-	return g.roles.Load().isReader || g.needsAllWorkers() || g.sources.needsAll(g.now())
+	return g.roles.Load().isReader || g.needsAllWorkers() || g.sources.needsFullState(g.now())
 }
 
 func (g *Gateway) workersTable() *table { return g.table(TableWorkers) }
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -144,7 +144,7 @@
 }
 
 // A change of role must add and drop workers without counting any as gone.
-func TestCandidateLeaderLearnsAllWorkers(t *testing.T) {
+func TestLeaseCandidateLearnsAllWorkers(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	inUse := len(follower.workers.Workers())
@@ -234,9 +234,9 @@
 	}
 }
 
-// BenchmarkNextWeightsChange measures one search of the lease holder for engines to update while
+// BenchmarkStartUpdates measures one search of the lease holder for engines to update while
 // there are none.
-func BenchmarkNextWeightsChange(b *testing.B) {
+func BenchmarkStartUpdates(b *testing.B) {
 	reader := readerGateway(b, 10_000)
 	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
 	for b.Loop() {
@@ -248,18 +248,18 @@
 // ones.
 type recordingStore struct {
 	workerTable
-	whole   int
-	after   []fleet.Revision
-	changes *watchcache.Update
+	completeReads int
+	positions     []fleet.Revision
+	changes       *watchcache.Update
 }
 
 func (s *recordingStore) ReadTable(context.Context, Table, func() bool) (*watchcache.Update, error) {
-	s.whole++
+	s.completeReads++
 	return &watchcache.Update{Revision: s.changes.Revision, Complete: true}, nil
 }
 
 func (s *recordingStore) FollowTable(_ context.Context, _ Table, after fleet.Revision, _ time.Duration) (*watchcache.Update, error) {
-	s.after = append(s.after, after)
+	s.positions = append(s.positions, after)
 	return s.changes, nil
 }
 
@@ -279,10 +279,10 @@
 	feed := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
 	feed.step(t.Context())
 	feed.step(t.Context())
-	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
-	assert.Zero(t, store.whole)
+	assert.Equal(t, []fleet.Revision{7, 9}, store.positions)
+	assert.Zero(t, store.completeReads)
 	assert.True(t, follower.workers.IsDraining(drained))
 	follower.sources.recordWatcher(follower.now())
 	feed.step(t.Context())
-	assert.Equal(t, 1, store.whole, "gateway is watched by others")
+	assert.Equal(t, 1, store.completeReads, "gateway is watched by others")
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -183,7 +183,7 @@
 	g.rollout.forgetRun(worker)
 	g.limits.forget(worker)
 	g.backoffs.forget(worker)
-	g.noteWorkerEnded(worker, quarantine.RowRemoved)
+	g.recordWorkerEnded(worker, quarantine.RowRemoved)
 }
 
 // observeWorkerStart records a start time that a worker reports itself, independently of its row.
@@ -219,6 +219,6 @@
 		g.forgetPreviousRun(worker.ID)
 	}
 	if change == backends.Gone {
-		g.noteWorkerEnded(worker.ID, quarantine.RowRemoved)
+		g.recordWorkerEnded(worker.ID, quarantine.RowRemoved)
 	}
 }
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -33,7 +33,7 @@
 // for it that counts its traffic and handles its notices.
 func (g *Gateway) workerCallContext(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
 	g.countCall(worker.ID, kind)
-	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, born: worker.StartTime, kind: kind})
+	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, startTime: worker.StartTime, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -174,7 +174,7 @@
 // time is the start of the call plus the time for which the peer held the call, less the age of the
 // proof.
 func (g *Gateway) applyWatchResponse(source fleet.NodeID, start time.Duration, response *rpc.WatchResponse) watchOutcome {
-	g.applyNamedVersions(response.GetNamed())
+	g.applyPeerVersions(response.GetNamed())
 	g.applyDirectives(start, response.GetDeliveries())
 	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
 	g.mergeQuarantineRecords(response.GetQuarantineRecords())
@@ -295,7 +295,7 @@
 	// The proof must be read before the tables, so that they are at least as new as the proof.
 	age, proven := g.freshness.Age(now)
 	response := &rpc.WatchResponse{
-		Named:       g.namedVersions(now),
+		Named:       g.encodeRecentVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
 	changed := g.deliveries.writeWatchResponse(now, request, response)
