--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// announceMinTokens is the prompt work from which on a placement is announced at once: a few
-	// such prompts delay all streams of an engine, which other gateways would take for idle until
-	// the next report.
+	// announceMinTokens is the number of uncached prompt tokens from which a placement is announced
+	// at once. A few such prompts delay all streams of an engine, which other gateways would take
+	// for idle until the next report.
 	announceMinTokens = 1500
 	// announceBatchDelay is the time in which placements are collected.
 	announceBatchDelay = 3 * time.Millisecond
--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -29,7 +29,7 @@
 // an order the worker receives no more requests once its model version is too old.
 const maxOrderDelay = 2 * time.Second
 
-// workerBackoffs holds the backoffs that workers have asked this node for. It is safe for
+// workerBackoffs holds the backoffs that workers have asked this gateway for. It is safe for
 // concurrent use.
 type workerBackoffs struct {
 	// active is set while any worker has a backoff; without one, requests need no lock.
@@ -44,8 +44,8 @@
 	return &workerBackoffs{tracker: workerbackoff.NewTracker(random)}
 }
 
-func backoffRun(worker fleet.EngineID, born backends.StartTime) workerbackoff.Run {
-	return workerbackoff.Run{Worker: worker, StartTime: uint64(born)}
+func backoffRun(worker fleet.EngineID, startTime backends.StartTime) workerbackoff.Run {
+	return workerbackoff.Run{Worker: worker, StartTime: uint64(startTime)}
 }
 
 // extend records that a run asks for a backoff and reports whether this extends the current one.
@@ -117,7 +117,7 @@
 	return b.returnTimes.Next(opensIn, priority)
 }
 
-// recordRetryAfter records that a worker asks this node for a backoff.
+// recordRetryAfter records that a worker asks this gateway for a backoff.
 func (g *Gateway) recordRetryAfter(source noticeSource, wait time.Duration) {
 	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(source.kind)).Inc()
 	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.startTime), wait)
@@ -125,8 +125,8 @@
 		Dur("retry_after", wait).Bool("longer", longer).Msg("worker_notice")
 }
 
-// deferringWorkers returns the workers that are in backoff at the reporting node. It returns nil
-// for a node of another zone, since a worker may reject the requests of a single zone.
+// deferringWorkers returns the workers that are in backoff at the reporting gateway. It returns nil
+// for a gateway of another zone, since a worker may reject the requests of a single zone.
 func (g *Gateway) deferringWorkers(report *rpc.LoadReport) []fleet.EngineID {
 	if len(report.GetDeferring()) == 0 {
 		return nil
@@ -153,7 +153,7 @@
 	}
 }
 
-// remainingOrderDelay returns how long orders and reports to a worker are still held back by its backoff.
+// remainingOrderDelay returns how long orders and reports to a worker are delayed by its backoff.
 // since is when the first of these was due.
 func (g *Gateway) remainingOrderDelay(worker *backends.Worker, since time.Duration) time.Duration {
 	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.StartTime))
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -31,7 +31,7 @@
 	log   *cachefeed.Log
 	// changed is closed at the next change.
 	changed chan struct{}
-	// lastRequestAt is the time of the last request, valid if wasAsked.
+	// lastRequestAt is the time of the last request, valid if wasRequested.
 	lastRequestAt time.Duration
 	wasRequested  bool
 	// following is the number of caches that this gateway follows, followingSince when it became
@@ -53,8 +53,8 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *cacheLog) observe(cache fleet.EngineID, fresh bool, changes []cachefeed.Change) {
-	c.update(func(log *cachefeed.Log) { log.Observe(cache, fresh, changes) })
+func (c *cacheLog) observe(cache fleet.EngineID, reset bool, changes []cachefeed.Change) {
+	c.update(func(log *cachefeed.Log) { log.Observe(cache, reset, changes) })
 }
 
 func (c *cacheLog) markLost(cache fleet.EngineID) {
@@ -109,18 +109,18 @@
 	c.following = caches
 }
 
-// delta returns the response to a question, whether it contains anything new, and a channel that
-// is closed at the next change. ready is false while the caches aren't known yet: an incomplete
-// delta would make the follower drop what it knows.
-func (c *cacheLog) delta(now time.Duration, question cachefeed.Query) (answer cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
+// delta returns the changes for a query, whether there are any, and a channel that is closed at the
+// next change. ready is false while the caches aren't known yet: an incomplete delta would make the
+// follower drop known state.
+func (c *cacheLog) delta(now time.Duration, query cachefeed.Query) (delta cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
 	ready = c.following > 0 && known > 0 && (known >= c.following || now >= c.followingSince+cacheGatherTimeout)
 	if !ready {
-		return answer, false, false, c.changed
+		return delta, false, false, c.changed
 	}
-	return c.log.Delta(question), c.log.HasDelta(question), true, c.changed
+	return c.log.Delta(query), c.log.HasDelta(query), true, c.changed
 }
 
 // cacheLogFor returns the log that answers requests about a zone's caches, nil if there is none.
@@ -140,14 +140,14 @@
 		return nil, errNoCachesFollowed
 	}
 	log.recordRequest(g.now())
-	question := decodeCachesRequest(request)
+	query := decodeCachesRequest(request)
 	timer := time.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for waiting := true; ; {
-		answer, found, ready, changed := log.delta(g.now(), question)
+		delta, hasNew, ready, changed := log.delta(g.now(), query)
 		switch {
-		case found || (ready && !waiting):
-			return encodeCachesResponse(answer), nil
+		case hasNew || (ready && !waiting):
+			return encodeCachesResponse(delta), nil
 		case !waiting:
 			return nil, errNoCachesFollowed
 		}
@@ -164,28 +164,28 @@
 }
 
 func decodeCachesRequest(request *rpc.CachesRequest) cachefeed.Query {
-	question := cachefeed.Query{
+	query := cachefeed.Query{
 		After: cachefeed.Cursor{Generation: request.GetGeneration(), Sequence: request.GetSequence()},
 	}
 	for _, cache := range request.GetMissing() {
-		question.Missing = append(question.Missing, fleet.EngineID(cache))
+		query.Missing = append(query.Missing, fleet.EngineID(cache))
 	}
-	return question
+	return query
 }
 
-func encodeCachesRequest(question cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
+func encodeCachesRequest(query cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
 	request := &rpc.CachesRequest{
-		Generation: question.After.Generation, Sequence: question.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
+		Generation: query.After.Generation, Sequence: query.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
 	}
-	for _, cache := range question.Missing {
+	for _, cache := range query.Missing {
 		request.Missing = append(request.Missing, string(cache))
 	}
 	return request
 }
 
-func encodeCachesResponse(answer cachefeed.Delta) *rpc.CachesResponse {
-	response := &rpc.CachesResponse{Generation: answer.Next.Generation, Sequence: answer.Next.Sequence, Whole: answer.Complete}
-	for _, update := range answer.Updates {
+func encodeCachesResponse(delta cachefeed.Delta) *rpc.CachesResponse {
+	response := &rpc.CachesResponse{Generation: delta.Next.Generation, Sequence: delta.Next.Sequence, Whole: delta.Complete}
+	for _, update := range delta.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
 			Cache: string(update.Cache), Anew: update.Reset, Lost: update.Lost,
 			Held: encodeBlockHashes(update.Stored), Dropped: encodeBlockHashes(update.Removed),
@@ -195,17 +195,17 @@
 }
 
 func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.Delta {
-	answer := cachefeed.Delta{
+	delta := cachefeed.Delta{
 		Complete: response.GetWhole(),
 		Next:     cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
 	}
 	for _, update := range response.GetUpdates() {
-		answer.Updates = append(answer.Updates, cachefeed.Update{
+		delta.Updates = append(delta.Updates, cachefeed.Update{
 			Cache: fleet.EngineID(update.GetCache()), Reset: update.GetAnew(), Lost: update.GetLost(),
 			Stored: decodeBlockHashes(update.GetHeld()), Removed: decodeBlockHashes(update.GetDropped()),
 		})
 	}
-	return answer
+	return delta
 }
 
 func encodeBlockHashes(hashes []fleet.BlockHash) []uint64 {
--- a/internal/gateway/cachelog_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -20,8 +20,8 @@
 // state.
 func TestAnswerCachesServesFollowedCaches(t *testing.T) {
 	g := newTestGateway(t)
-	ask := func(question cachefeed.Query) (cachefeed.Delta, error) {
-		response, err := g.answerCaches(t.Context(), encodeCachesRequest(question, 20*time.Millisecond))
+	ask := func(query cachefeed.Query) (cachefeed.Delta, error) {
+		response, err := g.answerCaches(t.Context(), encodeCachesRequest(query, 20*time.Millisecond))
 		return decodeCachesResponse(response), err
 	}
 	_, err := ask(cachefeed.Query{})
@@ -33,24 +33,24 @@
 	_, err = ask(cachefeed.Query{})
 	require.ErrorIs(t, err, errNoCachesFollowed, "incomplete state must not be served")
 	g.cacheLog.observe("two", true, nil)
-	answer, err := ask(cachefeed.Query{})
+	delta, err := ask(cachefeed.Query{})
 	require.NoError(t, err)
-	assert.True(t, answer.Complete)
-	assert.Len(t, answer.Updates, 2)
+	assert.True(t, delta.Complete)
+	assert.Len(t, delta.Updates, 2)
 
-	unchanged, err := ask(cachefeed.Query{After: answer.Next})
+	unchanged, err := ask(cachefeed.Query{After: delta.Next})
 	require.NoError(t, err)
-	assert.Equal(t, cachefeed.Delta{Next: answer.Next}, unchanged)
+	assert.Equal(t, cachefeed.Delta{Next: delta.Next}, unchanged)
 	go func() {
 		time.Sleep(5 * time.Millisecond)
 		g.cacheLog.observe("one", false, []cachefeed.Change{{Block: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Query{After: answer.Next}, time.Minute))
+	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Query{After: delta.Next}, time.Minute))
 	require.NoError(t, err)
 	assert.Equal(t, []cachefeed.Update{{Cache: "one", Stored: []fleet.BlockHash{}, Removed: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
-	answer, err = ask(cachefeed.Query{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
+	delta, err = ask(cachefeed.Query{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
 	require.NoError(t, err)
-	assert.Equal(t, []cachefeed.Update{{Cache: "one", Reset: true, Stored: []fleet.BlockHash{2}, Removed: []fleet.BlockHash{}}}, answer.Updates)
+	assert.Equal(t, []cachefeed.Update{{Cache: "one", Reset: true, Stored: []fleet.BlockHash{2}, Removed: []fleet.BlockHash{}}}, delta.Updates)
 }
 
 // A serving gateway must follow another zone's caches directly only while no gateway there answers.
@@ -70,20 +70,20 @@
 	far := followedCache{run: fleet.EngineRun{Engine: "far"}, address: "127.0.0.1:9", zone: "z1"}
 	somewhere := followedCache{run: fleet.EngineRun{Engine: "somewhere"}, address: "127.0.0.1:9"}
 
-	present, asked := g.selectCaches()
-	assert.Equal(t, map[followedCache]bool{near: true, somewhere: true}, present)
-	assert.Equal(t, map[fleet.ZoneName]map[fleet.EngineID]bool{"z1": {"far": true}}, asked)
+	direct, requested := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, somewhere: true}, direct)
+	assert.Equal(t, map[fleet.ZoneName]map[fleet.EngineID]bool{"z1": {"far": true}}, requested)
 
 	g.zoneFeeds.feeds["z1"] = &zoneFeed{unavailable: true, mirror: newCacheLog(1)}
-	present, asked = g.selectCaches()
-	assert.Equal(t, map[followedCache]bool{near: true, far: true, somewhere: true}, present)
-	assert.Empty(t, asked)
+	direct, requested = g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true, far: true, somewhere: true}, direct)
+	assert.Empty(t, requested)
 
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
 	require.False(t, g.isServing())
-	present, asked = g.selectCaches()
-	assert.Empty(t, present, "gateway doesn't serve")
-	assert.Empty(t, asked)
+	direct, requested = g.selectCaches()
+	assert.Empty(t, direct, "gateway doesn't serve")
+	assert.Empty(t, requested)
 }
 
 // A gateway that doesn't serve must follow its zone's caches while others request them.
@@ -115,9 +115,9 @@
 	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
 	require.ErrorIs(t, err, errNoCachesFollowed)
 	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
-	following, asked := g.selectCaches()
-	assert.Equal(t, map[followedCache]bool{near: true}, following)
-	assert.Empty(t, asked)
+	direct, requested := g.selectCaches()
+	assert.Equal(t, map[followedCache]bool{near: true}, direct)
+	assert.Empty(t, requested)
 	g.cacheLog.recordRequest(g.now() - cacheInterestTimeout - time.Millisecond)
 	assert.Empty(t, followedCaches(g))
 }
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -40,21 +40,21 @@
 func (g *Gateway) followCaches() error {
 	following := make(map[followedCache]context.CancelFunc)
 	for pause := cacheCheckInterval; g.pauseInterval(pause); {
-		present, requested := g.selectCaches()
+		direct, requested := g.selectCaches()
 		g.updateZoneFeeds(requested)
-		g.cacheLog.setFollowing(g.now(), g.countLocalCaches(present))
+		g.cacheLog.setFollowing(g.now(), g.countLocalCaches(direct))
 		pause = idleCacheCheckInterval
 		if g.isServing() {
 			pause = cacheCheckInterval
 		}
 		for cache, cancel := range following {
-			if !present[cache] {
+			if !direct[cache] {
 				cancel()
 				delete(following, cache)
 				g.cacheLog.markLost(cache.run.Engine)
 			}
 		}
-		for cache := range present {
+		for cache := range direct {
 			if following[cache] != nil {
 				continue
 			}
@@ -73,10 +73,10 @@
 // membership views differ while gateways join or leave.
 const reservedFollowers = 3
 
-// cachesPerRequest limits the caches that a gateway follows before it knows its role: that many at
-// first, and as many again for each request that it has taken. Otherwise every starting gateway of
-// a large fleet would connect to all engines. A gateway that receives requests needs the caches at
-// once.
+// cachesPerRequest limits the caches that a gateway follows before it knows its role: this number
+// at first, and as many again for each request that it has received. Otherwise every starting
+// gateway of a large fleet would connect to all engines. A gateway that receives requests needs the
+// caches at once.
 const cachesPerRequest = 16
 
 // canFollow reports whether this gateway may follow that many caches.
@@ -86,17 +86,17 @@
 
 // selectCaches returns the caches that this gateway follows directly, and by zone those that it
 // requests from other gateways.
-func (g *Gateway) selectCaches() (present map[followedCache]bool, requested map[fleet.ZoneName]map[fleet.EngineID]bool) {
-	present = make(map[followedCache]bool)
+func (g *Gateway) selectCaches() (direct map[followedCache]bool, requested map[fleet.ZoneName]map[fleet.EngineID]bool) {
+	direct = make(map[followedCache]bool)
 	requested = make(map[fleet.ZoneName]map[fleet.EngineID]bool)
-	held := g.configuration.Current()
-	if held == nil || (!g.isServing() && !g.cacheLog.isWanted(g.now())) {
-		return present, requested
+	snapshot := g.configuration.Current()
+	if snapshot == nil || (!g.isServing() && !g.cacheLog.isWanted(g.now())) {
+		return direct, requested
 	}
 	add := func(cache followedCache, limit int) {
 		switch {
 		case g.shouldFollowDirectly(cache, limit):
-			present[cache] = true
+			direct[cache] = true
 		case g.isServing() && cache.zone != "":
 			if requested[cache.zone] == nil {
 				requested[cache.zone] = make(map[fleet.EngineID]bool)
@@ -105,26 +105,26 @@
 		}
 	}
 	for _, worker := range g.workers.WorkersInUse() {
-		service, known := held.Table.Service(worker.Service)
+		service, known := snapshot.Table.Service(worker.Service)
 		if known && len(worker.Versions) > 0 {
 			add(followedCache{run: worker.Run(), startTime: worker.StartTime, address: worker.Address, zone: worker.Zone}, service.MaxFollowers)
 		}
 	}
-	for _, store := range held.Table.Stores() {
+	for _, store := range snapshot.Table.Stores() {
 		run := backends.StoreRun(store.Store.Address)
 		add(followedCache{run: run, address: store.Store.Address, zone: store.Store.Zone}, store.MaxFollowers)
 	}
-	if !g.canFollow(len(present)) {
-		clear(present)
+	if !g.canFollow(len(direct)) {
+		clear(direct)
 		clear(requested)
 	}
-	return present, requested
+	return direct, requested
 }
 
 // countLocalCaches returns how many of the caches are in this gateway's zone.
-func (g *Gateway) countLocalCaches(present map[followedCache]bool) int {
+func (g *Gateway) countLocalCaches(direct map[followedCache]bool) int {
 	count := 0
-	for cache := range present {
+	for cache := range direct {
 		if cache.zone == g.settings().Zone {
 			count++
 		}
@@ -222,10 +222,10 @@
 	for _, event := range events.Events {
 		changes = append(changes, backends.PartChange{Held: event.Held, Scope: event.Scope, Part: event.Part})
 	}
-	fresh := restarted || events.Lost
-	applied := g.workers.ObserveCache(cache.run, fresh, changes)
+	reset := restarted || events.Lost
+	applied := g.workers.ObserveCache(cache.run, reset, changes)
 	if cache.zone == g.settings().Zone {
-		g.cacheLog.observe(cache.run.Engine, fresh, applied)
+		g.cacheLog.observe(cache.run.Engine, reset, applied)
 	}
 }
 
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -67,7 +67,7 @@
 	Revision fleet.Revision
 	Worker   backends.Worker
 	Deleted  bool
-	// Unusable is set if the row cannot be decoded or lacks a mandatory field. Only the worker's
+	// Unusable is set if the row cannot be decoded or misses a mandatory field. Only the worker's
 	// identifier is known then.
 	Unusable bool
 }
@@ -99,11 +99,11 @@
 }
 
 // QuarantineRow is the stored row of one request that workers failed on. It contains no times,
-// since the clocks of nodes differ and the row outlives their processes.
+// since the clocks of gateways differ and the row outlives their processes.
 type QuarantineRow struct {
 	Fingerprint quarantine.Fingerprint
-	// Workers are the workers that ended. Trials counts how often the request was let through after
-	// it had been quarantined.
+	// Workers are the workers that crashed. Trials counts how often the request was let through
+	// after it had been quarantined.
 	Workers []fleet.EngineID
 	Trials  int
 	// Version is the version of the row, 0 if there is none.
@@ -136,9 +136,9 @@
 	// DecodeWorkers decodes rows of the workers table. It leaves out rows that cannot be decoded;
 	// the state of their workers stays unchanged.
 	DecodeWorkers(rows []watchcache.Row) ([]WorkerRow, []InvalidInput)
-	// RegisterNode writes the row of this node.
+	// RegisterNode writes the row of this gateway.
 	RegisterNode(ctx context.Context, node Node) error
-	// ReadNodes returns all nodes that have ever registered, except rows that cannot be decoded.
+	// ReadNodes returns all gateways that have ever registered, except rows that cannot be decoded.
 	ReadNodes(ctx context.Context) ([]Node, []InvalidInput, error)
 	// ReadDeliveries returns the delivery records.
 	ReadDeliveries(ctx context.Context) (*StoredDeliveries, error)
@@ -167,7 +167,7 @@
 	// position. It waits for a change, for at most wait.
 	CacheEvents(ctx context.Context, address fleet.Address, since uint64, wait time.Duration) (*CacheEvents, error)
 	// OrderVersion sends an order to load a version. The error explains a result other than
-	// OrderAccepted and OrderHolds.
+	// OrderAccepted and OrderAlreadyApplied.
 	OrderVersion(ctx context.Context, worker backends.Worker, order rollout.VersionOrder) (rollout.OrderResult, error)
 }
 
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -9,7 +9,7 @@
 )
 
 // minCopyOutputTokens is the least number of output tokens for which a run is replicated to another
-// engine. Shorter runs mostly end before their copy is complete.
+// engine. Most shorter runs end before their copy is complete.
 const minCopyOutputTokens = 16
 
 // maxCopyPromptTokens is the largest prompt, in tokens, for which a run is replicated. A copy
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -38,10 +38,10 @@
 	return c.lostRuns.Observe(now, worker, fingerprint, loss)
 }
 
-func (c *crashDetector) markCrashed(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
+func (c *crashDetector) markCrashed(now time.Duration, worker fleet.EngineID, evidence quarantine.Evidence) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lostRuns.WorkerCrashed(now, worker, proof)
+	return c.lostRuns.WorkerCrashed(now, worker, evidence)
 }
 
 func (c *crashDetector) markAlive(worker fleet.EngineID) {
@@ -64,19 +64,19 @@
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
 func fingerprintOf(current *callerRequest) quarantine.Fingerprint {
-	subject := quarantine.RequestIdentity{
+	identity := quarantine.RequestIdentity{
 		Method: current.request.Method,
 		Host:   current.request.Host,
 		Target: current.request.RequestURI,
 		Body:   current.body,
 	}
 	if current.tenant != nil {
-		subject.Caller = string(current.tenant.Name)
+		identity.Caller = string(current.tenant.Name)
 	}
-	return subject.Fingerprint()
+	return identity.Fingerprint()
 }
 
-// recordLostRun records that a run brought no complete answer. If the worker's side broke off, it has
+// recordLostRun records that a run ended without a complete answer. If the connection broke, it has
 // the worker probed.
 func (g *Gateway) recordLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
@@ -113,9 +113,9 @@
 }
 
 // recordWorkerEnded records that a worker has ended without announcing its shutdown.
-func (g *Gateway) recordWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
-	if suspects := g.crashes.markCrashed(g.now(), worker, proof); len(suspects) > 0 {
-		g.recordWorkerCrash(worker, proof, suspects)
+func (g *Gateway) recordWorkerEnded(worker fleet.EngineID, evidence quarantine.Evidence) {
+	if suspects := g.crashes.markCrashed(g.now(), worker, evidence); len(suspects) > 0 {
+		g.recordWorkerCrash(worker, evidence, suspects)
 	}
 }
 
@@ -130,7 +130,7 @@
 	return strings.Join(texts, ",")
 }
 
-// lossOf returns how a send was lost: abandoned by this node if its context has ended, otherwise
+// lossOf returns how a send was lost: abandoned by this gateway if its context has ended, otherwise
 // broken off by the worker.
 func lossOf(ctx context.Context) quarantine.Loss {
 	if ctx.Err() != nil {
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// addOrder adds an order that was written at latest or before, and reports whether it is new.
-func (d *deliveryState) addOrder(now, latest time.Duration, order delivery.Order) (bool, error) {
+// addOrder adds an order that was written at writtenBy at the latest, and reports whether it is
+// new.
+func (d *deliveryState) addOrder(now, writtenBy time.Duration, order delivery.Order) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if held, found := d.orders[order.Service]; found && held.Revision >= order.Revision {
@@ -93,11 +94,11 @@
 	if err != nil || !isNew {
 		return false, err
 	}
-	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: latest}
+	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: writtenBy}
 	d.active.Store(true)
 	signal(d.orderSignal)
 	if d.director != nil {
-		return true, d.director.SetOrder(now, latest, order)
+		return true, d.director.SetOrder(now, writtenBy, order)
 	}
 	return true, nil
 }
@@ -172,7 +173,7 @@
 }
 
 // choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
-// excludes the target for a request that was there before.
+// excludes the target for a request that was sent to it before.
 func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
 	if !d.active.Load() {
 		return nil
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -56,9 +56,9 @@
 	final.Rejected = append(final.Rejected, "v2")
 	report.Deliveries = []*rpc.DeliveryDirective{encodeDirective(g.now()+time.Hour, &final)}
 	g.handlePushedDeliveries(report)
-	choice := g.allowedVersions(deliveryRequest(), false)
-	assert.False(t, choice.PrefersTarget())
-	assert.False(t, choice.Allows("w", "v2"))
+	filter := g.allowedVersions(deliveryRequest(), false)
+	assert.False(t, filter.PrefersTarget())
+	assert.False(t, filter.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished(), "no work left")
 }
 
@@ -170,8 +170,8 @@
 	g.dependencies.Store = store
 	g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), store.stored, g.now()-store.stored.StoreTime)
 	g.stepDelivery("app")
-	choice := g.allowedVersions(deliveryRequest(), false)
-	assert.False(t, choice.Allows("w", "v2"))
+	filter := g.allowedVersions(deliveryRequest(), false)
+	assert.False(t, filter.Allows("w", "v2"))
 	assert.Empty(t, g.deliveries.unfinished())
 	assert.Empty(t, store.writes)
 }
@@ -212,7 +212,7 @@
 	g := deliveryGateway(t)
 	g.applyOrders(g.now(), g.now(), &OperatorRows{
 		Deliveries:        []delivery.Order{{Service: "app", Target: "", Duration: time.Second, Revision: 9}, {Service: "app", Target: "v0", Duration: time.Second, Revision: 6}},
-		RefusedDeliveries: []InvalidInput{{Source: "op", Key: "rollout/app", Err: errors.New("odd")}},
+		RefusedDeliveries: []InvalidInput{{Source: "op", Key: "rollout/app", Err: errors.New("invalid order")}},
 	})
 	assert.True(t, g.deliveries.isTarget("app", "v2"))
 	assert.False(t, g.deliveries.isTarget("app", "v0"))
--- a/internal/gateway/deliverydriver.go
+++ b/internal/gateway/deliverydirector.go
@@ -65,7 +65,7 @@
 // ensureDirector reports whether this gateway directs deliveries. When it has just acquired the
 // lease it first reads the records of its predecessors.
 func (g *Gateway) ensureDirector() bool {
-	if _, holds := g.lease.Fence(); !holds || g.isStopping() {
+	if _, isHolder := g.lease.Fence(); !isHolder || g.isStopping() {
 		g.deliveries.resign()
 		return false
 	}
@@ -81,7 +81,7 @@
 		return false
 	}
 	g.reportInvalidInput("", stored.Invalid)
-	if _, holds := g.lease.Fence(); !holds {
+	if _, isHolder := g.lease.Fence(); !isHolder {
 		return false
 	}
 	rejected := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, start-stored.StoreTime)
@@ -114,12 +114,12 @@
 // observeService returns the state of a service's workers for the director.
 func (g *Gateway) observeService(now time.Duration, service fleet.PoolName) delivery.Observation {
 	observation := delivery.Observation{Service: service}
-	held := g.configuration.Current()
-	if held == nil {
+	snapshot := g.configuration.Current()
+	if snapshot == nil {
 		return observation
 	}
-	_, observation.Configured = held.Table.Service(service)
-	doubtful := g.workers.AllSuspects(now)
+	_, observation.Configured = snapshot.Table.Service(service)
+	suspects := g.workers.AllSuspects(now)
 	for _, worker := range g.workers.WorkersInUse() {
 		isTarget := g.deliveries.isTarget(service, worker.Software)
 		if worker.Service != service || (isTarget && worker.Draining) {
@@ -127,7 +127,7 @@
 		}
 		observed := delivery.Worker{
 			ID: worker.ID, Version: worker.Software, Slots: worker.Slots,
-			InFlight: g.workers.InFlight(now, worker.ID), Unreachable: doubtful[worker.ID],
+			InFlight: g.workers.InFlight(now, worker.ID), Unreachable: suspects[worker.ID],
 		}
 		if worker.Draining {
 			// A draining worker takes no requests, but its requests in flight count.
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -28,19 +28,19 @@
 
 // applyOrders applies the orders among the operator's rows, which were written at writtenBy at the
 // latest.
-func (g *Gateway) applyOrders(now, latest time.Duration, rows *OperatorRows) {
+func (g *Gateway) applyOrders(now, writtenBy time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
 		g.logRefusedOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
-		isNew, err := g.deliveries.addOrder(now, latest, order)
+		isNew, err := g.deliveries.addOrder(now, writtenBy, order)
 		if err != nil {
 			g.logRefusedOrder(string(order.Service), err)
 			continue
 		}
 		if isNew {
 			g.logger.Info().Str("service", string(order.Service)).Str("target", string(order.Target)).
-				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-latest).Msg("delivery_ordered")
+				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-writtenBy).Msg("delivery_ordered")
 		}
 	}
 }
@@ -52,7 +52,7 @@
 }
 
 // allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
-// set if the request was at the target and is to be retried elsewhere.
+// set if the request was sent to the target and is to be retried elsewhere.
 func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Filter {
 	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
 }
@@ -75,8 +75,8 @@
 // back.
 func (g *Gateway) isSendAllowed(current *callerRequest, worker *backends.Worker) bool {
 	if g.deliveries.isTarget(worker.Service, worker.Software) {
-		choice := g.allowedVersions(current, false)
-		return choice.PrefersTarget() || choice.Allows(worker.ID, worker.Software)
+		filter := g.allowedVersions(current, false)
+		return filter.PrefersTarget() || filter.Allows(worker.ID, worker.Software)
 	}
 	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
--- a/internal/gateway/deliveryversions.go
+++ b/internal/gateway/deliveryversions.go
@@ -28,8 +28,8 @@
 }
 
 // observeVersions holds requests back from workers of a new version that appears beside others. Its
-// order comes through another table, and until it arrives the version would get an unrestricted
-// share. It does so only if the settings enable deliveries.
+// order is in another table, and until it arrives the version would receive an unrestricted share
+// of the requests. It does so only if the settings enable deliveries.
 func (g *Gateway) observeVersions(now time.Duration, rows []WorkerRow) {
 	if !g.settings().Deliveries {
 		return
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -10,9 +10,9 @@
 // frontAddresses returns the front addresses of the serving gateways that callers should use. All
 // gateways serve on the same ports.
 //
-// It returns none while this node has just started and knows no other member, since callers then
-// keep their addresses. Otherwise, after a power loss, each node of a large fleet would return
-// itself, and small nodes that know neither loads nor caches would receive the requests.
+// It returns none while this gateway has just started and knows no other member, since callers then
+// keep their addresses. Otherwise, after a power loss, each gateway of a large fleet would return
+// itself, and small gateways without knowledge of loads and caches would receive the requests.
 func (g *Gateway) frontAddresses(query ResolutionQuery) []fleet.Address {
 	if !g.roleSettled.Load() && g.memberCount() == 1 {
 		return nil
@@ -34,7 +34,7 @@
 	return addresses
 }
 
-// isReachable reports whether callers can be sent to a member, as far as this node knows.
+// isReachable reports whether callers can be sent to a member, as far as this gateway knows.
 func (g *Gateway) isReachable(member membership.Member) bool {
 	if member.Node == g.node {
 		return g.isReady()
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -15,8 +15,8 @@
 	// timeLeftTolerance is by how much the time left that a worker is given may be too long before
 	// it is corrected; opening a connection takes some milliseconds.
 	timeLeftTolerance = 20 * time.Millisecond
-	// minConnectionSharers is the least number of nodes among which a worker's connections are
-	// divided, since nodes may be added.
+	// minConnectionSharers is the least number of gateways among which a worker's connections are
+	// divided, since gateways may be added.
 	minConnectionSharers = 10
 	// tenantRankWidth is the number of engine priorities per tenant rank.
 	tenantRankWidth = 3
@@ -35,11 +35,11 @@
 	errDraining = errors.New("worker shuts down")
 )
 
-// servingConnectionFraction is the part of a worker's connections that the serving nodes share; the
-// other nodes share the rest.
+// servingConnectionFraction is the part of a worker's connections that the serving gateways share;
+// the other gateways share the rest.
 const servingConnectionFraction = 0.6
 
-// destination returns a worker's address with this node's share of its connections.
+// destination returns a worker's address with this gateway's share of its connections.
 func (g *Gateway) destination(current *callerRequest, worker *backends.Worker) upstream.Destination {
 	destination := upstream.Destination{Engine: worker.ID, Address: worker.Address}
 	if limit := current.service.MaxConnections; limit > 0 {
@@ -48,7 +48,7 @@
 	return destination
 }
 
-// connectionShare returns the part of a worker's connections that this node may open.
+// connectionShare returns the part of a worker's connections that this gateway may open.
 func (g *Gateway) connectionShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
 	switch {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// permitWorker returns an error if a worker takes no more requests from this node.
+// permitWorker returns an error if a worker takes no more requests from this gateway.
 func (g *Gateway) permitWorker(worker *backends.Worker) error {
 	if !g.workers.CanSend(g.now(), worker) {
 		return errDraining
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -16,8 +16,8 @@
 	// maxProgressGap is the longest time between two checks. After a longer gap the measurement
 	// restarts, since what happened meanwhile is unknown.
 	maxProgressGap = 2 * time.Second
-	// maxOwnProofAge is the age of the node's own freshness proof up to which the node counts as
-	// having store access.
+	// maxOwnProofAge is the age of the gateway's own freshness proof up to which the gateway counts
+	// as having store access.
 	maxOwnProofAge = 1500 * time.Millisecond
 )
 
@@ -75,9 +75,9 @@
 	return false
 }
 
-// shouldBeFallbackCandidate reports whether this node should take the lease although it isn't a
-// regular candidate: the rollout has stalled and this node has store access. A node that already
-// holds the lease as a fallback stays one.
+// shouldBeFallbackCandidate reports whether this gateway should take the lease although it isn't a
+// regular candidate: the rollout has stalled and this gateway has store access. A gateway that
+// already holds the lease as a fallback stays one.
 func (g *Gateway) shouldBeFallbackCandidate(now time.Duration) bool {
 	if g.roles.Load().isCandidate {
 		return false
@@ -96,7 +96,7 @@
 	return g.progress.observe(now, progress, g.settings().LeaseGap+stallSlack)
 }
 
-// updateFallbackCandidate updates whether this node is a fallback candidate. Its roles follow at
+// updateFallbackCandidate updates whether this gateway is a fallback candidate. Its roles follow at
 // the next update.
 func (g *Gateway) updateFallbackCandidate(now time.Duration) {
 	fallback := g.shouldBeFallbackCandidate(now)
@@ -105,9 +105,9 @@
 	}
 }
 
-// observeProgress returns the progress of the rollout that the workers' rows show. doubtful are the
-// engines presumed to be unreachable.
-func (s *rolloutState) observeProgress(workers []backends.Worker, doubtful map[fleet.EngineID]bool) rolloutProgress {
+// observeProgress returns the progress of the rollout that the workers' rows show. suspects are the
+// engines that are presumed to be unreachable.
+func (s *rolloutState) observeProgress(workers []backends.Worker, suspects map[fleet.EngineID]bool) rolloutProgress {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	progress := rolloutProgress{versionSums: make(map[fleet.EngineID]uint64, len(workers))}
@@ -116,7 +116,7 @@
 		for model, version := range worker.Versions {
 			progress.versionSums[worker.ID] += uint64(version)
 			pacer := s.pacers[model]
-			if pacer != nil && uint64(version) < pacer.Newest() && !worker.Draining && !doubtful[worker.ID] {
+			if pacer != nil && uint64(version) < pacer.Newest() && !worker.Draining && !suspects[worker.ID] {
 				progress.outdated++
 			}
 		}
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -36,7 +36,7 @@
 	longRetryAfter  = 500 * time.Millisecond
 )
 
-// freshnessFraction is the part of the revocation bound within which this node's configuration
+// freshnessFraction is the part of the revocation bound within which this gateway's configuration
 // counts as fresh. The rest leaves room for short interruptions of the store feed.
 const freshnessFraction = 0.7
 
@@ -70,7 +70,7 @@
 	sentToTarget    bool
 	// atLimit is set if the last placement found a worker at its request limit.
 	atLimit bool
-	// sentAt is when the last send began, eventCount the number of events it has brought.
+	// sentAt is when the last send began, eventCount the number of events received from it.
 	sentAt     time.Duration
 	eventCount int
 	// lostPlacement is the placement of a lost run that is to be resumed at another engine.
@@ -118,7 +118,7 @@
 		return
 	}
 	// Refused requests are not counted: they cost little, and callers that retry after a loss of
-	// all nodes would inflate the demand.
+	// all gateways would inflate the demand.
 	g.demand.countRequest()
 	if refused := g.readBody(current); refused != nil {
 		g.refuse(current, *refused)
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// canServeKeyed reports whether this node's configuration is fresh enough to check keys. With
-// RevokeEverywhere, a node that has lost touch with the store serves no keyed requests.
+// canServeKeyed reports whether this gateway's configuration is fresh enough to check keys. With
+// RevokeEverywhere, a gateway that cannot reach the store serves no keyed requests.
 func (g *Gateway) canServeKeyed() bool {
 	return !g.settings().RevokeEverywhere || g.freshness.IsWithin(g.now(), g.maxKeyedAge())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,18 +78,18 @@
 	suspensions       *suspension.Detector
 	suspensionSignal  *suspensionSignal
 	deadlines         *deadlineTimers
-	// quarantineTable is followed only by nodes that read the store.
+	// quarantineTable is followed only by gateways that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
-	// groupSizes and join are used by updateRoles alone. roleSettled is set once this node knows
+	// groupSizes and join are used by updateRoles alone. roleSettled is set once this gateway knows
 	// its role.
 	groupSizes  membership.SizeHysteresis
 	join        joinState
 	roleSettled atomic.Bool
 	// softwareVersions is only accessed while the workers table is applied.
 	softwareVersions seenVersions
-	// progress is used by runRollout alone. fallbackCandidate is set while this node is a candidate
-	// for the rollout lease because the regular candidates make no progress.
+	// progress is used by runRollout alone. fallbackCandidate is set while this gateway is a
+	// candidate for the rollout lease because the regular candidates make no progress.
 	progress          progressMonitor
 	fallbackCandidate atomic.Bool
 
@@ -356,9 +356,9 @@
 
 // idleTimeout returns how long a caller's connection may stay idle, 0 for no limit.
 func (g *Gateway) idleTimeout() time.Duration {
-	current := g.configuration.Current()
-	if current == nil {
+	snapshot := g.configuration.Current()
+	if snapshot == nil {
 		return 0
 	}
-	return current.Table.Limits().IdleTimeout
+	return snapshot.Table.Limits().IdleTimeout
 }
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// idleAfter is the time after its last request from which a node may be idle.
+	// idleAfter is the time after its last request from which a gateway may be idle.
 	idleAfter = 3 * time.Second
-	// idleTick is the interval at which the periodic loops of an idle node run. They run on common
-	// ticks, because wake-ups are most of the cost of an idle node.
+	// idleTick is the interval at which the periodic loops of an idle gateway run. They run on
+	// common ticks, because wake-ups are most of the cost of an idle gateway.
 	idleTick = 500 * time.Millisecond
 )
 
-// isIdle reports whether this node is on standby: callers aren't sent to it, it has had no recent
-// request, and it can't give orders to engines.
+// isIdle reports whether this gateway is on standby: callers aren't sent to it, it has had no
+// recent request, and it can't give orders to engines.
 func (g *Gateway) isIdle() bool {
 	roles := g.roles.Load()
 	switch {
@@ -22,8 +22,8 @@
 	}
 }
 
-// pauseInterval waits until the next run of a periodic loop: for its interval or, at an idle node,
-// until a common tick about that far away. It returns false when the process ends.
+// pauseInterval waits until the next run of a periodic loop: for its interval or, at an idle
+// gateway, until a common tick about that far away. It returns false when the process ends.
 func (g *Gateway) pauseInterval(interval time.Duration) bool {
 	if !g.isIdle() {
 		return g.pause(interval)
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestIdleLoopsShareTicks guards against idle nodes waking up separately for each periodic loop.
+// TestIdleLoopsShareTicks guards against idle gateways waking up separately for each periodic loop.
 func TestIdleLoopsShareTicks(t *testing.T) {
 	wakeups := make(map[time.Duration]bool)
 	for index, interval := range []time.Duration{
@@ -24,7 +24,8 @@
 	assert.LessOrEqual(t, len(wakeups), 21)
 }
 
-// TestActiveNodeIsNotIdle guards against slowing down a node that has requests or a role to act on.
+// TestActiveNodeIsNotIdle guards against slowing down a gateway that has requests or a role to act
+// on.
 func TestActiveNodeIsNotIdle(t *testing.T) {
 	g := newTestGateway(t)
 	roles := *g.roles.Load()
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -199,13 +199,13 @@
 }
 
 // answerGrant handles another gateway's request for a grant.
-func (g *Gateway) answerGrant(_ context.Context, question *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
+func (g *Gateway) answerGrant(_ context.Context, request *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	g.checkSuspension()
-	observation, err := decodeLimit(question.GetLimit(), g.now()-grantTimeout, g.now())
+	observation, err := decodeLimit(request.GetLimit(), g.now()-grantTimeout, g.now())
 	if err != nil {
 		return nil, err
 	}
-	answer, err := g.grant(observation, int(question.GetPriority()))
+	answer, err := g.grant(observation, int(request.GetPriority()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -105,25 +105,26 @@
 }
 
 // isLimited reports whether a worker's run has a rate limit.
-func (l *workerLimits) isLimited(worker fleet.EngineID, born backends.StartTime) bool {
-	_, limited := l.observation(worker, born)
+func (l *workerLimits) isLimited(worker fleet.EngineID, startTime backends.StartTime) bool {
+	_, limited := l.observation(worker, startTime)
 	return limited
 }
 
 // observation returns the newest observation of a worker's run, false if it has no limit.
-func (l *workerLimits) observation(worker fleet.EngineID, born backends.StartTime) (workerlimit.Observation, bool) {
+func (l *workerLimits) observation(worker fleet.EngineID, startTime backends.StartTime) (workerlimit.Observation, bool) {
 	if !l.active.Load() {
 		return workerlimit.Observation{}, false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, limited := l.tracker.Limit(worker, uint64(born)); !limited {
+	if _, limited := l.tracker.Limit(worker, uint64(startTime)); !limited {
 		return workerlimit.Observation{}, false
 	}
 	return l.tracker.Observation(worker)
 }
 
-// admission returns whether a worker takes a request of a priority and, if not, for how long.
+// admission returns whether a worker accepts a request of a priority and, if not, for how long it
+// is closed.
 func (l *workerLimits) admission(now time.Duration, worker *backends.Worker, priority int) (backends.Admission, time.Duration) {
 	if !l.active.Load() {
 		return backends.AdmissionUnlimited, 0
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Notice is what the headers of an answer, to a call of any kind, say about the server that sent
-// it.
+// Notice is the information in the headers of an answer, to a call of any kind, about the server
+// that sent it.
 type Notice struct {
 	// Instance is the run that answered; empty if the answer doesn't name it.
 	Instance fleet.EngineID
@@ -19,13 +19,13 @@
 	Misdirected bool
 	// Draining is set if the server is shutting down and takes no new requests.
 	Draining bool
-	// RetryAfter is how long the server asks this node to send nothing; 0 if it doesn't ask.
+	// RetryAfter is how long the server asks this gateway to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
 	// Limit is the server's statement on its request limit.
 	Limit workerlimit.Statement
-	// Unknown lists the server's headers about itself that the codec doesn't know.
+	// Unknown lists the headers about the server that the codec doesn't know.
 	Unknown []string
-	// Invalid lists the server's headers about itself that couldn't be parsed.
+	// Invalid lists the headers about the server that could not be decoded.
 	Invalid []InvalidInput
 }
 
@@ -68,8 +68,8 @@
 	logged map[fleet.EngineID][]string
 }
 
-// noticeSource identifies the worker's run that a notice is about, and the kind of call that
-// brought it.
+// noticeSource identifies the worker's run that a notice is about, and the kind of call whose
+// answer contained it.
 type noticeSource struct {
 	worker    fleet.EngineID
 	startTime backends.StartTime
@@ -104,7 +104,7 @@
 	delete(u.logged, worker)
 }
 
-// applyNotice handles what an answer says about a worker, except for its limit.
+// applyNotice applies the notice in an answer, except for the worker's limit.
 func (g *Gateway) applyNotice(source noticeSource, notice *Notice) {
 	g.logUnknownHeaders(source, notice.Unknown)
 	if !notice.appliesTo(source.worker) {
@@ -143,9 +143,9 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// applyAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
-// answers that are neither signed nor a worker's statement that it did not run the request, since
-// others may not come from the worker.
+// applyAnswerNotice applies the notice in an answer to a request that was sent at sentAt. It
+// ignores answers that are neither signed nor a worker's statement that it did not run the request,
+// since others may not come from the worker.
 func (g *Gateway) applyAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
@@ -163,7 +163,7 @@
 const (
 	noticeDraining   = "draining"
 	noticeRetryAfter = "retry_after"
-	// noticeSourcePeer is the source of a notice that another node forwarded.
+	// noticeSourcePeer is the source of a notice that another gateway forwarded.
 	noticeSourcePeer = "peer"
 )
 
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestUnknownHeadersAreLoggedOnceAndInBoundedNumber guards against a worker that floods the log, or
-// this node's memory, with unknown headers.
+// this gateway's memory, with unknown headers.
 func TestUnknownHeadersAreLoggedOnceAndInBoundedNumber(t *testing.T) {
 	var logged unknownHeaders
 	assert.True(t, logged.isFirst("w", "Server-Wants"))
@@ -96,10 +96,10 @@
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.applyAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
 	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
-	asked := g.now()
-	g.applyAnswerNotice(&worker, asked, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
-	g.applyAnswerNotice(&worker, asked-time.Millisecond, ResponseInfo{Signed: true})
-	g.applyAnswerNotice(&worker, asked+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
+	sentAt := g.now()
+	g.applyAnswerNotice(&worker, sentAt, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
+	g.applyAnswerNotice(&worker, sentAt-time.Millisecond, ResponseInfo{Signed: true})
+	g.applyAnswerNotice(&worker, sentAt+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
 	g.forgetPreviousRun("w")
 	assert.NoError(t, g.permitWorker(&worker), "the former run has ended")
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -18,22 +18,22 @@
 	// samples.
 	risingSmoothing = 0.1
 	// fallingSmoothing is the weight of one sample in the moving average of a falling rate. A
-	// location whose nodes have vanished is remembered for about ten seconds, so that other nodes
-	// are ready for its callers.
+	// location whose gateways have vanished is remembered for about ten seconds, so that other
+	// gateways are ready for its callers.
 	fallingSmoothing = 0.02
-	// replanThreshold is the relative change of a rate that causes a new plan. Nodes sample at
-	// different moments and would disagree on the serving nodes after smaller changes.
+	// replanThreshold is the relative change of a rate that causes a new plan. Gateways sample at
+	// different moments and would disagree on the serving gateways after smaller changes.
 	replanThreshold = 0.25
 	// minOriginShare is the share of the total rate below which a location is not planned for
 	// separately.
 	minOriginShare = 0.02
 )
 
-// originTracker tracks the locations from which requests come and the nodes under pressure. A node
-// that shares loads uses the reports of its peers; any other uses those of its source.
+// originTracker tracks the locations from which requests come and the gateways under pressure. A
+// gateway that shares loads uses the reports of its peers; any other uses those of its source.
 type originTracker struct {
 	mutex sync.Mutex
-	// reported holds the rates by location as reported by another node.
+	// reported holds the rates by location as reported by another gateway.
 	reported     map[membership.Location]float64
 	reportedAt   time.Duration
 	meanRates    map[membership.Location]float64
@@ -43,10 +43,10 @@
 	factors   map[fleet.NodeID]float64
 }
 
-// reportedPressure is a node's pressure as reported by itself or by another node.
+// reportedPressure is a gateway's pressure as reported by itself or by another gateway.
 type reportedPressure struct {
 	pressure nodecapacity.Pressure
-	// measured is when it was measured, on this node's clock.
+	// measured is when it was measured, on this gateway's clock.
 	measured time.Duration
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// reportRates records the rates by location that another node reports. Empty rates are ignored.
+// reportRates records the rates by location that another gateway reports. Empty rates are ignored.
 func (o *originTracker) reportRates(now time.Duration, rates map[membership.Location]float64) {
 	if len(rates) == 0 {
 		return
@@ -67,7 +67,7 @@
 	o.reported, o.reportedAt = rates, now
 }
 
-// reportedRates returns the last rates that another node reported, or nil if they are too old.
+// reportedRates returns the last rates that another gateway reported, or nil if they are too old.
 func (o *originTracker) reportedRates(now time.Duration) map[membership.Location]float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -119,7 +119,7 @@
 	return false
 }
 
-// setPressure records a node's pressure, measured at a time on this node's clock. It ignores
+// setPressure records a gateway's pressure, measured at a time on this gateway's clock. It ignores
 // measurements older than the known one.
 func (o *originTracker) setPressure(measured time.Duration, node fleet.NodeID, pressure nodecapacity.Pressure) {
 	o.mutex.Lock()
@@ -130,7 +130,7 @@
 	o.pressures[node] = reportedPressure{pressure: pressure, measured: measured}
 }
 
-// nodesUnderPressure returns the nodes under pressure and drops reports that have expired.
+// nodesUnderPressure returns the gateways under pressure and drops reports that have expired.
 func (o *originTracker) nodesUnderPressure(now time.Duration) map[fleet.NodeID]reportedPressure {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -146,7 +146,7 @@
 	return underPressure
 }
 
-// isUnreachable reports whether a node was last reported as unreachable.
+// isUnreachable reports whether a gateway was last reported as unreachable.
 func (o *originTracker) isUnreachable(now time.Duration, node fleet.NodeID) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -154,26 +154,26 @@
 	return found && report.pressure == pressureUnreachable && now <= report.measured+rateLifetime
 }
 
-// capacityFactors returns the fraction of their capacity with which nodes under pressure count. It
-// returns the same map while nothing changes.
+// capacityFactors returns, for each gateway under pressure, the factor by which its planned capacity
+// is multiplied. It returns the same map while nothing changes.
 func (o *originTracker) capacityFactors(now time.Duration) map[fleet.NodeID]float64 {
-	weights := make(map[fleet.NodeID]float64)
+	factors := make(map[fleet.NodeID]float64)
 	for node, report := range o.nodesUnderPressure(now) {
-		// Nodes near an unreachable one may be lost as well. It is replaced only after the
+		// Gateways near an unreachable one may be lost as well. It is replaced only after the
 		// membership has removed it.
 		if report.pressure != pressureUnreachable {
-			weights[node] = report.pressure.Weight()
+			factors[node] = report.pressure.Weight()
 		}
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !maps.Equal(weights, o.factors) {
-		o.factors = weights
+	if !maps.Equal(factors, o.factors) {
+		o.factors = factors
 	}
 	return o.factors
 }
 
-// originRates returns the request rates by location, as far as this node knows them.
+// originRates returns the request rates by location, as far as this gateway knows them.
 func (g *Gateway) originRates(now time.Duration) map[membership.Location]float64 {
 	rates := g.demand.nodeRates(now, g.node)
 	if rates == nil {
@@ -192,12 +192,12 @@
 	return byLocation
 }
 
-// originReport returns the rates and pressures that this node reports to the nodes that watch it
-// and to those it watches.
+// originReport returns the rates and pressures that this gateway reports to the gateways that watch
+// it and to those it watches.
 func (g *Gateway) originReport(now time.Duration) ([]*rpc.PlaceRate, []*rpc.NodePressure) {
-	var places []*rpc.PlaceRate
+	var locationRates []*rpc.PlaceRate
 	for location, rate := range g.originRates(now) {
-		places = append(places, &rpc.PlaceRate{Region: string(location.Region), Zone: string(location.Zone), Rate: encodeRate(rate)})
+		locationRates = append(locationRates, &rpc.PlaceRate{Region: string(location.Region), Zone: string(location.Zone), Rate: encodeRate(rate)})
 	}
 	var nodes []*rpc.NodePressure
 	for node, report := range g.origins.nodesUnderPressure(now) {
@@ -205,14 +205,14 @@
 			Node: string(node), Pressure: uint32(report.pressure), AgeMillis: uint32(max(now-report.measured, 0).Milliseconds()),
 		})
 	}
-	return places, nodes
+	return locationRates, nodes
 }
 
-// applyOriginReport records the rates and pressures that another node reports. A node that doesn't
-// know the rates reports none.
-func (g *Gateway) applyOriginReport(now time.Duration, places []*rpc.PlaceRate, nodes []*rpc.NodePressure) {
-	rates := make(map[membership.Location]float64, len(places))
-	for _, report := range places {
+// applyOriginReport records the rates and pressures that another gateway reports. A gateway that
+// doesn't know the rates reports none.
+func (g *Gateway) applyOriginReport(now time.Duration, locationRates []*rpc.PlaceRate, nodes []*rpc.NodePressure) {
+	rates := make(map[membership.Location]float64, len(locationRates))
+	for _, report := range locationRates {
 		location := membership.Location{Region: fleet.RegionName(report.GetRegion()), Zone: fleet.ZoneName(report.GetZone())}
 		rates[location] = decodeRate(report.GetRate())
 	}
--- a/internal/gateway/peerfailures_test.go
+++ b/internal/gateway/peerfailures_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestNodeIsUnreachableAfterConsecutiveFailures guards against declaring a node unreachable after a
-// single failed exchange.
+// TestNodeIsUnreachableAfterConsecutiveFailures guards against declaring a gateway unreachable
+// after a single failed exchange.
 func TestNodeIsUnreachableAfterConsecutiveFailures(t *testing.T) {
 	failures := newPeerFailures()
 	assert.False(t, failures.record("a", false))
@@ -25,8 +25,8 @@
 	assert.Len(t, failures.consecutive, 1)
 }
 
-// TestCallersAreNotDirectedToAnUnreachableNode guards against idle nodes that direct callers to a
-// node which no longer answers its peers but is still alive in the membership.
+// TestCallersAreNotDirectedToAnUnreachableNode guards against idle gateways that direct callers to
+// a gateway which no longer answers its peers but is still alive in the membership.
 func TestCallersAreNotDirectedToAnUnreachableNode(t *testing.T) {
 	g, watcher := newTestGateway(t), newTestGateway(t)
 	lost := membership.Member{Node: "lost", State: membership.Alive}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -85,12 +85,12 @@
 }
 
 func (g *Gateway) readSeeds(ctx context.Context) {
-	nodes, unreadable, err := g.dependencies.Store.ReadNodes(ctx)
+	nodes, invalid, err := g.dependencies.Store.ReadNodes(ctx)
 	if err != nil {
 		g.events.line("nodes_unread").Err(err).Msg("nodes_unread")
 		return
 	}
-	g.reportInvalidInput("", unreadable)
+	g.reportInvalidInput("", invalid)
 	var addresses []fleet.Address
 	for _, node := range nodes {
 		if node.Address != fleet.Address(g.settings().PeerAddress) {
@@ -229,35 +229,36 @@
 	for _, run := range g.workers.UnpublishedDraining() {
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.StartTime)})
 	}
-	if _, holds := g.lease.Fence(); holds {
+	if _, isHolder := g.lease.Fence(); isHolder {
 		report.Weights = g.versionsToReport(now, to)
 	}
 	g.quotas.writeReport(now, report, to)
 	g.deliveries.writeReport(now, report, to)
 	g.quarantines.writeReport(now, report)
-	if held := g.configuration.Current(); held != nil {
+	if snapshot := g.configuration.Current(); snapshot != nil {
 		if age, proven := g.freshness.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
-			report.ProofRevision = uint64(held.Revision)
+			report.ProofRevision = uint64(snapshot.Revision)
 		}
 	}
 	return report
 }
 
-// encodeRecentVersions returns the newest model versions with the time since each was named.
+// encodeRecentVersions returns the latest desired model versions with the time since each was
+// requested.
 func (g *Gateway) encodeRecentVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
-	for model, namings := range g.rollout.recentVersions() {
-		for _, naming := range namings {
+	for model, publications := range g.rollout.recentVersions() {
+		for _, publication := range publications {
 			named = append(named, &rpc.NamedVersion{
-				Model: string(model), Version: naming.Version, AgeMillis: uint32(max(now-naming.At, 0).Milliseconds()),
+				Model: string(model), Version: publication.Version, AgeMillis: uint32(max(now-publication.At, 0).Milliseconds()),
 			})
 		}
 	}
 	return named
 }
 
-// applyPeerVersions records when other gateways heard of model versions.
+// applyPeerVersions records when, according to another gateway, model versions were requested.
 func (g *Gateway) applyPeerVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
@@ -266,8 +267,8 @@
 	}
 }
 
-// versionsToReport returns the engines' model versions to include in a report to a gateway. The lease
-// holder is their authority.
+// versionsToReport returns the engines' model versions to include in a report to a gateway. Only
+// the lease holder reports them.
 func (g *Gateway) versionsToReport(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
@@ -320,12 +321,12 @@
 	}
 }
 
-// applyProof adopts another gateway's proof of freshness: if its proof had age a when it answered a
-// call that began at start, and its configuration is not newer than the one held here, then this
+// applyProof adopts another gateway's proof of freshness: if the proof had age a when the gateway
+// answered a call that began at start, and its configuration is not newer than the one here, this
 // configuration was current at start-a.
 func (g *Gateway) applyProof(start time.Duration, report *rpc.LoadReport) {
-	held := g.configuration.Current()
-	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
+	snapshot := g.configuration.Current()
+	if snapshot == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(snapshot.Revision) {
 		return
 	}
 	g.freshness.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -30,12 +30,12 @@
 		now, priority := g.now(), limitPriority(current)
 		current.atLimit = false
 		request.Admission = func(worker *backends.Worker) (backends.Admission, time.Duration) {
-			intake, opensIn := g.limits.admission(now, worker, priority)
-			current.atLimit = current.atLimit || intake == backends.AdmissionClosed
+			admission, opensIn := g.limits.admission(now, worker, priority)
+			current.atLimit = current.atLimit || admission == backends.AdmissionClosed
 			if backoff := g.backoffs.remaining(now, backoffRun(worker.ID, worker.StartTime)); backoff > 0 {
 				return backends.AdmissionClosed, max(backoff, opensIn)
 			}
-			return intake, opensIn
+			return admission, opensIn
 		}
 	}
 	if engine := current.service.Engine; engine != nil {
@@ -84,7 +84,7 @@
 }
 
 // cacheStore returns the KV cache store for a request's prompt, or nil if none is configured. It
-// uses rendezvous hashing, so all nodes choose the same store for the same prefix.
+// uses rendezvous hashing, so all gateways choose the same store for the same prefix.
 func (g *Gateway) cacheStore(current *callerRequest) *routes.Service {
 	snapshot := g.configuration.Current()
 	if snapshot == nil {
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// pressureInterval is the time between two measurements of this node's resource usage.
+	// pressureInterval is the time between two measurements of this gateway's resource usage.
 	pressureInterval = 250 * time.Millisecond
-	// pressureIdleInterval is the same for an idle node, whose usage changes slowly.
+	// pressureIdleInterval is the same for an idle gateway, whose usage changes slowly.
 	pressureIdleInterval = time.Second
 	// usageSmoothing is the weight of one interval in the moving average of processor usage. The
 	// average ignores peaks as short as one garbage collection.
 	usageSmoothing = 0.3
 	// baseDescriptors is the assumed number of descriptors that are not counted individually:
-	// listeners and calls to the store, to engines and to other nodes.
+	// listeners and calls to the store, to engines and to other gateways.
 	baseDescriptors = 64
 	// maxConnectionFraction is the part of the descriptors up to which new connections are
 	// accepted. The rest is kept for connections to workers.
@@ -44,7 +44,7 @@
 	descriptors int
 }
 
-// pressureMonitor tracks how close this node is to its resource limits. Only the goroutine of
+// pressureMonitor tracks how close this gateway is to its resource limits. Only the goroutine of
 // monitorPressure uses the meter.
 type pressureMonitor struct {
 	meter        nodecapacity.Meter
@@ -59,7 +59,7 @@
 	workerConnections atomic.Int64
 }
 
-// level returns this node's pressure at the last measurement.
+// level returns this gateway's pressure at the last measurement.
 func (p *pressureMonitor) level() nodecapacity.Pressure {
 	return nodecapacity.Pressure(p.currentLevel.Load())
 }
@@ -114,7 +114,7 @@
 	return pressureInterval
 }
 
-// recordUsage updates this node's pressure from its resource usage at now, and logs changes.
+// recordUsage updates this gateway's pressure from its resource usage at now, and logs changes.
 func (g *Gateway) recordUsage(now time.Duration, used resourceUsage) {
 	before, after := g.pressure.observe(now, used, g.settings().Limits)
 	g.origins.setPressure(now, g.node, after)
@@ -159,8 +159,8 @@
 	}
 }
 
-// boundedListener closes connections beyond a bound at once. Their callers can tell that no request
-// was read, and try another node. Connections left waiting would use descriptors that requests in
+// boundedListener closes connections beyond a bound at once. Their callers detect that no request
+// was read and try another gateway. Connections left waiting would use descriptors that requests in
 // flight need.
 type boundedListener struct {
 	net.Listener
@@ -182,7 +182,7 @@
 	}
 }
 
-// hasConnectionRoom reports whether this node can accept another connection.
+// hasConnectionRoom reports whether this gateway can accept another connection.
 func (g *Gateway) hasConnectionRoom() bool {
 	limits := g.settings().Limits
 	if limits.FileDescriptors == 0 {
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestPressureFollowsTheLimits guards against a pressure that misses one of the node's limits.
+// TestPressureFollowsTheLimits guards against a pressure that misses one of the gateway's limits.
 func TestPressureFollowsTheLimits(t *testing.T) {
 	limits := nodecapacity.Limits{ProcessorShare: 0.2, MemoryMB: 100, FileDescriptors: 1200}
 	var processor time.Duration
@@ -47,15 +47,16 @@
 	assert.Equal(t, nodecapacity.Busy, step(0.1, 50, 100))
 }
 
-// TestPressureIsFreeWithoutLimits guards against pressure at a node without limits in its settings.
+// TestPressureIsFreeWithoutLimits guards against pressure at a gateway without limits in its
+// settings.
 func TestPressureIsFreeWithoutLimits(t *testing.T) {
 	measured := &pressureMonitor{}
 	_, after := measured.observe(time.Second, resourceUsage{processor: time.Hour, memory: 1 << 40, descriptors: 1 << 20}, nodecapacity.Limits{})
 	assert.Equal(t, nodecapacity.Free, after)
 }
 
-// TestNodeUnderPressureGetsFewerCallers guards against planning a node under pressure at its full
-// capacity, and against reports that are outdated or have expired.
+// TestNodeUnderPressureGetsFewerCallers guards against planning a gateway under pressure at its
+// full capacity, and against reports that are outdated or have expired.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := newTestGateway(t)
 	assert.Empty(t, g.origins.capacityFactors(0))
@@ -77,8 +78,8 @@
 	assert.Empty(t, g.origins.capacityFactors(g.now()))
 }
 
-// TestOwnPressureIsReported guards against a node that doesn't report its own pressure to peers and
-// watchers.
+// TestOwnPressureIsReported guards against a gateway that doesn't report its own pressure to peers
+// and watchers.
 func TestOwnPressureIsReported(t *testing.T) {
 	g := newTestGateway(t)
 	settings := *g.settings()
@@ -168,7 +169,7 @@
 }
 
 // TestConnectionsBeyondTheBoundAreClosedUnread guards against connections that wait, or are served,
-// while the node has no descriptors left.
+// while the gateway has no descriptors left.
 func TestConnectionsBeyondTheBoundAreClosedUnread(t *testing.T) {
 	var accepted, callers []net.Conn
 	for range 3 {
@@ -193,8 +194,8 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to nodes before this node
-// has a configuration.
+// TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to gateways before this
+// gateway has a configuration.
 func TestDirectoryIsEmptyBeforeTheNodeIsReady(t *testing.T) {
 	g := newTestGateway(t)
 	g.roleSettled.Store(true)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -33,7 +33,7 @@
 	// pendingBroadcast holds the records to send to other gateways at once.
 	pendingBroadcast map[quarantine.Fingerprint]bool
 	// local holds the requests that were in flight at a crashed worker, or were answered after a
-	// crash, at this gateway. It keeps their stored rows up to date.
+	// crash, at this gateway. This gateway keeps their stored rows up to date.
 	local map[quarantine.Fingerprint]bool
 	// stored holds the known state of the store's rows.
 	stored map[quarantine.Fingerprint]storedQuarantine
@@ -56,7 +56,7 @@
 	}
 }
 
-// check returns whether a request is held and when its next trial is due.
+// check returns whether a request is quarantined and when its next trial is due.
 func (q *quarantineState) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
 	if !q.active.Load() {
 		return quarantine.Verdict{}
@@ -69,12 +69,12 @@
 // quarantineChange is the effect of an update on one request.
 type quarantineChange struct {
 	verdict quarantine.Verdict
-	// began is set if the request is held from now on, ended if it is released.
+	// began is set if the request is quarantined from now on, ended if it is released.
 	began, ended bool
 }
 
-// update applies a change to the ledger and returns its effect. The record is broadcast if change
-// returns true or the request becomes held.
+// update applies a change to the tracker and returns its effect. The record is broadcast if change
+// returns true or the request becomes quarantined.
 func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Tracker) (broadcast bool)) quarantineChange {
 	q.active.Store(true)
 	q.mutex.Lock()
@@ -103,9 +103,9 @@
 
 // recordCrash records that a worker crashed while this gateway had a request in flight there.
 func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool {
 		q.local[fingerprint] = true
-		return ledger.ObserveCrash(now, fingerprint, worker)
+		return tracker.ObserveCrash(now, fingerprint, worker)
 	})
 }
 
@@ -117,8 +117,8 @@
 		q.tracker.ObserveAnswer(now, fingerprint)
 		return quarantineChange{}
 	}
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
-		suspected := ledger.ObserveAnswer(now, fingerprint)
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool {
+		suspected := tracker.ObserveAnswer(now, fingerprint)
 		if suspected {
 			q.local[fingerprint] = true
 		}
@@ -127,22 +127,22 @@
 }
 
 // merge merges a record of another gateway or the store. If this gateway knows of an answer or a
-// trial that the record lacks, it broadcasts it.
+// trial that the record does not contain, it broadcasts its own record.
 func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
-	return q.update(now, record.Fingerprint, func(ledger *quarantine.Tracker) bool {
-		ledger.Merge(record)
-		return ledger.IsAheadOf(record)
+	return q.update(now, record.Fingerprint, func(tracker *quarantine.Tracker) bool {
+		tracker.Merge(record)
+		return tracker.IsAheadOf(record)
 	})
 }
 
 // release ends the quarantine of a request.
 func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool { return ledger.Release(now, fingerprint) })
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool { return tracker.Release(now, fingerprint) })
 }
 
 // sweep drops expired records, and returns the released requests and the number of those still
-// held.
-func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
+// quarantined.
+func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, quarantined int) {
 	if !q.active.Load() {
 		return nil, 0
 	}
@@ -165,8 +165,8 @@
 	return released, q.tracker.QuarantinedCount()
 }
 
-// checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
-// this gateway acquires the trial.
+// checkQuarantine returns a refusal if a request is quarantined. A request whose trial is due
+// passes if this gateway acquires the trial.
 func (g *Gateway) checkQuarantine(current *callerRequest) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if !verdict.Quarantined {
@@ -181,10 +181,10 @@
 }
 
 // reasonQuarantined is the refusal reason of a quarantined request.
-const reasonQuarantined = "workers ended under it"
+const reasonQuarantined = "request is quarantined"
 
-// quarantineVerdict reports whether a request is held, and logs it if so. The trial of a held request
-// passes.
+// quarantineVerdict returns the verdict on a request and whether it is quarantined, and logs it if
+// so. The trial of a quarantined request passes.
 func (g *Gateway) quarantineVerdict(current *callerRequest) (quarantine.Verdict, bool) {
 	if current.quarantineTrial {
 		return quarantine.Verdict{}, false
@@ -206,12 +206,12 @@
 
 // recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
 // draining.
-func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
+func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, evidence quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
 	if g.workers.IsDraining(worker) {
 		return
 	}
 	g.metrics.runsEndedWithWorker.Add(float64(len(fingerprints)))
-	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
+	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", evidence.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", shortFingerprints(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
 		g.handleQuarantineChange(fingerprint, "worker_ended", g.quarantines.recordCrash(g.now(), fingerprint, worker))
@@ -239,8 +239,8 @@
 
 // sweepQuarantines drops expired records.
 func (g *Gateway) sweepQuarantines() {
-	released, held := g.quarantines.sweep(g.now())
-	g.metrics.quarantined.Set(float64(held))
+	released, quarantined := g.quarantines.sweep(g.now())
+	g.metrics.quarantined.Set(float64(quarantined))
 	for _, fingerprint := range released {
 		g.handleQuarantineChange(fingerprint, "forgotten", quarantineChange{ended: true})
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -72,7 +72,8 @@
 	return g
 }
 
-// quarantinedRequest returns a request that the gateway holds, with crashes that long ago.
+// quarantinedRequest returns a request that is quarantined at the gateway, with crashes that long
+// ago.
 func quarantinedRequest(g *Gateway, ago time.Duration) *callerRequest {
 	current := &callerRequest{
 		request:  httptest.NewRequest("POST", "/a", nil),
@@ -90,7 +91,8 @@
 	return current
 }
 
-// A quarantined request must be refused before any send, with a result that says it wasn't run.
+// A quarantined request must be refused before any send, with a result code that means it wasn't
+// run.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := quarantinedRequest(g, time.Second)
@@ -105,7 +107,7 @@
 	assert.Nil(t, g.checkQuarantine(&other))
 }
 
-// Of two gateways that try a held request at the same time only one may succeed.
+// Of two gateways that try a quarantined request at the same time only one may succeed.
 func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
@@ -145,8 +147,8 @@
 func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	sync := func(isReader, isLeader bool) {
-		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+	sync := func(isReader, isHolder bool) {
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isHolder)
 		g.applyStoreChanges(&changes)
 	}
 	current := quarantinedRequest(g, 0)
@@ -191,7 +193,7 @@
 	assert.Nil(t, g.checkQuarantine(current))
 	g.quarantines.takePendingBroadcast()
 	quarantinedRequest(g, time.Second)
-	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the hold")
+	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the quarantine")
 	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "release broadcast")
 }
 
@@ -223,7 +225,8 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// Reports must carry recent changes, and answers the records that the other gateway lacks.
+// Reports must carry recent changes, and answers must carry the records that the other gateway
+// misses.
 func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
 	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Crashes: []quarantine.Crash{{Worker: "w", At: one.now()}}}
--- a/internal/gateway/quarantinepeers.go
+++ b/internal/gateway/quarantinepeers.go
@@ -153,8 +153,8 @@
 		if record.Answered {
 			message.AnsweredAgeMillis = ageMillis(now, record.AnsweredAt) + 1
 		}
-		for _, end := range record.Crashes {
-			message.Ends = append(message.Ends, &rpc.QuarantineEnd{Worker: string(end.Worker), AgeMillis: ageMillis(now, end.At)})
+		for _, crash := range record.Crashes {
+			message.Ends = append(message.Ends, &rpc.QuarantineEnd{Worker: string(crash.Worker), AgeMillis: ageMillis(now, crash.At)})
 		}
 		encoded[index] = message
 	}
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -17,7 +17,8 @@
 	// call at once.
 	quarantineWatchWait = 10 * time.Second
 	// orphanedAfter is the time after the last crash from which on any gateway that reads the store
-	// may write the missing row of a held request. The gateways that saw the crashes may be gone.
+	// may write the missing row of a quarantined request. The gateways that saw the crashes may be
+	// gone.
 	orphanedAfter = 3 * time.Second
 	// maxStoreChanges bounds the rows that one pass writes, and those that it removes.
 	maxStoreChanges = 16
@@ -61,15 +62,15 @@
 
 // applyQuarantineRows applies changed rows.
 func (g *Gateway) applyQuarantineRows(rows []watchcache.Row, _ gap) {
-	decoded, unreadable := g.dependencies.Store.DecodeQuarantine(rows)
-	g.reportInvalidInput("", unreadable)
+	decoded, invalid := g.dependencies.Store.DecodeQuarantine(rows)
+	g.reportInvalidInput("", invalid)
 	for index := range decoded {
 		g.applyQuarantineRow(&decoded[index])
 	}
 }
 
-// applyQuarantineSnapshot removes the rows that a complete read lacks. A row that this gateway
-// wrote before its first read may have been removed in between.
+// applyQuarantineSnapshot removes the rows that are missing from a complete read. A row that this
+// gateway wrote before its first read may have been removed in between.
 func (g *Gateway) applyQuarantineSnapshot(update *watchcache.Update) {
 	present := make(map[string]bool, len(update.Rows))
 	for _, row := range update.Rows {
@@ -147,7 +148,7 @@
 // pendingStoreChanges returns the rows that this gateway is to write and to remove. It writes the
 // requests that were in flight here when a worker crashed and, if it reads the store, orphaned
 // ones. It removes rows of requests that it took part in, or any row if it holds the lease.
-func (q *quarantineState) pendingStoreChanges(now time.Duration, isReader, isLeader bool) storeChanges {
+func (q *quarantineState) pendingStoreChanges(now time.Duration, isReader, isHolder bool) storeChanges {
 	if !q.active.Load() {
 		return storeChanges{}
 	}
@@ -166,7 +167,7 @@
 		}
 	}
 	for fingerprint := range q.stored {
-		if !shared[fingerprint] && (isLeader || q.local[fingerprint]) && len(changes.remove) < maxStoreChanges {
+		if !shared[fingerprint] && (isHolder || q.local[fingerprint]) && len(changes.remove) < maxStoreChanges {
 			changes.remove = append(changes.remove, fingerprint)
 		}
 	}
@@ -176,8 +177,8 @@
 // rowFromRecord returns the row of a record with its last counted crashes.
 func rowFromRecord(record *quarantine.Record, counted int) QuarantineRow {
 	row := QuarantineRow{Fingerprint: record.Fingerprint, Trials: record.Trials}
-	for _, end := range record.Crashes[len(record.Crashes)-counted:] {
-		row.Workers = append(row.Workers, end.Worker)
+	for _, crash := range record.Crashes[len(record.Crashes)-counted:] {
+		row.Workers = append(row.Workers, crash.Worker)
 	}
 	return row
 }
@@ -191,9 +192,9 @@
 		case <-g.life.Dying():
 			return nil
 		}
-		_, isLeader := g.lease.Fence()
+		_, isHolder := g.lease.Fence()
 		isReader, _ := g.sources.readsStore()
-		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isHolder)
 		g.applyStoreChanges(&changes)
 	}
 }
@@ -242,8 +243,8 @@
 	line.Msg("quarantine_removed")
 }
 
-// acquireTrial reports whether this gateway may try a held request now. The conditional write to
-// the store ensures that no other gateway runs the same trial.
+// acquireTrial reports whether this gateway may try a quarantined request now. The conditional
+// write to the store ensures that no other gateway runs the same trial.
 func (g *Gateway) acquireTrial(current *callerRequest, verdict quarantine.Verdict) bool {
 	record, known := g.quarantines.record(current.fingerprint)
 	if !known {
@@ -275,10 +276,10 @@
 	return q.tracker.Record(fingerprint)
 }
 
-// beginTrial records that this gateway tries a held request.
+// beginTrial records that this gateway tries a quarantined request.
 func (q *quarantineState) beginTrial(now time.Duration, fingerprint quarantine.Fingerprint, trials int) {
-	q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
-		ledger.BeginTrial(now, fingerprint, trials)
+	q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool {
+		tracker.BeginTrial(now, fingerprint, trials)
 		return true
 	})
 }
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -18,8 +18,8 @@
 const (
 	// usageTimeout bounds one exchange of tenants' usage.
 	usageTimeout = 250 * time.Millisecond
-	// usageReportPeriod is how long after the last request of a tenant with a quota a node that
-	// doesn't serve reports its usage to the serving nodes.
+	// usageReportPeriod is how long after the last request of a tenant with a quota a gateway that
+	// doesn't serve reports its usage to the serving gateways.
 	usageReportPeriod = 3 * time.Second
 	// unknownRate marks a report without the sender's request rate.
 	unknownRate = -1
@@ -45,8 +45,8 @@
 func (q *quotas) setLimits(now time.Duration, tenants []routes.Tenant) {
 	limits := make(map[fleet.TenantName]quota.Limit, len(tenants))
 	for index := range tenants {
-		if bound := tenants[index].Quota; bound != nil {
-			limits[tenants[index].Name] = quota.Limit{Rate: bound.Rate, Burst: bound.Burst}
+		if tenantQuota := tenants[index].Quota; tenantQuota != nil {
+			limits[tenants[index].Name] = quota.Limit{Rate: tenantQuota.Rate, Burst: tenantQuota.Burst}
 		}
 	}
 	q.mutex.Lock()
@@ -85,21 +85,21 @@
 	return q.limiter.IsNearLimit(now)
 }
 
-// isJoining reports whether this node doesn't know yet what was used before its start.
+// isJoining reports whether this gateway doesn't know the usage before its start yet.
 func (q *quotas) isJoining(now time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.IsJoining(now)
 }
 
-// hasReportedSince reports whether a node has reported its usage since a time.
+// hasReportedSince reports whether a gateway has reported its usage since a time.
 func (q *quotas) hasReportedSince(node fleet.NodeID, at time.Duration) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.limiter.HasReportedSince(node, at)
 }
 
-// writeReport adds this node's usage to a report to another node.
+// writeReport adds this gateway's usage to a report to another gateway.
 func (q *quotas) writeReport(now time.Duration, report *rpc.LoadReport, to fleet.NodeID) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// applyReport records another node's usage, if its report contains it.
+// applyReport records another gateway's usage, if its report contains it.
 func (q *quotas) applyReport(now time.Duration, report *rpc.LoadReport) {
 	if !report.GetUsesTold() {
 		return
@@ -139,9 +139,9 @@
 	q.limiter.Observe(now, usage)
 }
 
-// expectPeers sets the nodes that this one shares loads with. Other nodes that have reported and
-// are still alive now report elsewhere and are forgotten; the shares of nodes that are suspected or
-// gone remain reserved.
+// expectPeers sets the gateways that this one shares loads with. Other gateways that have reported
+// and are still alive now report elsewhere and are forgotten; the shares of gateways that are
+// suspected or gone remain reserved.
 func (q *quotas) expectPeers(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// forgetPeers drops the usage of other nodes when this node no longer receives all reports.
+// forgetPeers drops the usage of other gateways when this gateway no longer receives all reports.
 func (q *quotas) forgetPeers(now time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -206,8 +206,8 @@
 	}
 }
 
-// runUsageExchange exchanges usage with the nodes that share loads while a tenant is near its
-// quota or this node is a newcomer. It does so more often than loads are shared.
+// runUsageExchange exchanges usage with the gateways that share loads while a tenant is near its
+// quota or this gateway is joining. It does so more often than loads are shared.
 func (g *Gateway) runUsageExchange() error {
 	for g.pauseForUsage() {
 		if !g.quotas.isNearLimit(g.now()) && !g.quotas.isJoining(g.now()) {
@@ -233,8 +233,8 @@
 	return g.pause(quota.NearLimitInterval)
 }
 
-// updateUsagePeers updates the nodes whose usage this node expects. A node that receives requests
-// although it isn't a serving one exchanges usage with the serving nodes.
+// updateUsagePeers updates the gateways whose usage this gateway expects. A gateway that receives
+// requests although it isn't a serving one exchanges usage with the serving gateways.
 func (g *Gateway) updateUsagePeers() {
 	peers := g.usagePeers()
 	if len(peers) == 0 {
@@ -253,9 +253,9 @@
 	}
 }
 
-// usagePeers returns the nodes to which this one reports its usage: those that share loads or, if
-// this node is not a serving one and has recently received requests of tenants with quotas, the
-// serving nodes. Other requests cause no exchange, to limit traffic in a large fleet.
+// usagePeers returns the gateways to which this one reports its usage: those that share loads or,
+// if this gateway is not a serving one and has recently received requests of tenants with quotas,
+// the serving gateways. Other requests cause no exchange, to limit traffic in a large fleet.
 func (g *Gateway) usagePeers() []membership.Member {
 	if peers := g.loadPeers(); len(peers) > 0 {
 		return peers
@@ -267,7 +267,7 @@
 	return g.roles.Load().Serving
 }
 
-// exchangeUsage reports this node's usage to another node and records that node's usage.
+// exchangeUsage reports this gateway's usage to another gateway and records that gateway's usage.
 func (g *Gateway) exchangeUsage(member membership.Member) {
 	if member.Node == g.node {
 		return
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -12,28 +12,28 @@
 // start, since a slow machine may take longer to open the front.
 const startupHold = 300 * time.Millisecond
 
-// readiness tracks whether this node has the state that it needs to serve.
+// readiness tracks whether this gateway has the state that it needs to serve.
 type readiness struct {
 	readyOnce sync.Once
-	// tablesOnce runs when the node first knows both tables.
+	// tablesOnce runs when the gateway first knows both tables.
 	tablesOnce sync.Once
 	// frontOpenedAt is when the front opened, in nanoseconds of the steady clock.
 	frontOpenedAt atomic.Int64
-	// ready is closed when the node becomes ready for the first time.
+	// ready is closed when the gateway becomes ready for the first time.
 	ready chan struct{}
 }
 
 func newReadiness() *readiness { return &readiness{ready: make(chan struct{})} }
 
-// hasTables reports whether this node has a configuration and the list of workers.
+// hasTables reports whether this gateway has a configuration and the list of workers.
 func (g *Gateway) hasTables() bool { return g.configuration.Current() != nil && g.workersKnown.Load() }
 
-// isReady reports whether this node can serve.
+// isReady reports whether this gateway can serve.
 func (g *Gateway) isReady() bool { return !g.isStopping() && g.hasTables() }
 
-// updateReadiness is called after each change of the tables or of the freshness proof. A node that
-// knows both tables needs no more reads of the store, even if no configuration exists yet, but is
-// not ready before one does.
+// updateReadiness is called after each change of the tables or of the freshness proof. A gateway
+// that knows both tables needs no more reads of the store, even if no configuration exists yet, but
+// is not ready before one does.
 func (g *Gateway) updateReadiness() {
 	if _, proven := g.freshness.Age(g.now()); !proven || !g.workersKnown.Load() {
 		return
@@ -48,7 +48,8 @@
 	})
 }
 
-// awaitReady waits until this node is ready, but no longer than startupHold after the front opened.
+// awaitReady waits until this gateway is ready, but no longer than startupHold after the front
+// opened.
 func (g *Gateway) awaitReady(ctx context.Context) {
 	remaining := time.Duration(g.readiness.frontOpenedAt.Load()) + startupHold - g.now()
 	if remaining <= 0 {
--- a/internal/gateway/retrybudgets.go
+++ b/internal/gateway/retrybudgets.go
@@ -8,27 +8,28 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Shares of the retry budget that all nodes may spend together.
+// Shares of the retry budget that all gateways may spend together.
 const (
-	// ratioFraction is the part of the allowed retry ratio that a node spends.
+	// ratioFraction is the part of the allowed retry ratio that a gateway spends.
 	ratioFraction = 0.95
-	// servingSlackFraction is the part of the allowed slack that the serving nodes spend together,
-	// with a margin since some nodes may not count a new one yet. The other nodes have
-	// idleSlackFraction together.
+	// servingSlackFraction is the part of the allowed slack that the serving gateways spend
+	// together, with a margin since some gateways may not count a new one yet. The other gateways
+	// have idleSlackFraction together.
 	servingSlackFraction = 0.6
 	idleSlackFraction    = 0.2
-	// initialSlackFraction is the part of its slack that a node has at its start. All nodes may
-	// restart within one window, after they have spent their slack.
+	// initialSlackFraction is the part of its slack that a gateway has at its start. All gateways
+	// may restart within one window, after they have spent their slack.
 	initialSlackFraction = 0.5
-	// minSlackSharers is the least number of nodes among which the slack is divided.
+	// minSlackSharers is the least number of gateways among which the slack is divided.
 	minSlackSharers = 8
 )
 
-// retryBudgets holds a retry budget for each service. Each node spends a fixed share of the global
-// budget, so the nodes need no coordination; a node that has just started gets part of its share.
+// retryBudgets holds a retry budget for each service. Each gateway spends a fixed share of the
+// global budget, so the gateways need no coordination; a gateway that has just started gets part of
+// its share.
 type retryBudgets struct {
 	settings Settings
-	// share returns this node's share of the slack.
+	// share returns this gateway's share of the slack.
 	share    func() float64
 	mutex    sync.Mutex
 	services map[fleet.PoolName]*attempt.WindowBudget
@@ -38,7 +39,7 @@
 	return &retryBudgets{settings: settings, share: share, services: make(map[fleet.PoolName]*attempt.WindowBudget)}
 }
 
-// retryShare returns this node's share of the slack.
+// retryShare returns this gateway's share of the slack.
 func (g *Gateway) retryShare() float64 {
 	members, serving := g.memberCount(), g.servingCount()
 	if g.isServing() {
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -12,19 +12,20 @@
 const (
 	// rolesInterval is the interval at which the roles are updated.
 	rolesInterval = 200 * time.Millisecond
-	// A node that has just started and has seeds takes its role once it has seen no new member for
-	// joinSettleTime, and after joinGracePeriod in any case. At the first start of the whole fleet
-	// it takes its role after firstStartGracePeriod, because machines don't start at the same time.
+	// A gateway that has just started and has seeds takes its role once it has seen no new member
+	// for joinSettleTime, and after joinGracePeriod in any case. At the first start of the whole
+	// fleet it takes its role after firstStartGracePeriod, because machines don't start at the same
+	// time.
 	joinSettleTime        = 400 * time.Millisecond
 	joinGracePeriod       = time.Second
 	firstStartGracePeriod = 2 * time.Second
-	// planningDelay is the time after its start during which a node plans with equal demand in all
-	// locations and doesn't hold group sizes. Its view of the demand is incomplete then, and more
-	// nodes would serve than needed.
+	// planningDelay is the time after its start during which a gateway plans with equal demand in
+	// all locations and doesn't hold group sizes. Its view of the demand is incomplete then, and
+	// more gateways would serve than needed.
 	planningDelay = 5 * time.Second
 )
 
-// isJoining reports whether this node has just started and may not know its role yet.
+// isJoining reports whether this gateway has just started and may not know its role yet.
 func (g *Gateway) isJoining(now time.Duration) bool {
 	if members := g.memberCount(); members != g.join.members {
 		g.join = joinState{members: members, changedAt: now}
@@ -43,40 +44,39 @@
 	return !g.join.done
 }
 
-// joinState is the number of members that a starting node knows, when it last changed, and whether
-// the join is done.
+// joinState is the number of members that a starting gateway knows, when it last changed, and
+// whether the join is done.
 type joinState struct {
 	members   int
 	changedAt time.Duration
 	done      bool
 }
 
-// nodeRoles are the roles of all members and what follows from them for this node. They are derived
-// when the members or the planned demand change, and immutable.
+// nodeRoles are the roles of all members and what follows from them for this gateway. They are
+// derived when the members or the planned demand change, and immutable.
 type nodeRoles struct {
 	*membership.Roles
 	// view and demand, in requests per second, are what the roles were derived from.
 	view   *membership.View
 	demand float64
-	// fallbackCandidate is set while this node is a fallback candidate for the rollout lease.
+	// fallbackCandidate is set while this gateway is a fallback candidate for the rollout lease.
 	fallbackCandidate bool
-	// demandByLocation, pressureWeights and minSizes are the options that the roles were derived from: the
-	// demand by location, the weights of nodes under pressure, and the least sizes of the serving
-	// groups.
+	// demandByLocation, capacityFactors and minServingByLocation are the options that the roles
+	// were derived from.
 	demandByLocation     map[membership.Location]float64
 	capacityFactors      map[fleet.NodeID]float64
 	minServingByLocation map[membership.Location]int
-	// isReader is set if this node reads the store, isCandidate if it competes for the rollout
-	// lease. sharesLoads is set if it exchanges loads: the serving nodes, the candidates and
+	// isReader is set if this gateway reads the store, isCandidate if it competes for the rollout
+	// lease. sharesLoads is set if it exchanges loads: the serving gateways, the candidates and
 	// fallback candidates do.
 	isReader    bool
 	isCandidate bool
 	sharesLoads bool
-	// nonServingCount is the number of nodes that aren't serving, if this is one of them.
+	// nonServingCount is the number of gateways that aren't serving, if this is one of them.
 	nonServingCount int
-	// readerOrder are the readers that this node asks for changes of the store, best first.
+	// readerOrder are the readers that this gateway asks for changes of the store, best first.
 	readerOrder []fleet.NodeID
-	// loadPeers are the other nodes that share loads, empty if this one doesn't.
+	// loadPeers are the other gateways that share loads, empty if this one doesn't.
 	loadPeers []membership.Member
 }
 
@@ -112,8 +112,8 @@
 	return roles
 }
 
-// roleOptions returns the planning inputs other than the demand. A node that has just started
-// receives reports of a few nodes first. It would take a single location for the origin of all
+// roleOptions returns the planning inputs other than the demand. A gateway that has just started
+// receives reports of a few gateways first. It would take a single location for the origin of all
 // requests and hold a group size that is far too large.
 func (g *Gateway) roleOptions(now time.Duration, demand float64, previous *nodeRoles) membership.RoleOptions {
 	options := membership.RoleOptions{CapacityFactors: g.origins.capacityFactors(now)}
@@ -131,7 +131,7 @@
 	return !maps.Equal(r.demandByLocation, options.DemandByLocation) || !maps.Equal(r.capacityFactors, options.CapacityFactors) || !maps.Equal(r.minServingByLocation, options.MinServingByLocation)
 }
 
-// maintainRoles keeps this node's roles up to date with the membership and the demand.
+// maintainRoles keeps this gateway's roles up to date with the membership and the demand.
 func (g *Gateway) maintainRoles() error {
 	for {
 		g.checkSuspension()
@@ -164,14 +164,14 @@
 	}
 }
 
-// loadPeers returns the other nodes that share loads, if this one does. Callers must not modify the
-// slice.
+// loadPeers returns the other gateways that share loads, if this one does. Callers must not modify
+// the slice.
 func (g *Gateway) loadPeers() []membership.Member { return g.roles.Load().loadPeers }
 
-// isServing reports whether callers are sent to this node.
+// isServing reports whether callers are sent to this gateway.
 func (g *Gateway) isServing() bool { return g.roles.Load().IsServing(g.node) }
 
-// servingCount returns the number of serving nodes, at least 1.
+// servingCount returns the number of serving gateways, at least 1.
 func (g *Gateway) servingCount() int { return max(len(g.roles.Load().Serving), 1) }
 
 // memberCount returns the number of gateways, including this one.
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -118,7 +118,7 @@
 	assert.True(t, hasChangedRows(&rpc.WatchResponse{Updates: []*rpc.TableUpdate{{CompressedRows: []byte{1}}}}))
 }
 
-// TestWatchBacksOffAfterFailures guards against a large fleet flooding its readers while no node
+// TestWatchBacksOffAfterFailures guards against a large fleet flooding its readers while no gateway
 // can reach the store.
 func TestWatchBacksOffAfterFailures(t *testing.T) {
 	g := newTestGateway(t)
@@ -135,7 +135,7 @@
 	assert.Zero(t, g.watchPause(watchUnchanged, 0))
 }
 
-// TestNodeWithoutSettledRoleFollowsFewCaches guards against a starting node that knows no other
+// TestNodeWithoutSettledRoleFollowsFewCaches guards against a starting gateway that knows no other
 // member following all caches and returning itself from the directory.
 func TestNodeWithoutSettledRoleFollowsFewCaches(t *testing.T) {
 	const engines = 2*cachesPerRequest + 1
@@ -164,7 +164,7 @@
 }
 
 // TestNodeWithTablesStopsReadingStore guards against a fleet without a configuration reading the
-// store from every node.
+// store from every gateway.
 func TestNodeWithTablesStopsReadingStore(t *testing.T) {
 	g := newTestGateway(t)
 	g.sources = newSourceSelector(0, relay.Options{Self: g.node, Random: rand.New(rand.NewPCG(1, 1))})
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/rollout"
 )
 
-// runRollout enforces new model versions when they are due and, while this node holds the lease,
+// runRollout enforces new model versions when they are due and, while this gateway holds the lease,
 // updates the engines.
 func (g *Gateway) runRollout() error {
 	var firstOrderAt time.Duration
@@ -61,8 +61,8 @@
 	workers, versions uint64
 }
 
-// rolloutCheckInterval returns the time until the next check. It is short while this node handles
-// requests or may hold the lease, which most nodes of a large fleet don't.
+// rolloutCheckInterval returns the time until the next check. It is short while this gateway
+// handles requests or may hold the lease, which most gateways of a large fleet don't.
 func (g *Gateway) rolloutCheckInterval() time.Duration {
 	roles := g.roles.Load()
 	_, isHolder := g.lease.Fence()
@@ -109,7 +109,7 @@
 }
 
 // keepLease runs the lease keeper, which first reads the lease. At the first start of the whole
-// fleet nobody has held the lease, so a node waits until it is a candidate. After a restart the
+// fleet nobody has held the lease, so a gateway waits until it is a candidate. After a restart the
 // keeper checks at once whether its machine still holds the lease.
 func (g *Gateway) keepLease() error {
 	for g.settings().FirstStart && !g.isRolloutCandidate() && !g.isStopping() {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// isRolloutCandidate reports whether this node may take the lease.
+// isRolloutCandidate reports whether this gateway may take the lease.
 func (g *Gateway) isRolloutCandidate() bool {
 	return !g.isStopping() && g.roleSettled.Load() && (g.roles.Load().isCandidate || g.fallbackCandidate.Load())
 }
@@ -209,7 +209,7 @@
 	return maxQuiesceIdle - time.Duration(fraction*float64(maxQuiesceIdle-maxQuiesceFull))
 }
 
-// cordonEngine stops this node and all that share loads from sending requests to an engine for
+// cordonEngine stops this gateway and all that share loads from sending requests to an engine for
 // cordonDuration.
 func (g *Gateway) cordonEngine(engine fleet.EngineID) {
 	until := g.now() + cordonDuration
@@ -229,8 +229,8 @@
 	return reorderAfter
 }
 
-// sendOrder sends an order to an engine. It returns false, without sending, if this node no longer
-// holds the lease.
+// sendOrder sends an order to an engine. It returns false, without sending, if this gateway no
+// longer holds the lease.
 func (g *Gateway) sendOrder(update engineUpdate, report rollout.Report) (rollout.OrderResult, bool) {
 	token, isHolder := g.lease.Fence()
 	if !isHolder {
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -12,12 +12,12 @@
 
 // Parameters of the model version rollout.
 const (
-	// rolloutLease is the key of the lease held by the one node that sends orders. The candidates
-	// for the lease are also chosen by this name.
+	// rolloutLease is the key of the lease held by the one gateway that sends orders. The
+	// candidates for the lease are also chosen by this name.
 	rolloutLease = "rollout"
 	// rolloutInterval is the interval at which the rollout is checked; idleRolloutInterval is the
-	// interval at a node without requests that can't hold the lease. idleRolloutInterval plus
-	// beginReserve must stay below enforceReserve, so that a request that arrives between two
+	// interval at a gateway without requests that can't hold the lease. idleRolloutInterval plus
+	// staleVersionMargin must stay below enforceReserve, so that a request that arrives between two
 	// checks can still be moved from an outdated engine in time.
 	rolloutInterval     = 100 * time.Millisecond
 	idleRolloutInterval = 500 * time.Millisecond
@@ -55,8 +55,8 @@
 	// engine isn't updated again before updateBackoff has passed.
 	maxFailedReports = 2
 	updateBackoff    = 1500 * time.Millisecond
-	// storeLostAfter is the age of the newest freshness proof of all reachable nodes from which the
-	// store counts as unreachable for all of them.
+	// storeLostAfter is the age of the newest freshness proof of all reachable gateways from which
+	// the store counts as unreachable for all of them.
 	storeLostAfter = 2500 * time.Millisecond
 	// maxSharedVersions bounds the versions per model that are shared with peers.
 	maxSharedVersions = 4
@@ -94,7 +94,7 @@
 	updateWithin time.Duration
 	mutex        sync.Mutex
 	pacers       map[fleet.ModelName]*rollout.Pacer
-	// updating holds the engines that this node is updating.
+	// updating holds the engines that this gateway is updating.
 	updating map[fleet.EngineID]bool
 	// cordonedUntil holds, by engine, the end of its cordon.
 	cordonedUntil map[fleet.EngineID]time.Duration
@@ -163,7 +163,7 @@
 	s.pacer(model).LearnPublication(requestedAt, version)
 }
 
-// recentVersions returns the latest versions that this node learned of without delay, by model.
+// recentVersions returns, by model, the latest versions whose time of request is known.
 func (s *rolloutState) recentVersions() map[fleet.ModelName][]rollout.Publication {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -207,9 +207,9 @@
 	version uint64
 }
 
-// startUpdates returns the engine updates to start now and marks them as started. doubtful are the
-// workers presumed to be unreachable.
-func (s *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, doubtful map[fleet.EngineID]bool) []engineUpdate {
+// startUpdates returns the engine updates to start now and marks them as started. suspects are the
+// workers that are presumed to be unreachable.
+func (s *rolloutState) startUpdates(now time.Duration, workers []backends.Worker, suspects map[fleet.EngineID]bool) []engineUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var updates []engineUpdate
@@ -224,7 +224,7 @@
 			byID[worker.ID] = worker
 			engines = append(engines, rollout.VersionedEngine{
 				Engine: worker.ID, Version: uint64(version), Changing: s.updating[worker.ID],
-				Unreachable: doubtful[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
+				Unreachable: suspects[worker.ID] || s.failures[worker.ID] > 0, Failures: s.failures[worker.ID],
 			})
 		}
 		for _, engine := range pacer.Next(now, engines) {
@@ -307,8 +307,8 @@
 	delete(s.backoffUntil, engine)
 }
 
-// cordonedEngines returns the engines that this node has cordoned and the remaining time of their
-// cordons.
+// cordonedEngines returns the engines that this gateway has cordoned and the remaining time of
+// their cordons.
 func (s *rolloutState) cordonedEngines(now time.Duration) map[fleet.EngineID]time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -51,15 +51,15 @@
 	// StopGrace is the time from the signal of a planned stop until the process is killed.
 	StopGrace time.Duration
 	// RevokeWithin is the time after which a revoked key must no longer be accepted. If
-	// RevokeEverywhere is set, this also holds for nodes that are partitioned.
+	// RevokeEverywhere is set, this also holds for gateways that are partitioned.
 	RevokeWithin     time.Duration
 	RevokeEverywhere bool
-	// RetryRatio and RetrySlack bound the retries of all nodes together in any RetryWindow: the
+	// RetryRatio and RetrySlack bound the retries of all gateways together in any RetryWindow: the
 	// ratio times the requests, plus the slack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// QuotaOvershoot and QuotaSlack bound by how much all nodes together may exceed a tenant's
+	// QuotaOvershoot and QuotaSlack bound by how much all gateways together may exceed a tenant's
 	// quota in any QuotaWindow: a fraction of the quota, plus the slack in units.
 	QuotaOvershoot float64
 	QuotaSlack     float64
@@ -127,7 +127,7 @@
 	}
 }
 
-// hasOtherSeeds reports whether there are seeds other than this node's own address.
+// hasOtherSeeds reports whether there are seeds other than this gateway's own address.
 func (s *Settings) hasOtherSeeds() bool {
 	return slices.ContainsFunc(s.Seeds, func(seed fleet.Address) bool { return seed != fleet.Address(s.PeerAddress) })
 }
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// regions returns the region of each zone, including this node's own.
+// regions returns the region of each zone, including this gateway's own.
 func (s *Settings) regions() backends.Regions {
 	regions := make(backends.Regions, len(s.Zones)+1)
 	maps.Copy(regions, s.Zones)
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/relay"
 )
 
-// sourceSelector selects where this node gets changes of the store from: the store itself or a
+// sourceSelector selects where this gateway gets changes of the store from: the store itself or a
 // peer. It is a relay.Selector that is safe for concurrent use.
 type sourceSelector struct {
 	mutex    sync.Mutex
@@ -25,18 +25,18 @@
 	}
 }
 
-// sourceRole is the part of a node's role that the choice of a source depends on.
+// sourceRole is the part of a gateway's role that the choice of a source depends on.
 type sourceRole struct {
-	// settled is set once the role is known, reader if the node reads the store.
+	// settled is set once the role is known, reader if the gateway reads the store.
 	settled bool
 	reader  bool
 	// order lists the peers to ask otherwise, best first.
 	order []fleet.NodeID
-	// nonServingCount is the number of nodes that aren't serving, if this is one of them.
+	// nonServingCount is the number of gateways that aren't serving, if this is one of them.
 	nonServingCount int
 }
 
-// setRole sets this node's role.
+// setRole sets this gateway's role.
 func (s *sourceSelector) setRole(now time.Duration, role sourceRole) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,8 +59,8 @@
 	s.changed = make(chan struct{})
 }
 
-// readsStore reports whether this node is to read the store, and returns a channel that is closed
-// when that changes.
+// readsStore reports whether this gateway is to read the store, and returns a channel that is
+// closed when that changes.
 func (s *sourceSelector) readsStore() (bool, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,7 +77,7 @@
 	return s.selector.Source()
 }
 
-// recordWatcher records that another node asks this one for changes.
+// recordWatcher records that another gateway asks this one for changes.
 func (s *sourceSelector) recordWatcher(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -85,14 +85,14 @@
 	s.updateReading(now)
 }
 
-// needsFullState reports whether this node needs the complete tables.
+// needsFullState reports whether this gateway needs the complete tables.
 func (s *sourceSelector) needsFullState(now time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.selector.NeedsFullState(now)
 }
 
-// recordTablesKnown records that this node knows all tables.
+// recordTablesKnown records that this gateway knows all tables.
 func (s *sourceSelector) recordTablesKnown(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,7 +100,7 @@
 	s.updateReading(now)
 }
 
-// awaitRole makes this node leave reading to others until its role is known.
+// awaitRole stops this gateway from reading the store until its role is known.
 func (s *sourceSelector) awaitRole(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,22 +108,22 @@
 	s.updateReading(now)
 }
 
-// recordStoreCall records whether the store answered this node's last call.
+// recordStoreCall records whether the store answered this gateway's last call.
 func (s *sourceSelector) recordStoreCall(answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.ObserveStoreCall(answered)
 }
 
-// recordProof records a freshness proof that this node got from the store itself.
+// recordProof records a freshness proof that this gateway got from the store itself.
 func (s *sourceSelector) recordProof(now, provenAt time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.ObserveOwnProof(now, now-provenAt)
 }
 
-// hasProofWithin reports whether this node has a freshness proof from the store itself that is no
-// older than within.
+// hasProofWithin reports whether this gateway has a freshness proof from the store itself that is
+// no older than within.
 func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -148,7 +148,7 @@
 	return changed
 }
 
-// awaitReading waits until this node is to read the store. It returns false if the process ends
+// awaitReading waits until this gateway is to read the store. It returns false if the process ends
 // first.
 func (g *Gateway) awaitReading() bool {
 	for {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -15,14 +15,14 @@
 	leaveDuration = 3*directoryTTL + 500*time.Millisecond
 	// quietDuration is the time without a request after which no more are expected.
 	quietDuration = 700 * time.Millisecond
-	// stopReserve is how long before the kill the process ends.
+	// stopReserve is how long before the end of the grace period the process ends.
 	stopReserve      = 400 * time.Millisecond
 	leaveTimeout     = 300 * time.Millisecond
 	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop performs a planned stop: the node leaves the directory, serves until callers have noticed,
-// finishes the requests in flight and ends within StopGrace.
+// Stop performs a planned stop: the gateway leaves the directory, serves until callers have
+// noticed, finishes the requests in flight and ends within StopGrace.
 func (g *Gateway) Stop() error {
 	start := g.now()
 	if !g.stoppingSince.CompareAndSwap(0, int64(start)) {
@@ -82,8 +82,8 @@
 	return since != 0 && g.now() > time.Duration(since)+leaveDuration+quietDuration
 }
 
-// closeAfterResponse asks the caller to open a new connection for its next request if this node is
-// stopping or full.
+// closeAfterResponse asks the caller to open a new connection for its next request if this gateway
+// is stopping or full.
 func (g *Gateway) closeAfterResponse(header http.Header) {
 	if g.isStopping() || g.pressure.level() == nodecapacity.Full {
 		header.Set("Connection", "close")
--- a/internal/gateway/storefollower.go
+++ b/internal/gateway/storefollower.go
@@ -26,8 +26,8 @@
 	maxStoreBackoff = 30 * time.Second
 )
 
-// minHistoryRetention is the least time for which a healthy store keeps its change history. If it
-// ends sooner, the store itself has dropped it.
+// minHistoryRetention is the least time for which a healthy store keeps its change history. If the
+// history expires sooner, the store itself has dropped it.
 const minHistoryRetention = 5 * time.Second
 
 // gap describes what is unknown about the time of changes.
@@ -44,7 +44,7 @@
 	gapUnreachable
 )
 
-// storeFollower follows one table at the store while this node has the reader role.
+// storeFollower follows one table at the store while this gateway has the reader role.
 type storeFollower struct {
 	gateway *Gateway
 	table   *table
--- a/internal/gateway/storefeed_test.go
+++ b/internal/gateway/storefollower_test.go
@@ -41,7 +41,7 @@
 	assert.Equal(t, gapHistoryExpired, gapAfterFailure(ErrHistoryExpired, 0, time.Second))
 	assert.Equal(t, gapUnreachable, gapAfterFailure(ErrHistoryExpired, 0, minHistoryRetention))
 	assert.Equal(t, gapUnreachable, gapAfterFailure(ErrHistoryExpired, 1, time.Second))
-	assert.Equal(t, gapUnreachable, gapAfterFailure(errors.New("silent"), 0, time.Second))
+	assert.Equal(t, gapUnreachable, gapAfterFailure(errors.New("no response"), 0, time.Second))
 }
 
 // Every peer must be reached within a few rounds of exchanges.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,8 +21,8 @@
 // errPartialEvent means that a stream ended within an event.
 var errPartialEvent = errors.New("stream ended within an event")
 
-// deliverStream relays the events of a stream as they arrive, only whole ones. A stream that breaks
-// off may be resumed at another worker.
+// deliverStream relays the complete events of a stream as they arrive. A stream that breaks off may
+// be resumed at another worker.
 func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Response) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.attempts.Answered(g.now(), run, false)
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeEvents writes whole events to the caller and flushes them.
+// writeEvents writes complete events to the caller and flushes them.
 func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Response, events []byte) error {
 	if !current.headSent {
 		g.sendHead(current, answer, unknownLength)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// eventRelay reads a stream of events and relays whole ones.
+// eventRelay reads a stream of events and relays complete ones.
 type eventRelay struct {
 	answer *upstream.Response
 	// lastID is the identifier of the last relayed event.
@@ -89,7 +89,7 @@
 	buffer []byte
 }
 
-// run reads until the end of the stream and calls relay with whole events. It returns nil if the
+// run reads until the end of the stream and calls relay with complete events. It returns nil if the
 // stream ended at the end of an event.
 func (r *eventRelay) run(relay func(events []byte) error) error {
 	const chunk = 4 << 10
@@ -117,7 +117,7 @@
 	}
 }
 
-// relayCompleteEvents passes the whole events in the buffer on and removes them from it.
+// relayCompleteEvents relays the complete events in the buffer and removes them from it.
 func (r *eventRelay) relayCompleteEvents(relay func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// lastEventEnd returns the end of the last whole event in the buffer, 0 if there is none. A blank
-// line ends an event.
+// lastEventEnd returns the end of the last complete event in the buffer, 0 if there is none. A
+// blank line ends an event.
 func lastEventEnd(buffer []byte) int {
 	end := 0
 	if at := bytes.LastIndex(buffer, []byte("\n\n")); at >= 0 {
@@ -147,7 +147,7 @@
 	return end
 }
 
-// findLastEventID returns the last event identifier in whole events.
+// findLastEventID returns the last event identifier in complete events.
 func findLastEventID(events []byte) (string, bool) {
 	const field = "id:"
 	at := bytes.LastIndex(events, []byte("\n"+field))
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -14,16 +14,16 @@
 // needsAllWorkers reports whether this gateway needs to know all workers rather than those in use:
 // it holds the lease or may acquire it soon.
 func (g *Gateway) needsAllWorkers() bool {
-	if _, holds := g.lease.Fence(); holds {
+	if _, isHolder := g.lease.Fence(); isHolder {
 		return true
 	}
 	return g.roles.Load().isCandidate || g.fallbackCandidate.Load()
 }
 
 // shouldReadAllWorkers reports whether this gateway, if it reads the store, reads all workers: it
-// serves them to others, needs them itself, or has had no answer of any peer for long. A gateway
-// that reads temporarily because its peers are slow follows only the changes of what it knows,
-// which spares the store complete reads.
+// serves them to others, needs them itself, or has received no response from a peer for long. A
+// gateway that reads temporarily because its peers are slow follows only the changes of what it
+// knows, which spares the store complete reads.
 func (g *Gateway) shouldReadAllWorkers() bool {
 	return g.roles.Load().isReader || g.needsAllWorkers() || g.sources.needsFullState(g.now())
 }
@@ -121,8 +121,8 @@
 	return followed.cache.AfterMatching(seen, g.workers.SubsetFilter(subsets)), subsets
 }
 
-// applyWorkersUpdate applies a peer's update of all workers or of those in use. The rows tell which
-// workers are dropped, so the subsets change after them.
+// applyWorkersUpdate applies a peer's update of all workers or of those in use. The subsets change
+// after the rows, which determine the workers that are dropped.
 func (g *Gateway) applyWorkersUpdate(followed *table, message *rpc.TableUpdate, update *watchcache.Update) {
 	if !message.GetWorkersInUse() {
 		followed.apply(update, gapUnreachable)
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -143,7 +143,7 @@
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
-// A change of role must add and drop workers without counting any as gone.
+// A change of role must add and drop workers without reporting any as gone.
 func TestLeaseCandidateLearnsAllWorkers(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
@@ -234,8 +234,8 @@
 	}
 }
 
-// BenchmarkStartUpdates measures one search of the lease holder for engines to update while
-// there are none.
+// BenchmarkStartUpdates measures one check of the lease holder for engines to update while none is
+// outdated.
 func BenchmarkStartUpdates(b *testing.B) {
 	reader := readerGateway(b, 10_000)
 	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
@@ -276,13 +276,13 @@
 	store := &recordingStore{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerTableRow(number, 9, true)}}}
 	follower.dependencies.Store = store
 	follower.sources.recordResponse(follower.now(), "peer", 0, true)
-	feed := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
-	feed.step(t.Context())
-	feed.step(t.Context())
+	tableFollower := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
+	tableFollower.step(t.Context())
+	tableFollower.step(t.Context())
 	assert.Equal(t, []fleet.Revision{7, 9}, store.positions)
 	assert.Zero(t, store.completeReads)
 	assert.True(t, follower.workers.IsDraining(drained))
 	follower.sources.recordWatcher(follower.now())
-	feed.step(t.Context())
+	tableFollower.step(t.Context())
 	assert.Equal(t, 1, store.completeReads, "gateway is watched by others")
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/watchcache"
 )
 
-// table is this node's replica of a store table, updated from the store or from a peer.
+// table is this gateway's replica of a store table, updated from the store or from a peer.
 type table struct {
 	name  Table
 	cache *watchcache.Cache
@@ -79,8 +79,8 @@
 	}
 }
 
-// recordStoreProof records that this node itself has followed the operator table without a gap up
-// to a time.
+// recordStoreProof records that this gateway itself has followed the operator table without a gap
+// up to a time.
 func (g *Gateway) recordStoreProof(at time.Duration) {
 	g.freshness.Prove(at)
 	g.updateReadiness()
@@ -108,9 +108,9 @@
 }
 
 // changeTime returns the latest time at which changes received now were made, and whether it is
-// known. If this node could not reach the store, the changes may be as old as the last proof of any
-// reachable node. If no node could reach it, their age counts from now, as for versions that were
-// requested before the process started.
+// known. If this gateway could not reach the store, the changes may be as old as the last proof of
+// any reachable gateway. If no gateway could reach it, their age counts from now, as for versions
+// that were requested before the process started.
 func (g *Gateway) changeTime(now time.Duration, changeGap gap) (time.Duration, bool) {
 	if changeGap != gapUnreachable {
 		return now, true
@@ -130,8 +130,8 @@
 // force.
 func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
 	g.reportInvalidInput("", rows.Invalid)
-	if current := g.configuration.Current(); current != nil {
-		rows.Document.KeepUnreadableQuotas(current.Table)
+	if snapshot := g.configuration.Current(); snapshot != nil {
+		rows.Document.KeepUnreadableQuotas(snapshot.Table)
 	}
 	compiled, err := routes.Compile(*rows.Document)
 	if err != nil {
@@ -153,8 +153,8 @@
 // applyWorkerRows applies changed rows of the workers table.
 func (g *Gateway) applyWorkerRows(rows []watchcache.Row, _ gap) {
 	now := g.now()
-	decoded, unreadable := g.dependencies.Store.DecodeWorkers(rows)
-	g.reportInvalidInput("", unreadable)
+	decoded, invalid := g.dependencies.Store.DecodeWorkers(rows)
+	g.reportInvalidInput("", invalid)
 	g.planSubsets(decoded)
 	counts := make(map[backends.Change]int)
 	for _, row := range decoded {
@@ -187,8 +187,8 @@
 }
 
 // observeWorkerStart records a start time that a worker reports itself, independently of its row.
-func (g *Gateway) observeWorkerStart(worker fleet.EngineID, born backends.StartTime) {
-	if !g.workers.ObserveStart(worker, born) {
+func (g *Gateway) observeWorkerStart(worker fleet.EngineID, startTime backends.StartTime) {
+	if !g.workers.ObserveStart(worker, startTime) {
 		return
 	}
 	g.forgetPreviousRun(worker)
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -13,12 +13,12 @@
 // trafficLogInterval is the time between two log lines with the counted bytes.
 const trafficLogInterval = 5 * time.Second
 
-// location returns this node's zone and region.
+// location returns this gateway's zone and region.
 func (g *Gateway) location() membership.Location {
 	return membership.Location{Zone: g.settings().Zone, Region: g.settings().Region}
 }
 
-// distanceTo returns the distance between this node and a zone.
+// distanceTo returns the distance between this gateway and a zone.
 func (g *Gateway) distanceTo(zone fleet.ZoneName) traffic.Distance {
 	return traffic.Between(g.location(), membership.Location{Zone: zone, Region: g.settings().Zones[zone]})
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -21,20 +21,20 @@
 	// of the response may take before the peer counts as unresponsive.
 	watchWait  = 600 * time.Millisecond
 	watchSlack = 350 * time.Millisecond
-	// watchBatchDelay is the pause after a change at a node that isn't serving. A rollout changes
-	// the row of each engine, and without the pause each change would end a call of every node. It
-	// adds to the time until a change is in force there.
+	// watchBatchDelay is the pause after a change at a gateway that isn't serving. A rollout
+	// changes the row of each engine, and without the pause each change would end a call of every
+	// gateway. It adds to the time until a change is in force there.
 	watchBatchDelay = 400 * time.Millisecond
 	// watchIdlePause is the pause while there is no peer to ask. watchRetry is the pause after a
 	// failed call; it grows with each failure up to watchRetryMax to bound the load on the readers
-	// while no node can reach the store.
+	// while no gateway can reach the store.
 	watchIdlePause = 200 * time.Millisecond
 	watchRetry     = 100 * time.Millisecond
 	watchRetryMax  = 500 * time.Millisecond
 	// maxWatchWait bounds the wait that a peer may request.
 	maxWatchWait = 2 * time.Second
 	// staleNumerator/staleDenominator times the wait of a store call is the proof age from which a
-	// node counts as cut off from the store.
+	// gateway counts as cut off from the store.
 	staleNumerator   = 13
 	staleDenominator = 10
 )
@@ -48,8 +48,8 @@
 )
 
 // fullTimingBound is the least revocation bound at which the watch times apply unscaled. For
-// shorter bounds they shrink in proportion, because a node's proof is as old as its peer's plus its
-// own call.
+// shorter bounds they shrink in proportion, because a gateway's proof is as old as its peer's plus
+// its own call.
 const fullTimingBound = 5 * time.Second
 
 func scaleForBound(revokeWithin, duration time.Duration) time.Duration {
@@ -69,13 +69,13 @@
 	return scaleForBound(revokeWithin, watchBatchDelay)
 }
 
-// staleAfterFor returns the proof age from which a node asks another peer. It is greater than the
-// proof age of a node that reads the store.
+// staleAfterFor returns the proof age from which a gateway asks another peer. It is greater than
+// the proof age of a gateway that reads the store.
 func staleAfterFor(revokeWithin time.Duration) time.Duration {
 	return min(relay.DefaultStaleAfter, operatorWaitFor(revokeWithin)*staleNumerator/staleDenominator)
 }
 
-// watchPeers follows the changes of the store through a peer while this node is to ask one.
+// watchPeers follows the changes of the store through a peer while this gateway is to ask one.
 func (g *Gateway) watchPeers() error {
 	failures := 0
 	for {
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// answerWatch answers a peer's watch call: at once if this node has changes for it, otherwise as
+// answerWatch answers a peer's watch call: at once if this gateway has changes for it, otherwise as
 // soon as it has some or when the requested wait is over.
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
