--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -35,9 +35,9 @@
 	// active is set while any worker has a backoff; without one, requests need no lock.
 	active atomic.Bool
 
-	mutex       sync.Mutex
-	tracker     *workerbackoff.Tracker
-	returnTimes workerbackoff.RetryScheduler
+	mutex      sync.Mutex
+	tracker    *workerbackoff.Tracker
+	retryTimes workerbackoff.RetryScheduler
 }
 
 func newWorkerBackoffs(random *rand.Rand) *workerBackoffs {
@@ -114,7 +114,7 @@
 func (b *workerBackoffs) retryAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.returnTimes.Next(opensIn, priority)
+	return b.retryTimes.Next(opensIn, priority)
 }
 
 // recordRetryAfter records that a worker asks this gateway for a backoff.
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -172,9 +172,9 @@
 	return false
 }
 
-// choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
+// versionFilter returns the restriction on the choice of a worker, nil if there is none. avoidTarget
 // excludes the target for a request that was sent to it before.
-func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
+func (d *deliveryState) versionFilter(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
 	if !d.active.Load() {
 		return nil
 	}
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -54,7 +54,7 @@
 // allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
 // set if the request was sent to the target and is to be retried elsewhere.
 func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Filter {
-	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
+	return g.deliveries.versionFilter(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
 }
 
 // errTargetNotAllowed is returned if the directive that allowed a request to go to the target is no
--- a/internal/gateway/deliveryversions_test.go
+++ b/internal/gateway/deliveryversions_test.go
@@ -25,7 +25,7 @@
 		g.currentSettings.Store(&settings)
 		g.observeVersions(0, []WorkerRow{workerRow("old", "v1")})
 		allows := func(now time.Duration, worker fleet.EngineID, version fleet.SoftwareVersion) bool {
-			return g.deliveries.choose(now, "app", delivery.RouteName("route"), 0.5, false).Allows(worker, version)
+			return g.deliveries.versionFilter(now, "app", delivery.RouteName("route"), 0.5, false).Allows(worker, version)
 		}
 		assert.True(t, allows(0, "old", "v1"))
 		g.observeVersions(time.Second, []WorkerRow{workerRow("new", "v2")})
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -86,9 +86,9 @@
 	delete(d.peers, node)
 }
 
-// reportTotal records the total rate as reported by another gateway. A rate of 0 means unknown.
+// setReportedTotal records the total rate as reported by another gateway. A rate of 0 means unknown.
 // While the recorded rate is valid, only a higher one replaces it.
-func (d *demandTracker) reportTotal(now time.Duration, rate float64) {
+func (d *demandTracker) setReportedTotal(now time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// reportRates records the rates by location that another gateway reports. Empty rates are ignored.
-func (o *originTracker) reportRates(now time.Duration, rates map[membership.Location]float64) {
+// setReportedRates records the rates by location that another gateway reports. Empty rates are ignored.
+func (o *originTracker) setReportedRates(now time.Duration, rates map[membership.Location]float64) {
 	if len(rates) == 0 {
 		return
 	}
@@ -216,7 +216,7 @@
 		location := membership.Location{Region: fleet.RegionName(report.GetRegion()), Zone: fleet.ZoneName(report.GetZone())}
 		rates[location] = decodeRate(report.GetRate())
 	}
-	g.origins.reportRates(now, rates)
+	g.origins.setReportedRates(now, rates)
 	for _, report := range nodes {
 		measured := now - time.Duration(report.GetAgeMillis())*time.Millisecond
 		g.origins.setPressure(measured, fleet.NodeID(report.GetNode()), decodePressure(report.GetPressure()))
--- a/internal/gateway/pressure.go
+++ b/internal/gateway/pressure.go
@@ -148,8 +148,8 @@
 	return int(p.connections.Load()+p.workerConnections.Load()) + baseDescriptors
 }
 
-// countConnection is the ConnState hook of all servers.
-func (p *pressureMonitor) countConnection(_ net.Conn, state http.ConnState) {
+// observeConnection is the ConnState hook of all servers.
+func (p *pressureMonitor) observeConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		p.connections.Add(1)
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -139,10 +139,10 @@
 	q.limiter.Observe(now, usage)
 }
 
-// expectPeers sets the gateways that this one shares loads with. Other gateways that have reported
+// setPeers sets the gateways that this one shares loads with. Other gateways that have reported
 // and are still alive now report elsewhere and are forgotten; the shares of gateways that are
 // suspected or gone remain reserved.
-func (q *quotas) expectPeers(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
+func (q *quotas) setPeers(now time.Duration, ownRate float64, peers []membership.Member, view *membership.View) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.limiter.SetOwnRate(ownRate)
@@ -241,7 +241,7 @@
 		g.quotas.forgetPeers(g.now())
 		return
 	}
-	g.quotas.expectPeers(g.now(), g.demand.ownRate(), peers, g.peers.View())
+	g.quotas.setPeers(g.now(), g.demand.ownRate(), peers, g.peers.View())
 	if len(g.loadPeers()) > 0 {
 		return
 	}
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -126,8 +126,8 @@
 	return options
 }
 
-// optionsChanged reports whether the options differ from those that the roles were derived from.
-func (r *nodeRoles) optionsChanged(options membership.RoleOptions) bool {
+// differsFrom reports whether the options differ from those that the roles were derived from.
+func (r *nodeRoles) differsFrom(options membership.RoleOptions) bool {
 	return !maps.Equal(r.demandByLocation, options.DemandByLocation) || !maps.Equal(r.capacityFactors, options.CapacityFactors) || !maps.Equal(r.minServingByLocation, options.MinServingByLocation)
 }
 
@@ -150,7 +150,7 @@
 	roles := previous
 	view, demand, fallback := g.peers.View(), g.demand.plannedRate(now), g.fallbackCandidate.Load()
 	options := g.roleOptions(now, demand, previous)
-	if previous == nil || previous.view != view || previous.demand != demand || previous.fallbackCandidate != fallback || previous.optionsChanged(options) {
+	if previous == nil || previous.view != view || previous.demand != demand || previous.fallbackCandidate != fallback || previous.differsFrom(options) {
 		roles = deriveRolesWithOptions(g.node, g.settings().Zone, view, demand, fallback, options)
 		g.roles.Store(roles)
 		g.demand.setSharing(roles.sharesLoads)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -62,7 +62,7 @@
 		g.listeners = append(g.listeners, listener)
 		g.servers = append(g.servers, entry.server)
 		if entry.server.ConnState == nil {
-			entry.server.ConnState = g.pressure.countConnection
+			entry.server.ConnState = g.pressure.observeConnection
 		}
 		if entry.server.ReadHeaderTimeout == 0 {
 			entry.server.ReadHeaderTimeout = headerTimeout
@@ -87,7 +87,7 @@
 // observeFrontConnection is the ConnState hook of the front server.
 func (g *Gateway) observeFrontConnection(conn net.Conn, state http.ConnState) {
 	g.idleConnections.observe(g.now(), conn, state)
-	g.pressure.countConnection(conn, state)
+	g.pressure.observeConnection(conn, state)
 }
 
 // recordRefusedConnection counts and logs a caller's connection that was closed because file
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -196,7 +196,7 @@
 		followed.seenSequence = update.Sequence
 		followed.cache.Advance(update.WatchedRevision)
 	}
-	g.demand.reportTotal(g.now(), decodeRate(response.GetRequestRate()))
+	g.demand.setReportedTotal(g.now(), decodeRate(response.GetRequestRate()))
 	g.applyOriginReport(g.now(), response.GetOrigins(), response.GetPressures())
 	proven := response.GetProofAgeMillis() > 0
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
@@ -249,7 +249,7 @@
 func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
 	g.sources.recordWatcher(arrived)
-	g.demand.reportTotal(g.now(), decodeRate(request.GetRequestRate()))
+	g.demand.setReportedTotal(g.now(), decodeRate(request.GetRequestRate()))
 	g.applyOriginReport(g.now(), request.GetOrigins(), request.GetPressures())
 	wait := min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
