--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -77,8 +77,8 @@
 	return b.tracker.BeginRequest(now, run)
 }
 
-// recordAnswer records an answer that asks for no backoff, to a request sent at sentAt.
-func (b *workerBackoffs) recordAnswer(run workerbackoff.Run, sentAt time.Duration) {
+// recordResponse records an answer that asks for no backoff, to a request sent at sentAt.
+func (b *workerBackoffs) recordResponse(run workerbackoff.Run, sentAt time.Duration) {
 	if !b.active.Load() {
 		return
 	}
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -133,8 +133,8 @@
 	return g.zoneFeeds.mirror(zone)
 }
 
-// answerCaches handles another gateway's request for the caches of a zone.
-func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
+// handleCaches handles another gateway's request for the caches of a zone.
+func (g *Gateway) handleCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	log := g.cacheLogFor(fleet.ZoneName(request.GetZone()))
 	if log == nil || g.isStopping() {
 		return nil, errNoCachesFollowed
--- a/internal/gateway/cachelog_test.go
+++ b/internal/gateway/cachelog_test.go
@@ -18,10 +18,10 @@
 
 // A gateway must answer requests about the caches that it follows, but not with an incomplete
 // state.
-func TestAnswerCachesServesFollowedCaches(t *testing.T) {
+func TestCachesRequestIsServedFromFollowedCaches(t *testing.T) {
 	g := newTestGateway(t)
 	ask := func(query cachefeed.Query) (cachefeed.Delta, error) {
-		response, err := g.answerCaches(t.Context(), encodeCachesRequest(query, 20*time.Millisecond))
+		response, err := g.handleCaches(t.Context(), encodeCachesRequest(query, 20*time.Millisecond))
 		return decodeCachesResponse(response), err
 	}
 	_, err := ask(cachefeed.Query{})
@@ -45,7 +45,7 @@
 		time.Sleep(5 * time.Millisecond)
 		g.cacheLog.observe("one", false, []cachefeed.Change{{Block: 1}})
 	}()
-	response, err := g.answerCaches(t.Context(), encodeCachesRequest(cachefeed.Query{After: delta.Next}, time.Minute))
+	response, err := g.handleCaches(t.Context(), encodeCachesRequest(cachefeed.Query{After: delta.Next}, time.Minute))
 	require.NoError(t, err)
 	assert.Equal(t, []cachefeed.Update{{Cache: "one", Stored: []fleet.BlockHash{}, Removed: []fleet.BlockHash{1}}}, decodeCachesResponse(response).Updates)
 	delta, err = ask(cachefeed.Query{After: decodeCachesResponse(response).Next, Missing: []fleet.EngineID{"one", "three"}})
@@ -112,7 +112,7 @@
 	require.False(t, g.isServing())
 	assert.Equal(t, []fleet.NodeID{g.node}, g.roles.Load().CacheSources("z0"))
 	assert.Empty(t, followedCaches(g))
-	_, err = g.answerCaches(t.Context(), &rpc.CachesRequest{})
+	_, err = g.handleCaches(t.Context(), &rpc.CachesRequest{})
 	require.ErrorIs(t, err, errNoCachesFollowed)
 	near := followedCache{run: fleet.EngineRun{Engine: "near"}, address: "127.0.0.1:9", zone: "z0"}
 	direct, requested := g.selectCaches()
@@ -155,20 +155,20 @@
 	g.node = node
 
 	ask := &rpc.CachesRequest{Zone: "far"}
-	_, err := g.answerCaches(t.Context(), ask)
+	_, err := g.handleCaches(t.Context(), ask)
 	require.ErrorIs(t, err, errNoCachesFollowed, "no state of that zone")
 	feed := &zoneFeed{mirror: newCacheLog(5)}
 	g.zoneFeeds.feeds["far"] = feed
 	updates := []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}}, {Cache: "gone", Lost: true}}
 	feed.mirror.applyUpdates(g.now(), updates, 1)
-	_, err = g.answerCaches(t.Context(), ask)
+	_, err = g.handleCaches(t.Context(), ask)
 	require.ErrorIs(t, err, errNoCachesFollowed, "state received through another gateway")
 	g.zoneFeeds.setSource(feed, false, true)
-	response, err := g.answerCaches(t.Context(), ask)
+	response, err := g.handleCaches(t.Context(), ask)
 	require.NoError(t, err)
 	assert.Equal(t, []cachefeed.Update{{Cache: "engine", Reset: true, Stored: []fleet.BlockHash{3}, Removed: []fleet.BlockHash{}}}, decodeCachesResponse(response).Updates)
 	assert.True(t, feed.mirror.isWanted(g.now()))
 	feed.mirror.reset(6)
-	_, err = g.answerCaches(t.Context(), ask)
+	_, err = g.handleCaches(t.Context(), ask)
 	require.ErrorIs(t, err, errNoCachesFollowed, "log was reset")
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -37,7 +37,7 @@
 		g.recordOutcome(current, placement, backends.Lost, "resumption answered with status "+strconv.Itoa(answer.Status))
 		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 	}
-	content, complete, err := bufferAnswer(answer)
+	content, complete, err := bufferResponse(answer)
 	placement.FirstByte(g.now())
 	if err != nil {
 		return g.handleBodyError(ctx, current, placement, err)
@@ -93,8 +93,8 @@
 	return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 }
 
-// bufferAnswer reads an answer up to maxBufferedBytes. complete is false if more may follow.
-func bufferAnswer(answer *upstream.Response) (content []byte, complete bool, err error) {
+// bufferResponse reads an answer up to maxBufferedBytes. complete is false if more may follow.
+func bufferResponse(answer *upstream.Response) (content []byte, complete bool, err error) {
 	if answer.ContentLength >= 0 && answer.ContentLength <= maxBufferedBytes {
 		content = make([]byte, 0, answer.ContentLength+1)
 	}
@@ -142,7 +142,7 @@
 // unknownLength.
 func (g *Gateway) sendHead(current *callerRequest, answer *upstream.Response, length int64) {
 	header := current.writer.Header()
-	copyAnswerHeader(header, answer.Header)
+	copyResponseHeader(header, answer.Header)
 	g.closeAfterResponse(header)
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -340,13 +340,13 @@
 		routes := make(map[delivery.RouteName]deliveryShare)
 		for route, counts := range evidence.Old {
 			share := routes[route]
-			share.oldAnswers = counts.Answers
+			share.oldResponses = counts.Answers
 			routes[route] = share
 		}
 		for route, workers := range evidence.New {
 			share := routes[route]
 			for _, counts := range workers {
-				share.targetAnswers += counts.Answers
+				share.targetResponses += counts.Answers
 			}
 			routes[route] = share
 		}
@@ -365,14 +365,14 @@
 
 // deliveryShare is the requested share of a route's target and the answers of both versions.
 type deliveryShare struct {
-	requested                 float64
-	oldAnswers, targetAnswers uint64
+	requested                     float64
+	oldResponses, targetResponses uint64
 }
 
 // actual returns the share of the answers that came from the target.
 func (s deliveryShare) actual() float64 {
-	if s.oldAnswers+s.targetAnswers == 0 {
+	if s.oldResponses+s.targetResponses == 0 {
 		return 0
 	}
-	return float64(s.targetAnswers) / float64(s.oldAnswers+s.targetAnswers)
+	return float64(s.targetResponses) / float64(s.oldResponses+s.targetResponses)
 }
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -240,7 +240,7 @@
 		}
 	}
 	shares := g.deliveries.shares(g.now())
-	assert.EqualValues(t, counted, shares["app"]["route"].targetAnswers)
+	assert.EqualValues(t, counted, shares["app"]["route"].targetResponses)
 	assert.InDelta(t, 1, shares["app"]["route"].actual(), 0)
 	assert.InDelta(t, 1, shares["app"]["route"].requested, 0)
 }
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -100,7 +100,7 @@
 	if placement.Engine != nil {
 		total := g.now() - current.sentAt
 		recorded.TimeToFirstByte = geometricMean(recorded.TimeToFirstByte, total)
-		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
+		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedResponseTime(current, placement.Engine))
 	}
 	if placement.Engine != nil && recorded.Predicted <= 0 && !failed {
 		// A run that continues from a copy has no prediction.
@@ -126,9 +126,9 @@
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// expectedAnswerTime returns the expected time of an engine's whole answer, 0 if there is no
+// expectedResponseTime returns the expected time of an engine's whole answer, 0 if there is no
 // prediction.
-func expectedAnswerTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
+func expectedResponseTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
 	}
--- a/internal/gateway/deliverypeers_test.go
+++ b/internal/gateway/deliverypeers_test.go
@@ -11,15 +11,15 @@
 )
 
 // Long answers must not count as slow.
-func TestExpectedAnswerTimeGrowsWithLength(t *testing.T) {
+func TestExpectedResponseTimeGrowsWithLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &callerRequest{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
-	assert.Equal(t, engine.Baseline, expectedAnswerTime(current, engine))
+	assert.Equal(t, engine.Baseline, expectedResponseTime(current, engine))
 	current.eventCount = 10
-	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, expectedAnswerTime(current, engine))
+	assert.Equal(t, engine.Baseline+70*backends.DefaultStep, expectedResponseTime(current, engine))
 	current.service.Engine.EventTokens = 0
-	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, expectedAnswerTime(current, engine))
-	assert.Zero(t, expectedAnswerTime(current, &backends.EnginePlacement{}), "continued run")
+	assert.Equal(t, engine.Baseline+10*backends.DefaultStep, expectedResponseTime(current, engine))
+	assert.Zero(t, expectedResponseTime(current, &backends.EnginePlacement{}), "continued run")
 }
 
 // A single high ratio must not decide the mean.
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -27,8 +27,8 @@
 
 // Causes of sends that are not made or whose answer is discarded.
 var (
-	// errForeignAnswer means that an answer belongs to another request.
-	errForeignAnswer = errors.Wrap(upstream.ErrResponseMismatch, "request identifier differs")
+	// errForeignResponse means that an answer belongs to another request.
+	errForeignResponse = errors.Wrap(upstream.ErrResponseMismatch, "request identifier differs")
 	// errStaleConfiguration means that the configuration is too old to check keys.
 	errStaleConfiguration = errors.New("configuration too old")
 	// errDraining means that the worker is draining or gone since it was chosen.
@@ -87,7 +87,7 @@
 		CheckResponse: func(status int, header http.Header) error {
 			info := g.dependencies.Codec.ReadResponse(status, header)
 			if info.RequestID != id && (info.RequestID != "" || !info.NotExecuted) {
-				return errForeignAnswer
+				return errForeignResponse
 			}
 			return nil
 		},
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -108,7 +108,7 @@
 	info := g.dependencies.Codec.ReadResponse(answer.Status, answer.Header)
 	g.reportInvalidInput(current.metadata.RequestID, info.Invalid)
 	g.observeLimit(current, &placement.Worker, info)
-	g.applyAnswerNotice(&placement.Worker, current.sentAt, info)
+	g.applyResponseNotice(&placement.Worker, current.sentAt, info)
 	if info.HasVersion && placement.Engine != nil && !info.Misdirected {
 		g.workers.ObserveVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
@@ -197,7 +197,7 @@
 
 // handleRejection returns the next step after a worker reported that it did not run the request.
 func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Response, info ResponseInfo) attempt.Step {
-	drainAnswer(answer)
+	drainResponse(answer)
 	outcome := backends.Refused
 	switch {
 	case info.Misdirected:
@@ -212,8 +212,8 @@
 // maxDrainBytes bounds how much is read of an answer that is not passed on.
 const maxDrainBytes = 4 << 10
 
-// drainAnswer reads a short answer to its end, so that its connection can be reused.
-func drainAnswer(answer *upstream.Response) {
+// drainResponse reads a short answer to its end, so that its connection can be reused.
+func drainResponse(answer *upstream.Response) {
 	var buffer [512]byte
 	for total := 0; total < maxDrainBytes; {
 		count, err := answer.Read(buffer[:])
@@ -231,7 +231,7 @@
 	g.metrics.attempts.WithLabelValues(string(placement.Worker.Service), outcome.String()).Inc()
 	if outcome == backends.Succeeded {
 		if current.status < http.StatusMultipleChoices {
-			g.recordAnswered(current)
+			g.recordCompleteResponse(current)
 		}
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -231,11 +231,11 @@
 		DiscoverSeeds:       g.seeds.addresses,
 		Holder:              config.NewHolder(),
 		Logger:              g.logger,
-		HandleLoadReport:    g.answerLoad,
+		HandleLoadReport:    g.handleLoadReport,
 		Traffic:             g.dependencies.Traffic,
-		HandleWatch:         g.answerWatch,
-		HandleCaches:        g.answerCaches,
-		HandleLimitQuestion: g.answerGrant,
+		HandleWatch:         g.handleWatch,
+		HandleCaches:        g.handleCaches,
+		HandleLimitQuestion: g.handleGrantRequest,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -31,9 +31,9 @@
 	return forwarded
 }
 
-// copyAnswerHeader copies the end-to-end fields of a worker's answer to the caller's. A missing
+// copyResponseHeader copies the end-to-end fields of a worker's answer to the caller's. A missing
 // Content-Type stays missing.
-func copyAnswerHeader(into, from http.Header) {
+func copyResponseHeader(into, from http.Header) {
 	for name, values := range forwardedHeader(from) {
 		into[name] = values
 	}
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -198,8 +198,8 @@
 	return l.limiter.Acquire(now, observation.Worker, rate, l.memberShare.update(now, members), priority)
 }
 
-// answerGrant handles another gateway's request for a grant.
-func (g *Gateway) answerGrant(_ context.Context, request *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
+// handleGrantRequest handles another gateway's request for a grant.
+func (g *Gateway) handleGrantRequest(_ context.Context, request *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	g.checkSuspension()
 	observation, err := decodeLimit(request.GetLimit(), g.now()-grantTimeout, g.now())
 	if err != nil {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -61,7 +61,7 @@
 	assert.True(t, reported[0].GetLimited())
 
 	other := newTestGateway(t)
-	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
+	answer := other.handleLoadReport(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
 	assert.True(t, other.limits.isLimited("w", 0))
 	assert.Len(t, answer.GetLimits(), 1)
 	assert.Len(t, g.limits.takePendingBroadcast(), 1)
@@ -78,10 +78,10 @@
 	g := newTestGateway(t)
 	g.roleSettled.Store(false)
 	request := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
-	_, err := g.answerGrant(context.Background(), request)
+	_, err := g.handleGrantRequest(context.Background(), request)
 	assert.ErrorIs(t, err, errUnsettled)
 	g.roleSettled.Store(true)
-	answer, err := g.answerGrant(context.Background(), request)
+	answer, err := g.handleGrantRequest(context.Background(), request)
 	require.NoError(t, err)
 	assert.False(t, answer.GetGranted(), "no initial allowance")
 	assert.InDelta(t, 500, answer.GetWaitMillis(), 20)
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -143,16 +143,16 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// applyAnswerNotice applies the notice in an answer to a request that was sent at sentAt. It
+// applyResponseNotice applies the notice in an answer to a request that was sent at sentAt. It
 // ignores answers that are neither signed nor a worker's statement that it did not run the request,
 // since others may not come from the worker.
-func (g *Gateway) applyAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
+func (g *Gateway) applyResponseNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
 	g.applyNotice(noticeSource{worker: worker.ID, startTime: worker.StartTime, kind: callRequest}, &info.Notice)
 	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
-		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.StartTime), sentAt)
+		g.backoffs.recordResponse(backoffRun(worker.ID, worker.StartTime), sentAt)
 	}
 }
 
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -32,7 +32,7 @@
 			g := newTestGateway(t)
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
-			g.applyAnswerNotice(&worker, 0, test.info)
+			g.applyResponseNotice(&worker, 0, test.info)
 			assert.Equal(t, test.wantDraining, g.workers.IsDraining("w"))
 		})
 	}
@@ -61,7 +61,7 @@
 		g.workers.Observe(1, worker)
 	}
 	assert.Empty(t, sender.loadReport("other").GetDraining())
-	sender.applyAnswerNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
+	sender.applyResponseNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := sender.loadReport("other")
 	receiver.applyLoadReport(report)
 	assert.True(t, receiver.workers.IsDraining("w"))
@@ -81,7 +81,7 @@
 func TestBackoffsAreSharedWithinAZone(t *testing.T) {
 	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.applyAnswerNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
+	g.applyResponseNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
 	assert.Equal(t, []string{"w"}, report.GetDeferring())
 	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringWorkers(report))
@@ -94,12 +94,12 @@
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
 	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.applyAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
+	g.applyResponseNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
 	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
 	sentAt := g.now()
-	g.applyAnswerNotice(&worker, sentAt, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
-	g.applyAnswerNotice(&worker, sentAt-time.Millisecond, ResponseInfo{Signed: true})
-	g.applyAnswerNotice(&worker, sentAt+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
+	g.applyResponseNotice(&worker, sentAt, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
+	g.applyResponseNotice(&worker, sentAt-time.Millisecond, ResponseInfo{Signed: true})
+	g.applyResponseNotice(&worker, sentAt+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
 	g.forgetPreviousRun("w")
 	assert.NoError(t, g.permitWorker(&worker), "the former run has ended")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -161,8 +161,8 @@
 	g.applyLimits(report, start)
 }
 
-// answerLoad applies another gateway's report and returns this one's.
-func (g *Gateway) answerLoad(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
+// handleLoadReport applies another gateway's report and returns this one's.
+func (g *Gateway) handleLoadReport(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
 	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	if report.GetQuarantineOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
@@ -177,7 +177,7 @@
 		return g.deliveryReport(fleet.NodeID(report.GetNode()))
 	}
 	if report.GetPartial() {
-		return g.answerPartialReport(report)
+		return g.handlePartialReport(report)
 	}
 	g.applyLoadReport(report)
 	answer := g.loadReport(fleet.NodeID(report.GetNode()))
@@ -186,9 +186,9 @@
 	return answer
 }
 
-// answerPartialReport applies the changes at another gateway. If the report includes quota usage,
+// handlePartialReport applies the changes at another gateway. If the report includes quota usage,
 // the answer does too.
-func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
+func (g *Gateway) handlePartialReport(report *rpc.LoadReport) *rpc.LoadReport {
 	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
 		g.workers.UpdatePeerLoads(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// recordAnswer records that this gateway received a complete answer to a request.
-func (q *quarantineState) recordAnswer(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+// recordResponse records that this gateway received a complete answer to a request.
+func (q *quarantineState) recordResponse(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
@@ -218,9 +218,9 @@
 	}
 }
 
-// recordAnswered records a complete answer to a request.
-func (g *Gateway) recordAnswered(current *callerRequest) {
-	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordAnswer(g.now(), current.fingerprint))
+// recordCompleteResponse records a complete answer to a request.
+func (g *Gateway) recordCompleteResponse(current *callerRequest) {
+	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordResponse(g.now(), current.fingerprint))
 }
 
 // handleQuarantineChange logs the start or end of a quarantine and its source. At the start it
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -164,7 +164,7 @@
 	sync(true, true)
 	assert.Equal(t, calls, store.calls, "no changes left")
 
-	g.recordAnswered(current)
+	g.recordCompleteResponse(current)
 	sync(false, false)
 	assert.Empty(t, store.rows)
 }
@@ -249,10 +249,10 @@
 	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
-	answer := one.answerLoad(context.Background(), other.loadReport("one"))
+	answer := one.handleLoadReport(context.Background(), other.loadReport("one"))
 	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
-	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
+	assert.Empty(t, one.handleLoadReport(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
 	watched, _ := one.buildWatchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
 	watched, _ = one.buildWatchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
@@ -263,10 +263,10 @@
 }
 
 // An answer to a request that other gateways suspect must release it and be broadcast.
-func TestAnswerOfSuspectedRequestIsBroadcast(t *testing.T) {
+func TestResponseToSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
-	g.recordAnswered(current)
+	g.recordCompleteResponse(current)
 	assert.Empty(t, g.quarantines.takePendingBroadcast())
 	record := quarantine.Record{Fingerprint: current.fingerprint, Crashes: []quarantine.Crash{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -30,7 +30,7 @@
 		g.recordOutcome(current, placement, backends.Failed, "not delivered")
 		return step
 	}
-	relay := &eventRelay{answer: answer, lastID: current.lastEventID}
+	relay := &eventRelay{response: answer, lastID: current.lastEventID}
 	err := relay.run(func(events []byte) error {
 		placement.FirstByte(g.now())
 		return g.writeEvents(current, answer, events)
@@ -83,7 +83,7 @@
 
 // eventRelay reads a stream of events and relays complete ones.
 type eventRelay struct {
-	answer *upstream.Response
+	response *upstream.Response
 	// lastID is the identifier of the last relayed event.
 	lastID string
 	buffer []byte
@@ -99,7 +99,7 @@
 			copy(grown, r.buffer)
 			r.buffer = grown
 		}
-		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
+		count, err := r.response.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
 		if relayErr := r.relayCompleteEvents(relay); relayErr != nil {
 			return relayErr
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -244,9 +244,9 @@
 	return nil
 }
 
-// answerWatch answers a peer's watch call: at once if this gateway has changes for it, otherwise as
+// handleWatch answers a peer's watch call: at once if this gateway has changes for it, otherwise as
 // soon as it has some or when the requested wait is over.
-func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
+func (g *Gateway) handleWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
 	g.sources.recordWatcher(arrived)
 	g.demand.setReportedTotal(g.now(), decodeRate(request.GetRequestRate()))
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -18,7 +18,7 @@
 	reader, watcher := newTestGateway(t), newTestGateway(t)
 	reader.freshness.Prove(reader.now())
 	start := watcher.now()
-	response := reader.answerWatch(context.Background(), &rpc.WatchRequest{WaitMillis: uint32(wait.Milliseconds())})
+	response := reader.handleWatch(context.Background(), &rpc.WatchRequest{WaitMillis: uint32(wait.Milliseconds())})
 	watcher.applyWatchResponse("reader", start, response)
 	age, proven := watcher.freshness.Age(watcher.now())
 	require.True(t, proven)
