--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -77,7 +77,7 @@
 	return b.tracker.BeginRequest(now, run)
 }
 
-// recordResponse records an answer that asks for no backoff, to a request sent at sentAt.
+// recordResponse records a response that asks for no backoff, to a request sent at sentAt.
 func (b *workerBackoffs) recordResponse(run workerbackoff.Run, sentAt time.Duration) {
 	if !b.active.Load() {
 		return
@@ -109,8 +109,8 @@
 	return b.tracker.ClosedWorkers(now)
 }
 
-// retryAfter returns when a caller of the given priority should retry if the first worker opens
-// after opensIn.
+// retryAfter returns the retry delay for a caller of the given priority whose request found all
+// workers in backoff. opensIn is the time until the first backoff ends.
 func (b *workerBackoffs) retryAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -76,8 +76,8 @@
 	return identity.Fingerprint()
 }
 
-// recordLostRun records that a run ended without a complete answer. If the connection broke, it has
-// the worker probed.
+// recordLostRun records that a run ended without a complete response. If the connection broke, it
+// has the worker probed.
 func (g *Gateway) recordLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
 	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -172,8 +172,8 @@
 	return false
 }
 
-// versionFilter returns the restriction on the choice of a worker, nil if there is none. avoidTarget
-// excludes the target for a request that was sent to it before.
+// versionFilter returns the restriction on the choice of a worker, nil if there is none.
+// avoidTarget excludes the target for a request that was sent to it before.
 func (d *deliveryState) versionFilter(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
 	if !d.active.Load() {
 		return nil
@@ -327,7 +327,7 @@
 }
 
 // shares returns, by service and route, the share of requests that the directive assigns to the
-// target and the answers of both versions.
+// target and the responses of both versions.
 func (d *deliveryState) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -363,13 +363,13 @@
 	return all
 }
 
-// deliveryShare is the requested share of a route's target and the answers of both versions.
+// deliveryShare is the requested share of a route's target and the responses of both versions.
 type deliveryShare struct {
 	requested                     float64
 	oldResponses, targetResponses uint64
 }
 
-// actual returns the share of the answers that came from the target.
+// actual returns the share of the responses that came from the target.
 func (s deliveryShare) actual() float64 {
 	if s.oldResponses+s.targetResponses == 0 {
 		return 0
--- a/internal/gateway/deliveries_test.go
+++ b/internal/gateway/deliveries_test.go
@@ -49,7 +49,7 @@
 	assert.False(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget())
 
 	g.applyDirectives(g.now(), report.Deliveries)
-	assert.True(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget(), "answer to this gateway's own call")
+	assert.True(t, g.allowedVersions(deliveryRequest(), false).PrefersTarget(), "response to this gateway's own call")
 
 	final := directiveToTarget(g, delivery.StageRolledBack, g.now())
 	final.Sequence++
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -81,7 +81,7 @@
 	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
 
-// recordDeliveryOutcome counts an answer for or against its worker's version. Requests that were
+// recordDeliveryOutcome counts a response for or against its worker's version. Requests that were
 // refused, not sent or cancelled don't count.
 func (g *Gateway) recordDeliveryOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
@@ -119,14 +119,14 @@
 }
 
 // geometricMean returns the geometric mean of two durations. Engine versions are compared by the
-// time to the first event and the time of the whole answer together: the first includes queueing,
+// time to the first event and the time of the whole response together: the first includes queueing,
 // which hides a slow version, and the second includes prompt processing, which makes a new version
 // with cold caches look slow.
 func geometricMean(one, other time.Duration) time.Duration {
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// expectedResponseTime returns the expected time of an engine's whole answer, 0 if there is no
+// expectedResponseTime returns the expected time of an engine's whole response, 0 if there is no
 // prediction.
 func expectedResponseTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
@@ -149,7 +149,7 @@
 	return members
 }
 
-// applyDirectives applies the directives in the answer to a call that began at start. Their ages
+// applyDirectives applies the directives in the response to a call that began at start. Their ages
 // count from there.
 func (g *Gateway) applyDirectives(start time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
@@ -221,7 +221,7 @@
 	return report
 }
 
-// exchangeDeliveries sends a deliveries-only report to a gateway and applies its answer.
+// exchangeDeliveries sends a deliveries-only report to a gateway and applies its response.
 func (g *Gateway) exchangeDeliveries(member membership.Member) {
 	if member.Node == g.node {
 		return
@@ -229,13 +229,13 @@
 	ctx, cancel := context.WithTimeout(g.context(), deliveryExchangeTimeout)
 	defer cancel()
 	start := g.now()
-	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
+	response, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
 	}
-	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
-	g.applyDirectives(start, answer.GetDeliveries())
+	g.deliveries.addEvidence(g.now(), fleet.NodeID(response.GetNode()), response.GetDeliveryEvidence())
+	g.applyDirectives(start, response.GetDeliveries())
 }
 
 // announceDeliveries sends changes of this gateway's directives, and its decision to stop sending
--- a/internal/gateway/deliverypeers_test.go
+++ b/internal/gateway/deliverypeers_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// Long answers must not count as slow.
+// Long responses must not count as slow.
 func TestExpectedResponseTimeGrowsWithLength(t *testing.T) {
 	engine := &backends.EnginePlacement{Baseline: 20 * time.Millisecond}
 	current := &callerRequest{service: &routes.Service{Engine: &routes.EngineService{EventTokens: 7}}}
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -86,8 +86,8 @@
 	delete(d.peers, node)
 }
 
-// setReportedTotal records the total rate as reported by another gateway. A rate of 0 means unknown.
-// While the recorded rate is valid, only a higher one replaces it.
+// setReportedTotal records the total rate as reported by another gateway. A rate of 0 means
+// unknown. While the recorded rate is valid, only a higher one replaces it.
 func (d *demandTracker) setReportedTotal(now time.Duration, rate float64) {
 	if rate <= 0 {
 		return
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -25,9 +25,9 @@
 	defaultPriority = 1
 )
 
-// Causes of sends that are not made or whose answer is discarded.
+// Causes of sends that are not made or whose response is discarded.
 var (
-	// errForeignResponse means that an answer belongs to another request.
+	// errForeignResponse means that a response belongs to another request.
 	errForeignResponse = errors.Wrap(upstream.ErrResponseMismatch, "request identifier differs")
 	// errStaleConfiguration means that the configuration is too old to check keys.
 	errStaleConfiguration = errors.New("configuration too old")
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -22,7 +22,7 @@
 // errDeadlinePassed is the cause of a send that is cancelled at its deadline.
 var errDeadlinePassed = errors.New("deadline passed")
 
-// forward sends a request to workers until there is a final answer.
+// forward sends a request to workers until there is a final response.
 func (g *Gateway) forward(current *callerRequest) {
 	current.attempts = attempt.NewForwarding(current.startedAt, attempt.ForwardingPolicy{
 		Idempotent:    current.route.IsIdempotent() && !current.quarantineTrial,
@@ -61,7 +61,7 @@
 	}
 }
 
-// send chooses a worker, sends the request to it and relays the answer.
+// send chooses a worker, sends the request to it and relays the response.
 func (g *Gateway) send(ctx context.Context, current *callerRequest) attempt.Step {
 	if current.isCallerGone() {
 		return attempt.Step{Kind: attempt.StepAbort}
@@ -89,7 +89,7 @@
 	return g.sendTo(ctx, current, placement)
 }
 
-// sendTo sends the request to a chosen worker and relays the answer.
+// sendTo sends the request to a chosen worker and relays the response.
 func (g *Gateway) sendTo(ctx context.Context, current *callerRequest, placement *backends.Placement) attempt.Step {
 	current.worker = string(placement.Worker.ID)
 	current.sentAt, current.eventCount = g.now(), 0
@@ -100,12 +100,12 @@
 	}
 	sending, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	answer, err := g.exchangeWith(sending, cancel, current, placement)
+	response, err := g.exchangeWith(sending, cancel, current, placement)
 	if err != nil {
 		return g.handleSendError(ctx, sending, current, placement, err)
 	}
-	defer answer.Close()
-	info := g.dependencies.Codec.ReadResponse(answer.Status, answer.Header)
+	defer response.Close()
+	info := g.dependencies.Codec.ReadResponse(response.Status, response.Header)
 	g.reportInvalidInput(current.metadata.RequestID, info.Invalid)
 	g.observeLimit(current, &placement.Worker, info)
 	g.applyResponseNotice(&placement.Worker, current.sentAt, info)
@@ -113,18 +113,18 @@
 		g.workers.ObserveVersion(placement.Worker.ID, current.metadata.Model, info.Version)
 	}
 	if info.NotExecuted {
-		return g.handleRejection(current, placement, answer, info)
+		return g.handleRejection(current, placement, response, info)
 	}
-	if !isAcceptable(answer.Status, info) {
+	if !isAcceptable(response.Status, info) {
 		g.recordOutcome(current, placement, backends.Lost, "answer without signature")
 		return current.attempts.Unanswered(g.now(), placement.Worker.Run())
 	}
-	return g.deliver(ctx, current, placement, answer)
+	return g.deliver(ctx, current, placement, response)
 }
 
-// exchangeWith sends the request and waits for the head of the answer. Until the head arrives, the
-// send may be cancelled because the engine's model version has become too old or the request has
-// been quarantined.
+// exchangeWith sends the request and waits for the head of the response. Until the head arrives,
+// the send may be cancelled because the engine's model version has become too old or the request
+// has been quarantined.
 func (g *Gateway) exchangeWith(ctx context.Context, cancel context.CancelCauseFunc, current *callerRequest, placement *backends.Placement) (*upstream.Response, error) {
 	send := &pendingSend{cancel: cancel, fingerprint: current.fingerprint, quarantineTrial: current.quarantineTrial}
 	if placement.Engine != nil {
@@ -136,8 +136,8 @@
 	return g.upstreams.Do(ctx, g.destination(current, &placement.Worker), g.outgoingRequest(ctx, current, placement))
 }
 
-// isAcceptable reports whether a worker's answer may be passed on. A success must be signed, and so
-// must a status that implies that the request did not run.
+// isAcceptable reports whether a worker's response may be passed on. A success must be signed, and
+// so must a status that implies that the request did not run.
 func isAcceptable(status int, info ResponseInfo) bool {
 	switch {
 	case status < http.StatusMultipleChoices:
@@ -149,8 +149,8 @@
 	}
 }
 
-// handleSendError returns the next step after a send that brought no answer. sending is the context
-// of the send, ctx that of the request.
+// handleSendError returns the next step after a send that brought no response. sending is the
+// context of the send, ctx that of the request.
 func (g *Gateway) handleSendError(ctx, sending context.Context, current *callerRequest, placement *backends.Placement, err error) attempt.Step {
 	run := placement.Worker.Run()
 	var failure *upstream.ExchangeError
@@ -196,8 +196,8 @@
 }
 
 // handleRejection returns the next step after a worker reported that it did not run the request.
-func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, answer *upstream.Response, info ResponseInfo) attempt.Step {
-	drainResponse(answer)
+func (g *Gateway) handleRejection(current *callerRequest, placement *backends.Placement, response *upstream.Response, info ResponseInfo) attempt.Step {
+	drainResponse(response)
 	outcome := backends.Refused
 	switch {
 	case info.Misdirected:
@@ -205,18 +205,18 @@
 	case info.RetryAfter > 0:
 		outcome = backends.Deferred
 	}
-	g.recordOutcome(current, placement, outcome, "status "+http.StatusText(answer.Status))
+	g.recordOutcome(current, placement, outcome, "status "+http.StatusText(response.Status))
 	return current.attempts.Rejected(g.now(), placement.Worker.Run())
 }
 
-// maxDrainBytes bounds how much is read of an answer that is not passed on.
+// maxDrainBytes bounds how much is read of a response that is not passed on.
 const maxDrainBytes = 4 << 10
 
-// drainResponse reads a short answer to its end, so that its connection can be reused.
-func drainResponse(answer *upstream.Response) {
+// drainResponse reads a short response to its end, so that its connection can be reused.
+func drainResponse(response *upstream.Response) {
 	var buffer [512]byte
 	for total := 0; total < maxDrainBytes; {
-		count, err := answer.Read(buffer[:])
+		count, err := response.Read(buffer[:])
 		total += count
 		if err != nil {
 			return
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -58,7 +58,7 @@
 	// quarantineTrial is set if the request is quarantined and may be tried once.
 	quarantineTrial bool
 	startedAt       time.Duration
-	// deadline is when the final answer is due.
+	// deadline is when the final response is due.
 	deadline time.Duration
 	attempts *attempt.Forwarding
 	// targetDraw is uniform in [0, 1). It decides whether the request goes to the target version of
@@ -96,7 +96,7 @@
 	reason          string
 }
 
-// refusal is an error answer that the gateway itself gives.
+// refusal is an error response that the gateway itself generates.
 type refusal struct {
 	code       resultcode.Code
 	reason     string
@@ -282,7 +282,7 @@
 	return content, nil
 }
 
-// refuse answers with the gateway's own error. It aborts the connection if the head of an answer
+// refuse answers with the gateway's own error. It aborts the connection if the head of a response
 // was already sent.
 func (g *Gateway) refuse(current *callerRequest, refused refusal) {
 	current.result, current.reason = refused.code, refused.reason
@@ -350,10 +350,10 @@
 	}
 }
 
-// isComplete reports whether the whole answer was sent.
+// isComplete reports whether the whole response was sent.
 func (c *callerRequest) isComplete() bool { return c.status != 0 && c.reason == "" }
 
-// timeLeft returns the time until the final answer is due.
+// timeLeft returns the time until the final response is due.
 func (c *callerRequest) timeLeft(now time.Duration) time.Duration { return c.deadline - now }
 
 // isCallerGone reports whether the caller has disconnected.
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -31,7 +31,7 @@
 	return forwarded
 }
 
-// copyResponseHeader copies the end-to-end fields of a worker's answer to the caller's. A missing
+// copyResponseHeader copies the end-to-end fields of a worker's response to the caller's. A missing
 // Content-Type stays missing.
 func copyResponseHeader(into, from http.Header) {
 	for name, values := range forwardedHeader(from) {
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -68,12 +68,12 @@
 		g.metrics.limitGrants.WithLabelValues("closed").Inc()
 		return errLimited
 	}
-	answer := g.requestGrant(ctx, observation, worker.Zone, priority)
-	if answer.Granted {
+	grant := g.requestGrant(ctx, observation, worker.Zone, priority)
+	if grant.Granted {
 		g.metrics.limitGrants.WithLabelValues("granted").Inc()
 		return nil
 	}
-	g.limits.recordRefusal(g.now(), worker.ID, priority, answer)
+	g.limits.recordRefusal(g.now(), worker.ID, priority, grant)
 	return errLimited
 }
 
@@ -86,35 +86,35 @@
 		return workerlimit.Grant{Wait: noGranterDelay, Refill: noGranterDelay}
 	}
 	if granter.Node == g.node {
-		answer, err := g.grant(observation, priority)
+		grant, err := g.grant(observation, priority)
 		if err != nil {
 			g.metrics.limitGrants.WithLabelValues("unsettled").Inc()
 			return workerlimit.Grant{Wait: unsettledDelay, Refill: unsettledDelay}
 		}
-		g.countRefusedGrant(answer)
-		return answer
+		g.countRefusedGrant(grant)
+		return grant
 	}
 	distance := traffic.Between(g.location(), membership.Location{Zone: granter.Zone, Region: granter.Region})
 	callCtx, cancel := context.WithTimeout(traffic.With(ctx, traffic.Limits, distance), grantTimeout)
 	defer cancel()
 	start := g.now()
-	answer, err := g.peers.RequestGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(start, &observation), Priority: uint32(max(priority, 0))})
+	response, err := g.peers.RequestGrant(callCtx, granter.Address, &rpc.LimitQuestion{Limit: encodeLimit(start, &observation), Priority: uint32(max(priority, 0))})
 	if err != nil {
 		g.markGranterUnavailable(ctx, granter, err)
 		return workerlimit.Grant{Wait: nextGranterDelay, Refill: nextGranterDelay}
 	}
-	g.applyLimit(answer.GetLimit(), start, "granter")
+	g.applyLimit(response.GetLimit(), start, "granter")
 	decoded := workerlimit.Grant{
-		Granted: answer.GetGranted(),
-		Wait:    time.Duration(answer.GetWaitMillis()) * time.Millisecond,
-		Refill:  time.Duration(answer.GetRefillMillis()) * time.Millisecond,
+		Granted: response.GetGranted(),
+		Wait:    time.Duration(response.GetWaitMillis()) * time.Millisecond,
+		Refill:  time.Duration(response.GetRefillMillis()) * time.Millisecond,
 	}
 	g.countRefusedGrant(decoded)
 	return decoded
 }
 
-func (g *Gateway) countRefusedGrant(answer workerlimit.Grant) {
-	if !answer.Granted {
+func (g *Gateway) countRefusedGrant(grant workerlimit.Grant) {
+	if !grant.Granted {
 		g.metrics.limitGrants.WithLabelValues("refused").Inc()
 	}
 }
@@ -205,12 +205,12 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := g.grant(observation, int(request.GetPriority()))
+	grant, err := g.grant(observation, int(request.GetPriority()))
 	if err != nil {
 		return nil, err
 	}
 	encoded := &rpc.LimitAnswer{
-		Granted: answer.Granted, WaitMillis: ceilMillis(answer.Wait), RefillMillis: ceilMillis(answer.Refill),
+		Granted: grant.Granted, WaitMillis: ceilMillis(grant.Wait), RefillMillis: ceilMillis(grant.Refill),
 	}
 	if newest, found := g.limits.knownObservation(observation.Worker); found {
 		encoded.Limit = encodeLimit(g.now(), &newest)
@@ -226,7 +226,7 @@
 }
 
 // limitPriority returns a request's priority at a worker's limit. A continued run has the highest,
-// since its caller has part of the answer.
+// since its caller has part of the response.
 func limitPriority(current *callerRequest) int {
 	if current.headSent {
 		return 0
--- a/internal/gateway/limitpeers.go
+++ b/internal/gateway/limitpeers.go
@@ -18,15 +18,15 @@
 	// limitBatchDelay is the time in which changes are collected before a broadcast.
 	limitBatchDelay = 2 * time.Millisecond
 	// limitBroadcastInterval is the minimum time between two broadcasts. A worker may state another
-	// rate in each answer.
+	// rate in each response.
 	limitBroadcastInterval = 50 * time.Millisecond
 	limitCallTimeout       = 250 * time.Millisecond
 	// maxLimitCalls bounds the concurrent calls of broadcasts.
 	maxLimitCalls = 32
 )
 
-// announceLimits broadcasts limits that have changed by answers to this gateway, until the process
-// stops.
+// announceLimits broadcasts limits that have changed by responses to this gateway, until the
+// process stops.
 func (g *Gateway) announceLimits() error {
 	calls := newFanout(maxLimitCalls)
 	for {
@@ -85,19 +85,19 @@
 	return peers
 }
 
-// exchangeLimits sends observations to one gateway and applies its answer. A gateway that misses
+// exchangeLimits sends observations to one gateway and applies its response. A gateway that misses
 // them receives them with the next load report.
 func (g *Gateway) exchangeLimits(member membership.Member, observations []workerlimit.Observation) {
 	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Limits, member), limitCallTimeout)
 	defer cancel()
 	start := g.now()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true, LimitsOnly: true, Limits: encodeLimits(start, observations)}
-	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
+	response, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
 	}
-	g.applyLimits(answer, start)
+	g.applyLimits(response, start)
 }
 
 // encodedLimits returns the encoded observations for a report.
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -154,8 +154,9 @@
 	return l.tracker.ClosedFor(now, worker, priority)
 }
 
-// retryAfter returns when a caller should retry that found all workers at their limits, the first
-// of which has room after opensIn. sharers is the number of gateways that share the rates.
+// retryAfter returns the retry delay for a caller whose request found all workers at their limits.
+// opensIn is the time until the first of them has room, sharers the number of gateways that share
+// the rates.
 func (l *workerLimits) retryAfter(now, opensIn time.Duration, sharers int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -209,7 +210,7 @@
 	g.limits.countCall(worker, kind)
 }
 
-// observeLimit records what an answer to a request states about its worker's limit.
+// observeLimit records what a response to a request states about its worker's limit.
 func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info ResponseInfo) {
 	if !hasLimitStatement(info) {
 		return
@@ -224,8 +225,8 @@
 	}
 }
 
-// hasLimitStatement reports whether an answer is a valid statement of the worker about its limit.
-// An answer of another run is not. A rejection may omit the limit, so it doesn't end one.
+// hasLimitStatement reports whether a response is a valid statement of the worker about its limit.
+// A response of another run is not. A rejection may omit the limit, so it doesn't end one.
 func hasLimitStatement(info ResponseInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -26,9 +26,9 @@
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
 	assert.True(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
-	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
+	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "response of another run")
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true}))
-	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned answer")
+	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned response")
 	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Signed: true}))
 	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
@@ -61,9 +61,9 @@
 	assert.True(t, reported[0].GetLimited())
 
 	other := newTestGateway(t)
-	answer := other.handleLoadReport(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
+	response := other.handleLoadReport(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
 	assert.True(t, other.limits.isLimited("w", 0))
-	assert.Len(t, answer.GetLimits(), 1)
+	assert.Len(t, response.GetLimits(), 1)
 	assert.Len(t, g.limits.takePendingBroadcast(), 1)
 	assert.Empty(t, other.limits.takePendingBroadcast(), "received limits aren't broadcast")
 
@@ -81,11 +81,11 @@
 	_, err := g.handleGrantRequest(context.Background(), request)
 	assert.ErrorIs(t, err, errUnsettled)
 	g.roleSettled.Store(true)
-	answer, err := g.handleGrantRequest(context.Background(), request)
+	response, err := g.handleGrantRequest(context.Background(), request)
 	require.NoError(t, err)
-	assert.False(t, answer.GetGranted(), "no initial allowance")
-	assert.InDelta(t, 500, answer.GetWaitMillis(), 20)
-	assert.True(t, answer.GetLimit().GetLimited())
+	assert.False(t, response.GetGranted(), "no initial allowance")
+	assert.InDelta(t, 500, response.GetWaitMillis(), 20)
+	assert.True(t, response.GetLimit().GetLimited())
 }
 
 // A granter that knows the end of a limit must override an older observation of the asking gateway.
@@ -95,9 +95,9 @@
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
 	g.limits.observe(workerlimit.Observation{Worker: "w", RequestedAt: now - time.Second, AnsweredAt: now}, false)
-	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
+	response, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
-	assert.True(t, answer.Granted)
+	assert.True(t, response.Granted)
 	known, found := g.limits.knownObservation("w")
 	assert.True(t, found)
 	assert.False(t, known.Limited)
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,10 +10,10 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Notice is the information in the headers of an answer, to a call of any kind, about the server
+// Notice is the information in the headers of a response, to a call of any kind, about the server
 // that sent it.
 type Notice struct {
-	// Instance is the run that answered; empty if the answer doesn't name it.
+	// Instance is the run that answered; empty if the response doesn't name it.
 	Instance fleet.EngineID
 	// Misdirected is set if the call was refused because it was meant for another run or version.
 	Misdirected bool
@@ -29,7 +29,7 @@
 	Invalid []InvalidInput
 }
 
-// appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
+// appliesTo reports whether the notice can be about the given worker. A misdirected call may have
 // been answered by another run that has taken over the address.
 func (n *Notice) appliesTo(worker fleet.EngineID) bool {
 	if n.Instance != "" {
@@ -42,12 +42,12 @@
 type noticeHandlerKey struct{}
 
 // WithNoticeHandler returns a context for calls to a server. handle is called with the notice of
-// each answer as soon as its head has been read, even if the call then fails.
+// each response as soon as its head has been read, even if the call then fails.
 func WithNoticeHandler(ctx context.Context, handle func(Notice)) context.Context {
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HandleNotice passes the notice of an answer to the handler of its call, if there is one.
+// HandleNotice passes the notice of a response to the handler of its call, if there is one.
 func HandleNotice(ctx context.Context, notice Notice) {
 	if handle, found := ctx.Value(noticeHandlerKey{}).(func(Notice)); found {
 		handle(notice)
@@ -69,7 +69,7 @@
 }
 
 // noticeSource identifies the worker's run that a notice is about, and the kind of call whose
-// answer contained it.
+// response contained it.
 type noticeSource struct {
 	worker    fleet.EngineID
 	startTime backends.StartTime
@@ -104,7 +104,7 @@
 	delete(u.logged, worker)
 }
 
-// applyNotice applies the notice in an answer, except for the worker's limit.
+// applyNotice applies the notice in a response, except for the worker's limit.
 func (g *Gateway) applyNotice(source noticeSource, notice *Notice) {
 	g.logUnknownHeaders(source, notice.Unknown)
 	if !notice.appliesTo(source.worker) {
@@ -128,13 +128,13 @@
 	}
 }
 
-// recordDraining records that a worker's answer announces its shutdown.
+// recordDraining records that a worker's response announces its shutdown.
 func (g *Gateway) recordDraining(source noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
 	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.startTime}, string(source.kind))
 }
 
-// observeDraining records that a worker is draining, as reported by an answer or a peer.
+// observeDraining records that a worker is draining, as reported by a response or a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
 	if g.workers.ObserveDraining(run) != backends.StartedDraining {
 		return
@@ -143,9 +143,9 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// applyResponseNotice applies the notice in an answer to a request that was sent at sentAt. It
-// ignores answers that are neither signed nor a worker's statement that it did not run the request,
-// since others may not come from the worker.
+// applyResponseNotice applies the notice in a response to a request that was sent at sentAt. It
+// ignores responses that are neither signed nor a worker's statement that it did not run the
+// request, since others may not come from the worker.
 func (g *Gateway) applyResponseNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
@@ -167,7 +167,7 @@
 	noticeSourcePeer = "peer"
 )
 
-// withNoticesFrom returns a context in which the notices of a worker's answers are handled.
+// withNoticesFrom returns a context in which the notices of a worker's responses are handled.
 func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
 		g.reportInvalidInput("", notice.Invalid)
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDrainingNoticeCountsOnlyFromTheWorkerItself guards against marking a worker as draining by an
-// unsigned answer, or by one from another run that now has its address.
+// unsigned response, or by one from another run that now has its address.
 func TestDrainingNoticeCountsOnlyFromTheWorkerItself(t *testing.T) {
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	for _, test := range []struct {
@@ -89,13 +89,13 @@
 	assert.Empty(t, g.deferringWorkers(report))
 }
 
-// TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the answer to an
-// earlier request, or by an answer that isn't the worker's own.
+// TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the response to an
+// earlier request, or by a response that isn't the worker's own.
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
 	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	g.applyResponseNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
-	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
+	assert.NoError(t, g.permitWorker(&worker), "unsigned response")
 	sentAt := g.now()
 	g.applyResponseNotice(&worker, sentAt, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
 	g.applyResponseNotice(&worker, sentAt-time.Millisecond, ResponseInfo{Signed: true})
--- a/internal/gateway/origins.go
+++ b/internal/gateway/origins.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// setReportedRates records the rates by location that another gateway reports. Empty rates are ignored.
+// setReportedRates records the rates by location that another gateway reports. Empty rates are
+// ignored.
 func (o *originTracker) setReportedRates(now time.Duration, rates map[membership.Location]float64) {
 	if len(rates) == 0 {
 		return
@@ -154,8 +155,8 @@
 	return found && report.pressure == pressureUnreachable && now <= report.measured+rateLifetime
 }
 
-// capacityFactors returns, for each gateway under pressure, the factor by which its planned capacity
-// is multiplied. It returns the same map while nothing changes.
+// capacityFactors returns, for each gateway under pressure, the factor by which its planned
+// capacity is multiplied. It returns the same map while nothing changes.
 func (o *originTracker) capacityFactors(now time.Duration) map[fleet.NodeID]float64 {
 	factors := make(map[fleet.NodeID]float64)
 	for node, report := range o.nodesUnderPressure(now) {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -143,7 +143,7 @@
 	return chosen
 }
 
-// exchangeLoad sends this gateway's report to a member and applies its answer.
+// exchangeLoad sends this gateway's report to a member and applies its response.
 func (g *Gateway) exchangeLoad(member membership.Member) {
 	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
@@ -180,23 +180,23 @@
 		return g.handlePartialReport(report)
 	}
 	g.applyLoadReport(report)
-	answer := g.loadReport(fleet.NodeID(report.GetNode()))
+	response := g.loadReport(fleet.NodeID(report.GetNode()))
 	missing := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
-	answer.QuarantineRecords = append(answer.QuarantineRecords, missing...)
-	return answer
+	response.QuarantineRecords = append(response.QuarantineRecords, missing...)
+	return response
 }
 
 // handlePartialReport applies the changes at another gateway. If the report includes quota usage,
-// the answer does too.
+// the response does too.
 func (g *Gateway) handlePartialReport(report *rpc.LoadReport) *rpc.LoadReport {
-	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
+	response := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
 		g.workers.UpdatePeerLoads(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
-		return answer
+		return response
 	}
 	g.quotas.applyReport(g.now(), report)
-	g.quotas.writeReport(g.now(), answer, fleet.NodeID(report.GetNode()))
-	return answer
+	g.quotas.writeReport(g.now(), response, fleet.NodeID(report.GetNode()))
+	return response
 }
 
 // loadReport returns this gateway's full report to another one.
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -20,8 +20,8 @@
 // become too old.
 var errStaleVersion = errors.New("model version too old to start the request")
 
-// pendingSends holds the sends whose answer has not begun. An engine may queue a request until its
-// model version is too old or until the request is quarantined.
+// pendingSends holds the sends whose response has not begun. An engine may queue a request until
+// its model version is too old or until the request is quarantined.
 type pendingSends struct {
 	mutex sync.Mutex
 	sends map[*pendingSend]bool
--- a/internal/gateway/pending_test.go
+++ b/internal/gateway/pending_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestOnlyPendingSendsAtOlderVersionsAreCancelled guards against cancelling sends at a current
-// version, for another model, or whose answer has begun.
+// version, for another model, or whose response has begun.
 func TestOnlyPendingSendsAtOlderVersionsAreCancelled(t *testing.T) {
 	pending := newPendingSends()
 	begin := func(model fleet.ModelName, version backends.ModelVersion) (context.Context, *pendingSend) {
@@ -29,5 +29,5 @@
 	assert.ErrorIs(t, context.Cause(older), errStaleVersion)
 	assert.NoError(t, newer.Err())
 	assert.NoError(t, other.Err())
-	assert.NoError(t, answered.Err(), "the answer has begun")
+	assert.NoError(t, answered.Err(), "the response has begun")
 }
--- a/internal/gateway/placementrequest.go
+++ b/internal/gateway/placementrequest.go
@@ -10,7 +10,7 @@
 )
 
 // exchangeOverheadBytes is the assumed size of an exchange besides the request's body: headers in
-// both directions and a short answer.
+// both directions and a short response.
 const exchangeOverheadBytes = 1500
 
 // placementRequest describes a caller's request to the worker registry.
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -117,8 +117,8 @@
 	assert.NotContains(t, sample(time.Minute, alone), south, "its callers have arrived, or it serves them itself")
 }
 
-// TestRandomVariationOfRatesRarelyChangesThePlan guards against replanning on the random variation of
-// low request rates.
+// TestRandomVariationOfRatesRarelyChangesThePlan guards against replanning on the random variation
+// of low request rates.
 func TestRandomVariationOfRatesRarelyChangesThePlan(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	tracker := newOriginTracker()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// errQuarantined is the cause of a send that isn't made, or is cancelled before its answer begins,
-// because its request is quarantined.
+// errQuarantined is the cause of a send that isn't made, or is cancelled before its response
+// begins, because its request is quarantined.
 var errQuarantined = errors.New("request is quarantined")
 
 // sharedCrashes is the number of worker crashes from which on a request's record goes to every
@@ -109,7 +109,7 @@
 	})
 }
 
-// recordResponse records that this gateway received a complete answer to a request.
+// recordResponse records that this gateway received a complete response to a request.
 func (q *quarantineState) recordResponse(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	if !q.active.Load() {
 		q.mutex.Lock()
@@ -126,7 +126,7 @@
 	})
 }
 
-// merge merges a record of another gateway or the store. If this gateway knows of an answer or a
+// merge merges a record of another gateway or the store. If this gateway knows of a response or a
 // trial that the record does not contain, it broadcasts its own record.
 func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
 	return q.update(now, record.Fingerprint, func(tracker *quarantine.Tracker) bool {
@@ -218,13 +218,13 @@
 	}
 }
 
-// recordCompleteResponse records a complete answer to a request.
+// recordCompleteResponse records a complete response to a request.
 func (g *Gateway) recordCompleteResponse(current *callerRequest) {
 	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordResponse(g.now(), current.fingerprint))
 }
 
 // handleQuarantineChange logs the start or end of a quarantine and its source. At the start it
-// cancels sends of the request whose answer hasn't begun.
+// cancels sends of the request whose response hasn't begun.
 func (g *Gateway) handleQuarantineChange(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -143,7 +143,7 @@
 	assert.Equal(t, 1, store.rows[current.fingerprint].Trials)
 }
 
-// Rows must be written once, by gateways that saw the crash, and removed after an answer.
+// Rows must be written once, by gateways that saw the crash, and removed after a response.
 func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
@@ -225,7 +225,7 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// Reports must carry recent changes, and answers must carry the records that the other gateway
+// Reports must carry recent changes, and responses must carry the records that the other gateway
 // misses.
 func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
@@ -249,8 +249,8 @@
 	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
-	answer := one.handleLoadReport(context.Background(), other.loadReport("one"))
-	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
+	response := one.handleLoadReport(context.Background(), other.loadReport("one"))
+	other.mergeQuarantineRecords(response.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
 	assert.Empty(t, one.handleLoadReport(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
 	watched, _ := one.buildWatchResponse(&rpc.WatchRequest{})
@@ -262,7 +262,7 @@
 	assert.Equal(t, 1, other.quarantines.tracker.QuarantinedCount(), "unreadable record ignored")
 }
 
-// An answer to a request that other gateways suspect must release it and be broadcast.
+// A response to a request that other gateways suspect must release it and be broadcast.
 func TestResponseToSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
@@ -272,7 +272,7 @@
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Quarantined)
 	broadcast := g.quarantines.takePendingBroadcast()
-	require.Len(t, broadcast, 1, "answer broadcast")
+	require.Len(t, broadcast, 1, "response broadcast")
 	assert.True(t, broadcast[0].Answered)
 }
 
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -276,10 +276,10 @@
 	defer cancel()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	g.quotas.writeReport(g.now(), report, member.Node)
-	answer, err := g.peers.ExchangeLoad(ctx, member.Address, report)
+	response, err := g.peers.ExchangeLoad(ctx, member.Address, report)
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
 	}
-	g.quotas.applyReport(g.now(), answer)
+	g.quotas.applyReport(g.now(), response)
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/routes"
 )
 
-// TestNonServingNodeReportsUsageOnlyForTenantsWithQuota guards against usage exchanges that requests
-// of tenants without a quota would cause.
+// TestNonServingNodeReportsUsageOnlyForTenantsWithQuota guards against usage exchanges that
+// requests of tenants without a quota would cause.
 func TestNonServingNodeReportsUsageOnlyForTenantsWithQuota(t *testing.T) {
 	g := newTestGateway(t)
 	g.roles.Store(deriveRoles("node-000", "z0", largeFleet(195), 0, false))
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -122,8 +122,8 @@
 	s.selector.ObserveOwnProof(now, now-provenAt)
 }
 
-// hasProofWithin reports whether this gateway has a freshness proof from the store itself that is
-// no older than within.
+// hasProofWithin reports whether this gateway has a freshness proof from the store itself whose age
+// is at most within.
 func (s *sourceSelector) hasProofWithin(now, within time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,17 +23,17 @@
 
 // deliverStream relays the complete events of a stream as they arrive. A stream that breaks off may
 // be resumed at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Response) attempt.Step {
+func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, response *upstream.Response) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.attempts.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
 		g.recordOutcome(current, placement, backends.Failed, "not delivered")
 		return step
 	}
-	relay := &eventRelay{response: answer, lastID: current.lastEventID}
+	relay := &eventRelay{response: response, lastID: current.lastEventID}
 	err := relay.run(func(events []byte) error {
 		placement.FirstByte(g.now())
-		return g.writeEvents(current, answer, events)
+		return g.writeEvents(current, response, events)
 	})
 	current.lastEventID = relay.lastID
 	switch {
@@ -42,7 +42,7 @@
 		return step
 	case err == nil:
 		// A stream without events is passed on as an empty body.
-		g.sendHead(current, answer, 0)
+		g.sendHead(current, response, 0)
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case current.isCallerGone() || errors.Is(err, errCallerWrite):
@@ -56,15 +56,15 @@
 	default:
 		g.recordLostRun(current, placement, quarantine.ConnectionBroken)
 		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
-		answer.Close()
+		response.Close()
 		return current.attempts.Truncated(g.now(), run, current.rememberCopy(placement))
 	}
 }
 
 // writeEvents writes complete events to the caller and flushes them.
-func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Response, events []byte) error {
+func (g *Gateway) writeEvents(current *callerRequest, response *upstream.Response, events []byte) error {
 	if !current.headSent {
-		g.sendHead(current, answer, unknownLength)
+		g.sendHead(current, response, unknownLength)
 	}
 	now := g.now()
 	current.eventCount += bytes.Count(events, []byte("\n\n"))
