--- a/internal/gateway/backoffs.go
+++ b/internal/gateway/backoffs.go
@@ -29,23 +29,23 @@
 // an order the worker receives no more requests once its model version is too old.
 const maxOrderDelay = 2 * time.Second
 
-// workerBackoffs holds the backoffs that workers have asked this node for. It is safe for
+// workerBackoffs holds the backoffs that workers have asked this gateway for. It is safe for
 // concurrent use.
 type workerBackoffs struct {
 	// active is set while any worker has a backoff; without one, requests need no lock.
 	active atomic.Bool
 
-	mutex       sync.Mutex
-	ledger      *workerbackoff.Tracker
-	returnTimes workerbackoff.RetryScheduler
+	mutex      sync.Mutex
+	tracker    *workerbackoff.Tracker
+	retryTimes workerbackoff.RetryScheduler
 }
 
 func newWorkerBackoffs(random *rand.Rand) *workerBackoffs {
-	return &workerBackoffs{ledger: workerbackoff.NewTracker(random)}
+	return &workerBackoffs{tracker: workerbackoff.NewTracker(random)}
 }
 
-func backoffRun(worker fleet.EngineID, born backends.StartTime) workerbackoff.Run {
-	return workerbackoff.Run{Worker: worker, StartTime: uint64(born)}
+func backoffRun(worker fleet.EngineID, startTime backends.StartTime) workerbackoff.Run {
+	return workerbackoff.Run{Worker: worker, StartTime: uint64(startTime)}
 }
 
 // extend records that a run asks for a backoff and reports whether this extends the current one.
@@ -53,7 +53,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.active.Store(true)
-	return b.ledger.Extend(now, run, wait)
+	return b.tracker.Extend(now, run, wait)
 }
 
 // remaining returns how long a run still receives nothing.
@@ -63,7 +63,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.ClosedFor(now, run)
+	return b.tracker.ClosedFor(now, run)
 }
 
 // begin returns how long a run still receives no requests. If it returns 0, the caller is about to
@@ -74,18 +74,18 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.BeginRequest(now, run)
+	return b.tracker.BeginRequest(now, run)
 }
 
-// recordAnswer records an answer that asks for no backoff, to a request sent at sentAt.
-func (b *workerBackoffs) recordAnswer(run workerbackoff.Run, sentAt time.Duration) {
+// recordResponse records a response that asks for no backoff, to a request sent at sentAt.
+func (b *workerBackoffs) recordResponse(run workerbackoff.Run, sentAt time.Duration) {
 	if !b.active.Load() {
 		return
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.ObserveAnswer(run, sentAt)
-	b.active.Store(!b.ledger.IsEmpty())
+	b.tracker.ObserveAnswer(run, sentAt)
+	b.active.Store(!b.tracker.IsEmpty())
 }
 
 // forget drops the backoff of a worker whose run has ended.
@@ -95,8 +95,8 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.Forget(worker)
-	b.active.Store(!b.ledger.IsEmpty())
+	b.tracker.Forget(worker)
+	b.active.Store(!b.tracker.IsEmpty())
 }
 
 // workersInBackoff returns the workers that receive nothing at now.
@@ -106,27 +106,27 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.ClosedWorkers(now)
+	return b.tracker.ClosedWorkers(now)
 }
 
-// retryAfter returns when a caller of the given priority should retry if the first worker opens
-// after opensIn.
+// retryAfter returns the retry delay for a caller of the given priority whose request found all
+// workers in backoff. opensIn is the time until the first backoff ends.
 func (b *workerBackoffs) retryAfter(opensIn time.Duration, priority int) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.returnTimes.Next(opensIn, priority)
+	return b.retryTimes.Next(opensIn, priority)
 }
 
-// noteRetryAfter records that a worker asks this node for a backoff.
-func (g *Gateway) noteRetryAfter(source noticeSource, wait time.Duration) {
+// recordRetryAfter records that a worker asks this gateway for a backoff.
+func (g *Gateway) recordRetryAfter(source noticeSource, wait time.Duration) {
 	g.metrics.notices.WithLabelValues(noticeRetryAfter, string(source.kind)).Inc()
-	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.born), wait)
+	longer := g.backoffs.extend(g.now(), backoffRun(source.worker, source.startTime), wait)
 	g.events.line("worker_notice").Str("worker", string(source.worker)).Str("notice", noticeRetryAfter).Str("source", string(source.kind)).
 		Dur("retry_after", wait).Bool("longer", longer).Msg("worker_notice")
 }
 
-// deferringWorkers returns the workers that are in backoff at the reporting node. It returns nil
-// for a node of another zone, since a worker may reject the requests of a single zone.
+// deferringWorkers returns the workers that are in backoff at the reporting gateway. It returns nil
+// for a gateway of another zone, since a worker may reject the requests of a single zone.
 func (g *Gateway) deferringWorkers(report *rpc.LoadReport) []fleet.EngineID {
 	if len(report.GetDeferring()) == 0 {
 		return nil
@@ -153,7 +153,7 @@
 	}
 }
 
-// remainingOrderDelay returns how long orders and reports to a worker are still held back by its backoff.
+// remainingOrderDelay returns how long orders and reports to a worker are delayed by its backoff.
 // since is when the first of these was due.
 func (g *Gateway) remainingOrderDelay(worker *backends.Worker, since time.Duration) time.Duration {
 	closed := g.backoffs.remaining(g.now(), backoffRun(worker.ID, worker.StartTime))
--- a/internal/gateway/cachelog.go
+++ b/internal/gateway/cachelog.go
@@ -31,9 +31,9 @@
 	log   *cachefeed.Log
 	// changed is closed at the next change.
 	changed chan struct{}
-	// lastAskedAt is the time of the last request, valid if wasAsked.
-	lastAskedAt time.Duration
-	wasAsked    bool
+	// lastRequestAt is the time of the last request, valid if wasRequested.
+	lastRequestAt time.Duration
+	wasRequested  bool
 	// following is the number of caches that this gateway follows, followingSince when it became
 	// nonzero.
 	following      int
@@ -53,8 +53,8 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *cacheLog) observe(cache fleet.EngineID, fresh bool, changes []cachefeed.Change) {
-	c.update(func(log *cachefeed.Log) { log.Observe(cache, fresh, changes) })
+func (c *cacheLog) observe(cache fleet.EngineID, reset bool, changes []cachefeed.Change) {
+	c.update(func(log *cachefeed.Log) { log.Observe(cache, reset, changes) })
 }
 
 func (c *cacheLog) markLost(cache fleet.EngineID) {
@@ -89,14 +89,14 @@
 func (c *cacheLog) recordRequest(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lastAskedAt, c.wasAsked = now, true
+	c.lastRequestAt, c.wasRequested = now, true
 }
 
 // isWanted reports whether there was a recent request.
 func (c *cacheLog) isWanted(now time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.wasAsked && now <= c.lastAskedAt+cacheInterestTimeout
+	return c.wasRequested && now <= c.lastRequestAt+cacheInterestTimeout
 }
 
 // setFollowing sets how many caches this gateway follows.
@@ -109,18 +109,18 @@
 	c.following = caches
 }
 
-// answer returns the response to a question, whether it contains anything new, and a channel that
-// is closed at the next change. ready is false while the caches aren't known yet: an incomplete
-// answer would make the follower drop what it knows.
-func (c *cacheLog) answer(now time.Duration, question cachefeed.Query) (answer cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
+// delta returns the changes for a query, whether there are any, and a channel that is closed at the
+// next change. ready is false while the caches aren't known yet: an incomplete delta would make the
+// follower drop known state.
+func (c *cacheLog) delta(now time.Duration, query cachefeed.Query) (delta cachefeed.Delta, hasNew, ready bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.log.Caches()
 	ready = c.following > 0 && known > 0 && (known >= c.following || now >= c.followingSince+cacheGatherTimeout)
 	if !ready {
-		return answer, false, false, c.changed
+		return delta, false, false, c.changed
 	}
-	return c.log.Delta(question), c.log.HasDelta(question), true, c.changed
+	return c.log.Delta(query), c.log.HasDelta(query), true, c.changed
 }
 
 // cacheLogFor returns the log that answers requests about a zone's caches, nil if there is none.
@@ -133,21 +133,21 @@
 	return g.zoneFeeds.mirror(zone)
 }
 
-// answerCaches handles another gateway's request for the caches of a zone.
-func (g *Gateway) answerCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
+// handleCaches handles another gateway's request for the caches of a zone.
+func (g *Gateway) handleCaches(ctx context.Context, request *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	log := g.cacheLogFor(fleet.ZoneName(request.GetZone()))
 	if log == nil || g.isStopping() {
 		return nil, errNoCachesFollowed
 	}
 	log.recordRequest(g.now())
-	question := decodeCachesRequest(request)
+	query := decodeCachesRequest(request)
 	timer := time.NewTimer(min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for waiting := true; ; {
-		answer, found, ready, changed := log.answer(g.now(), question)
+		delta, hasNew, ready, changed := log.delta(g.now(), query)
 		switch {
-		case found || (ready && !waiting):
-			return encodeCachesResponse(answer), nil
+		case hasNew || (ready && !waiting):
+			return encodeCachesResponse(delta), nil
 		case !waiting:
 			return nil, errNoCachesFollowed
 		}
@@ -164,28 +164,28 @@
 }
 
 func decodeCachesRequest(request *rpc.CachesRequest) cachefeed.Query {
-	question := cachefeed.Query{
+	query := cachefeed.Query{
 		After: cachefeed.Cursor{Generation: request.GetGeneration(), Sequence: request.GetSequence()},
 	}
 	for _, cache := range request.GetMissing() {
-		question.Missing = append(question.Missing, fleet.EngineID(cache))
+		query.Missing = append(query.Missing, fleet.EngineID(cache))
 	}
-	return question
+	return query
 }
 
-func encodeCachesRequest(question cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
+func encodeCachesRequest(query cachefeed.Query, wait time.Duration) *rpc.CachesRequest {
 	request := &rpc.CachesRequest{
-		Generation: question.After.Generation, Sequence: question.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
+		Generation: query.After.Generation, Sequence: query.After.Sequence, WaitMillis: uint32(wait.Milliseconds()),
 	}
-	for _, cache := range question.Missing {
+	for _, cache := range query.Missing {
 		request.Missing = append(request.Missing, string(cache))
 	}
 	return request
 }
 
-func encodeCachesResponse(answer cachefeed.Delta) *rpc.CachesResponse {
-	response := &rpc.CachesResponse{Generation: answer.Next.Generation, Sequence: answer.Next.Sequence, Whole: answer.Complete}
-	for _, update := range answer.Updates {
+func encodeCachesResponse(delta cachefeed.Delta) *rpc.CachesResponse {
+	response := &rpc.CachesResponse{Generation: delta.Next.Generation, Sequence: delta.Next.Sequence, Whole: delta.Complete}
+	for _, update := range delta.Updates {
 		response.Updates = append(response.Updates, &rpc.CacheUpdate{
 			Cache: string(update.Cache), Anew: update.Reset, Lost: update.Lost,
 			Held: encodeBlockHashes(update.Stored), Dropped: encodeBlockHashes(update.Removed),
@@ -195,17 +195,17 @@
 }
 
 func decodeCachesResponse(response *rpc.CachesResponse) cachefeed.Delta {
-	answer := cachefeed.Delta{
+	delta := cachefeed.Delta{
 		Complete: response.GetWhole(),
 		Next:     cachefeed.Cursor{Generation: response.GetGeneration(), Sequence: response.GetSequence()},
 	}
 	for _, update := range response.GetUpdates() {
-		answer.Updates = append(answer.Updates, cachefeed.Update{
+		delta.Updates = append(delta.Updates, cachefeed.Update{
 			Cache: fleet.EngineID(update.GetCache()), Reset: update.GetAnew(), Lost: update.GetLost(),
 			Stored: decodeBlockHashes(update.GetHeld()), Removed: decodeBlockHashes(update.GetDropped()),
 		})
 	}
-	return answer
+	return delta
 }
 
 func encodeBlockHashes(hashes []fleet.BlockHash) []uint64 {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -38,10 +38,10 @@
 	return c.lostRuns.Observe(now, worker, fingerprint, loss)
 }
 
-func (c *crashDetector) markEnded(now time.Duration, worker fleet.EngineID, proof quarantine.Evidence) []quarantine.Fingerprint {
+func (c *crashDetector) markCrashed(now time.Duration, worker fleet.EngineID, evidence quarantine.Evidence) []quarantine.Fingerprint {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lostRuns.WorkerCrashed(now, worker, proof)
+	return c.lostRuns.WorkerCrashed(now, worker, evidence)
 }
 
 func (c *crashDetector) markAlive(worker fleet.EngineID) {
@@ -50,7 +50,7 @@
 	c.lostRuns.WorkerAlive(worker)
 }
 
-func (c *crashDetector) markUndecided(worker fleet.EngineID) {
+func (c *crashDetector) markInconclusive(worker fleet.EngineID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lostRuns.ProbeInconclusive(worker)
@@ -64,21 +64,21 @@
 
 // fingerprintOf returns the fingerprint of a request whose body has been read.
 func fingerprintOf(current *callerRequest) quarantine.Fingerprint {
-	subject := quarantine.RequestIdentity{
+	identity := quarantine.RequestIdentity{
 		Method: current.request.Method,
 		Host:   current.request.Host,
 		Target: current.request.RequestURI,
 		Body:   current.body,
 	}
 	if current.tenant != nil {
-		subject.Caller = string(current.tenant.Name)
+		identity.Caller = string(current.tenant.Name)
 	}
-	return subject.Fingerprint()
+	return identity.Fingerprint()
 }
 
-// noteLostRun records that a run brought no complete answer. If the worker's side broke off, it has
-// the worker probed.
-func (g *Gateway) noteLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
+// recordLostRun records that a run ended without a complete response. If the connection broke, it
+// has the worker probed.
+func (g *Gateway) recordLostRun(current *callerRequest, placement *backends.Placement, loss quarantine.Loss) {
 	worker := placement.Worker.ID
 	suspected, probe := g.crashes.recordLoss(g.now(), worker, current.fingerprint, loss)
 	switch {
@@ -98,24 +98,24 @@
 	case upstream.Alive:
 		g.crashes.markAlive(destination.Engine)
 	case upstream.Dead:
-		g.noteWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
+		g.recordWorkerEnded(destination.Engine, quarantine.ConnectionRefused)
 	default:
-		g.crashes.markUndecided(destination.Engine)
+		g.crashes.markInconclusive(destination.Engine)
 	}
 }
 
-// noteUnreachable records that no connection to a worker could be opened. A refused connection
+// recordUnreachable records that no connection to a worker could be opened. A refused connection
 // means that the worker has ended.
-func (g *Gateway) noteUnreachable(worker fleet.EngineID, err error) {
+func (g *Gateway) recordUnreachable(worker fleet.EngineID, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.noteWorkerEnded(worker, quarantine.ConnectionRefused)
+		g.recordWorkerEnded(worker, quarantine.ConnectionRefused)
 	}
 }
 
-// noteWorkerEnded records that a worker has ended without announcing its shutdown.
-func (g *Gateway) noteWorkerEnded(worker fleet.EngineID, proof quarantine.Evidence) {
-	if suspects := g.crashes.markEnded(g.now(), worker, proof); len(suspects) > 0 {
-		g.recordWorkerCrash(worker, proof, suspects)
+// recordWorkerEnded records that a worker has ended without announcing its shutdown.
+func (g *Gateway) recordWorkerEnded(worker fleet.EngineID, evidence quarantine.Evidence) {
+	if suspects := g.crashes.markCrashed(g.now(), worker, evidence); len(suspects) > 0 {
+		g.recordWorkerCrash(worker, evidence, suspects)
 	}
 }
 
@@ -130,7 +130,7 @@
 	return strings.Join(texts, ",")
 }
 
-// lossOf returns how a send was lost: abandoned by this node if its context has ended, otherwise
+// lossOf returns how a send was lost: abandoned by this gateway if its context has ended, otherwise
 // broken off by the worker.
 func lossOf(ctx context.Context) quarantine.Loss {
 	if ctx.Err() != nil {
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// addOrder adds an order that was written at latest or before, and reports whether it is new.
-func (d *deliveryState) addOrder(now, latest time.Duration, order delivery.Order) (bool, error) {
+// addOrder adds an order that was written at writtenBy at the latest, and reports whether it is
+// new.
+func (d *deliveryState) addOrder(now, writtenBy time.Duration, order delivery.Order) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if held, found := d.orders[order.Service]; found && held.Revision >= order.Revision {
@@ -93,11 +94,11 @@
 	if err != nil || !isNew {
 		return false, err
 	}
-	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: latest}
+	d.orders[order.Service] = receivedOrder{Order: order, writtenBy: writtenBy}
 	d.active.Store(true)
 	signal(d.orderSignal)
 	if d.director != nil {
-		return true, d.director.SetOrder(now, latest, order)
+		return true, d.director.SetOrder(now, writtenBy, order)
 	}
 	return true, nil
 }
@@ -171,9 +172,9 @@
 	return false
 }
 
-// choose returns the restriction on the choice of a worker, nil if there is none. avoidTarget
-// excludes the target for a request that was there before.
-func (d *deliveryState) choose(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
+// versionFilter returns the restriction on the choice of a worker, nil if there is none.
+// avoidTarget excludes the target for a request that was sent to it before.
+func (d *deliveryState) versionFilter(now time.Duration, service fleet.PoolName, route delivery.RouteName, draw float64, avoidTarget bool) *delivery.Filter {
 	if !d.active.Load() {
 		return nil
 	}
@@ -326,7 +327,7 @@
 }
 
 // shares returns, by service and route, the share of requests that the directive assigns to the
-// target and the answers of both versions.
+// target and the responses of both versions.
 func (d *deliveryState) shares(now time.Duration) map[fleet.PoolName]map[delivery.RouteName]deliveryShare {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -339,13 +340,13 @@
 		routes := make(map[delivery.RouteName]deliveryShare)
 		for route, counts := range evidence.Old {
 			share := routes[route]
-			share.oldAnswers = counts.Answers
+			share.oldResponses = counts.Answers
 			routes[route] = share
 		}
 		for route, workers := range evidence.New {
 			share := routes[route]
 			for _, counts := range workers {
-				share.targetAnswers += counts.Answers
+				share.targetResponses += counts.Answers
 			}
 			routes[route] = share
 		}
@@ -362,16 +363,16 @@
 	return all
 }
 
-// deliveryShare is the requested share of a route's target and the answers of both versions.
+// deliveryShare is the requested share of a route's target and the responses of both versions.
 type deliveryShare struct {
-	requested                 float64
-	oldAnswers, targetAnswers uint64
+	requested                     float64
+	oldResponses, targetResponses uint64
 }
 
-// actual returns the share of the answers that came from the target.
+// actual returns the share of the responses that came from the target.
 func (s deliveryShare) actual() float64 {
-	if s.oldAnswers+s.targetAnswers == 0 {
+	if s.oldResponses+s.targetResponses == 0 {
 		return 0
 	}
-	return float64(s.targetAnswers) / float64(s.oldAnswers+s.targetAnswers)
+	return float64(s.targetResponses) / float64(s.oldResponses+s.targetResponses)
 }
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -28,19 +28,19 @@
 
 // applyOrders applies the orders among the operator's rows, which were written at writtenBy at the
 // latest.
-func (g *Gateway) applyOrders(now, latest time.Duration, rows *OperatorRows) {
+func (g *Gateway) applyOrders(now, writtenBy time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
 		g.logRefusedOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
-		isNew, err := g.deliveries.addOrder(now, latest, order)
+		isNew, err := g.deliveries.addOrder(now, writtenBy, order)
 		if err != nil {
 			g.logRefusedOrder(string(order.Service), err)
 			continue
 		}
 		if isNew {
 			g.logger.Info().Str("service", string(order.Service)).Str("target", string(order.Target)).
-				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-latest).Msg("delivery_ordered")
+				Dur("duration", order.Duration).Uint64("revision", uint64(order.Revision)).Dur("age", now-writtenBy).Msg("delivery_ordered")
 		}
 	}
 }
@@ -52,9 +52,9 @@
 }
 
 // allowedVersions returns the restriction of a request to versions of its service. avoidTarget is
-// set if the request was at the target and is to be retried elsewhere.
+// set if the request was sent to the target and is to be retried elsewhere.
 func (g *Gateway) allowedVersions(current *callerRequest, avoidTarget bool) *delivery.Filter {
-	return g.deliveries.choose(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
+	return g.deliveries.versionFilter(g.now(), current.service.Name, delivery.RouteName(current.route.Name), current.targetDraw, avoidTarget)
 }
 
 // errTargetNotAllowed is returned if the directive that allowed a request to go to the target is no
@@ -75,13 +75,13 @@
 // back.
 func (g *Gateway) isSendAllowed(current *callerRequest, worker *backends.Worker) bool {
 	if g.deliveries.isTarget(worker.Service, worker.Software) {
-		choice := g.allowedVersions(current, false)
-		return choice.PrefersTarget() || choice.Allows(worker.ID, worker.Software)
+		filter := g.allowedVersions(current, false)
+		return filter.PrefersTarget() || filter.Allows(worker.ID, worker.Software)
 	}
 	return !g.deliveries.isRolledBack(g.now(), worker.Service, worker.Software)
 }
 
-// recordDeliveryOutcome counts an answer for or against its worker's version. Requests that were
+// recordDeliveryOutcome counts a response for or against its worker's version. Requests that were
 // refused, not sent or cancelled don't count.
 func (g *Gateway) recordDeliveryOutcome(current *callerRequest, placement *backends.Placement, outcome backends.Outcome) {
 	failed := outcome == backends.Failed || outcome == backends.Lost
@@ -100,7 +100,7 @@
 	if placement.Engine != nil {
 		total := g.now() - current.sentAt
 		recorded.TimeToFirstByte = geometricMean(recorded.TimeToFirstByte, total)
-		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedAnswerTime(current, placement.Engine))
+		recorded.Predicted = geometricMean(placement.Engine.Baseline, expectedResponseTime(current, placement.Engine))
 	}
 	if placement.Engine != nil && recorded.Predicted <= 0 && !failed {
 		// A run that continues from a copy has no prediction.
@@ -119,16 +119,16 @@
 }
 
 // geometricMean returns the geometric mean of two durations. Engine versions are compared by the
-// time to the first event and the time of the whole answer together: the first includes queueing,
+// time to the first event and the time of the whole response together: the first includes queueing,
 // which hides a slow version, and the second includes prompt processing, which makes a new version
 // with cold caches look slow.
 func geometricMean(one, other time.Duration) time.Duration {
 	return time.Duration(math.Sqrt(float64(one) * float64(other)))
 }
 
-// expectedAnswerTime returns the expected time of an engine's whole answer, 0 if there is no
+// expectedResponseTime returns the expected time of an engine's whole response, 0 if there is no
 // prediction.
-func expectedAnswerTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
+func expectedResponseTime(current *callerRequest, engine *backends.EnginePlacement) time.Duration {
 	if engine.Baseline <= 0 {
 		return 0
 	}
@@ -149,7 +149,7 @@
 	return members
 }
 
-// applyDirectives applies the directives in the answer to a call that began at start. Their ages
+// applyDirectives applies the directives in the response to a call that began at start. Their ages
 // count from there.
 func (g *Gateway) applyDirectives(start time.Duration, encoded []*rpc.DeliveryDirective) {
 	now := g.now()
@@ -221,7 +221,7 @@
 	return report
 }
 
-// exchangeDeliveries sends a deliveries-only report to a gateway and applies its answer.
+// exchangeDeliveries sends a deliveries-only report to a gateway and applies its response.
 func (g *Gateway) exchangeDeliveries(member membership.Member) {
 	if member.Node == g.node {
 		return
@@ -229,13 +229,13 @@
 	ctx, cancel := context.WithTimeout(g.context(), deliveryExchangeTimeout)
 	defer cancel()
 	start := g.now()
-	answer, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
+	response, err := g.peers.ExchangeLoad(ctx, member.Address, g.deliveryReport(member.Node))
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
 	}
-	g.deliveries.addEvidence(g.now(), fleet.NodeID(answer.GetNode()), answer.GetDeliveryEvidence())
-	g.applyDirectives(start, answer.GetDeliveries())
+	g.deliveries.addEvidence(g.now(), fleet.NodeID(response.GetNode()), response.GetDeliveryEvidence())
+	g.applyDirectives(start, response.GetDeliveries())
 }
 
 // announceDeliveries sends changes of this gateway's directives, and its decision to stop sending
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -36,7 +36,7 @@
 	longRetryAfter  = 500 * time.Millisecond
 )
 
-// freshnessFraction is the part of the revocation bound within which this node's configuration
+// freshnessFraction is the part of the revocation bound within which this gateway's configuration
 // counts as fresh. The rest leaves room for short interruptions of the store feed.
 const freshnessFraction = 0.7
 
@@ -58,7 +58,7 @@
 	// quarantineTrial is set if the request is quarantined and may be tried once.
 	quarantineTrial bool
 	startedAt       time.Duration
-	// deadline is when the final answer is due.
+	// deadline is when the final response is due.
 	deadline time.Duration
 	attempts *attempt.Forwarding
 	// targetDraw is uniform in [0, 1). It decides whether the request goes to the target version of
@@ -70,7 +70,7 @@
 	sentToTarget    bool
 	// atLimit is set if the last placement found a worker at its request limit.
 	atLimit bool
-	// sentAt is when the last send began, eventCount the number of events it has brought.
+	// sentAt is when the last send began, eventCount the number of events received from it.
 	sentAt     time.Duration
 	eventCount int
 	// lostPlacement is the placement of a lost run that is to be resumed at another engine.
@@ -96,7 +96,7 @@
 	reason          string
 }
 
-// refusal is an error answer that the gateway itself gives.
+// refusal is an error response that the gateway itself generates.
 type refusal struct {
 	code       resultcode.Code
 	reason     string
@@ -118,7 +118,7 @@
 		return
 	}
 	// Refused requests are not counted: they cost little, and callers that retry after a loss of
-	// all nodes would inflate the demand.
+	// all gateways would inflate the demand.
 	g.demand.countRequest()
 	if refused := g.readBody(current); refused != nil {
 		g.refuse(current, *refused)
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// canServeKeyed reports whether this node's configuration is fresh enough to check keys. With
-// RevokeEverywhere, a node that has lost touch with the store serves no keyed requests.
+// canServeKeyed reports whether this gateway's configuration is fresh enough to check keys. With
+// RevokeEverywhere, a gateway that cannot reach the store serves no keyed requests.
 func (g *Gateway) canServeKeyed() bool {
 	return !g.settings().RevokeEverywhere || g.freshness.IsWithin(g.now(), g.maxKeyedAge())
 }
@@ -282,7 +282,7 @@
 	return content, nil
 }
 
-// refuse answers with the gateway's own error. It aborts the connection if the head of an answer
+// refuse answers with the gateway's own error. It aborts the connection if the head of a response
 // was already sent.
 func (g *Gateway) refuse(current *callerRequest, refused refusal) {
 	current.result, current.reason = refused.code, refused.reason
@@ -350,10 +350,10 @@
 	}
 }
 
-// isComplete reports whether the whole answer was sent.
+// isComplete reports whether the whole response was sent.
 func (c *callerRequest) isComplete() bool { return c.status != 0 && c.reason == "" }
 
-// timeLeft returns the time until the final answer is due.
+// timeLeft returns the time until the final response is due.
 func (c *callerRequest) timeLeft(now time.Duration) time.Duration { return c.deadline - now }
 
 // isCallerGone reports whether the caller has disconnected.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,18 +78,18 @@
 	suspensions       *suspension.Detector
 	suspensionSignal  *suspensionSignal
 	deadlines         *deadlineTimers
-	// quarantineTable is followed only by nodes that read the store.
+	// quarantineTable is followed only by gateways that read the store.
 	quarantineTable *table
 	roles           atomic.Pointer[nodeRoles]
-	// groupSizes and join are used by updateRoles alone. roleSettled is set once this node knows
+	// groupSizes and join are used by updateRoles alone. roleSettled is set once this gateway knows
 	// its role.
 	groupSizes  membership.SizeHysteresis
 	join        joinState
 	roleSettled atomic.Bool
 	// softwareVersions is only accessed while the workers table is applied.
 	softwareVersions seenVersions
-	// progress is used by runRollout alone. fallbackCandidate is set while this node is a candidate
-	// for the rollout lease because the regular candidates make no progress.
+	// progress is used by runRollout alone. fallbackCandidate is set while this gateway is a
+	// candidate for the rollout lease because the regular candidates make no progress.
 	progress          progressMonitor
 	fallbackCandidate atomic.Bool
 
@@ -231,11 +231,11 @@
 		DiscoverSeeds:       g.seeds.addresses,
 		Holder:              config.NewHolder(),
 		Logger:              g.logger,
-		HandleLoadReport:    g.answerLoad,
+		HandleLoadReport:    g.handleLoadReport,
 		Traffic:             g.dependencies.Traffic,
-		HandleWatch:         g.answerWatch,
-		HandleCaches:        g.answerCaches,
-		HandleLimitQuestion: g.answerGrant,
+		HandleWatch:         g.handleWatch,
+		HandleCaches:        g.handleCaches,
+		HandleLimitQuestion: g.handleGrantRequest,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "peers")
@@ -293,7 +293,7 @@
 	g.life.Go(g.runRegistration)
 	g.life.Go(g.exchangeLoads)
 	g.life.Go(g.announceLoads)
-	g.life.Go(g.driveUsageExchange)
+	g.life.Go(g.runUsageExchange)
 	g.life.Go(g.runRollout)
 	g.life.Go(g.runDeliveryDirector)
 	g.life.Go(g.announceDeliveries)
@@ -356,9 +356,9 @@
 
 // idleTimeout returns how long a caller's connection may stay idle, 0 for no limit.
 func (g *Gateway) idleTimeout() time.Duration {
-	current := g.configuration.Current()
-	if current == nil {
+	snapshot := g.configuration.Current()
+	if snapshot == nil {
 		return 0
 	}
-	return current.Table.Limits().IdleTimeout
+	return snapshot.Table.Limits().IdleTimeout
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -26,9 +26,9 @@
 	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
 	assert.True(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
-	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "answer of another run")
+	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "response of another run")
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true}))
-	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned answer")
+	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned response")
 	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Signed: true}))
 	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
 }
@@ -61,9 +61,9 @@
 	assert.True(t, reported[0].GetLimited())
 
 	other := newTestGateway(t)
-	answer := other.answerLoad(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
+	response := other.handleLoadReport(context.Background(), &rpc.LoadReport{Node: "g", Partial: true, LimitsOnly: true, Limits: reported})
 	assert.True(t, other.limits.isLimited("w", 0))
-	assert.Len(t, answer.GetLimits(), 1)
+	assert.Len(t, response.GetLimits(), 1)
 	assert.Len(t, g.limits.takePendingBroadcast(), 1)
 	assert.Empty(t, other.limits.takePendingBroadcast(), "received limits aren't broadcast")
 
@@ -77,15 +77,15 @@
 func TestUnsettledNodeGrantsNothing(t *testing.T) {
 	g := newTestGateway(t)
 	g.roleSettled.Store(false)
-	question := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
-	_, err := g.answerGrant(context.Background(), question)
+	request := &rpc.LimitQuestion{Limit: &rpc.WorkerLimit{Worker: "w", Limited: true, Rate: 2}}
+	_, err := g.handleGrantRequest(context.Background(), request)
 	assert.ErrorIs(t, err, errUnsettled)
 	g.roleSettled.Store(true)
-	answer, err := g.answerGrant(context.Background(), question)
+	response, err := g.handleGrantRequest(context.Background(), request)
 	require.NoError(t, err)
-	assert.False(t, answer.GetGranted(), "no initial allowance")
-	assert.InDelta(t, 500, answer.GetWaitMillis(), 20)
-	assert.True(t, answer.GetLimit().GetLimited())
+	assert.False(t, response.GetGranted(), "no initial allowance")
+	assert.InDelta(t, 500, response.GetWaitMillis(), 20)
+	assert.True(t, response.GetLimit().GetLimited())
 }
 
 // A granter that knows the end of a limit must override an older observation of the asking gateway.
@@ -95,9 +95,9 @@
 	now := g.now() + 10*time.Second
 	g.limits.observe(limitObservation(2, now-2*time.Second), false)
 	g.limits.observe(workerlimit.Observation{Worker: "w", RequestedAt: now - time.Second, AnsweredAt: now}, false)
-	answer, err := g.grant(limitObservation(2, now-2*time.Second), 0)
+	response, err := g.grant(limitObservation(2, now-2*time.Second), 0)
 	require.NoError(t, err)
-	assert.True(t, answer.Granted)
+	assert.True(t, response.Granted)
 	known, found := g.limits.knownObservation("w")
 	assert.True(t, found)
 	assert.False(t, known.Limited)
@@ -159,15 +159,15 @@
 	observation := limitObservation(2, g.now())
 	observation.StartTime = 100
 	g.limits.observe(observation, false)
-	intake, _ := g.limits.intake(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 0)
-	assert.Equal(t, backends.AdmissionLimited, intake)
-	intake, _ = g.limits.intake(g.now(), &backends.Worker{ID: "w", StartTime: 200}, 0)
-	assert.Equal(t, backends.AdmissionUnlimited, intake)
+	admission, _ := g.limits.admission(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 0)
+	assert.Equal(t, backends.AdmissionLimited, admission)
+	admission, _ = g.limits.admission(g.now(), &backends.Worker{ID: "w", StartTime: 200}, 0)
+	assert.Equal(t, backends.AdmissionUnlimited, admission)
 	g.limits.recordRefusal(g.now(), "w", 5, workerlimit.Grant{Wait: time.Second, Refill: 100 * time.Millisecond})
-	intake, opensIn := g.limits.intake(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 5)
-	assert.Equal(t, backends.AdmissionClosed, intake)
+	admission, opensIn := g.limits.admission(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 5)
+	assert.Equal(t, backends.AdmissionClosed, admission)
 	assert.InDelta(t, 1, opensIn.Seconds(), 0.05)
-	_, opensIn = g.limits.intake(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 1)
+	_, opensIn = g.limits.admission(g.now(), &backends.Worker{ID: "w", StartTime: 100}, 1)
 	assert.InDelta(t, 0.1, opensIn.Seconds(), 0.05, "higher priority opens earlier")
 	g.forgetPreviousRun("w")
 	assert.False(t, g.limits.isLimited("w", 0))
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,26 +10,26 @@
 	"github.com/tillerfall/tillerfall/internal/workerlimit"
 )
 
-// Notice is what the headers of an answer, to a call of any kind, say about the server that sent
-// it.
+// Notice is the information in the headers of a response, to a call of any kind, about the server
+// that sent it.
 type Notice struct {
-	// Instance is the run that answered; empty if the answer doesn't name it.
+	// Instance is the run that answered; empty if the response doesn't name it.
 	Instance fleet.EngineID
 	// Misdirected is set if the call was refused because it was meant for another run or version.
 	Misdirected bool
 	// Draining is set if the server is shutting down and takes no new requests.
 	Draining bool
-	// RetryAfter is how long the server asks this node to send nothing; 0 if it doesn't ask.
+	// RetryAfter is how long the server asks this gateway to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
 	// Limit is the server's statement on its request limit.
 	Limit workerlimit.Statement
-	// Unknown lists the server's headers about itself that the codec doesn't know.
+	// Unknown lists the headers about the server that the codec doesn't know.
 	Unknown []string
-	// Unreadable lists the server's headers about itself that couldn't be parsed.
-	Unreadable []InvalidInput
+	// Invalid lists the headers about the server that could not be decoded.
+	Invalid []InvalidInput
 }
 
-// appliesTo reports whether the notice can be that of the given worker. A misdirected call may have
+// appliesTo reports whether the notice can be about the given worker. A misdirected call may have
 // been answered by another run that has taken over the address.
 func (n *Notice) appliesTo(worker fleet.EngineID) bool {
 	if n.Instance != "" {
@@ -42,12 +42,12 @@
 type noticeHandlerKey struct{}
 
 // WithNoticeHandler returns a context for calls to a server. handle is called with the notice of
-// each answer as soon as its head has been read, even if the call then fails.
+// each response as soon as its head has been read, even if the call then fails.
 func WithNoticeHandler(ctx context.Context, handle func(Notice)) context.Context {
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HandleNotice passes the notice of an answer to the handler of its call, if there is one.
+// HandleNotice passes the notice of a response to the handler of its call, if there is one.
 func HandleNotice(ctx context.Context, notice Notice) {
 	if handle, found := ctx.Value(noticeHandlerKey{}).(func(Notice)); found {
 		handle(notice)
@@ -68,12 +68,12 @@
 	logged map[fleet.EngineID][]string
 }
 
-// noticeSource identifies the worker's run that a notice is about, and the kind of call that
-// brought it.
+// noticeSource identifies the worker's run that a notice is about, and the kind of call whose
+// response contained it.
 type noticeSource struct {
-	worker fleet.EngineID
-	born   backends.StartTime
-	kind   callKind
+	worker    fleet.EngineID
+	startTime backends.StartTime
+	kind      callKind
 }
 
 // isFirst records a header of a worker and reports whether it has not been logged before. It
@@ -104,17 +104,17 @@
 	delete(u.logged, worker)
 }
 
-// applyNotice handles what an answer says about a worker, except for its limit.
+// applyNotice applies the notice in a response, except for the worker's limit.
 func (g *Gateway) applyNotice(source noticeSource, notice *Notice) {
 	g.logUnknownHeaders(source, notice.Unknown)
 	if !notice.appliesTo(source.worker) {
 		return
 	}
 	if notice.Draining {
-		g.noteDraining(source)
+		g.recordDraining(source)
 	}
 	if notice.RetryAfter > 0 {
-		g.noteRetryAfter(source, notice.RetryAfter)
+		g.recordRetryAfter(source, notice.RetryAfter)
 	}
 }
 
@@ -128,13 +128,13 @@
 	}
 }
 
-// noteDraining records that a worker's answer announces its shutdown.
-func (g *Gateway) noteDraining(source noticeSource) {
+// recordDraining records that a worker's response announces its shutdown.
+func (g *Gateway) recordDraining(source noticeSource) {
 	g.metrics.notices.WithLabelValues(noticeDraining, string(source.kind)).Inc()
-	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.born}, string(source.kind))
+	g.observeDraining(backends.DrainingRun{Worker: source.worker, StartTime: source.startTime}, string(source.kind))
 }
 
-// observeDraining records that a worker is draining, as reported by an answer or a peer.
+// observeDraining records that a worker is draining, as reported by a response or a peer.
 func (g *Gateway) observeDraining(run backends.DrainingRun, source string) {
 	if g.workers.ObserveDraining(run) != backends.StartedDraining {
 		return
@@ -143,16 +143,16 @@
 	g.events.line("worker_notice").Str("worker", string(run.Worker)).Str("notice", noticeDraining).Str("source", source).Msg("worker_notice")
 }
 
-// noteAnswerNotice handles the notice in an answer to a request that was sent at sentAt. It ignores
-// answers that are neither signed nor a worker's statement that it did not run the request, since
-// others may not come from the worker.
-func (g *Gateway) noteAnswerNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
+// applyResponseNotice applies the notice in a response to a request that was sent at sentAt. It
+// ignores responses that are neither signed nor a worker's statement that it did not run the
+// request, since others may not come from the worker.
+func (g *Gateway) applyResponseNotice(worker *backends.Worker, sentAt time.Duration, info ResponseInfo) {
 	if !info.Signed && !info.NotExecuted {
 		return
 	}
-	g.applyNotice(noticeSource{worker: worker.ID, born: worker.StartTime, kind: callRequest}, &info.Notice)
+	g.applyNotice(noticeSource{worker: worker.ID, startTime: worker.StartTime, kind: callRequest}, &info.Notice)
 	if info.RetryAfter == 0 && info.appliesTo(worker.ID) {
-		g.backoffs.recordAnswer(backoffRun(worker.ID, worker.StartTime), sentAt)
+		g.backoffs.recordResponse(backoffRun(worker.ID, worker.StartTime), sentAt)
 	}
 }
 
@@ -163,14 +163,14 @@
 const (
 	noticeDraining   = "draining"
 	noticeRetryAfter = "retry_after"
-	// noticeSourcePeer is the source of a notice that another node forwarded.
+	// noticeSourcePeer is the source of a notice that another gateway forwarded.
 	noticeSourcePeer = "peer"
 )
 
-// withNoticesFrom returns a context in which the notices of a worker's answers are handled.
+// withNoticesFrom returns a context in which the notices of a worker's responses are handled.
 func (g *Gateway) withNoticesFrom(ctx context.Context, source noticeSource) context.Context {
 	return WithNoticeHandler(ctx, func(notice Notice) {
-		g.reportInvalidInput("", notice.Unreadable)
+		g.reportInvalidInput("", notice.Invalid)
 		g.applyNotice(source, &notice)
 	})
 }
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDrainingNoticeCountsOnlyFromTheWorkerItself guards against marking a worker as draining by an
-// unsigned answer, or by one from another run that now has its address.
+// unsigned response, or by one from another run that now has its address.
 func TestDrainingNoticeCountsOnlyFromTheWorkerItself(t *testing.T) {
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
 	for _, test := range []struct {
@@ -32,14 +32,14 @@
 			g := newTestGateway(t)
 			g.workers.Observe(1, worker)
 			test.info.Draining = true
-			g.noteAnswerNotice(&worker, 0, test.info)
+			g.applyResponseNotice(&worker, 0, test.info)
 			assert.Equal(t, test.wantDraining, g.workers.IsDraining("w"))
 		})
 	}
 }
 
 // TestUnknownHeadersAreLoggedOnceAndInBoundedNumber guards against a worker that floods the log, or
-// this node's memory, with unknown headers.
+// this gateway's memory, with unknown headers.
 func TestUnknownHeadersAreLoggedOnceAndInBoundedNumber(t *testing.T) {
 	var logged unknownHeaders
 	assert.True(t, logged.isFirst("w", "Server-Wants"))
@@ -61,7 +61,7 @@
 		g.workers.Observe(1, worker)
 	}
 	assert.Empty(t, sender.loadReport("other").GetDraining())
-	sender.noteAnswerNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
+	sender.applyResponseNotice(&worker, 0, ResponseInfo{Signed: true, Notice: Notice{Draining: true}})
 	report := sender.loadReport("other")
 	receiver.applyLoadReport(report)
 	assert.True(t, receiver.workers.IsDraining("w"))
@@ -81,7 +81,7 @@
 func TestBackoffsAreSharedWithinAZone(t *testing.T) {
 	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
+	g.applyResponseNotice(&worker, 0, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Second}})
 	report := g.loadReport("other")
 	assert.Equal(t, []string{"w"}, report.GetDeferring())
 	assert.Equal(t, []fleet.EngineID{"w"}, g.deferringWorkers(report))
@@ -89,17 +89,17 @@
 	assert.Empty(t, g.deferringWorkers(report))
 }
 
-// TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the answer to an
-// earlier request, or by an answer that isn't the worker's own.
+// TestSuccessSentBeforeABackoffDoesNotEndIt guards against ending a backoff by the response to an
+// earlier request, or by a response that isn't the worker's own.
 func TestSuccessSentBeforeABackoffDoesNotEndIt(t *testing.T) {
 	g := newTestGateway(t)
 	worker := backends.Worker{ID: "w", Address: "10.0.0.1:1", Service: "app", Slots: 1}
-	g.noteAnswerNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
-	assert.NoError(t, g.permitWorker(&worker), "unsigned answer")
-	asked := g.now()
-	g.noteAnswerNotice(&worker, asked, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
-	g.noteAnswerNotice(&worker, asked-time.Millisecond, ResponseInfo{Signed: true})
-	g.noteAnswerNotice(&worker, asked+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
+	g.applyResponseNotice(&worker, 0, ResponseInfo{Notice: Notice{RetryAfter: time.Hour}})
+	assert.NoError(t, g.permitWorker(&worker), "unsigned response")
+	sentAt := g.now()
+	g.applyResponseNotice(&worker, sentAt, ResponseInfo{NotExecuted: true, Notice: Notice{RetryAfter: time.Hour}})
+	g.applyResponseNotice(&worker, sentAt-time.Millisecond, ResponseInfo{Signed: true})
+	g.applyResponseNotice(&worker, sentAt+time.Minute, ResponseInfo{Signed: true, Notice: Notice{Misdirected: true}})
 	assert.ErrorIs(t, g.permitWorker(&worker), errBackoff)
 	g.forgetPreviousRun("w")
 	assert.NoError(t, g.permitWorker(&worker), "the former run has ended")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -85,12 +85,12 @@
 }
 
 func (g *Gateway) readSeeds(ctx context.Context) {
-	nodes, unreadable, err := g.dependencies.Store.ReadNodes(ctx)
+	nodes, invalid, err := g.dependencies.Store.ReadNodes(ctx)
 	if err != nil {
 		g.events.line("nodes_unread").Err(err).Msg("nodes_unread")
 		return
 	}
-	g.reportInvalidInput("", unreadable)
+	g.reportInvalidInput("", invalid)
 	var addresses []fleet.Address
 	for _, node := range nodes {
 		if node.Address != fleet.Address(g.settings().PeerAddress) {
@@ -143,13 +143,13 @@
 	return chosen
 }
 
-// exchangeLoad sends this gateway's report to a member and applies its answer.
+// exchangeLoad sends this gateway's report to a member and applies its response.
 func (g *Gateway) exchangeLoad(member membership.Member) {
 	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), loadExchangeTimeout)
 	defer cancel()
 	start := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
-	g.noteExchange(member.Node, err == nil)
+	g.recordExchange(member.Node, err == nil)
 	if err != nil {
 		g.metrics.peerFailures.Inc()
 		return
@@ -161,8 +161,8 @@
 	g.applyLimits(report, start)
 }
 
-// answerLoad applies another gateway's report and returns this one's.
-func (g *Gateway) answerLoad(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
+// handleLoadReport applies another gateway's report and returns this one's.
+func (g *Gateway) handleLoadReport(_ context.Context, report *rpc.LoadReport) *rpc.LoadReport {
 	g.mergeQuarantineRecords(report.GetQuarantineRecords())
 	if report.GetQuarantineOnly() {
 		return &rpc.LoadReport{Node: string(g.node), Partial: true, QuarantineOnly: true}
@@ -177,26 +177,26 @@
 		return g.deliveryReport(fleet.NodeID(report.GetNode()))
 	}
 	if report.GetPartial() {
-		return g.answerPartialReport(report)
+		return g.handlePartialReport(report)
 	}
 	g.applyLoadReport(report)
-	answer := g.loadReport(fleet.NodeID(report.GetNode()))
+	response := g.loadReport(fleet.NodeID(report.GetNode()))
 	missing := g.quarantines.missingRecords(g.now(), report.GetQuarantineDigest())
-	answer.QuarantineRecords = append(answer.QuarantineRecords, missing...)
-	return answer
+	response.QuarantineRecords = append(response.QuarantineRecords, missing...)
+	return response
 }
 
-// answerPartialReport applies the changes at another gateway. If the report includes quota usage,
-// the answer does too.
-func (g *Gateway) answerPartialReport(report *rpc.LoadReport) *rpc.LoadReport {
-	answer := &rpc.LoadReport{Node: string(g.node), Partial: true}
+// handlePartialReport applies the changes at another gateway. If the report includes quota usage,
+// the response does too.
+func (g *Gateway) handlePartialReport(report *rpc.LoadReport) *rpc.LoadReport {
+	response := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	if !report.GetUsesTold() {
 		g.workers.UpdatePeerLoads(fleet.NodeID(report.GetNode()), g.decodeLoads(report.GetLoads()))
-		return answer
+		return response
 	}
 	g.quotas.applyReport(g.now(), report)
-	g.quotas.writeReport(g.now(), answer, fleet.NodeID(report.GetNode()))
-	return answer
+	g.quotas.writeReport(g.now(), response, fleet.NodeID(report.GetNode()))
+	return response
 }
 
 // loadReport returns this gateway's full report to another one.
@@ -206,7 +206,7 @@
 		Node:        string(g.node),
 		RequestRate: encodeRate(g.demand.ownRate()),
 		Pressure:    uint32(g.pressure.level()),
-		Named:       g.namedVersions(now),
+		Named:       g.encodeRecentVersions(now),
 		Limits:      g.limits.encodedLimits(now),
 	}
 	report.Loads = g.encodeLoads(g.workers.OwnLoad())
@@ -229,36 +229,37 @@
 	for _, run := range g.workers.UnpublishedDraining() {
 		report.Draining = append(report.Draining, &rpc.DrainingRun{Worker: string(run.Worker), Born: uint64(run.StartTime)})
 	}
-	if _, holds := g.lease.Fence(); holds {
-		report.Weights = g.dueVersions(now, to)
+	if _, isHolder := g.lease.Fence(); isHolder {
+		report.Weights = g.versionsToReport(now, to)
 	}
 	g.quotas.writeReport(now, report, to)
 	g.deliveries.writeReport(now, report, to)
 	g.quarantines.writeReport(now, report)
-	if held := g.configuration.Current(); held != nil {
+	if snapshot := g.configuration.Current(); snapshot != nil {
 		if age, proven := g.freshness.Age(now); proven && age < g.settings().RevokeWithin {
 			report.ProofAgeMillis = uint32(age.Milliseconds()) + 1
-			report.ProofRevision = uint64(held.Revision)
+			report.ProofRevision = uint64(snapshot.Revision)
 		}
 	}
 	return report
 }
 
-// namedVersions returns the newest model versions with the time since each was named.
-func (g *Gateway) namedVersions(now time.Duration) []*rpc.NamedVersion {
+// encodeRecentVersions returns the latest desired model versions with the time since each was
+// requested.
+func (g *Gateway) encodeRecentVersions(now time.Duration) []*rpc.NamedVersion {
 	var named []*rpc.NamedVersion
-	for model, namings := range g.rollout.recentVersions() {
-		for _, naming := range namings {
+	for model, publications := range g.rollout.recentVersions() {
+		for _, publication := range publications {
 			named = append(named, &rpc.NamedVersion{
-				Model: string(model), Version: naming.Version, AgeMillis: uint32(max(now-naming.At, 0).Milliseconds()),
+				Model: string(model), Version: publication.Version, AgeMillis: uint32(max(now-publication.At, 0).Milliseconds()),
 			})
 		}
 	}
 	return named
 }
 
-// applyNamedVersions records when other gateways heard of model versions.
-func (g *Gateway) applyNamedVersions(named []*rpc.NamedVersion) {
+// applyPeerVersions records when, according to another gateway, model versions were requested.
+func (g *Gateway) applyPeerVersions(named []*rpc.NamedVersion) {
 	now := g.now()
 	for _, version := range named {
 		at := now - time.Duration(version.GetAgeMillis())*time.Millisecond
@@ -266,9 +267,9 @@
 	}
 }
 
-// dueVersions returns the engines' model versions to include in a report to a gateway. The lease
-// holder is their authority.
-func (g *Gateway) dueVersions(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
+// versionsToReport returns the engines' model versions to include in a report to a gateway. Only
+// the lease holder reports them.
+func (g *Gateway) versionsToReport(now time.Duration, to fleet.NodeID) []*rpc.WorkerWeights {
 	var present []engineVersion
 	for _, worker := range g.workers.WorkersInUse() {
 		for model, version := range worker.Versions {
@@ -309,7 +310,7 @@
 	for _, run := range report.GetDraining() {
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), StartTime: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
 	}
-	g.applyNamedVersions(report.GetNamed())
+	g.applyPeerVersions(report.GetNamed())
 	g.quotas.applyReport(now, report)
 	g.demand.setPeerRate(now, fleet.NodeID(report.GetNode()), decodeRate(report.GetRequestRate()))
 	g.deliveries.addEvidence(now, fleet.NodeID(report.GetNode()), report.GetDeliveryEvidence())
@@ -320,12 +321,12 @@
 	}
 }
 
-// applyProof adopts another gateway's proof of freshness: if its proof had age a when it answered a
-// call that began at start, and its configuration is not newer than the one held here, then this
+// applyProof adopts another gateway's proof of freshness: if the proof had age a when the gateway
+// answered a call that began at start, and its configuration is not newer than the one here, this
 // configuration was current at start-a.
 func (g *Gateway) applyProof(start time.Duration, report *rpc.LoadReport) {
-	held := g.configuration.Current()
-	if held == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(held.Revision) {
+	snapshot := g.configuration.Current()
+	if snapshot == nil || report.GetProofRevision() == 0 || report.GetProofRevision() > uint64(snapshot.Revision) {
 		return
 	}
 	g.freshness.Prove(start - time.Duration(report.GetProofAgeMillis())*time.Millisecond)
--- a/internal/gateway/pressure_test.go
+++ b/internal/gateway/pressure_test.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// TestPressureFollowsTheLimits guards against a pressure that misses one of the node's limits.
+// TestPressureFollowsTheLimits guards against a pressure that misses one of the gateway's limits.
 func TestPressureFollowsTheLimits(t *testing.T) {
 	limits := nodecapacity.Limits{ProcessorShare: 0.2, MemoryMB: 100, FileDescriptors: 1200}
 	var processor time.Duration
@@ -47,38 +47,39 @@
 	assert.Equal(t, nodecapacity.Busy, step(0.1, 50, 100))
 }
 
-// TestPressureIsFreeWithoutLimits guards against pressure at a node without limits in its settings.
+// TestPressureIsFreeWithoutLimits guards against pressure at a gateway without limits in its
+// settings.
 func TestPressureIsFreeWithoutLimits(t *testing.T) {
 	measured := &pressureMonitor{}
 	_, after := measured.observe(time.Second, resourceUsage{processor: time.Hour, memory: 1 << 40, descriptors: 1 << 20}, nodecapacity.Limits{})
 	assert.Equal(t, nodecapacity.Free, after)
 }
 
-// TestNodeUnderPressureGetsFewerCallers guards against planning a node under pressure at its full
-// capacity, and against reports that are outdated or have expired.
+// TestNodeUnderPressureGetsFewerCallers guards against planning a gateway under pressure at its
+// full capacity, and against reports that are outdated or have expired.
 func TestNodeUnderPressureGetsFewerCallers(t *testing.T) {
 	g := newTestGateway(t)
-	assert.Empty(t, g.origins.capacityWeights(0))
+	assert.Empty(t, g.origins.capacityFactors(0))
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Busy)})
 	now := g.now()
-	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityWeights(now))
+	assert.Equal(t, map[fleet.NodeID]float64{"other": nodecapacity.Busy.Weight()}, g.origins.capacityFactors(now))
 	g.updateRoles(now)
-	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().pressureWeights["other"])
+	assert.Equal(t, nodecapacity.Busy.Weight(), g.roles.Load().capacityFactors["other"])
 	_, pressures := g.originReport(now)
 	require.Len(t, pressures, 1)
 	g.applyOriginReport(now, nil, []*rpc.NodePressure{{Node: "other", Pressure: uint32(nodecapacity.Free), AgeMillis: 2000}})
-	assert.NotEmpty(t, g.origins.capacityWeights(now), "an older report is ignored")
-	assert.Empty(t, g.origins.capacityWeights(now+rateLifetime+time.Second), "a report that isn't renewed expires")
+	assert.NotEmpty(t, g.origins.capacityFactors(now), "an older report is ignored")
+	assert.Empty(t, g.origins.capacityFactors(now+rateLifetime+time.Second), "a report that isn't renewed expires")
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: uint32(nodecapacity.Full)})
-	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityWeights(g.now())["other"])
+	assert.Equal(t, nodecapacity.Full.Weight(), g.origins.capacityFactors(g.now())["other"])
 	g.applyLoadReport(&rpc.LoadReport{Node: "other", Pressure: 77})
 	assert.True(t, g.origins.isUnreachable(g.now(), "other"), "an unknown value counts as the highest")
 	g.applyLoadReport(&rpc.LoadReport{Node: "other"})
-	assert.Empty(t, g.origins.capacityWeights(g.now()))
+	assert.Empty(t, g.origins.capacityFactors(g.now()))
 }
 
-// TestOwnPressureIsReported guards against a node that doesn't report its own pressure to peers and
-// watchers.
+// TestOwnPressureIsReported guards against a gateway that doesn't report its own pressure to peers
+// and watchers.
 func TestOwnPressureIsReported(t *testing.T) {
 	g := newTestGateway(t)
 	settings := *g.settings()
@@ -116,8 +117,8 @@
 	assert.NotContains(t, sample(time.Minute, alone), south, "its callers have arrived, or it serves them itself")
 }
 
-// TestRandomVariationOfRatesRarelyChangesThePlan guards against replanning on the random variation of
-// low request rates.
+// TestRandomVariationOfRatesRarelyChangesThePlan guards against replanning on the random variation
+// of low request rates.
 func TestRandomVariationOfRatesRarelyChangesThePlan(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	tracker := newOriginTracker()
@@ -168,7 +169,7 @@
 }
 
 // TestConnectionsBeyondTheBoundAreClosedUnread guards against connections that wait, or are served,
-// while the node has no descriptors left.
+// while the gateway has no descriptors left.
 func TestConnectionsBeyondTheBoundAreClosedUnread(t *testing.T) {
 	var accepted, callers []net.Conn
 	for range 3 {
@@ -193,8 +194,8 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to nodes before this node
-// has a configuration.
+// TestDirectoryIsEmptyBeforeTheNodeIsReady guards against directing callers to gateways before this
+// gateway has a configuration.
 func TestDirectoryIsEmptyBeforeTheNodeIsReady(t *testing.T) {
 	g := newTestGateway(t)
 	g.roleSettled.Store(true)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// errQuarantined is the cause of a send that isn't made, or is cancelled before its answer begins,
-// because its request is quarantined.
+// errQuarantined is the cause of a send that isn't made, or is cancelled before its response
+// begins, because its request is quarantined.
 var errQuarantined = errors.New("request is quarantined")
 
 // sharedCrashes is the number of worker crashes from which on a request's record goes to every
@@ -26,14 +26,14 @@
 	// active is set by the first record. Until then requests skip the mutex.
 	active atomic.Bool
 
-	mutex  sync.Mutex
-	ledger *quarantine.Tracker
+	mutex   sync.Mutex
+	tracker *quarantine.Tracker
 	// changedAt holds when a record last changed here. Reports include it for reportChangesFor.
 	changedAt map[quarantine.Fingerprint]time.Duration
 	// pendingBroadcast holds the records to send to other gateways at once.
 	pendingBroadcast map[quarantine.Fingerprint]bool
 	// local holds the requests that were in flight at a crashed worker, or were answered after a
-	// crash, at this gateway. It keeps their stored rows up to date.
+	// crash, at this gateway. This gateway keeps their stored rows up to date.
 	local map[quarantine.Fingerprint]bool
 	// stored holds the known state of the store's rows.
 	stored map[quarantine.Fingerprint]storedQuarantine
@@ -46,7 +46,7 @@
 
 func newQuarantineState() *quarantineState {
 	return &quarantineState{
-		ledger:           quarantine.NewTracker(quarantine.Options{}),
+		tracker:          quarantine.NewTracker(quarantine.Options{}),
 		changedAt:        make(map[quarantine.Fingerprint]time.Duration),
 		pendingBroadcast: make(map[quarantine.Fingerprint]bool),
 		local:            make(map[quarantine.Fingerprint]bool),
@@ -56,32 +56,32 @@
 	}
 }
 
-// check returns whether a request is held and when its next trial is due.
+// check returns whether a request is quarantined and when its next trial is due.
 func (q *quarantineState) check(now time.Duration, fingerprint quarantine.Fingerprint) quarantine.Verdict {
 	if !q.active.Load() {
 		return quarantine.Verdict{}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.ledger.Check(now, fingerprint)
+	return q.tracker.Check(now, fingerprint)
 }
 
 // quarantineChange is the effect of an update on one request.
 type quarantineChange struct {
 	verdict quarantine.Verdict
-	// began is set if the request is held from now on, ended if it is released.
+	// began is set if the request is quarantined from now on, ended if it is released.
 	began, ended bool
 }
 
-// update applies a change to the ledger and returns its effect. The record is broadcast if change
-// returns true or the request becomes held.
+// update applies a change to the tracker and returns its effect. The record is broadcast if change
+// returns true or the request becomes quarantined.
 func (q *quarantineState) update(now time.Duration, fingerprint quarantine.Fingerprint, change func(*quarantine.Tracker) (broadcast bool)) quarantineChange {
 	q.active.Store(true)
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	before := q.ledger.Check(now, fingerprint)
-	broadcast := change(q.ledger)
-	after := q.ledger.Check(now, fingerprint)
+	before := q.tracker.Check(now, fingerprint)
+	broadcast := change(q.tracker)
+	after := q.tracker.Check(now, fingerprint)
 	outcome := quarantineChange{verdict: after, began: !before.Quarantined && after.Quarantined, ended: before.Quarantined && !after.Quarantined}
 	// A single crash that another gateway saw is reported by that gateway alone. Otherwise a
 	// failure of many runs would be reported by each gateway to all others.
@@ -103,22 +103,22 @@
 
 // recordCrash records that a worker crashed while this gateway had a request in flight there.
 func (q *quarantineState) recordCrash(now time.Duration, fingerprint quarantine.Fingerprint, worker fleet.EngineID) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool {
 		q.local[fingerprint] = true
-		return ledger.ObserveCrash(now, fingerprint, worker)
+		return tracker.ObserveCrash(now, fingerprint, worker)
 	})
 }
 
-// recordAnswer records that this gateway received a complete answer to a request.
-func (q *quarantineState) recordAnswer(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
+// recordResponse records that this gateway received a complete response to a request.
+func (q *quarantineState) recordResponse(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
 	if !q.active.Load() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
-		q.ledger.ObserveAnswer(now, fingerprint)
+		q.tracker.ObserveAnswer(now, fingerprint)
 		return quarantineChange{}
 	}
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool {
-		suspected := ledger.ObserveAnswer(now, fingerprint)
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool {
+		suspected := tracker.ObserveAnswer(now, fingerprint)
 		if suspected {
 			q.local[fingerprint] = true
 		}
@@ -126,23 +126,23 @@
 	})
 }
 
-// merge merges a record of another gateway or the store. If this gateway knows of an answer or a
-// trial that the record lacks, it broadcasts it.
+// merge merges a record of another gateway or the store. If this gateway knows of a response or a
+// trial that the record does not contain, it broadcasts its own record.
 func (q *quarantineState) merge(now time.Duration, record *quarantine.Record) quarantineChange {
-	return q.update(now, record.Fingerprint, func(ledger *quarantine.Tracker) bool {
-		ledger.Merge(record)
-		return ledger.IsAheadOf(record)
+	return q.update(now, record.Fingerprint, func(tracker *quarantine.Tracker) bool {
+		tracker.Merge(record)
+		return tracker.IsAheadOf(record)
 	})
 }
 
 // release ends the quarantine of a request.
 func (q *quarantineState) release(now time.Duration, fingerprint quarantine.Fingerprint) quarantineChange {
-	return q.update(now, fingerprint, func(ledger *quarantine.Tracker) bool { return ledger.Release(now, fingerprint) })
+	return q.update(now, fingerprint, func(tracker *quarantine.Tracker) bool { return tracker.Release(now, fingerprint) })
 }
 
 // sweep drops expired records, and returns the released requests and the number of those still
-// held.
-func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, held int) {
+// quarantined.
+func (q *quarantineState) sweep(now time.Duration) (released []quarantine.Fingerprint, quarantined int) {
 	if !q.active.Load() {
 		return nil, 0
 	}
@@ -153,20 +153,20 @@
 			delete(q.changedAt, fingerprint)
 		}
 	}
-	released = q.ledger.Sweep(now)
-	if len(q.stored) > 0 || len(q.ledger.RecordsWithCrashes(sharedCrashes)) > 0 {
+	released = q.tracker.Sweep(now)
+	if len(q.stored) > 0 || len(q.tracker.RecordsWithCrashes(sharedCrashes)) > 0 {
 		signal(q.storeSignal)
 	}
 	for fingerprint := range q.local {
-		if _, known := q.ledger.Record(fingerprint); !known {
+		if _, known := q.tracker.Record(fingerprint); !known {
 			delete(q.local, fingerprint)
 		}
 	}
-	return released, q.ledger.QuarantinedCount()
+	return released, q.tracker.QuarantinedCount()
 }
 
-// checkQuarantine returns a refusal if a request is held. A request whose trial is due passes if
-// this gateway acquires the trial.
+// checkQuarantine returns a refusal if a request is quarantined. A request whose trial is due
+// passes if this gateway acquires the trial.
 func (g *Gateway) checkQuarantine(current *callerRequest) *refusal {
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if !verdict.Quarantined {
@@ -176,28 +176,28 @@
 		current.quarantineTrial = true
 		return nil
 	}
-	g.recordHeldRequest(current, verdict)
+	g.recordQuarantinedRequest(current, verdict)
 	return &refusal{code: resultcode.Quarantined, reason: reasonQuarantined, retryAfter: max(verdict.RetryAfter, longRetryAfter)}
 }
 
 // reasonQuarantined is the refusal reason of a quarantined request.
-const reasonQuarantined = "workers ended under it"
+const reasonQuarantined = "request is quarantined"
 
-// checkHeld reports whether a request is held, and logs it if so. The trial of a held request
-// passes.
-func (g *Gateway) checkHeld(current *callerRequest) (quarantine.Verdict, bool) {
+// quarantineVerdict returns the verdict on a request and whether it is quarantined, and logs it if
+// so. The trial of a quarantined request passes.
+func (g *Gateway) quarantineVerdict(current *callerRequest) (quarantine.Verdict, bool) {
 	if current.quarantineTrial {
 		return quarantine.Verdict{}, false
 	}
 	verdict := g.quarantines.check(g.now(), current.fingerprint)
 	if verdict.Quarantined {
-		g.recordHeldRequest(current, verdict)
+		g.recordQuarantinedRequest(current, verdict)
 	}
 	return verdict, verdict.Quarantined
 }
 
-// recordHeldRequest logs and counts a request that was refused or cancelled by quarantine.
-func (g *Gateway) recordHeldRequest(current *callerRequest, verdict quarantine.Verdict) {
+// recordQuarantinedRequest logs and counts a request that was refused or cancelled by quarantine.
+func (g *Gateway) recordQuarantinedRequest(current *callerRequest, verdict quarantine.Verdict) {
 	g.metrics.quarantineRefusals.Inc()
 	g.events.line("request_held").Str("request_id", current.metadata.RequestID).Str("fingerprint", current.fingerprint.String()).
 		Str("route", current.route.Name).Int("ends", verdict.Crashes).Dur("first_end_age", verdict.FirstAge).
@@ -206,25 +206,25 @@
 
 // recordWorkerCrash records the requests whose runs ended with their worker, unless the worker was
 // draining.
-func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, proof quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
+func (g *Gateway) recordWorkerCrash(worker fleet.EngineID, evidence quarantine.Evidence, fingerprints []quarantine.Fingerprint) {
 	if g.workers.IsDraining(worker) {
 		return
 	}
 	g.metrics.runsEndedWithWorker.Add(float64(len(fingerprints)))
-	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", proof.String()).
+	g.events.line("worker_ended").Str("worker", string(worker)).Str("proof", evidence.String()).
 		Int("runs", len(fingerprints)).Str("fingerprints", shortFingerprints(fingerprints)).Msg("worker_ended")
 	for _, fingerprint := range fingerprints {
 		g.handleQuarantineChange(fingerprint, "worker_ended", g.quarantines.recordCrash(g.now(), fingerprint, worker))
 	}
 }
 
-// recordAnswered records a complete answer to a request.
-func (g *Gateway) recordAnswered(current *callerRequest) {
-	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordAnswer(g.now(), current.fingerprint))
+// recordCompleteResponse records a complete response to a request.
+func (g *Gateway) recordCompleteResponse(current *callerRequest) {
+	g.handleQuarantineChange(current.fingerprint, "answered", g.quarantines.recordResponse(g.now(), current.fingerprint))
 }
 
 // handleQuarantineChange logs the start or end of a quarantine and its source. At the start it
-// cancels sends of the request whose answer hasn't begun.
+// cancels sends of the request whose response hasn't begun.
 func (g *Gateway) handleQuarantineChange(fingerprint quarantine.Fingerprint, source string, change quarantineChange) {
 	switch {
 	case change.began:
@@ -239,8 +239,8 @@
 
 // sweepQuarantines drops expired records.
 func (g *Gateway) sweepQuarantines() {
-	released, held := g.quarantines.sweep(g.now())
-	g.metrics.quarantined.Set(float64(held))
+	released, quarantined := g.quarantines.sweep(g.now())
+	g.metrics.quarantined.Set(float64(quarantined))
 	for _, fingerprint := range released {
 		g.handleQuarantineChange(fingerprint, "forgotten", quarantineChange{ended: true})
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -72,8 +72,9 @@
 	return g
 }
 
-// heldRequest returns a request that the gateway holds, with crashes that long ago.
-func heldRequest(g *Gateway, ago time.Duration) *callerRequest {
+// quarantinedRequest returns a request that is quarantined at the gateway, with crashes that long
+// ago.
+func quarantinedRequest(g *Gateway, ago time.Duration) *callerRequest {
 	current := &callerRequest{
 		request:  httptest.NewRequest("POST", "/a", nil),
 		metadata: Metadata{RequestID: "r"},
@@ -90,10 +91,11 @@
 	return current
 }
 
-// A quarantined request must be refused before any send, with a result that says it wasn't run.
+// A quarantined request must be refused before any send, with a result code that means it wasn't
+// run.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	refused := g.checkQuarantine(current)
 	require.NotNil(t, refused)
 	assert.Equal(t, resultcode.Quarantined, refused.code)
@@ -105,17 +107,17 @@
 	assert.Nil(t, g.checkQuarantine(&other))
 }
 
-// Of two gateways that try a held request at the same time only one may succeed.
+// Of two gateways that try a quarantined request at the same time only one may succeed.
 func TestOnlyOneGatewayRunsATrial(t *testing.T) {
 	store := newQuarantineStore()
 	one, other := quarantineGateway(t, store), quarantineGateway(t, store)
 	const past = quarantine.DefaultTrialDelay + time.Second
-	first, second := heldRequest(one, past), heldRequest(other, past)
+	first, second := quarantinedRequest(one, past), quarantinedRequest(other, past)
 	assert.Nil(t, one.checkQuarantine(first))
 	assert.True(t, first.quarantineTrial)
 	assert.NoError(t, one.permitRequest(first, nil))
 	assert.NotNil(t, other.checkQuarantine(second), "stored trial is newer")
-	assert.NotNil(t, one.checkQuarantine(heldRequest(one, past)), "no second trial")
+	assert.NotNil(t, one.checkQuarantine(quarantinedRequest(one, past)), "no second trial")
 	assert.Equal(t, 1, store.rows[first.fingerprint].Trials)
 }
 
@@ -123,7 +125,7 @@
 func TestTrialRequiresStoreWrite(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
+	current := quarantinedRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.failed = errors.Wrap(platform.ErrUnavailable, "down")
 	assert.NotNil(t, g.checkQuarantine(current))
 	store.failed = nil
@@ -134,22 +136,22 @@
 func TestTrialRetriesOnUnknownStoredRow(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, quarantine.DefaultTrialDelay+time.Second)
+	current := quarantinedRequest(g, quarantine.DefaultTrialDelay+time.Second)
 	store.rows[current.fingerprint] = QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1"}, Version: 9}
 	store.version = 9
 	assert.Nil(t, g.checkQuarantine(current))
 	assert.Equal(t, 1, store.rows[current.fingerprint].Trials)
 }
 
-// Rows must be written once, by gateways that saw the crash, and removed after an answer.
+// Rows must be written once, by gateways that saw the crash, and removed after a response.
 func TestRowsAreWrittenByGatewaysThatSawTheCrash(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	sync := func(isReader, isLeader bool) {
-		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isLeader)
+	sync := func(isReader, isHolder bool) {
+		changes := g.quarantines.pendingStoreChanges(g.now(), isReader, isHolder)
 		g.applyStoreChanges(&changes)
 	}
-	current := heldRequest(g, 0)
+	current := quarantinedRequest(g, 0)
 	sync(true, true)
 	assert.Empty(t, store.rows, "other gateways write it")
 	g.recordWorkerCrash("w3", quarantine.ConnectionRefused, []quarantine.Fingerprint{current.fingerprint})
@@ -162,7 +164,7 @@
 	sync(true, true)
 	assert.Equal(t, calls, store.calls, "no changes left")
 
-	g.recordAnswered(current)
+	g.recordCompleteResponse(current)
 	sync(false, false)
 	assert.Empty(t, store.rows)
 }
@@ -171,7 +173,7 @@
 func TestOrphanedRecordIsWrittenByAReader(t *testing.T) {
 	store := newQuarantineStore()
 	g := quarantineGateway(t, store)
-	current := heldRequest(g, orphanedAfter+time.Second)
+	current := quarantinedRequest(g, orphanedAfter+time.Second)
 	assert.Empty(t, g.quarantines.pendingStoreChanges(g.now(), false, true).write)
 	assert.Len(t, g.quarantines.pendingStoreChanges(g.now(), true, false).write, 1)
 	g.applyQuarantineRow(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3})
@@ -181,7 +183,7 @@
 // A removed row must release the request, also against peers that still report it.
 func TestRemovedRowEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	row := QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 3}
 	gone := QuarantineRow{Fingerprint: current.fingerprint, Version: 4, Deleted: true}
 	g.applyQuarantineRow(&gone)
@@ -190,8 +192,8 @@
 	g.applyQuarantineRow(&gone)
 	assert.Nil(t, g.checkQuarantine(current))
 	g.quarantines.takePendingBroadcast()
-	heldRequest(g, time.Second)
-	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the hold")
+	quarantinedRequest(g, time.Second)
+	assert.Nil(t, g.checkQuarantine(current), "stale record must not restore the quarantine")
 	assert.Len(t, g.quarantines.takePendingBroadcast(), 1, "release broadcast")
 }
 
@@ -199,7 +201,7 @@
 // snapshot must not.
 func TestRowMissingFromSnapshotEndsQuarantine(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	g.quarantines.setStored(&QuarantineRow{Fingerprint: current.fingerprint, Workers: []fleet.EngineID{"w0", "w1", "w2"}, Version: 7})
 	g.quarantineTable.apply(&watchcache.Update{Revision: 6, Complete: true}, gapNone)
 	assert.NotNil(t, g.checkQuarantine(current))
@@ -210,7 +212,7 @@
 // The start of a quarantine must cancel pending sends of the request, but not its trial.
 func TestQuarantineCancelsPendingSends(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
-	current := heldRequest(g, time.Second)
+	current := quarantinedRequest(g, time.Second)
 	var causes []error
 	for _, send := range []*pendingSend{
 		{fingerprint: current.fingerprint}, {fingerprint: current.fingerprint, quarantineTrial: true}, {fingerprint: quarantine.Fingerprint{1}},
@@ -223,7 +225,8 @@
 	assert.ErrorIs(t, causes[0], errQuarantined)
 }
 
-// Reports must carry recent changes, and answers the records that the other gateway lacks.
+// Reports must carry recent changes, and responses must carry the records that the other gateway
+// misses.
 func TestReportsCarryChangedAndMissingRecords(t *testing.T) {
 	one, other := quarantineGateway(t, newQuarantineStore()), quarantineGateway(t, newQuarantineStore())
 	single := quarantine.Record{Fingerprint: quarantine.Fingerprint{9}, Crashes: []quarantine.Crash{{Worker: "w", At: one.now()}}}
@@ -235,7 +238,7 @@
 	one.quarantines.mutex.Lock()
 	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
-	current := heldRequest(one, 5*time.Second)
+	current := quarantinedRequest(one, 5*time.Second)
 	report := one.loadReport("other")
 	require.Len(t, report.QuarantineRecords, 1, "recently changed")
 	decoded, err := decodeQuarantineRecord(one.now(), report.QuarantineRecords[0])
@@ -246,30 +249,30 @@
 	clear(one.quarantines.changedAt)
 	one.quarantines.mutex.Unlock()
 	assert.Empty(t, one.loadReport("other").QuarantineRecords)
-	answer := one.answerLoad(context.Background(), other.loadReport("one"))
-	other.mergeQuarantineRecords(answer.GetQuarantineRecords())
+	response := one.handleLoadReport(context.Background(), other.loadReport("one"))
+	other.mergeQuarantineRecords(response.GetQuarantineRecords())
 	assert.NotNil(t, other.checkQuarantine(current), "digest differs")
-	assert.Empty(t, one.answerLoad(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
+	assert.Empty(t, one.handleLoadReport(context.Background(), other.loadReport("one")).QuarantineRecords, "digest equal")
 	watched, _ := one.buildWatchResponse(&rpc.WatchRequest{})
 	assert.Len(t, watched.GetQuarantineRecords(), 1)
 	watched, _ = one.buildWatchResponse(&rpc.WatchRequest{QuarantineDigest: other.quarantines.digest()})
 	assert.Empty(t, watched.GetQuarantineRecords())
 
 	other.mergeQuarantineRecords([]*rpc.QuarantineRecord{{Fingerprint: []byte{1}}})
-	assert.Equal(t, 1, other.quarantines.ledger.QuarantinedCount(), "unreadable record ignored")
+	assert.Equal(t, 1, other.quarantines.tracker.QuarantinedCount(), "unreadable record ignored")
 }
 
-// An answer to a request that other gateways suspect must release it and be broadcast.
-func TestAnswerOfSuspectedRequestIsBroadcast(t *testing.T) {
+// A response to a request that other gateways suspect must release it and be broadcast.
+func TestResponseToSuspectedRequestIsBroadcast(t *testing.T) {
 	g := quarantineGateway(t, newQuarantineStore())
 	current := &callerRequest{fingerprint: quarantine.Fingerprint{7}}
-	g.recordAnswered(current)
+	g.recordCompleteResponse(current)
 	assert.Empty(t, g.quarantines.takePendingBroadcast())
 	record := quarantine.Record{Fingerprint: current.fingerprint, Crashes: []quarantine.Crash{{Worker: "a", At: g.now()}, {Worker: "b", At: g.now()}, {Worker: "c", At: g.now()}}}
 	g.handleQuarantineChange(current.fingerprint, "peer", g.quarantines.merge(g.now(), &record))
 	assert.False(t, g.quarantines.check(g.now(), current.fingerprint).Quarantined)
 	broadcast := g.quarantines.takePendingBroadcast()
-	require.Len(t, broadcast, 1, "answer broadcast")
+	require.Len(t, broadcast, 1, "response broadcast")
 	assert.True(t, broadcast[0].Answered)
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,19 +21,19 @@
 // errPartialEvent means that a stream ended within an event.
 var errPartialEvent = errors.New("stream ended within an event")
 
-// deliverStream relays the events of a stream as they arrive, only whole ones. A stream that breaks
-// off may be resumed at another worker.
-func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, answer *upstream.Response) attempt.Step {
+// deliverStream relays the complete events of a stream as they arrive. A stream that breaks off may
+// be resumed at another worker.
+func (g *Gateway) deliverStream(ctx context.Context, current *callerRequest, placement *backends.Placement, response *upstream.Response) attempt.Step {
 	run := placement.Worker.Run()
 	step := current.attempts.Answered(g.now(), run, false)
 	if step.Kind != attempt.StepDeliver {
 		g.recordOutcome(current, placement, backends.Failed, "not delivered")
 		return step
 	}
-	relay := &eventRelay{answer: answer, lastID: current.lastEventID}
+	relay := &eventRelay{response: response, lastID: current.lastEventID}
 	err := relay.run(func(events []byte) error {
 		placement.FirstByte(g.now())
-		return g.writeEvents(current, answer, events)
+		return g.writeEvents(current, response, events)
 	})
 	current.lastEventID = relay.lastID
 	switch {
@@ -42,29 +42,29 @@
 		return step
 	case err == nil:
 		// A stream without events is passed on as an empty body.
-		g.sendHead(current, answer, 0)
+		g.sendHead(current, response, 0)
 		g.recordOutcome(current, placement, backends.Succeeded, "")
 		return step
 	case current.isCallerGone() || errors.Is(err, errCallerWrite):
-		g.noteLostRun(current, placement, quarantine.Abandoned)
+		g.recordLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Cancelled, "caller gone")
 		return attempt.Step{Kind: attempt.StepAbort}
 	case ctx.Err() != nil:
-		g.noteLostRun(current, placement, quarantine.Abandoned)
+		g.recordLostRun(current, placement, quarantine.Abandoned)
 		g.recordOutcome(current, placement, backends.Lost, "deadline passed")
 		return current.attempts.Expired()
 	default:
-		g.noteLostRun(current, placement, quarantine.ConnectionBroken)
+		g.recordLostRun(current, placement, quarantine.ConnectionBroken)
 		g.recordOutcome(current, placement, backends.Lost, "stream: "+err.Error())
-		answer.Close()
+		response.Close()
 		return current.attempts.Truncated(g.now(), run, current.rememberCopy(placement))
 	}
 }
 
-// writeEvents writes whole events to the caller and flushes them.
-func (g *Gateway) writeEvents(current *callerRequest, answer *upstream.Response, events []byte) error {
+// writeEvents writes complete events to the caller and flushes them.
+func (g *Gateway) writeEvents(current *callerRequest, response *upstream.Response, events []byte) error {
 	if !current.headSent {
-		g.sendHead(current, answer, unknownLength)
+		g.sendHead(current, response, unknownLength)
 	}
 	now := g.now()
 	current.eventCount += bytes.Count(events, []byte("\n\n"))
@@ -81,15 +81,15 @@
 	return nil
 }
 
-// eventRelay reads a stream of events and relays whole ones.
+// eventRelay reads a stream of events and relays complete ones.
 type eventRelay struct {
-	answer *upstream.Response
+	response *upstream.Response
 	// lastID is the identifier of the last relayed event.
 	lastID string
 	buffer []byte
 }
 
-// run reads until the end of the stream and calls relay with whole events. It returns nil if the
+// run reads until the end of the stream and calls relay with complete events. It returns nil if the
 // stream ended at the end of an event.
 func (r *eventRelay) run(relay func(events []byte) error) error {
 	const chunk = 4 << 10
@@ -99,9 +99,9 @@
 			copy(grown, r.buffer)
 			r.buffer = grown
 		}
-		count, err := r.answer.Read(r.buffer[len(r.buffer):cap(r.buffer)])
+		count, err := r.response.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+count]
-		if relayErr := r.relayWholeEvents(relay); relayErr != nil {
+		if relayErr := r.relayCompleteEvents(relay); relayErr != nil {
 			return relayErr
 		}
 		switch {
@@ -117,8 +117,8 @@
 	}
 }
 
-// relayWholeEvents passes the whole events in the buffer on and removes them from it.
-func (r *eventRelay) relayWholeEvents(relay func(events []byte) error) error {
+// relayCompleteEvents relays the complete events in the buffer and removes them from it.
+func (r *eventRelay) relayCompleteEvents(relay func(events []byte) error) error {
 	end := lastEventEnd(r.buffer)
 	if end == 0 {
 		return nil
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// lastEventEnd returns the end of the last whole event in the buffer, 0 if there is none. A blank
-// line ends an event.
+// lastEventEnd returns the end of the last complete event in the buffer, 0 if there is none. A
+// blank line ends an event.
 func lastEventEnd(buffer []byte) int {
 	end := 0
 	if at := bytes.LastIndex(buffer, []byte("\n\n")); at >= 0 {
@@ -147,7 +147,7 @@
 	return end
 }
 
-// findLastEventID returns the last event identifier in whole events.
+// findLastEventID returns the last event identifier in complete events.
 func findLastEventID(events []byte) (string, bool) {
 	const field = "id:"
 	at := bytes.LastIndex(events, []byte("\n"+field))
--- a/internal/gateway/subsets_test.go
+++ b/internal/gateway/subsets_test.go
@@ -143,8 +143,8 @@
 	assert.Len(t, follower.workers.Workers(), len(known)-1)
 }
 
-// A change of role must add and drop workers without counting any as gone.
-func TestCandidateLeaderLearnsAllWorkers(t *testing.T) {
+// A change of role must add and drop workers without reporting any as gone.
+func TestLeaseCandidateLearnsAllWorkers(t *testing.T) {
 	reader, follower := readerGateway(t, 5000), followerGateway(t)
 	watch(t, follower, reader)
 	inUse := len(follower.workers.Workers())
@@ -234,9 +234,9 @@
 	}
 }
 
-// BenchmarkNextWeightsChange measures one search of the lease holder for engines to update while
-// there are none.
-func BenchmarkNextWeightsChange(b *testing.B) {
+// BenchmarkStartUpdates measures one check of the lease holder for engines to update while none is
+// outdated.
+func BenchmarkStartUpdates(b *testing.B) {
 	reader := readerGateway(b, 10_000)
 	reader.rollout.setDesired(0, true, DesiredVersion{Model: "m", Version: 1})
 	for b.Loop() {
@@ -248,18 +248,18 @@
 // ones.
 type recordingStore struct {
 	workerTable
-	whole   int
-	after   []fleet.Revision
-	changes *watchcache.Update
+	completeReads int
+	positions     []fleet.Revision
+	changes       *watchcache.Update
 }
 
 func (s *recordingStore) ReadTable(context.Context, Table, func() bool) (*watchcache.Update, error) {
-	s.whole++
+	s.completeReads++
 	return &watchcache.Update{Revision: s.changes.Revision, Complete: true}, nil
 }
 
 func (s *recordingStore) FollowTable(_ context.Context, _ Table, after fleet.Revision, _ time.Duration) (*watchcache.Update, error) {
-	s.after = append(s.after, after)
+	s.positions = append(s.positions, after)
 	return s.changes, nil
 }
 
@@ -276,13 +276,13 @@
 	store := &recordingStore{changes: &watchcache.Update{Revision: 9, Rows: []watchcache.Row{workerTableRow(number, 9, true)}}}
 	follower.dependencies.Store = store
 	follower.sources.recordResponse(follower.now(), "peer", 0, true)
-	feed := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
-	feed.step(t.Context())
-	feed.step(t.Context())
-	assert.Equal(t, []fleet.Revision{7, 9}, store.after)
-	assert.Zero(t, store.whole)
+	tableFollower := &storeFollower{gateway: follower, table: follower.workersTable(), gap: gapUnreachable}
+	tableFollower.step(t.Context())
+	tableFollower.step(t.Context())
+	assert.Equal(t, []fleet.Revision{7, 9}, store.positions)
+	assert.Zero(t, store.completeReads)
 	assert.True(t, follower.workers.IsDraining(drained))
 	follower.sources.recordWatcher(follower.now())
-	feed.step(t.Context())
-	assert.Equal(t, 1, store.whole, "gateway is watched by others")
+	tableFollower.step(t.Context())
+	assert.Equal(t, 1, store.completeReads, "gateway is watched by others")
 }
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -13,12 +13,12 @@
 // trafficLogInterval is the time between two log lines with the counted bytes.
 const trafficLogInterval = 5 * time.Second
 
-// location returns this node's zone and region.
+// location returns this gateway's zone and region.
 func (g *Gateway) location() membership.Location {
 	return membership.Location{Zone: g.settings().Zone, Region: g.settings().Region}
 }
 
-// distanceTo returns the distance between this node and a zone.
+// distanceTo returns the distance between this gateway and a zone.
 func (g *Gateway) distanceTo(zone fleet.ZoneName) traffic.Distance {
 	return traffic.Between(g.location(), membership.Location{Zone: zone, Region: g.settings().Zones[zone]})
 }
@@ -33,7 +33,7 @@
 // for it that counts its traffic and handles its notices.
 func (g *Gateway) workerCallContext(ctx context.Context, kind callKind, worker *backends.Worker) context.Context {
 	g.countCall(worker.ID, kind)
-	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, born: worker.StartTime, kind: kind})
+	ctx = g.withNoticesFrom(ctx, noticeSource{worker: worker.ID, startTime: worker.StartTime, kind: kind})
 	return traffic.With(ctx, traffic.WorkerCalls, g.distanceTo(worker.Zone))
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -21,20 +21,20 @@
 	// of the response may take before the peer counts as unresponsive.
 	watchWait  = 600 * time.Millisecond
 	watchSlack = 350 * time.Millisecond
-	// watchBatchDelay is the pause after a change at a node that isn't serving. A rollout changes
-	// the row of each engine, and without the pause each change would end a call of every node. It
-	// adds to the time until a change is in force there.
+	// watchBatchDelay is the pause after a change at a gateway that isn't serving. A rollout
+	// changes the row of each engine, and without the pause each change would end a call of every
+	// gateway. It adds to the time until a change is in force there.
 	watchBatchDelay = 400 * time.Millisecond
 	// watchIdlePause is the pause while there is no peer to ask. watchRetry is the pause after a
 	// failed call; it grows with each failure up to watchRetryMax to bound the load on the readers
-	// while no node can reach the store.
+	// while no gateway can reach the store.
 	watchIdlePause = 200 * time.Millisecond
 	watchRetry     = 100 * time.Millisecond
 	watchRetryMax  = 500 * time.Millisecond
 	// maxWatchWait bounds the wait that a peer may request.
 	maxWatchWait = 2 * time.Second
 	// staleNumerator/staleDenominator times the wait of a store call is the proof age from which a
-	// node counts as cut off from the store.
+	// gateway counts as cut off from the store.
 	staleNumerator   = 13
 	staleDenominator = 10
 )
@@ -48,8 +48,8 @@
 )
 
 // fullTimingBound is the least revocation bound at which the watch times apply unscaled. For
-// shorter bounds they shrink in proportion, because a node's proof is as old as its peer's plus its
-// own call.
+// shorter bounds they shrink in proportion, because a gateway's proof is as old as its peer's plus
+// its own call.
 const fullTimingBound = 5 * time.Second
 
 func scaleForBound(revokeWithin, duration time.Duration) time.Duration {
@@ -69,13 +69,13 @@
 	return scaleForBound(revokeWithin, watchBatchDelay)
 }
 
-// staleAfterFor returns the proof age from which a node asks another peer. It is greater than the
-// proof age of a node that reads the store.
+// staleAfterFor returns the proof age from which a gateway asks another peer. It is greater than
+// the proof age of a gateway that reads the store.
 func staleAfterFor(revokeWithin time.Duration) time.Duration {
 	return min(relay.DefaultStaleAfter, operatorWaitFor(revokeWithin)*staleNumerator/staleDenominator)
 }
 
-// watchPeers follows the changes of the store through a peer while this node is to ask one.
+// watchPeers follows the changes of the store through a peer while this gateway is to ask one.
 func (g *Gateway) watchPeers() error {
 	failures := 0
 	for {
@@ -174,7 +174,7 @@
 // time is the start of the call plus the time for which the peer held the call, less the age of the
 // proof.
 func (g *Gateway) applyWatchResponse(source fleet.NodeID, start time.Duration, response *rpc.WatchResponse) watchOutcome {
-	g.applyNamedVersions(response.GetNamed())
+	g.applyPeerVersions(response.GetNamed())
 	g.applyDirectives(start, response.GetDeliveries())
 	g.deliveries.setSeenChanges(source, response.GetDeliveriesSeen())
 	g.mergeQuarantineRecords(response.GetQuarantineRecords())
@@ -196,7 +196,7 @@
 		followed.seenSequence = update.Sequence
 		followed.cache.Advance(update.WatchedRevision)
 	}
-	g.demand.reportTotal(g.now(), decodeRate(response.GetRequestRate()))
+	g.demand.setReportedTotal(g.now(), decodeRate(response.GetRequestRate()))
 	g.applyOriginReport(g.now(), response.GetOrigins(), response.GetPressures())
 	proven := response.GetProofAgeMillis() > 0
 	age := time.Duration(response.GetProofAgeMillis()) * time.Millisecond
@@ -244,12 +244,12 @@
 	return nil
 }
 
-// answerWatch answers a peer's watch call: at once if this node has changes for it, otherwise as
+// handleWatch answers a peer's watch call: at once if this gateway has changes for it, otherwise as
 // soon as it has some or when the requested wait is over.
-func (g *Gateway) answerWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
+func (g *Gateway) handleWatch(ctx context.Context, request *rpc.WatchRequest) *rpc.WatchResponse {
 	arrived := g.now()
 	g.sources.recordWatcher(arrived)
-	g.demand.reportTotal(g.now(), decodeRate(request.GetRequestRate()))
+	g.demand.setReportedTotal(g.now(), decodeRate(request.GetRequestRate()))
 	g.applyOriginReport(g.now(), request.GetOrigins(), request.GetPressures())
 	wait := min(time.Duration(request.GetWaitMillis())*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
@@ -295,7 +295,7 @@
 	// The proof must be read before the tables, so that they are at least as new as the proof.
 	age, proven := g.freshness.Age(now)
 	response := &rpc.WatchResponse{
-		Named:       g.namedVersions(now),
+		Named:       g.encodeRecentVersions(now),
 		RequestRate: encodeRate(g.demand.total(now)),
 	}
 	changed := g.deliveries.writeWatchResponse(now, request, response)
