--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -22,8 +22,8 @@
 }
 
 type reportQueue struct {
-	pending []placement.AttemptReport
-	planned bool
+	pending   []placement.AttemptReport
+	scheduled bool
 }
 
 func newAgentHost(e *Emulator, zone fleet.ZoneName) *agentHost {
@@ -59,8 +59,8 @@
 	switch {
 	case final || to.central:
 		a.sendReports(to)
-	case !queue.planned:
-		queue.planned = true
+	case !queue.scheduled:
+		queue.scheduled = true
 		a.emulator.queue.After(reportInterval, func() { a.sendReports(to) })
 	}
 }
@@ -69,9 +69,9 @@
 	queue := &a.reports[to.index]
 	batch := queue.pending
 	queue.pending = nil
-	queue.planned = false
+	queue.scheduled = false
 	if len(batch) == 0 {
 		return
 	}
-	a.emulator.queue.After(to.latency(a.zone), func() { to.takeReports(batch) })
+	a.emulator.queue.After(to.latency(a.zone), func() { to.receiveReports(batch) })
 }
--- a/lab/emulator/call.go
+++ b/lab/emulator/call.go
@@ -33,14 +33,14 @@
 	ending Ending
 	code   resultcode.Code
 	// firstToken and finished are times since the arrival, on the caller's side.
-	firstToken time.Duration
-	finished   time.Duration
-	gotToken   bool
+	firstToken    time.Duration
+	finished      time.Duration
+	hasFirstToken bool
 
-	// returned tells that the caller has come back after a refusal; refusals
+	// callerRetried tells that the caller has come back after a refusal; refusals
 	// counts both.
-	returned bool
-	refusals int
+	callerRetried bool
+	refusals      int
 	// refusedAfter is the time from the arrival to the first refusal, retryAfter
 	// what the last one told.
 	refusedAfter time.Duration
@@ -53,29 +53,29 @@
 	cachedTokens    int
 	reachableTokens int
 	dispatchedAt    time.Duration
-	hasComputed     bool
+	prefillDone     bool
 }
 
-// dispatched notes what was reachable when a dispatch arrived.
-func (c *call) dispatched(reachableTokens int) { c.reachableTokens = reachableTokens }
+// recordDispatch notes what was reachable when a dispatch arrived.
+func (c *call) recordDispatch(reachableTokens int) { c.reachableTokens = reachableTokens }
 
-// computed notes the engine's word that the prompt is computed.
-func (c *call) computed(event enginemodel.StreamEvent) {
+// recordPrefill notes the engine's word that the prompt is recordPrefill.
+func (c *call) recordPrefill(event enginemodel.StreamEvent) {
 	c.cachedTokens = event.CachedTokens
-	c.hasComputed = true
+	c.prefillDone = true
 }
 
 // recomputedTokens returns the prompt tokens that the last attempt computed
 // although a live engine held them when it was dispatched.
 func (c *call) recomputedTokens() int {
-	if !c.hasComputed {
+	if !c.prefillDone {
 		return 0
 	}
 	return max(c.reachableTokens-c.cachedTokens, 0)
 }
 
-// good tells whether the request met its class's objective.
-func (c *call) good() bool {
-	objective := termsOf[c.request.Class].objective
+// meetsObjective tells whether the request met its class's objective.
+func (c *call) meetsObjective() bool {
+	objective := settingsByClass[c.request.Class].objective
 	return c.ending == EndingFinished && (objective == 0 || c.firstToken <= objective)
 }
--- a/lab/emulator/carrier.go
+++ b/lab/emulator/carrier.go
@@ -10,45 +10,45 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// carrier carries out the actions of one request's machine, as the agent does.
-type carrier struct {
-	agent   *agentHost
-	call    *call
-	id      fleet.RequestID
-	machine *attempt.Machine
-	choice  affinity.Choice
-	ranked  []*routerHost
-	tried   []int
-	asked   map[fleet.Attempt]*routerHost
-	last    placement.Key
+// requestDriver carries out the actions of one request's machine, as the agent does.
+type requestDriver struct {
+	agent           *agentHost
+	call            *call
+	id              fleet.RequestID
+	machine         *attempt.Machine
+	choice          affinity.Choice
+	routers         []*routerHost
+	triesByRouter   []int
+	routerByAttempt map[fleet.Attempt]*routerHost
+	lastKey         placement.Key
 	// handBacks counts the hand-backs, spills those of saturated routers in a row.
 	handBacks int
 	spills    int
 }
 
-func newCarrier(agent *agentHost, call *call, id fleet.RequestID) *carrier {
+func newRequestDriver(agent *agentHost, call *call, id fleet.RequestID) *requestDriver {
 	request := attempt.Request{
 		ID:         id,
 		Repeatable: !call.request.NonRepeatable,
-		Deadline:   call.request.At + termsOf[call.request.Class].deadline,
+		Deadline:   call.request.At + settingsByClass[call.request.Class].deadline,
 	}
 	choice := agent.ranking.choose(agent.emulator.queue.Now(), call.blocks)
-	return &carrier{
-		agent:   agent,
-		call:    call,
-		id:      id,
-		machine: attempt.New(request, agent.policy, agent.budget, agent.random),
-		choice:  choice,
-		ranked:  agent.ranking.rank(choice),
-		tried:   make([]int, len(agent.emulator.routers)),
-		asked:   make(map[fleet.Attempt]*routerHost),
+	return &requestDriver{
+		agent:           agent,
+		call:            call,
+		id:              id,
+		machine:         attempt.New(request, agent.policy, agent.budget, agent.random),
+		choice:          choice,
+		routers:         agent.ranking.rank(choice),
+		triesByRouter:   make([]int, len(agent.emulator.routers)),
+		routerByAttempt: make(map[fleet.Attempt]*routerHost),
 	}
 }
 
-func (c *carrier) start() {
+func (c *requestDriver) start() {
 	queue := c.agent.emulator.queue
 	c.perform(c.machine.Start(queue.Now()))
-	deadline := c.call.request.At + termsOf[c.call.request.Class].deadline
+	deadline := c.call.request.At + settingsByClass[c.call.request.Class].deadline
 	queue.At(deadline, func() {
 		if c.machine.Phase() != attempt.PhaseFinished {
 			c.handle(attempt.DeadlinePassed{})
@@ -56,21 +56,21 @@
 	})
 }
 
-func (c *carrier) handle(event attempt.Event) {
+func (c *requestDriver) handle(event attempt.Event) {
 	c.perform(c.machine.Handle(c.agent.emulator.queue.Now(), event))
 }
 
-func (c *carrier) perform(actions []attempt.Action) {
+func (c *requestDriver) perform(actions []attempt.Action) {
 	for _, action := range actions {
-		c.act(action)
+		c.performAction(action)
 	}
 }
 
-func (c *carrier) act(action attempt.Action) {
+func (c *requestDriver) performAction(action attempt.Action) {
 	queue := c.agent.emulator.queue
 	switch action := action.(type) {
 	case attempt.RequestPlacement:
-		queue.After(action.Delay, func() { c.ask(action) })
+		queue.After(action.Delay, func() { c.requestPlacement(action) })
 	case attempt.Dispatch:
 		host := c.agent.emulator.engineByID[action.Run.Engine]
 		c.call.dispatchedAt = queue.Now() - c.call.request.At
@@ -82,9 +82,9 @@
 		host := c.agent.emulator.engineByID[action.Run.Engine]
 		queue.After(action.Delay+c.latency(host), func() { host.cancel(c, action) })
 	case attempt.EmitToken:
-		c.noteToken()
+		c.recordToken()
 	case attempt.Report:
-		c.agent.report(c.asked[action.Attempt], c.attemptReport(action))
+		c.agent.report(c.routerByAttempt[action.Attempt], c.attemptReport(action))
 	case attempt.Finish:
 		c.end(EndingFinished, 0)
 	case attempt.Fail:
@@ -92,34 +92,34 @@
 	}
 }
 
-func (c *carrier) latency(host *engineHost) time.Duration {
+func (c *requestDriver) latency(host *engineHost) time.Duration {
 	return c.agent.emulator.network.fromAgent(c.agent.zone, host.machine.Zone)
 }
 
-// ask sends the question to the best router that was tried least.
-func (c *carrier) ask(action attempt.RequestPlacement) {
+// requestPlacement sends the question to the best router that was tried least.
+func (c *requestDriver) requestPlacement(action attempt.RequestPlacement) {
 	if c.machine.Phase() == attempt.PhaseFinished {
 		return
 	}
-	chosen := c.ranked[0]
-	for _, router := range c.ranked[1:] {
-		if c.tried[router.index] < c.tried[chosen.index] {
+	chosen := c.routers[0]
+	for _, router := range c.routers[1:] {
+		if c.triesByRouter[router.index] < c.triesByRouter[chosen.index] {
 			chosen = router
 		}
 	}
-	c.tried[chosen.index]++
-	c.asked[action.Attempt] = chosen
-	c.last = placement.Key{Request: c.id, Attempt: action.Attempt}
+	c.triesByRouter[chosen.index]++
+	c.routerByAttempt[action.Attempt] = chosen
+	c.lastKey = placement.Key{Request: c.id, Attempt: action.Attempt}
 	request := c.call.request
 	question := placement.Request{
-		Key:                c.last,
+		Key:                c.lastKey,
 		Tenant:             request.Tenant,
 		ModelVersion:       request.Weights,
 		Class:              request.Class,
 		PromptTokens:       c.call.promptTokens,
 		MaxTokens:          request.OutputTokens,
 		Blocks:             c.call.blocks,
-		Deadline:           request.At + termsOf[request.Class].deadline - c.agent.emulator.queue.Now(),
+		Deadline:           request.At + settingsByClass[request.Class].deadline - c.agent.emulator.queue.Now(),
 		Excluded:           action.Excluded,
 		ContinuationTokens: action.ContinuationTokens,
 		AgentZone:          c.agent.zone,
@@ -132,11 +132,11 @@
 	})
 }
 
-// answered takes a router's outcome.
-func (c *carrier) answered(operation attempt.Operation, outcome placement.Outcome) {
+// handleOutcome takes a router's outcome.
+func (c *requestDriver) handleOutcome(operation attempt.Operation, outcome placement.Outcome) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
-		c.noteGrant()
+		c.recordGrant()
 		c.handle(attempt.Granted{
 			Operation:  operation,
 			Attempt:    outcome.Key.Attempt,
@@ -153,29 +153,29 @@
 			RetryAfter: outcome.RetryAfter,
 		})
 	case placement.HandBack:
-		c.noteHandBack(outcome)
+		c.recordHandBack(outcome)
 		c.handle(attempt.Redirected{Operation: operation})
 	}
 }
 
-// noteHandBack counts a hand-back. When several routers are saturated, the
+// recordHandBack counts a hand-back. When several routers are saturated, the
 // request goes back to its first choice and waits there.
-func (c *carrier) noteHandBack(handBack placement.HandBack) {
+func (c *requestDriver) recordHandBack(handBack placement.HandBack) {
 	c.handBacks++
 	if handBack.Reason != placement.HandBackSaturated {
 		return
 	}
 	c.spills++
 	if c.spills >= affinity.MaxSpills {
-		clear(c.tried)
+		clear(c.triesByRouter)
 	}
 }
 
-// noteGrant widens the prefix's routing if another router than the saturated
+// recordGrant widens the prefix's routing if another router than the saturated
 // one had room.
-func (c *carrier) noteGrant() {
+func (c *requestDriver) recordGrant() {
 	if c.spills > 0 && c.spills < affinity.MaxSpills {
-		c.agent.ranking.spilled(c.agent.emulator.queue.Now(), c.choice)
+		c.agent.ranking.recordSpill(c.agent.emulator.queue.Now(), c.choice)
 	}
 	c.spills = 0
 }
@@ -188,7 +188,7 @@
 	attempt.ReportAbandoned:  placement.PhaseAbandoned,
 }
 
-func (c *carrier) attemptReport(report attempt.Report) placement.AttemptReport {
+func (c *requestDriver) attemptReport(report attempt.Report) placement.AttemptReport {
 	return placement.AttemptReport{
 		Key:          placement.Key{Request: c.id, Attempt: report.Attempt},
 		Run:          report.Run,
@@ -199,18 +199,18 @@
 	}
 }
 
-func (c *carrier) noteToken() {
-	if c.call.gotToken {
+func (c *requestDriver) recordToken() {
+	if c.call.hasFirstToken {
 		return
 	}
-	c.call.gotToken = true
+	c.call.hasFirstToken = true
 	c.call.firstToken = c.agent.emulator.queue.Now() - c.call.request.At
 }
 
-func (c *carrier) fail(action attempt.Fail) {
+func (c *requestDriver) fail(action attempt.Fail) {
 	switch {
 	case action.NotRun():
-		c.refused(action)
+		c.handleRefusal(action)
 	case action.Code == resultcode.DeadlineExceeded:
 		c.end(EndingExpired, action.Code)
 	default:
@@ -218,9 +218,9 @@
 	}
 }
 
-// refused lets the caller come back once, after the time that it was told, if
+// handleRefusal lets the caller come back once, after the time that it was told, if
 // its deadline lets it.
-func (c *carrier) refused(action attempt.Fail) {
+func (c *requestDriver) handleRefusal(action attempt.Fail) {
 	queue := c.agent.emulator.queue
 	if c.call.refusals == 0 {
 		c.call.refusedAfter = queue.Now() - c.call.request.At
@@ -228,34 +228,34 @@
 	c.call.refusals++
 	c.call.retryAfter = action.RetryAfter
 	back := queue.Now() + action.RetryAfter
-	deadline := c.call.request.At + termsOf[c.call.request.Class].deadline
-	if c.call.returned || action.RetryAfter <= 0 || back >= deadline {
+	deadline := c.call.request.At + settingsByClass[c.call.request.Class].deadline
+	if c.call.callerRetried || action.RetryAfter <= 0 || back >= deadline {
 		c.end(EndingRefused, action.Code)
 		return
 	}
-	c.call.returned = true
+	c.call.callerRetried = true
 	c.addStats()
-	queue.At(back, func() { newCarrier(c.agent, c.call, c.id+"-again").start() })
+	queue.At(back, func() { newRequestDriver(c.agent, c.call, c.id+"-again").start() })
 }
 
-func (c *carrier) addStats() {
+func (c *requestDriver) addStats() {
 	stats := c.machine.Stats()
 	c.call.stats.Dispatches += stats.Dispatches
 	c.call.stats.Retries += stats.Retries
 }
 
-func (c *carrier) end(ending Ending, code resultcode.Code) {
+func (c *requestDriver) end(ending Ending, code resultcode.Code) {
 	c.addStats()
 	c.call.ending = ending
 	c.call.code = code
 	c.call.finished = c.agent.emulator.queue.Now() - c.call.request.At
 	c.withdraw()
-	c.agent.emulator.ended(c.call)
+	c.agent.emulator.requestEnded(c.call)
 }
 
 // withdraw takes back the last question, in case it is still open.
-func (c *carrier) withdraw() {
-	router, key := c.asked[c.last.Attempt], c.last
+func (c *requestDriver) withdraw() {
+	router, key := c.routerByAttempt[c.lastKey.Attempt], c.lastKey
 	if router != nil {
 		c.agent.emulator.queue.After(router.latency(c.agent.zone), func() { router.withdraw(key) })
 	}
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -25,24 +25,24 @@
 	// clairvoyantQueueSteps bounds an engine's prompt work, in steps: the one
 	// under way and the next.
 	clairvoyantQueueSteps = 2
-	// clairvoyantWaiting bounds the streams that wait at an engine: more wait
+	// clairvoyantMaxWaiting bounds the streams that wait at an engine: more wait
 	// for memory, not for a step.
-	clairvoyantWaiting = 8
+	clairvoyantMaxWaiting = 8
 	// clairvoyantHoldTokens is the length of a prefix from which on a request
 	// waits until the engine that computes it is done.
 	clairvoyantHoldTokens = 256
-	// clairvoyantRelook is the least time between two looks at a request whose
+	// clairvoyantRetryInterval is the least time between two looks at a request whose
 	// engine hasn't changed or has no room.
-	clairvoyantRelook = 50 * time.Millisecond
-	// clairvoyantScan bounds the requests of a tenant and class in one look.
-	clairvoyantScan = 32
+	clairvoyantRetryInterval = 50 * time.Millisecond
+	// clairvoyantScanDepth bounds the requests of a tenant and class in one look.
+	clairvoyantScanDepth = 32
 	// clairvoyantRecomputeWeight is the price of a recomputed token. Of 25, 75
 	// and 150 µs it gave the best limit: near capacity a lower price recomputes
 	// more, and a higher one queues longer.
 	clairvoyantRecomputeWeight = 75 * time.Microsecond
 )
 
-func clairvoyantPrices() scheduling.Options {
+func clairvoyantOptions() scheduling.Options {
 	options := scheduling.DefaultOptions()
 	options.RecomputeWeight = clairvoyantRecomputeWeight
 	options.CongestionWeight = 0
@@ -56,7 +56,7 @@
 	engines   []*clairvoyantEngine
 	waiting   map[placement.Key]*clairvoyantItem
 	outcomes  []placement.Outcome
-	nextLook  time.Duration
+	nextRetry time.Duration
 
 	chosen    *clairvoyantItem
 	endpoints []scheduling.Endpoint
@@ -69,27 +69,27 @@
 	model   config.Model
 	expires time.Duration
 	// engine is where the last look placed it; version is that engine's then.
-	engine  *clairvoyantEngine
-	version uint64
-	lookAt  time.Duration
-	tokens  int
+	engine         *clairvoyantEngine
+	version        uint64
+	retryAt        time.Duration
+	uncachedTokens int
 }
 
 // clairvoyantEngine is an engine and what is on its way there.
 type clairvoyantEngine struct {
-	host    *engineHost
-	version uint64
-	transit []clairvoyantTransit
-	// queued is the prompt work at the engine and on its way there, streams and
+	host      *engineHost
+	version   uint64
+	inTransit []clairvoyantGrant
+	// queuedTokens is the prompt work at the engine and on its way there, streams and
 	// waiting its streams; refresh brings them up to date.
-	queued  int
-	streams int
-	waiting int
-	// parked is the work of the requests that wait for this engine, by class.
-	parked map[int]int
+	queuedTokens int
+	streams      int
+	waiting      int
+	// parkedTokens is the work of the requests that wait for this engine, by class.
+	parkedTokens map[int]int
 }
 
-type clairvoyantTransit struct {
+type clairvoyantGrant struct {
 	stream fleet.StreamID
 	blocks []fleet.BlockHash
 	tokens int
@@ -98,12 +98,12 @@
 func newClairvoyant(setup Setup) Router {
 	c := &clairvoyant{
 		setup:     setup,
-		flow:      flowcontrol.New(flowcontrol.Options{Random: setup.Random, ScanDepth: clairvoyantScan}),
-		scheduler: scheduling.New(clairvoyantPrices()),
+		flow:      flowcontrol.New(flowcontrol.Options{Random: setup.Random, ScanDepth: clairvoyantScanDepth}),
+		scheduler: scheduling.New(clairvoyantOptions()),
 		waiting:   make(map[placement.Key]*clairvoyantItem),
 	}
 	for _, host := range setup.engines {
-		c.engines = append(c.engines, &clairvoyantEngine{host: host, parked: make(map[int]int)})
+		c.engines = append(c.engines, &clairvoyantEngine{host: host, parkedTokens: make(map[int]int)})
 	}
 	var policy flowcontrol.Policy
 	for _, class := range setup.View.Classes() {
@@ -138,7 +138,7 @@
 		return
 	}
 	c.waiting[request.Key] = item
-	c.pump(now)
+	c.placeWaiting(now)
 }
 
 // Withdraw implements Router.
@@ -147,26 +147,26 @@
 	if item == nil || !c.flow.Remove(now, key) {
 		return false
 	}
-	c.forget(item)
+	c.drop(item)
 	return true
 }
 
-func (c *clairvoyant) forget(item *clairvoyantItem) {
+func (c *clairvoyant) drop(item *clairvoyantItem) {
 	item.unpark()
 	delete(c.waiting, item.request.Key)
 }
 
 func (c *clairvoyant) expire(now time.Duration) {
 	for _, refusal := range c.flow.Expire(now) {
-		c.forget(c.waiting[refusal.Key])
+		c.drop(c.waiting[refusal.Key])
 		c.outcomes = append(c.outcomes, placement.Refusal(refusal))
 	}
 }
 
-// pump places waiting requests as long as engines take them.
-func (c *clairvoyant) pump(now time.Duration) {
+// placeWaiting places waiting requests as long as engines take them.
+func (c *clairvoyant) placeWaiting(now time.Duration) {
 	c.expire(now)
-	c.nextLook = 0
+	c.nextRetry = 0
 	for len(c.waiting) > 0 {
 		_, found := c.flow.Next(now, func(item flowcontrol.Item) bool { return c.admit(now, c.waiting[item.Key]) })
 		if !found {
@@ -178,11 +178,11 @@
 
 // admit tells whether a request goes to an engine now, and notes which.
 func (c *clairvoyant) admit(now time.Duration, item *clairvoyantItem) bool {
-	if item.engine != nil && now < item.lookAt && (item.version == item.engine.version || !item.engine.open(item.rank)) {
-		c.lookAgain(item.lookAt)
+	if item.engine != nil && now < item.retryAt && (item.version == item.engine.version || !item.engine.hasRoom(item.rank)) {
+		c.scheduleRetry(item.retryAt)
 		return false
 	}
-	if !c.anyOpen(item.rank) {
+	if !c.anyHasRoom(item.rank) {
 		return false // an engine's next step opens it
 	}
 	item.unpark()
@@ -191,12 +191,12 @@
 		return false
 	}
 	engine := c.engines[decision.Index]
-	item.tokens = max(item.request.PromptTokens-decision.CachedTokens, 0)
+	item.uncachedTokens = max(item.request.PromptTokens-decision.CachedTokens, 0)
 	endpoint := &decision.Endpoint
 	uncomputed := (endpoint.PendingBlocks - endpoint.CachedBlocks) * item.model.BlockTokens
-	if !engine.open(item.rank) || uncomputed >= clairvoyantHoldTokens {
+	if !engine.hasRoom(item.rank) || uncomputed >= clairvoyantHoldTokens {
 		item.park(engine, now)
-		c.lookAgain(item.lookAt)
+		c.scheduleRetry(item.retryAt)
 		return false
 	}
 	item.engine = engine
@@ -204,54 +204,54 @@
 	return true
 }
 
-func (c *clairvoyant) lookAgain(at time.Duration) {
-	if c.nextLook == 0 || at < c.nextLook {
-		c.nextLook = at
+func (c *clairvoyant) scheduleRetry(at time.Duration) {
+	if c.nextRetry == 0 || at < c.nextRetry {
+		c.nextRetry = at
 	}
 }
 
 func (i *clairvoyantItem) park(engine *clairvoyantEngine, now time.Duration) {
 	i.engine = engine
 	i.version = engine.version
-	i.lookAt = now + clairvoyantRelook
-	engine.parked[i.rank] += i.tokens
+	i.retryAt = now + clairvoyantRetryInterval
+	engine.parkedTokens[i.rank] += i.uncachedTokens
 }
 
 func (i *clairvoyantItem) unpark() {
 	if i.engine != nil {
-		i.engine.parked[i.rank] -= i.tokens
+		i.engine.parkedTokens[i.rank] -= i.uncachedTokens
 		i.engine = nil
 	}
 }
 
-func (c *clairvoyant) anyOpen(rank int) bool {
+func (c *clairvoyant) anyHasRoom(rank int) bool {
 	for _, engine := range c.engines {
-		if engine.open(rank) {
+		if engine.hasRoom(rank) {
 			return true
 		}
 	}
 	return false
 }
 
-// open tells whether an engine's next step has room. Classes behind the first
+// hasRoom tells whether an engine's next step has room. Classes behind the first
 // leave half of it.
-func (e *clairvoyantEngine) open(rank int) bool {
+func (e *clairvoyantEngine) hasRoom(rank int) bool {
 	settings := e.host.model.Config()
 	limit := clairvoyantQueueSteps * settings.Costs.StepTokens
 	if rank > 0 {
 		limit /= 2
 	}
-	return !e.host.down && e.queued < limit && e.streams < settings.MaxRunning && e.waiting < clairvoyantWaiting
+	return !e.host.down && e.queuedTokens < limit && e.streams < settings.MaxRunning && e.waiting < clairvoyantMaxWaiting
 }
 
 // refresh reads the engine's true state.
 func (e *clairvoyantEngine) refresh() {
 	model := e.host.model
-	e.queued = model.QueuedPrefillTokens()
-	for _, grant := range e.transit {
-		e.queued += grant.tokens
+	e.queuedTokens = model.QueuedPrefillTokens()
+	for _, grant := range e.inTransit {
+		e.queuedTokens += grant.tokens
 	}
-	e.waiting = model.WaitingStreams() + len(e.transit)
+	e.waiting = model.WaitingStreams() + len(e.inTransit)
 	e.streams = model.RunningStreams() + e.waiting
 }
 
@@ -292,19 +292,19 @@
 		Ready:           !e.host.down,
 		Serves:          servesAll,
 		InFlight:        e.streams,
-		PrefillTokens:   e.queued,
+		PrefillTokens:   e.queuedTokens,
 		PrefillPerToken: costs.PrefillPerToken,
 		Step:            costs.StepBase + time.Duration(model.RunningStreams())*costs.DecodePerToken,
 		StepTokens:      costs.StepTokens,
 		CachedBlocks:    model.CachedPrefix(blocks),
 		PendingBlocks:   model.ExpectedPrefix(blocks),
 	}
-	for rank, tokens := range e.parked {
+	for rank, tokens := range e.parkedTokens {
 		if rank <= item.rank {
 			endpoint.PrefillTokens += tokens
 		}
 	}
-	for _, grant := range e.transit {
+	for _, grant := range e.inTransit {
 		endpoint.PendingBlocks = max(endpoint.PendingBlocks, commonPrefix(blocks, grant.blocks))
 	}
 	return endpoint
@@ -326,10 +326,10 @@
 	engine := item.engine
 	item.engine = nil // it was unparked before
 	key := item.request.Key
-	engine.transit = append(engine.transit, clairvoyantTransit{
+	engine.inTransit = append(engine.inTransit, clairvoyantGrant{
 		stream: fleet.NewStreamID(key.Request, key.Attempt),
 		blocks: item.request.Blocks,
-		tokens: item.tokens,
+		tokens: item.uncachedTokens,
 	})
 	engine.refresh()
 	delete(c.waiting, key)
@@ -346,15 +346,15 @@
 func (c *clairvoyant) engineChanged(now time.Duration, host *engineHost) {
 	c.engines[host.index].version++
 	c.engines[host.index].refresh()
-	c.pump(now)
+	c.placeWaiting(now)
 }
 
 // dispatchArrived implements engineObserver.
 func (c *clairvoyant) dispatchArrived(_ time.Duration, host *engineHost, stream fleet.StreamID) {
 	engine := c.engines[host.index]
-	for position, grant := range engine.transit {
+	for position, grant := range engine.inTransit {
 		if grant.stream == stream {
-			engine.transit = append(engine.transit[:position], engine.transit[position+1:]...)
+			engine.inTransit = append(engine.inTransit[:position], engine.inTransit[position+1:]...)
 			engine.refresh()
 			return
 		}
@@ -362,13 +362,13 @@
 }
 
 // Tick implements Router.
-func (c *clairvoyant) Tick(now time.Duration) { c.pump(now) }
+func (c *clairvoyant) Tick(now time.Duration) { c.placeWaiting(now) }
 
 // NextWake implements Router.
 func (c *clairvoyant) NextWake() (time.Duration, bool) {
 	wake, found := c.flow.NextExpiry()
-	if c.nextLook > 0 && (!found || c.nextLook < wake) {
-		return c.nextLook, true
+	if c.nextRetry > 0 && (!found || c.nextRetry < wake) {
+		return c.nextRetry, true
 	}
 	return wake, found
 }
--- a/lab/emulator/collect.go
+++ b/lab/emulator/collect.go
@@ -25,7 +25,7 @@
 	flooding     fleet.TenantName
 
 	prompt, cached, reachable, recomputed int64
-	good                                  int
+	goodRequests                          int
 	splits                                map[workload.Kind]*splitSum
 	samples                               []sampleSum
 }
@@ -84,12 +84,12 @@
 		splits:       make(map[workload.Kind]*splitSum),
 	}
 	for _, call := range e.calls {
-		c.sample(call, e.options.SampleEvery)
+		c.addSample(call, e.options.SampleInterval)
 		if call.request.At >= e.options.Warmup {
 			c.add(call)
 		}
 	}
-	c.finishRates(e)
+	c.computeRates(e)
 	return c.result
 }
 
@@ -108,22 +108,22 @@
 		record(c.retryAfter, call.retryAfter)
 		record(c.refusedAfter, call.refusedAfter)
 	}
-	if call.returned {
-		c.result.Returned++
+	if call.callerRetried {
+		c.result.CallerRetries++
 		if call.ending == EndingFinished {
-			c.result.ReturnedFinished++
+			c.result.CallerRetriesFinished++
 		}
 	}
-	if call.good() {
-		c.good++
+	if call.meetsObjective() {
+		c.goodRequests++
 	}
-	if call.gotToken {
+	if call.hasFirstToken {
 		c.addFirstToken(call)
 	}
 	if call.ending == EndingFinished {
 		c.finish.record(class, call.finished)
 	}
-	if call.hasComputed {
+	if call.prefillDone {
 		c.addPrompt(call)
 	}
 }
@@ -138,12 +138,12 @@
 			record(c.others, call.firstToken)
 		}
 	}
-	c.queueWait.record(class, call.firstToken-ownTime(call.promptTokens-call.cachedTokens))
+	c.queueWait.record(class, call.firstToken-idlePrefillTime(call.promptTokens-call.cachedTokens))
 	c.routerWait.record(class, call.dispatchedAt)
 }
 
-// ownTime is the time that an idle engine takes to compute prompt tokens.
-func ownTime(tokens int) time.Duration {
+// idlePrefillTime is the time that an idle engine takes to compute prompt tokens.
+func idlePrefillTime(tokens int) time.Duration {
 	costs := enginemodel.DefaultCosts()
 	steps := (tokens + costs.StepTokens - 1) / costs.StepTokens
 	return time.Duration(steps)*costs.StepBase + time.Duration(tokens)*costs.PrefillPerToken
@@ -165,9 +165,9 @@
 	split.reachable += int64(call.reachableTokens)
 }
 
-// sample books a prompt in the interval of its arrival.
-func (c *collector) sample(call *call, every time.Duration) {
-	if !call.hasComputed {
+// addSample books a prompt in the interval of its arrival.
+func (c *collector) addSample(call *call, every time.Duration) {
+	if !call.prefillDone {
 		return
 	}
 	interval := int(call.request.At / every)
@@ -178,10 +178,10 @@
 	c.samples[interval].cached += int64(call.cachedTokens)
 }
 
-func (c *collector) finishRates(e *Emulator) {
+func (c *collector) computeRates(e *Emulator) {
 	r := c.result
 	measured := e.options.Trace.Duration - e.options.Warmup
-	r.Goodput = float64(c.good) / measured.Seconds()
+	r.Goodput = float64(c.goodRequests) / measured.Seconds()
 	r.HitRate = ratio(c.cached, c.prompt)
 	r.ReachableRate = ratio(c.reachable, c.prompt)
 	r.RecomputedRate = ratio(c.recomputed, c.prompt)
@@ -200,9 +200,9 @@
 	r.FinishTimeByClass = c.finish.quantiles()
 	r.RetryAfter = quantilesOf(c.retryAfter)
 	r.RefusedAfter = quantilesOf(c.refusedAfter)
-	r.UrgentOfOthers = quantilesOf(c.others)
+	r.UrgentOfOtherTenants = quantilesOf(c.others)
 	r.PromptByKind = c.promptSplits()
-	every := e.options.SampleEvery
+	every := e.options.SampleInterval
 	for i, sample := range c.samples {
 		r.HitOverTime = append(r.HitOverTime, HitSample{
 			Seconds:      (time.Duration(i) * every).Seconds(),
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -33,10 +33,10 @@
 	pools  *membership.PoolMap
 	agents map[fleet.ZoneName]*agentHost
 
-	calls  []*call
-	next   int
-	open   int
-	ledger *ledger
+	calls        []*call
+	nextRequest  int
+	openRequests int
+	ledger       *prefillLedger
 }
 
 // Run replays the trace and returns what was measured. Equal options give equal
@@ -49,15 +49,15 @@
 	for _, router := range e.routers {
 		router.start()
 	}
-	e.planCrash()
-	e.planArrival()
+	e.scheduleCrash()
+	e.scheduleArrival()
 	end := e.options.Trace.Duration + maxOverrun
-	for e.open > 0 || e.next < len(e.options.Trace.Requests) {
+	for e.openRequests > 0 || e.nextRequest < len(e.options.Trace.Requests) {
 		if !e.queue.Step() {
 			return nil, errors.New("requests are open and nothing is planned")
 		}
 		if e.queue.Now() > end {
-			return nil, errors.Errorf("%d requests are open long after the trace's end", e.open)
+			return nil, errors.Errorf("%d requests are open long after the trace's end", e.openRequests)
 		}
 	}
 	return e.result(), nil
@@ -76,7 +76,7 @@
 		engineByID:   make(map[fleet.EngineID]*engineHost),
 		routerByNode: make(map[fleet.NodeID]*routerHost),
 		agents:       make(map[fleet.ZoneName]*agentHost),
-		ledger:       newLedger(),
+		ledger:       newPrefillLedger(),
 	}
 	for index := range description.Engines {
 		e.addEngine(index)
@@ -150,8 +150,8 @@
 	return sites
 }
 
-// owns tells whether a router indexes an engine.
-func (e *Emulator) owns(node fleet.NodeID, id fleet.EngineID) bool {
+// isOwner tells whether a router indexes an engine.
+func (e *Emulator) isOwner(node fleet.NodeID, id fleet.EngineID) bool {
 	if e.pools == nil {
 		return true
 	}
@@ -166,14 +166,14 @@
 		node:     member.Node,
 		zone:     member.Zone,
 		central:  policy.Routing == RouteCentral,
-		asking:   make(map[placement.Key]question),
+		pending:  make(map[placement.Key]placementCall),
 		router: policy.New(Setup{
 			Node:      member.Node,
 			Zone:      member.Zone,
 			View:      view,
 			Random:    e.newRandom(),
 			Placement: e.options.Placement,
-			Owned:     func(id fleet.EngineID) bool { return e.owns(member.Node, id) },
+			Owned:     func(id fleet.EngineID) bool { return e.isOwner(member.Node, id) },
 			engines:   e.engines,
 		}),
 	}
@@ -181,7 +181,7 @@
 	e.routerByNode[member.Node] = host
 }
 
-func (e *Emulator) planCrash() {
+func (e *Emulator) scheduleCrash() {
 	crash := e.options.Crash
 	if crash == nil {
 		return
@@ -191,32 +191,32 @@
 	e.queue.At(crash.At+crash.Down, host.restart)
 }
 
-// planArrival plans the next request of the trace.
-func (e *Emulator) planArrival() {
+// scheduleArrival plans the next request of the trace.
+func (e *Emulator) scheduleArrival() {
 	requests := e.options.Trace.Requests
-	if e.next == len(requests) {
+	if e.nextRequest == len(requests) {
 		return
 	}
-	e.queue.At(requests[e.next].At, e.arrive)
+	e.queue.At(requests[e.nextRequest].At, e.arrive)
 }
 
 func (e *Emulator) arrive() {
-	request := &e.options.Trace.Requests[e.next]
-	e.next++
-	e.open++
+	request := &e.options.Trace.Requests[e.nextRequest]
+	e.nextRequest++
+	e.openRequests++
 	made := &call{
 		request:      request,
 		blocks:       request.Blocks(e.options.Trace.Fleet.BlockTokens),
 		promptTokens: request.PromptTokens(),
 	}
 	e.calls = append(e.calls, made)
-	newCarrier(e.agents[request.Zone], made, request.ID).start()
-	e.planArrival()
+	newRequestDriver(e.agents[request.Zone], made, request.ID).start()
+	e.scheduleArrival()
 }
 
-// ended lets go of the blocks, which are most of a request's memory.
-func (e *Emulator) ended(call *call) {
-	e.open--
+// requestEnded lets go of the blocks, which are most of a request's memory.
+func (e *Emulator) requestEnded(call *call) {
+	e.openRequests--
 	call.blocks = nil
 }
 
@@ -230,7 +230,7 @@
 func (e *Emulator) dispatchArrived(host *engineHost, stream fleet.StreamID) {
 	for _, router := range e.routers {
 		if observer, observes := router.router.(engineObserver); observes {
-			router.do(func(now time.Duration, _ Router) { observer.dispatchArrived(now, host, stream) })
+			router.apply(func(now time.Duration, _ Router) { observer.dispatchArrived(now, host, stream) })
 		}
 	}
 }
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -25,16 +25,16 @@
 	down     bool
 	// streams are the live streams with the agents' side of each.
 	streams map[fleet.StreamID]*openStream
-	// planned is when the next step is planned; 0 means none is.
-	planned time.Duration
+	// stepAt is when the next step is stepAt; 0 means none is.
+	stepAt time.Duration
 }
 
 // openStream is a stream that an agent reads.
 type openStream struct {
-	carrier   *carrier
+	driver    *requestDriver
 	operation attempt.Operation
-	// first is the index of the first token that the stream yields.
-	first int
+	// firstIndex is the index of the firstIndex token that the stream yields.
+	firstIndex int
 }
 
 func (h *engineHost) id() fleet.EngineID { return fleet.EngineID(h.machine.ID) }
@@ -49,21 +49,21 @@
 
 func (h *engineHost) now() time.Duration { return h.emulator.queue.Now() }
 
-// answer sends an event to a stream's agent.
-func (h *engineHost) answer(to *carrier, event attempt.Event) {
+// send sends an event to a stream's agent.
+func (h *engineHost) send(to *requestDriver, event attempt.Event) {
 	latency := h.emulator.network.fromAgent(to.agent.zone, h.machine.Zone)
 	h.emulator.queue.After(latency, func() { to.handle(event) })
 }
 
 // dispatch takes a dispatch that has arrived. One whose request has ended
 // meanwhile is followed closely by its cancel, so it is left out.
-func (h *engineHost) dispatch(from *carrier, action attempt.Dispatch) {
+func (h *engineHost) dispatch(from *requestDriver, action attempt.Dispatch) {
 	defer h.emulator.dispatchArrived(h, action.Stream)
 	if from.machine.Phase() == attempt.PhaseFinished {
 		return
 	}
 	if h.down {
-		h.answer(from, attempt.DispatchNotSent{Operation: action.Operation})
+		h.send(from, attempt.DispatchNotSent{Operation: action.Operation})
 		return
 	}
 	call := from.call
@@ -81,47 +81,47 @@
 	})
 	var failure *engine.Error
 	if errors.As(err, &failure) {
-		h.answer(from, attempt.DispatchRejected{Operation: action.Operation, Code: failure.Code, Message: failure.Message})
+		h.send(from, attempt.DispatchRejected{Operation: action.Operation, Code: failure.Code, Message: failure.Message})
 		return
 	}
-	call.dispatched(reachable)
-	h.emulator.ledger.note(call.blocks, call.promptTokens, h.model.Config().BlockTokens)
-	h.streams[action.Stream] = &openStream{carrier: from, operation: action.Operation, first: len(action.Continuation)}
-	h.answer(from, attempt.FrameReceived{
+	call.recordDispatch(reachable)
+	h.emulator.ledger.recordPrompt(call.blocks, call.promptTokens, h.model.Config().BlockTokens)
+	h.streams[action.Stream] = &openStream{driver: from, operation: action.Operation, firstIndex: len(action.Continuation)}
+	h.send(from, attempt.FrameReceived{
 		Operation: action.Operation,
 		Frame:     engine.Frame{Kind: engine.FrameAccepted, Stream: action.Stream, PromptTokens: call.promptTokens},
 	})
-	h.changed()
+	h.processChanges()
 }
 
-// changed passes on what the model has reported and plans its next step.
-func (h *engineHost) changed() {
+// processChanges passes on what the model has reported and plans its next step.
+func (h *engineHost) processChanges() {
 	for _, event := range h.model.TakeStreamEvents() {
-		h.report(event)
+		h.sendStreamEvent(event)
 	}
-	h.plan()
+	h.scheduleStep()
 	h.emulator.engineChanged(h)
 }
 
-func (h *engineHost) plan() {
+func (h *engineHost) scheduleStep() {
 	next, found := h.model.NextStep()
-	if !found || h.down || (h.planned != 0 && h.planned <= next) {
+	if !found || h.down || (h.stepAt != 0 && h.stepAt <= next) {
 		return
 	}
-	h.planned = next
+	h.stepAt = next
 	h.emulator.queue.At(next, func() { h.step(next) })
 }
 
 func (h *engineHost) step(planned time.Duration) {
-	if h.down || h.planned != planned {
+	if h.down || h.stepAt != planned {
 		return
 	}
-	h.planned = 0
+	h.stepAt = 0
 	h.model.Advance(h.now())
-	h.changed()
+	h.processChanges()
 }
 
-func (h *engineHost) report(event enginemodel.StreamEvent) {
+func (h *engineHost) sendStreamEvent(event enginemodel.StreamEvent) {
 	stream := h.streams[event.Stream]
 	if stream == nil {
 		return
@@ -129,48 +129,48 @@
 	frame := engine.Frame{
 		Kind:         engine.FrameToken,
 		Stream:       event.Stream,
-		Index:        stream.first,
+		Index:        stream.firstIndex,
 		PromptTokens: event.PromptTokens,
 		CachedTokens: event.CachedTokens,
 	}
 	switch event.Kind {
 	case enginemodel.StreamFirstToken:
-		stream.carrier.call.computed(event)
+		stream.driver.call.recordPrefill(event)
 	case enginemodel.StreamDone:
 		frame.Kind = engine.FrameDone
-		frame.Count = stream.first + 1
+		frame.Count = stream.firstIndex + 1
 		delete(h.streams, event.Stream)
 	default:
 		delete(h.streams, event.Stream)
 		return
 	}
-	h.answer(stream.carrier, attempt.FrameReceived{Operation: stream.operation, Frame: frame})
+	h.send(stream.driver, attempt.FrameReceived{Operation: stream.operation, Frame: frame})
 }
 
 // cancel takes a cancel that has arrived.
-func (h *engineHost) cancel(from *carrier, action attempt.CancelAndFence) {
+func (h *engineHost) cancel(from *requestDriver, action attempt.CancelAndFence) {
 	if h.down {
-		h.answer(from, attempt.CancelFailed{Operation: action.Operation, Code: engine.ErrorConnect})
+		h.send(from, attempt.CancelFailed{Operation: action.Operation, Code: engine.ErrorConnect})
 		return
 	}
 	response, err := h.model.Cancel(h.now(), action.Stream, action.Run.Incarnation)
-	h.changed()
+	h.processChanges()
 	var failure *engine.Error
 	if errors.As(err, &failure) {
-		h.answer(from, attempt.CancelFailed{Operation: action.Operation, Code: failure.Code})
+		h.send(from, attempt.CancelFailed{Operation: action.Operation, Code: failure.Code})
 		return
 	}
-	h.answer(from, attempt.CancelAnswered{Operation: action.Operation, State: response.State})
+	h.send(from, attempt.CancelAnswered{Operation: action.Operation, State: response.State})
 }
 
 // resume takes a resume that has arrived. Streams have no text here, so none
 // can be read again; a lost connection means a lost engine.
-func (h *engineHost) resume(from *carrier, action attempt.Resume) {
+func (h *engineHost) resume(from *requestDriver, action attempt.Resume) {
 	if h.down {
-		h.answer(from, attempt.ResumeFailed{Operation: action.Operation})
+		h.send(from, attempt.ResumeFailed{Operation: action.Operation})
 		return
 	}
-	h.answer(from, attempt.ResumeRejected{
+	h.send(from, attempt.ResumeRejected{
 		Operation:   action.Operation,
 		Code:        engine.ErrorUnknownStream,
 		Incarnation: h.model.Incarnation(),
@@ -180,10 +180,10 @@
 // crash ends the engine's run and every connection to it.
 func (h *engineHost) crash() {
 	h.down = true
-	h.planned = 0
+	h.stepAt = 0
 	for _, id := range slices.Sorted(maps.Keys(h.streams)) {
 		stream := h.streams[id]
-		h.answer(stream.carrier, attempt.StreamBroken{Operation: stream.operation})
+		h.send(stream.driver, attempt.StreamBroken{Operation: stream.operation})
 	}
 	clear(h.streams)
 	h.emulator.engineChanged(h)
@@ -194,5 +194,5 @@
 	h.model.Restart(h.now())
 	h.down = false
 	h.machine.Incarnation = h.model.Incarnation()
-	h.changed()
+	h.processChanges()
 }
--- a/lab/emulator/ledger.go
+++ b/lab/emulator/ledger.go
@@ -2,18 +2,20 @@
 
 import "github.com/tillerfall/tillerfall/internal/fleet"
 
-// ledger counts the prompt work of a run that no router could have avoided: the
+// prefillLedger counts the prompt work of a run that no router could have avoided: the
 // first computation of each distinct block, and of each prompt what doesn't
 // fill a block, at least one token.
-type ledger struct {
+type prefillLedger struct {
 	seen        map[fleet.BlockHash]struct{}
 	unavoidable int64
 }
 
-func newLedger() *ledger { return &ledger{seen: make(map[fleet.BlockHash]struct{})} }
+func newPrefillLedger() *prefillLedger {
+	return &prefillLedger{seen: make(map[fleet.BlockHash]struct{})}
+}
 
-// note counts a prompt that an engine has accepted.
-func (l *ledger) note(blocks []fleet.BlockHash, promptTokens, blockTokens int) {
+// recordPrompt counts a prompt that an engine has accepted.
+func (l *prefillLedger) recordPrompt(blocks []fleet.BlockHash, promptTokens, blockTokens int) {
 	for _, block := range blocks {
 		if _, known := l.seen[block]; known {
 			continue
--- a/lab/emulator/options.go
+++ b/lab/emulator/options.go
@@ -26,8 +26,8 @@
 	Crash *Crash
 	// Placement tunes the product's routers; zero fields take the defaults.
 	Placement placement.Options
-	// SampleEvery is the length of the intervals of Result.HitOverTime.
-	SampleEvery time.Duration
+	// SampleInterval is the length of the intervals of Result.HitOverTime.
+	SampleInterval time.Duration
 }
 
 // Crash is the failure of one engine, which comes back empty.
@@ -49,22 +49,22 @@
 	localLatency = 100 * time.Microsecond
 	// statusInterval, needsInterval and reportInterval are those of the router
 	// and agent processes; statusTimeout is that of a status poll.
-	statusInterval = 250 * time.Millisecond
-	needsInterval  = 100 * time.Millisecond
-	reportInterval = 50 * time.Millisecond
+	statusInterval   = 250 * time.Millisecond
+	snapshotInterval = 100 * time.Millisecond
+	reportInterval   = 50 * time.Millisecond
 	// minimumTick is the least time between two ticks of a router.
 	minimumTick = time.Millisecond
-	// eventPause is the least time between two polls for cache events.
-	eventPause = 5 * time.Millisecond
+	// eventPollPause is the least time between two polls for cache events.
+	eventPollPause = 5 * time.Millisecond
 	// maxOverrun bounds how long after the trace's end requests may go on.
 	maxOverrun = 10 * time.Minute
 
-	defaultSampleEvery = time.Second
+	defaultSampleInterval = time.Second
 )
 
 func (o Options) withDefaults() Options {
-	if o.SampleEvery <= 0 {
-		o.SampleEvery = defaultSampleEvery
+	if o.SampleInterval <= 0 {
+		o.SampleInterval = defaultSampleInterval
 	}
 	return o
 }
--- a/lab/emulator/policy.go
+++ b/lab/emulator/policy.go
@@ -47,12 +47,12 @@
 
 // Ways to choose a router.
 const (
-	// RouteAsAgents orders the routers as the agent process does.
-	RouteAsAgents Routing = iota
+	// RouteByAffinity orders the routers as the agent process does.
+	RouteByAffinity Routing = iota
 	// RouteByPrefix ranks the routers by the prompt's first blocks.
 	RouteByPrefix
-	// RouteSpread takes the routers in turn.
-	RouteSpread
+	// RouteRoundRobin takes the routers in turn.
+	RouteRoundRobin
 	// RouteCentral means one router that agents reach without delay.
 	RouteCentral
 )
@@ -85,13 +85,13 @@
 // Tillerfall is the product with its defaults: every router owns every engine
 // and one of them places.
 func Tillerfall() Policy {
-	return Policy{Name: PolicyTillerfall, Routing: RouteAsAgents, New: newProductRouter}
+	return Policy{Name: PolicyTillerfall, Routing: RouteByAffinity, New: newProductRouter}
 }
 
 // Sharded is the product with one owner for each engine, so that what is known
 // of an engine's work isn't split among routers.
 func Sharded() Policy {
-	return Policy{Name: PolicySharded, Routing: RouteAsAgents, IndexReplicas: 1, New: newProductRouter}
+	return Policy{Name: PolicySharded, Routing: RouteByAffinity, IndexReplicas: 1, New: newProductRouter}
 }
 
 func newProductRouter(setup Setup) Router {
--- a/lab/emulator/ranking.go
+++ b/lab/emulator/ranking.go
@@ -36,13 +36,13 @@
 // rank lists the routers in the order in which a request tries them.
 func (k *ranking) rank(choice affinity.Choice) []*routerHost {
 	switch k.emulator.options.Policy.Routing {
-	case RouteAsAgents:
+	case RouteByAffinity:
 		return k.hosts(k.routers().Order(choice, k.pool()))
 	case RouteByPrefix:
 		members := membership.Rank(choice.Key(), k.zone, k.emulator.members)
 		return k.hosts(choice.Order(members, len(members)))
 	default:
-		return k.inTurn()
+		return k.roundRobin()
 	}
 }
 
@@ -54,7 +54,7 @@
 	return hosts
 }
 
-func (k *ranking) inTurn() []*routerHost {
+func (k *ranking) roundRobin() []*routerHost {
 	routers := k.emulator.routers
 	ranked := make([]*routerHost, 0, len(routers))
 	k.turn++
@@ -74,7 +74,7 @@
 	}
 }
 
-// spilled notes that a router was saturated and another one had room.
-func (k *ranking) spilled(now time.Duration, choice affinity.Choice) {
+// recordSpill notes that a router was saturated and another one had room.
+func (k *ranking) recordSpill(now time.Duration, choice affinity.Choice) {
 	k.table.RecordSpill(now, choice, k.routers().Serving(choice, k.pool()))
 }
--- a/lab/emulator/result.go
+++ b/lab/emulator/result.go
@@ -67,10 +67,10 @@
 	Refusals int `json:"refusals"`
 	// RefusedAfter is the time from arrival to the first refusal, RetryAfter what
 	// callers were told. Of those that came back, ReturnedFinished were served.
-	RefusedAfter     Quantiles `json:"refused_after"`
-	RetryAfter       Quantiles `json:"retry_after"`
-	Returned         int       `json:"returned"`
-	ReturnedFinished int       `json:"returned_finished"`
+	RefusedAfter          Quantiles `json:"refused_after"`
+	RetryAfter            Quantiles `json:"retry_after"`
+	CallerRetries         int       `json:"returned"`
+	CallerRetriesFinished int       `json:"returned_finished"`
 	// Retries counts attempts drawn from the retry budget, Dispatches all attempts.
 	Retries    int `json:"retries"`
 	Dispatches int `json:"dispatches"`
@@ -92,14 +92,14 @@
 
 	FirstTokenByClass map[fleet.ClassName]Quantiles `json:"first_token_by_class"`
 	FirstTokenByKind  map[workload.Kind]Quantiles   `json:"first_token_by_kind"`
-	// UrgentOfOthers covers the tenants but the first, which sends the floods.
-	UrgentOfOthers    Quantiles                      `json:"urgent_first_token_of_others"`
-	UrgentByTenant    map[fleet.TenantName]Quantiles `json:"urgent_first_token_by_tenant"`
-	QueueWaitByClass  map[fleet.ClassName]Quantiles  `json:"queue_wait_by_class"`
-	RouterWaitByClass map[fleet.ClassName]Quantiles  `json:"router_wait_by_class"`
-	FinishTimeByClass map[fleet.ClassName]Quantiles  `json:"finish_time_by_class"`
-	PromptByKind      map[workload.Kind]PromptSplit  `json:"prompt_by_kind"`
-	HitOverTime       []HitSample                    `json:"hit_over_time"`
+	// UrgentOfOtherTenants covers the tenants but the first, which sends the floods.
+	UrgentOfOtherTenants Quantiles                      `json:"urgent_first_token_of_others"`
+	UrgentByTenant       map[fleet.TenantName]Quantiles `json:"urgent_first_token_by_tenant"`
+	QueueWaitByClass     map[fleet.ClassName]Quantiles  `json:"queue_wait_by_class"`
+	RouterWaitByClass    map[fleet.ClassName]Quantiles  `json:"router_wait_by_class"`
+	FinishTimeByClass    map[fleet.ClassName]Quantiles  `json:"finish_time_by_class"`
+	PromptByKind         map[workload.Kind]PromptSplit  `json:"prompt_by_kind"`
+	HitOverTime          []HitSample                    `json:"hit_over_time"`
 }
 
 // PromptSplit tells where the prompt tokens of a kind of requests came from, in
--- a/lab/emulator/rival.go
+++ b/lab/emulator/rival.go
@@ -13,43 +13,43 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// rival is a router of a simple kind: it gives each attempt an engine at once.
+// baselineRouter is a router of a simple kind: it gives each attempt an engine at once.
 // Its queue discipline is the engines' own: each keeps a bounded queue in the
 // order of class and arrival, and rejects what is over the bound. Rivals stop
 // using an engine that they can't reach, until it answers again.
-type rival struct {
+type baselineRouter struct {
 	view    *config.View
 	random  *rand.Rand
-	choose  func(r *rival, request *placement.Request, candidates []*rivalEngine) *rivalEngine
+	choose  func(r *baselineRouter, request *placement.Request, candidates []*baselineEngine) *baselineEngine
 	index   *prefixindex.Index
-	engines []*rivalEngine
-	byID    map[fleet.EngineID]*rivalEngine
+	engines []*baselineEngine
+	byID    map[fleet.EngineID]*baselineEngine
 
-	now      time.Duration
-	turn     int
-	outcomes []placement.Outcome
-	scratch  []*rivalEngine
-	matches  []prefixindex.Match
+	now        time.Duration
+	turn       int
+	outcomes   []placement.Outcome
+	candidates []*baselineEngine
+	matches    []prefixindex.Match
 }
 
-// rivalEngine is what a rival knows of an engine.
-type rivalEngine struct {
+// baselineEngine is what a rival knows of an engine.
+type baselineEngine struct {
 	run         fleet.EngineRun
 	machine     platform.Machine
 	unreachable bool
 	load        engine.Load
-	// granted holds the times of the grants since the load was measured.
-	granted []time.Duration
-	feed    *prefixindex.Feed
+	// recentGrants holds the times of the grants since the load was measured.
+	recentGrants []time.Duration
+	feed         *prefixindex.Feed
 }
 
-func newRival(choose func(*rival, *placement.Request, []*rivalEngine) *rivalEngine, indexed bool) func(Setup) Router {
+func newBaselineRouter(choose func(*baselineRouter, *placement.Request, []*baselineEngine) *baselineEngine, indexed bool) func(Setup) Router {
 	return func(setup Setup) Router {
-		made := &rival{
+		made := &baselineRouter{
 			view:   setup.View,
 			random: setup.Random,
 			choose: choose,
-			byID:   make(map[fleet.EngineID]*rivalEngine),
+			byID:   make(map[fleet.EngineID]*baselineEngine),
 			turn:   setup.Random.IntN(1 << 16),
 		}
 		if indexed {
@@ -60,22 +60,22 @@
 }
 
 // Submit implements Router.
-func (r *rival) Submit(now time.Duration, request placement.Request) {
+func (r *baselineRouter) Submit(now time.Duration, request placement.Request) {
 	r.now = now
-	r.scratch = r.scratch[:0]
+	r.candidates = r.candidates[:0]
 	for _, candidate := range r.engines {
 		if !candidate.unreachable && !excluded(&request, candidate.run) {
-			r.scratch = append(r.scratch, candidate)
+			r.candidates = append(r.candidates, candidate)
 		}
 	}
-	if len(r.scratch) == 0 {
+	if len(r.candidates) == 0 {
 		r.outcomes = append(r.outcomes, placement.Refusal{
 			Key: request.Key, Code: resultcode.NoEngine, RetryAfter: time.Second,
 		})
 		return
 	}
-	chosen := r.choose(r, &request, r.scratch)
-	chosen.granted = append(chosen.granted, now)
+	chosen := r.choose(r, &request, r.candidates)
+	chosen.recentGrants = append(chosen.recentGrants, now)
 	class, _ := r.view.Class(request.Class)
 	r.outcomes = append(r.outcomes, placement.Grant{
 		Key:      request.Key,
@@ -96,53 +96,53 @@
 }
 
 // ObserveMachine implements Router.
-func (r *rival) ObserveMachine(_ time.Duration, machine platform.Machine) {
-	added := &rivalEngine{
+func (r *baselineRouter) ObserveMachine(_ time.Duration, machine platform.Machine) {
+	added := &baselineEngine{
 		run:     fleet.EngineRun{Engine: fleet.EngineID(machine.ID), Incarnation: machine.Incarnation},
 		machine: machine,
 	}
 	r.engines = append(r.engines, added)
 	r.byID[added.run.Engine] = added
-	r.follow(added)
+	r.startFeed(added)
 }
 
-func (r *rival) follow(e *rivalEngine) {
+func (r *baselineRouter) startFeed(e *baselineEngine) {
 	if r.index != nil {
 		e.feed = prefixindex.NewFeed(r.index, e.run, prefixindex.FeedOptions{})
 	}
 }
 
 // ObserveStatus implements Router.
-func (r *rival) ObserveStatus(now time.Duration, status engine.Status) {
+func (r *baselineRouter) ObserveStatus(now time.Duration, status engine.Status) {
 	r.now = now
 	known := r.byID[status.Engine]
 	known.unreachable = false
 	if status.Incarnation > known.run.Incarnation {
-		r.begin(known, status.Incarnation)
+		r.beginRun(known, status.Incarnation)
 	}
 	known.load = status.Load
 	measured := time.Duration(status.Load.MeasuredAtMillis) * time.Millisecond
-	for len(known.granted) > 0 && known.granted[0] <= measured {
-		known.granted = known.granted[1:]
+	for len(known.recentGrants) > 0 && known.recentGrants[0] <= measured {
+		known.recentGrants = known.recentGrants[1:]
 	}
 }
 
-func (r *rival) begin(known *rivalEngine, incarnation fleet.Incarnation) {
+func (r *baselineRouter) beginRun(known *baselineEngine, incarnation fleet.Incarnation) {
 	if r.index != nil {
 		r.index.RemoveRun(known.run)
 	}
 	known.run.Incarnation = incarnation
-	known.granted = nil
-	r.follow(known)
+	known.recentGrants = nil
+	r.startFeed(known)
 }
 
 // ObserveUnreachable implements Router.
-func (r *rival) ObserveUnreachable(_ time.Duration, id fleet.EngineID) {
+func (r *baselineRouter) ObserveUnreachable(_ time.Duration, id fleet.EngineID) {
 	r.byID[id].unreachable = true
 }
 
 // Report implements Router.
-func (r *rival) Report(_ time.Duration, report placement.AttemptReport) {
+func (r *baselineRouter) Report(_ time.Duration, report placement.AttemptReport) {
 	known := r.byID[report.Run.Engine]
 	if report.EngineLost && known != nil && known.run == report.Run {
 		known.unreachable = true
@@ -150,7 +150,7 @@
 }
 
 // ObserveCacheEvents implements Router.
-func (r *rival) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
+func (r *baselineRouter) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
 	r.now = now
 	if known := r.byID[id]; known.feed != nil {
 		known.feed.Apply(now, events)
@@ -158,7 +158,7 @@
 }
 
 // ObserveCacheSnapshot implements Router.
-func (r *rival) ObserveCacheSnapshot(now time.Duration, id fleet.EngineID, snapshot engine.CacheSnapshot) {
+func (r *baselineRouter) ObserveCacheSnapshot(now time.Duration, id fleet.EngineID, snapshot engine.CacheSnapshot) {
 	r.now = now
 	if known := r.byID[id]; known.feed != nil {
 		known.feed.ApplySnapshot(now, snapshot)
@@ -166,7 +166,7 @@
 }
 
 // EventsAfter implements Router.
-func (r *rival) EventsAfter(id fleet.EngineID) (uint64, fleet.Incarnation, bool) {
+func (r *baselineRouter) EventsAfter(id fleet.EngineID) (uint64, fleet.Incarnation, bool) {
 	known := r.byID[id]
 	if known.feed == nil {
 		return 0, 0, false
@@ -175,7 +175,7 @@
 }
 
 // NeedsSnapshot implements Router.
-func (r *rival) NeedsSnapshot() []fleet.EngineID {
+func (r *baselineRouter) NeedsSnapshot() []fleet.EngineID {
 	var wanted []fleet.EngineID
 	for _, known := range r.engines {
 		if known.feed == nil {
@@ -190,16 +190,16 @@
 }
 
 // Withdraw implements Router. Nothing waits here.
-func (r *rival) Withdraw(time.Duration, placement.Key) bool { return false }
+func (r *baselineRouter) Withdraw(time.Duration, placement.Key) bool { return false }
 
 // Tick implements Router.
-func (r *rival) Tick(time.Duration) {}
+func (r *baselineRouter) Tick(time.Duration) {}
 
 // NextWake implements Router.
-func (r *rival) NextWake() (time.Duration, bool) { return 0, false }
+func (r *baselineRouter) NextWake() (time.Duration, bool) { return 0, false }
 
 // TakeOutcomes implements Router.
-func (r *rival) TakeOutcomes() []placement.Outcome {
+func (r *baselineRouter) TakeOutcomes() []placement.Outcome {
 	outcomes := r.outcomes
 	r.outcomes = nil
 	return outcomes
--- a/lab/emulator/rivals.go
+++ b/lab/emulator/rivals.go
@@ -9,10 +9,10 @@
 
 // RoundRobin takes the engines in turn, at each router from another start.
 func RoundRobin() Policy {
-	return Policy{Name: PolicyRoundRobin, Routing: RouteSpread, New: newRival(chooseInTurn, false)}
+	return Policy{Name: PolicyRoundRobin, Routing: RouteRoundRobin, New: newBaselineRouter(chooseRoundRobin, false)}
 }
 
-func chooseInTurn(r *rival, _ *placement.Request, candidates []*rivalEngine) *rivalEngine {
+func chooseRoundRobin(r *baselineRouter, _ *placement.Request, candidates []*baselineEngine) *baselineEngine {
 	r.turn++
 	return candidates[r.turn%len(candidates)]
 }
@@ -20,11 +20,11 @@
 // LeastLoaded takes the engine with the fewest streams: those of the lagging
 // report and the router's own grants since its measurement. Ties go by chance.
 func LeastLoaded() Policy {
-	return Policy{Name: PolicyLeastLoaded, Routing: RouteSpread, New: newRival(chooseLeastLoaded, false)}
+	return Policy{Name: PolicyLeastLoaded, Routing: RouteRoundRobin, New: newBaselineRouter(chooseLeastLoaded, false)}
 }
 
-func chooseLeastLoaded(r *rival, _ *placement.Request, candidates []*rivalEngine) *rivalEngine {
-	var best *rivalEngine
+func chooseLeastLoaded(r *baselineRouter, _ *placement.Request, candidates []*baselineEngine) *baselineEngine {
+	var best *baselineEngine
 	equal := 0
 	for _, candidate := range candidates {
 		switch {
@@ -40,24 +40,24 @@
 	return best
 }
 
-func (e *rivalEngine) streams() int {
-	return e.load.RunningStreams + e.load.WaitingStreams + len(e.granted)
+func (e *baselineEngine) streams() int {
+	return e.load.RunningStreams + e.load.WaitingStreams + len(e.recentGrants)
 }
 
 // PrefixHash gives equal beginnings of prompts to one engine, by rendezvous
 // hashing (Thaler and Ravishankar 1998) of the key by which agents choose a
 // router. It looks at no load.
 func PrefixHash() Policy {
-	return Policy{Name: PolicyPrefixHash, Routing: RouteSpread, New: newRival(chooseByHash, false)}
+	return Policy{Name: PolicyPrefixHash, Routing: RouteRoundRobin, New: newBaselineRouter(chooseByHash, false)}
 }
 
 // hashedBlocks is the number of leading blocks that choose the engine. Every
 // prompt of the workloads has one.
 const hashedBlocks = 4
 
-func chooseByHash(_ *rival, request *placement.Request, candidates []*rivalEngine) *rivalEngine {
+func chooseByHash(_ *baselineRouter, request *placement.Request, candidates []*baselineEngine) *baselineEngine {
 	key := uint64(request.Blocks[min(len(request.Blocks), hashedBlocks)-1])
-	var best *rivalEngine
+	var best *baselineEngine
 	var bestScore uint64
 	for _, candidate := range candidates {
 		var digest xxhash.Digest
@@ -73,15 +73,15 @@
 // PrefixMatch takes the engine that holds the longest prefix by the router's
 // lagging index, of equal ones the least loaded.
 func PrefixMatch() Policy {
-	return Policy{Name: PolicyPrefixMatch, Routing: RouteByPrefix, New: newRival(chooseByMatch, true)}
+	return Policy{Name: PolicyPrefixMatch, Routing: RouteByPrefix, New: newBaselineRouter(chooseByPrefixMatch, true)}
 }
 
-func chooseByMatch(r *rival, request *placement.Request, candidates []*rivalEngine) *rivalEngine {
+func chooseByPrefixMatch(r *baselineRouter, request *placement.Request, candidates []*baselineEngine) *baselineEngine {
 	r.matches = r.index.Lookup(request.Blocks, r.matches)
 	longest := 0
-	var holders []*rivalEngine
+	var holders []*baselineEngine
 	for _, candidate := range candidates {
-		blocks := matchOf(r.matches, candidate)
+		blocks := matchedBlocks(r.matches, candidate)
 		if blocks > longest {
 			longest = blocks
 			holders = holders[:0]
@@ -93,7 +93,7 @@
 	return chooseLeastLoaded(r, request, holders)
 }
 
-func matchOf(matches []prefixindex.Match, candidate *rivalEngine) int {
+func matchedBlocks(matches []prefixindex.Match, candidate *baselineEngine) int {
 	for _, match := range matches {
 		if match.Run == candidate.run {
 			return match.Blocks
--- a/lab/emulator/routerhost.go
+++ b/lab/emulator/routerhost.go
@@ -19,14 +19,14 @@
 	zone     fleet.ZoneName
 	central  bool
 	router   Router
-	asking   map[placement.Key]question
+	pending  map[placement.Key]placementCall
 	wakeAt   time.Duration
 	feeds    []eventFeed
 }
 
-// question is an open placement call.
-type question struct {
-	carrier   *carrier
+// placementCall is an open placement call.
+type placementCall struct {
+	driver    *requestDriver
 	operation attempt.Operation
 }
 
@@ -46,35 +46,35 @@
 	return r.emulator.network.fromAgent(agent, r.zone)
 }
 
-// do runs a step on the router, delivers its outcomes and plans its next wake.
-func (r *routerHost) do(step func(now time.Duration, router Router)) {
+// apply runs a step on the router, delivers its outcomes and plans its next wake.
+func (r *routerHost) apply(step func(now time.Duration, router Router)) {
 	step(r.now(), r.router)
 	for _, outcome := range r.router.TakeOutcomes() {
 		r.deliver(outcome)
 	}
-	r.plan()
+	r.scheduleWake()
 }
 
 func (r *routerHost) deliver(outcome placement.Outcome) {
 	key := outcome.OutcomeKey()
-	asked, found := r.asking[key]
+	asked, found := r.pending[key]
 	if !found {
-		r.abandon(outcome)
+		r.releaseGrant(outcome)
 		return
 	}
-	delete(r.asking, key)
-	latency := r.latency(asked.carrier.agent.zone)
-	r.emulator.queue.After(latency, func() { asked.carrier.answered(asked.operation, outcome) })
+	delete(r.pending, key)
+	latency := r.latency(asked.driver.agent.zone)
+	r.emulator.queue.After(latency, func() { asked.driver.handleOutcome(asked.operation, outcome) })
 }
 
-// abandon gives back a grant that nobody waits for.
-func (r *routerHost) abandon(outcome placement.Outcome) {
+// releaseGrant gives back a grant that nobody waits for.
+func (r *routerHost) releaseGrant(outcome placement.Outcome) {
 	if grant, granted := outcome.(placement.Grant); granted {
 		r.router.Report(r.now(), placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
 	}
 }
 
-func (r *routerHost) plan() {
+func (r *routerHost) scheduleWake() {
 	at, found := r.router.NextWake()
 	if !found {
 		return
@@ -92,28 +92,28 @@
 		return
 	}
 	r.wakeAt = 0
-	r.do(func(now time.Duration, router Router) { router.Tick(now) })
+	r.apply(func(now time.Duration, router Router) { router.Tick(now) })
 }
 
-func (r *routerHost) submit(from *carrier, operation attempt.Operation, request placement.Request) {
+func (r *routerHost) submit(from *requestDriver, operation attempt.Operation, request placement.Request) {
 	if from.machine.Phase() == attempt.PhaseFinished {
 		return // the agent's call was cancelled on its way
 	}
-	r.asking[request.Key] = question{carrier: from, operation: operation}
-	r.do(func(now time.Duration, router Router) { router.Submit(now, request) })
+	r.pending[request.Key] = placementCall{driver: from, operation: operation}
+	r.apply(func(now time.Duration, router Router) { router.Submit(now, request) })
 }
 
 // withdraw takes back the open question of a carrier whose request is over.
 func (r *routerHost) withdraw(key placement.Key) {
-	if _, found := r.asking[key]; !found {
+	if _, found := r.pending[key]; !found {
 		return
 	}
-	delete(r.asking, key)
-	r.do(func(now time.Duration, router Router) { router.Withdraw(now, key) })
+	delete(r.pending, key)
+	r.apply(func(now time.Duration, router Router) { router.Withdraw(now, key) })
 }
 
-func (r *routerHost) takeReports(batch []placement.AttemptReport) {
-	r.do(func(now time.Duration, router Router) {
+func (r *routerHost) receiveReports(batch []placement.AttemptReport) {
+	r.apply(func(now time.Duration, router Router) {
 		for _, report := range batch {
 			router.Report(now, report)
 		}
@@ -124,17 +124,17 @@
 func (r *routerHost) start() {
 	r.feeds = make([]eventFeed, len(r.emulator.engines))
 	for _, host := range r.emulator.engines {
-		r.do(func(now time.Duration, router Router) { router.ObserveMachine(now, host.machine) })
-		if r.central || !r.emulator.owns(r.node, host.id()) {
+		r.apply(func(now time.Duration, router Router) { router.ObserveMachine(now, host.machine) })
+		if r.central || !r.emulator.isOwner(r.node, host.id()) {
 			continue
 		}
 		status := host.model.Status(0)
-		r.do(func(now time.Duration, router Router) { router.ObserveStatus(now, status) })
+		r.apply(func(now time.Duration, router Router) { router.ObserveStatus(now, status) })
 		r.emulator.queue.After(r.jitter(statusInterval), func() { r.pollStatus(host) })
 		r.pollEvents(host)
 	}
 	if !r.central {
-		r.emulator.queue.After(needsInterval, r.passNeeds)
+		r.emulator.queue.After(snapshotInterval, r.fetchSnapshots)
 	}
 }
 
@@ -151,15 +151,15 @@
 		reachable := !host.down
 		if reachable {
 			status = host.model.Status(queue.Now())
-			host.changed()
+			host.processChanges()
 		}
-		queue.After(latency, func() { r.takeStatus(host, status, reachable) })
+		queue.After(latency, func() { r.receiveStatus(host, status, reachable) })
 	})
 	queue.After(r.jitter(statusInterval), func() { r.pollStatus(host) })
 }
 
-func (r *routerHost) takeStatus(host *engineHost, status engine.Status, reachable bool) {
-	r.do(func(now time.Duration, router Router) {
+func (r *routerHost) receiveStatus(host *engineHost, status engine.Status, reachable bool) {
+	r.apply(func(now time.Duration, router Router) {
 		if reachable {
 			router.ObserveStatus(now, status)
 		} else {
@@ -187,7 +187,7 @@
 		return
 	}
 	feed.waiting = false
-	r.emulator.queue.At(next+eventPause, func() { r.answerPoll(host) })
+	r.emulator.queue.At(next+eventPollPause, func() { r.answerPoll(host) })
 }
 
 func (r *routerHost) answerPoll(host *engineHost) {
@@ -201,10 +201,10 @@
 		Incarnation: host.model.Incarnation(),
 		Events:      host.model.CacheEventsAfter(r.now(), after),
 	}
-	host.changed()
+	host.processChanges()
 	r.emulator.queue.After(latency, func() {
 		id := host.id()
-		r.do(func(now time.Duration, router Router) { router.ObserveCacheEvents(now, id, events) })
+		r.apply(func(now time.Duration, router Router) { router.ObserveCacheEvents(now, id, events) })
 		r.pollEvents(host)
 	})
 }
@@ -215,7 +215,7 @@
 		r.waitForEvents(host)
 	}
 	if observer, observes := r.router.(engineObserver); observes {
-		r.do(func(now time.Duration, _ Router) { observer.engineChanged(now, host) })
+		r.apply(func(now time.Duration, _ Router) { observer.engineChanged(now, host) })
 	}
 }
 
@@ -225,15 +225,15 @@
 	dispatchArrived(now time.Duration, host *engineHost, stream fleet.StreamID)
 }
 
-// passNeeds fetches the caches that the router wants whole.
-func (r *routerHost) passNeeds() {
+// fetchSnapshots fetches the caches that the router wants whole.
+func (r *routerHost) fetchSnapshots() {
 	wanted := r.router.NeedsSnapshot()
 	for _, host := range r.emulator.engines {
 		if slices.Contains(wanted, host.id()) {
 			r.fetchSnapshot(host)
 		}
 	}
-	r.emulator.queue.After(needsInterval, r.passNeeds)
+	r.emulator.queue.After(snapshotInterval, r.fetchSnapshots)
 }
 
 func (r *routerHost) fetchSnapshot(host *engineHost) {
@@ -243,9 +243,9 @@
 			return
 		}
 		snapshot := host.model.CacheSnapshot(r.now())
-		host.changed()
+		host.processChanges()
 		r.emulator.queue.After(latency, func() {
-			r.do(func(now time.Duration, router Router) { router.ObserveCacheSnapshot(now, host.id(), snapshot) })
+			r.apply(func(now time.Duration, router Router) { router.ObserveCacheSnapshot(now, host.id(), snapshot) })
 		})
 	})
 }
--- a/lab/emulator/terms.go
+++ b/lab/emulator/terms.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// terms are what callers of a class expect and what operators set for it.
-type terms struct {
+// classSettings are what callers of a class expect and what operators set for it.
+type classSettings struct {
 	rank     int
 	maxWait  time.Duration
 	minShare float64
@@ -23,7 +23,7 @@
 // UrgentObjective is the time to first token that urgent requests must meet.
 const UrgentObjective = 810 * time.Millisecond
 
-var termsOf = map[fleet.ClassName]terms{
+var settingsByClass = map[fleet.ClassName]classSettings{
 	workload.ClassUrgent:   {rank: 0, maxWait: 5 * time.Second, deadline: 20 * time.Second, objective: UrgentObjective},
 	workload.ClassStandard: {rank: 10, maxWait: 20 * time.Second, minShare: 0.1, deadline: time.Minute, objective: 3 * time.Second},
 	workload.ClassBatch:    {rank: 20, maxWait: time.Minute, minShare: 0.05, deadline: 3 * time.Minute},
@@ -60,9 +60,9 @@
 	for _, class := range classes {
 		made.Classes = append(made.Classes, config.Class{
 			Name:     class,
-			Rank:     termsOf[class].rank,
-			MaxWait:  config.Duration(termsOf[class].maxWait),
-			MinShare: termsOf[class].minShare,
+			Rank:     settingsByClass[class].rank,
+			MaxWait:  config.Duration(settingsByClass[class].maxWait),
+			MinShare: settingsByClass[class].minShare,
 		})
 	}
 	for _, tenant := range description.Tenants {
--- a/lab/experiment/reportscenarios.go
+++ b/lab/experiment/reportscenarios.go
@@ -25,8 +25,8 @@
 		}
 		batch := flood.Result.EndingsByClass[workload.ClassBatch]
 		rows.row(flood.Case.Policy,
-			millis(calm.Result.UrgentOfOthers.P99), millis(flood.Result.UrgentOfOthers.P99),
-			part(flood.Result.UrgentOfOthers.P99/calm.Result.UrgentOfOthers.P99),
+			millis(calm.Result.UrgentOfOtherTenants.P99), millis(flood.Result.UrgentOfOtherTenants.P99),
+			part(flood.Result.UrgentOfOtherTenants.P99/calm.Result.UrgentOfOtherTenants.P99),
 			part(worstRatio(calm.Result, flood.Result, fleetName)),
 			millis(calm.Result.FirstTokenByClass[workload.ClassStandard].P99),
 			millis(flood.Result.FirstTokenByClass[workload.ClassStandard].P99),
@@ -73,7 +73,7 @@
 			fmt.Sprint(result.Endings[emulator.EndingExpired]), fmt.Sprint(result.Endings[emulator.EndingFailed]),
 			millis(result.RefusedAfter.P50), millis(result.RefusedAfter.P99),
 			millis(result.RetryAfter.P50), millis(result.RetryAfter.P99),
-			fmt.Sprint(result.Returned), fmt.Sprint(result.ReturnedFinished),
+			fmt.Sprint(result.CallerRetries), fmt.Sprint(result.CallerRetriesFinished),
 			part(float64(result.Retries)/float64(max(result.Dispatches, 1))))
 	}
 }
