--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -53,8 +53,8 @@
 	microseconds float64
 }
 
-// cost repeats a call.
-func (e *endpoint) cost(o Options, call func(ctx context.Context) error) (callCost, error) {
+// measure repeats a call.
+func (e *endpoint) measure(o Options, call func(ctx context.Context) error) (callCost, error) {
 	var failed error
 	ctx := context.Background()
 	// The first call may fetch a whole list; the second uses the kept connection.
@@ -126,7 +126,7 @@
 
 // placeCost is the cost of a Place call with so many block hashes.
 func placeCost(o Options, blocks int) (callCost, error) {
-	weights := servedWeights()
+	weights := servedVersion()
 	request := &rpc.PlaceRequest{
 		Header: header(), RequestId: "0123456789abcdef0123456789abcdef", Attempt: 1, Tenant: string(tenantName(0)),
 		Weights: &rpc.Weights{Model: string(weights.Model), Version: string(weights.Version)}, Class: string(className),
@@ -178,7 +178,7 @@
 	}
 	defer e.stop()
 	client := rpc.NewPlacementProtobufClient(e.url, e.client)
-	return e.cost(o, func(ctx context.Context) error { return call(ctx, client) })
+	return e.measure(o, func(ctx context.Context) error { return call(ctx, client) })
 }
 
 // machineList returns the list of engines as nodes pass it on.
@@ -207,7 +207,7 @@
 	defer e.stop()
 	client := rpc.NewPeerProtobufClient(e.url, e.client)
 	request := probe.Encode()
-	cost, err := e.cost(o, func(ctx context.Context) error {
+	cost, err := e.measure(o, func(ctx context.Context) error {
 		_, err := client.Gossip(ctx, request)
 		return err
 	})
@@ -226,7 +226,7 @@
 		return callCost{}, err
 	}
 	defer e.stop()
-	return e.cost(o, func(ctx context.Context) error {
+	return e.measure(o, func(ctx context.Context) error {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.url, nil)
 		if err != nil {
 			return err
@@ -279,12 +279,12 @@
 	return sweepAll(
 		linear("Place call", "blocks in the prompt", "B", o.Sizes.PromptBlocks, func(size int) (float64, error) { return callBytes(placeCost(o, size)) }),
 		linear("Place call", "blocks in the prompt", bothEnds, o.Sizes.PromptBlocks, func(size int) (float64, error) { return callTime(placeCost(o, size)) }),
-		linear("Sync call, nothing new", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(followedSyncCost(o, size)) }),
-		linear("Sync call, nothing new", "routers", bothEnds, o.Sizes.Members, func(size int) (float64, error) { return callTime(followedSyncCost(o, size)) }),
-		linear("Changes call that follows the list of machines, no news", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(followCost(o, size, false)) }),
-		linear("Changes call that follows the list of machines, no news, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(followCost(o, size, false)) }),
-		linear("Changes call that follows the list of machines, one changed", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(followCost(o, size, true)) }),
-		linear("Changes call that follows the list of machines, one changed, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(followCost(o, size, true)) }),
+		linear("Sync call, nothing new", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(incrementalSyncCost(o, size)) }),
+		linear("Sync call, nothing new", "routers", bothEnds, o.Sizes.Members, func(size int) (float64, error) { return callTime(incrementalSyncCost(o, size)) }),
+		linear("Changes call that follows the list of machines, no news", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(machineListCost(o, size, false)) }),
+		linear("Changes call that follows the list of machines, no news, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(machineListCost(o, size, false)) }),
+		linear("Changes call that follows the list of machines, one changed", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(machineListCost(o, size, true)) }),
+		linear("Changes call that follows the list of machines, one changed, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(machineListCost(o, size, true)) }),
 		linear("Sync call with the whole list of routers", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(syncCost(o, size, 0, 0)) }),
 		linear("Sync call with a configuration, no routers", "tenants", "B", o.Sizes.Tenants, func(size int) (float64, error) { return callBytes(syncCost(o, 0, size, 0)) }),
 		linear("Sync call with the list of engines, no routers", "engines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(syncCost(o, 0, 0, size)) }),
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -33,15 +33,15 @@
 	ElapsedSeconds   float64 `json:"elapsed_seconds"`
 }
 
-// part is one part of a run.
-type part struct {
+// measurement is one measurement of a run.
+type measurement struct {
 	name    string
 	slopes  func(Options) ([]Slope, error)
 	figures func(Options) ([]Figure, error)
 }
 
-func parts() []part {
-	return []part{
+func measurements() []measurement {
+	return []measurement{
 		{name: "prefix index", slopes: measureIndex},
 		{name: "placement", slopes: measurePlacement},
 		{name: "ownership", slopes: measureOwnershipTime},
@@ -65,7 +65,7 @@
 	started := time.Now()
 	startedProcessor := ProcessorTime()
 	report := Report{Seed: o.Seed, Processors: runtime.NumCPU(), GoVersion: runtime.Version()}
-	for _, next := range parts() {
+	for _, next := range measurements() {
 		if o.Progress != nil {
 			o.Progress(next.name)
 		}
@@ -78,7 +78,7 @@
 	return report, nil
 }
 
-func (p *part) addTo(report *Report, o Options) error {
+func (p *measurement) addTo(report *Report, o Options) error {
 	if p.slopes != nil {
 		slopes, err := p.slopes(o)
 		report.Slopes = append(report.Slopes, slopes...)
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -27,7 +27,7 @@
 		FailureMembers: 39,
 		FleetEngines:   200,
 		SteadyTime:     5 * time.Second,
-		CutTime:        10 * time.Second,
+		PartitionTime:  10 * time.Second,
 		ProcessorTime:  time.Millisecond,
 	}
 }
@@ -36,13 +36,13 @@
 	for _, growth := range []Growth{GrowthLinear, GrowthLogarithmic, GrowthLinearithmic} {
 		slope, err := sweep(quantity{
 			name: "exact", growth: growth, sizes: []int{2, 8, 32, 128},
-			measure: func(size int) (float64, error) { return 5 + 3*growth.of(float64(size)), nil },
+			measure: func(size int) (float64, error) { return 5 + 3*growth.apply(float64(size)), nil },
 		})
 		require.NoError(t, err)
 		assert.InDelta(t, 5, slope.Intercept, 1e-6, growth)
 		assert.InDelta(t, 3, slope.PerUnit, 1e-6, growth)
 		assert.InDelta(t, 0, slope.Residual, 1e-6, growth)
-		assert.InDelta(t, 5+3*growth.of(1000), slope.At(1000), 1e-4, growth)
+		assert.InDelta(t, 5+3*growth.apply(1000), slope.At(1000), 1e-4, growth)
 	}
 }
 
@@ -67,7 +67,7 @@
 	var measured []string
 	report, err := Run(Options{Sizes: smallSizes(), Seed: 1, Progress: func(part string) { measured = append(measured, part) }})
 	require.NoError(t, err)
-	assert.Len(t, measured, len(parts()))
+	assert.Len(t, measured, len(measurements()))
 	for _, slope := range report.Slopes {
 		assert.GreaterOrEqual(t, len(slope.Points), minimumPoints, slope.Name)
 		assert.NotEmpty(t, slope.Unit, slope.Name)
@@ -87,37 +87,37 @@
 
 func TestMembershipCountsDependOnTheSeedAlone(t *testing.T) {
 	o := Options{Sizes: smallSizes(), Seed: 7}
-	first, second := steady(o, 30), steady(o, 30)
+	first, second := measureSteadyCost(o, 30), measureSteadyCost(o, 30)
 	assert.Equal(t, first.exchanges, second.exchanges)
 	assert.Equal(t, first.bytes, second.bytes)
 	assert.Positive(t, first.bytes)
 
 	lossyChange := func() changeCost {
 		n := newNetwork(7)
-		n.startKnown(30)
-		cost, err := spreadChanges(n, 300, heavyLoss)
+		n.startConverged(30)
+		cost, err := measureChangeCost(n, 300, heavyLoss)
 		require.NoError(t, err)
 		return cost
 	}
 	changeA, changeB := lossyChange(), lossyChange()
 	assert.Equal(t, changeA, changeB)
-	assert.Less(t, changeA.toAll, 4.0)
+	assert.Less(t, changeA.secondsToAll, 4.0)
 }
 
 func TestCrashedRoutersAreFoundByAll(t *testing.T) {
 	n := newNetwork(3)
-	n.startKnown(40)
+	n.startConverged(40)
 	require.True(t, n.converged())
 	crash(func(number int, _ *networkNode) bool { return number < 5 })(n)
 	require.False(t, n.converged())
-	_, agreed := n.until(convergenceLimit, n.converged)
+	_, agreed := n.advanceUntil(convergenceLimit, n.converged)
 	assert.True(t, agreed)
 }
 
 func TestHerdJoins(t *testing.T) {
 	n := newNetwork(4)
 	n.startCold(40)
-	_, agreed := n.until(convergenceLimit, n.converged)
+	_, agreed := n.advanceUntil(convergenceLimit, n.converged)
 	assert.True(t, agreed)
 }
 
@@ -127,16 +127,16 @@
 	intervals := countedTime.Seconds() / 2 / machineInterval.Seconds()
 	t.Logf("steady %.1f reads/s, busiest second %.0f", counted.steadyRate(), counted.peak())
 	assert.LessOrEqual(t, counted.steadyRate()*countedTime.Seconds()/2, 1.5*intervals*perRegion*regions)
-	few, err := followCost(Options{Sizes: Sizes{ProcessorTime: time.Millisecond}}, 100, true)
+	few, err := machineListCost(Options{Sizes: Sizes{ProcessorTime: time.Millisecond}}, 100, true)
 	require.NoError(t, err)
-	many, err := followCost(Options{Sizes: Sizes{ProcessorTime: time.Millisecond}}, 1000, true)
+	many, err := machineListCost(Options{Sizes: Sizes{ProcessorTime: time.Millisecond}}, 1000, true)
 	require.NoError(t, err)
 	assert.InEpsilon(t, few.bytes, many.bytes, 0.1, "one change costs as much in a long list")
 }
 
 func TestSharedTableBudgetDoesNotGrowWithTheFleet(t *testing.T) {
 	o := Options{Seed: 5}
-	few := configurationPolls(o, 100, listedHerd).steadyRate()
-	many := configurationPolls(o, 680, listedHerd).steadyRate()
+	few := configurationPolls(o, 100, listedBootstrap).steadyRate()
+	many := configurationPolls(o, 680, listedBootstrap).steadyRate()
 	assert.InEpsilon(t, few, many, 0.2)
 }
--- a/lab/capacity/configuration.go
+++ b/lab/capacity/configuration.go
@@ -12,7 +12,7 @@
 
 // changeBytes returns the encoded size of a change of one tenant.
 func changeBytes(tenants int) (float64, error) {
-	_, change, err := weightChange(tenants, targetModels)
+	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -32,7 +32,7 @@
 // changeTime returns the processor time of a node to check one change and put
 // it in force in the holder, and in the placement core besides.
 func changeTime(o Options, tenants int) (float64, error) {
-	before, change, err := weightChange(tenants, targetModels)
+	before, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -108,19 +108,19 @@
 			return memoryOf(func() (any, error) { return newRouter(o.Seed, size, 0) })
 		}),
 		memory("listed engines of other owners", "engines", o.Sizes.Engines, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return listingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithListedEngines(o.Seed, size) })
 		}),
 		memory("waiting requests of 128 blocks", "requests", o.Sizes.Waiting, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return waitingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithWaiting(o.Seed, size) })
 		}),
 		memory("open grants after the first token", "grants", o.Sizes.Waiting, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return grantingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithGrants(o.Seed, size) })
 		}),
 	)
 }
 
-// listingRouter returns a router that owns none of the listed engines.
-func listingRouter(seed uint64, engines int) (*router, error) {
+// routerWithListedEngines returns a router that owns none of the listed engines.
+func routerWithListedEngines(seed uint64, engines int) (*router, error) {
 	r, err := newRouter(seed, 0, 0)
 	if err != nil {
 		return nil, err
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -11,8 +11,8 @@
 // failure is one event that the routers have to agree on again.
 type failure struct {
 	name string
-	// begin brings the failure about.
-	begin func(n *network)
+	// inject brings the failure about.
+	inject func(n *network)
 }
 
 // crash stops the nodes for which the condition holds.
@@ -31,7 +31,7 @@
 	return func(n *network) {
 		old := n.all[number]
 		old.send(old.core.Leave(n.now()))
-		n.pass(2 * time.Second)
+		n.advance(2 * time.Second)
 		old.down = true
 		started := n.add(member(number, 1))
 		seeds := []fleet.Address{n.all[number+1].member.Address, n.all[number+2].member.Address, n.all[number+3].member.Address}
@@ -69,30 +69,30 @@
 func measureFailures(o Options) ([]Figure, error) {
 	count := o.Sizes.FailureMembers
 	n := newNetwork(o.Seed)
-	n.startKnown(count)
-	n.startCount()
-	n.pass(o.Sizes.SteadyTime)
-	_, bytes := n.counted()
+	n.startConverged(count)
+	n.startCounting()
+	n.advance(o.Sizes.SteadyTime)
+	_, bytes := n.totals()
 	steadyRate := bytes / float64(count) / o.Sizes.SteadyTime.Seconds()
 	var figures []Figure
 	for _, listed := range failures() {
-		n.startCount()
+		n.startCounting()
 		start := n.now()
-		listed.begin(n)
-		n.until(convergenceLimit, n.converged)
-		figures = append(figures, recovery(n, listed.name, n.now()-start, steadyRate)...)
+		listed.inject(n)
+		n.advanceUntil(convergenceLimit, n.converged)
+		figures = append(figures, recoveryFigures(n, listed.name, n.now()-start, steadyRate)...)
 		n.counting = false
-		n.pass(failurePause)
+		n.advance(failurePause)
 	}
-	region, err := regionCut(o, steadyRate)
+	region, err := partitionRegion(o, steadyRate)
 	if err != nil {
 		return figures, err
 	}
 	return append(figures, region...), nil
 }
 
-// recovery describes how the routers came to agree again.
-func recovery(n *network, name string, took time.Duration, steadyRate float64) []Figure {
+// recoveryFigures describes how the routers came to agree again.
+func recoveryFigures(n *network, name string, took time.Duration, steadyRate float64) []Figure {
 	mean, worst := 0.0, 0.0
 	running := n.running()
 	for _, node := range running {
@@ -110,10 +110,10 @@
 	}
 }
 
-// regionCut cuts one region off and joins it again.
-func regionCut(o Options, steadyRate float64) ([]Figure, error) {
+// partitionRegion cuts one region off and joins it again.
+func partitionRegion(o Options, steadyRate float64) ([]Figure, error) {
 	n := newNetwork(o.Seed)
-	n.startKnown(o.Sizes.FailureMembers)
+	n.startConverged(o.Sizes.FailureMembers)
 	region := regionName(0)
 	inside := 0
 	for _, node := range n.all {
@@ -122,10 +122,10 @@
 		}
 	}
 	outside := len(n.all) - inside
-	n.cut = func(from, to membership.Member) bool { return (from.Region == region) != (to.Region == region) }
+	n.isCut = func(from, to membership.Member) bool { return (from.Region == region) != (to.Region == region) }
 	start := n.now()
-	n.startCount()
-	seen, agreed := n.until(convergenceLimit, func() bool {
+	n.startCounting()
+	seen, agreed := n.advanceUntil(convergenceLimit, func() bool {
 		for _, node := range n.all {
 			want := outside
 			if node.member.Region == region {
@@ -141,15 +141,15 @@
 	if !agreed {
 		state = "NOT all have seen it"
 	}
-	n.pass(max(0, o.Sizes.CutTime-(n.now()-start)))
-	_, during := n.counted()
+	n.advance(max(0, o.Sizes.PartitionTime-(n.now()-start)))
+	_, during := n.totals()
 	cutRate := during / float64(len(n.all)) / (n.now() - start).Seconds()
-	n.cut = nil
-	n.startCount()
-	healed, _ := n.until(convergenceLimit, n.converged)
+	n.isCut = nil
+	n.startCounting()
+	healed, _ := n.advanceUntil(convergenceLimit, n.converged)
 	name := fmt.Sprintf("region of %d cut off", inside)
 	return append([]Figure{
 		{Name: name + ": until " + state, Unit: "s", Value: seen.Seconds()},
 		{Name: name + ": encoded bytes sent a node while cut", Unit: "B/s", Value: cutRate},
-	}, recovery(n, name+", back", healed, steadyRate)...), nil
+	}, recoveryFigures(n, name+", back", healed, steadyRate)...), nil
 }
--- a/lab/capacity/fleetmodel.go
+++ b/lab/capacity/fleetmodel.go
@@ -83,14 +83,14 @@
 		Zone:        zoneName(number),
 		Role:        engine.RoleServe,
 		BlockTokens: blockTokens,
-		Loaded:      []engine.Weights{engine.Weights(servedWeights())},
+		Loaded:      []engine.Weights{engine.Weights(servedVersion())},
 		Load: engine.Load{
 			MeasuredAtMillis: now.Milliseconds(), StepTokens: 1000, PrefillMicrosPerToken: 0.1, StepMicros: 1000,
 		},
 	}
 }
 
-func servedWeights() fleet.ModelVersion {
+func servedVersion() fleet.ModelVersion {
 	return fleet.ModelVersion{Model: modelName(0), Version: "v1"}
 }
 
@@ -120,8 +120,8 @@
 	return config.Canonical(made)
 }
 
-// weightChange returns a change of one tenant's weight and the document before it.
-func weightChange(tenants, models int) (config.Document, config.Change, error) {
+// tenantWeightChange returns a change of one tenant's weight and the document before it.
+func tenantWeightChange(tenants, models int) (config.Document, config.Change, error) {
 	before := document(1, tenants, models)
 	after := config.Canonical(before)
 	after.Revision = 2
--- a/lab/capacity/index.go
+++ b/lab/capacity/index.go
@@ -28,14 +28,14 @@
 	return hashes
 }
 
-func runOf(id fleet.EngineID) fleet.EngineRun { return fleet.EngineRun{Engine: id, Incarnation: 1} }
+func engineRun(id fleet.EngineID) fleet.EngineRun { return fleet.EngineRun{Engine: id, Incarnation: 1} }
 
 // filledIndex returns an index of distinct blocks, each held by one engine.
 func filledIndex(random *rand.Rand, blocks int) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{MaxBlocks: 2 * blocks})
 	const batch = 4096
 	for done := 0; done < blocks; done += batch {
-		run := runOf(engineName(done / batch % ownedEngines))
+		run := engineRun(engineName(done / batch % ownedEngines))
 		index.AddRun(run)
 		index.Store(run, randomHashes(random, min(batch, blocks-done)))
 	}
@@ -52,7 +52,7 @@
 
 func newEventSource(random *rand.Rand, blocks int) (*eventSource, error) {
 	index := filledIndex(random, blocks)
-	run := runOf("measured")
+	run := engineRun("measured")
 	feed := prefixindex.NewFeed(index, run, prefixindex.FeedOptions{})
 	if !feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: run.Incarnation}) {
 		return nil, errors.New("the feed refused an empty snapshot")
--- a/lab/capacity/lists.go
+++ b/lab/capacity/lists.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// listServer answers exchanges with what the agent lacks of routers and engines.
-type listServer struct {
+// syncServer answers exchanges with what the agent lacks of routers and engines.
+type syncServer struct {
 	fixedAnswers
 	publisher *fleetsync.Publisher
 	view      *membership.View
@@ -17,17 +17,17 @@
 }
 
 // Sync implements rpc.Placement.
-func (s *listServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+func (s *syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	response := &rpc.SyncResponse{Header: header()}
 	s.publisher.FillResponse(s.view, s.machines, request, response)
 	return response, nil
 }
 
-// followedSyncCost is the cost of an exchange of an agent that holds the
+// incrementalSyncCost is the cost of an exchange of an agent that holds the
 // newest lists of routers and engines already.
-func followedSyncCost(o Options, routers int) (callCost, error) {
+func incrementalSyncCost(o Options, routers int) (callCost, error) {
 	listed := members(routers)
-	server := &listServer{
+	server := &syncServer{
 		publisher: fleetsync.NewPublisher(listed[0].Node),
 		view:      membership.NewView(1, listed[0], listed),
 		machines:  machineList(o.Sizes.Engines[0]),
--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -12,12 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// currentFor is how long a router's read of the list of machines serves its
+// machineListFreshness is how long a router's read of the list of machines serves its
 // followers.
-const currentFor = 12 * time.Second
+const machineListFreshness = 12 * time.Second
 
-// maxWaits is how often a follower waits for a reader that hasn't read yet.
-const maxWaits = 2
+// maxReaderWaits is how often a follower waits for a reader that hasn't read yet.
+const maxReaderWaits = 2
 
 // machineReads counts the reads of the platform's list of machines by a herd of
 // routers that have just restarted and find each other over the network.
@@ -32,8 +32,8 @@
 		var step func()
 		step = func() {
 			pause := machineInterval
-			switch reader, served := reading(node, readAt); {
-			case reader || (!served && waits[node] >= maxWaits):
+			switch reader, served := readerState(node, readAt); {
+			case reader || (!served && waits[node] >= maxReaderWaits):
 				counter.count(n.now())
 				readAt[node] = n.now()
 				waits[node] = 0
@@ -60,22 +60,22 @@
 	return pause*3/4 + time.Duration(random.Int64N(int64(pause/2)+1))
 }
 
-// reading tells whether a router is a reader, and otherwise whether a reader
+// readerState tells whether a router is a reader, and otherwise whether a reader
 // that it knows has read lately.
-func reading(node *networkNode, readAt map[*networkNode]time.Duration) (reader, served bool) {
+func readerState(node *networkNode, readAt map[*networkNode]time.Duration) (reader, served bool) {
 	now := node.network.now()
 	for _, reader := range fleetsync.Readers(node.member.Region, node.core.View().Routable()) {
 		if reader.Node == node.member.Node {
 			return true, false
 		}
 		at, read := readAt[node.network.nodes[reader.Address]]
-		served = served || read && now-at <= currentFor
+		served = served || read && now-at <= machineListFreshness
 	}
 	return false, served
 }
 
-// followedServer answers routers that follow its list of machines.
-type followedServer struct {
+// machineListServer answers routers that follow its list of machines.
+type machineListServer struct {
 	fixedAnswers
 	feed  *fleetsync.Publisher
 	lists [2]*rpc.MachineList
@@ -85,7 +85,7 @@
 }
 
 // Changes implements rpc.Peer.
-func (s *followedServer) Changes(_ context.Context, request *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
+func (s *machineListServer) Changes(_ context.Context, request *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
 	if s.changing {
 		s.calls++
 	}
@@ -100,16 +100,16 @@
 	}, nil
 }
 
-// followCost is the cost of one exchange of a router that follows the list of
+// machineListCost is the cost of one exchange of a router that follows the list of
 // so many machines, of which one changes between two exchanges or none.
-func followCost(o Options, machines int, changing bool) (callCost, error) {
+func machineListCost(o Options, machines int, changing bool) (callCost, error) {
 	list := machineList(machines)
 	changed := &rpc.MachineList{Digest: list.GetDigest() + 1, Machines: append([]*rpc.Machine(nil), list.GetMachines()...)}
 	leaving := proto.Clone(list.GetMachines()[0]).(*rpc.Machine)
 	leaving.Leaving = true
 	changed.Machines[0] = leaving
 	node := member(0, 0).Node
-	server := &followedServer{
+	server := &machineListServer{
 		feed: fleetsync.NewPublisher(node), lists: [2]*rpc.MachineList{list, changed}, changing: changing,
 	}
 	e, err := newEndpoint(rpc.NewPeerServer(server))
@@ -119,7 +119,7 @@
 	defer e.stop()
 	client := rpc.NewPeerProtobufClient(e.url, e.client)
 	var lists fleetsync.Subscriber
-	return e.cost(o, func(ctx context.Context) error {
+	return e.measure(o, func(ctx context.Context) error {
 		held := &rpc.SyncRequest{}
 		lists.FillRequest(held)
 		answer, err := client.Changes(ctx, &rpc.ChangesRequest{
--- a/lab/capacity/membership.go
+++ b/lab/capacity/membership.go
@@ -13,8 +13,8 @@
 	convergenceLimit = 5 * time.Minute
 	// changeLimit bounds the virtual time until all hold a change.
 	changeLimit = time.Minute
-	// changeSettle is the virtual time after which a change isn't passed on any more.
-	changeSettle = 6 * time.Second
+	// changeSettleTime is the virtual time after which a change isn't passed on any more.
+	changeSettleTime = 6 * time.Second
 	// heavyLoss is the loss of requests, and of answers, in a bad network.
 	heavyLoss = 0.3
 )
@@ -26,15 +26,15 @@
 	microseconds float64
 }
 
-// steady measures the membership of routers that know each other.
-func steady(o Options, count int) steadyCost {
+// measureSteadyCost measures the membership of routers that know each other.
+func measureSteadyCost(o Options, count int) steadyCost {
 	n := newNetwork(o.Seed)
-	n.startKnown(count)
-	n.startCount()
+	n.startConverged(count)
+	n.startCounting()
 	start := ProcessorTime()
-	n.pass(o.Sizes.SteadyTime)
+	n.advance(o.Sizes.SteadyTime)
 	taken := ProcessorTime() - start
-	exchanges, bytes := n.counted()
+	exchanges, bytes := n.totals()
 	nodeSeconds := float64(count) * o.Sizes.SteadyTime.Seconds()
 	return steadyCost{
 		exchanges:    exchanges / nodeSeconds,
@@ -45,34 +45,34 @@
 
 // changeCost is what one change of the configuration costs until all hold it.
 type changeCost struct {
-	// toAll is the slowest of the changes, in seconds.
-	toAll float64
+	// secondsToAll is the slowest of the changes, in seconds.
+	secondsToAll float64
 	// exchanges and bytes are a node's, beyond the steady ones.
 	exchanges float64
 	bytes     float64
 }
 
-// spreadChanges publishes changes of a size at different nodes of a network
+// measureChangeCost publishes changes of a size at different nodes of a network
 // that has settled, one after the other.
-func spreadChanges(n *network, patchBytes int, loss float64) (changeCost, error) {
+func measureChangeCost(n *network, patchBytes int, loss float64) (changeCost, error) {
 	count := len(n.all)
 	n.loss = loss
-	n.startCount()
-	n.pass(changeSettle)
-	steadyExchanges, steadyBytes := n.counted()
+	n.startCounting()
+	n.advance(changeSettleTime)
+	steadyExchanges, steadyBytes := n.totals()
 	const changes = 5
 	var cost changeCost
 	for number := range changes {
-		n.startCount()
+		n.startCounting()
 		revision := n.all[number*count/changes].publish(make([]byte, patchBytes))
 		start := n.now()
-		took, all := n.until(changeLimit, func() bool { return n.allHold(revision) })
+		took, all := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
 		if !all {
 			return cost, errors.Errorf("a change isn't held by all of %d nodes after %s", count, took)
 		}
-		cost.toAll = max(cost.toAll, took.Seconds())
-		n.pass(max(0, changeSettle-(n.now()-start)))
-		exchanges, bytes := n.counted()
+		cost.secondsToAll = max(cost.secondsToAll, took.Seconds())
+		n.advance(max(0, changeSettleTime-(n.now()-start)))
+		exchanges, bytes := n.totals()
 		cost.exchanges += (exchanges - steadyExchanges) / float64(count*changes)
 		cost.bytes += (bytes - steadyBytes) / float64(count*changes)
 	}
@@ -81,7 +81,7 @@
 
 // patchBytes returns the size of a change of one tenant as nodes pass it on.
 func patchBytes(tenants int) (int, error) {
-	_, change, err := weightChange(tenants, targetModels)
+	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -92,8 +92,8 @@
 	return len(messages[0].GetPatch()), nil
 }
 
-// sweepParts measures several values of one run at each size.
-func sweepParts(sizes []int, measure func(size int) ([]float64, error), quantities ...quantity) ([]Slope, error) {
+// sweepTogether measures several values of one run at each size.
+func sweepTogether(sizes []int, measure func(size int) ([]float64, error), quantities ...quantity) ([]Slope, error) {
 	values := make(map[int][]float64)
 	for _, size := range sizes {
 		parts, err := measure(size)
@@ -110,8 +110,8 @@
 }
 
 func measureSteadyMembership(o Options) ([]Slope, error) {
-	return sweepParts(o.Sizes.Members, func(size int) ([]float64, error) {
-		cost := steady(o, size)
+	return sweepTogether(o.Sizes.Members, func(size int) ([]float64, error) {
+		cost := measureSteadyCost(o, size)
 		return []float64{cost.exchanges, cost.bytes, cost.microseconds}, nil
 	},
 		quantity{name: "membership, steady: exchanges begun a node", size: "routers", unit: "1/s", growth: GrowthLogarithmic},
@@ -134,30 +134,30 @@
 			quantity{name: prefix + "encoded bytes sent a node", size: "routers", unit: "B", growth: GrowthLogarithmic},
 		)
 	}
-	slopes, err := sweepParts(o.Sizes.Members, func(size int) ([]float64, error) {
+	slopes, err := sweepTogether(o.Sizes.Members, func(size int) ([]float64, error) {
 		n := newNetwork(o.Seed)
-		n.startKnown(size)
-		clean, err := spreadChanges(n, patch, 0)
+		n.startConverged(size)
+		clean, err := measureChangeCost(n, patch, 0)
 		if err != nil {
 			return nil, err
 		}
-		lossy, err := spreadChanges(n, patch, heavyLoss)
+		lossy, err := measureChangeCost(n, patch, heavyLoss)
 		return []float64{
-			clean.toAll, clean.exchanges, clean.bytes, lossy.toAll, lossy.exchanges, lossy.bytes,
+			clean.secondsToAll, clean.exchanges, clean.bytes, lossy.secondsToAll, lossy.exchanges, lossy.bytes,
 		}, err
 	}, quantities...)
 	if err != nil {
 		return slopes, err
 	}
-	bySize, err := sweepParts(o.Sizes.Tenants, func(tenants int) ([]float64, error) {
+	bySize, err := sweepTogether(o.Sizes.Tenants, func(tenants int) ([]float64, error) {
 		patch, err := patchBytes(tenants)
 		if err != nil {
 			return nil, err
 		}
 		n := newNetwork(o.Seed)
-		n.startKnown(o.Sizes.Members[1])
-		cost, err := spreadChanges(n, patch, 0)
-		return []float64{cost.toAll, cost.bytes}, err
+		n.startConverged(o.Sizes.Members[1])
+		cost, err := measureChangeCost(n, patch, 0)
+		return []float64{cost.secondsToAll, cost.bytes}, err
 	},
 		quantity{name: "one change by size of the configuration: time to all", size: "tenants", unit: "s", growth: GrowthLinear},
 		quantity{name: "one change by size of the configuration: encoded bytes sent a node", size: "tenants", unit: "B", growth: GrowthLinear},
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -24,13 +24,13 @@
 
 // networkNode is one router's membership core on the virtual network.
 type networkNode struct {
-	network *network
-	member  membership.Member
-	core    *membership.Core
-	spread  *membership.Dissemination
-	log     []membership.Change
-	down    bool
-	wakeAt  time.Duration
+	network       *network
+	member        membership.Member
+	core          *membership.Core
+	dissemination *membership.Dissemination
+	changeLog     []membership.Change
+	down          bool
+	wakeAt        time.Duration
 
 	// calls counts the exchanges that the node began, bytes the encoded
 	// messages that it sent, requests and answers alike.
@@ -46,8 +46,8 @@
 	all    []*networkNode
 	// loss is the probability that a request is lost, and that an answer is.
 	loss float64
-	// cut tells whether messages between two members are lost.
-	cut func(from, to membership.Member) bool
+	// isCut tells whether messages between two members are lost.
+	isCut func(from, to membership.Member) bool
 	// counting has messages encoded and counted.
 	counting bool
 }
@@ -61,20 +61,20 @@
 func (n *network) add(self membership.Member) *networkNode {
 	seed := n.random.Uint64()
 	node := &networkNode{
-		network: n,
-		member:  self,
-		core:    membership.New(membership.Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))}),
-		spread:  membership.NewDissemination(membership.DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 2))}),
-		wakeAt:  -1,
+		network:       n,
+		member:        self,
+		core:          membership.New(membership.Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))}),
+		dissemination: membership.NewDissemination(membership.DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 2))}),
+		wakeAt:        -1,
 	}
 	n.nodes[self.Address] = node
 	n.all = append(n.all, node)
 	return node
 }
 
-// startKnown starts routers that know each other, and lets the news of that
+// startConverged starts routers that know each other, and lets the news of that
 // pass from their queues.
-func (n *network) startKnown(count int) {
+func (n *network) startConverged(count int) {
 	known := members(count)
 	for _, self := range known {
 		node := n.add(self)
@@ -84,11 +84,11 @@
 			greeter = known[1]
 		}
 		node.core.Receive(0, membership.Message{Kind: membership.Ack, Sender: greeter, Updates: known, Complete: true})
-		node.plan()
+		node.scheduleWake()
 	}
 	// A node passes each of count records on about 4 log10(count) times, 32 to
 	// a message, with more than two messages a second.
-	n.pass(20*time.Second + time.Duration(count)*200*time.Millisecond)
+	n.advance(20*time.Second + time.Duration(count)*200*time.Millisecond)
 }
 
 // startCold starts a herd of routers that know nothing but each other's addresses.
@@ -108,18 +108,18 @@
 
 func (n *network) now() time.Duration { return n.queue.Now() }
 
-func (n *network) pass(duration time.Duration) { n.queue.RunUntil(n.now() + duration) }
+func (n *network) advance(duration time.Duration) { n.queue.RunUntil(n.now() + duration) }
 
-// until passes time until the condition holds, and returns how long that took;
+// advanceUntil passes time advanceUntil the condition holds, and returns how long that took;
 // false when the limit came first.
-func (n *network) until(limit time.Duration, condition func() bool) (time.Duration, bool) {
+func (n *network) advanceUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	start := n.now()
 	for !condition() {
 		if n.now()-start >= limit {
 			return limit, false
 		}
-		n.pass(step)
+		n.advance(step)
 	}
 	return n.now() - start, true
 }
@@ -135,16 +135,16 @@
 	return running
 }
 
-// startCount sets the counters to 0 and counts from here on.
-func (n *network) startCount() {
+// startCounting sets the counters to 0 and counts from here on.
+func (n *network) startCounting() {
 	n.counting = true
 	for _, node := range n.all {
 		node.calls, node.bytes = 0, 0
 	}
 }
 
-// counted returns the sums of the counters.
-func (n *network) counted() (calls, bytes float64) {
+// totals returns the sums of the counters.
+func (n *network) totals() (calls, bytes float64) {
 	for _, node := range n.all {
 		calls += float64(node.calls)
 		bytes += float64(node.bytes)
@@ -184,16 +184,16 @@
 
 // lost tells whether a message doesn't arrive.
 func (n *network) lost(from, to membership.Member) bool {
-	return (n.loss > 0 && n.random.Float64() < n.loss) || (n.cut != nil && n.cut(from, to))
+	return (n.loss > 0 && n.random.Float64() < n.loss) || (n.isCut != nil && n.isCut(from, to))
 }
 
 // send begins an exchange for each message.
 func (node *networkNode) send(messages []membership.Message) {
 	for _, message := range messages {
-		node.spread.Piggyback(&message)
+		node.dissemination.Piggyback(&message)
 		node.exchange(message)
 	}
-	node.plan()
+	node.scheduleWake()
 }
 
 // exchange carries one message and its answer, as one call does.
@@ -210,30 +210,30 @@
 		if target.down {
 			return
 		}
-		answer := target.receive(message)
+		answer := target.handleRequest(message)
 		if answer.Kind == 0 || n.lost(target.member, node.member) {
 			return
 		}
 		answer.Complete = message.Kind == membership.Join
 		n.queue.After(n.delay(target.member, node.member), func() {
 			if !node.down {
-				node.send(node.take(answer))
+				node.send(node.handleMessage(answer))
 			}
 		})
 	})
 }
 
-// receive takes a request in and returns its answer: the last message that
+// handleRequest takes a request in and returns its answer: the last message that
 // goes to the sender. Without one only a header goes back.
-func (node *networkNode) receive(message membership.Message) membership.Message {
-	messages := node.take(message)
+func (node *networkNode) handleRequest(message membership.Message) membership.Message {
+	messages := node.handleMessage(message)
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].To != message.Sender.Address {
 			continue
 		}
 		answer := messages[i]
 		node.send(append(messages[:i:i], messages[i+1:]...))
-		node.spread.Piggyback(&answer)
+		node.dissemination.Piggyback(&answer)
 		return node.transmit(answer)
 	}
 	node.send(messages)
@@ -243,17 +243,17 @@
 	return membership.Message{}
 }
 
-// take brings a message into core and dissemination.
-func (node *networkNode) take(message membership.Message) []membership.Message {
+// handleMessage brings a message into core and dissemination.
+func (node *networkNode) handleMessage(message membership.Message) []membership.Message {
 	now := node.network.now()
-	node.spread.Observe(message.Sender.Address, message.KnownRevision)
+	node.dissemination.Observe(message.Sender.Address, message.KnownRevision)
 	messages := node.core.Receive(now, message)
-	next := node.spread.NextChanges(message.Changes)
+	next := node.dissemination.NextChanges(message.Changes)
 	if len(next) == 0 {
 		return messages
 	}
-	node.log = append(node.log, next...)
-	return append(messages, node.spread.Publish(now, next, node.core.View())...)
+	node.changeLog = append(node.changeLog, next...)
+	return append(messages, node.dissemination.Publish(now, next, node.core.View())...)
 }
 
 // transmit encodes and decodes a message as the transport does, and counts it.
@@ -279,10 +279,10 @@
 	return decoded
 }
 
-// plan has the node called when it is due next.
-func (node *networkNode) plan() {
+// scheduleWake has the node called when it is due next.
+func (node *networkNode) scheduleWake() {
 	wake := node.core.NextWake()
-	if at, pending := node.spread.NextWake(); pending {
+	if at, pending := node.dissemination.NextWake(); pending {
 		wake = min(wake, at)
 	}
 	wake = max(wake, node.network.now()+time.Millisecond)
@@ -301,10 +301,10 @@
 func (node *networkNode) tick() {
 	now := node.network.now()
 	messages := node.core.Tick(now)
-	if pull, due := node.spread.NextPull(now); due {
+	if pull, due := node.dissemination.NextPull(now); due {
 		node.pull(pull)
 	}
-	node.send(append(messages, node.spread.Tick(now, node.core.View())...))
+	node.send(append(messages, node.dissemination.Tick(now, node.core.View())...))
 }
 
 // pull asks a node for the changes after a revision.
@@ -320,38 +320,38 @@
 		if source.down || n.lost(source.member, node.member) {
 			return
 		}
-		changes := source.log[min(int(pull.After), len(source.log)):]
+		changes := source.changeLog[min(int(pull.After), len(source.changeLog)):]
 		answer := membership.Message{Kind: membership.Ack, Sender: source.member, Changes: changes}
 		source.bytes += proto.Size(answer.Encode())
-		n.queue.After(n.delay(source.member, node.member), func() { node.takePulled(changes) })
+		n.queue.After(n.delay(source.member, node.member), func() { node.receivePulled(changes) })
 	})
 }
 
-func (node *networkNode) takePulled(changes []membership.Change) {
+func (node *networkNode) receivePulled(changes []membership.Change) {
 	if node.down {
 		return
 	}
-	next := node.spread.NextChanges(changes)
+	next := node.dissemination.NextChanges(changes)
 	if len(next) == 0 {
 		return
 	}
-	node.log = append(node.log, next...)
-	node.send(node.spread.Publish(node.network.now(), next, node.core.View()))
+	node.changeLog = append(node.changeLog, next...)
+	node.send(node.dissemination.Publish(node.network.now(), next, node.core.View()))
 }
 
 // publish gives the node a change that follows the last one.
 func (node *networkNode) publish(patch []byte) fleet.Revision {
-	revision := node.spread.Held() + 1
+	revision := node.dissemination.Held() + 1
 	changes := []membership.Change{{Revision: revision, Patch: patch}}
-	node.log = append(node.log, changes...)
-	node.send(node.spread.Publish(node.network.now(), changes, node.core.View()))
+	node.changeLog = append(node.changeLog, changes...)
+	node.send(node.dissemination.Publish(node.network.now(), changes, node.core.View()))
 	return revision
 }
 
 // allHold tells whether all running nodes hold a revision.
 func (n *network) allHold(revision fleet.Revision) bool {
 	for _, node := range n.running() {
-		if node.spread.Held() < revision {
+		if node.dissemination.Held() < revision {
 			return false
 		}
 	}
--- a/lab/capacity/options.go
+++ b/lab/capacity/options.go
@@ -20,8 +20,8 @@
 	FleetEngines int
 	// SteadyTime is how much virtual time the steady membership is measured for.
 	SteadyTime time.Duration
-	// CutTime is how long a region is cut off, in virtual time.
-	CutTime time.Duration
+	// PartitionTime is how long a region is cut off, in virtual time.
+	PartitionTime time.Duration
 	// ProcessorTime is the least processor time of one timing.
 	ProcessorTime time.Duration
 }
@@ -42,7 +42,7 @@
 		FailureMembers: 680,
 		FleetEngines:   10_000,
 		SteadyTime:     20 * time.Second,
-		CutTime:        150 * time.Second,
+		PartitionTime:  150 * time.Second,
 		ProcessorTime:  200 * time.Millisecond,
 	}
 }
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -14,16 +14,16 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// statusEvery is the number of placements between two status reports of all engines.
-const statusEvery = 1000
+// placementsPerStatus is the number of placements between two status reports of all engines.
+const placementsPerStatus = 1000
 
 // router drives a placement core as a router does.
 type router struct {
-	core    *placement.Core
-	random  *rand.Rand
-	now     time.Duration
-	engines int
-	placed  int
+	core       *placement.Core
+	random     *rand.Rand
+	now        time.Duration
+	engines    int
+	placements int
 }
 
 // newRouter returns a core of one pool with so many candidate engines, whose
@@ -76,7 +76,7 @@
 	return placement.Request{
 		Key:          placement.Key{Request: fleet.RequestID(id), Attempt: 1},
 		Tenant:       tenantName(0),
-		ModelVersion: servedWeights(),
+		ModelVersion: servedVersion(),
 		Class:        className,
 		PromptTokens: len(blocks)*blockTokens + 1,
 		MaxTokens:    200,
@@ -108,8 +108,8 @@
 // place does one whole placement: submit, decision and three reports.
 func (r *router) place(blocks []fleet.BlockHash) error {
 	r.now += time.Millisecond
-	r.placed++
-	if r.placed%statusEvery == 0 {
+	r.placements++
+	if r.placements%placementsPerStatus == 0 {
 		r.observeStatuses()
 	}
 	granted, err := r.grant(placementRequest("measured", blocks))
@@ -146,9 +146,9 @@
 
 // Sizes that stay fixed while another one grows.
 const (
-	usualCandidates   = 30
-	usualIndexBlocks  = 500_000
-	usualPromptBlocks = 128
+	fixedCandidates   = 30
+	fixedIndexBlocks  = 500_000
+	fixedPromptBlocks = 128
 )
 
 // measurePlacement measures a placement over the three sizes that it depends on.
@@ -156,23 +156,23 @@
 	quantityOf := func(by, size string, growth Growth, sizes []int, measure func(int) (float64, error)) quantity {
 		return quantity{name: "placement (submit, decision, 3 reports) by " + by, size: size, unit: "core-µs", growth: growth, sizes: sizes, measure: measure}
 	}
-	indexBlocks := min(usualIndexBlocks, o.Sizes.IndexBlocks[0])
+	indexBlocks := min(fixedIndexBlocks, o.Sizes.IndexBlocks[0])
 	return sweepAll(
 		quantityOf("index", "blocks in the index", GrowthLogarithmic, o.Sizes.IndexBlocks, func(size int) (float64, error) {
-			return placementTime(o, usualCandidates, size, usualPromptBlocks)
+			return placementTime(o, fixedCandidates, size, fixedPromptBlocks)
 		}),
 		quantityOf("prompt", "blocks in the prompt", GrowthLinear, o.Sizes.PromptBlocks, func(size int) (float64, error) {
-			return placementTime(o, usualCandidates, indexBlocks, size)
+			return placementTime(o, fixedCandidates, indexBlocks, size)
 		}),
 		quantityOf("candidates", "candidate engines", GrowthLinear, o.Sizes.Candidates, func(size int) (float64, error) {
-			return placementTime(o, size, indexBlocks, usualPromptBlocks)
+			return placementTime(o, size, indexBlocks, fixedPromptBlocks)
 		}),
 	)
 }
 
-// waitingRouter returns a router at which so many requests wait, each with a
+// routerWithWaiting returns a router at which so many requests wait, each with a
 // prompt of its own.
-func waitingRouter(seed uint64, waiting int) (*router, error) {
+func routerWithWaiting(seed uint64, waiting int) (*router, error) {
 	r, err := newRouter(seed, 1, 0)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	for number := range waiting {
-		r.core.Submit(r.now, placementRequest(fmt.Sprintf("waiting-%012d", number), randomHashes(r.random, usualPromptBlocks)))
+		r.core.Submit(r.now, placementRequest(fmt.Sprintf("waiting-%012d", number), randomHashes(r.random, fixedPromptBlocks)))
 	}
 	if outcomes := r.core.TakeOutcomes(); len(outcomes) > 0 {
 		return nil, errors.Errorf("%+v instead of a wait", outcomes[0])
@@ -194,15 +194,15 @@
 	return r, nil
 }
 
-// grantingRouter returns a router with so many grants whose streams are open.
-func grantingRouter(seed uint64, grants int) (*router, error) {
-	r, err := newRouter(seed, usualCandidates, 0)
+// routerWithGrants returns a router with so many grants whose streams are open.
+func routerWithGrants(seed uint64, grants int) (*router, error) {
+	r, err := newRouter(seed, fixedCandidates, 0)
 	if err != nil {
 		return nil, err
 	}
-	prompt := randomHashes(r.random, usualPromptBlocks)
+	prompt := randomHashes(r.random, fixedPromptBlocks)
 	for number := range grants {
-		if number%usualCandidates == 0 {
+		if number%fixedCandidates == 0 {
 			r.now += 10 * time.Millisecond
 			r.observeStatuses()
 		}
--- a/lab/capacity/slope.go
+++ b/lab/capacity/slope.go
@@ -21,8 +21,8 @@
 // so that its growth is seen and not assumed.
 const minimumPoints = 3
 
-// of returns the growth's value at a size.
-func (g Growth) of(size float64) float64 {
+// apply returns the growth's value at a size.
+func (g Growth) apply(size float64) float64 {
 	switch g {
 	case GrowthLogarithmic:
 		return math.Log2(size)
@@ -56,7 +56,7 @@
 }
 
 // At returns the fitted value at a size.
-func (s *Slope) At(size float64) float64 { return s.Intercept + s.PerUnit*s.Growth.of(size) }
+func (s *Slope) At(size float64) float64 { return s.Intercept + s.PerUnit*s.Growth.apply(size) }
 
 // fit computes the least-squares fit of the slope's points.
 func (s *Slope) fit() error {
@@ -66,7 +66,7 @@
 	sizes := make([]float64, len(s.Points))
 	values := make([]float64, len(s.Points))
 	for i, point := range s.Points {
-		sizes[i] = s.Growth.of(point.Size)
+		sizes[i] = s.Growth.apply(point.Size)
 		values[i] = point.Value
 	}
 	s.Intercept, s.PerUnit = stat.LinearRegression(sizes, values, nil, false)
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -33,15 +33,15 @@
 func (w *discardWriter) Flush()                           {}
 func (w *discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// newMachine returns a machine whose dispatch is under way.
-func newMachine(random *rand.Rand, budget attempt.RetryBudget) (*attempt.Machine, attempt.Dispatch, error) {
+// newDispatchedMachine returns a machine whose dispatch is under way.
+func newDispatchedMachine(random *rand.Rand, budget attempt.RetryBudget) (*attempt.Machine, attempt.Dispatch, error) {
 	machine := attempt.New(attempt.Request{ID: "measured", Repeatable: true}, attempt.Policy{}, budget, random)
 	for _, action := range machine.Start(0) {
 		ask, isAsk := action.(attempt.RequestPlacement)
 		if !isAsk {
 			continue
 		}
-		granted := attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, Run: runOf("measured"), Address: "127.0.0.1:1"}
+		granted := attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, Run: engineRun("measured"), Address: "127.0.0.1:1"}
 		for _, next := range machine.Handle(0, granted) {
 			if dispatch, isDispatch := next.(attempt.Dispatch); isDispatch {
 				return machine, dispatch, nil
@@ -67,9 +67,9 @@
 	return encoded.Bytes(), nil
 }
 
-// carryStream carries one encoded stream as an agent does, to a caller that
+// relayStream carries one encoded stream as an agent does, to a caller that
 // reads at once.
-func carryStream(machine *attempt.Machine, dispatch attempt.Dispatch, encoded []byte) error {
+func relayStream(machine *attempt.Machine, dispatch attempt.Dispatch, encoded []byte) error {
 	decoder := engine.NewFrameDecoder(bytes.NewReader(encoded), maxLineBytes)
 	writer := openai.NewStreamWriter(&discardWriter{header: http.Header{}}, openai.Response{RequestID: "measured", Model: "model-00"})
 	for {
@@ -102,12 +102,12 @@
 	var failed error
 	var encoded []byte
 	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
-		machine, dispatch, err := newMachine(random, budget)
+		machine, dispatch, err := newDispatchedMachine(random, budget)
 		if err == nil && encoded == nil {
 			encoded, err = encodedStream(dispatch.Stream, tokens)
 		}
 		if err == nil {
-			err = carryStream(machine, dispatch, encoded)
+			err = relayStream(machine, dispatch, encoded)
 		}
 		if err != nil && failed == nil {
 			failed = err
@@ -153,7 +153,7 @@
 	random := rand.New(rand.NewPCG(o.Seed, 4))
 	budget := attempt.NewBudget(attempt.BudgetOptions{})
 	for range count {
-		machine, _, err := newMachine(random, budget)
+		machine, _, err := newDispatchedMachine(random, budget)
 		if err != nil {
 			return streams, err
 		}
--- a/lab/capacity/tables.go
+++ b/lab/capacity/tables.go
@@ -52,33 +52,33 @@
 	return float64(most)
 }
 
-// herdStart is what the routers of a herd know of each other: the configured
+// herdBootstrap is what the routers of a herd know of each other: the configured
 // ones at once, themselves included, and all after a time.
-type herdStart struct {
-	configured int
-	knownAfter time.Duration
+type herdBootstrap struct {
+	configuredNodes int
+	membershipAfter time.Duration
 }
 
 // configurationPolls counts the reads of the configuration's head by a herd of
 // followers.
-func configurationPolls(o Options, count int, start herdStart) *callCounter {
+func configurationPolls(o Options, count int, start herdBootstrap) *callCounter {
 	queue := eventqueue.New(o.Seed)
 	counter := &callCounter{}
 	interval := time.Duration(routerprocess.DefaultSettings().ConfigurationInterval)
 	for range count {
 		random := rand.New(rand.NewPCG(queue.Random().Uint64(), 1))
-		follower := config.NewFollower(config.FollowerOptions{PollInterval: interval}, random, 0, min(count, start.configured))
+		follower := config.NewFollower(config.FollowerOptions{PollInterval: interval}, random, 0, min(count, start.configuredNodes))
 		follower.SetLocalRevision(1)
 		var step func()
 		step = func() {
-			if queue.Now() >= start.knownAfter {
+			if queue.Now() >= start.membershipAfter {
 				follower.SetNodeCount(queue.Now(), count)
 			}
 			action := follower.Next(queue.Now())
 			if action.Source != config.SourcePlatform {
 				wake := action.Until
-				if queue.Now() < start.knownAfter {
-					wake = min(wake, start.knownAfter)
+				if queue.Now() < start.membershipAfter {
+					wake = min(wake, start.membershipAfter)
 				}
 				queue.At(max(wake, queue.Now()+time.Millisecond), step)
 				return
@@ -141,20 +141,20 @@
 const configuredRouters = 4
 
 var (
-	// listedHerd has read the list of machines, which names the routers.
-	listedHerd = herdStart{configured: configuredRouters, knownAfter: 2 * platformDelay}
-	// unlistedHerd waits for the membership, as when nobody knows a list.
-	unlistedHerd = herdStart{configured: configuredRouters, knownAfter: 3 * time.Second}
-	// configuredHerd is configured with all routers.
-	configuredHerd = herdStart{configured: math.MaxInt}
+	// listedBootstrap has read the list of machines, which names the routers.
+	listedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 2 * platformDelay}
+	// unlistedBootstrap waits for the membership, as when nobody knows a list.
+	unlistedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 3 * time.Second}
+	// configuredBootstrap is configured with all routers.
+	configuredBootstrap = herdBootstrap{configuredNodes: math.MaxInt}
 )
 
 // measurePlatformCalls measures the platform calls of all routers together.
 func measurePlatformCalls(o Options) ([]Slope, error) {
-	slopes, err := sweepParts(o.Sizes.Members, func(count int) ([]float64, error) {
-		polls := configurationPolls(o, count, listedHerd)
-		unlisted := configurationPolls(o, count, unlistedHerd)
-		configured := configurationPolls(o, count, configuredHerd)
+	slopes, err := sweepTogether(o.Sizes.Members, func(count int) ([]float64, error) {
+		polls := configurationPolls(o, count, listedBootstrap)
+		unlisted := configurationPolls(o, count, unlistedBootstrap)
+		configured := configurationPolls(o, count, configuredBootstrap)
 		machines := machineReads(o, count)
 		leases, err := leaseCalls(o, count)
 		if err != nil {
@@ -178,10 +178,10 @@
 // measureHerd restarts a whole fleet at once and measures how it finds itself.
 func measureHerd(o Options) []Figure {
 	n := newNetwork(o.Seed)
-	n.startCount()
+	n.startCounting()
 	n.startCold(o.Sizes.FailureMembers)
 	const name = "herd restart of all routers"
-	half, _ := n.until(convergenceLimit, func() bool {
+	half, _ := n.advanceUntil(convergenceLimit, func() bool {
 		for _, node := range n.all {
 			if len(node.core.Members()) < o.Sizes.FailureMembers/2 {
 				return false
@@ -189,9 +189,9 @@
 		}
 		return true
 	})
-	took, _ := n.until(convergenceLimit, n.converged)
+	took, _ := n.advanceUntil(convergenceLimit, n.converged)
 	return append(
 		[]Figure{{Name: name + ": until each knows half of them", Unit: "s", Value: half.Seconds()}},
-		recovery(n, name, half+took, 0)...,
+		recoveryFigures(n, name, half+took, 0)...,
 	)
 }
