--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -11,8 +11,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// tinyFleet has engines in one zone, whose agents and routers are a
-// millisecond apart.
+// tinyFleet returns a fleet of one zone with a latency of one millisecond between agent and router.
 func tinyFleet(engines int) workload.Fleet {
 	return workload.Fleet{
 		Name:          "tiny",
@@ -29,8 +28,9 @@
 	}
 }
 
-// tinyTrace has requests with a prefix of 160 tokens, ten blocks, and a tail of
-// 24 of its own, one block and a half. The prefix of each is given by a number.
+// tinyTrace returns one request per second. Each prompt has a shared prefix of 160 tokens (ten
+// blocks), identified by its number in prefixes, and a unique tail of 24 tokens (one and a half
+// blocks).
 func tinyTrace(engines int, prefixes ...uint64) workload.Trace {
 	trace := workload.Trace{Fleet: tinyFleet(engines), Duration: time.Duration(len(prefixes)) * time.Second}
 	for i, prefix := range prefixes {
@@ -49,15 +49,16 @@
 	return trace
 }
 
-func TestAccountOfATinyTrace(t *testing.T) {
-	// Round robin over two engines computes the prefix twice; the second of its
-	// computations was avoidable, the third and fourth request hit.
+// The token counts, rates and latencies of a result must match values worked out by hand.
+func TestTokenAccountingOfTinyTrace(t *testing.T) {
+	// Round robin over two engines computes the prefix twice. The second computation is avoidable;
+	// the third and fourth requests hit the cache.
 	result, err := Run(Options{Trace: tinyTrace(2, 1, 1, 1, 1), Policy: RoundRobin(), Seed: 1})
 	require.NoError(t, err)
 	const prompt, prefix = 184, 160
 	assert.EqualValues(t, 4*prompt, result.PromptTokens)
 	assert.EqualValues(t, 2*prompt+2*(prompt-prefix), result.PrefillTokens)
-	// Each of 14 distinct blocks once, and half a block of each prompt.
+	// Each of the 14 distinct blocks once, and half a block of each prompt.
 	assert.EqualValues(t, prefix+4*16+4*8, result.UnavoidableTokens)
 	assert.InDelta(t, float64(prefix)/(4*prompt), result.WasteRate, 1e-9)
 	assert.InDelta(t, float64(2*prefix)/(4*prompt), result.HitRate, 1e-9)
@@ -66,16 +67,17 @@
 	assert.Equal(t, map[Ending]int{EndingFinished: 4}, result.Endings)
 	assert.InDelta(t, 1.0, result.Goodput, 1e-9)
 
-	// A first token takes four ways of a millisecond and the step: 8 ms, 40 µs a
+	// A first token takes four network trips of one millisecond and one step of 8 ms plus 40 µs per
 	// computed token.
 	urgent := result.FirstTokenByClass[workload.ClassUrgent]
 	assert.InDelta(t, 4+8+0.04*prompt, urgent.Max, 0.02)
 	assert.InDelta(t, 4+8+0.04*(prompt-prefix), urgent.P50, 0.02)
 	wait := result.QueueWaitByClass[workload.ClassUrgent]
-	assert.InDelta(t, 4, wait.Max, 0.02, "nothing waits but on the network")
+	assert.InDelta(t, 4, wait.Max, 0.02, "requests wait only for the network")
 }
 
-func TestClairvoyantReusesWhatAnyEngineHolds(t *testing.T) {
+// The clairvoyant policy must compute each prefix once, and no policy may exceed its hit rate.
+func TestClairvoyantHitRateIsUpperBound(t *testing.T) {
 	prefixes := []uint64{1, 2, 1, 2, 1, 3, 2, 3, 1, 2, 3, 1}
 	hits := make(map[string]float64)
 	for _, policy := range Policies() {
@@ -91,14 +93,16 @@
 	assert.Less(t, hits[PolicyRoundRobin], limit)
 }
 
-func TestCallerComesBackOnceAfterARefusal(t *testing.T) {
+// A caller must retry once after a refusal, or wait under the clairvoyant policy, while the only
+// engine is down.
+func TestCallerRetriesOnceAfterRefusal(t *testing.T) {
 	trace := tinyTrace(1, 1)
 	crash := &Crash{Engine: 0, At: 0, Down: 500 * time.Millisecond}
 	result, err := Run(Options{Trace: trace, Policy: Clairvoyant(), Seed: 1, Crash: crash})
 	require.NoError(t, err)
-	assert.Equal(t, map[Ending]int{EndingFinished: 1}, result.Endings, "the limit waits for the engine")
+	assert.Equal(t, map[Ending]int{EndingFinished: 1}, result.Endings, "the clairvoyant router waits for the engine")
 	result, err = Run(Options{Trace: trace, Policy: RoundRobin(), Seed: 1, Crash: crash})
 	require.NoError(t, err)
-	assert.Positive(t, result.Refusals+result.Retries, "the rival meets the dead engine")
+	assert.Positive(t, result.Refusals+result.Retries, "the baseline router uses the crashed engine")
 	assert.Equal(t, 1, result.Endings[EndingFinished]+result.Endings[EndingRefused])
 }
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// agentHost is the agent of one zone.
+// agentHost emulates the agent of one zone.
 type agentHost struct {
 	emulator *Emulator
 	zone     fleet.ZoneName
@@ -17,7 +17,7 @@
 	random   *rand.Rand
 	policy   attempt.Policy
 	ranking  ranking
-	// reports holds, for each router, the reports that wait to be sent.
+	// reports holds the unsent reports, by router index.
 	reports []reportQueue
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// report queues a report. A final one is sent at once, with all that wait;
-// others wait for the interval.
+// report queues a report for a router. A final report is sent immediately with all pending ones;
+// others are sent after the report interval.
 func (a *agentHost) report(to *routerHost, report placement.AttemptReport) {
 	if to == nil {
 		return
--- a/lab/emulator/baselinerouter.go
+++ b/lab/emulator/baselinerouter.go
@@ -13,10 +13,9 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// baselineRouter is a router of a simple kind: it gives each attempt an engine at once.
-// Its queue discipline is the engines' own: each keeps a bounded queue in the
-// order of class and arrival, and rejects what is over the bound. Rivals stop
-// using an engine that they can't reach, until it answers again.
+// baselineRouter grants each attempt an engine immediately and leaves queueing to the engines, which
+// keep a bounded queue ordered by class and arrival and reject requests beyond the bound. It doesn't
+// use an unreachable engine until the engine answers again.
 type baselineRouter struct {
 	view    *config.View
 	random  *rand.Rand
@@ -32,20 +31,20 @@
 	matches    []prefixindex.Match
 }
 
-// baselineEngine is what a rival knows of an engine.
+// baselineEngine is a baseline router's view of an engine.
 type baselineEngine struct {
 	run         fleet.EngineRun
 	machine     platform.Machine
 	unreachable bool
 	load        engine.Load
-	// recentGrants holds the times of the grants since the load was measured.
+	// recentGrants holds the times of the grants since the load report was measured.
 	recentGrants []time.Duration
 	feed         *prefixindex.Feed
 }
 
 func newBaselineRouter(choose func(*baselineRouter, *placement.Request, []*baselineEngine) *baselineEngine, indexed bool) func(Setup) Router {
 	return func(setup Setup) Router {
-		made := &baselineRouter{
+		router := &baselineRouter{
 			view:   setup.View,
 			random: setup.Random,
 			choose: choose,
@@ -53,9 +52,9 @@
 			turn:   setup.Random.IntN(1 << 16),
 		}
 		if indexed {
-			made.index = prefixindex.New(prefixindex.Options{})
+			router.index = prefixindex.New(prefixindex.Options{})
 		}
-		return made
+		return router
 	}
 }
 
@@ -115,25 +114,25 @@
 // ObserveStatus implements Router.
 func (r *baselineRouter) ObserveStatus(now time.Duration, status engine.Status) {
 	r.now = now
-	known := r.byID[status.Engine]
-	known.unreachable = false
-	if status.Incarnation > known.run.Incarnation {
-		r.beginRun(known, status.Incarnation)
+	observed := r.byID[status.Engine]
+	observed.unreachable = false
+	if status.Incarnation > observed.run.Incarnation {
+		r.beginRun(observed, status.Incarnation)
 	}
-	known.load = status.Load
+	observed.load = status.Load
 	measured := time.Duration(status.Load.MeasuredAtMillis) * time.Millisecond
-	for len(known.recentGrants) > 0 && known.recentGrants[0] <= measured {
-		known.recentGrants = known.recentGrants[1:]
+	for len(observed.recentGrants) > 0 && observed.recentGrants[0] <= measured {
+		observed.recentGrants = observed.recentGrants[1:]
 	}
 }
 
-func (r *baselineRouter) beginRun(known *baselineEngine, incarnation fleet.Incarnation) {
+func (r *baselineRouter) beginRun(observed *baselineEngine, incarnation fleet.Incarnation) {
 	if r.index != nil {
-		r.index.RemoveRun(known.run)
+		r.index.RemoveRun(observed.run)
 	}
-	known.run.Incarnation = incarnation
-	known.recentGrants = nil
-	r.startFeed(known)
+	observed.run.Incarnation = incarnation
+	observed.recentGrants = nil
+	r.startFeed(observed)
 }
 
 // ObserveUnreachable implements Router.
@@ -143,53 +142,53 @@
 
 // Report implements Router.
 func (r *baselineRouter) Report(_ time.Duration, report placement.AttemptReport) {
-	known := r.byID[report.Run.Engine]
-	if report.EngineLost && known != nil && known.run == report.Run {
-		known.unreachable = true
+	observed := r.byID[report.Run.Engine]
+	if report.EngineLost && observed != nil && observed.run == report.Run {
+		observed.unreachable = true
 	}
 }
 
 // ObserveCacheEvents implements Router.
 func (r *baselineRouter) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
 	r.now = now
-	if known := r.byID[id]; known.feed != nil {
-		known.feed.Apply(now, events)
+	if observed := r.byID[id]; observed.feed != nil {
+		observed.feed.Apply(now, events)
 	}
 }
 
 // ObserveCacheSnapshot implements Router.
 func (r *baselineRouter) ObserveCacheSnapshot(now time.Duration, id fleet.EngineID, snapshot engine.CacheSnapshot) {
 	r.now = now
-	if known := r.byID[id]; known.feed != nil {
-		known.feed.ApplySnapshot(now, snapshot)
+	if observed := r.byID[id]; observed.feed != nil {
+		observed.feed.ApplySnapshot(now, snapshot)
 	}
 }
 
 // EventsAfter implements Router.
 func (r *baselineRouter) EventsAfter(id fleet.EngineID) (uint64, fleet.Incarnation, bool) {
-	known := r.byID[id]
-	if known.feed == nil {
+	observed := r.byID[id]
+	if observed.feed == nil {
 		return 0, 0, false
 	}
-	return known.feed.After(), known.run.Incarnation, true
+	return observed.feed.After(), observed.run.Incarnation, true
 }
 
 // NeedsSnapshot implements Router.
 func (r *baselineRouter) NeedsSnapshot() []fleet.EngineID {
-	var wanted []fleet.EngineID
-	for _, known := range r.engines {
-		if known.feed == nil {
+	var needed []fleet.EngineID
+	for _, observed := range r.engines {
+		if observed.feed == nil {
 			continue
 		}
-		known.feed.Tick(r.now)
-		if known.feed.RequestSnapshot(r.now) {
-			wanted = append(wanted, known.run.Engine)
+		observed.feed.Tick(r.now)
+		if observed.feed.RequestSnapshot(r.now) {
+			needed = append(needed, observed.run.Engine)
 		}
 	}
-	return wanted
+	return needed
 }
 
-// Withdraw implements Router. Nothing waits here.
+// Withdraw implements Router. Requests never wait at a baseline router.
 func (r *baselineRouter) Withdraw(time.Duration, placement.Key) bool { return false }
 
 // Tick implements Router.
--- a/lab/emulator/baselines.go
+++ b/lab/emulator/baselines.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// RoundRobin takes the engines in turn, at each router from another start.
+// RoundRobin uses the engines in turn, with a different start at each router.
 func RoundRobin() Policy {
 	return Policy{Name: PolicyRoundRobin, Routing: RouteRoundRobin, New: newBaselineRouter(chooseRoundRobin, false)}
 }
@@ -17,8 +17,8 @@
 	return candidates[r.turn%len(candidates)]
 }
 
-// LeastLoaded takes the engine with the fewest streams: those of the lagging
-// report and the router's own grants since its measurement. Ties go by chance.
+// LeastLoaded uses the engine with the fewest streams: those of the lagging load report plus the
+// router's own grants since its measurement. Ties are broken at random.
 func LeastLoaded() Policy {
 	return Policy{Name: PolicyLeastLoaded, Routing: RouteRoundRobin, New: newBaselineRouter(chooseLeastLoaded, false)}
 }
@@ -44,15 +44,14 @@
 	return e.load.RunningStreams + e.load.WaitingStreams + len(e.recentGrants)
 }
 
-// PrefixHash gives equal beginnings of prompts to one engine, by rendezvous
-// hashing (Thaler and Ravishankar 1998) of the key by which agents choose a
-// router. It looks at no load.
+// PrefixHash maps equal prompt prefixes to one engine by rendezvous hashing (Thaler and Ravishankar
+// 1998). It ignores load.
 func PrefixHash() Policy {
 	return Policy{Name: PolicyPrefixHash, Routing: RouteRoundRobin, New: newBaselineRouter(chooseByHash, false)}
 }
 
-// hashedBlocks is the number of leading blocks that choose the engine. Every
-// prompt of the workloads has one.
+// hashedBlocks is the number of leading blocks that select the engine. Every prompt of the workloads
+// has at least one.
 const hashedBlocks = 4
 
 func chooseByHash(_ *baselineRouter, request *placement.Request, candidates []*baselineEngine) *baselineEngine {
@@ -70,8 +69,8 @@
 	return best
 }
 
-// PrefixMatch takes the engine that holds the longest prefix by the router's
-// lagging index, of equal ones the least loaded.
+// PrefixMatch uses the engine with the longest cached prefix according to the router's lagging
+// index, and the least loaded among equal ones.
 func PrefixMatch() Policy {
 	return Policy{Name: PolicyPrefixMatch, Routing: RouteByPrefix, New: newBaselineRouter(chooseByPrefixMatch, true)}
 }
@@ -93,6 +92,7 @@
 	return chooseLeastLoaded(r, request, holders)
 }
 
+// matchedBlocks returns the length in blocks of the prefix that matches report for a candidate.
 func matchedBlocks(matches []prefixindex.Match, candidate *baselineEngine) int {
 	for _, match := range matches {
 		if match.Run == candidate.run {
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -12,33 +12,31 @@
 	"github.com/tillerfall/tillerfall/internal/scheduling"
 )
 
-// Clairvoyant is the limit: one router that knows every cache and queue exactly
-// and at once, and is told of each engine's every step. It uses the product's
-// scheduler on the true state and the product's fair queue in front of all
-// engines, and gives an engine no more than its next step can take, so that
-// the order of the rest can still change. It doesn't know the future.
+// Clairvoyant is the upper bound: a single router that sees the exact current state of every cache
+// and queue and is notified of every engine step. It runs the product's scheduler on that state
+// behind the product's fair queue, and gives an engine only as much work as its next step can take,
+// so that the remaining requests can still be reordered. It doesn't know future requests.
 func Clairvoyant() Policy {
 	return Policy{Name: PolicyClairvoyant, Routing: RouteCentral, New: newClairvoyant}
 }
 
 const (
-	// clairvoyantQueueSteps bounds an engine's prompt work, in steps: the one
-	// under way and the next.
+	// clairvoyantQueueSteps bounds an engine's queued prompt work, in steps: the current one and the
+	// next.
 	clairvoyantQueueSteps = 2
-	// clairvoyantMaxWaiting bounds the streams that wait at an engine: more wait
-	// for memory, not for a step.
+	// clairvoyantMaxWaiting bounds the streams that wait at an engine. Beyond it they wait for memory
+	// rather than for a step.
 	clairvoyantMaxWaiting = 8
-	// clairvoyantHoldTokens is the length of a prefix from which on a request
-	// waits until the engine that computes it is done.
+	// clairvoyantHoldTokens is the minimum length of a prefix in computation for which a request
+	// waits until the engine has computed it.
 	clairvoyantHoldTokens = 256
-	// clairvoyantRetryInterval is the least time between two looks at a request whose
-	// engine hasn't changed or has no room.
+	// clairvoyantRetryInterval is the minimum time between two scheduling attempts for a request
+	// whose engine hasn't changed or has no room.
 	clairvoyantRetryInterval = 50 * time.Millisecond
-	// clairvoyantScanDepth bounds the requests of a tenant and class in one look.
+	// clairvoyantScanDepth bounds the requests of a tenant and class examined in one scan.
 	clairvoyantScanDepth = 32
-	// clairvoyantRecomputeWeight is the price of a recomputed token. Of 25, 75
-	// and 150 µs it gave the best limit: near capacity a lower price recomputes
-	// more, and a higher one queues longer.
+	// clairvoyantRecomputeWeight is the cost of a recomputed token. Near capacity a lower cost
+	// recomputes more, and a higher one queues longer.
 	clairvoyantRecomputeWeight = 75 * time.Microsecond
 )
 
@@ -68,27 +66,29 @@
 	rank    int
 	model   config.Model
 	expires time.Duration
-	// engine is where the last look placed it; version is that engine's then.
+	// engine is the engine selected by the last scheduling attempt, version its version at that time.
 	engine         *clairvoyantEngine
 	version        uint64
 	retryAt        time.Duration
 	uncachedTokens int
 }
 
-// clairvoyantEngine is an engine and what is on its way there.
+// clairvoyantEngine is an engine with the grants whose dispatch hasn't arrived there.
 type clairvoyantEngine struct {
-	host      *engineHost
+	host *engineHost
+	// version counts the changes of the engine\'s state.
 	version   uint64
 	inTransit []clairvoyantGrant
-	// queuedTokens is the prompt work at the engine and on its way there, streams and
-	// waiting its streams; refresh brings them up to date.
+	// queuedTokens is the prompt work queued at the engine and in transit, streams all its streams
+	// and waiting those not running. refresh updates them.
 	queuedTokens int
 	streams      int
 	waiting      int
-	// parkedTokens is the work of the requests that wait for this engine, by class.
+	// parkedTokens is the prompt work of the requests that wait for this engine, by class rank.
 	parkedTokens map[int]int
 }
 
+// clairvoyantGrant is a grant whose dispatch hasn't reached the engine.
 type clairvoyantGrant struct {
 	stream fleet.StreamID
 	blocks []fleet.BlockHash
@@ -163,7 +163,7 @@
 	}
 }
 
-// placeWaiting places waiting requests as long as engines take them.
+// placeWaiting grants waiting requests while engines have room.
 func (c *clairvoyant) placeWaiting(now time.Duration) {
 	c.expire(now)
 	c.nextRetry = 0
@@ -176,14 +176,14 @@
 	}
 }
 
-// admit tells whether a request goes to an engine now, and notes which.
+// admit reports whether a request can be granted now, and records it with its engine in chosen.
 func (c *clairvoyant) admit(now time.Duration, item *clairvoyantItem) bool {
 	if item.engine != nil && now < item.retryAt && (item.version == item.engine.version || !item.engine.hasRoom(item.rank)) {
 		c.scheduleRetry(item.retryAt)
 		return false
 	}
 	if !c.anyHasRoom(item.rank) {
-		return false // an engine's next step opens it
+		return false // an engine's next step makes room
 	}
 	item.unpark()
 	decision, found := c.schedule(now, item)
@@ -233,8 +233,8 @@
 	return false
 }
 
-// hasRoom tells whether an engine's next step has room. Classes behind the first
-// leave half of it.
+// hasRoom reports whether an engine can take more work for its next step. Classes other than the
+// most urgent may use half of the limit.
 func (e *clairvoyantEngine) hasRoom(rank int) bool {
 	settings := e.host.model.Config()
 	limit := clairvoyantQueueSteps * settings.Costs.StepTokens
@@ -244,7 +244,7 @@
 	return !e.host.down && e.queuedTokens < limit && e.streams < settings.MaxRunning && e.waiting < clairvoyantMaxWaiting
 }
 
-// refresh reads the engine's true state.
+// refresh updates the counters from the engine model.
 func (e *clairvoyantEngine) refresh() {
 	model := e.host.model
 	e.queuedTokens = model.QueuedPrefillTokens()
@@ -255,6 +255,7 @@
 	e.streams = model.RunningStreams() + e.waiting
 }
 
+// schedule runs the product's scheduler on the true state of all engines.
 func (c *clairvoyant) schedule(now time.Duration, item *clairvoyantItem) (scheduling.Decision, bool) {
 	request := &item.request
 	c.endpoints = c.endpoints[:0]
@@ -320,11 +321,11 @@
 	return length
 }
 
-// grant gives the chosen request its engine.
+// grant grants the chosen request its engine.
 func (c *clairvoyant) grant() {
 	item := c.chosen
 	engine := item.engine
-	item.engine = nil // it was unparked before
+	item.engine = nil // admit has unparked the item
 	key := item.request.Key
 	engine.inTransit = append(engine.inTransit, clairvoyantGrant{
 		stream: fleet.NewStreamID(key.Request, key.Attempt),
@@ -380,7 +381,7 @@
 	return outcomes
 }
 
-// Report implements Router. The truth needs no reports.
+// Report implements Router. It ignores reports, since the engines are observed directly.
 func (c *clairvoyant) Report(time.Duration, placement.AttemptReport) {}
 
 // ObserveMachine implements Router.
--- a/lab/emulator/collect.go
+++ b/lab/emulator/collect.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// collector sums up the calls of a run.
+// collector aggregates the calls of a run into a Result.
 type collector struct {
 	result       *Result
 	firstToken   histograms[fleet.ClassName]
@@ -49,20 +49,21 @@
 	record(histogram, value)
 }
 
-// record adds a time. None is over the bound, since runs are shorter.
+// record adds a time to a histogram. Runs are shorter than the histogram's maximum, so recording
+// can't fail.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(max(value.Microseconds(), histogramMinimum))
 }
 
 func (h histograms[K]) quantiles() map[K]Quantiles {
-	summed := make(map[K]Quantiles, len(h))
+	quantiles := make(map[K]Quantiles, len(h))
 	for key, histogram := range h {
-		summed[key] = quantilesOf(histogram)
+		quantiles[key] = quantilesOf(histogram)
 	}
-	return summed
+	return quantiles
 }
 
-// result sums the run up.
+// result computes the measurements of the run.
 func (e *Emulator) result() *Result {
 	c := &collector{
 		result: &Result{
@@ -142,7 +143,7 @@
 	c.routerWait.record(class, call.dispatchedAt)
 }
 
-// idlePrefillTime is the time that an idle engine takes to compute prompt tokens.
+// idlePrefillTime returns the time that an idle engine needs to compute prompt tokens.
 func idlePrefillTime(tokens int) time.Duration {
 	costs := enginemodel.DefaultCosts()
 	steps := (tokens + costs.StepTokens - 1) / costs.StepTokens
@@ -165,7 +166,7 @@
 	split.reachable += int64(call.reachableTokens)
 }
 
-// addSample books a prompt in the interval of its arrival.
+// addSample adds a prompt to the interval of its arrival.
 func (c *collector) addSample(call *call, every time.Duration) {
 	if !call.prefillDone {
 		return
--- a/lab/emulator/configuration.go
+++ b/lab/emulator/configuration.go
@@ -8,19 +8,19 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// classSettings are what callers of a class expect and what operators set for it.
+// classSettings holds the configuration of a class and the expectations of its callers.
 type classSettings struct {
 	rank     int
 	maxWait  time.Duration
 	minShare float64
-	// deadline is the time for the whole answer.
+	// deadline is the time allowed for the whole response.
 	deadline time.Duration
-	// objective is the time to first token within which a request counts as
-	// good; 0 means that any finished one does.
+	// objective is the maximum time to first token of a request that counts towards goodput; 0
+	// means that any finished request counts.
 	objective time.Duration
 }
 
-// UrgentObjective is the time to first token that urgent requests must meet.
+// UrgentObjective is the time-to-first-token objective of urgent requests.
 const UrgentObjective = 810 * time.Millisecond
 
 var settingsByClass = map[fleet.ClassName]classSettings{
@@ -32,9 +32,8 @@
 // classes lists the classes, most urgent first.
 var classes = []fleet.ClassName{workload.ClassUrgent, workload.ClassStandard, workload.ClassBatch}
 
-// Limits of the emulated configuration. The bound of streams leaves the engines'
-// speed as what limits them: with 64 streams an engine would run out of places
-// in its batch before it runs out of time.
+// Limits of the emulated configuration. maxStreams is high enough that an engine's speed limits its
+// throughput rather than its batch size.
 const (
 	maxPromptTokens = 1 << 16
 	maxOutputTokens = 4096
@@ -45,7 +44,7 @@
 
 // document returns the configuration of a fleet.
 func document(description workload.Fleet) config.Document {
-	made := config.Document{
+	result := config.Document{
 		Revision: 1,
 		Models: []config.Model{{
 			Name:            description.Weights.Model,
@@ -58,7 +57,7 @@
 		Pools: []config.Pool{{Name: description.Pool, MaxStreams: maxStreams, MaxLoads: description.MaxLoads}},
 	}
 	for _, class := range classes {
-		made.Classes = append(made.Classes, config.Class{
+		result.Classes = append(result.Classes, config.Class{
 			Name:     class,
 			Rank:     settingsByClass[class].rank,
 			MaxWait:  config.Duration(settingsByClass[class].maxWait),
@@ -66,7 +65,7 @@
 		})
 	}
 	for _, tenant := range description.Tenants {
-		made.Tenants = append(made.Tenants, config.Tenant{
+		result.Tenants = append(result.Tenants, config.Tenant{
 			Name:          tenant.Name,
 			KeyHashes:     []string{config.HashKey(string(tenant.Name))},
 			Weight:        tenant.Weight,
@@ -75,5 +74,5 @@
 			MaxWaiting:    maxWaiting,
 		})
 	}
-	return made
+	return result
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -18,7 +18,7 @@
 	"github.com/tillerfall/tillerfall/lab/eventqueue"
 )
 
-// Emulator is one run under way.
+// Emulator holds the state of one run.
 type Emulator struct {
 	options Options
 	queue   *eventqueue.Queue
@@ -29,7 +29,7 @@
 	routers      []*routerHost
 	routerByNode map[fleet.NodeID]*routerHost
 	members      []membership.Member
-	// pools shares the engines among the routers; nil when each owns all.
+	// pools assigns engines to routers; nil when every router owns all engines.
 	pools  *membership.PoolMap
 	agents map[fleet.ZoneName]*agentHost
 
@@ -39,8 +39,8 @@
 	ledger       *prefillLedger
 }
 
-// Run replays the trace and returns what was measured. Equal options give equal
-// results.
+// Run replays the trace and returns the measurements. It is deterministic: equal options give
+// equal results. It fails if the configuration of the fleet is invalid or requests don't end.
 func Run(options Options) (*Result, error) {
 	e, err := newEmulator(options.withDefaults())
 	if err != nil {
@@ -54,10 +54,10 @@
 	end := e.options.Trace.Duration + maxOverrun
 	for e.openRequests > 0 || e.nextRequest < len(e.options.Trace.Requests) {
 		if !e.queue.Step() {
-			return nil, errors.New("requests are open and nothing is planned")
+			return nil, errors.New("requests are still open but the event queue is empty")
 		}
 		if e.queue.Now() > end {
-			return nil, errors.Errorf("%d requests are open long after the trace's end", e.openRequests)
+			return nil, errors.Errorf("%d requests are still open past the overrun limit after the end of the trace", e.openRequests)
 		}
 	}
 	return e.result(), nil
@@ -67,7 +67,7 @@
 	description := options.Trace.Fleet
 	view, err := config.NewView(document(description))
 	if err != nil {
-		return nil, errors.Wrap(err, "configuration of the fleet")
+		return nil, errors.Wrap(err, "build fleet configuration")
 	}
 	e := &Emulator{
 		options:      options,
@@ -120,7 +120,7 @@
 	e.engineByID[id] = host
 }
 
-// addRouters adds the routers in the order of the zones.
+// addRouters adds the routers, spread over the zones in turn.
 func (e *Emulator) addRouters(view *config.View) {
 	description := e.options.Trace.Fleet
 	count := description.Routers
@@ -150,7 +150,7 @@
 	return sites
 }
 
-// isOwner tells whether a router indexes an engine.
+// isOwner reports whether a router indexes an engine.
 func (e *Emulator) isOwner(node fleet.NodeID, id fleet.EngineID) bool {
 	if e.pools == nil {
 		return true
@@ -191,7 +191,7 @@
 	e.queue.At(crash.At+crash.Down, host.restart)
 }
 
-// scheduleArrival plans the next request of the trace.
+// scheduleArrival schedules the next request of the trace.
 func (e *Emulator) scheduleArrival() {
 	requests := e.options.Trace.Requests
 	if e.nextRequest == len(requests) {
@@ -204,39 +204,40 @@
 	request := &e.options.Trace.Requests[e.nextRequest]
 	e.nextRequest++
 	e.openRequests++
-	made := &call{
+	arrived := &call{
 		request:      request,
 		blocks:       request.Blocks(e.options.Trace.Fleet.BlockTokens),
 		promptTokens: request.PromptTokens(),
 	}
-	e.calls = append(e.calls, made)
-	newRequestDriver(e.agents[request.Zone], made, request.ID).start()
+	e.calls = append(e.calls, arrived)
+	newRequestDriver(e.agents[request.Zone], arrived, request.ID).start()
 	e.scheduleArrival()
 }
 
-// requestEnded lets go of the blocks, which are most of a request's memory.
+// requestEnded releases the request's block hashes, which hold most of its memory.
 func (e *Emulator) requestEnded(call *call) {
 	e.openRequests--
 	call.blocks = nil
 }
 
-// engineChanged tells the routers that may learn of it at once.
+// engineChanged notifies the routers of a change at an engine.
 func (e *Emulator) engineChanged(host *engineHost) {
 	for _, router := range e.routers {
 		router.engineChanged(host)
 	}
 }
 
+// dispatchArrived notifies the routers that observe engines directly.
 func (e *Emulator) dispatchArrived(host *engineHost, stream fleet.StreamID) {
 	for _, router := range e.routers {
-		if observer, observes := router.router.(engineObserver); observes {
+		if observer, isObserver := router.router.(engineObserver); isObserver {
 			router.apply(func(now time.Duration, _ Router) { observer.dispatchArrived(now, host, stream) })
 		}
 	}
 }
 
-// reachableTokens returns the longest prefix of a prompt that any live engine
-// holds now.
+// reachableTokens returns the length in tokens of the longest cached prefix of a prompt on any live
+// engine.
 func (e *Emulator) reachableTokens(blocks []fleet.BlockHash, promptTokens int) int {
 	longest := 0
 	for _, host := range e.engines {
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// smallOptions is a short run of a small fleet, under the target's conditions.
+// smallOptions returns a short run of a small fleet under the conditions of the performance targets.
 func smallOptions(policy Policy, rate float64) Options {
 	description := workload.FlagFleet()
 	description.Engines = 4
@@ -26,7 +26,8 @@
 	}
 }
 
-func TestEqualOptionsGiveEqualResults(t *testing.T) {
+// A run must not depend on map order or on any randomness outside its seed.
+func TestRunIsDeterministic(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy.Name, func(t *testing.T) {
 			first, err := Run(smallOptions(policy, 60))
@@ -38,7 +39,8 @@
 	}
 }
 
-func TestEachRequestEndsInExactlyOneWay(t *testing.T) {
+// Under overload and an engine crash no request may be lost or counted twice.
+func TestEachRequestHasExactlyOneEnding(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy.Name, func(t *testing.T) {
 			options := smallOptions(policy, 120) // far over capacity
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -15,17 +15,16 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// engineHost runs one engine model on the queue and carries its answers to the
-// agents.
+// engineHost runs one engine model on the event queue and delivers its responses to the agents.
 type engineHost struct {
 	emulator *Emulator
 	index    int
 	model    *enginemodel.Engine
 	machine  platform.Machine
 	down     bool
-	// streams are the live streams with the agents' side of each.
+	// streams holds the live streams.
 	streams map[fleet.StreamID]*openStream
-	// stepAt is when the next step is stepAt; 0 means none is.
+	// stepAt is the time of the scheduled next step; 0 means none.
 	stepAt time.Duration
 }
 
@@ -33,7 +32,7 @@
 type openStream struct {
 	driver    *requestDriver
 	operation attempt.Operation
-	// firstIndex is the index of the firstIndex token that the stream yields.
+	// firstIndex is the index of the first token that the stream yields.
 	firstIndex int
 }
 
@@ -49,14 +48,14 @@
 
 func (h *engineHost) now() time.Duration { return h.emulator.queue.Now() }
 
-// send sends an event to a stream's agent.
+// send delivers an event to a stream's agent after the network latency.
 func (h *engineHost) send(to *requestDriver, event attempt.Event) {
 	latency := h.emulator.network.fromAgent(to.agent.zone, h.machine.Zone)
 	h.emulator.queue.After(latency, func() { to.handle(event) })
 }
 
-// dispatch takes a dispatch that has arrived. One whose request has ended
-// meanwhile is followed closely by its cancel, so it is left out.
+// dispatch handles the arrival of a dispatch. It ignores one whose request has already ended,
+// because its cancel follows immediately.
 func (h *engineHost) dispatch(from *requestDriver, action attempt.Dispatch) {
 	defer h.emulator.dispatchArrived(h, action.Stream)
 	if from.machine.Phase() == attempt.PhaseFinished {
@@ -94,7 +93,8 @@
 	h.processChanges()
 }
 
-// processChanges passes on what the model has reported and plans its next step.
+// processChanges delivers the model's stream events, schedules its next step and notifies the
+// routers.
 func (h *engineHost) processChanges() {
 	for _, event := range h.model.TakeStreamEvents() {
 		h.sendStreamEvent(event)
@@ -147,7 +147,7 @@
 	h.send(stream.driver, attempt.FrameReceived{Operation: stream.operation, Frame: frame})
 }
 
-// cancel takes a cancel that has arrived.
+// cancel handles the arrival of a cancel.
 func (h *engineHost) cancel(from *requestDriver, action attempt.CancelAndFence) {
 	if h.down {
 		h.send(from, attempt.CancelFailed{Operation: action.Operation, Code: engine.ErrorConnect})
@@ -163,8 +163,8 @@
 	h.send(from, attempt.CancelAnswered{Operation: action.Operation, State: response.State})
 }
 
-// resume takes a resume that has arrived. Streams have no text here, so none
-// can be read again; a lost connection means a lost engine.
+// resume handles the arrival of a resume. Streams carry no text, so none can be read again; a lost
+// connection means a lost engine.
 func (h *engineHost) resume(from *requestDriver, action attempt.Resume) {
 	if h.down {
 		h.send(from, attempt.ResumeFailed{Operation: action.Operation})
@@ -177,7 +177,7 @@
 	})
 }
 
-// crash ends the engine's run and every connection to it.
+// crash stops the engine and breaks every connection to it.
 func (h *engineHost) crash() {
 	h.down = true
 	h.stepAt = 0
@@ -189,7 +189,7 @@
 	h.emulator.engineChanged(h)
 }
 
-// restart begins the next run with an empty cache.
+// restart starts the engine's next incarnation with an empty cache.
 func (h *engineHost) restart() {
 	h.model.Restart(h.now())
 	h.down = false
--- a/lab/emulator/network.go
+++ b/lab/emulator/network.go
@@ -7,9 +7,11 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// network gives the latencies between processes, one way.
+// network holds the one-way latencies between processes.
 type network struct {
-	zone   time.Duration
+	// zone is added between processes of different zones.
+	zone time.Duration
+	// client is the latency between an agent and the processes of its zone.
 	client time.Duration
 }
 
@@ -25,8 +27,8 @@
 	return localLatency + n.zone
 }
 
-// fromAgent returns the latency between an agent, which is beside its callers,
-// and a router or engine.
+// fromAgent returns the latency between an agent, which runs next to its callers, and a router or
+// engine.
 func (n network) fromAgent(agent, other fleet.ZoneName) time.Duration {
 	if agent == other {
 		return n.client
--- a/lab/emulator/options.go
+++ b/lab/emulator/options.go
@@ -9,35 +9,36 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Options says what to run.
+// Options configures one run.
 type Options struct {
 	Trace  workload.Trace
 	Policy Policy
-	// Seed drives everything but the trace.
+	// Seed seeds all randomness except that of the trace.
 	Seed uint64
-	// Warmup is the first part of the trace, whose requests aren't measured.
+	// Warmup is the time at the start of the trace whose requests are excluded from the results.
 	Warmup time.Duration
-	// EventDelay is the age of cache events when an engine shows them, EventLoss
-	// the probability that one is lost. LoadLag is the age of reported load.
+	// EventDelay is the age of cache events when an engine publishes them, EventLoss the
+	// probability that one is lost. LoadLag is the age of reported load.
 	EventDelay time.Duration
 	EventLoss  float64
 	LoadLag    time.Duration
-	// Crash makes an engine lose everything; nil means that none does.
+	// Crash is an engine failure during the run; nil means none.
 	Crash *Crash
-	// Placement tunes the product's routers; zero fields take the defaults.
+	// Placement configures the product's routers; zero fields take the defaults.
 	Placement placement.Options
-	// SampleInterval is the length of the intervals of Result.HitOverTime.
+	// SampleInterval is the length of one interval of Result.HitOverTime.
 	SampleInterval time.Duration
 }
 
-// Crash is the failure of one engine, which comes back empty.
+// Crash is the failure of one engine, which restarts with an empty cache after Down.
 type Crash struct {
+	// Engine is the engine's index in the fleet.
 	Engine int
 	At     time.Duration
 	Down   time.Duration
 }
 
-// Conditions that the targets are stated for, and a usual delay of events.
+// Conditions under which the performance targets apply, and the default delay of cache events.
 const (
 	TargetEventLoss   = 0.3
 	TargetLoadLag     = time.Second
@@ -45,18 +46,18 @@
 )
 
 const (
-	// localLatency is one way between processes of a zone.
+	// localLatency is the one-way latency between processes of a zone.
 	localLatency = 100 * time.Microsecond
-	// statusInterval, needsInterval and reportInterval are those of the router
-	// and agent processes; statusTimeout is that of a status poll.
+	// Intervals of the router and agent processes: between status polls, between checks for
+	// needed snapshots, and between batches of attempt reports.
 	statusInterval   = 250 * time.Millisecond
 	snapshotInterval = 100 * time.Millisecond
 	reportInterval   = 50 * time.Millisecond
-	// minimumTick is the least time between two ticks of a router.
+	// minimumTick is the minimum time between two ticks of a router.
 	minimumTick = time.Millisecond
-	// eventPollPause is the least time between two polls for cache events.
+	// eventPollPause is the minimum time between two polls for cache events.
 	eventPollPause = 5 * time.Millisecond
-	// maxOverrun bounds how long after the trace's end requests may go on.
+	// maxOverrun bounds how long requests may run after the end of the trace.
 	maxOverrun = 10 * time.Minute
 
 	defaultSampleInterval = time.Second
@@ -69,7 +70,7 @@
 	return o
 }
 
-// engineConfig describes one engine of the fleet.
+// engineConfig returns the configuration of one engine model.
 func (o *Options) engineConfig(id fleet.EngineID, zone fleet.ZoneName) enginemodel.Config {
 	description := o.Trace.Fleet
 	return enginemodel.Config{
--- a/lab/emulator/policy.go
+++ b/lab/emulator/policy.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Router decides where attempts go. placement.Core is the product's; its
-// documentation tells what the methods mean.
+// Router places attempts on engines. placement.Core, the product's implementation, documents the
+// methods.
 type Router interface {
 	Submit(now time.Duration, request placement.Request)
 	Withdraw(now time.Duration, key placement.Key) bool
@@ -29,35 +29,35 @@
 	TakeOutcomes() []placement.Outcome
 }
 
-// Setup is what a policy may use to make a router.
+// Setup is the input of Policy.New.
 type Setup struct {
 	Node      fleet.NodeID
 	Zone      fleet.ZoneName
 	View      *config.View
 	Random    *rand.Rand
 	Placement placement.Options
-	// Owned tells which engines the router indexes and places on.
+	// Owned reports whether the router indexes an engine and places requests on it.
 	Owned func(fleet.EngineID) bool
-	// engines is the truth, for the clairvoyant policy alone.
+	// engines gives the clairvoyant policy access to the true state of the engines.
 	engines []*engineHost
 }
 
-// Routing tells how agents choose a router.
+// Routing is how agents choose a router.
 type Routing int
 
 // Ways to choose a router.
 const (
-	// RouteByAffinity orders the routers as the agent process does.
+	// RouteByAffinity orders the routers by prefix affinity, as the agent process does.
 	RouteByAffinity Routing = iota
-	// RouteByPrefix ranks the routers by the prompt's first blocks.
+	// RouteByPrefix ranks the routers by a hash of the prompt's first blocks.
 	RouteByPrefix
-	// RouteRoundRobin takes the routers in turn.
+	// RouteRoundRobin uses the routers in turn.
 	RouteRoundRobin
-	// RouteCentral means one router that agents reach without delay.
+	// RouteCentral uses a single router that agents reach without delay.
 	RouteCentral
 )
 
-// Policy makes the routers of a run.
+// Policy defines the routers of a run and how agents choose among them.
 type Policy struct {
 	Name    string
 	Routing Routing
@@ -77,19 +77,18 @@
 	PolicyClairvoyant = "clairvoyant"
 )
 
-// Policies returns all policies, the product first and the limit last.
+// Policies returns all policies: the product's first, the clairvoyant upper bound last.
 func Policies() []Policy {
 	return []Policy{Tillerfall(), Sharded(), RoundRobin(), LeastLoaded(), PrefixHash(), PrefixMatch(), Clairvoyant()}
 }
 
-// Tillerfall is the product with its defaults: every router owns every engine
-// and one of them places.
+// Tillerfall is the product with its defaults: every router owns every engine.
 func Tillerfall() Policy {
 	return Policy{Name: PolicyTillerfall, Routing: RouteByAffinity, New: newProductRouter}
 }
 
-// Sharded is the product with one owner for each engine, so that what is known
-// of an engine's work isn't split among routers.
+// Sharded is the product with a single owner for each engine, so that one router sees all the work
+// placed on it.
 func Sharded() Policy {
 	return Policy{Name: PolicySharded, Routing: RouteByAffinity, IndexReplicas: 1, New: newProductRouter}
 }
--- a/lab/emulator/ranking.go
+++ b/lab/emulator/ranking.go
@@ -27,13 +27,12 @@
 	}
 }
 
-// choose decides how a prompt is routed. Every prompt of the workloads has a
-// whole block.
+// choose selects the affinity key of a prompt. Every prompt of the workloads has a whole block.
 func (k *ranking) choose(now time.Duration, blocks []fleet.BlockHash) affinity.Choice {
 	return k.table.Choose(now, blocks, 0)
 }
 
-// rank lists the routers in the order in which a request tries them.
+// rank returns the routers in the order in which a request tries them.
 func (k *ranking) rank(choice affinity.Choice) []*routerHost {
 	switch k.emulator.options.Policy.Routing {
 	case RouteByAffinity:
@@ -74,7 +73,7 @@
 	}
 }
 
-// recordSpill notes that a router was saturated and another one had room.
+// recordSpill records that a router was saturated and another one placed the request.
 func (k *ranking) recordSpill(now time.Duration, choice affinity.Choice) {
 	k.table.RecordSpill(now, choice, k.routers().Serving(choice, k.pool()))
 }
--- a/lab/emulator/requestdriver.go
+++ b/lab/emulator/requestdriver.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// requestDriver carries out the actions of one request's machine, as the agent does.
+// requestDriver performs the actions of one request's attempt.Machine, as the agent process does.
 type requestDriver struct {
 	agent           *agentHost
 	call            *call
@@ -21,7 +21,7 @@
 	triesByRouter   []int
 	routerByAttempt map[fleet.Attempt]*routerHost
 	lastKey         placement.Key
-	// handBacks counts the hand-backs, spills those of saturated routers in a row.
+	// handBacks counts all hand-backs, spills the consecutive ones of saturated routers.
 	handBacks int
 	spills    int
 }
@@ -96,7 +96,8 @@
 	return c.agent.emulator.network.fromAgent(c.agent.zone, host.machine.Zone)
 }
 
-// requestPlacement sends the question to the best router that was tried least.
+// requestPlacement sends a placement request to the least tried router, the best ranked among equal
+// ones.
 func (c *requestDriver) requestPlacement(action attempt.RequestPlacement) {
 	if c.machine.Phase() == attempt.PhaseFinished {
 		return
@@ -132,7 +133,7 @@
 	})
 }
 
-// handleOutcome takes a router's outcome.
+// handleOutcome processes a router's placement outcome.
 func (c *requestDriver) handleOutcome(operation attempt.Operation, outcome placement.Outcome) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
@@ -158,8 +159,8 @@
 	}
 }
 
-// recordHandBack counts a hand-back. When several routers are saturated, the
-// request goes back to its first choice and waits there.
+// recordHandBack counts a hand-back. After affinity.MaxSpills saturated routers in a row the request
+// returns to its first choice and waits there.
 func (c *requestDriver) recordHandBack(handBack placement.HandBack) {
 	c.handBacks++
 	if handBack.Reason != placement.HandBackSaturated {
@@ -171,8 +172,8 @@
 	}
 }
 
-// recordGrant widens the prefix's routing if another router than the saturated
-// one had room.
+// recordGrant records a spill in the affinity table if another router placed the request after a
+// saturated one handed it back.
 func (c *requestDriver) recordGrant() {
 	if c.spills > 0 && c.spills < affinity.MaxSpills {
 		c.agent.ranking.recordSpill(c.agent.emulator.queue.Now(), c.choice)
@@ -218,8 +219,7 @@
 	}
 }
 
-// handleRefusal lets the caller come back once, after the time that it was told, if
-// its deadline lets it.
+// handleRefusal lets the caller retry once after the given delay, if its deadline allows.
 func (c *requestDriver) handleRefusal(action attempt.Fail) {
 	queue := c.agent.emulator.queue
 	if c.call.refusals == 0 {
@@ -253,7 +253,7 @@
 	c.agent.emulator.requestEnded(c.call)
 }
 
-// withdraw takes back the last question, in case it is still open.
+// withdraw cancels the last placement request if it is still open.
 func (c *requestDriver) withdraw() {
 	router, key := c.routerByAttempt[c.lastKey.Attempt], c.lastKey
 	if router != nil {
--- a/lab/emulator/result.go
+++ b/lab/emulator/result.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Quantiles sums up a distribution of times, in milliseconds.
+// Quantiles summarizes a distribution of times, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -18,7 +18,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Bounds of the histograms, in microseconds, and their significant figures.
+// Range of the histograms in microseconds, and their significant figures.
 const (
 	histogramMinimum = 1
 	histogramMaximum = int64(time.Hour / time.Microsecond)
@@ -42,49 +42,48 @@
 
 // HitSample is the hit rate of the prompts computed in one interval.
 type HitSample struct {
-	// Seconds is the interval's beginning since the trace's.
+	// Seconds is the start of the interval since the start of the trace.
 	Seconds float64 `json:"seconds"`
 	HitRate float64 `json:"hit_rate"`
-	// PromptTokens is the interval's weight.
+	// PromptTokens counts the prompt tokens of the interval.
 	PromptTokens int64 `json:"prompt_tokens"`
 }
 
-// Result is what one run has measured. Requests that arrived in the warm-up
-// count only in the token totals of the engines, which cover the whole run.
+// Result holds the measurements of one run. Requests that arrived during the warm-up count only in
+// HitOverTime and in the engines' token totals, which cover the whole run.
 type Result struct {
 	Fleet  string `json:"fleet"`
 	Policy string `json:"policy"`
 
-	// Requests counts those that arrived in the measured time; each is in
-	// exactly one of the endings.
+	// Requests counts those that arrived after the warm-up; each has exactly one of the endings.
 	Requests int            `json:"requests"`
 	Endings  map[Ending]int `json:"endings"`
-	// EndingsByClass has the same by class.
+	// EndingsByClass counts the endings by class.
 	EndingsByClass map[fleet.ClassName]map[Ending]int `json:"endings_by_class"`
-	// Goodput is the rate of requests that met their class's objective, a second.
+	// Goodput is the number of requests per second that met the objective of their class.
 	Goodput float64 `json:"goodput_per_second"`
-	// Refusals counts refusals, also of callers that came back and then succeeded.
+	// Refusals counts all refusals, including those of callers whose retry succeeded.
 	Refusals int `json:"refusals"`
-	// RefusedAfter is the time from arrival to the first refusal, RetryAfter what
-	// callers were told. Of those that came back, ReturnedFinished were served.
+	// RefusedAfter is the time from arrival to the first refusal, RetryAfter the retry delay given
+	// with the last one. Of the CallerRetries, CallerRetriesFinished were served.
 	RefusedAfter          Quantiles `json:"refused_after"`
 	RetryAfter            Quantiles `json:"retry_after"`
 	CallerRetries         int       `json:"returned"`
 	CallerRetriesFinished int       `json:"returned_finished"`
-	// Retries counts attempts drawn from the retry budget, Dispatches all attempts.
+	// Retries counts attempts charged to the retry budget, Dispatches all dispatches.
 	Retries    int `json:"retries"`
 	Dispatches int `json:"dispatches"`
 
-	// HitRate is the part of the prompt tokens that came from a cache,
-	// ReachableRate the part that some live engine held on dispatch.
+	// HitRate is the fraction of the prompt tokens served from a cache, ReachableRate the fraction
+	// that some live engine had cached on dispatch.
 	HitRate       float64 `json:"hit_rate"`
 	ReachableRate float64 `json:"reachable_rate"`
-	// RecomputedRate is the part of the prompt tokens that was computed although
-	// some live engine held them on dispatch.
+	// RecomputedRate is the fraction of the prompt tokens that were computed although some live
+	// engine had them cached on dispatch.
 	RecomputedRate float64 `json:"recomputed_rate"`
 
-	// PrefillTokens were computed in the whole run, UnavoidableTokens of them
-	// are first computations. WasteRate is the rest in parts of the prompt tokens.
+	// PrefillTokens counts the prompt tokens computed in the whole run, UnavoidableTokens the first
+	// computations among them. WasteRate is the remainder as a fraction of PromptTokens.
 	PrefillTokens     int64   `json:"prefill_tokens"`
 	UnavoidableTokens int64   `json:"unavoidable_tokens"`
 	PromptTokens      int64   `json:"prompt_tokens"`
@@ -92,7 +91,7 @@
 
 	FirstTokenByClass map[fleet.ClassName]Quantiles `json:"first_token_by_class"`
 	FirstTokenByKind  map[workload.Kind]Quantiles   `json:"first_token_by_kind"`
-	// UrgentOfOtherTenants covers the tenants but the first, which sends the floods.
+	// UrgentOfOtherTenants covers all tenants except the first, which sends the bursts.
 	UrgentOfOtherTenants Quantiles                      `json:"urgent_first_token_of_others"`
 	UrgentByTenant       map[fleet.TenantName]Quantiles `json:"urgent_first_token_by_tenant"`
 	QueueWaitByClass     map[fleet.ClassName]Quantiles  `json:"queue_wait_by_class"`
@@ -102,8 +101,7 @@
 	HitOverTime          []HitSample                    `json:"hit_over_time"`
 }
 
-// PromptSplit tells where the prompt tokens of a kind of requests came from, in
-// tokens a request.
+// PromptSplit is the average origin of the prompt tokens of a kind of request, in tokens per request.
 type PromptSplit struct {
 	Requests  int     `json:"requests"`
 	Prompt    float64 `json:"prompt"`
--- a/lab/emulator/routerhost.go
+++ b/lab/emulator/routerhost.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// routerHost runs one router on the queue: it polls engines, wakes the router
-// and carries its outcomes to the agents.
+// routerHost runs one router on the event queue: it polls engines, wakes the router and delivers its
+// outcomes to the agents.
 type routerHost struct {
 	emulator *Emulator
 	index    int
@@ -32,13 +32,13 @@
 
 // eventFeed is a router's long poll for the cache events of one engine.
 type eventFeed struct {
-	// waiting tells that the poll is at the engine and finds nothing yet.
+	// waiting is set while the poll has reached the engine and no event is available.
 	waiting bool
 }
 
 func (r *routerHost) now() time.Duration { return r.emulator.queue.Now() }
 
-// latency returns the time of one way from or to an agent.
+// latency returns the one-way latency between an agent and the router.
 func (r *routerHost) latency(agent fleet.ZoneName) time.Duration {
 	if r.central {
 		return 0
@@ -46,7 +46,7 @@
 	return r.emulator.network.fromAgent(agent, r.zone)
 }
 
-// apply runs a step on the router, delivers its outcomes and plans its next wake.
+// apply runs a step on the router, delivers its outcomes and schedules its next wake-up.
 func (r *routerHost) apply(step func(now time.Duration, router Router)) {
 	step(r.now(), r.router)
 	for _, outcome := range r.router.TakeOutcomes() {
@@ -57,17 +57,17 @@
 
 func (r *routerHost) deliver(outcome placement.Outcome) {
 	key := outcome.OutcomeKey()
-	asked, found := r.pending[key]
+	call, found := r.pending[key]
 	if !found {
 		r.releaseGrant(outcome)
 		return
 	}
 	delete(r.pending, key)
-	latency := r.latency(asked.driver.agent.zone)
-	r.emulator.queue.After(latency, func() { asked.driver.handleOutcome(asked.operation, outcome) })
+	latency := r.latency(call.driver.agent.zone)
+	r.emulator.queue.After(latency, func() { call.driver.handleOutcome(call.operation, outcome) })
 }
 
-// releaseGrant gives back a grant that nobody waits for.
+// releaseGrant reports a grant without a pending call as abandoned.
 func (r *routerHost) releaseGrant(outcome placement.Outcome) {
 	if grant, granted := outcome.(placement.Grant); granted {
 		r.router.Report(r.now(), placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
@@ -97,13 +97,13 @@
 
 func (r *routerHost) submit(from *requestDriver, operation attempt.Operation, request placement.Request) {
 	if from.machine.Phase() == attempt.PhaseFinished {
-		return // the agent's call was cancelled on its way
+		return // the agent cancelled the call while it was in flight
 	}
 	r.pending[request.Key] = placementCall{driver: from, operation: operation}
 	r.apply(func(now time.Duration, router Router) { router.Submit(now, request) })
 }
 
-// withdraw takes back the open question of a carrier whose request is over.
+// withdraw cancels the open placement call of a request that has ended.
 func (r *routerHost) withdraw(key placement.Key) {
 	if _, found := r.pending[key]; !found {
 		return
@@ -120,7 +120,7 @@
 	})
 }
 
-// start makes the engines known and begins to poll them.
+// start registers the engines and starts polling those that the router owns.
 func (r *routerHost) start() {
 	r.feeds = make([]eventFeed, len(r.emulator.engines))
 	for _, host := range r.emulator.engines {
@@ -138,7 +138,7 @@
 	}
 }
 
-// jitter returns a time between three quarters of mean and five quarters.
+// jitter returns a random duration between 3/4 and 5/4 of mean.
 func (r *routerHost) jitter(mean time.Duration) time.Duration {
 	return mean*3/4 + time.Duration(r.emulator.queue.Random().Int64N(int64(mean/2+1)))
 }
@@ -174,7 +174,7 @@
 	r.emulator.queue.After(latency, func() { r.waitForEvents(host) })
 }
 
-// waitForEvents answers the poll as soon as there is something to see.
+// waitForEvents answers the poll once the engine has events after the router's position.
 func (r *routerHost) waitForEvents(host *engineHost) {
 	feed := &r.feeds[host.index]
 	feed.waiting = true
@@ -209,27 +209,27 @@
 	})
 }
 
-// engineChanged looks whether a waiting poll can be answered now.
+// engineChanged checks whether a waiting poll can be answered.
 func (r *routerHost) engineChanged(host *engineHost) {
 	if len(r.feeds) > 0 && r.feeds[host.index].waiting {
 		r.waitForEvents(host)
 	}
-	if observer, observes := r.router.(engineObserver); observes {
+	if observer, isObserver := r.router.(engineObserver); isObserver {
 		r.apply(func(now time.Duration, _ Router) { observer.engineChanged(now, host) })
 	}
 }
 
-// engineObserver is a router that knows at once what happens at engines.
+// engineObserver is a router that isObserver engines directly and without delay.
 type engineObserver interface {
 	engineChanged(now time.Duration, host *engineHost)
 	dispatchArrived(now time.Duration, host *engineHost, stream fleet.StreamID)
 }
 
-// fetchSnapshots fetches the caches that the router wants whole.
+// fetchSnapshots fetches the cache snapshots that the router needs, and schedules the next check.
 func (r *routerHost) fetchSnapshots() {
-	wanted := r.router.NeedsSnapshot()
+	needed := r.router.NeedsSnapshot()
 	for _, host := range r.emulator.engines {
-		if slices.Contains(wanted, host.id()) {
+		if slices.Contains(needed, host.id()) {
 			r.fetchSnapshot(host)
 		}
 	}
