--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -75,48 +75,48 @@
 	return callCost{bytes: bytes, microseconds: microseconds(taken)}, failed
 }
 
-// fixedAnswers implements the services with answers made beforehand.
-type fixedAnswers struct {
+// fixedResponses implements the services with answers made beforehand.
+type fixedResponses struct {
 	place  *rpc.PlaceResponse
 	sync   *rpc.SyncResponse
 	gossip *rpc.GossipMessage
 }
 
-func (f *fixedAnswers) Place(context.Context, *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
+func (f *fixedResponses) Place(context.Context, *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
 	return f.place, nil
 }
 
-func (f *fixedAnswers) Report(context.Context, *rpc.ReportRequest) (*rpc.ReportResponse, error) {
+func (f *fixedResponses) Report(context.Context, *rpc.ReportRequest) (*rpc.ReportResponse, error) {
 	return &rpc.ReportResponse{Header: header()}, nil
 }
 
-func (f *fixedAnswers) Sync(context.Context, *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+func (f *fixedResponses) Sync(context.Context, *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	return f.sync, nil
 }
 
-func (f *fixedAnswers) Gossip(context.Context, *rpc.GossipMessage) (*rpc.GossipMessage, error) {
+func (f *fixedResponses) Gossip(context.Context, *rpc.GossipMessage) (*rpc.GossipMessage, error) {
 	return f.gossip, nil
 }
 
-func (f *fixedAnswers) ShareLoad(context.Context, *rpc.LoadReport) (*rpc.LoadReport, error) {
+func (f *fixedResponses) ShareLoad(context.Context, *rpc.LoadReport) (*rpc.LoadReport, error) {
 	return &rpc.LoadReport{}, nil
 }
 
-func (f *fixedAnswers) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchResponse, error) {
+func (f *fixedResponses) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	return &rpc.WatchResponse{}, nil
 }
 
 // GrantSend implements rpc.Peer.
-func (f *fixedAnswers) GrantSend(context.Context, *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
+func (f *fixedResponses) GrantSend(context.Context, *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	return &rpc.LimitAnswer{}, nil
 }
 
 // Caches implements rpc.Peer.
-func (f *fixedAnswers) Caches(context.Context, *rpc.CachesRequest) (*rpc.CachesResponse, error) {
+func (f *fixedResponses) Caches(context.Context, *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	return &rpc.CachesResponse{}, nil
 }
 
-func (f *fixedAnswers) Changes(context.Context, *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
+func (f *fixedResponses) Changes(context.Context, *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
 	return &rpc.ChangesResponse{Header: header()}, nil
 }
 
@@ -135,7 +135,7 @@
 	for _, hash := range randomHashes(rand.New(rand.NewPCG(o.Seed, 5)), blocks) {
 		request.BlockHashes = append(request.BlockHashes, uint64(hash))
 	}
-	answers := &fixedAnswers{place: &rpc.PlaceResponse{
+	answers := &fixedResponses{place: &rpc.PlaceResponse{
 		Header: header(), RequestId: request.RequestId, Attempt: 1,
 		Outcome: &rpc.PlaceResponse_Grant{Grant: &rpc.Grant{
 			Run: &rpc.EngineRun{Engine: string(engineName(0)), Incarnation: 1}, Address: "10.1.0.0:9000",
@@ -165,7 +165,7 @@
 	if engines > 0 {
 		answer.Machines = machineList(engines)
 	}
-	return placementCost(o, &fixedAnswers{sync: answer}, func(ctx context.Context, client rpc.Placement) error {
+	return placementCost(o, &fixedResponses{sync: answer}, func(ctx context.Context, client rpc.Placement) error {
 		_, err := client.Sync(ctx, &rpc.SyncRequest{Header: header()})
 		return err
 	})
@@ -199,7 +199,7 @@
 func gossipOverhead(o Options) (callCost, error) {
 	probe := membership.Message{Kind: membership.Probe, Sender: member(0, 0), Target: member(1, 0).Node}
 	answer := membership.Message{Kind: membership.Ack, Sender: member(1, 0), Target: member(1, 0).Node}
-	encoded := &fixedAnswers{gossip: answer.Encode()}
+	encoded := &fixedResponses{gossip: answer.Encode()}
 	e, err := newEndpoint(rpc.NewPeerServer(encoded))
 	if err != nil {
 		return callCost{}, err
@@ -217,7 +217,7 @@
 
 // statusCost is the cost of one poll of an engine's status, both ends.
 func statusCost(o Options) (callCost, error) {
-	body, err := json.Marshal(status(0, 0))
+	body, err := json.Marshal(idleStatus(0, 0))
 	if err != nil {
 		return callCost{}, err
 	}
@@ -236,7 +236,7 @@
 			return err
 		}
 		defer answer.Body.Close()
-		decoded := status(0, 0)
+		decoded := idleStatus(0, 0)
 		return json.NewDecoder(answer.Body).Decode(&decoded)
 	})
 }
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -54,7 +54,7 @@
 		{name: "membership", slopes: measureSteadyMembership},
 		{name: "changes", slopes: measureChanges},
 		{name: "platform calls", slopes: measurePlatformCalls},
-		{name: "herd restart", figures: func(o Options) ([]Figure, error) { return measureHerd(o), nil }},
+		{name: "herd restart", figures: func(o Options) ([]Figure, error) { return measureHerdRestart(o), nil }},
 		{name: "failures", figures: measureFailures},
 	}
 }
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -108,7 +108,7 @@
 	n := newNetwork(3)
 	n.startConverged(40)
 	require.True(t, n.converged())
-	crash(func(number int, _ *networkNode) bool { return number < 5 })(n)
+	crashNodes(func(number int, _ *networkNode) bool { return number < 5 })(n)
 	require.False(t, n.converged())
 	_, agreed := n.advanceUntil(convergenceLimit, n.converged)
 	assert.True(t, agreed)
@@ -123,7 +123,7 @@
 
 func TestReadsOfTheListOfMachinesDoNotGrowWithTheFleet(t *testing.T) {
 	const perRegion = 3
-	counted := machineReads(Options{Seed: 6}, 150)
+	counted := countMachineReads(Options{Seed: 6}, 150)
 	intervals := countedTime.Seconds() / 2 / machineInterval.Seconds()
 	t.Logf("steady %.1f reads/s, busiest second %.0f", counted.steadyRate(), counted.peak())
 	assert.LessOrEqual(t, counted.steadyRate()*countedTime.Seconds()/2, 1.5*intervals*perRegion*regions)
@@ -136,7 +136,7 @@
 
 func TestSharedTableBudgetDoesNotGrowWithTheFleet(t *testing.T) {
 	o := Options{Seed: 5}
-	few := configurationPolls(o, 100, listedBootstrap).steadyRate()
-	many := configurationPolls(o, 680, listedBootstrap).steadyRate()
+	few := countConfigurationPolls(o, 100, listedBootstrap).steadyRate()
+	many := countConfigurationPolls(o, 680, listedBootstrap).steadyRate()
 	assert.InEpsilon(t, few, many, 0.2)
 }
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -15,8 +15,8 @@
 	inject func(n *network)
 }
 
-// crash stops the nodes for which the condition holds.
-func crash(condition func(number int, node *networkNode) bool) func(*network) {
+// crashNodes stops the nodes for which the condition holds.
+func crashNodes(condition func(number int, node *networkNode) bool) func(*network) {
 	return func(n *network) {
 		for number, node := range n.all {
 			if condition(number, node) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// replace ends a node as planned and starts another process at its address.
-func replace(number int) func(*network) {
+// replaceNode ends a node as planned and starts another process at its address.
+func replaceNode(number int) func(*network) {
 	return func(n *network) {
 		old := n.all[number]
 		old.send(old.core.Leave(n.now()))
@@ -44,18 +44,18 @@
 
 func failures() []failure {
 	listed := []failure{
-		{"one router crashes", crash(func(number int, _ *networkNode) bool { return number == 3 })},
-		{"one router is replaced as planned", replace(4)},
+		{"one router crashes", crashNodes(func(number int, _ *networkNode) bool { return number == 3 })},
+		{"one router is replaced as planned", replaceNode(4)},
 	}
 	for zone, size := range rackSizes {
 		listed = append(listed, failure{
 			fmt.Sprintf("a rack of %d crashes", size),
-			crash(func(number int, _ *networkNode) bool { return number%zones == zone && number/zones < size }),
+			crashNodes(func(number int, _ *networkNode) bool { return number%zones == zone && number/zones < size }),
 		})
 	}
 	return append(listed, failure{
 		"a zone of 13 crashes",
-		crash(func(_ int, node *networkNode) bool { return node.member.Zone == zoneName(zones-1) }),
+		crashNodes(func(_ int, node *networkNode) bool { return node.member.Zone == zoneName(zones-1) }),
 	})
 }
 
--- a/lab/capacity/fleetmodel.go
+++ b/lab/capacity/fleetmodel.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// status is an idle engine's word about itself, measured at a time.
-func status(number int, now time.Duration) engine.Status {
+// idleStatus is an idle engine's word about itself, measured at a time.
+func idleStatus(number int, now time.Duration) engine.Status {
 	return engine.Status{
 		Engine:      engineName(number),
 		Incarnation: 1,
--- a/lab/capacity/index.go
+++ b/lab/capacity/index.go
@@ -60,9 +60,9 @@
 	return &eventSource{random: random, feed: feed}, nil
 }
 
-// next returns events of one block each: each stored block is removed by a
+// nextEvents returns events of one block each: each stored block is removed by a
 // later batch, so that the index keeps its size.
-func (s *eventSource) next(count int) engine.CacheEvents {
+func (s *eventSource) nextEvents(count int) engine.CacheEvents {
 	answer := engine.CacheEvents{Incarnation: 1, Events: make([]engine.CacheEvent, count)}
 	kind := engine.BlockRemoved
 	hashes := s.pending
@@ -93,7 +93,7 @@
 		answers := make([]engine.CacheEvents, prepared)
 		bodies := make([][]byte, prepared)
 		for i := range answers {
-			answers[i] = source.next(batch)
+			answers[i] = source.nextEvents(batch)
 			if bodies[i], err = json.Marshal(answers[i]); err != nil {
 				return 0, err
 			}
--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -19,9 +19,9 @@
 // maxReaderWaits is how often a follower waits for a reader that hasn't read yet.
 const maxReaderWaits = 2
 
-// machineReads counts the reads of the platform's list of machines by a herd of
+// countMachineReads counts the reads of the platform's list of machines by a herd of
 // routers that have just restarted and find each other over the network.
-func machineReads(o Options, count int) *callCounter {
+func countMachineReads(o Options, count int) *callCounter {
 	n := newNetwork(o.Seed)
 	n.startCold(count)
 	counter := &callCounter{}
@@ -76,7 +76,7 @@
 
 // machineListServer answers routers that follow its list of machines.
 type machineListServer struct {
-	fixedAnswers
+	fixedResponses
 	feed  *fleetsync.Publisher
 	lists [2]*rpc.MachineList
 	// changing puts the other list in force at each call.
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -302,13 +302,13 @@
 	now := node.network.now()
 	messages := node.core.Tick(now)
 	if pull, due := node.dissemination.NextPull(now); due {
-		node.pull(pull)
+		node.pullChanges(pull)
 	}
 	node.send(append(messages, node.dissemination.Tick(now, node.core.View())...))
 }
 
-// pull asks a node for the changes after a revision.
-func (node *networkNode) pull(pull membership.Pull) {
+// pullChanges asks a node for the changes after a revision.
+func (node *networkNode) pullChanges(pull membership.Pull) {
 	n := node.network
 	node.calls++
 	node.bytes += proto.Size(&rpc.ChangesRequest{Header: header(), After: uint64(pull.After)})
--- a/lab/capacity/ownership.go
+++ b/lab/capacity/ownership.go
@@ -33,8 +33,8 @@
 	pools   map[fleet.PoolName]int
 }
 
-// shareEngines shares engines among routers as routers and agents do.
-func shareEngines(engines int, routers []membership.Member, replicas int) map[fleet.NodeID]*routerShare {
+// assignEngines shares engines among routers as routers and agents do.
+func assignEngines(engines int, routers []membership.Member, replicas int) map[fleet.NodeID]*routerShare {
 	shares := make(map[fleet.NodeID]*routerShare, len(routers))
 	for _, router := range routers {
 		shares[router.Node] = &routerShare{pools: make(map[fleet.PoolName]int)}
@@ -55,7 +55,7 @@
 	routers := members(o.Sizes.FailureMembers)
 	var figures []Figure
 	for _, replicas := range ownershipReplicas {
-		shares := shareEngines(o.Sizes.FleetEngines, routers, replicas)
+		shares := assignEngines(o.Sizes.FleetEngines, routers, replicas)
 		name := fmt.Sprintf("index_replicas %d: ", replicas)
 		var engines, ofPool []int
 		for _, router := range routers {
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -44,7 +44,7 @@
 	r.observeStatuses()
 	const batch = 4096
 	for done := 0; done < indexBlocks; done += batch {
-		r.store(done/batch%engines, uint64(done/batch/engines+1), randomHashes(random, min(batch, indexBlocks-done)))
+		r.storeBlocks(done/batch%engines, uint64(done/batch/engines+1), randomHashes(random, min(batch, indexBlocks-done)))
 	}
 	return r, nil
 }
@@ -60,12 +60,12 @@
 
 func (r *router) observeStatuses() {
 	for number := range r.engines {
-		r.core.ObserveStatus(r.now, status(number, r.now))
+		r.core.ObserveStatus(r.now, idleStatus(number, r.now))
 	}
 }
 
-// store brings blocks into the index as an engine's event.
-func (r *router) store(number int, sequence uint64, hashes []fleet.BlockHash) {
+// storeBlocks brings blocks into the index as an engine's event.
+func (r *router) storeBlocks(number int, sequence uint64, hashes []fleet.BlockHash) {
 	r.core.ObserveCacheEvents(r.now, engineName(number), engine.CacheEvents{
 		Incarnation: 1,
 		Events:      []engine.CacheEvent{{Sequence: sequence, Kind: engine.BlockStored, Hashes: hashes}},
@@ -132,7 +132,7 @@
 	for i := range made {
 		made[i] = randomHashes(r.random, promptBlocks)
 		for number := range engines {
-			r.store(number, uint64(1<<40+i), made[i][:promptBlocks/2])
+			r.storeBlocks(number, uint64(1<<40+i), made[i][:promptBlocks/2])
 		}
 	}
 	var failed error
--- a/lab/capacity/platformcalls.go
+++ b/lab/capacity/platformcalls.go
@@ -59,9 +59,9 @@
 	membershipAfter time.Duration
 }
 
-// configurationPolls counts the reads of the configuration's head by a herd of
+// countConfigurationPolls counts the reads of the configuration's head by a herd of
 // followers.
-func configurationPolls(o Options, count int, start herdBootstrap) *callCounter {
+func countConfigurationPolls(o Options, count int, start herdBootstrap) *callCounter {
 	queue := eventqueue.New(o.Seed)
 	counter := &callCounter{}
 	interval := time.Duration(routerprocess.DefaultSettings().ConfigurationInterval)
@@ -95,8 +95,8 @@
 	return counter
 }
 
-// leaseCalls counts the table calls of the elections of so many routers.
-func leaseCalls(o Options, count int) (*callCounter, error) {
+// countLeaseCalls counts the table calls of the elections of so many routers.
+func countLeaseCalls(o Options, count int) (*callCounter, error) {
 	queue := eventqueue.New(o.Seed)
 	tables := platformmodel.New(platformmodel.Options{})
 	counter := &callCounter{}
@@ -152,11 +152,11 @@
 // measurePlatformCalls measures the platform calls of all routers together.
 func measurePlatformCalls(o Options) ([]Slope, error) {
 	slopes, err := sweepTogether(o.Sizes.Members, func(count int) ([]float64, error) {
-		polls := configurationPolls(o, count, listedBootstrap)
-		unlisted := configurationPolls(o, count, unlistedBootstrap)
-		configured := configurationPolls(o, count, configuredBootstrap)
-		machines := machineReads(o, count)
-		leases, err := leaseCalls(o, count)
+		polls := countConfigurationPolls(o, count, listedBootstrap)
+		unlisted := countConfigurationPolls(o, count, unlistedBootstrap)
+		configured := countConfigurationPolls(o, count, configuredBootstrap)
+		machines := countMachineReads(o, count)
+		leases, err := countLeaseCalls(o, count)
 		if err != nil {
 			return nil, err
 		}
@@ -175,8 +175,8 @@
 	return slopes, err
 }
 
-// measureHerd restarts a whole fleet at once and measures how it finds itself.
-func measureHerd(o Options) []Figure {
+// measureHerdRestart restarts a whole fleet at once and measures how it finds itself.
+func measureHerdRestart(o Options) []Figure {
 	n := newNetwork(o.Seed)
 	n.startCounting()
 	n.startCold(o.Sizes.FailureMembers)
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -118,17 +118,17 @@
 
 // openStreams holds machines and connections of streams under way.
 type openStreams struct {
-	machines []*attempt.Machine
-	decoders []*engine.FrameDecoder
-	answers  []*http.Response
-	server   *http.Server
-	release  chan struct{}
+	machines  []*attempt.Machine
+	decoders  []*engine.FrameDecoder
+	responses []*http.Response
+	server    *http.Server
+	release   chan struct{}
 }
 
 // stop ends the streams.
 func (s *openStreams) stop() {
 	close(s.release)
-	for _, answer := range s.answers {
+	for _, answer := range s.responses {
 		_ = answer.Body.Close()
 	}
 	_ = s.server.Close()
@@ -162,7 +162,7 @@
 			return streams, err
 		}
 		streams.machines = append(streams.machines, machine)
-		streams.answers = append(streams.answers, answer)
+		streams.responses = append(streams.responses, answer)
 		streams.decoders = append(streams.decoders, engine.NewFrameDecoder(answer.Body, maxLineBytes))
 	}
 	return streams, nil
--- a/lab/capacity/syncserver.go
+++ b/lab/capacity/syncserver.go
@@ -10,7 +10,7 @@
 
 // syncServer answers exchanges with what the agent lacks of routers and engines.
 type syncServer struct {
-	fixedAnswers
+	fixedResponses
 	publisher *fleetsync.Publisher
 	view      *membership.View
 	machines  *rpc.MachineList
--- a/lab/emulator/collect.go
+++ b/lab/emulator/collect.go
@@ -191,7 +191,7 @@
 		r.PrefillTokens += counters.PrefillTokens
 		r.PromptTokens += counters.PromptTokens
 	}
-	r.UnavoidableTokens = e.ledger.unavoidable
+	r.UnavoidableTokens = e.ledger.unavoidableTokens
 	r.WasteRate = ratio(r.PrefillTokens-r.UnavoidableTokens, r.PromptTokens)
 	r.FirstTokenByClass = c.firstToken.quantiles()
 	r.FirstTokenByKind = c.byKind.quantiles()
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -173,7 +173,7 @@
 			View:      view,
 			Random:    e.newRandom(),
 			Placement: e.options.Placement,
-			Owned:     func(id fleet.EngineID) bool { return e.isOwner(member.Node, id) },
+			IsOwned:   func(id fleet.EngineID) bool { return e.isOwner(member.Node, id) },
 			engines:   e.engines,
 		}),
 	}
--- a/lab/emulator/ledger.go
+++ b/lab/emulator/ledger.go
@@ -6,8 +6,8 @@
 // distinct block once, and for each prompt the remainder that doesn't fill a block, at least one
 // token.
 type prefillLedger struct {
-	seen        map[fleet.BlockHash]struct{}
-	unavoidable int64
+	seen              map[fleet.BlockHash]struct{}
+	unavoidableTokens int64
 }
 
 func newPrefillLedger() *prefillLedger {
@@ -21,7 +21,7 @@
 			continue
 		}
 		l.seen[block] = struct{}{}
-		l.unavoidable += int64(blockTokens)
+		l.unavoidableTokens += int64(blockTokens)
 	}
-	l.unavoidable += int64(max(promptTokens-len(blocks)*blockTokens, 1))
+	l.unavoidableTokens += int64(max(promptTokens-len(blocks)*blockTokens, 1))
 }
--- a/lab/emulator/policy.go
+++ b/lab/emulator/policy.go
@@ -36,8 +36,8 @@
 	View      *config.View
 	Random    *rand.Rand
 	Placement placement.Options
-	// Owned reports whether the router indexes an engine and places requests on it.
-	Owned func(fleet.EngineID) bool
+	// IsOwned reports whether the router indexes an engine and places requests on it.
+	IsOwned func(fleet.EngineID) bool
 	// engines gives the clairvoyant policy access to the true state of the engines.
 	engines []*engineHost
 }
@@ -100,6 +100,6 @@
 	options.Random = setup.Random
 	core := placement.New(options)
 	core.ApplyConfig(0, setup.View)
-	core.SetOwned(setup.Owned)
+	core.SetOwned(setup.IsOwned)
 	return core
 }
