--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -18,12 +18,12 @@
 	"github.com/tillerfall/tillerfall/lab/bytecount"
 )
 
-// endpoint is a server of fixed answers on loopback.
+// endpoint is an HTTP server on the loopback interface with a client for it.
 type endpoint struct {
 	server *http.Server
 	client *http.Client
 	url    string
-	// bytes counts both directions.
+	// bytes counts the transferred bytes in both directions.
 	bytes atomic.Int64
 }
 
@@ -46,18 +46,17 @@
 	_ = e.server.Close()
 }
 
-// callCost is what one call on an open connection costs both ends together,
-// HTTP included.
+// callCost is the cost of one call on an open connection, for both ends together and including HTTP.
 type callCost struct {
 	bytes        float64
 	microseconds float64
 }
 
-// measure repeats a call.
+// measure repeats a call and returns its mean cost.
 func (e *endpoint) measure(o Options, call func(ctx context.Context) error) (callCost, error) {
 	var failed error
 	ctx := context.Background()
-	// The first call may fetch a whole list; the second uses the kept connection.
+	// Warm up: the first call may fetch a whole list, the second reuses the connection.
 	for range 2 {
 		if err := call(ctx); err != nil {
 			return callCost{}, err
@@ -75,7 +74,7 @@
 	return callCost{bytes: bytes, microseconds: microseconds(taken)}, failed
 }
 
-// fixedResponses implements the services with answers made beforehand.
+// fixedResponses implements the rpc services with prepared responses.
 type fixedResponses struct {
 	place  *rpc.PlaceResponse
 	sync   *rpc.SyncResponse
@@ -124,7 +123,7 @@
 	return &rpc.Header{Sender: string(member(0, 0).Node), KnownRevision: 1 << 20}
 }
 
-// placeCost is the cost of a Place call with so many block hashes.
+// placeCost returns the cost of a Place call with the given number of block hashes.
 func placeCost(o Options, blocks int) (callCost, error) {
 	weights := servedVersion()
 	request := &rpc.PlaceRequest{
@@ -135,44 +134,44 @@
 	for _, hash := range randomHashes(rand.New(rand.NewPCG(o.Seed, 5)), blocks) {
 		request.BlockHashes = append(request.BlockHashes, uint64(hash))
 	}
-	answers := &fixedResponses{place: &rpc.PlaceResponse{
+	responses := &fixedResponses{place: &rpc.PlaceResponse{
 		Header: header(), RequestId: request.RequestId, Attempt: 1,
 		Outcome: &rpc.PlaceResponse_Grant{Grant: &rpc.Grant{
 			Run: &rpc.EngineRun{Engine: string(engineName(0)), Incarnation: 1}, Address: "10.1.0.0:9000",
 			ExpectedCachedTokens: 1 << 14, ValidMillis: 2000, BlockTokens: blockTokens,
 		}},
 	}}
-	return placementCost(o, answers, func(ctx context.Context, client rpc.Placement) error {
+	return placementCost(o, responses, func(ctx context.Context, client rpc.Placement) error {
 		_, err := client.Place(ctx, request)
 		return err
 	})
 }
 
-// syncCost is the cost of a Sync call that answers with routers, a
-// configuration and a list of engines, each only if its number isn't 0.
+// syncCost returns the cost of a Sync call whose response contains routers, a configuration and a
+// list of engines. A number of 0 leaves out the respective part.
 func syncCost(o Options, routers, tenants, engines int) (callCost, error) {
-	answer := &rpc.SyncResponse{Header: header()}
+	response := &rpc.SyncResponse{Header: header()}
 	for _, listed := range members(routers) {
-		answer.Members = append(answer.Members, membership.EncodeMember(listed))
+		response.Members = append(response.Members, membership.EncodeMember(listed))
 	}
 	if tenants > 0 {
 		snapshot, err := config.SnapshotMessage(document(1, tenants, targetModels))
 		if err != nil {
 			return callCost{}, err
 		}
-		answer.Config = snapshot
+		response.Config = snapshot
 	}
 	if engines > 0 {
-		answer.Machines = machineList(engines)
+		response.Machines = machineList(engines)
 	}
-	return placementCost(o, &fixedResponses{sync: answer}, func(ctx context.Context, client rpc.Placement) error {
+	return placementCost(o, &fixedResponses{sync: response}, func(ctx context.Context, client rpc.Placement) error {
 		_, err := client.Sync(ctx, &rpc.SyncRequest{Header: header()})
 		return err
 	})
 }
 
-func placementCost(o Options, answers rpc.Placement, call func(context.Context, rpc.Placement) error) (callCost, error) {
-	e, err := newEndpoint(rpc.NewPlacementServer(answers))
+func placementCost(o Options, responses rpc.Placement, call func(context.Context, rpc.Placement) error) (callCost, error) {
+	e, err := newEndpoint(rpc.NewPlacementServer(responses))
 	if err != nil {
 		return callCost{}, err
 	}
@@ -181,7 +180,7 @@
 	return e.measure(o, func(ctx context.Context) error { return call(ctx, client) })
 }
 
-// machineList returns the list of engines as nodes pass it on.
+// machineList returns a list of engines as nodes send it to each other.
 func machineList(engines int) *rpc.MachineList {
 	list := &rpc.MachineList{Digest: 1 << 60}
 	for number := range engines {
@@ -194,12 +193,12 @@
 	return list
 }
 
-// gossipOverhead returns what HTTP and twirp add to the bytes of one gossip
-// exchange, and the exchange's processor time at both ends.
+// gossipOverhead returns the bytes that HTTP and twirp add to one gossip exchange, and the processor
+// time of the whole exchange at both ends.
 func gossipOverhead(o Options) (callCost, error) {
 	probe := membership.Message{Kind: membership.Probe, Sender: member(0, 0), Target: member(1, 0).Node}
-	answer := membership.Message{Kind: membership.Ack, Sender: member(1, 0), Target: member(1, 0).Node}
-	encoded := &fixedResponses{gossip: answer.Encode()}
+	response := membership.Message{Kind: membership.Ack, Sender: member(1, 0), Target: member(1, 0).Node}
+	encoded := &fixedResponses{gossip: response.Encode()}
 	e, err := newEndpoint(rpc.NewPeerServer(encoded))
 	if err != nil {
 		return callCost{}, err
@@ -215,7 +214,7 @@
 	return cost, err
 }
 
-// statusCost is the cost of one poll of an engine's status, both ends.
+// statusCost returns the cost of one poll of an engine's status, for both ends together.
 func statusCost(o Options) (callCost, error) {
 	body, err := json.Marshal(idleStatus(0, 0))
 	if err != nil {
@@ -231,26 +230,26 @@
 		if err != nil {
 			return err
 		}
-		answer, err := e.client.Do(request)
+		response, err := e.client.Do(request)
 		if err != nil {
 			return err
 		}
-		defer answer.Body.Close()
+		defer response.Body.Close()
 		decoded := idleStatus(0, 0)
-		return json.NewDecoder(answer.Body).Decode(&decoded)
+		return json.NewDecoder(response.Body).Decode(&decoded)
 	})
 }
 
-// platformList returns the encoded list of machines as the platform gives it.
+// platformList returns the list of machines as the platform encodes it.
 func platformList(engines int) ([]byte, error) {
-	answer := platform.MachinesResponse{}
+	response := platform.MachinesResponse{}
 	for number := range engines {
-		answer.Machines = append(answer.Machines, machine(number, poolName(number%targetModels)))
+		response.Machines = append(response.Machines, machine(number, poolName(number%targetModels)))
 	}
-	return json.Marshal(answer)
+	return json.Marshal(response)
 }
 
-// platformListTime returns the processor time to decode the list of machines.
+// platformListTime returns the processor time in microseconds to decode the list of machines.
 func platformListTime(o Options, engines int) (float64, error) {
 	body, err := platformList(engines)
 	if err != nil {
@@ -258,15 +257,15 @@
 	}
 	var failed error
 	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
-		var answer platform.MachinesResponse
-		if err := json.Unmarshal(body, &answer); err != nil || len(answer.Machines) != engines {
-			failed = errors.Errorf("list not decoded: %v", err)
+		var response platform.MachinesResponse
+		if err := json.Unmarshal(body, &response); err != nil || len(response.Machines) != engines {
+			failed = errors.Errorf("list of machines not decoded completely: %v", err)
 		}
 	})
 	return microseconds(taken), failed
 }
 
-// callBytes and callTime pick one part of a call's cost.
+// callBytes and callTime select one component of a call's cost.
 func callBytes(cost callCost, err error) (float64, error) { return cost.bytes, err }
 func callTime(cost callCost, err error) (float64, error)  { return cost.microseconds, err }
 
@@ -296,7 +295,7 @@
 	)
 }
 
-// measureExchanges measures the calls whose cost depends on no size.
+// measureExchanges measures the calls whose cost doesn't depend on the size of the fleet.
 func measureExchanges(o Options) ([]Figure, error) {
 	gossip, err := gossipOverhead(o)
 	if err != nil {
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,10 +1,10 @@
-// Package capacity measures how the costs of the product's own code grow with
-// the size of the fleet: slopes in bytes, messages and processor time, each at
-// three sizes or more, from which docs/CAPACITY-ROUTERS.md works out the target's size.
+// Package capacity measures how the costs of the product's code grow with the size of the fleet, in
+// bytes, messages and processor time. Each cost is measured at three or more sizes and fitted;
+// docs/CAPACITY-ROUTERS.md extrapolates the fits to the target size.
 //
-// Processor time is the process's own, not elapsed time, since the machine may
-// be shared. What spreads among routers runs on a virtual clock with encoded
-// messages, so its counts don't depend on the machine.
+// Processor time is that of this process rather than elapsed time, since the machine may be shared.
+// The membership protocol runs on a virtual clock with encoded messages, so its message counts don't
+// depend on the machine.
 package capacity
 
 import (
@@ -21,19 +21,19 @@
 	Value float64 `json:"value"`
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64   `json:"seed"`
 	Processors int      `json:"processors"`
 	GoVersion  string   `json:"go_version"`
 	Slopes     []Slope  `json:"slopes"`
 	Figures    []Figure `json:"figures"`
-	// ProcessorSeconds and ElapsedSeconds are the run's own cost.
+	// ProcessorSeconds and ElapsedSeconds are the cost of the run itself.
 	ProcessorSeconds float64 `json:"processor_seconds"`
 	ElapsedSeconds   float64 `json:"elapsed_seconds"`
 }
 
-// measurement is one measurement of a run.
+// measurement is one part of a run. It returns either slopes or figures.
 type measurement struct {
 	name    string
 	slopes  func(Options) ([]Slope, error)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Run measures everything, one part after the other. With an error the report
-// holds what was measured before it.
+// Run makes all measurements, one after the other. If one fails, the report holds the results up to
+// the failure.
 func Run(o Options) (Report, error) {
 	started := time.Now()
 	startedProcessor := ProcessorTime()
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// smallSizes make a run of seconds.
+// smallSizes returns sizes for a run of a few seconds.
 func smallSizes() Sizes {
 	return Sizes{
 		IndexBlocks:    []int{5_000, 10_000, 20_000},
@@ -32,7 +32,8 @@
 	}
 }
 
-func TestFitFindsEachGrowth(t *testing.T) {
+// A fit must recover the coefficients of points that follow its growth function exactly.
+func TestFitRecoversCoefficients(t *testing.T) {
 	for _, growth := range []Growth{GrowthLinear, GrowthLogarithmic, GrowthLinearithmic} {
 		slope, err := sweep(quantity{
 			name: "exact", growth: growth, sizes: []int{2, 8, 32, 128},
@@ -46,7 +47,8 @@
 	}
 }
 
-func TestResidualShowsAnotherGrowth(t *testing.T) {
+// Points that don't follow the fitted growth function must not go unnoticed.
+func TestResidualRevealsWrongGrowth(t *testing.T) {
 	slope, err := sweep(quantity{
 		name: "square", growth: GrowthLinear, sizes: []int{1, 10, 100},
 		measure: func(size int) (float64, error) { return float64(size * size), nil },
@@ -55,7 +57,8 @@
 	assert.Greater(t, slope.Residual, 0.05)
 }
 
-func TestTwoSizesAreTooFew(t *testing.T) {
+// A sweep over too few sizes to judge the fit must fail.
+func TestSweepRejectsTwoSizes(t *testing.T) {
 	_, err := sweep(quantity{
 		name: "short", growth: GrowthLinear, sizes: []int{1, 2},
 		measure: func(int) (float64, error) { return 1, nil },
@@ -63,7 +66,8 @@
 	assert.ErrorContains(t, err, "want 3")
 }
 
-func TestRunMeasuresEveryPart(t *testing.T) {
+// A run must measure every part, converge after each failure and write all results in both formats.
+func TestRunMeasuresAllParts(t *testing.T) {
 	var measured []string
 	report, err := Run(Options{Sizes: smallSizes(), Seed: 1, Progress: func(part string) { measured = append(measured, part) }})
 	require.NoError(t, err)
@@ -85,7 +89,8 @@
 	assert.Equal(t, len(report.Slopes)+len(report.Figures), strings.Count(text.String(), "\n| ")-2)
 }
 
-func TestMembershipCountsDependOnTheSeedAlone(t *testing.T) {
+// Message counts and dissemination times must depend only on the seed, not on the machine.
+func TestMembershipCostIsDeterministic(t *testing.T) {
 	o := Options{Sizes: smallSizes(), Seed: 7}
 	first, second := measureSteadyCost(o, 30), measureSteadyCost(o, 30)
 	assert.Equal(t, first.exchanges, second.exchanges)
@@ -104,7 +109,8 @@
 	assert.Less(t, changeA.secondsToAll, 4.0)
 }
 
-func TestCrashedRoutersAreFoundByAll(t *testing.T) {
+// All running routers must remove crashed routers from their views.
+func TestRoutersConvergeAfterCrash(t *testing.T) {
 	n := newNetwork(3)
 	n.startConverged(40)
 	require.True(t, n.converged())
@@ -114,14 +120,17 @@
 	assert.True(t, agreed)
 }
 
-func TestHerdJoins(t *testing.T) {
+// Routers that all restart at once must discover each other.
+func TestRoutersConvergeAfterHerdRestart(t *testing.T) {
 	n := newNetwork(4)
 	n.startCold(40)
 	_, agreed := n.advanceUntil(convergenceLimit, n.converged)
 	assert.True(t, agreed)
 }
 
-func TestReadsOfTheListOfMachinesDoNotGrowWithTheFleet(t *testing.T) {
+// The rate of machine list reads must be bounded by the number of regions, and the bytes of a change
+// must not grow with the list.
+func TestMachineListCostDoesNotGrowWithFleet(t *testing.T) {
 	const perRegion = 3
 	counted := countMachineReads(Options{Seed: 6}, 150)
 	intervals := countedTime.Seconds() / 2 / machineInterval.Seconds()
@@ -131,10 +140,11 @@
 	require.NoError(t, err)
 	many, err := machineListCost(Options{Sizes: Sizes{ProcessorTime: time.Millisecond}}, 1000, true)
 	require.NoError(t, err)
-	assert.InEpsilon(t, few.bytes, many.bytes, 0.1, "one change costs as much in a long list")
+	assert.InEpsilon(t, few.bytes, many.bytes, 0.1, "bytes of one change don't depend on the length of the list")
 }
 
-func TestSharedTableBudgetDoesNotGrowWithTheFleet(t *testing.T) {
+// Routers must share one budget of configuration reads instead of each polling at its own rate.
+func TestConfigurationPollRateDoesNotGrowWithFleet(t *testing.T) {
 	o := Options{Seed: 5}
 	few := countConfigurationPolls(o, 100, listedBootstrap).steadyRate()
 	many := countConfigurationPolls(o, 680, listedBootstrap).steadyRate()
--- a/lab/capacity/configuration.go
+++ b/lab/capacity/configuration.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// changeBytes returns the encoded size of a change of one tenant.
+// changeBytes returns the encoded size of a change to one tenant.
 func changeBytes(tenants int) (float64, error) {
 	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return float64(proto.Size(message)), err
 }
 
-// changeTime returns the processor time of a node to check one change and put
-// it in force in the holder, and in the placement core besides.
+// changeTime returns the processor time in microseconds in which a router validates one change and
+// applies it to its configuration holder and placement core.
 func changeTime(o Options, tenants int) (float64, error) {
 	before, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
@@ -50,7 +50,7 @@
 		next.Revision = fleet.Revision(repetition + 2)
 		accepted, _, err := holder.OfferChanges([]config.Change{next})
 		if err != nil || !accepted {
-			failed = errors.Errorf("change %d not accepted: %v", next.Revision, err)
+			failed = errors.Errorf("configuration change %d not accepted: %v", next.Revision, err)
 			return
 		}
 		r.core.ApplyConfig(r.now, holder.Current())
@@ -58,7 +58,7 @@
 	return microseconds(taken), failed
 }
 
-// configurationMemory returns the memory of a configuration at a router.
+// configurationMemory returns the memory in bytes of a router with the given configuration.
 func configurationMemory(o Options, tenants, models int) (float64, error) {
 	return memoryOf(func() (any, error) {
 		r, err := newRouter(o.Seed, 1, 0)
@@ -74,7 +74,7 @@
 	})
 }
 
-// measureConfiguration measures what one change costs at one node.
+// measureConfiguration measures the cost of one configuration change at one node.
 func measureConfiguration(o Options) ([]Slope, error) {
 	return sweepAll(
 		quantity{
@@ -92,7 +92,7 @@
 	)
 }
 
-// measureRouterMemory measures the memory of what a router keeps.
+// measureRouterMemory measures the memory of the state that a router holds.
 func measureRouterMemory(o Options) ([]Slope, error) {
 	memory := func(of, size string, sizes []int, measure func(int) (float64, error)) quantity {
 		return quantity{name: "memory at a router: " + of, size: size, unit: "B", growth: GrowthLinear, sizes: sizes, measure: measure}
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -8,14 +8,14 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// failure is one event that the routers have to agree on again.
+// failure is an event after which the routers have to converge again.
 type failure struct {
 	name string
-	// inject brings the failure about.
+	// inject causes the failure.
 	inject func(n *network)
 }
 
-// crashNodes stops the nodes for which the condition holds.
+// crashNodes returns a failure that stops the nodes matching the condition.
 func crashNodes(condition func(number int, node *networkNode) bool) func(*network) {
 	return func(n *network) {
 		for number, node := range n.all {
@@ -26,7 +26,7 @@
 	}
 }
 
-// replaceNode ends a node as planned and starts another process at its address.
+// replaceNode returns a planned replacement: a node leaves, and a new process joins at its address.
 func replaceNode(number int) func(*network) {
 	return func(n *network) {
 		old := n.all[number]
@@ -39,7 +39,7 @@
 	}
 }
 
-// rackSizes are the numbers of nodes that a rack or a switch takes away.
+// rackSizes lists the numbers of nodes that fail with a rack or a switch.
 var rackSizes = []int{15, 50}
 
 func failures() []failure {
@@ -59,13 +59,12 @@
 	})
 }
 
-// failurePause is the virtual time between two failures of one fleet, in which
-// the news of the first passes from all queues.
+// failurePause is the virtual time between two failures of one fleet. Nodes stop forwarding the
+// updates of the first failure within it.
 const failurePause = 30 * time.Second
 
-// measureFailures lets failures befall a fleet, one after the other and each in
-// another place, and measures what it costs the routers to agree on the
-// membership again.
+// measureFailures injects failures into a fleet, one after the other and each at different nodes,
+// and measures the cost until the routers agree on the membership again.
 func measureFailures(o Options) ([]Figure, error) {
 	count := o.Sizes.FailureMembers
 	n := newNetwork(o.Seed)
@@ -91,7 +90,7 @@
 	return append(figures, region...), nil
 }
 
-// recoveryFigures describes how the routers came to agree again.
+// recoveryFigures returns the duration and the cost of a recovery that took the given time.
 func recoveryFigures(n *network, name string, took time.Duration, steadyRate float64) []Figure {
 	mean, worst := 0.0, 0.0
 	running := n.running()
@@ -110,7 +109,7 @@
 	}
 }
 
-// partitionRegion cuts one region off and joins it again.
+// partitionRegion partitions one region from the others, then heals the partition.
 func partitionRegion(o Options, steadyRate float64) ([]Figure, error) {
 	n := newNetwork(o.Seed)
 	n.startConverged(o.Sizes.FailureMembers)
--- a/lab/capacity/fleetmodel.go
+++ b/lab/capacity/fleetmodel.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// The measured fleet has the target's regions, zones and models.
+// Dimensions of the measured fleet, which are those of the target fleet, and fixed settings.
 const (
 	regions       = 6
 	zones         = 13
@@ -19,7 +19,7 @@
 	targetTenants = 430
 	blockTokens   = 64
 	className     = fleet.ClassName("interactive")
-	// unbounded stands for a limit that no measurement reaches.
+	// unbounded is a limit that no measurement reaches.
 	unbounded = 1 << 20
 )
 
@@ -43,7 +43,8 @@
 	return fleet.RegionName(fmt.Sprintf("region-%d", number%zones*regions/zones))
 }
 
-// member returns a router of the fleet; a generation tells its restarts apart.
+// member returns a router of the fleet. Its generation is the number of its restarts, which is part
+// of the node id.
 func member(number, generation int) membership.Member {
 	return membership.Member{
 		Node:    fleet.NodeID(fmt.Sprintf("router-%04d-%012x", number, generation+1)),
@@ -75,7 +76,7 @@
 	}
 }
 
-// idleStatus is an idle engine's word about itself, measured at a time.
+// idleStatus returns the status report of an idle engine, measured at the given time.
 func idleStatus(number int, now time.Duration) engine.Status {
 	return engine.Status{
 		Engine:      engineName(number),
@@ -94,9 +95,9 @@
 	return fleet.ModelVersion{Model: modelName(0), Version: "v1"}
 }
 
-// document returns a configuration of so many tenants and models, a pool to a model.
+// document returns a configuration with the given numbers of tenants and models, one pool per model.
 func document(revision fleet.Revision, tenants, models int) config.Document {
-	made := config.Document{
+	result := config.Document{
 		Revision: revision,
 		Classes: []config.Class{
 			{Name: className, Rank: 0, MaxWait: config.Duration(time.Hour)},
@@ -105,22 +106,22 @@
 	}
 	for number := range tenants {
 		name := tenantName(number)
-		made.Tenants = append(made.Tenants, config.Tenant{
+		result.Tenants = append(result.Tenants, config.Tenant{
 			Name: name, KeyHashes: []string{config.HashKey(string(name))}, Weight: 1,
 			Classes: []fleet.ClassName{className, "batch"}, MaxConcurrent: 256, MaxWaiting: unbounded,
 		})
 	}
 	for number := range models {
-		made.Pools = append(made.Pools, config.Pool{Name: poolName(number), MaxStreams: unbounded, MaxLoads: 4})
-		made.Models = append(made.Models, config.Model{
+		result.Pools = append(result.Pools, config.Pool{Name: poolName(number), MaxStreams: unbounded, MaxLoads: 4})
+		result.Models = append(result.Models, config.Model{
 			Name: modelName(number), Pool: poolName(number), MaxPromptTokens: 1 << 20, MaxOutputTokens: 4096, BlockTokens: blockTokens,
 			Versions: []config.Version{{Name: "v1", State: config.VersionServing}, {Name: "v2", State: config.VersionLoading}},
 		})
 	}
-	return config.Canonical(made)
+	return config.Canonical(result)
 }
 
-// tenantWeightChange returns a change of one tenant's weight and the document before it.
+// tenantWeightChange returns a change of one tenant's weight and the document that it applies to.
 func tenantWeightChange(tenants, models int) (config.Document, config.Change, error) {
 	before := document(1, tenants, models)
 	after := config.Canonical(before)
--- a/lab/capacity/index.go
+++ b/lab/capacity/index.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// ownedEngines is the number of engines that fill the measured index: those
-	// of one router at the target with one index replica.
+	// ownedEngines is the number of engines in the measured index: those that one router of the
+	// target fleet owns with one index replica.
 	ownedEngines = 15
 	// eventBatch is the number of cache events in one measured batch.
 	eventBatch = 64
@@ -30,7 +30,7 @@
 
 func engineRun(id fleet.EngineID) fleet.EngineRun { return fleet.EngineRun{Engine: id, Incarnation: 1} }
 
-// filledIndex returns an index of distinct blocks, each held by one engine.
+// filledIndex returns an index of distinct blocks, each cached by one engine.
 func filledIndex(random *rand.Rand, blocks int) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{MaxBlocks: 2 * blocks})
 	const batch = 4096
@@ -42,7 +42,7 @@
 	return index
 }
 
-// eventSource applies events to the feed of one engine over a filled index.
+// eventSource generates events for the feed of one engine on a filled index.
 type eventSource struct {
 	random   *rand.Rand
 	feed     *prefixindex.Feed
@@ -55,15 +55,15 @@
 	run := engineRun("measured")
 	feed := prefixindex.NewFeed(index, run, prefixindex.FeedOptions{})
 	if !feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: run.Incarnation}) {
-		return nil, errors.New("the feed refused an empty snapshot")
+		return nil, errors.New("prefix index feed rejected an empty snapshot")
 	}
 	return &eventSource{random: random, feed: feed}, nil
 }
 
-// nextEvents returns events of one block each: each stored block is removed by a
-// later batch, so that the index keeps its size.
+// nextEvents returns events of one block each. Batches alternately store blocks and remove them
+// again, so that the index keeps its size.
 func (s *eventSource) nextEvents(count int) engine.CacheEvents {
-	answer := engine.CacheEvents{Incarnation: 1, Events: make([]engine.CacheEvent, count)}
+	response := engine.CacheEvents{Incarnation: 1, Events: make([]engine.CacheEvent, count)}
 	kind := engine.BlockRemoved
 	hashes := s.pending
 	s.pending = nil
@@ -72,15 +72,15 @@
 		hashes = randomHashes(s.random, count)
 		s.pending = hashes
 	}
-	for i := range answer.Events {
+	for i := range response.Events {
 		s.sequence++
-		answer.Events[i] = engine.CacheEvent{Sequence: s.sequence, Kind: kind, Hashes: hashes[i : i+1]}
+		response.Events[i] = engine.CacheEvent{Sequence: s.sequence, Kind: kind, Hashes: hashes[i : i+1]}
 	}
-	return answer
+	return response
 }
 
-// eventTime returns the processor time in microseconds to apply one event that
-// comes in answers of a number of events, decoded from JSON or not.
+// eventTime returns the processor time in microseconds to apply one event from responses of batch
+// events each, including JSON decoding if decoded is set.
 func eventTime(random *rand.Rand, blocks, batch int, decoded bool, atLeast time.Duration) (float64, error) {
 	source, err := newEventSource(random, blocks)
 	if err != nil {
@@ -90,35 +90,35 @@
 	var taken time.Duration
 	applied := 0
 	for taken < atLeast {
-		answers := make([]engine.CacheEvents, prepared)
+		responses := make([]engine.CacheEvents, prepared)
 		bodies := make([][]byte, prepared)
-		for i := range answers {
-			answers[i] = source.nextEvents(batch)
-			if bodies[i], err = json.Marshal(answers[i]); err != nil {
+		for i := range responses {
+			responses[i] = source.nextEvents(batch)
+			if bodies[i], err = json.Marshal(responses[i]); err != nil {
 				return 0, err
 			}
 		}
 		start := ProcessorTime()
-		for i := range answers {
-			answer := answers[i]
+		for i := range responses {
+			response := responses[i]
 			if decoded {
-				answer = engine.CacheEvents{}
-				if err := json.Unmarshal(bodies[i], &answer); err != nil {
+				response = engine.CacheEvents{}
+				if err := json.Unmarshal(bodies[i], &response); err != nil {
 					return 0, err
 				}
 			}
-			source.feed.Apply(0, answer)
+			source.feed.Apply(0, response)
 		}
 		taken += ProcessorTime() - start
 		applied += prepared * batch
 	}
 	if counts := source.feed.Counts(); counts.Gaps > 0 || counts.Applied != uint64(applied) {
-		return 0, errors.Errorf("%d of %d events applied", counts.Applied, applied)
+		return 0, errors.Errorf("prefix index feed applied %d of %d events", counts.Applied, applied)
 	}
 	return microseconds(taken) / float64(applied), nil
 }
 
-// measureIndex measures the prefix index: its memory and its events.
+// measureIndex measures the memory of the prefix index and the processor time of its events.
 func measureIndex(o Options) ([]Slope, error) {
 	timing := func(batch int, decoded bool) func(int) (float64, error) {
 		return func(blocks int) (float64, error) {
--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -12,15 +12,16 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// machineListFreshness is how long a router's read of the list of machines serves its
+// machineListFreshness is the maximum age at which a reader's list of machines still serves its
 // followers.
 const machineListFreshness = 12 * time.Second
 
-// maxReaderWaits is how often a follower waits for a reader that hasn't read yet.
+// maxReaderWaits is the number of times that a follower waits for a reader's list before it reads
+// the list itself.
 const maxReaderWaits = 2
 
-// countMachineReads counts the reads of the platform's list of machines by a herd of
-// routers that have just restarted and find each other over the network.
+// countMachineReads counts the reads of the platform's list of machines by routers that have all
+// restarted at once and discover each other over the network.
 func countMachineReads(o Options, count int) *callCounter {
 	n := newNetwork(o.Seed)
 	n.startCold(count)
@@ -53,15 +54,16 @@
 	return counter
 }
 
-// machineInterval is the mean time between two reads of one router.
+// machineInterval is the mean time between two reads by one router.
 var machineInterval = time.Duration(routerprocess.DefaultSettings().MachineInterval)
 
+// jittered returns a random duration between 3/4 and 5/4 of pause.
 func jittered(random *rand.Rand, pause time.Duration) time.Duration {
 	return pause*3/4 + time.Duration(random.Int64N(int64(pause/2)+1))
 }
 
-// readerState tells whether a router is a reader, and otherwise whether a reader
-// that it knows has read lately.
+// readerState reports whether a router is a reader, and otherwise whether the list of a reader in
+// its view is fresh.
 func readerState(node *networkNode, readAt map[*networkNode]time.Duration) (reader, served bool) {
 	now := node.network.now()
 	for _, reader := range fleetsync.Readers(node.member.Region, node.core.View().Routable()) {
@@ -74,12 +76,12 @@
 	return false, served
 }
 
-// machineListServer answers routers that follow its list of machines.
+// machineListServer serves its list of machines to routers that follow it.
 type machineListServer struct {
 	fixedResponses
 	feed  *fleetsync.Publisher
 	lists [2]*rpc.MachineList
-	// changing puts the other list in force at each call.
+	// changing makes the server switch to the other list on each call.
 	changing bool
 	calls    int
 }
@@ -100,8 +102,8 @@
 	}, nil
 }
 
-// machineListCost is the cost of one exchange of a router that follows the list of
-// so many machines, of which one changes between two exchanges or none.
+// machineListCost returns the cost of one Changes call of a router that follows a list of machines.
+// If changing is set, one machine changes between two calls.
 func machineListCost(o Options, machines int, changing bool) (callCost, error) {
 	list := machineList(machines)
 	changed := &rpc.MachineList{Digest: list.GetDigest() + 1, Machines: append([]*rpc.Machine(nil), list.GetMachines()...)}
@@ -122,7 +124,7 @@
 	return e.measure(o, func(ctx context.Context) error {
 		held := &rpc.SyncRequest{}
 		lists.FillRequest(held)
-		answer, err := client.Changes(ctx, &rpc.ChangesRequest{
+		response, err := client.Changes(ctx, &rpc.ChangesRequest{
 			Header: header(), After: 1 << 20, MachinesFollowed: true, MachinesVersionsOf: held.GetVersionsOf(),
 			MachinesVersion: held.GetMachinesVersion(), MachinesDigest: held.GetMachinesDigest(),
 		})
@@ -130,7 +132,7 @@
 			return err
 		}
 		lists.Apply(held, &rpc.SyncResponse{
-			Header: answer.GetHeader(), Machines: answer.GetMachines(), MachinesStep: answer.GetMachinesStep(),
+			Header: response.GetHeader(), Machines: response.GetMachines(), MachinesStep: response.GetMachinesStep(),
 		})
 		return nil
 	})
--- a/lab/capacity/membership.go
+++ b/lab/capacity/membership.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// convergenceLimit bounds the virtual time until all agree.
+	// convergenceLimit bounds the virtual time until all routers agree on the membership.
 	convergenceLimit = 5 * time.Minute
-	// changeLimit bounds the virtual time until all hold a change.
+	// changeLimit bounds the virtual time until all routers hold a change.
 	changeLimit = time.Minute
-	// changeSettleTime is the virtual time after which a change isn't passed on any more.
+	// changeSettleTime is the virtual time after which nodes no longer forward a change.
 	changeSettleTime = 6 * time.Second
-	// heavyLoss is the loss of requests, and of answers, in a bad network.
+	// heavyLoss is the probability that a request is lost, and that a response is, in a lossy network.
 	heavyLoss = 0.3
 )
 
-// steadyCost is what one router's membership costs a second while nothing changes.
+// steadyCost is the membership cost per second of one router while nothing changes.
 type steadyCost struct {
 	exchanges    float64
 	bytes        float64
 	microseconds float64
 }
 
-// measureSteadyCost measures the membership of routers that know each other.
+// measureSteadyCost measures the steady-state cost of the membership protocol in a converged network.
 func measureSteadyCost(o Options, count int) steadyCost {
 	n := newNetwork(o.Seed)
 	n.startConverged(count)
@@ -43,17 +43,17 @@
 	}
 }
 
-// changeCost is what one change of the configuration costs until all hold it.
+// changeCost is the cost of one configuration change until all routers hold it.
 type changeCost struct {
-	// secondsToAll is the slowest of the changes, in seconds.
+	// secondsToAll is the time until all routers hold the slowest of the changes, in seconds.
 	secondsToAll float64
-	// exchanges and bytes are a node's, beyond the steady ones.
+	// exchanges and bytes are means per node, in excess of the steady ones.
 	exchanges float64
 	bytes     float64
 }
 
-// measureChangeCost publishes changes of a size at different nodes of a network
-// that has settled, one after the other.
+// measureChangeCost publishes changes of the given size at different nodes of a converged network,
+// one after the other.
 func measureChangeCost(n *network, patchBytes int, loss float64) (changeCost, error) {
 	count := len(n.all)
 	n.loss = loss
@@ -66,9 +66,9 @@
 		n.startCounting()
 		revision := n.all[number*count/changes].publish(make([]byte, patchBytes))
 		start := n.now()
-		took, all := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
-		if !all {
-			return cost, errors.Errorf("a change isn't held by all of %d nodes after %s", count, took)
+		took, reached := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
+		if !reached {
+			return cost, errors.Errorf("configuration change did not reach all of %d nodes within %s", count, took)
 		}
 		cost.secondsToAll = max(cost.secondsToAll, took.Seconds())
 		n.advance(max(0, changeSettleTime-(n.now()-start)))
@@ -79,7 +79,7 @@
 	return cost, nil
 }
 
-// patchBytes returns the size of a change of one tenant as nodes pass it on.
+// patchBytes returns the encoded size of a change to one tenant, as nodes forward it.
 func patchBytes(tenants int) (int, error) {
 	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
@@ -92,7 +92,8 @@
 	return len(messages[0].GetPatch()), nil
 }
 
-// sweepTogether measures several values of one run at each size.
+// sweepTogether sweeps several quantities that one measurement yields together. measure returns
+// their values in the order of quantities.
 func sweepTogether(sizes []int, measure func(size int) ([]float64, error), quantities ...quantity) ([]Slope, error) {
 	values := make(map[int][]float64)
 	for _, size := range sizes {
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -17,8 +17,8 @@
 	zoneDelay   = 250 * time.Microsecond
 	regionDelay = 1500 * time.Microsecond
 	remoteDelay = 40 * time.Millisecond
-	// connectTrips is the number of one-way trips before a request's first byte
-	// on a connection that isn't open yet; every exchange is taken for one.
+	// connectTrips is the number of one-way trips before the first byte of a request on a new
+	// connection. Every exchange is modelled as using a new one.
 	connectTrips = 2
 )
 
@@ -32,23 +32,23 @@
 	down          bool
 	wakeAt        time.Duration
 
-	// calls counts the exchanges that the node began, bytes the encoded
-	// messages that it sent, requests and answers alike.
+	// calls counts the exchanges that the node initiated, bytes the encoded size of the requests and
+	// responses that it sent.
 	calls int
 	bytes int
 }
 
-// network joins many cores by exchanges of encoded messages on a virtual clock.
+// network connects membership cores by exchanges of encoded messages on a virtual clock.
 type network struct {
 	queue  *eventqueue.Queue
 	random *rand.Rand
 	nodes  map[fleet.Address]*networkNode
 	all    []*networkNode
-	// loss is the probability that a request is lost, and that an answer is.
+	// loss is the probability that a request is lost, and that a response is.
 	loss float64
-	// isCut tells whether messages between two members are lost.
+	// isCut reports whether a partition separates two members; nil means no partition.
 	isCut func(from, to membership.Member) bool
-	// counting has messages encoded and counted.
+	// counting enables the encoding and counting of messages.
 	counting bool
 }
 
@@ -57,7 +57,7 @@
 	return &network{queue: queue, random: queue.Random(), nodes: make(map[fleet.Address]*networkNode)}
 }
 
-// add starts a router that knows nobody.
+// add starts a router with no other members in its view.
 func (n *network) add(self membership.Member) *networkNode {
 	seed := n.random.Uint64()
 	node := &networkNode{
@@ -72,26 +72,26 @@
 	return node
 }
 
-// startConverged starts routers that know each other, and lets the news of that
-// pass from their queues.
+// startConverged starts routers that have each other in their views, and advances time until they
+// stop forwarding the initial updates.
 func (n *network) startConverged(count int) {
 	known := members(count)
 	for _, self := range known {
 		node := n.add(self)
 		node.core.Join(0, nil)
-		greeter := known[0]
-		if self.Node == greeter.Node {
-			greeter = known[1]
+		sender := known[0]
+		if self.Node == sender.Node {
+			sender = known[1]
 		}
-		node.core.Receive(0, membership.Message{Kind: membership.Ack, Sender: greeter, Updates: known, Complete: true})
+		node.core.Receive(0, membership.Message{Kind: membership.Ack, Sender: sender, Updates: known, Complete: true})
 		node.scheduleWake()
 	}
-	// A node passes each of count records on about 4 log10(count) times, 32 to
-	// a message, with more than two messages a second.
+	// A node forwards each of count records about 4 log10(count) times, 32 per message, with more
+	// than two messages per second.
 	n.advance(20*time.Second + time.Duration(count)*200*time.Millisecond)
 }
 
-// startCold starts a herd of routers that know nothing but each other's addresses.
+// startCold starts routers within one second that have only each other's addresses as seeds.
 func (n *network) startCold(count int) {
 	known := members(count)
 	seeds := make([]fleet.Address, count)
@@ -110,8 +110,8 @@
 
 func (n *network) advance(duration time.Duration) { n.queue.RunUntil(n.now() + duration) }
 
-// advanceUntil passes time advanceUntil the condition holds, and returns how long that took;
-// false when the limit came first.
+// advanceUntil advances time until the condition holds, and returns the elapsed time and true. If
+// the limit is reached first, it returns the limit and false.
 func (n *network) advanceUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	start := n.now()
@@ -135,7 +135,7 @@
 	return running
 }
 
-// startCounting sets the counters to 0 and counts from here on.
+// startCounting resets the counters and enables counting.
 func (n *network) startCounting() {
 	n.counting = true
 	for _, node := range n.all {
@@ -143,7 +143,7 @@
 	}
 }
 
-// totals returns the sums of the counters.
+// totals returns the sums of the nodes' counters.
 func (n *network) totals() (calls, bytes float64) {
 	for _, node := range n.all {
 		calls += float64(node.calls)
@@ -152,7 +152,7 @@
 	return calls, bytes
 }
 
-// converged tells whether the running routers know exactly each other.
+// converged reports whether the view of each running router consists of exactly the running routers.
 func (n *network) converged() bool {
 	running := n.running()
 	for _, node := range running {
@@ -170,7 +170,7 @@
 	return true
 }
 
-// delay is the time of one trip between two members.
+// delay returns a random one-way delay between two members.
 func (n *network) delay(from, to membership.Member) time.Duration {
 	mean := remoteDelay
 	switch {
@@ -182,12 +182,12 @@
 	return mean/2 + time.Duration(n.random.Int64N(int64(mean)))
 }
 
-// lost tells whether a message doesn't arrive.
+// lost reports whether a message is lost, at random or by a partition.
 func (n *network) lost(from, to membership.Member) bool {
 	return (n.loss > 0 && n.random.Float64() < n.loss) || (n.isCut != nil && n.isCut(from, to))
 }
 
-// send begins an exchange for each message.
+// send initiates an exchange for each message.
 func (node *networkNode) send(messages []membership.Message) {
 	for _, message := range messages {
 		node.dissemination.Piggyback(&message)
@@ -196,7 +196,7 @@
 	node.scheduleWake()
 }
 
-// exchange carries one message and its answer, as one call does.
+// exchange transmits one message and its response, as one call does.
 func (node *networkNode) exchange(message membership.Message) {
 	n := node.network
 	node.calls++
@@ -210,31 +210,31 @@
 		if target.down {
 			return
 		}
-		answer := target.handleRequest(message)
-		if answer.Kind == 0 || n.lost(target.member, node.member) {
+		response := target.handleRequest(message)
+		if response.Kind == 0 || n.lost(target.member, node.member) {
 			return
 		}
-		answer.Complete = message.Kind == membership.Join
+		response.Complete = message.Kind == membership.Join
 		n.queue.After(n.delay(target.member, node.member), func() {
 			if !node.down {
-				node.send(node.handleMessage(answer))
+				node.send(node.handleMessage(response))
 			}
 		})
 	})
 }
 
-// handleRequest takes a request in and returns its answer: the last message that
-// goes to the sender. Without one only a header goes back.
+// handleRequest processes a request and returns its response: the last message addressed to the
+// sender. Without one, the response is only a header and the returned message is empty.
 func (node *networkNode) handleRequest(message membership.Message) membership.Message {
 	messages := node.handleMessage(message)
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].To != message.Sender.Address {
 			continue
 		}
-		answer := messages[i]
+		response := messages[i]
 		node.send(append(messages[:i:i], messages[i+1:]...))
-		node.dissemination.Piggyback(&answer)
-		return node.transmit(answer)
+		node.dissemination.Piggyback(&response)
+		return node.transmit(response)
 	}
 	node.send(messages)
 	if node.network.counting {
@@ -243,7 +243,8 @@
 	return membership.Message{}
 }
 
-// handleMessage brings a message into core and dissemination.
+// handleMessage passes a message to the membership core and the dissemination, and returns the
+// messages to send.
 func (node *networkNode) handleMessage(message membership.Message) []membership.Message {
 	now := node.network.now()
 	node.dissemination.Observe(message.Sender.Address, message.KnownRevision)
@@ -256,14 +257,14 @@
 	return append(messages, node.dissemination.Publish(now, next, node.core.View())...)
 }
 
-// transmit encodes and decodes a message as the transport does, and counts it.
+// transmit encodes, counts and decodes a message as the transport does.
 func (node *networkNode) transmit(message membership.Message) membership.Message {
 	if !node.network.counting {
 		return message
 	}
 	data, err := proto.Marshal(message.Encode())
 	if err != nil {
-		panic(err) // a message that can't be encoded is a fault of the core
+		panic(err) // the core must produce encodable messages
 	}
 	node.bytes += len(data)
 	received := &rpc.GossipMessage{}
@@ -279,7 +280,7 @@
 	return decoded
 }
 
-// scheduleWake has the node called when it is due next.
+// scheduleWake schedules the node's next tick.
 func (node *networkNode) scheduleWake() {
 	wake := node.core.NextWake()
 	if at, pending := node.dissemination.NextWake(); pending {
@@ -307,7 +308,7 @@
 	node.send(append(messages, node.dissemination.Tick(now, node.core.View())...))
 }
 
-// pullChanges asks a node for the changes after a revision.
+// pullChanges requests the changes after a revision from another node.
 func (node *networkNode) pullChanges(pull membership.Pull) {
 	n := node.network
 	node.calls++
@@ -321,8 +322,8 @@
 			return
 		}
 		changes := source.changeLog[min(int(pull.After), len(source.changeLog)):]
-		answer := membership.Message{Kind: membership.Ack, Sender: source.member, Changes: changes}
-		source.bytes += proto.Size(answer.Encode())
+		response := membership.Message{Kind: membership.Ack, Sender: source.member, Changes: changes}
+		source.bytes += proto.Size(response.Encode())
 		n.queue.After(n.delay(source.member, node.member), func() { node.receivePulled(changes) })
 	})
 }
@@ -339,7 +340,7 @@
 	node.send(node.dissemination.Publish(node.network.now(), next, node.core.View()))
 }
 
-// publish gives the node a change that follows the last one.
+// publish publishes a change at the node with the revision after its latest one.
 func (node *networkNode) publish(patch []byte) fleet.Revision {
 	revision := node.dissemination.Held() + 1
 	changes := []membership.Change{{Revision: revision, Patch: patch}}
@@ -348,7 +349,7 @@
 	return revision
 }
 
-// allHold tells whether all running nodes hold a revision.
+// allHold reports whether all running nodes hold a revision.
 func (n *network) allHold(revision fleet.Revision) bool {
 	for _, node := range n.running() {
 		if node.dissemination.Held() < revision {
--- a/lab/capacity/options.go
+++ b/lab/capacity/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Sizes says at which sizes each quantity is measured.
+// Sizes lists the sizes at which each quantity is measured.
 type Sizes struct {
 	IndexBlocks  []int
 	PromptBlocks []int
@@ -18,15 +18,15 @@
 	FailureMembers int
 	// FleetEngines is the number of engines in the ownership measurement.
 	FleetEngines int
-	// SteadyTime is how much virtual time the steady membership is measured for.
+	// SteadyTime is the virtual time for which the steady state of the membership is measured.
 	SteadyTime time.Duration
-	// PartitionTime is how long a region is cut off, in virtual time.
+	// PartitionTime is the virtual time for which a region is partitioned.
 	PartitionTime time.Duration
-	// ProcessorTime is the least processor time of one timing.
+	// ProcessorTime is the minimum processor time used by one timing.
 	ProcessorTime time.Duration
 }
 
-// DefaultSizes reach the target's size where one process can.
+// DefaultSizes returns sizes up to those of the target fleet, where one process can hold them.
 func DefaultSizes() Sizes {
 	return Sizes{
 		IndexBlocks:    []int{625_000, 1_250_000, 2_500_000, 5_000_000},
@@ -47,12 +47,11 @@
 	}
 }
 
-// Options sets up a run.
+// Options configures a run.
 type Options struct {
 	Sizes Sizes
-	// Seed seeds every generator.
+	// Seed seeds all random generators.
 	Seed uint64
-	// Progress is called with the name of each part before it is measured; nil
-	// means no one is told.
+	// Progress, if not nil, is called with the name of each part before it is measured.
 	Progress func(part string)
 }
--- a/lab/capacity/ownership.go
+++ b/lab/capacity/ownership.go
@@ -8,10 +8,10 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// ownershipReplicas are the values of index_replicas that are weighed.
+// ownershipReplicas lists the compared values of index_replicas.
 var ownershipReplicas = []int{1, 2, 3}
 
-// engineSite spreads the engines over zones and pools independently.
+// engineSite returns the site of an engine. Engines are spread over zones and pools independently.
 func engineSite(number int) membership.EngineSite {
 	return membership.EngineSite{
 		Pool:     poolName(number / zones % targetModels),
@@ -27,13 +27,13 @@
 	return sites
 }
 
-// routerShare is what one router owns.
+// routerShare counts the engines that one router owns, in total and by pool.
 type routerShare struct {
 	engines int
 	pools   map[fleet.PoolName]int
 }
 
-// assignEngines shares engines among routers as routers and agents do.
+// assignEngines assigns engines to routers as routers and agents do.
 func assignEngines(engines int, routers []membership.Member, replicas int) map[fleet.NodeID]*routerShare {
 	shares := make(map[fleet.NodeID]*routerShare, len(routers))
 	for _, router := range routers {
@@ -50,37 +50,37 @@
 	return shares
 }
 
-// measureOwnership shares the target's engines among the routers.
+// measureOwnership measures how evenly engines are assigned to the routers of the target fleet.
 func measureOwnership(o Options) []Figure {
 	routers := members(o.Sizes.FailureMembers)
 	var figures []Figure
 	for _, replicas := range ownershipReplicas {
 		shares := assignEngines(o.Sizes.FleetEngines, routers, replicas)
 		name := fmt.Sprintf("index_replicas %d: ", replicas)
-		var engines, ofPool []int
+		var engines, enginesPerPool []int
 		for _, router := range routers {
 			share := shares[router.Node]
 			engines = append(engines, share.engines)
 			for _, count := range share.pools {
-				ofPool = append(ofPool, count)
+				enginesPerPool = append(enginesPerPool, count)
 			}
 		}
 		slices.Sort(engines)
-		slices.Sort(ofPool)
+		slices.Sort(enginesPerPool)
 		figures = append(figures,
 			Figure{Name: name + "engines of the median router", Unit: "1", Value: float64(engines[len(engines)/2])},
 			Figure{Name: name + "engines of the router with the most", Unit: "1", Value: float64(engines[len(engines)-1])},
-			Figure{Name: name + "pools of a router, mean", Unit: "1", Value: float64(len(ofPool)) / float64(len(routers))},
-			Figure{Name: name + "engines of one pool at a router that has any, median", Unit: "1", Value: float64(ofPool[len(ofPool)/2])},
+			Figure{Name: name + "pools of a router, mean", Unit: "1", Value: float64(len(enginesPerPool)) / float64(len(routers))},
+			Figure{Name: name + "engines of one pool at a router that has any, median", Unit: "1", Value: float64(enginesPerPool[len(enginesPerPool)/2])},
 		)
 	}
 	return figures
 }
 
-// measureOwnershipTime measures what a router spends to share the engines anew
-// after a change of the membership: to build the map and ask for each engine.
+// measureOwnershipTime measures the processor time in which a router reassigns the engines after a
+// membership change: it builds the pool map and looks up the owners of each engine.
 func measureOwnershipTime(o Options) ([]Slope, error) {
-	sharing := func(engines, routers int) (float64, error) {
+	assignmentTime := func(engines, routers int) (float64, error) {
 		listed := members(routers)
 		sites := engineSites(engines)
 		taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
@@ -94,11 +94,11 @@
 	return sweepAll(
 		quantity{
 			name: "engines shared among all routers", size: "engines", unit: "core-µs", growth: GrowthLinear, sizes: o.Sizes.Engines,
-			measure: func(size int) (float64, error) { return sharing(size, o.Sizes.FailureMembers) },
+			measure: func(size int) (float64, error) { return assignmentTime(size, o.Sizes.FailureMembers) },
 		},
 		quantity{
 			name: "all engines shared", size: "routers", unit: "core-µs", growth: GrowthLinear, sizes: o.Sizes.Members,
-			measure: func(size int) (float64, error) { return sharing(o.Sizes.FleetEngines, size) },
+			measure: func(size int) (float64, error) { return assignmentTime(o.Sizes.FleetEngines, size) },
 		},
 	)
 }
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -14,10 +14,10 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// placementsPerStatus is the number of placements between two status reports of all engines.
+// placementsPerStatus is the number of placements between two rounds of engine status reports.
 const placementsPerStatus = 1000
 
-// router drives a placement core as a router does.
+// router drives a placement core as the router process does.
 type router struct {
 	core       *placement.Core
 	random     *rand.Rand
@@ -26,8 +26,8 @@
 	placements int
 }
 
-// newRouter returns a core of one pool with so many candidate engines, whose
-// caches hold so many blocks together.
+// newRouter returns a router for one pool with the given number of engines, whose caches hold
+// indexBlocks distinct blocks in total.
 func newRouter(seed uint64, engines, indexBlocks int) (*router, error) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	r := &router{random: random, now: time.Second, engines: engines}
@@ -64,7 +64,7 @@
 	}
 }
 
-// storeBlocks brings blocks into the index as an engine's event.
+// storeBlocks adds blocks to the index through a cache event of an engine.
 func (r *router) storeBlocks(number int, sequence uint64, hashes []fleet.BlockHash) {
 	r.core.ObserveCacheEvents(r.now, engineName(number), engine.CacheEvents{
 		Incarnation: 1,
@@ -90,11 +90,11 @@
 	r.core.Submit(r.now, request)
 	outcomes := r.core.TakeOutcomes()
 	if len(outcomes) != 1 {
-		return placement.Grant{}, errors.Errorf("%d outcomes, want 1", len(outcomes))
+		return placement.Grant{}, errors.Errorf("got %d placement outcomes, want 1", len(outcomes))
 	}
 	granted, isGrant := outcomes[0].(placement.Grant)
 	if !isGrant {
-		return placement.Grant{}, errors.Errorf("%+v instead of a grant", outcomes[0])
+		return placement.Grant{}, errors.Errorf("got outcome %+v, want a grant", outcomes[0])
 	}
 	return granted, nil
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// place does one whole placement: submit, decision and three reports.
+// place performs one complete placement: submission, decision and three reports.
 func (r *router) place(blocks []fleet.BlockHash) error {
 	r.now += time.Millisecond
 	r.placements++
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// placementTime returns the microseconds of one placement of a prompt whose
-// first half every engine holds.
+// placementTime returns the processor time in microseconds of one placement of a prompt whose first
+// half is cached on every engine.
 func placementTime(o Options, engines, indexBlocks, promptBlocks int) (float64, error) {
 	r, err := newRouter(o.Seed, engines, indexBlocks)
 	if err != nil {
@@ -144,14 +144,14 @@
 	return microseconds(taken), failed
 }
 
-// Sizes that stay fixed while another one grows.
+// Sizes that are held constant while another one varies.
 const (
 	fixedCandidates   = 30
 	fixedIndexBlocks  = 500_000
 	fixedPromptBlocks = 128
 )
 
-// measurePlacement measures a placement over the three sizes that it depends on.
+// measurePlacement measures the time of a placement by each of the three sizes that it depends on.
 func measurePlacement(o Options) ([]Slope, error) {
 	quantityOf := func(by, size string, growth Growth, sizes []int, measure func(int) (float64, error)) quantity {
 		return quantity{name: "placement (submit, decision, 3 reports) by " + by, size: size, unit: "core-µs", growth: growth, sizes: sizes, measure: measure}
@@ -170,8 +170,8 @@
 	)
 }
 
-// routerWithWaiting returns a router at which so many requests wait, each with a
-// prompt of its own.
+// routerWithWaiting returns a router with the given number of waiting requests, each with a different
+// prompt.
 func routerWithWaiting(seed uint64, waiting int) (*router, error) {
 	r, err := newRouter(seed, 1, 0)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return r, nil
 }
 
-// routerWithGrants returns a router with so many grants whose streams are open.
+// routerWithGrants returns a router with the given number of open grants after the first token.
 func routerWithGrants(seed uint64, grants int) (*router, error) {
 	r, err := newRouter(seed, fixedCandidates, 0)
 	if err != nil {
--- a/lab/capacity/platformcalls.go
+++ b/lab/capacity/platformcalls.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// platformDelay is how long a call to the platform takes.
+	// platformDelay is the duration of a call to the platform.
 	platformDelay = 20 * time.Millisecond
-	// leaseCandidates is the number of routers that poll the lease.
+	// leaseCandidates is the number of routers eligible for the lease.
 	leaseCandidates = 3
 	// countedTime is the virtual time over which calls are counted.
 	countedTime = 60 * time.Second
@@ -34,7 +34,7 @@
 	}
 }
 
-// steadyRate is the mean rate of the last half of the time.
+// steadyRate returns the mean rate per second over the last half of countedTime.
 func (c *callCounter) steadyRate() float64 {
 	half := c.bySecond[len(c.bySecond)/2:]
 	sum := 0
@@ -44,6 +44,7 @@
 	return float64(sum) / float64(len(half))
 }
 
+// peak returns the number of calls in the busiest second.
 func (c *callCounter) peak() float64 {
 	most := 0
 	for _, calls := range c.bySecond {
@@ -52,15 +53,15 @@
 	return float64(most)
 }
 
-// herdBootstrap is what the routers of a herd know of each other: the configured
-// ones at once, themselves included, and all after a time.
+// herdBootstrap describes how routers that restart together discover each other: the configured ones
+// immediately, including themselves, and all of them after membershipAfter.
 type herdBootstrap struct {
 	configuredNodes int
 	membershipAfter time.Duration
 }
 
-// countConfigurationPolls counts the reads of the configuration's head by a herd of
-// followers.
+// countConfigurationPolls counts the reads of the configuration head by followers that start
+// together.
 func countConfigurationPolls(o Options, count int, start herdBootstrap) *callCounter {
 	queue := eventqueue.New(o.Seed)
 	counter := &callCounter{}
@@ -95,7 +96,7 @@
 	return counter
 }
 
-// countLeaseCalls counts the table calls of the elections of so many routers.
+// countLeaseCalls counts the table calls of the lease elections of count routers.
 func countLeaseCalls(o Options, count int) (*callCounter, error) {
 	queue := eventqueue.New(o.Seed)
 	tables := platformmodel.New(platformmodel.Options{})
@@ -105,7 +106,7 @@
 		random := rand.New(rand.NewPCG(queue.Random().Uint64(), 1))
 		election, err := lease.NewElection(settings, lease.NewHolderID(member(number, 0).Node, uint64(number)), random)
 		if err != nil {
-			return nil, errors.Wrap(err, "election")
+			return nil, errors.Wrap(err, "create lease election")
 		}
 		election.SetEligible(number < leaseCandidates)
 		var step func()
@@ -116,7 +117,7 @@
 				counter.count(queue.Now())
 				row, err := tables.Get(queue.Now(), settings.Key)
 				queue.After(platformDelay, func() {
-					_ = election.ReadDone(queue.Now(), row, err) // only a malformed row is an error
+					_ = election.ReadDone(queue.Now(), row, err) // fails only for a malformed row
 					step()
 				})
 			case lease.ActionCommit:
@@ -136,20 +137,20 @@
 	return counter, nil
 }
 
-// configuredRouters is the number of routers that a router is configured with,
-// itself included.
+// configuredRouters is the number of routers in a router's own configuration, including itself.
 const configuredRouters = 4
 
 var (
-	// listedBootstrap has read the list of machines, which names the routers.
+	// listedBootstrap discovers the routers by reading the list of machines.
 	listedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 2 * platformDelay}
-	// unlistedBootstrap waits for the membership, as when nobody knows a list.
+	// unlistedBootstrap discovers the routers through the membership protocol, without a list of
+	// machines.
 	unlistedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 3 * time.Second}
-	// configuredBootstrap is configured with all routers.
+	// configuredBootstrap starts with all routers configured.
 	configuredBootstrap = herdBootstrap{configuredNodes: math.MaxInt}
 )
 
-// measurePlatformCalls measures the platform calls of all routers together.
+// measurePlatformCalls measures the total rate of platform calls of all routers.
 func measurePlatformCalls(o Options) ([]Slope, error) {
 	slopes, err := sweepTogether(o.Sizes.Members, func(count int) ([]float64, error) {
 		polls := countConfigurationPolls(o, count, listedBootstrap)
@@ -175,7 +176,7 @@
 	return slopes, err
 }
 
-// measureHerdRestart restarts a whole fleet at once and measures how it finds itself.
+// measureHerdRestart restarts all routers at once and measures how they discover each other.
 func measureHerdRestart(o Options) []Figure {
 	n := newNetwork(o.Seed)
 	n.startCounting()
--- a/lab/capacity/report.go
+++ b/lab/capacity/report.go
@@ -11,7 +11,7 @@
 // significantDigits is the precision of printed values.
 const significantDigits = 4
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(writer io.Writer) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
@@ -55,8 +55,8 @@
 		formatValue(slope.Intercept), formatValue(slope.PerUnit), slope.Growth, 100*slope.Residual)
 }
 
-// formatValue prints four significant digits, without an exponent for values of
-// ordinary size.
+// formatValue formats a value with significantDigits digits, and without an exponent unless it is
+// very small or very large.
 func formatValue(value float64) string {
 	text := strconv.FormatFloat(value, 'g', significantDigits, 64)
 	rounded, err := strconv.ParseFloat(text, 64)
--- a/lab/capacity/resourceusage.go
+++ b/lab/capacity/resourceusage.go
@@ -6,20 +6,18 @@
 	"time"
 )
 
-// ProcessorTime returns the processor time that this process has used, in user
-// and system mode. Unlike elapsed time it doesn't grow while other processes
-// hold the processors. It includes the garbage collector.
+// ProcessorTime returns the user and system time used by this process, including the garbage
+// collector. Unlike elapsed time, it doesn't depend on the load of other processes.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // only for a wrong argument
+		panic(err) // Getrusage fails only for invalid arguments
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// processorTimeOf returns the processor time of one call of run, which is
-// repeated until it has used at least the given time. Repetition numbers rise
-// from 0.
+// processorTimeOf returns the mean processor time of one call of run, which is repeated until the
+// calls have used at least the given time. Repetitions are numbered from 0.
 func processorTimeOf(atLeast time.Duration, run func(repetition int)) time.Duration {
 	repetition := 0
 	runtime.GC()
@@ -37,7 +35,7 @@
 
 func microseconds(duration time.Duration) float64 { return float64(duration.Nanoseconds()) / 1e3 }
 
-// MemoryInUse returns the bytes of live heap objects and of stacks.
+// MemoryInUse collects garbage and returns the bytes of live heap objects and of stacks.
 func MemoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -46,7 +44,7 @@
 	return float64(statistics.HeapAlloc + statistics.StackInuse)
 }
 
-// memoryOf returns the bytes that stay in use for what build returns.
+// memoryOf returns the bytes retained by the value that build returns.
 func memoryOf(build func() (any, error)) (float64, error) {
 	before := MemoryInUse()
 	kept, err := build()
--- a/lab/capacity/slope.go
+++ b/lab/capacity/slope.go
@@ -7,21 +7,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Growth is the function of the size that a slope is fitted to.
+// Growth is the function of the size to which a slope is fitted.
 type Growth string
 
-// Growths that are fitted.
+// Supported growth functions.
 const (
 	GrowthLinear       Growth = "n"
 	GrowthLogarithmic  Growth = "log2 n"
 	GrowthLinearithmic Growth = "n log2 n"
 )
 
-// minimumPoints is the least number of sizes at which a quantity is measured,
-// so that its growth is seen and not assumed.
+// minimumPoints is the minimum number of sizes at which a quantity is measured. With fewer the
+// residual wouldn't show a wrong growth function.
 const minimumPoints = 3
 
-// apply returns the growth's value at a size.
+// apply returns the value of the growth function at a size.
 func (g Growth) apply(size float64) float64 {
 	switch g {
 	case GrowthLogarithmic:
@@ -43,15 +43,15 @@
 // Intercept + PerUnit * Growth(size).
 type Slope struct {
 	Name string `json:"name"`
-	// Size says what is counted by a point's size, Unit the unit of its value.
+	// Size names what a point's size counts, Unit the unit of its value.
 	Size      string  `json:"size"`
 	Unit      string  `json:"unit"`
 	Growth    Growth  `json:"growth"`
 	Points    []Point `json:"points"`
 	Intercept float64 `json:"intercept"`
 	PerUnit   float64 `json:"per_unit"`
-	// Residual is the root mean square of the fit's errors, as a part of the
-	// mean value. A large one means that the growth isn't the one fitted.
+	// Residual is the root mean square error of the fit, relative to the mean value. A large
+	// residual means that the quantity doesn't follow Growth.
 	Residual float64 `json:"residual"`
 }
 
@@ -61,7 +61,7 @@
 // fit computes the least-squares fit of the slope's points.
 func (s *Slope) fit() error {
 	if len(s.Points) < minimumPoints {
-		return errors.Errorf("%s: %d points, want %d", s.Name, len(s.Points), minimumPoints)
+		return errors.Errorf("%s: got %d points, want %d", s.Name, len(s.Points), minimumPoints)
 	}
 	sizes := make([]float64, len(s.Points))
 	values := make([]float64, len(s.Points))
@@ -72,8 +72,8 @@
 	s.Intercept, s.PerUnit = stat.LinearRegression(sizes, values, nil, false)
 	squares := 0.0
 	for i := range sizes {
-		miss := values[i] - s.Intercept - s.PerUnit*sizes[i]
-		squares += miss * miss
+		residual := values[i] - s.Intercept - s.PerUnit*sizes[i]
+		squares += residual * residual
 	}
 	if mean := stat.Mean(values, nil); mean != 0 {
 		s.Residual = math.Sqrt(squares/float64(len(values))) / math.Abs(mean)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// quantity says what is measured at several sizes.
+// quantity is a value to measure at several sizes.
 type quantity struct {
 	name   string
 	size   string
@@ -92,7 +92,7 @@
 	measure func(size int) (float64, error)
 }
 
-// sweep measures a quantity at each of its sizes and fits it.
+// sweep measures a quantity at each of its sizes and fits the results.
 func sweep(q quantity) (Slope, error) {
 	slope := Slope{Name: q.name, Size: q.size, Unit: q.unit, Growth: q.growth}
 	for _, size := range q.sizes {
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -17,14 +17,13 @@
 	"github.com/tillerfall/tillerfall/internal/openai"
 )
 
-// tokenText has about the length of a token.
+// tokenText has about the length of an average token.
 const tokenText = "tok "
 
-// maxLineBytes bounds a line of an engine's stream.
+// maxLineBytes is the maximum length of a line in an engine's stream.
 const maxLineBytes = 64 << 10
 
-// discardWriter is a caller that takes everything. It has no connection, so
-// its writes cost no system call.
+// discardWriter is a response writer that discards its output without system calls.
 type discardWriter struct{ header http.Header }
 
 func (w *discardWriter) Header() http.Header              { return w.header }
@@ -33,7 +32,7 @@
 func (w *discardWriter) Flush()                           {}
 func (w *discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// newDispatchedMachine returns a machine whose dispatch is under way.
+// newDispatchedMachine returns an attempt machine whose dispatch is in flight, and that dispatch.
 func newDispatchedMachine(random *rand.Rand, budget attempt.RetryBudget) (*attempt.Machine, attempt.Dispatch, error) {
 	machine := attempt.New(attempt.Request{ID: "measured", Repeatable: true}, attempt.Policy{}, budget, random)
 	for _, action := range machine.Start(0) {
@@ -48,10 +47,10 @@
 			}
 		}
 	}
-	return nil, attempt.Dispatch{}, errors.New("the machine didn't dispatch")
+	return nil, attempt.Dispatch{}, errors.New("attempt machine did not dispatch after a grant")
 }
 
-// encodedStream returns a whole stream as an engine sends it.
+// encodedStream returns a complete stream as an engine sends it.
 func encodedStream(stream fleet.StreamID, tokens int) ([]byte, error) {
 	var encoded bytes.Buffer
 	frames := []engine.Frame{{Kind: engine.FrameAccepted, Stream: stream, PromptTokens: 1}}
@@ -67,8 +66,7 @@
 	return encoded.Bytes(), nil
 }
 
-// relayStream carries one encoded stream as an agent does, to a caller that
-// reads at once.
+// relayStream relays one encoded stream as an agent does, to a caller that never blocks.
 func relayStream(machine *attempt.Machine, dispatch attempt.Dispatch, encoded []byte) error {
 	decoder := engine.NewFrameDecoder(bytes.NewReader(encoded), maxLineBytes)
 	writer := openai.NewStreamWriter(&discardWriter{header: http.Header{}}, openai.Response{RequestID: "measured", Model: "model-00"})
@@ -89,13 +87,13 @@
 		}
 	}
 	if machine.Phase() != attempt.PhaseFinished {
-		return errors.Errorf("the stream ended in phase %s", machine.Phase())
+		return errors.Errorf("attempt machine is in phase %s after the end of the stream", machine.Phase())
 	}
 	return nil
 }
 
-// streamTime returns the microseconds to carry a stream of so many tokens:
-// decoded, through the machine, encoded for the caller.
+// streamTime returns the processor time in microseconds to relay a stream of tokens: decode it, run
+// it through the attempt machine and encode it for the caller.
 func streamTime(o Options, tokens int) (float64, error) {
 	random := rand.New(rand.NewPCG(o.Seed, 3))
 	budget := attempt.NewBudget(attempt.BudgetOptions{})
@@ -116,7 +114,7 @@
 	return microseconds(taken), failed
 }
 
-// openStreams holds machines and connections of streams under way.
+// openStreams holds the attempt machines and connections of open streams.
 type openStreams struct {
 	machines  []*attempt.Machine
 	decoders  []*engine.FrameDecoder
@@ -125,18 +123,17 @@
 	release   chan struct{}
 }
 
-// stop ends the streams.
+// stop closes the streams and their server.
 func (s *openStreams) stop() {
 	close(s.release)
-	for _, answer := range s.responses {
-		_ = answer.Body.Close()
+	for _, response := range s.responses {
+		_ = response.Body.Close()
 	}
 	_ = s.server.Close()
 }
 
-// openStream holds so many streams open in one process, each with a client's
-// and a server's end of an HTTP connection: those that an agent has towards
-// engine and caller.
+// newOpenStreams opens streams in this process, each with the client and the server end of an HTTP
+// connection. They correspond to an agent's connections to the engine and to the caller.
 func newOpenStreams(o Options, count int) (*openStreams, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,18 +154,18 @@
 		if err != nil {
 			return streams, err
 		}
-		answer, err := client.Get(fmt.Sprintf("http://%s/", listener.Addr()))
+		response, err := client.Get(fmt.Sprintf("http://%s/", listener.Addr()))
 		if err != nil {
 			return streams, err
 		}
 		streams.machines = append(streams.machines, machine)
-		streams.responses = append(streams.responses, answer)
-		streams.decoders = append(streams.decoders, engine.NewFrameDecoder(answer.Body, maxLineBytes))
+		streams.responses = append(streams.responses, response)
+		streams.decoders = append(streams.decoders, engine.NewFrameDecoder(response.Body, maxLineBytes))
 	}
 	return streams, nil
 }
 
-// streamMemory returns the memory of so many open streams.
+// streamMemory returns the memory in bytes of count open streams.
 func streamMemory(o Options, count int) (float64, error) {
 	var opened *openStreams
 	bytes, err := memoryOf(func() (any, error) {
@@ -182,7 +179,7 @@
 	return bytes, err
 }
 
-// measureStreams measures an agent's cost of tokens and of open streams.
+// measureStreams measures an agent's processor time per token and memory per open stream.
 func measureStreams(o Options) ([]Slope, error) {
 	return sweepAll(
 		quantity{
--- a/lab/capacity/syncserver.go
+++ b/lab/capacity/syncserver.go
@@ -8,7 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// syncServer answers exchanges with what the agent lacks of routers and engines.
+// syncServer answers Sync calls with the changes to the lists of routers and engines that the agent
+// doesn't hold.
 type syncServer struct {
 	fixedResponses
 	publisher *fleetsync.Publisher
@@ -23,8 +24,8 @@
 	return response, nil
 }
 
-// incrementalSyncCost is the cost of an exchange of an agent that holds the
-// newest lists of routers and engines already.
+// incrementalSyncCost returns the cost of a Sync call of an agent that already holds the current
+// lists of routers and engines.
 func incrementalSyncCost(o Options, routers int) (callCost, error) {
 	listed := members(routers)
 	server := &syncServer{
@@ -36,11 +37,11 @@
 	return placementCost(o, server, func(ctx context.Context, client rpc.Placement) error {
 		request := &rpc.SyncRequest{Header: header()}
 		subscriber.FillRequest(request)
-		answer, err := client.Sync(ctx, request)
+		response, err := client.Sync(ctx, request)
 		if err != nil {
 			return err
 		}
-		subscriber.Apply(request, answer)
+		subscriber.Apply(request, response)
 		return nil
 	})
 }
