--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -64,14 +64,14 @@
 	}
 	before := e.bytes.Load()
 	calls := 0
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
 		calls++
 		if err := call(ctx); err != nil && failed == nil {
 			failed = err
 		}
 	})
 	bytes := float64(e.bytes.Load()-before) / float64(calls)
-	return callCost{bytes: bytes, microseconds: microseconds(taken)}, failed
+	return callCost{bytes: bytes, microseconds: microseconds(used)}, failed
 }
 
 // fixedResponses implements the rpc services with prepared responses.
@@ -81,26 +81,32 @@
 	gossip *rpc.GossipMessage
 }
 
+// Place implements rpc.Placement.
 func (f *fixedResponses) Place(context.Context, *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
 	return f.place, nil
 }
 
+// Report implements rpc.Placement.
 func (f *fixedResponses) Report(context.Context, *rpc.ReportRequest) (*rpc.ReportResponse, error) {
 	return &rpc.ReportResponse{Header: header()}, nil
 }
 
+// Sync implements rpc.Placement.
 func (f *fixedResponses) Sync(context.Context, *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	return f.sync, nil
 }
 
+// Gossip implements rpc.Peer.
 func (f *fixedResponses) Gossip(context.Context, *rpc.GossipMessage) (*rpc.GossipMessage, error) {
 	return f.gossip, nil
 }
 
+// ShareLoad implements rpc.Peer.
 func (f *fixedResponses) ShareLoad(context.Context, *rpc.LoadReport) (*rpc.LoadReport, error) {
 	return &rpc.LoadReport{}, nil
 }
 
+// Watch implements rpc.Peer.
 func (f *fixedResponses) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	return &rpc.WatchResponse{}, nil
 }
@@ -115,6 +121,7 @@
 	return &rpc.CachesResponse{}, nil
 }
 
+// Changes implements rpc.Peer.
 func (f *fixedResponses) Changes(context.Context, *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
 	return &rpc.ChangesResponse{Header: header()}, nil
 }
@@ -151,8 +158,8 @@
 // list of engines. A number of 0 leaves out the respective part.
 func syncCost(o Options, routers, tenants, engines int) (callCost, error) {
 	response := &rpc.SyncResponse{Header: header()}
-	for _, listed := range members(routers) {
-		response.Members = append(response.Members, membership.EncodeMember(listed))
+	for _, router := range members(routers) {
+		response.Members = append(response.Members, membership.EncodeMember(router))
 	}
 	if tenants > 0 {
 		snapshot, err := config.SnapshotMessage(document(1, tenants, targetModels))
@@ -184,10 +191,10 @@
 func machineList(engines int) *rpc.MachineList {
 	list := &rpc.MachineList{Digest: 1 << 60}
 	for number := range engines {
-		listed := machine(number, poolName(number%targetModels))
+		engine := machine(number, poolName(number%targetModels))
 		list.Machines = append(list.Machines, &rpc.Machine{
-			Id: listed.ID, Address: string(listed.Address), Region: string(listed.Region), Zone: string(listed.Zone),
-			Pool: string(listed.Pool), Incarnation: uint64(listed.Incarnation),
+			Id: engine.ID, Address: string(engine.Address), Region: string(engine.Region), Zone: string(engine.Zone),
+			Pool: string(engine.Pool), Incarnation: uint64(engine.Incarnation),
 		})
 	}
 	return list
@@ -256,13 +263,13 @@
 		return 0, err
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
 		var response platform.MachinesResponse
 		if err := json.Unmarshal(body, &response); err != nil || len(response.Machines) != engines {
 			failed = errors.Errorf("list of machines not decoded completely: %v", err)
 		}
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
 // callBytes and callTime select one component of a call's cost.
--- a/lab/capacity/configuration.go
+++ b/lab/capacity/configuration.go
@@ -45,7 +45,7 @@
 		return 0, err
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
 		next := change
 		next.Revision = fleet.Revision(repetition + 2)
 		accepted, _, err := holder.OfferChanges([]config.Change{next})
@@ -55,7 +55,7 @@
 		}
 		r.core.ApplyConfig(r.now, holder.Current())
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
 // configurationMemory returns the memory in bytes of a router with the given configuration.
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -43,17 +43,17 @@
 var rackSizes = []int{15, 50}
 
 func failures() []failure {
-	listed := []failure{
+	list := []failure{
 		{"one router crashes", crashNodes(func(number int, _ *networkNode) bool { return number == 3 })},
 		{"one router is replaced as planned", replaceNode(4)},
 	}
 	for zone, size := range rackSizes {
-		listed = append(listed, failure{
+		list = append(list, failure{
 			fmt.Sprintf("a rack of %d crashes", size),
 			crashNodes(func(number int, _ *networkNode) bool { return number%zones == zone && number/zones < size }),
 		})
 	}
-	return append(listed, failure{
+	return append(list, failure{
 		"a zone of 13 crashes",
 		crashNodes(func(_ int, node *networkNode) bool { return node.member.Zone == zoneName(zones-1) }),
 	})
@@ -74,12 +74,12 @@
 	_, bytes := n.totals()
 	steadyRate := bytes / float64(count) / o.Sizes.SteadyTime.Seconds()
 	var figures []Figure
-	for _, listed := range failures() {
+	for _, next := range failures() {
 		n.startCounting()
 		start := n.now()
-		listed.inject(n)
+		next.inject(n)
 		n.advanceUntil(convergenceLimit, n.converged)
-		figures = append(figures, recoveryFigures(n, listed.name, n.now()-start, steadyRate)...)
+		figures = append(figures, recoveryFigures(n, next.name, n.now()-start, steadyRate)...)
 		n.counting = false
 		n.advance(failurePause)
 	}
@@ -91,7 +91,7 @@
 }
 
 // recoveryFigures returns the duration and the cost of a recovery that took the given time.
-func recoveryFigures(n *network, name string, took time.Duration, steadyRate float64) []Figure {
+func recoveryFigures(n *network, name string, duration time.Duration, steadyRate float64) []Figure {
 	mean, worst := 0.0, 0.0
 	running := n.running()
 	for _, node := range running {
@@ -103,8 +103,8 @@
 		state = "NOT all agree"
 	}
 	return []Figure{
-		{Name: name + ": until " + state, Unit: "s", Value: took.Seconds()},
-		{Name: name + ": encoded bytes sent a node, beyond the steady ones", Unit: "B", Value: mean - steadyRate*took.Seconds()},
+		{Name: name + ": until " + state, Unit: "s", Value: duration.Seconds()},
+		{Name: name + ": encoded bytes sent a node, beyond the steady ones", Unit: "B", Value: mean - steadyRate*duration.Seconds()},
 		{Name: name + ": encoded bytes sent by the busiest node", Unit: "B", Value: worst},
 	}
 }
--- a/lab/capacity/index.go
+++ b/lab/capacity/index.go
@@ -87,9 +87,9 @@
 		return 0, err
 	}
 	const prepared = 256
-	var taken time.Duration
+	var used time.Duration
 	applied := 0
-	for taken < atLeast {
+	for used < atLeast {
 		responses := make([]engine.CacheEvents, prepared)
 		bodies := make([][]byte, prepared)
 		for i := range responses {
@@ -109,13 +109,13 @@
 			}
 			source.feed.Apply(0, response)
 		}
-		taken += ProcessorTime() - start
+		used += ProcessorTime() - start
 		applied += prepared * batch
 	}
 	if counts := source.feed.Counts(); counts.Gaps > 0 || counts.Applied != uint64(applied) {
 		return 0, errors.Errorf("prefix index feed applied %d of %d events", counts.Applied, applied)
 	}
-	return microseconds(taken) / float64(applied), nil
+	return microseconds(used) / float64(applied), nil
 }
 
 // measureIndex measures the memory of the prefix index and the processor time of its events.
--- a/lab/capacity/membership.go
+++ b/lab/capacity/membership.go
@@ -33,13 +33,13 @@
 	n.startCounting()
 	start := ProcessorTime()
 	n.advance(o.Sizes.SteadyTime)
-	taken := ProcessorTime() - start
+	used := ProcessorTime() - start
 	exchanges, bytes := n.totals()
 	nodeSeconds := float64(count) * o.Sizes.SteadyTime.Seconds()
 	return steadyCost{
 		exchanges:    exchanges / nodeSeconds,
 		bytes:        bytes / nodeSeconds,
-		microseconds: microseconds(taken) / nodeSeconds,
+		microseconds: microseconds(used) / nodeSeconds,
 	}
 }
 
@@ -66,11 +66,11 @@
 		n.startCounting()
 		revision := n.all[number*count/changes].publish(make([]byte, patchBytes))
 		start := n.now()
-		took, reached := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
+		elapsed, reached := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
 		if !reached {
-			return cost, errors.Errorf("configuration change did not reach all of %d nodes within %s", count, took)
+			return cost, errors.Errorf("configuration change did not reach all of %d nodes within %s", count, elapsed)
 		}
-		cost.secondsToAll = max(cost.secondsToAll, took.Seconds())
+		cost.secondsToAll = max(cost.secondsToAll, elapsed.Seconds())
 		n.advance(max(0, changeSettleTime-(n.now()-start)))
 		exchanges, bytes := n.totals()
 		cost.exchanges += (exchanges - steadyExchanges) / float64(count*changes)
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -160,9 +160,9 @@
 		if len(view.Members()) != len(running) {
 			return false
 		}
-		for _, listed := range view.Members() {
-			known := n.nodes[listed.Address]
-			if listed.State != membership.Alive || known.down || known.member.Node != listed.Node {
+		for _, member := range view.Members() {
+			peer := n.nodes[member.Address]
+			if member.State != membership.Alive || peer.down || peer.member.Node != member.Node {
 				return false
 			}
 		}
--- a/lab/capacity/ownership.go
+++ b/lab/capacity/ownership.go
@@ -81,15 +81,15 @@
 // membership change: it builds the pool map and looks up the owners of each engine.
 func measureOwnershipTime(o Options) ([]Slope, error) {
 	assignmentTime := func(engines, routers int) (float64, error) {
-		listed := members(routers)
+		routerList := members(routers)
 		sites := engineSites(engines)
-		taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
-			pools := membership.NewPoolMap(sites, listed, 1)
+		used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+			pools := membership.NewPoolMap(sites, routerList, 1)
 			for number := range engines {
 				pools.Owners(engineName(number), sites[number])
 			}
 		})
-		return microseconds(taken), nil
+		return microseconds(used), nil
 	}
 	return sweepAll(
 		quantity{
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -49,8 +49,8 @@
 	return r, nil
 }
 
-func (r *router) configure(made config.Document) error {
-	view, err := config.NewView(made)
+func (r *router) configure(configuration config.Document) error {
+	view, err := config.NewView(configuration)
 	if err != nil {
 		return err
 	}
@@ -128,20 +128,20 @@
 		return 0, err
 	}
 	const prompts = 16
-	var made [prompts][]fleet.BlockHash
-	for i := range made {
-		made[i] = randomHashes(r.random, promptBlocks)
+	var promptHashes [prompts][]fleet.BlockHash
+	for i := range promptHashes {
+		promptHashes[i] = randomHashes(r.random, promptBlocks)
 		for number := range engines {
-			r.storeBlocks(number, uint64(1<<40+i), made[i][:promptBlocks/2])
+			r.storeBlocks(number, uint64(1<<40+i), promptHashes[i][:promptBlocks/2])
 		}
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
-		if err := r.place(made[repetition%prompts]); err != nil && failed == nil {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
+		if err := r.place(promptHashes[repetition%prompts]); err != nil && failed == nil {
 			failed = err
 		}
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
 // Sizes that are held constant while another one varies.
--- a/lab/capacity/platformcalls.go
+++ b/lab/capacity/platformcalls.go
@@ -190,9 +190,9 @@
 		}
 		return true
 	})
-	took, _ := n.advanceUntil(convergenceLimit, n.converged)
+	rest, _ := n.advanceUntil(convergenceLimit, n.converged)
 	return append(
 		[]Figure{{Name: name + ": until each knows half of them", Unit: "s", Value: half.Seconds()}},
-		recoveryFigures(n, name, half+took, 0)...,
+		recoveryFigures(n, name, half+rest, 0)...,
 	)
 }
--- a/lab/capacity/resourceusage.go
+++ b/lab/capacity/resourceusage.go
@@ -47,8 +47,8 @@
 // memoryOf returns the bytes retained by the value that build returns.
 func memoryOf(build func() (any, error)) (float64, error) {
 	before := MemoryInUse()
-	kept, err := build()
-	grown := MemoryInUse() - before
-	runtime.KeepAlive(kept)
-	return grown, err
+	built, err := build()
+	growth := MemoryInUse() - before
+	runtime.KeepAlive(built)
+	return growth, err
 }
--- a/lab/capacity/stream.go
+++ b/lab/capacity/stream.go
@@ -99,7 +99,7 @@
 	budget := attempt.NewBudget(attempt.BudgetOptions{})
 	var failed error
 	var encoded []byte
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
 		machine, dispatch, err := newDispatchedMachine(random, budget)
 		if err == nil && encoded == nil {
 			encoded, err = encodedStream(dispatch.Stream, tokens)
@@ -111,7 +111,7 @@
 			failed = err
 		}
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
 // openStreams holds the attempt machines and connections of open streams.
--- a/lab/capacity/syncserver.go
+++ b/lab/capacity/syncserver.go
@@ -27,10 +27,10 @@
 // incrementalSyncCost returns the cost of a Sync call of an agent that already holds the current
 // lists of routers and engines.
 func incrementalSyncCost(o Options, routers int) (callCost, error) {
-	listed := members(routers)
+	routerList := members(routers)
 	server := &syncServer{
-		publisher: fleetsync.NewPublisher(listed[0].Node),
-		view:      membership.NewView(1, listed[0], listed),
+		publisher: fleetsync.NewPublisher(routerList[0].Node),
+		view:      membership.NewView(1, routerList[0], routerList),
 		machines:  machineList(o.Sizes.Engines[0]),
 	}
 	var subscriber fleetsync.Subscriber
--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -67,8 +67,7 @@
 	assert.Equal(t, map[Ending]int{EndingFinished: 4}, result.Endings)
 	assert.InDelta(t, 1.0, result.Goodput, 1e-9)
 
-	// A first token takes four network trips of one millisecond and one step of 8 ms plus 40 µs per
-	// computed token.
+	// A first token takes four network trips of 1 ms and one step of 8 ms plus 40 µs per computed token.
 	urgent := result.FirstTokenByClass[workload.ClassUrgent]
 	assert.InDelta(t, 4+8+0.04*prompt, urgent.Max, 0.02)
 	assert.InDelta(t, 4+8+0.04*(prompt-prefix), urgent.P50, 0.02)
@@ -93,8 +92,8 @@
 	assert.Less(t, hits[PolicyRoundRobin], limit)
 }
 
-// A caller must retry once after a refusal, or wait under the clairvoyant policy, while the only
-// engine is down.
+// A request that arrives while the only engine is down must wait under the clairvoyant policy, and
+// be refused or retried under a baseline policy, with exactly one ending.
 func TestCallerRetriesOnceAfterRefusal(t *testing.T) {
 	trace := tinyTrace(1, 1)
 	crash := &Crash{Engine: 0, At: 0, Down: 500 * time.Millisecond}
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -43,7 +43,7 @@
 func TestEachRequestHasExactlyOneEnding(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy.Name, func(t *testing.T) {
-			options := smallOptions(policy, 120) // far over capacity
+			options := smallOptions(policy, 120) // far above capacity
 			options.Warmup = 0
 			options.Crash = &Crash{Engine: 1, At: 2 * time.Second, Down: time.Second}
 			result, err := Run(options)
--- a/lab/emulator/ranking.go
+++ b/lab/emulator/ranking.go
@@ -28,52 +28,52 @@
 }
 
 // choose selects the affinity key of a prompt. Every prompt of the workloads has a whole block.
-func (k *ranking) choose(now time.Duration, blocks []fleet.BlockHash) affinity.Choice {
-	return k.table.Choose(now, blocks, 0)
+func (r *ranking) choose(now time.Duration, blocks []fleet.BlockHash) affinity.Choice {
+	return r.table.Choose(now, blocks, 0)
 }
 
 // rank returns the routers in the order in which a request tries them.
-func (k *ranking) rank(choice affinity.Choice) []*routerHost {
-	switch k.emulator.options.Policy.Routing {
+func (r *ranking) rank(choice affinity.Choice) []*routerHost {
+	switch r.emulator.options.Policy.Routing {
 	case RouteByAffinity:
-		return k.hosts(k.routers().Order(choice, k.pool()))
+		return r.hosts(r.routers().Order(choice, r.pool()))
 	case RouteByPrefix:
-		members := membership.Rank(choice.Key(), k.zone, k.emulator.members)
-		return k.hosts(choice.Order(members, len(members)))
+		members := membership.Rank(choice.Key(), r.zone, r.emulator.members)
+		return r.hosts(choice.Order(members, len(members)))
 	default:
-		return k.roundRobin()
+		return r.roundRobin()
 	}
 }
 
-func (k *ranking) hosts(members []membership.Member) []*routerHost {
+func (r *ranking) hosts(members []membership.Member) []*routerHost {
 	hosts := make([]*routerHost, 0, len(members))
 	for _, member := range members {
-		hosts = append(hosts, k.emulator.routerByNode[member.Node])
+		hosts = append(hosts, r.emulator.routerByNode[member.Node])
 	}
 	return hosts
 }
 
-func (k *ranking) roundRobin() []*routerHost {
-	routers := k.emulator.routers
+func (r *ranking) roundRobin() []*routerHost {
+	routers := r.emulator.routers
 	ranked := make([]*routerHost, 0, len(routers))
-	k.turn++
+	r.turn++
 	for offset := range routers {
-		ranked = append(ranked, routers[(k.turn+offset)%len(routers)])
+		ranked = append(ranked, routers[(r.turn+offset)%len(routers)])
 	}
 	return ranked
 }
 
-func (k *ranking) pool() fleet.PoolName { return k.emulator.options.Trace.Fleet.Pool }
+func (r *ranking) pool() fleet.PoolName { return r.emulator.options.Trace.Fleet.Pool }
 
-func (k *ranking) routers() affinity.Routers {
+func (r *ranking) routers() affinity.Routers {
 	return affinity.Routers{
-		Location: membership.Location{Zone: k.zone},
-		Members:  k.emulator.members,
-		Pools:    k.emulator.pools,
+		Location: membership.Location{Zone: r.zone},
+		Members:  r.emulator.members,
+		Pools:    r.emulator.pools,
 	}
 }
 
 // recordSpill records that a router was saturated and another one placed the request.
-func (k *ranking) recordSpill(now time.Duration, choice affinity.Choice) {
-	k.table.RecordSpill(now, choice, k.routers().Serving(choice, k.pool()))
+func (r *ranking) recordSpill(now time.Duration, choice affinity.Choice) {
+	r.table.RecordSpill(now, choice, r.routers().Serving(choice, r.pool()))
 }
--- a/lab/emulator/requestdriver.go
+++ b/lab/emulator/requestdriver.go
@@ -45,140 +45,140 @@
 	}
 }
 
-func (c *requestDriver) start() {
-	queue := c.agent.emulator.queue
-	c.perform(c.machine.Start(queue.Now()))
-	deadline := c.call.request.At + settingsByClass[c.call.request.Class].deadline
+func (d *requestDriver) start() {
+	queue := d.agent.emulator.queue
+	d.perform(d.machine.Start(queue.Now()))
+	deadline := d.call.request.At + settingsByClass[d.call.request.Class].deadline
 	queue.At(deadline, func() {
-		if c.machine.Phase() != attempt.PhaseFinished {
-			c.handle(attempt.DeadlinePassed{})
+		if d.machine.Phase() != attempt.PhaseFinished {
+			d.handle(attempt.DeadlinePassed{})
 		}
 	})
 }
 
-func (c *requestDriver) handle(event attempt.Event) {
-	c.perform(c.machine.Handle(c.agent.emulator.queue.Now(), event))
+func (d *requestDriver) handle(event attempt.Event) {
+	d.perform(d.machine.Handle(d.agent.emulator.queue.Now(), event))
 }
 
-func (c *requestDriver) perform(actions []attempt.Action) {
+func (d *requestDriver) perform(actions []attempt.Action) {
 	for _, action := range actions {
-		c.performAction(action)
+		d.performAction(action)
 	}
 }
 
-func (c *requestDriver) performAction(action attempt.Action) {
-	queue := c.agent.emulator.queue
+func (d *requestDriver) performAction(action attempt.Action) {
+	queue := d.agent.emulator.queue
 	switch action := action.(type) {
 	case attempt.RequestPlacement:
-		queue.After(action.Delay, func() { c.requestPlacement(action) })
+		queue.After(action.Delay, func() { d.requestPlacement(action) })
 	case attempt.Dispatch:
-		host := c.agent.emulator.engineByID[action.Run.Engine]
-		c.call.dispatchedAt = queue.Now() - c.call.request.At
-		queue.After(c.latency(host), func() { host.dispatch(c, action) })
+		host := d.agent.emulator.engineByID[action.Run.Engine]
+		d.call.dispatchedAt = queue.Now() - d.call.request.At
+		queue.After(d.latency(host), func() { host.dispatch(d, action) })
 	case attempt.Resume:
-		host := c.agent.emulator.engineByID[action.Run.Engine]
-		queue.After(action.Delay+c.latency(host), func() { host.resume(c, action) })
+		host := d.agent.emulator.engineByID[action.Run.Engine]
+		queue.After(action.Delay+d.latency(host), func() { host.resume(d, action) })
 	case attempt.CancelAndFence:
-		host := c.agent.emulator.engineByID[action.Run.Engine]
-		queue.After(action.Delay+c.latency(host), func() { host.cancel(c, action) })
+		host := d.agent.emulator.engineByID[action.Run.Engine]
+		queue.After(action.Delay+d.latency(host), func() { host.cancel(d, action) })
 	case attempt.EmitToken:
-		c.recordToken()
+		d.recordToken()
 	case attempt.Report:
-		c.agent.report(c.routerByAttempt[action.Attempt], c.attemptReport(action))
+		d.agent.report(d.routerByAttempt[action.Attempt], d.attemptReport(action))
 	case attempt.Finish:
-		c.end(EndingFinished, 0)
+		d.end(EndingFinished, 0)
 	case attempt.Fail:
-		c.fail(action)
+		d.fail(action)
 	}
 }
 
-func (c *requestDriver) latency(host *engineHost) time.Duration {
-	return c.agent.emulator.network.fromAgent(c.agent.zone, host.machine.Zone)
+func (d *requestDriver) latency(host *engineHost) time.Duration {
+	return d.agent.emulator.network.fromAgent(d.agent.zone, host.machine.Zone)
 }
 
 // requestPlacement sends a placement request to the least tried router, the best ranked among equal
 // ones.
-func (c *requestDriver) requestPlacement(action attempt.RequestPlacement) {
-	if c.machine.Phase() == attempt.PhaseFinished {
+func (d *requestDriver) requestPlacement(action attempt.RequestPlacement) {
+	if d.machine.Phase() == attempt.PhaseFinished {
 		return
 	}
-	chosen := c.routers[0]
-	for _, router := range c.routers[1:] {
-		if c.triesByRouter[router.index] < c.triesByRouter[chosen.index] {
+	chosen := d.routers[0]
+	for _, router := range d.routers[1:] {
+		if d.triesByRouter[router.index] < d.triesByRouter[chosen.index] {
 			chosen = router
 		}
 	}
-	c.triesByRouter[chosen.index]++
-	c.routerByAttempt[action.Attempt] = chosen
-	c.lastKey = placement.Key{Request: c.id, Attempt: action.Attempt}
-	request := c.call.request
-	question := placement.Request{
-		Key:                c.lastKey,
+	d.triesByRouter[chosen.index]++
+	d.routerByAttempt[action.Attempt] = chosen
+	d.lastKey = placement.Key{Request: d.id, Attempt: action.Attempt}
+	request := d.call.request
+	placementRequest := placement.Request{
+		Key:                d.lastKey,
 		Tenant:             request.Tenant,
 		ModelVersion:       request.Weights,
 		Class:              request.Class,
-		PromptTokens:       c.call.promptTokens,
+		PromptTokens:       d.call.promptTokens,
 		MaxTokens:          request.OutputTokens,
-		Blocks:             c.call.blocks,
-		Deadline:           request.At + settingsByClass[request.Class].deadline - c.agent.emulator.queue.Now(),
+		Blocks:             d.call.blocks,
+		Deadline:           request.At + settingsByClass[request.Class].deadline - d.agent.emulator.queue.Now(),
 		Excluded:           action.Excluded,
 		ContinuationTokens: action.ContinuationTokens,
-		AgentZone:          c.agent.zone,
-		Hops:               c.handBacks,
-		Spills:             c.spills,
+		AgentZone:          d.agent.zone,
+		Hops:               d.handBacks,
+		Spills:             d.spills,
 		KnownRevision:      1,
 	}
-	c.agent.emulator.queue.After(chosen.latency(c.agent.zone), func() {
-		chosen.submit(c, action.Operation, question)
+	d.agent.emulator.queue.After(chosen.latency(d.agent.zone), func() {
+		chosen.submit(d, action.Operation, placementRequest)
 	})
 }
 
 // handleOutcome processes a router's placement outcome.
-func (c *requestDriver) handleOutcome(operation attempt.Operation, outcome placement.Outcome) {
+func (d *requestDriver) handleOutcome(operation attempt.Operation, outcome placement.Outcome) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
-		c.recordGrant()
-		c.handle(attempt.Granted{
+		d.recordGrant()
+		d.handle(attempt.Granted{
 			Operation:  operation,
 			Attempt:    outcome.Key.Attempt,
 			Run:        outcome.Run,
 			Address:    outcome.Address,
 			Priority:   outcome.Priority,
-			ValidUntil: c.agent.emulator.queue.Now() + outcome.ValidFor,
+			ValidUntil: d.agent.emulator.queue.Now() + outcome.ValidFor,
 		})
 	case placement.Refusal:
-		c.handle(attempt.Refused{
+		d.handle(attempt.Refused{
 			Operation:  operation,
 			Code:       outcome.Code,
 			Reason:     outcome.Reason,
 			RetryAfter: outcome.RetryAfter,
 		})
 	case placement.HandBack:
-		c.recordHandBack(outcome)
-		c.handle(attempt.Redirected{Operation: operation})
+		d.recordHandBack(outcome)
+		d.handle(attempt.Redirected{Operation: operation})
 	}
 }
 
 // recordHandBack counts a hand-back. After affinity.MaxSpills saturated routers in a row the request
 // returns to its first choice and waits there.
-func (c *requestDriver) recordHandBack(handBack placement.HandBack) {
-	c.handBacks++
+func (d *requestDriver) recordHandBack(handBack placement.HandBack) {
+	d.handBacks++
 	if handBack.Reason != placement.HandBackSaturated {
 		return
 	}
-	c.spills++
-	if c.spills >= affinity.MaxSpills {
-		clear(c.triesByRouter)
+	d.spills++
+	if d.spills >= affinity.MaxSpills {
+		clear(d.triesByRouter)
 	}
 }
 
 // recordGrant records a spill in the affinity table if another router placed the request after a
 // saturated one handed it back.
-func (c *requestDriver) recordGrant() {
-	if c.spills > 0 && c.spills < affinity.MaxSpills {
-		c.agent.ranking.recordSpill(c.agent.emulator.queue.Now(), c.choice)
+func (d *requestDriver) recordGrant() {
+	if d.spills > 0 && d.spills < affinity.MaxSpills {
+		d.agent.ranking.recordSpill(d.agent.emulator.queue.Now(), d.choice)
 	}
-	c.spills = 0
+	d.spills = 0
 }
 
 var reportPhases = map[attempt.ReportPhase]placement.Phase{
@@ -189,9 +189,9 @@
 	attempt.ReportAbandoned:  placement.PhaseAbandoned,
 }
 
-func (c *requestDriver) attemptReport(report attempt.Report) placement.AttemptReport {
+func (d *requestDriver) attemptReport(report attempt.Report) placement.AttemptReport {
 	return placement.AttemptReport{
-		Key:          placement.Key{Request: c.id, Attempt: report.Attempt},
+		Key:          placement.Key{Request: d.id, Attempt: report.Attempt},
 		Run:          report.Run,
 		Phase:        reportPhases[report.Phase],
 		CachedTokens: report.CachedTokens,
@@ -200,63 +200,63 @@
 	}
 }
 
-func (c *requestDriver) recordToken() {
-	if c.call.hasFirstToken {
+func (d *requestDriver) recordToken() {
+	if d.call.hasFirstToken {
 		return
 	}
-	c.call.hasFirstToken = true
-	c.call.firstToken = c.agent.emulator.queue.Now() - c.call.request.At
+	d.call.hasFirstToken = true
+	d.call.firstToken = d.agent.emulator.queue.Now() - d.call.request.At
 }
 
-func (c *requestDriver) fail(action attempt.Fail) {
+func (d *requestDriver) fail(action attempt.Fail) {
 	switch {
 	case action.NotRun():
-		c.handleRefusal(action)
+		d.handleRefusal(action)
 	case action.Code == resultcode.DeadlineExceeded:
-		c.end(EndingExpired, action.Code)
+		d.end(EndingExpired, action.Code)
 	default:
-		c.end(EndingFailed, action.Code)
+		d.end(EndingFailed, action.Code)
 	}
 }
 
 // handleRefusal lets the caller retry once after the given delay, if its deadline allows.
-func (c *requestDriver) handleRefusal(action attempt.Fail) {
-	queue := c.agent.emulator.queue
-	if c.call.refusals == 0 {
-		c.call.refusedAfter = queue.Now() - c.call.request.At
+func (d *requestDriver) handleRefusal(action attempt.Fail) {
+	queue := d.agent.emulator.queue
+	if d.call.refusals == 0 {
+		d.call.refusedAfter = queue.Now() - d.call.request.At
 	}
-	c.call.refusals++
-	c.call.retryAfter = action.RetryAfter
-	back := queue.Now() + action.RetryAfter
-	deadline := c.call.request.At + settingsByClass[c.call.request.Class].deadline
-	if c.call.callerRetried || action.RetryAfter <= 0 || back >= deadline {
-		c.end(EndingRefused, action.Code)
+	d.call.refusals++
+	d.call.retryAfter = action.RetryAfter
+	retryAt := queue.Now() + action.RetryAfter
+	deadline := d.call.request.At + settingsByClass[d.call.request.Class].deadline
+	if d.call.callerRetried || action.RetryAfter <= 0 || retryAt >= deadline {
+		d.end(EndingRefused, action.Code)
 		return
 	}
-	c.call.callerRetried = true
-	c.addStats()
-	queue.At(back, func() { newRequestDriver(c.agent, c.call, c.id+"-again").start() })
+	d.call.callerRetried = true
+	d.addStats()
+	queue.At(retryAt, func() { newRequestDriver(d.agent, d.call, d.id+"-again").start() })
 }
 
-func (c *requestDriver) addStats() {
-	stats := c.machine.Stats()
-	c.call.stats.Dispatches += stats.Dispatches
-	c.call.stats.Retries += stats.Retries
+func (d *requestDriver) addStats() {
+	stats := d.machine.Stats()
+	d.call.stats.Dispatches += stats.Dispatches
+	d.call.stats.Retries += stats.Retries
 }
 
-func (c *requestDriver) end(ending Ending, code resultcode.Code) {
-	c.addStats()
-	c.call.ending = ending
-	c.call.code = code
-	c.call.finished = c.agent.emulator.queue.Now() - c.call.request.At
-	c.withdraw()
-	c.agent.emulator.requestEnded(c.call)
+func (d *requestDriver) end(ending Ending, code resultcode.Code) {
+	d.addStats()
+	d.call.ending = ending
+	d.call.code = code
+	d.call.finished = d.agent.emulator.queue.Now() - d.call.request.At
+	d.withdraw()
+	d.agent.emulator.requestEnded(d.call)
 }
 
 // withdraw cancels the last placement request if it is still open.
-func (c *requestDriver) withdraw() {
-	router, key := c.routerByAttempt[c.lastKey.Attempt], c.lastKey
+func (d *requestDriver) withdraw() {
+	router, key := d.routerByAttempt[d.lastKey.Attempt], d.lastKey
 	if router != nil {
-		c.agent.emulator.queue.After(router.latency(c.agent.zone), func() { router.withdraw(key) })
+		d.agent.emulator.queue.After(router.latency(d.agent.zone), func() { router.withdraw(key) })
 	}
 }
--- a/lab/emulator/routerhost.go
+++ b/lab/emulator/routerhost.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// engineObserver is a router that isObserver engines directly and without delay.
+// engineObserver is a router that observes engines directly and without delay.
 type engineObserver interface {
 	engineChanged(now time.Duration, host *engineHost)
 	dispatchArrived(now time.Duration, host *engineHost, stream fleet.StreamID)
