--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -18,12 +18,12 @@
 	"github.com/tillerfall/tillerfall/lab/bytecount"
 )
 
-// endpoint is a server of fixed answers on loopback.
+// endpoint is an HTTP server on the loopback interface with a client for it.
 type endpoint struct {
 	server *http.Server
 	client *http.Client
 	url    string
-	// bytes counts both directions.
+	// bytes counts the transferred bytes in both directions.
 	bytes atomic.Int64
 }
 
@@ -46,18 +46,17 @@
 	_ = e.server.Close()
 }
 
-// callCost is what one call on an open connection costs both ends together,
-// HTTP included.
+// callCost is the cost of one call on an open connection, for both ends together and including HTTP.
 type callCost struct {
 	bytes        float64
 	microseconds float64
 }
 
-// cost repeats a call.
-func (e *endpoint) cost(o Options, call func(ctx context.Context) error) (callCost, error) {
+// measure repeats a call and returns its mean cost.
+func (e *endpoint) measure(o Options, call func(ctx context.Context) error) (callCost, error) {
 	var failed error
 	ctx := context.Background()
-	// The first call may fetch a whole list; the second uses the kept connection.
+	// Warm up: the first call may fetch a whole list, the second reuses the connection.
 	for range 2 {
 		if err := call(ctx); err != nil {
 			return callCost{}, err
@@ -65,58 +64,65 @@
 	}
 	before := e.bytes.Load()
 	calls := 0
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
 		calls++
 		if err := call(ctx); err != nil && failed == nil {
 			failed = err
 		}
 	})
 	bytes := float64(e.bytes.Load()-before) / float64(calls)
-	return callCost{bytes: bytes, microseconds: microseconds(taken)}, failed
+	return callCost{bytes: bytes, microseconds: microseconds(used)}, failed
 }
 
-// fixedAnswers implements the services with answers made beforehand.
-type fixedAnswers struct {
+// fixedResponses implements the rpc services with prepared responses.
+type fixedResponses struct {
 	place  *rpc.PlaceResponse
 	sync   *rpc.SyncResponse
 	gossip *rpc.GossipMessage
 }
 
-func (f *fixedAnswers) Place(context.Context, *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
+// Place implements rpc.Placement.
+func (f *fixedResponses) Place(context.Context, *rpc.PlaceRequest) (*rpc.PlaceResponse, error) {
 	return f.place, nil
 }
 
-func (f *fixedAnswers) Report(context.Context, *rpc.ReportRequest) (*rpc.ReportResponse, error) {
+// Report implements rpc.Placement.
+func (f *fixedResponses) Report(context.Context, *rpc.ReportRequest) (*rpc.ReportResponse, error) {
 	return &rpc.ReportResponse{Header: header()}, nil
 }
 
-func (f *fixedAnswers) Sync(context.Context, *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+// Sync implements rpc.Placement.
+func (f *fixedResponses) Sync(context.Context, *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	return f.sync, nil
 }
 
-func (f *fixedAnswers) Gossip(context.Context, *rpc.GossipMessage) (*rpc.GossipMessage, error) {
+// Gossip implements rpc.Peer.
+func (f *fixedResponses) Gossip(context.Context, *rpc.GossipMessage) (*rpc.GossipMessage, error) {
 	return f.gossip, nil
 }
 
-func (f *fixedAnswers) ShareLoad(context.Context, *rpc.LoadReport) (*rpc.LoadReport, error) {
+// ShareLoad implements rpc.Peer.
+func (f *fixedResponses) ShareLoad(context.Context, *rpc.LoadReport) (*rpc.LoadReport, error) {
 	return &rpc.LoadReport{}, nil
 }
 
-func (f *fixedAnswers) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchResponse, error) {
+// Watch implements rpc.Peer.
+func (f *fixedResponses) Watch(context.Context, *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	return &rpc.WatchResponse{}, nil
 }
 
 // GrantSend implements rpc.Peer.
-func (f *fixedAnswers) GrantSend(context.Context, *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
+func (f *fixedResponses) GrantSend(context.Context, *rpc.LimitQuestion) (*rpc.LimitAnswer, error) {
 	return &rpc.LimitAnswer{}, nil
 }
 
 // Caches implements rpc.Peer.
-func (f *fixedAnswers) Caches(context.Context, *rpc.CachesRequest) (*rpc.CachesResponse, error) {
+func (f *fixedResponses) Caches(context.Context, *rpc.CachesRequest) (*rpc.CachesResponse, error) {
 	return &rpc.CachesResponse{}, nil
 }
 
-func (f *fixedAnswers) Changes(context.Context, *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
+// Changes implements rpc.Peer.
+func (f *fixedResponses) Changes(context.Context, *rpc.ChangesRequest) (*rpc.ChangesResponse, error) {
 	return &rpc.ChangesResponse{Header: header()}, nil
 }
 
@@ -124,9 +130,9 @@
 	return &rpc.Header{Sender: string(member(0, 0).Node), KnownRevision: 1 << 20}
 }
 
-// placeCost is the cost of a Place call with so many block hashes.
+// placeCost returns the cost of a Place call with the given number of block hashes.
 func placeCost(o Options, blocks int) (callCost, error) {
-	weights := servedWeights()
+	weights := servedVersion()
 	request := &rpc.PlaceRequest{
 		Header: header(), RequestId: "0123456789abcdef0123456789abcdef", Attempt: 1, Tenant: string(tenantName(0)),
 		Weights: &rpc.Weights{Model: string(weights.Model), Version: string(weights.Version)}, Class: string(className),
@@ -135,71 +141,71 @@
 	for _, hash := range randomHashes(rand.New(rand.NewPCG(o.Seed, 5)), blocks) {
 		request.BlockHashes = append(request.BlockHashes, uint64(hash))
 	}
-	answers := &fixedAnswers{place: &rpc.PlaceResponse{
+	responses := &fixedResponses{place: &rpc.PlaceResponse{
 		Header: header(), RequestId: request.RequestId, Attempt: 1,
 		Outcome: &rpc.PlaceResponse_Grant{Grant: &rpc.Grant{
 			Run: &rpc.EngineRun{Engine: string(engineName(0)), Incarnation: 1}, Address: "10.1.0.0:9000",
 			ExpectedCachedTokens: 1 << 14, ValidMillis: 2000, BlockTokens: blockTokens,
 		}},
 	}}
-	return placementCost(o, answers, func(ctx context.Context, client rpc.Placement) error {
+	return placementCost(o, responses, func(ctx context.Context, client rpc.Placement) error {
 		_, err := client.Place(ctx, request)
 		return err
 	})
 }
 
-// syncCost is the cost of a Sync call that answers with routers, a
-// configuration and a list of engines, each only if its number isn't 0.
+// syncCost returns the cost of a Sync call whose response contains routers, a configuration and a
+// list of engines. A number of 0 leaves out the respective part.
 func syncCost(o Options, routers, tenants, engines int) (callCost, error) {
-	answer := &rpc.SyncResponse{Header: header()}
-	for _, listed := range members(routers) {
-		answer.Members = append(answer.Members, membership.EncodeMember(listed))
+	response := &rpc.SyncResponse{Header: header()}
+	for _, router := range members(routers) {
+		response.Members = append(response.Members, membership.EncodeMember(router))
 	}
 	if tenants > 0 {
 		snapshot, err := config.SnapshotMessage(document(1, tenants, targetModels))
 		if err != nil {
 			return callCost{}, err
 		}
-		answer.Config = snapshot
+		response.Config = snapshot
 	}
 	if engines > 0 {
-		answer.Machines = machineList(engines)
+		response.Machines = machineList(engines)
 	}
-	return placementCost(o, &fixedAnswers{sync: answer}, func(ctx context.Context, client rpc.Placement) error {
+	return placementCost(o, &fixedResponses{sync: response}, func(ctx context.Context, client rpc.Placement) error {
 		_, err := client.Sync(ctx, &rpc.SyncRequest{Header: header()})
 		return err
 	})
 }
 
-func placementCost(o Options, answers rpc.Placement, call func(context.Context, rpc.Placement) error) (callCost, error) {
-	e, err := newEndpoint(rpc.NewPlacementServer(answers))
+func placementCost(o Options, responses rpc.Placement, call func(context.Context, rpc.Placement) error) (callCost, error) {
+	e, err := newEndpoint(rpc.NewPlacementServer(responses))
 	if err != nil {
 		return callCost{}, err
 	}
 	defer e.stop()
 	client := rpc.NewPlacementProtobufClient(e.url, e.client)
-	return e.cost(o, func(ctx context.Context) error { return call(ctx, client) })
+	return e.measure(o, func(ctx context.Context) error { return call(ctx, client) })
 }
 
-// machineList returns the list of engines as nodes pass it on.
+// machineList returns a list of engines as nodes send it to each other.
 func machineList(engines int) *rpc.MachineList {
 	list := &rpc.MachineList{Digest: 1 << 60}
 	for number := range engines {
-		listed := machine(number, poolName(number%targetModels))
+		engine := machine(number, poolName(number%targetModels))
 		list.Machines = append(list.Machines, &rpc.Machine{
-			Id: listed.ID, Address: string(listed.Address), Region: string(listed.Region), Zone: string(listed.Zone),
-			Pool: string(listed.Pool), Incarnation: uint64(listed.Incarnation),
+			Id: engine.ID, Address: string(engine.Address), Region: string(engine.Region), Zone: string(engine.Zone),
+			Pool: string(engine.Pool), Incarnation: uint64(engine.Incarnation),
 		})
 	}
 	return list
 }
 
-// gossipOverhead returns what HTTP and twirp add to the bytes of one gossip
-// exchange, and the exchange's processor time at both ends.
+// gossipOverhead returns the bytes that HTTP and twirp add to one gossip exchange, and the processor
+// time of the whole exchange at both ends.
 func gossipOverhead(o Options) (callCost, error) {
 	probe := membership.Message{Kind: membership.Probe, Sender: member(0, 0), Target: member(1, 0).Node}
-	answer := membership.Message{Kind: membership.Ack, Sender: member(1, 0), Target: member(1, 0).Node}
-	encoded := &fixedAnswers{gossip: answer.Encode()}
+	response := membership.Message{Kind: membership.Ack, Sender: member(1, 0), Target: member(1, 0).Node}
+	encoded := &fixedResponses{gossip: response.Encode()}
 	e, err := newEndpoint(rpc.NewPeerServer(encoded))
 	if err != nil {
 		return callCost{}, err
@@ -207,7 +213,7 @@
 	defer e.stop()
 	client := rpc.NewPeerProtobufClient(e.url, e.client)
 	request := probe.Encode()
-	cost, err := e.cost(o, func(ctx context.Context) error {
+	cost, err := e.measure(o, func(ctx context.Context) error {
 		_, err := client.Gossip(ctx, request)
 		return err
 	})
@@ -215,9 +221,9 @@
 	return cost, err
 }
 
-// statusCost is the cost of one poll of an engine's status, both ends.
+// statusCost returns the cost of one poll of an engine's status, for both ends together.
 func statusCost(o Options) (callCost, error) {
-	body, err := json.Marshal(status(0, 0))
+	body, err := json.Marshal(idleStatus(0, 0))
 	if err != nil {
 		return callCost{}, err
 	}
@@ -226,47 +232,47 @@
 		return callCost{}, err
 	}
 	defer e.stop()
-	return e.cost(o, func(ctx context.Context) error {
+	return e.measure(o, func(ctx context.Context) error {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.url, nil)
 		if err != nil {
 			return err
 		}
-		answer, err := e.client.Do(request)
+		response, err := e.client.Do(request)
 		if err != nil {
 			return err
 		}
-		defer answer.Body.Close()
-		decoded := status(0, 0)
-		return json.NewDecoder(answer.Body).Decode(&decoded)
+		defer response.Body.Close()
+		decoded := idleStatus(0, 0)
+		return json.NewDecoder(response.Body).Decode(&decoded)
 	})
 }
 
-// platformList returns the encoded list of machines as the platform gives it.
+// platformList returns the list of machines as the platform encodes it.
 func platformList(engines int) ([]byte, error) {
-	answer := platform.MachinesResponse{}
+	response := platform.MachinesResponse{}
 	for number := range engines {
-		answer.Machines = append(answer.Machines, machine(number, poolName(number%targetModels)))
+		response.Machines = append(response.Machines, machine(number, poolName(number%targetModels)))
 	}
-	return json.Marshal(answer)
+	return json.Marshal(response)
 }
 
-// platformListTime returns the processor time to decode the list of machines.
+// platformListTime returns the processor time in microseconds to decode the list of machines.
 func platformListTime(o Options, engines int) (float64, error) {
 	body, err := platformList(engines)
 	if err != nil {
 		return 0, err
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
-		var answer platform.MachinesResponse
-		if err := json.Unmarshal(body, &answer); err != nil || len(answer.Machines) != engines {
-			failed = errors.Errorf("list not decoded: %v", err)
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(int) {
+		var response platform.MachinesResponse
+		if err := json.Unmarshal(body, &response); err != nil || len(response.Machines) != engines {
+			failed = errors.Errorf("list of machines not decoded completely: %v", err)
 		}
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
-// callBytes and callTime pick one part of a call's cost.
+// callBytes and callTime select one component of a call's cost.
 func callBytes(cost callCost, err error) (float64, error) { return cost.bytes, err }
 func callTime(cost callCost, err error) (float64, error)  { return cost.microseconds, err }
 
@@ -279,12 +285,12 @@
 	return sweepAll(
 		linear("Place call", "blocks in the prompt", "B", o.Sizes.PromptBlocks, func(size int) (float64, error) { return callBytes(placeCost(o, size)) }),
 		linear("Place call", "blocks in the prompt", bothEnds, o.Sizes.PromptBlocks, func(size int) (float64, error) { return callTime(placeCost(o, size)) }),
-		linear("Sync call, nothing new", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(followedSyncCost(o, size)) }),
-		linear("Sync call, nothing new", "routers", bothEnds, o.Sizes.Members, func(size int) (float64, error) { return callTime(followedSyncCost(o, size)) }),
-		linear("Changes call that follows the list of machines, no news", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(followCost(o, size, false)) }),
-		linear("Changes call that follows the list of machines, no news, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(followCost(o, size, false)) }),
-		linear("Changes call that follows the list of machines, one changed", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(followCost(o, size, true)) }),
-		linear("Changes call that follows the list of machines, one changed, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(followCost(o, size, true)) }),
+		linear("Sync call, nothing new", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(incrementalSyncCost(o, size)) }),
+		linear("Sync call, nothing new", "routers", bothEnds, o.Sizes.Members, func(size int) (float64, error) { return callTime(incrementalSyncCost(o, size)) }),
+		linear("Changes call that follows the list of machines, no news", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(machineListCost(o, size, false)) }),
+		linear("Changes call that follows the list of machines, no news, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(machineListCost(o, size, false)) }),
+		linear("Changes call that follows the list of machines, one changed", "machines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(machineListCost(o, size, true)) }),
+		linear("Changes call that follows the list of machines, one changed, both ends", "machines", "core-µs", o.Sizes.Engines, func(size int) (float64, error) { return callTime(machineListCost(o, size, true)) }),
 		linear("Sync call with the whole list of routers", "routers", "B", o.Sizes.Members, func(size int) (float64, error) { return callBytes(syncCost(o, size, 0, 0)) }),
 		linear("Sync call with a configuration, no routers", "tenants", "B", o.Sizes.Tenants, func(size int) (float64, error) { return callBytes(syncCost(o, 0, size, 0)) }),
 		linear("Sync call with the list of engines, no routers", "engines", "B", o.Sizes.Engines, func(size int) (float64, error) { return callBytes(syncCost(o, 0, 0, size)) }),
@@ -296,7 +302,7 @@
 	)
 }
 
-// measureExchanges measures the calls whose cost depends on no size.
+// measureExchanges measures the calls whose cost doesn't depend on the size of the fleet.
 func measureExchanges(o Options) ([]Figure, error) {
 	gossip, err := gossipOverhead(o)
 	if err != nil {
--- a/lab/capacity/configuration.go
+++ b/lab/capacity/configuration.go
@@ -10,9 +10,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// changeBytes returns the encoded size of a change of one tenant.
+// changeBytes returns the encoded size of a change to one tenant.
 func changeBytes(tenants int) (float64, error) {
-	_, change, err := weightChange(tenants, targetModels)
+	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -29,10 +29,10 @@
 	return float64(proto.Size(message)), err
 }
 
-// changeTime returns the processor time of a node to check one change and put
-// it in force in the holder, and in the placement core besides.
+// changeTime returns the processor time in microseconds in which a router validates one change and
+// applies it to its configuration holder and placement core.
 func changeTime(o Options, tenants int) (float64, error) {
-	before, change, err := weightChange(tenants, targetModels)
+	before, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -45,20 +45,20 @@
 		return 0, err
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
 		next := change
 		next.Revision = fleet.Revision(repetition + 2)
 		accepted, _, err := holder.OfferChanges([]config.Change{next})
 		if err != nil || !accepted {
-			failed = errors.Errorf("change %d not accepted: %v", next.Revision, err)
+			failed = errors.Errorf("configuration change %d not accepted: %v", next.Revision, err)
 			return
 		}
 		r.core.ApplyConfig(r.now, holder.Current())
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
-// configurationMemory returns the memory of a configuration at a router.
+// configurationMemory returns the memory in bytes of a router with the given configuration.
 func configurationMemory(o Options, tenants, models int) (float64, error) {
 	return memoryOf(func() (any, error) {
 		r, err := newRouter(o.Seed, 1, 0)
@@ -74,7 +74,7 @@
 	})
 }
 
-// measureConfiguration measures what one change costs at one node.
+// measureConfiguration measures the cost of one configuration change at one node.
 func measureConfiguration(o Options) ([]Slope, error) {
 	return sweepAll(
 		quantity{
@@ -92,7 +92,7 @@
 	)
 }
 
-// measureRouterMemory measures the memory of what a router keeps.
+// measureRouterMemory measures the memory of the state that a router holds.
 func measureRouterMemory(o Options) ([]Slope, error) {
 	memory := func(of, size string, sizes []int, measure func(int) (float64, error)) quantity {
 		return quantity{name: "memory at a router: " + of, size: size, unit: "B", growth: GrowthLinear, sizes: sizes, measure: measure}
@@ -108,19 +108,19 @@
 			return memoryOf(func() (any, error) { return newRouter(o.Seed, size, 0) })
 		}),
 		memory("listed engines of other owners", "engines", o.Sizes.Engines, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return listingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithListedEngines(o.Seed, size) })
 		}),
 		memory("waiting requests of 128 blocks", "requests", o.Sizes.Waiting, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return waitingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithWaiting(o.Seed, size) })
 		}),
 		memory("open grants after the first token", "grants", o.Sizes.Waiting, func(size int) (float64, error) {
-			return memoryOf(func() (any, error) { return grantingRouter(o.Seed, size) })
+			return memoryOf(func() (any, error) { return routerWithGrants(o.Seed, size) })
 		}),
 	)
 }
 
-// listingRouter returns a router that owns none of the listed engines.
-func listingRouter(seed uint64, engines int) (*router, error) {
+// routerWithListedEngines returns a router that owns none of the listed engines.
+func routerWithListedEngines(seed uint64, engines int) (*router, error) {
 	r, err := newRouter(seed, 0, 0)
 	if err != nil {
 		return nil, err
--- a/lab/capacity/failures.go
+++ b/lab/capacity/failures.go
@@ -8,15 +8,15 @@
 	"github.com/tillerfall/tillerfall/internal/membership"
 )
 
-// failure is one event that the routers have to agree on again.
+// failure is an event after which the routers have to converge again.
 type failure struct {
 	name string
-	// begin brings the failure about.
-	begin func(n *network)
+	// inject causes the failure.
+	inject func(n *network)
 }
 
-// crash stops the nodes for which the condition holds.
-func crash(condition func(number int, node *networkNode) bool) func(*network) {
+// crashNodes returns a failure that stops the nodes matching the condition.
+func crashNodes(condition func(number int, node *networkNode) bool) func(*network) {
 	return func(n *network) {
 		for number, node := range n.all {
 			if condition(number, node) {
@@ -26,12 +26,12 @@
 	}
 }
 
-// replace ends a node as planned and starts another process at its address.
-func replace(number int) func(*network) {
+// replaceNode returns a planned replacement: a node leaves, and a new process joins at its address.
+func replaceNode(number int) func(*network) {
 	return func(n *network) {
 		old := n.all[number]
 		old.send(old.core.Leave(n.now()))
-		n.pass(2 * time.Second)
+		n.advance(2 * time.Second)
 		old.down = true
 		started := n.add(member(number, 1))
 		seeds := []fleet.Address{n.all[number+1].member.Address, n.all[number+2].member.Address, n.all[number+3].member.Address}
@@ -39,60 +39,59 @@
 	}
 }
 
-// rackSizes are the numbers of nodes that a rack or a switch takes away.
+// rackSizes lists the numbers of nodes that fail with a rack or a switch.
 var rackSizes = []int{15, 50}
 
 func failures() []failure {
-	listed := []failure{
-		{"one router crashes", crash(func(number int, _ *networkNode) bool { return number == 3 })},
-		{"one router is replaced as planned", replace(4)},
+	list := []failure{
+		{"one router crashes", crashNodes(func(number int, _ *networkNode) bool { return number == 3 })},
+		{"one router is replaced as planned", replaceNode(4)},
 	}
 	for zone, size := range rackSizes {
-		listed = append(listed, failure{
+		list = append(list, failure{
 			fmt.Sprintf("a rack of %d crashes", size),
-			crash(func(number int, _ *networkNode) bool { return number%zones == zone && number/zones < size }),
+			crashNodes(func(number int, _ *networkNode) bool { return number%zones == zone && number/zones < size }),
 		})
 	}
-	return append(listed, failure{
+	return append(list, failure{
 		"a zone of 13 crashes",
-		crash(func(_ int, node *networkNode) bool { return node.member.Zone == zoneName(zones-1) }),
+		crashNodes(func(_ int, node *networkNode) bool { return node.member.Zone == zoneName(zones-1) }),
 	})
 }
 
-// failurePause is the virtual time between two failures of one fleet, in which
-// the news of the first passes from all queues.
+// failurePause is the virtual time between two failures of one fleet. Nodes stop forwarding the
+// updates of the first failure within it.
 const failurePause = 30 * time.Second
 
-// measureFailures lets failures befall a fleet, one after the other and each in
-// another place, and measures what it costs the routers to agree on the
-// membership again.
+// measureFailures injects failures into a fleet, one after the other and each at different nodes,
+// and measures the cost until the routers agree on the membership again.
 func measureFailures(o Options) ([]Figure, error) {
 	count := o.Sizes.FailureMembers
 	n := newNetwork(o.Seed)
-	n.startKnown(count)
-	n.startCount()
-	n.pass(o.Sizes.SteadyTime)
-	_, bytes := n.counted()
+	n.startConverged(count)
+	n.startCounting()
+	n.advance(o.Sizes.SteadyTime)
+	_, bytes := n.totals()
 	steadyRate := bytes / float64(count) / o.Sizes.SteadyTime.Seconds()
 	var figures []Figure
-	for _, listed := range failures() {
-		n.startCount()
+	for _, next := range failures() {
+		n.startCounting()
 		start := n.now()
-		listed.begin(n)
-		n.until(convergenceLimit, n.converged)
-		figures = append(figures, recovery(n, listed.name, n.now()-start, steadyRate)...)
+		next.inject(n)
+		n.advanceUntil(convergenceLimit, n.converged)
+		figures = append(figures, recoveryFigures(n, next.name, n.now()-start, steadyRate)...)
 		n.counting = false
-		n.pass(failurePause)
+		n.advance(failurePause)
 	}
-	region, err := regionCut(o, steadyRate)
+	region, err := partitionRegion(o, steadyRate)
 	if err != nil {
 		return figures, err
 	}
 	return append(figures, region...), nil
 }
 
-// recovery describes how the routers came to agree again.
-func recovery(n *network, name string, took time.Duration, steadyRate float64) []Figure {
+// recoveryFigures returns the duration and the cost of a recovery that took the given time.
+func recoveryFigures(n *network, name string, duration time.Duration, steadyRate float64) []Figure {
 	mean, worst := 0.0, 0.0
 	running := n.running()
 	for _, node := range running {
@@ -104,16 +103,16 @@
 		state = "NOT all agree"
 	}
 	return []Figure{
-		{Name: name + ": until " + state, Unit: "s", Value: took.Seconds()},
-		{Name: name + ": encoded bytes sent a node, beyond the steady ones", Unit: "B", Value: mean - steadyRate*took.Seconds()},
+		{Name: name + ": until " + state, Unit: "s", Value: duration.Seconds()},
+		{Name: name + ": encoded bytes sent a node, beyond the steady ones", Unit: "B", Value: mean - steadyRate*duration.Seconds()},
 		{Name: name + ": encoded bytes sent by the busiest node", Unit: "B", Value: worst},
 	}
 }
 
-// regionCut cuts one region off and joins it again.
-func regionCut(o Options, steadyRate float64) ([]Figure, error) {
+// partitionRegion partitions one region from the others, then heals the partition.
+func partitionRegion(o Options, steadyRate float64) ([]Figure, error) {
 	n := newNetwork(o.Seed)
-	n.startKnown(o.Sizes.FailureMembers)
+	n.startConverged(o.Sizes.FailureMembers)
 	region := regionName(0)
 	inside := 0
 	for _, node := range n.all {
@@ -122,10 +121,10 @@
 		}
 	}
 	outside := len(n.all) - inside
-	n.cut = func(from, to membership.Member) bool { return (from.Region == region) != (to.Region == region) }
+	n.isCut = func(from, to membership.Member) bool { return (from.Region == region) != (to.Region == region) }
 	start := n.now()
-	n.startCount()
-	seen, agreed := n.until(convergenceLimit, func() bool {
+	n.startCounting()
+	seen, agreed := n.advanceUntil(convergenceLimit, func() bool {
 		for _, node := range n.all {
 			want := outside
 			if node.member.Region == region {
@@ -141,15 +140,15 @@
 	if !agreed {
 		state = "NOT all have seen it"
 	}
-	n.pass(max(0, o.Sizes.CutTime-(n.now()-start)))
-	_, during := n.counted()
+	n.advance(max(0, o.Sizes.PartitionTime-(n.now()-start)))
+	_, during := n.totals()
 	cutRate := during / float64(len(n.all)) / (n.now() - start).Seconds()
-	n.cut = nil
-	n.startCount()
-	healed, _ := n.until(convergenceLimit, n.converged)
+	n.isCut = nil
+	n.startCounting()
+	healed, _ := n.advanceUntil(convergenceLimit, n.converged)
 	name := fmt.Sprintf("region of %d cut off", inside)
 	return append([]Figure{
 		{Name: name + ": until " + state, Unit: "s", Value: seen.Seconds()},
 		{Name: name + ": encoded bytes sent a node while cut", Unit: "B/s", Value: cutRate},
-	}, recovery(n, name+", back", healed, steadyRate)...), nil
+	}, recoveryFigures(n, name+", back", healed, steadyRate)...), nil
 }
--- a/lab/capacity/membership.go
+++ b/lab/capacity/membership.go
@@ -9,79 +9,79 @@
 )
 
 const (
-	// convergenceLimit bounds the virtual time until all agree.
+	// convergenceLimit bounds the virtual time until all routers agree on the membership.
 	convergenceLimit = 5 * time.Minute
-	// changeLimit bounds the virtual time until all hold a change.
+	// changeLimit bounds the virtual time until all routers hold a change.
 	changeLimit = time.Minute
-	// changeSettle is the virtual time after which a change isn't passed on any more.
-	changeSettle = 6 * time.Second
-	// heavyLoss is the loss of requests, and of answers, in a bad network.
+	// changeSettleTime is the virtual time after which nodes no longer forward a change.
+	changeSettleTime = 6 * time.Second
+	// heavyLoss is the probability that a request is lost, and that a response is, in a lossy network.
 	heavyLoss = 0.3
 )
 
-// steadyCost is what one router's membership costs a second while nothing changes.
+// steadyCost is the membership cost per second of one router while nothing changes.
 type steadyCost struct {
 	exchanges    float64
 	bytes        float64
 	microseconds float64
 }
 
-// steady measures the membership of routers that know each other.
-func steady(o Options, count int) steadyCost {
+// measureSteadyCost measures the steady-state cost of the membership protocol in a converged network.
+func measureSteadyCost(o Options, count int) steadyCost {
 	n := newNetwork(o.Seed)
-	n.startKnown(count)
-	n.startCount()
+	n.startConverged(count)
+	n.startCounting()
 	start := ProcessorTime()
-	n.pass(o.Sizes.SteadyTime)
-	taken := ProcessorTime() - start
-	exchanges, bytes := n.counted()
+	n.advance(o.Sizes.SteadyTime)
+	used := ProcessorTime() - start
+	exchanges, bytes := n.totals()
 	nodeSeconds := float64(count) * o.Sizes.SteadyTime.Seconds()
 	return steadyCost{
 		exchanges:    exchanges / nodeSeconds,
 		bytes:        bytes / nodeSeconds,
-		microseconds: microseconds(taken) / nodeSeconds,
+		microseconds: microseconds(used) / nodeSeconds,
 	}
 }
 
-// changeCost is what one change of the configuration costs until all hold it.
+// changeCost is the cost of one configuration change until all routers hold it.
 type changeCost struct {
-	// toAll is the slowest of the changes, in seconds.
-	toAll float64
-	// exchanges and bytes are a node's, beyond the steady ones.
+	// secondsToAll is the time until all routers hold the slowest of the changes, in seconds.
+	secondsToAll float64
+	// exchanges and bytes are means per node, in excess of the steady ones.
 	exchanges float64
 	bytes     float64
 }
 
-// spreadChanges publishes changes of a size at different nodes of a network
-// that has settled, one after the other.
-func spreadChanges(n *network, patchBytes int, loss float64) (changeCost, error) {
+// measureChangeCost publishes changes of the given size at different nodes of a converged network,
+// one after the other.
+func measureChangeCost(n *network, patchBytes int, loss float64) (changeCost, error) {
 	count := len(n.all)
 	n.loss = loss
-	n.startCount()
-	n.pass(changeSettle)
-	steadyExchanges, steadyBytes := n.counted()
+	n.startCounting()
+	n.advance(changeSettleTime)
+	steadyExchanges, steadyBytes := n.totals()
 	const changes = 5
 	var cost changeCost
 	for number := range changes {
-		n.startCount()
+		n.startCounting()
 		revision := n.all[number*count/changes].publish(make([]byte, patchBytes))
 		start := n.now()
-		took, all := n.until(changeLimit, func() bool { return n.allHold(revision) })
-		if !all {
-			return cost, errors.Errorf("a change isn't held by all of %d nodes after %s", count, took)
+		elapsed, reached := n.advanceUntil(changeLimit, func() bool { return n.allHold(revision) })
+		if !reached {
+			return cost, errors.Errorf("configuration change did not reach all of %d nodes within %s", count, elapsed)
 		}
-		cost.toAll = max(cost.toAll, took.Seconds())
-		n.pass(max(0, changeSettle-(n.now()-start)))
-		exchanges, bytes := n.counted()
+		cost.secondsToAll = max(cost.secondsToAll, elapsed.Seconds())
+		n.advance(max(0, changeSettleTime-(n.now()-start)))
+		exchanges, bytes := n.totals()
 		cost.exchanges += (exchanges - steadyExchanges) / float64(count*changes)
 		cost.bytes += (bytes - steadyBytes) / float64(count*changes)
 	}
 	return cost, nil
 }
 
-// patchBytes returns the size of a change of one tenant as nodes pass it on.
+// patchBytes returns the encoded size of a change to one tenant, as nodes forward it.
 func patchBytes(tenants int) (int, error) {
-	_, change, err := weightChange(tenants, targetModels)
+	_, change, err := tenantWeightChange(tenants, targetModels)
 	if err != nil {
 		return 0, err
 	}
@@ -92,8 +92,9 @@
 	return len(messages[0].GetPatch()), nil
 }
 
-// sweepParts measures several values of one run at each size.
-func sweepParts(sizes []int, measure func(size int) ([]float64, error), quantities ...quantity) ([]Slope, error) {
+// sweepTogether sweeps several quantities that one measurement yields together. measure returns
+// their values in the order of quantities.
+func sweepTogether(sizes []int, measure func(size int) ([]float64, error), quantities ...quantity) ([]Slope, error) {
 	values := make(map[int][]float64)
 	for _, size := range sizes {
 		parts, err := measure(size)
@@ -110,8 +111,8 @@
 }
 
 func measureSteadyMembership(o Options) ([]Slope, error) {
-	return sweepParts(o.Sizes.Members, func(size int) ([]float64, error) {
-		cost := steady(o, size)
+	return sweepTogether(o.Sizes.Members, func(size int) ([]float64, error) {
+		cost := measureSteadyCost(o, size)
 		return []float64{cost.exchanges, cost.bytes, cost.microseconds}, nil
 	},
 		quantity{name: "membership, steady: exchanges begun a node", size: "routers", unit: "1/s", growth: GrowthLogarithmic},
@@ -134,30 +135,30 @@
 			quantity{name: prefix + "encoded bytes sent a node", size: "routers", unit: "B", growth: GrowthLogarithmic},
 		)
 	}
-	slopes, err := sweepParts(o.Sizes.Members, func(size int) ([]float64, error) {
+	slopes, err := sweepTogether(o.Sizes.Members, func(size int) ([]float64, error) {
 		n := newNetwork(o.Seed)
-		n.startKnown(size)
-		clean, err := spreadChanges(n, patch, 0)
+		n.startConverged(size)
+		clean, err := measureChangeCost(n, patch, 0)
 		if err != nil {
 			return nil, err
 		}
-		lossy, err := spreadChanges(n, patch, heavyLoss)
+		lossy, err := measureChangeCost(n, patch, heavyLoss)
 		return []float64{
-			clean.toAll, clean.exchanges, clean.bytes, lossy.toAll, lossy.exchanges, lossy.bytes,
+			clean.secondsToAll, clean.exchanges, clean.bytes, lossy.secondsToAll, lossy.exchanges, lossy.bytes,
 		}, err
 	}, quantities...)
 	if err != nil {
 		return slopes, err
 	}
-	bySize, err := sweepParts(o.Sizes.Tenants, func(tenants int) ([]float64, error) {
+	bySize, err := sweepTogether(o.Sizes.Tenants, func(tenants int) ([]float64, error) {
 		patch, err := patchBytes(tenants)
 		if err != nil {
 			return nil, err
 		}
 		n := newNetwork(o.Seed)
-		n.startKnown(o.Sizes.Members[1])
-		cost, err := spreadChanges(n, patch, 0)
-		return []float64{cost.toAll, cost.bytes}, err
+		n.startConverged(o.Sizes.Members[1])
+		cost, err := measureChangeCost(n, patch, 0)
+		return []float64{cost.secondsToAll, cost.bytes}, err
 	},
 		quantity{name: "one change by size of the configuration: time to all", size: "tenants", unit: "s", growth: GrowthLinear},
 		quantity{name: "one change by size of the configuration: encoded bytes sent a node", size: "tenants", unit: "B", growth: GrowthLinear},
--- a/lab/capacity/network.go
+++ b/lab/capacity/network.go
@@ -17,38 +17,38 @@
 	zoneDelay   = 250 * time.Microsecond
 	regionDelay = 1500 * time.Microsecond
 	remoteDelay = 40 * time.Millisecond
-	// connectTrips is the number of one-way trips before a request's first byte
-	// on a connection that isn't open yet; every exchange is taken for one.
+	// connectTrips is the number of one-way trips before the first byte of a request on a new
+	// connection. Every exchange is modelled as using a new one.
 	connectTrips = 2
 )
 
 // networkNode is one router's membership core on the virtual network.
 type networkNode struct {
-	network *network
-	member  membership.Member
-	core    *membership.Core
-	spread  *membership.Dissemination
-	log     []membership.Change
-	down    bool
-	wakeAt  time.Duration
+	network       *network
+	member        membership.Member
+	core          *membership.Core
+	dissemination *membership.Dissemination
+	changeLog     []membership.Change
+	down          bool
+	wakeAt        time.Duration
 
-	// calls counts the exchanges that the node began, bytes the encoded
-	// messages that it sent, requests and answers alike.
+	// calls counts the exchanges that the node initiated, bytes the encoded size of the requests and
+	// responses that it sent.
 	calls int
 	bytes int
 }
 
-// network joins many cores by exchanges of encoded messages on a virtual clock.
+// network connects membership cores by exchanges of encoded messages on a virtual clock.
 type network struct {
 	queue  *eventqueue.Queue
 	random *rand.Rand
 	nodes  map[fleet.Address]*networkNode
 	all    []*networkNode
-	// loss is the probability that a request is lost, and that an answer is.
+	// loss is the probability that a request is lost, and that a response is.
 	loss float64
-	// cut tells whether messages between two members are lost.
-	cut func(from, to membership.Member) bool
-	// counting has messages encoded and counted.
+	// isCut reports whether a partition separates two members; nil means no partition.
+	isCut func(from, to membership.Member) bool
+	// counting enables the encoding and counting of messages.
 	counting bool
 }
 
@@ -57,41 +57,41 @@
 	return &network{queue: queue, random: queue.Random(), nodes: make(map[fleet.Address]*networkNode)}
 }
 
-// add starts a router that knows nobody.
+// add starts a router with no other members in its view.
 func (n *network) add(self membership.Member) *networkNode {
 	seed := n.random.Uint64()
 	node := &networkNode{
-		network: n,
-		member:  self,
-		core:    membership.New(membership.Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))}),
-		spread:  membership.NewDissemination(membership.DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 2))}),
-		wakeAt:  -1,
+		network:       n,
+		member:        self,
+		core:          membership.New(membership.Options{Self: self, Random: rand.New(rand.NewPCG(seed, 1))}),
+		dissemination: membership.NewDissemination(membership.DisseminationOptions{Random: rand.New(rand.NewPCG(seed, 2))}),
+		wakeAt:        -1,
 	}
 	n.nodes[self.Address] = node
 	n.all = append(n.all, node)
 	return node
 }
 
-// startKnown starts routers that know each other, and lets the news of that
-// pass from their queues.
-func (n *network) startKnown(count int) {
+// startConverged starts routers that have each other in their views, and advances time until they
+// stop forwarding the initial updates.
+func (n *network) startConverged(count int) {
 	known := members(count)
 	for _, self := range known {
 		node := n.add(self)
 		node.core.Join(0, nil)
-		greeter := known[0]
-		if self.Node == greeter.Node {
-			greeter = known[1]
+		sender := known[0]
+		if self.Node == sender.Node {
+			sender = known[1]
 		}
-		node.core.Receive(0, membership.Message{Kind: membership.Ack, Sender: greeter, Updates: known, Complete: true})
-		node.plan()
+		node.core.Receive(0, membership.Message{Kind: membership.Ack, Sender: sender, Updates: known, Complete: true})
+		node.scheduleWake()
 	}
-	// A node passes each of count records on about 4 log10(count) times, 32 to
-	// a message, with more than two messages a second.
-	n.pass(20*time.Second + time.Duration(count)*200*time.Millisecond)
+	// A node forwards each of count records about 4 log10(count) times, 32 per message, with more
+	// than two messages per second.
+	n.advance(20*time.Second + time.Duration(count)*200*time.Millisecond)
 }
 
-// startCold starts a herd of routers that know nothing but each other's addresses.
+// startCold starts routers within one second that have only each other's addresses as seeds.
 func (n *network) startCold(count int) {
 	known := members(count)
 	seeds := make([]fleet.Address, count)
@@ -108,18 +108,18 @@
 
 func (n *network) now() time.Duration { return n.queue.Now() }
 
-func (n *network) pass(duration time.Duration) { n.queue.RunUntil(n.now() + duration) }
+func (n *network) advance(duration time.Duration) { n.queue.RunUntil(n.now() + duration) }
 
-// until passes time until the condition holds, and returns how long that took;
-// false when the limit came first.
-func (n *network) until(limit time.Duration, condition func() bool) (time.Duration, bool) {
+// advanceUntil advances time until the condition holds, and returns the elapsed time and true. If
+// the limit is reached first, it returns the limit and false.
+func (n *network) advanceUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	start := n.now()
 	for !condition() {
 		if n.now()-start >= limit {
 			return limit, false
 		}
-		n.pass(step)
+		n.advance(step)
 	}
 	return n.now() - start, true
 }
@@ -135,16 +135,16 @@
 	return running
 }
 
-// startCount sets the counters to 0 and counts from here on.
-func (n *network) startCount() {
+// startCounting resets the counters and enables counting.
+func (n *network) startCounting() {
 	n.counting = true
 	for _, node := range n.all {
 		node.calls, node.bytes = 0, 0
 	}
 }
 
-// counted returns the sums of the counters.
-func (n *network) counted() (calls, bytes float64) {
+// totals returns the sums of the nodes' counters.
+func (n *network) totals() (calls, bytes float64) {
 	for _, node := range n.all {
 		calls += float64(node.calls)
 		bytes += float64(node.bytes)
@@ -152,7 +152,7 @@
 	return calls, bytes
 }
 
-// converged tells whether the running routers know exactly each other.
+// converged reports whether the view of each running router consists of exactly the running routers.
 func (n *network) converged() bool {
 	running := n.running()
 	for _, node := range running {
@@ -160,9 +160,9 @@
 		if len(view.Members()) != len(running) {
 			return false
 		}
-		for _, listed := range view.Members() {
-			known := n.nodes[listed.Address]
-			if listed.State != membership.Alive || known.down || known.member.Node != listed.Node {
+		for _, member := range view.Members() {
+			peer := n.nodes[member.Address]
+			if member.State != membership.Alive || peer.down || peer.member.Node != member.Node {
 				return false
 			}
 		}
@@ -170,7 +170,7 @@
 	return true
 }
 
-// delay is the time of one trip between two members.
+// delay returns a random one-way delay between two members.
 func (n *network) delay(from, to membership.Member) time.Duration {
 	mean := remoteDelay
 	switch {
@@ -182,21 +182,21 @@
 	return mean/2 + time.Duration(n.random.Int64N(int64(mean)))
 }
 
-// lost tells whether a message doesn't arrive.
+// lost reports whether a message is lost, at random or by a partition.
 func (n *network) lost(from, to membership.Member) bool {
-	return (n.loss > 0 && n.random.Float64() < n.loss) || (n.cut != nil && n.cut(from, to))
+	return (n.loss > 0 && n.random.Float64() < n.loss) || (n.isCut != nil && n.isCut(from, to))
 }
 
-// send begins an exchange for each message.
+// send initiates an exchange for each message.
 func (node *networkNode) send(messages []membership.Message) {
 	for _, message := range messages {
-		node.spread.Piggyback(&message)
+		node.dissemination.Piggyback(&message)
 		node.exchange(message)
 	}
-	node.plan()
+	node.scheduleWake()
 }
 
-// exchange carries one message and its answer, as one call does.
+// exchange transmits one message and its response, as one call does.
 func (node *networkNode) exchange(message membership.Message) {
 	n := node.network
 	node.calls++
@@ -210,31 +210,31 @@
 		if target.down {
 			return
 		}
-		answer := target.receive(message)
-		if answer.Kind == 0 || n.lost(target.member, node.member) {
+		response := target.handleRequest(message)
+		if response.Kind == 0 || n.lost(target.member, node.member) {
 			return
 		}
-		answer.Complete = message.Kind == membership.Join
+		response.Complete = message.Kind == membership.Join
 		n.queue.After(n.delay(target.member, node.member), func() {
 			if !node.down {
-				node.send(node.take(answer))
+				node.send(node.handleMessage(response))
 			}
 		})
 	})
 }
 
-// receive takes a request in and returns its answer: the last message that
-// goes to the sender. Without one only a header goes back.
-func (node *networkNode) receive(message membership.Message) membership.Message {
-	messages := node.take(message)
+// handleRequest processes a request and returns its response: the last message addressed to the
+// sender. Without one, the response is only a header and the returned message is empty.
+func (node *networkNode) handleRequest(message membership.Message) membership.Message {
+	messages := node.handleMessage(message)
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].To != message.Sender.Address {
 			continue
 		}
-		answer := messages[i]
+		response := messages[i]
 		node.send(append(messages[:i:i], messages[i+1:]...))
-		node.spread.Piggyback(&answer)
-		return node.transmit(answer)
+		node.dissemination.Piggyback(&response)
+		return node.transmit(response)
 	}
 	node.send(messages)
 	if node.network.counting {
@@ -243,27 +243,28 @@
 	return membership.Message{}
 }
 
-// take brings a message into core and dissemination.
-func (node *networkNode) take(message membership.Message) []membership.Message {
+// handleMessage passes a message to the membership core and the dissemination, and returns the
+// messages to send.
+func (node *networkNode) handleMessage(message membership.Message) []membership.Message {
 	now := node.network.now()
-	node.spread.Observe(message.Sender.Address, message.KnownRevision)
+	node.dissemination.Observe(message.Sender.Address, message.KnownRevision)
 	messages := node.core.Receive(now, message)
-	next := node.spread.NextChanges(message.Changes)
+	next := node.dissemination.NextChanges(message.Changes)
 	if len(next) == 0 {
 		return messages
 	}
-	node.log = append(node.log, next...)
-	return append(messages, node.spread.Publish(now, next, node.core.View())...)
+	node.changeLog = append(node.changeLog, next...)
+	return append(messages, node.dissemination.Publish(now, next, node.core.View())...)
 }
 
-// transmit encodes and decodes a message as the transport does, and counts it.
+// transmit encodes, counts and decodes a message as the transport does.
 func (node *networkNode) transmit(message membership.Message) membership.Message {
 	if !node.network.counting {
 		return message
 	}
 	data, err := proto.Marshal(message.Encode())
 	if err != nil {
-		panic(err) // a message that can't be encoded is a fault of the core
+		panic(err) // the core must produce encodable messages
 	}
 	node.bytes += len(data)
 	received := &rpc.GossipMessage{}
@@ -279,10 +280,10 @@
 	return decoded
 }
 
-// plan has the node called when it is due next.
-func (node *networkNode) plan() {
+// scheduleWake schedules the node's next tick.
+func (node *networkNode) scheduleWake() {
 	wake := node.core.NextWake()
-	if at, pending := node.spread.NextWake(); pending {
+	if at, pending := node.dissemination.NextWake(); pending {
 		wake = min(wake, at)
 	}
 	wake = max(wake, node.network.now()+time.Millisecond)
@@ -301,14 +302,14 @@
 func (node *networkNode) tick() {
 	now := node.network.now()
 	messages := node.core.Tick(now)
-	if pull, due := node.spread.NextPull(now); due {
-		node.pull(pull)
+	if pull, due := node.dissemination.NextPull(now); due {
+		node.pullChanges(pull)
 	}
-	node.send(append(messages, node.spread.Tick(now, node.core.View())...))
+	node.send(append(messages, node.dissemination.Tick(now, node.core.View())...))
 }
 
-// pull asks a node for the changes after a revision.
-func (node *networkNode) pull(pull membership.Pull) {
+// pullChanges requests the changes after a revision from another node.
+func (node *networkNode) pullChanges(pull membership.Pull) {
 	n := node.network
 	node.calls++
 	node.bytes += proto.Size(&rpc.ChangesRequest{Header: header(), After: uint64(pull.After)})
@@ -320,38 +321,38 @@
 		if source.down || n.lost(source.member, node.member) {
 			return
 		}
-		changes := source.log[min(int(pull.After), len(source.log)):]
-		answer := membership.Message{Kind: membership.Ack, Sender: source.member, Changes: changes}
-		source.bytes += proto.Size(answer.Encode())
-		n.queue.After(n.delay(source.member, node.member), func() { node.takePulled(changes) })
+		changes := source.changeLog[min(int(pull.After), len(source.changeLog)):]
+		response := membership.Message{Kind: membership.Ack, Sender: source.member, Changes: changes}
+		source.bytes += proto.Size(response.Encode())
+		n.queue.After(n.delay(source.member, node.member), func() { node.receivePulled(changes) })
 	})
 }
 
-func (node *networkNode) takePulled(changes []membership.Change) {
+func (node *networkNode) receivePulled(changes []membership.Change) {
 	if node.down {
 		return
 	}
-	next := node.spread.NextChanges(changes)
+	next := node.dissemination.NextChanges(changes)
 	if len(next) == 0 {
 		return
 	}
-	node.log = append(node.log, next...)
-	node.send(node.spread.Publish(node.network.now(), next, node.core.View()))
+	node.changeLog = append(node.changeLog, next...)
+	node.send(node.dissemination.Publish(node.network.now(), next, node.core.View()))
 }
 
-// publish gives the node a change that follows the last one.
+// publish publishes a change at the node with the revision after its latest one.
 func (node *networkNode) publish(patch []byte) fleet.Revision {
-	revision := node.spread.Held() + 1
+	revision := node.dissemination.Held() + 1
 	changes := []membership.Change{{Revision: revision, Patch: patch}}
-	node.log = append(node.log, changes...)
-	node.send(node.spread.Publish(node.network.now(), changes, node.core.View()))
+	node.changeLog = append(node.changeLog, changes...)
+	node.send(node.dissemination.Publish(node.network.now(), changes, node.core.View()))
 	return revision
 }
 
-// allHold tells whether all running nodes hold a revision.
+// allHold reports whether all running nodes hold a revision.
 func (n *network) allHold(revision fleet.Revision) bool {
 	for _, node := range n.running() {
-		if node.spread.Held() < revision {
+		if node.dissemination.Held() < revision {
 			return false
 		}
 	}
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -14,20 +14,20 @@
 	"github.com/tillerfall/tillerfall/internal/prefixindex"
 )
 
-// statusEvery is the number of placements between two status reports of all engines.
-const statusEvery = 1000
+// placementsPerStatus is the number of placements between two rounds of engine status reports.
+const placementsPerStatus = 1000
 
-// router drives a placement core as a router does.
+// router drives a placement core as the router process does.
 type router struct {
-	core    *placement.Core
-	random  *rand.Rand
-	now     time.Duration
-	engines int
-	placed  int
+	core       *placement.Core
+	random     *rand.Rand
+	now        time.Duration
+	engines    int
+	placements int
 }
 
-// newRouter returns a core of one pool with so many candidate engines, whose
-// caches hold so many blocks together.
+// newRouter returns a router for one pool with the given number of engines, whose caches hold
+// indexBlocks distinct blocks in total.
 func newRouter(seed uint64, engines, indexBlocks int) (*router, error) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	r := &router{random: random, now: time.Second, engines: engines}
@@ -44,13 +44,13 @@
 	r.observeStatuses()
 	const batch = 4096
 	for done := 0; done < indexBlocks; done += batch {
-		r.store(done/batch%engines, uint64(done/batch/engines+1), randomHashes(random, min(batch, indexBlocks-done)))
+		r.storeBlocks(done/batch%engines, uint64(done/batch/engines+1), randomHashes(random, min(batch, indexBlocks-done)))
 	}
 	return r, nil
 }
 
-func (r *router) configure(made config.Document) error {
-	view, err := config.NewView(made)
+func (r *router) configure(configuration config.Document) error {
+	view, err := config.NewView(configuration)
 	if err != nil {
 		return err
 	}
@@ -60,12 +60,12 @@
 
 func (r *router) observeStatuses() {
 	for number := range r.engines {
-		r.core.ObserveStatus(r.now, status(number, r.now))
+		r.core.ObserveStatus(r.now, idleStatus(number, r.now))
 	}
 }
 
-// store brings blocks into the index as an engine's event.
-func (r *router) store(number int, sequence uint64, hashes []fleet.BlockHash) {
+// storeBlocks adds blocks to the index through a cache event of an engine.
+func (r *router) storeBlocks(number int, sequence uint64, hashes []fleet.BlockHash) {
 	r.core.ObserveCacheEvents(r.now, engineName(number), engine.CacheEvents{
 		Incarnation: 1,
 		Events:      []engine.CacheEvent{{Sequence: sequence, Kind: engine.BlockStored, Hashes: hashes}},
@@ -76,7 +76,7 @@
 	return placement.Request{
 		Key:          placement.Key{Request: fleet.RequestID(id), Attempt: 1},
 		Tenant:       tenantName(0),
-		ModelVersion: servedWeights(),
+		ModelVersion: servedVersion(),
 		Class:        className,
 		PromptTokens: len(blocks)*blockTokens + 1,
 		MaxTokens:    200,
@@ -90,11 +90,11 @@
 	r.core.Submit(r.now, request)
 	outcomes := r.core.TakeOutcomes()
 	if len(outcomes) != 1 {
-		return placement.Grant{}, errors.Errorf("%d outcomes, want 1", len(outcomes))
+		return placement.Grant{}, errors.Errorf("got %d placement outcomes, want 1", len(outcomes))
 	}
 	granted, isGrant := outcomes[0].(placement.Grant)
 	if !isGrant {
-		return placement.Grant{}, errors.Errorf("%+v instead of a grant", outcomes[0])
+		return placement.Grant{}, errors.Errorf("got outcome %+v, want a grant", outcomes[0])
 	}
 	return granted, nil
 }
@@ -105,11 +105,11 @@
 	}
 }
 
-// place does one whole placement: submit, decision and three reports.
+// place performs one complete placement: submission, decision and three reports.
 func (r *router) place(blocks []fleet.BlockHash) error {
 	r.now += time.Millisecond
-	r.placed++
-	if r.placed%statusEvery == 0 {
+	r.placements++
+	if r.placements%placementsPerStatus == 0 {
 		r.observeStatuses()
 	}
 	granted, err := r.grant(placementRequest("measured", blocks))
@@ -120,59 +120,59 @@
 	return nil
 }
 
-// placementTime returns the microseconds of one placement of a prompt whose
-// first half every engine holds.
+// placementTime returns the processor time in microseconds of one placement of a prompt whose first
+// half is cached on every engine.
 func placementTime(o Options, engines, indexBlocks, promptBlocks int) (float64, error) {
 	r, err := newRouter(o.Seed, engines, indexBlocks)
 	if err != nil {
 		return 0, err
 	}
 	const prompts = 16
-	var made [prompts][]fleet.BlockHash
-	for i := range made {
-		made[i] = randomHashes(r.random, promptBlocks)
+	var promptHashes [prompts][]fleet.BlockHash
+	for i := range promptHashes {
+		promptHashes[i] = randomHashes(r.random, promptBlocks)
 		for number := range engines {
-			r.store(number, uint64(1<<40+i), made[i][:promptBlocks/2])
+			r.storeBlocks(number, uint64(1<<40+i), promptHashes[i][:promptBlocks/2])
 		}
 	}
 	var failed error
-	taken := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
-		if err := r.place(made[repetition%prompts]); err != nil && failed == nil {
+	used := processorTimeOf(o.Sizes.ProcessorTime, func(repetition int) {
+		if err := r.place(promptHashes[repetition%prompts]); err != nil && failed == nil {
 			failed = err
 		}
 	})
-	return microseconds(taken), failed
+	return microseconds(used), failed
 }
 
-// Sizes that stay fixed while another one grows.
+// Sizes that are held constant while another one varies.
 const (
-	usualCandidates   = 30
-	usualIndexBlocks  = 500_000
-	usualPromptBlocks = 128
+	fixedCandidates   = 30
+	fixedIndexBlocks  = 500_000
+	fixedPromptBlocks = 128
 )
 
-// measurePlacement measures a placement over the three sizes that it depends on.
+// measurePlacement measures the time of a placement by each of the three sizes that it depends on.
 func measurePlacement(o Options) ([]Slope, error) {
 	quantityOf := func(by, size string, growth Growth, sizes []int, measure func(int) (float64, error)) quantity {
 		return quantity{name: "placement (submit, decision, 3 reports) by " + by, size: size, unit: "core-µs", growth: growth, sizes: sizes, measure: measure}
 	}
-	indexBlocks := min(usualIndexBlocks, o.Sizes.IndexBlocks[0])
+	indexBlocks := min(fixedIndexBlocks, o.Sizes.IndexBlocks[0])
 	return sweepAll(
 		quantityOf("index", "blocks in the index", GrowthLogarithmic, o.Sizes.IndexBlocks, func(size int) (float64, error) {
-			return placementTime(o, usualCandidates, size, usualPromptBlocks)
+			return placementTime(o, fixedCandidates, size, fixedPromptBlocks)
 		}),
 		quantityOf("prompt", "blocks in the prompt", GrowthLinear, o.Sizes.PromptBlocks, func(size int) (float64, error) {
-			return placementTime(o, usualCandidates, indexBlocks, size)
+			return placementTime(o, fixedCandidates, indexBlocks, size)
 		}),
 		quantityOf("candidates", "candidate engines", GrowthLinear, o.Sizes.Candidates, func(size int) (float64, error) {
-			return placementTime(o, size, indexBlocks, usualPromptBlocks)
+			return placementTime(o, size, indexBlocks, fixedPromptBlocks)
 		}),
 	)
 }
 
-// waitingRouter returns a router at which so many requests wait, each with a
-// prompt of its own.
-func waitingRouter(seed uint64, waiting int) (*router, error) {
+// routerWithWaiting returns a router with the given number of waiting requests, each with a different
+// prompt.
+func routerWithWaiting(seed uint64, waiting int) (*router, error) {
 	r, err := newRouter(seed, 1, 0)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	for number := range waiting {
-		r.core.Submit(r.now, placementRequest(fmt.Sprintf("waiting-%012d", number), randomHashes(r.random, usualPromptBlocks)))
+		r.core.Submit(r.now, placementRequest(fmt.Sprintf("waiting-%012d", number), randomHashes(r.random, fixedPromptBlocks)))
 	}
 	if outcomes := r.core.TakeOutcomes(); len(outcomes) > 0 {
 		return nil, errors.Errorf("%+v instead of a wait", outcomes[0])
@@ -194,15 +194,15 @@
 	return r, nil
 }
 
-// grantingRouter returns a router with so many grants whose streams are open.
-func grantingRouter(seed uint64, grants int) (*router, error) {
-	r, err := newRouter(seed, usualCandidates, 0)
+// routerWithGrants returns a router with the given number of open grants after the first token.
+func routerWithGrants(seed uint64, grants int) (*router, error) {
+	r, err := newRouter(seed, fixedCandidates, 0)
 	if err != nil {
 		return nil, err
 	}
-	prompt := randomHashes(r.random, usualPromptBlocks)
+	prompt := randomHashes(r.random, fixedPromptBlocks)
 	for number := range grants {
-		if number%usualCandidates == 0 {
+		if number%fixedCandidates == 0 {
 			r.now += 10 * time.Millisecond
 			r.observeStatuses()
 		}
--- a/lab/capacity/tables.go
+++ b/lab/capacity/platformcalls.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// platformDelay is how long a call to the platform takes.
+	// platformDelay is the duration of a call to the platform.
 	platformDelay = 20 * time.Millisecond
-	// leaseCandidates is the number of routers that poll the lease.
+	// leaseCandidates is the number of routers eligible for the lease.
 	leaseCandidates = 3
 	// countedTime is the virtual time over which calls are counted.
 	countedTime = 60 * time.Second
@@ -34,7 +34,7 @@
 	}
 }
 
-// steadyRate is the mean rate of the last half of the time.
+// steadyRate returns the mean rate per second over the last half of countedTime.
 func (c *callCounter) steadyRate() float64 {
 	half := c.bySecond[len(c.bySecond)/2:]
 	sum := 0
@@ -44,6 +44,7 @@
 	return float64(sum) / float64(len(half))
 }
 
+// peak returns the number of calls in the busiest second.
 func (c *callCounter) peak() float64 {
 	most := 0
 	for _, calls := range c.bySecond {
@@ -52,33 +53,33 @@
 	return float64(most)
 }
 
-// herdStart is what the routers of a herd know of each other: the configured
-// ones at once, themselves included, and all after a time.
-type herdStart struct {
-	configured int
-	knownAfter time.Duration
+// herdBootstrap describes how routers that restart together discover each other: the configured ones
+// immediately, including themselves, and all of them after membershipAfter.
+type herdBootstrap struct {
+	configuredNodes int
+	membershipAfter time.Duration
 }
 
-// configurationPolls counts the reads of the configuration's head by a herd of
-// followers.
-func configurationPolls(o Options, count int, start herdStart) *callCounter {
+// countConfigurationPolls counts the reads of the configuration head by followers that start
+// together.
+func countConfigurationPolls(o Options, count int, start herdBootstrap) *callCounter {
 	queue := eventqueue.New(o.Seed)
 	counter := &callCounter{}
 	interval := time.Duration(routerprocess.DefaultSettings().ConfigurationInterval)
 	for range count {
 		random := rand.New(rand.NewPCG(queue.Random().Uint64(), 1))
-		follower := config.NewFollower(config.FollowerOptions{PollInterval: interval}, random, 0, min(count, start.configured))
+		follower := config.NewFollower(config.FollowerOptions{PollInterval: interval}, random, 0, min(count, start.configuredNodes))
 		follower.SetLocalRevision(1)
 		var step func()
 		step = func() {
-			if queue.Now() >= start.knownAfter {
+			if queue.Now() >= start.membershipAfter {
 				follower.SetNodeCount(queue.Now(), count)
 			}
 			action := follower.Next(queue.Now())
 			if action.Source != config.SourcePlatform {
 				wake := action.Until
-				if queue.Now() < start.knownAfter {
-					wake = min(wake, start.knownAfter)
+				if queue.Now() < start.membershipAfter {
+					wake = min(wake, start.membershipAfter)
 				}
 				queue.At(max(wake, queue.Now()+time.Millisecond), step)
 				return
@@ -95,8 +96,8 @@
 	return counter
 }
 
-// leaseCalls counts the table calls of the elections of so many routers.
-func leaseCalls(o Options, count int) (*callCounter, error) {
+// countLeaseCalls counts the table calls of the lease elections of count routers.
+func countLeaseCalls(o Options, count int) (*callCounter, error) {
 	queue := eventqueue.New(o.Seed)
 	tables := platformmodel.New(platformmodel.Options{})
 	counter := &callCounter{}
@@ -105,7 +106,7 @@
 		random := rand.New(rand.NewPCG(queue.Random().Uint64(), 1))
 		election, err := lease.NewElection(settings, lease.NewHolderID(member(number, 0).Node, uint64(number)), random)
 		if err != nil {
-			return nil, errors.Wrap(err, "election")
+			return nil, errors.Wrap(err, "create lease election")
 		}
 		election.SetEligible(number < leaseCandidates)
 		var step func()
@@ -116,7 +117,7 @@
 				counter.count(queue.Now())
 				row, err := tables.Get(queue.Now(), settings.Key)
 				queue.After(platformDelay, func() {
-					_ = election.ReadDone(queue.Now(), row, err) // only a malformed row is an error
+					_ = election.ReadDone(queue.Now(), row, err) // fails only for a malformed row
 					step()
 				})
 			case lease.ActionCommit:
@@ -136,27 +137,27 @@
 	return counter, nil
 }
 
-// configuredRouters is the number of routers that a router is configured with,
-// itself included.
+// configuredRouters is the number of routers in a router's own configuration, including itself.
 const configuredRouters = 4
 
 var (
-	// listedHerd has read the list of machines, which names the routers.
-	listedHerd = herdStart{configured: configuredRouters, knownAfter: 2 * platformDelay}
-	// unlistedHerd waits for the membership, as when nobody knows a list.
-	unlistedHerd = herdStart{configured: configuredRouters, knownAfter: 3 * time.Second}
-	// configuredHerd is configured with all routers.
-	configuredHerd = herdStart{configured: math.MaxInt}
+	// listedBootstrap discovers the routers by reading the list of machines.
+	listedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 2 * platformDelay}
+	// unlistedBootstrap discovers the routers through the membership protocol, without a list of
+	// machines.
+	unlistedBootstrap = herdBootstrap{configuredNodes: configuredRouters, membershipAfter: 3 * time.Second}
+	// configuredBootstrap starts with all routers configured.
+	configuredBootstrap = herdBootstrap{configuredNodes: math.MaxInt}
 )
 
-// measurePlatformCalls measures the platform calls of all routers together.
+// measurePlatformCalls measures the total rate of platform calls of all routers.
 func measurePlatformCalls(o Options) ([]Slope, error) {
-	slopes, err := sweepParts(o.Sizes.Members, func(count int) ([]float64, error) {
-		polls := configurationPolls(o, count, listedHerd)
-		unlisted := configurationPolls(o, count, unlistedHerd)
-		configured := configurationPolls(o, count, configuredHerd)
-		machines := machineReads(o, count)
-		leases, err := leaseCalls(o, count)
+	slopes, err := sweepTogether(o.Sizes.Members, func(count int) ([]float64, error) {
+		polls := countConfigurationPolls(o, count, listedBootstrap)
+		unlisted := countConfigurationPolls(o, count, unlistedBootstrap)
+		configured := countConfigurationPolls(o, count, configuredBootstrap)
+		machines := countMachineReads(o, count)
+		leases, err := countLeaseCalls(o, count)
 		if err != nil {
 			return nil, err
 		}
@@ -175,13 +176,13 @@
 	return slopes, err
 }
 
-// measureHerd restarts a whole fleet at once and measures how it finds itself.
-func measureHerd(o Options) []Figure {
+// measureHerdRestart restarts all routers at once and measures how they discover each other.
+func measureHerdRestart(o Options) []Figure {
 	n := newNetwork(o.Seed)
-	n.startCount()
+	n.startCounting()
 	n.startCold(o.Sizes.FailureMembers)
 	const name = "herd restart of all routers"
-	half, _ := n.until(convergenceLimit, func() bool {
+	half, _ := n.advanceUntil(convergenceLimit, func() bool {
 		for _, node := range n.all {
 			if len(node.core.Members()) < o.Sizes.FailureMembers/2 {
 				return false
@@ -189,9 +190,9 @@
 		}
 		return true
 	})
-	took, _ := n.until(convergenceLimit, n.converged)
+	rest, _ := n.advanceUntil(convergenceLimit, n.converged)
 	return append(
 		[]Figure{{Name: name + ": until each knows half of them", Unit: "s", Value: half.Seconds()}},
-		recovery(n, name, half+took, 0)...,
+		recoveryFigures(n, name, half+rest, 0)...,
 	)
 }
--- a/lab/capacity/lists.go
+++ b/lab/capacity/syncserver.go
@@ -8,39 +8,40 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// listServer answers exchanges with what the agent lacks of routers and engines.
-type listServer struct {
-	fixedAnswers
+// syncServer answers Sync calls with the changes to the lists of routers and engines that the agent
+// doesn't hold.
+type syncServer struct {
+	fixedResponses
 	publisher *fleetsync.Publisher
 	view      *membership.View
 	machines  *rpc.MachineList
 }
 
 // Sync implements rpc.Placement.
-func (s *listServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+func (s *syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
 	response := &rpc.SyncResponse{Header: header()}
 	s.publisher.FillResponse(s.view, s.machines, request, response)
 	return response, nil
 }
 
-// followedSyncCost is the cost of an exchange of an agent that holds the
-// newest lists of routers and engines already.
-func followedSyncCost(o Options, routers int) (callCost, error) {
-	listed := members(routers)
-	server := &listServer{
-		publisher: fleetsync.NewPublisher(listed[0].Node),
-		view:      membership.NewView(1, listed[0], listed),
+// incrementalSyncCost returns the cost of a Sync call of an agent that already holds the current
+// lists of routers and engines.
+func incrementalSyncCost(o Options, routers int) (callCost, error) {
+	routerList := members(routers)
+	server := &syncServer{
+		publisher: fleetsync.NewPublisher(routerList[0].Node),
+		view:      membership.NewView(1, routerList[0], routerList),
 		machines:  machineList(o.Sizes.Engines[0]),
 	}
 	var subscriber fleetsync.Subscriber
 	return placementCost(o, server, func(ctx context.Context, client rpc.Placement) error {
 		request := &rpc.SyncRequest{Header: header()}
 		subscriber.FillRequest(request)
-		answer, err := client.Sync(ctx, request)
+		response, err := client.Sync(ctx, request)
 		if err != nil {
 			return err
 		}
-		subscriber.Apply(request, answer)
+		subscriber.Apply(request, response)
 		return nil
 	})
 }
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// agentHost is the agent of one zone.
+// agentHost emulates the agent of one zone.
 type agentHost struct {
 	emulator *Emulator
 	zone     fleet.ZoneName
@@ -17,13 +17,13 @@
 	random   *rand.Rand
 	policy   attempt.Policy
 	ranking  ranking
-	// reports holds, for each router, the reports that wait to be sent.
+	// reports holds the unsent reports, by router index.
 	reports []reportQueue
 }
 
 type reportQueue struct {
-	pending []placement.AttemptReport
-	planned bool
+	pending   []placement.AttemptReport
+	scheduled bool
 }
 
 func newAgentHost(e *Emulator, zone fleet.ZoneName) *agentHost {
@@ -47,8 +47,8 @@
 	}
 }
 
-// report queues a report. A final one is sent at once, with all that wait;
-// others wait for the interval.
+// report queues a report for a router. A final report is sent immediately with all pending ones;
+// others are sent after the report interval.
 func (a *agentHost) report(to *routerHost, report placement.AttemptReport) {
 	if to == nil {
 		return
@@ -59,8 +59,8 @@
 	switch {
 	case final || to.central:
 		a.sendReports(to)
-	case !queue.planned:
-		queue.planned = true
+	case !queue.scheduled:
+		queue.scheduled = true
 		a.emulator.queue.After(reportInterval, func() { a.sendReports(to) })
 	}
 }
@@ -69,9 +69,9 @@
 	queue := &a.reports[to.index]
 	batch := queue.pending
 	queue.pending = nil
-	queue.planned = false
+	queue.scheduled = false
 	if len(batch) == 0 {
 		return
 	}
-	a.emulator.queue.After(to.latency(a.zone), func() { to.takeReports(batch) })
+	a.emulator.queue.After(to.latency(a.zone), func() { to.receiveReports(batch) })
 }
--- a/lab/emulator/terms.go
+++ b/lab/emulator/configuration.go
@@ -8,22 +8,22 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// terms are what callers of a class expect and what operators set for it.
-type terms struct {
+// classSettings holds the configuration of a class and the expectations of its callers.
+type classSettings struct {
 	rank     int
 	maxWait  time.Duration
 	minShare float64
-	// deadline is the time for the whole answer.
+	// deadline is the time allowed for the whole response.
 	deadline time.Duration
-	// objective is the time to first token within which a request counts as
-	// good; 0 means that any finished one does.
+	// objective is the maximum time to first token of a request that counts towards goodput; 0
+	// means that any finished request counts.
 	objective time.Duration
 }
 
-// UrgentObjective is the time to first token that urgent requests must meet.
+// UrgentObjective is the time-to-first-token objective of urgent requests.
 const UrgentObjective = 810 * time.Millisecond
 
-var termsOf = map[fleet.ClassName]terms{
+var settingsByClass = map[fleet.ClassName]classSettings{
 	workload.ClassUrgent:   {rank: 0, maxWait: 5 * time.Second, deadline: 20 * time.Second, objective: UrgentObjective},
 	workload.ClassStandard: {rank: 10, maxWait: 20 * time.Second, minShare: 0.1, deadline: time.Minute, objective: 3 * time.Second},
 	workload.ClassBatch:    {rank: 20, maxWait: time.Minute, minShare: 0.05, deadline: 3 * time.Minute},
@@ -32,9 +32,8 @@
 // classes lists the classes, most urgent first.
 var classes = []fleet.ClassName{workload.ClassUrgent, workload.ClassStandard, workload.ClassBatch}
 
-// Limits of the emulated configuration. The bound of streams leaves the engines'
-// speed as what limits them: with 64 streams an engine would run out of places
-// in its batch before it runs out of time.
+// Limits of the emulated configuration. maxStreams is high enough that an engine's speed limits its
+// throughput rather than its batch size.
 const (
 	maxPromptTokens = 1 << 16
 	maxOutputTokens = 4096
@@ -45,7 +44,7 @@
 
 // document returns the configuration of a fleet.
 func document(description workload.Fleet) config.Document {
-	made := config.Document{
+	result := config.Document{
 		Revision: 1,
 		Models: []config.Model{{
 			Name:            description.Weights.Model,
@@ -58,15 +57,15 @@
 		Pools: []config.Pool{{Name: description.Pool, MaxStreams: maxStreams, MaxLoads: description.MaxLoads}},
 	}
 	for _, class := range classes {
-		made.Classes = append(made.Classes, config.Class{
+		result.Classes = append(result.Classes, config.Class{
 			Name:     class,
-			Rank:     termsOf[class].rank,
-			MaxWait:  config.Duration(termsOf[class].maxWait),
-			MinShare: termsOf[class].minShare,
+			Rank:     settingsByClass[class].rank,
+			MaxWait:  config.Duration(settingsByClass[class].maxWait),
+			MinShare: settingsByClass[class].minShare,
 		})
 	}
 	for _, tenant := range description.Tenants {
-		made.Tenants = append(made.Tenants, config.Tenant{
+		result.Tenants = append(result.Tenants, config.Tenant{
 			Name:          tenant.Name,
 			KeyHashes:     []string{config.HashKey(string(tenant.Name))},
 			Weight:        tenant.Weight,
@@ -75,5 +74,5 @@
 			MaxWaiting:    maxWaiting,
 		})
 	}
-	return made
+	return result
 }
--- a/lab/emulator/routerhost.go
+++ b/lab/emulator/routerhost.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// routerHost runs one router on the queue: it polls engines, wakes the router
-// and carries its outcomes to the agents.
+// routerHost runs one router on the event queue: it polls engines, wakes the router and delivers its
+// outcomes to the agents.
 type routerHost struct {
 	emulator *Emulator
 	index    int
@@ -19,26 +19,26 @@
 	zone     fleet.ZoneName
 	central  bool
 	router   Router
-	asking   map[placement.Key]question
+	pending  map[placement.Key]placementCall
 	wakeAt   time.Duration
 	feeds    []eventFeed
 }
 
-// question is an open placement call.
-type question struct {
-	carrier   *carrier
+// placementCall is an open placement call.
+type placementCall struct {
+	driver    *requestDriver
 	operation attempt.Operation
 }
 
 // eventFeed is a router's long poll for the cache events of one engine.
 type eventFeed struct {
-	// waiting tells that the poll is at the engine and finds nothing yet.
+	// waiting is set while the poll has reached the engine and no event is available.
 	waiting bool
 }
 
 func (r *routerHost) now() time.Duration { return r.emulator.queue.Now() }
 
-// latency returns the time of one way from or to an agent.
+// latency returns the one-way latency between an agent and the router.
 func (r *routerHost) latency(agent fleet.ZoneName) time.Duration {
 	if r.central {
 		return 0
@@ -46,35 +46,35 @@
 	return r.emulator.network.fromAgent(agent, r.zone)
 }
 
-// do runs a step on the router, delivers its outcomes and plans its next wake.
-func (r *routerHost) do(step func(now time.Duration, router Router)) {
+// apply runs a step on the router, delivers its outcomes and schedules its next wake-up.
+func (r *routerHost) apply(step func(now time.Duration, router Router)) {
 	step(r.now(), r.router)
 	for _, outcome := range r.router.TakeOutcomes() {
 		r.deliver(outcome)
 	}
-	r.plan()
+	r.scheduleWake()
 }
 
 func (r *routerHost) deliver(outcome placement.Outcome) {
 	key := outcome.OutcomeKey()
-	asked, found := r.asking[key]
+	call, found := r.pending[key]
 	if !found {
-		r.abandon(outcome)
+		r.releaseGrant(outcome)
 		return
 	}
-	delete(r.asking, key)
-	latency := r.latency(asked.carrier.agent.zone)
-	r.emulator.queue.After(latency, func() { asked.carrier.answered(asked.operation, outcome) })
+	delete(r.pending, key)
+	latency := r.latency(call.driver.agent.zone)
+	r.emulator.queue.After(latency, func() { call.driver.handleOutcome(call.operation, outcome) })
 }
 
-// abandon gives back a grant that nobody waits for.
-func (r *routerHost) abandon(outcome placement.Outcome) {
+// releaseGrant reports a grant without a pending call as abandoned.
+func (r *routerHost) releaseGrant(outcome placement.Outcome) {
 	if grant, granted := outcome.(placement.Grant); granted {
 		r.router.Report(r.now(), placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
 	}
 }
 
-func (r *routerHost) plan() {
+func (r *routerHost) scheduleWake() {
 	at, found := r.router.NextWake()
 	if !found {
 		return
@@ -92,53 +92,53 @@
 		return
 	}
 	r.wakeAt = 0
-	r.do(func(now time.Duration, router Router) { router.Tick(now) })
+	r.apply(func(now time.Duration, router Router) { router.Tick(now) })
 }
 
-func (r *routerHost) submit(from *carrier, operation attempt.Operation, request placement.Request) {
+func (r *routerHost) submit(from *requestDriver, operation attempt.Operation, request placement.Request) {
 	if from.machine.Phase() == attempt.PhaseFinished {
-		return // the agent's call was cancelled on its way
+		return // the agent cancelled the call while it was in flight
 	}
-	r.asking[request.Key] = question{carrier: from, operation: operation}
-	r.do(func(now time.Duration, router Router) { router.Submit(now, request) })
+	r.pending[request.Key] = placementCall{driver: from, operation: operation}
+	r.apply(func(now time.Duration, router Router) { router.Submit(now, request) })
 }
 
-// withdraw takes back the open question of a carrier whose request is over.
+// withdraw cancels the open placement call of a request that has ended.
 func (r *routerHost) withdraw(key placement.Key) {
-	if _, found := r.asking[key]; !found {
+	if _, found := r.pending[key]; !found {
 		return
 	}
-	delete(r.asking, key)
-	r.do(func(now time.Duration, router Router) { router.Withdraw(now, key) })
+	delete(r.pending, key)
+	r.apply(func(now time.Duration, router Router) { router.Withdraw(now, key) })
 }
 
-func (r *routerHost) takeReports(batch []placement.AttemptReport) {
-	r.do(func(now time.Duration, router Router) {
+func (r *routerHost) receiveReports(batch []placement.AttemptReport) {
+	r.apply(func(now time.Duration, router Router) {
 		for _, report := range batch {
 			router.Report(now, report)
 		}
 	})
 }
 
-// start makes the engines known and begins to poll them.
+// start registers the engines and starts polling those that the router owns.
 func (r *routerHost) start() {
 	r.feeds = make([]eventFeed, len(r.emulator.engines))
 	for _, host := range r.emulator.engines {
-		r.do(func(now time.Duration, router Router) { router.ObserveMachine(now, host.machine) })
-		if r.central || !r.emulator.owns(r.node, host.id()) {
+		r.apply(func(now time.Duration, router Router) { router.ObserveMachine(now, host.machine) })
+		if r.central || !r.emulator.isOwner(r.node, host.id()) {
 			continue
 		}
 		status := host.model.Status(0)
-		r.do(func(now time.Duration, router Router) { router.ObserveStatus(now, status) })
+		r.apply(func(now time.Duration, router Router) { router.ObserveStatus(now, status) })
 		r.emulator.queue.After(r.jitter(statusInterval), func() { r.pollStatus(host) })
 		r.pollEvents(host)
 	}
 	if !r.central {
-		r.emulator.queue.After(needsInterval, r.passNeeds)
+		r.emulator.queue.After(snapshotInterval, r.fetchSnapshots)
 	}
 }
 
-// jitter returns a time between three quarters of mean and five quarters.
+// jitter returns a random duration between 3/4 and 5/4 of mean.
 func (r *routerHost) jitter(mean time.Duration) time.Duration {
 	return mean*3/4 + time.Duration(r.emulator.queue.Random().Int64N(int64(mean/2+1)))
 }
@@ -151,15 +151,15 @@
 		reachable := !host.down
 		if reachable {
 			status = host.model.Status(queue.Now())
-			host.changed()
+			host.processChanges()
 		}
-		queue.After(latency, func() { r.takeStatus(host, status, reachable) })
+		queue.After(latency, func() { r.receiveStatus(host, status, reachable) })
 	})
 	queue.After(r.jitter(statusInterval), func() { r.pollStatus(host) })
 }
 
-func (r *routerHost) takeStatus(host *engineHost, status engine.Status, reachable bool) {
-	r.do(func(now time.Duration, router Router) {
+func (r *routerHost) receiveStatus(host *engineHost, status engine.Status, reachable bool) {
+	r.apply(func(now time.Duration, router Router) {
 		if reachable {
 			router.ObserveStatus(now, status)
 		} else {
@@ -174,7 +174,7 @@
 	r.emulator.queue.After(latency, func() { r.waitForEvents(host) })
 }
 
-// waitForEvents answers the poll as soon as there is something to see.
+// waitForEvents answers the poll once the engine has events after the router's position.
 func (r *routerHost) waitForEvents(host *engineHost) {
 	feed := &r.feeds[host.index]
 	feed.waiting = true
@@ -187,7 +187,7 @@
 		return
 	}
 	feed.waiting = false
-	r.emulator.queue.At(next+eventPause, func() { r.answerPoll(host) })
+	r.emulator.queue.At(next+eventPollPause, func() { r.answerPoll(host) })
 }
 
 func (r *routerHost) answerPoll(host *engineHost) {
@@ -201,39 +201,39 @@
 		Incarnation: host.model.Incarnation(),
 		Events:      host.model.CacheEventsAfter(r.now(), after),
 	}
-	host.changed()
+	host.processChanges()
 	r.emulator.queue.After(latency, func() {
 		id := host.id()
-		r.do(func(now time.Duration, router Router) { router.ObserveCacheEvents(now, id, events) })
+		r.apply(func(now time.Duration, router Router) { router.ObserveCacheEvents(now, id, events) })
 		r.pollEvents(host)
 	})
 }
 
-// engineChanged looks whether a waiting poll can be answered now.
+// engineChanged checks whether a waiting poll can be answered.
 func (r *routerHost) engineChanged(host *engineHost) {
 	if len(r.feeds) > 0 && r.feeds[host.index].waiting {
 		r.waitForEvents(host)
 	}
-	if observer, observes := r.router.(engineObserver); observes {
-		r.do(func(now time.Duration, _ Router) { observer.engineChanged(now, host) })
+	if observer, isObserver := r.router.(engineObserver); isObserver {
+		r.apply(func(now time.Duration, _ Router) { observer.engineChanged(now, host) })
 	}
 }
 
-// engineObserver is a router that knows at once what happens at engines.
+// engineObserver is a router that observes engines directly and without delay.
 type engineObserver interface {
 	engineChanged(now time.Duration, host *engineHost)
 	dispatchArrived(now time.Duration, host *engineHost, stream fleet.StreamID)
 }
 
-// passNeeds fetches the caches that the router wants whole.
-func (r *routerHost) passNeeds() {
-	wanted := r.router.NeedsSnapshot()
+// fetchSnapshots fetches the cache snapshots that the router needs, and schedules the next check.
+func (r *routerHost) fetchSnapshots() {
+	needed := r.router.NeedsSnapshot()
 	for _, host := range r.emulator.engines {
-		if slices.Contains(wanted, host.id()) {
+		if slices.Contains(needed, host.id()) {
 			r.fetchSnapshot(host)
 		}
 	}
-	r.emulator.queue.After(needsInterval, r.passNeeds)
+	r.emulator.queue.After(snapshotInterval, r.fetchSnapshots)
 }
 
 func (r *routerHost) fetchSnapshot(host *engineHost) {
@@ -243,9 +243,9 @@
 			return
 		}
 		snapshot := host.model.CacheSnapshot(r.now())
-		host.changed()
+		host.processChanges()
 		r.emulator.queue.After(latency, func() {
-			r.do(func(now time.Duration, router Router) { router.ObserveCacheSnapshot(now, host.id(), snapshot) })
+			r.apply(func(now time.Duration, router Router) { router.ObserveCacheSnapshot(now, host.id(), snapshot) })
 		})
 	})
 }
