--- a/lab/history/cache.go
+++ b/lab/history/cache.go
@@ -23,10 +23,10 @@
 		case Requested:
 			tenants[event.Request] = event.Tenant
 		case Resolved:
-			weights[event.Request] = append(weights[event.Request], event.Weights)
+			weights[event.Request] = append(weights[event.Request], event.Version)
 		case Granted:
-			if event.UnfoundedBlocks > 0 {
-				breach(entry, "router %s counts on %d blocks that %v never held", event.Router, event.UnfoundedBlocks, event.Run)
+			if event.NeverCachedBlocks > 0 {
+				breach(entry, "router %s counts on %d blocks that %v never held", event.Router, event.NeverCachedBlocks, event.Run)
 			}
 		case Accepted:
 			if event.Run != event.Granted {
@@ -36,26 +36,26 @@
 			if event.Tenant != tenants[event.Request] {
 				breach(entry, "stream %s of tenant %q was computed for %q", event.Stream, tenants[event.Request], event.Tenant)
 			}
-			if !slices.Contains(weights[event.Request], event.Weights) {
-				breach(entry, "stream %s was computed with %v, resolved were %v", event.Stream, event.Weights, weights[event.Request])
+			if !slices.Contains(weights[event.Request], event.Version) {
+				breach(entry, "stream %s was computed with %v, resolved were %v", event.Stream, event.Version, weights[event.Request])
 			}
 			if event.ForeignBlocks > 0 {
 				breach(entry, "stream %s took %d blocks of another scope", event.Stream, event.ForeignBlocks)
 			}
 		}
 	}
-	return append(violations, mixedWeights(history)...)
+	return append(violations, findMixedVersions(history)...)
 }
 
-// mixedWeights finds answers whose tokens come from more than one set of weights.
-func mixedWeights(history *History) []Violation {
+// findMixedVersions finds answers whose tokens come from more than one set of weights.
+func findMixedVersions(history *History) []Violation {
 	var violations []Violation
 	computed := make(map[fleet.StreamID]fleet.ModelVersion)
 	answered := make(map[fleet.RequestID]fleet.ModelVersion)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case Executed:
-			computed[event.Stream] = event.Weights
+			computed[event.Stream] = event.Version
 		case TokenDelivered:
 			weights, known := computed[event.Stream]
 			earlier, begun := answered[event.Request]
--- a/lab/history/calm.go
+++ b/lab/history/calm.go
@@ -5,8 +5,8 @@
 // interval is a stretch of virtual time.
 type interval struct{ from, to time.Duration }
 
-// disturbances returns the merged times at which some fault lasted, in order.
-func disturbances(history *History) []interval {
+// faultIntervals returns the merged times at which some fault lasted, in order.
+func faultIntervals(history *History) []interval {
 	var merged []interval
 	open := make(map[int]bool)
 	for _, entry := range history.Entries {
@@ -26,10 +26,10 @@
 	return merged
 }
 
-// overdue returns when a thing that takes at most limit without a fault is
-// overdue, if it begins at a time: the end of the first stretch of that length
+// dueTime returns when a thing that takes at most limit without a fault is
+// dueTime, if it begins at a time: the end of the first stretch of that length
 // without a fault; false if the run has none.
-func overdue(history *History, faults []interval, from, limit time.Duration) (time.Duration, bool) {
+func dueTime(history *History, faults []interval, from, limit time.Duration) (time.Duration, bool) {
 	for _, fault := range faults {
 		if fault.to <= from {
 			continue
@@ -42,8 +42,8 @@
 	return from + limit, from+limit <= history.End
 }
 
-// calm tells whether no fault lasted in a stretch.
-func calm(faults []interval, from, to time.Duration) bool {
+// isFaultFree tells whether no fault lasted in a stretch.
+func isFaultFree(faults []interval, from, to time.Duration) bool {
 	for _, fault := range faults {
 		if fault.from <= to && fault.to >= from {
 			return false
--- a/lab/history/commands.go
+++ b/lab/history/commands.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// commandTimeLimit bounds the search for a linearization.
-const commandTimeLimit = 5 * time.Second
+// linearizationTimeout bounds the search for a linearization.
+const linearizationTimeout = 5 * time.Second
 
 // commandState is the configuration as a register: its revision, and the
 // recorded outcome of each token.
@@ -22,7 +22,7 @@
 	outcomes map[string]CommandReturned
 }
 
-func (s commandState) with(token string, outcome CommandReturned) commandState {
+func (s commandState) withOutcome(token string, outcome CommandReturned) commandState {
 	next := commandState{revision: s.revision, outcomes: maps.Clone(s.outcomes)}
 	if next.outcomes == nil {
 		next.outcomes = make(map[string]CommandReturned)
@@ -50,24 +50,24 @@
 		switch {
 		case known && recorded == result:
 			return []commandState{state}
-		case known || !state.allows(call, result):
+		case known || !state.isPossibleOutcome(call, result):
 			return nil
 		}
-		return []commandState{state.with(call.Token, result)}
+		return []commandState{state.withOutcome(call.Token, result)}
 	}
 	// The call may have been recorded now, or not.
 	states := []commandState{state}
 	if known {
 		return states
 	}
-	for _, end := range state.ends(call) {
-		states = append(states, state.with(call.Token, end))
+	for _, end := range state.possibleOutcomes(call) {
+		states = append(states, state.withOutcome(call.Token, end))
 	}
 	return states
 }
 
-// ends returns the outcomes that a first call with a token can have in a state.
-func (s commandState) ends(call CommandInvoked) []CommandReturned {
+// possibleOutcomes returns the outcomes that a first call with a token can have in a state.
+func (s commandState) possibleOutcomes(call CommandInvoked) []CommandReturned {
 	if call.Expected != 0 && call.Expected != s.revision {
 		return []CommandReturned{{Code: resultcode.RevisionConflict, Revision: s.revision, Definite: true}}
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// allows tells whether a first call with a token can end so in this state.
-func (s commandState) allows(call CommandInvoked, result CommandReturned) bool {
+// isPossibleOutcome tells whether a first call with a token can end so in this state.
+func (s commandState) isPossibleOutcome(call CommandInvoked, result CommandReturned) bool {
 	behind := call.Expected != 0 && call.Expected != s.revision
 	switch {
 	case result.Code == resultcode.RevisionConflict:
@@ -112,7 +112,7 @@
 		},
 		Equal: func(a, b any) bool { return a.(commandState).equal(b.(commandState)) },
 	}
-	if porcupine.CheckOperationsTimeout(model.ToModel(), operations, commandTimeLimit) != porcupine.Illegal {
+	if porcupine.CheckOperationsTimeout(model.ToModel(), operations, linearizationTimeout) != porcupine.Illegal {
 		return nil
 	}
 	return []Violation{{
--- a/lab/history/configuration.go
+++ b/lab/history/configuration.go
@@ -15,8 +15,8 @@
 	breach := func(at time.Duration, format string, arguments ...any) {
 		violations = append(violations, Violation{Invariant: Configuration, At: at, Message: fmt.Sprintf(format, arguments...)})
 	}
-	faults := disturbances(history)
-	nodes := nodeLives(history)
+	faults := faultIntervals(history)
+	nodes := nodeRuns(history)
 	inForce := make(map[fleet.NodeID]fleet.Revision)
 	digests := make(map[fleet.Revision]uint64)
 	for _, entry := range history.Entries {
@@ -26,16 +26,16 @@
 				breach(entry.At, "revision %d was committed twice with different contents", event.Revision)
 			}
 			digests[event.Revision] = event.Digest
-			due, within := overdue(history, faults, entry.At, limits.Configuration)
+			due, within := dueTime(history, faults, entry.At, limits.Configuration)
 			if !within {
 				continue
 			}
 			for _, life := range nodes {
-				if life.from <= entry.At && life.to >= due && !life.reached(event.Revision, due) {
+				if life.from <= entry.At && life.to >= due && !life.hasReached(event.Revision, due) {
 					breach(due, "%s doesn't work by revision %d, accepted at %.6f", life.node, event.Revision, entry.At.Seconds())
 				}
 			}
-		case InForce:
+		case ConfigurationApplied:
 			if earlier := inForce[event.Node]; event.Revision < earlier {
 				breach(entry.At, "%s went from revision %d back to %d", event.Node, earlier, event.Revision)
 			}
@@ -48,20 +48,20 @@
 	return violations
 }
 
-// nodeLife is the time that a node ran, and the revisions that it reached.
-type nodeLife struct {
+// nodeRun is the time that a node ran, and the revisions that it reached.
+type nodeRun struct {
 	node     fleet.NodeID
 	from, to time.Duration
-	steps    []revisionStep
+	changes  []revisionChange
 }
 
-type revisionStep struct {
+type revisionChange struct {
 	at       time.Duration
 	revision fleet.Revision
 }
 
-func (l *nodeLife) reached(revision fleet.Revision, by time.Duration) bool {
-	for _, step := range l.steps {
+func (l *nodeRun) hasReached(revision fleet.Revision, by time.Duration) bool {
+	for _, step := range l.changes {
 		if step.at <= by && step.revision >= revision {
 			return true
 		}
@@ -69,10 +69,10 @@
 	return false
 }
 
-// nodeLives returns the lives of agents and routers in order of their start.
-func nodeLives(history *History) []*nodeLife {
-	var lives []*nodeLife
-	byNode := make(map[fleet.NodeID]*nodeLife)
+// nodeRuns returns the lives of agents and routers in order of their start.
+func nodeRuns(history *History) []*nodeRun {
+	var lives []*nodeRun
+	byNode := make(map[fleet.NodeID]*nodeRun)
 	end := func(node fleet.NodeID, at time.Duration) {
 		if life := byNode[node]; life != nil {
 			life.to = min(life.to, at)
@@ -81,16 +81,16 @@
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case NodeStarted:
-			life := &nodeLife{node: event.Node, from: entry.At, to: history.End}
+			life := &nodeRun{node: event.Node, from: entry.At, to: history.End}
 			lives = append(lives, life)
 			byNode[event.Node] = life
 		case NodeKilled:
 			end(event.Node, entry.At)
 		case NodeStopping:
 			end(event.Node, entry.At)
-		case InForce:
+		case ConfigurationApplied:
 			if life := byNode[event.Node]; life != nil {
-				life.steps = append(life.steps, revisionStep{at: entry.At, revision: event.Revision})
+				life.changes = append(life.changes, revisionChange{at: entry.At, revision: event.Revision})
 			}
 		}
 	}
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -31,7 +31,7 @@
 // Resolved means that an agent chose the weights of a request.
 type Resolved struct {
 	Request  fleet.RequestID
-	Weights  fleet.ModelVersion
+	Version  fleet.ModelVersion
 	Revision fleet.Revision
 }
 
@@ -41,10 +41,10 @@
 	Attempt fleet.Attempt
 	Router  fleet.NodeID
 	Run     fleet.EngineRun
-	// BelievedBlocks is the prefix that the router believes to be cached;
+	// ExpectedCachedBlocks is the prefix that the router believes to be cached;
 	// UnfoundedBlocks counts those of it that the run never held.
-	BelievedBlocks  int
-	UnfoundedBlocks int
+	ExpectedCachedBlocks int
+	NeverCachedBlocks    int
 }
 
 // TokenDelivered means that a caller got a token. Stream is where it came from.
@@ -70,13 +70,13 @@
 	Reason  string
 }
 
-// CallerLost means that a request ended without an answer, because its caller
+// RequestAborted means that a request ended without an answer, because its caller
 // or the agent beside it was gone.
-type CallerLost struct {
+type RequestAborted struct {
 	Request fleet.RequestID
-	// Left is set when the caller went away by itself.
-	Left   bool
-	Reason string
+	// CallerLeft is set when the caller went away by itself.
+	CallerLeft bool
+	Reason     string
 }
 
 // Accepted means that an engine accepted a dispatch made under a grant.
@@ -94,7 +94,7 @@
 	Stream  fleet.StreamID
 	Run     fleet.EngineRun
 	Tenant  fleet.TenantName
-	Weights fleet.ModelVersion
+	Version fleet.ModelVersion
 	// CachedBlocks were taken from the cache; ForeignBlocks are those of them
 	// that were computed for another scope.
 	CachedBlocks  int
@@ -109,16 +109,16 @@
 	Kind   engine.OrderKind
 }
 
-// OrderObeyed means that an engine carried an order out.
-type OrderObeyed struct {
+// OrderExecuted means that an engine carried an order out.
+type OrderExecuted struct {
 	Run     fleet.EngineRun
 	Token   fleet.FencingToken
 	Kind    engine.OrderKind
 	Weights engine.Weights
 }
 
-// InForce means that a node began to work by a configuration.
-type InForce struct {
+// ConfigurationApplied means that a node began to work by a configuration.
+type ConfigurationApplied struct {
 	Node     fleet.NodeID
 	Revision fleet.Revision
 	// Digest covers the document.
@@ -158,9 +158,9 @@
 // NodeStarted means that a run of an agent or router began. Informed tells
 // that a live node has a configuration that this one can learn.
 type NodeStarted struct {
-	Node     fleet.NodeID
-	Kind     NodeKind
-	Informed bool
+	Node                   fleet.NodeID
+	Kind                   NodeKind
+	ConfigurationAvailable bool
 }
 
 // NodeKilled means that a node ended without warning.
@@ -210,29 +210,29 @@
 	NoEffect bool
 }
 
-func (Requested) event()       {}
-func (Resolved) event()        {}
-func (Granted) event()         {}
-func (TokenDelivered) event()  {}
-func (Finished) event()        {}
-func (Failed) event()          {}
-func (CallerLost) event()      {}
-func (Accepted) event()        {}
-func (Executed) event()        {}
-func (OrderSent) event()       {}
-func (OrderObeyed) event()     {}
-func (InForce) event()         {}
-func (Committed) event()       {}
-func (EngineStarted) event()   {}
-func (EngineKilled) event()    {}
-func (EngineLeaving) event()   {}
-func (EngineAdmitted) event()  {}
-func (NodeStarted) event()     {}
-func (NodeKilled) event()      {}
-func (NodeStopping) event()    {}
-func (NodeStopped) event()     {}
-func (RouterServed) event()    {}
-func (FaultBegan) event()      {}
-func (FaultEnded) event()      {}
-func (CommandInvoked) event()  {}
-func (CommandReturned) event() {}
+func (Requested) event()            {}
+func (Resolved) event()             {}
+func (Granted) event()              {}
+func (TokenDelivered) event()       {}
+func (Finished) event()             {}
+func (Failed) event()               {}
+func (RequestAborted) event()       {}
+func (Accepted) event()             {}
+func (Executed) event()             {}
+func (OrderSent) event()            {}
+func (OrderExecuted) event()        {}
+func (ConfigurationApplied) event() {}
+func (Committed) event()            {}
+func (EngineStarted) event()        {}
+func (EngineKilled) event()         {}
+func (EngineLeaving) event()        {}
+func (EngineAdmitted) event()       {}
+func (NodeStarted) event()          {}
+func (NodeKilled) event()           {}
+func (NodeStopping) event()         {}
+func (NodeStopped) event()          {}
+func (RouterServed) event()         {}
+func (FaultBegan) event()           {}
+func (FaultEnded) event()           {}
+func (CommandInvoked) event()       {}
+func (CommandReturned) event()      {}
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -36,15 +36,15 @@
 		broken Invariant
 	}{
 		"an end too early":       {record(once, Finished{Request: "r"}), StreamOrder},
-		"a token of another":     {record(once, TokenDelivered{Request: "r", Stream: "other.1"}, CallerLost{Request: "r"}), OwnAnswer},
+		"a token of another":     {record(once, TokenDelivered{Request: "r", Stream: "other.1"}, RequestAborted{Request: "r"}), OwnAnswer},
 		"a refusal that ran":     {record(once, Executed{Request: "r", Tenant: "t"}, Failed{Request: "r", NotRun: true}), NotRun},
-		"two runs":               {record(once, Executed{Request: "r"}, Executed{Request: "r"}, CallerLost{Request: "r"}), AtMostOnce},
+		"two runs":               {record(once, Executed{Request: "r"}, Executed{Request: "r"}, RequestAborted{Request: "r"}), AtMostOnce},
 		"no end":                 {record(once), RequestOutcome},
-		"two ends":               {record(once, CallerLost{Request: "r"}, CallerLost{Request: "r"}), RequestOutcome},
-		"another tenant's cache": {record(once, Executed{Request: "r", Tenant: "u"}, CallerLost{Request: "r"}), CacheEntries},
+		"two ends":               {record(once, RequestAborted{Request: "r"}, RequestAborted{Request: "r"}), RequestOutcome},
+		"another tenant's cache": {record(once, Executed{Request: "r", Tenant: "u"}, RequestAborted{Request: "r"}), CacheEntries},
 		"a dead run":             {record(Accepted{Run: run, Granted: fleet.EngineRun{Engine: "e"}}), CacheEntries},
-		"a silent restart":       {record(NodeStarted{Node: "n", Kind: RouterNode, Informed: true}), RestartServes},
-		"a reverted node":        {record(Committed{Revision: 1}, Committed{Revision: 2}, InForce{Node: "n", Revision: 2}, InForce{Node: "n", Revision: 1}), Configuration},
+		"a silent restart":       {record(NodeStarted{Node: "n", Kind: RouterNode, ConfigurationAvailable: true}), RestartServes},
+		"a reverted node":        {record(Committed{Revision: 1}, Committed{Revision: 2}, ConfigurationApplied{Node: "n", Revision: 2}, ConfigurationApplied{Node: "n", Revision: 1}), Configuration},
 		"a node left behind":     {record(NodeStarted{Node: "n"}, Committed{Revision: 1}), Configuration},
 		"an order without lease": {record(OrderSent{Router: "a", Token: 2}, OrderSent{Router: "b", Token: 1}), FencedOrders},
 		"a cut request": {
@@ -75,12 +75,12 @@
 
 func TestFaultsGiveTime(t *testing.T) {
 	made := record(FaultBegan{Fault: 1}, FaultBegan{Fault: 2}, FaultEnded{Fault: 1}, FaultEnded{Fault: 2})
-	faults := disturbances(made)
+	faults := faultIntervals(made)
 	require.Equal(t, []interval{{from: 0, to: 3 * time.Second}}, faults)
-	due, within := overdue(made, faults, time.Second, 5*time.Second)
+	due, within := dueTime(made, faults, time.Second, 5*time.Second)
 	assert.Equal(t, 8*time.Second, due)
 	assert.True(t, within)
-	_, within = overdue(made, faults, time.Second, time.Hour)
+	_, within = dueTime(made, faults, time.Second, time.Hour)
 	assert.False(t, within)
 }
 
--- a/lab/history/leaving.go
+++ b/lab/history/leaving.go
@@ -11,11 +11,11 @@
 // or retirement causes.
 const OperatorSource = "operator"
 
-// leavingRun tells since when a run is known to leave, by source.
-type leavingRun map[string]time.Duration
+// leavingSources tells since when a run is known to leave, by source.
+type leavingSources map[string]time.Duration
 
-// first returns the earliest word that the run leaves.
-func (l leavingRun) first() (source string, since time.Duration, leaving bool) {
+// earliest returns the earliest word that the run leaves.
+func (l leavingSources) earliest() (source string, since time.Duration, leaving bool) {
 	for candidate, at := range l {
 		if !leaving || at < since || (at == since && candidate < source) {
 			source, since, leaving = candidate, at, true
@@ -28,13 +28,13 @@
 // dispatch after a few seconds.
 func checkLeavingEngine(history *History, limits Limits) []Violation {
 	var violations []Violation
-	runs := make(map[fleet.EngineRun]leavingRun)
-	faults := disturbances(history)
+	runs := make(map[fleet.EngineRun]leavingSources)
+	faults := faultIntervals(history)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case EngineLeaving:
 			if runs[event.Run] == nil {
-				runs[event.Run] = make(leavingRun)
+				runs[event.Run] = make(leavingSources)
 			}
 			if _, known := runs[event.Run][event.Source]; !known {
 				runs[event.Run][event.Source] = entry.At
@@ -42,8 +42,8 @@
 		case EngineAdmitted:
 			delete(runs[event.Run], OperatorSource)
 		case Accepted:
-			source, since, leaving := runs[event.Run].first()
-			due, within := overdue(history, faults, since, limits.Leaving)
+			source, since, leaving := runs[event.Run].earliest()
+			due, within := dueTime(history, faults, since, limits.Leaving)
 			if leaving && within && entry.At > due {
 				violations = append(violations, Violation{
 					Invariant: LeavingEngine, At: entry.At,
--- a/lab/history/orders.go
+++ b/lab/history/orders.go
@@ -28,7 +28,7 @@
 				breach(entry, "routers %s and %s both used token %d", holder, event.Router, event.Token)
 			}
 			holders[event.Token] = event.Router
-		case OrderObeyed:
+		case OrderExecuted:
 			if event.Token < obeyed[event.Run] {
 				breach(entry, "%v obeyed token %d after %d", event.Run, event.Token, obeyed[event.Run])
 			}
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -14,7 +14,7 @@
 	var violations []Violation
 	for _, entry := range history.Entries {
 		token, isToken := entry.Event.(TokenDelivered)
-		if !isToken || RequestOf(token.Stream) == token.Request {
+		if !isToken || RequestOfStream(token.Stream) == token.Request {
 			continue
 		}
 		violations = append(violations, Violation{
@@ -25,8 +25,8 @@
 	return violations
 }
 
-// RequestOf returns the request that a stream belongs to.
-func RequestOf(stream fleet.StreamID) fleet.RequestID {
+// RequestOfStream returns the request that a stream belongs to.
+func RequestOfStream(stream fleet.StreamID) fleet.RequestID {
 	request, _, _ := cutLast(string(stream), ".")
 	return fleet.RequestID(request)
 }
@@ -101,17 +101,17 @@
 			end(event.Request, entry.At)
 		case Failed:
 			end(event.Request, entry.At)
-		case CallerLost:
+		case RequestAborted:
 			end(event.Request, entry.At)
 		}
 	}
-	faults := disturbances(history)
+	faults := faultIntervals(history)
 	for _, entry := range history.Entries {
 		request, isRequest := entry.Event.(Requested)
 		if !isRequest {
 			continue
 		}
-		due, within := overdue(history, faults, request.Deadline, limits.Answer)
+		due, within := dueTime(history, faults, request.Deadline, limits.Answer)
 		times := ends[request.Request]
 		if len(times) == 1 && (times[0] <= due || !within) || (len(times) == 0 && !within) {
 			continue
--- a/lab/history/restart.go
+++ b/lab/history/restart.go
@@ -24,13 +24,13 @@
 			ended[event.Node] = entry.At
 		}
 	}
-	faults := disturbances(withoutFaults(history, PlatformFault))
+	faults := faultIntervals(withoutFaults(history, PlatformFault))
 	for _, entry := range history.Entries {
 		started, isStart := entry.Event.(NodeStarted)
-		if !isStart || started.Kind != RouterNode || !started.Informed {
+		if !isStart || started.Kind != RouterNode || !started.ConfigurationAvailable {
 			continue
 		}
-		due, within := overdue(history, faults, entry.At, limits.Restart)
+		due, within := dueTime(history, faults, entry.At, limits.Restart)
 		if end, gone := ended[started.Node]; !within || (gone && end <= due) {
 			continue
 		}
--- a/lab/history/stop.go
+++ b/lab/history/stop.go
@@ -15,7 +15,7 @@
 	var violations []Violation
 	requests := make(map[fleet.RequestID]Entry)
 	stopping := make(map[fleet.NodeID]time.Duration)
-	faults := disturbances(history)
+	faults := faultIntervals(history)
 	breach := func(entry Entry, request fleet.RequestID, reason string) {
 		violations = append(violations, Violation{
 			Invariant: PlannedStop, At: entry.At, Message: fmt.Sprintf("request %s was cut: %s", request, reason),
@@ -34,13 +34,13 @@
 			switch {
 			case event.Code == resultcode.Stopping && admittedBefore:
 				breach(entry, event.Request, "the agent stopped")
-			case cutCodes[event.Code] && len(stopping) > 0 && calm(faults, began.At-limits.Settle, entry.At):
+			case interruptionCodes[event.Code] && len(stopping) > 0 && isFaultFree(faults, began.At-limits.Settle, entry.At):
 				breach(entry, event.Request, fmt.Sprintf("%s without any fault (%s)", event.Code, event.Reason))
 			}
-		case CallerLost:
+		case RequestAborted:
 			began := requests[event.Request]
 			stopped, isStopping := stopping[began.Event.(Requested).Agent]
-			if !event.Left && isStopping && began.At <= stopped && calm(faults, stopped, entry.At) {
+			if !event.CallerLeft && isStopping && began.At <= stopped && isFaultFree(faults, stopped, entry.At) {
 				breach(entry, event.Request, event.Reason)
 			}
 		}
@@ -48,8 +48,8 @@
 	return violations
 }
 
-// cutCodes are the results of a request that lost its router or its engine.
-var cutCodes = map[resultcode.Code]bool{
+// interruptionCodes are the results of a request that lost its router or its engine.
+var interruptionCodes = map[resultcode.Code]bool{
 	resultcode.NoRouter:          true,
 	resultcode.StreamInterrupted: true,
 	resultcode.EngineFailed:      true,
--- a/lab/history/stream.go
+++ b/lab/history/stream.go
@@ -39,7 +39,7 @@
 			}
 		case Failed:
 			verify(entry, event.Request)
-		case CallerLost:
+		case RequestAborted:
 			verify(entry, event.Request)
 		}
 	}
--- a/lab/loopback/loopback.go
+++ b/lab/loopback/loopback.go
@@ -19,10 +19,10 @@
 	// firstNetwork and networks are the second bytes of the hosts, 127.64 to 127.127.
 	firstNetwork = 64
 	networks     = 64
-	// hostsOfNetwork is the number of hosts of one of them.
-	hostsOfNetwork = 256 * 254
-	// hostsOfProcess spreads processes that run at once, so that they rarely try the same host.
-	hostsOfProcess = 251
+	// hostsPerNetwork is the number of hosts of one of them.
+	hostsPerNetwork = 256 * 254
+	// hostsPerProcess spreads processes that run at once, so that they rarely try the same host.
+	hostsPerProcess = 251
 )
 
 var claims struct {
@@ -36,9 +36,9 @@
 func Host() (string, error) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	base := os.Getpid() * hostsOfProcess
-	for range networks * hostsOfNetwork {
-		host := hostOf(base + claims.next)
+	base := os.Getpid() * hostsPerProcess
+	for range networks * hostsPerNetwork {
+		host := hostAddress(base + claims.next)
 		claims.next++
 		listener, err := net.Listen("tcp4", net.JoinHostPort(host, strconv.Itoa(claimPort)))
 		if err == nil {
@@ -49,9 +49,9 @@
 	return "", errors.New("no loopback host is left")
 }
 
-// hostOf returns the host of a number. No last byte is 0 or 255.
-func hostOf(number int) string {
-	number %= networks * hostsOfNetwork
-	network, rest := number/hostsOfNetwork, number%hostsOfNetwork
+// hostAddress returns the host of a number. No last byte is 0 or 255.
+func hostAddress(number int) string {
+	number %= networks * hostsPerNetwork
+	network, rest := number/hostsPerNetwork, number%hostsPerNetwork
 	return "127." + strconv.Itoa(firstNetwork+network) + "." + strconv.Itoa(rest/254) + "." + strconv.Itoa(1+rest%254)
 }
--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -59,10 +59,10 @@
 }
 
 func TestHostsAreValid(t *testing.T) {
-	for _, number := range []int{0, 253, 254, hostsOfNetwork - 1, hostsOfNetwork, networks*hostsOfNetwork - 1, networks * hostsOfNetwork} {
-		assert.True(t, net.ParseIP(hostOf(number)).IsLoopback(), hostOf(number))
+	for _, number := range []int{0, 253, 254, hostsPerNetwork - 1, hostsPerNetwork, networks*hostsPerNetwork - 1, networks * hostsPerNetwork} {
+		assert.True(t, net.ParseIP(hostAddress(number)).IsLoopback(), hostAddress(number))
 	}
-	assert.Equal(t, hostOf(0), hostOf(networks*hostsOfNetwork))
-	assert.Equal(t, "127.64.0.1", hostOf(0))
-	assert.Equal(t, "127.127.255.254", hostOf(networks*hostsOfNetwork-1))
+	assert.Equal(t, hostAddress(0), hostAddress(networks*hostsPerNetwork))
+	assert.Equal(t, "127.64.0.1", hostAddress(0))
+	assert.Equal(t, "127.127.255.254", hostAddress(networks*hostsPerNetwork-1))
 }
--- a/lab/simulation/agent.go
+++ b/lab/simulation/agent.go
@@ -30,17 +30,17 @@
 	maxPlacements     = 12
 )
 
-// link is what an agent knows of one router address.
-type link struct {
-	address        fleet.Address
-	failures       int
-	retryAt        time.Duration
-	stopping       bool
-	revision       fleet.Revision
-	answered       bool
-	machinesWanted bool
-	// placing are the questions that wait there, in order.
-	placing []*call
+// routerState is what an agent knows of one router address.
+type routerState struct {
+	address       fleet.Address
+	failures      int
+	retryAt       time.Duration
+	stopping      bool
+	revision      fleet.Revision
+	answered      bool
+	needsMachines bool
+	// placementCalls are the questions that wait there, in order.
+	placementCalls []*call
 }
 
 // agent is one agent process.
@@ -49,17 +49,17 @@
 	index  int
 	node   fleet.NodeID
 	holder *config.Holder
-	// inForce is the last revision that was recorded as in force.
-	inForce  fleet.Revision
-	machines []platform.Machine
-	budget   *attempt.Budget
-	members  []membership.Member
-	links    map[fleet.Address]*link
-	rotation int
-	seen     bool
-	stopping bool
-	// carriers are the unfinished requests, in order.
-	carriers []*carrier
+	// appliedRevision is the last revision that was recorded as in force.
+	appliedRevision fleet.Revision
+	machines        []platform.Machine
+	budget          *attempt.Budget
+	members         []membership.Member
+	routerStates    map[fleet.Address]*routerState
+	rotation        int
+	contacted       bool
+	stopping        bool
+	// inFlight are the unfinished requests, in order.
+	inFlight []*inFlightRequest
 }
 
 func newAgent(w *world, index int) *agent {
@@ -71,34 +71,34 @@
 
 func (a *agent) start() {
 	a.begin()
-	a.node = fleet.NodeID(fmt.Sprintf("agent-%d-%d", a.index, a.life))
+	a.node = fleet.NodeID(fmt.Sprintf("agent-%d-%d", a.index, a.generation))
 	a.holder = config.NewHolder()
-	a.inForce = 0
+	a.appliedRevision = 0
 	a.machines = nil
 	a.budget = attempt.NewBudget(attempt.BudgetOptions{Burst: a.world.options.RetryBurst})
 	a.members = nil
-	a.links = make(map[fleet.Address]*link)
-	a.seen = false
+	a.routerStates = make(map[fleet.Address]*routerState)
+	a.contacted = false
 	a.stopping = false
-	a.carriers = nil
-	a.world.record(history.NodeStarted{Node: a.node, Kind: history.AgentNode, Informed: a.world.informed()})
+	a.inFlight = nil
+	a.world.record(history.NodeStarted{Node: a.node, Kind: history.AgentNode, ConfigurationAvailable: a.world.informed()})
 	a.syncLoop()
 }
 
 // kill ends the agent and, with it, its callers' connections.
 func (a *agent) kill() {
 	a.world.record(history.NodeKilled{Node: a.node})
-	a.loseCallers("agent was killed")
+	a.abortRequests("agent was killed")
 	a.end()
 }
 
-func (a *agent) loseCallers(reason string) {
-	for _, c := range a.carriers {
+func (a *agent) abortRequests(reason string) {
+	for _, c := range a.inFlight {
 		if c.machine.Phase() != attempt.PhaseFinished {
-			a.world.record(history.CallerLost{Request: c.request.id, Reason: reason})
+			a.world.record(history.RequestAborted{Request: c.request.id, Reason: reason})
 		}
 	}
-	a.carriers = nil
+	a.inFlight = nil
 }
 
 // stop is a planned stop: new requests go elsewhere, running ones finish.
@@ -115,12 +115,12 @@
 func (a *agent) waitForIdle(graceOver time.Duration) {
 	const look = 50 * time.Millisecond
 	a.after(look, func() {
-		a.forgetFinished()
-		if len(a.carriers) > 0 && a.now() < graceOver {
+		a.removeFinished()
+		if len(a.inFlight) > 0 && a.now() < graceOver {
 			a.waitForIdle(graceOver)
 			return
 		}
-		for _, c := range slices.Clone(a.carriers) {
+		for _, c := range slices.Clone(a.inFlight) {
 			c.handle(attempt.Stopping{}, "")
 		}
 		a.finishStop()
@@ -128,37 +128,37 @@
 }
 
 func (a *agent) finishStop() {
-	a.loseCallers("agent stopped")
+	a.abortRequests("agent stopped")
 	a.world.record(history.NodeStopped{Node: a.node})
 	a.end()
 }
 
-func (a *agent) forgetFinished() {
-	a.carriers = slices.DeleteFunc(a.carriers, func(c *carrier) bool { return c.machine.Phase() == attempt.PhaseFinished })
+func (a *agent) removeFinished() {
+	a.inFlight = slices.DeleteFunc(a.inFlight, func(c *inFlightRequest) bool { return c.machine.Phase() == attempt.PhaseFinished })
 }
 
-func (a *agent) link(address fleet.Address) *link {
-	if known, found := a.links[address]; found {
+func (a *agent) routerState(address fleet.Address) *routerState {
+	if known, found := a.routerStates[address]; found {
 		return known
 	}
-	created := &link{address: address}
-	a.links[address] = created
+	created := &routerState{address: address}
+	a.routerStates[address] = created
 	return created
 }
 
-// choose returns the router to ask: preferred ones, then the members by rank,
+// chooseRouter returns the router to ask: preferred ones, then the members by rank,
 // then the seeds; those tried, failed or stopping come last.
-func (a *agent) choose(key uint64, preferred []fleet.Address, tried map[fleet.Address]int) *link {
+func (a *agent) chooseRouter(key uint64, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	const penaltyFailed, penaltyStopping = 1, 2
 	addresses := slices.Clone(preferred)
 	for _, member := range membership.Rank(key, a.zone, a.members) {
 		addresses = append(addresses, member.Address)
 	}
 	addresses = append(addresses, a.rankedSeeds(key)...)
-	var best *link
+	var best *routerState
 	bestPenalty := 0
 	for _, address := range addresses {
-		candidate := a.link(address)
+		candidate := a.routerState(address)
 		penalty := tried[address] * (penaltyStopping + 1)
 		switch {
 		case candidate.stopping:
@@ -185,31 +185,31 @@
 	return addresses
 }
 
-// heard notes a router's answer and starts an exchange if either side is behind.
-func (a *agent) heard(by *link, revision fleet.Revision) {
-	a.noteAnswer(by, revision)
+// observeAnswer notes a router's answer and starts an exchange if either side is behind.
+func (a *agent) observeAnswer(by *routerState, revision fleet.Revision) {
+	a.recordAnswer(by, revision)
 	if revision != a.holder.Revision() {
 		a.sync(by)
 	}
 }
 
-func (a *agent) noteAnswer(by *link, revision fleet.Revision) {
+func (a *agent) recordAnswer(by *routerState, revision fleet.Revision) {
 	by.failures = 0
 	by.retryAt = 0
 	by.answered = true
 	by.revision = revision
-	a.seen = true
+	a.contacted = true
 }
 
-// failed notes that a router gave no answer, and releases the requests that
+// recordFailure notes that a router gave no answer, and releases the requests that
 // wait there.
-func (a *agent) failed(at *link) {
+func (a *agent) recordFailure(at *routerState) {
 	at.answered = false
-	waiting := at.placing
-	at.placing = nil
+	waiting := at.placementCalls
+	at.placementCalls = nil
 	for _, open := range waiting {
-		if !open.over {
-			open.over = true
+		if !open.finished {
+			open.finished = true
 			open.done(nil, broken)
 		}
 	}
@@ -220,12 +220,12 @@
 	at.failures++
 }
 
-// noteConfiguration records a configuration that has come into force.
-func (a *agent) noteConfiguration() {
+// recordConfiguration records a configuration that has come into force.
+func (a *agent) recordConfiguration() {
 	view := a.holder.Current()
-	if view == nil || view.Revision() == a.inForce {
+	if view == nil || view.Revision() == a.appliedRevision {
 		return
 	}
-	a.inForce = view.Revision()
-	a.world.record(history.InForce{Node: a.node, Revision: view.Revision(), Digest: a.world.digest(view.Document())})
+	a.appliedRevision = view.Revision()
+	a.world.record(history.ConfigurationApplied{Node: a.node, Revision: view.Revision(), Digest: a.world.digest(view.Document())})
 }
--- a/lab/simulation/carrier.go
+++ b/lab/simulation/carrier.go
@@ -24,30 +24,30 @@
 	timeout    time.Duration
 }
 
-// placeMargin is added to a class's longest wait before a router that holds a
+// placementMargin is added to a class's longest wait before a router that holds a
 // question counts as failed.
-const placeMargin = 5 * time.Second
+const placementMargin = 5 * time.Second
 
-// carrier drives one request's machine at an agent.
-type carrier struct {
+// inFlightRequest drives one request's machine at an agent.
+type inFlightRequest struct {
 	agent *agent
-	// life is the agent's run that the request belongs to.
-	life     int
-	request  request
-	deadline time.Duration
-	machine  *attempt.Machine
-	maxWait  time.Duration
-	weights  fleet.ModelVersion
-	hashes   []fleet.BlockHash
-	tried    map[fleet.Address]int
-	askedAt  map[fleet.Attempt]*link
-	// placing is the question under way, reading the connection that is read.
-	placing    *call
-	placingAt  *router
-	placingKey placement.Key
-	reading    *connection
-	handBacks  int
-	stream     fleet.StreamID
+	// generation is the agent's run that the request belongs to.
+	generation   int
+	request      request
+	deadline     time.Duration
+	machine      *attempt.Machine
+	maxWait      time.Duration
+	version      fleet.ModelVersion
+	blockHashes  []fleet.BlockHash
+	tried        map[fleet.Address]int
+	askedRouters map[fleet.Attempt]*routerState
+	// placementCall is the question under way, reading the connection that is read.
+	placementCall   *call
+	placementRouter *router
+	placementKey    placement.Key
+	connection      *connection
+	handBacks       int
+	stream          fleet.StreamID
 }
 
 // serve takes a request from a caller; false means that the agent takes none.
@@ -56,9 +56,9 @@
 		return false
 	}
 	w := a.world
-	c := &carrier{
-		agent: a, life: a.life, request: incoming, deadline: a.now() + incoming.timeout,
-		tried: make(map[fleet.Address]int), askedAt: make(map[fleet.Attempt]*link),
+	c := &inFlightRequest{
+		agent: a, generation: a.generation, request: incoming, deadline: a.now() + incoming.timeout,
+		tried: make(map[fleet.Address]int), askedRouters: make(map[fleet.Attempt]*routerState),
 	}
 	w.record(history.Requested{
 		Request: incoming.id, Agent: a.node, Tenant: incoming.tenant, Class: incoming.class,
@@ -70,13 +70,13 @@
 		w.record(history.Failed{Request: incoming.id, Code: resultcode.NoConfiguration, NotRun: true, Reason: "no configuration is known yet"})
 		return true
 	}
-	c.resolve(view)
+	c.resolveVersion(view)
 	repeatable := incoming.repeatable || w.options.Variant == RepeatEverything
 	c.machine = attempt.New(
 		attempt.Request{ID: incoming.id, Repeatable: repeatable, Deadline: c.deadline},
 		attempt.Policy{MaxPlacements: maxPlacements}, a.budget, w.random,
 	)
-	a.carriers = append(a.carriers, c)
+	a.inFlight = append(a.inFlight, c)
 	if w.options.Variant != ForgetDeadline {
 		c.after(incoming.timeout, func() { c.handle(attempt.DeadlinePassed{}, "") })
 	}
@@ -87,35 +87,35 @@
 	return true
 }
 
-// resolve chooses the weights by a configuration.
-func (c *carrier) resolve(view *config.View) bool {
+// resolveVersion chooses the weights by a configuration.
+func (c *inFlightRequest) resolveVersion(view *config.View) bool {
 	weights, resolved, found := view.ResolveModel(string(model))
-	if !found || weights == c.weights {
+	if !found || weights == c.version {
 		return false
 	}
 	class, _ := view.Class(c.request.class)
 	c.maxWait = time.Duration(class.MaxWait)
-	c.weights = weights
+	c.version = weights
 	scope := fleet.CacheScope{Tenant: c.request.tenant, ModelVersion: weights}
-	c.hashes = prompt.HashBlocks(scope, c.request.prompt, resolved.BlockTokens)
-	c.agent.world.record(history.Resolved{Request: c.request.id, Weights: weights, Revision: view.Revision()})
+	c.blockHashes = prompt.HashBlocks(scope, c.request.prompt, resolved.BlockTokens)
+	c.agent.world.record(history.Resolved{Request: c.request.id, Version: weights, Revision: view.Revision()})
 	return true
 }
 
 // run does a step, unless the agent's run is over.
-func (c *carrier) run(step func()) { c.agent.run(c.life, step) }
+func (c *inFlightRequest) run(step func()) { c.agent.run(c.generation, step) }
 
 // after plans a step.
-func (c *carrier) after(delay time.Duration, step func()) {
+func (c *inFlightRequest) after(delay time.Duration, step func()) {
 	c.agent.world.queue.After(delay, func() { c.run(step) })
 }
 
-func (c *carrier) prefixKey() uint64 {
-	return uint64(c.hashes[min(len(c.hashes), affinityBlocks)-1])
+func (c *inFlightRequest) prefixKey() uint64 {
+	return uint64(c.blockHashes[min(len(c.blockHashes), affinityBlocks)-1])
 }
 
 // handle gives the machine an event; stream is where a frame came from.
-func (c *carrier) handle(event attempt.Event, stream fleet.StreamID) {
+func (c *inFlightRequest) handle(event attempt.Event, stream fleet.StreamID) {
 	c.stream = stream
 	actions := c.machine.Handle(c.agent.now(), event)
 	c.perform(actions)
@@ -125,19 +125,19 @@
 }
 
 // release ends what the request still has under way.
-func (c *carrier) release() {
-	if c.reading != nil {
-		c.reading.closed = true
+func (c *inFlightRequest) release() {
+	if c.connection != nil {
+		c.connection.closed = true
 	}
-	c.withdraw()
-	c.agent.forgetFinished()
+	c.withdrawPlacement()
+	c.agent.removeFinished()
 }
 
-func (c *carrier) perform(actions []attempt.Action) {
+func (c *inFlightRequest) perform(actions []attempt.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case attempt.RequestPlacement:
-			c.after(action.Delay, func() { c.place(action) })
+			c.after(action.Delay, func() { c.requestPlacement(action) })
 		case attempt.Dispatch:
 			c.dispatch(action)
 		case attempt.Resume:
@@ -145,15 +145,15 @@
 		case attempt.CancelAndFence:
 			c.after(action.Delay, func() { c.cancel(action, 1) })
 		case attempt.Report:
-			c.report(action)
+			c.sendReport(action)
 		default:
-			c.answer(action)
+			c.recordOutcome(action)
 		}
 	}
 }
 
-// answer records what the caller sees.
-func (c *carrier) answer(action attempt.Action) {
+// recordOutcome records what the caller sees.
+func (c *inFlightRequest) recordOutcome(action attempt.Action) {
 	w := c.agent.world
 	switch action := action.(type) {
 	case attempt.EmitToken:
@@ -163,15 +163,15 @@
 	case attempt.Fail:
 		w.record(history.Failed{Request: c.request.id, Code: action.Code, NotRun: action.NotRun(), Reason: action.Reason})
 	case attempt.Abort:
-		w.record(history.CallerLost{Request: c.request.id, Left: true, Reason: "caller went away"})
+		w.record(history.RequestAborted{Request: c.request.id, CallerLeft: true, Reason: "caller went away"})
 	}
 }
 
-// over tells whether an operation isn't wanted any more.
-func (c *carrier) over() bool { return c.machine.Phase() == attempt.PhaseFinished }
+// isFinished tells whether an operation isn't wanted any more.
+func (c *inFlightRequest) isFinished() bool { return c.machine.Phase() == attempt.PhaseFinished }
 
-// repeatLate lets some answers come a second time, late.
-func (c *carrier) repeatLate(event attempt.Event) {
+// duplicateLater lets some answers come a second time, late.
+func (c *inFlightRequest) duplicateLater(event attempt.Event) {
 	w := c.agent.world
 	if w.random.Float64() >= w.options.LateRepeats {
 		return
@@ -179,9 +179,9 @@
 	c.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { c.handle(event, "") })
 }
 
-// frame takes a frame of the stream that is read. Some come crossed: a frame of
+// receiveFrame takes a receiveFrame of the stream that is read. Some come crossed: a receiveFrame of
 // another request's stream under this operation.
-func (c *carrier) frame(operation attempt.Operation, frame engine.Frame) {
+func (c *inFlightRequest) receiveFrame(operation attempt.Operation, frame engine.Frame) {
 	w := c.agent.world
 	if stray, found := w.strayFrame(c.request.id, frame); found {
 		origin := stray.Stream
@@ -192,14 +192,14 @@
 	}
 	event := attempt.FrameReceived{Operation: operation, Frame: frame}
 	c.handle(event, frame.Stream)
-	if !c.over() {
-		c.repeatLate(event)
+	if !c.isFinished() {
+		c.duplicateLater(event)
 	}
 }
 
-// report tells the router that granted an attempt what became of it.
-func (c *carrier) report(report attempt.Report) {
-	at := c.askedAt[report.Attempt]
+// sendReport tells the router that granted an attempt what became of it.
+func (c *inFlightRequest) sendReport(report attempt.Report) {
+	at := c.askedRouters[report.Attempt]
 	if at == nil {
 		return
 	}
@@ -210,11 +210,11 @@
 		CachedTokens: report.CachedTokens, OutputTokens: report.OutputTokens, EngineLost: report.EngineLost,
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.report(message)) }
-	a.world.network.call(&a.process, &target.process, reportTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, reportTimeout, serve, func(answer any, how callStatus) {
 		if how != answered {
-			a.failed(at)
+			a.recordFailure(at)
 			return
 		}
-		a.heard(at, answer.(fleet.Revision))
+		a.observeAnswer(at, answer.(fleet.Revision))
 	})
 }
--- a/lab/simulation/configuration.go
+++ b/lab/simulation/configuration.go
@@ -98,7 +98,7 @@
 		return
 	}
 	r.inForce = view.Revision()
-	r.world.record(history.InForce{Node: r.node, Revision: view.Revision(), Digest: r.world.digest(view.Document())})
+	r.world.record(history.ConfigurationApplied{Node: r.node, Revision: view.Revision(), Digest: r.world.digest(view.Document())})
 	r.step(func(now time.Duration) { r.core.ApplyConfig(now, r.applied(view)) })
 	changes, known := r.holder.ChangesAfter(r.spread.Held())
 	if !known {
--- a/lab/simulation/connection.go
+++ b/lab/simulation/connection.go
@@ -11,36 +11,36 @@
 // connection is one stream of frames from an engine to an agent.
 type connection struct {
 	engine    *engineHost
-	carrier   *carrier
+	inFlight  *inFlightRequest
 	operation attempt.Operation
 	stream    fleet.StreamID
-	// next is the index of the next token to send.
-	next        int
+	// nextToken is the index of the nextToken token to send.
+	nextToken   int
 	lastArrival time.Duration
 	// reading is set once the agent has the first frame, broke when the
 	// connection has ended before; closed ends it.
-	reading bool
-	broke   bool
-	closed  bool
-	heard   time.Duration
+	reading     bool
+	broken      bool
+	closed      bool
+	lastFrameAt time.Duration
 }
 
 // pump sends the frames that are new and tells whether more may follow.
 func (c *connection) pump(h *engineHost) bool {
-	if c.closed || c.carrier.life != c.carrier.agent.life {
+	if c.closed || c.inFlight.generation != c.inFlight.agent.generation {
 		return false
 	}
-	frames, ended, err := h.model.Frames(c.stream, c.next)
+	frames, ended, err := h.model.Frames(c.stream, c.nextToken)
 	if err != nil {
-		c.breakOff()
+		c.disconnect()
 		return false
 	}
 	for _, frame := range frames {
 		if frame.Kind == engine.FrameToken {
-			c.next++
+			c.nextToken++
 		}
-		if c.carrier.agent.world.resets(c) {
-			c.breakOff()
+		if c.inFlight.agent.world.resets(c) {
+			c.disconnect()
 			return false
 		}
 		c.send(frame)
@@ -50,75 +50,75 @@
 
 // send carries a frame behind those before it.
 func (c *connection) send(frame engine.Frame) {
-	w := c.carrier.agent.world
-	at, _ := w.network.arrival(&c.engine.process, &c.carrier.agent.process)
+	w := c.inFlight.agent.world
+	at, _ := w.network.arrival(&c.engine.process, &c.inFlight.agent.process)
 	c.lastArrival = max(c.lastArrival, at)
-	w.queue.At(c.lastArrival, func() { c.carrier.run(func() { c.take(frame) }) })
+	w.queue.At(c.lastArrival, func() { c.inFlight.run(func() { c.receive(frame) }) })
 }
 
-// take gives a frame to the carrier.
-func (c *connection) take(frame engine.Frame) {
-	if c.closed || c.carrier.agent.world.loses(c) {
+// receive gives a frame to the carrier.
+func (c *connection) receive(frame engine.Frame) {
+	if c.closed || c.inFlight.agent.world.loses(c) {
 		return
 	}
-	c.heard = c.carrier.agent.now()
+	c.lastFrameAt = c.inFlight.agent.now()
 	if frame.Kind == engine.FrameDone || frame.Kind == engine.FrameError {
 		c.closed = true
 	}
-	c.carrier.frame(c.operation, frame)
+	c.inFlight.receiveFrame(c.operation, frame)
 }
 
-// breakOff ends the connection, wherever its frames are; those still on their
+// disconnect ends the connection, wherever its frames are; those still on their
 // way are lost. The agent learns of it unless the network is cut.
-func (c *connection) breakOff() {
+func (c *connection) disconnect() {
 	if c.closed {
 		return
 	}
-	agent := c.carrier.agent
+	agent := c.inFlight.agent
 	at, arrives := agent.world.network.arrival(&c.engine.process, &agent.process)
 	if !arrives {
 		return
 	}
 	agent.world.queue.At(at, func() {
-		c.carrier.run(func() {
+		c.inFlight.run(func() {
 			if c.reading {
-				c.lost()
+				c.reportBroken()
 			}
-			c.broke = true
+			c.broken = true
 		})
 	})
 }
 
-// read begins to take frames, once the agent has the first.
-func (c *connection) read() {
+// startReading begins to take frames, once the agent has the first.
+func (c *connection) startReading() {
 	c.reading = true
-	c.heard = c.carrier.agent.now()
-	if c.broke {
-		c.lost()
+	c.lastFrameAt = c.inFlight.agent.now()
+	if c.broken {
+		c.reportBroken()
 		return
 	}
-	c.watchSilence()
+	c.watchIdleTimeout()
 }
 
-// lost tells the carrier that no more frames come.
-func (c *connection) lost() {
+// reportBroken tells the carrier that no more frames come.
+func (c *connection) reportBroken() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.carrier.handle(attempt.StreamBroken{Operation: c.operation}, "")
+	c.inFlight.handle(attempt.StreamBroken{Operation: c.operation}, "")
 }
 
-// watchSilence breaks the connection when no frame comes for too long.
-func (c *connection) watchSilence() {
-	agent := c.carrier.agent
-	c.carrier.after(max(c.heard+streamIdleTimeout-agent.now(), time.Millisecond), func() {
+// watchIdleTimeout breaks the connection when no frame comes for too long.
+func (c *connection) watchIdleTimeout() {
+	agent := c.inFlight.agent
+	c.inFlight.after(max(c.lastFrameAt+streamIdleTimeout-agent.now(), time.Millisecond), func() {
 		switch {
 		case c.closed:
-		case agent.now()-c.heard >= streamIdleTimeout:
-			c.lost()
+		case agent.now()-c.lastFrameAt >= streamIdleTimeout:
+			c.reportBroken()
 		default:
-			c.watchSilence()
+			c.watchIdleTimeout()
 		}
 	})
 }
--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -9,21 +9,21 @@
 )
 
 // dispatch starts a stream at an engine.
-func (c *carrier) dispatch(action attempt.Dispatch) {
+func (c *inFlightRequest) dispatch(action attempt.Dispatch) {
 	a := c.agent
 	target := a.world.engineAt(action.Address)
-	incoming := dispatchCall{granted: action.Run, request: engine.DispatchRequest{
-		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, Weights: engine.Weights(c.weights),
+	incoming := dispatchCall{grantedRun: action.Run, request: engine.DispatchRequest{
+		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, Weights: engine.Weights(c.version),
 		Prompt: c.request.prompt, MaxTokens: c.request.maxTokens, Priority: action.Priority, Continuation: action.Continuation,
 	}}
 	if a.world.options.Variant == DropContinuation {
 		incoming.request.Continuation = nil
 	}
-	opened := c.open(target, action.Operation, action.Stream)
+	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.dispatch(incoming, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callStatus) {
 		if frame, accepted := answer.(engine.Frame); accepted {
-			c.begin(opened, frame)
+			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
@@ -31,7 +31,7 @@
 	})
 }
 
-func (c *carrier) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how failure) attempt.Event {
+func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how callStatus) attempt.Event {
 	if how == refused || (how != answered && c.agent.world.options.Variant == AssumeNotSent) {
 		return attempt.DispatchNotSent{Operation: operation}
 	}
@@ -41,36 +41,36 @@
 	return attempt.DispatchUnknown{Operation: operation, TimedOut: how == timedOut}
 }
 
-// open makes the connection of a dispatch or resume.
-func (c *carrier) open(target *engineHost, operation attempt.Operation, stream fleet.StreamID) *connection {
-	if c.reading != nil {
-		c.reading.closed = true
+// openConnection makes the connection of a dispatch or resume.
+func (c *inFlightRequest) openConnection(target *engineHost, operation attempt.Operation, stream fleet.StreamID) *connection {
+	if c.connection != nil {
+		c.connection.closed = true
 	}
-	c.reading = &connection{engine: target, carrier: c, operation: operation, stream: stream}
-	return c.reading
+	c.connection = &connection{engine: target, inFlight: c, operation: operation, stream: stream}
+	return c.connection
 }
 
-// begin takes the first frame of a connection.
-func (c *carrier) begin(opened *connection, accepted engine.Frame) {
+// startReading takes the first frame of a connection.
+func (c *inFlightRequest) startReading(opened *connection, accepted engine.Frame) {
 	if opened.closed {
 		return
 	}
 	c.handle(attempt.FrameReceived{Operation: opened.operation, Frame: accepted}, accepted.Stream)
-	opened.read()
+	opened.startReading()
 }
 
 // resume reads a stream again from a token on.
-func (c *carrier) resume(action attempt.Resume) {
-	if c.over() {
+func (c *inFlightRequest) resume(action attempt.Resume) {
+	if c.isFinished() {
 		return
 	}
 	a := c.agent
 	target := a.world.engineAt(action.Address)
-	opened := c.open(target, action.Operation, action.Stream)
+	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.resume(action.Stream, action.Offset, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callStatus) {
 		if frame, accepted := answer.(engine.Frame); accepted {
-			c.begin(opened, frame)
+			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
@@ -85,20 +85,20 @@
 
 // Bounds of best-effort cancels.
 const (
-	cancelTries = 3
-	cancelPause = 200 * time.Millisecond
+	cancelAttempts = 3
+	cancelBackoff  = 200 * time.Millisecond
 )
 
 // cancel stops a stream. A best-effort cancel outlives its request and is
 // repeated.
-func (c *carrier) cancel(action attempt.CancelAndFence, try int) {
-	if action.Operation != 0 && c.over() {
+func (c *inFlightRequest) cancel(action attempt.CancelAndFence, try int) {
+	if action.Operation != 0 && c.isFinished() {
 		return
 	}
 	a := c.agent
 	target := a.world.engineAt(action.Address)
 	serve := func(reply func(any) time.Duration) { target.cancel(action.Stream, action.Run.Incarnation, reply) }
-	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ failure) {
+	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ callStatus) {
 		code := engine.ErrorConnectionLost
 		switch answer := answer.(type) {
 		case engine.CancelResponse:
@@ -114,8 +114,8 @@
 			c.handle(attempt.CancelAnswered{Operation: action.Operation, State: engine.CancelNeverRan}, "")
 		case action.Operation != 0:
 			c.handle(attempt.CancelFailed{Operation: action.Operation, Code: code}, "")
-		case code != engine.ErrorWrongIncarnation && try < cancelTries:
-			c.after(cancelPause, func() { c.cancel(action, try+1) })
+		case code != engine.ErrorWrongIncarnation && try < cancelAttempts:
+			c.after(cancelBackoff, func() { c.cancel(action, try+1) })
 		}
 	})
 }
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -24,7 +24,7 @@
 	// listedLeaving is set while the platform's list shows the machine as leaving.
 	listedLeaving bool
 	connections   []*connection
-	planned       time.Duration
+	nextStepAt    time.Duration
 }
 
 func newEngineHost(w *world, index int) *engineHost {
@@ -44,24 +44,24 @@
 	return host
 }
 
-func (h *engineHost) run() fleet.EngineRun {
+func (h *engineHost) currentRun() fleet.EngineRun {
 	return fleet.EngineRun{Engine: h.id, Incarnation: h.model.Incarnation()}
 }
 
 func (h *engineHost) start() {
 	h.begin()
-	h.world.record(history.EngineStarted{Run: h.run()})
+	h.world.record(history.EngineStarted{Run: h.currentRun()})
 }
 
 // kill ends the run; every connection breaks.
 func (h *engineHost) kill() {
-	h.world.record(history.EngineKilled{Run: h.run()})
+	h.world.record(history.EngineKilled{Run: h.currentRun()})
 	connections := h.connections
 	h.connections = nil
-	h.planned = 0
+	h.nextStepAt = 0
 	h.end()
 	for _, open := range connections {
-		open.breakOff()
+		open.disconnect()
 	}
 }
 
@@ -86,8 +86,8 @@
 
 // dispatchCall is what an agent sends to an engine.
 type dispatchCall struct {
-	request engine.DispatchRequest
-	granted fleet.EngineRun
+	request    engine.DispatchRequest
+	grantedRun fleet.EngineRun
 }
 
 // dispatch serves a dispatch. An accepted one goes on as a stream of frames.
@@ -99,13 +99,13 @@
 	err := h.model.Dispatch(h.now(), request)
 	if err != nil {
 		reply(err)
-		h.changed()
+		h.update()
 		return
 	}
 	h.world.record(history.Accepted{
-		Request: history.RequestOf(request.StreamID), Stream: request.StreamID, Run: h.run(), Granted: incoming.granted,
+		Request: history.RequestOfStream(request.StreamID), Stream: request.StreamID, Run: h.currentRun(), Granted: incoming.grantedRun,
 	})
-	h.stream(to, len(request.Continuation), reply)
+	h.startStream(to, len(request.Continuation), reply)
 }
 
 // resume serves a resume.
@@ -115,20 +115,20 @@
 		reply(err)
 		return
 	}
-	h.stream(to, offset, reply)
+	h.startStream(to, offset, reply)
 }
 
-// stream answers with the first frame and lets the others follow.
-func (h *engineHost) stream(to *connection, offset int, reply func(any) time.Duration) {
+// startStream answers with the first frame and lets the others follow.
+func (h *engineHost) startStream(to *connection, offset int, reply func(any) time.Duration) {
 	accepted, err := h.model.Accepted(to.stream)
 	if err != nil {
 		reply(err)
 		return
 	}
-	to.next = offset
+	to.nextToken = offset
 	to.lastArrival = reply(accepted)
 	h.connections = append(h.connections, to)
-	h.changed()
+	h.update()
 }
 
 // cancel serves a cancel.
@@ -139,28 +139,28 @@
 	} else {
 		reply(response)
 	}
-	h.changed()
+	h.update()
 }
 
-// order serves a fenced order.
-func (h *engineHost) order(order engine.Order, reply func(any) time.Duration) {
+// serveOrder serves a fenced serveOrder.
+func (h *engineHost) serveOrder(order engine.Order, reply func(any) time.Duration) {
 	err := h.model.Order(h.now(), order)
 	if err == nil {
-		h.world.record(history.OrderObeyed{Run: h.run(), Token: order.Fence, Kind: order.Kind, Weights: order.Weights})
+		h.world.record(history.OrderExecuted{Run: h.currentRun(), Token: order.Fence, Kind: order.Kind, Weights: order.Weights})
 		if order.Kind == engine.OrderRetire {
-			h.world.record(history.EngineLeaving{Run: h.run(), Source: "engine"})
+			h.world.record(history.EngineLeaving{Run: h.currentRun(), Source: "engine"})
 		}
 	}
 	reply(err)
-	h.changed()
+	h.update()
 }
 
-// changed records what the engine began, sends new frames and plans its next step.
-func (h *engineHost) changed() {
+// update records what the engine began, sends new frames and plans its next step.
+func (h *engineHost) update() {
 	for _, execution := range h.model.TakeExecutions() {
 		h.world.record(history.Executed{
-			Request: history.RequestOf(execution.Stream), Stream: execution.Stream, Run: h.run(),
-			Tenant: execution.Scope.Tenant, Weights: execution.Scope.ModelVersion,
+			Request: history.RequestOfStream(execution.Stream), Stream: execution.Stream, Run: h.currentRun(),
+			Tenant: execution.Scope.Tenant, Version: execution.Scope.ModelVersion,
 			CachedBlocks: execution.CachedBlocks, ForeignBlocks: execution.ForeignBlocks,
 		})
 	}
@@ -171,22 +171,22 @@
 		}
 	}
 	h.connections = kept
-	h.plan()
+	h.scheduleStep()
 }
 
-func (h *engineHost) plan() {
+func (h *engineHost) scheduleStep() {
 	next, found := h.model.NextStep()
-	if !found || (h.planned != 0 && h.planned <= next && h.planned > h.now()) {
+	if !found || (h.nextStepAt != 0 && h.nextStepAt <= next && h.nextStepAt > h.now()) {
 		return
 	}
-	h.planned = next
+	h.nextStepAt = next
 	h.after(max(next-h.now(), 0), func() {
-		if h.planned != next {
+		if h.nextStepAt != next {
 			return
 		}
-		h.planned = 0
+		h.nextStepAt = 0
 		h.model.Advance(h.now())
-		h.changed()
+		h.update()
 	})
 }
 
--- a/lab/simulation/engines.go
+++ b/lab/simulation/engines.go
@@ -76,7 +76,7 @@
 
 // pollStatus asks an engine for its status, again and again.
 func (r *router) pollStatus(id fleet.EngineID, failures int) {
-	r.askStatus(id, func(reached bool, how failure) {
+	r.askStatus(id, func(reached bool, how callStatus) {
 		pause := statusInterval*3/4 + time.Duration(r.world.random.Int64N(int64(statusInterval/2)))
 		if reached {
 			r.after(pause, func() { r.pollStatus(id, 0) })
@@ -90,14 +90,14 @@
 	})
 }
 
-func (r *router) askStatus(id fleet.EngineID, done func(reached bool, how failure)) {
+func (r *router) askStatus(id fleet.EngineID, done func(reached bool, how callStatus)) {
 	host := r.world.engineByID(id)
 	serve := func(reply func(any) time.Duration) {
 		status := host.model.Status(host.now())
-		host.changed()
+		host.update()
 		reply(status)
 	}
-	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, how failure) {
+	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, how callStatus) {
 		if how == answered {
 			status := answer.(engine.Status)
 			if known := r.statuses[id]; status.Incarnation >= known.status.Incarnation {
@@ -123,10 +123,10 @@
 		if r.world.options.Variant == MixRunsOfEngine {
 			r.kept[id] = host.model.CacheSnapshot(host.now())
 		}
-		host.changed()
+		host.update()
 		reply(events)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how failure) {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
 		if how == answered {
 			r.step(func(now time.Duration) { r.core.ObserveCacheEvents(now, id, answer.(engine.CacheEvents)) })
 		}
@@ -146,10 +146,10 @@
 	host := r.world.engineByID(id)
 	serve := func(reply func(any) time.Duration) {
 		snapshot := host.model.CacheSnapshot(host.now())
-		host.changed()
+		host.update()
 		reply(snapshot)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how failure) {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
 		if how == answered {
 			snapshot := answer.(engine.CacheSnapshot)
 			if earlier := r.kept[id]; earlier.Incarnation < snapshot.Incarnation {
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -211,15 +211,15 @@
 	n := w.network
 	switch kind {
 	case CutLink:
-		n.cuts = append(n.cuts, cut{from: from, to: to, until: until}, cut{from: to, to: from, until: until})
+		n.partitions = append(n.partitions, partition{from: from, to: to, until: until}, partition{from: to, to: from, until: until})
 	case CutOneWay:
-		n.cuts = append(n.cuts, cut{from: from, to: to, until: until})
+		n.partitions = append(n.partitions, partition{from: from, to: to, until: until})
 	case Isolate:
 		to = ""
-		n.cuts = append(n.cuts, cut{from: from, until: until}, cut{to: from, until: until})
+		n.partitions = append(n.partitions, partition{from: from, until: until}, partition{to: from, until: until})
 	case SlowLink:
 		to = ""
-		n.slow = append(n.slow, slowdown{from: from, until: until, most: mostSlowdown})
+		n.slowdowns = append(n.slowdowns, slowdown{from: from, until: until, maxDelay: mostSlowdown})
 	case ResetStreams:
 		w.resetRate = resetRate
 		w.fault(kind, "", lasts, func() { w.resetRate = 0 })
@@ -264,7 +264,7 @@
 		if host.alive && !host.listedLeaving {
 			host.listedLeaving = true
 			w.listMachines()
-			run := host.run()
+			run := host.currentRun()
 			host.after(machineLag, func() { w.record(history.EngineLeaving{Run: run, Source: "list"}) })
 		}
 	}
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -13,13 +13,13 @@
 	zoneLatency    = 1500 * time.Microsecond
 	latencyJitter  = 500 * time.Microsecond
 	connectTimeout = 300 * time.Millisecond
-	// lateChance is the probability that a message held up by a cut arrives
+	// delayedDeliveryChance is the probability that a message held up by a cut arrives
 	// after it, rather than never.
-	lateChance = 0.5
+	delayedDeliveryChance = 0.5
 )
 
-// cut blocks one direction between two addresses.
-type cut struct {
+// partition blocks one direction between two addresses.
+type partition struct {
 	from, to fleet.Address
 	until    time.Duration
 }
@@ -28,15 +28,15 @@
 type slowdown struct {
 	from, to fleet.Address
 	until    time.Duration
-	most     time.Duration
+	maxDelay time.Duration
 }
 
 // network carries messages between processes. An empty address in a fault
 // stands for every address.
 type network struct {
-	world *world
-	cuts  []cut
-	slow  []slowdown
+	world      *world
+	partitions []partition
+	slowdowns  []slowdown
 }
 
 func (n *network) now() time.Duration { return n.world.queue.Now() }
@@ -46,8 +46,8 @@
 // blockedUntil returns when the last cut of a direction ends; 0 if it is open.
 func (n *network) blockedUntil(from, to *process) time.Duration {
 	var until time.Duration
-	n.cuts = slices.DeleteFunc(n.cuts, func(c cut) bool { return c.until <= n.now() })
-	for _, c := range n.cuts {
+	n.partitions = slices.DeleteFunc(n.partitions, func(c partition) bool { return c.until <= n.now() })
+	for _, c := range n.partitions {
 		if matches(c.from, from.address) && matches(c.to, to.address) {
 			until = max(until, c.until)
 		}
@@ -60,10 +60,10 @@
 	if from.zone != to.zone {
 		latency += zoneLatency
 	}
-	n.slow = slices.DeleteFunc(n.slow, func(s slowdown) bool { return s.until <= n.now() })
-	for _, s := range n.slow {
+	n.slowdowns = slices.DeleteFunc(n.slowdowns, func(s slowdown) bool { return s.until <= n.now() })
+	for _, s := range n.slowdowns {
 		if matches(s.from, from.address) && matches(s.to, to.address) {
-			latency += time.Duration(n.world.random.Int64N(int64(s.most)))
+			latency += time.Duration(n.world.random.Int64N(int64(s.maxDelay)))
 		}
 	}
 	return latency
@@ -76,7 +76,7 @@
 	if until == 0 {
 		return at, true
 	}
-	return until + at - n.now(), n.world.random.Float64() < lateChance
+	return until + at - n.now(), n.world.random.Float64() < delayedDeliveryChance
 }
 
 // send carries a message one way, if it isn't lost.
@@ -85,17 +85,17 @@
 	if !arrives {
 		return
 	}
-	life := to.life
+	life := to.generation
 	n.world.queue.At(at, func() { to.run(life, deliver) })
 }
 
-// failure tells how a call failed.
-type failure int
+// callStatus tells how a call failed.
+type callStatus int
 
 // Failures of a call.
 const (
 	// answered means that there was none.
-	answered failure = iota
+	answered callStatus = iota
 	// refused means that nothing was sent.
 	refused
 	// broken means that the connection ended after the request was sent.
@@ -106,24 +106,24 @@
 
 // call is a request on its way and its answer.
 type call struct {
-	network *network
-	from    *process
-	to      *process
-	life    int
-	over    bool
-	done    func(answer any, how failure)
+	network  *network
+	from     *process
+	to       *process
+	life     int
+	finished bool
+	done     func(answer any, how callStatus)
 }
 
 // call sends a request, has the target serve it and gives the answer to done,
 // on the caller's process, exactly once, unless that dies first. serve may
 // answer later; it returns when the answer arrives at the caller, or 0.
 func (n *network) call(
-	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, failure),
+	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callStatus),
 ) *call {
-	c := &call{network: n, from: from, to: to, life: from.life, done: done}
+	c := &call{network: n, from: from, to: to, life: from.generation, done: done}
 	blocked := n.blockedUntil(from, to) > 0
 	switch {
-	case blocked && n.world.random.Float64() < lateChance:
+	case blocked && n.world.random.Float64() < delayedDeliveryChance:
 		c.finishAt(n.now()+min(timeout, connectTimeout), nil, refused)
 		return c
 	case !blocked && !to.alive:
@@ -131,19 +131,19 @@
 		return c
 	}
 	c.finishAt(n.now()+timeout, nil, timedOut)
-	to.watch(c)
-	life := to.life
+	to.trackCall(c)
+	life := to.generation
 	if at, arrives := n.arrival(from, to); arrives {
 		n.world.queue.At(at, func() { to.run(life, func() { serve(c.reply) }) })
 	}
 	return c
 }
 
-// watch notes a call that a death of the process breaks.
-func (p *process) watch(c *call) {
+// trackCall notes a call that a death of the process breaks.
+func (p *process) trackCall(c *call) {
 	const sweepAt = 64
 	if len(p.inbound) >= sweepAt {
-		p.inbound = slices.DeleteFunc(p.inbound, func(other *call) bool { return other.over })
+		p.inbound = slices.DeleteFunc(p.inbound, func(other *call) bool { return other.finished })
 	}
 	p.inbound = append(p.inbound, c)
 }
@@ -158,9 +158,9 @@
 	return at
 }
 
-// broken tells the caller that the connection is gone.
-func (c *call) broken() {
-	if c.over {
+// connectionBroken tells the caller that the connection is gone.
+func (c *call) connectionBroken() {
+	if c.finished {
 		return
 	}
 	if at, arrives := c.network.arrival(c.to, c.from); arrives {
@@ -169,15 +169,15 @@
 }
 
 // cancel ends the call for its caller: no answer is given.
-func (c *call) cancel() { c.over = true }
+func (c *call) cancel() { c.finished = true }
 
-func (c *call) finishAt(at time.Duration, answer any, how failure) {
+func (c *call) finishAt(at time.Duration, answer any, how callStatus) {
 	c.network.world.queue.At(at, func() {
 		c.from.run(c.life, func() {
-			if c.over {
+			if c.finished {
 				return
 			}
-			c.over = true
+			c.finished = true
 			c.done(answer, how)
 		})
 	})
--- a/lab/simulation/placing.go
+++ b/lab/simulation/placing.go
@@ -11,63 +11,63 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// place asks a router for an engine.
-func (c *carrier) place(ask attempt.RequestPlacement) {
-	if c.over() {
+// requestPlacement asks a router for an engine.
+func (c *inFlightRequest) requestPlacement(ask attempt.RequestPlacement) {
+	if c.isFinished() {
 		return
 	}
 	a := c.agent
-	at := a.choose(c.prefixKey(), ask.Preferred, c.tried)
+	at := a.chooseRouter(c.prefixKey(), ask.Preferred, c.tried)
 	c.tried[at.address]++
-	c.askedAt[ask.Attempt] = at
+	c.askedRouters[ask.Attempt] = at
 	target := a.world.routerAt(at.address)
 	question := placement.Request{
-		Key: placement.Key{Request: c.request.id, Attempt: ask.Attempt}, Tenant: c.request.tenant, ModelVersion: c.weights,
+		Key: placement.Key{Request: c.request.id, Attempt: ask.Attempt}, Tenant: c.request.tenant, ModelVersion: c.version,
 		Class: c.request.class, PromptTokens: prompt.CountTokens(c.request.prompt), MaxTokens: c.request.maxTokens,
-		Blocks: slices.Clone(c.hashes), Deadline: max(c.deadline-a.now(), time.Millisecond), Excluded: ask.Excluded,
+		Blocks: slices.Clone(c.blockHashes), Deadline: max(c.deadline-a.now(), time.Millisecond), Excluded: ask.Excluded,
 		ContinuationTokens: ask.ContinuationTokens, AgentZone: a.zone, Hops: c.handBacks, KnownRevision: a.holder.Revision(),
 	}
 	serve := func(reply func(any) time.Duration) { target.place(question, reply) }
-	c.placingAt = target
-	c.placingKey = question.Key
-	c.placing = a.world.network.call(&a.process, &target.process, c.maxWait+placeMargin, serve, func(answer any, how failure) {
+	c.placementRouter = target
+	c.placementKey = question.Key
+	c.placementCall = a.world.network.call(&a.process, &target.process, c.maxWait+placementMargin, serve, func(answer any, how callStatus) {
 		if how != answered {
-			a.failed(at)
+			a.recordFailure(at)
 			c.handle(attempt.PlacementFailed{Operation: ask.Operation}, "")
 			return
 		}
-		c.placed(ask, at, answer.(placeAnswer))
+		c.handleAnswer(ask, at, answer.(placeAnswer))
 	})
-	at.placing = append(at.placing, c.placing)
+	at.placementCalls = append(at.placementCalls, c.placementCall)
 }
 
-// withdraw takes a question back whose request has ended.
-func (c *carrier) withdraw() {
-	if c.placing == nil || c.placing.over {
+// withdrawPlacement takes a question back whose request has ended.
+func (c *inFlightRequest) withdrawPlacement() {
+	if c.placementCall == nil || c.placementCall.finished {
 		return
 	}
-	c.placing.cancel()
-	c.placing = nil
-	target, key := c.placingAt, c.placingKey
+	c.placementCall.cancel()
+	c.placementCall = nil
+	target, key := c.placementRouter, c.placementKey
 	c.agent.world.network.send(&c.agent.process, &target.process, func() { target.withdraw(key) })
 }
 
-// placed turns a router's answer into an event.
-func (c *carrier) placed(ask attempt.RequestPlacement, at *link, answer placeAnswer) {
+// handleAnswer turns a router's answer into an event.
+func (c *inFlightRequest) handleAnswer(ask attempt.RequestPlacement, at *routerState, answer placeAnswer) {
 	a := c.agent
-	a.heard(at, answer.revision)
+	a.observeAnswer(at, answer.revision)
 	switch outcome := answer.outcome.(type) {
 	case placement.Grant:
-		c.granted(ask, answer, outcome)
+		c.handleGrant(ask, answer, outcome)
 	case placement.HandBack:
 		c.handBacks++
 		c.handle(attempt.Redirected{Operation: ask.Operation, Routers: answer.others}, "")
 	case placement.Refusal:
-		c.refused(ask, at, outcome)
+		c.handleRefusal(ask, at, outcome)
 	}
 }
 
-func (c *carrier) granted(ask attempt.RequestPlacement, answer placeAnswer, grant placement.Grant) {
+func (c *inFlightRequest) handleGrant(ask attempt.RequestPlacement, answer placeAnswer, grant placement.Grant) {
 	event := attempt.Granted{
 		Operation: ask.Operation, Attempt: grant.Key.Attempt, Run: grant.Run, Address: grant.Address, Priority: grant.Priority,
 		ValidUntil: c.agent.now() + grant.ValidFor,
@@ -75,15 +75,15 @@
 	believed := grant.ExpectedCachedTokens / max(grant.BlockTokens, 1)
 	c.agent.world.record(history.Granted{
 		Request: c.request.id, Attempt: ask.Attempt, Router: answer.router, Run: grant.Run,
-		BelievedBlocks: believed, UnfoundedBlocks: answer.unfounded,
+		ExpectedCachedBlocks: believed, NeverCachedBlocks: answer.unfounded,
 	})
 	c.handle(event, "")
-	c.repeatLate(event)
+	c.duplicateLater(event)
 }
 
-// refused treats a router without a configuration as one that hands back, and
+// handleRefusal treats a router without a configuration as one that hands back, and
 // moves a request whose version was retired while it waited to the new one.
-func (c *carrier) refused(ask attempt.RequestPlacement, at *link, refusal placement.Refusal) {
+func (c *inFlightRequest) handleRefusal(ask attempt.RequestPlacement, at *routerState, refusal placement.Refusal) {
 	handBack := attempt.Redirected{Operation: ask.Operation}
 	switch refusal.Code {
 	case resultcode.NoConfiguration:
@@ -91,7 +91,7 @@
 		c.handle(handBack, "")
 		return
 	case resultcode.StaleWeights:
-		if ask.ContinuationTokens == 0 && c.resolve(c.agent.holder.Current()) {
+		if ask.ContinuationTokens == 0 && c.resolveVersion(c.agent.holder.Current()) {
 			c.handle(handBack, "")
 			return
 		}
--- a/lab/simulation/process.go
+++ b/lab/simulation/process.go
@@ -13,8 +13,8 @@
 	address fleet.Address
 	zone    fleet.ZoneName
 	alive   bool
-	// life numbers the runs; the timers of an earlier one do nothing.
-	life        int
+	// generation numbers the runs; the timers of an earlier one do nothing.
+	generation  int
 	frozenUntil time.Duration
 	// inbound are the calls that a death of this process breaks.
 	inbound []*call
@@ -24,7 +24,7 @@
 
 // after plans a step of the present run.
 func (p *process) after(delay time.Duration, step func()) {
-	life := p.life
+	life := p.generation
 	p.world.queue.After(delay, func() { p.run(life, step) })
 }
 
@@ -32,7 +32,7 @@
 // thawing.
 func (p *process) run(life int, step func()) {
 	switch {
-	case !p.alive || p.life != life:
+	case !p.alive || p.generation != life:
 	case p.now() < p.frozenUntil:
 		p.world.queue.At(p.frozenUntil, func() { p.run(life, step) })
 	default:
@@ -43,7 +43,7 @@
 // begin starts a new run.
 func (p *process) begin() {
 	p.alive = true
-	p.life++
+	p.generation++
 	p.frozenUntil = 0
 }
 
@@ -53,7 +53,7 @@
 	calls := p.inbound
 	p.inbound = nil
 	for _, open := range calls {
-		open.broken()
+		open.connectionBroken()
 	}
 }
 
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -59,7 +59,7 @@
 	case lease.ActionRead:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveRead(leaseSettings.Key, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how failure) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callStatus) {
 			r.electing = false
 			row, err := platform.Row{}, platform.ErrUnavailable
 			if how == answered {
@@ -73,7 +73,7 @@
 	case lease.ActionCommit:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveCommit(action.Transaction, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how failure) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callStatus) {
 			r.electing = false
 			r.election.CommitDone(r.now(), commitError(answer, how))
 			r.elect()
@@ -87,7 +87,7 @@
 	err error
 }
 
-func commitError(answer any, how failure) error {
+func commitError(answer any, how callStatus) error {
 	switch how {
 	case answered:
 		return answer.(tableAnswer).err
@@ -136,8 +136,8 @@
 	order.Order.Fence = token
 	host := r.world.engineByID(order.Engine)
 	r.world.record(history.OrderSent{Router: r.node, Engine: order.Engine, Token: token, Kind: order.Order.Kind})
-	serve := func(reply func(any) time.Duration) { host.order(order.Order, reply) }
-	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, failure) {})
+	serve := func(reply func(any) time.Duration) { host.serveOrder(order.Order, reply) }
+	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, callStatus) {})
 }
 
 // ReadyToPromote implements operator.Readiness.
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -67,7 +67,7 @@
 func (r *router) start() {
 	informed := r.world.informed()
 	r.begin()
-	r.node = fleet.NodeID(fmt.Sprintf("router-%d-%d", r.index, r.life))
+	r.node = fleet.NodeID(fmt.Sprintf("router-%d-%d", r.index, r.generation))
 	r.core = placement.New(placement.Options{Node: r.node, Zone: r.zone, Random: r.world.newRandom()})
 	r.calls = make(map[placement.Key]func(any) time.Duration)
 	r.wakeAt, r.memberWake = 0, 0
@@ -79,7 +79,7 @@
 	r.polled = make(map[fleet.EngineID]bool)
 	r.kept = make(map[fleet.EngineID]engine.CacheSnapshot)
 	r.holder = config.NewHolder()
-	r.world.record(history.NodeStarted{Node: r.node, Kind: history.RouterNode, Informed: informed})
+	r.world.record(history.NodeStarted{Node: r.node, Kind: history.RouterNode, ConfigurationAvailable: informed})
 	r.startPeers()
 	r.startConfiguration()
 	r.startEngines()
@@ -216,7 +216,7 @@
 	r.offerMachines(request.machines)
 	answer := syncAnswer{
 		revision: r.holder.Revision(), members: slices.Clone(r.members.View().Routable()), stopping: r.stopping,
-		machines: r.machines, machinesWanted: len(r.machines) == 0,
+		machines: r.machines, needsMachines: len(r.machines) == 0,
 	}
 	behind := request.revision < answer.revision
 	if view := r.holder.Current(); view != nil && (behind || r.world.options.Variant == TakeAnyRevision) {
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -18,12 +18,12 @@
 }
 
 type syncAnswer struct {
-	revision       fleet.Revision
-	document       *config.Document
-	members        []membership.Member
-	stopping       bool
-	machines       []platform.Machine
-	machinesWanted bool
+	revision      fleet.Revision
+	document      *config.Document
+	members       []membership.Member
+	stopping      bool
+	machines      []platform.Machine
+	needsMachines bool
 }
 
 // syncLoop exchanges news with the routers in turn.
@@ -32,31 +32,31 @@
 		a.sync(target)
 	}
 	pause := syncInterval
-	if !a.seen {
+	if !a.contacted {
 		pause /= 4
 	}
 	a.after(pause*9/10+time.Duration(a.world.random.Int64N(int64(pause/5))), a.syncLoop)
 }
 
 // syncTargets returns the routers where requests wait, and the next in turn.
-func (a *agent) syncTargets() []*link {
+func (a *agent) syncTargets() []*routerState {
 	var addresses []fleet.Address
 	for _, member := range a.members {
 		if member.State != membership.Dead {
 			addresses = append(addresses, member.Address)
 		}
 	}
-	if len(addresses) == 0 || !a.seen {
+	if len(addresses) == 0 || !a.contacted {
 		addresses = append(addresses, a.world.seeds()...)
 	}
 	a.rotation++
 	next := a.rotation % len(addresses)
 	addresses = append(slices.Clone(addresses[next:]), addresses[:next]...)
-	var targets []*link
+	var targets []*routerState
 	for index, address := range addresses {
-		candidate := a.link(address)
-		candidate.placing = slices.DeleteFunc(candidate.placing, func(c *call) bool { return c.over })
-		wanted := index == 0 || len(candidate.placing) > 0 || !a.seen
+		candidate := a.routerState(address)
+		candidate.placementCalls = slices.DeleteFunc(candidate.placementCalls, func(c *call) bool { return c.finished })
+		wanted := index == 0 || len(candidate.placementCalls) > 0 || !a.contacted
 		if wanted && !slices.Contains(targets, candidate) {
 			targets = append(targets, candidate)
 		}
@@ -66,9 +66,9 @@
 
 // sync exchanges news with a router, and once more at once if its answer shows
 // that it lacks something.
-func (a *agent) sync(with *link) { a.exchange(with, true) }
+func (a *agent) sync(with *routerState) { a.exchange(with, true) }
 
-func (a *agent) exchange(with *link, again bool) {
+func (a *agent) exchange(with *routerState, again bool) {
 	target := a.world.routerAt(with.address)
 	if target == nil {
 		return
@@ -79,27 +79,27 @@
 		document := a.holder.Current().Document()
 		request.document = &document
 	}
-	if with.machinesWanted && variant != KeepConfiguration {
+	if with.needsMachines && variant != KeepConfiguration {
 		request.machines = a.machines
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.sync(request)) }
-	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, how callStatus) {
 		if how != answered {
-			a.failed(with)
+			a.recordFailure(with)
 			return
 		}
-		a.takeSync(with, answer.(syncAnswer))
-		lacksMachines := with.machinesWanted && len(a.machines) > 0
+		a.applySync(with, answer.(syncAnswer))
+		lacksMachines := with.needsMachines && len(a.machines) > 0
 		if again && (lacksMachines || with.revision < a.holder.Revision()) {
 			a.exchange(with, false)
 		}
 	})
 }
 
-func (a *agent) takeSync(from *link, answer syncAnswer) {
-	a.noteAnswer(from, answer.revision)
+func (a *agent) applySync(from *routerState, answer syncAnswer) {
+	a.recordAnswer(from, answer.revision)
 	from.stopping = answer.stopping
-	from.machinesWanted = answer.machinesWanted
+	from.needsMachines = answer.needsMachines
 	if len(answer.members) > 0 {
 		a.members = answer.members
 	}
@@ -119,5 +119,5 @@
 	if _, err := a.holder.OfferSnapshot(document); err != nil {
 		panic(err) // the fleet's configurations are valid
 	}
-	a.noteConfiguration()
+	a.recordConfiguration()
 }
--- a/lab/simulation/tables.go
+++ b/lab/simulation/tables.go
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, host := range s.world.engines {
-		if run := host.run(); s.directives[run] && !directed[run] {
+		if run := host.currentRun(); s.directives[run] && !directed[run] {
 			s.world.record(history.EngineAdmitted{Run: run})
 		}
 	}
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -186,7 +186,7 @@
 	if frame.Kind == engine.FrameToken {
 		w.lastFrame = frame
 	}
-	if last.Stream == "" || history.RequestOf(last.Stream) == request || w.random.Float64() >= w.options.CrossedFrames {
+	if last.Stream == "" || history.RequestOfStream(last.Stream) == request || w.random.Float64() >= w.options.CrossedFrames {
 		return engine.Frame{}, false
 	}
 	return last, true
