--- a/lab/simulation/agent.go
+++ b/lab/simulation/agent.go
@@ -81,7 +81,7 @@
 	a.contacted = false
 	a.stopping = false
 	a.inFlight = nil
-	a.world.record(history.NodeStarted{Node: a.node, Kind: history.AgentNode, ConfigurationAvailable: a.world.informed()})
+	a.world.record(history.NodeStarted{Node: a.node, Kind: history.AgentNode, ConfigurationAvailable: a.world.hasConfiguredNode()})
 	a.syncLoop()
 }
 
--- a/lab/simulation/carrier.go
+++ b/lab/simulation/carrier.go
@@ -80,7 +80,7 @@
 	if w.options.Variant != ForgetDeadline {
 		c.after(incoming.timeout, func() { c.handle(attempt.DeadlinePassed{}, "") })
 	}
-	if w.random.Float64() < leaveChance {
+	if w.random.Float64() < disconnectChance {
 		c.after(time.Duration(w.random.Int64N(int64(incoming.timeout))), func() { c.handle(attempt.CallerGone{}, "") })
 	}
 	c.perform(c.machine.Start(a.now()))
@@ -173,7 +173,7 @@
 // duplicateLater lets some answers come a second time, late.
 func (c *inFlightRequest) duplicateLater(event attempt.Event) {
 	w := c.agent.world
-	if w.random.Float64() >= w.options.LateRepeats {
+	if w.random.Float64() >= w.options.DuplicateRate {
 		return
 	}
 	c.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { c.handle(event, "") })
--- a/lab/simulation/configuration.go
+++ b/lab/simulation/configuration.go
@@ -11,7 +11,7 @@
 
 // startConfiguration begins to follow the configuration.
 func (r *router) startConfiguration() {
-	r.store = config.NewStore(&tables{world: r.world, from: &r.process}, nil, config.StoreOptions{
+	r.store = config.NewStore(&tableClient{world: r.world, from: &r.process}, nil, config.StoreOptions{
 		Random: r.world.newRandom(),
 		Sleep:  func(context.Context, time.Duration) error { return nil },
 	})
@@ -26,7 +26,7 @@
 	r.follower.SetLocalRevision(r.holder.Revision())
 	switch action := r.follower.Next(r.now()); action.Source {
 	case config.SourcePeer:
-		if peer, found := r.anyPeer(); found {
+		if peer, found := r.randomPeer(); found {
 			r.pull(peer)
 			return
 		}
@@ -35,7 +35,7 @@
 	case config.SourcePlatform:
 		_, err := r.store.Refresh(context.Background(), r.holder)
 		r.follower.PlatformDone(r.now(), err == nil)
-		r.noteConfiguration()
+		r.applyConfiguration()
 		r.follow()
 	case config.SourceNone:
 		r.followAt(action.Until)
@@ -43,17 +43,17 @@
 }
 
 func (r *router) followAt(at time.Duration) {
-	if r.following {
+	if r.followScheduled {
 		return
 	}
-	r.following = true
+	r.followScheduled = true
 	r.after(max(at-r.now(), time.Millisecond), func() {
-		r.following = false
+		r.followScheduled = false
 		r.follow()
 	})
 }
 
-func (r *router) anyPeer() (fleet.Address, bool) {
+func (r *router) randomPeer() (fleet.Address, bool) {
 	var others []fleet.Address
 	for _, member := range r.members.View().Routable() {
 		if member.Node != r.node {
@@ -66,8 +66,8 @@
 	return others[r.world.random.IntN(len(others))], true
 }
 
-// hear notes a revision that another node's message named.
-func (r *router) hear(revision fleet.Revision) {
+// observeRevision notes a revision that another node's message named.
+func (r *router) observeRevision(revision fleet.Revision) {
 	if revision <= r.holder.Revision() {
 		return
 	}
@@ -75,41 +75,41 @@
 	r.after(0, r.follow)
 }
 
-// offer gives the holder a whole configuration.
-func (r *router) offer(document config.Document) {
+// offerSnapshot gives the holder a whole configuration.
+func (r *router) offerSnapshot(document config.Document) {
 	if _, err := r.holder.OfferSnapshot(document); err != nil {
 		panic(err) // the fleet's configurations are valid
 	}
-	r.noteConfiguration()
+	r.applyConfiguration()
 }
 
 func (r *router) offerChanges(changes []config.Change) {
 	if _, _, err := r.holder.OfferChanges(changes); err != nil {
 		panic(err) // the fleet's configurations are valid
 	}
-	r.noteConfiguration()
+	r.applyConfiguration()
 }
 
-// noteConfiguration applies a configuration that has come into force and
+// applyConfiguration applies a configuration that has come into force and
 // spreads it.
-func (r *router) noteConfiguration() {
+func (r *router) applyConfiguration() {
 	view := r.holder.Current()
-	if view == nil || view.Revision() <= r.inForce {
+	if view == nil || view.Revision() <= r.appliedRevision {
 		return
 	}
-	r.inForce = view.Revision()
+	r.appliedRevision = view.Revision()
 	r.world.record(history.ConfigurationApplied{Node: r.node, Revision: view.Revision(), Digest: r.world.digest(view.Document())})
-	r.step(func(now time.Duration) { r.core.ApplyConfig(now, r.applied(view)) })
-	changes, known := r.holder.ChangesAfter(r.spread.Held())
+	r.updateCore(func(now time.Duration) { r.core.ApplyConfig(now, r.coreConfiguration(view)) })
+	changes, known := r.holder.ChangesAfter(r.dissemination.Held())
 	if !known {
-		r.spread.RecordHeld(view.Revision())
+		r.dissemination.RecordHeld(view.Revision())
 		return
 	}
-	r.sendPeers(r.spread.Publish(r.now(), encodeChanges(changes), r.members.View()))
+	r.sendPeers(r.dissemination.Publish(r.now(), encodeChanges(changes), r.members.View()))
 }
 
-// applied is the configuration that the core gets.
-func (r *router) applied(view *config.View) *config.View {
+// coreConfiguration is the configuration that the core gets.
+func (r *router) coreConfiguration(view *config.View) *config.View {
 	if r.world.options.Variant != IgnoreDirectives {
 		return view
 	}
--- a/lab/simulation/connection.go
+++ b/lab/simulation/connection.go
@@ -39,7 +39,7 @@
 		if frame.Kind == engine.FrameToken {
 			c.nextToken++
 		}
-		if c.inFlight.agent.world.resets(c) {
+		if c.inFlight.agent.world.shouldReset(c) {
 			c.disconnect()
 			return false
 		}
@@ -58,7 +58,7 @@
 
 // receive gives a frame to the carrier.
 func (c *connection) receive(frame engine.Frame) {
-	if c.closed || c.inFlight.agent.world.loses(c) {
+	if c.closed || c.inFlight.agent.world.shouldDrop(c) {
 		return
 	}
 	c.lastFrameAt = c.inFlight.agent.now()
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -70,7 +70,7 @@
 	h.model.Restart(h.now())
 	h.listedLeaving = false
 	h.start()
-	h.world.listMachines()
+	h.world.publishMachines()
 }
 
 func (h *engineHost) machine() platform.Machine {
--- a/lab/simulation/engines.go
+++ b/lab/simulation/engines.go
@@ -11,20 +11,20 @@
 
 // Times of a router's watch over the engines.
 const (
-	statusInterval  = 250 * time.Millisecond
-	statusTimeout   = time.Second
-	needsInterval   = 100 * time.Millisecond
-	eventInterval   = 100 * time.Millisecond
-	eventTimeout    = 2 * time.Second
-	machineInterval = time.Second
-	statusFresh     = 5 * time.Second
+	statusInterval   = 250 * time.Millisecond
+	statusTimeout    = time.Second
+	snapshotInterval = 100 * time.Millisecond
+	eventInterval    = 100 * time.Millisecond
+	eventTimeout     = 2 * time.Second
+	machineInterval  = time.Second
+	statusMaxAge     = 5 * time.Second
 	// unreachableAfter is the number of failed polls in a row after which an
 	// engine that accepts connections counts as unreachable.
 	unreachableAfter = 2
 )
 
-// heardStatus is an engine's last word about itself.
-type heardStatus struct {
+// observedStatus is an engine's last word about itself.
+type observedStatus struct {
 	status engine.Status
 	at     time.Duration
 }
@@ -32,13 +32,13 @@
 // startEngines begins to follow the list of machines and the engines.
 func (r *router) startEngines() {
 	r.pollMachines()
-	r.passNeeds()
+	r.fetchNeededSnapshots()
 }
 
 // pollMachines reads the platform's list.
 func (r *router) pollMachines() {
 	if machines, reached := r.world.readMachines(&r.process); reached {
-		r.fromPlatform = true
+		r.machinesFromPlatform = true
 		r.setMachines(machines)
 	}
 	pause := machineInterval*3/4 + time.Duration(r.world.random.Int64N(int64(machineInterval/2)))
@@ -48,7 +48,7 @@
 // offerMachines takes a list that an agent or peer remembers, until the
 // platform has been heard.
 func (r *router) offerMachines(machines []platform.Machine) {
-	if len(machines) > 0 && !r.fromPlatform {
+	if len(machines) > 0 && !r.machinesFromPlatform {
 		r.setMachines(machines)
 	}
 }
@@ -60,12 +60,12 @@
 	}
 	for _, known := range r.machines {
 		if !listed[known.ID] {
-			r.step(func(now time.Duration) { r.core.ForgetMachine(now, fleet.EngineID(known.ID)) })
+			r.updateCore(func(now time.Duration) { r.core.ForgetMachine(now, fleet.EngineID(known.ID)) })
 		}
 	}
 	r.machines = machines
 	for _, machine := range machines {
-		r.step(func(now time.Duration) { r.core.ObserveMachine(now, machine) })
+		r.updateCore(func(now time.Duration) { r.core.ObserveMachine(now, machine) })
 		if id := fleet.EngineID(machine.ID); !r.polled[id] {
 			r.polled[id] = true
 			r.pollStatus(id, 0)
@@ -76,7 +76,7 @@
 
 // pollStatus asks an engine for its status, again and again.
 func (r *router) pollStatus(id fleet.EngineID, failures int) {
-	r.askStatus(id, func(reached bool, how callStatus) {
+	r.requestStatus(id, func(reached bool, how callStatus) {
 		pause := statusInterval*3/4 + time.Duration(r.world.random.Int64N(int64(statusInterval/2)))
 		if reached {
 			r.after(pause, func() { r.pollStatus(id, 0) })
@@ -84,13 +84,13 @@
 		}
 		failures++
 		if failures == unreachableAfter || (failures == 1 && how == refused) {
-			r.step(func(now time.Duration) { r.core.ObserveUnreachable(now, id) })
+			r.updateCore(func(now time.Duration) { r.core.ObserveUnreachable(now, id) })
 		}
 		r.after(pause, func() { r.pollStatus(id, failures) })
 	})
 }
 
-func (r *router) askStatus(id fleet.EngineID, done func(reached bool, how callStatus)) {
+func (r *router) requestStatus(id fleet.EngineID, done func(reached bool, how callStatus)) {
 	host := r.world.engineByID(id)
 	serve := func(reply func(any) time.Duration) {
 		status := host.model.Status(host.now())
@@ -101,9 +101,9 @@
 		if how == answered {
 			status := answer.(engine.Status)
 			if known := r.statuses[id]; status.Incarnation >= known.status.Incarnation {
-				r.statuses[id] = heardStatus{status: status, at: r.now()}
+				r.statuses[id] = observedStatus{status: status, at: r.now()}
 			}
-			r.step(func(now time.Duration) { r.core.ObserveStatus(now, status) })
+			r.updateCore(func(now time.Duration) { r.core.ObserveStatus(now, status) })
 		}
 		done(how == answered, how)
 	})
@@ -121,25 +121,25 @@
 	serve := func(reply func(any) time.Duration) {
 		events := engine.CacheEvents{Incarnation: host.model.Incarnation(), Events: host.model.CacheEventsAfter(host.now(), after)}
 		if r.world.options.Variant == MixRunsOfEngine {
-			r.kept[id] = host.model.CacheSnapshot(host.now())
+			r.earlierSnapshots[id] = host.model.CacheSnapshot(host.now())
 		}
 		host.update()
 		reply(events)
 	}
 	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
 		if how == answered {
-			r.step(func(now time.Duration) { r.core.ObserveCacheEvents(now, id, answer.(engine.CacheEvents)) })
+			r.updateCore(func(now time.Duration) { r.core.ObserveCacheEvents(now, id, answer.(engine.CacheEvents)) })
 		}
 		again()
 	})
 }
 
-// passNeeds does the extra polls that the core wants.
-func (r *router) passNeeds() {
+// fetchNeededSnapshots does the extra polls that the core wants.
+func (r *router) fetchNeededSnapshots() {
 	for _, id := range r.core.NeedsSnapshot() {
 		r.fetchSnapshot(id)
 	}
-	r.after(needsInterval, r.passNeeds)
+	r.after(snapshotInterval, r.fetchNeededSnapshots)
 }
 
 func (r *router) fetchSnapshot(id fleet.EngineID) {
@@ -152,10 +152,10 @@
 	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
 		if how == answered {
 			snapshot := answer.(engine.CacheSnapshot)
-			if earlier := r.kept[id]; earlier.Incarnation < snapshot.Incarnation {
+			if earlier := r.earlierSnapshots[id]; earlier.Incarnation < snapshot.Incarnation {
 				snapshot.Hashes = append(snapshot.Hashes, earlier.Hashes...) // MixRunsOfEngine alone keeps any
 			}
-			r.step(func(now time.Duration) { r.core.ObserveCacheSnapshot(now, id, snapshot) })
+			r.updateCore(func(now time.Duration) { r.core.ObserveCacheSnapshot(now, id, snapshot) })
 		}
 	})
 }
@@ -164,7 +164,7 @@
 func (r *router) freshStatuses() []engine.Status {
 	var fresh []engine.Status
 	for _, heard := range r.statuses {
-		if r.now()-heard.at <= statusFresh {
+		if r.now()-heard.at <= statusMaxAge {
 			fresh = append(fresh, heard.status)
 		}
 	}
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -44,51 +44,51 @@
 }
 
 const (
-	firstFault = 2 * time.Second
-	leastFault = 100 * time.Millisecond
-	mostFault  = 5 * time.Second
-	// quickChance is the part of the kills that are followed by a start at once.
-	quickChance  = 0.4
-	mostQuick    = 5 * time.Millisecond
-	mostSlowdown = 3 * time.Second
-	// twiceChance is the probability that a fault comes a second time, soon
+	firstFaultAt     = 2 * time.Second
+	minFaultDuration = 100 * time.Millisecond
+	maxFaultDuration = 5 * time.Second
+	// immediateRestartChance is the part of the kills that are followed by a start at once.
+	immediateRestartChance = 0.4
+	maxImmediateRestart    = 5 * time.Millisecond
+	maxSlowdown            = 3 * time.Second
+	// repeatChance is the probability that a fault comes a second time, soon
 	// after or during the first.
-	twiceChance = 0.25
-	resetRate   = 0.03
+	repeatChance = 0.25
+	resetRate    = 0.03
 	// lostFrameRate is the part of the frames that get lost while streams are reset.
-	lostFrameRate = 0.02
-	staleBy       = 6 * time.Second
-	restartWait   = 500 * time.Millisecond
+	lostFrameRate   = 0.02
+	staleMachineLag = 6 * time.Second
+	restartDelay    = 500 * time.Millisecond
 )
 
-// planFaults draws the faults and their times.
-func (w *world) planFaults() {
+// scheduleFaults draws the faults and their times.
+func (w *world) scheduleFaults() {
 	kinds := AllFaults
-	if len(w.options.Only) > 0 {
-		kinds = w.options.Only
+	if len(w.options.FaultKinds) > 0 {
+		kinds = w.options.FaultKinds
 	}
-	if w.options.Faults < 0 {
+	if w.options.MaxFaults < 0 {
 		return
 	}
-	for range 1 + w.random.IntN(w.options.Faults) {
+	for range 1 + w.random.IntN(w.options.MaxFaults) {
 		kind := kinds[w.random.IntN(len(kinds))]
-		at := firstFault + time.Duration(w.random.Int64N(int64(w.options.Load-firstFault)))
+		at := firstFaultAt + time.Duration(w.random.Int64N(int64(w.options.LoadDuration-firstFaultAt)))
 		w.queue.At(at, func() { w.inject(kind) })
-		if w.random.Float64() < twiceChance {
-			w.queue.At(at+time.Duration(w.random.Int64N(int64(mostFault))), func() { w.inject(kind) })
+		if w.random.Float64() < repeatChance {
+			w.queue.At(at+time.Duration(w.random.Int64N(int64(maxFaultDuration))), func() { w.inject(kind) })
 		}
 	}
 }
 
-// last draws how long a fault lasts.
-func (w *world) last() time.Duration {
-	return leastFault + time.Duration(w.random.Int64N(int64(mostFault-leastFault)))
+// drawFaultDuration draws how long a fault lasts.
+func (w *world) drawFaultDuration() time.Duration {
+	return minFaultDuration + time.Duration(w.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 }
 
-// fault records a fault that lasts for a time, and then calls end.
-func (w *world) fault(kind FaultKind, target string, lasts time.Duration, end func()) {
-	w.faults++
-	number := w.faults
+// recordFault records a recordFault that lasts for a time, and then calls end.
+func (w *world) recordFault(kind FaultKind, target string, lasts time.Duration, end func()) {
+	w.faultCount++
+	number := w.faultCount
 	group := string(kind)
 	if kind == PlatformDown || kind == PlatformLossy || kind == PlatformSlow || kind == StaleMachines {
 		group, target = history.PlatformFault, string(kind)
@@ -109,42 +109,42 @@
 	case FreezeAgent, FreezeRouter, FreezeEngine:
 		w.injectFreeze(kind)
 	case FreezeHolder:
-		w.freezeHolder = true
+		w.freezeNextPlanner = true
 	case CutLink, CutOneWay, Isolate, SlowLink, ResetStreams:
 		w.injectNetwork(kind)
 	case PlatformDown, PlatformLossy, PlatformSlow, StaleMachines:
-		w.injectPlatform(kind, w.last())
+		w.injectPlatform(kind, w.drawFaultDuration())
 	case HotPrefix:
-		w.hotUntil = w.queue.Now() + w.last()/2
+		w.hotUntil = w.queue.Now() + w.drawFaultDuration()/2
 	case StopRouter, StopAgent, ListLeaving:
-		w.injectPlanned(kind)
+		w.injectMaintenance(kind)
 	}
 }
 
-func pick[T any](w *world, from []T) T { return from[w.random.IntN(len(from))] }
+func randomElement[T any](w *world, from []T) T { return from[w.random.IntN(len(from))] }
 
 func (w *world) injectKill(kind FaultKind) {
-	down := w.last() / 2
-	if w.random.Float64() < quickChance {
-		down = time.Duration(w.random.Int64N(int64(mostQuick)))
+	down := w.drawFaultDuration() / 2
+	if w.random.Float64() < immediateRestartChance {
+		down = time.Duration(w.random.Int64N(int64(maxImmediateRestart)))
 	}
 	switch kind {
 	case KillAgent:
-		if a := pick(w, w.agents); a.alive && !a.stopping {
+		if a := randomElement(w, w.agents); a.alive && !a.stopping {
 			a.kill()
-			w.fault(kind, string(a.address), down, a.start)
+			w.recordFault(kind, string(a.address), down, a.start)
 		}
 	case KillRouter:
-		w.killRouter(pick(w, w.routers), down)
+		w.killRouter(randomElement(w, w.routers), down)
 	case KillEngine:
-		if host := pick(w, w.engines); host.alive {
+		if host := randomElement(w, w.engines); host.alive {
 			host.kill()
-			w.fault(kind, string(host.address), down, host.restart)
+			w.recordFault(kind, string(host.address), down, host.restart)
 		}
 	case RouterHerd:
-		w.injectPlatform(PlatformDown, down+mostFault)
+		w.injectPlatform(PlatformDown, down+maxFaultDuration)
 		for _, r := range w.routers {
-			w.killRouter(r, down+time.Duration(w.random.Int64N(int64(restartWait))))
+			w.killRouter(r, down+time.Duration(w.random.Int64N(int64(restartDelay))))
 		}
 	}
 }
@@ -152,17 +152,17 @@
 func (w *world) killRouter(r *router, down time.Duration) {
 	if r.alive && !r.stopping {
 		r.kill()
-		w.fault(KillRouter, string(r.address), down, r.start)
+		w.recordFault(KillRouter, string(r.address), down, r.start)
 	}
 }
 
 func (w *world) injectFreeze(kind FaultKind) {
-	target := &pick(w, w.routers).process
+	target := &randomElement(w, w.routers).process
 	switch kind {
 	case FreezeAgent:
-		target = &pick(w, w.agents).process
+		target = &randomElement(w, w.agents).process
 	case FreezeEngine:
-		target = &pick(w, w.engines).process
+		target = &randomElement(w, w.engines).process
 	}
 	if !target.alive {
 		return
@@ -171,21 +171,21 @@
 }
 
 func (w *world) freeze(kind FaultKind, target *process) {
-	lasts := w.last()
+	lasts := w.drawFaultDuration()
 	target.freeze(w.queue.Now() + lasts)
-	w.fault(kind, string(target.address), lasts, nil)
+	w.recordFault(kind, string(target.address), lasts, nil)
 }
 
-// planned freezes a lease holder between its plan and its orders, if asked to.
-func (w *world) planned(holder *router) {
-	if w.freezeHolder {
-		w.freezeHolder = false
+// freezePlanner freezes a lease holder between its plan and its orders, if asked to.
+func (w *world) freezePlanner(holder *router) {
+	if w.freezeNextPlanner {
+		w.freezeNextPlanner = false
 		w.freeze(FreezeHolder, &holder.process)
 	}
 }
 
-// anyLink returns two processes that talk to each other, in any order.
-func (w *world) anyLink() (from, to fleet.Address) {
+// randomLink returns two processes that talk to each other, in any order.
+func (w *world) randomLink() (from, to fleet.Address) {
 	var callers, called []fleet.Address
 	for _, a := range w.agents {
 		callers = append(callers, a.address)
@@ -197,7 +197,7 @@
 	for _, host := range w.engines {
 		called = append(called, host.address)
 	}
-	from, to = pick(w, callers), pick(w, append(called, w.tables.address))
+	from, to = randomElement(w, callers), randomElement(w, append(called, w.tables.address))
 	if w.random.IntN(2) == 0 {
 		return to, from
 	}
@@ -205,9 +205,9 @@
 }
 
 func (w *world) injectNetwork(kind FaultKind) {
-	lasts := w.last()
+	lasts := w.drawFaultDuration()
 	until := w.queue.Now() + lasts
-	from, to := w.anyLink()
+	from, to := w.randomLink()
 	n := w.network
 	switch kind {
 	case CutLink:
@@ -219,13 +219,13 @@
 		n.partitions = append(n.partitions, partition{from: from, until: until}, partition{to: from, until: until})
 	case SlowLink:
 		to = ""
-		n.slowdowns = append(n.slowdowns, slowdown{from: from, until: until, maxDelay: mostSlowdown})
+		n.slowdowns = append(n.slowdowns, slowdown{from: from, until: until, maxDelay: maxSlowdown})
 	case ResetStreams:
 		w.resetRate = resetRate
-		w.fault(kind, "", lasts, func() { w.resetRate = 0 })
+		w.recordFault(kind, "", lasts, func() { w.resetRate = 0 })
 		return
 	}
-	w.fault(kind, string(from)+">"+string(to), lasts, nil)
+	w.recordFault(kind, string(from)+">"+string(to), lasts, nil)
 }
 
 func (w *world) injectPlatform(kind FaultKind, lasts time.Duration) {
@@ -239,50 +239,50 @@
 	case PlatformSlow:
 		service.slowUntil = max(service.slowUntil, until)
 	case StaleMachines:
-		service.model.SetMachineLag(staleBy)
-		w.fault(kind, "", lasts, func() { service.model.SetMachineLag(machineLag) })
+		service.model.SetMachineLag(staleMachineLag)
+		w.recordFault(kind, "", lasts, func() { service.model.SetMachineLag(machineLag) })
 		return
 	}
-	w.fault(kind, "", lasts, nil)
+	w.recordFault(kind, "", lasts, nil)
 }
 
-// injectPlanned does what operators do on purpose.
-func (w *world) injectPlanned(kind FaultKind) {
+// injectMaintenance does what operators do on purpose.
+func (w *world) injectMaintenance(kind FaultKind) {
 	switch kind {
 	case StopRouter:
-		if r := pick(w, w.routers); r.alive && !r.stopping {
+		if r := randomElement(w, w.routers); r.alive && !r.stopping {
 			r.stop()
-			w.restartOnceEnded(&r.process, r.start)
+			w.restartOnceStopped(&r.process, r.start)
 		}
 	case StopAgent:
-		if a := pick(w, w.agents); a.alive && !a.stopping {
+		if a := randomElement(w, w.agents); a.alive && !a.stopping {
 			a.stop()
-			w.restartOnceEnded(&a.process, a.start)
+			w.restartOnceStopped(&a.process, a.start)
 		}
 	case ListLeaving:
 		host := w.engines[w.random.IntN(max(len(w.engines)/3, 1))]
 		if host.alive && !host.listedLeaving {
 			host.listedLeaving = true
-			w.listMachines()
+			w.publishMachines()
 			run := host.currentRun()
 			host.after(machineLag, func() { w.record(history.EngineLeaving{Run: run, Source: "list"}) })
 		}
 	}
 }
 
-// restartOnceEnded starts a process again some time after its planned stop.
-func (w *world) restartOnceEnded(p *process, start func()) {
-	w.queue.After(restartWait, func() {
+// restartOnceStopped starts a process again some time after its planned stop.
+func (w *world) restartOnceStopped(p *process, start func()) {
+	w.queue.After(restartDelay, func() {
 		if p.alive {
-			w.restartOnceEnded(p, start)
+			w.restartOnceStopped(p, start)
 			return
 		}
 		start()
 	})
 }
 
-// Describe returns the kinds of faults in a history, for summaries.
-func Describe(record *history.History) []string {
+// InjectedFaultKinds returns the kinds of faults in a history, for summaries.
+func InjectedFaultKinds(record *history.History) []string {
 	var kinds []string
 	for _, entry := range record.Entries {
 		if began, isFault := entry.Event.(history.FaultBegan); isFault && !slices.Contains(kinds, began.Kind) {
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	commandTimeout = 2 * time.Second
-	commandTries   = 4
-	operatorCount  = 2
-	// expectChance is the probability that a command names the revision that
+	commandTimeout  = 2 * time.Second
+	commandAttempts = 4
+	operatorCount   = 2
+	// expectedRevisionChance is the probability that a command names the revision that
 	// its operator saw last.
-	expectChance = 0.5
+	expectedRevisionChance = 0.5
 )
 
 // command is one statement of an operator, across its tries.
@@ -39,22 +39,22 @@
 	noEffect bool
 }
 
-// planCommands draws the times of the operators' commands.
-func (w *world) planCommands() {
-	if w.options.Commands <= 0 {
+// scheduleCommands draws the times of the operators' commands.
+func (w *world) scheduleCommands() {
+	if w.options.MaxCommands <= 0 {
 		return
 	}
-	for range w.random.IntN(w.options.Commands + 1) {
-		at := time.Second + time.Duration(w.random.Int64N(int64(w.options.Load)))
-		w.queue.At(at, func() { w.send(w.newCommand(), 1) })
+	for range w.random.IntN(w.options.MaxCommands + 1) {
+		at := time.Second + time.Duration(w.random.Int64N(int64(w.options.LoadDuration)))
+		w.queue.At(at, func() { w.sendCommand(w.newCommand(), 1) })
 	}
 }
 
 // newCommand draws a statement.
 func (w *world) newCommand() command {
-	w.commands++
-	drawn := command{operator: w.commands % operatorCount, token: fmt.Sprintf("token-%d", w.commands)}
-	if w.random.Float64() < expectChance {
+	w.commandCount++
+	drawn := command{operator: w.commandCount % operatorCount, token: fmt.Sprintf("token-%d", w.commandCount)}
+	if w.random.Float64() < expectedRevisionChance {
 		drawn.expected = w.tables.revision
 	}
 	engineName := w.engines[w.random.IntN(max(len(w.engines)/3, 1))].id
@@ -71,52 +71,52 @@
 	return drawn
 }
 
-// send sends a command to a router and, while its outcome isn't known, again
+// sendCommand sends a command to a router and, while its outcome isn't known, again
 // with the same token to another.
-func (w *world) send(sent command, try int) {
+func (w *world) sendCommand(sent command, try int) {
 	target := w.routers[w.random.IntN(len(w.routers))]
 	console := &process{world: w, address: "10.5.0.1:0", zone: zones[0], alive: true}
-	number := w.invoke(sent, target)
+	number := w.recordInvocation(sent, target)
 	serve := func(reply func(any) time.Duration) { reply(target.execute(sent)) }
 	w.network.call(console, &target.process, commandTimeout, serve, func(answer any, how callStatus) {
 		result := commandResult{noEffect: how == refused}
 		if how == answered {
 			result = answer.(commandResult)
 		}
-		w.returned(number, result)
-		if !result.definite && try < commandTries {
-			console.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { w.send(sent, try+1) })
+		w.recordReturn(number, result)
+		if !result.definite && try < commandAttempts {
+			console.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { w.sendCommand(sent, try+1) })
 		}
 	})
 }
 
-func (w *world) invoke(sent command, target *router) int {
-	w.calls++
+func (w *world) recordInvocation(sent command, target *router) int {
+	w.commandCalls++
 	w.record(history.CommandInvoked{
-		Call: w.calls, Operator: sent.operator, Router: target.node, Token: sent.token, Expected: sent.expected, Statement: sent.statement,
+		Call: w.commandCalls, Operator: sent.operator, Router: target.node, Token: sent.token, Expected: sent.expected, Statement: sent.statement,
 	})
-	return w.calls
+	return w.commandCalls
 }
 
-func (w *world) returned(number int, result commandResult) {
+func (w *world) recordReturn(number int, result commandResult) {
 	w.record(history.CommandReturned{
 		Call: number, Code: result.code, Revision: result.revision, Definite: result.definite, NoEffect: result.noEffect,
 	})
 }
 
-// race lets a command of another operator run to its end now and then, while
+// runCompetingCommand lets a command of another operator run to its end now and then, while
 // one is between its reads and its commit.
-func (w *world) race(from *process) {
-	if w.racing || w.random.Float64() >= raceChance {
+func (w *world) runCompetingCommand(from *process) {
+	if w.competing || w.random.Float64() >= competingCommandChance {
 		return
 	}
-	w.racing = true
-	defer func() { w.racing = false }()
+	w.competing = true
+	defer func() { w.competing = false }()
 	for _, rival := range w.routers {
 		if rival.alive && &rival.process != from && rival.now() >= rival.frozenUntil {
 			sent := w.newCommand()
-			number := w.invoke(sent, rival)
-			w.returned(number, rival.execute(sent))
+			number := w.recordInvocation(sent, rival)
+			w.recordReturn(number, rival.execute(sent))
 			return
 		}
 	}
@@ -125,13 +125,13 @@
 // execute serves a statement.
 func (r *router) execute(sent command) commandResult {
 	store := &commandStore{store: r.store}
-	runner := operator.NewRunner(source{router: r}, store, r)
+	runner := operator.NewRunner(operatorSource{router: r}, store, r)
 	result := runner.Run(context.Background(), operator.Request{
 		Statement: sent.statement, Token: sent.token, ExpectedRevision: sent.expected,
 	})
 	_, err := r.store.Refresh(context.Background(), r.holder)
 	if err == nil {
-		r.noteConfiguration()
+		r.applyConfiguration()
 	}
 	return commandResult{
 		code: result.Code, revision: result.Revision,
@@ -164,13 +164,13 @@
 	return operator.Outcome{}, false, errors.New("the simulation's operators repeat commands instead")
 }
 
-// source is a router's view for statements.
-type source struct{ router *router }
+// operatorSource is a router's view for statements.
+type operatorSource struct{ router *router }
 
-var _ operator.Source = source{}
+var _ operator.Source = operatorSource{}
 
 // Configuration implements operator.Source.
-func (s source) Configuration() (config.Document, bool) {
+func (s operatorSource) Configuration() (config.Document, bool) {
 	view := s.router.holder.Current()
 	if view == nil {
 		return config.Document{}, false
@@ -179,7 +179,7 @@
 }
 
 // Engines implements operator.Source.
-func (s source) Engines() []operator.Engine {
+func (s operatorSource) Engines() []operator.Engine {
 	var engines []operator.Engine
 	for _, snapshot := range s.router.core.Snapshot(s.router.now()).Engines {
 		engines = append(engines, operator.Engine{Run: snapshot.Run})
@@ -188,21 +188,21 @@
 }
 
 // Routers implements operator.Source.
-func (s source) Routers() []operator.Router { return nil }
+func (s operatorSource) Routers() []operator.Router { return nil }
 
 // Waiting implements operator.Source.
-func (s source) Waiting() []operator.Waiting { return nil }
+func (s operatorSource) Waiting() []operator.Waiting { return nil }
 
 // Holders implements operator.Source.
-func (s source) Holders([]fleet.BlockHash) []operator.Holder { return nil }
+func (s operatorSource) Holders([]fleet.BlockHash) []operator.Holder { return nil }
 
 // RequestBlocks implements operator.Source.
-func (s source) RequestBlocks(fleet.RequestID) ([]fleet.BlockHash, bool) { return nil, false }
+func (s operatorSource) RequestBlocks(fleet.RequestID) ([]fleet.BlockHash, bool) { return nil, false }
 
 // Explain implements operator.Source.
-func (s source) Explain(fleet.RequestID) (operator.Explanation, bool) {
+func (s operatorSource) Explain(fleet.RequestID) (operator.Explanation, bool) {
 	return operator.Explanation{}, false
 }
 
 // Version implements operator.Source.
-func (s source) Version() string { return "simulation" }
+func (s operatorSource) Version() string { return "simulation" }
--- a/lab/simulation/options.go
+++ b/lab/simulation/options.go
@@ -17,15 +17,15 @@
 	Engines int
 	// Rate is the mean number of requests a second.
 	Rate float64
-	// Load is how long requests arrive, Duration the length of the run.
-	Load     time.Duration
-	Duration time.Duration
-	// Faults is the greatest number of faults; negative means none at all.
-	Faults int
-	// Only, if not empty, limits the faults to these kinds.
-	Only []FaultKind
-	// Commands is the greatest number of operators' commands.
-	Commands int
+	// LoadDuration is how long requests arrive, Duration the length of the run.
+	LoadDuration time.Duration
+	Duration     time.Duration
+	// MaxFaults is the greatest number of faults; negative means none at all.
+	MaxFaults int
+	// FaultKinds, if not empty, limits the faults to these kinds.
+	FaultKinds []FaultKind
+	// MaxCommands is the greatest number of operators' commands.
+	MaxCommands int
 	// Variant breaks one guard, to see that the checkers notice.
 	Variant Variant
 
@@ -35,40 +35,40 @@
 	EventDelay  time.Duration
 	EventLoss   float64
 	LoadLag     time.Duration
-	// LateRepeats is the probability that an answer comes a second time, late,
+	// DuplicateRate is the probability that an answer comes a second time, late,
 	// CrossedFrames that a frame of another stream comes under an operation.
-	LateRepeats   float64
-	CrossedFrames float64
-	// Slowness multiplies the costs of the engines, RetryBurst bounds the agents'
+	DuplicateRate  float64
+	StrayFrameRate float64
+	// EngineSlowdown multiplies the costs of the engines, RetryBurst bounds the agents'
 	// retry budget and MaxStreams the streams of one engine: a scarce fleet
 	// refuses and gives up more.
-	Slowness   int
-	RetryBurst float64
-	MaxStreams int
+	EngineSlowdown int
+	RetryBurst     float64
+	MaxStreams     int
 }
 
 // Defaults of Options: the size of the users' smaller fleet.
 const (
-	DefaultAgents   = 3
-	DefaultRouters  = 3
-	DefaultEngines  = 12
-	DefaultRate     = 20
-	DefaultLoad     = 14 * time.Second
-	DefaultDuration = 32 * time.Second
-	DefaultFaults   = 6
-	DefaultCommands = 10
+	DefaultAgents       = 3
+	DefaultRouters      = 3
+	DefaultEngines      = 12
+	DefaultRate         = 20
+	DefaultLoadDuration = 14 * time.Second
+	DefaultDuration     = 32 * time.Second
+	DefaultMaxFaults    = 6
+	DefaultMaxCommands  = 10
 )
 
 // Bounds of what a seed draws.
 const (
-	mostEventDelay    = time.Second
-	mostEventLoss     = 0.3
-	mostLoadLag       = time.Second
-	mostLateRepeats   = 0.02
-	mostCrossedFrames = 0.005
-	mostSlowness      = 5
-	mostRetryBurst    = 20
-	mostStreams       = 16
+	maxEventDelay     = time.Second
+	maxEventLoss      = 0.3
+	maxLoadLag        = time.Second
+	maxDuplicateRate  = 0.02
+	maxStrayFrameRate = 0.005
+	maxEngineSlowdown = 5
+	maxRetryBurst     = 20
+	maxStreamLimit    = 16
 )
 
 func (o Options) withDefaults() Options {
@@ -76,10 +76,10 @@
 	setDefault(&o.Routers, DefaultRouters)
 	setDefault(&o.Engines, DefaultEngines)
 	setDefault(&o.Rate, DefaultRate)
-	setDefault(&o.Load, DefaultLoad)
+	setDefault(&o.LoadDuration, DefaultLoadDuration)
 	setDefault(&o.Duration, DefaultDuration)
-	setDefault(&o.Faults, DefaultFaults)
-	setDefault(&o.Commands, DefaultCommands)
+	setDefault(&o.MaxFaults, DefaultMaxFaults)
+	setDefault(&o.MaxCommands, DefaultMaxCommands)
 	setDefault(&o.CacheBlocks, 512)
 	return o
 }
@@ -91,26 +91,26 @@
 	}
 }
 
-// draw fills in what the seed decides.
-func (w *world) draw() {
+// drawOptions fills in what the seed decides.
+func (w *world) drawOptions() {
 	o := &w.options
 	part := func() float64 { return w.random.Float64() }
-	o.EventDelay = time.Duration(part() * float64(mostEventDelay))
-	o.EventLoss = part() * mostEventLoss
-	o.LoadLag = time.Duration(part() * float64(mostLoadLag))
-	o.LateRepeats = part() * mostLateRepeats
-	o.CrossedFrames = part() * mostCrossedFrames
-	o.Slowness = 1 + w.random.IntN(mostSlowness)
-	o.RetryBurst = 1 + part()*mostRetryBurst
-	o.MaxStreams = 1 + w.random.IntN(mostStreams)
+	o.EventDelay = time.Duration(part() * float64(maxEventDelay))
+	o.EventLoss = part() * maxEventLoss
+	o.LoadLag = time.Duration(part() * float64(maxLoadLag))
+	o.DuplicateRate = part() * maxDuplicateRate
+	o.StrayFrameRate = part() * maxStrayFrameRate
+	o.EngineSlowdown = 1 + w.random.IntN(maxEngineSlowdown)
+	o.RetryBurst = 1 + part()*maxRetryBurst
+	o.MaxStreams = 1 + w.random.IntN(maxStreamLimit)
 }
 
 // costs makes loads of weights quick enough for several in a run.
 func (o Options) costs() enginemodel.Costs {
 	costs := enginemodel.DefaultCosts()
 	costs.LoadTime = 300 * time.Millisecond
-	costs.StepBase *= time.Duration(o.Slowness)
-	costs.PrefillPerToken *= time.Duration(o.Slowness)
+	costs.StepBase *= time.Duration(o.EngineSlowdown)
+	costs.PrefillPerToken *= time.Duration(o.EngineSlowdown)
 	return costs
 }
 
@@ -133,8 +133,8 @@
 
 // Variants, with the guard that each takes away.
 const (
-	// Sound breaks nothing.
-	Sound Variant = ""
+	// Unmodified breaks nothing.
+	Unmodified Variant = ""
 	// DispatchToAnyRun drops the incarnation from dispatches.
 	DispatchToAnyRun Variant = "dispatch-to-any-run"
 	// MixRunsOfEngine takes the cached blocks of an earlier run for the present one's.
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -10,14 +10,14 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// startPeers joins the other routers.
-func (r *router) startPeers() {
+// joinMembership joins the other routers.
+func (r *router) joinMembership() {
 	random := r.world.newRandom()
 	r.members = membership.New(membership.Options{
 		Self:   membership.Member{Node: r.node, Address: r.address, Zone: r.zone},
 		Random: random,
 	})
-	r.spread = membership.NewDissemination(membership.DisseminationOptions{Random: random})
+	r.dissemination = membership.NewDissemination(membership.DisseminationOptions{Random: random})
 	r.routable = nil
 	r.sendPeers(r.members.Join(r.now(), r.world.seeds()))
 }
@@ -25,35 +25,35 @@
 // sendPeers sends messages to other routers and plans the next tick.
 func (r *router) sendPeers(messages []membership.Message) {
 	for _, message := range messages {
-		r.spread.Piggyback(&message)
+		r.dissemination.Piggyback(&message)
 		target := r.world.routerAt(message.To)
 		if target == nil || target == r {
 			continue
 		}
 		r.world.network.send(&r.process, &target.process, func() { target.receive(message) })
 	}
-	r.membersChanged()
-	r.wakePeers()
+	r.handleMembershipChange()
+	r.schedulePeerTick()
 }
 
-func (r *router) wakePeers() {
+func (r *router) schedulePeerTick() {
 	at := r.members.NextWake()
-	if spread, pending := r.spread.NextWake(); pending {
+	if spread, pending := r.dissemination.NextWake(); pending {
 		at = min(at, spread)
 	}
 	at = max(at, r.now()+time.Millisecond)
-	if r.memberWake > r.now() && r.memberWake <= at {
+	if r.membershipTickAt > r.now() && r.membershipTickAt <= at {
 		return
 	}
-	r.memberWake = at
+	r.membershipTickAt = at
 	r.after(at-r.now(), func() {
-		if r.memberWake != at {
+		if r.membershipTickAt != at {
 			return
 		}
-		r.memberWake = 0
+		r.membershipTickAt = 0
 		messages := r.members.Tick(r.now())
-		pull, due := r.spread.NextPull(r.now())
-		messages = append(messages, r.spread.Tick(r.now(), r.members.View())...)
+		pull, due := r.dissemination.NextPull(r.now())
+		messages = append(messages, r.dissemination.Tick(r.now(), r.members.View())...)
 		r.sendPeers(messages)
 		if due {
 			r.pull(pull.From)
@@ -64,12 +64,12 @@
 // receive takes a message of another router.
 func (r *router) receive(message membership.Message) {
 	messages := r.members.Receive(r.now(), message)
-	r.spread.Observe(message.Sender.Address, message.KnownRevision)
-	if next := r.spread.NextChanges(message.Changes); len(next) > 0 {
+	r.dissemination.Observe(message.Sender.Address, message.KnownRevision)
+	if next := r.dissemination.NextChanges(message.Changes); len(next) > 0 {
 		r.offerChanges(decodeChanges(next))
 	}
 	r.sendPeers(messages)
-	r.hear(message.KnownRevision)
+	r.observeRevision(message.KnownRevision)
 }
 
 // changesAnswer answers a pull.
@@ -89,17 +89,17 @@
 	serve := func(reply func(any) time.Duration) { reply(target.changesAfter(revision)) }
 	r.world.network.call(&r.process, &target.process, time.Second, serve, func(answer any, how callStatus) {
 		if how == answered {
-			r.takeChanges(answer.(changesAnswer))
+			r.applyChanges(answer.(changesAnswer))
 		}
 		r.follower.PeerDone(r.now())
 		r.follow()
 	})
 }
 
-func (r *router) takeChanges(answer changesAnswer) {
+func (r *router) applyChanges(answer changesAnswer) {
 	r.offerMachines(answer.machines)
 	if answer.document != nil {
-		r.offer(*answer.document)
+		r.offerSnapshot(*answer.document)
 		return
 	}
 	r.offerChanges(answer.changes)
@@ -121,17 +121,17 @@
 	return answer
 }
 
-// membersChanged shares engines and lease anew when the routers have changed.
-func (r *router) membersChanged() {
+// handleMembershipChange shares engines and lease anew when the routers have changed.
+func (r *router) handleMembershipChange() {
 	routable := r.members.View().Routable()
-	if r.election == nil || sameMembers(r.routable, routable) {
+	if r.election == nil || equalMembers(r.routable, routable) {
 		return
 	}
 	r.routable = routable
-	r.shareLease()
+	r.updateEligibility()
 }
 
-func sameMembers(a, b []membership.Member) bool {
+func equalMembers(a, b []membership.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/lab/simulation/placing.go
+++ b/lab/simulation/placing.go
@@ -36,7 +36,7 @@
 			c.handle(attempt.PlacementFailed{Operation: ask.Operation}, "")
 			return
 		}
-		c.handleAnswer(ask, at, answer.(placeAnswer))
+		c.handleAnswer(ask, at, answer.(placementAnswer))
 	})
 	at.placementCalls = append(at.placementCalls, c.placementCall)
 }
@@ -53,7 +53,7 @@
 }
 
 // handleAnswer turns a router's answer into an event.
-func (c *inFlightRequest) handleAnswer(ask attempt.RequestPlacement, at *routerState, answer placeAnswer) {
+func (c *inFlightRequest) handleAnswer(ask attempt.RequestPlacement, at *routerState, answer placementAnswer) {
 	a := c.agent
 	a.observeAnswer(at, answer.revision)
 	switch outcome := answer.outcome.(type) {
@@ -61,13 +61,13 @@
 		c.handleGrant(ask, answer, outcome)
 	case placement.HandBack:
 		c.handBacks++
-		c.handle(attempt.Redirected{Operation: ask.Operation, Routers: answer.others}, "")
+		c.handle(attempt.Redirected{Operation: ask.Operation, Routers: answer.otherRouters}, "")
 	case placement.Refusal:
 		c.handleRefusal(ask, at, outcome)
 	}
 }
 
-func (c *inFlightRequest) handleGrant(ask attempt.RequestPlacement, answer placeAnswer, grant placement.Grant) {
+func (c *inFlightRequest) handleGrant(ask attempt.RequestPlacement, answer placementAnswer, grant placement.Grant) {
 	event := attempt.Granted{
 		Operation: ask.Operation, Attempt: grant.Key.Attempt, Run: grant.Run, Address: grant.Address, Priority: grant.Priority,
 		ValidUntil: c.agent.now() + grant.ValidFor,
@@ -75,7 +75,7 @@
 	believed := grant.ExpectedCachedTokens / max(grant.BlockTokens, 1)
 	c.agent.world.record(history.Granted{
 		Request: c.request.id, Attempt: ask.Attempt, Router: answer.router, Run: grant.Run,
-		ExpectedCachedBlocks: believed, NeverCachedBlocks: answer.unfounded,
+		ExpectedCachedBlocks: believed, NeverCachedBlocks: answer.neverCachedBlocks,
 	})
 	c.handle(event, "")
 	c.duplicateLater(event)
--- a/lab/simulation/planted_test.go
+++ b/lab/simulation/planted_test.go
@@ -33,15 +33,15 @@
 	{history.RequestOutcome, ForgetDeadline, []FaultKind{Isolate, FreezeEngine}, 0},
 }
 
-// mostPlantedSeeds bounds the runs in which a planted fault must be noticed.
-const mostPlantedSeeds = 300
+// maxPlantedSeeds bounds the runs in which a planted fault must be noticed.
+const maxPlantedSeeds = 300
 
 func TestPlantedFaultIsCaught(t *testing.T) {
 	for _, planted := range plantedFaults {
 		t.Run(string(planted.invariant)+"/"+string(planted.variant), func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(mostPlantedSeeds) {
-				options := Options{Seed: seed + 1, Only: planted.only, Faults: planted.faults}
+			for seed := range uint64(maxPlantedSeeds) {
+				options := Options{Seed: seed + 1, FaultKinds: planted.only, MaxFaults: planted.faults}
 				_, result := CheckSeed(options)
 				require.Empty(t, result.Violations, "the sound system")
 				options.Variant = planted.variant
@@ -51,7 +51,7 @@
 					return
 				}
 			}
-			t.Fatalf("%s wasn't noticed in %d runs", planted.variant, mostPlantedSeeds)
+			t.Fatalf("%s wasn't noticed in %d runs", planted.variant, maxPlantedSeeds)
 		})
 	}
 }
--- a/lab/simulation/requests.go
+++ b/lab/simulation/requests.go
@@ -10,47 +10,47 @@
 
 // Shapes of the prompts, in bytes.
 const (
-	topBytes    = 512
-	middleBytes = 256
-	leafBytes   = 100
-	mostOutput  = 24
-	leastOutput = 2
-	// onceChance is the part of the requests that must run at most once.
-	onceChance = 0.3
-	// leaveChance is the part of the callers that may go away before the answer.
-	leaveChance = 0.1
+	topBytes        = 512
+	middleBytes     = 256
+	leafBytes       = 100
+	maxOutputTokens = 24
+	minOutputTokens = 2
+	// atMostOnceChance is the part of the requests that must run at most once.
+	atMostOnceChance = 0.3
+	// disconnectChance is the part of the callers that may go away before the answer.
+	disconnectChance = 0.1
 	// batchChance is the part of the requests of the last class.
-	batchChance   = 0.3
-	topVariants   = 3
-	midVariants   = 4
-	leastDeadline = 2 * time.Second
-	mostDeadline  = 10 * time.Second
-	// hotFactor multiplies the rate while a hot prefix lasts.
-	hotFactor = 8
+	batchChance    = 0.3
+	topVariants    = 3
+	middleVariants = 4
+	minDeadline    = 2 * time.Second
+	maxDeadline    = 10 * time.Second
+	// hotRateFactor multiplies the rate while a hot prefix lasts.
+	hotRateFactor = 8
 )
 
-// planRequests has requests arrive as long as the load lasts.
-func (w *world) planRequests() {
+// scheduleRequests has requests arrive as long as the load lasts.
+func (w *world) scheduleRequests() {
 	const firstAt = 1200 * time.Millisecond
-	w.queue.At(firstAt, w.nextRequest)
+	w.queue.At(firstAt, w.generateRequests)
 }
 
-func (w *world) nextRequest() {
-	if w.queue.Now() > w.options.Load {
+func (w *world) generateRequests() {
+	if w.queue.Now() > w.options.LoadDuration {
 		return
 	}
 	hot := w.queue.Now() < w.hotUntil
-	w.arrive(hot)
+	w.submitRequest(hot)
 	rate := w.options.Rate
 	if hot {
-		rate *= hotFactor
+		rate *= hotRateFactor
 	}
 	gap := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-	w.queue.After(gap, w.nextRequest)
+	w.queue.After(gap, w.generateRequests)
 }
 
-// arrive sends one request to an agent that takes requests, if any does.
-func (w *world) arrive(hot bool) {
+// submitRequest sends one request to an agent that takes requests, if any does.
+func (w *world) submitRequest(hot bool) {
 	incoming := w.newRequest(hot)
 	first := w.random.IntN(len(w.agents))
 	for offset := range w.agents {
@@ -61,31 +61,31 @@
 }
 
 func (w *world) newRequest(hot bool) request {
-	w.requests++
+	w.requestCount++
 	tenant := tenants[w.random.IntN(len(tenants))]
 	top := fmt.Sprintf("circular %d ", w.random.IntN(topVariants))
 	if hot {
 		top = "circular of today "
 		tenant = tenants[0]
 	}
-	middle := fmt.Sprintf("flag context %d ", w.random.IntN(midVariants))
-	leaf := fmt.Sprintf("question %d ", w.requests)
+	middle := fmt.Sprintf("flag context %d ", w.random.IntN(middleVariants))
+	leaf := fmt.Sprintf("question %d ", w.requestCount)
 	class := classes[0]
 	if w.random.Float64() < batchChance {
 		class = classes[1]
 	}
 	return request{
-		id:         fleet.RequestID(fmt.Sprintf("r%04d", w.requests)),
+		id:         fleet.RequestID(fmt.Sprintf("r%04d", w.requestCount)),
 		tenant:     tenant,
 		class:      class,
-		prompt:     fill(top, topBytes) + fill(middle, middleBytes) + fill(leaf, leafBytes),
-		maxTokens:  leastOutput + w.random.IntN(mostOutput-leastOutput),
-		repeatable: w.random.Float64() >= onceChance,
-		timeout:    leastDeadline + time.Duration(w.random.Int64N(int64(mostDeadline-leastDeadline))),
+		prompt:     repeatToLength(top, topBytes) + repeatToLength(middle, middleBytes) + repeatToLength(leaf, leafBytes),
+		maxTokens:  minOutputTokens + w.random.IntN(maxOutputTokens-minOutputTokens),
+		repeatable: w.random.Float64() >= atMostOnceChance,
+		timeout:    minDeadline + time.Duration(w.random.Int64N(int64(maxDeadline-minDeadline))),
 	}
 }
 
-// fill repeats a text up to a length.
-func fill(text string, length int) string {
+// repeatToLength repeats a text up to a length.
+func repeatToLength(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -35,18 +35,18 @@
 	}
 	r.election = election
 	r.planner = rollout.NewPlanner(rollout.PlannerSettings{UnloadGrace: 3 * time.Second})
-	r.shareLease()
-	r.elect()
-	r.rolloutRound()
+	r.updateEligibility()
+	r.stepElection()
+	r.runRollout()
 }
 
-func (r *router) shareLease() {
+func (r *router) updateEligibility() {
 	candidates := membership.Owners(leaseSettings.Key, r.members.View().Routable(), rolloutCandidates)
 	r.election.SetEligible(slices.Contains(candidates, r.node))
 }
 
-// elect does what the election wants next.
-func (r *router) elect() {
+// stepElection does what the election wants next.
+func (r *router) stepElection() {
 	if r.electing {
 		return
 	}
@@ -55,7 +55,7 @@
 	switch action.Kind {
 	case lease.ActionDone:
 	case lease.ActionWait:
-		r.after(max(action.Until-r.now(), time.Millisecond), r.elect)
+		r.after(max(action.Until-r.now(), time.Millisecond), r.stepElection)
 	case lease.ActionRead:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveRead(leaseSettings.Key, reply) }
@@ -68,7 +68,7 @@
 			if err := r.election.ReadDone(r.now(), row, err); err != nil {
 				panic(err) // only elections write the row
 			}
-			r.elect()
+			r.stepElection()
 		})
 	case lease.ActionCommit:
 		r.electing = true
@@ -76,7 +76,7 @@
 		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callStatus) {
 			r.electing = false
 			r.election.CommitDone(r.now(), commitError(answer, how))
-			r.elect()
+			r.stepElection()
 		})
 	}
 }
@@ -98,9 +98,9 @@
 	}
 }
 
-// rolloutRound makes and carries out one plan, if the lease is held.
-func (r *router) rolloutRound() {
-	r.after(rolloutInterval, r.rolloutRound)
+// runRollout makes and carries out one plan, if the lease is held.
+func (r *router) runRollout() {
+	r.after(rolloutInterval, r.runRollout)
 	token, held := r.election.Fence(r.now())
 	view := r.holder.Current()
 	if !held || view == nil {
@@ -109,10 +109,10 @@
 	document := view.Document()
 	orders := r.planner.Plan(r.now(), &document, r.rolloutEngines())
 	if len(orders) > 0 {
-		r.world.planned(r)
+		r.world.freezePlanner(r)
 	}
 	for position, order := range orders {
-		r.after(time.Duration(position)*orderSpacing, func() { r.order(order, token) })
+		r.after(time.Duration(position)*orderSpacing, func() { r.sendOrder(order, token) })
 	}
 }
 
@@ -124,8 +124,8 @@
 	return engines
 }
 
-// order sends one order, if the lease is still held.
-func (r *router) order(order rollout.Order, planned fleet.FencingToken) {
+// sendOrder sends one sendOrder, if the lease is still held.
+func (r *router) sendOrder(order rollout.Order, planned fleet.FencingToken) {
 	token, held := r.election.Fence(r.now())
 	if r.world.options.Variant == FenceAtPlan {
 		token, held = planned, true
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -27,28 +27,28 @@
 	node  fleet.NodeID
 
 	core *placement.Core
-	// calls are the open placement calls.
-	calls  map[placement.Key]func(answer any) time.Duration
-	wakeAt time.Duration
-	served bool
-
-	members    *membership.Core
-	spread     *membership.Dissemination
-	memberWake time.Duration
-	routable   []membership.Member
-
-	holder    *config.Holder
-	inForce   fleet.Revision
-	store     *config.Store
-	follower  *config.Follower
-	following bool
-
-	machines     []platform.Machine
-	fromPlatform bool
-	statuses     map[fleet.EngineID]heardStatus
-	// kept holds the blocks of engines for MixRunsOfEngine.
-	kept   map[fleet.EngineID]engine.CacheSnapshot
-	polled map[fleet.EngineID]bool
+	// pendingPlacements are the open placement pendingPlacements.
+	pendingPlacements map[placement.Key]func(answer any) time.Duration
+	nextTickAt        time.Duration
+	served            bool
+
+	members          *membership.Core
+	dissemination    *membership.Dissemination
+	membershipTickAt time.Duration
+	routable         []membership.Member
+
+	holder          *config.Holder
+	appliedRevision fleet.Revision
+	store           *config.Store
+	follower        *config.Follower
+	followScheduled bool
+
+	machines             []platform.Machine
+	machinesFromPlatform bool
+	statuses             map[fleet.EngineID]observedStatus
+	// earlierSnapshots holds the blocks of engines for MixRunsOfEngine.
+	earlierSnapshots map[fleet.EngineID]engine.CacheSnapshot
+	polled           map[fleet.EngineID]bool
 
 	election *lease.Election
 	// electing is set while a call of the election is under way.
@@ -65,22 +65,22 @@
 }
 
 func (r *router) start() {
-	informed := r.world.informed()
+	informed := r.world.hasConfiguredNode()
 	r.begin()
 	r.node = fleet.NodeID(fmt.Sprintf("router-%d-%d", r.index, r.generation))
 	r.core = placement.New(placement.Options{Node: r.node, Zone: r.zone, Random: r.world.newRandom()})
-	r.calls = make(map[placement.Key]func(any) time.Duration)
-	r.wakeAt, r.memberWake = 0, 0
-	r.served, r.stopping, r.following, r.electing = false, false, false, false
+	r.pendingPlacements = make(map[placement.Key]func(any) time.Duration)
+	r.nextTickAt, r.membershipTickAt = 0, 0
+	r.served, r.stopping, r.followScheduled, r.electing = false, false, false, false
 	r.election = nil
-	r.inForce = 0
-	r.machines, r.fromPlatform = nil, false
-	r.statuses = make(map[fleet.EngineID]heardStatus)
+	r.appliedRevision = 0
+	r.machines, r.machinesFromPlatform = nil, false
+	r.statuses = make(map[fleet.EngineID]observedStatus)
 	r.polled = make(map[fleet.EngineID]bool)
-	r.kept = make(map[fleet.EngineID]engine.CacheSnapshot)
+	r.earlierSnapshots = make(map[fleet.EngineID]engine.CacheSnapshot)
 	r.holder = config.NewHolder()
 	r.world.record(history.NodeStarted{Node: r.node, Kind: history.RouterNode, ConfigurationAvailable: informed})
-	r.startPeers()
+	r.joinMembership()
 	r.startConfiguration()
 	r.startEngines()
 	r.startRollout()
@@ -98,75 +98,75 @@
 	const linger = 200 * time.Millisecond
 	r.stopping = true
 	r.world.record(history.NodeStopping{Node: r.node})
-	r.step(func(now time.Duration) { r.core.Drain(now) })
+	r.updateCore(func(now time.Duration) { r.core.Drain(now) })
 	r.sendPeers(r.members.Leave(r.now()))
 	r.election.Resign()
-	r.elect()
+	r.stepElection()
 	r.after(linger, func() {
 		r.world.record(history.NodeStopped{Node: r.node})
 		r.end()
 	})
 }
 
-// step runs a step on the placement core and delivers the outcomes.
-func (r *router) step(action func(now time.Duration)) {
+// updateCore runs a updateCore on the placement core and delivers the outcomes.
+func (r *router) updateCore(action func(now time.Duration)) {
 	action(r.now())
 	for _, outcome := range r.core.TakeOutcomes() {
 		r.deliver(outcome)
 	}
-	r.wake()
+	r.scheduleTick()
 }
 
-// wake plans the core's next tick.
-func (r *router) wake() {
+// scheduleTick plans the core's next tick.
+func (r *router) scheduleTick() {
 	at, due := r.core.NextWake()
-	if !due || (r.wakeAt > r.now() && r.wakeAt <= at) {
+	if !due || (r.nextTickAt > r.now() && r.nextTickAt <= at) {
 		return
 	}
 	at = max(at, r.now()+time.Millisecond)
-	r.wakeAt = at
+	r.nextTickAt = at
 	r.after(at-r.now(), func() {
-		if r.wakeAt == at {
-			r.wakeAt = 0
-			r.step(r.core.Tick)
+		if r.nextTickAt == at {
+			r.nextTickAt = 0
+			r.updateCore(r.core.Tick)
 		}
 	})
 }
 
-// placeAnswer is a router's answer to a placement call.
-type placeAnswer struct {
-	router    fleet.NodeID
-	revision  fleet.Revision
-	outcome   placement.Outcome
-	others    []fleet.Address
-	unfounded int
+// placementAnswer is a router's answer to a placement call.
+type placementAnswer struct {
+	router            fleet.NodeID
+	revision          fleet.Revision
+	outcome           placement.Outcome
+	otherRouters      []fleet.Address
+	neverCachedBlocks int
 }
 
 // place serves a placement call.
 func (r *router) place(request placement.Request, reply func(any) time.Duration) {
-	r.hear(request.KnownRevision)
+	r.observeRevision(request.KnownRevision)
 	if request.KnownRevision > 0 && r.holder.Current() == nil {
-		reply(r.placeAnswer(placement.HandBack{Key: request.Key, Reason: placement.HandBackStaleConfiguration}, 0))
+		reply(r.newPlacementAnswer(placement.HandBack{Key: request.Key, Reason: placement.HandBackStaleConfiguration}, 0))
 		return
 	}
 	blocks := request.Blocks
-	r.calls[request.Key] = func(outcome any) time.Duration {
+	r.pendingPlacements[request.Key] = func(outcome any) time.Duration {
 		grant, granted := outcome.(placement.Grant)
 		unfounded := 0
 		if granted {
-			unfounded = r.world.unfounded(grant, blocks)
+			unfounded = r.world.countNeverCached(grant, blocks)
 		}
-		return reply(r.placeAnswer(outcome.(placement.Outcome), unfounded))
+		return reply(r.newPlacementAnswer(outcome.(placement.Outcome), unfounded))
 	}
-	r.step(func(now time.Duration) { r.core.Submit(now, request) })
+	r.updateCore(func(now time.Duration) { r.core.Submit(now, request) })
 }
 
-func (r *router) placeAnswer(outcome placement.Outcome, unfounded int) placeAnswer {
-	answer := placeAnswer{router: r.node, revision: r.holder.Revision(), outcome: outcome, unfounded: unfounded}
+func (r *router) newPlacementAnswer(outcome placement.Outcome, unfounded int) placementAnswer {
+	answer := placementAnswer{router: r.node, revision: r.holder.Revision(), outcome: outcome, neverCachedBlocks: unfounded}
 	if _, handedBack := outcome.(placement.HandBack); handedBack {
 		for _, member := range r.members.View().Routable() {
 			if member.Node != r.node {
-				answer.others = append(answer.others, member.Address)
+				answer.otherRouters = append(answer.otherRouters, member.Address)
 			}
 		}
 	}
@@ -180,39 +180,39 @@
 		r.served = true
 		r.world.record(history.RouterServed{Node: r.node})
 	}
-	reply := r.calls[key]
-	delete(r.calls, key)
+	reply := r.pendingPlacements[key]
+	delete(r.pendingPlacements, key)
 	switch {
 	case reply != nil:
 		reply(outcome)
 	case granted:
-		r.abandon(grant)
+		r.releaseGrant(grant)
 	}
 }
 
-// abandon gives back a grant that nobody waits for.
-func (r *router) abandon(grant placement.Grant) {
+// releaseGrant gives back a grant that nobody waits for.
+func (r *router) releaseGrant(grant placement.Grant) {
 	r.core.Report(r.now(), placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
 }
 
 // withdraw takes back a call whose agent is gone.
 func (r *router) withdraw(key placement.Key) {
-	delete(r.calls, key)
-	r.step(func(now time.Duration) { r.core.Withdraw(now, key) })
+	delete(r.pendingPlacements, key)
+	r.updateCore(func(now time.Duration) { r.core.Withdraw(now, key) })
 }
 
 // report serves an agent's report.
 func (r *router) report(report placement.AttemptReport) fleet.Revision {
-	r.step(func(now time.Duration) { r.core.Report(now, report) })
+	r.updateCore(func(now time.Duration) { r.core.Report(now, report) })
 	return r.holder.Revision()
 }
 
 // sync serves an exchange with an agent.
 func (r *router) sync(request syncRequest) syncAnswer {
 	if request.document != nil {
-		r.offer(*request.document)
+		r.offerSnapshot(*request.document)
 	}
-	r.hear(request.revision)
+	r.observeRevision(request.revision)
 	r.offerMachines(request.machines)
 	answer := syncAnswer{
 		revision: r.holder.Revision(), members: slices.Clone(r.members.View().Routable()), stopping: r.stopping,
@@ -236,7 +236,7 @@
 		}
 		if view := r.holder.Current(); view != nil {
 			weights, _, _ := view.ResolveModel(string(model))
-			r.step(func(now time.Duration) {
+			r.updateCore(func(now time.Duration) {
 				key := placement.Key{Request: fleet.RequestID("probe-" + string(r.node)), Attempt: 1}
 				r.core.Submit(now, placement.Request{
 					Key: key, Tenant: tenants[0], Class: classes[0], ModelVersion: weights, PromptTokens: 1, MaxTokens: 1,
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -31,7 +31,7 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				record, result := CheckSeed(Options{Seed: seed + 1, Only: []FaultKind{kind}, Faults: 8})
+				record, result := CheckSeed(Options{Seed: seed + 1, FaultKinds: []FaultKind{kind}, MaxFaults: 8})
 				assert.Empty(t, result.Violations, "seed %d", result.Seed)
 				assert.NotZero(t, finished(record), "requests that ended well")
 			}
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -107,12 +107,12 @@
 		a.machines = answer.machines
 	}
 	if answer.document != nil {
-		a.offer(*answer.document)
+		a.offerSnapshot(*answer.document)
 	}
 }
 
-// offer gives the holder a configuration that a router sent.
-func (a *agent) offer(document config.Document) {
+// offerSnapshot gives the holder a configuration that a router sent.
+func (a *agent) offerSnapshot(document config.Document) {
 	if a.world.options.Variant == TakeAnyRevision && document.Revision < a.holder.Revision() {
 		a.holder = config.NewHolder()
 	}
--- a/lab/simulation/tables.go
+++ b/lab/simulation/tables.go
@@ -14,19 +14,19 @@
 
 // Fates of a commit while the table service loses answers.
 const (
-	lostAfterEffect  = 0.3
-	lostBeforeEffect = 0.45
-	lostLateEffect   = 0.6
-	mostLateEffect   = 2 * time.Second
-	mostStaleness    = 2 * time.Second
-	// raceChance is the probability that another operator's command comes
+	lostAfterCommit   = 0.3
+	lostBeforeCommit  = 0.45
+	lostDelayedCommit = 0.6
+	maxCommitDelay    = 2 * time.Second
+	maxStaleness      = 2 * time.Second
+	// competingCommandChance is the probability that another operator's command comes
 	// between a command's reads and its commit.
-	raceChance = 0.15
-	// darkChance is the probability that a client can't ask what became of a
+	competingCommandChance = 0.15
+	// unreachableChance is the probability that a client can't ask what became of a
 	// commit whose answer was lost, for darkTime.
-	darkChance = 0.5
-	darkTime   = 500 * time.Millisecond
-	machineLag = 500 * time.Millisecond
+	unreachableChance   = 0.5
+	unreachableDuration = 500 * time.Millisecond
+	machineLag          = 500 * time.Millisecond
 )
 
 // tableService is the platform's table service.
@@ -34,14 +34,14 @@
 	process
 	model                            *platformmodel.Platform
 	downUntil, lossyUntil, slowUntil time.Duration
-	// past holds the versions of each row that was written, oldest first.
-	past map[string][]pastRow
+	// rowVersions holds the versions of each row that was written, oldest first.
+	rowVersions map[string][]rowVersion
 	// revision is that of the last committed configuration.
 	revision   fleet.Revision
 	directives map[fleet.EngineRun]bool
 }
 
-type pastRow struct {
+type rowVersion struct {
 	at    time.Duration
 	row   platform.Row
 	found bool
@@ -50,20 +50,20 @@
 func newTableService(w *world) *tableService {
 	const address fleet.Address = "10.4.0.1:8400"
 	service := &tableService{
-		process:    process{world: w, address: address, zone: zones[0]},
-		model:      platformmodel.New(platformmodel.Options{MachineLag: machineLag, Rate: platformmodel.Rate{PerSecond: 200, Burst: 100}}),
-		past:       make(map[string][]pastRow),
-		directives: make(map[fleet.EngineRun]bool),
+		process:     process{world: w, address: address, zone: zones[0]},
+		model:       platformmodel.New(platformmodel.Options{MachineLag: machineLag, Rate: platformmodel.Rate{PerSecond: 200, Burst: 100}}),
+		rowVersions: make(map[string][]rowVersion),
+		directives:  make(map[fleet.EngineRun]bool),
 	}
 	service.begin()
 	return service
 }
 
-func (s *tableService) down() bool { return s.now() < s.downUntil }
+func (s *tableService) isDown() bool { return s.now() < s.downUntil }
 
-func (s *tableService) unreachable(from *process) bool {
+func (s *tableService) isUnreachable(from *process) bool {
 	network := s.world.network
-	return s.down() || network.blockedUntil(from, &s.process) > 0 || network.blockedUntil(&s.process, from) > 0
+	return s.isDown() || network.blockedUntil(from, &s.process) > 0 || network.blockedUntil(&s.process, from) > 0
 }
 
 // commit applies a transaction and records a new configuration.
@@ -75,25 +75,25 @@
 		return err
 	}
 	for _, write := range transaction.Writes {
-		s.remember(write)
+		s.recordVersion(write)
 	}
 	s.recordConfiguration()
 	return nil
 }
 
-func (s *tableService) remember(write platform.Write) {
-	past := s.past[write.Key]
+func (s *tableService) recordVersion(write platform.Write) {
+	past := s.rowVersions[write.Key]
 	revision := uint64(1)
 	if len(past) > 0 && past[len(past)-1].found {
 		revision = past[len(past)-1].row.Revision + 1
 	}
 	row := platform.Row{Key: write.Key, Value: slices.Clone(write.Value), Revision: revision}
-	s.past[write.Key] = append(past, pastRow{at: s.now(), row: row, found: !write.Delete})
+	s.rowVersions[write.Key] = append(past, rowVersion{at: s.now(), row: row, found: !write.Delete})
 }
 
 // recordConfiguration records the configuration at the head, if it is new.
 func (s *tableService) recordConfiguration() {
-	document, err := config.NewStore(truth{s}, nil, config.StoreOptions{}).Load(context.Background())
+	document, err := config.NewStore(directTables{s}, nil, config.StoreOptions{}).Load(context.Background())
 	if err != nil {
 		panic(err) // the truth can always be read
 	}
@@ -127,9 +127,9 @@
 	s.directives = directed
 }
 
-// commitFirst commits the configuration that the fleet starts with.
-func (s *tableService) commitFirst(document config.Document) {
-	store := config.NewStore(truth{s}, nil, config.StoreOptions{Random: s.world.newRandom()})
+// commitInitial commits the configuration that the fleet starts with.
+func (s *tableService) commitInitial(document config.Document) {
+	store := config.NewStore(directTables{s}, nil, config.StoreOptions{Random: s.world.newRandom()})
 	_, err := store.Commit(context.Background(), config.CommitRequest{
 		Token: "first", Mutate: func(config.Document) (config.Document, error) { return document, nil },
 	})
@@ -140,7 +140,7 @@
 
 // read returns a row as it was at a time.
 func (s *tableService) read(key string, at time.Duration) (platform.Row, error) {
-	past := s.past[key]
+	past := s.rowVersions[key]
 	for _, version := range slices.Backward(past) {
 		if version.at > at {
 			continue
@@ -155,7 +155,7 @@
 
 // serveRead answers an election's read.
 func (s *tableService) serveRead(key string, reply func(any) time.Duration) {
-	if s.down() {
+	if s.isDown() {
 		reply(tableAnswer{err: platform.ErrUnavailable})
 		return
 	}
@@ -165,106 +165,106 @@
 
 // serveCommit answers an election's commit, unless its answer is lost.
 func (s *tableService) serveCommit(transaction platform.Transaction, reply func(any) time.Duration) {
-	if s.down() {
+	if s.isDown() {
 		reply(tableAnswer{err: platform.ErrUnavailable})
 		return
 	}
-	if err := s.commitOrLose(transaction); err != platform.ErrUnknownOutcome {
+	if err := s.commitLossy(transaction); err != platform.ErrUnknownOutcome {
 		reply(tableAnswer{err: err})
 	}
 }
 
-// commitOrLose commits a transaction whose answer may be lost, with or without
+// commitLossy commits a transaction whose answer may be lost, with or without
 // an effect, which may also come late.
-func (s *tableService) commitOrLose(transaction platform.Transaction) error {
+func (s *tableService) commitLossy(transaction platform.Transaction) error {
 	if s.now() >= s.lossyUntil {
 		return s.commit(transaction)
 	}
 	switch fate := s.world.random.Float64(); {
-	case fate < lostAfterEffect:
+	case fate < lostAfterCommit:
 		_ = s.commit(transaction)
-	case fate < lostBeforeEffect:
-	case fate < lostLateEffect:
-		s.after(time.Duration(s.world.random.Int64N(int64(mostLateEffect))), func() { _ = s.commit(transaction) })
+	case fate < lostBeforeCommit:
+	case fate < lostDelayedCommit:
+		s.after(time.Duration(s.world.random.Int64N(int64(maxCommitDelay))), func() { _ = s.commit(transaction) })
 	default:
 		return s.commit(transaction)
 	}
 	return platform.ErrUnknownOutcome
 }
 
-// tables is one process's client of the table service. Reads may show what was
+// tableClient is one process's client of the table service. Reads may show what was
 // there a moment ago, as late answers do, but never go back.
-type tables struct {
-	world *world
-	from  *process
-	seen  time.Duration
-	// darkUntil is when the service can be reached again after a lost answer.
-	darkUntil time.Duration
+type tableClient struct {
+	world      *world
+	from       *process
+	lastReadAt time.Duration
+	// unreachableUntil is when the service can be reached again after a lost answer.
+	unreachableUntil time.Duration
 }
 
-var _ platform.Tables = (*tables)(nil)
+var _ platform.Tables = (*tableClient)(nil)
 
-func (t *tables) unreachable() bool {
-	return t.world.tables.unreachable(t.from) || t.world.queue.Now() < t.darkUntil
+func (t *tableClient) isUnreachable() bool {
+	return t.world.tables.isUnreachable(t.from) || t.world.queue.Now() < t.unreachableUntil
 }
 
 // readAt returns the time whose state a read shows.
-func (t *tables) readAt() time.Duration {
+func (t *tableClient) readAt() time.Duration {
 	now := t.world.queue.Now()
 	if now < t.world.tables.slowUntil {
-		now -= time.Duration(t.world.random.Int64N(int64(mostStaleness)))
+		now -= time.Duration(t.world.random.Int64N(int64(maxStaleness)))
 	}
-	t.seen = max(t.seen, now)
-	return t.seen
+	t.lastReadAt = max(t.lastReadAt, now)
+	return t.lastReadAt
 }
 
 // Get implements platform.Tables.
-func (t *tables) Get(_ context.Context, key string) (platform.Row, error) {
-	if t.unreachable() {
+func (t *tableClient) Get(_ context.Context, key string) (platform.Row, error) {
+	if t.isUnreachable() {
 		return platform.Row{}, platform.ErrUnavailable
 	}
 	return t.world.tables.read(key, t.readAt())
 }
 
 // List implements platform.Tables.
-func (t *tables) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (t *tableClient) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	service := t.world.tables
-	if t.unreachable() {
+	if t.isUnreachable() {
 		return nil, platform.ErrUnavailable
 	}
 	return service.model.List(service.now(), prefix, after, limit)
 }
 
 // Commit implements platform.Tables.
-func (t *tables) Commit(_ context.Context, transaction platform.Transaction) error {
+func (t *tableClient) Commit(_ context.Context, transaction platform.Transaction) error {
 	service := t.world.tables
-	if t.unreachable() {
+	if t.isUnreachable() {
 		return platform.ErrUnavailable
 	}
-	t.world.race(t.from)
-	err := service.commitOrLose(transaction)
-	if err == platform.ErrUnknownOutcome && t.world.random.Float64() < darkChance {
-		t.darkUntil = service.now() + darkTime
+	t.world.runCompetingCommand(t.from)
+	err := service.commitLossy(transaction)
+	if err == platform.ErrUnknownOutcome && t.world.random.Float64() < unreachableChance {
+		t.unreachableUntil = service.now() + unreachableDuration
 	}
 	return err
 }
 
-// truth reads and writes the table service without faults.
-type truth struct{ service *tableService }
+// directTables reads and writes the table service without faults.
+type directTables struct{ service *tableService }
 
-var _ platform.Tables = truth{}
+var _ platform.Tables = directTables{}
 
 // Get implements platform.Tables.
-func (t truth) Get(_ context.Context, key string) (platform.Row, error) {
+func (t directTables) Get(_ context.Context, key string) (platform.Row, error) {
 	return t.service.read(key, t.service.now())
 }
 
 // List implements platform.Tables.
-func (t truth) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (t directTables) List(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	return t.service.model.List(t.service.now(), prefix, after, limit)
 }
 
 // Commit implements platform.Tables.
-func (t truth) Commit(_ context.Context, transaction platform.Transaction) error {
+func (t directTables) Commit(_ context.Context, transaction platform.Transaction) error {
 	return t.service.commit(transaction)
 }
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -29,16 +29,16 @@
 	routers []*router
 	engines []*engineHost
 
-	faults    int
-	resetRate float64
-	// freezeHolder has the next router that plans orders freeze before it sends any.
-	freezeHolder bool
-	lastFrame    engine.Frame
-	calls        int
-	commands     int
-	racing       bool
-	requests     int
-	hotUntil     time.Duration
+	faultCount int
+	resetRate  float64
+	// freezeNextPlanner has the next router that plans orders freeze before it sends any.
+	freezeNextPlanner bool
+	lastFrame         engine.Frame
+	commandCalls      int
+	commandCount      int
+	competing         bool
+	requestCount      int
+	hotUntil          time.Duration
 }
 
 // Run carries out one history.
@@ -46,9 +46,9 @@
 	options = options.withDefaults()
 	queue := eventqueue.New(options.Seed)
 	w := &world{options: options, queue: queue, random: queue.Random(), history: &history.History{}}
-	w.draw()
+	w.drawOptions()
 	w.build()
-	w.plan()
+	w.schedule()
 	queue.RunUntil(w.options.Duration)
 	w.history.End = w.options.Duration
 	return w.history
@@ -67,11 +67,11 @@
 	for index := range w.options.Agents {
 		w.agents = append(w.agents, newAgent(w, index))
 	}
-	w.tables.commitFirst(w.firstDocument())
+	w.tables.commitInitial(w.initialDocument())
 	for _, host := range w.engines {
 		host.start()
 	}
-	w.listMachines()
+	w.publishMachines()
 	for _, r := range w.routers {
 		r.start()
 	}
@@ -80,11 +80,11 @@
 	}
 }
 
-// plan draws what happens from outside: requests, commands and faults.
-func (w *world) plan() {
-	w.planRequests()
-	w.planCommands()
-	w.planFaults()
+// schedule draws what happens from outside: requests, commands and faults.
+func (w *world) schedule() {
+	w.scheduleRequests()
+	w.scheduleCommands()
+	w.scheduleFaults()
 }
 
 func (w *world) record(event history.Event) { w.history.Add(w.queue.Now(), event) }
@@ -118,8 +118,8 @@
 	return w.engines[position]
 }
 
-// informed tells whether some live node has a configuration.
-func (w *world) informed() bool {
+// hasConfiguredNode tells whether some live node has a configuration.
+func (w *world) hasConfiguredNode() bool {
 	for _, a := range w.agents {
 		if a.alive && a.holder.Current() != nil {
 			return true
@@ -128,8 +128,8 @@
 	return false
 }
 
-// unfounded counts the blocks that a grant counts on and its run never held.
-func (w *world) unfounded(grant placement.Grant, blocks []fleet.BlockHash) int {
+// countNeverCached counts the blocks that a grant counts on and its run never held.
+func (w *world) countNeverCached(grant placement.Grant, blocks []fleet.BlockHash) int {
 	host := w.engineByID(grant.Run.Engine)
 	if host.model.Incarnation() != grant.Run.Incarnation {
 		return 0
@@ -153,8 +153,8 @@
 	return xxhash.Sum64(encoded)
 }
 
-// listMachines gives the platform the true list of machines.
-func (w *world) listMachines() {
+// publishMachines gives the platform the true list of machines.
+func (w *world) publishMachines() {
 	machines := make([]platform.Machine, 0, len(w.engines))
 	for _, host := range w.engines {
 		machines = append(machines, host.machine())
@@ -164,19 +164,19 @@
 
 // readMachines reads the platform's list as a process sees it.
 func (w *world) readMachines(from *process) ([]platform.Machine, bool) {
-	if w.tables.unreachable(from) {
+	if w.tables.isUnreachable(from) {
 		return nil, false
 	}
 	return w.tables.model.ListMachines(w.queue.Now()), true
 }
 
-// resets tells whether a connection breaks before its next frame.
-func (w *world) resets(*connection) bool {
+// shouldReset tells whether a connection breaks before its next frame.
+func (w *world) shouldReset(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < w.resetRate
 }
 
-// loses tells whether a frame is lost though its connection stays.
-func (w *world) loses(*connection) bool {
+// shouldDrop tells whether a frame is lost though its connection stays.
+func (w *world) shouldDrop(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < lostFrameRate
 }
 
@@ -186,14 +186,14 @@
 	if frame.Kind == engine.FrameToken {
 		w.lastFrame = frame
 	}
-	if last.Stream == "" || history.RequestOfStream(last.Stream) == request || w.random.Float64() >= w.options.CrossedFrames {
+	if last.Stream == "" || history.RequestOfStream(last.Stream) == request || w.random.Float64() >= w.options.StrayFrameRate {
 		return engine.Frame{}, false
 	}
 	return last, true
 }
 
-// firstDocument is the configuration that the fleet starts with.
-func (w *world) firstDocument() config.Document {
+// initialDocument is the configuration that the fleet starts with.
+func (w *world) initialDocument() config.Document {
 	document := config.Document{
 		Models: []config.Model{{
 			Name: model, Pool: pool, MaxPromptTokens: 1 << 16, MaxOutputTokens: 1 << 10, BlockTokens: blockTokens,
