--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -16,39 +16,39 @@
 
 // agentHost is what an agent remembers from one request to the next.
 type agentHost struct {
-	world  *world
-	near   membership.Location
-	table  *affinity.Table
-	failed map[fleet.NodeID]time.Duration
+	world    *world
+	location membership.Location
+	table    *affinity.Table
+	failed   map[fleet.NodeID]time.Duration
 }
 
 // rank orders the routers as the agent process does.
 func (a *agentHost) rank(choice affinity.Choice, pool fleet.PoolName) []membership.Member {
 	if a.world.options.Policy.ByPool {
-		ranked, serving := a.world.pools.Rank(choice.Key(), pool, a.near)
+		ranked, serving := a.world.pools.Rank(choice.Key(), pool, a.location)
 		return choice.Order(ranked, serving)
 	}
-	return membership.Rank(choice.Key(), a.near.Zone, a.world.members)
+	return membership.Rank(choice.Key(), a.location.Zone, a.world.members)
 }
 
 // call is one request under way.
 type call struct {
-	agent   *agentHost
-	request *workload.Request
-	blocks  []fleet.BlockHash
-	pool    fleet.PoolName
-	choice  affinity.Choice
-	tried   map[fleet.NodeID]int
-	attempt fleet.Attempt
-	asks    int
-	hops    int
-	spills  int
-	// useless counts hand-backs by routers without an engine of the pool.
-	useless   int
-	saturated int
-	at        *routerHost
-	grant     placement.Grant
-	ended     bool
+	agent          *agentHost
+	request        *workload.Request
+	blocks         []fleet.BlockHash
+	pool           fleet.PoolName
+	choice         affinity.Choice
+	tried          map[fleet.NodeID]int
+	attempt        fleet.Attempt
+	placementCalls int
+	hops           int
+	spills         int
+	// unservedHandBacks counts hand-backs by routers without an engine of the pool.
+	unservedHandBacks  int
+	saturatedHandBacks int
+	router             *routerHost
+	grant              placement.Grant
+	ended              bool
 }
 
 func (a *agentHost) serve(request *workload.Request) {
@@ -58,32 +58,32 @@
 	model, _ := a.world.view.Model(request.Weights.Model)
 	c.pool = model.Pool
 	c.choice = a.table.Choose(a.world.queue.Now(), c.blocks, 0)
-	c.ask()
+	c.requestPlacement()
 }
 
-// ask sends the question to the best router that was tried least.
-func (c *call) ask() {
+// requestPlacement sends the question to the best router that was tried least.
+func (c *call) requestPlacement() {
 	w := c.agent.world
-	c.asks++
-	left := c.request.At + deadline - w.queue.Now()
-	if c.asks > maxAsks || left <= 0 {
-		c.end(endedFailed)
+	c.placementCalls++
+	left := c.request.At + requestTimeout - w.queue.Now()
+	if c.placementCalls > maxPlacementCalls || left <= 0 {
+		c.end(resultFailed)
 		return
 	}
-	c.at = c.choose()
+	c.router = c.chooseRouter()
 	c.attempt++
-	c.tried[c.at.member.Node]++
+	c.tried[c.router.member.Node]++
 	question := placement.Request{
 		Key:    placement.Key{Request: c.request.ID, Attempt: c.attempt},
 		Tenant: c.request.Tenant, ModelVersion: c.request.Weights, Class: c.request.Class,
 		PromptTokens: c.request.PromptTokens(), MaxTokens: c.request.OutputTokens,
-		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.near.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
+		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.location.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
 	}
-	at := c.at
+	at := c.router
 	w.queue.After(latency, func() { at.submit(c, question) })
 }
 
-func (c *call) choose() *routerHost {
+func (c *call) chooseRouter() *routerHost {
 	now := c.agent.world.queue.Now()
 	var best membership.Member
 	least := -1
@@ -99,17 +99,17 @@
 	return c.agent.world.routerByNode[best.Node]
 }
 
-func (c *call) routerFailed() {
-	c.agent.failed[c.at.member.Node] = c.agent.world.queue.Now() + routerBackoff
-	c.ask()
+func (c *call) handleRouterFailure() {
+	c.agent.failed[c.router.member.Node] = c.agent.world.queue.Now() + routerBackoff
+	c.requestPlacement()
 }
 
-// answered takes a router's outcome, as the agent process does.
-func (c *call) answered(outcome placement.Outcome) {
+// handleOutcome takes a router's outcome, as the agent process does.
+func (c *call) handleOutcome(outcome placement.Outcome) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
 		if c.spills > 0 && c.spills < affinity.MaxSpills {
-			_, serving := c.agent.world.pools.Rank(c.choice.Key(), c.pool, c.agent.near)
+			_, serving := c.agent.world.pools.Rank(c.choice.Key(), c.pool, c.agent.location)
 			c.agent.table.RecordSpill(c.agent.world.queue.Now(), c.choice, serving)
 		}
 		c.spills = 0
@@ -117,42 +117,42 @@
 		host := c.agent.world.engineByID[outcome.Run.Engine]
 		c.agent.world.queue.After(latency, func() { host.dispatch(c, outcome) })
 	case placement.Refusal:
-		c.end(endedRefused)
+		c.end(resultRefused)
 	case placement.HandBack:
-		c.handedBack(outcome.Reason)
+		c.handleHandBack(outcome.Reason)
 	}
 }
 
-func (c *call) handedBack(reason placement.HandBackReason) {
+func (c *call) handleHandBack(reason placement.HandBackReason) {
 	c.hops++
 	if reason != placement.HandBackSaturated {
-		c.useless++
-		c.ask()
+		c.unservedHandBacks++
+		c.requestPlacement()
 		return
 	}
-	c.saturated++
+	c.saturatedHandBacks++
 	c.spills++
 	if c.spills >= affinity.MaxSpills {
 		clear(c.tried)
 	}
-	c.ask()
+	c.requestPlacement()
 }
 
 func (c *call) report(phase placement.Phase) {
-	at := c.at
+	at := c.router
 	report := placement.AttemptReport{Key: c.grant.Key, Run: c.grant.Run, Phase: phase}
 	c.agent.world.queue.After(latency, func() { at.report(report) })
 }
 
-func (c *call) sawFirstToken(event enginemodel.StreamEvent) {
+func (c *call) handleFirstToken(event enginemodel.StreamEvent) {
 	c.report(placement.PhaseFirstToken)
-	c.agent.world.result.firstToken(c, event, c.agent.world.queue.Now()+latency)
+	c.agent.world.result.recordFirstToken(c, event, c.agent.world.queue.Now()+latency)
 }
 
-func (c *call) end(how ending) {
+func (c *call) end(how requestResult) {
 	if !c.ended {
 		c.ended = true
-		c.agent.world.result.ended(c, how)
+		c.agent.world.result.recordEnd(c, how)
 	}
 }
 
--- a/lab/spill/engine.go
+++ b/lab/spill/engine.go
@@ -13,20 +13,20 @@
 
 // engineHost runs one engine model on the queue.
 type engineHost struct {
-	world   *world
-	model   *enginemodel.Engine
-	machine platform.Machine
-	site    membership.EngineSite
-	streams map[fleet.StreamID]*call
-	planned time.Duration
-	// most is the greatest number of streams that it had at once.
-	most int
+	world      *world
+	model      *enginemodel.Engine
+	machine    platform.Machine
+	site       membership.EngineSite
+	streams    map[fleet.StreamID]*call
+	nextStepAt time.Duration
+	// peakStreams is the greatest number of streams that it had at once.
+	peakStreams int
 }
 
 func newEngineHost(w *world, id string, pool, zone int) *engineHost {
 	model := enginemodel.New(enginemodel.Config{
 		ID: fleet.EngineID(id), Zone: zoneName(zone), BlockTokens: blockTokens, MaxRunning: maxStreams, CacheBlocks: w.options.CacheBlocks,
-		EventDelay: eventDelay, LoadLag: loadLag, Loaded: []engine.Weights{engine.Weights(weightsOf(pool))},
+		EventDelay: eventDelay, LoadLag: loadLag, Loaded: []engine.Weights{engine.Weights(modelVersion(pool))},
 	})
 	location := membership.Location{Zone: zoneName(zone)}
 	return &engineHost{
@@ -54,40 +54,40 @@
 	})
 	if err != nil {
 		c.report(placement.PhaseFailed)
-		c.end(endedFailed)
+		c.end(resultFailed)
 		return
 	}
 	h.streams[stream] = c
-	h.most = max(h.most, len(h.streams))
+	h.peakStreams = max(h.peakStreams, len(h.streams))
 	c.report(placement.PhaseAccepted)
-	h.changed()
+	h.update()
 }
 
-// changed passes on what the model reports and plans its next step.
-func (h *engineHost) changed() {
+// update passes on what the model reports and plans its next step.
+func (h *engineHost) update() {
 	for _, event := range h.model.TakeStreamEvents() {
 		c := h.streams[event.Stream]
 		if event.Kind == enginemodel.StreamFirstToken {
-			c.sawFirstToken(event)
+			c.handleFirstToken(event)
 			continue
 		}
 		delete(h.streams, event.Stream)
 		c.report(placement.PhaseFinished)
-		c.end(endedFinished)
+		c.end(resultFinished)
 	}
 	next, found := h.model.NextStep()
-	if !found || (h.planned != 0 && h.planned <= next) {
+	if !found || (h.nextStepAt != 0 && h.nextStepAt <= next) {
 		return
 	}
-	h.planned = next
+	h.nextStepAt = next
 	h.world.queue.At(next, func() { h.step(next) })
 }
 
 func (h *engineHost) step(planned time.Duration) {
-	if h.planned != planned {
+	if h.nextStepAt != planned {
 		return
 	}
-	h.planned = 0
+	h.nextStepAt = 0
 	h.model.Advance(h.world.queue.Now())
-	h.changed()
+	h.update()
 }
--- a/lab/spill/options.go
+++ b/lab/spill/options.go
@@ -33,12 +33,12 @@
 	SpillOnly = Policy{Name: "by pool, spill, one key", ByPool: true, Spill: true, Affinity: affinity.Options{Levels: 1}}
 	// DeepKey replicates by one long key, 64 blocks, which tells documents apart.
 	DeepKey = Policy{Name: "by pool, spill, one deep key", ByPool: true, Spill: true, Affinity: affinity.Options{FirstDepth: 64, Levels: 1}}
-	// Whole is what the product does.
-	Whole = Policy{Name: "by pool, spill, nested keys", ByPool: true, Spill: true}
+	// NestedKeys is what the product does.
+	NestedKeys = Policy{Name: "by pool, spill, nested keys", ByPool: true, Spill: true}
 )
 
-// Failure ends or begins routers at a time.
-type Failure struct {
+// RouterChange ends or begins routers at a time.
+type RouterChange struct {
 	At time.Duration
 	// Router is the first of Count routers, a step apart.
 	Router, Count, Step int
@@ -70,15 +70,15 @@
 	// Documents is the number of long documents of each tenant and pool.
 	Documents int
 	// CacheBlocks is the memory of each engine, in blocks of 16 tokens.
-	CacheBlocks int
-	Failures    []Failure
+	CacheBlocks   int
+	RouterChanges []RouterChange
 }
 
 // DefaultOptions returns 16 routers before 240 engines in 3 pools and 4 zones.
 // In each pool one prefix has more requests than one router's engines take.
 func DefaultOptions() Options {
 	return Options{
-		Policy: Whole, Replicas: 1, Seed: 1,
+		Policy: NestedKeys, Replicas: 1, Seed: 1,
 		Routers: 16, Zones: 4, Pools: 3, EnginesPerPool: 80, Agents: 2,
 		Rate: 2400, Duration: 20 * time.Second, Warmup: 8 * time.Second, HotShare: 0.4,
 		Documents: 40, CacheBlocks: 2048,
@@ -87,13 +87,13 @@
 
 // Times of the model.
 const (
-	latency        = 500 * time.Microsecond // one way between any two processes
-	pollInterval   = 100 * time.Millisecond
-	loadLag        = 200 * time.Millisecond
-	eventDelay     = 200 * time.Millisecond
-	detectionDelay = 2 * time.Second // from a death until the members know
-	connectTimeout = 50 * time.Millisecond
-	routerBackoff  = time.Second
-	deadline       = 10 * time.Second
-	maxAsks        = 12
+	latency           = 500 * time.Microsecond // one way between any two processes
+	pollInterval      = 100 * time.Millisecond
+	loadLag           = 200 * time.Millisecond
+	eventDelay        = 200 * time.Millisecond
+	detectionDelay    = 2 * time.Second // from a death until the members know
+	connectTimeout    = 50 * time.Millisecond
+	routerBackoff     = time.Second
+	requestTimeout    = 10 * time.Second
+	maxPlacementCalls = 12
 )
--- a/lab/spill/result.go
+++ b/lab/spill/result.go
@@ -8,13 +8,13 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// ending is how a request ended.
-type ending int
+// requestResult is how a request ended.
+type requestResult int
 
 const (
-	endedFinished ending = iota
-	endedRefused
-	endedFailed
+	resultFinished requestResult = iota
+	resultRefused
+	resultFailed
 )
 
 // Result is what was measured after the warm-up.
@@ -26,48 +26,48 @@
 	// PromptTokens and CachedTokens are those of the requests with a first token.
 	PromptTokens int
 	CachedTokens int
-	// Saturated and Useless count the hand-backs by busy routers and by routers
+	// SaturatedHandBacks and Useless count the hand-backs by busy routers and by routers
 	// without an engine of the pool.
-	Saturated int
-	Useless   int
-	// Lost counts the requests that weren't placed, the warm-up included.
-	Lost int
+	SaturatedHandBacks int
+	UnservedHandBacks  int
+	// TotalFailed counts the requests that weren't placed, the warm-up included.
+	TotalFailed int
 	// Snapshots counts the caches that were read whole, the warm-up included.
 	Snapshots int
-	// MostStreams is the greatest number of streams at one engine.
-	MostStreams int
+	// PeakStreams is the greatest number of streams at one engine.
+	PeakStreams int
 
-	warmup      time.Duration
-	firstTokens []time.Duration
+	warmup            time.Duration
+	timesToFirstToken []time.Duration
 }
 
-func (r *Result) measured(c *call) bool { return c.request.At >= r.warmup }
+func (r *Result) isMeasured(c *call) bool { return c.request.At >= r.warmup }
 
-func (r *Result) firstToken(c *call, event enginemodel.StreamEvent, at time.Duration) {
-	if !r.measured(c) {
+func (r *Result) recordFirstToken(c *call, event enginemodel.StreamEvent, at time.Duration) {
+	if !r.isMeasured(c) {
 		return
 	}
 	r.PromptTokens += event.PromptTokens
 	r.CachedTokens += event.CachedTokens
-	r.firstTokens = append(r.firstTokens, at-c.request.At)
+	r.timesToFirstToken = append(r.timesToFirstToken, at-c.request.At)
 }
 
-func (r *Result) ended(c *call, how ending) {
-	if how == endedFailed {
-		r.Lost++
+func (r *Result) recordEnd(c *call, how requestResult) {
+	if how == resultFailed {
+		r.TotalFailed++
 	}
-	if !r.measured(c) {
+	if !r.isMeasured(c) {
 		return
 	}
 	r.Requests++
-	r.Saturated += c.saturated
-	r.Useless += c.useless
+	r.SaturatedHandBacks += c.saturatedHandBacks
+	r.UnservedHandBacks += c.unservedHandBacks
 	switch how {
-	case endedFinished:
+	case resultFinished:
 		r.Finished++
-	case endedRefused:
+	case resultRefused:
 		r.Refused++
-	case endedFailed:
+	case resultFailed:
 		r.Failed++
 	}
 }
@@ -75,23 +75,25 @@
 // HitRate is the part of the prompt tokens that engines had cached.
 func (r *Result) HitRate() float64 { return ratio(r.CachedTokens, r.PromptTokens) }
 
-// HandBacks is the number of hand-backs a request.
-func (r *Result) HandBacks() float64 { return ratio(r.Saturated+r.Useless, r.Requests) }
+// HandBacksPerRequest is the number of hand-backs a request.
+func (r *Result) HandBacksPerRequest() float64 {
+	return ratio(r.SaturatedHandBacks+r.UnservedHandBacks, r.Requests)
+}
 
-// FirstToken returns a quantile of the time to the first token.
-func (r *Result) FirstToken(quantile float64) time.Duration {
-	if len(r.firstTokens) == 0 {
+// TimeToFirstToken returns a quantile of the time to the first token.
+func (r *Result) TimeToFirstToken(quantile float64) time.Duration {
+	if len(r.timesToFirstToken) == 0 {
 		return 0
 	}
-	slices.Sort(r.firstTokens)
-	return r.firstTokens[min(int(quantile*float64(len(r.firstTokens))), len(r.firstTokens)-1)]
+	slices.Sort(r.timesToFirstToken)
+	return r.timesToFirstToken[min(int(quantile*float64(len(r.timesToFirstToken))), len(r.timesToFirstToken)-1)]
 }
 
 // String is a row of a table.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d | %.3f | %.3f | %.3f | %.3f | %d | %d | %d", r.Requests, r.HitRate(),
-		ratio(r.Saturated, r.Requests), ratio(r.Useless, r.Requests), ratio(r.Refused+r.Failed, r.Requests),
-		r.FirstToken(0.5).Milliseconds(), r.FirstToken(0.95).Milliseconds(), r.FirstToken(0.99).Milliseconds())
+		ratio(r.SaturatedHandBacks, r.Requests), ratio(r.UnservedHandBacks, r.Requests), ratio(r.Refused+r.Failed, r.Requests),
+		r.TimeToFirstToken(0.5).Milliseconds(), r.TimeToFirstToken(0.95).Milliseconds(), r.TimeToFirstToken(0.99).Milliseconds())
 }
 
 func ratio(part, whole int) float64 {
--- a/lab/spill/router.go
+++ b/lab/spill/router.go
@@ -12,13 +12,13 @@
 
 // routerHost runs one router's core on the queue.
 type routerHost struct {
-	world  *world
-	member membership.Member
-	core   *placement.Core
-	alive  bool
-	owned  []*engineHost
-	asking map[placement.Key]*call
-	wakeAt time.Duration
+	world      *world
+	member     membership.Member
+	core       *placement.Core
+	alive      bool
+	owned      []*engineHost
+	pending    map[placement.Key]*call
+	nextTickAt time.Duration
 }
 
 // start begins a run with an empty core that owns nothing.
@@ -30,7 +30,7 @@
 	}
 	r.core = placement.New(options)
 	r.core.SetOwned(func(fleet.EngineID) bool { return false })
-	r.asking = make(map[placement.Key]*call)
+	r.pending = make(map[placement.Key]*call)
 	r.alive = true
 	r.core.ApplyConfig(w.queue.Now(), w.view)
 	for _, host := range w.engines {
@@ -39,18 +39,18 @@
 	w.queue.After(w.jitter(pollInterval), r.poll)
 }
 
-// die ends a run: the questions that wait there fail, its grants stay.
-func (r *routerHost) die() {
+// crash ends a run: the questions that wait there fail, its grants stay.
+func (r *routerHost) crash() {
 	r.alive = false
-	waiting := r.asking
-	r.asking = nil
+	waiting := r.pending
+	r.pending = nil
 	for _, c := range sortedCalls(waiting) {
-		r.world.queue.After(latency, c.routerFailed)
+		r.world.queue.After(latency, c.handleRouterFailure)
 	}
 }
 
-// share takes over a view of the routers.
-func (r *routerHost) share(owners func(*engineHost) []fleet.NodeID) {
+// updateOwned takes over a view of the routers.
+func (r *routerHost) updateOwned(owners func(*engineHost) []fleet.NodeID) {
 	r.owned = nil
 	ids := make(map[fleet.EngineID]bool)
 	for _, host := range r.world.engines {
@@ -59,7 +59,7 @@
 			ids[host.id()] = true
 		}
 	}
-	r.do(func(time.Duration) { r.core.SetOwned(func(id fleet.EngineID) bool { return ids[id] }) })
+	r.updateCore(func(time.Duration) { r.core.SetOwned(func(id fleet.EngineID) bool { return ids[id] }) })
 	r.observe()
 }
 
@@ -74,14 +74,14 @@
 // observe reads the owned engines' status, cache events and, where wanted,
 // whole caches.
 func (r *routerHost) observe() {
-	r.do(func(now time.Duration) {
+	r.updateCore(func(now time.Duration) {
 		for _, host := range r.owned {
 			r.core.ObserveStatus(now, host.model.Status(now))
 			if after, incarnation, followed := r.core.EventsAfter(host.id()); followed {
 				events := host.model.CacheEventsAfter(now, after)
 				r.core.ObserveCacheEvents(now, host.id(), engine.CacheEvents{Incarnation: incarnation, Events: events})
 			}
-			host.changed()
+			host.update()
 		}
 		for _, id := range r.core.NeedsSnapshot() {
 			r.core.ObserveCacheSnapshot(now, id, r.world.engineByID[id].model.CacheSnapshot(now))
@@ -90,34 +90,34 @@
 	})
 }
 
-// do runs a step on the core, delivers its outcomes and plans its next wake.
-func (r *routerHost) do(step func(now time.Duration)) {
+// updateCore runs a step on the core, delivers its outcomes and plans its next wake.
+func (r *routerHost) updateCore(step func(now time.Duration)) {
 	now := r.world.queue.Now()
 	step(now)
 	for _, outcome := range r.core.TakeOutcomes() {
-		c := r.asking[outcome.OutcomeKey()]
-		delete(r.asking, outcome.OutcomeKey())
+		c := r.pending[outcome.OutcomeKey()]
+		delete(r.pending, outcome.OutcomeKey())
 		if c != nil {
-			r.world.queue.After(latency, func() { c.answered(outcome) })
+			r.world.queue.After(latency, func() { c.handleOutcome(outcome) })
 		}
 	}
-	r.plan(now)
+	r.scheduleTick(now)
 }
 
-func (r *routerHost) plan(now time.Duration) {
+func (r *routerHost) scheduleTick(now time.Duration) {
 	at, found := r.core.NextWake()
 	if !found {
 		return
 	}
 	at = max(at, now+time.Millisecond)
-	if r.wakeAt > now && r.wakeAt <= at {
+	if r.nextTickAt > now && r.nextTickAt <= at {
 		return
 	}
-	r.wakeAt = at
+	r.nextTickAt = at
 	r.world.queue.At(at, func() {
-		if r.alive && r.wakeAt == at {
-			r.wakeAt = 0
-			r.do(r.core.Tick)
+		if r.alive && r.nextTickAt == at {
+			r.nextTickAt = 0
+			r.updateCore(r.core.Tick)
 		}
 	})
 }
@@ -125,15 +125,15 @@
 // submit takes a question that has arrived.
 func (r *routerHost) submit(c *call, request placement.Request) {
 	if !r.alive {
-		r.world.queue.After(connectTimeout, c.routerFailed)
+		r.world.queue.After(connectTimeout, c.handleRouterFailure)
 		return
 	}
-	r.asking[request.Key] = c
-	r.do(func(now time.Duration) { r.core.Submit(now, request) })
+	r.pending[request.Key] = c
+	r.updateCore(func(now time.Duration) { r.core.Submit(now, request) })
 }
 
 func (r *routerHost) report(report placement.AttemptReport) {
 	if r.alive {
-		r.do(func(now time.Duration) { r.core.Report(now, report) })
+		r.updateCore(func(now time.Duration) { r.core.Report(now, report) })
 	}
 }
--- a/lab/spill/spill_test.go
+++ b/lab/spill/spill_test.go
@@ -11,12 +11,12 @@
 
 // smallOptions is a fleet with room to spare, measured from two seconds after
 // the failures on.
-func smallOptions(failures ...Failure) Options {
+func smallOptions(failures ...RouterChange) Options {
 	return Options{
-		Policy: Whole, Replicas: 1, Seed: 3,
+		Policy: NestedKeys, Replicas: 1, Seed: 3,
 		Routers: 8, Zones: 2, Pools: 2, EnginesPerPool: 16, Agents: 2,
 		Rate: 120, Duration: 9 * time.Second, Warmup: 6 * time.Second, HotShare: 0.4,
-		Documents: 12, CacheBlocks: 8192, Failures: failures,
+		Documents: 12, CacheBlocks: 8192, RouterChanges: failures,
 	}
 }
 
@@ -27,7 +27,7 @@
 	calm, err := Run(smallOptions())
 	require.NoError(t, err)
 	require.Greater(t, calm.HitRate(), 0.8)
-	cases := map[string][]Failure{
+	cases := map[string][]RouterChange{
 		"owner dies":     {{At: at, Router: 3, Count: 1}},
 		"router joins":   {{At: at, Router: 5, Count: 1, Join: true}},
 		"zone dies":      {{At: at, Router: 0, Count: 4, Step: 2}},
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			measured, err := Run(smallOptions(failures...))
 			require.NoError(t, err)
-			assert.Zero(t, measured.Lost)
+			assert.Zero(t, measured.TotalFailed)
 			assert.Zero(t, measured.Refused)
 			assert.Positive(t, measured.Finished)
 			assert.Greater(t, measured.HitRate(), 0.9*calm.HitRate(), "new owners have read the caches")
@@ -50,13 +50,13 @@
 // the hot prefix's routers is full: the engines that move have an old and a new
 // owner for up to a second, and the new one finds the old one's streams there.
 func TestTwoOwnersKeepTheBoundOnStreams(t *testing.T) {
-	options := smallOptions(Failure{At: 3 * time.Second, Router: 1, Count: 3, Step: 2, Join: true})
+	options := smallOptions(RouterChange{At: 3 * time.Second, Router: 1, Count: 3, Step: 2, Join: true})
 	options.Rate, options.HotShare = 900, 0.7
 	measured, err := Run(options)
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, measured.MostStreams, maxStreams, "engines must be full")
-	assert.LessOrEqual(t, measured.MostStreams, maxStreams*3/2)
-	assert.Zero(t, measured.Lost)
+	require.GreaterOrEqual(t, measured.PeakStreams, maxStreams, "engines must be full")
+	assert.LessOrEqual(t, measured.PeakStreams, maxStreams*3/2)
+	assert.Zero(t, measured.TotalFailed)
 }
 
 func TestEqualSeedsGiveEqualResults(t *testing.T) {
@@ -77,12 +77,12 @@
 		require.NoError(t, err)
 		return measured
 	}
-	narrow, wide := run(PoolsOnly), run(Whole)
+	narrow, wide := run(PoolsOnly), run(NestedKeys)
 	require.Positive(t, narrow.Refused, "the load must be more than one router's engines take")
 	assert.Less(t, wide.Refused*20, narrow.Refused)
-	assert.Less(t, wide.FirstToken(0.99), narrow.FirstToken(0.99)/4)
+	assert.Less(t, wide.TimeToFirstToken(0.99), narrow.TimeToFirstToken(0.99)/4)
 	assert.Greater(t, wide.HitRate(), narrow.HitRate()-0.02)
-	assert.Less(t, wide.HandBacks(), 0.1)
+	assert.Less(t, wide.HandBacksPerRequest(), 0.1)
 }
 
 // BenchmarkPolicies compares the policies at a middling and a high rate; see
@@ -90,7 +90,7 @@
 func BenchmarkPolicies(b *testing.B) {
 	for _, rate := range []float64{2400, 4000} {
 		for _, replicas := range []int{1, 2} {
-			for _, policy := range []Policy{FixedDepth, PoolsOnly, SpillOnly, DeepKey, Whole} {
+			for _, policy := range []Policy{FixedDepth, PoolsOnly, SpillOnly, DeepKey, NestedKeys} {
 				b.Run(fmt.Sprintf("rate-%.0f/replicas-%d/%s", rate, replicas, policy.Name), func(b *testing.B) {
 					for b.Loop() {
 						options := DefaultOptions()
@@ -99,8 +99,8 @@
 						require.NoError(b, err)
 						b.Log(measured)
 						b.ReportMetric(measured.HitRate(), "hit-rate")
-						b.ReportMetric(measured.HandBacks(), "hand-backs/request")
-						b.ReportMetric(float64(measured.FirstToken(0.99).Milliseconds()), "p99-first-token-ms")
+						b.ReportMetric(measured.HandBacksPerRequest(), "hand-backs/request")
+						b.ReportMetric(float64(measured.TimeToFirstToken(0.99).Milliseconds()), "p99-first-token-ms")
 					}
 				})
 			}
--- a/lab/spill/workload.go
+++ b/lab/spill/workload.go
@@ -14,12 +14,12 @@
 // common, one of its long documents, and a question.
 const (
 	blockTokens    = 16
-	tenants        = 8
+	tenantCount    = 8
 	systemTokens   = 128
 	documentTokens = 4096
 	questionTokens = 200
 	outputTokens   = 32
-	skew           = 1.2
+	zipfSkew       = 1.2
 	maxStreams     = 64
 	maxWait        = 5 * time.Second
 	class          = fleet.ClassName("urgent")
@@ -27,7 +27,7 @@
 
 func poolName(pool int) fleet.PoolName { return fleet.PoolName(fmt.Sprintf("pool-%02d", pool)) }
 
-func weightsOf(pool int) fleet.ModelVersion {
+func modelVersion(pool int) fleet.ModelVersion {
 	return fleet.ModelVersion{Model: fleet.ModelName(fmt.Sprintf("model-%02d", pool)), Version: "v1"}
 }
 
@@ -35,13 +35,13 @@
 	return fleet.TenantName(fmt.Sprintf("tenant-%d", tenant))
 }
 
-// document is the configuration of the fleet.
-func document(pools int) config.Document {
+// newDocument is the configuration of the fleet.
+func newDocument(pools int) config.Document {
 	made := config.Document{
 		Revision: 1,
 		Classes:  []config.Class{{Name: class, MaxWait: config.Duration(maxWait)}},
 	}
-	for tenant := range tenants {
+	for tenant := range tenantCount {
 		made.Tenants = append(made.Tenants, config.Tenant{
 			Name: tenantName(tenant), KeyHashes: []string{fmt.Sprintf("%064x", tenant+1)}, Weight: 1,
 			Classes: []fleet.ClassName{class}, MaxConcurrent: 1 << 20, MaxWaiting: 1 << 20,
@@ -50,7 +50,7 @@
 	for pool := range pools {
 		made.Pools = append(made.Pools, config.Pool{Name: poolName(pool), MaxStreams: maxStreams, MaxLoads: 1})
 		made.Models = append(made.Models, config.Model{
-			Name: weightsOf(pool).Model, Pool: poolName(pool),
+			Name: modelVersion(pool).Model, Pool: poolName(pool),
 			MaxPromptTokens: 1 << 20, MaxOutputTokens: 4096, BlockTokens: blockTokens,
 			Versions: []config.Version{{Name: "v1", State: config.VersionServing}},
 		})
@@ -70,8 +70,8 @@
 func newGenerator(options Options, random *rand.Rand) *generator {
 	return &generator{
 		random:    random,
-		tenants:   rand.NewZipf(random, skew, 1, tenants-1),
-		documents: rand.NewZipf(random, skew, 1, uint64(options.Documents-1)),
+		tenants:   rand.NewZipf(random, zipfSkew, 1, tenantCount-1),
+		documents: rand.NewZipf(random, zipfSkew, 1, uint64(options.Documents-1)),
 		options:   options,
 	}
 }
@@ -83,13 +83,13 @@
 	if g.random.Float64() >= g.options.HotShare {
 		tenant, chosen = int(g.tenants.Uint64()), int(g.documents.Uint64())
 	}
-	system := uint64(pool*tenants+tenant) + 1
+	system := uint64(pool*tenantCount+tenant) + 1
 	return &workload.Request{
 		ID:      fleet.RequestID(fmt.Sprintf("request-%d", g.drawn)),
 		At:      now,
 		Tenant:  tenantName(tenant),
 		Class:   class,
-		Weights: weightsOf(pool),
+		Weights: modelVersion(pool),
 		Segments: []workload.Segment{
 			{ID: system, Tokens: systemTokens},
 			{ID: system<<16 | uint64(chosen+1), Tokens: documentTokens},
--- a/lab/spill/world.go
+++ b/lab/spill/world.go
@@ -32,7 +32,7 @@
 
 // Run carries out one run. Equal options give equal results.
 func Run(options Options) (*Result, error) {
-	view, err := config.NewView(document(options.Pools))
+	view, err := config.NewView(newDocument(options.Pools))
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration")
 	}
@@ -43,10 +43,10 @@
 		result:       &Result{warmup: options.Warmup},
 	}
 	w.build()
-	w.arrive(newGenerator(options, w.newRandom()))
-	w.queue.RunUntil(options.Duration + deadline)
+	w.scheduleArrival(newGenerator(options, w.newRandom()))
+	w.queue.RunUntil(options.Duration + requestTimeout)
 	for _, host := range w.engines {
-		w.result.MostStreams = max(w.result.MostStreams, host.most)
+		w.result.PeakStreams = max(w.result.PeakStreams, host.peakStreams)
 	}
 	return w.result, nil
 }
@@ -73,7 +73,7 @@
 		table := w.options.Policy.Affinity
 		table.Random = w.newRandom()
 		w.agents = append(w.agents, &agentHost{
-			world: w, near: membership.Location{Zone: zoneName(number % w.options.Zones)},
+			world: w, location: membership.Location{Zone: zoneName(number % w.options.Zones)},
 			table: affinity.New(table), failed: make(map[fleet.NodeID]time.Duration),
 		})
 	}
@@ -82,11 +82,11 @@
 // startRouters starts those that don't join later and plans the failures.
 func (w *world) startRouters() {
 	late := make(map[int]bool)
-	for _, failure := range w.options.Failures {
+	for _, failure := range w.options.RouterChanges {
 		for _, number := range failure.routers() {
 			late[number] = late[number] || failure.Join
 		}
-		w.queue.At(failure.At, func() { w.fail(failure) })
+		w.queue.At(failure.At, func() { w.applyRouterChange(failure) })
 	}
 	for number, host := range w.routers {
 		if !late[number] {
@@ -96,7 +96,7 @@
 	w.shareEngines()
 }
 
-func (f Failure) routers() []int {
+func (f RouterChange) routers() []int {
 	var numbers []int
 	for position := range f.Count {
 		numbers = append(numbers, f.Router+position*f.Step)
@@ -104,12 +104,12 @@
 	return numbers
 }
 
-func (w *world) fail(failure Failure) {
+func (w *world) applyRouterChange(failure RouterChange) {
 	for _, number := range failure.routers() {
 		if failure.Join {
 			w.routers[number].start()
 		} else {
-			w.routers[number].die()
+			w.routers[number].crash()
 		}
 	}
 	w.queue.After(detectionDelay, w.shareEngines)
@@ -138,32 +138,32 @@
 	}
 	for _, host := range w.routers {
 		if host.alive {
-			w.queue.After(w.spreadAtStart(), func() {
+			w.queue.After(w.propagationDelay(), func() {
 				if host.alive {
-					host.share(owners)
+					host.updateOwned(owners)
 				}
 			})
 		}
 	}
 }
 
-// spreadAtStart is how much later than others a router learns of a change.
-func (w *world) spreadAtStart() time.Duration {
+// propagationDelay is how much later than others a router learns of a change.
+func (w *world) propagationDelay() time.Duration {
 	if w.queue.Now() == 0 {
 		return 0
 	}
 	return time.Duration(w.queue.Random().Int64N(int64(time.Second)))
 }
 
-// arrive plans the next request; the times between them are exponential.
-func (w *world) arrive(from *generator) {
+// scheduleArrival plans the next request; the times between them are exponential.
+func (w *world) scheduleArrival(from *generator) {
 	gap := time.Duration(w.queue.Random().ExpFloat64() / w.options.Rate * float64(time.Second))
 	if w.queue.Now()+gap >= w.options.Duration {
 		return
 	}
 	w.queue.After(gap, func() {
 		w.agents[w.queue.Random().IntN(len(w.agents))].serve(from.next(w.queue.Now()))
-		w.arrive(from)
+		w.scheduleArrival(from)
 	})
 }
 
