--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -21,7 +21,7 @@
 	}
 	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.dispatch(incoming, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callStatus) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
 			c.startReading(opened, frame)
 			return
@@ -31,7 +31,7 @@
 	})
 }
 
-func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how callStatus) attempt.Event {
+func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how callOutcome) attempt.Event {
 	if how == refused || (how != answered && c.agent.world.options.Variant == AssumeNotSent) {
 		return attempt.DispatchNotSent{Operation: operation}
 	}
@@ -68,7 +68,7 @@
 	target := a.world.engineAt(action.Address)
 	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.resume(action.Stream, action.Offset, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callStatus) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
 			c.startReading(opened, frame)
 			return
@@ -98,7 +98,7 @@
 	a := c.agent
 	target := a.world.engineAt(action.Address)
 	serve := func(reply func(any) time.Duration) { target.cancel(action.Stream, action.Run.Incarnation, reply) }
-	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ callStatus) {
+	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ callOutcome) {
 		code := engine.ErrorConnectionLost
 		switch answer := answer.(type) {
 		case engine.CancelResponse:
--- a/lab/simulation/engines.go
+++ b/lab/simulation/engines.go
@@ -76,7 +76,7 @@
 
 // pollStatus asks an engine for its status, again and again.
 func (r *router) pollStatus(id fleet.EngineID, failures int) {
-	r.requestStatus(id, func(reached bool, how callStatus) {
+	r.requestStatus(id, func(reached bool, how callOutcome) {
 		pause := statusInterval*3/4 + time.Duration(r.world.random.Int64N(int64(statusInterval/2)))
 		if reached {
 			r.after(pause, func() { r.pollStatus(id, 0) })
@@ -90,14 +90,14 @@
 	})
 }
 
-func (r *router) requestStatus(id fleet.EngineID, done func(reached bool, how callStatus)) {
+func (r *router) requestStatus(id fleet.EngineID, done func(reached bool, how callOutcome)) {
 	host := r.world.engineByID(id)
 	serve := func(reply func(any) time.Duration) {
 		status := host.model.Status(host.now())
 		host.update()
 		reply(status)
 	}
-	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, how callStatus) {
+	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, how callOutcome) {
 		if how == answered {
 			status := answer.(engine.Status)
 			if known := r.statuses[id]; status.Incarnation >= known.status.Incarnation {
@@ -126,7 +126,7 @@
 		host.update()
 		reply(events)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callOutcome) {
 		if how == answered {
 			r.updateCore(func(now time.Duration) { r.core.ObserveCacheEvents(now, id, answer.(engine.CacheEvents)) })
 		}
@@ -149,7 +149,7 @@
 		host.update()
 		reply(snapshot)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callStatus) {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callOutcome) {
 		if how == answered {
 			snapshot := answer.(engine.CacheSnapshot)
 			if earlier := r.earlierSnapshots[id]; earlier.Incarnation < snapshot.Incarnation {
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -89,13 +89,13 @@
 	n.world.queue.At(at, func() { to.run(life, deliver) })
 }
 
-// callStatus tells how a call failed.
-type callStatus int
+// callOutcome tells how a call failed.
+type callOutcome int
 
 // Failures of a call.
 const (
 	// answered means that there was none.
-	answered callStatus = iota
+	answered callOutcome = iota
 	// refused means that nothing was sent.
 	refused
 	// broken means that the connection ended after the request was sent.
@@ -111,14 +111,14 @@
 	to       *process
 	life     int
 	finished bool
-	done     func(answer any, how callStatus)
+	done     func(answer any, how callOutcome)
 }
 
 // call sends a request, has the target serve it and gives the answer to done,
 // on the caller's process, exactly once, unless that dies first. serve may
 // answer later; it returns when the answer arrives at the caller, or 0.
 func (n *network) call(
-	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callStatus),
+	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callOutcome),
 ) *call {
 	c := &call{network: n, from: from, to: to, life: from.generation, done: done}
 	blocked := n.blockedUntil(from, to) > 0
@@ -171,7 +171,7 @@
 // cancel ends the call for its caller: no answer is given.
 func (c *call) cancel() { c.finished = true }
 
-func (c *call) finishAt(at time.Duration, answer any, how callStatus) {
+func (c *call) finishAt(at time.Duration, answer any, how callOutcome) {
 	c.network.world.queue.At(at, func() {
 		c.from.run(c.life, func() {
 			if c.finished {
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -78,7 +78,7 @@
 	console := &process{world: w, address: "10.5.0.1:0", zone: zones[0], alive: true}
 	number := w.recordInvocation(sent, target)
 	serve := func(reply func(any) time.Duration) { reply(target.execute(sent)) }
-	w.network.call(console, &target.process, commandTimeout, serve, func(answer any, how callStatus) {
+	w.network.call(console, &target.process, commandTimeout, serve, func(answer any, how callOutcome) {
 		result := commandResult{noEffect: how == refused}
 		if how == answered {
 			result = answer.(commandResult)
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -87,7 +87,7 @@
 	}
 	revision := r.holder.Revision()
 	serve := func(reply func(any) time.Duration) { reply(target.changesAfter(revision)) }
-	r.world.network.call(&r.process, &target.process, time.Second, serve, func(answer any, how callStatus) {
+	r.world.network.call(&r.process, &target.process, time.Second, serve, func(answer any, how callOutcome) {
 		if how == answered {
 			r.applyChanges(answer.(changesAnswer))
 		}
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -59,7 +59,7 @@
 	case lease.ActionRead:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveRead(leaseSettings.Key, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callStatus) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callOutcome) {
 			r.electing = false
 			row, err := platform.Row{}, platform.ErrUnavailable
 			if how == answered {
@@ -73,7 +73,7 @@
 	case lease.ActionCommit:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveCommit(action.Transaction, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callStatus) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callOutcome) {
 			r.electing = false
 			r.election.CommitDone(r.now(), commitError(answer, how))
 			r.stepElection()
@@ -87,7 +87,7 @@
 	err error
 }
 
-func commitError(answer any, how callStatus) error {
+func commitError(answer any, how callOutcome) error {
 	switch how {
 	case answered:
 		return answer.(tableAnswer).err
@@ -137,7 +137,7 @@
 	host := r.world.engineByID(order.Engine)
 	r.world.record(history.OrderSent{Router: r.node, Engine: order.Engine, Token: token, Kind: order.Order.Kind})
 	serve := func(reply func(any) time.Duration) { host.serveOrder(order.Order, reply) }
-	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, callStatus) {})
+	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, callOutcome) {})
 }
 
 // ReadyToPromote implements operator.Readiness.
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -83,7 +83,7 @@
 		request.machines = a.machines
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.sync(request)) }
-	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, how callStatus) {
+	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, how callOutcome) {
 		if how != answered {
 			a.recordFailure(with)
 			return
