--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -21,24 +21,24 @@
 	}
 	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.dispatch(incoming, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callOutcome) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, outcome callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
 			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
-		c.handle(c.dispatchFailure(action.Operation, engineError(answer), how), "")
+		c.handle(c.dispatchFailure(action.Operation, engineError(answer), outcome), "")
 	})
 }
 
-func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how callOutcome) attempt.Event {
-	if how == refused || (how != answered && c.agent.world.options.Variant == AssumeNotSent) {
+func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, outcome callOutcome) attempt.Event {
+	if outcome == refused || (outcome != answered && c.agent.world.options.Variant == AssumeNotSent) {
 		return attempt.DispatchNotSent{Operation: operation}
 	}
 	if rejection != nil && rejection.Outcome() == engine.OutcomeRejected {
 		return attempt.DispatchRejected{Operation: operation, Code: rejection.Code, Message: rejection.Message}
 	}
-	return attempt.DispatchUnknown{Operation: operation, TimedOut: how == timedOut}
+	return attempt.DispatchUnknown{Operation: operation, TimedOut: outcome == timedOut}
 }
 
 // openConnection makes the connection of a dispatch or resume.
@@ -68,14 +68,14 @@
 	target := a.world.engineAt(action.Address)
 	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.resume(action.Stream, action.Offset, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how callOutcome) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, outcome callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
 			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
 		rejection := engineError(answer)
-		if how == answered && rejection.Code == engine.ErrorUnknownStream {
+		if outcome == answered && rejection.Code == engine.ErrorUnknownStream {
 			c.handle(attempt.ResumeRejected{Operation: action.Operation, Code: rejection.Code, Incarnation: rejection.Incarnation}, "")
 			return
 		}
--- a/lab/simulation/enginepolling.go
+++ b/lab/simulation/enginepolling.go
@@ -76,36 +76,36 @@
 
 // pollStatus asks an engine for its status, again and again.
 func (r *router) pollStatus(id fleet.EngineID, failures int) {
-	r.requestStatus(id, func(reached bool, how callOutcome) {
+	r.requestStatus(id, func(reached bool, outcome callOutcome) {
 		pause := statusInterval*3/4 + time.Duration(r.world.random.Int64N(int64(statusInterval/2)))
 		if reached {
 			r.after(pause, func() { r.pollStatus(id, 0) })
 			return
 		}
 		failures++
-		if failures == unreachableAfter || (failures == 1 && how == refused) {
+		if failures == unreachableAfter || (failures == 1 && outcome == refused) {
 			r.updateCore(func(now time.Duration) { r.core.ObserveUnreachable(now, id) })
 		}
 		r.after(pause, func() { r.pollStatus(id, failures) })
 	})
 }
 
-func (r *router) requestStatus(id fleet.EngineID, done func(reached bool, how callOutcome)) {
+func (r *router) requestStatus(id fleet.EngineID, done func(reached bool, outcome callOutcome)) {
 	host := r.world.engineByID(id)
 	serve := func(reply func(any) time.Duration) {
 		status := host.model.Status(host.now())
 		host.update()
 		reply(status)
 	}
-	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, how callOutcome) {
-		if how == answered {
+	r.world.network.call(&r.process, &host.process, statusTimeout, serve, func(answer any, outcome callOutcome) {
+		if outcome == answered {
 			status := answer.(engine.Status)
 			if known := r.statuses[id]; status.Incarnation >= known.status.Incarnation {
 				r.statuses[id] = observedStatus{status: status, at: r.now()}
 			}
 			r.updateCore(func(now time.Duration) { r.core.ObserveStatus(now, status) })
 		}
-		done(how == answered, how)
+		done(outcome == answered, outcome)
 	})
 }
 
@@ -126,8 +126,8 @@
 		host.update()
 		reply(events)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callOutcome) {
-		if how == answered {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, outcome callOutcome) {
+		if outcome == answered {
 			r.updateCore(func(now time.Duration) { r.core.ObserveCacheEvents(now, id, answer.(engine.CacheEvents)) })
 		}
 		again()
@@ -149,8 +149,8 @@
 		host.update()
 		reply(snapshot)
 	}
-	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, how callOutcome) {
-		if how == answered {
+	r.world.network.call(&r.process, &host.process, eventTimeout, serve, func(answer any, outcome callOutcome) {
+		if outcome == answered {
 			snapshot := answer.(engine.CacheSnapshot)
 			if earlier := r.earlierSnapshots[id]; earlier.Incarnation < snapshot.Incarnation {
 				snapshot.Hashes = append(snapshot.Hashes, earlier.Hashes...) // MixRunsOfEngine alone keeps any
--- a/lab/simulation/inflight.go
+++ b/lab/simulation/inflight.go
@@ -210,8 +210,8 @@
 		CachedTokens: report.CachedTokens, OutputTokens: report.OutputTokens, EngineLost: report.EngineLost,
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.report(message)) }
-	a.world.network.call(&a.process, &target.process, reportTimeout, serve, func(answer any, how callOutcome) {
-		if how != answered {
+	a.world.network.call(&a.process, &target.process, reportTimeout, serve, func(answer any, outcome callOutcome) {
+		if outcome != answered {
 			a.recordFailure(at)
 			return
 		}
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -89,7 +89,7 @@
 	n.world.queue.At(at, func() { to.run(life, deliver) })
 }
 
-// callOutcome tells how a call failed.
+// callOutcome tells outcome a call failed.
 type callOutcome int
 
 // Failures of a call.
@@ -111,7 +111,7 @@
 	to       *process
 	life     int
 	finished bool
-	done     func(answer any, how callOutcome)
+	done     func(answer any, outcome callOutcome)
 }
 
 // call sends a request, has the target serve it and gives the answer to done,
@@ -171,14 +171,14 @@
 // cancel ends the call for its caller: no answer is given.
 func (c *call) cancel() { c.finished = true }
 
-func (c *call) finishAt(at time.Duration, answer any, how callOutcome) {
+func (c *call) finishAt(at time.Duration, answer any, outcome callOutcome) {
 	c.network.world.queue.At(at, func() {
 		c.from.run(c.life, func() {
 			if c.finished {
 				return
 			}
 			c.finished = true
-			c.done(answer, how)
+			c.done(answer, outcome)
 		})
 	})
 }
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -78,9 +78,9 @@
 	console := &process{world: w, address: "10.5.0.1:0", zone: zones[0], alive: true}
 	number := w.recordInvocation(sent, target)
 	serve := func(reply func(any) time.Duration) { reply(target.execute(sent)) }
-	w.network.call(console, &target.process, commandTimeout, serve, func(answer any, how callOutcome) {
-		result := commandResult{noEffect: how == refused}
-		if how == answered {
+	w.network.call(console, &target.process, commandTimeout, serve, func(answer any, outcome callOutcome) {
+		result := commandResult{noEffect: outcome == refused}
+		if outcome == answered {
 			result = answer.(commandResult)
 		}
 		w.recordReturn(number, result)
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -87,8 +87,8 @@
 	}
 	revision := r.holder.Revision()
 	serve := func(reply func(any) time.Duration) { reply(target.changesAfter(revision)) }
-	r.world.network.call(&r.process, &target.process, time.Second, serve, func(answer any, how callOutcome) {
-		if how == answered {
+	r.world.network.call(&r.process, &target.process, time.Second, serve, func(answer any, outcome callOutcome) {
+		if outcome == answered {
 			r.applyChanges(answer.(changesAnswer))
 		}
 		r.follower.PeerDone(r.now())
--- a/lab/simulation/placementcalls.go
+++ b/lab/simulation/placementcalls.go
@@ -30,8 +30,8 @@
 	serve := func(reply func(any) time.Duration) { target.place(question, reply) }
 	c.placementRouter = target
 	c.placementKey = question.Key
-	c.placementCall = a.world.network.call(&a.process, &target.process, c.maxWait+placementMargin, serve, func(answer any, how callOutcome) {
-		if how != answered {
+	c.placementCall = a.world.network.call(&a.process, &target.process, c.maxWait+placementMargin, serve, func(answer any, outcome callOutcome) {
+		if outcome != answered {
 			a.recordFailure(at)
 			c.handle(attempt.PlacementFailed{Operation: ask.Operation}, "")
 			return
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -59,10 +59,10 @@
 	case lease.ActionRead:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveRead(leaseSettings.Key, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callOutcome) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, outcome callOutcome) {
 			r.electing = false
 			row, err := platform.Row{}, platform.ErrUnavailable
-			if how == answered {
+			if outcome == answered {
 				row, err = answer.(tableAnswer).row, answer.(tableAnswer).err
 			}
 			if err := r.election.ReadDone(r.now(), row, err); err != nil {
@@ -73,9 +73,9 @@
 	case lease.ActionCommit:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveCommit(action.Transaction, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how callOutcome) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, outcome callOutcome) {
 			r.electing = false
-			r.election.CommitDone(r.now(), commitError(answer, how))
+			r.election.CommitDone(r.now(), commitError(answer, outcome))
 			r.stepElection()
 		})
 	}
@@ -87,8 +87,8 @@
 	err error
 }
 
-func commitError(answer any, how callOutcome) error {
-	switch how {
+func commitError(answer any, outcome callOutcome) error {
+	switch outcome {
 	case answered:
 		return answer.(tableAnswer).err
 	case refused:
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -83,8 +83,8 @@
 		request.machines = a.machines
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.sync(request)) }
-	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, how callOutcome) {
-		if how != answered {
+	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, outcome callOutcome) {
+		if outcome != answered {
 			a.recordFailure(with)
 			return
 		}
