--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -106,12 +106,12 @@
 
 // call is a request on its way and its answer.
 type call struct {
-	network  *network
-	from     *process
-	to       *process
-	life     int
-	finished bool
-	done     func(answer any, outcome callOutcome)
+	network    *network
+	from       *process
+	to         *process
+	generation int
+	finished   bool
+	done       func(answer any, outcome callOutcome)
 }
 
 // call sends a request, has the target serve it and gives the answer to done,
@@ -120,7 +120,7 @@
 func (n *network) call(
 	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callOutcome),
 ) *call {
-	c := &call{network: n, from: from, to: to, life: from.generation, done: done}
+	c := &call{network: n, from: from, to: to, generation: from.generation, done: done}
 	blocked := n.blockedUntil(from, to) > 0
 	switch {
 	case blocked && n.world.random.Float64() < delayedDeliveryChance:
@@ -173,7 +173,7 @@
 
 func (c *call) finishAt(at time.Duration, answer any, outcome callOutcome) {
 	c.network.world.queue.At(at, func() {
-		c.from.run(c.life, func() {
+		c.from.run(c.generation, func() {
 			if c.finished {
 				return
 			}
