--- a/lab/simulation/agent.go
+++ b/lab/simulation/agent.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// Times of an agent; those of the product are longer, in proportion to its
+// Timeouts, intervals and limits of an agent. Those of the product are longer, in proportion to its
 // longer deadlines.
 const (
 	syncInterval      = time.Second
@@ -30,7 +30,7 @@
 	maxPlacements     = 12
 )
 
-// routerState is what an agent knows of one router address.
+// routerState is what an agent has recorded about one router address.
 type routerState struct {
 	address       fleet.Address
 	failures      int
@@ -39,17 +39,17 @@
 	revision      fleet.Revision
 	answered      bool
 	needsMachines bool
-	// placementCalls are the questions that wait there, in order.
+	// placementCalls are the pending placement calls to the router, oldest first.
 	placementCalls []*call
 }
 
-// agent is one agent process.
+// agent is a simulated agent process.
 type agent struct {
 	process
 	index  int
 	node   fleet.NodeID
 	holder *config.Holder
-	// appliedRevision is the last revision that was recorded as in force.
+	// appliedRevision is the last revision that was recorded as applied.
 	appliedRevision fleet.Revision
 	machines        []platform.Machine
 	budget          *attempt.Budget
@@ -58,7 +58,7 @@
 	rotation        int
 	contacted       bool
 	stopping        bool
-	// inFlight are the unfinished requests, in order.
+	// inFlight are the unfinished requests, oldest first.
 	inFlight []*inFlightRequest
 }
 
@@ -85,7 +85,7 @@
 	a.syncLoop()
 }
 
-// kill ends the agent and, with it, its callers' connections.
+// kill ends the agent and the connections of its callers.
 func (a *agent) kill() {
 	a.world.record(history.NodeKilled{Node: a.node})
 	a.abortRequests("agent was killed")
@@ -101,7 +101,7 @@
 	a.inFlight = nil
 }
 
-// stop is a planned stop: new requests go elsewhere, running ones finish.
+// stop begins a planned stop: the agent accepts no new requests and lets running ones finish.
 func (a *agent) stop() {
 	a.stopping = true
 	a.world.record(history.NodeStopping{Node: a.node})
@@ -112,12 +112,12 @@
 	a.waitForIdle(a.now() + stopGrace)
 }
 
-func (a *agent) waitForIdle(graceOver time.Duration) {
-	const look = 50 * time.Millisecond
-	a.after(look, func() {
+func (a *agent) waitForIdle(graceEnd time.Duration) {
+	const checkInterval = 50 * time.Millisecond
+	a.after(checkInterval, func() {
 		a.removeFinished()
-		if len(a.inFlight) > 0 && a.now() < graceOver {
-			a.waitForIdle(graceOver)
+		if len(a.inFlight) > 0 && a.now() < graceEnd {
+			a.waitForIdle(graceEnd)
 			return
 		}
 		for _, c := range slices.Clone(a.inFlight) {
@@ -146,8 +146,8 @@
 	return created
 }
 
-// chooseRouter returns the router to ask: preferred ones, then the members by rank,
-// then the seeds; those tried, failed or stopping come last.
+// chooseRouter returns the router to ask: the preferred ones, then the members by rank, then the
+// seeds. Routers that were tried, failed or are stopping have lower priority.
 func (a *agent) chooseRouter(key uint64, preferred []fleet.Address, tried map[fleet.Address]int) *routerState {
 	const penaltyFailed, penaltyStopping = 1, 2
 	addresses := slices.Clone(preferred)
@@ -185,42 +185,42 @@
 	return addresses
 }
 
-// observeAnswer notes a router's answer and starts an exchange if either side is behind.
-func (a *agent) observeAnswer(by *routerState, revision fleet.Revision) {
-	a.recordAnswer(by, revision)
+// observeAnswer records a router's answer and starts a sync if the revisions differ.
+func (a *agent) observeAnswer(router *routerState, revision fleet.Revision) {
+	a.recordAnswer(router, revision)
 	if revision != a.holder.Revision() {
-		a.sync(by)
+		a.sync(router)
 	}
 }
 
-func (a *agent) recordAnswer(by *routerState, revision fleet.Revision) {
-	by.failures = 0
-	by.retryAt = 0
-	by.answered = true
-	by.revision = revision
+func (a *agent) recordAnswer(router *routerState, revision fleet.Revision) {
+	router.failures = 0
+	router.retryAt = 0
+	router.answered = true
+	router.revision = revision
 	a.contacted = true
 }
 
-// recordFailure notes that a router gave no answer, and releases the requests that
-// wait there.
-func (a *agent) recordFailure(at *routerState) {
-	at.answered = false
-	waiting := at.placementCalls
-	at.placementCalls = nil
-	for _, open := range waiting {
-		if !open.finished {
-			open.finished = true
-			open.done(nil, broken)
+// recordFailure records that a router did not answer, and fails the placement calls that wait
+// there.
+func (a *agent) recordFailure(router *routerState) {
+	router.answered = false
+	waiting := router.placementCalls
+	router.placementCalls = nil
+	for _, pending := range waiting {
+		if !pending.finished {
+			pending.finished = true
+			pending.done(nil, broken)
 		}
 	}
-	if at.retryAt > a.now() {
+	if router.retryAt > a.now() {
 		return
 	}
-	at.retryAt = a.now() + min(routerBackoff<<min(at.failures, maxBackoffShift), routerBackoffMax)
-	at.failures++
+	router.retryAt = a.now() + min(routerBackoff<<min(router.failures, maxBackoffShift), routerBackoffMax)
+	router.failures++
 }
 
-// recordConfiguration records a configuration that has come into force.
+// recordConfiguration records a configuration that is newly applied.
 func (a *agent) recordConfiguration() {
 	view := a.holder.Current()
 	if view == nil || view.Revision() == a.appliedRevision {
--- a/lab/simulation/campaign.go
+++ b/lab/simulation/campaign.go
@@ -10,20 +10,20 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// Result is one checked run.
+// Result is the outcome of one checked run.
 type Result struct {
 	Seed       uint64
 	Violations []history.Violation
 }
 
-// CheckSeed carries out and checks one run.
+// CheckSeed simulates and checks one run.
 func CheckSeed(options Options) (*history.History, Result) {
 	record := Run(options)
 	return record, Result{Seed: options.Seed, Violations: history.Check(record, history.DefaultLimits())}
 }
 
-// Campaign checks the seeds from first on, one run on each core at a time, and
-// returns the results in the order of the seeds.
+// Campaign checks count consecutive seeds from first on, running one seed per CPU at a time. It
+// returns the results in seed order.
 func Campaign(first uint64, count int, options Options) []Result {
 	results := make([]Result, count)
 	var next atomic.Int64
@@ -45,7 +45,7 @@
 	return results
 }
 
-// Report writes the timeline of a seed and its violations.
+// Report writes the timeline of a seed followed by its violations.
 func Report(to io.Writer, options Options) (Result, error) {
 	record, result := CheckSeed(options)
 	if err := record.Write(to); err != nil {
--- a/lab/simulation/configuration.go
+++ b/lab/simulation/configuration.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// startConfiguration begins to follow the configuration.
+// startConfiguration starts following the configuration.
 func (r *router) startConfiguration() {
 	r.store = config.NewStore(&tableClient{world: r.world, from: &r.process}, nil, config.StoreOptions{
 		Random: r.world.newRandom(),
@@ -19,8 +19,7 @@
 	r.follow()
 }
 
-// follow does what the follower wants next. One question to a peer is under
-// way at a time.
+// follow performs the follower's next action. At most one pull from a peer is in flight at a time.
 func (r *router) follow() {
 	r.follower.SetNodeCount(r.now(), len(r.members.View().Routable()))
 	r.follower.SetLocalRevision(r.holder.Revision())
@@ -66,7 +65,7 @@
 	return others[r.world.random.IntN(len(others))], true
 }
 
-// observeRevision notes a revision that another node's message named.
+// observeRevision passes a revision mentioned in another node's message to the follower.
 func (r *router) observeRevision(revision fleet.Revision) {
 	if revision <= r.holder.Revision() {
 		return
@@ -75,23 +74,23 @@
 	r.after(0, r.follow)
 }
 
-// offerSnapshot gives the holder a whole configuration.
+// offerSnapshot offers a complete configuration to the holder.
 func (r *router) offerSnapshot(document config.Document) {
 	if _, err := r.holder.OfferSnapshot(document); err != nil {
-		panic(err) // the fleet's configurations are valid
+		panic(err) // the simulated configurations are valid
 	}
 	r.applyConfiguration()
 }
 
 func (r *router) offerChanges(changes []config.Change) {
 	if _, _, err := r.holder.OfferChanges(changes); err != nil {
-		panic(err) // the fleet's configurations are valid
+		panic(err) // the simulated configurations are valid
 	}
 	r.applyConfiguration()
 }
 
-// applyConfiguration applies a configuration that has come into force and
-// spreads it.
+// applyConfiguration applies the holder's configuration to the placement core, if it is newer, and
+// publishes its changes to the peers.
 func (r *router) applyConfiguration() {
 	view := r.holder.Current()
 	if view == nil || view.Revision() <= r.appliedRevision {
@@ -108,7 +107,7 @@
 	r.sendPeers(r.dissemination.Publish(r.now(), encodeChanges(changes), r.members.View()))
 }
 
-// coreConfiguration is the configuration that the core gets.
+// coreConfiguration returns the configuration that the placement core gets.
 func (r *router) coreConfiguration(view *config.View) *config.View {
 	if r.world.options.Variant != IgnoreDirectives {
 		return view
--- a/lab/simulation/connection.go
+++ b/lab/simulation/connection.go
@@ -8,24 +8,24 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// connection is one stream of frames from an engine to an agent.
+// connection is a stream of frames from an engine to an agent.
 type connection struct {
 	engine    *engineHost
 	inFlight  *inFlightRequest
 	operation attempt.Operation
 	stream    fleet.StreamID
-	// nextToken is the index of the nextToken token to send.
+	// nextToken is the index of the next token to send.
 	nextToken   int
 	lastArrival time.Duration
-	// reading is set once the agent has the first frame, broke when the
-	// connection has ended before; closed ends it.
+	// reading is set once the agent has received the first frame, broken if the connection ended
+	// before that. No frames are delivered once closed is set.
 	reading     bool
 	broken      bool
 	closed      bool
 	lastFrameAt time.Duration
 }
 
-// pump sends the frames that are new and tells whether more may follow.
+// pump sends the new frames and reports whether more may follow.
 func (c *connection) pump(h *engineHost) bool {
 	if c.closed || c.inFlight.generation != c.inFlight.agent.generation {
 		return false
@@ -48,7 +48,7 @@
 	return !ended
 }
 
-// send carries a frame behind those before it.
+// send delivers a frame after all earlier frames.
 func (c *connection) send(frame engine.Frame) {
 	w := c.inFlight.agent.world
 	at, _ := w.network.arrival(&c.engine.process, &c.inFlight.agent.process)
@@ -56,7 +56,7 @@
 	w.queue.At(c.lastArrival, func() { c.inFlight.run(func() { c.receive(frame) }) })
 }
 
-// receive gives a frame to the carrier.
+// receive passes a frame to the request.
 func (c *connection) receive(frame engine.Frame) {
 	if c.closed || c.inFlight.agent.world.shouldDrop(c) {
 		return
@@ -68,8 +68,8 @@
 	c.inFlight.receiveFrame(c.operation, frame)
 }
 
-// disconnect ends the connection, wherever its frames are; those still on their
-// way are lost. The agent learns of it unless the network is cut.
+// disconnect breaks the connection. Frames that arrive later than the break are lost. The agent is
+// informed unless the network is partitioned.
 func (c *connection) disconnect() {
 	if c.closed {
 		return
@@ -89,7 +89,7 @@
 	})
 }
 
-// startReading begins to take frames, once the agent has the first.
+// startReading begins to watch the connection, once the first frame has arrived.
 func (c *connection) startReading() {
 	c.reading = true
 	c.lastFrameAt = c.inFlight.agent.now()
@@ -100,7 +100,7 @@
 	c.watchIdleTimeout()
 }
 
-// reportBroken tells the carrier that no more frames come.
+// reportBroken informs the request that no more frames will follow.
 func (c *connection) reportBroken() {
 	if c.closed {
 		return
@@ -109,7 +109,7 @@
 	c.inFlight.handle(attempt.StreamBroken{Operation: c.operation}, "")
 }
 
-// watchIdleTimeout breaks the connection when no frame comes for too long.
+// watchIdleTimeout breaks the connection if no frame arrives within streamIdleTimeout.
 func (c *connection) watchIdleTimeout() {
 	agent := c.inFlight.agent
 	c.inFlight.after(max(c.lastFrameAt+streamIdleTimeout-agent.now(), time.Millisecond), func() {
--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -41,7 +41,7 @@
 	return attempt.DispatchUnknown{Operation: operation, TimedOut: outcome == timedOut}
 }
 
-// openConnection makes the connection of a dispatch or resume.
+// openConnection creates the connection of a dispatch or resume and closes the previous one.
 func (c *inFlightRequest) openConnection(target *engineHost, operation attempt.Operation, stream fleet.StreamID) *connection {
 	if c.connection != nil {
 		c.connection.closed = true
@@ -50,7 +50,7 @@
 	return c.connection
 }
 
-// startReading takes the first frame of a connection.
+// startReading handles the first frame of a connection.
 func (c *inFlightRequest) startReading(opened *connection, accepted engine.Frame) {
 	if opened.closed {
 		return
@@ -59,7 +59,7 @@
 	opened.startReading()
 }
 
-// resume reads a stream again from a token on.
+// resume reads a stream again from an offset.
 func (c *inFlightRequest) resume(action attempt.Resume) {
 	if c.isFinished() {
 		return
@@ -83,15 +83,15 @@
 	})
 }
 
-// Bounds of best-effort cancels.
+// Limits of best-effort cancels.
 const (
 	cancelAttempts = 3
 	cancelBackoff  = 200 * time.Millisecond
 )
 
-// cancel stops a stream. A best-effort cancel outlives its request and is
-// repeated.
-func (c *inFlightRequest) cancel(action attempt.CancelAndFence, try int) {
+// cancel stops a stream. A best-effort cancel, which has no operation, is retried, also after its
+// request has ended.
+func (c *inFlightRequest) cancel(action attempt.CancelAndFence, number int) {
 	if action.Operation != 0 && c.isFinished() {
 		return
 	}
@@ -114,8 +114,8 @@
 			c.handle(attempt.CancelAnswered{Operation: action.Operation, State: engine.CancelNeverRan}, "")
 		case action.Operation != 0:
 			c.handle(attempt.CancelFailed{Operation: action.Operation, Code: code}, "")
-		case code != engine.ErrorWrongIncarnation && try < cancelAttempts:
-			c.after(cancelBackoff, func() { c.cancel(action, try+1) })
+		case code != engine.ErrorWrongIncarnation && number < cancelAttempts:
+			c.after(cancelBackoff, func() { c.cancel(action, number+1) })
 		}
 	})
 }
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -13,10 +13,10 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// pool is the pool of every engine.
+// pool is the name of the pool that all engines belong to.
 const pool fleet.PoolName = "pool"
 
-// engineHost runs one engine model.
+// engineHost is a simulated engine process.
 type engineHost struct {
 	process
 	id    fleet.EngineID
@@ -53,7 +53,7 @@
 	h.world.record(history.EngineStarted{Run: h.currentRun()})
 }
 
-// kill ends the run; every connection breaks.
+// kill ends the engine run and breaks its connections.
 func (h *engineHost) kill() {
 	h.world.record(history.EngineKilled{Run: h.currentRun()})
 	connections := h.connections
@@ -84,13 +84,13 @@
 	return machine
 }
 
-// dispatchCall is what an agent sends to an engine.
+// dispatchCall is an agent's dispatch to an engine, with the run that the grant named.
 type dispatchCall struct {
 	request    engine.DispatchRequest
 	grantedRun fleet.EngineRun
 }
 
-// dispatch serves a dispatch. An accepted one goes on as a stream of frames.
+// dispatch serves a dispatch. An accepted one starts a stream of frames.
 func (h *engineHost) dispatch(incoming dispatchCall, to *connection, reply func(any) time.Duration) {
 	request := incoming.request
 	if h.world.options.Variant == DispatchToAnyRun {
@@ -118,7 +118,7 @@
 	h.startStream(to, offset, reply)
 }
 
-// startStream answers with the first frame and lets the others follow.
+// startStream answers with the first frame and sends the following ones as they are produced.
 func (h *engineHost) startStream(to *connection, offset int, reply func(any) time.Duration) {
 	accepted, err := h.model.Accepted(to.stream)
 	if err != nil {
@@ -142,7 +142,7 @@
 	h.update()
 }
 
-// serveOrder serves a fenced serveOrder.
+// serveOrder serves a fenced order.
 func (h *engineHost) serveOrder(order engine.Order, reply func(any) time.Duration) {
 	err := h.model.Order(h.now(), order)
 	if err == nil {
@@ -155,7 +155,7 @@
 	h.update()
 }
 
-// update records what the engine began, sends new frames and plans its next step.
+// update records started executions, sends new frames and schedules the next step.
 func (h *engineHost) update() {
 	for _, execution := range h.model.TakeExecutions() {
 		h.world.record(history.Executed{
@@ -164,13 +164,13 @@
 			CachedBlocks: execution.CachedBlocks, ForeignBlocks: execution.ForeignBlocks,
 		})
 	}
-	kept := h.connections[:0]
+	remaining := h.connections[:0]
 	for _, open := range h.connections {
 		if open.pump(h) {
-			kept = append(kept, open)
+			remaining = append(remaining, open)
 		}
 	}
-	h.connections = kept
+	h.connections = remaining
 	h.scheduleStep()
 }
 
@@ -190,7 +190,7 @@
 	})
 }
 
-// engineError returns the typed error in an answer, or nil.
+// engineError returns the engine.Error of an answer, or nil.
 func engineError(answer any) *engine.Error {
 	err, isError := answer.(error)
 	var failed *engine.Error
--- a/lab/simulation/enginepolling.go
+++ b/lab/simulation/enginepolling.go
@@ -9,7 +9,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Times of a router's watch over the engines.
+// Intervals and timeouts of a router's engine polling.
 const (
 	statusInterval   = 250 * time.Millisecond
 	statusTimeout    = time.Second
@@ -18,24 +18,24 @@
 	eventTimeout     = 2 * time.Second
 	machineInterval  = time.Second
 	statusMaxAge     = 5 * time.Second
-	// unreachableAfter is the number of failed polls in a row after which an
-	// engine that accepts connections counts as unreachable.
+	// unreachableAfter is the number of consecutive failed polls after which an engine that accepts
+	// connections counts as unreachable.
 	unreachableAfter = 2
 )
 
-// observedStatus is an engine's last word about itself.
+// observedStatus is the last status received from an engine.
 type observedStatus struct {
 	status engine.Status
 	at     time.Duration
 }
 
-// startEngines begins to follow the list of machines and the engines.
+// startEngines starts polling the platform's list of machines and the engines.
 func (r *router) startEngines() {
 	r.pollMachines()
 	r.fetchNeededSnapshots()
 }
 
-// pollMachines reads the platform's list.
+// pollMachines reads the platform's list of machines periodically.
 func (r *router) pollMachines() {
 	if machines, reached := r.world.readMachines(&r.process); reached {
 		r.machinesFromPlatform = true
@@ -45,8 +45,7 @@
 	r.after(pause, r.pollMachines)
 }
 
-// offerMachines takes a list that an agent or peer remembers, until the
-// platform has been heard.
+// offerMachines uses a list of machines from an agent or peer until the platform has answered once.
 func (r *router) offerMachines(machines []platform.Machine) {
 	if len(machines) > 0 && !r.machinesFromPlatform {
 		r.setMachines(machines)
@@ -74,7 +73,7 @@
 	}
 }
 
-// pollStatus asks an engine for its status, again and again.
+// pollStatus requests an engine's status periodically.
 func (r *router) pollStatus(id fleet.EngineID, failures int) {
 	r.requestStatus(id, func(reached bool, outcome callOutcome) {
 		pause := statusInterval*3/4 + time.Duration(r.world.random.Int64N(int64(statusInterval/2)))
@@ -109,7 +108,7 @@
 	})
 }
 
-// pollEvents asks an engine for its cache events, again and again.
+// pollEvents requests an engine's cache events periodically.
 func (r *router) pollEvents(id fleet.EngineID) {
 	again := func() { r.after(eventInterval, func() { r.pollEvents(id) }) }
 	after, _, followed := r.core.EventsAfter(id)
@@ -134,7 +133,7 @@
 	})
 }
 
-// fetchNeededSnapshots does the extra polls that the core wants.
+// fetchNeededSnapshots periodically fetches the cache snapshots that the placement core needs.
 func (r *router) fetchNeededSnapshots() {
 	for _, id := range r.core.NeedsSnapshot() {
 		r.fetchSnapshot(id)
@@ -153,19 +152,19 @@
 		if outcome == answered {
 			snapshot := answer.(engine.CacheSnapshot)
 			if earlier := r.earlierSnapshots[id]; earlier.Incarnation < snapshot.Incarnation {
-				snapshot.Hashes = append(snapshot.Hashes, earlier.Hashes...) // MixRunsOfEngine alone keeps any
+				snapshot.Hashes = append(snapshot.Hashes, earlier.Hashes...) // present only with MixRunsOfEngine
 			}
 			r.updateCore(func(now time.Duration) { r.core.ObserveCacheSnapshot(now, id, snapshot) })
 		}
 	})
 }
 
-// freshStatuses returns the statuses young enough for the rollout, by identifier.
+// freshStatuses returns the statuses that are recent enough for the rollout, ordered by engine ID.
 func (r *router) freshStatuses() []engine.Status {
 	var fresh []engine.Status
-	for _, heard := range r.statuses {
-		if r.now()-heard.at <= statusMaxAge {
-			fresh = append(fresh, heard.status)
+	for _, observed := range r.statuses {
+		if r.now()-observed.at <= statusMaxAge {
+			fresh = append(fresh, observed.status)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b engine.Status) int { return compareStrings(a.Engine, b.Engine) })
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -8,10 +8,10 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind names a kind of fault.
 type FaultKind string
 
-// Kinds of faults, and of planned changes that aren't faults.
+// Kinds of faults and of planned changes.
 const (
 	KillAgent     FaultKind = "kill-agent"
 	KillRouter    FaultKind = "kill-router"
@@ -47,21 +47,22 @@
 	firstFaultAt     = 2 * time.Second
 	minFaultDuration = 100 * time.Millisecond
 	maxFaultDuration = 5 * time.Second
-	// immediateRestartChance is the part of the kills that are followed by a start at once.
+	// immediateRestartChance is the fraction of kills that are followed by a restart within
+	// maxImmediateRestart.
 	immediateRestartChance = 0.4
 	maxImmediateRestart    = 5 * time.Millisecond
 	maxSlowdown            = 3 * time.Second
-	// repeatChance is the probability that a fault comes a second time, soon
-	// after or during the first.
+	// repeatChance is the probability that a fault is injected a second time, within
+	// maxFaultDuration.
 	repeatChance = 0.25
 	resetRate    = 0.03
-	// lostFrameRate is the part of the frames that get lost while streams are reset.
+	// lostFrameRate is the fraction of frames that are lost while streams are reset.
 	lostFrameRate   = 0.02
 	staleMachineLag = 6 * time.Second
 	restartDelay    = 500 * time.Millisecond
 )
 
-// scheduleFaults draws the faults and their times.
+// scheduleFaults draws the faults and schedules their injection.
 func (w *world) scheduleFaults() {
 	kinds := AllFaults
 	if len(w.options.FaultKinds) > 0 {
@@ -80,13 +81,14 @@
 	}
 }
 
-// drawFaultDuration draws how long a fault lasts.
+// drawFaultDuration returns a random duration between minFaultDuration and maxFaultDuration.
 func (w *world) drawFaultDuration() time.Duration {
 	return minFaultDuration + time.Duration(w.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 }
 
-// recordFault records a recordFault that lasts for a time, and then calls end.
-func (w *world) recordFault(kind FaultKind, target string, lasts time.Duration, end func()) {
+// recordFault records the start of a fault and, after its duration, calls end and records the end
+// of the fault.
+func (w *world) recordFault(kind FaultKind, target string, duration time.Duration, end func()) {
 	w.faultCount++
 	number := w.faultCount
 	group := string(kind)
@@ -94,7 +96,7 @@
 		group, target = history.PlatformFault, string(kind)
 	}
 	w.record(history.FaultBegan{Fault: number, Kind: group, Target: target})
-	w.queue.After(lasts, func() {
+	w.queue.After(duration, func() {
 		if end != nil {
 			end()
 		}
@@ -171,12 +173,12 @@
 }
 
 func (w *world) freeze(kind FaultKind, target *process) {
-	lasts := w.drawFaultDuration()
-	target.freeze(w.queue.Now() + lasts)
-	w.recordFault(kind, string(target.address), lasts, nil)
+	duration := w.drawFaultDuration()
+	target.freeze(w.queue.Now() + duration)
+	w.recordFault(kind, string(target.address), duration, nil)
 }
 
-// freezePlanner freezes a lease holder between its plan and its orders, if asked to.
+// freezePlanner freezes a lease holder between its plan and its orders if freezeNextPlanner is set.
 func (w *world) freezePlanner(holder *router) {
 	if w.freezeNextPlanner {
 		w.freezeNextPlanner = false
@@ -184,7 +186,7 @@
 	}
 }
 
-// randomLink returns two processes that talk to each other, in any order.
+// randomLink returns the addresses of a random caller and a random callee, in either order.
 func (w *world) randomLink() (from, to fleet.Address) {
 	var callers, called []fleet.Address
 	for _, a := range w.agents {
@@ -205,8 +207,8 @@
 }
 
 func (w *world) injectNetwork(kind FaultKind) {
-	lasts := w.drawFaultDuration()
-	until := w.queue.Now() + lasts
+	duration := w.drawFaultDuration()
+	until := w.queue.Now() + duration
 	from, to := w.randomLink()
 	n := w.network
 	switch kind {
@@ -222,14 +224,14 @@
 		n.slowdowns = append(n.slowdowns, slowdown{from: from, until: until, maxDelay: maxSlowdown})
 	case ResetStreams:
 		w.resetRate = resetRate
-		w.recordFault(kind, "", lasts, func() { w.resetRate = 0 })
+		w.recordFault(kind, "", duration, func() { w.resetRate = 0 })
 		return
 	}
-	w.recordFault(kind, string(from)+">"+string(to), lasts, nil)
+	w.recordFault(kind, string(from)+">"+string(to), duration, nil)
 }
 
-func (w *world) injectPlatform(kind FaultKind, lasts time.Duration) {
-	until := w.queue.Now() + lasts
+func (w *world) injectPlatform(kind FaultKind, duration time.Duration) {
+	until := w.queue.Now() + duration
 	service := w.tables
 	switch kind {
 	case PlatformDown:
@@ -240,13 +242,13 @@
 		service.slowUntil = max(service.slowUntil, until)
 	case StaleMachines:
 		service.model.SetMachineLag(staleMachineLag)
-		w.recordFault(kind, "", lasts, func() { service.model.SetMachineLag(machineLag) })
+		w.recordFault(kind, "", duration, func() { service.model.SetMachineLag(machineLag) })
 		return
 	}
-	w.recordFault(kind, "", lasts, nil)
+	w.recordFault(kind, "", duration, nil)
 }
 
-// injectMaintenance does what operators do on purpose.
+// injectMaintenance starts a planned stop or shows an engine's machine as leaving.
 func (w *world) injectMaintenance(kind FaultKind) {
 	switch kind {
 	case StopRouter:
@@ -270,7 +272,7 @@
 	}
 }
 
-// restartOnceStopped starts a process again some time after its planned stop.
+// restartOnceStopped starts a process again after its planned stop has ended.
 func (w *world) restartOnceStopped(p *process, start func()) {
 	w.queue.After(restartDelay, func() {
 		if p.alive {
@@ -281,7 +283,8 @@
 	})
 }
 
-// InjectedFaultKinds returns the kinds of faults in a history, for summaries.
+// InjectedFaultKinds returns the distinct kinds of faults in a history, in order of first
+// occurrence.
 func InjectedFaultKinds(record *history.History) []string {
 	var kinds []string
 	for _, entry := range record.Entries {
--- a/lab/simulation/inflight.go
+++ b/lab/simulation/inflight.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// request is what a caller asks.
+// request is a caller's request.
 type request struct {
 	id         fleet.RequestID
 	tenant     fleet.TenantName
@@ -24,14 +24,13 @@
 	timeout    time.Duration
 }
 
-// placementMargin is added to a class's longest wait before a router that holds a
-// question counts as failed.
+// placementMargin is added to a class's maximum wait to give the timeout of a placement call.
 const placementMargin = 5 * time.Second
 
-// inFlightRequest drives one request's machine at an agent.
+// inFlightRequest drives the attempt machine of one request at an agent.
 type inFlightRequest struct {
 	agent *agent
-	// generation is the agent's run that the request belongs to.
+	// generation is that of the agent process that the request belongs to.
 	generation   int
 	request      request
 	deadline     time.Duration
@@ -41,7 +40,7 @@
 	blockHashes  []fleet.BlockHash
 	tried        map[fleet.Address]int
 	askedRouters map[fleet.Attempt]*routerState
-	// placementCall is the question under way, reading the connection that is read.
+	// placementCall is the pending placement call, connection the connection being read.
 	placementCall   *call
 	placementRouter *router
 	placementKey    placement.Key
@@ -50,7 +49,7 @@
 	stream          fleet.StreamID
 }
 
-// serve takes a request from a caller; false means that the agent takes none.
+// serve accepts a request from a caller. It returns false if the agent accepts none at the moment.
 func (a *agent) serve(incoming request) bool {
 	if !a.alive || a.stopping || a.now() < a.frozenUntil {
 		return false
@@ -87,25 +86,25 @@
 	return true
 }
 
-// resolveVersion chooses the weights by a configuration.
+// resolveVersion resolves the model version under a configuration and reports whether it changed.
 func (c *inFlightRequest) resolveVersion(view *config.View) bool {
-	weights, resolved, found := view.ResolveModel(string(model))
-	if !found || weights == c.version {
+	version, resolved, found := view.ResolveModel(string(model))
+	if !found || version == c.version {
 		return false
 	}
 	class, _ := view.Class(c.request.class)
 	c.maxWait = time.Duration(class.MaxWait)
-	c.version = weights
-	scope := fleet.CacheScope{Tenant: c.request.tenant, ModelVersion: weights}
+	c.version = version
+	scope := fleet.CacheScope{Tenant: c.request.tenant, ModelVersion: version}
 	c.blockHashes = prompt.HashBlocks(scope, c.request.prompt, resolved.BlockTokens)
-	c.agent.world.record(history.Resolved{Request: c.request.id, Version: weights, Revision: view.Revision()})
+	c.agent.world.record(history.Resolved{Request: c.request.id, Version: version, Revision: view.Revision()})
 	return true
 }
 
-// run does a step, unless the agent's run is over.
+// run performs a step, unless the agent process has ended.
 func (c *inFlightRequest) run(step func()) { c.agent.run(c.generation, step) }
 
-// after plans a step.
+// after schedules a step.
 func (c *inFlightRequest) after(delay time.Duration, step func()) {
 	c.agent.world.queue.After(delay, func() { c.run(step) })
 }
@@ -114,7 +113,7 @@
 	return uint64(c.blockHashes[min(len(c.blockHashes), affinityBlocks)-1])
 }
 
-// handle gives the machine an event; stream is where a frame came from.
+// handle passes an event to the machine; stream is the origin of a frame, empty for other events.
 func (c *inFlightRequest) handle(event attempt.Event, stream fleet.StreamID) {
 	c.stream = stream
 	actions := c.machine.Handle(c.agent.now(), event)
@@ -124,7 +123,7 @@
 	}
 }
 
-// release ends what the request still has under way.
+// release closes the connection and withdraws the pending placement call.
 func (c *inFlightRequest) release() {
 	if c.connection != nil {
 		c.connection.closed = true
@@ -167,10 +166,10 @@
 	}
 }
 
-// isFinished tells whether an operation isn't wanted any more.
+// isFinished reports whether the request has ended, so that further operations are not needed.
 func (c *inFlightRequest) isFinished() bool { return c.machine.Phase() == attempt.PhaseFinished }
 
-// duplicateLater lets some answers come a second time, late.
+// duplicateLater delivers an event a second time, within a second, with probability DuplicateRate.
 func (c *inFlightRequest) duplicateLater(event attempt.Event) {
 	w := c.agent.world
 	if w.random.Float64() >= w.options.DuplicateRate {
@@ -179,8 +178,8 @@
 	c.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { c.handle(event, "") })
 }
 
-// receiveFrame takes a receiveFrame of the stream that is read. Some come crossed: a receiveFrame of
-// another request's stream under this operation.
+// receiveFrame handles a frame of the stream being read. It may first deliver a stray frame of
+// another request's stream under the same operation.
 func (c *inFlightRequest) receiveFrame(operation attempt.Operation, frame engine.Frame) {
 	w := c.agent.world
 	if stray, found := w.strayFrame(c.request.id, frame); found {
@@ -197,14 +196,14 @@
 	}
 }
 
-// sendReport tells the router that granted an attempt what became of it.
+// sendReport reports the progress of an attempt to the router that granted it.
 func (c *inFlightRequest) sendReport(report attempt.Report) {
-	at := c.askedRouters[report.Attempt]
-	if at == nil {
+	router := c.askedRouters[report.Attempt]
+	if router == nil {
 		return
 	}
 	a := c.agent
-	target := a.world.routerAt(at.address)
+	target := a.world.routerAt(router.address)
 	message := placement.AttemptReport{
 		Key: placement.Key{Request: c.request.id, Attempt: report.Attempt}, Run: report.Run, Phase: placement.Phase(report.Phase),
 		CachedTokens: report.CachedTokens, OutputTokens: report.OutputTokens, EngineLost: report.EngineLost,
@@ -212,9 +211,9 @@
 	serve := func(reply func(any) time.Duration) { reply(target.report(message)) }
 	a.world.network.call(&a.process, &target.process, reportTimeout, serve, func(answer any, outcome callOutcome) {
 		if outcome != answered {
-			a.recordFailure(at)
+			a.recordFailure(router)
 			return
 		}
-		a.observeAnswer(at, answer.(fleet.Revision))
+		a.observeAnswer(router, answer.(fleet.Revision))
 	})
 }
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -7,14 +7,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Times of the network.
+// Latencies and timeouts of the network.
 const (
 	localLatency   = 300 * time.Microsecond
 	zoneLatency    = 1500 * time.Microsecond
 	latencyJitter  = 500 * time.Microsecond
 	connectTimeout = 300 * time.Millisecond
-	// delayedDeliveryChance is the probability that a message held up by a cut arrives
-	// after it, rather than never.
+	// delayedDeliveryChance is the probability that a message sent during a partition arrives after
+	// it ends instead of being lost.
 	delayedDeliveryChance = 0.5
 )
 
@@ -24,15 +24,15 @@
 	until    time.Duration
 }
 
-// slowdown adds up to a delay to each message of one direction.
+// slowdown adds a random delay below maxDelay to each message in one direction.
 type slowdown struct {
 	from, to fleet.Address
 	until    time.Duration
 	maxDelay time.Duration
 }
 
-// network carries messages between processes. An empty address in a fault
-// stands for every address.
+// network delivers messages between processes. An empty address in a partition or slowdown matches
+// every address.
 type network struct {
 	world      *world
 	partitions []partition
@@ -43,7 +43,7 @@
 
 func matches(pattern, address fleet.Address) bool { return pattern == "" || pattern == address }
 
-// blockedUntil returns when the last cut of a direction ends; 0 if it is open.
+// blockedUntil returns when the last partition of a direction ends; 0 if it is open.
 func (n *network) blockedUntil(from, to *process) time.Duration {
 	var until time.Duration
 	n.partitions = slices.DeleteFunc(n.partitions, func(c partition) bool { return c.until <= n.now() })
@@ -79,32 +79,32 @@
 	return until + at - n.now(), n.world.random.Float64() < delayedDeliveryChance
 }
 
-// send carries a message one way, if it isn't lost.
+// send delivers a message one way, unless it is lost.
 func (n *network) send(from, to *process, deliver func()) {
 	at, arrives := n.arrival(from, to)
 	if !arrives {
 		return
 	}
-	life := to.generation
-	n.world.queue.At(at, func() { to.run(life, deliver) })
+	generation := to.generation
+	n.world.queue.At(at, func() { to.run(generation, deliver) })
 }
 
-// callOutcome tells outcome a call failed.
+// callOutcome is the way in which a call ended.
 type callOutcome int
 
-// Failures of a call.
+// Outcomes of a call.
 const (
-	// answered means that there was none.
+	// answered means that the caller received the answer.
 	answered callOutcome = iota
 	// refused means that nothing was sent.
 	refused
 	// broken means that the connection ended after the request was sent.
 	broken
-	// timedOut means that no answer came in time after the request was sent.
+	// timedOut means that no answer arrived in time after the request was sent.
 	timedOut
 )
 
-// call is a request on its way and its answer.
+// call is a request and its answer.
 type call struct {
 	network    *network
 	from       *process
@@ -114,9 +114,10 @@
 	done       func(answer any, outcome callOutcome)
 }
 
-// call sends a request, has the target serve it and gives the answer to done,
-// on the caller's process, exactly once, unless that dies first. serve may
-// answer later; it returns when the answer arrives at the caller, or 0.
+// call sends a request, lets the target serve it and passes the answer to done on the caller's
+// process. done is called exactly once, unless the caller's process ends or the call is cancelled
+// first. serve may reply later; reply returns when the answer arrives at the caller, or 0 if it is
+// lost.
 func (n *network) call(
 	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callOutcome),
 ) *call {
@@ -132,23 +133,23 @@
 	}
 	c.finishAt(n.now()+timeout, nil, timedOut)
 	to.trackCall(c)
-	life := to.generation
+	generation := to.generation
 	if at, arrives := n.arrival(from, to); arrives {
-		n.world.queue.At(at, func() { to.run(life, func() { serve(c.reply) }) })
+		n.world.queue.At(at, func() { to.run(generation, func() { serve(c.reply) }) })
 	}
 	return c
 }
 
-// trackCall notes a call that a death of the process breaks.
+// trackCall registers a call that breaks if the process ends.
 func (p *process) trackCall(c *call) {
-	const sweepAt = 64
-	if len(p.inbound) >= sweepAt {
+	const cleanupThreshold = 64
+	if len(p.inbound) >= cleanupThreshold {
 		p.inbound = slices.DeleteFunc(p.inbound, func(other *call) bool { return other.finished })
 	}
 	p.inbound = append(p.inbound, c)
 }
 
-// reply sends the answer and returns when it arrives, or 0.
+// reply sends the answer and returns when it arrives, or 0 if it is lost.
 func (c *call) reply(answer any) time.Duration {
 	at, arrives := c.network.arrival(c.to, c.from)
 	if !arrives {
@@ -158,7 +159,7 @@
 	return at
 }
 
-// connectionBroken tells the caller that the connection is gone.
+// connectionBroken reports to the caller that the connection is gone.
 func (c *call) connectionBroken() {
 	if c.finished {
 		return
@@ -168,7 +169,7 @@
 	}
 }
 
-// cancel ends the call for its caller: no answer is given.
+// cancel abandons the call; done is not called.
 func (c *call) cancel() { c.finished = true }
 
 func (c *call) finishAt(at time.Duration, answer any, outcome callOutcome) {
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -18,12 +18,12 @@
 	commandTimeout  = 2 * time.Second
 	commandAttempts = 4
 	operatorCount   = 2
-	// expectedRevisionChance is the probability that a command names the revision that
-	// its operator saw last.
+	// expectedRevisionChance is the probability that a command requires the last committed
+	// revision.
 	expectedRevisionChance = 0.5
 )
 
-// command is one statement of an operator, across its tries.
+// command is a statement of an operator, the same across retries.
 type command struct {
 	operator  int
 	token     string
@@ -31,7 +31,7 @@
 	expected  fleet.Revision
 }
 
-// commandResult is what a router answers to an operator.
+// commandResult is a router's answer to an operator.
 type commandResult struct {
 	code     resultcode.Code
 	revision fleet.Revision
@@ -50,7 +50,7 @@
 	}
 }
 
-// newCommand draws a statement.
+// newCommand draws a command.
 func (w *world) newCommand() command {
 	w.commandCount++
 	drawn := command{operator: w.commandCount % operatorCount, token: fmt.Sprintf("token-%d", w.commandCount)}
@@ -71,9 +71,9 @@
 	return drawn
 }
 
-// sendCommand sends a command to a router and, while its outcome isn't known, again
-// with the same token to another.
-func (w *world) sendCommand(sent command, try int) {
+// sendCommand sends a command to a random router. While the outcome is unknown it is retried with
+// the same token.
+func (w *world) sendCommand(sent command, attempt int) {
 	target := w.routers[w.random.IntN(len(w.routers))]
 	console := &process{world: w, address: "10.5.0.1:0", zone: zones[0], alive: true}
 	number := w.recordInvocation(sent, target)
@@ -84,8 +84,8 @@
 			result = answer.(commandResult)
 		}
 		w.recordReturn(number, result)
-		if !result.definite && try < commandAttempts {
-			console.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { w.sendCommand(sent, try+1) })
+		if !result.definite && attempt < commandAttempts {
+			console.after(time.Duration(w.random.Int64N(int64(time.Second))), func() { w.sendCommand(sent, attempt+1) })
 		}
 	})
 }
@@ -104,19 +104,19 @@
 	})
 }
 
-// runCompetingCommand lets a command of another operator run to its end now and then, while
-// one is between its reads and its commit.
+// runCompetingCommand executes another operator's command, with probability competingCommandChance,
+// between the reads and the commit of the current one.
 func (w *world) runCompetingCommand(from *process) {
 	if w.competing || w.random.Float64() >= competingCommandChance {
 		return
 	}
 	w.competing = true
 	defer func() { w.competing = false }()
-	for _, rival := range w.routers {
-		if rival.alive && &rival.process != from && rival.now() >= rival.frozenUntil {
+	for _, other := range w.routers {
+		if other.alive && &other.process != from && other.now() >= other.frozenUntil {
 			sent := w.newCommand()
-			number := w.recordInvocation(sent, rival)
-			w.recordReturn(number, rival.execute(sent))
+			number := w.recordInvocation(sent, other)
+			w.recordReturn(number, other.execute(sent))
 			return
 		}
 	}
@@ -139,8 +139,8 @@
 	}
 }
 
-// commandStore is the router's store for commands. It notes whether an outcome
-// is the recorded one.
+// commandStore is the router's store for commands. It records whether the outcome of a commit is
+// known for certain.
 type commandStore struct {
 	store    *config.Store
 	definite bool
@@ -161,10 +161,10 @@
 
 // Lookup implements operator.Store.
 func (s *commandStore) Lookup(context.Context, string) (operator.Outcome, bool, error) {
-	return operator.Outcome{}, false, errors.New("the simulation's operators repeat commands instead")
+	return operator.Outcome{}, false, errors.New("lookup of a command's outcome is not simulated")
 }
 
-// operatorSource is a router's view for statements.
+// operatorSource is the router's state that statements read.
 type operatorSource struct{ router *router }
 
 var _ operator.Source = operatorSource{}
--- a/lab/simulation/options.go
+++ b/lab/simulation/options.go
@@ -7,47 +7,48 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// Options sets up a run. Zero fields take their defaults; what a run draws from
-// its seed is drawn by draw.
+// Options configures a run. Zero fields take their defaults, except those that drawOptions draws
+// from the seed.
 type Options struct {
 	Seed uint64
-	// Agents, Routers and Engines are the sizes of the fleet.
+	// Agents, Routers and Engines are the numbers of processes of each kind.
 	Agents  int
 	Routers int
 	Engines int
-	// Rate is the mean number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// LoadDuration is how long requests arrive, Duration the length of the run.
+	// LoadDuration is how long requests arrive, Duration the length of the whole run.
 	LoadDuration time.Duration
 	Duration     time.Duration
-	// MaxFaults is the greatest number of faults; negative means none at all.
+	// MaxFaults is the maximum number of faults drawn; each may be injected twice. A negative value
+	// disables faults.
 	MaxFaults int
-	// FaultKinds, if not empty, limits the faults to these kinds.
+	// FaultKinds, if not empty, limits the injected faults to these kinds.
 	FaultKinds []FaultKind
-	// MaxCommands is the greatest number of operators' commands.
+	// MaxCommands is the maximum number of operator commands.
 	MaxCommands int
-	// Variant breaks one guard, to see that the checkers notice.
+	// Variant disables one safeguard, to test that the checkers detect the resulting violation.
 	Variant Variant
 
-	// CacheBlocks is the cache of one engine; EventDelay, EventLoss and LoadLag
-	// are those of enginemodel.Config.
+	// CacheBlocks is the cache size of each engine; EventDelay, EventLoss and LoadLag are those of
+	// enginemodel.Config.
 	CacheBlocks int
 	EventDelay  time.Duration
 	EventLoss   float64
 	LoadLag     time.Duration
-	// DuplicateRate is the probability that an answer comes a second time, late,
-	// CrossedFrames that a frame of another stream comes under an operation.
+	// DuplicateRate is the probability that an answer is delivered a second time with a delay,
+	// StrayFrameRate that an operation receives a frame of another stream.
 	DuplicateRate  float64
 	StrayFrameRate float64
-	// EngineSlowdown multiplies the costs of the engines, RetryBurst bounds the agents'
-	// retry budget and MaxStreams the streams of one engine: a scarce fleet
-	// refuses and gives up more.
+	// EngineSlowdown multiplies the step costs of the engines, RetryBurst bounds the agents' retry
+	// budget and MaxStreams the streams of one engine. A fleet with little capacity produces more
+	// refusals and failed requests.
 	EngineSlowdown int
 	RetryBurst     float64
 	MaxStreams     int
 }
 
-// Defaults of Options: the size of the users' smaller fleet.
+// Defaults of Options.
 const (
 	DefaultAgents       = 3
 	DefaultRouters      = 3
@@ -59,7 +60,7 @@
 	DefaultMaxCommands  = 10
 )
 
-// Bounds of what a seed draws.
+// Upper bounds of the values that are drawn from the seed.
 const (
 	maxEventDelay     = time.Second
 	maxEventLoss      = 0.3
@@ -91,21 +92,21 @@
 	}
 }
 
-// drawOptions fills in what the seed decides.
+// drawOptions sets the options that depend on the seed.
 func (w *world) drawOptions() {
 	o := &w.options
-	part := func() float64 { return w.random.Float64() }
-	o.EventDelay = time.Duration(part() * float64(maxEventDelay))
-	o.EventLoss = part() * maxEventLoss
-	o.LoadLag = time.Duration(part() * float64(maxLoadLag))
-	o.DuplicateRate = part() * maxDuplicateRate
-	o.StrayFrameRate = part() * maxStrayFrameRate
+	fraction := func() float64 { return w.random.Float64() }
+	o.EventDelay = time.Duration(fraction() * float64(maxEventDelay))
+	o.EventLoss = fraction() * maxEventLoss
+	o.LoadLag = time.Duration(fraction() * float64(maxLoadLag))
+	o.DuplicateRate = fraction() * maxDuplicateRate
+	o.StrayFrameRate = fraction() * maxStrayFrameRate
 	o.EngineSlowdown = 1 + w.random.IntN(maxEngineSlowdown)
-	o.RetryBurst = 1 + part()*maxRetryBurst
+	o.RetryBurst = 1 + fraction()*maxRetryBurst
 	o.MaxStreams = 1 + w.random.IntN(maxStreamLimit)
 }
 
-// costs makes loads of weights quick enough for several in a run.
+// costs returns the engines' costs. Model versions load fast enough for several loads in one run.
 func (o Options) costs() enginemodel.Costs {
 	costs := enginemodel.DefaultCosts()
 	costs.LoadTime = 300 * time.Millisecond
@@ -114,7 +115,7 @@
 	return costs
 }
 
-// Names of the fleet's configuration.
+// Names and block size of the fleet's configuration.
 const (
 	model        fleet.ModelName   = "model"
 	firstVersion fleet.VersionName = "v1"
@@ -128,39 +129,41 @@
 	zones    = []fleet.ZoneName{"zone-a", "zone-b", "zone-c"}
 )
 
-// Variant is one guard broken on purpose, in this package's shells only.
+// Variant names a safeguard that is disabled in this package's simulated processes; the product's
+// code is unchanged.
 type Variant string
 
-// Variants, with the guard that each takes away.
+// Variants and what each of them changes.
 const (
-	// Unmodified breaks nothing.
+	// Unmodified disables nothing.
 	Unmodified Variant = ""
-	// DispatchToAnyRun drops the incarnation from dispatches.
+	// DispatchToAnyRun ignores the incarnation of a dispatch.
 	DispatchToAnyRun Variant = "dispatch-to-any-run"
-	// MixRunsOfEngine takes the cached blocks of an earlier run for the present one's.
+	// MixRunsOfEngine attributes the cached blocks of an earlier engine run to the current one.
 	MixRunsOfEngine Variant = "mix-runs-of-engine"
-	// DropContinuation lets a second engine begin its output anew.
+	// DropContinuation makes a second engine start its output from the beginning.
 	DropContinuation Variant = "drop-continuation"
-	// KeepConfiguration has agents and peers tell restarted routers nothing.
+	// KeepConfiguration makes agents and peers send no configuration to restarted routers.
 	KeepConfiguration Variant = "keep-configuration"
-	// TakeAnyStream takes frames of other streams.
+	// TakeAnyStream accepts frames of other streams.
 	TakeAnyStream Variant = "take-any-stream"
-	// AssumeNotSent takes a dispatch without an answer for one that wasn't sent.
+	// AssumeNotSent treats a dispatch without an answer as one that was not sent.
 	AssumeNotSent Variant = "assume-not-sent"
-	// TrustLostCancel takes a cancel without an answer for one that found nothing.
+	// TrustLostCancel treats a cancel without an answer as one of a stream that never ran.
 	TrustLostCancel Variant = "trust-lost-cancel"
 	// RepeatEverything treats every request as repeatable.
 	RepeatEverything Variant = "repeat-everything"
-	// IgnoreDirectives hides drains and retirements from the routers' cores.
+	// IgnoreDirectives hides drains and retirements from the routers' placement cores.
 	IgnoreDirectives Variant = "ignore-directives"
-	// StopWithoutDrain ends an agent's process at the beginning of its stop.
+	// StopWithoutDrain ends an agent's process as soon as its planned stop begins.
 	StopWithoutDrain Variant = "stop-without-drain"
-	// TakeAnyRevision lets lower revisions replace higher ones.
+	// TakeAnyRevision lets a lower revision replace a higher one.
 	TakeAnyRevision Variant = "take-any-revision"
 	// CommitWithoutCompare drops the comparisons of commits.
 	CommitWithoutCompare Variant = "commit-without-compare"
-	// FenceAtPlan uses the token of the plan without looking at the lease again.
+	// FenceAtPlan sends orders with the fencing token of the plan, without checking the lease
+	// again.
 	FenceAtPlan Variant = "fence-at-plan"
-	// ForgetDeadline never tells a request that its deadline has passed.
+	// ForgetDeadline does not report to a request that its deadline has passed.
 	ForgetDeadline Variant = "forget-deadline"
 )
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -22,7 +22,7 @@
 	r.sendPeers(r.members.Join(r.now(), r.world.seeds()))
 }
 
-// sendPeers sends messages to other routers and plans the next tick.
+// sendPeers sends messages to other routers and schedules the next tick.
 func (r *router) sendPeers(messages []membership.Message) {
 	for _, message := range messages {
 		r.dissemination.Piggyback(&message)
@@ -61,7 +61,7 @@
 	})
 }
 
-// receive takes a message of another router.
+// receive handles a message of another router.
 func (r *router) receive(message membership.Message) {
 	messages := r.members.Receive(r.now(), message)
 	r.dissemination.Observe(message.Sender.Address, message.KnownRevision)
@@ -72,14 +72,14 @@
 	r.observeRevision(message.KnownRevision)
 }
 
-// changesAnswer answers a pull.
+// changesAnswer is the answer to a pull.
 type changesAnswer struct {
 	changes  []config.Change
 	document *config.Document
 	machines []platform.Machine
 }
 
-// pull asks a router for what follows the held revision.
+// pull requests the changes after the held revision from a router.
 func (r *router) pull(from fleet.Address) {
 	target := r.world.routerAt(from)
 	if target == nil || target == r {
@@ -121,7 +121,7 @@
 	return answer
 }
 
-// handleMembershipChange shares engines and lease anew when the routers have changed.
+// handleMembershipChange updates the lease eligibility when the routable routers have changed.
 func (r *router) handleMembershipChange() {
 	routable := r.members.View().Routable()
 	if r.election == nil || equalMembers(r.routable, routable) {
@@ -160,7 +160,7 @@
 	for _, change := range encoded {
 		decoded := config.Change{Revision: change.Revision}
 		if err := json.Unmarshal(change.Patch, &decoded.Patch); err != nil {
-			panic(err) // encodeChanges wrote it
+			panic(err) // encodeChanges produced it
 		}
 		changes = append(changes, decoded)
 	}
--- a/lab/simulation/placementcalls.go
+++ b/lab/simulation/placementcalls.go
@@ -12,36 +12,36 @@
 )
 
 // requestPlacement asks a router for an engine.
-func (c *inFlightRequest) requestPlacement(ask attempt.RequestPlacement) {
+func (c *inFlightRequest) requestPlacement(action attempt.RequestPlacement) {
 	if c.isFinished() {
 		return
 	}
 	a := c.agent
-	at := a.chooseRouter(c.prefixKey(), ask.Preferred, c.tried)
-	c.tried[at.address]++
-	c.askedRouters[ask.Attempt] = at
-	target := a.world.routerAt(at.address)
-	question := placement.Request{
-		Key: placement.Key{Request: c.request.id, Attempt: ask.Attempt}, Tenant: c.request.tenant, ModelVersion: c.version,
+	router := a.chooseRouter(c.prefixKey(), action.Preferred, c.tried)
+	c.tried[router.address]++
+	c.askedRouters[action.Attempt] = router
+	target := a.world.routerAt(router.address)
+	request := placement.Request{
+		Key: placement.Key{Request: c.request.id, Attempt: action.Attempt}, Tenant: c.request.tenant, ModelVersion: c.version,
 		Class: c.request.class, PromptTokens: prompt.CountTokens(c.request.prompt), MaxTokens: c.request.maxTokens,
-		Blocks: slices.Clone(c.blockHashes), Deadline: max(c.deadline-a.now(), time.Millisecond), Excluded: ask.Excluded,
-		ContinuationTokens: ask.ContinuationTokens, AgentZone: a.zone, Hops: c.handBacks, KnownRevision: a.holder.Revision(),
+		Blocks: slices.Clone(c.blockHashes), Deadline: max(c.deadline-a.now(), time.Millisecond), Excluded: action.Excluded,
+		ContinuationTokens: action.ContinuationTokens, AgentZone: a.zone, Hops: c.handBacks, KnownRevision: a.holder.Revision(),
 	}
-	serve := func(reply func(any) time.Duration) { target.place(question, reply) }
+	serve := func(reply func(any) time.Duration) { target.place(request, reply) }
 	c.placementRouter = target
-	c.placementKey = question.Key
+	c.placementKey = request.Key
 	c.placementCall = a.world.network.call(&a.process, &target.process, c.maxWait+placementMargin, serve, func(answer any, outcome callOutcome) {
 		if outcome != answered {
-			a.recordFailure(at)
-			c.handle(attempt.PlacementFailed{Operation: ask.Operation}, "")
+			a.recordFailure(router)
+			c.handle(attempt.PlacementFailed{Operation: action.Operation}, "")
 			return
 		}
-		c.handleAnswer(ask, at, answer.(placementAnswer))
+		c.handleAnswer(action, router, answer.(placementAnswer))
 	})
-	at.placementCalls = append(at.placementCalls, c.placementCall)
+	router.placementCalls = append(router.placementCalls, c.placementCall)
 }
 
-// withdrawPlacement takes a question back whose request has ended.
+// withdrawPlacement withdraws the pending placement call of a request that has ended.
 func (c *inFlightRequest) withdrawPlacement() {
 	if c.placementCall == nil || c.placementCall.finished {
 		return
@@ -52,51 +52,52 @@
 	c.agent.world.network.send(&c.agent.process, &target.process, func() { target.withdraw(key) })
 }
 
-// handleAnswer turns a router's answer into an event.
-func (c *inFlightRequest) handleAnswer(ask attempt.RequestPlacement, at *routerState, answer placementAnswer) {
+// handleAnswer converts a router's answer into an event.
+func (c *inFlightRequest) handleAnswer(action attempt.RequestPlacement, router *routerState, answer placementAnswer) {
 	a := c.agent
-	a.observeAnswer(at, answer.revision)
+	a.observeAnswer(router, answer.revision)
 	switch outcome := answer.outcome.(type) {
 	case placement.Grant:
-		c.handleGrant(ask, answer, outcome)
+		c.handleGrant(action, answer, outcome)
 	case placement.HandBack:
 		c.handBacks++
-		c.handle(attempt.Redirected{Operation: ask.Operation, Routers: answer.otherRouters}, "")
+		c.handle(attempt.Redirected{Operation: action.Operation, Routers: answer.otherRouters}, "")
 	case placement.Refusal:
-		c.handleRefusal(ask, at, outcome)
+		c.handleRefusal(action, router, outcome)
 	}
 }
 
-func (c *inFlightRequest) handleGrant(ask attempt.RequestPlacement, answer placementAnswer, grant placement.Grant) {
+func (c *inFlightRequest) handleGrant(action attempt.RequestPlacement, answer placementAnswer, grant placement.Grant) {
 	event := attempt.Granted{
-		Operation: ask.Operation, Attempt: grant.Key.Attempt, Run: grant.Run, Address: grant.Address, Priority: grant.Priority,
+		Operation: action.Operation, Attempt: grant.Key.Attempt, Run: grant.Run, Address: grant.Address, Priority: grant.Priority,
 		ValidUntil: c.agent.now() + grant.ValidFor,
 	}
-	believed := grant.ExpectedCachedTokens / max(grant.BlockTokens, 1)
+	expected := grant.ExpectedCachedTokens / max(grant.BlockTokens, 1)
 	c.agent.world.record(history.Granted{
-		Request: c.request.id, Attempt: ask.Attempt, Router: answer.router, Run: grant.Run,
-		ExpectedCachedBlocks: believed, NeverCachedBlocks: answer.neverCachedBlocks,
+		Request: c.request.id, Attempt: action.Attempt, Router: answer.router, Run: grant.Run,
+		ExpectedCachedBlocks: expected, NeverCachedBlocks: answer.neverCachedBlocks,
 	})
 	c.handle(event, "")
 	c.duplicateLater(event)
 }
 
-// handleRefusal treats a router without a configuration as one that hands back, and
-// moves a request whose version was retired while it waited to the new one.
-func (c *inFlightRequest) handleRefusal(ask attempt.RequestPlacement, at *routerState, refusal placement.Refusal) {
-	handBack := attempt.Redirected{Operation: ask.Operation}
+// handleRefusal treats a refusal for lack of a configuration as a hand-back. It also retries a
+// request whose version was retired while it waited with the current version, if no output has been
+// produced.
+func (c *inFlightRequest) handleRefusal(action attempt.RequestPlacement, router *routerState, refusal placement.Refusal) {
+	handBack := attempt.Redirected{Operation: action.Operation}
 	switch refusal.Code {
 	case resultcode.NoConfiguration:
-		c.agent.sync(at)
+		c.agent.sync(router)
 		c.handle(handBack, "")
 		return
 	case resultcode.StaleWeights:
-		if ask.ContinuationTokens == 0 && c.resolveVersion(c.agent.holder.Current()) {
+		if action.ContinuationTokens == 0 && c.resolveVersion(c.agent.holder.Current()) {
 			c.handle(handBack, "")
 			return
 		}
 	}
 	c.handle(attempt.Refused{
-		Operation: ask.Operation, Code: refusal.Code, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter,
+		Operation: action.Operation, Code: refusal.Code, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter,
 	}, "")
 }
--- a/lab/simulation/planted_test.go
+++ b/lab/simulation/planted_test.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// plantedFault is a guard that is taken away, and what must notice.
+// plantedFault is a variant and the invariant whose checker must detect it.
 type plantedFault struct {
 	invariant history.Invariant
 	variant   Variant
@@ -33,9 +33,11 @@
 	{history.RequestOutcome, ForgetDeadline, []FaultKind{Isolate, FreezeEngine}, 0},
 }
 
-// maxPlantedSeeds bounds the runs in which a planted fault must be noticed.
+// maxPlantedSeeds bounds the runs within which a planted fault must be detected.
 const maxPlantedSeeds = 300
 
+// TestPlantedFaultIsCaught guards against checkers that miss violations: each disabled safeguard
+// must be detected.
 func TestPlantedFaultIsCaught(t *testing.T) {
 	for _, planted := range plantedFaults {
 		t.Run(string(planted.invariant)+"/"+string(planted.variant), func(t *testing.T) {
@@ -43,7 +45,7 @@
 			for seed := range uint64(maxPlantedSeeds) {
 				options := Options{Seed: seed + 1, FaultKinds: planted.only, MaxFaults: planted.faults}
 				_, result := CheckSeed(options)
-				require.Empty(t, result.Violations, "the sound system")
+				require.Empty(t, result.Violations, "unmodified system")
 				options.Variant = planted.variant
 				_, result = CheckSeed(options)
 				if violation, found := violationOf(result, planted.invariant); found {
@@ -51,7 +53,7 @@
 					return
 				}
 			}
-			t.Fatalf("%s wasn't noticed in %d runs", planted.variant, maxPlantedSeeds)
+			t.Fatalf("%s was not detected in %d runs", planted.variant, maxPlantedSeeds)
 		})
 	}
 }
--- a/lab/simulation/requests.go
+++ b/lab/simulation/requests.go
@@ -8,33 +8,34 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Shapes of the prompts, in bytes.
+// Parameters of the generated requests. Prompt lengths are in bytes.
 const (
 	topBytes        = 512
 	middleBytes     = 256
 	leafBytes       = 100
 	maxOutputTokens = 24
 	minOutputTokens = 2
-	// atMostOnceChance is the part of the requests that must run at most once.
+	// atMostOnceChance is the fraction of requests that must run at most once.
 	atMostOnceChance = 0.3
-	// disconnectChance is the part of the callers that may go away before the answer.
+	// disconnectChance is the fraction of callers that may disconnect before the answer.
 	disconnectChance = 0.1
-	// batchChance is the part of the requests of the last class.
+	// batchChance is the fraction of requests in the last class.
 	batchChance    = 0.3
 	topVariants    = 3
 	middleVariants = 4
 	minDeadline    = 2 * time.Second
 	maxDeadline    = 10 * time.Second
-	// hotRateFactor multiplies the rate while a hot prefix lasts.
+	// hotRateFactor multiplies the request rate while a hot prefix lasts.
 	hotRateFactor = 8
 )
 
-// scheduleRequests has requests arrive as long as the load lasts.
+// scheduleRequests schedules the first request.
 func (w *world) scheduleRequests() {
 	const firstAt = 1200 * time.Millisecond
 	w.queue.At(firstAt, w.generateRequests)
 }
 
+// generateRequests submits a request and schedules the next one, until LoadDuration has passed.
 func (w *world) generateRequests() {
 	if w.queue.Now() > w.options.LoadDuration {
 		return
@@ -49,7 +50,7 @@
 	w.queue.After(gap, w.generateRequests)
 }
 
-// submitRequest sends one request to an agent that takes requests, if any does.
+// submitRequest sends a request to the first agent, from a random one on, that accepts it.
 func (w *world) submitRequest(hot bool) {
 	incoming := w.newRequest(hot)
 	first := w.random.IntN(len(w.agents))
@@ -85,7 +86,7 @@
 	}
 }
 
-// repeatToLength repeats a text up to a length.
+// repeatToLength repeats a text up to a length in bytes.
 func repeatToLength(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -26,7 +26,7 @@
 
 func compareStrings[T ~string](a, b T) int { return cmp.Compare(a, b) }
 
-// startRollout takes part in the lease and plans while it is held.
+// startRollout takes part in the lease election and plans the rollout while holding the lease.
 func (r *router) startRollout() {
 	holder := lease.NewHolderID(r.node, r.world.random.Uint64())
 	election, err := lease.NewElection(leaseSettings, holder, r.world.newRandom())
@@ -45,7 +45,7 @@
 	r.election.SetEligible(slices.Contains(candidates, r.node))
 }
 
-// stepElection does what the election wants next.
+// stepElection performs the election's next action.
 func (r *router) stepElection() {
 	if r.electing {
 		return
@@ -66,7 +66,7 @@
 				row, err = answer.(tableAnswer).row, answer.(tableAnswer).err
 			}
 			if err := r.election.ReadDone(r.now(), row, err); err != nil {
-				panic(err) // only elections write the row
+				panic(err) // only elections write this row
 			}
 			r.stepElection()
 		})
@@ -98,7 +98,7 @@
 	}
 }
 
-// runRollout makes and carries out one plan, if the lease is held.
+// runRollout periodically makes a plan and sends its orders while the lease is held.
 func (r *router) runRollout() {
 	r.after(rolloutInterval, r.runRollout)
 	token, held := r.election.Fence(r.now())
@@ -124,7 +124,7 @@
 	return engines
 }
 
-// sendOrder sends one sendOrder, if the lease is still held.
+// sendOrder sends an order if the lease is still held.
 func (r *router) sendOrder(order rollout.Order, planned fleet.FencingToken) {
 	token, held := r.election.Fence(r.now())
 	if r.world.options.Variant == FenceAtPlan {
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -17,17 +17,17 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// leaseSettings are shorter than the product's, so that freezes outlast them.
+// leaseSettings are shorter than the product's, so that freezes can outlast the lease.
 var leaseSettings = lease.Settings{Key: "lease/rollout", Duration: 2 * time.Second, Margin: 400 * time.Millisecond}
 
-// router is one router process.
+// router is a simulated router process.
 type router struct {
 	process
 	index int
 	node  fleet.NodeID
 
 	core *placement.Core
-	// pendingPlacements are the open placement pendingPlacements.
+	// pendingPlacements are the reply functions of the open placement calls.
 	pendingPlacements map[placement.Key]func(answer any) time.Duration
 	nextTickAt        time.Duration
 	served            bool
@@ -46,12 +46,12 @@
 	machines             []platform.Machine
 	machinesFromPlatform bool
 	statuses             map[fleet.EngineID]observedStatus
-	// earlierSnapshots holds the blocks of engines for MixRunsOfEngine.
+	// earlierSnapshots holds the cache contents of engines; it is filled only with MixRunsOfEngine.
 	earlierSnapshots map[fleet.EngineID]engine.CacheSnapshot
 	polled           map[fleet.EngineID]bool
 
 	election *lease.Election
-	// electing is set while a call of the election is under way.
+	// electing is set while a call of the election is in flight.
 	electing bool
 	planner  *rollout.Planner
 	stopping bool
@@ -93,7 +93,8 @@
 	r.end()
 }
 
-// stop is a planned stop: what waits is handed back, the others are told.
+// stop begins a planned stop: waiting requests are handed back, the peers are informed and the
+// lease is given up.
 func (r *router) stop() {
 	const linger = 200 * time.Millisecond
 	r.stopping = true
@@ -108,7 +109,8 @@
 	})
 }
 
-// updateCore runs a updateCore on the placement core and delivers the outcomes.
+// updateCore applies an action to the placement core, delivers the outcomes and schedules the next
+// tick.
 func (r *router) updateCore(action func(now time.Duration)) {
 	action(r.now())
 	for _, outcome := range r.core.TakeOutcomes() {
@@ -117,7 +119,7 @@
 	r.scheduleTick()
 }
 
-// scheduleTick plans the core's next tick.
+// scheduleTick schedules the core's next tick.
 func (r *router) scheduleTick() {
 	at, due := r.core.NextWake()
 	if !due || (r.nextTickAt > r.now() && r.nextTickAt <= at) {
@@ -152,17 +154,17 @@
 	blocks := request.Blocks
 	r.pendingPlacements[request.Key] = func(outcome any) time.Duration {
 		grant, granted := outcome.(placement.Grant)
-		unfounded := 0
+		neverCached := 0
 		if granted {
-			unfounded = r.world.countNeverCached(grant, blocks)
+			neverCached = r.world.countNeverCached(grant, blocks)
 		}
-		return reply(r.newPlacementAnswer(outcome.(placement.Outcome), unfounded))
+		return reply(r.newPlacementAnswer(outcome.(placement.Outcome), neverCached))
 	}
 	r.updateCore(func(now time.Duration) { r.core.Submit(now, request) })
 }
 
-func (r *router) newPlacementAnswer(outcome placement.Outcome, unfounded int) placementAnswer {
-	answer := placementAnswer{router: r.node, revision: r.holder.Revision(), outcome: outcome, neverCachedBlocks: unfounded}
+func (r *router) newPlacementAnswer(outcome placement.Outcome, neverCached int) placementAnswer {
+	answer := placementAnswer{router: r.node, revision: r.holder.Revision(), outcome: outcome, neverCachedBlocks: neverCached}
 	if _, handedBack := outcome.(placement.HandBack); handedBack {
 		for _, member := range r.members.View().Routable() {
 			if member.Node != r.node {
@@ -190,12 +192,12 @@
 	}
 }
 
-// releaseGrant gives back a grant that nobody waits for.
+// releaseGrant abandons a grant whose caller no longer waits for it.
 func (r *router) releaseGrant(grant placement.Grant) {
 	r.core.Report(r.now(), placement.AttemptReport{Key: grant.Key, Run: grant.Run, Phase: placement.PhaseAbandoned})
 }
 
-// withdraw takes back a call whose agent is gone.
+// withdraw serves the withdrawal of a placement call.
 func (r *router) withdraw(key placement.Key) {
 	delete(r.pendingPlacements, key)
 	r.updateCore(func(now time.Duration) { r.core.Withdraw(now, key) })
@@ -207,7 +209,7 @@
 	return r.holder.Revision()
 }
 
-// sync serves an exchange with an agent.
+// sync serves a sync from an agent.
 func (r *router) sync(request syncRequest) syncAnswer {
 	if request.document != nil {
 		r.offerSnapshot(*request.document)
@@ -226,8 +228,8 @@
 	return answer
 }
 
-// probe asks the router for a placement until it grants one, as a caller would
-// whose agent knows this router alone.
+// probe submits placement requests to the router's core until one is granted, as if an agent had
+// this router as its only one.
 func (r *router) probe() {
 	const interval = 200 * time.Millisecond
 	r.after(interval, func() {
@@ -235,11 +237,11 @@
 			return
 		}
 		if view := r.holder.Current(); view != nil {
-			weights, _, _ := view.ResolveModel(string(model))
+			version, _, _ := view.ResolveModel(string(model))
 			r.updateCore(func(now time.Duration) {
 				key := placement.Key{Request: fleet.RequestID("probe-" + string(r.node)), Attempt: 1}
 				r.core.Submit(now, placement.Request{
-					Key: key, Tenant: tenants[0], Class: classes[0], ModelVersion: weights, PromptTokens: 1, MaxTokens: 1,
+					Key: key, Tenant: tenants[0], Class: classes[0], ModelVersion: version, PromptTokens: 1, MaxTokens: 1,
 				})
 			})
 		}
@@ -247,7 +249,7 @@
 	})
 }
 
-// newRandom returns a generator of its own for one part of the run.
+// newRandom returns a separate random generator, seeded from that of the run.
 func (w *world) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(w.random.Uint64(), w.random.Uint64()))
 }
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -11,10 +11,11 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// fixedSeeds are checked by every test run. docs/PROOFS.md names the guards
-// whose removal was seen to break one of them.
+// fixedSeeds are checked in every test run. docs/PROOFS.md lists the safeguards whose removal makes
+// one of them fail.
 var fixedSeeds = []uint64{1, 2, 4, 5, 7, 9, 20, 21, 22, 25, 45, 51, 64, 151}
 
+// TestFixedSeedsHold guards against violations of the invariants under mixed faults.
 func TestFixedSeedsHold(t *testing.T) {
 	for _, seed := range fixedSeeds {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -25,7 +26,7 @@
 	}
 }
 
-// TestEachFaultHolds injects one kind of fault alone, several times in a run.
+// TestEachFaultHolds guards against violations under repeated faults of a single kind.
 func TestEachFaultHolds(t *testing.T) {
 	for _, kind := range AllFaults {
 		t.Run(string(kind), func(t *testing.T) {
@@ -33,7 +34,7 @@
 			for seed := range uint64(3) {
 				record, result := CheckSeed(Options{Seed: seed + 1, FaultKinds: []FaultKind{kind}, MaxFaults: 8})
 				assert.Empty(t, result.Violations, "seed %d", result.Seed)
-				assert.NotZero(t, finished(record), "requests that ended well")
+				assert.NotZero(t, finished(record), "finished requests")
 			}
 		})
 	}
@@ -49,6 +50,8 @@
 	return count
 }
 
+// TestReplayIsTheSameByteForByte guards against nondeterminism: equal seeds must give equal
+// timelines.
 func TestReplayIsTheSameByteForByte(t *testing.T) {
 	for seed := range uint64(4) {
 		var first, second bytes.Buffer
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// syncRequest and syncAnswer are an exchange between an agent and a router.
+// syncRequest and syncAnswer are the messages of a sync between an agent and a router.
 type syncRequest struct {
 	revision fleet.Revision
 	document *config.Document
@@ -26,7 +26,7 @@
 	needsMachines bool
 }
 
-// syncLoop exchanges news with the routers in turn.
+// syncLoop periodically syncs with the routers in rotation.
 func (a *agent) syncLoop() {
 	for _, target := range a.syncTargets() {
 		a.sync(target)
@@ -38,7 +38,8 @@
 	a.after(pause*9/10+time.Duration(a.world.random.Int64N(int64(pause/5))), a.syncLoop)
 }
 
-// syncTargets returns the routers where requests wait, and the next in turn.
+// syncTargets returns the next router in rotation and the routers with pending placement calls.
+// Until a router has answered it returns every known address.
 func (a *agent) syncTargets() []*routerState {
 	var addresses []fleet.Address
 	for _, member := range a.members {
@@ -56,42 +57,42 @@
 	for index, address := range addresses {
 		candidate := a.routerState(address)
 		candidate.placementCalls = slices.DeleteFunc(candidate.placementCalls, func(c *call) bool { return c.finished })
-		wanted := index == 0 || len(candidate.placementCalls) > 0 || !a.contacted
-		if wanted && !slices.Contains(targets, candidate) {
+		selected := index == 0 || len(candidate.placementCalls) > 0 || !a.contacted
+		if selected && !slices.Contains(targets, candidate) {
 			targets = append(targets, candidate)
 		}
 	}
 	return targets
 }
 
-// sync exchanges news with a router, and once more at once if its answer shows
-// that it lacks something.
-func (a *agent) sync(with *routerState) { a.exchange(with, true) }
+// sync exchanges state with a router, and a second time if its answer shows that the router lacks
+// state which the agent has.
+func (a *agent) sync(router *routerState) { a.exchange(router, true) }
 
-func (a *agent) exchange(with *routerState, again bool) {
-	target := a.world.routerAt(with.address)
+func (a *agent) exchange(router *routerState, retry bool) {
+	target := a.world.routerAt(router.address)
 	if target == nil {
 		return
 	}
 	request := syncRequest{revision: a.holder.Revision()}
 	variant := a.world.options.Variant
-	if with.answered && with.revision < request.revision && variant != KeepConfiguration {
+	if router.answered && router.revision < request.revision && variant != KeepConfiguration {
 		document := a.holder.Current().Document()
 		request.document = &document
 	}
-	if with.needsMachines && variant != KeepConfiguration {
+	if router.needsMachines && variant != KeepConfiguration {
 		request.machines = a.machines
 	}
 	serve := func(reply func(any) time.Duration) { reply(target.sync(request)) }
 	a.world.network.call(&a.process, &target.process, syncTimeout, serve, func(answer any, outcome callOutcome) {
 		if outcome != answered {
-			a.recordFailure(with)
+			a.recordFailure(router)
 			return
 		}
-		a.applySync(with, answer.(syncAnswer))
-		lacksMachines := with.needsMachines && len(a.machines) > 0
-		if again && (lacksMachines || with.revision < a.holder.Revision()) {
-			a.exchange(with, false)
+		a.applySync(router, answer.(syncAnswer))
+		sendMachines := router.needsMachines && len(a.machines) > 0
+		if retry && (sendMachines || router.revision < a.holder.Revision()) {
+			a.exchange(router, false)
 		}
 	})
 }
@@ -111,13 +112,13 @@
 	}
 }
 
-// offerSnapshot gives the holder a configuration that a router sent.
+// offerSnapshot offers a router's configuration to the holder.
 func (a *agent) offerSnapshot(document config.Document) {
 	if a.world.options.Variant == TakeAnyRevision && document.Revision < a.holder.Revision() {
 		a.holder = config.NewHolder()
 	}
 	if _, err := a.holder.OfferSnapshot(document); err != nil {
-		panic(err) // the fleet's configurations are valid
+		panic(err) // the simulated configurations are valid
 	}
 	a.recordConfiguration()
 }
--- a/lab/simulation/tables.go
+++ b/lab/simulation/tables.go
@@ -12,18 +12,20 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// Fates of a commit while the table service loses answers.
+// Parameters of faults of the table service. The first three are cumulative probabilities: the
+// answer of a commit is lost after, before or without its immediate effect, and delivered
+// otherwise.
 const (
 	lostAfterCommit   = 0.3
 	lostBeforeCommit  = 0.45
 	lostDelayedCommit = 0.6
 	maxCommitDelay    = 2 * time.Second
 	maxStaleness      = 2 * time.Second
-	// competingCommandChance is the probability that another operator's command comes
-	// between a command's reads and its commit.
+	// competingCommandChance is the probability that another operator's command runs between a
+	// command's reads and its commit.
 	competingCommandChance = 0.15
-	// unreachableChance is the probability that a client can't ask what became of a
-	// commit whose answer was lost, for darkTime.
+	// unreachableChance is the probability that a client cannot reach the table service for
+	// unreachableDuration after a commit whose answer was lost.
 	unreachableChance   = 0.5
 	unreachableDuration = 500 * time.Millisecond
 	machineLag          = 500 * time.Millisecond
@@ -34,7 +36,7 @@
 	process
 	model                            *platformmodel.Platform
 	downUntil, lossyUntil, slowUntil time.Duration
-	// rowVersions holds the versions of each row that was written, oldest first.
+	// rowVersions holds the versions of each written row, oldest first.
 	rowVersions map[string][]rowVersion
 	// revision is that of the last committed configuration.
 	revision   fleet.Revision
@@ -66,7 +68,7 @@
 	return s.isDown() || network.blockedUntil(from, &s.process) > 0 || network.blockedUntil(&s.process, from) > 0
 }
 
-// commit applies a transaction and records a new configuration.
+// commit applies a transaction and records the configuration if it is new.
 func (s *tableService) commit(transaction platform.Transaction) error {
 	if s.world.options.Variant == CommitWithoutCompare {
 		transaction.Compares = nil
@@ -82,20 +84,20 @@
 }
 
 func (s *tableService) recordVersion(write platform.Write) {
-	past := s.rowVersions[write.Key]
+	versions := s.rowVersions[write.Key]
 	revision := uint64(1)
-	if len(past) > 0 && past[len(past)-1].found {
-		revision = past[len(past)-1].row.Revision + 1
+	if len(versions) > 0 && versions[len(versions)-1].found {
+		revision = versions[len(versions)-1].row.Revision + 1
 	}
 	row := platform.Row{Key: write.Key, Value: slices.Clone(write.Value), Revision: revision}
-	s.rowVersions[write.Key] = append(past, rowVersion{at: s.now(), row: row, found: !write.Delete})
+	s.rowVersions[write.Key] = append(versions, rowVersion{at: s.now(), row: row, found: !write.Delete})
 }
 
-// recordConfiguration records the configuration at the head, if it is new.
+// recordConfiguration records the committed configuration if its revision has changed.
 func (s *tableService) recordConfiguration() {
 	document, err := config.NewStore(directTables{s}, nil, config.StoreOptions{}).Load(context.Background())
 	if err != nil {
-		panic(err) // the truth can always be read
+		panic(err) // directTables has no faults
 	}
 	digest := s.world.digest(document)
 	if document.Revision == s.revision {
@@ -106,7 +108,7 @@
 	s.recordDirectives(document)
 }
 
-// recordDirectives records the engines that operators began or ceased to drain.
+// recordDirectives records the engines that operators started or stopped draining or retiring.
 func (s *tableService) recordDirectives(document config.Document) {
 	directed := make(map[fleet.EngineRun]bool)
 	for _, directive := range document.Directives {
@@ -134,14 +136,14 @@
 		Token: "first", Mutate: func(config.Document) (config.Document, error) { return document, nil },
 	})
 	if err != nil {
-		panic(err) // no fault has begun
+		panic(err) // no faults are active yet
 	}
 }
 
-// read returns a row as it was at a time.
+// read returns a row as of a time.
 func (s *tableService) read(key string, at time.Duration) (platform.Row, error) {
-	past := s.rowVersions[key]
-	for _, version := range slices.Backward(past) {
+	versions := s.rowVersions[key]
+	for _, version := range slices.Backward(versions) {
 		if version.at > at {
 			continue
 		}
@@ -163,7 +165,7 @@
 	reply(tableAnswer{row: row, err: err})
 }
 
-// serveCommit answers an election's commit, unless its answer is lost.
+// serveCommit answers an election's commit, unless the answer is lost.
 func (s *tableService) serveCommit(transaction platform.Transaction, reply func(any) time.Duration) {
 	if s.isDown() {
 		reply(tableAnswer{err: platform.ErrUnavailable})
@@ -174,8 +176,8 @@
 	}
 }
 
-// commitLossy commits a transaction whose answer may be lost, with or without
-// an effect, which may also come late.
+// commitLossy commits a transaction. While the service is lossy, the answer may be lost, and the
+// transaction may take effect, take effect late or not at all.
 func (s *tableService) commitLossy(transaction platform.Transaction) error {
 	if s.now() >= s.lossyUntil {
 		return s.commit(transaction)
@@ -192,8 +194,8 @@
 	return platform.ErrUnknownOutcome
 }
 
-// tableClient is one process's client of the table service. Reads may show what was
-// there a moment ago, as late answers do, but never go back.
+// tableClient is a process's client of the table service. Reads may be stale but never go back in
+// time.
 type tableClient struct {
 	world      *world
 	from       *process
@@ -208,7 +210,7 @@
 	return t.world.tables.isUnreachable(t.from) || t.world.queue.Now() < t.unreachableUntil
 }
 
-// readAt returns the time whose state a read shows.
+// readAt returns the time as of which a read sees the tables.
 func (t *tableClient) readAt() time.Duration {
 	now := t.world.queue.Now()
 	if now < t.world.tables.slowUntil {
@@ -249,7 +251,7 @@
 	return err
 }
 
-// directTables reads and writes the table service without faults.
+// directTables accesses the table service without faults.
 type directTables struct{ service *tableService }
 
 var _ platform.Tables = directTables{}
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	options Options
 	queue   *eventqueue.Queue
@@ -31,7 +31,7 @@
 
 	faultCount int
 	resetRate  float64
-	// freezeNextPlanner has the next router that plans orders freeze before it sends any.
+	// freezeNextPlanner makes the next router that plans orders freeze before it sends any.
 	freezeNextPlanner bool
 	lastFrame         engine.Frame
 	commandCalls      int
@@ -41,7 +41,7 @@
 	hotUntil          time.Duration
 }
 
-// Run carries out one history.
+// Run simulates one run and returns its history.
 func Run(options Options) *history.History {
 	options = options.withDefaults()
 	queue := eventqueue.New(options.Seed)
@@ -54,7 +54,7 @@
 	return w.history
 }
 
-// build makes the fleet and commits its first configuration.
+// build creates the fleet and commits its initial configuration.
 func (w *world) build() {
 	w.network = &network{world: w}
 	w.tables = newTableService(w)
@@ -80,7 +80,7 @@
 	}
 }
 
-// schedule draws what happens from outside: requests, commands and faults.
+// schedule draws the external events: requests, commands and faults.
 func (w *world) schedule() {
 	w.scheduleRequests()
 	w.scheduleCommands()
@@ -118,7 +118,7 @@
 	return w.engines[position]
 }
 
-// hasConfiguredNode tells whether some live node has a configuration.
+// hasConfiguredNode reports whether some live agent has a configuration.
 func (w *world) hasConfiguredNode() bool {
 	for _, a := range w.agents {
 		if a.alive && a.holder.Current() != nil {
@@ -128,15 +128,16 @@
 	return false
 }
 
-// countNeverCached counts the blocks that a grant counts on and its run never held.
+// countNeverCached returns how many of the blocks that a grant expects to be cached were never
+// stored by its engine run.
 func (w *world) countNeverCached(grant placement.Grant, blocks []fleet.BlockHash) int {
 	host := w.engineByID(grant.Run.Engine)
 	if host.model.Incarnation() != grant.Run.Incarnation {
 		return 0
 	}
-	believed := min(grant.ExpectedCachedTokens/max(grant.BlockTokens, 1), len(blocks))
+	expected := min(grant.ExpectedCachedTokens/max(grant.BlockTokens, 1), len(blocks))
 	count := 0
-	for _, hash := range blocks[:believed] {
+	for _, hash := range blocks[:expected] {
 		if !host.model.EverStored(hash) {
 			count++
 		}
@@ -144,7 +145,7 @@
 	return count
 }
 
-// digest identifies the contents of a configuration.
+// digest returns a hash of the contents of a configuration.
 func (w *world) digest(document config.Document) uint64 {
 	encoded, err := json.Marshal(config.Canonical(document))
 	if err != nil {
@@ -153,7 +154,7 @@
 	return xxhash.Sum64(encoded)
 }
 
-// publishMachines gives the platform the true list of machines.
+// publishMachines sets the platform's list of machines to the actual state.
 func (w *world) publishMachines() {
 	machines := make([]platform.Machine, 0, len(w.engines))
 	for _, host := range w.engines {
@@ -162,7 +163,7 @@
 	w.tables.model.SetMachines(w.queue.Now(), machines)
 }
 
-// readMachines reads the platform's list as a process sees it.
+// readMachines reads the platform's list of machines for a process; false if it is unreachable.
 func (w *world) readMachines(from *process) ([]platform.Machine, bool) {
 	if w.tables.isUnreachable(from) {
 		return nil, false
@@ -170,17 +171,18 @@
 	return w.tables.model.ListMachines(w.queue.Now()), true
 }
 
-// shouldReset tells whether a connection breaks before its next frame.
+// shouldReset reports whether a connection breaks before its next frame.
 func (w *world) shouldReset(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < w.resetRate
 }
 
-// shouldDrop tells whether a frame is lost though its connection stays.
+// shouldDrop reports whether a frame is lost while its connection stays open.
 func (w *world) shouldDrop(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < lostFrameRate
 }
 
-// strayFrame returns a frame of another request now and then.
+// strayFrame returns, with probability StrayFrameRate, the last token frame if it belongs to
+// another request.
 func (w *world) strayFrame(request fleet.RequestID, frame engine.Frame) (engine.Frame, bool) {
 	last := w.lastFrame
 	if frame.Kind == engine.FrameToken {
@@ -192,7 +194,7 @@
 	return last, true
 }
 
-// initialDocument is the configuration that the fleet starts with.
+// initialDocument returns the configuration that the fleet starts with.
 func (w *world) initialDocument() config.Document {
 	document := config.Document{
 		Models: []config.Model{{
