--- a/lab/bytecount/bytecount.go
+++ b/lab/bytecount/bytecount.go
@@ -1,5 +1,4 @@
-// Package bytecount counts the bytes that a server exchanges over TCP, HTTP
-// included.
+// Package bytecount counts the bytes that a server exchanges over TCP.
 package bytecount
 
 import (
@@ -7,13 +6,13 @@
 	"sync/atomic"
 )
 
-// Listener adds the bytes of its connections, both ways, to a counter.
+// Listener adds the bytes that its connections receive and send to a counter.
 type Listener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// NewListener wraps a listener; several may share a counter.
+// NewListener wraps a listener. Several listeners may share a counter.
 func NewListener(listener net.Listener, bytes *atomic.Int64) *Listener {
 	return &Listener{Listener: listener, bytes: bytes}
 }
@@ -39,8 +38,8 @@
 	return count, err
 }
 
-// Write implements net.Conn. The bytes are counted before they are sent, so that
-// whoever has read an answer finds it counted.
+// Write implements net.Conn. It counts the bytes before sending them, so that they are included
+// once the peer has read them.
 func (c *conn) Write(data []byte) (int, error) {
 	c.bytes.Add(int64(len(data)))
 	count, err := c.Conn.Write(data)
--- a/lab/bytecount/bytecount_test.go
+++ b/lab/bytecount/bytecount_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sendingConn notes what is counted at the moment of sending, and sends a part.
+// sendingConn records the counter at the time of a write and writes all but one byte.
 type sendingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -22,16 +22,18 @@
 	return len(data) - 1, io.ErrShortWrite
 }
 
+// TestBytesAreCountedBeforeTheyAreSent guards against a counter that lags behind the data seen by
+// the peer, and against counting unsent bytes.
 func TestBytesAreCountedBeforeTheyAreSent(t *testing.T) {
 	var bytes atomic.Int64
 	inner := &sendingConn{bytes: &bytes}
 	_, err := (&conn{Conn: inner, bytes: &bytes}).Write([]byte("answer"))
 	require.ErrorIs(t, err, io.ErrShortWrite)
 	assert.EqualValues(t, 6, inner.seen)
-	assert.EqualValues(t, 5, bytes.Load(), "what wasn't sent doesn't count")
+	assert.EqualValues(t, 5, bytes.Load(), "unsent bytes must not be counted")
 }
 
-// TestBytesOfBothDirectionsAreCounted exchanges 5 and 3 bytes.
+// TestBytesOfBothDirectionsAreCounted guards against counting only one direction.
 func TestBytesOfBothDirectionsAreCounted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/lab/eventqueue/eventqueue.go
+++ b/lab/eventqueue/eventqueue.go
@@ -1,7 +1,5 @@
-// Package eventqueue is a discrete-event queue with a virtual clock and a seeded
-// generator. The emulator and the deterministic simulation run on it: one
-// goroutine takes the events in the order of their times, so that equal seeds
-// give equal runs.
+// Package eventqueue is a discrete-event queue with a virtual clock and a seeded random generator.
+// A single goroutine runs the events in time order, so equal seeds give equal runs.
 package eventqueue
 
 import (
@@ -9,8 +7,7 @@
 	"time"
 )
 
-// event is something to be done at a time. Events of equal times run in the
-// order of their insertion.
+// event is a scheduled function. Events with equal times run in insertion order.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -24,41 +21,40 @@
 	return e.sequence < other.sequence
 }
 
-// Queue is an event queue and its clock. It isn't safe for concurrent use.
+// Queue is an event queue with its clock. It is not safe for concurrent use.
 type Queue struct {
 	now      time.Duration
 	sequence uint64
 	random   *rand.Rand
-	// heap is a heap with four children a node: shallower than a binary one and
-	// kinder to the processor's cache.
+	// heap is a 4-ary heap, which is shallower and more cache-friendly than a binary one.
 	heap []event
 }
 
-// New returns an empty queue at time 0 whose generator has the given seed.
+// New returns an empty queue at time 0 with a random generator of the given seed.
 func New(seed uint64) *Queue {
 	return &Queue{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Now returns the virtual time: that of the event under way or of the last one.
+// Now returns the virtual time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Random returns the queue's generator.
+// Random returns the queue's random generator.
 func (q *Queue) Random() *rand.Rand { return q.random }
 
-// Len returns the number of events to come.
+// Len returns the number of pending events.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// At plans an event. A time that has passed counts as now.
+// At schedules an event. A time in the past is replaced by the current time.
 func (q *Queue) At(at time.Duration, run func()) {
 	q.sequence++
 	q.heap = append(q.heap, event{at: max(at, q.now), sequence: q.sequence, run: run})
 	q.up(len(q.heap) - 1)
 }
 
-// After plans an event a delay from now.
+// After schedules an event after a delay.
 func (q *Queue) After(delay time.Duration, run func()) { q.At(q.now+delay, run) }
 
-// Next returns the time of the next event; false when there is none.
+// Next returns the time of the next event, or false if there is none.
 func (q *Queue) Next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -66,8 +62,7 @@
 	return q.heap[0].at, true
 }
 
-// Step moves the clock to the next event and runs it. It returns false when
-// there was none.
+// Step advances the clock to the next event and runs it. It returns false if there is none.
 func (q *Queue) Step() bool {
 	if len(q.heap) == 0 {
 		return false
@@ -78,7 +73,7 @@
 	return true
 }
 
-// RunUntil runs the events up to and including a time, and leaves the clock there.
+// RunUntil runs all events up to and including end and advances the clock to end.
 func (q *Queue) RunUntil(end time.Duration) {
 	for len(q.heap) > 0 && q.heap[0].at <= end {
 		q.Step()
@@ -106,7 +101,7 @@
 	first := q.heap[0]
 	last := len(q.heap) - 1
 	moving := q.heap[last]
-	q.heap[last] = event{} // lets go of the closure
+	q.heap[last] = event{} // releases the closure
 	q.heap = q.heap[:last]
 	if last > 0 {
 		q.down(moving)
@@ -114,7 +109,7 @@
 	return first
 }
 
-// down puts an event in at the top and lets it sink to its place.
+// down places an event at the root and sifts it down.
 func (q *Queue) down(moving event) {
 	position := 0
 	for {
@@ -128,7 +123,7 @@
 	q.heap[position] = moving
 }
 
-// smallestChild returns the child that comes first, or -1 for a leaf.
+// smallestChild returns the index of the earliest child, or -1 for a leaf.
 func (q *Queue) smallestChild(position int) int {
 	first := arity*position + 1
 	if first >= len(q.heap) {
--- a/lab/eventqueue/eventqueue_test.go
+++ b/lab/eventqueue/eventqueue_test.go
@@ -9,14 +9,15 @@
 	"pgregory.net/rapid"
 )
 
+// TestEventsRunByTimeThenInsertion guards against events that run out of order.
 func TestEventsRunByTimeThenInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOfN(rapid.IntRange(0, 20), 0, 200).Draw(t, "times")
 		queue := New(1)
-		type planned struct{ at, number int }
-		var ran, expected []planned
+		type scheduled struct{ at, number int }
+		var ran, expected []scheduled
 		for number, at := range times {
-			entry := planned{at: at, number: number}
+			entry := scheduled{at: at, number: number}
 			expected = append(expected, entry)
 			queue.At(time.Duration(at), func() {
 				ran = append(ran, entry)
@@ -31,6 +32,8 @@
 	})
 }
 
+// TestEventsPlannedByEventsKeepTheOrder guards against a wrong order or clock when events schedule
+// further events.
 func TestEventsPlannedByEventsKeepTheOrder(t *testing.T) {
 	queue := New(1)
 	var ran []string
@@ -49,6 +52,7 @@
 	assert.False(t, found)
 }
 
+// TestEqualSeedsGiveEqualNumbers guards against a random generator that ignores the seed.
 func TestEqualSeedsGiveEqualNumbers(t *testing.T) {
 	assert.Equal(t, New(7).Random().Uint64(), New(7).Random().Uint64())
 	assert.NotEqual(t, New(7).Random().Uint64(), New(8).Random().Uint64())
--- a/lab/history/cache.go
+++ b/lab/history/cache.go
@@ -7,47 +7,48 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// checkCacheEntries checks that a request relies on no cache entry of a dead
-// engine, of another tenant or of other weights: it is computed by the run that
-// its grant named, for its own tenant, with weights it was resolved to, on
-// blocks of its own scope; and no router counts on blocks that the run never had.
+// checkCacheEntries checks that no request uses a cache entry of an ended engine run, another
+// tenant or another model version. A request must be computed by the run named in its grant, for
+// its own tenant, with a model version that it was resolved to and on blocks of its own scope. No
+// router may expect cached blocks that the run never stored.
 func checkCacheEntries(history *History, _ Limits) []Violation {
 	var violations []Violation
-	breach := func(entry Entry, format string, arguments ...any) {
+	violate := func(entry Entry, format string, arguments ...any) {
 		violations = append(violations, Violation{Invariant: CacheEntries, At: entry.At, Message: fmt.Sprintf(format, arguments...)})
 	}
 	tenants := make(map[fleet.RequestID]fleet.TenantName)
-	weights := make(map[fleet.RequestID][]fleet.ModelVersion)
+	versions := make(map[fleet.RequestID][]fleet.ModelVersion)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case Requested:
 			tenants[event.Request] = event.Tenant
 		case Resolved:
-			weights[event.Request] = append(weights[event.Request], event.Version)
+			versions[event.Request] = append(versions[event.Request], event.Version)
 		case Granted:
 			if event.NeverCachedBlocks > 0 {
-				breach(entry, "router %s counts on %d blocks that %v never held", event.Router, event.NeverCachedBlocks, event.Run)
+				violate(entry, "router %s expects %d cached blocks that %v never stored", event.Router, event.NeverCachedBlocks, event.Run)
 			}
 		case Accepted:
 			if event.Run != event.Granted {
-				breach(entry, "stream %s was granted %v and ran at %v", event.Stream, event.Granted, event.Run)
+				violate(entry, "stream %s was granted %v but accepted by %v", event.Stream, event.Granted, event.Run)
 			}
 		case Executed:
 			if event.Tenant != tenants[event.Request] {
-				breach(entry, "stream %s of tenant %q was computed for %q", event.Stream, tenants[event.Request], event.Tenant)
+				violate(entry, "stream %s of tenant %q was computed for tenant %q", event.Stream, tenants[event.Request], event.Tenant)
 			}
-			if !slices.Contains(weights[event.Request], event.Version) {
-				breach(entry, "stream %s was computed with %v, resolved were %v", event.Stream, event.Version, weights[event.Request])
+			if !slices.Contains(versions[event.Request], event.Version) {
+				violate(entry, "stream %s was computed with %v, resolved versions are %v", event.Stream, event.Version, versions[event.Request])
 			}
 			if event.ForeignBlocks > 0 {
-				breach(entry, "stream %s took %d blocks of another scope", event.Stream, event.ForeignBlocks)
+				violate(entry, "stream %s used %d cached blocks of another scope", event.Stream, event.ForeignBlocks)
 			}
 		}
 	}
 	return append(violations, findMixedVersions(history)...)
 }
 
-// findMixedVersions finds answers whose tokens come from more than one set of weights.
+// findMixedVersions returns a violation for each token that comes from another model version than
+// the previous one of its answer.
 func findMixedVersions(history *History) []Violation {
 	var violations []Violation
 	computed := make(map[fleet.StreamID]fleet.ModelVersion)
@@ -57,16 +58,16 @@
 		case Executed:
 			computed[event.Stream] = event.Version
 		case TokenDelivered:
-			weights, known := computed[event.Stream]
+			version, known := computed[event.Stream]
 			earlier, begun := answered[event.Request]
-			if known && begun && earlier != weights {
+			if known && begun && earlier != version {
 				violations = append(violations, Violation{
 					Invariant: CacheEntries, At: entry.At,
-					Message: fmt.Sprintf("answer %s mixes tokens of %v and %v", event.Request, earlier, weights),
+					Message: fmt.Sprintf("answer to %s mixes tokens of %v and %v", event.Request, earlier, version),
 				})
 			}
 			if known {
-				answered[event.Request] = weights
+				answered[event.Request] = version
 			}
 		}
 	}
--- a/lab/history/commands.go
+++ b/lab/history/commands.go
@@ -12,11 +12,12 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// linearizationTimeout bounds the search for a linearization.
+// linearizationTimeout bounds the search for a linearization. A search that times out reports no
+// violation.
 const linearizationTimeout = 5 * time.Second
 
-// commandState is the configuration as a register: its revision, and the
-// recorded outcome of each token.
+// commandState models the configuration as a register: its revision and the recorded outcome of
+// each token.
 type commandState struct {
 	revision fleet.Revision
 	outcomes map[string]CommandReturned
@@ -39,34 +40,34 @@
 	return s.revision == other.revision && maps.Equal(s.outcomes, other.outcomes)
 }
 
-// stepCommand returns the states that a call can have led to.
+// stepCommand returns the states that a call can lead to.
 func stepCommand(state commandState, call CommandInvoked, result CommandReturned) []commandState {
 	if result.NoEffect {
 		return []commandState{state}
 	}
-	recorded, known := state.outcomes[call.Token]
+	recorded, found := state.outcomes[call.Token]
 	if result.Definite {
 		result.Call = 0
 		switch {
-		case known && recorded == result:
+		case found && recorded == result:
 			return []commandState{state}
-		case known || !state.isPossibleOutcome(call, result):
+		case found || !state.isPossibleOutcome(call, result):
 			return nil
 		}
 		return []commandState{state.withOutcome(call.Token, result)}
 	}
-	// The call may have been recorded now, or not.
+	// The outcome is unknown: the call may or may not have been recorded.
 	states := []commandState{state}
-	if known {
+	if found {
 		return states
 	}
-	for _, end := range state.possibleOutcomes(call) {
-		states = append(states, state.withOutcome(call.Token, end))
+	for _, outcome := range state.possibleOutcomes(call) {
+		states = append(states, state.withOutcome(call.Token, outcome))
 	}
 	return states
 }
 
-// possibleOutcomes returns the outcomes that a first call with a token can have in a state.
+// possibleOutcomes returns the outcomes that the first call with a token can have in this state.
 func (s commandState) possibleOutcomes(call CommandInvoked) []CommandReturned {
 	if call.Expected != 0 && call.Expected != s.revision {
 		return []CommandReturned{{Code: resultcode.RevisionConflict, Revision: s.revision, Definite: true}}
@@ -78,13 +79,14 @@
 	}
 }
 
-// isPossibleOutcome tells whether a first call with a token can end so in this state.
+// isPossibleOutcome reports whether the first call with a token can have this outcome in this
+// state.
 func (s commandState) isPossibleOutcome(call CommandInvoked, result CommandReturned) bool {
-	behind := call.Expected != 0 && call.Expected != s.revision
+	conflict := call.Expected != 0 && call.Expected != s.revision
 	switch {
 	case result.Code == resultcode.RevisionConflict:
-		return behind && result.Revision == s.revision
-	case behind:
+		return conflict && result.Revision == s.revision
+	case conflict:
 		return false
 	case result.Code == resultcode.OK:
 		return result.Revision == s.revision+1 || result.Revision == s.revision
@@ -93,9 +95,9 @@
 	}
 }
 
-// checkCommands checks that operators' commands are linearizable: each takes
-// effect at one moment between its call and its answer, at most once for a
-// token, and only on the revision that it expects.
+// checkCommands checks that operator commands are linearizable: each takes effect at one moment
+// between its call and its answer, at most once per token, and only on the revision that it
+// expects.
 func checkCommands(history *History, _ Limits) []Violation {
 	operations := commandOperations(history)
 	if len(operations) == 0 {
@@ -117,11 +119,11 @@
 	}
 	return []Violation{{
 		Invariant: Commands, At: history.End,
-		Message: fmt.Sprintf("%d commands have no linearization", len(operations)),
+		Message: fmt.Sprintf("%d command calls have no linearization", len(operations)),
 	}}
 }
 
-// firstRevision is the revision before the first command.
+// firstRevision returns the revision before the first command.
 func firstRevision(history *History) fleet.Revision {
 	for _, entry := range history.Entries {
 		if committed, isCommit := entry.Event.(Committed); isCommit {
@@ -131,8 +133,8 @@
 	return 0
 }
 
-// commandOperations pairs calls with their results. A call without a result,
-// or with an uncertain one, may take effect at any later time.
+// commandOperations pairs calls with their results. A call without a result or with an uncertain
+// one may take effect at any later time.
 func commandOperations(history *History) []porcupine.Operation {
 	var operations []porcupine.Operation
 	position := make(map[int]int)
--- a/lab/history/configuration.go
+++ b/lab/history/configuration.go
@@ -7,48 +7,47 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// checkConfiguration checks that a node never goes back to a lower revision,
-// that one revision is the same everywhere, and that an accepted one is in
-// force at every live node soon.
+// checkConfiguration checks that no node returns to a lower revision, that a revision has the same
+// contents everywhere, and that every live node applies a committed revision in time.
 func checkConfiguration(history *History, limits Limits) []Violation {
 	var violations []Violation
-	breach := func(at time.Duration, format string, arguments ...any) {
+	violate := func(at time.Duration, format string, arguments ...any) {
 		violations = append(violations, Violation{Invariant: Configuration, At: at, Message: fmt.Sprintf(format, arguments...)})
 	}
 	faults := faultIntervals(history)
-	nodes := nodeRuns(history)
-	inForce := make(map[fleet.NodeID]fleet.Revision)
+	runs := nodeRuns(history)
+	applied := make(map[fleet.NodeID]fleet.Revision)
 	digests := make(map[fleet.Revision]uint64)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case Committed:
 			if digest, known := digests[event.Revision]; known && digest != event.Digest {
-				breach(entry.At, "revision %d was committed twice with different contents", event.Revision)
+				violate(entry.At, "revision %d was committed twice with different contents", event.Revision)
 			}
 			digests[event.Revision] = event.Digest
 			due, within := dueTime(history, faults, entry.At, limits.Configuration)
 			if !within {
 				continue
 			}
-			for _, life := range nodes {
-				if life.from <= entry.At && life.to >= due && !life.hasReached(event.Revision, due) {
-					breach(due, "%s doesn't work by revision %d, accepted at %.6f", life.node, event.Revision, entry.At.Seconds())
+			for _, run := range runs {
+				if run.from <= entry.At && run.to >= due && !run.hasReached(event.Revision, due) {
+					violate(due, "%s has not applied revision %d, committed at %.6f", run.node, event.Revision, entry.At.Seconds())
 				}
 			}
 		case ConfigurationApplied:
-			if earlier := inForce[event.Node]; event.Revision < earlier {
-				breach(entry.At, "%s went from revision %d back to %d", event.Node, earlier, event.Revision)
+			if earlier := applied[event.Node]; event.Revision < earlier {
+				violate(entry.At, "%s went back from revision %d to %d", event.Node, earlier, event.Revision)
 			}
-			inForce[event.Node] = event.Revision
+			applied[event.Node] = event.Revision
 			if digest, known := digests[event.Revision]; !known || digest != event.Digest {
-				breach(entry.At, "%s works by a revision %d that was never accepted like this", event.Node, event.Revision)
+				violate(entry.At, "%s applied revision %d with contents that were never committed", event.Node, event.Revision)
 			}
 		}
 	}
 	return violations
 }
 
-// nodeRun is the time that a node ran, and the revisions that it reached.
+// nodeRun is the interval in which a node ran and the revisions that it applied.
 type nodeRun struct {
 	node     fleet.NodeID
 	from, to time.Duration
@@ -69,30 +68,31 @@
 	return false
 }
 
-// nodeRuns returns the lives of agents and routers in order of their start.
+// nodeRuns returns the runs of agents and routers in order of their start. A run ends when the node
+// is killed or begins a planned stop.
 func nodeRuns(history *History) []*nodeRun {
-	var lives []*nodeRun
+	var runs []*nodeRun
 	byNode := make(map[fleet.NodeID]*nodeRun)
 	end := func(node fleet.NodeID, at time.Duration) {
-		if life := byNode[node]; life != nil {
-			life.to = min(life.to, at)
+		if run := byNode[node]; run != nil {
+			run.to = min(run.to, at)
 		}
 	}
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case NodeStarted:
-			life := &nodeRun{node: event.Node, from: entry.At, to: history.End}
-			lives = append(lives, life)
-			byNode[event.Node] = life
+			run := &nodeRun{node: event.Node, from: entry.At, to: history.End}
+			runs = append(runs, run)
+			byNode[event.Node] = run
 		case NodeKilled:
 			end(event.Node, entry.At)
 		case NodeStopping:
 			end(event.Node, entry.At)
 		case ConfigurationApplied:
-			if life := byNode[event.Node]; life != nil {
-				life.changes = append(life.changes, revisionChange{at: entry.At, revision: event.Revision})
+			if run := byNode[event.Node]; run != nil {
+				run.changes = append(run.changes, revisionChange{at: entry.At, revision: event.Revision})
 			}
 		}
 	}
-	return lives
+	return runs
 }
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -9,13 +9,13 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// PromptText is a prompt; a timeline shows its length alone.
+// PromptText is a prompt. A timeline shows only its length.
 type PromptText string
 
-// String returns the prompt's length.
+// String returns the prompt's length in bytes.
 func (p PromptText) String() string { return fmt.Sprintf("%dB", len(p)) }
 
-// Requested means that a caller sent a request to an agent.
+// Requested is recorded when a caller sends a request to an agent.
 type Requested struct {
 	Request    fleet.RequestID
 	Agent      fleet.NodeID
@@ -24,30 +24,30 @@
 	Prompt     PromptText
 	MaxTokens  int
 	Repeatable bool
-	// Deadline is the virtual time at which the answer is of no use any more.
+	// Deadline is the virtual time by which the request must be answered.
 	Deadline time.Duration
 }
 
-// Resolved means that an agent chose the weights of a request.
+// Resolved is recorded when an agent chooses the model version of a request.
 type Resolved struct {
 	Request  fleet.RequestID
 	Version  fleet.ModelVersion
 	Revision fleet.Revision
 }
 
-// Granted means that an agent took a router's grant.
+// Granted is recorded when an agent receives a router's grant.
 type Granted struct {
 	Request fleet.RequestID
 	Attempt fleet.Attempt
 	Router  fleet.NodeID
 	Run     fleet.EngineRun
-	// ExpectedCachedBlocks is the prefix that the router believes to be cached;
-	// UnfoundedBlocks counts those of it that the run never held.
+	// ExpectedCachedBlocks is the number of prefix blocks that the router expects to be cached;
+	// NeverCachedBlocks counts those of them that the run never stored.
 	ExpectedCachedBlocks int
 	NeverCachedBlocks    int
 }
 
-// TokenDelivered means that a caller got a token. Stream is where it came from.
+// TokenDelivered is recorded when a caller receives a token. Stream is its origin.
 type TokenDelivered struct {
 	Request fleet.RequestID
 	Stream  fleet.StreamID
@@ -55,14 +55,14 @@
 	Text    string
 }
 
-// Finished means that a caller saw the regular end of its answer.
+// Finished is recorded when a caller receives the regular end of its answer.
 type Finished struct {
 	Request fleet.RequestID
 	Tokens  int
 	Reason  string
 }
 
-// Failed means that a caller got an error, after any tokens.
+// Failed is recorded when a caller receives an error, possibly after some tokens.
 type Failed struct {
 	Request fleet.RequestID
 	Code    resultcode.Code
@@ -70,38 +70,38 @@
 	Reason  string
 }
 
-// RequestAborted means that a request ended without an answer, because its caller
-// or the agent beside it was gone.
+// RequestAborted is recorded when a request ends without an answer because its caller or its agent
+// is gone.
 type RequestAborted struct {
 	Request fleet.RequestID
-	// CallerLeft is set when the caller went away by itself.
+	// CallerLeft is set when the caller disconnected by itself.
 	CallerLeft bool
 	Reason     string
 }
 
-// Accepted means that an engine accepted a dispatch made under a grant.
+// Accepted is recorded when an engine accepts a dispatch.
 type Accepted struct {
 	Request fleet.RequestID
 	Stream  fleet.StreamID
-	// Run accepted it; Granted is the run that the grant named.
+	// Run is the accepting run, Granted the run named in the grant.
 	Run     fleet.EngineRun
 	Granted fleet.EngineRun
 }
 
-// Executed means that an engine began to compute a stream.
+// Executed is recorded when an engine starts computing a stream.
 type Executed struct {
 	Request fleet.RequestID
 	Stream  fleet.StreamID
 	Run     fleet.EngineRun
 	Tenant  fleet.TenantName
 	Version fleet.ModelVersion
-	// CachedBlocks were taken from the cache; ForeignBlocks are those of them
-	// that were computed for another scope.
+	// CachedBlocks counts the blocks taken from the cache, ForeignBlocks those of them that were
+	// computed for another scope.
 	CachedBlocks  int
 	ForeignBlocks int
 }
 
-// OrderSent means that a router sent a fenced order.
+// OrderSent is recorded when a router sends a fenced order.
 type OrderSent struct {
 	Router fleet.NodeID
 	Engine fleet.EngineID
@@ -109,7 +109,7 @@
 	Kind   engine.OrderKind
 }
 
-// OrderExecuted means that an engine carried an order out.
+// OrderExecuted is recorded when an engine executes an order.
 type OrderExecuted struct {
 	Run     fleet.EngineRun
 	Token   fleet.FencingToken
@@ -117,36 +117,36 @@
 	Weights engine.Weights
 }
 
-// ConfigurationApplied means that a node began to work by a configuration.
+// ConfigurationApplied is recorded when a node applies a configuration.
 type ConfigurationApplied struct {
 	Node     fleet.NodeID
 	Revision fleet.Revision
-	// Digest covers the document.
+	// Digest is a hash of the document.
 	Digest uint64
 }
 
-// Committed means that the table service took a configuration.
+// Committed is recorded when the table service commits a configuration.
 type Committed struct {
 	Revision fleet.Revision
 	Digest   uint64
 }
 
-// EngineStarted means that a run of an engine began.
+// EngineStarted is recorded when a run of an engine starts.
 type EngineStarted struct{ Run fleet.EngineRun }
 
-// EngineKilled means that a run of an engine ended.
+// EngineKilled is recorded when a run of an engine ends.
 type EngineKilled struct{ Run fleet.EngineRun }
 
-// EngineLeaving means that the system could know from now on that a run leaves.
+// EngineLeaving is recorded when the system can detect that an engine run is leaving.
 type EngineLeaving struct {
 	Run    fleet.EngineRun
 	Source string
 }
 
-// EngineAdmitted means that an operator has taken back that a run leaves.
+// EngineAdmitted is recorded when an operator withdraws the drain or retirement of an engine run.
 type EngineAdmitted struct{ Run fleet.EngineRun }
 
-// NodeKind tells an agent from a router.
+// NodeKind distinguishes agents and routers.
 type NodeKind string
 
 // Kinds of nodes.
@@ -155,58 +155,58 @@
 	RouterNode NodeKind = "router"
 )
 
-// NodeStarted means that a run of an agent or router began. Informed tells
-// that a live node has a configuration that this one can learn.
+// NodeStarted is recorded when a run of an agent or router starts. ConfigurationAvailable is set if
+// a live node has a configuration that this one can obtain.
 type NodeStarted struct {
 	Node                   fleet.NodeID
 	Kind                   NodeKind
 	ConfigurationAvailable bool
 }
 
-// NodeKilled means that a node ended without warning.
+// NodeKilled is recorded when a node is killed without warning.
 type NodeKilled struct{ Node fleet.NodeID }
 
-// NodeStopping means that a planned stop began.
+// NodeStopping is recorded when a planned stop begins.
 type NodeStopping struct{ Node fleet.NodeID }
 
-// NodeStopped means that a planned stop ended.
+// NodeStopped is recorded when a planned stop ends.
 type NodeStopped struct{ Node fleet.NodeID }
 
-// RouterServed means that a router placed its first request.
+// RouterServed is recorded when a router places its first request.
 type RouterServed struct{ Node fleet.NodeID }
 
-// FaultBegan means that a fault was injected.
+// FaultBegan is recorded when a fault is injected.
 type FaultBegan struct {
 	Fault  int
 	Kind   string
 	Target string
 }
 
-// FaultEnded means that a fault is over.
+// FaultEnded is recorded when a fault ends.
 type FaultEnded struct {
 	Fault int
 	Kind  string
 }
 
-// CommandInvoked means that an operator sent a command.
+// CommandInvoked is recorded when an operator sends a command.
 type CommandInvoked struct {
 	Call     int
 	Operator int
 	Router   fleet.NodeID
-	// Token identifies the command, also across calls.
+	// Token identifies the command across retries.
 	Token     string
 	Expected  fleet.Revision
 	Statement string
 }
 
-// CommandReturned means that an operator got a command's result.
+// CommandReturned is recorded when an operator receives the result of a command or its call fails.
 type CommandReturned struct {
 	Call     int
 	Code     resultcode.Code
 	Revision fleet.Revision
-	// Definite tells that Code and Revision are the recorded outcome.
+	// Definite is set if Code and Revision are the recorded outcome.
 	Definite bool
-	// NoEffect tells that the call certainly changed nothing.
+	// NoEffect is set if the call certainly changed nothing.
 	NoEffect bool
 }
 
--- a/lab/history/faultintervals.go
+++ b/lab/history/faultintervals.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// interval is a stretch of virtual time.
+// interval is an interval of virtual time.
 type interval struct{ from, to time.Duration }
 
-// faultIntervals returns the merged times at which some fault lasted, in order.
+// faultIntervals returns the merged intervals in which a fault was active, in order.
 func faultIntervals(history *History) []interval {
 	var merged []interval
 	open := make(map[int]bool)
@@ -26,9 +26,9 @@
 	return merged
 }
 
-// dueTime returns when a thing that takes at most limit without a fault is
-// dueTime, if it begins at a time: the end of the first stretch of that length
-// without a fault; false if the run has none.
+// dueTime returns when an operation that starts at from must be done if it takes at most limit
+// without faults: the end of the first fault-free interval of that length. It returns false if the
+// run ends earlier.
 func dueTime(history *History, faults []interval, from, limit time.Duration) (time.Duration, bool) {
 	for _, fault := range faults {
 		if fault.to <= from {
@@ -42,7 +42,7 @@
 	return from + limit, from+limit <= history.End
 }
 
-// isFaultFree tells whether no fault lasted in a stretch.
+// isFaultFree reports whether no fault was active in an interval.
 func isFaultFree(faults []interval, from, to time.Duration) bool {
 	for _, fault := range faults {
 		if fault.from <= to && fault.to >= from {
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what happened in a simulated fleet, as callers,
-// engines and operators saw it, and checks the record against the system's
-// invariants. Checkers know nothing of how the system decides.
+// Package history records the events of a simulated fleet as observed by callers, engines and
+// operators, and checks the record against the system's invariants. The checkers are independent of
+// the system's implementation.
 package history
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Event is something that happened. Each is a struct of plain values.
+// Event is a recorded event. Each implementation is a struct of plain values.
 type Event interface{ event() }
 
 // Entry is an event and its virtual time.
@@ -18,20 +18,20 @@
 	Event Event
 }
 
-// History is the record of one run, in order of time.
+// History is the record of one run, ordered by time.
 type History struct {
 	Entries []Entry
 	// End is the virtual time at which the run ended.
 	End time.Duration
 }
 
-// Add records an event.
+// Add appends an event.
 func (h *History) Add(at time.Duration, event Event) {
 	h.Entries = append(h.Entries, Entry{At: at, Event: event})
 	h.End = max(h.End, at)
 }
 
-// Write prints the history, one line an event.
+// Write prints the history, one event per line.
 func (h *History) Write(to io.Writer) error {
 	for _, entry := range h.Entries {
 		if _, err := fmt.Fprintln(to, entry); err != nil {
@@ -41,15 +41,15 @@
 	return nil
 }
 
-// String prints the time in seconds, the kind of the event and its fields.
+// String formats the time in seconds, the type of the event and its fields.
 func (e Entry) String() string {
 	return fmt.Sprintf("%10.6f %T %+v", e.At.Seconds(), e.Event, e.Event)
 }
 
-// Invariant names what a checker checks.
+// Invariant names a checked invariant.
 type Invariant string
 
-// The invariants, in the order of the list in docs/PROOFS.md.
+// Invariants, in the order of the list in docs/PROOFS.md.
 const (
 	CacheEntries   Invariant = "cache-entries"
 	StreamOrder    Invariant = "stream-order"
@@ -65,35 +65,34 @@
 	RequestOutcome Invariant = "request-outcome"
 )
 
-// Violation is a breach of an invariant.
+// Violation is a violation of an invariant.
 type Violation struct {
 	Invariant Invariant
 	At        time.Duration
 	Message   string
 }
 
-// String prints a violation on one line.
+// String formats the violation on one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.6f: %s", v.Invariant, v.At.Seconds(), v.Message)
 }
 
-// Limits are the times that the checkers allow.
+// Limits are the time limits that the checkers apply.
 type Limits struct {
-	// Answer is how long after its deadline a request may lack an answer.
+	// Answer is how long after its deadline a request may remain without an answer.
 	Answer time.Duration
 	// Restart is how long after its start a router may take to place a request.
 	Restart time.Duration
-	// Leaving is how long after the word that it leaves an engine may get work.
+	// Leaving is how long an engine may accept dispatches after it is known to be leaving.
 	Leaving time.Duration
-	// Configuration is how long an accepted revision may take to be in force at
-	// every node.
+	// Configuration is how long a committed revision may take until every node has applied it.
 	Configuration time.Duration
-	// Settle is how long after a fault its effects on a request may last.
+	// Settle is how long the effects of a fault on requests may last after its end.
 	Settle time.Duration
 }
 
-// DefaultLimits are the limits that the simulation is checked against. Each
-// counts only the time without an injected fault.
+// DefaultLimits returns the limits that simulated runs are checked against. All but Settle count
+// only time without faults.
 func DefaultLimits() Limits {
 	return Limits{
 		Answer:        2 * time.Second,
@@ -104,7 +103,7 @@
 	}
 }
 
-// Check runs every checker and returns the violations, checker by checker.
+// Check runs all checkers and returns their violations in the order of the checkers.
 func Check(history *History, limits Limits) []Violation {
 	var violations []Violation
 	for _, check := range []func(*History, Limits) []Violation{
--- a/lab/history/leaving.go
+++ b/lab/history/leaving.go
@@ -7,14 +7,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// OperatorSource is the source of EngineLeaving events that an operator's drain
-// or retirement causes.
+// OperatorSource is the source of EngineLeaving events caused by an operator's drain or retirement.
 const OperatorSource = "operator"
 
-// leavingSources tells since when a run is known to leave, by source.
+// leavingSources maps each source to the time since when it shows a run as leaving.
 type leavingSources map[string]time.Duration
 
-// earliest returns the earliest word that the run leaves.
+// earliest returns the source that first showed the run as leaving.
 func (l leavingSources) earliest() (source string, since time.Duration, leaving bool) {
 	for candidate, at := range l {
 		if !leaving || at < since || (at == since && candidate < source) {
@@ -24,8 +23,8 @@
 	return source, since, leaving
 }
 
-// checkLeavingEngine checks that a run which is known to leave accepts no
-// dispatch after a few seconds.
+// checkLeavingEngine checks that a run which is known to be leaving accepts no dispatch after the
+// limit.
 func checkLeavingEngine(history *History, limits Limits) []Violation {
 	var violations []Violation
 	runs := make(map[fleet.EngineRun]leavingSources)
@@ -47,7 +46,7 @@
 			if leaving && within && entry.At > due {
 				violations = append(violations, Violation{
 					Invariant: LeavingEngine, At: entry.At,
-					Message: fmt.Sprintf("%v, leaving since %.6f (%s), got stream %s", event.Run, since.Seconds(), source, event.Stream),
+					Message: fmt.Sprintf("%v, leaving since %.6f (%s), accepted stream %s", event.Run, since.Seconds(), source, event.Stream),
 				})
 			}
 		}
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -8,8 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// checkOwnAnswer checks that every token comes from a stream of the request
-// that gets it.
+// checkOwnAnswer checks that every token comes from a stream of the request that receives it.
 func checkOwnAnswer(history *History, _ Limits) []Violation {
 	var violations []Violation
 	for _, entry := range history.Entries {
@@ -19,7 +18,7 @@
 		}
 		violations = append(violations, Violation{
 			Invariant: OwnAnswer, At: entry.At,
-			Message: fmt.Sprintf("request %s got token %d of stream %s", token.Request, token.Index, token.Stream),
+			Message: fmt.Sprintf("request %s received token %d of stream %s", token.Request, token.Index, token.Stream),
 		})
 	}
 	return violations
@@ -39,8 +38,7 @@
 	return text[:position], text[position+len(separator):], true
 }
 
-// checkNotRun checks that no request whose caller was told "not run" was
-// computed, before or after.
+// checkNotRun checks that no request reported as not run was computed, before or after the report.
 func checkNotRun(history *History, _ Limits) []Violation {
 	var violations []Violation
 	executed := make(map[fleet.RequestID]Executed)
@@ -57,15 +55,14 @@
 		if execution, ran := executed[failed.Request]; ran {
 			violations = append(violations, Violation{
 				Invariant: NotRun, At: entry.At,
-				Message: fmt.Sprintf("request %s was refused as not run (%s) and ran at %v", failed.Request, failed.Code, execution.Run),
+				Message: fmt.Sprintf("request %s was reported as not run (%s) but ran at %v", failed.Request, failed.Code, execution.Run),
 			})
 		}
 	}
 	return violations
 }
 
-// checkAtMostOnce checks that a request which isn't repeatable was computed
-// once at most.
+// checkAtMostOnce checks that a request that is not repeatable was computed at most once.
 func checkAtMostOnce(history *History, _ Limits) []Violation {
 	var violations []Violation
 	once := make(map[fleet.RequestID]bool)
@@ -89,8 +86,8 @@
 	return violations
 }
 
-// checkRequestOutcome checks that every request has exactly one end, soon after
-// its deadline at the latest.
+// checkRequestOutcome checks that every request ends exactly once, within the limit after its
+// deadline.
 func checkRequestOutcome(history *History, limits Limits) []Violation {
 	var violations []Violation
 	ends := make(map[fleet.RequestID][]time.Duration)
@@ -118,7 +115,7 @@
 		}
 		violations = append(violations, Violation{
 			Invariant: RequestOutcome, At: due,
-			Message: fmt.Sprintf("request %s, due at %.6f, has %d ends: %v", request.Request, request.Deadline.Seconds(), len(times), times),
+			Message: fmt.Sprintf("request %s with deadline %.6f ended %d times: %v", request.Request, request.Deadline.Seconds(), len(times), times),
 		})
 	}
 	return violations
--- a/lab/history/restart.go
+++ b/lab/history/restart.go
@@ -7,9 +7,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// checkRestartServes checks that a router which starts while some live node
-// has a configuration places requests soon after, whether or not the platform
-// answers. Only faults of the network and of processes give it more time.
+// checkRestartServes checks that a router which starts while a live node has a configuration places
+// a request within the limit, whether or not the platform is available. Only network and process
+// faults extend the limit.
 func checkRestartServes(history *History, limits Limits) []Violation {
 	var violations []Violation
 	served := make(map[fleet.NodeID]time.Duration)
@@ -37,14 +37,14 @@
 		if at, found := served[started.Node]; !found || at > due {
 			violations = append(violations, Violation{
 				Invariant: RestartServes, At: due,
-				Message: fmt.Sprintf("router %s, started at %.6f, has placed nothing", started.Node, entry.At.Seconds()),
+				Message: fmt.Sprintf("router %s, started at %.6f, placed no request in time", started.Node, entry.At.Seconds()),
 			})
 		}
 	}
 	return violations
 }
 
-// PlatformFault is the kind of faults of the platform alone.
+// PlatformFault is the kind recorded for faults of the platform.
 const PlatformFault = "platform"
 
 // withoutFaults returns a history without the faults of one kind.
--- a/lab/loopback/loopback.go
+++ b/lab/loopback/loopback.go
@@ -1,7 +1,6 @@
-// Package loopback gives tests that start processes loopback hosts of their own. A port that
-// is found free and closed again may be taken by another test binary, or by an outgoing
-// connection, before the process that it was chosen for listens there; on a host that nobody
-// else uses it can't.
+// Package loopback allocates exclusive loopback addresses to tests that start processes. On a
+// shared address, another process or an outgoing connection could take a free port before the
+// intended process listens on it.
 package loopback
 
 import (
@@ -14,25 +13,27 @@
 )
 
 const (
-	// claimPort is the port on which a host is held for the life of the process.
+	// claimPort is the port that Host listens on to claim an address for the life of the process.
 	claimPort = 19_999
-	// firstNetwork and networks are the second bytes of the hosts, 127.64 to 127.127.
+	// firstNetwork is the lowest second byte of the addresses and networks the number of its
+	// values: 127.64.0.0 to 127.127.255.255.
 	firstNetwork = 64
 	networks     = 64
-	// hostsPerNetwork is the number of hosts of one of them.
+	// hostsPerNetwork is the number of addresses used per value of the second byte.
 	hostsPerNetwork = 256 * 254
-	// hostsPerProcess spreads processes that run at once, so that they rarely try the same host.
+	// hostsPerProcess separates the first addresses tried by processes with consecutive IDs.
 	hostsPerProcess = 251
 )
 
 var claims struct {
 	mutex sync.Mutex
 	next  int
-	// held keeps the claims open until the process ends.
+	// held keeps the listeners open until the process ends.
 	held []net.Listener
 }
 
-// Host returns a loopback host that no other caller of Host has, in this process or another.
+// Host returns a loopback address that no other call of Host returns, in this process or in another
+// running one.
 func Host() (string, error) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
@@ -46,12 +47,13 @@
 			return host, nil
 		}
 	}
-	return "", errors.New("no loopback host is left")
+	return "", errors.New("no free loopback address")
 }
 
-// hostAddress returns the host of a number. No last byte is 0 or 255.
-func hostAddress(number int) string {
-	number %= networks * hostsPerNetwork
-	network, rest := number/hostsPerNetwork, number%hostsPerNetwork
+// hostAddress returns the address with an index, which wraps around. The last byte is never 0 or
+// 255.
+func hostAddress(index int) string {
+	index %= networks * hostsPerNetwork
+	network, rest := index/hostsPerNetwork, index%hostsPerNetwork
 	return "127." + strconv.Itoa(firstNetwork+network) + "." + strconv.Itoa(rest/254) + "." + strconv.Itoa(1+rest%254)
 }
--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// helperVariable has the test binary print hosts and wait for its input to end.
+// helperVariable makes the test binary print hosts and then wait until its standard input is
+// closed.
 const helperVariable = "LOOPBACK_HELPER"
 
 func TestMain(m *testing.M) {
@@ -28,7 +29,7 @@
 	_, _ = os.Stdin.Read(make([]byte, 1))
 }
 
-// TestNoTwoProcessesHaveTheSameHost, whose numbers begin at the same place.
+// TestNoTwoProcessesHaveTheSameHost guards against processes that claim the same address.
 func TestNoTwoProcessesHaveTheSameHost(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 4 {
@@ -58,6 +59,8 @@
 	assert.True(t, net.ParseIP(own).IsLoopback())
 }
 
+// TestHostsAreValid guards against addresses outside the loopback range and with a last byte of 0
+// or 255.
 func TestHostsAreValid(t *testing.T) {
 	for _, number := range []int{0, 253, 254, hostsPerNetwork - 1, hostsPerNetwork, networks*hostsPerNetwork - 1, networks * hostsPerNetwork} {
 		assert.True(t, net.ParseIP(hostAddress(number)).IsLoopback(), hostAddress(number))
--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// agentHost is what an agent remembers from one request to the next.
+// agentHost is a simulated agent's state across requests.
 type agentHost struct {
 	world    *world
 	location membership.Location
@@ -22,7 +22,7 @@
 	failed   map[fleet.NodeID]time.Duration
 }
 
-// rank orders the routers as the agent process does.
+// rank orders the routers in the same way as the agent process.
 func (a *agentHost) rank(choice affinity.Choice, pool fleet.PoolName) []membership.Member {
 	if a.world.options.Policy.ByPool {
 		ranked, serving := a.world.pools.Rank(choice.Key(), pool, a.location)
@@ -31,7 +31,7 @@
 	return membership.Rank(choice.Key(), a.location.Zone, a.world.members)
 }
 
-// call is one request under way.
+// call is a request in flight.
 type call struct {
 	agent          *agentHost
 	request        *workload.Request
@@ -43,7 +43,7 @@
 	placementCalls int
 	hops           int
 	spills         int
-	// unservedHandBacks counts hand-backs by routers without an engine of the pool.
+	// unservedHandBacks counts the hand-backs by routers without an engine of the pool.
 	unservedHandBacks  int
 	saturatedHandBacks int
 	router             *routerHost
@@ -61,39 +61,39 @@
 	c.requestPlacement()
 }
 
-// requestPlacement sends the question to the best router that was tried least.
+// requestPlacement asks the highest-ranked of the least-tried routers for an engine.
 func (c *call) requestPlacement() {
 	w := c.agent.world
 	c.placementCalls++
-	left := c.request.At + requestTimeout - w.queue.Now()
-	if c.placementCalls > maxPlacementCalls || left <= 0 {
+	remaining := c.request.At + requestTimeout - w.queue.Now()
+	if c.placementCalls > maxPlacementCalls || remaining <= 0 {
 		c.end(resultFailed)
 		return
 	}
 	c.router = c.chooseRouter()
 	c.attempt++
 	c.tried[c.router.member.Node]++
-	question := placement.Request{
+	request := placement.Request{
 		Key:    placement.Key{Request: c.request.ID, Attempt: c.attempt},
 		Tenant: c.request.Tenant, ModelVersion: c.request.Weights, Class: c.request.Class,
 		PromptTokens: c.request.PromptTokens(), MaxTokens: c.request.OutputTokens,
-		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.location.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
+		Blocks: c.blocks, Deadline: remaining, AgentZone: c.agent.location.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
 	}
-	at := c.router
-	w.queue.After(latency, func() { at.submit(c, question) })
+	router := c.router
+	w.queue.After(latency, func() { router.submit(c, request) })
 }
 
 func (c *call) chooseRouter() *routerHost {
 	now := c.agent.world.queue.Now()
 	var best membership.Member
-	least := -1
+	lowestPenalty := -1
 	for _, member := range c.agent.rank(c.choice, c.pool) {
 		penalty := 2 * c.tried[member.Node]
 		if c.agent.failed[member.Node] > now {
 			penalty++
 		}
-		if least < 0 || penalty < least {
-			best, least = member, penalty
+		if lowestPenalty < 0 || penalty < lowestPenalty {
+			best, lowestPenalty = member, penalty
 		}
 	}
 	return c.agent.world.routerByNode[best.Node]
@@ -104,7 +104,7 @@
 	c.requestPlacement()
 }
 
-// handleOutcome takes a router's outcome, as the agent process does.
+// handleOutcome handles a router's outcome in the same way as the agent process.
 func (c *call) handleOutcome(outcome placement.Outcome) {
 	switch outcome := outcome.(type) {
 	case placement.Grant:
@@ -139,9 +139,9 @@
 }
 
 func (c *call) report(phase placement.Phase) {
-	at := c.router
+	router := c.router
 	report := placement.AttemptReport{Key: c.grant.Key, Run: c.grant.Run, Phase: phase}
-	c.agent.world.queue.After(latency, func() { at.report(report) })
+	c.agent.world.queue.After(latency, func() { router.report(report) })
 }
 
 func (c *call) handleFirstToken(event enginemodel.StreamEvent) {
@@ -149,10 +149,10 @@
 	c.agent.world.result.recordFirstToken(c, event, c.agent.world.queue.Now()+latency)
 }
 
-func (c *call) end(how requestResult) {
+func (c *call) end(result requestResult) {
 	if !c.ended {
 		c.ended = true
-		c.agent.world.result.recordEnd(c, how)
+		c.agent.world.result.recordEnd(c, result)
 	}
 }
 
--- a/lab/spill/engine.go
+++ b/lab/spill/engine.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// engineHost runs one engine model on the queue.
+// engineHost runs an engine model on the event queue.
 type engineHost struct {
 	world      *world
 	model      *enginemodel.Engine
@@ -19,7 +19,7 @@
 	site       membership.EngineSite
 	streams    map[fleet.StreamID]*call
 	nextStepAt time.Duration
-	// peakStreams is the greatest number of streams that it had at once.
+	// peakStreams is the maximum number of concurrent streams.
 	peakStreams int
 }
 
@@ -43,7 +43,7 @@
 
 func (h *engineHost) id() fleet.EngineID { return fleet.EngineID(h.machine.ID) }
 
-// dispatch takes a granted request that has arrived.
+// dispatch serves the dispatch of a granted request.
 func (h *engineHost) dispatch(c *call, grant placement.Grant) {
 	now := h.world.queue.Now()
 	stream := fleet.StreamID(c.request.ID)
@@ -63,7 +63,7 @@
 	h.update()
 }
 
-// update passes on what the model reports and plans its next step.
+// update handles the model's stream events and schedules its next step.
 func (h *engineHost) update() {
 	for _, event := range h.model.TakeStreamEvents() {
 		c := h.streams[event.Stream]
--- a/lab/spill/options.go
+++ b/lab/spill/options.go
@@ -1,7 +1,7 @@
-// Package spill measures a fleet whose engines are shared among routers
-// (index_replicas over 0): the product's placement cores, pool map and prefix
-// affinity over models of engines on a virtual clock. Agents are modelled by
-// what decides the router: rank, affinity, hand-backs and failures.
+// Package spill simulates a fleet whose engines are shared among routers (index_replicas above 0),
+// to compare policies of sharing and spilling. It runs the product's placement cores, pool map and
+// prefix affinity with engine models on a virtual clock. Agents are reduced to router selection:
+// rank, affinity, hand-backs and failures.
 package spill
 
 import (
@@ -10,43 +10,45 @@
 	"github.com/tillerfall/tillerfall/internal/affinity"
 )
 
-// Policy says how engines are shared and routers chosen.
+// Policy selects how engines are assigned to routers and how agents choose routers.
 type Policy struct {
 	Name string
-	// ByPool shares the engines by the pool map; otherwise by rendezvous over
-	// all routers, and agents don't know which routers serve a pool.
+	// ByPool assigns engines by the pool map. Otherwise they are assigned by rendezvous hashing
+	// over all routers, and agents do not know which routers serve a pool.
 	ByPool bool
-	// Spill lets saturated routers hand back.
+	// Spill allows saturated routers to hand requests back.
 	Spill bool
-	// Affinity sets up the agents' tables; it matters with Spill alone.
+	// Affinity configures the agents' affinity tables. It has an effect only with Spill.
 	Affinity affinity.Options
 }
 
-// Policies that are compared.
+// Policies to compare.
 var (
-	// FixedDepth is one key over four blocks, engines shared without regard to
-	// pools and no spill.
+	// FixedDepth uses a single key over four blocks, assigns engines regardless of pools and does
+	// not spill.
 	FixedDepth = Policy{Name: "fixed depth, no spill"}
-	// PoolsOnly adds the pool map.
+	// PoolsOnly adds the pool map to FixedDepth.
 	PoolsOnly = Policy{Name: "by pool, no spill", ByPool: true}
-	// SpillOnly hands back, and replicates by the short key alone.
+	// SpillOnly adds hand-backs by saturated routers, and replicates prefixes by the short key
+	// only.
 	SpillOnly = Policy{Name: "by pool, spill, one key", ByPool: true, Spill: true, Affinity: affinity.Options{Levels: 1}}
-	// DeepKey replicates by one long key, 64 blocks, which tells documents apart.
+	// DeepKey replicates prefixes by a single key over 64 blocks, which differs between documents.
 	DeepKey = Policy{Name: "by pool, spill, one deep key", ByPool: true, Spill: true, Affinity: affinity.Options{FirstDepth: 64, Levels: 1}}
-	// NestedKeys is what the product does.
+	// NestedKeys is the product's policy.
 	NestedKeys = Policy{Name: "by pool, spill, nested keys", ByPool: true, Spill: true}
 )
 
-// RouterChange ends or begins routers at a time.
+// RouterChange crashes or starts routers at a time.
 type RouterChange struct {
 	At time.Duration
-	// Router is the first of Count routers, a step apart.
+	// Router is the index of the first router, Count their number and Step the distance between
+	// their indexes.
 	Router, Count, Step int
-	// Join starts routers that weren't running before; otherwise they die.
+	// Join starts routers that do not run from the beginning; otherwise running ones crash.
 	Join bool
 }
 
-// Options says what to run.
+// Options configures a run.
 type Options struct {
 	Policy   Policy
 	Replicas int
@@ -54,28 +56,28 @@
 
 	Routers int
 	Zones   int
-	// Pools have EnginesPerPool engines each, spread over the zones.
+	// Pools is the number of pools, each with EnginesPerPool engines spread over the zones.
 	Pools          int
 	EnginesPerPool int
-	// Agents is the number in each zone.
+	// Agents is the number of agents in each zone.
 	Agents int
 
-	// Rate is the number of requests a second of all agents.
+	// Rate is the number of requests per second from all agents.
 	Rate     float64
 	Duration time.Duration
-	// Warmup is the first part, whose requests aren't measured.
+	// Warmup is the initial part of the run whose requests are not measured.
 	Warmup time.Duration
-	// HotShare is the part of a pool's requests with its hottest prefix.
+	// HotShare is the fraction of a pool's requests that have its hottest prefix.
 	HotShare float64
 	// Documents is the number of long documents of each tenant and pool.
 	Documents int
-	// CacheBlocks is the memory of each engine, in blocks of 16 tokens.
+	// CacheBlocks is the cache size of each engine, in blocks of 16 tokens.
 	CacheBlocks   int
 	RouterChanges []RouterChange
 }
 
-// DefaultOptions returns 16 routers before 240 engines in 3 pools and 4 zones.
-// In each pool one prefix has more requests than one router's engines take.
+// DefaultOptions returns a fleet of 16 routers and 240 engines in 3 pools and 4 zones. In each pool
+// the load of the hottest prefix exceeds the capacity of one router's engines.
 func DefaultOptions() Options {
 	return Options{
 		Policy: NestedKeys, Replicas: 1, Seed: 1,
@@ -85,13 +87,13 @@
 	}
 }
 
-// Times of the model.
+// Latencies, intervals and limits of the model.
 const (
-	latency           = 500 * time.Microsecond // one way between any two processes
+	latency           = 500 * time.Microsecond // one way, between any two processes
 	pollInterval      = 100 * time.Millisecond
 	loadLag           = 200 * time.Millisecond
 	eventDelay        = 200 * time.Millisecond
-	detectionDelay    = 2 * time.Second // from a death until the members know
+	detectionDelay    = 2 * time.Second // from a crash until the membership changes
 	connectTimeout    = 50 * time.Millisecond
 	routerBackoff     = time.Second
 	requestTimeout    = 10 * time.Second
--- a/lab/spill/result.go
+++ b/lab/spill/result.go
@@ -17,24 +17,25 @@
 	resultFailed
 )
 
-// Result is what was measured after the warm-up.
+// Result holds the measurements of a run. Unless noted otherwise they cover the requests after the
+// warm-up.
 type Result struct {
 	Requests int
 	Finished int
 	Refused  int
 	Failed   int
-	// PromptTokens and CachedTokens are those of the requests with a first token.
+	// PromptTokens and CachedTokens are summed over the requests that produced a first token.
 	PromptTokens int
 	CachedTokens int
-	// SaturatedHandBacks and Useless count the hand-backs by busy routers and by routers
-	// without an engine of the pool.
+	// SaturatedHandBacks and UnservedHandBacks count the hand-backs by saturated routers and by
+	// routers without an engine of the pool.
 	SaturatedHandBacks int
 	UnservedHandBacks  int
-	// TotalFailed counts the requests that weren't placed, the warm-up included.
+	// TotalFailed counts the failed requests, including those of the warm-up.
 	TotalFailed int
-	// Snapshots counts the caches that were read whole, the warm-up included.
+	// Snapshots counts the cache snapshots that were read, including those of the warm-up.
 	Snapshots int
-	// PeakStreams is the greatest number of streams at one engine.
+	// PeakStreams is the maximum number of concurrent streams at any engine.
 	PeakStreams int
 
 	warmup            time.Duration
@@ -52,8 +53,8 @@
 	r.timesToFirstToken = append(r.timesToFirstToken, at-c.request.At)
 }
 
-func (r *Result) recordEnd(c *call, how requestResult) {
-	if how == resultFailed {
+func (r *Result) recordEnd(c *call, result requestResult) {
+	if result == resultFailed {
 		r.TotalFailed++
 	}
 	if !r.isMeasured(c) {
@@ -62,7 +63,7 @@
 	r.Requests++
 	r.SaturatedHandBacks += c.saturatedHandBacks
 	r.UnservedHandBacks += c.unservedHandBacks
-	switch how {
+	switch result {
 	case resultFinished:
 		r.Finished++
 	case resultRefused:
@@ -72,15 +73,16 @@
 	}
 }
 
-// HitRate is the part of the prompt tokens that engines had cached.
+// HitRate returns the fraction of prompt tokens that engines had cached.
 func (r *Result) HitRate() float64 { return ratio(r.CachedTokens, r.PromptTokens) }
 
-// HandBacksPerRequest is the number of hand-backs a request.
+// HandBacksPerRequest returns the mean number of hand-backs per request.
 func (r *Result) HandBacksPerRequest() float64 {
 	return ratio(r.SaturatedHandBacks+r.UnservedHandBacks, r.Requests)
 }
 
-// TimeToFirstToken returns a quantile of the time to the first token.
+// TimeToFirstToken returns a quantile, from 0 to 1, of the time to the first token; 0 without
+// measurements.
 func (r *Result) TimeToFirstToken(quantile float64) time.Duration {
 	if len(r.timesToFirstToken) == 0 {
 		return 0
@@ -89,7 +91,9 @@
 	return r.timesToFirstToken[min(int(quantile*float64(len(r.timesToFirstToken))), len(r.timesToFirstToken)-1)]
 }
 
-// String is a row of a table.
+// String formats the result as a table row: requests, hit rate, saturated and unserved hand-backs
+// and unsuccessful requests per request, and the quantiles 0.5, 0.95 and 0.99 of the time to the
+// first token in milliseconds.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d | %.3f | %.3f | %.3f | %.3f | %d | %d | %d", r.Requests, r.HitRate(),
 		ratio(r.SaturatedHandBacks, r.Requests), ratio(r.UnservedHandBacks, r.Requests), ratio(r.Refused+r.Failed, r.Requests),
--- a/lab/spill/router.go
+++ b/lab/spill/router.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/placement"
 )
 
-// routerHost runs one router's core on the queue.
+// routerHost runs a router's placement core on the event queue.
 type routerHost struct {
 	world      *world
 	member     membership.Member
@@ -21,7 +21,7 @@
 	nextTickAt time.Duration
 }
 
-// start begins a run with an empty core that owns nothing.
+// start starts the router with an empty core that owns no engines.
 func (r *routerHost) start() {
 	w := r.world
 	options := placement.Options{Node: r.member.Node, Zone: r.member.Zone, Random: w.newRandom()}
@@ -39,17 +39,17 @@
 	w.queue.After(w.jitter(pollInterval), r.poll)
 }
 
-// crash ends a run: the questions that wait there fail, its grants stay.
+// crash ends the router. Its pending placement calls fail; its grants remain valid.
 func (r *routerHost) crash() {
 	r.alive = false
-	waiting := r.pending
+	pending := r.pending
 	r.pending = nil
-	for _, c := range sortedCalls(waiting) {
+	for _, c := range sortedCalls(pending) {
 		r.world.queue.After(latency, c.handleRouterFailure)
 	}
 }
 
-// updateOwned takes over a view of the routers.
+// updateOwned sets the router's engines by an assignment of owners.
 func (r *routerHost) updateOwned(owners func(*engineHost) []fleet.NodeID) {
 	r.owned = nil
 	ids := make(map[fleet.EngineID]bool)
@@ -71,8 +71,8 @@
 	r.world.queue.After(r.world.jitter(pollInterval), r.poll)
 }
 
-// observe reads the owned engines' status, cache events and, where wanted,
-// whole caches.
+// observe reads the status and cache events of the owned engines, and the cache snapshots that the
+// core needs.
 func (r *routerHost) observe() {
 	r.updateCore(func(now time.Duration) {
 		for _, host := range r.owned {
@@ -90,7 +90,7 @@
 	})
 }
 
-// updateCore runs a step on the core, delivers its outcomes and plans its next wake.
+// updateCore applies a step to the core, delivers its outcomes and schedules its next tick.
 func (r *routerHost) updateCore(step func(now time.Duration)) {
 	now := r.world.queue.Now()
 	step(now)
@@ -122,7 +122,7 @@
 	})
 }
 
-// submit takes a question that has arrived.
+// submit serves a placement call.
 func (r *routerHost) submit(c *call, request placement.Request) {
 	if !r.alive {
 		r.world.queue.After(connectTimeout, c.handleRouterFailure)
--- a/lab/spill/workload.go
+++ b/lab/spill/workload.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Shape of the prompts: a short beginning that a tenant's prompts have in
-// common, one of its long documents, and a question.
+// Shape of the requests. A prompt consists of a system prompt shared by a tenant's requests in a
+// pool, one of the tenant's long documents and a question.
 const (
 	blockTokens    = 16
 	tenantCount    = 8
@@ -35,30 +35,30 @@
 	return fleet.TenantName(fmt.Sprintf("tenant-%d", tenant))
 }
 
-// newDocument is the configuration of the fleet.
+// newDocument returns the configuration of the fleet.
 func newDocument(pools int) config.Document {
-	made := config.Document{
+	document := config.Document{
 		Revision: 1,
 		Classes:  []config.Class{{Name: class, MaxWait: config.Duration(maxWait)}},
 	}
 	for tenant := range tenantCount {
-		made.Tenants = append(made.Tenants, config.Tenant{
+		document.Tenants = append(document.Tenants, config.Tenant{
 			Name: tenantName(tenant), KeyHashes: []string{fmt.Sprintf("%064x", tenant+1)}, Weight: 1,
 			Classes: []fleet.ClassName{class}, MaxConcurrent: 1 << 20, MaxWaiting: 1 << 20,
 		})
 	}
 	for pool := range pools {
-		made.Pools = append(made.Pools, config.Pool{Name: poolName(pool), MaxStreams: maxStreams, MaxLoads: 1})
-		made.Models = append(made.Models, config.Model{
+		document.Pools = append(document.Pools, config.Pool{Name: poolName(pool), MaxStreams: maxStreams, MaxLoads: 1})
+		document.Models = append(document.Models, config.Model{
 			Name: modelVersion(pool).Model, Pool: poolName(pool),
 			MaxPromptTokens: 1 << 20, MaxOutputTokens: 4096, BlockTokens: blockTokens,
 			Versions: []config.Version{{Name: "v1", State: config.VersionServing}},
 		})
 	}
-	return made
+	return document
 }
 
-// generator draws requests.
+// generator draws random requests.
 type generator struct {
 	random    *rand.Rand
 	tenants   *rand.Zipf
--- a/lab/spill/world.go
+++ b/lab/spill/world.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/lab/eventqueue"
 )
 
-// world is one run under way.
+// world is the state of one run.
 type world struct {
 	options      Options
 	queue        *eventqueue.Queue
@@ -24,13 +24,13 @@
 	routers      []*routerHost
 	routerByNode map[fleet.NodeID]*routerHost
 	agents       []*agentHost
-	// members and pools are what everyone knows of the routers.
+	// members and pools are the view of the routers that all agents share.
 	members []membership.Member
 	pools   *membership.PoolMap
 	result  *Result
 }
 
-// Run carries out one run. Equal options give equal results.
+// Run simulates one run. Equal options give equal results.
 func Run(options Options) (*Result, error) {
 	view, err := config.NewView(newDocument(options.Pools))
 	if err != nil {
@@ -79,17 +79,17 @@
 	}
 }
 
-// startRouters starts those that don't join later and plans the failures.
+// startRouters starts the routers that do not join later and schedules the router changes.
 func (w *world) startRouters() {
-	late := make(map[int]bool)
-	for _, failure := range w.options.RouterChanges {
-		for _, number := range failure.routers() {
-			late[number] = late[number] || failure.Join
+	joining := make(map[int]bool)
+	for _, change := range w.options.RouterChanges {
+		for _, number := range change.routers() {
+			joining[number] = joining[number] || change.Join
 		}
-		w.queue.At(failure.At, func() { w.applyRouterChange(failure) })
+		w.queue.At(change.At, func() { w.applyRouterChange(change) })
 	}
 	for number, host := range w.routers {
-		if !late[number] {
+		if !joining[number] {
 			host.start()
 		}
 	}
@@ -104,9 +104,9 @@
 	return numbers
 }
 
-func (w *world) applyRouterChange(failure RouterChange) {
-	for _, number := range failure.routers() {
-		if failure.Join {
+func (w *world) applyRouterChange(change RouterChange) {
+	for _, number := range change.routers() {
+		if change.Join {
 			w.routers[number].start()
 		} else {
 			w.routers[number].crash()
@@ -115,8 +115,8 @@
 	w.queue.After(detectionDelay, w.shareEngines)
 }
 
-// shareEngines tells everyone of the routers that are alive. Routers learn of
-// it one after the other, so that engines have two owners or none meanwhile.
+// shareEngines assigns the engines to the live routers. Routers apply the assignment at different
+// times, during which an engine may have two owners or none.
 func (w *world) shareEngines() {
 	w.members = nil
 	for _, host := range w.routers {
@@ -147,7 +147,8 @@
 	}
 }
 
-// propagationDelay is how much later than others a router learns of a change.
+// propagationDelay returns a random delay, up to a second, until a router learns of a change; 0 at
+// the start of the run.
 func (w *world) propagationDelay() time.Duration {
 	if w.queue.Now() == 0 {
 		return 0
@@ -155,7 +156,7 @@
 	return time.Duration(w.queue.Random().Int64N(int64(time.Second)))
 }
 
-// scheduleArrival plans the next request; the times between them are exponential.
+// scheduleArrival schedules the next request, with exponentially distributed gaps.
 func (w *world) scheduleArrival(from *generator) {
 	gap := time.Duration(w.queue.Random().ExpFloat64() / w.options.Rate * float64(time.Second))
 	if w.queue.Now()+gap >= w.options.Duration {
@@ -172,7 +173,7 @@
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// jitter returns a time between three quarters of mean and five quarters.
+// jitter returns a random time between 3/4 and 5/4 of mean.
 func (w *world) jitter(mean time.Duration) time.Duration {
 	return mean*3/4 + time.Duration(w.queue.Random().Int64N(int64(mean/2+1)))
 }
