--- a/lab/eventqueue/eventqueue_test.go
+++ b/lab/eventqueue/eventqueue_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// TestEventsPlannedByEventsKeepTheOrder guards against a wrong order or clock when events schedule
+// TestEventsScheduledByEventsKeepOrder guards against a wrong order or clock when events schedule
 // further events.
-func TestEventsPlannedByEventsKeepTheOrder(t *testing.T) {
+func TestEventsScheduledByEventsKeepOrder(t *testing.T) {
 	queue := New(1)
 	var ran []string
 	queue.After(2, func() { ran = append(ran, "late") })
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -28,8 +28,8 @@
 	return found
 }
 
-// TestCheckersFindWhatIsWrong guards against checkers that miss a violation.
-func TestCheckersFindWhatIsWrong(t *testing.T) {
+// TestCheckersDetectViolations guards against checkers that miss a violation.
+func TestCheckersDetectViolations(t *testing.T) {
 	run := fleet.EngineRun{Engine: "e", Incarnation: 1}
 	once := Requested{Request: "r", Tenant: "t", MaxTokens: 2}
 	tests := map[string]struct {
@@ -51,7 +51,7 @@
 		"request interrupted by a stop": {
 			record(NodeStopping{Node: "n"}, once, Failed{Request: "r", Code: resultcode.NoRouter}), PlannedStop,
 		},
-		"dispatch to a leaving engine": {leavingTooLong(run), LeavingEngine},
+		"dispatch to a leaving engine": {dispatchAfterLeaving(run), LeavingEngine},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-func leavingTooLong(run fleet.EngineRun) *History {
+func dispatchAfterLeaving(run fleet.EngineRun) *History {
 	history := record(EngineLeaving{Run: run, Source: OperatorSource})
 	history.Add(DefaultLimits().Leaving+time.Second, Accepted{Run: run, Granted: run})
 	history.End = time.Minute
@@ -76,8 +76,8 @@
 	assert.Empty(t, Check(history, DefaultLimits()))
 }
 
-// TestFaultsGiveTime guards against limits that count time with active faults.
-func TestFaultsGiveTime(t *testing.T) {
+// TestFaultsExtendTimeLimits guards against limits that count time with active faults.
+func TestFaultsExtendTimeLimits(t *testing.T) {
 	history := record(FaultBegan{Fault: 1}, FaultBegan{Fault: 2}, FaultEnded{Fault: 1}, FaultEnded{Fault: 2})
 	faults := faultIntervals(history)
 	require.Equal(t, []interval{{from: 0, to: 3 * time.Second}}, faults)
--- a/lab/simulation/agent.go
+++ b/lab/simulation/agent.go
@@ -175,7 +175,7 @@
 
 func (a *agent) rankedSeeds(key uint64) []fleet.Address {
 	var seeds []membership.Member
-	for _, address := range a.world.seeds() {
+	for _, address := range a.world.seedAddresses() {
 		seeds = append(seeds, membership.Member{Node: fleet.NodeID(address), Address: address, State: membership.Alive})
 	}
 	var addresses []fleet.Address
--- a/lab/simulation/peers.go
+++ b/lab/simulation/peers.go
@@ -19,7 +19,7 @@
 	})
 	r.dissemination = membership.NewDissemination(membership.DisseminationOptions{Random: random})
 	r.routable = nil
-	r.sendPeers(r.members.Join(r.now(), r.world.seeds()))
+	r.sendPeers(r.members.Join(r.now(), r.world.seedAddresses()))
 }
 
 // sendPeers sends messages to other routers and schedules the next tick.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -50,9 +50,9 @@
 	return count
 }
 
-// TestReplayIsTheSameByteForByte guards against nondeterminism: equal seeds must give equal
+// TestEqualSeedsGiveEqualTimelines guards against nondeterminism: equal seeds must give equal
 // timelines.
-func TestReplayIsTheSameByteForByte(t *testing.T) {
+func TestEqualSeedsGiveEqualTimelines(t *testing.T) {
 	for seed := range uint64(4) {
 		var first, second bytes.Buffer
 		_, err := Report(&first, Options{Seed: seed + 1})
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(addresses) == 0 || !a.contacted {
-		addresses = append(addresses, a.world.seeds()...)
+		addresses = append(addresses, a.world.seedAddresses()...)
 	}
 	a.rotation++
 	next := a.rotation % len(addresses)
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -91,7 +91,7 @@
 
 func (w *world) zone(index int) fleet.ZoneName { return zones[index%len(zones)] }
 
-func (w *world) seeds() []fleet.Address {
+func (w *world) seedAddresses() []fleet.Address {
 	addresses := make([]fleet.Address, 0, len(w.routers))
 	for _, r := range w.routers {
 		addresses = append(addresses, r.address)
--- a/lab/spill/spill_test.go
+++ b/lab/spill/spill_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestFailuresOfRoutersLoseNoRequestAndLittleCache guards against failed requests and cache misses
+// TestRouterChangesLoseNoRequestAndLittleCache guards against failed requests and cache misses
 // while engines change owner after routers crash or join.
-func TestFailuresOfRoutersLoseNoRequestAndLittleCache(t *testing.T) {
+func TestRouterChangesLoseNoRequestAndLittleCache(t *testing.T) {
 	const at = 3 * time.Second
 	baseline, err := Run(smallOptions())
 	require.NoError(t, err)
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestTwoOwnersKeepTheBoundOnStreams guards against overloaded engines while two routers own the
+// TestTwoOwnersRespectStreamLimit guards against overloaded engines while two routers own the
 // same full engine.
-func TestTwoOwnersKeepTheBoundOnStreams(t *testing.T) {
+func TestTwoOwnersRespectStreamLimit(t *testing.T) {
 	options := smallOptions(RouterChange{At: 3 * time.Second, Router: 1, Count: 3, Step: 2, Join: true})
 	options.Rate, options.HotShare = 900, 0.7
 	measured, err := Run(options)
@@ -67,9 +67,9 @@
 	assert.Equal(t, first, second)
 }
 
-// TestHotPrefixUsesMoreThanOneRouter guards against refusing or delaying the requests of a hot
+// TestHotPrefixIsSpilledToMoreRouters guards against refusing or delaying the requests of a hot
 // prefix that exceeds one router's capacity instead of spilling them.
-func TestHotPrefixUsesMoreThanOneRouter(t *testing.T) {
+func TestHotPrefixIsSpilledToMoreRouters(t *testing.T) {
 	run := func(policy Policy) *Result {
 		options := smallOptions()
 		options.Policy, options.Rate, options.HotShare = policy, 640, 0.7
