--- a/lab/simulation/placementcalls.go
+++ b/lab/simulation/placementcalls.go
@@ -81,9 +81,9 @@
 	c.duplicateLater(event)
 }
 
-// handleRefusal treats a refusal for lack of a configuration as a hand-back. It also retries a
-// request whose version was retired while it waited with the current version, if no output has been
-// produced.
+// handleRefusal treats a refusal for lack of a configuration as a hand-back. If the request's
+// version was retired while it waited and no output has been produced, the request continues with
+// the current version.
 func (c *inFlightRequest) handleRefusal(action attempt.RequestPlacement, router *routerState, refusal placement.Refusal) {
 	handBack := attempt.Redirected{Operation: action.Operation}
 	switch refusal.Code {
--- a/lab/simulation/sync.go
+++ b/lab/simulation/sync.go
@@ -65,8 +65,8 @@
 	return targets
 }
 
-// sync exchanges state with a router, and a second time if its answer shows that the router lacks
-// state which the agent has.
+// sync exchanges state with a router, and a second time if the answer shows that the router is
+// missing a configuration or machines that the agent has.
 func (a *agent) sync(router *routerState) { a.exchange(router, true) }
 
 func (a *agent) exchange(router *routerState, retry bool) {
