--- a/lab/history/calm.go
+++ b/lab/history/faultintervals.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// interval is a stretch of virtual time.
+// interval is an interval of virtual time.
 type interval struct{ from, to time.Duration }
 
-// disturbances returns the merged times at which some fault lasted, in order.
-func disturbances(history *History) []interval {
+// faultIntervals returns the merged intervals in which a fault was active, in order.
+func faultIntervals(history *History) []interval {
 	var merged []interval
 	open := make(map[int]bool)
 	for _, entry := range history.Entries {
@@ -26,10 +26,10 @@
 	return merged
 }
 
-// overdue returns when a thing that takes at most limit without a fault is
-// overdue, if it begins at a time: the end of the first stretch of that length
-// without a fault; false if the run has none.
-func overdue(history *History, faults []interval, from, limit time.Duration) (time.Duration, bool) {
+// dueTime returns when an operation that starts at from must be done if it takes at most limit
+// without faults: the end of the first fault-free interval of that length. It returns false if the
+// run ends earlier.
+func dueTime(history *History, faults []interval, from, limit time.Duration) (time.Duration, bool) {
 	for _, fault := range faults {
 		if fault.to <= from {
 			continue
@@ -42,8 +42,8 @@
 	return from + limit, from+limit <= history.End
 }
 
-// calm tells whether no fault lasted in a stretch.
-func calm(faults []interval, from, to time.Duration) bool {
+// isFaultFree reports whether no fault was active in an interval.
+func isFaultFree(faults []interval, from, to time.Duration) bool {
 	for _, fault := range faults {
 		if fault.from <= to && fault.to >= from {
 			return false
--- a/lab/history/leaving.go
+++ b/lab/history/leaving.go
@@ -7,15 +7,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// OperatorSource is the source of EngineLeaving events that an operator's drain
-// or retirement causes.
+// OperatorSource is the source of EngineLeaving events caused by an operator's drain or retirement.
 const OperatorSource = "operator"
 
-// leavingRun tells since when a run is known to leave, by source.
-type leavingRun map[string]time.Duration
+// leavingSources maps each source to the time since when it shows a run as leaving.
+type leavingSources map[string]time.Duration
 
-// first returns the earliest word that the run leaves.
-func (l leavingRun) first() (source string, since time.Duration, leaving bool) {
+// earliest returns the source that first showed the run as leaving.
+func (l leavingSources) earliest() (source string, since time.Duration, leaving bool) {
 	for candidate, at := range l {
 		if !leaving || at < since || (at == since && candidate < source) {
 			source, since, leaving = candidate, at, true
@@ -24,17 +23,17 @@
 	return source, since, leaving
 }
 
-// checkLeavingEngine checks that a run which is known to leave accepts no
-// dispatch after a few seconds.
+// checkLeavingEngine checks that a run which is known to be leaving accepts no dispatch after the
+// limit.
 func checkLeavingEngine(history *History, limits Limits) []Violation {
 	var violations []Violation
-	runs := make(map[fleet.EngineRun]leavingRun)
-	faults := disturbances(history)
+	runs := make(map[fleet.EngineRun]leavingSources)
+	faults := faultIntervals(history)
 	for _, entry := range history.Entries {
 		switch event := entry.Event.(type) {
 		case EngineLeaving:
 			if runs[event.Run] == nil {
-				runs[event.Run] = make(leavingRun)
+				runs[event.Run] = make(leavingSources)
 			}
 			if _, known := runs[event.Run][event.Source]; !known {
 				runs[event.Run][event.Source] = entry.At
@@ -42,12 +41,12 @@
 		case EngineAdmitted:
 			delete(runs[event.Run], OperatorSource)
 		case Accepted:
-			source, since, leaving := runs[event.Run].first()
-			due, within := overdue(history, faults, since, limits.Leaving)
+			source, since, leaving := runs[event.Run].earliest()
+			due, within := dueTime(history, faults, since, limits.Leaving)
 			if leaving && within && entry.At > due {
 				violations = append(violations, Violation{
 					Invariant: LeavingEngine, At: entry.At,
-					Message: fmt.Sprintf("%v, leaving since %.6f (%s), got stream %s", event.Run, since.Seconds(), source, event.Stream),
+					Message: fmt.Sprintf("%v, leaving since %.6f (%s), accepted stream %s", event.Run, since.Seconds(), source, event.Stream),
 				})
 			}
 		}
--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// helperVariable has the test binary print hosts and wait for its input to end.
+// helperVariable makes the test binary print hosts and then wait until its standard input is
+// closed.
 const helperVariable = "LOOPBACK_HELPER"
 
 func TestMain(m *testing.M) {
@@ -28,7 +29,7 @@
 	_, _ = os.Stdin.Read(make([]byte, 1))
 }
 
-// TestNoTwoProcessesHaveTheSameHost, whose numbers begin at the same place.
+// TestNoTwoProcessesHaveTheSameHost guards against processes that claim the same address.
 func TestNoTwoProcessesHaveTheSameHost(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 4 {
@@ -58,11 +59,13 @@
 	assert.True(t, net.ParseIP(own).IsLoopback())
 }
 
+// TestHostsAreValid guards against addresses outside the loopback range and with a last byte of 0
+// or 255.
 func TestHostsAreValid(t *testing.T) {
-	for _, number := range []int{0, 253, 254, hostsOfNetwork - 1, hostsOfNetwork, networks*hostsOfNetwork - 1, networks * hostsOfNetwork} {
-		assert.True(t, net.ParseIP(hostOf(number)).IsLoopback(), hostOf(number))
+	for _, number := range []int{0, 253, 254, hostsPerNetwork - 1, hostsPerNetwork, networks*hostsPerNetwork - 1, networks * hostsPerNetwork} {
+		assert.True(t, net.ParseIP(hostAddress(number)).IsLoopback(), hostAddress(number))
 	}
-	assert.Equal(t, hostOf(0), hostOf(networks*hostsOfNetwork))
-	assert.Equal(t, "127.64.0.1", hostOf(0))
-	assert.Equal(t, "127.127.255.254", hostOf(networks*hostsOfNetwork-1))
+	assert.Equal(t, hostAddress(0), hostAddress(networks*hostsPerNetwork))
+	assert.Equal(t, "127.64.0.1", hostAddress(0))
+	assert.Equal(t, "127.127.255.254", hostAddress(networks*hostsPerNetwork-1))
 }
--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -9,73 +9,73 @@
 )
 
 // dispatch starts a stream at an engine.
-func (c *carrier) dispatch(action attempt.Dispatch) {
+func (c *inFlightRequest) dispatch(action attempt.Dispatch) {
 	a := c.agent
 	target := a.world.engineAt(action.Address)
-	incoming := dispatchCall{granted: action.Run, request: engine.DispatchRequest{
-		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, Weights: engine.Weights(c.weights),
+	incoming := dispatchCall{grantedRun: action.Run, request: engine.DispatchRequest{
+		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, Weights: engine.Weights(c.version),
 		Prompt: c.request.prompt, MaxTokens: c.request.maxTokens, Priority: action.Priority, Continuation: action.Continuation,
 	}}
 	if a.world.options.Variant == DropContinuation {
 		incoming.request.Continuation = nil
 	}
-	opened := c.open(target, action.Operation, action.Stream)
+	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.dispatch(incoming, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, outcome callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
-			c.begin(opened, frame)
+			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
-		c.handle(c.dispatchFailure(action.Operation, engineError(answer), how), "")
+		c.handle(c.dispatchFailure(action.Operation, engineError(answer), outcome), "")
 	})
 }
 
-func (c *carrier) dispatchFailure(operation attempt.Operation, rejection *engine.Error, how failure) attempt.Event {
-	if how == refused || (how != answered && c.agent.world.options.Variant == AssumeNotSent) {
+func (c *inFlightRequest) dispatchFailure(operation attempt.Operation, rejection *engine.Error, outcome callOutcome) attempt.Event {
+	if outcome == refused || (outcome != answered && c.agent.world.options.Variant == AssumeNotSent) {
 		return attempt.DispatchNotSent{Operation: operation}
 	}
 	if rejection != nil && rejection.Outcome() == engine.OutcomeRejected {
 		return attempt.DispatchRejected{Operation: operation, Code: rejection.Code, Message: rejection.Message}
 	}
-	return attempt.DispatchUnknown{Operation: operation, TimedOut: how == timedOut}
+	return attempt.DispatchUnknown{Operation: operation, TimedOut: outcome == timedOut}
 }
 
-// open makes the connection of a dispatch or resume.
-func (c *carrier) open(target *engineHost, operation attempt.Operation, stream fleet.StreamID) *connection {
-	if c.reading != nil {
-		c.reading.closed = true
+// openConnection creates the connection of a dispatch or resume and closes the previous one.
+func (c *inFlightRequest) openConnection(target *engineHost, operation attempt.Operation, stream fleet.StreamID) *connection {
+	if c.connection != nil {
+		c.connection.closed = true
 	}
-	c.reading = &connection{engine: target, carrier: c, operation: operation, stream: stream}
-	return c.reading
+	c.connection = &connection{engine: target, inFlight: c, operation: operation, stream: stream}
+	return c.connection
 }
 
-// begin takes the first frame of a connection.
-func (c *carrier) begin(opened *connection, accepted engine.Frame) {
+// startReading handles the first frame of a connection.
+func (c *inFlightRequest) startReading(opened *connection, accepted engine.Frame) {
 	if opened.closed {
 		return
 	}
 	c.handle(attempt.FrameReceived{Operation: opened.operation, Frame: accepted}, accepted.Stream)
-	opened.read()
+	opened.startReading()
 }
 
-// resume reads a stream again from a token on.
-func (c *carrier) resume(action attempt.Resume) {
-	if c.over() {
+// resume reads a stream again from an offset.
+func (c *inFlightRequest) resume(action attempt.Resume) {
+	if c.isFinished() {
 		return
 	}
 	a := c.agent
 	target := a.world.engineAt(action.Address)
-	opened := c.open(target, action.Operation, action.Stream)
+	opened := c.openConnection(target, action.Operation, action.Stream)
 	serve := func(reply func(any) time.Duration) { target.resume(action.Stream, action.Offset, opened, reply) }
-	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, how failure) {
+	a.world.network.call(&a.process, &target.process, headerTimeout, serve, func(answer any, outcome callOutcome) {
 		if frame, accepted := answer.(engine.Frame); accepted {
-			c.begin(opened, frame)
+			c.startReading(opened, frame)
 			return
 		}
 		opened.closed = true
 		rejection := engineError(answer)
-		if how == answered && rejection.Code == engine.ErrorUnknownStream {
+		if outcome == answered && rejection.Code == engine.ErrorUnknownStream {
 			c.handle(attempt.ResumeRejected{Operation: action.Operation, Code: rejection.Code, Incarnation: rejection.Incarnation}, "")
 			return
 		}
@@ -83,22 +83,22 @@
 	})
 }
 
-// Bounds of best-effort cancels.
+// Limits of best-effort cancels.
 const (
-	cancelTries = 3
-	cancelPause = 200 * time.Millisecond
+	cancelAttempts = 3
+	cancelBackoff  = 200 * time.Millisecond
 )
 
-// cancel stops a stream. A best-effort cancel outlives its request and is
-// repeated.
-func (c *carrier) cancel(action attempt.CancelAndFence, try int) {
-	if action.Operation != 0 && c.over() {
+// cancel stops a stream. A best-effort cancel, which has no operation, is retried, also after its
+// request has ended.
+func (c *inFlightRequest) cancel(action attempt.CancelAndFence, number int) {
+	if action.Operation != 0 && c.isFinished() {
 		return
 	}
 	a := c.agent
 	target := a.world.engineAt(action.Address)
 	serve := func(reply func(any) time.Duration) { target.cancel(action.Stream, action.Run.Incarnation, reply) }
-	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ failure) {
+	a.world.network.call(&a.process, &target.process, cancelTimeout, serve, func(answer any, _ callOutcome) {
 		code := engine.ErrorConnectionLost
 		switch answer := answer.(type) {
 		case engine.CancelResponse:
@@ -114,8 +114,8 @@
 			c.handle(attempt.CancelAnswered{Operation: action.Operation, State: engine.CancelNeverRan}, "")
 		case action.Operation != 0:
 			c.handle(attempt.CancelFailed{Operation: action.Operation, Code: code}, "")
-		case code != engine.ErrorWrongIncarnation && try < cancelTries:
-			c.after(cancelPause, func() { c.cancel(action, try+1) })
+		case code != engine.ErrorWrongIncarnation && number < cancelAttempts:
+			c.after(cancelBackoff, func() { c.cancel(action, number+1) })
 		}
 	})
 }
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -7,47 +7,47 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Times of the network.
+// Latencies and timeouts of the network.
 const (
 	localLatency   = 300 * time.Microsecond
 	zoneLatency    = 1500 * time.Microsecond
 	latencyJitter  = 500 * time.Microsecond
 	connectTimeout = 300 * time.Millisecond
-	// lateChance is the probability that a message held up by a cut arrives
-	// after it, rather than never.
-	lateChance = 0.5
+	// delayedDeliveryChance is the probability that a message sent during a partition arrives after
+	// it ends instead of being lost.
+	delayedDeliveryChance = 0.5
 )
 
-// cut blocks one direction between two addresses.
-type cut struct {
+// partition blocks one direction between two addresses.
+type partition struct {
 	from, to fleet.Address
 	until    time.Duration
 }
 
-// slowdown adds up to a delay to each message of one direction.
+// slowdown adds a random delay below maxDelay to each message in one direction.
 type slowdown struct {
 	from, to fleet.Address
 	until    time.Duration
-	most     time.Duration
+	maxDelay time.Duration
 }
 
-// network carries messages between processes. An empty address in a fault
-// stands for every address.
+// network delivers messages between processes. An empty address in a partition or slowdown matches
+// every address.
 type network struct {
-	world *world
-	cuts  []cut
-	slow  []slowdown
+	world      *world
+	partitions []partition
+	slowdowns  []slowdown
 }
 
 func (n *network) now() time.Duration { return n.world.queue.Now() }
 
 func matches(pattern, address fleet.Address) bool { return pattern == "" || pattern == address }
 
-// blockedUntil returns when the last cut of a direction ends; 0 if it is open.
+// blockedUntil returns when the last partition of a direction ends; 0 if it is open.
 func (n *network) blockedUntil(from, to *process) time.Duration {
 	var until time.Duration
-	n.cuts = slices.DeleteFunc(n.cuts, func(c cut) bool { return c.until <= n.now() })
-	for _, c := range n.cuts {
+	n.partitions = slices.DeleteFunc(n.partitions, func(c partition) bool { return c.until <= n.now() })
+	for _, c := range n.partitions {
 		if matches(c.from, from.address) && matches(c.to, to.address) {
 			until = max(until, c.until)
 		}
@@ -60,10 +60,10 @@
 	if from.zone != to.zone {
 		latency += zoneLatency
 	}
-	n.slow = slices.DeleteFunc(n.slow, func(s slowdown) bool { return s.until <= n.now() })
-	for _, s := range n.slow {
+	n.slowdowns = slices.DeleteFunc(n.slowdowns, func(s slowdown) bool { return s.until <= n.now() })
+	for _, s := range n.slowdowns {
 		if matches(s.from, from.address) && matches(s.to, to.address) {
-			latency += time.Duration(n.world.random.Int64N(int64(s.most)))
+			latency += time.Duration(n.world.random.Int64N(int64(s.maxDelay)))
 		}
 	}
 	return latency
@@ -76,54 +76,55 @@
 	if until == 0 {
 		return at, true
 	}
-	return until + at - n.now(), n.world.random.Float64() < lateChance
+	return until + at - n.now(), n.world.random.Float64() < delayedDeliveryChance
 }
 
-// send carries a message one way, if it isn't lost.
+// send delivers a message one way, unless it is lost.
 func (n *network) send(from, to *process, deliver func()) {
 	at, arrives := n.arrival(from, to)
 	if !arrives {
 		return
 	}
-	life := to.life
-	n.world.queue.At(at, func() { to.run(life, deliver) })
+	generation := to.generation
+	n.world.queue.At(at, func() { to.run(generation, deliver) })
 }
 
-// failure tells how a call failed.
-type failure int
+// callOutcome is the way in which a call ended.
+type callOutcome int
 
-// Failures of a call.
+// Outcomes of a call.
 const (
-	// answered means that there was none.
-	answered failure = iota
+	// answered means that the caller received the answer.
+	answered callOutcome = iota
 	// refused means that nothing was sent.
 	refused
 	// broken means that the connection ended after the request was sent.
 	broken
-	// timedOut means that no answer came in time after the request was sent.
+	// timedOut means that no answer arrived in time after the request was sent.
 	timedOut
 )
 
-// call is a request on its way and its answer.
+// call is a request and its answer.
 type call struct {
-	network *network
-	from    *process
-	to      *process
-	life    int
-	over    bool
-	done    func(answer any, how failure)
+	network    *network
+	from       *process
+	to         *process
+	generation int
+	finished   bool
+	done       func(answer any, outcome callOutcome)
 }
 
-// call sends a request, has the target serve it and gives the answer to done,
-// on the caller's process, exactly once, unless that dies first. serve may
-// answer later; it returns when the answer arrives at the caller, or 0.
+// call sends a request, lets the target serve it and passes the answer to done on the caller's
+// process. done is called exactly once, unless the caller's process ends or the call is cancelled
+// first. serve may reply later; reply returns when the answer arrives at the caller, or 0 if it is
+// lost.
 func (n *network) call(
-	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, failure),
+	from, to *process, timeout time.Duration, serve func(reply func(answer any) time.Duration), done func(any, callOutcome),
 ) *call {
-	c := &call{network: n, from: from, to: to, life: from.life, done: done}
+	c := &call{network: n, from: from, to: to, generation: from.generation, done: done}
 	blocked := n.blockedUntil(from, to) > 0
 	switch {
-	case blocked && n.world.random.Float64() < lateChance:
+	case blocked && n.world.random.Float64() < delayedDeliveryChance:
 		c.finishAt(n.now()+min(timeout, connectTimeout), nil, refused)
 		return c
 	case !blocked && !to.alive:
@@ -131,24 +132,24 @@
 		return c
 	}
 	c.finishAt(n.now()+timeout, nil, timedOut)
-	to.watch(c)
-	life := to.life
+	to.trackCall(c)
+	generation := to.generation
 	if at, arrives := n.arrival(from, to); arrives {
-		n.world.queue.At(at, func() { to.run(life, func() { serve(c.reply) }) })
+		n.world.queue.At(at, func() { to.run(generation, func() { serve(c.reply) }) })
 	}
 	return c
 }
 
-// watch notes a call that a death of the process breaks.
-func (p *process) watch(c *call) {
-	const sweepAt = 64
-	if len(p.inbound) >= sweepAt {
-		p.inbound = slices.DeleteFunc(p.inbound, func(other *call) bool { return other.over })
+// trackCall registers a call that breaks if the process ends.
+func (p *process) trackCall(c *call) {
+	const cleanupThreshold = 64
+	if len(p.inbound) >= cleanupThreshold {
+		p.inbound = slices.DeleteFunc(p.inbound, func(other *call) bool { return other.finished })
 	}
 	p.inbound = append(p.inbound, c)
 }
 
-// reply sends the answer and returns when it arrives, or 0.
+// reply sends the answer and returns when it arrives, or 0 if it is lost.
 func (c *call) reply(answer any) time.Duration {
 	at, arrives := c.network.arrival(c.to, c.from)
 	if !arrives {
@@ -158,9 +159,9 @@
 	return at
 }
 
-// broken tells the caller that the connection is gone.
-func (c *call) broken() {
-	if c.over {
+// connectionBroken reports to the caller that the connection is gone.
+func (c *call) connectionBroken() {
+	if c.finished {
 		return
 	}
 	if at, arrives := c.network.arrival(c.to, c.from); arrives {
@@ -168,17 +169,17 @@
 	}
 }
 
-// cancel ends the call for its caller: no answer is given.
-func (c *call) cancel() { c.over = true }
+// cancel abandons the call; done is not called.
+func (c *call) cancel() { c.finished = true }
 
-func (c *call) finishAt(at time.Duration, answer any, how failure) {
+func (c *call) finishAt(at time.Duration, answer any, outcome callOutcome) {
 	c.network.world.queue.At(at, func() {
-		c.from.run(c.life, func() {
-			if c.over {
+		c.from.run(c.generation, func() {
+			if c.finished {
 				return
 			}
-			c.over = true
-			c.done(answer, how)
+			c.finished = true
+			c.done(answer, outcome)
 		})
 	})
 }
--- a/lab/simulation/options.go
+++ b/lab/simulation/options.go
@@ -7,68 +7,69 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// Options sets up a run. Zero fields take their defaults; what a run draws from
-// its seed is drawn by draw.
+// Options configures a run. Zero fields take their defaults, except those that drawOptions draws
+// from the seed.
 type Options struct {
 	Seed uint64
-	// Agents, Routers and Engines are the sizes of the fleet.
+	// Agents, Routers and Engines are the numbers of processes of each kind.
 	Agents  int
 	Routers int
 	Engines int
-	// Rate is the mean number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// Load is how long requests arrive, Duration the length of the run.
-	Load     time.Duration
-	Duration time.Duration
-	// Faults is the greatest number of faults; negative means none at all.
-	Faults int
-	// Only, if not empty, limits the faults to these kinds.
-	Only []FaultKind
-	// Commands is the greatest number of operators' commands.
-	Commands int
-	// Variant breaks one guard, to see that the checkers notice.
+	// LoadDuration is how long requests arrive, Duration the length of the whole run.
+	LoadDuration time.Duration
+	Duration     time.Duration
+	// MaxFaults is the maximum number of faults drawn; each may be injected twice. A negative value
+	// disables faults.
+	MaxFaults int
+	// FaultKinds, if not empty, limits the injected faults to these kinds.
+	FaultKinds []FaultKind
+	// MaxCommands is the maximum number of operator commands.
+	MaxCommands int
+	// Variant disables one safeguard, to test that the checkers detect the resulting violation.
 	Variant Variant
 
-	// CacheBlocks is the cache of one engine; EventDelay, EventLoss and LoadLag
-	// are those of enginemodel.Config.
+	// CacheBlocks is the cache size of each engine; EventDelay, EventLoss and LoadLag are those of
+	// enginemodel.Config.
 	CacheBlocks int
 	EventDelay  time.Duration
 	EventLoss   float64
 	LoadLag     time.Duration
-	// LateRepeats is the probability that an answer comes a second time, late,
-	// CrossedFrames that a frame of another stream comes under an operation.
-	LateRepeats   float64
-	CrossedFrames float64
-	// Slowness multiplies the costs of the engines, RetryBurst bounds the agents'
-	// retry budget and MaxStreams the streams of one engine: a scarce fleet
-	// refuses and gives up more.
-	Slowness   int
-	RetryBurst float64
-	MaxStreams int
+	// DuplicateRate is the probability that an answer is delivered a second time with a delay,
+	// StrayFrameRate that an operation receives a frame of another stream.
+	DuplicateRate  float64
+	StrayFrameRate float64
+	// EngineSlowdown multiplies the step costs of the engines, RetryBurst bounds the agents' retry
+	// budget and MaxStreams the streams of one engine. A fleet with little capacity produces more
+	// refusals and failed requests.
+	EngineSlowdown int
+	RetryBurst     float64
+	MaxStreams     int
 }
 
-// Defaults of Options: the size of the users' smaller fleet.
+// Defaults of Options.
 const (
-	DefaultAgents   = 3
-	DefaultRouters  = 3
-	DefaultEngines  = 12
-	DefaultRate     = 20
-	DefaultLoad     = 14 * time.Second
-	DefaultDuration = 32 * time.Second
-	DefaultFaults   = 6
-	DefaultCommands = 10
+	DefaultAgents       = 3
+	DefaultRouters      = 3
+	DefaultEngines      = 12
+	DefaultRate         = 20
+	DefaultLoadDuration = 14 * time.Second
+	DefaultDuration     = 32 * time.Second
+	DefaultMaxFaults    = 6
+	DefaultMaxCommands  = 10
 )
 
-// Bounds of what a seed draws.
+// Upper bounds of the values that are drawn from the seed.
 const (
-	mostEventDelay    = time.Second
-	mostEventLoss     = 0.3
-	mostLoadLag       = time.Second
-	mostLateRepeats   = 0.02
-	mostCrossedFrames = 0.005
-	mostSlowness      = 5
-	mostRetryBurst    = 20
-	mostStreams       = 16
+	maxEventDelay     = time.Second
+	maxEventLoss      = 0.3
+	maxLoadLag        = time.Second
+	maxDuplicateRate  = 0.02
+	maxStrayFrameRate = 0.005
+	maxEngineSlowdown = 5
+	maxRetryBurst     = 20
+	maxStreamLimit    = 16
 )
 
 func (o Options) withDefaults() Options {
@@ -76,10 +77,10 @@
 	setDefault(&o.Routers, DefaultRouters)
 	setDefault(&o.Engines, DefaultEngines)
 	setDefault(&o.Rate, DefaultRate)
-	setDefault(&o.Load, DefaultLoad)
+	setDefault(&o.LoadDuration, DefaultLoadDuration)
 	setDefault(&o.Duration, DefaultDuration)
-	setDefault(&o.Faults, DefaultFaults)
-	setDefault(&o.Commands, DefaultCommands)
+	setDefault(&o.MaxFaults, DefaultMaxFaults)
+	setDefault(&o.MaxCommands, DefaultMaxCommands)
 	setDefault(&o.CacheBlocks, 512)
 	return o
 }
@@ -91,30 +92,30 @@
 	}
 }
 
-// draw fills in what the seed decides.
-func (w *world) draw() {
+// drawOptions sets the options that depend on the seed.
+func (w *world) drawOptions() {
 	o := &w.options
-	part := func() float64 { return w.random.Float64() }
-	o.EventDelay = time.Duration(part() * float64(mostEventDelay))
-	o.EventLoss = part() * mostEventLoss
-	o.LoadLag = time.Duration(part() * float64(mostLoadLag))
-	o.LateRepeats = part() * mostLateRepeats
-	o.CrossedFrames = part() * mostCrossedFrames
-	o.Slowness = 1 + w.random.IntN(mostSlowness)
-	o.RetryBurst = 1 + part()*mostRetryBurst
-	o.MaxStreams = 1 + w.random.IntN(mostStreams)
+	fraction := func() float64 { return w.random.Float64() }
+	o.EventDelay = time.Duration(fraction() * float64(maxEventDelay))
+	o.EventLoss = fraction() * maxEventLoss
+	o.LoadLag = time.Duration(fraction() * float64(maxLoadLag))
+	o.DuplicateRate = fraction() * maxDuplicateRate
+	o.StrayFrameRate = fraction() * maxStrayFrameRate
+	o.EngineSlowdown = 1 + w.random.IntN(maxEngineSlowdown)
+	o.RetryBurst = 1 + fraction()*maxRetryBurst
+	o.MaxStreams = 1 + w.random.IntN(maxStreamLimit)
 }
 
-// costs makes loads of weights quick enough for several in a run.
+// costs returns the engines' costs. Model versions load fast enough for several loads in one run.
 func (o Options) costs() enginemodel.Costs {
 	costs := enginemodel.DefaultCosts()
 	costs.LoadTime = 300 * time.Millisecond
-	costs.StepBase *= time.Duration(o.Slowness)
-	costs.PrefillPerToken *= time.Duration(o.Slowness)
+	costs.StepBase *= time.Duration(o.EngineSlowdown)
+	costs.PrefillPerToken *= time.Duration(o.EngineSlowdown)
 	return costs
 }
 
-// Names of the fleet's configuration.
+// Names and block size of the fleet's configuration.
 const (
 	model        fleet.ModelName   = "model"
 	firstVersion fleet.VersionName = "v1"
@@ -128,39 +129,41 @@
 	zones    = []fleet.ZoneName{"zone-a", "zone-b", "zone-c"}
 )
 
-// Variant is one guard broken on purpose, in this package's shells only.
+// Variant names a safeguard that is disabled in this package's simulated processes; the product's
+// code is unchanged.
 type Variant string
 
-// Variants, with the guard that each takes away.
+// Variants and what each of them changes.
 const (
-	// Sound breaks nothing.
-	Sound Variant = ""
-	// DispatchToAnyRun drops the incarnation from dispatches.
+	// Unmodified disables nothing.
+	Unmodified Variant = ""
+	// DispatchToAnyRun ignores the incarnation of a dispatch.
 	DispatchToAnyRun Variant = "dispatch-to-any-run"
-	// MixRunsOfEngine takes the cached blocks of an earlier run for the present one's.
+	// MixRunsOfEngine attributes the cached blocks of an earlier engine run to the current one.
 	MixRunsOfEngine Variant = "mix-runs-of-engine"
-	// DropContinuation lets a second engine begin its output anew.
+	// DropContinuation makes a second engine start its output from the beginning.
 	DropContinuation Variant = "drop-continuation"
-	// KeepConfiguration has agents and peers tell restarted routers nothing.
+	// KeepConfiguration makes agents and peers send no configuration to restarted routers.
 	KeepConfiguration Variant = "keep-configuration"
-	// TakeAnyStream takes frames of other streams.
+	// TakeAnyStream accepts frames of other streams.
 	TakeAnyStream Variant = "take-any-stream"
-	// AssumeNotSent takes a dispatch without an answer for one that wasn't sent.
+	// AssumeNotSent treats a dispatch without an answer as one that was not sent.
 	AssumeNotSent Variant = "assume-not-sent"
-	// TrustLostCancel takes a cancel without an answer for one that found nothing.
+	// TrustLostCancel treats a cancel without an answer as one of a stream that never ran.
 	TrustLostCancel Variant = "trust-lost-cancel"
 	// RepeatEverything treats every request as repeatable.
 	RepeatEverything Variant = "repeat-everything"
-	// IgnoreDirectives hides drains and retirements from the routers' cores.
+	// IgnoreDirectives hides drains and retirements from the routers' placement cores.
 	IgnoreDirectives Variant = "ignore-directives"
-	// StopWithoutDrain ends an agent's process at the beginning of its stop.
+	// StopWithoutDrain ends an agent's process as soon as its planned stop begins.
 	StopWithoutDrain Variant = "stop-without-drain"
-	// TakeAnyRevision lets lower revisions replace higher ones.
+	// TakeAnyRevision lets a lower revision replace a higher one.
 	TakeAnyRevision Variant = "take-any-revision"
 	// CommitWithoutCompare drops the comparisons of commits.
 	CommitWithoutCompare Variant = "commit-without-compare"
-	// FenceAtPlan uses the token of the plan without looking at the lease again.
+	// FenceAtPlan sends orders with the fencing token of the plan, without checking the lease
+	// again.
 	FenceAtPlan Variant = "fence-at-plan"
-	// ForgetDeadline never tells a request that its deadline has passed.
+	// ForgetDeadline does not report to a request that its deadline has passed.
 	ForgetDeadline Variant = "forget-deadline"
 )
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -26,7 +26,7 @@
 
 func compareStrings[T ~string](a, b T) int { return cmp.Compare(a, b) }
 
-// startRollout takes part in the lease and plans while it is held.
+// startRollout takes part in the lease election and plans the rollout while holding the lease.
 func (r *router) startRollout() {
 	holder := lease.NewHolderID(r.node, r.world.random.Uint64())
 	election, err := lease.NewElection(leaseSettings, holder, r.world.newRandom())
@@ -35,18 +35,18 @@
 	}
 	r.election = election
 	r.planner = rollout.NewPlanner(rollout.PlannerSettings{UnloadGrace: 3 * time.Second})
-	r.shareLease()
-	r.elect()
-	r.rolloutRound()
+	r.updateEligibility()
+	r.stepElection()
+	r.runRollout()
 }
 
-func (r *router) shareLease() {
+func (r *router) updateEligibility() {
 	candidates := membership.Owners(leaseSettings.Key, r.members.View().Routable(), rolloutCandidates)
 	r.election.SetEligible(slices.Contains(candidates, r.node))
 }
 
-// elect does what the election wants next.
-func (r *router) elect() {
+// stepElection performs the election's next action.
+func (r *router) stepElection() {
 	if r.electing {
 		return
 	}
@@ -55,28 +55,28 @@
 	switch action.Kind {
 	case lease.ActionDone:
 	case lease.ActionWait:
-		r.after(max(action.Until-r.now(), time.Millisecond), r.elect)
+		r.after(max(action.Until-r.now(), time.Millisecond), r.stepElection)
 	case lease.ActionRead:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveRead(leaseSettings.Key, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how failure) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, outcome callOutcome) {
 			r.electing = false
 			row, err := platform.Row{}, platform.ErrUnavailable
-			if how == answered {
+			if outcome == answered {
 				row, err = answer.(tableAnswer).row, answer.(tableAnswer).err
 			}
 			if err := r.election.ReadDone(r.now(), row, err); err != nil {
-				panic(err) // only elections write the row
+				panic(err) // only elections write this row
 			}
-			r.elect()
+			r.stepElection()
 		})
 	case lease.ActionCommit:
 		r.electing = true
 		serve := func(reply func(any) time.Duration) { service.serveCommit(action.Transaction, reply) }
-		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, how failure) {
+		r.world.network.call(&r.process, &service.process, leaseCallTimeout, serve, func(answer any, outcome callOutcome) {
 			r.electing = false
-			r.election.CommitDone(r.now(), commitError(answer, how))
-			r.elect()
+			r.election.CommitDone(r.now(), commitError(answer, outcome))
+			r.stepElection()
 		})
 	}
 }
@@ -87,8 +87,8 @@
 	err error
 }
 
-func commitError(answer any, how failure) error {
-	switch how {
+func commitError(answer any, outcome callOutcome) error {
+	switch outcome {
 	case answered:
 		return answer.(tableAnswer).err
 	case refused:
@@ -98,9 +98,9 @@
 	}
 }
 
-// rolloutRound makes and carries out one plan, if the lease is held.
-func (r *router) rolloutRound() {
-	r.after(rolloutInterval, r.rolloutRound)
+// runRollout periodically makes a plan and sends its orders while the lease is held.
+func (r *router) runRollout() {
+	r.after(rolloutInterval, r.runRollout)
 	token, held := r.election.Fence(r.now())
 	view := r.holder.Current()
 	if !held || view == nil {
@@ -109,10 +109,10 @@
 	document := view.Document()
 	orders := r.planner.Plan(r.now(), &document, r.rolloutEngines())
 	if len(orders) > 0 {
-		r.world.planned(r)
+		r.world.freezePlanner(r)
 	}
 	for position, order := range orders {
-		r.after(time.Duration(position)*orderSpacing, func() { r.order(order, token) })
+		r.after(time.Duration(position)*orderSpacing, func() { r.sendOrder(order, token) })
 	}
 }
 
@@ -124,8 +124,8 @@
 	return engines
 }
 
-// order sends one order, if the lease is still held.
-func (r *router) order(order rollout.Order, planned fleet.FencingToken) {
+// sendOrder sends an order if the lease is still held.
+func (r *router) sendOrder(order rollout.Order, planned fleet.FencingToken) {
 	token, held := r.election.Fence(r.now())
 	if r.world.options.Variant == FenceAtPlan {
 		token, held = planned, true
@@ -136,8 +136,8 @@
 	order.Order.Fence = token
 	host := r.world.engineByID(order.Engine)
 	r.world.record(history.OrderSent{Router: r.node, Engine: order.Engine, Token: token, Kind: order.Order.Kind})
-	serve := func(reply func(any) time.Duration) { host.order(order.Order, reply) }
-	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, failure) {})
+	serve := func(reply func(any) time.Duration) { host.serveOrder(order.Order, reply) }
+	r.world.network.call(&r.process, &host.process, orderTimeout, serve, func(any, callOutcome) {})
 }
 
 // ReadyToPromote implements operator.Readiness.
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -17,7 +17,7 @@
 	"github.com/tillerfall/tillerfall/lab/history"
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	options Options
 	queue   *eventqueue.Queue
@@ -29,32 +29,32 @@
 	routers []*router
 	engines []*engineHost
 
-	faults    int
-	resetRate float64
-	// freezeHolder has the next router that plans orders freeze before it sends any.
-	freezeHolder bool
-	lastFrame    engine.Frame
-	calls        int
-	commands     int
-	racing       bool
-	requests     int
-	hotUntil     time.Duration
+	faultCount int
+	resetRate  float64
+	// freezeNextPlanner makes the next router that plans orders freeze before it sends any.
+	freezeNextPlanner bool
+	lastFrame         engine.Frame
+	commandCalls      int
+	commandCount      int
+	competing         bool
+	requestCount      int
+	hotUntil          time.Duration
 }
 
-// Run carries out one history.
+// Run simulates one run and returns its history.
 func Run(options Options) *history.History {
 	options = options.withDefaults()
 	queue := eventqueue.New(options.Seed)
 	w := &world{options: options, queue: queue, random: queue.Random(), history: &history.History{}}
-	w.draw()
+	w.drawOptions()
 	w.build()
-	w.plan()
+	w.schedule()
 	queue.RunUntil(w.options.Duration)
 	w.history.End = w.options.Duration
 	return w.history
 }
 
-// build makes the fleet and commits its first configuration.
+// build creates the fleet and commits its initial configuration.
 func (w *world) build() {
 	w.network = &network{world: w}
 	w.tables = newTableService(w)
@@ -67,11 +67,11 @@
 	for index := range w.options.Agents {
 		w.agents = append(w.agents, newAgent(w, index))
 	}
-	w.tables.commitFirst(w.firstDocument())
+	w.tables.commitInitial(w.initialDocument())
 	for _, host := range w.engines {
 		host.start()
 	}
-	w.listMachines()
+	w.publishMachines()
 	for _, r := range w.routers {
 		r.start()
 	}
@@ -80,18 +80,18 @@
 	}
 }
 
-// plan draws what happens from outside: requests, commands and faults.
-func (w *world) plan() {
-	w.planRequests()
-	w.planCommands()
-	w.planFaults()
+// schedule draws the external events: requests, commands and faults.
+func (w *world) schedule() {
+	w.scheduleRequests()
+	w.scheduleCommands()
+	w.scheduleFaults()
 }
 
 func (w *world) record(event history.Event) { w.history.Add(w.queue.Now(), event) }
 
 func (w *world) zone(index int) fleet.ZoneName { return zones[index%len(zones)] }
 
-func (w *world) seeds() []fleet.Address {
+func (w *world) seedAddresses() []fleet.Address {
 	addresses := make([]fleet.Address, 0, len(w.routers))
 	for _, r := range w.routers {
 		addresses = append(addresses, r.address)
@@ -118,8 +118,8 @@
 	return w.engines[position]
 }
 
-// informed tells whether some live node has a configuration.
-func (w *world) informed() bool {
+// hasConfiguredNode reports whether some live agent has a configuration.
+func (w *world) hasConfiguredNode() bool {
 	for _, a := range w.agents {
 		if a.alive && a.holder.Current() != nil {
 			return true
@@ -128,15 +128,16 @@
 	return false
 }
 
-// unfounded counts the blocks that a grant counts on and its run never held.
-func (w *world) unfounded(grant placement.Grant, blocks []fleet.BlockHash) int {
+// countNeverCached returns how many of the blocks that a grant expects to be cached were never
+// stored by its engine run.
+func (w *world) countNeverCached(grant placement.Grant, blocks []fleet.BlockHash) int {
 	host := w.engineByID(grant.Run.Engine)
 	if host.model.Incarnation() != grant.Run.Incarnation {
 		return 0
 	}
-	believed := min(grant.ExpectedCachedTokens/max(grant.BlockTokens, 1), len(blocks))
+	expected := min(grant.ExpectedCachedTokens/max(grant.BlockTokens, 1), len(blocks))
 	count := 0
-	for _, hash := range blocks[:believed] {
+	for _, hash := range blocks[:expected] {
 		if !host.model.EverStored(hash) {
 			count++
 		}
@@ -144,7 +145,7 @@
 	return count
 }
 
-// digest identifies the contents of a configuration.
+// digest returns a hash of the contents of a configuration.
 func (w *world) digest(document config.Document) uint64 {
 	encoded, err := json.Marshal(config.Canonical(document))
 	if err != nil {
@@ -153,8 +154,8 @@
 	return xxhash.Sum64(encoded)
 }
 
-// listMachines gives the platform the true list of machines.
-func (w *world) listMachines() {
+// publishMachines sets the platform's list of machines to the actual state.
+func (w *world) publishMachines() {
 	machines := make([]platform.Machine, 0, len(w.engines))
 	for _, host := range w.engines {
 		machines = append(machines, host.machine())
@@ -162,38 +163,39 @@
 	w.tables.model.SetMachines(w.queue.Now(), machines)
 }
 
-// readMachines reads the platform's list as a process sees it.
+// readMachines reads the platform's list of machines for a process; false if it is unreachable.
 func (w *world) readMachines(from *process) ([]platform.Machine, bool) {
-	if w.tables.unreachable(from) {
+	if w.tables.isUnreachable(from) {
 		return nil, false
 	}
 	return w.tables.model.ListMachines(w.queue.Now()), true
 }
 
-// resets tells whether a connection breaks before its next frame.
-func (w *world) resets(*connection) bool {
+// shouldReset reports whether a connection breaks before its next frame.
+func (w *world) shouldReset(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < w.resetRate
 }
 
-// loses tells whether a frame is lost though its connection stays.
-func (w *world) loses(*connection) bool {
+// shouldDrop reports whether a frame is lost while its connection stays open.
+func (w *world) shouldDrop(*connection) bool {
 	return w.resetRate > 0 && w.random.Float64() < lostFrameRate
 }
 
-// strayFrame returns a frame of another request now and then.
+// strayFrame returns, with probability StrayFrameRate, the last token frame if it belongs to
+// another request.
 func (w *world) strayFrame(request fleet.RequestID, frame engine.Frame) (engine.Frame, bool) {
 	last := w.lastFrame
 	if frame.Kind == engine.FrameToken {
 		w.lastFrame = frame
 	}
-	if last.Stream == "" || history.RequestOf(last.Stream) == request || w.random.Float64() >= w.options.CrossedFrames {
+	if last.Stream == "" || history.RequestOfStream(last.Stream) == request || w.random.Float64() >= w.options.StrayFrameRate {
 		return engine.Frame{}, false
 	}
 	return last, true
 }
 
-// firstDocument is the configuration that the fleet starts with.
-func (w *world) firstDocument() config.Document {
+// initialDocument returns the configuration that the fleet starts with.
+func (w *world) initialDocument() config.Document {
 	document := config.Document{
 		Models: []config.Model{{
 			Name: model, Pool: pool, MaxPromptTokens: 1 << 16, MaxOutputTokens: 1 << 10, BlockTokens: blockTokens,
--- a/lab/spill/world.go
+++ b/lab/spill/world.go
@@ -14,7 +14,7 @@
 	"github.com/tillerfall/tillerfall/lab/eventqueue"
 )
 
-// world is one run under way.
+// world is the state of one run.
 type world struct {
 	options      Options
 	queue        *eventqueue.Queue
@@ -24,15 +24,15 @@
 	routers      []*routerHost
 	routerByNode map[fleet.NodeID]*routerHost
 	agents       []*agentHost
-	// members and pools are what everyone knows of the routers.
+	// members and pools are the view of the routers that all agents share.
 	members []membership.Member
 	pools   *membership.PoolMap
 	result  *Result
 }
 
-// Run carries out one run. Equal options give equal results.
+// Run simulates one run. Equal options give equal results.
 func Run(options Options) (*Result, error) {
-	view, err := config.NewView(document(options.Pools))
+	view, err := config.NewView(newDocument(options.Pools))
 	if err != nil {
 		return nil, errors.Wrap(err, "configuration")
 	}
@@ -43,10 +43,10 @@
 		result:       &Result{warmup: options.Warmup},
 	}
 	w.build()
-	w.arrive(newGenerator(options, w.newRandom()))
-	w.queue.RunUntil(options.Duration + deadline)
+	w.scheduleArrival(newGenerator(options, w.newRandom()))
+	w.queue.RunUntil(options.Duration + requestTimeout)
 	for _, host := range w.engines {
-		w.result.MostStreams = max(w.result.MostStreams, host.most)
+		w.result.PeakStreams = max(w.result.PeakStreams, host.peakStreams)
 	}
 	return w.result, nil
 }
@@ -73,30 +73,30 @@
 		table := w.options.Policy.Affinity
 		table.Random = w.newRandom()
 		w.agents = append(w.agents, &agentHost{
-			world: w, near: membership.Location{Zone: zoneName(number % w.options.Zones)},
+			world: w, location: membership.Location{Zone: zoneName(number % w.options.Zones)},
 			table: affinity.New(table), failed: make(map[fleet.NodeID]time.Duration),
 		})
 	}
 }
 
-// startRouters starts those that don't join later and plans the failures.
+// startRouters starts the routers that do not join later and schedules the router changes.
 func (w *world) startRouters() {
-	late := make(map[int]bool)
-	for _, failure := range w.options.Failures {
-		for _, number := range failure.routers() {
-			late[number] = late[number] || failure.Join
+	joining := make(map[int]bool)
+	for _, change := range w.options.RouterChanges {
+		for _, number := range change.routers() {
+			joining[number] = joining[number] || change.Join
 		}
-		w.queue.At(failure.At, func() { w.fail(failure) })
+		w.queue.At(change.At, func() { w.applyRouterChange(change) })
 	}
 	for number, host := range w.routers {
-		if !late[number] {
+		if !joining[number] {
 			host.start()
 		}
 	}
 	w.shareEngines()
 }
 
-func (f Failure) routers() []int {
+func (f RouterChange) routers() []int {
 	var numbers []int
 	for position := range f.Count {
 		numbers = append(numbers, f.Router+position*f.Step)
@@ -104,19 +104,19 @@
 	return numbers
 }
 
-func (w *world) fail(failure Failure) {
-	for _, number := range failure.routers() {
-		if failure.Join {
+func (w *world) applyRouterChange(change RouterChange) {
+	for _, number := range change.routers() {
+		if change.Join {
 			w.routers[number].start()
 		} else {
-			w.routers[number].die()
+			w.routers[number].crash()
 		}
 	}
 	w.queue.After(detectionDelay, w.shareEngines)
 }
 
-// shareEngines tells everyone of the routers that are alive. Routers learn of
-// it one after the other, so that engines have two owners or none meanwhile.
+// shareEngines assigns the engines to the live routers. Routers apply the assignment at different
+// times, during which an engine may have two owners or none.
 func (w *world) shareEngines() {
 	w.members = nil
 	for _, host := range w.routers {
@@ -138,32 +138,33 @@
 	}
 	for _, host := range w.routers {
 		if host.alive {
-			w.queue.After(w.spreadAtStart(), func() {
+			w.queue.After(w.propagationDelay(), func() {
 				if host.alive {
-					host.share(owners)
+					host.updateOwned(owners)
 				}
 			})
 		}
 	}
 }
 
-// spreadAtStart is how much later than others a router learns of a change.
-func (w *world) spreadAtStart() time.Duration {
+// propagationDelay returns a random delay, up to a second, until a router learns of a change; 0 at
+// the start of the run.
+func (w *world) propagationDelay() time.Duration {
 	if w.queue.Now() == 0 {
 		return 0
 	}
 	return time.Duration(w.queue.Random().Int64N(int64(time.Second)))
 }
 
-// arrive plans the next request; the times between them are exponential.
-func (w *world) arrive(from *generator) {
+// scheduleArrival schedules the next request, with exponentially distributed gaps.
+func (w *world) scheduleArrival(from *generator) {
 	gap := time.Duration(w.queue.Random().ExpFloat64() / w.options.Rate * float64(time.Second))
 	if w.queue.Now()+gap >= w.options.Duration {
 		return
 	}
 	w.queue.After(gap, func() {
 		w.agents[w.queue.Random().IntN(len(w.agents))].serve(from.next(w.queue.Now()))
-		w.arrive(from)
+		w.scheduleArrival(from)
 	})
 }
 
@@ -172,7 +173,7 @@
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// jitter returns a time between three quarters of mean and five quarters.
+// jitter returns a random time between 3/4 and 5/4 of mean.
 func (w *world) jitter(mean time.Duration) time.Duration {
 	return mean*3/4 + time.Duration(w.queue.Random().Int64N(int64(mean/2+1)))
 }
