--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -104,7 +104,7 @@
 }
 
 func (h *engineHost) plan() {
-	next, found := h.model.NextStep()
+	next, found := h.model.NextWakeup()
 	if !found || h.down || (h.planned != 0 && h.planned <= next) {
 		return
 	}
--- a/lab/enginemodel/batch_test.go
+++ b/lab/enginemodel/batch_test.go
@@ -15,8 +15,8 @@
 
 func TestStepTimesFollowTheCostModel(t *testing.T) {
 	e := New(testConfig())
-	require.NoError(t, e.Dispatch(0, request(e, "a", promptOf("a", 50), 3)))
-	due, found := e.NextStep()
+	require.NoError(t, e.Dispatch(0, request(e, "a", repeatedPrompt("a", 50), 3)))
+	due, found := e.NextWakeup()
 	require.True(t, found)
 	assert.Equal(t, 15*time.Millisecond, due, "base and 50 prompt tokens")
 	e.Advance(due)
@@ -24,18 +24,18 @@
 	require.NoError(t, err)
 	require.False(t, ended)
 	require.Len(t, frames, 1, "the prompt's last step yields the first token")
-	due, _ = e.NextStep()
+	due, _ = e.NextWakeup()
 	assert.Equal(t, 26*time.Millisecond, due, "base and one output token")
-	assert.Equal(t, 37*time.Millisecond, runDry(e))
-	assert.NoError(t, VerifyOutput(promptOf("a", 50), tokensOf(t, e, "a")))
+	assert.Equal(t, 37*time.Millisecond, runToIdle(e))
+	assert.NoError(t, VerifyOutput(repeatedPrompt("a", 50), outputTokens(t, e, "a")))
 }
 
-func TestLongPromptIsChunkedAndDecodingGoesFirst(t *testing.T) {
+func TestDecodingPrecedesChunkedPrefill(t *testing.T) {
 	e := New(testConfig())
-	require.NoError(t, e.Dispatch(0, request(e, "short", promptOf("s", 8), 4)))
+	require.NoError(t, e.Dispatch(0, request(e, "short", repeatedPrompt("s", 8), 4)))
 	e.Advance(11 * time.Millisecond)
-	require.NoError(t, e.Dispatch(11*time.Millisecond, request(e, "long", promptOf("l", 250), 1)))
-	runDry(e)
+	require.NoError(t, e.Dispatch(11*time.Millisecond, request(e, "long", repeatedPrompt("l", 250), 1)))
+	runToIdle(e)
 	// 242 tokens would fill two and a half steps; the running stream's output
 	// takes its token of the budget in each.
 	counters := e.Counters()
@@ -44,12 +44,12 @@
 	assert.EqualValues(t, 5, counters.Steps)
 }
 
-func TestUrgentWaitingWorkOvertakesWaitingWorkOnly(t *testing.T) {
+func TestPriorityOrdersQueueWithoutPreemption(t *testing.T) {
 	config := testConfig()
 	config.MaxRunning = 1
 	e := New(config)
 	dispatch := func(id fleet.StreamID, priority int) {
-		body := request(e, id, promptOf(string(id[0]), 20), 2)
+		body := request(e, id, repeatedPrompt(string(id[0]), 20), 2)
 		body.Priority = priority
 		require.NoError(t, e.Dispatch(0, body))
 	}
@@ -59,7 +59,7 @@
 	dispatch("desk", 0)
 	var order []fleet.StreamID
 	for {
-		due, found := e.NextStep()
+		due, found := e.NextWakeup()
 		if !found {
 			break
 		}
@@ -71,12 +71,12 @@
 	assert.Equal(t, []fleet.StreamID{"running", "counter", "desk", "batch"}, order)
 }
 
-func TestExpectedPrefixCountsWorkUnderWayOnce(t *testing.T) {
+func TestExpectedPrefixCountsScheduledBlocksOnce(t *testing.T) {
 	e := New(testConfig())
-	text := promptOf("x", 200)
-	hashes := hashesOf("ward", testWeights, text)
+	text := repeatedPrompt("x", 200)
+	hashes := blockHashes("ward", testWeights, text)
 	require.NoError(t, e.Dispatch(0, request(e, "a", text, 1)))
-	require.NoError(t, e.Dispatch(0, request(e, "b", text+promptOf("y", 20), 1)))
+	require.NoError(t, e.Dispatch(0, request(e, "b", text+repeatedPrompt("y", 20), 1)))
 	assert.Zero(t, e.CachedPrefix(hashes))
 	assert.Equal(t, 50, e.ExpectedPrefix(hashes))
 	assert.Equal(t, 220, e.QueuedPrefillTokens())
@@ -88,12 +88,12 @@
 	assert.Equal(t, 25, e.ExpectedPrefix(hashes), "cancelled work isn't expected any more")
 }
 
-func TestContinuationGoesOnFromExactlyTheGivenTokens(t *testing.T) {
-	text := promptOf("c", 40)
+func TestContinuationResumesAfterGivenTokens(t *testing.T) {
+	text := repeatedPrompt("c", 40)
 	first := New(testConfig())
 	require.NoError(t, first.Dispatch(0, request(first, "r.1", text, 10)))
-	runDry(first)
-	sent := tokensOf(t, first, "r.1")[:4]
+	runToIdle(first)
+	sent := outputTokens(t, first, "r.1")[:4]
 
 	config := testConfig()
 	config.ID = "engine-2"
@@ -101,8 +101,8 @@
 	body := request(second, "r.2", text, 10)
 	body.Continuation = sent
 	require.NoError(t, second.Dispatch(0, body))
-	runDry(second)
-	whole := tokensOf(t, second, "r.2")
+	runToIdle(second)
+	whole := outputTokens(t, second, "r.2")
 	require.Len(t, whole, 10)
 	assert.Equal(t, sent, whole[:4])
 	require.NoError(t, VerifyOutput(text, whole))
@@ -115,18 +115,18 @@
 	body.StreamID = "r.3"
 	body.Continuation = whole
 	require.NoError(t, second.Dispatch(second.now, body))
-	assert.Equal(t, whole, tokensOf(t, second, "r.3"), "a whole output ends at once")
+	assert.Equal(t, whole, outputTokens(t, second, "r.3"), "a whole output ends at once")
 }
 
-func TestVerifyOutputFindsWhatIsWrong(t *testing.T) {
-	text := promptOf("v", 12)
+func TestVerifyOutputRejectsBrokenOutput(t *testing.T) {
+	text := repeatedPrompt("v", 12)
 	output := func(id fleet.EngineID, text string) []string {
 		config := testConfig()
 		config.ID = id
 		e := New(config)
 		require.NoError(t, e.Dispatch(0, request(e, "s", text, 8)))
-		runDry(e)
-		return tokensOf(t, e, "s")
+		runToIdle(e)
+		return outputTokens(t, e, "s")
 	}
 	one, two := output("engine-1", text), output("engine-7", text)
 	require.NotEqual(t, one, two)
@@ -134,7 +134,7 @@
 	assert.Error(t, VerifyOutput(text, append(one[:4:4], two[4:]...)), "spliced")
 	assert.Error(t, VerifyOutput(text, append(one[:2:2], one[3:]...)), "gap")
 	assert.Error(t, VerifyOutput(text, append(one[:2:2], one[1:]...)), "repeat")
-	assert.Error(t, VerifyOutput(promptOf("w", 12), one), "another prompt")
+	assert.Error(t, VerifyOutput(repeatedPrompt("w", 12), one), "another prompt")
 	assert.Error(t, VerifyOutput(text, []string{"0a"}), "torn")
 	joined := ""
 	for _, token := range one {
@@ -143,12 +143,12 @@
 	assert.Equal(t, one, SplitOutput(joined))
 }
 
-func TestLoadReportsLag(t *testing.T) {
+func TestReportedLoadLags(t *testing.T) {
 	config := testConfig()
 	config.LoadLag = time.Second
 	e := New(config)
 	e.Advance(5 * time.Second)
-	require.NoError(t, e.Dispatch(5*time.Second, request(e, "a", promptOf("a", 20), 1000)))
+	require.NoError(t, e.Dispatch(5*time.Second, request(e, "a", repeatedPrompt("a", 20), 1000)))
 	assert.Zero(t, e.Status(5900*time.Millisecond).Load.RunningStreams)
 	load := e.Status(6200 * time.Millisecond).Load
 	assert.Equal(t, 1, load.RunningStreams)
@@ -156,9 +156,9 @@
 	assert.Equal(t, 1, e.RunningStreams())
 }
 
-// hashedRun sends a seeded load through one engine and returns its counts and
+// runHashedLoad sends a seeded load through one engine and returns its counts and
 // the digest of its progress.
-func hashedRun(requests int) (Counters, time.Duration) {
+func runHashedLoad(requests int) (Counters, time.Duration) {
 	random := rand.New(rand.NewPCG(7, 7))
 	e := New(Config{ID: "e", Loaded: []engine.Weights{testWeights}, BlockIdleTTL: 5 * time.Second, EventLoss: 0.3})
 	now, total := time.Duration(0), time.Duration(0)
@@ -185,8 +185,8 @@
 }
 
 func TestHashedRunsAreDeterministic(t *testing.T) {
-	counters, total := hashedRun(400)
-	again, totalAgain := hashedRun(400)
+	counters, total := runHashedLoad(400)
+	again, totalAgain := runHashedLoad(400)
 	assert.Equal(t, counters, again)
 	assert.Equal(t, total, totalAgain)
 	assert.Positive(t, counters.HitTokens)
@@ -195,5 +195,5 @@
 
 func BenchmarkHashedRequest(b *testing.B) {
 	b.ReportAllocs()
-	hashedRun(b.N)
+	runHashedLoad(b.N)
 }
--- a/lab/enginemodel/blocks.go
+++ b/lab/enginemodel/blocks.go
@@ -17,9 +17,9 @@
 	idleSince      time.Duration
 }
 
-// anchor is the slab position that closes the list of unpinned blocks: its
+// sentinel is the slab position that closes the list of unpinned blocks: its
 // next is the least recently used.
-const anchor = 0
+const sentinel = 0
 
 // blockStore is the engine's KV memory.
 type blockStore struct {
@@ -30,22 +30,22 @@
 	// pinned blocks are in use by running streams, reserved ones promised.
 	pinned   int
 	reserved int
-	// due counts, for blocks not stored yet, the accepted streams that will
+	// scheduled counts, for blocks not stored yet, the accepted streams that will
 	// compute them.
-	due     map[fleet.BlockHash]int32
-	evicted int
-	events  *eventLog
+	scheduled map[fleet.BlockHash]int32
+	evicted   int
+	events    *eventLog
 	// everStored notes every block that was stored, unless it is nil.
 	everStored map[fleet.BlockHash]struct{}
 }
 
 func newBlockStore(capacity int, events *eventLog) *blockStore {
 	return &blockStore{
-		index:    make(map[fleet.BlockHash]int32),
-		due:      make(map[fleet.BlockHash]int32),
-		slab:     make([]block, 1),
-		capacity: capacity,
-		events:   events,
+		index:     make(map[fleet.BlockHash]int32),
+		scheduled: make(map[fleet.BlockHash]int32),
+		slab:      make([]block, 1),
+		capacity:  capacity,
+		events:    events,
 	}
 }
 
@@ -68,43 +68,43 @@
 // expected returns how many leading hashes are cached or due.
 func (s *blockStore) expected(hashes []fleet.BlockHash) int {
 	for position, hash := range hashes {
-		if _, found := s.index[hash]; !found && s.due[hash] == 0 {
+		if _, found := s.index[hash]; !found && s.scheduled[hash] == 0 {
 			return position
 		}
 	}
 	return len(hashes)
 }
 
-func (s *blockStore) addDue(hashes []fleet.BlockHash) {
+func (s *blockStore) addScheduled(hashes []fleet.BlockHash) {
 	for _, hash := range hashes {
-		s.due[hash]++
+		s.scheduled[hash]++
 	}
 }
 
-func (s *blockStore) removeDue(hashes []fleet.BlockHash) {
+func (s *blockStore) removeScheduled(hashes []fleet.BlockHash) {
 	for _, hash := range hashes {
-		s.due[hash]--
-		if s.due[hash] == 0 {
-			delete(s.due, hash)
+		s.scheduled[hash]--
+		if s.scheduled[hash] == 0 {
+			delete(s.scheduled, hash)
 		}
 	}
 }
 
-// room returns how many more blocks can be pinned or reserved.
-func (s *blockStore) room() int {
+// available returns how many more blocks can be pinned or reserved.
+func (s *blockStore) available() int {
 	return s.capacity - s.pinned - s.reserved
 }
 
 // reserve promises room, which must be there, and evicts to make it real.
 func (s *blockStore) reserve(count int) {
 	s.reserved += count
-	s.shrink()
+	s.evictToFit()
 }
 
-// shrink evicts unpinned blocks until the promises fit.
-func (s *blockStore) shrink() {
-	for len(s.index)+s.reserved > s.capacity && s.slab[anchor].next != anchor {
-		s.evict(s.slab[anchor].next)
+// evictToFit evicts unpinned blocks until the promises fit.
+func (s *blockStore) evictToFit() {
+	for len(s.index)+s.reserved > s.capacity && s.slab[sentinel].next != sentinel {
+		s.evict(s.slab[sentinel].next)
 	}
 }
 
@@ -146,7 +146,7 @@
 // is room beside the pinned ones, and returns how many. The end goes in first,
 // so that the beginning counts as used last.
 func (s *blockStore) storeIdle(hashes []fleet.BlockHash, scope int32, now time.Duration) int {
-	count := max(min(len(hashes), s.room()), 0)
+	count := max(min(len(hashes), s.available()), 0)
 	for i := count - 1; i >= 0; i-- {
 		position, found := s.index[hashes[i]]
 		switch {
@@ -159,7 +159,7 @@
 		}
 		s.slab[position].idleSince = now
 		s.link(position)
-		s.shrink()
+		s.evictToFit()
 	}
 	return count
 }
@@ -167,8 +167,8 @@
 // expire evicts the blocks that have been idle since before a time.
 func (s *blockStore) expire(before time.Duration) {
 	for {
-		oldest := s.slab[anchor].next
-		if oldest == anchor || s.slab[oldest].idleSince > before {
+		oldest := s.slab[sentinel].next
+		if oldest == sentinel || s.slab[oldest].idleSince > before {
 			return
 		}
 		s.evict(oldest)
@@ -204,11 +204,11 @@
 
 // link appends a block to the list as the most recently used.
 func (s *blockStore) link(position int32) {
-	last := s.slab[anchor].previous
+	last := s.slab[sentinel].previous
 	s.slab[position].previous = last
-	s.slab[position].next = anchor
+	s.slab[position].next = sentinel
 	s.slab[last].next = position
-	s.slab[anchor].previous = position
+	s.slab[sentinel].previous = position
 }
 
 func (s *blockStore) unlink(position int32) {
@@ -217,8 +217,8 @@
 	s.slab[entry.next].previous = entry.previous
 }
 
-// owns tells whether a cached block belongs to a scope.
-func (s *blockStore) owns(hash fleet.BlockHash, scope int32) bool {
+// isInScope tells whether a cached block belongs to a scope.
+func (s *blockStore) isInScope(hash fleet.BlockHash, scope int32) bool {
 	position, found := s.index[hash]
 	return found && s.slab[position].scope == scope
 }
--- a/lab/enginemodel/cache_test.go
+++ b/lab/enginemodel/cache_test.go
@@ -21,9 +21,9 @@
 	config := testConfig()
 	config.Loaded = append(config.Loaded, adapter, newer)
 	e := New(config)
-	text := promptOf("p", 40)
+	text := repeatedPrompt("p", 40)
 	require.NoError(t, e.Dispatch(0, request(e, "warm", text, 1)))
-	runDry(e)
+	runToIdle(e)
 	for name, change := range map[string]struct {
 		tenant  fleet.TenantName
 		weights engine.Weights
@@ -37,28 +37,28 @@
 		body := request(e, fleet.StreamID(name), text, 1)
 		body.Tenant, body.Weights = change.tenant, change.weights
 		require.NoError(t, e.Dispatch(e.now, body))
-		runDry(e)
+		runToIdle(e)
 		frames, _, err := e.Frames(body.StreamID, 1)
 		require.NoError(t, err)
 		assert.Equal(t, change.cached, frames[0].CachedTokens, name)
 	}
 }
 
-func TestEvictionTakesTheLeastRecentlyUsedAndNeverPinnedBlocks(t *testing.T) {
+func TestEvictionIsLRUAndSparesPinnedBlocks(t *testing.T) {
 	config := testConfig()
 	config.CacheBlocks = 26
 	e := New(config)
 	text := map[string]string{}
 	for _, letter := range []string{"a", "b", "c"} {
-		text[letter] = promptOf(letter, 40)
+		text[letter] = repeatedPrompt(letter, 40)
 	}
-	cached := func(letter string) int { return e.CachedPrefix(hashesOf("ward", testWeights, text[letter])) }
+	cached := func(letter string) int { return e.CachedPrefix(blockHashes("ward", testWeights, text[letter])) }
 	require.NoError(t, e.Dispatch(0, request(e, "a", text["a"], 1)))
-	runDry(e)
+	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, request(e, "b", text["b"], 1)))
-	runDry(e)
+	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, request(e, "a2", text["a"], 1)))
-	runDry(e)
+	runToIdle(e)
 	// "b" is now the older one. A third prompt takes from its end.
 	require.NoError(t, e.Dispatch(e.now, request(e, "c", text["c"], 20)))
 	e.Advance(e.now + 15*time.Millisecond)
@@ -69,13 +69,13 @@
 	require.NoError(t, e.Dispatch(e.now, request(e, "b2", text["b"], 1)))
 	e.Advance(e.now + 30*time.Millisecond)
 	assert.Equal(t, 10, cached("c"))
-	runDry(e)
-	assert.EqualValues(t, len(e.blocks.index), 26-e.blocks.room()+unpinned(e))
+	runToIdle(e)
+	assert.EqualValues(t, len(e.blocks.index), 26-e.blocks.available()+countUnpinned(e))
 }
 
-func unpinned(e *Engine) int {
+func countUnpinned(e *Engine) int {
 	count := 0
-	for position := e.blocks.slab[anchor].next; position != anchor; position = e.blocks.slab[position].next {
+	for position := e.blocks.slab[sentinel].next; position != sentinel; position = e.blocks.slab[position].next {
 		count++
 	}
 	return count
@@ -85,9 +85,9 @@
 	config := testConfig()
 	config.BlockIdleTTL = 2 * time.Second
 	e := New(config)
-	hashes := hashesOf("ward", testWeights, promptOf("a", 40))
-	require.NoError(t, e.Dispatch(0, request(e, "a", promptOf("a", 40), 200)))
-	ended := runDry(e)
+	hashes := blockHashes("ward", testWeights, repeatedPrompt("a", 40))
+	require.NoError(t, e.Dispatch(0, request(e, "a", repeatedPrompt("a", 40), 200)))
+	ended := runToIdle(e)
 	require.Greater(t, ended, 2*time.Second, "blocks in use don't expire")
 	assert.Equal(t, 10, e.CachedPrefix(hashes))
 	e.Advance(ended + 1999*time.Millisecond)
@@ -100,22 +100,22 @@
 	config := testConfig()
 	config.CacheBlocks = 5
 	e := New(config)
-	require.NoError(t, e.Dispatch(0, request(e, "big", promptOf("b", 400), 30)))
-	require.NoError(t, e.Dispatch(0, request(e, "small", promptOf("s", 8), 2)))
-	runDry(e)
-	assert.Len(t, tokensOf(t, e, "big"), 30)
-	assert.Len(t, tokensOf(t, e, "small"), 2)
+	require.NoError(t, e.Dispatch(0, request(e, "big", repeatedPrompt("b", 400), 30)))
+	require.NoError(t, e.Dispatch(0, request(e, "small", repeatedPrompt("s", 8), 2)))
+	runToIdle(e)
+	assert.Len(t, outputTokens(t, e, "big"), 30)
+	assert.Len(t, outputTokens(t, e, "small"), 2)
 	assert.LessOrEqual(t, len(e.blocks.index), 5)
 }
 
-func TestEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	config := testConfig()
 	config.EventDelay = 300 * time.Millisecond
 	config.EventLoss = 0.5
 	config.Random = rand.New(rand.NewPCG(3, 4))
 	e := New(config)
-	require.NoError(t, e.Dispatch(0, request(e, "a", promptOf("a", 390), 1)))
-	ended := runDry(e)
+	require.NoError(t, e.Dispatch(0, request(e, "a", repeatedPrompt("a", 390), 1)))
+	ended := runToIdle(e)
 	assert.Empty(t, e.TakeCacheEvents(200*time.Millisecond))
 	due, found := e.NextCacheEvent()
 	require.True(t, found)
@@ -128,15 +128,15 @@
 	assert.Equal(t, e.EventSequence(), e.CacheSnapshot(e.now).Sequence)
 }
 
-func TestExportAndImportCheckOwnerAndSum(t *testing.T) {
-	text := promptOf("k", 40)
+func TestExportAndImportCheckScopeAndChecksum(t *testing.T) {
+	text := repeatedPrompt("k", 40)
 	source := New(testConfig())
 	require.NoError(t, source.Dispatch(0, request(source, "a", text, 1)))
 	foreign := request(source, "b", text, 1)
 	foreign.Tenant = "shop"
 	require.NoError(t, source.Dispatch(0, foreign))
-	runDry(source)
-	hashes := hashesOf("ward", testWeights, text)
+	runToIdle(source)
+	hashes := blockHashes("ward", testWeights, text)
 	stolen, err := source.Export(source.now, engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	assert.Empty(t, stolen.Hashes, "another tenant's blocks stay")
@@ -163,10 +163,10 @@
 	assert.Equal(t, 10, target.CachedPrefix(hashes))
 }
 
-// TestRandomWorkKeepsTheBooks checks after each of many random operations that
+// TestRandomOperationsKeepInvariants checks after each of many random operations that
 // memory is within its bound and that the events, none being lost, rebuild the
 // cache.
-func TestRandomWorkKeepsTheBooks(t *testing.T) {
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
 		config.CacheBlocks = rapid.IntRange(1, 60).Draw(t, "blocks")
@@ -180,7 +180,7 @@
 			now := e.now + time.Duration(rapid.IntRange(0, 60).Draw(t, "pause"))*time.Millisecond
 			id := fleet.StreamID(fmt.Sprint(i))
 			if rapid.IntRange(0, 4).Draw(t, "kind") > 0 {
-				prompts[id] = promptOf(rapid.StringMatching("[abc]").Draw(t, "letter"), rapid.IntRange(1, 120).Draw(t, "length"))
+				prompts[id] = repeatedPrompt(rapid.StringMatching("[abc]").Draw(t, "letter"), rapid.IntRange(1, 120).Draw(t, "length"))
 				body := request(e, id, prompts[id], rapid.IntRange(1, 12).Draw(t, "output"))
 				body.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 				require.NoError(t, e.Dispatch(now, body))
@@ -193,18 +193,18 @@
 					delete(live, victim)
 				}
 			}
-			checkBooks(t, e, mirror)
+			checkInvariants(t, e, mirror)
 		}
-		runDry(e)
-		checkBooks(t, e, mirror)
-		require.Zero(t, e.blocks.pinned+e.blocks.reserved+e.QueuedPrefillTokens()+len(e.blocks.due))
+		runToIdle(e)
+		checkInvariants(t, e, mirror)
+		require.Zero(t, e.blocks.pinned+e.blocks.reserved+e.QueuedPrefillTokens()+len(e.blocks.scheduled))
 		for id := range live {
-			require.NoError(t, VerifyOutput(prompts[id], tokensOf(t, e, id)))
+			require.NoError(t, VerifyOutput(prompts[id], outputTokens(t, e, id)))
 		}
 	})
 }
 
-func checkBooks(t *rapid.T, e *Engine, mirror map[fleet.BlockHash]bool) {
+func checkInvariants(t *rapid.T, e *Engine, mirror map[fleet.BlockHash]bool) {
 	for _, event := range e.TakeCacheEvents(e.now) {
 		for _, hash := range event.Hashes {
 			if event.Kind == engine.BlockStored {
@@ -221,5 +221,5 @@
 	slices.Sort(rebuilt)
 	require.Equal(t, e.CacheSnapshot(e.now).Hashes, rebuilt)
 	require.LessOrEqual(t, len(e.blocks.index)+e.blocks.reserved, e.config.CacheBlocks)
-	require.Equal(t, len(e.blocks.index), e.blocks.pinned+unpinned(e))
+	require.Equal(t, len(e.blocks.index), e.blocks.pinned+countUnpinned(e))
 }
--- a/lab/enginemodel/config.go
+++ b/lab/enginemodel/config.go
@@ -84,8 +84,8 @@
 	// streams the frames are kept.
 	FrameRetention time.Duration
 	MaxRetained    int
-	// KeepTruth keeps what checkers ask for: TakeExecutions and EverStored.
-	KeepTruth bool
+	// RecordHistory keeps what checkers ask for: TakeExecutions and EverStored.
+	RecordHistory bool
 	// Random is the source of event loss. Nil means a fixed seed.
 	Random *rand.Rand
 }
--- a/lab/enginemodel/control_test.go
+++ b/lab/enginemodel/control_test.go
@@ -17,11 +17,11 @@
 	config := testConfig()
 	config.MaxRunning, config.MaxWaiting = 1, 1
 	e := New(config)
-	require.NoError(t, e.Dispatch(0, request(e, "running", promptOf("a", 40), 5)))
-	require.NoError(t, e.Dispatch(0, request(e, "waiting", promptOf("b", 40), 5)))
+	require.NoError(t, e.Dispatch(0, request(e, "running", repeatedPrompt("a", 40), 5)))
+	require.NoError(t, e.Dispatch(0, request(e, "waiting", repeatedPrompt("b", 40), 5)))
 	_, err := e.Cancel(0, "barred", 1)
 	require.NoError(t, err)
-	require.NoError(t, e.Order(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderRetire}))
+	require.NoError(t, e.ApplyOrder(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderRetire}))
 
 	body := request(e, "barred", "", 0)
 	body.Incarnation = 2
@@ -33,25 +33,25 @@
 	requireCode(t, engine.ErrorDuplicate, e.Dispatch(0, body))
 	body.StreamID = "fresh"
 	requireCode(t, engine.ErrorDraining, e.Dispatch(0, body))
-	require.NoError(t, e.Order(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderResume}))
+	require.NoError(t, e.ApplyOrder(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderResume}))
 	requireCode(t, engine.ErrorWeightsNotLoaded, e.Dispatch(0, body))
 	body.Weights = testWeights
 	requireCode(t, engine.ErrorBadRequest, e.Dispatch(0, body))
-	body.Prompt, body.MaxTokens = promptOf("c", 4), 1
+	body.Prompt, body.MaxTokens = repeatedPrompt("c", 4), 1
 	requireCode(t, engine.ErrorOverloaded, e.Dispatch(0, body))
-	runDry(e)
+	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, body))
-	assert.Len(t, tokensOf(t, e, "waiting"), 5, "a leaving engine ends what it has accepted")
+	assert.Len(t, outputTokens(t, e, "waiting"), 5, "a leaving engine ends what it has accepted")
 }
 
-func TestCancelTellsWhatItFoundAndBars(t *testing.T) {
+func TestCancelReportsStateAndBarsStream(t *testing.T) {
 	config := testConfig()
 	config.MaxRunning = 1
 	e := New(config)
-	require.NoError(t, e.Dispatch(0, request(e, "done", promptOf("a", 8), 2)))
-	runDry(e)
-	require.NoError(t, e.Dispatch(e.now, request(e, "running", promptOf("b", 8), 50)))
-	require.NoError(t, e.Dispatch(e.now, request(e, "waiting", promptOf("c", 8), 50)))
+	require.NoError(t, e.Dispatch(0, request(e, "done", repeatedPrompt("a", 8), 2)))
+	runToIdle(e)
+	require.NoError(t, e.Dispatch(e.now, request(e, "running", repeatedPrompt("b", 8), 50)))
+	require.NoError(t, e.Dispatch(e.now, request(e, "waiting", repeatedPrompt("c", 8), 50)))
 	e.Advance(e.now + 40*time.Millisecond)
 	for range 2 {
 		for id, state := range map[fleet.StreamID]engine.CancelState{
@@ -77,9 +77,9 @@
 	e.Advance(e.now + time.Hour)
 	_, _, err = e.Frames("done", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
-	requireCode(t, engine.ErrorDuplicate, e.Dispatch(e.now, request(e, "done", promptOf("a", 8), 2)))
+	requireCode(t, engine.ErrorDuplicate, e.Dispatch(e.now, request(e, "done", repeatedPrompt("a", 8), 2)))
 	for _, id := range []fleet.StreamID{"running", "waiting", "unheard"} {
-		requireCode(t, engine.ErrorBarred, e.Dispatch(e.now, request(e, id, promptOf("a", 8), 2)))
+		requireCode(t, engine.ErrorBarred, e.Dispatch(e.now, request(e, id, repeatedPrompt("a", 8), 2)))
 	}
 	outcome, err = e.Cancel(e.now, "done", 1)
 	require.NoError(t, err)
@@ -91,43 +91,43 @@
 	config.MaxRetained = 2
 	e := New(config)
 	for _, id := range []fleet.StreamID{"a", "b", "c"} {
-		require.NoError(t, e.Dispatch(e.now, request(e, id, promptOf("a", 8), 1)))
-		runDry(e)
+		require.NoError(t, e.Dispatch(e.now, request(e, id, repeatedPrompt("a", 8), 1)))
+		runToIdle(e)
 	}
 	_, _, err := e.Frames("a", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
-	assert.Len(t, tokensOf(t, e, "c"), 1)
+	assert.Len(t, outputTokens(t, e, "c"), 1)
 }
 
 func TestOrdersAreFenced(t *testing.T) {
 	e := New(testConfig())
 	newer := engine.Weights{Model: "sahayak", Version: "v2"}
 	order := engine.Order{Incarnation: 1, Fence: 7, Kind: engine.OrderLoad, Weights: newer}
-	require.NoError(t, e.Order(0, order))
-	require.NoError(t, e.Order(100*time.Millisecond, order), "orders are idempotent")
+	require.NoError(t, e.ApplyOrder(0, order))
+	require.NoError(t, e.ApplyOrder(100*time.Millisecond, order), "orders are idempotent")
 	assert.Equal(t, []engine.Weights{newer}, e.Status(599*time.Millisecond).Loading)
 	assert.Equal(t, []engine.Weights{testWeights, newer}, e.Status(600*time.Millisecond).Loaded)
 
 	stale := engine.Order{Incarnation: 1, Fence: 6, Kind: engine.OrderUnload, Weights: testWeights}
-	requireCode(t, engine.ErrorStaleFence, e.Order(e.now, stale))
+	requireCode(t, engine.ErrorStaleFence, e.ApplyOrder(e.now, stale))
 	stale.Fence, stale.Incarnation = 8, 2
-	requireCode(t, engine.ErrorWrongIncarnation, e.Order(e.now, stale))
+	requireCode(t, engine.ErrorWrongIncarnation, e.ApplyOrder(e.now, stale))
 	assert.Equal(t, fleet.FencingToken(7), e.Status(e.now).Fence, "a rejected order leaves nothing")
-	requireCode(t, engine.ErrorBadRequest, e.Order(e.now, engine.Order{Incarnation: 1, Fence: 9, Kind: "explode"}))
+	requireCode(t, engine.ErrorBadRequest, e.ApplyOrder(e.now, engine.Order{Incarnation: 1, Fence: 9, Kind: "explode"}))
 
 	stale.Incarnation = 1
-	require.NoError(t, e.Order(e.now, stale))
+	require.NoError(t, e.ApplyOrder(e.now, stale))
 	assert.Equal(t, []engine.Weights{newer}, e.Status(e.now).Loaded)
-	require.NoError(t, e.Order(e.now, engine.Order{Incarnation: 1, Fence: 8, Kind: engine.OrderRole, Role: engine.RoleDecode}))
+	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 1, Fence: 8, Kind: engine.OrderRole, Role: engine.RoleDecode}))
 	assert.Equal(t, engine.RoleDecode, e.Status(e.now).Role)
 }
 
-func TestRestartLeavesNothing(t *testing.T) {
+func TestRestartClearsState(t *testing.T) {
 	e := New(testConfig())
-	text := promptOf("a", 40)
+	text := repeatedPrompt("a", 40)
 	late := request(e, "late", text, 4)
 	require.NoError(t, e.Dispatch(0, request(e, "a", text, 4)))
-	require.NoError(t, e.Order(0, engine.Order{Incarnation: 1, Fence: 5, Kind: engine.OrderRetire}))
+	require.NoError(t, e.ApplyOrder(0, engine.Order{Incarnation: 1, Fence: 5, Kind: engine.OrderRetire}))
 	e.Advance(20 * time.Millisecond)
 	require.NotZero(t, e.EventSequence())
 	e.Restart(30 * time.Millisecond)
@@ -141,12 +141,12 @@
 	status := e.Status(e.now)
 	assert.Empty(t, status.Loaded)
 	assert.False(t, status.Leaving)
-	_, found := e.NextStep()
+	_, found := e.NextWakeup()
 	assert.False(t, found)
 
-	require.NoError(t, e.Order(e.now, engine.Order{Incarnation: 2, Fence: 1, Kind: engine.OrderLoad, Weights: testWeights}))
-	runDry(e)
+	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 2, Fence: 1, Kind: engine.OrderLoad, Weights: testWeights}))
+	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, request(e, "late", text, 4)), "an identifier is new to a new run")
-	runDry(e)
+	runToIdle(e)
 	assert.Equal(t, uint64(1), e.TakeCacheEvents(e.now)[0].Sequence)
 }
--- a/lab/enginemodel/dispatch.go
+++ b/lab/enginemodel/dispatch.go
@@ -31,27 +31,27 @@
 // bound of the queue.
 func (e *Engine) Dispatch(now time.Duration, request engine.DispatchRequest) error {
 	e.Advance(now)
-	if failure := e.admissible(request.StreamID, request.Incarnation, request.Weights); failure != nil {
+	if failure := e.checkDispatch(request.StreamID, request.Incarnation, request.Weights); failure != nil {
 		return failure
 	}
 	if request.StreamID == "" || request.MaxTokens < 1 || request.Prompt == "" {
-		return e.failure(engine.ErrorBadRequest, "stream_id, prompt and a positive max_tokens are required")
+		return e.newError(engine.ErrorBadRequest, "stream_id, prompt and a positive max_tokens are required")
 	}
 	if failure := e.checkQueue(); failure != nil {
 		return failure
 	}
 	scope := cacheScope(request.Tenant, request.Weights)
 	s := &stream{
-		id:           request.StreamID,
-		scope:        e.scope(request.Tenant, request.Weights),
-		priority:     request.Priority,
-		hashes:       prompt.HashBlocks(scope, request.Prompt, e.config.BlockTokens),
-		promptTokens: prompt.CountTokens(request.Prompt),
-		carried:      len(request.Continuation),
-		produced:     len(request.Continuation),
-		limit:        min(request.MaxTokens, e.config.MaxOutputTokens),
-		finishReason: finishLength,
-		text:         e.newOutput(request, scope),
+		id:                 request.StreamID,
+		scope:              e.scopeNumber(request.Tenant, request.Weights),
+		priority:           request.Priority,
+		hashes:             prompt.HashBlocks(scope, request.Prompt, e.config.BlockTokens),
+		promptTokens:       prompt.CountTokens(request.Prompt),
+		continuationTokens: len(request.Continuation),
+		produced:           len(request.Continuation),
+		limit:              min(request.MaxTokens, e.config.MaxOutputTokens),
+		finishReason:       finishLength,
+		text:               e.newOutput(request, scope),
 	}
 	if stop := e.config.StopTokens; stop > 0 && stop < s.limit {
 		s.limit = stop
@@ -64,18 +64,18 @@
 // DispatchHashed is Dispatch for a request without text.
 func (e *Engine) DispatchHashed(now time.Duration, request HashedRequest) error {
 	e.Advance(now)
-	if failure := e.admissible(request.StreamID, request.Incarnation, request.Weights); failure != nil {
+	if failure := e.checkDispatch(request.StreamID, request.Incarnation, request.Weights); failure != nil {
 		return failure
 	}
 	if request.StreamID == "" || request.OutputTokens < 1 || request.PromptTokens < 1 {
-		return e.failure(engine.ErrorBadRequest, "an identifier and positive lengths are required")
+		return e.newError(engine.ErrorBadRequest, "an identifier and positive lengths are required")
 	}
 	if failure := e.checkQueue(); failure != nil {
 		return failure
 	}
 	e.accept(&stream{
 		id:           request.StreamID,
-		scope:        e.scope(request.Tenant, request.Weights),
+		scope:        e.scopeNumber(request.Tenant, request.Weights),
 		priority:     request.Priority,
 		hashes:       request.Hashes,
 		promptTokens: request.PromptTokens,
@@ -85,32 +85,32 @@
 	return nil
 }
 
-// admissible makes the checks that need no more than the stream's identity.
-func (e *Engine) admissible(id fleet.StreamID, incarnation fleet.Incarnation, weights engine.Weights) error {
+// checkDispatch makes the checks that need no more than the stream's identity.
+func (e *Engine) checkDispatch(id fleet.StreamID, incarnation fleet.Incarnation, weights engine.Weights) error {
 	if incarnation != e.incarnation {
-		return e.failure(engine.ErrorWrongIncarnation, "dispatch is for another run of this engine")
+		return e.newError(engine.ErrorWrongIncarnation, "dispatch is for another run of this engine")
 	}
 	if ended, found := e.closed[id]; found && ended.state != engine.CancelFinished {
-		return e.failure(engine.ErrorBarred, "stream was cancelled")
+		return e.newError(engine.ErrorBarred, "stream was cancelled")
 	}
 	if _, found := e.closed[id]; found {
-		return e.failure(engine.ErrorDuplicate, "stream has finished")
+		return e.newError(engine.ErrorDuplicate, "stream has finished")
 	}
 	if _, found := e.streams[id]; found {
-		return e.failure(engine.ErrorDuplicate, "stream exists")
+		return e.newError(engine.ErrorDuplicate, "stream exists")
 	}
 	if e.control.leaving {
-		return e.failure(engine.ErrorDraining, "engine is leaving")
+		return e.newError(engine.ErrorDraining, "engine is leaving")
 	}
-	if !e.control.has(weights) {
-		return e.failure(engine.ErrorWeightsNotLoaded, "weights are not loaded")
+	if !e.control.isLoaded(weights) {
+		return e.newError(engine.ErrorWeightsNotLoaded, "weights are not loaded")
 	}
 	return nil
 }
 
 func (e *Engine) checkQueue() error {
 	if len(e.waiting.streams) >= e.config.MaxWaiting {
-		return e.failure(engine.ErrorOverloaded, "queue is full")
+		return e.newError(engine.ErrorOverloaded, "queue is full")
 	}
 	return nil
 }
@@ -123,9 +123,9 @@
 	}
 	cached, _ := e.blocks.prefix(s.hashes)
 	s.cachedTokens = min(cached*e.config.BlockTokens, s.promptTokens-1)
-	s.dueFrom = e.blocks.expected(s.hashes)
-	s.expectedPrefill = s.promptTokens - min(s.dueFrom*e.config.BlockTokens, s.promptTokens-1) + s.carried
-	e.blocks.addDue(s.hashes[s.dueFrom:])
+	s.scheduledFrom = e.blocks.expected(s.hashes)
+	s.expectedPrefill = s.promptTokens - min(s.scheduledFrom*e.config.BlockTokens, s.promptTokens-1) + s.continuationTokens
+	e.blocks.addScheduled(s.hashes[s.scheduledFrom:])
 	e.waiting.push(s)
 	e.startStep()
 	e.events.flush(e.now)
@@ -137,7 +137,7 @@
 		scope:        scope,
 		prompt:       request.Prompt,
 		promptDigest: xxhash.Sum64String(request.Prompt),
-		variant:      variantOf(run, request.StreamID),
+		variant:      variantFor(run, request.StreamID),
 		tokens:       slices.Clone(request.Continuation),
 	}
 }
--- a/lab/enginemodel/engine.go
+++ b/lab/enginemodel/engine.go
@@ -20,12 +20,12 @@
 	scopes  map[fleet.CacheScope]int32
 	imports []pendingImport
 
-	streams  map[fleet.StreamID]*stream
-	closed   map[fleet.StreamID]closedStream
-	retained []*stream
-	waiting  waitingQueue
-	running  []*stream
-	reports  []StreamEvent
+	streams      map[fleet.StreamID]*stream
+	closed       map[fleet.StreamID]closedStream
+	retained     []*stream
+	waiting      waitingQueue
+	running      []*stream
+	streamEvents []StreamEvent
 
 	stepping bool
 	stepEnd  time.Duration
@@ -34,7 +34,7 @@
 	control controlState
 
 	counters Counters
-	truth    truth
+	history  history
 }
 
 // Counters count an engine's work since its model was made; restarts don't
@@ -75,9 +75,9 @@
 func (e *Engine) clear() {
 	e.events = &eventLog{delay: e.config.EventDelay, loss: e.config.EventLoss, random: e.config.Random}
 	e.blocks = newBlockStore(e.config.CacheBlocks, e.events)
-	if e.config.KeepTruth {
-		e.truth.stored = make(map[fleet.BlockHash]struct{})
-		e.blocks.everStored = e.truth.stored
+	if e.config.RecordHistory {
+		e.history.stored = make(map[fleet.BlockHash]struct{})
+		e.blocks.everStored = e.history.stored
 	}
 	e.scopes = make(map[fleet.CacheScope]int32)
 	e.imports = nil
@@ -86,7 +86,7 @@
 	e.retained = nil
 	e.waiting = waitingQueue{}
 	e.running = nil
-	e.reports = nil
+	e.streamEvents = nil
 	e.stepping = false
 	e.loads = loadHistory{}
 	e.control = controlState{role: engine.RoleServe}
@@ -96,21 +96,21 @@
 // Advance does all that is due up to now.
 func (e *Engine) Advance(now time.Duration) {
 	for {
-		due, found := e.NextStep()
+		due, found := e.NextWakeup()
 		if !found || due > now {
 			break
 		}
 		e.now = max(e.now, due)
-		e.work()
+		e.processDue()
 	}
 	e.now = max(e.now, now)
 	e.expire()
-	e.loads.sampleIfOld(e)
+	e.loads.sampleIfDue(e)
 }
 
-// NextStep returns when Advance has something to do next: the end of a step,
+// NextWakeup returns when Advance has something to do next: the end of a step,
 // of a load or of an import.
-func (e *Engine) NextStep() (time.Duration, bool) {
+func (e *Engine) NextWakeup() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	consider := func(due time.Duration) {
@@ -130,8 +130,8 @@
 	return next, found
 }
 
-// work does what is due at e.now and starts the next step.
-func (e *Engine) work() {
+// processDue does what is due at e.now and starts the next step.
+func (e *Engine) processDue() {
 	e.expire()
 	e.control.finishLoads(e.now)
 	e.finishImports()
@@ -140,7 +140,7 @@
 	}
 	e.startStep()
 	e.events.flush(e.now)
-	e.loads.sampleIfOld(e)
+	e.loads.sampleIfDue(e)
 }
 
 // expire drops idle blocks and the frames of streams that ended long ago.
@@ -156,11 +156,11 @@
 		}
 		e.retained[0] = nil
 		e.retained = e.retained[1:]
-		e.forget(oldest)
+		e.discard(oldest)
 	}
 }
 
-func (e *Engine) scope(tenant fleet.TenantName, weights engine.Weights) int32 {
+func (e *Engine) scopeNumber(tenant fleet.TenantName, weights engine.Weights) int32 {
 	key := cacheScope(tenant, weights)
 	number, found := e.scopes[key]
 	if !found {
@@ -174,7 +174,7 @@
 	return fleet.CacheScope{Tenant: tenant, ModelVersion: fleet.ModelVersion(weights)}
 }
 
-func (e *Engine) failure(code engine.ErrorCode, message string) *engine.Error {
+func (e *Engine) newError(code engine.ErrorCode, message string) *engine.Error {
 	return &engine.Error{Code: code, Message: message, Incarnation: e.incarnation, Sent: true}
 }
 
--- a/lab/enginemodel/frames.go
+++ b/lab/enginemodel/frames.go
@@ -7,9 +7,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Accepted returns the first frame of a stream with text.
-func (e *Engine) Accepted(id fleet.StreamID) (engine.Frame, error) {
-	s, err := e.withText(id)
+// AcceptedFrame returns the first frame of a stream with text.
+func (e *Engine) AcceptedFrame(id fleet.StreamID) (engine.Frame, error) {
+	s, err := e.streamWithText(id)
 	if err != nil {
 		return engine.Frame{}, err
 	}
@@ -26,13 +26,13 @@
 // stream by its dispatch can be read too. Frames of ended streams are kept for
 // Config.FrameRetention; then the stream is unknown.
 func (e *Engine) Frames(id fleet.StreamID, fromIndex int) (frames []engine.Frame, ended bool, err error) {
-	s, err := e.withText(id)
+	s, err := e.streamWithText(id)
 	if err != nil {
 		return nil, false, err
 	}
 	ended = s.state == streamFinished || s.state == streamCancelled
 	if fromIndex < 0 || (ended && fromIndex > s.produced) {
-		return nil, false, e.failure(engine.ErrorBadRequest, "offset is outside the stream")
+		return nil, false, e.newError(engine.ErrorBadRequest, "offset is outside the stream")
 	}
 	for index := fromIndex; index < s.produced; index++ {
 		frames = append(frames, engine.Frame{
@@ -67,10 +67,10 @@
 	}
 }
 
-func (e *Engine) withText(id fleet.StreamID) (*stream, error) {
+func (e *Engine) streamWithText(id fleet.StreamID) (*stream, error) {
 	s, found := e.streams[id]
 	if !found || s.text == nil {
-		return nil, e.failure(engine.ErrorUnknownStream, "no such stream is held")
+		return nil, e.newError(engine.ErrorUnknownStream, "no such stream is held")
 	}
 	return s, nil
 }
@@ -81,7 +81,7 @@
 func (e *Engine) Cancel(now time.Duration, id fleet.StreamID, incarnation fleet.Incarnation) (engine.CancelResponse, error) {
 	e.Advance(now)
 	if incarnation != e.incarnation {
-		return engine.CancelResponse{}, e.failure(engine.ErrorWrongIncarnation, "stream belongs to another run of this engine")
+		return engine.CancelResponse{}, e.newError(engine.ErrorWrongIncarnation, "stream belongs to another run of this engine")
 	}
 	if ended, found := e.closed[id]; found {
 		return engine.CancelResponse{State: ended.state, Tokens: ended.tokens}, nil
@@ -96,19 +96,19 @@
 		return engine.CancelResponse{State: engine.CancelFinished, Tokens: s.produced}, nil
 	case streamWaiting:
 		e.waiting.remove(s)
-		e.stop(s)
+		e.abort(s)
 		e.closed[id] = closedStream{state: engine.CancelNeverRan}
 		return engine.CancelResponse{State: engine.CancelNeverRan}, nil
 	case streamRunning:
-		e.stop(s)
+		e.abort(s)
 	}
 	e.closed[id] = closedStream{state: engine.CancelCancelled, tokens: s.produced}
 	return engine.CancelResponse{State: engine.CancelCancelled, Tokens: s.produced}, nil
 }
 
-// stop ends a live stream before its time. A batch under way is computed to
+// abort ends a live stream before its time. A batch under way is computed to
 // its end, as accelerators do, without this stream's results.
-func (e *Engine) stop(s *stream) {
+func (e *Engine) abort(s *stream) {
 	s.state = streamCancelled
 	e.dropReservations(s)
 	e.unpinAll(s)
@@ -118,7 +118,7 @@
 			break
 		}
 	}
-	e.end(s, StreamCancelled)
+	e.closeStream(s, StreamCancelled)
 	e.events.flush(e.now)
 }
 
@@ -146,13 +146,13 @@
 // TakeStreamEvents returns the progress since the last call, oldest first. The
 // slice is valid until the next call on the engine.
 func (e *Engine) TakeStreamEvents() []StreamEvent {
-	reports := e.reports
-	e.reports = e.reports[:0]
+	reports := e.streamEvents
+	e.streamEvents = e.streamEvents[:0]
 	return reports
 }
 
-func (e *Engine) report(s *stream, kind StreamEventKind) {
-	e.reports = append(e.reports, StreamEvent{
+func (e *Engine) recordStreamEvent(s *stream, kind StreamEventKind) {
+	e.streamEvents = append(e.streamEvents, StreamEvent{
 		Stream:       s.id,
 		Kind:         kind,
 		At:           e.now,
--- a/lab/enginemodel/helpers_test.go
+++ b/lab/enginemodel/helpers_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// promptOf returns a prompt of so many tokens that repeats a letter.
-func promptOf(letter string, tokens int) string { return strings.Repeat(letter, 4*tokens) }
+// repeatedPrompt returns a prompt of so many tokens that repeats a letter.
+func repeatedPrompt(letter string, tokens int) string { return strings.Repeat(letter, 4*tokens) }
 
 func request(e *Engine, id fleet.StreamID, text string, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
@@ -52,14 +52,14 @@
 	}
 }
 
-func hashesOf(tenant fleet.TenantName, weights engine.Weights, text string) []fleet.BlockHash {
+func blockHashes(tenant fleet.TenantName, weights engine.Weights, text string) []fleet.BlockHash {
 	return prompt.HashBlocks(cacheScope(tenant, weights), text, 4)
 }
 
-// runDry advances until nothing is left to do and returns the time.
-func runDry(e *Engine) time.Duration {
+// runToIdle advances until nothing is left to do and returns the time.
+func runToIdle(e *Engine) time.Duration {
 	for {
-		due, found := e.NextStep()
+		due, found := e.NextWakeup()
 		if !found {
 			return e.now
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-func tokensOf(t require.TestingT, e *Engine, id fleet.StreamID) []string {
+func outputTokens(t require.TestingT, e *Engine, id fleet.StreamID) []string {
 	frames, ended, err := e.Frames(id, 0)
 	require.NoError(t, err)
 	require.True(t, ended)
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -22,7 +22,7 @@
 	bundle := engine.KVBundle{Tenant: request.Tenant, Weights: request.Weights}
 	scope, known := e.scopes[cacheScope(request.Tenant, request.Weights)]
 	for _, hash := range request.Hashes {
-		if !known || !e.blocks.owns(hash, scope) {
+		if !known || !e.blocks.isInScope(hash, scope) {
 			break
 		}
 		bundle.Hashes = append(bundle.Hashes, hash)
@@ -36,13 +36,13 @@
 func (e *Engine) Import(now time.Duration, bundle engine.KVBundle) (readyAt time.Duration, err error) {
 	e.Advance(now)
 	if bundle.ComputeChecksum() != bundle.Checksum {
-		return 0, e.failure(engine.ErrorChecksum, "bundle fails its check")
+		return 0, e.newError(engine.ErrorChecksum, "bundle fails its check")
 	}
-	if !e.control.has(bundle.Weights) {
-		return 0, e.failure(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
+	if !e.control.isLoaded(bundle.Weights) {
+		return 0, e.newError(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
 	}
 	readyAt = e.now + time.Duration(len(bundle.Hashes))*e.config.Costs.ImportPerBlock
-	pending := pendingImport{readyAt: readyAt, scope: e.scope(bundle.Tenant, bundle.Weights), hashes: bundle.Hashes}
+	pending := pendingImport{readyAt: readyAt, scope: e.scopeNumber(bundle.Tenant, bundle.Weights), hashes: bundle.Hashes}
 	position := sort.Search(len(e.imports), func(i int) bool { return e.imports[i].readyAt > readyAt })
 	e.imports = append(e.imports, pendingImport{})
 	copy(e.imports[position+1:], e.imports[position:])
--- a/lab/enginemodel/load.go
+++ b/lab/enginemodel/load.go
@@ -10,8 +10,8 @@
 const (
 	// samplesPerLag sets how many samples of load a lag is divided into.
 	samplesPerLag = 16
-	// minimumSampleGap bounds how often samples are taken.
-	minimumSampleGap = 5 * time.Millisecond
+	// minimumSampleInterval bounds how often samples are taken.
+	minimumSampleInterval = 5 * time.Millisecond
 )
 
 type loadSample struct {
@@ -24,19 +24,19 @@
 	samples []loadSample
 }
 
-func (h *loadHistory) sampleIfOld(e *Engine) {
+func (h *loadHistory) sampleIfDue(e *Engine) {
 	if e.config.LoadLag <= 0 {
 		return
 	}
-	gap := max(e.config.LoadLag/samplesPerLag, minimumSampleGap)
+	gap := max(e.config.LoadLag/samplesPerLag, minimumSampleInterval)
 	if last := len(h.samples) - 1; last < 0 || e.now-h.samples[last].at >= gap {
 		e.sampleLoad(e.now)
 	}
 }
 
-// at returns the latest sample that isn't younger than a time, and drops those
+// sampleAt returns the latest sample that isn't younger than a time, and drops those
 // before it.
-func (h *loadHistory) at(latest time.Duration) loadSample {
+func (h *loadHistory) sampleAt(latest time.Duration) loadSample {
 	found := 0
 	for position, sample := range h.samples {
 		if sample.at <= latest {
@@ -81,7 +81,7 @@
 	e.Advance(now)
 	load := e.load()
 	if e.config.LoadLag > 0 {
-		load = e.loads.at(e.now - e.config.LoadLag).load
+		load = e.loads.sampleAt(e.now - e.config.LoadLag).load
 	}
 	return engine.Status{
 		Engine:      e.config.ID,
--- a/lab/enginemodel/orders.go
+++ b/lab/enginemodel/orders.go
@@ -22,7 +22,7 @@
 	loading []pendingLoad
 }
 
-func (c *controlState) has(weights engine.Weights) bool {
+func (c *controlState) isLoaded(weights engine.Weights) bool {
 	return slices.Contains(c.loaded, weights)
 }
 
@@ -57,7 +57,7 @@
 
 func (c *controlState) load(weights engine.Weights, readyAt time.Duration) {
 	underWay := func(pending pendingLoad) bool { return pending.weights == weights }
-	if c.has(weights) || slices.ContainsFunc(c.loading, underWay) {
+	if c.isLoaded(weights) || slices.ContainsFunc(c.loading, underWay) {
 		return
 	}
 	c.loading = append(c.loading, pendingLoad{weights: weights, readyAt: readyAt})
@@ -68,19 +68,19 @@
 	c.loading = slices.DeleteFunc(c.loading, func(pending pendingLoad) bool { return pending.weights == weights })
 }
 
-// Order carries a fenced order out. Loading ends Costs.LoadTime later. Accepted
+// ApplyOrder carries a fenced order out. Loading ends Costs.LoadTime later. Accepted
 // streams of unloaded weights, and those of an engine that leaves, go on to
 // their ends. Errors are *engine.Error.
-func (e *Engine) Order(now time.Duration, order engine.Order) error {
+func (e *Engine) ApplyOrder(now time.Duration, order engine.Order) error {
 	e.Advance(now)
 	if order.Incarnation != e.incarnation {
-		return e.failure(engine.ErrorWrongIncarnation, "order is for another run of this engine")
+		return e.newError(engine.ErrorWrongIncarnation, "order is for another run of this engine")
 	}
 	if order.Fence < e.control.fence {
-		return e.failure(engine.ErrorStaleFence, "a higher fencing token has been seen")
+		return e.newError(engine.ErrorStaleFence, "a higher fencing token has been seen")
 	}
-	if problem := orderProblem(order); problem != "" {
-		return e.failure(engine.ErrorBadRequest, problem)
+	if problem := validateOrder(order); problem != "" {
+		return e.newError(engine.ErrorBadRequest, problem)
 	}
 	e.control.fence = order.Fence
 	switch order.Kind {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func orderProblem(order engine.Order) string {
+func validateOrder(order engine.Order) string {
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderUnload:
 		if order.Weights.Model == "" || order.Weights.Version == "" {
--- a/lab/enginemodel/step.go
+++ b/lab/enginemodel/step.go
@@ -56,7 +56,7 @@
 	cached, unpinned := e.blocks.prefix(s.hashes)
 	missing := len(s.hashes) - cached
 	outputBlocks := (s.limit + e.config.BlockTokens - 1) / e.config.BlockTokens
-	room := e.blocks.room() - unpinned
+	room := e.blocks.available() - unpinned
 	if missing+outputBlocks > room {
 		if len(e.running) > 0 {
 			return false
@@ -79,9 +79,9 @@
 	s.outputReserved = outputBlocks
 	e.blocks.reserve(missing + outputBlocks)
 	s.cachedTokens = min(cached*e.config.BlockTokens, s.promptTokens-1)
-	s.remainingPrefill = s.promptTokens - s.cachedTokens + s.carried
-	e.settleDue(s, cached)
-	e.noteExecution(s, cached)
+	s.remainingPrefill = s.promptTokens - s.cachedTokens + s.continuationTokens
+	e.clearScheduled(s, cached)
+	e.recordExecution(s, cached)
 	e.running = append(e.running, s)
 	e.counters.HitTokens += int64(s.cachedTokens)
 	e.counters.PromptTokens += int64(s.promptTokens)
@@ -110,21 +110,21 @@
 func (e *Engine) storeComputed(s *stream) {
 	e.counters.PrefillTokens += int64(s.chunk)
 	s.remainingPrefill -= s.chunk
-	position := s.promptTokens + s.carried - s.remainingPrefill
+	position := s.promptTokens + s.continuationTokens - s.remainingPrefill
 	whole := min(position/e.config.BlockTokens, len(s.hashes))
 	for s.pinned < whole && s.reserved > 0 {
 		e.blocks.storeReserved(s.hashes[s.pinned], s.scope)
 		s.pinned++
 		s.reserved--
 	}
-	e.settleDue(s, whole)
+	e.clearScheduled(s, whole)
 }
 
-// settleDue takes the stream's blocks before a position off the due ones.
-func (e *Engine) settleDue(s *stream, before int) {
-	if before > s.dueFrom {
-		e.blocks.removeDue(s.hashes[s.dueFrom:before])
-		s.dueFrom = before
+// clearScheduled takes the stream's blocks before a position off the due ones.
+func (e *Engine) clearScheduled(s *stream, before int) {
+	if before > s.scheduledFrom {
+		e.blocks.removeScheduled(s.hashes[s.scheduledFrom:before])
+		s.scheduledFrom = before
 	}
 }
 
@@ -133,9 +133,9 @@
 	s.produced++
 	e.counters.OutputTokens++
 	if s.text != nil {
-		s.text.append()
+		s.text.appendToken()
 	} else if s.produced == 1 {
-		e.report(s, StreamFirstToken)
+		e.recordStreamEvent(s, StreamFirstToken)
 	}
 	if s.produced >= s.limit {
 		e.finish(s)
@@ -148,7 +148,7 @@
 	e.dropReservations(s)
 	e.storeOutput(s)
 	e.unpinAll(s)
-	e.end(s, StreamDone)
+	e.closeStream(s, StreamDone)
 }
 
 func (e *Engine) dropReservations(s *stream) {
@@ -168,29 +168,29 @@
 // storeOutput keeps the blocks that the output has filled, for a next prompt
 // that repeats it.
 func (e *Engine) storeOutput(s *stream) {
-	if s.text == nil || s.produced == s.carried || s.pinned < len(s.hashes) {
+	if s.text == nil || s.produced == s.continuationTokens || s.pinned < len(s.hashes) {
 		return
 	}
-	hashes := s.text.hashes(e.config.BlockTokens)
+	hashes := s.text.blockHashes(e.config.BlockTokens)
 	e.blocks.storeIdle(hashes[len(s.hashes):], s.scope, e.now)
 }
 
-// end moves a stream of any end out of the live ones.
-func (e *Engine) end(s *stream, kind StreamEventKind) {
+// closeStream moves a stream of any closeStream out of the live ones.
+func (e *Engine) closeStream(s *stream, kind StreamEventKind) {
 	s.endedAt = e.now
-	e.settleDue(s, len(s.hashes))
+	e.clearScheduled(s, len(s.hashes))
 	s.hashes = nil
 	if s.text == nil {
-		e.report(s, kind)
-		e.forget(s)
+		e.recordStreamEvent(s, kind)
+		e.discard(s)
 		return
 	}
 	s.text.prompt = ""
 	e.retained = append(e.retained, s)
 }
 
-// forget keeps only the identifier of an ended stream.
-func (e *Engine) forget(s *stream) {
+// discard keeps only the identifier of an ended stream.
+func (e *Engine) discard(s *stream) {
 	state := engine.CancelFinished
 	if s.state == streamCancelled {
 		state = engine.CancelCancelled
--- a/lab/enginemodel/stream.go
+++ b/lab/enginemodel/stream.go
@@ -35,14 +35,14 @@
 	hashes       []fleet.BlockHash
 	promptTokens int
 	cachedTokens int
-	// carried output tokens came with the dispatch; produced counts them too.
-	carried  int
-	produced int
-	limit    int
+	// continuationTokens output tokens came with the dispatch; produced counts them too.
+	continuationTokens int
+	produced           int
+	limit              int
 
-	// dueFrom is the first block of the prompt that counts as due for this
+	// scheduledFrom is the first block of the prompt that counts as due for this
 	// stream; those before it are stored or due for an earlier stream.
-	dueFrom int
+	scheduledFrom int
 	// expectedPrefill is the prompt work that the waiting queue counts.
 	expectedPrefill int
 	// remainingPrefill includes the carried output tokens.
@@ -71,7 +71,7 @@
 	tokens       []string
 }
 
-func (o *output) append() {
+func (o *output) appendToken() {
 	previous := ""
 	if last := len(o.tokens) - 1; last >= 0 {
 		previous = o.tokens[last]
@@ -79,8 +79,8 @@
 	o.tokens = append(o.tokens, tokenText(o.promptDigest, len(o.tokens), o.variant, previous))
 }
 
-// hashes returns the blocks of prompt and output together.
-func (o *output) hashes(blockTokens int) []fleet.BlockHash {
+// blockHashes returns the blocks of prompt and output together.
+func (o *output) blockHashes(blockTokens int) []fleet.BlockHash {
 	var text strings.Builder
 	text.WriteString(o.prompt)
 	for _, token := range o.tokens {
--- a/lab/enginemodel/text.go
+++ b/lab/enginemodel/text.go
@@ -12,9 +12,9 @@
 // variantLetters is the number of letters that tell generations apart.
 const variantLetters = 26
 
-// variantOf returns the letter that marks the tokens of one stream of one run
+// variantFor returns the letter that marks the tokens of one stream of one run
 // of an engine.
-func variantOf(run fleet.EngineRun, stream fleet.StreamID) rune {
+func variantFor(run fleet.EngineRun, stream fleet.StreamID) rune {
 	digest := xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%s", run.Engine, run.Incarnation, stream))
 	return 'a' + rune(digest%variantLetters)
 }
--- a/lab/enginemodel/truth.go
+++ b/lab/enginemodel/truth.go
@@ -19,14 +19,14 @@
 	ForeignBlocks int
 }
 
-// truth is kept for checkers if Config.KeepTruth is set.
-type truth struct {
+// history is kept for checkers if Config.KeepTruth is set.
+type history struct {
 	executions []Execution
 	stored     map[fleet.BlockHash]struct{}
 }
 
-func (e *Engine) noteExecution(s *stream, cached int) {
-	if !e.config.KeepTruth {
+func (e *Engine) recordExecution(s *stream, cached int) {
+	if !e.config.RecordHistory {
 		return
 	}
 	execution := Execution{Stream: s.id, At: e.now, CachedBlocks: cached}
@@ -34,24 +34,24 @@
 		execution.Scope = s.text.scope
 	}
 	for _, hash := range s.hashes[:cached] {
-		if !e.blocks.owns(hash, s.scope) {
+		if !e.blocks.isInScope(hash, s.scope) {
 			execution.ForeignBlocks++
 		}
 	}
-	e.truth.executions = append(e.truth.executions, execution)
+	e.history.executions = append(e.history.executions, execution)
 }
 
 // TakeExecutions returns the executions begun since the last call, oldest
 // first. Config.KeepTruth must be set.
 func (e *Engine) TakeExecutions() []Execution {
-	executions := e.truth.executions
-	e.truth.executions = nil
+	executions := e.history.executions
+	e.history.executions = nil
 	return executions
 }
 
 // EverStored tells whether the present run has held a block at any time.
 // Config.KeepTruth must be set.
 func (e *Engine) EverStored(hash fleet.BlockHash) bool {
-	_, stored := e.truth.stored[hash]
+	_, stored := e.history.stored[hash]
 	return stored
 }
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -39,7 +39,7 @@
 		CacheBlocks: w.options.CacheBlocks, BlockTokens: blockTokens,
 		EventDelay: w.options.EventDelay, EventLoss: w.options.EventLoss, LoadLag: w.options.LoadLag,
 		Loaded: []engine.Weights{{Model: model, Version: firstVersion}}, KeepWeights: true,
-		KeepTruth: true, Random: w.newRandom(),
+		RecordHistory: true, Random: w.newRandom(),
 	})
 	return host
 }
@@ -120,7 +120,7 @@
 
 // stream answers with the first frame and lets the others follow.
 func (h *engineHost) stream(to *connection, offset int, reply func(any) time.Duration) {
-	accepted, err := h.model.Accepted(to.stream)
+	accepted, err := h.model.AcceptedFrame(to.stream)
 	if err != nil {
 		reply(err)
 		return
@@ -144,7 +144,7 @@
 
 // order serves a fenced order.
 func (h *engineHost) order(order engine.Order, reply func(any) time.Duration) {
-	err := h.model.Order(h.now(), order)
+	err := h.model.ApplyOrder(h.now(), order)
 	if err == nil {
 		h.world.record(history.OrderObeyed{Run: h.run(), Token: order.Fence, Kind: order.Kind, Weights: order.Weights})
 		if order.Kind == engine.OrderRetire {
@@ -175,7 +175,7 @@
 }
 
 func (h *engineHost) plan() {
-	next, found := h.model.NextStep()
+	next, found := h.model.NextWakeup()
 	if !found || (h.planned != 0 && h.planned <= next && h.planned > h.now()) {
 		return
 	}
--- a/lab/spill/engine.go
+++ b/lab/spill/engine.go
@@ -75,7 +75,7 @@
 		c.report(placement.PhaseFinished)
 		c.end(endedFinished)
 	}
-	next, found := h.model.NextStep()
+	next, found := h.model.NextWakeup()
 	if !found || (h.planned != 0 && h.planned <= next) {
 		return
 	}
--- a/lab/standin/engineserver/handlers.go
+++ b/lab/standin/engineserver/handlers.go
@@ -140,7 +140,7 @@
 	}
 	s := h.server
 	s.mutex.Lock()
-	err := s.model.Order(s.now(), body)
+	err := s.model.ApplyOrder(s.now(), body)
 	s.notify()
 	s.mutex.Unlock()
 	if err != nil {
--- a/lab/standin/engineserver/step.go
+++ b/lab/standin/engineserver/step.go
@@ -51,7 +51,7 @@
 
 func (s *Server) untilNext(now time.Duration) time.Duration {
 	wait := idleWait
-	if due, found := s.model.NextStep(); found {
+	if due, found := s.model.NextWakeup(); found {
 		wait = min(wait, due-now)
 	}
 	for _, since := range s.orphans {
--- a/lab/standin/engineserver/streams.go
+++ b/lab/standin/engineserver/streams.go
@@ -128,7 +128,7 @@
 	if s.model.Incarnation() != r.incarnation {
 		return engine.Frame{}, errGone
 	}
-	return s.model.Accepted(r.stream)
+	return s.model.AcceptedFrame(r.stream)
 }
 
 // pending takes the frames that the connection hasn't had.
