--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -15,17 +15,17 @@
 // millisecond apart.
 func tinyFleet(engines int) workload.Fleet {
 	return workload.Fleet{
-		Name:          "tiny",
-		Zones:         []fleet.ZoneName{"zone"},
-		Engines:       engines,
-		Routers:       1,
-		Weights:       fleet.ModelVersion{Model: "model", Version: "v1"},
-		Pool:          "pool",
-		ClientLatency: time.Millisecond,
-		MaxLoads:      1,
-		BlockTokens:   16,
-		CacheBlocks:   256,
-		Tenants:       []workload.Tenant{{Name: "tenant", Weight: 1, Share: 1}},
+		Name:           "tiny",
+		Zones:          []fleet.ZoneName{"zone"},
+		Engines:        engines,
+		Routers:        1,
+		ModelVersion:   fleet.ModelVersion{Model: "model", Version: "v1"},
+		Pool:           "pool",
+		ClientLatency:  time.Millisecond,
+		FullSpeedLoads: 1,
+		BlockTokens:    16,
+		CacheBlocks:    256,
+		Tenants:        []workload.Tenant{{Name: "tenant", Weight: 1, Share: 1}},
 	}
 }
 
@@ -40,7 +40,7 @@
 			Kind:         workload.KindQuestion,
 			Tenant:       "tenant",
 			Class:        workload.ClassUrgent,
-			Weights:      trace.Fleet.Weights,
+			ModelVersion: trace.Fleet.ModelVersion,
 			Zone:         "zone",
 			Segments:     []workload.Segment{{ID: prefix, Tokens: 160}, {ID: uint64(100 + i), Tokens: 24}},
 			OutputTokens: 2,
--- a/lab/emulator/carrier.go
+++ b/lab/emulator/carrier.go
@@ -114,7 +114,7 @@
 	question := placement.Request{
 		Key:                c.last,
 		Tenant:             request.Tenant,
-		ModelVersion:       request.Weights,
+		ModelVersion:       request.ModelVersion,
 		Class:              request.Class,
 		PromptTokens:       c.call.promptTokens,
 		MaxTokens:          request.OutputTokens,
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 
 // smallOptions is a short run of a small fleet, under the target's conditions.
 func smallOptions(policy Policy, rate float64) Options {
-	description := workload.FlagFleet()
+	description := workload.AhdWestFleet()
 	description.Engines = 4
 	trace := workload.Generate(description, workload.Options{Seed: 3, Rate: rate, Duration: 4 * time.Second})
 	return Options{
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -73,7 +73,7 @@
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
 		Tenant:       call.request.Tenant,
-		Weights:      engine.Weights(call.request.Weights),
+		Weights:      engine.Weights(call.request.ModelVersion),
 		Hashes:       call.blocks,
 		PromptTokens: call.promptTokens,
 		OutputTokens: call.request.OutputTokens,
--- a/lab/emulator/terms.go
+++ b/lab/emulator/terms.go
@@ -48,14 +48,14 @@
 	made := config.Document{
 		Revision: 1,
 		Models: []config.Model{{
-			Name:            description.Weights.Model,
+			Name:            description.ModelVersion.Model,
 			Pool:            description.Pool,
-			Versions:        []config.Version{{Name: description.Weights.Version, State: config.VersionServing}},
+			Versions:        []config.Version{{Name: description.ModelVersion.Version, State: config.VersionServing}},
 			MaxPromptTokens: maxPromptTokens,
 			MaxOutputTokens: maxOutputTokens,
 			BlockTokens:     description.BlockTokens,
 		}},
-		Pools: []config.Pool{{Name: description.Pool, MaxStreams: maxStreams, MaxLoads: description.MaxLoads}},
+		Pools: []config.Pool{{Name: description.Pool, MaxStreams: maxStreams, MaxLoads: description.FullSpeedLoads}},
 	}
 	for _, class := range classes {
 		made.Classes = append(made.Classes, config.Class{
--- a/lab/experiment/calibrate.go
+++ b/lab/experiment/calibrate.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// calibratedPart is the part of all requests that must meet their class's
+	// requiredFraction is the part of all requests that must meet their class's
 	// objective at capacity.
-	calibratedPart = 0.99
+	requiredFraction = 0.99
 	// Bounds and step of the search, in requests a second.
 	calibrationLow  = 50
 	calibrationHigh = 1000
@@ -28,12 +28,12 @@
 		low, high := float64(calibrationLow), float64(calibrationHigh)
 		for high-low > calibrationStep {
 			rate := (low + high) / 2
-			part, err := servedWell(description, rate, seed)
+			part, err := fractionWithinObjective(description, rate, seed)
 			if err != nil {
 				return errors.Wrap(err, description.Name)
 			}
 			_, _ = fmt.Fprintf(progress, "%s rate=%.1f served_well=%.4f\n", description.Name, rate, part)
-			if part >= calibratedPart {
+			if part >= requiredFraction {
 				low = rate
 			} else {
 				high = rate
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// servedWell returns the part of the requests that the clairvoyant router
+// fractionWithinObjective returns the part of the requests that the clairvoyant router
 // serves within their objectives.
-func servedWell(description workload.Fleet, rate float64, seed uint64) (float64, error) {
-	trace := workload.Generate(description, workload.Options{Seed: seed, Rate: rate, Duration: duration})
+func fractionWithinObjective(description workload.Fleet, rate float64, seed uint64) (float64, error) {
+	trace := workload.Generate(description, workload.Options{Seed: seed, Rate: rate, Duration: runDuration})
 	result, err := emulator.Run(Case{}.emulatorOptions(trace, emulator.Clairvoyant(), seed))
 	if err != nil {
 		return 0, err
 	}
-	return result.Goodput * (duration - warmup).Seconds() / float64(result.Requests), nil
+	return result.Goodput * (runDuration - warmup).Seconds() / float64(result.Requests), nil
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -33,12 +33,12 @@
 
 // Times of a run, and what happens in it.
 const (
-	duration  = 45 * time.Second
-	warmup    = 15 * time.Second
-	shiftAt   = 25 * time.Second
-	shiftPart = 0.6
-	crashAt   = 20 * time.Second
-	crashDown = 3 * time.Second
+	runDuration   = 45 * time.Second
+	warmup        = 15 * time.Second
+	shiftAt       = 25 * time.Second
+	shiftFraction = 0.6
+	crashAt       = 20 * time.Second
+	crashDowntime = 3 * time.Second
 )
 
 // HeadlineLoad is the load, in parts of capacity, of the last lines of output.
@@ -63,7 +63,7 @@
 
 // fleets lists the users' fleets.
 func fleets() []workload.Fleet {
-	return []workload.Fleet{workload.FlagFleet(), workload.FabFleet()}
+	return []workload.Fleet{workload.AhdWestFleet(), workload.WPColomboFleet()}
 }
 
 // Case is one run of the experiment.
@@ -94,14 +94,14 @@
 // workloadOptions describes the trace of a case.
 func (k traceKey) workloadOptions(seed uint64) workload.Options {
 	capacity := capacities[k.fleet]
-	options := workload.Options{Seed: seed, Rate: k.load * capacity, Duration: duration}
+	options := workload.Options{Seed: seed, Rate: k.load * capacity, Duration: runDuration}
 	switch k.scenario {
 	case ScenarioShift:
 		options.ShiftAt = shiftAt
-		options.ShiftPart = shiftPart
+		options.ShiftFraction = shiftFraction
 	case ScenarioFlood:
 		options.FloodFrom = warmup
-		options.FloodTo = duration
+		options.FloodTo = runDuration
 		options.FloodRate = capacity
 	}
 	return options
@@ -119,7 +119,7 @@
 		LoadLag:    emulator.TargetLoadLag,
 	}
 	if c.Scenario == ScenarioCrash {
-		options.Crash = &emulator.Crash{At: crashAt, Down: crashDown}
+		options.Crash = &emulator.Crash{At: crashAt, Down: crashDowntime}
 	}
 	return options
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -52,7 +52,7 @@
 		headlines[0].String())
 }
 
-func TestPublishKeepsResultsAndComparesWithTheLatest(t *testing.T) {
+func TestPublishComparesWithLatestRecord(t *testing.T) {
 	root := t.TempDir()
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for days, label := range []string{"newer", "older"} {
@@ -87,7 +87,7 @@
 	assert.Equal(t, []Case{{Fleet: "wp-colombo", Scenario: ScenarioSteady, Load: 0.5, Policy: emulator.PolicyRoundRobin}}, selection.Cases())
 }
 
-func TestRunEndsWhenItIsInterrupted(t *testing.T) {
+func TestRunStopsOnCancellation(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Run(ctx, Settings{Seed: 1, Workers: 2, Progress: &bytes.Buffer{}})
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -20,7 +20,7 @@
 	var cases []Case
 	for _, description := range fleets() {
 		for _, scenario := range scenarios {
-			for _, load := range loadsOf(scenario) {
+			for _, load := range loadsFor(scenario) {
 				for _, policy := range emulator.Policies() {
 					made := Case{Fleet: description.Name, Scenario: scenario, Load: load, Policy: policy.Name}
 					if s.includes(made) {
@@ -33,7 +33,7 @@
 	return cases
 }
 
-func loadsOf(scenario Scenario) []float64 {
+func loadsFor(scenario Scenario) []float64 {
 	if scenario == ScenarioSteady {
 		return steadyLoads
 	}
@@ -41,11 +41,11 @@
 }
 
 func (s Selection) includes(c Case) bool {
-	return selected(s.Fleets, c.Fleet) && selected(s.Policies, c.Policy) &&
-		selected(s.Scenarios, string(c.Scenario)) && selected(s.Loads, c.Load)
+	return isSelected(s.Fleets, c.Fleet) && isSelected(s.Policies, c.Policy) &&
+		isSelected(s.Scenarios, string(c.Scenario)) && isSelected(s.Loads, c.Load)
 }
 
-func selected[T comparable](wanted []T, value T) bool {
+func isSelected[T comparable](wanted []T, value T) bool {
 	return len(wanted) == 0 || slices.Contains(wanted, value)
 }
 
@@ -56,12 +56,12 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cases[b].work(), cases[a].work()) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cases[b].estimatedWork(), cases[a].estimatedWork()) })
 	return order
 }
 
-// work grows with the expected time of a run.
-func (c Case) work() float64 {
+// estimatedWork grows with the expected time of a run.
+func (c Case) estimatedWork() float64 {
 	if c.Scenario == ScenarioFlood {
 		return c.Load + 1
 	}
--- a/lab/experiment/plots.go
+++ b/lab/experiment/plots.go
@@ -53,15 +53,15 @@
 	return drawn
 }
 
-// legendRoom is the width, in parts of capacity, that is left for the legend.
-const legendRoom = 0.4
+// legendWidth is the width, in parts of capacity, that is left for the legend.
+const legendWidth = 0.4
 
 // drawByLoad draws a line a policy over the steady loads.
 func (r *Record) drawByLoad(drawn *plot.Plot, fleetName, path string, value func(*emulator.Result) float64) error {
 	drawn.Legend.Top = true
-	drawn.X.Max = steadyLoads[len(steadyLoads)-1] + legendRoom
+	drawn.X.Max = steadyLoads[len(steadyLoads)-1] + legendWidth
 	lines := make(map[string]plotter.XYs)
-	for _, outcome := range r.of(fleetName, ScenarioSteady) {
+	for _, outcome := range r.outcomesFor(fleetName, ScenarioSteady) {
 		height := value(outcome.Result)
 		if height <= 0 {
 			continue // nothing was served, and the axis may be logarithmic
@@ -78,7 +78,7 @@
 	drawn.Y.Min, drawn.Y.Max = 0, 1
 	drawn.Legend.Left = true
 	lines := make(map[string]plotter.XYs)
-	for _, outcome := range r.of(fleetName, ScenarioShift) {
+	for _, outcome := range r.outcomesFor(fleetName, ScenarioShift) {
 		for _, sample := range outcome.Result.HitOverTime {
 			if sample.Seconds >= warmup.Seconds() {
 				lines[outcome.Case.Policy] = append(lines[outcome.Case.Policy], plotter.XY{X: sample.Seconds, Y: sample.HitRate})
--- a/lab/experiment/publish.go
+++ b/lab/experiment/publish.go
@@ -13,7 +13,7 @@
 // Publish writes a record, its report and its plots into the directory of its
 // label under root, and compares it with the latest other record there.
 func Publish(root string, record *Record) (directory string, err error) {
-	earlier, err := latestKept(root, record.Label)
+	earlier, err := latestRecord(root, record.Label)
 	if err != nil {
 		return "", errors.Wrap(err, "read earlier results")
 	}
--- a/lab/experiment/record.go
+++ b/lab/experiment/record.go
@@ -41,9 +41,9 @@
 	return os.WriteFile(filepath.Join(directory, resultsFile), append(encoded, '\n'), 0o644)
 }
 
-// latestKept returns the record in root that finished last, other than the one
+// latestRecord returns the record in root that finished last, other than the one
 // with the given label; nil if there is none.
-func latestKept(root, except string) (*Record, error) {
+func latestRecord(root, except string) (*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(root, "*", resultsFile))
 	if err != nil {
 		return nil, err
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -28,11 +28,11 @@
 	t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-func part(value float64) string { return fmt.Sprintf("%.3f", value) }
+func formatRatio(value float64) string { return fmt.Sprintf("%.3f", value) }
 
-func millis(value float64) string { return fmt.Sprintf("%.0f", value) }
+func formatMillis(value float64) string { return fmt.Sprintf("%.0f", value) }
 
-func load(value float64) string { return fmt.Sprintf("%.2f", value) }
+func formatLoad(value float64) string { return fmt.Sprintf("%.2f", value) }
 
 // Markdown returns the whole report. earlier may be nil.
 func (r *Record) Markdown(earlier *Record) string {
@@ -61,8 +61,8 @@
 	return text.String()
 }
 
-// of returns the outcomes of a fleet and scenario.
-func (r *Record) of(fleetName string, scenario Scenario) []Outcome {
+// outcomesFor returns the outcomes outcomesFor a fleet and scenario.
+func (r *Record) outcomesFor(fleetName string, scenario Scenario) []Outcome {
 	var found []Outcome
 	for _, outcome := range r.Outcomes {
 		if outcome.Case.Fleet == fleetName && outcome.Case.Scenario == scenario {
@@ -81,13 +81,13 @@
 	result := outcome.Result
 	urgent := result.FirstTokenByClass[workload.ClassUrgent]
 	return []string{
-		load(outcome.Case.Load), outcome.Case.Policy,
-		part(result.HitRate), part(result.ReachableRate), part(result.RecomputedRate), part(result.WasteRate),
-		millis(urgent.P50), millis(urgent.P95), millis(urgent.P99),
-		millis(result.FirstTokenByKind[workload.KindLookup].P99),
-		millis(result.FirstTokenByClass[workload.ClassStandard].P99),
-		millis(result.FirstTokenByClass[workload.ClassBatch].P99),
-		millis(result.QueueWaitByClass[workload.ClassUrgent].P99),
+		formatLoad(outcome.Case.Load), outcome.Case.Policy,
+		formatRatio(result.HitRate), formatRatio(result.ReachableRate), formatRatio(result.RecomputedRate), formatRatio(result.WasteRate),
+		formatMillis(urgent.P50), formatMillis(urgent.P95), formatMillis(urgent.P99),
+		formatMillis(result.FirstTokenByKind[workload.KindLookup].P99),
+		formatMillis(result.FirstTokenByClass[workload.ClassStandard].P99),
+		formatMillis(result.FirstTokenByClass[workload.ClassBatch].P99),
+		formatMillis(result.QueueWaitByClass[workload.ClassUrgent].P99),
 		fmt.Sprintf("%.1f", result.Goodput), fmt.Sprint(result.Refusals), fmt.Sprint(result.Retries),
 	}
 }
@@ -97,7 +97,7 @@
 }
 
 func (r *Record) writeScenario(text *strings.Builder, fleetName string, scenario Scenario, title string) {
-	outcomes := r.of(fleetName, scenario)
+	outcomes := r.outcomesFor(fleetName, scenario)
 	if len(outcomes) == 0 {
 		return
 	}
--- a/lab/experiment/reportscenarios.go
+++ b/lab/experiment/reportscenarios.go
@@ -11,7 +11,7 @@
 // writeFairness compares the urgent requests of the tenants that don't flood
 // with and without the flood.
 func (r *Record) writeFairness(text *strings.Builder, fleetName string) {
-	floods := r.of(fleetName, ScenarioFlood)
+	floods := r.outcomesFor(fleetName, ScenarioFlood)
 	if len(floods) == 0 {
 		return
 	}
@@ -25,13 +25,13 @@
 		}
 		batch := flood.Result.EndingsByClass[workload.ClassBatch]
 		rows.row(flood.Case.Policy,
-			millis(calm.Result.UrgentOfOthers.P99), millis(flood.Result.UrgentOfOthers.P99),
-			part(flood.Result.UrgentOfOthers.P99/calm.Result.UrgentOfOthers.P99),
-			part(worstRatio(calm.Result, flood.Result, fleetName)),
-			millis(calm.Result.FirstTokenByClass[workload.ClassStandard].P99),
-			millis(flood.Result.FirstTokenByClass[workload.ClassStandard].P99),
+			formatMillis(calm.Result.UrgentOfOthers.P99), formatMillis(flood.Result.UrgentOfOthers.P99),
+			formatRatio(flood.Result.UrgentOfOthers.P99/calm.Result.UrgentOfOthers.P99),
+			formatRatio(worstRatio(calm.Result, flood.Result, fleetName)),
+			formatMillis(calm.Result.FirstTokenByClass[workload.ClassStandard].P99),
+			formatMillis(flood.Result.FirstTokenByClass[workload.ClassStandard].P99),
 			fmt.Sprint(batch[emulator.EndingFinished]), fmt.Sprint(batch[emulator.EndingRefused]),
-			millis(flood.Result.FirstTokenByClass[workload.ClassBatch].P99))
+			formatMillis(flood.Result.FirstTokenByClass[workload.ClassBatch].P99))
 	}
 }
 
@@ -54,7 +54,7 @@
 func (r *Record) writeOverload(text *strings.Builder, fleetName string) {
 	peaks := make(map[string]float64)
 	var highest []Outcome
-	for _, outcome := range r.of(fleetName, ScenarioSteady) {
+	for _, outcome := range r.outcomesFor(fleetName, ScenarioSteady) {
 		peaks[outcome.Case.Policy] = max(peaks[outcome.Case.Policy], outcome.Result.Goodput)
 		if outcome.Case.Load == steadyLoads[len(steadyLoads)-1] {
 			highest = append(highest, outcome)
@@ -68,13 +68,13 @@
 		"refused after p50", "p99", "retry-after p50", "p99", "came back", "of these served", "retries a dispatch")
 	for _, outcome := range highest {
 		result := outcome.Result
-		rows.row(outcome.Case.Policy, part(result.Goodput/peaks[outcome.Case.Policy]),
+		rows.row(outcome.Case.Policy, formatRatio(result.Goodput/peaks[outcome.Case.Policy]),
 			fmt.Sprint(result.Endings[emulator.EndingFinished]), fmt.Sprint(result.Endings[emulator.EndingRefused]),
 			fmt.Sprint(result.Endings[emulator.EndingExpired]), fmt.Sprint(result.Endings[emulator.EndingFailed]),
-			millis(result.RefusedAfter.P50), millis(result.RefusedAfter.P99),
-			millis(result.RetryAfter.P50), millis(result.RetryAfter.P99),
+			formatMillis(result.RefusedAfter.P50), formatMillis(result.RefusedAfter.P99),
+			formatMillis(result.RetryAfter.P50), formatMillis(result.RetryAfter.P99),
 			fmt.Sprint(result.Returned), fmt.Sprint(result.ReturnedFinished),
-			part(float64(result.Retries)/float64(max(result.Dispatches, 1))))
+			formatRatio(float64(result.Retries)/float64(max(result.Dispatches, 1))))
 	}
 }
 
@@ -94,10 +94,10 @@
 		if before == nil {
 			continue
 		}
-		rows.row(string(now.Case.Scenario), load(now.Case.Load),
-			part(before.Result.HitRate), part(now.Result.HitRate),
-			part(before.Result.WasteRate), part(now.Result.WasteRate),
-			millis(urgentP99(before)), millis(urgentP99(&now)),
+		rows.row(string(now.Case.Scenario), formatLoad(now.Case.Load),
+			formatRatio(before.Result.HitRate), formatRatio(now.Result.HitRate),
+			formatRatio(before.Result.WasteRate), formatRatio(now.Result.WasteRate),
+			formatMillis(urgentP99(before)), formatMillis(urgentP99(&now)),
 			fmt.Sprintf("%.1f", before.Result.Goodput), fmt.Sprintf("%.1f", now.Result.Goodput))
 	}
 }
--- a/lab/experiment/summary.go
+++ b/lab/experiment/summary.go
@@ -26,9 +26,9 @@
 // headline returns a fleet's headline; false if a run for it is missing.
 func (r *Record) headline(fleetName string) (Headline, bool) {
 	base := Case{Fleet: fleetName, Scenario: ScenarioSteady, Load: HeadlineLoad}
-	product := r.find(base.with(emulator.PolicyTillerfall))
-	limit := r.find(base.with(emulator.PolicyClairvoyant))
-	leastLoaded := r.find(base.with(emulator.PolicyLeastLoaded))
+	product := r.find(base.withPolicy(emulator.PolicyTillerfall))
+	limit := r.find(base.withPolicy(emulator.PolicyClairvoyant))
+	leastLoaded := r.find(base.withPolicy(emulator.PolicyLeastLoaded))
 	if product == nil || limit == nil || leastLoaded == nil {
 		return Headline{}, false
 	}
@@ -52,7 +52,7 @@
 	return headlines
 }
 
-func (c Case) with(policy string) Case {
+func (c Case) withPolicy(policy string) Case {
 	c.Policy = policy
 	return c
 }
--- a/lab/localfleet/benchmark_test.go
+++ b/lab/localfleet/benchmark_test.go
@@ -92,7 +92,7 @@
 	require.Contains(tb, string(answer), "[DONE]")
 }
 
-func TestFleetServesARequestAndStops(t *testing.T) {
+func TestFleetServesRequestAndStops(t *testing.T) {
 	running := startFleet(t)
 	routedCall(t, running, running.options.Document.Models[0].Name, strings.Repeat("word ", 400))
 }
--- a/lab/localfleet/localfleet.go
+++ b/lab/localfleet/localfleet.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	loopback      fleet.Address  = "127.0.0.1:0"
-	zone          fleet.ZoneName = "zone-1"
-	cacheBlocks                  = 8192
-	eventDelay                   = 50 * time.Millisecond
-	loadLag                      = 200 * time.Millisecond
-	readyInterval                = 20 * time.Millisecond
-	firstToken                   = "initial"
+	loopback           fleet.Address  = "127.0.0.1:0"
+	zone               fleet.ZoneName = "zone-1"
+	cacheBlocks                       = 8192
+	eventDelay                        = 50 * time.Millisecond
+	loadLag                           = 200 * time.Millisecond
+	readyInterval                     = 20 * time.Millisecond
+	initialCommitToken                = "initial"
 )
 
 // Options says what to run.
@@ -135,7 +135,7 @@
 func (f *Fleet) commitConfiguration(ctx context.Context) error {
 	store := config.NewStore(f.client, f.client, config.StoreOptions{})
 	_, err := store.Commit(ctx, config.CommitRequest{
-		Token:     firstToken,
+		Token:     initialCommitToken,
 		Statement: "apply",
 		Mutate:    func(config.Document) (config.Document, error) { return f.options.Document, nil },
 	})
@@ -149,7 +149,7 @@
 	var peers []fleet.Address
 	for i := range f.options.Routers {
 		own := router.DefaultSettings()
-		own.Node = node(fmt.Sprintf("router-%d", i+1), loopback)
+		own.Node = nodeSettings(fmt.Sprintf("router-%d", i+1), loopback)
 		own.Platform.Address = f.platform.Address()
 		own.Peers = peers
 		own.IndexReplicas = f.options.IndexReplicas
@@ -161,7 +161,7 @@
 		peers = append(peers, instance.Address())
 	}
 	for _, instance := range f.routers {
-		if err := waitUntil(ctx, instance.Ready); err != nil {
+		if err := waitFor(ctx, instance.Ready); err != nil {
 			return errors.Wrap(err, "wait for routers")
 		}
 	}
@@ -170,7 +170,7 @@
 
 func (f *Fleet) startAgent(ctx context.Context) error {
 	own := agent.DefaultSettings()
-	own.Node = node("agent-1", f.options.AgentAddress)
+	own.Node = nodeSettings("agent-1", f.options.AgentAddress)
 	for _, instance := range f.routers {
 		own.Routers = append(own.Routers, instance.Address())
 	}
@@ -182,14 +182,14 @@
 		return errors.Wrap(err, "start agent")
 	}
 	f.agent = instance
-	if err := waitUntil(ctx, func() bool { return answersReady(ctx, instance.Address()) }); err != nil {
+	if err := waitFor(ctx, func() bool { return isReady(ctx, instance.Address()) }); err != nil {
 		return errors.Wrap(err, "wait for agent")
 	}
 	return nil
 }
 
-// answersReady asks a process's readiness endpoint.
-func answersReady(ctx context.Context, address fleet.Address) bool {
+// isReady asks a process's readiness endpoint.
+func isReady(ctx context.Context, address fleet.Address) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(address)+agent.PathReady, nil)
 	if err != nil {
 		return false
@@ -202,11 +202,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func node(id string, address fleet.Address) settings.Node {
+func nodeSettings(id string, address fleet.Address) settings.Node {
 	return settings.Node{ID: id, Region: "region-1", Zone: zone, Address: address}
 }
 
-func waitUntil(ctx context.Context, ready func() bool) error {
+func waitFor(ctx context.Context, ready func() bool) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
 	for !ready() {
--- a/lab/localfleet/sharded_test.go
+++ b/lab/localfleet/sharded_test.go
@@ -48,13 +48,13 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, running.Stop()) })
-	awaitOwners(t, running)
+	waitForOwnership(t, running)
 	return running
 }
 
-// awaitOwners waits until the engines have loaded all weights, and the routers
+// waitForOwnership waits until the engines have loaded all weights, and the routers
 // know each other, share the engines and have heard from them.
-func awaitOwners(t *testing.T, running *Fleet) {
+func waitForOwnership(t *testing.T, running *Fleet) {
 	t.Helper()
 	const weights = 3 // two models and an adapter
 	require.Eventually(t, func() bool {
@@ -65,15 +65,15 @@
 		}
 		owned, ready := 0.0, 0.0
 		for _, instance := range running.routers {
-			owned += metric(t, instance.Address(), "tillerfall_router_owned_engines{.*}")
-			ready += metric(t, instance.Address(), `tillerfall_router_owned_engines{condition="ready"}`)
+			owned += sumMetric(t, instance.Address(), "tillerfall_router_owned_engines{.*}")
+			ready += sumMetric(t, instance.Address(), `tillerfall_router_owned_engines{condition="ready"}`)
 		}
 		return int(owned) == running.options.Engines && owned == ready
 	}, 30*time.Second, readyInterval)
 }
 
-// complete sends a prompt and returns the cached tokens of the answer.
-func complete(running *Fleet, prompt string) (int, error) {
+// sendCompletion sends a prompt and returns the cached tokens of the answer.
+func sendCompletion(running *Fleet, prompt string) (int, error) {
 	body, err := json.Marshal(map[string]any{"model": "sahayak-llm", "prompt": prompt, "max_tokens": 2})
 	if err != nil {
 		return 0, err
@@ -105,8 +105,8 @@
 	return decoded.Usage.Details.CachedTokens, err
 }
 
-// metric sums the samples of a process's metrics that match.
-func metric(t *testing.T, address fleet.Address, pattern string) float64 {
+// sumMetric sums the samples of a process's metrics that match.
+func sumMetric(t *testing.T, address fleet.Address, pattern string) float64 {
 	t.Helper()
 	response, err := http.Get("http://" + string(address) + agent.PathMetrics)
 	require.NoError(t, err)
@@ -122,21 +122,21 @@
 	return total
 }
 
-// grants returns the number of requests that each router has placed.
-func grants(t *testing.T, running *Fleet) []float64 {
+// grantsByRouter returns the number of requests that each router has placed.
+func grantsByRouter(t *testing.T, running *Fleet) []float64 {
 	t.Helper()
 	var placed []float64
 	for _, instance := range running.routers {
-		placed = append(placed, metric(t, instance.Address(), `tillerfall_router_outcomes_total{[^}]*outcome="granted"[^}]*}`))
+		placed = append(placed, sumMetric(t, instance.Address(), `tillerfall_router_outcomes_total{[^}]*outcome="granted"[^}]*}`))
 	}
 	return placed
 }
 
-func TestPrefixIsFoundAgainByTheRouterThatOwnsItsEngine(t *testing.T) {
+func TestRepeatedPrefixIsPlacedByOwningRouter(t *testing.T) {
 	running := startSharded(t)
 	circular := strings.Repeat("circular ", 150)
 	ask := func(number int) int {
-		cached, err := complete(running, fmt.Sprintf("%s question %d", circular, number))
+		cached, err := sendCompletion(running, fmt.Sprintf("%s question %d", circular, number))
 		require.NoError(t, err)
 		return cached
 	}
@@ -146,7 +146,7 @@
 	var before []float64
 	for deadline := time.Now().Add(30 * time.Second); found < settled && time.Now().Before(deadline); asked++ {
 		if found == 0 {
-			before = grants(t, running)
+			before = grantsByRouter(t, running)
 		}
 		if ask(asked) > 0 {
 			found++
@@ -156,7 +156,7 @@
 	}
 	require.Equal(t, settled, found, "a prefix that was computed is found again")
 	granting := 0
-	for position, after := range grants(t, running) {
+	for position, after := range grantsByRouter(t, running) {
 		if after > before[position] {
 			granting++
 		}
@@ -172,14 +172,14 @@
 	var group sync.WaitGroup
 	for number := range 20 {
 		group.Go(func() {
-			_, err := complete(running, beginning+strings.Repeat(fmt.Sprintf("board %02d ", number), 100))
+			_, err := sendCompletion(running, beginning+strings.Repeat(fmt.Sprintf("board %02d ", number), 100))
 			assert.NoError(t, err)
 		})
 	}
 	group.Wait()
-	assert.Positive(t, metric(t, running.AgentAddress(), "tillerfall_agent_spills_total"))
+	assert.Positive(t, sumMetric(t, running.AgentAddress(), "tillerfall_agent_spills_total"))
 	granting := 0
-	for _, placed := range grants(t, running) {
+	for _, placed := range grantsByRouter(t, running) {
 		if placed > 0 {
 			granting++
 		}
--- a/lab/spill/agent.go
+++ b/lab/spill/agent.go
@@ -55,7 +55,7 @@
 	c := &call{
 		agent: a, request: request, blocks: request.Blocks(blockTokens), tried: make(map[fleet.NodeID]int),
 	}
-	model, _ := a.world.view.Model(request.Weights.Model)
+	model, _ := a.world.view.Model(request.ModelVersion.Model)
 	c.pool = model.Pool
 	c.choice = a.table.Choose(a.world.queue.Now(), c.blocks, 0)
 	c.ask()
@@ -75,7 +75,7 @@
 	c.tried[c.at.member.Node]++
 	question := placement.Request{
 		Key:    placement.Key{Request: c.request.ID, Attempt: c.attempt},
-		Tenant: c.request.Tenant, ModelVersion: c.request.Weights, Class: c.request.Class,
+		Tenant: c.request.Tenant, ModelVersion: c.request.ModelVersion, Class: c.request.Class,
 		PromptTokens: c.request.PromptTokens(), MaxTokens: c.request.OutputTokens,
 		Blocks: c.blocks, Deadline: left, AgentZone: c.agent.near.Zone, Hops: c.hops, Spills: c.spills, KnownRevision: 1,
 	}
--- a/lab/spill/engine.go
+++ b/lab/spill/engine.go
@@ -49,7 +49,7 @@
 	stream := fleet.StreamID(c.request.ID)
 	err := h.model.DispatchHashed(now, enginemodel.HashedRequest{
 		StreamID: stream, Incarnation: grant.Run.Incarnation, Tenant: c.request.Tenant,
-		Weights: engine.Weights(c.request.Weights), Hashes: c.blocks,
+		Weights: engine.Weights(c.request.ModelVersion), Hashes: c.blocks,
 		PromptTokens: c.request.PromptTokens(), OutputTokens: c.request.OutputTokens, Priority: grant.Priority,
 	})
 	if err != nil {
--- a/lab/spill/workload.go
+++ b/lab/spill/workload.go
@@ -85,11 +85,11 @@
 	}
 	system := uint64(pool*tenants+tenant) + 1
 	return &workload.Request{
-		ID:      fleet.RequestID(fmt.Sprintf("request-%d", g.drawn)),
-		At:      now,
-		Tenant:  tenantName(tenant),
-		Class:   class,
-		Weights: weightsOf(pool),
+		ID:           fleet.RequestID(fmt.Sprintf("request-%d", g.drawn)),
+		At:           now,
+		Tenant:       tenantName(tenant),
+		Class:        class,
+		ModelVersion: weightsOf(pool),
 		Segments: []workload.Segment{
 			{ID: system, Tokens: systemTokens},
 			{ID: system<<16 | uint64(chosen+1), Tokens: documentTokens},
--- a/lab/standin/engineserver/executions.go
+++ b/lab/standin/engineserver/executions.go
@@ -22,8 +22,8 @@
 	Streams []fleet.StreamID `json:"streams"`
 }
 
-// noteExecution remembers an accepted stream. The caller holds the mutex.
-func (s *Server) noteExecution(id fleet.StreamID) {
+// recordExecution remembers an accepted stream. The caller holds the mutex.
+func (s *Server) recordExecution(id fleet.StreamID) {
 	if len(s.executions) < maxExecutions {
 		s.executions = append(s.executions, id)
 	}
--- a/lab/standin/engineserver/faults.go
+++ b/lab/standin/engineserver/faults.go
@@ -48,20 +48,20 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *faultyWriter) WriteHeader(status int) {
-	w.begin()
+	w.injectFaults()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *faultyWriter) Write(data []byte) (int, error) {
-	w.begin()
+	w.injectFaults()
 	return w.ResponseWriter.Write(data)
 }
 
 // Unwrap lets http.ResponseController reach the connection.
 func (w *faultyWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *faultyWriter) begin() {
+func (w *faultyWriter) injectFaults() {
 	if w.started {
 		return
 	}
--- a/lab/standin/engineserver/handlers.go
+++ b/lab/standin/engineserver/handlers.go
@@ -16,11 +16,11 @@
 // handlers serve one life of the stand-in.
 type handlers struct {
 	server *Server
-	life   *tomb.Tomb
+	tomb   *tomb.Tomb
 }
 
 func (s *Server) routes(life *tomb.Tomb) http.Handler {
-	h := &handlers{server: s, life: life}
+	h := &handlers{server: s, tomb: life}
 	router := bunrouter.New()
 	router.GET(PathFaults, h.getFaults)
 	router.POST(PathFaults, h.postFaults)
@@ -43,7 +43,7 @@
 // arrival.
 func (h *handlers) applyFaults(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(writer http.ResponseWriter, request bunrouter.Request) error {
-		h.awaitThaw(request)
+		h.waitWhileFrozen(request)
 		s := h.server
 		s.mutex.Lock()
 		faults := s.faults
@@ -62,8 +62,8 @@
 	}
 }
 
-// awaitThaw holds a request while the engine is frozen.
-func (h *handlers) awaitThaw(request bunrouter.Request) {
+// waitWhileFrozen holds a request while the engine is frozen.
+func (h *handlers) waitWhileFrozen(request bunrouter.Request) {
 	s := h.server
 	for {
 		s.mutex.Lock()
@@ -77,7 +77,7 @@
 		case <-changed:
 		case <-request.Context().Done():
 			panic(http.ErrAbortHandler)
-		case <-h.life.Dying():
+		case <-h.tomb.Dying():
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -184,7 +184,7 @@
 	select {
 	case <-time.After(readyAt - now):
 	case <-request.Context().Done():
-	case <-h.life.Dying():
+	case <-h.tomb.Dying():
 		panic(http.ErrAbortHandler)
 	}
 	engine.WriteResponse(writer, struct{}{})
@@ -219,10 +219,10 @@
 		case <-changed:
 		case <-request.Context().Done():
 			return nil
-		case <-h.life.Dying():
+		case <-h.tomb.Dying():
 			panic(http.ErrAbortHandler)
 		}
-		h.awaitThaw(request)
+		h.waitWhileFrozen(request)
 	}
 }
 
@@ -235,7 +235,7 @@
 	now := s.now()
 	answer := engine.CacheEvents{Incarnation: s.model.Incarnation(), Events: s.model.CacheEventsAfter(now, after)}
 	ready := len(answer.Events) > 0 || after > s.model.EventSequence()
-	next := idleWait
+	next := idleInterval
 	if due, found := s.model.NextCacheEventAfter(after); found {
 		next = min(next, max(due-now, time.Millisecond))
 	}
--- a/lab/standin/engineserver/server.go
+++ b/lab/standin/engineserver/server.go
@@ -31,7 +31,7 @@
 	maxEventWait        = time.Minute
 	readHeaderTimeout   = 10 * time.Second
 	shutdownTimeout     = 2 * time.Second
-	idleWait            = time.Second
+	idleInterval        = time.Second
 )
 
 // Config describes a stand-in.
@@ -65,17 +65,17 @@
 	executions []fleet.StreamID
 	// changed is closed and replaced whenever there may be something to read.
 	changed chan struct{}
-	// shown is what the model had done when changed was last closed.
-	shown progress
+	// notified is what the model had done when changed was last closed.
+	notified progress
 	// frozenAt and frozenFor hold the engine's time back while it is frozen.
 	frozenAt  time.Duration
 	frozenFor time.Duration
 
 	wake    chan struct{}
-	life    *tomb.Tomb
+	tomb    *tomb.Tomb
 	http    *http.Server
 	address fleet.Address
-	ran     bool
+	started bool
 }
 
 // New returns a stand-in that doesn't listen yet.
@@ -119,16 +119,16 @@
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	if s.ran {
+	if s.started {
 		s.nextIncarnation()
 	}
-	s.ran = true
+	s.started = true
 	s.address = fleet.Address(listener.Addr().String())
 	life := &tomb.Tomb{}
 	server := &http.Server{Handler: s.routes(life), ReadHeaderTimeout: readHeaderTimeout}
-	s.life = life
+	s.tomb = life
 	s.http = server
-	life.Go(func() error { return s.step(life) })
+	life.Go(func() error { return s.runModel(life) })
 	life.Go(func() error { return serve(server, listener) })
 	status := s.Status()
 	s.config.Logger.Info().Str("engine", string(status.Engine)).Str("address", string(s.address)).
@@ -148,26 +148,26 @@
 
 // Stop ends open streams' connections, lets short exchanges end and stops.
 func (s *Server) Stop() error {
-	if s.life == nil {
+	if s.tomb == nil {
 		return nil
 	}
-	s.life.Kill(nil)
+	s.tomb.Kill(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.http.Close()
 	}
-	return s.life.Wait()
+	return s.tomb.Wait()
 }
 
 // Kill cuts all connections at once, as the death of the process does.
 func (s *Server) Kill() {
-	if s.life == nil {
+	if s.tomb == nil {
 		return
 	}
 	s.http.Close()
-	s.life.Kill(nil)
-	_ = s.life.Wait()
+	s.tomb.Kill(nil)
+	_ = s.tomb.Wait()
 }
 
 // Restart kills the stand-in and starts it on the same address with the next
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -47,7 +47,7 @@
 	return server, client
 }
 
-func dispatchOf(id fleet.StreamID, maxTokens int) engine.DispatchRequest {
+func newDispatch(id fleet.StreamID, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
 		StreamID: id, Incarnation: 1, Tenant: "shop", Weights: testWeights, Prompt: testPrompt, MaxTokens: maxTokens,
 	}
@@ -74,7 +74,7 @@
 	require.Equal(t, code, failure.Code)
 }
 
-func requireWhole(t *testing.T, stream *engine.Stream, count int) engine.Frame {
+func requireComplete(t *testing.T, stream *engine.Stream, count int) engine.Frame {
 	t.Helper()
 	tokens, last, err := readTokens(t.Context(), stream)
 	require.Equal(t, io.EOF, err)
@@ -83,16 +83,16 @@
 	return last
 }
 
-func TestWholeExchange(t *testing.T) {
+func TestStreamOverHTTP(t *testing.T) {
 	_, client := start(t, nil)
-	stream, err := client.Dispatch(t.Context(), dispatchOf("a/b 1%", 12))
+	stream, err := client.Dispatch(t.Context(), newDispatch("a/b 1%", 12))
 	require.NoError(t, err)
-	last := requireWhole(t, stream, 12)
+	last := requireComplete(t, stream, 12)
 	assert.Equal(t, 12, last.Count)
 
-	second, err := client.Dispatch(t.Context(), dispatchOf("r.2", 3))
+	second, err := client.Dispatch(t.Context(), newDispatch("r.2", 3))
 	require.NoError(t, err)
-	assert.Positive(t, requireWhole(t, second, 3).CachedTokens)
+	assert.Positive(t, requireComplete(t, second, 3).CachedTokens)
 
 	resumed, err := client.Resume(t.Context(), "a/b 1%", 5)
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 	outcome, err := client.Cancel(t.Context(), "a/b 1%", 1)
 	require.NoError(t, err)
 	assert.Equal(t, engine.CancelResponse{State: engine.CancelFinished, Tokens: 12}, outcome)
-	_, err = client.Dispatch(t.Context(), dispatchOf("a/b 1%", 12))
+	_, err = client.Dispatch(t.Context(), newDispatch("a/b 1%", 12))
 	requireCode(t, engine.ErrorDuplicate, err)
 	_, err = client.Resume(t.Context(), "unheard", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
@@ -111,9 +111,9 @@
 
 func TestCacheEventsSnapshotsOrdersAndBundles(t *testing.T) {
 	_, client := start(t, nil)
-	stream, err := client.Dispatch(t.Context(), dispatchOf("r.1", 1))
+	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 1))
 	require.NoError(t, err)
-	requireWhole(t, stream, 1)
+	requireComplete(t, stream, 1)
 	scope := fleet.CacheScope{Tenant: "shop", ModelVersion: fleet.ModelVersion(testWeights)}
 	hashes := prompt.HashBlocks(scope, testPrompt, 4)
 
@@ -144,15 +144,15 @@
 
 	require.NoError(t, client.SendOrder(t.Context(), engine.Order{Fence: 2, Incarnation: 1, Kind: engine.OrderRetire}))
 	requireCode(t, engine.ErrorStaleFence, client.SendOrder(t.Context(), engine.Order{Fence: 1, Incarnation: 1, Kind: engine.OrderResume}))
-	_, err = client.Dispatch(t.Context(), dispatchOf("r.2", 1))
+	_, err = client.Dispatch(t.Context(), newDispatch("r.2", 1))
 	requireCode(t, engine.ErrorDraining, err)
 	status, err := client.Status(t.Context())
 	require.NoError(t, err)
 	assert.True(t, status.Leaving)
 }
 
-// cutProxy passes each connection on until the engine has sent so many bytes.
-func cutProxy(t *testing.T, target fleet.Address, limit int64) fleet.Address {
+// truncatingProxy passes each connection on until the engine has sent so many bytes.
+func truncatingProxy(t *testing.T, target fleet.Address, limit int64) fleet.Address {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -182,10 +182,10 @@
 func TestResumeAfterCutsAtAnyByte(t *testing.T) {
 	server, _ := start(t, nil)
 	for limit := int64(300); limit < 700; limit += 7 {
-		client := engine.New(cutProxy(t, server.Address(), limit), engine.Options{})
+		client := engine.New(truncatingProxy(t, server.Address(), limit), engine.Options{})
 		id := fleet.StreamID("r." + time.Duration(limit).String())
 		var tokens []string
-		stream, err := client.Dispatch(t.Context(), dispatchOf(id, 6))
+		stream, err := client.Dispatch(t.Context(), newDispatch(id, 6))
 		for {
 			require.NoError(t, err, "limit %d", limit)
 			more, _, broken := readTokens(t.Context(), stream)
@@ -207,12 +207,12 @@
 
 func TestRestartCutsStreamsAndRejectsLateDispatches(t *testing.T) {
 	server, client := start(t, nil)
-	stream, err := client.Dispatch(t.Context(), dispatchOf("r.1", 4000))
+	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 4000))
 	require.NoError(t, err)
 	require.NoError(t, server.Restart())
 	_, _, err = readTokens(t.Context(), stream)
 	requireCode(t, engine.ErrorConnectionLost, err)
-	_, err = client.Dispatch(t.Context(), dispatchOf("r.1", 4))
+	_, err = client.Dispatch(t.Context(), newDispatch("r.1", 4))
 	requireCode(t, engine.ErrorWrongIncarnation, err)
 	_, err = client.Cancel(t.Context(), "r.1", 1)
 	requireCode(t, engine.ErrorWrongIncarnation, err)
@@ -222,14 +222,14 @@
 	assert.EqualValues(t, 2, cache.Incarnation)
 
 	server.Kill()
-	_, err = client.Dispatch(t.Context(), dispatchOf("r.2", 4))
+	_, err = client.Dispatch(t.Context(), newDispatch("r.2", 4))
 	requireCode(t, engine.ErrorConnect, err)
 	assert.Equal(t, []fleet.StreamID{"r.1"}, server.Executions().Streams, "one dispatch was accepted")
 }
 
-func TestStreamWithoutReaderIsCancelledAfterItsGrace(t *testing.T) {
+func TestStreamWithoutReaderIsCancelledAfterGracePeriod(t *testing.T) {
 	server, client := start(t, func(config *engineserver.Config) { config.Grace = 30 * time.Millisecond })
-	stream, err := client.Dispatch(t.Context(), dispatchOf("r.1", 4000))
+	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 4000))
 	require.NoError(t, err)
 	_, err = stream.Next(t.Context())
 	require.NoError(t, err)
@@ -240,16 +240,16 @@
 	assert.Equal(t, engine.CancelCancelled, outcome.State)
 }
 
-// TestSlowReaderHoldsNobodyUp leaves one stream unread for good while another
+// TestSlowReaderDoesNotBlockOthers leaves one stream unread for good while another
 // runs to its end.
-func TestSlowReaderHoldsNobodyUp(t *testing.T) {
+func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	server, client := start(t, nil)
-	slow, err := client.Dispatch(t.Context(), dispatchOf("slow", 4000))
+	slow, err := client.Dispatch(t.Context(), newDispatch("slow", 4000))
 	require.NoError(t, err)
 	defer slow.Close()
-	stream, err := client.Dispatch(t.Context(), dispatchOf("quick", 20))
+	stream, err := client.Dispatch(t.Context(), newDispatch("quick", 20))
 	require.NoError(t, err)
-	requireWhole(t, stream, 20)
+	requireComplete(t, stream, 20)
 	assert.Equal(t, 1, server.Status().Load.RunningStreams)
 	outcome, err := client.Cancel(t.Context(), "slow", 1)
 	require.NoError(t, err)
@@ -271,7 +271,7 @@
 	require.Equal(t, http.StatusBadRequest, setFaults(t, server, `{"lose_answer":1}`))
 
 	require.Equal(t, http.StatusOK, setFaults(t, server, `{"lose_answers":1}`))
-	_, err := client.Dispatch(t.Context(), dispatchOf("lost", 3))
+	_, err := client.Dispatch(t.Context(), newDispatch("lost", 3))
 	requireCode(t, engine.ErrorConnectionLost, err)
 	requireCode(t, engine.ErrorConnectionLost,
 		client.SendOrder(t.Context(), engine.Order{Fence: 4, Incarnation: 1, Kind: engine.OrderResume}))
@@ -279,14 +279,14 @@
 	assert.EqualValues(t, 4, server.Status().Fence, "the order had its effect")
 	stream, err := client.Resume(t.Context(), "lost", 0)
 	require.NoError(t, err, "the dispatch had its effect")
-	requireWhole(t, stream, 3)
+	requireComplete(t, stream, 3)
 
-	cut, err := client.Dispatch(t.Context(), dispatchOf("cut", 4000))
+	cut, err := client.Dispatch(t.Context(), newDispatch("cut", 4000))
 	require.NoError(t, err)
 	setFaults(t, server, `{"down":true}`)
 	_, _, err = readTokens(t.Context(), cut)
 	requireCode(t, engine.ErrorConnectionLost, err)
-	_, err = client.Dispatch(t.Context(), dispatchOf("down", 3))
+	_, err = client.Dispatch(t.Context(), newDispatch("down", 3))
 	requireCode(t, engine.ErrorConnectionLost, err)
 	setFaults(t, server, `{"down":false}`)
 	outcome, err := client.Cancel(t.Context(), "down", 1)
--- a/lab/standin/engineserver/step.go
+++ b/lab/standin/engineserver/step.go
@@ -8,8 +8,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// step drives the model in real time until the stand-in stops.
-func (s *Server) step(life *tomb.Tomb) error {
+// runModel drives the model in real time until the stand-in stops.
+func (s *Server) runModel(life *tomb.Tomb) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -35,22 +35,22 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.Freeze {
-		return idleWait
+		return idleInterval
 	}
 	now := s.now()
 	s.model.Advance(now)
 	cancelled := s.cancelOrphans(now)
 	reached := progress{steps: s.model.Counters().Steps, events: s.model.EventSequence()}
-	if cancelled || reached != s.shown {
-		s.shown = reached
+	if cancelled || reached != s.notified {
+		s.notified = reached
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
-	return s.untilNext(now)
+	return s.timeToNext(now)
 }
 
-func (s *Server) untilNext(now time.Duration) time.Duration {
-	wait := idleWait
+func (s *Server) timeToNext(now time.Duration) time.Duration {
+	wait := idleInterval
 	if due, found := s.model.NextWakeup(); found {
 		wait = min(wait, due-now)
 	}
--- a/lab/standin/engineserver/streams.go
+++ b/lab/standin/engineserver/streams.go
@@ -32,7 +32,7 @@
 	s.mutex.Lock()
 	err := s.model.Dispatch(s.now(), body)
 	if err == nil {
-		s.noteExecution(body.StreamID)
+		s.recordExecution(body.StreamID)
 		s.attach(body.StreamID)
 		s.notify()
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return h.fail(writer, err)
 	}
-	return h.read(writer, request, body.StreamID, body.Incarnation, len(body.Continuation))
+	return h.serveStream(writer, request, body.StreamID, body.Incarnation, len(body.Continuation))
 }
 
 func (h *handlers) resume(writer http.ResponseWriter, request bunrouter.Request) error {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return h.fail(writer, err)
 	}
-	return h.read(writer, request, id, incarnation, offset)
+	return h.serveStream(writer, request, id, incarnation, offset)
 }
 
 // streamID returns the identifier in the path. The router matches the escaped
@@ -77,73 +77,73 @@
 	return fleet.StreamID(id)
 }
 
-// read writes a stream that the caller has attached to.
-func (h *handlers) read(
+// serveStream writes a stream that the caller has attached to.
+func (h *handlers) serveStream(
 	writer http.ResponseWriter, request bunrouter.Request,
 	id fleet.StreamID, incarnation fleet.Incarnation, offset int,
 ) error {
 	defer h.server.detach(id, incarnation)
 	r := &reader{handlers: h, writer: writer, request: request, stream: id, incarnation: incarnation, next: offset}
-	accepted, err := r.accepted()
+	accepted, err := r.acceptedFrame()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set("Content-Type", engine.EventStreamType)
 	writer.WriteHeader(http.StatusOK)
-	if err := r.write([]engine.Frame{accepted}); err != nil {
+	if err := r.writeFrames([]engine.Frame{accepted}); err != nil {
 		return nil
 	}
-	r.copy()
+	r.copyFrames()
 	return nil
 }
 
-// copy writes frames until the last one, or until the connection, the
+// copyFrames writes frames until the last one, or until the connection, the
 // incarnation or the stand-in ends.
-func (r *reader) copy() {
+func (r *reader) copyFrames() {
 	for {
-		frames, ended, changed, err := r.pending()
+		frames, ended, changed, err := r.pendingFrames()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if err := r.write(frames); err != nil || ended {
+		if err := r.writeFrames(frames); err != nil || ended {
 			return
 		}
 		select {
 		case <-changed:
 		case <-r.request.Context().Done():
 			return
-		case <-r.handlers.life.Dying():
+		case <-r.handlers.tomb.Dying():
 			panic(http.ErrAbortHandler)
 		}
-		r.handlers.awaitThaw(r.request)
+		r.handlers.waitWhileFrozen(r.request)
 	}
 }
 
-var errGone = errors.New("the stream's engine is gone")
+var errUnavailable = errors.New("the stream's engine is gone")
 
-func (r *reader) accepted() (engine.Frame, error) {
+func (r *reader) acceptedFrame() (engine.Frame, error) {
 	s := r.handlers.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.model.Incarnation() != r.incarnation {
-		return engine.Frame{}, errGone
+		return engine.Frame{}, errUnavailable
 	}
 	return s.model.AcceptedFrame(r.stream)
 }
 
-// pending takes the frames that the connection hasn't had.
-func (r *reader) pending() (frames []engine.Frame, ended bool, changed <-chan struct{}, err error) {
+// pendingFrames takes the frames that the connection hasn't had.
+func (r *reader) pendingFrames() (frames []engine.Frame, ended bool, changed <-chan struct{}, err error) {
 	s := r.handlers.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.Down || s.model.Incarnation() != r.incarnation {
-		return nil, false, nil, errGone
+		return nil, false, nil, errUnavailable
 	}
 	frames, ended, err = s.model.Frames(r.stream, r.next)
 	return frames, ended, s.changed, err
 }
 
-func (r *reader) write(frames []engine.Frame) error {
+func (r *reader) writeFrames(frames []engine.Frame) error {
 	if len(frames) == 0 {
 		return nil
 	}
--- a/lab/standin/engineserver/streams_test.go
+++ b/lab/standin/engineserver/streams_test.go
@@ -10,23 +10,23 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// TestReaderNeverCrossesIncarnations has a stream of the same name run again
+// TestReaderStopsAtRestart has a stream of the same name run again
 // after a restart, while a reader of the first one is still there.
-func TestReaderNeverCrossesIncarnations(t *testing.T) {
+func TestReaderStopsAtRestart(t *testing.T) {
 	weights := engine.Weights{Model: "lm-fab", Version: "v1"}
 	model := enginemodel.Config{Incarnation: 1, Loaded: []engine.Weights{weights}, KeepWeights: true}
 	server := New(Config{Model: model, Logger: zerolog.Nop()})
 	request := engine.DispatchRequest{StreamID: "r.1", Incarnation: 1, Weights: weights, Prompt: "abcd", MaxTokens: 4}
 	require.NoError(t, server.model.Dispatch(0, request))
 	old := &reader{handlers: &handlers{server: server}, stream: "r.1", incarnation: 1}
-	_, err := old.accepted()
+	_, err := old.acceptedFrame()
 	require.NoError(t, err)
 
 	server.nextIncarnation()
 	request.Incarnation = 2
 	require.NoError(t, server.model.Dispatch(0, request))
-	_, err = old.accepted()
-	require.ErrorIs(t, err, errGone)
-	_, _, _, err = old.pending()
-	require.ErrorIs(t, err, errGone)
+	_, err = old.acceptedFrame()
+	require.ErrorIs(t, err, errUnavailable)
+	_, _, _, err = old.pendingFrames()
+	require.ErrorIs(t, err, errUnavailable)
 }
--- a/lab/standin/platformmodel/weights.go
+++ b/lab/standin/platformmodel/weights.go
@@ -94,15 +94,15 @@
 		if running == 0 {
 			break
 		}
-		elapsed := s.untilNextEnd(now-s.updated, running)
-		s.spend(elapsed, running)
+		elapsed := s.timeToNextFinish(now-s.updated, running)
+		s.applyProgress(elapsed, running)
 		s.updated += elapsed
 	}
 	s.updated = max(s.updated, now)
 }
 
-// untilNextEnd returns the time to the next end, at most limit.
-func (s *WeightStore) untilNextEnd(limit time.Duration, running int) time.Duration {
+// timeToNextFinish returns the time to the next end, at most limit.
+func (s *WeightStore) timeToNextFinish(limit time.Duration, running int) time.Duration {
 	elapsed := limit
 	for _, load := range s.loads {
 		if load.remaining > 0 {
@@ -112,7 +112,7 @@
 	return elapsed
 }
 
-func (s *WeightStore) spend(elapsed time.Duration, running int) {
+func (s *WeightStore) applyProgress(elapsed time.Duration, running int) {
 	done := elapsed
 	if running > s.fullSpeed {
 		done = elapsed * time.Duration(s.fullSpeed) / time.Duration(running)
--- a/lab/standin/platformserver/faults.go
+++ b/lab/standin/platformserver/faults.go
@@ -12,8 +12,8 @@
 type Faults struct {
 	// Down closes each connection without effect or answer.
 	Down bool `json:"down"`
-	// Slow delays each answer; the effect comes first.
-	Slow config.Duration `json:"slow"`
+	// AnswerDelay delays each answer; the effect comes first.
+	AnswerDelay config.Duration `json:"slow"`
 	// LoseAnswers closes the connection after the effect for the next calls, as
 	// many as it says; a negative number means all.
 	LoseAnswers int `json:"lose_answers"`
@@ -43,12 +43,12 @@
 	return s.faults.Down
 }
 
-// answerFate tells, after a call's effect, how long its answer is delayed and
+// answerFault tells, after a call's effect, how long its answer is delayed and
 // whether it is lost.
-func (s *Server) answerFate(write bool) (delay time.Duration, lost bool) {
+func (s *Server) answerFault(write bool) (delay time.Duration, lost bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delay = time.Duration(s.faults.Slow)
+	delay = time.Duration(s.faults.AnswerDelay)
 	if s.faults.LoseAnswers == 0 || (s.faults.LoseWritesOnly && !write) {
 		return delay, false
 	}
--- a/lab/standin/platformserver/handlers.go
+++ b/lab/standin/platformserver/handlers.go
@@ -18,12 +18,12 @@
 
 const contentTypeJSON = "application/json"
 
-// effect tells whether a call changes anything.
-type effect bool
+// access tells whether a call changes anything.
+type access bool
 
 const (
-	read  effect = false
-	write effect = true
+	read  access = false
+	write access = true
 )
 
 // reply is the success of a call, not yet sent.
@@ -35,8 +35,8 @@
 // operation applies one call to the model, with the mutex held.
 type operation func(now time.Duration, request *http.Request, body []byte) (reply, error)
 
-// call wraps an operation in the faults.
-func (s *Server) call(operation operation, effect effect) bunrouter.HandlerFunc {
+// handle wraps an operation in the faults.
+func (s *Server) handle(operation operation, effect access) bunrouter.HandlerFunc {
 	return func(writer http.ResponseWriter, request bunrouter.Request) error {
 		if s.isDown() {
 			dropConnection()
@@ -46,8 +46,8 @@
 			return sendError(writer, errors.Wrap(platform.ErrInvalid, err.Error()))
 		}
 		reply, failure := s.apply(operation, request.Request, body)
-		delay, lost := s.answerFate(effect == write)
-		if !s.pause(request.Request, delay) || lost {
+		delay, lost := s.answerFault(effect == write)
+		if !s.delayAnswer(request.Request, delay) || lost {
 			dropConnection()
 		}
 		if failure != nil {
@@ -63,8 +63,8 @@
 	return operation(s.clock.Now(), request, body)
 }
 
-// pause waits for the delay; false if the caller left or the server stops.
-func (s *Server) pause(request *http.Request, delay time.Duration) bool {
+// delayAnswer waits for the delay; false if the caller left or the server stops.
+func (s *Server) delayAnswer(request *http.Request, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
 	}
@@ -75,7 +75,7 @@
 		return true
 	case <-request.Context().Done():
 		return false
-	case <-s.life.Dying():
+	case <-s.tomb.Dying():
 		return false
 	}
 }
--- a/lab/standin/platformserver/server.go
+++ b/lab/standin/platformserver/server.go
@@ -39,7 +39,7 @@
 type Server struct {
 	logger   zerolog.Logger
 	clock    fleet.Clock
-	life     tomb.Tomb
+	tomb     tomb.Tomb
 	server   *http.Server
 	listener net.Listener
 
@@ -68,7 +68,7 @@
 	}
 	s.listener = listener
 	s.server = &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
-	s.life.Go(func() error {
+	s.tomb.Go(func() error {
 		if err := s.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "serve")
 		}
@@ -83,17 +83,17 @@
 
 // Stop ends all calls and waits for the server's goroutine.
 func (s *Server) Stop() error {
-	s.life.Kill(nil)
+	s.tomb.Kill(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := s.server.Shutdown(ctx); err != nil {
 		s.server.Close()
 	}
-	return s.life.Wait()
+	return s.tomb.Wait()
 }
 
 // Dead is closed when the server has ended.
-func (s *Server) Dead() <-chan struct{} { return s.life.Dead() }
+func (s *Server) Dead() <-chan struct{} { return s.tomb.Dead() }
 
 // SetMachines replaces the true list of machines.
 func (s *Server) SetMachines(machines []platform.Machine) {
@@ -111,13 +111,13 @@
 
 func (s *Server) routes() http.Handler {
 	router := bunrouter.New()
-	router.GET(platform.PathRow, s.call(s.getRow, read))
-	router.GET(platform.PathRows, s.call(s.listRows, read))
-	router.POST(platform.PathCommit, s.call(s.commit, write))
-	router.GET(platform.PathObject, s.call(s.getObject, read))
-	router.PUT(platform.PathObject, s.call(s.putObject, write))
-	router.GET(platform.PathMachines, s.call(s.listMachines, read))
-	router.GET(platform.PathWeights, s.call(s.weightStore, read))
+	router.GET(platform.PathRow, s.handle(s.getRow, read))
+	router.GET(platform.PathRows, s.handle(s.listRows, read))
+	router.POST(platform.PathCommit, s.handle(s.commit, write))
+	router.GET(platform.PathObject, s.handle(s.getObject, read))
+	router.PUT(platform.PathObject, s.handle(s.putObject, write))
+	router.GET(platform.PathMachines, s.handle(s.listMachines, read))
+	router.GET(platform.PathWeights, s.handle(s.weightStore, read))
 	router.POST(PathFaults, s.controlFaults)
 	router.POST(PathSetMachines, s.controlMachines)
 	router.GET(PathCounters, s.controlCounters)
--- a/lab/standin/platformserver/server_test.go
+++ b/lab/standin/platformserver/server_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestClientAndServerAgree(t *testing.T) {
+func TestClientReachesEveryOperation(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
 
@@ -69,7 +69,7 @@
 		server.Counters())
 }
 
-func TestLostAnswerLeavesTheEffectAndAnUnknownOutcome(t *testing.T) {
+func TestLostAnswerReportsUnknownOutcome(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
 	_, err := client.List(ctx, "", "", 1) // leaves a connection that is reused
@@ -81,7 +81,7 @@
 	assert.EqualValues(t, 1, server.Counters().Commit, "net/http sent the commit once")
 }
 
-func TestReadsAreNotSentAgain(t *testing.T) {
+func TestReadsAreNotRetried(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
 	_, err := client.List(ctx, "", "", 1)
@@ -104,9 +104,9 @@
 	require.ErrorIs(t, err, platform.ErrNotFound)
 }
 
-func TestCallerGivesUpOnSlowServiceAfterItsEffect(t *testing.T) {
+func TestCancelledCommitReportsUnknownOutcome(t *testing.T) {
 	server, client := start(t)
-	server.SetFaults(Faults{Slow: config.Duration(time.Hour)})
+	server.SetFaults(Faults{AnswerDelay: config.Duration(time.Hour)})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	outcome := make(chan error, 1)
--- a/lab/workload/blocks.go
+++ b/lab/workload/blocks.go
@@ -15,8 +15,8 @@
 	total := r.PromptTokens() / blockTokens
 	hashes := make([]fleet.BlockHash, 0, total)
 	cursor := segmentCursor{segments: r.Segments}
-	parent := xxhash.Sum64String(string(r.Tenant) + "\x00" + string(r.Weights.Model) +
-		"\x00" + string(r.Weights.Adapter) + "\x00" + string(r.Weights.Version))
+	parent := xxhash.Sum64String(string(r.Tenant) + "\x00" + string(r.ModelVersion.Model) +
+		"\x00" + string(r.ModelVersion.Adapter) + "\x00" + string(r.ModelVersion.Version))
 	for range total {
 		parent = cursor.hashBlock(parent, blockTokens)
 		hashes = append(hashes, fleet.BlockHash(parent))
@@ -38,7 +38,7 @@
 	for count > 0 {
 		current := c.segments[c.segment]
 		taken := min(count, current.Tokens-c.offset)
-		hash = mix(hash, current.ID, uint64(c.offset), uint64(taken))
+		hash = hashValues(hash, current.ID, uint64(c.offset), uint64(taken))
 		c.advance(taken)
 		count -= taken
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func mix(values ...uint64) uint64 {
+func hashValues(values ...uint64) uint64 {
 	var buffer [32]byte
 	for i, value := range values {
 		binary.LittleEndian.PutUint64(buffer[i*8:], value)
--- a/lab/workload/fleet.go
+++ b/lab/workload/fleet.go
@@ -15,17 +15,17 @@
 
 // Fleet describes one users' fleet: its machines and the shape of its traffic.
 type Fleet struct {
-	Name    string
-	Zones   []fleet.ZoneName
-	Engines int
-	Routers int
-	Weights fleet.ModelVersion
-	Pool    fleet.PoolName
+	Name         string
+	Zones        []fleet.ZoneName
+	Engines      int
+	Routers      int
+	ModelVersion fleet.ModelVersion
+	Pool         fleet.PoolName
 	// ZoneLatency is one way between zones, ClientLatency one way to clients.
 	ZoneLatency   time.Duration
 	ClientLatency time.Duration
-	// MaxLoads is the number of engines that can load weights at once at full speed.
-	MaxLoads int
+	// FullSpeedLoads is the number of engines that can load weights at once at full speed.
+	FullSpeedLoads int
 	// BlockTokens is the length of a cache block, CacheBlocks the cache of one
 	// engine. BlockIdleTTL evicts blocks that nobody has used for so long.
 	BlockTokens  int
@@ -51,11 +51,11 @@
 	LeafTokens   int
 	LookupTokens int
 	// Parts of all requests by kind; the rest are drafts.
-	QuestionPart, LookupPart, BatchPart float64
+	QuestionFraction, LookupFraction, BatchFraction float64
 	// Output tokens by kind.
 	QuestionOutput, DraftOutput, LookupOutput, BatchOutput int
-	// NonRepeatablePart is the part of lookups that must run at most once.
-	NonRepeatablePart float64
+	// NonRepeatableFraction is the part of lookups that must run at most once.
+	NonRepeatableFraction float64
 }
 
 // Level is one level of nested prefixes of a tenant.
@@ -68,64 +68,64 @@
 }
 
 const (
-	tenantCount     = 8
-	bigTenantShare  = 0.25
-	bigTenants      = 3
-	bigTenantWeight = 3
+	tenantCount       = 8
+	largeTenantShare  = 0.25
+	largeTenants      = 3
+	largeTenantWeight = 3
 )
 
-// FlagFleet is the first users' fleet: tail time to first token counts most.
-func FlagFleet() Fleet {
+// AhdWestFleet is the first users' fleet: tail time to first token counts most.
+func AhdWestFleet() Fleet {
 	return Fleet{
-		Name:          "ahd-west",
-		Zones:         []fleet.ZoneName{"paldi-hall", "vasna-hall", "bopal-hall"},
-		Engines:       12,
-		Routers:       3,
-		Weights:       fleet.ModelVersion{Model: "sahayak-llm", Version: "v1"},
-		Pool:          "sahayak",
-		ZoneLatency:   1500 * time.Microsecond,
-		ClientLatency: time.Millisecond,
-		MaxLoads:      2,
-		BlockTokens:   64,
-		CacheBlocks:   2048,
-		BlockIdleTTL:  10 * time.Second,
-		Tenants:       tenants(),
+		Name:           "ahd-west",
+		Zones:          []fleet.ZoneName{"paldi-hall", "vasna-hall", "bopal-hall"},
+		Engines:        12,
+		Routers:        3,
+		ModelVersion:   fleet.ModelVersion{Model: "sahayak-llm", Version: "v1"},
+		Pool:           "sahayak",
+		ZoneLatency:    1500 * time.Microsecond,
+		ClientLatency:  time.Millisecond,
+		FullSpeedLoads: 2,
+		BlockTokens:    64,
+		CacheBlocks:    2048,
+		BlockIdleTTL:   10 * time.Second,
+		Tenants:        tenants(),
 		Traffic: Traffic{
-			Top:          Level{Variants: 6, Skew: 1.4, Tokens: 6000},
-			Middle:       Level{Variants: 40, Skew: 1.2, Tokens: 1500},
-			LeafTokens:   120,
-			LookupTokens: 300,
-			QuestionPart: 0.45, LookupPart: 0.25, BatchPart: 0.2,
+			Top:              Level{Variants: 6, Skew: 1.4, Tokens: 6000},
+			Middle:           Level{Variants: 40, Skew: 1.2, Tokens: 1500},
+			LeafTokens:       120,
+			LookupTokens:     300,
+			QuestionFraction: 0.45, LookupFraction: 0.25, BatchFraction: 0.2,
 			QuestionOutput: 60, DraftOutput: 250, LookupOutput: 20, BatchOutput: 120,
-			NonRepeatablePart: 0.2,
+			NonRepeatableFraction: 0.2,
 		},
 	}
 }
 
-// FabFleet is the second users' fleet: hit rate and wasted recompute count most.
-func FabFleet() Fleet {
+// WPColomboFleet is the second users' fleet: hit rate and wasted recompute count most.
+func WPColomboFleet() Fleet {
 	return Fleet{
-		Name:          "wp-colombo",
-		Zones:         []fleet.ZoneName{"rajagiriya", "kelaniya", "nugegoda", "ratmalana"},
-		Engines:       18,
-		Routers:       4,
-		Weights:       fleet.ModelVersion{Model: "lm-fab", Version: "v1"},
-		Pool:          "fab",
-		ZoneLatency:   1500 * time.Microsecond,
-		ClientLatency: time.Millisecond,
-		MaxLoads:      3,
-		BlockTokens:   64,
-		CacheBlocks:   4096,
-		BlockIdleTTL:  10 * time.Second,
-		Tenants:       tenants(),
+		Name:           "wp-colombo",
+		Zones:          []fleet.ZoneName{"rajagiriya", "kelaniya", "nugegoda", "ratmalana"},
+		Engines:        18,
+		Routers:        4,
+		ModelVersion:   fleet.ModelVersion{Model: "lm-fab", Version: "v1"},
+		Pool:           "fab",
+		ZoneLatency:    1500 * time.Microsecond,
+		ClientLatency:  time.Millisecond,
+		FullSpeedLoads: 3,
+		BlockTokens:    64,
+		CacheBlocks:    4096,
+		BlockIdleTTL:   10 * time.Second,
+		Tenants:        tenants(),
 		Traffic: Traffic{
-			Top:          Level{Variants: 4, Skew: 1.3, Tokens: 16000},
-			Middle:       Level{Variants: 120, Skew: 1.1, Tokens: 3000},
-			LeafTokens:   200,
-			LookupTokens: 250,
-			QuestionPart: 0.3, LookupPart: 0.35, BatchPart: 0.1,
+			Top:              Level{Variants: 4, Skew: 1.3, Tokens: 16000},
+			Middle:           Level{Variants: 120, Skew: 1.1, Tokens: 3000},
+			LeafTokens:       200,
+			LookupTokens:     250,
+			QuestionFraction: 0.3, LookupFraction: 0.35, BatchFraction: 0.1,
 			QuestionOutput: 80, DraftOutput: 300, LookupOutput: 15, BatchOutput: 150,
-			NonRepeatablePart: 0.2,
+			NonRepeatableFraction: 0.2,
 		},
 	}
 }
@@ -133,11 +133,11 @@
 // tenants returns eight tenants, three of them large.
 func tenants() []Tenant {
 	names := []fleet.TenantName{"t-amber", "t-birch", "t-cedar", "t-dune", "t-elm", "t-fern", "t-grove", "t-heath"}
-	small := (1 - bigTenants*bigTenantShare) / (tenantCount - bigTenants)
+	small := (1 - largeTenants*largeTenantShare) / (tenantCount - largeTenants)
 	result := make([]Tenant, 0, tenantCount)
 	for i, name := range names {
-		if i < bigTenants {
-			result = append(result, Tenant{Name: name, Weight: bigTenantWeight, Share: bigTenantShare})
+		if i < largeTenants {
+			result = append(result, Tenant{Name: name, Weight: largeTenantWeight, Share: largeTenantShare})
 			continue
 		}
 		result = append(result, Tenant{Name: name, Weight: 1, Share: small})
--- a/lab/workload/generate.go
+++ b/lab/workload/generate.go
@@ -17,8 +17,8 @@
 	Duration time.Duration
 	// ShiftAt makes a new top-level prefix appear, which takes ShiftPart of all
 	// long prompts from then on; 0 means never.
-	ShiftAt   time.Duration
-	ShiftPart float64
+	ShiftAt       time.Duration
+	ShiftFraction float64
 	// FloodFrom and FloodTo bound a flood of batch requests at FloodRate a
 	// second by the first tenant.
 	FloodFrom, FloodTo time.Duration
@@ -29,8 +29,8 @@
 // equal traces.
 func Generate(description Fleet, options Options) Trace {
 	g := newGenerator(description, options)
-	requests := g.steady()
-	requests = append(requests, g.flood()...)
+	requests := g.steadyRequests()
+	requests = append(requests, g.floodRequests()...)
 	sort.SliceStable(requests, func(i, j int) bool { return requests[i].At < requests[j].At })
 	for i := range requests {
 		requests[i].ID = fleet.RequestID(fmt.Sprintf("r%06d", i))
@@ -58,47 +58,47 @@
 	}
 }
 
-func (g *generator) steady() []Request {
+func (g *generator) steadyRequests() []Request {
 	var requests []Request
-	for at := g.gap(g.options.Rate); at < g.options.Duration; at += g.gap(g.options.Rate) {
-		requests = append(requests, g.request(at, g.kind(), g.tenant()))
+	for at := g.drawInterval(g.options.Rate); at < g.options.Duration; at += g.drawInterval(g.options.Rate) {
+		requests = append(requests, g.newRequest(at, g.drawKind(), g.drawTenant()))
 	}
 	return requests
 }
 
-func (g *generator) flood() []Request {
+func (g *generator) floodRequests() []Request {
 	if g.options.FloodRate <= 0 {
 		return nil
 	}
 	var requests []Request
-	at := g.options.FloodFrom + g.gap(g.options.FloodRate)
-	for ; at < g.options.FloodTo; at += g.gap(g.options.FloodRate) {
-		requests = append(requests, g.request(at, KindBatch, g.fleet.Tenants[0].Name))
+	at := g.options.FloodFrom + g.drawInterval(g.options.FloodRate)
+	for ; at < g.options.FloodTo; at += g.drawInterval(g.options.FloodRate) {
+		requests = append(requests, g.newRequest(at, KindBatch, g.fleet.Tenants[0].Name))
 	}
 	return requests
 }
 
-// gap returns an exponentially distributed time between arrivals.
-func (g *generator) gap(rate float64) time.Duration {
+// drawInterval returns an exponentially distributed time between arrivals.
+func (g *generator) drawInterval(rate float64) time.Duration {
 	return time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (g *generator) kind() Kind {
+func (g *generator) drawKind() Kind {
 	traffic := g.fleet.Traffic
 	draw := g.random.Float64()
 	switch {
-	case draw < traffic.QuestionPart:
+	case draw < traffic.QuestionFraction:
 		return KindQuestion
-	case draw < traffic.QuestionPart+traffic.LookupPart:
+	case draw < traffic.QuestionFraction+traffic.LookupFraction:
 		return KindLookup
-	case draw < traffic.QuestionPart+traffic.LookupPart+traffic.BatchPart:
+	case draw < traffic.QuestionFraction+traffic.LookupFraction+traffic.BatchFraction:
 		return KindBatch
 	default:
 		return KindDraft
 	}
 }
 
-func (g *generator) tenant() fleet.TenantName {
+func (g *generator) drawTenant() fleet.TenantName {
 	draw := g.random.Float64()
 	for _, tenant := range g.fleet.Tenants {
 		draw -= tenant.Share
@@ -109,34 +109,34 @@
 	return g.fleet.Tenants[len(g.fleet.Tenants)-1].Name
 }
 
-func (g *generator) request(at time.Duration, kind Kind, tenant fleet.TenantName) Request {
+func (g *generator) newRequest(at time.Duration, kind Kind, tenant fleet.TenantName) Request {
 	request := Request{
-		At:      at,
-		Kind:    kind,
-		Tenant:  tenant,
-		Weights: g.fleet.Weights,
-		Zone:    g.fleet.Zones[g.random.IntN(len(g.fleet.Zones))],
+		At:           at,
+		Kind:         kind,
+		Tenant:       tenant,
+		ModelVersion: g.fleet.ModelVersion,
+		Zone:         g.fleet.Zones[g.random.IntN(len(g.fleet.Zones))],
 	}
 	traffic := g.fleet.Traffic
 	switch kind {
 	case KindLookup:
-		request.Class, request.OutputTokens = ClassUrgent, g.length(traffic.LookupOutput)
-		request.NonRepeatable = g.random.Float64() < traffic.NonRepeatablePart
+		request.Class, request.OutputTokens = ClassUrgent, g.drawLength(traffic.LookupOutput)
+		request.NonRepeatable = g.random.Float64() < traffic.NonRepeatableFraction
 		request.Segments = g.lookupSegments(tenant)
 		return request
 	case KindQuestion:
-		request.Class, request.OutputTokens = ClassUrgent, g.length(traffic.QuestionOutput)
+		request.Class, request.OutputTokens = ClassUrgent, g.drawLength(traffic.QuestionOutput)
 	case KindBatch:
-		request.Class, request.OutputTokens = ClassBatch, g.length(traffic.BatchOutput)
+		request.Class, request.OutputTokens = ClassBatch, g.drawLength(traffic.BatchOutput)
 	default:
-		request.Class, request.OutputTokens = ClassStandard, g.length(traffic.DraftOutput)
+		request.Class, request.OutputTokens = ClassStandard, g.drawLength(traffic.DraftOutput)
 	}
 	request.Segments = g.nestedSegments(at, tenant)
 	return request
 }
 
-// length spreads a mean uniformly between half and one and a half of it.
-func (g *generator) length(mean int) int {
+// drawLength spreads a mean uniformly between half and one and a half of it.
+func (g *generator) drawLength(mean int) int {
 	return max(1, mean/2+g.random.IntN(mean+1))
 }
 
@@ -145,32 +145,32 @@
 	half := g.fleet.Traffic.LookupTokens / 2
 	return []Segment{
 		{ID: segmentID(tenant, levelLookup, 0, 0), Tokens: half},
-		{ID: g.leafID(tenant), Tokens: half},
+		{ID: g.nextLeafID(tenant), Tokens: half},
 	}
 }
 
 func (g *generator) nestedSegments(at time.Duration, tenant fleet.TenantName) []Segment {
 	traffic := g.fleet.Traffic
 	top := uint64(g.top.draw(g.random))
-	if g.shifted(at) {
+	if g.isShifted(at) {
 		top = uint64(traffic.Top.Variants)
 	}
 	middle := uint64(g.middle.draw(g.random))
 	return []Segment{
 		{ID: segmentID(tenant, levelTop, top, 0), Tokens: traffic.Top.Tokens},
 		{ID: segmentID(tenant, levelMiddle, top, middle), Tokens: traffic.Middle.Tokens},
-		{ID: g.leafID(tenant), Tokens: max(1, g.length(traffic.LeafTokens))},
+		{ID: g.nextLeafID(tenant), Tokens: max(1, g.drawLength(traffic.LeafTokens))},
 	}
 }
 
-func (g *generator) shifted(at time.Duration) bool {
+func (g *generator) isShifted(at time.Duration) bool {
 	if g.options.ShiftAt == 0 || at < g.options.ShiftAt {
 		return false
 	}
-	return g.random.Float64() < g.options.ShiftPart
+	return g.random.Float64() < g.options.ShiftFraction
 }
 
-func (g *generator) leafID(tenant fleet.TenantName) uint64 {
+func (g *generator) nextLeafID(tenant fleet.TenantName) uint64 {
 	g.leaves++
 	return segmentID(tenant, levelLeaf, g.leaves, 0)
 }
@@ -186,7 +186,7 @@
 func segmentID(tenant fleet.TenantName, level, first, second uint64) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, character := range []byte(tenant) {
-		hash = mix(hash, uint64(character))
+		hash = hashValues(hash, uint64(character))
 	}
-	return mix(hash, level, first, second)
+	return hashValues(hash, level, first, second)
 }
--- a/lab/workload/workload.go
+++ b/lab/workload/workload.go
@@ -38,7 +38,7 @@
 	Kind         Kind
 	Tenant       fleet.TenantName
 	Class        fleet.ClassName
-	Weights      fleet.ModelVersion
+	ModelVersion fleet.ModelVersion
 	Zone         fleet.ZoneName
 	Segments     []Segment
 	OutputTokens int
--- a/lab/workload/workload_test.go
+++ b/lab/workload/workload_test.go
@@ -9,17 +9,17 @@
 )
 
 func options() Options {
-	return Options{Seed: 1, Rate: 50, Duration: 20 * time.Second, ShiftAt: 10 * time.Second, ShiftPart: 0.6}
+	return Options{Seed: 1, Rate: 50, Duration: 20 * time.Second, ShiftAt: 10 * time.Second, ShiftFraction: 0.6}
 }
 
-func TestGenerateIsAFunctionOfItsSeed(t *testing.T) {
-	first := Generate(FlagFleet(), options())
-	second := Generate(FlagFleet(), options())
+func TestGenerateIsDeterministic(t *testing.T) {
+	first := Generate(AhdWestFleet(), options())
+	second := Generate(AhdWestFleet(), options())
 	require.Equal(t, first, second)
 	require.InDelta(t, 1000, len(first.Requests), 150)
 }
 
-func TestPromptsShareBlocksExactlyAsFarAsTheyShareTokens(t *testing.T) {
+func TestPromptsShareBlocksOfCommonPrefix(t *testing.T) {
 	long := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 3, Tokens: 40}}}
 	sibling := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 4, Tokens: 40}}}
 	stranger := sibling
@@ -32,7 +32,7 @@
 }
 
 func TestShiftMovesMostLongPromptsToTheNewPrefix(t *testing.T) {
-	trace := Generate(FabFleet(), options())
+	trace := Generate(WPColomboFleet(), options())
 	newTop, long := 0, 0
 	for _, request := range trace.Requests {
 		if request.Kind == KindLookup || request.At < 10*time.Second {
--- a/test/integration/together_test.go
+++ b/test/integration/together_test.go
@@ -56,7 +56,7 @@
 // effect, on a platform that is slow besides.
 func TestCommandsCutOnTheWayToThePlatform(t *testing.T) {
 	f := startFleet(t, fleetOptions{platformProxy: true})
-	f.setPlatformFaults(platformserver.Faults{Slow: config.Duration(100 * time.Millisecond)})
+	f.setPlatformFaults(platformserver.Faults{AnswerDelay: config.Duration(100 * time.Millisecond)})
 	revision := uint64(1)
 	for round, cut := range []rule{
 		{way: towardsServer, match: commitLine, end: endReset, times: times(2)},
