--- a/test/integration/caller_test.go
+++ b/test/integration/caller_test.go
@@ -161,8 +161,8 @@
 	answer   answer
 }
 
-// callers is the HTTP client of all callers; it has no limit of time.
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+// callerClient is the HTTP client of all callerClient; it has no limit of time.
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
 // send sends a request to an agent and returns when the answer's head is there.
 func send(t *testing.T, agentAddress string, request chatRequest) *exchange {
@@ -183,7 +183,7 @@
 	require.NoError(t, err)
 	sent.Header = request.header.Clone()
 	sent.Header.Set("Content-Type", "application/json")
-	response, err := callers.Do(sent)
+	response, err := callerClient.Do(sent)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +220,7 @@
 	e.answer.broken = err
 	var chunk answerChunk
 	if json.Unmarshal(body, &chunk) == nil {
-		e.answer.take(chunk)
+		e.answer.addChunk(chunk)
 		e.answer.done = err == nil && chunk.Error == nil
 	}
 	return e.answer
@@ -248,11 +248,11 @@
 	var chunk answerChunk
 	assert.NoError(e.t, json.Unmarshal([]byte(data), &chunk), "event %q", data)
 	assert.False(e.t, e.answer.done, "an event after the end: %q", data)
-	e.answer.take(chunk)
+	e.answer.addChunk(chunk)
 	return true
 }
 
-func (a *answer) take(chunk answerChunk) {
+func (a *answer) addChunk(chunk answerChunk) {
 	a.chunks = append(a.chunks, chunk)
 	if chunk.Error != nil {
 		a.failure = chunk.Error
@@ -279,9 +279,9 @@
 	return m.Content
 }
 
-// requireWhole checks that an answer is the whole answer to its own request:
+// requireComplete checks that an answer is the whole answer to its own request:
 // each token in order and chained to this prompt, and the right counts.
-func requireWhole(t *testing.T, request chatRequest, got answer) {
+func requireComplete(t *testing.T, request chatRequest, got answer) {
 	t.Helper()
 	require.Nil(t, got.failure, "%+v", got.failure)
 	require.Equal(t, http.StatusOK, got.status)
@@ -297,12 +297,12 @@
 	require.Equal(t, got.usage.PromptTokens+got.usage.CompletionTokens, got.usage.TotalTokens)
 }
 
-// requireHonestEnd checks that an answer is whole, or says that it isn't by an
+// requireCompleteOrError checks that an answer is whole, or says that it isn't by an
 // error after a part that is in order.
-func requireHonestEnd(t *testing.T, request chatRequest, got answer) {
+func requireCompleteOrError(t *testing.T, request chatRequest, got answer) {
 	t.Helper()
 	if got.failure == nil {
-		requireWhole(t, request, got)
+		requireComplete(t, request, got)
 		return
 	}
 	require.False(t, got.done, "an error and a proper end")
--- a/test/integration/documented_test.go
+++ b/test/integration/documented_test.go
@@ -57,8 +57,8 @@
 	return ""
 }
 
-// isOfBinary tells whether the command runs one of the project's programs.
-func (c documentedCommand) isOfBinary() bool { return strings.HasPrefix(c.program, "bin/") }
+// runsProjectBinary tells whether the command runs one of the project's programs.
+func (c documentedCommand) runsProjectBinary() bool { return strings.HasPrefix(c.program, "bin/") }
 
 func readDocumentation(t *testing.T) documentation {
 	t.Helper()
--- a/test/integration/engine_test.go
+++ b/test/integration/engine_test.go
@@ -12,11 +12,11 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-// patientAgent keeps the agent from giving up an exchange that a test holds.
-var patientAgent = map[string][]string{"agent": {"--set", "engines.header_timeout=10m"}}
+// longHeaderTimeout keeps the agent from giving up an exchange that a test holds.
+var longHeaderTimeout = map[string][]string{"agent": {"--set", "engines.header_timeout=10m"}}
 
-// hastyAgent makes the agent give up a silent engine soon.
-var hastyAgent = map[string][]string{"agent": {"--set", "engines.header_timeout=700ms"}}
+// shortHeaderTimeout makes the agent give up a silent engine soon.
+var shortHeaderTimeout = map[string][]string{"agent": {"--set", "engines.header_timeout=700ms"}}
 
 // TestEngineKilledWhileItsStreamRuns kills an engine under a stream. The stream
 // goes on at another engine from exactly the tokens sent.
@@ -25,17 +25,17 @@
 	request := chat(model, 300, "You answer clerks.", "Which flag covers tankers?")
 	opened := send(t, f.agentAddress(), request)
 	opened.readTokens(5)
-	killed := f.engineOf(opened.answer.requestID())
+	killed := f.engineForRequest(opened.answer.requestID())
 	old := f.engineStatus(killed).Incarnation
 	f.processes[killed].kill()
 	got := opened.readAll()
-	requireWhole(t, request, got)
+	requireComplete(t, request, got)
 	assert.Positive(t, f.executionsElsewhere(killed, got.requestID()), "another engine has gone on")
 
 	f.processes[killed].start()
 	f.awaitListening(killed)
 	assert.Greater(t, f.engineStatus(killed).Incarnation, old)
-	f.awaitSettled()
+	f.awaitConvergence()
 	assert.Zero(t, f.executionsAt(killed, got.requestID()), "the new run has begun the old request")
 }
 
@@ -46,84 +46,84 @@
 	request := chat(model, 300, "You book tankers.", "Book one for Bopal.").notRepeatable()
 	opened := send(t, f.agentAddress(), request)
 	opened.readTokens(5)
-	killed := f.engineOf(opened.answer.requestID())
+	killed := f.engineForRequest(opened.answer.requestID())
 	f.processes[killed].kill()
 	f.processes[killed].start()
 	got := opened.readAll()
 	require.NotNil(t, got.failure)
 	assert.EqualValues(t, resultcode.StreamInterrupted, got.failure.ResultCode)
 	assert.False(t, got.failure.NotRun)
-	requireHonestEnd(t, request, got)
+	requireCompleteOrError(t, request, got)
 	f.awaitListening(killed)
-	f.awaitSettled()
+	f.awaitConvergence()
 	assert.Zero(t, f.executions(got.requestID()), "only the killed run has begun the request")
 }
 
-// TestLateDispatchToNewIncarnation delivers a dispatch after its engine has been
+// TestRestartedEngineRejectsLateDispatch delivers a dispatch after its engine has been
 // restarted. The new run rejects it.
-func TestLateDispatchToNewIncarnation(t *testing.T) {
-	f := startFleet(t, fleetOptions{engineProxies: true, flags: patientAgent})
-	f.ruleEngines(rule{way: towardsServer, match: dispatchLine, end: endHold, times: times(1)})
+func TestRestartedEngineRejectsLateDispatch(t *testing.T) {
+	f := startFleet(t, fleetOptions{engineProxies: true, flags: longHeaderTimeout})
+	f.setEngineRules(rule{direction: towardsServer, match: dispatchLine, action: actionHold, remaining: matchLimit(1)})
 	request := chat(model, 20, "You book tankers.", "Book one for Vasna.").notRepeatable()
 	var got answer
 	var running sync.WaitGroup
 	running.Go(func() { got = ask(t, f.agentAddress(), request) })
-	held := f.awaitStrike()
+	held := f.awaitMatchedRule()
 	f.control(held, engineserver.PathRestart, struct{}{})
 	f.proxies[held].releaseHeld()
 	running.Wait()
-	requireWhole(t, request, got)
-	assert.True(t, f.proxies[held].answered(string(engine.ErrorWrongIncarnation)))
+	requireComplete(t, request, got)
+	assert.True(t, f.proxies[held].hasAnswered(string(engine.ErrorWrongIncarnation)))
 	assert.Equal(t, 1, f.executions(got.requestID()))
 }
 
-// TestLateDispatchAfterCancel delivers a dispatch that the agent has given up and
+// TestCancelledDispatchNeverRuns delivers a dispatch that the agent has given up and
 // barred. The engine rejects it, so the request runs once, elsewhere.
-func TestLateDispatchAfterCancel(t *testing.T) {
-	f := startFleet(t, fleetOptions{engineProxies: true, flags: hastyAgent})
-	f.ruleEngines(rule{way: towardsServer, match: dispatchLine, end: endHold, times: times(1)})
+func TestCancelledDispatchNeverRuns(t *testing.T) {
+	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortHeaderTimeout})
+	f.setEngineRules(rule{direction: towardsServer, match: dispatchLine, action: actionHold, remaining: matchLimit(1)})
 	request := chat(model, 20, "You book tankers.", "Book one for Paldi.").notRepeatable()
 	var got answer
 	var running sync.WaitGroup
 	running.Go(func() { got = ask(t, f.agentAddress(), request) })
-	held := f.awaitStrike()
+	held := f.awaitMatchedRule()
 	running.Wait()
-	requireWhole(t, request, got)
+	requireComplete(t, request, got)
 	require.Equal(t, 1, f.executions(got.requestID()))
 	f.proxies[held].releaseHeld()
 	eventually(t, "the engine answers the late dispatch", func() bool {
-		return f.proxies[held].answered(string(engine.ErrorBarred))
+		return f.proxies[held].hasAnswered(string(engine.ErrorBarred))
 	})
 	assert.Equal(t, 1, f.executions(got.requestID()))
 }
 
-// TestDispatchCutAroundItsEffect cuts the exchange of a dispatch before and
+// TestDispatchConnectionCutRunsAtMostOnce cuts the exchange of a dispatch before and
 // after its effect, for a request that must run at most once.
-func TestDispatchCutAroundItsEffect(t *testing.T) {
-	f := startFleet(t, fleetOptions{engineProxies: true, flags: hastyAgent})
+func TestDispatchConnectionCutRunsAtMostOnce(t *testing.T) {
+	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortHeaderTimeout})
 	for _, cut := range []struct {
 		name   string
 		rule   rule
 		proper bool
 	}{
-		{"request reset", rule{way: towardsServer, match: dispatchLine, end: endReset, times: times(1)}, true},
-		{"request closed in its body", rule{way: towardsServer, match: dispatchLine, after: 200, end: endClose, times: times(1)}, true},
-		{"request swallowed", rule{way: towardsServer, match: dispatchLine, end: endDiscard, times: times(1)}, true},
-		{"answer reset", rule{way: towardsClient, match: streamHeader, end: endReset, times: times(1)}, true},
-		{"answer closed in its head", rule{way: towardsClient, match: streamHeader, after: 40, end: endClose, times: times(1)}, true},
-		{"answer swallowed", rule{way: towardsClient, match: streamHeader, end: endDiscard, times: times(1)}, true},
-		{"every answer reset", rule{way: towardsClient, match: streamHeader, end: endReset}, false},
+		{"request reset", rule{direction: towardsServer, match: dispatchLine, action: actionReset, remaining: matchLimit(1)}, true},
+		{"request closed in its body", rule{direction: towardsServer, match: dispatchLine, after: 200, action: actionClose, remaining: matchLimit(1)}, true},
+		{"request swallowed", rule{direction: towardsServer, match: dispatchLine, action: actionDiscard, remaining: matchLimit(1)}, true},
+		{"answer reset", rule{direction: towardsClient, match: streamHeader, action: actionReset, remaining: matchLimit(1)}, true},
+		{"answer closed in its head", rule{direction: towardsClient, match: streamHeader, after: 40, action: actionClose, remaining: matchLimit(1)}, true},
+		{"answer swallowed", rule{direction: towardsClient, match: streamHeader, action: actionDiscard, remaining: matchLimit(1)}, true},
+		{"every answer reset", rule{direction: towardsClient, match: streamHeader, action: actionReset}, false},
 	} {
 		t.Run(cut.name, func(t *testing.T) {
-			f.ruleEngines(cut.rule)
+			f.setEngineRules(cut.rule)
 			request := chat(model, 20, "You book tankers.", "Book one for "+cut.name+".").notRepeatable()
 			got := ask(t, f.agentAddress(), request)
-			f.ruleEngines()
+			f.setEngineRules()
 			executions := f.executions(got.requestID())
 			assert.LessOrEqual(t, executions, 1)
-			requireHonestEnd(t, request, got)
+			requireCompleteOrError(t, request, got)
 			if cut.proper {
-				requireWhole(t, request, got)
+				requireComplete(t, request, got)
 				return
 			}
 			require.NotNil(t, got.failure)
@@ -142,46 +142,46 @@
 	const streams, tokens, step, lastByte = 12, 40, 97, 3500
 	var rules []rule
 	for offset := int64(0); offset < lastByte; offset += step {
-		rules = append(rules, rule{way: towardsClient, match: streamHeader, after: offset, end: ending(offset % 2), times: times(1)})
+		rules = append(rules, rule{direction: towardsClient, match: streamHeader, after: offset, action: faultAction(offset % 2), remaining: matchLimit(1)})
 	}
-	f.ruleEngines(rules...)
+	f.setEngineRules(rules...)
 	running := startLoad(t, f, streams, tokens)
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 	struck := 0
 	for _, name := range f.names("engine") {
-		struck += f.proxies[name].strikes()
+		struck += f.proxies[name].matchCount()
 	}
 	assert.Greater(t, struck, streams, "resumed streams are cut too")
 }
 
-// TestCrossedConnectionsUnderDelay delays every piece on the way to the engines
+// TestDelayedConnectionsKeepAnswersApart delays every piece on the way to the engines
 // and checks that each caller gets its own answer.
-func TestCrossedConnectionsUnderDelay(t *testing.T) {
+func TestDelayedConnectionsKeepAnswersApart(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true})
 	for position, name := range f.names("engine") {
 		f.proxies[name].setDelay(pollInterval * 2 / (1 << position))
 	}
 	running := startLoad(t, f, 16, 10)
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 }
 
-// TestRoutersAnswersLost resets the connections on which routers answer.
-func TestRoutersAnswersLost(t *testing.T) {
+// TestRouterAnswersLost resets the connections on which routers answer.
+func TestRouterAnswersLost(t *testing.T) {
 	f := startFleet(t, fleetOptions{routerProxies: true})
 	for _, name := range f.names("router") {
 		f.proxies[name].setRules(
-			rule{way: towardsClient, match: "application/protobuf", end: endReset, times: times(4)},
-			rule{way: towardsServer, match: "Placement/Place", end: endClose, times: times(2)},
+			rule{direction: towardsClient, match: "application/protobuf", action: actionReset, remaining: matchLimit(4)},
+			rule{direction: towardsServer, match: "Placement/Place", action: actionClose, remaining: matchLimit(2)},
 		)
 	}
 	running := startLoad(t, f, 12, 20)
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 	for _, name := range f.names("router") {
 		f.proxies[name].setRules()
-		f.proxies[name].cutAll()
+		f.proxies[name].resetAll()
 	}
 	again := startLoad(t, f, 12, 20)
-	again.requireAllWhole(t)
+	again.requireAllComplete(t)
 }
 
 // executionsElsewhere counts the dispatches of a request at all engines but one.
--- a/test/integration/engines_test.go
+++ b/test/integration/engines_test.go
@@ -20,7 +20,7 @@
 // executionsAt counts the dispatches of a request that one engine has accepted.
 func (f *testFleet) executionsAt(engineName, requestID string) int {
 	f.t.Helper()
-	response, err := shortExchanges.Get("http://" + f.listens[engineName] + engineserver.PathExecutions)
+	response, err := httpClient.Get("http://" + f.listenAddresses[engineName] + engineserver.PathExecutions)
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	var executions engineserver.Executions
@@ -44,8 +44,8 @@
 	return count
 }
 
-// engineOf returns the one engine that has accepted a request.
-func (f *testFleet) engineOf(requestID string) string {
+// engineForRequest returns the one engine that has accepted a request.
+func (f *testFleet) engineForRequest(requestID string) string {
 	f.t.Helper()
 	var found []string
 	for _, name := range f.names("engine") {
@@ -57,9 +57,9 @@
 	return found[0]
 }
 
-// awaitEngineOf waits until an engine has accepted a request. An engine that was
+// awaitEngineForRequest waits until an engine has accepted a request. An engine that was
 // started again since knows of none.
-func (f *testFleet) awaitEngineOf(requestID string) string {
+func (f *testFleet) awaitEngineForRequest(requestID string) string {
 	f.t.Helper()
 	var found string
 	eventually(f.t, "an engine has the request", func() bool {
@@ -73,27 +73,27 @@
 	return found
 }
 
-// ruleEngines gives every engine's proxy the same rules.
-func (f *testFleet) ruleEngines(rules ...rule) {
+// setEngineRules gives every engine's proxy the same rules.
+func (f *testFleet) setEngineRules(rules ...rule) {
 	for _, name := range f.names("engine") {
 		f.proxies[name].setRules(rules...)
 	}
 }
 
-// awaitStrike waits until a rule of an engine's proxy has struck, takes all
+// awaitMatchedRule waits until a rule of an engine's proxy has struck, takes all
 // rules away and returns the engine's name.
-func (f *testFleet) awaitStrike() string {
+func (f *testFleet) awaitMatchedRule() string {
 	f.t.Helper()
 	var struck string
 	eventually(f.t, "a rule strikes", func() bool {
 		for _, name := range f.names("engine") {
-			if f.proxies[name].strikes() > 0 {
+			if f.proxies[name].matchCount() > 0 {
 				struck = name
 			}
 		}
 		return struck != ""
 	})
-	f.ruleEngines()
+	f.setEngineRules()
 	return struck
 }
 
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -24,13 +24,13 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// commandPatience is the ctl flag that bounds one command.
-const commandPatience = "--timeout=20s"
+// commandTimeoutFlag is the ctl flag that bounds one command.
+const commandTimeoutFlag = "--timeout=20s"
 
-// httpPatience bounds one short exchange of the tests' own.
-const httpPatience = 30 * time.Second
+// httpTimeout bounds one short exchange of the tests' own.
+const httpTimeout = 30 * time.Second
 
-var shortExchanges = &http.Client{Timeout: httpPatience}
+var httpClient = &http.Client{Timeout: httpTimeout}
 
 // fleetOptions says how a fleet differs from the documented one.
 type fleetOptions struct {
@@ -54,9 +54,9 @@
 	// proxies holds the proxy before each process that has one.
 	proxies   map[string]*faultProxy
 	processes map[string]*process
-	// listens holds the address on which each process listens.
-	listens  map[string]string
-	machines []platform.Machine
+	// listenAddresses holds the address on which each process listenAddresses.
+	listenAddresses map[string]string
+	machines        []platform.Machine
 }
 
 // startFleet runs the documented commands up to a ready agent. The calling test
@@ -67,21 +67,21 @@
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
 	f := &testFleet{
-		t:         t,
-		options:   options,
-		directory: t.TempDir(),
-		addresses: make(map[string]string),
-		proxies:   make(map[string]*faultProxy),
-		processes: make(map[string]*process),
-		listens:   make(map[string]string),
+		t:               t,
+		options:         options,
+		directory:       t.TempDir(),
+		addresses:       make(map[string]string),
+		proxies:         make(map[string]*faultProxy),
+		processes:       make(map[string]*process),
+		listenAddresses: make(map[string]string),
 	}
 	documented := readDocumentation(t)
 	f.reserveAddresses(documented)
 	for _, command := range documented.commands {
 		switch {
-		case command.isOfBinary() && command.background:
+		case command.runsProjectBinary() && command.background:
 			f.startDocumented(command)
-		case command.isOfBinary():
+		case command.runsProjectBinary():
 			result := f.runDocumented(command)
 			require.Zero(t, result.exitCode, "%s\n%s%s", command.line, result.output, result.diagnostics)
 		case strings.Contains(command.line, platformserver.PathSetMachines):
@@ -90,7 +90,7 @@
 			f.awaitReady(f.agentAddress())
 		}
 	}
-	f.awaitSettled()
+	f.awaitConvergence()
 	return f
 }
 
@@ -98,14 +98,14 @@
 // the wanted proxies before them.
 func (f *testFleet) reserveAddresses(documented documentation) {
 	for _, command := range documented.commands {
-		if !command.isOfBinary() || !command.background {
+		if !command.runsProjectBinary() || !command.background {
 			continue
 		}
 		name := command.name()
 		listens := freeAddress(f.t)
-		f.listens[name] = listens
+		f.listenAddresses[name] = listens
 		reached := listens
-		if f.wantsProxy(name) {
+		if f.hasProxy(name) {
 			f.proxies[name] = newFaultProxy(f.t, listens)
 			reached = f.proxies[name].address()
 		}
@@ -113,8 +113,8 @@
 	}
 }
 
-func (f *testFleet) wantsProxy(name string) bool {
-	switch kindOf(name) {
+func (f *testFleet) hasProxy(name string) bool {
+	switch processKind(name) {
 	case "engine":
 		return f.options.engineProxies
 	case "router":
@@ -125,8 +125,8 @@
 	return false
 }
 
-// kindOf returns the name without its number.
-func kindOf(name string) string {
+// processKind returns the name without its number.
+func processKind(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
@@ -145,15 +145,15 @@
 	flags := make([]string, 0, len(command.flags))
 	for position, flag := range command.flags {
 		if position > 0 && command.flags[position-1] == "--address" {
-			flags = append(flags, f.listens[name])
+			flags = append(flags, f.listenAddresses[name])
 			continue
 		}
 		flags = append(flags, f.translate(flag))
 	}
-	if kindOf(name) == "router" && f.options.routerProxies {
+	if processKind(name) == "router" && f.options.routerProxies {
 		flags = append(flags, "--set", "advertise="+f.proxies[name].address())
 	}
-	flags = slices.Concat(flags, f.options.flags[kindOf(name)], f.options.flags[name])
+	flags = slices.Concat(flags, f.options.flags[processKind(name)], f.options.flags[name])
 	f.processes[name] = newProcess(f.t, f.directory, name, filepath.Base(command.program), flags)
 	f.awaitListening(name)
 }
@@ -162,7 +162,7 @@
 func (f *testFleet) awaitListening(name string) {
 	f.t.Helper()
 	eventually(f.t, name+" listens", func() bool {
-		response, err := shortExchanges.Get("http://" + f.listens[name] + router.PathHealth)
+		response, err := httpClient.Get("http://" + f.listenAddresses[name] + router.PathHealth)
 		if err != nil {
 			return false
 		}
@@ -202,7 +202,7 @@
 	f.t.Helper()
 	encoded, err := json.Marshal(body)
 	require.NoError(f.t, err)
-	response, err := shortExchanges.Post("http://"+f.listens[name]+path, "application/json", bytes.NewReader(encoded))
+	response, err := httpClient.Post("http://"+f.listenAddresses[name]+path, "application/json", bytes.NewReader(encoded))
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
@@ -210,11 +210,11 @@
 	require.Equal(f.t, http.StatusOK, response.StatusCode, "%s", answer)
 }
 
-func (f *testFleet) agentAddress() string { return f.listens["agent-1"] }
+func (f *testFleet) agentAddress() string { return f.listenAddresses["agent-1"] }
 
 // answersReady asks a process's readiness endpoint.
 func answersReady(address string) bool {
-	response, err := shortExchanges.Get("http://" + address + agent.PathReady)
+	response, err := httpClient.Get("http://" + address + agent.PathReady)
 	if err != nil {
 		return false
 	}
@@ -227,12 +227,12 @@
 	eventually(f.t, address+" is ready", func() bool { return answersReady(address) })
 }
 
-// awaitSettled waits until each router is ready and sees every engine and
+// awaitConvergence waits until each router is ready and sees every engine and
 // router, so that a test knows what it disturbs.
-func (f *testFleet) awaitSettled() {
+func (f *testFleet) awaitConvergence() {
 	f.t.Helper()
 	for _, name := range f.names("router") {
-		f.awaitReady(f.listens[name])
+		f.awaitReady(f.listenAddresses[name])
 		f.awaitRows(name, "show engines where state = ready", len(f.names("engine")))
 		f.awaitRows(name, "show routers where state = alive", len(f.names("router")))
 	}
@@ -257,8 +257,8 @@
 // names lists the processes of a kind in order.
 func (f *testFleet) names(kind string) []string {
 	var names []string
-	for name := range f.listens {
-		if kindOf(name) == kind {
+	for name := range f.listenAddresses {
+		if processKind(name) == kind {
 			names = append(names, name)
 		}
 	}
@@ -266,8 +266,8 @@
 	return names
 }
 
-// operatorAnswer is what ctl prints with --json.
-type operatorAnswer struct {
+// commandAnswer is what ctl prints with --json.
+type commandAnswer struct {
 	Code        int        `json:"code"`
 	Name        string     `json:"name"`
 	Message     string     `json:"message"`
@@ -278,23 +278,23 @@
 	Rows        [][]string `json:"rows"`
 }
 
-// operate runs a statement at a router by the command line. The answer is nil
+// runStatement runs a statement at a router by the command line. The answer is nil
 // if the router gave none.
-func (f *testFleet) operate(routerName, statement string, flags ...string) (*operatorAnswer, commandResult) {
+func (f *testFleet) runStatement(routerName, statement string, flags ...string) (*commandAnswer, commandResult) {
 	f.t.Helper()
-	words := slices.Concat([]string{"ctl", "--json", commandPatience, "--router", f.listens[routerName]}, flags, strings.Fields(statement))
+	words := slices.Concat([]string{"ctl", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName]}, flags, strings.Fields(statement))
 	result := runCommand(f.t, "tillerfall", words...)
-	var answer operatorAnswer
+	var answer commandAnswer
 	if json.Unmarshal([]byte(result.output), &answer) != nil {
 		return nil, result
 	}
 	return &answer, result
 }
 
-// mustOperate runs a statement that succeeds.
-func (f *testFleet) mustOperate(routerName, statement string, flags ...string) *operatorAnswer {
+// mustRunStatement runs a statement that succeeds.
+func (f *testFleet) mustRunStatement(routerName, statement string, flags ...string) *commandAnswer {
 	f.t.Helper()
-	answer, result := f.operate(routerName, statement, flags...)
+	answer, result := f.runStatement(routerName, statement, flags...)
 	require.Zero(f.t, result.exitCode, "%s: %s", statement, result.diagnostics)
 	require.NotNil(f.t, answer)
 	return answer
@@ -302,7 +302,7 @@
 
 // query returns the rows of a query; none if it failed.
 func (f *testFleet) query(routerName, statement string) [][]string {
-	answer, _ := f.operate(routerName, statement)
+	answer, _ := f.runStatement(routerName, statement)
 	if answer == nil {
 		return nil
 	}
@@ -311,12 +311,12 @@
 
 // apply commits a configuration through a router, and returns when every router
 // and the agent have it in force.
-func (f *testFleet) apply(routerName, configuration string) *operatorAnswer {
+func (f *testFleet) apply(routerName, configuration string) *commandAnswer {
 	f.t.Helper()
 	path := writeConfiguration(f.t, configuration)
-	result := runCommand(f.t, "tillerfall", "apply", "--json", commandPatience, "--router", f.listens[routerName], path)
+	result := runCommand(f.t, "tillerfall", "apply", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName], path)
 	require.Zero(f.t, result.exitCode, result.diagnostics)
-	var answer operatorAnswer
+	var answer commandAnswer
 	require.NoError(f.t, json.Unmarshal([]byte(result.output), &answer))
 	f.awaitRevision(answer.Revision)
 	return &answer
@@ -332,7 +332,7 @@
 // platformCounters returns the calls that have reached the platform.
 func (f *testFleet) platformCounters() platformserver.Counters {
 	f.t.Helper()
-	response, err := shortExchanges.Get("http://" + f.listens["platform"] + platformserver.PathCounters)
+	response, err := httpClient.Get("http://" + f.listenAddresses["platform"] + platformserver.PathCounters)
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	var counters platformserver.Counters
@@ -350,14 +350,14 @@
 		})
 	}
 	eventually(f.t, fmt.Sprintf("the agent has revision %d", revision), func() bool {
-		return f.processes["agent-1"].logged("event=configuration_learned", fmt.Sprintf("revision=%d ", revision)) > 0
+		return f.processes["agent-1"].countLogLines("event=configuration_learned", fmt.Sprintf("revision=%d ", revision)) > 0
 	})
 }
 
 // engineStatus asks an engine itself, past its proxy.
 func (f *testFleet) engineStatus(name string) engine.Status {
 	f.t.Helper()
-	client := engine.New(fleet.Address(f.listens[name]), engine.Options{})
+	client := engine.New(fleet.Address(f.listenAddresses[name]), engine.Options{})
 	defer client.CloseIdle()
 	status, err := client.Status(f.t.Context())
 	require.NoError(f.t, err)
--- a/test/integration/input_test.go
+++ b/test/integration/input_test.go
@@ -46,7 +46,7 @@
 	{name: "wrong method", method: http.MethodDelete, code: resultcode.UnknownPath},
 }
 
-func TestBadRequestsAreRefusedByNumber(t *testing.T) {
+func TestBadRequestsReturnResultCodes(t *testing.T) {
 	f := startFleet(t, fleetOptions{flags: map[string][]string{"agent": {"--set", "http.max_body_bytes=200000"}}})
 	for _, bad := range badRequests {
 		t.Run(bad.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 		})
 	}
 	good := chat(model, 5, "You answer clerks.", "Which flag covers tankers?")
-	requireWhole(t, good, ask(t, f.agentAddress(), good))
+	requireComplete(t, good, ask(t, f.agentAddress(), good))
 	batch := good
 	batch.header = http.Header{openai.HeaderAuthorization: {"Bearer " + batchKey}}
 	batch.Model = "lm-fab"
@@ -88,7 +88,7 @@
 	for name, value := range bad.header {
 		request.Header.Set(name, value)
 	}
-	response, err := shortExchanges.Do(request)
+	response, err := httpClient.Do(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	answered, err := io.ReadAll(response.Body)
@@ -114,14 +114,14 @@
 	assert.Equal(t, 2, usage.exitCode)
 
 	f := startFleet(t, fleetOptions{})
-	refused := runCommand(t, "tillerfall", "apply", "--router", f.listens["router-2"], path)
+	refused := runCommand(t, "tillerfall", "apply", "--router", f.listenAddresses["router-2"], path)
 	assert.Equal(t, 1, refused.exitCode)
 	assert.Contains(t, refused.diagnostics, "5001 config_invalid")
 	assert.Contains(t, refused.diagnostics, "line 11, column 5: tenants[0].wieght")
 	assert.Equal(t, [][]string{{"1"}}, f.query("router-2", "show revision"))
 }
 
-func TestBadStatementsPointAtTheWord(t *testing.T) {
+func TestBadStatementsReportColumn(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	for _, bad := range []struct {
 		statement string
@@ -136,7 +136,7 @@
 		{"promote sahayak-llm v9", resultcode.TargetNotFound, 21, "v9"},
 	} {
 		t.Run(bad.statement, func(t *testing.T) {
-			answer, result := f.operate("router-1", bad.statement)
+			answer, result := f.runStatement("router-1", bad.statement)
 			require.NotNil(t, answer, result.diagnostics)
 			assert.Equal(t, 1, result.exitCode)
 			assert.EqualValues(t, bad.code, answer.Code)
--- a/test/integration/lease_test.go
+++ b/test/integration/lease_test.go
@@ -17,7 +17,7 @@
 
 // withVersion is the narrow configuration with one more version of the model.
 func withVersion(state string) string {
-	return strings.Replace(narrowConfiguration, "{name: v1, state: serving}", "{name: v1, state: serving}, {name: v2, state: "+state+"}", 1)
+	return strings.Replace(singleStreamConfiguration, "{name: v1, state: serving}", "{name: v1, state: serving}, {name: v2, state: "+state+"}", 1)
 }
 
 // leaseHolder returns the router that took the lease last, and its token.
@@ -32,22 +32,22 @@
 	return holder, token
 }
 
-// TestFrozenLeaseHolder freezes the router that holds the lease while its order
+// TestPausedLeaseHolderCannotApplyStaleOrder freezes the router that holds the lease while its order
 // to load a version is on the way, and lets it thaw after another router has
 // unloaded that version under a newer token. The old order must have no effect.
-func TestFrozenLeaseHolder(t *testing.T) {
+func TestPausedLeaseHolderCannotApplyStaleOrder(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortLease})
 	holder := ""
 	eventually(t, "a router holds the lease", func() bool {
 		holder, _ = f.leaseHolder()
 		return holder != ""
 	})
-	f.ruleEngines(rule{way: towardsServer, match: orderLine, end: endHold})
+	f.setEngineRules(rule{direction: towardsServer, match: orderLine, action: actionHold})
 	f.apply(f.otherRouter(holder), withVersion("loading"))
 	held := ""
 	eventually(t, "an order is on the way", func() bool {
 		for _, name := range f.names("engine") {
-			if f.proxies[name].strikes() > 0 {
+			if f.proxies[name].matchCount() > 0 {
 				held = name
 			}
 		}
@@ -55,19 +55,19 @@
 	})
 	holder, oldToken := f.leaseHolder()
 	f.processes[holder].signal(syscall.SIGSTOP)
-	f.ruleEngines()
+	f.setEngineRules()
 	eventually(t, "another router takes the lease", func() bool {
 		next, token := f.leaseHolder()
 		return next != holder && token > oldToken
 	})
-	eventually(t, "every engine has the version by a newer order", func() bool { return f.everyEngine(loadedByNewer(oldToken)) })
-	retired := f.mustOperate(f.otherRouter(holder), "retire version "+model+" v2")
+	eventually(t, "every engine has the version by a newer order", func() bool { return f.everyEngine(loadedAfterToken(oldToken)) })
+	retired := f.mustRunStatement(f.otherRouter(holder), "retire version "+model+" v2")
 	eventually(t, "every engine has unloaded the version", func() bool { return f.everyEngine(hasUnloaded) })
 
 	before := f.engineStatus(held).Fence
 	f.proxies[held].releaseHeld()
 	eventually(t, "the engine rejects the old order", func() bool {
-		return f.proxies[held].answered(string(engine.ErrorStaleFence))
+		return f.proxies[held].hasAnswered(string(engine.ErrorStaleFence))
 	})
 	assert.True(t, hasUnloaded(f.engineStatus(held)), "the old order has had an effect")
 	f.processes[holder].signal(syscall.SIGCONT)
@@ -75,7 +75,7 @@
 	assert.GreaterOrEqual(t, f.engineStatus(held).Fence, before)
 	assert.True(t, f.everyEngine(hasUnloaded))
 	running := startLoad(t, f, 6, 10)
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 }
 
 func (f *testFleet) otherRouter(name string) string {
@@ -99,7 +99,7 @@
 
 var secondVersion = engine.Weights{Model: model, Version: "v2"}
 
-func loadedByNewer(token int) func(engine.Status) bool {
+func loadedAfterToken(token int) func(engine.Status) bool {
 	return func(status engine.Status) bool {
 		return status.Fence > fleet.FencingToken(token) && contains(status.Loaded, secondVersion)
 	}
--- a/test/integration/operator_test.go
+++ b/test/integration/operator_test.go
@@ -38,19 +38,19 @@
 	revision := uint64(1)
 	for round, command := range []string{"drain", "admit", "drain", "admit"} {
 		f.setPlatformFaults(platformserver.Faults{LoseAnswers: -1, LoseWritesOnly: true})
-		reported := make([]*operatorAnswer, len(routers))
+		reported := make([]*commandAnswer, len(routers))
 		var operators sync.WaitGroup
 		for i, router := range routers {
 			operators.Go(func() {
 				statement := command + " engine-1"
-				reported[i], _ = f.operate(router, statement, "--token", raceToken(round, i), "--expect", strconv.FormatUint(revision, 10))
+				reported[i], _ = f.runStatement(router, statement, "--token", raceToken(round, i), "--expect", strconv.FormatUint(revision, 10))
 			})
 		}
 		operators.Wait()
 		f.setPlatformFaults(platformserver.Faults{})
 		winners := 0
 		for i := range routers {
-			outcome := f.settle(t, routers, raceToken(round, i), reported[i])
+			outcome := f.requireSameOutcome(t, routers, raceToken(round, i), reported[i])
 			if resultcode.Code(outcome.Code) == resultcode.OK {
 				winners++
 				assert.Equal(t, revision+1, outcome.Revision)
@@ -64,13 +64,13 @@
 
 func raceToken(round, operator int) string { return fmt.Sprintf("race-%d-%d", round, operator) }
 
-// settle looks a token up at every router and checks that all agree with one
+// requireSameOutcome looks a token up at every router and checks that all agree with one
 // another and with what the operator was told.
-func (f *testFleet) settle(t *testing.T, routers []string, token string, reported *operatorAnswer) *operatorAnswer {
+func (f *testFleet) requireSameOutcome(t *testing.T, routers []string, token string, reported *commandAnswer) *commandAnswer {
 	t.Helper()
-	var first *operatorAnswer
+	var first *commandAnswer
 	for _, router := range routers {
-		outcome, _ := f.operate(router, "lookup "+token)
+		outcome, _ := f.runStatement(router, "lookup "+token)
 		require.NotNil(t, outcome)
 		if first == nil {
 			first = outcome
@@ -88,11 +88,11 @@
 // TestCommandRepeatedWithItsToken sends one command twice under one token.
 func TestCommandRepeatedWithItsToken(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	first := f.mustOperate("router-1", "drain engine-2", "--token", "drain-once")
-	second := f.mustOperate("router-3", "drain engine-2", "--token", "drain-once")
+	first := f.mustRunStatement("router-1", "drain engine-2", "--token", "drain-once")
+	second := f.mustRunStatement("router-3", "drain engine-2", "--token", "drain-once")
 	assert.Equal(t, first.Revision, second.Revision)
-	assert.Equal(t, first.Revision, f.mustOperate("router-2", "lookup drain-once").Revision)
-	unknown, result := f.operate("router-1", "lookup never-sent")
+	assert.Equal(t, first.Revision, f.mustRunStatement("router-2", "lookup drain-once").Revision)
+	unknown, result := f.runStatement("router-1", "lookup never-sent")
 	assert.Equal(t, 1, result.exitCode)
 	assert.EqualValues(t, resultcode.TargetNotFound, unknown.Code)
 }
@@ -104,7 +104,7 @@
 	f := startFleet(t, fleetOptions{})
 	running := send(t, f.agentAddress(), chat(model, 400, "You answer clerks.", "Which flag covers tankers?"))
 	running.readTokens(2)
-	drained := f.engineOf(running.answer.requestID())
+	drained := f.engineForRequest(running.answer.requestID())
 	var leaving, left string
 	for _, name := range f.names("engine") {
 		switch {
@@ -115,7 +115,7 @@
 			left = name
 		}
 	}
-	f.mustOperate("router-1", "drain "+drained)
+	f.mustRunStatement("router-1", "drain "+drained)
 	f.listEngine(leaving, platform.MachineLeaving)
 	for _, router := range f.names("router") {
 		f.awaitRows(router, "show engines where state = ready", 1)
@@ -126,11 +126,11 @@
 		assert.Len(t, f.query(router, "show engines where state = ready"), 1, router)
 	}
 	requests := startLoad(t, f, 12, 20)
-	requests.requireAllWhole(t)
+	requests.requireAllComplete(t)
 	for _, got := range requests.answers {
-		assert.Equal(t, left, f.engineOf(got.requestID()))
+		assert.Equal(t, left, f.engineForRequest(got.requestID()))
 	}
-	requireWhole(t, running.request, running.readAll())
+	requireComplete(t, running.request, running.readAll())
 }
 
 // listEngine puts the present run of an engine into the list of machines.
@@ -161,8 +161,8 @@
 func TestConfigurationSpreadsWithPlatformDown(t *testing.T) {
 	neverPolls := []string{"--set", "configuration_interval=1h"}
 	f := startFleet(t, fleetOptions{flags: map[string][]string{"router-2": neverPolls, "router-3": neverPolls}})
-	path := writeConfiguration(t, strings.Replace(narrowConfiguration, "weight: 3", "weight: 7", 1))
-	result := runCommand(t, "tillerfall", "apply", "--router", f.listens["router-1"], path)
+	path := writeConfiguration(t, strings.Replace(singleStreamConfiguration, "weight: 3", "weight: 7", 1))
+	result := runCommand(t, "tillerfall", "apply", "--router", f.listenAddresses["router-1"], path)
 	require.Zero(t, result.exitCode, result.diagnostics)
 	f.setPlatformFaults(platformserver.Faults{Down: true})
 	f.awaitRevision(2)
@@ -170,7 +170,7 @@
 	f.processes["router-3"].kill()
 	f.processes["router-3"].start()
 	f.awaitListening("router-3")
-	f.awaitReady(f.listens["router-3"])
+	f.awaitReady(f.listenAddresses["router-3"])
 	for _, router := range []string{"router-2", "router-3"} {
 		assert.Equal(t, [][]string{{"2"}}, f.query(router, "show revision"), router)
 		rows := f.query(router, "show tenants")
@@ -178,5 +178,5 @@
 		assert.Equal(t, "7", rows[0][1], router)
 	}
 	running := startLoad(t, f, 6, 10)
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 }
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -20,19 +20,19 @@
 		circular, context := examplePrompt(t, "tariff-circular"), examplePrompt(t, "flag-context")
 		first := chat("sahayak-llm", 48, circular, context, examplePrompt(t, "flag-question"))
 		second := chat("sahayak-llm", 48, circular, context, examplePrompt(t, "flag-question-2"))
-		askTwice(t, f, first, second)
+		requireCachedPrefix(t, f, first, second)
 	})
 	t.Run("fab", func(t *testing.T) {
 		rulebook, boards := examplePrompt(t, "fab-rulebook"), examplePrompt(t, "board-set")
 		first := chat("lm-fab", 48, rulebook, boards, examplePrompt(t, "quote-request"))
 		second := chat("lm-fab", 48, rulebook, boards, "What does the panel cost without gold fingers?")
-		askTwice(t, f, first, second)
+		requireCachedPrefix(t, f, first, second)
 	})
 	t.Run("plain", func(t *testing.T) {
 		request := chat("sahayak-llm", 16, "You answer clerks.", "Which flag covers tankers?")
 		request.Stream = false
 		request.StreamOptions = nil
-		requireWhole(t, request, ask(t, f.agentAddress(), request))
+		requireComplete(t, request, ask(t, f.agentAddress(), request))
 	})
 	t.Run("completions", func(t *testing.T) {
 		request := chat("sahayak-llm:tariff-notes", 16)
@@ -40,10 +40,10 @@
 		eventually(t, "the adapter is loaded", func() bool {
 			return ask(t, f.agentAddress(), request).failure == nil
 		})
-		requireWhole(t, request, ask(t, f.agentAddress(), request))
+		requireComplete(t, request, ask(t, f.agentAddress(), request))
 		request.Stream = false
 		request.StreamOptions = nil
-		requireWhole(t, request, ask(t, f.agentAddress(), request))
+		requireComplete(t, request, ask(t, f.agentAddress(), request))
 	})
 	t.Run("models", func(t *testing.T) {
 		assert.Equal(t, []string{"lm-fab", "sahayak-llm", "sahayak-llm:tariff-notes"}, listModels(t, f, counterKey))
@@ -51,14 +51,14 @@
 	})
 }
 
-// askTwice asks two questions on one prefix.
-func askTwice(t *testing.T, f *testFleet, first, second chatRequest) {
+// requireCachedPrefix asks two questions on one prefix.
+func requireCachedPrefix(t *testing.T, f *testFleet, first, second chatRequest) {
 	t.Helper()
 	cold := ask(t, f.agentAddress(), first)
-	requireWhole(t, first, cold)
+	requireComplete(t, first, cold)
 	require.Zero(t, cold.usage.Details.CachedTokens)
 	warm := ask(t, f.agentAddress(), second)
-	requireWhole(t, second, warm)
+	requireComplete(t, second, warm)
 	require.Greater(t, warm.usage.Details.CachedTokens, warm.usage.PromptTokens/2)
 }
 
@@ -67,7 +67,7 @@
 	request, err := http.NewRequest(http.MethodGet, "http://"+f.agentAddress()+openai.PathModels, nil)
 	require.NoError(t, err)
 	request.Header.Set(openai.HeaderAuthorization, "Bearer "+key)
-	response, err := shortExchanges.Do(request)
+	response, err := httpClient.Do(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	var list struct {
@@ -87,13 +87,13 @@
 	return names
 }
 
-// TestStreamHasTheShapeOfTheAPI checks each event of a stream.
-func TestStreamHasTheShapeOfTheAPI(t *testing.T) {
+// TestStreamMatchesAPIFormat checks each event of a stream.
+func TestStreamMatchesAPIFormat(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat("sahayak-llm", 5, "You answer clerks.", "Which flag covers meter photographs?")
 	opened := send(t, f.agentAddress(), request)
 	got := opened.readAll()
-	requireWhole(t, request, got)
+	requireComplete(t, request, got)
 	assert.Equal(t, "text/event-stream", got.header.Get("Content-Type"))
 	assert.NotEmpty(t, got.header.Get(openai.HeaderRequestID))
 	require.Len(t, got.chunks, request.MaxTokens+2, "the tokens, the finish reason and the usage")
--- a/test/integration/process_test.go
+++ b/test/integration/process_test.go
@@ -16,9 +16,9 @@
 const (
 	// pollInterval is the time between two looks at a condition.
 	pollInterval = 50 * time.Millisecond
-	// patience bounds the wait for a condition. It is no verdict on speed:
+	// conditionTimeout bounds the wait for a condition. It is no verdict on speed:
 	// only a condition that never comes true takes so long.
-	patience = 60 * time.Second
+	conditionTimeout = 60 * time.Second
 	// failureLogLines is how much of each end of each log a failed test prints.
 	failureLogLines = 25
 )
@@ -26,7 +26,7 @@
 // eventually polls until a condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			require.FailNow(t, "never came true: "+what)
@@ -56,7 +56,7 @@
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
-			t.Logf("--- %s ---\n%s", name, bothEnds(p.log(), failureLogLines))
+			t.Logf("--- %s ---\n%s", name, headAndTail(p.log(), failureLogLines))
 		}
 	})
 	return p
@@ -95,8 +95,8 @@
 	<-p.exited
 }
 
-// ended tells whether the process has ended.
-func (p *process) ended() bool {
+// hasExited tells whether the process has hasExited.
+func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
 		return true
@@ -108,7 +108,7 @@
 // exitCode waits for the end and returns the exit code; -1 after a signal.
 func (p *process) exitCode() int {
 	p.t.Helper()
-	eventually(p.t, p.name+" ends", p.ended)
+	eventually(p.t, p.name+" ends", p.hasExited)
 	return p.command.ProcessState.ExitCode()
 }
 
@@ -120,8 +120,8 @@
 	return string(content)
 }
 
-// logged counts the log lines that hold all the texts.
-func (p *process) logged(texts ...string) int {
+// countLogLines counts the log lines that hold all the texts.
+func (p *process) countLogLines(texts ...string) int {
 	count := 0
 	for line := range strings.Lines(p.log()) {
 		if containsAll(line, texts) {
@@ -145,9 +145,9 @@
 	return strings.Join(lines[max(0, len(lines)-count):], "\n")
 }
 
-// bothEnds returns the first and the last lines of a text: what led to a failure may stand
+// headAndTail returns the first and the last lines of a text: what led to a failure may stand
 // before thousands of lines of the waiting for it.
-func bothEnds(text string, count int) string {
+func headAndTail(text string, count int) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	if len(lines) <= 2*count {
 		return strings.Join(lines, "\n")
--- a/test/integration/proxy_test.go
+++ b/test/integration/proxy_test.go
@@ -21,45 +21,45 @@
 	towardsClient
 )
 
-// ending tells what becomes of a connection whose rule has struck.
-type ending int
+// faultAction tells what becomes of a connection whose rule has struck.
+type faultAction int
 
 const (
-	// endClose closes both sides.
-	endClose ending = iota
-	// endReset aborts both sides with a TCP reset.
-	endReset
-	// endDiscard swallows what comes this way and leaves the other way open.
-	endDiscard
-	// endHold keeps what comes this way until the proxy is released.
-	endHold
+	// actionClose closes both sides.
+	actionClose faultAction = iota
+	// actionReset aborts both sides with a TCP reset.
+	actionReset
+	// actionDiscard swallows what comes this way and leaves the other way open.
+	actionDiscard
+	// actionHold keeps what comes this way until the proxy is released.
+	actionHold
 )
 
 // rule strikes a connection in one direction.
 type rule struct {
-	way direction
+	direction direction
 	// match strikes with the piece that holds this text, which must not be
 	// split over pieces; empty strikes by count alone.
 	match string
 	// after is the number of bytes, from the start of the matching piece, that
 	// still pass.
 	after int64
-	// end is what happens then.
-	end ending
-	// times bounds the connections that are struck; nil means all. Several
+	// action is what happens then.
+	action faultAction
+	// remaining bounds the connections that are struck; nil means all. Several
 	// proxies may share it.
-	times *atomic.Int32
+	remaining *atomic.Int32
 }
 
-// times bounds the strikes of a rule.
-func times(count int32) *atomic.Int32 {
+// matchLimit bounds the strikes of a rule.
+func matchLimit(count int32) *atomic.Int32 {
 	left := &atomic.Int32{}
 	left.Store(count)
 	return left
 }
 
-// take uses up one strike.
-func (r rule) take() bool { return r.times == nil || r.times.Add(-1) >= 0 }
+// consume uses up one strike.
+func (r rule) consume() bool { return r.remaining == nil || r.remaining.Add(-1) >= 0 }
 
 // proxyBuffer is large enough that the head of a request comes as one piece.
 const proxyBuffer = 64 << 10
@@ -67,35 +67,35 @@
 // faultProxy passes TCP connections on to a process, and delays, cuts, resets
 // or holds them as its rules say.
 type faultProxy struct {
-	target   string
-	listener net.Listener
-	pumps    sync.WaitGroup
+	target     string
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
 	mutex       sync.Mutex
 	rules       []rule
 	delay       time.Duration
-	connections map[*proxied]struct{}
-	struck      int
+	connections map[*proxiedConnection]struct{}
+	matched     int
 	release     chan struct{}
 	closed      chan struct{}
-	seen        bytes.Buffer
+	answers     bytes.Buffer
 }
 
-// proxied is one connection through a proxy.
-type proxied struct {
+// proxiedConnection is one connection through a proxy.
+type proxiedConnection struct {
 	client net.Conn
 	server net.Conn
 	// held is set once the connection is held: only hold closes it from then on.
 	held atomic.Bool
 }
 
-func (p *proxied) close() {
+func (p *proxiedConnection) close() {
 	p.client.Close()
 	p.server.Close()
 }
 
 // reset makes the close of both sides an abort.
-func (p *proxied) reset() {
+func (p *proxiedConnection) reset() {
 	for _, side := range []net.Conn{p.client, p.server} {
 		if connection, isTCP := side.(*net.TCPConn); isTCP {
 			_ = connection.SetLinger(0)
@@ -111,11 +111,11 @@
 	p := &faultProxy{
 		target:      target,
 		listener:    listener,
-		connections: make(map[*proxied]struct{}),
+		connections: make(map[*proxiedConnection]struct{}),
 		release:     make(chan struct{}),
 		closed:      make(chan struct{}),
 	}
-	p.pumps.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	t.Cleanup(p.stop)
 	return p
 }
@@ -125,8 +125,8 @@
 func (p *faultProxy) stop() {
 	p.listener.Close()
 	close(p.closed)
-	p.cutAll()
-	p.pumps.Wait()
+	p.resetAll()
+	p.goroutines.Wait()
 }
 
 func (p *faultProxy) accept() {
@@ -135,18 +135,18 @@
 		if err != nil {
 			return
 		}
-		p.pumps.Go(func() { p.connect(client) })
+		p.goroutines.Go(func() { p.connect(client) })
 	}
 }
 
 func (p *faultProxy) connect(client net.Conn) {
-	server, err := net.DialTimeout("tcp", p.target, httpPatience)
+	server, err := net.DialTimeout("tcp", p.target, httpTimeout)
 	if err != nil {
 		// The server's refusal shows as a reset.
-		(&proxied{client: client, server: client}).reset()
+		(&proxiedConnection{client: client, server: client}).reset()
 		return
 	}
-	connection := &proxied{client: client, server: server}
+	connection := &proxiedConnection{client: client, server: server}
 	p.mutex.Lock()
 	p.connections[connection] = struct{}{}
 	p.mutex.Unlock()
@@ -156,17 +156,17 @@
 	default:
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(connection, towardsServer) })
-	p.pump(connection, towardsClient)
+	both.Go(func() { p.forward(connection, towardsServer) })
+	p.forward(connection, towardsClient)
 	both.Wait()
 	p.mutex.Lock()
 	delete(p.connections, connection)
 	p.mutex.Unlock()
 }
 
-// pump copies one direction until an end or a rule stops it. An end of one side
+// forward copies one direction until an end or a rule stops it. An end of one side
 // closes both, as the death of either process does.
-func (p *faultProxy) pump(connection *proxied, way direction) {
+func (p *faultProxy) forward(connection *proxiedConnection, way direction) {
 	defer func() {
 		if way == towardsServer || !connection.held.Load() {
 			connection.close()
@@ -182,10 +182,10 @@
 	for {
 		count, err := from.Read(buffer)
 		piece := buffer[:count]
-		p.note(way, piece)
-		p.pause()
+		p.recordAnswer(way, piece)
+		p.waitDelay()
 		if striking == nil && count > 0 {
-			if striking = p.strike(way, piece); striking != nil {
+			if striking = p.matchRule(way, piece); striking != nil {
 				left = striking.after
 			}
 		}
@@ -196,7 +196,7 @@
 				return
 			}
 			if passing < int64(len(piece)) {
-				p.finish(connection, striking, from, piece[passing:])
+				p.applyAction(connection, striking, from, piece[passing:])
 				return
 			}
 		} else if _, failure := to.Write(piece); failure != nil {
@@ -208,14 +208,14 @@
 	}
 }
 
-// finish carries out a rule's ending.
-func (p *faultProxy) finish(connection *proxied, striking *rule, from io.Reader, rest []byte) {
-	switch striking.end {
-	case endReset:
+// applyAction carries out a rule's ending.
+func (p *faultProxy) applyAction(connection *proxiedConnection, striking *rule, from io.Reader, rest []byte) {
+	switch striking.action {
+	case actionReset:
 		connection.reset()
-	case endDiscard:
+	case actionDiscard:
 		_, _ = io.Copy(io.Discard, from)
-	case endHold:
+	case actionHold:
 		p.hold(connection, rest)
 	}
 }
@@ -223,7 +223,7 @@
 // hold keeps a piece until the proxy is released, and sends it on a connection
 // of its own then: the server may have closed the first one for its silence. It
 // arrives also if the client is gone by then.
-func (p *faultProxy) hold(connection *proxied, rest []byte) {
+func (p *faultProxy) hold(connection *proxiedConnection, rest []byte) {
 	p.mutex.Lock()
 	release := p.release
 	connection.held.Store(true)
@@ -234,7 +234,7 @@
 	case <-p.closed:
 		return
 	}
-	server, err := net.DialTimeout("tcp", p.target, httpPatience)
+	server, err := net.DialTimeout("tcp", p.target, httpTimeout)
 	if err != nil {
 		return
 	}
@@ -249,7 +249,7 @@
 	if _, err := server.Write(rest); err != nil {
 		return
 	}
-	p.pumps.Go(func() { _, _ = io.Copy(server, connection.client) })
+	p.goroutines.Go(func() { _, _ = io.Copy(server, connection.client) })
 	p.relayAnswers(server, connection.client)
 }
 
@@ -258,7 +258,7 @@
 	buffer := make([]byte, proxyBuffer)
 	for {
 		count, err := server.Read(buffer)
-		p.note(towardsClient, buffer[:count])
+		p.recordAnswer(towardsClient, buffer[:count])
 		_, _ = client.Write(buffer[:count])
 		if err != nil {
 			return
@@ -266,37 +266,37 @@
 	}
 }
 
-// strike returns the first rule for a piece.
-func (p *faultProxy) strike(way direction, piece []byte) *rule {
+// matchRule returns the first rule for a piece.
+func (p *faultProxy) matchRule(way direction, piece []byte) *rule {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, candidate := range p.rules {
-		if candidate.way == way && bytes.Contains(piece, []byte(candidate.match)) && candidate.take() {
-			p.struck++
+		if candidate.direction == way && bytes.Contains(piece, []byte(candidate.match)) && candidate.consume() {
+			p.matched++
 			return &candidate
 		}
 	}
 	return nil
 }
 
-// note keeps what the server has answered, for tests that look for a text.
-func (p *faultProxy) note(way direction, piece []byte) {
+// recordAnswer keeps what the server has answered, for tests that look for a text.
+func (p *faultProxy) recordAnswer(way direction, piece []byte) {
 	if way != towardsClient {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.seen.Write(piece)
+	p.answers.Write(piece)
 }
 
-// answered tells whether the server has sent a text.
-func (p *faultProxy) answered(text string) bool {
+// hasAnswered tells whether the server has sent a text.
+func (p *faultProxy) hasAnswered(text string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return bytes.Contains(p.seen.Bytes(), []byte(text))
+	return bytes.Contains(p.answers.Bytes(), []byte(text))
 }
 
-func (p *faultProxy) pause() {
+func (p *faultProxy) waitDelay() {
 	p.mutex.Lock()
 	delay := p.delay
 	p.mutex.Unlock()
@@ -323,11 +323,11 @@
 	p.rules = rules
 }
 
-// strikes is the number of connections that rules have struck.
-func (p *faultProxy) strikes() int {
+// matchCount is the number of connections that rules have struck.
+func (p *faultProxy) matchCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.struck
+	return p.matched
 }
 
 // releaseHeld lets held connections go on.
@@ -338,8 +338,8 @@
 	p.release = make(chan struct{})
 }
 
-// cutAll resets every open connection.
-func (p *faultProxy) cutAll() {
+// resetAll resets every open connection.
+func (p *faultProxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.connections {
--- a/test/integration/router_test.go
+++ b/test/integration/router_test.go
@@ -15,9 +15,9 @@
 
 const model = "sahayak-llm"
 
-// narrowConfiguration is the example configuration with one stream an engine,
+// singleStreamConfiguration is the example configuration with one stream an engine,
 // so that requests wait at routers.
-const narrowConfiguration = `
+const singleStreamConfiguration = `
 tenants:
   - name: citizen-app
     key_hashes: [27c139b736e0e8c8e7292cde302b0d6fb1e6cff6b1a7413f3fafe27e70a2b166]
@@ -64,12 +64,12 @@
 	return l
 }
 
-// requireAllWhole waits for the answers and checks each.
-func (l *load) requireAllWhole(t *testing.T) {
+// requireAllComplete waits for the answers and checks each.
+func (l *load) requireAllComplete(t *testing.T) {
 	t.Helper()
 	l.running.Wait()
 	for i, request := range l.requests {
-		requireWhole(t, request, l.answers[i])
+		requireComplete(t, request, l.answers[i])
 	}
 }
 
@@ -116,7 +116,7 @@
 		f.processes[name].kill()
 	}
 	for _, exchange := range opened {
-		requireWhole(t, exchange.request, exchange.readAll())
+		requireComplete(t, exchange.request, exchange.readAll())
 	}
 }
 
@@ -124,15 +124,15 @@
 // agent asks another one.
 func TestRouterKilledWhileRequestsWait(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	f.apply("router-1", narrowConfiguration)
+	f.apply("router-1", singleStreamConfiguration)
 	running := startLoad(t, f, 12, 150)
 	f.processes[f.awaitWaiting()].kill()
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 }
 
-// TestHerdRestartWithPlatformDown restarts all routers at once while the
+// TestAllRoutersRestartWithPlatformDown restarts all routers at once while the
 // platform is down. They serve from what the agent remembers.
-func TestHerdRestartWithPlatformDown(t *testing.T) {
+func TestAllRoutersRestartWithPlatformDown(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	before := chat(model, 250, "You answer clerks.", "Which flag covers tankers?")
 	opened := send(t, f.agentAddress(), before)
@@ -151,15 +151,15 @@
 			require.True(t, got.failure.NotRun, "%+v", got.failure)
 			return false
 		}
-		requireWhole(t, after, got)
+		requireComplete(t, after, got)
 		return true
 	})
-	requireWhole(t, before, opened.readAll())
+	requireComplete(t, before, opened.readAll())
 	for _, name := range f.names("router") {
-		f.awaitReady(f.listens[name])
+		f.awaitReady(f.listenAddresses[name])
 		assert.Equal(t, [][]string{{"1"}}, f.query(name, "show revision"), name)
 	}
-	_, result := f.operate("router-1", "drain engine-1")
+	_, result := f.runStatement("router-1", "drain engine-1")
 	assert.Contains(t, result.diagnostics, resultcode.PlatformUnavailable.String())
 }
 
@@ -167,19 +167,19 @@
 // a second signal and the platform down in the middle of it.
 func TestPlannedStopOfRouterUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	f.apply("router-1", narrowConfiguration)
+	f.apply("router-1", singleStreamConfiguration)
 	running := startLoad(t, f, 12, 150)
 	stopped := f.processes[f.awaitWaiting()]
 	f.setPlatformFaults(platformserver.Faults{Down: true})
 	stopped.signal(syscall.SIGTERM)
-	eventually(t, "the stop has begun", func() bool { return stopped.logged("event=router_stopping") > 0 })
-	if !stopped.ended() {
+	eventually(t, "the stop has begun", func() bool { return stopped.countLogLines("event=router_stopping") > 0 })
+	if !stopped.hasExited() {
 		_ = stopped.command.Process.Signal(syscall.SIGTERM)
 	}
 	assert.Zero(t, stopped.exitCode())
-	assert.Equal(t, 1, stopped.logged("event=router_stopped"))
-	assert.Positive(t, stopped.logged("event=place_handed_back", "reason=draining"))
-	running.requireAllWhole(t)
+	assert.Equal(t, 1, stopped.countLogLines("event=router_stopped"))
+	assert.Positive(t, stopped.countLogLines("event=place_handed_back", "reason=draining"))
+	running.requireAllComplete(t)
 }
 
 // TestPlannedStopOfAgent stops the agent with running streams, and signals it
@@ -195,7 +195,7 @@
 	}
 	agent := f.processes["agent-1"]
 	agent.signal(syscall.SIGTERM)
-	eventually(t, "the stop has begun", func() bool { return agent.logged("event=agent_stopping") > 0 })
+	eventually(t, "the stop has begun", func() bool { return agent.countLogLines("event=agent_stopping") > 0 })
 	agent.signal(syscall.SIGTERM)
 	refused, err := trySend(t, f.agentAddress(), chat(model, 5, "You answer clerks.", "Which flag?"))
 	require.NoError(t, err, "a stopping agent still answers")
@@ -205,7 +205,7 @@
 	assert.True(t, late.failure.NotRun)
 	assert.NotEmpty(t, late.header.Get("Retry-After"))
 	for _, exchange := range opened {
-		requireWhole(t, exchange.request, exchange.readAll())
+		requireComplete(t, exchange.request, exchange.readAll())
 	}
 	assert.Zero(t, agent.exitCode())
 }
--- a/test/integration/together_test.go
+++ b/test/integration/together_test.go
@@ -26,17 +26,17 @@
 		opened.readTokens(len(opened.answer.tokens) + 5)
 		require.Nil(t, opened.answer.failure, "%+v", opened.answer.failure)
 		f.processes["router-"+strconv.Itoa(round+1)].kill()
-		killed := f.awaitEngineOf(opened.answer.requestID())
+		killed := f.awaitEngineForRequest(opened.answer.requestID())
 		f.processes[killed].kill()
 		f.processes[killed].start()
 		f.awaitListening(killed)
 	}
-	requireWhole(t, request, opened.readAll())
+	requireComplete(t, request, opened.readAll())
 }
 
-// TestAgentKilledUnderItsStreams kills the agent, whose callers see a stream
+// TestAgentKilledDuringStreams kills the agent, whose callers see a stream
 // without an end, and starts it again. The new one serves at once.
-func TestAgentKilledUnderItsStreams(t *testing.T) {
+func TestAgentKilledDuringStreams(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat(model, 300, "You answer clerks.", "Which flag covers tankers?")
 	opened := send(t, f.agentAddress(), request)
@@ -49,28 +49,28 @@
 	f.awaitListening("agent-1")
 	f.awaitReady(f.agentAddress())
 	request.MaxTokens = 10
-	requireWhole(t, request, ask(t, f.agentAddress(), request))
+	requireComplete(t, request, ask(t, f.agentAddress(), request))
 }
 
-// TestCommandsCutOnTheWayToThePlatform cuts transactions before and after their
+// TestCommandsSurviveCutPlatformConnections cuts transactions before and after their
 // effect, on a platform that is slow besides.
-func TestCommandsCutOnTheWayToThePlatform(t *testing.T) {
+func TestCommandsSurviveCutPlatformConnections(t *testing.T) {
 	f := startFleet(t, fleetOptions{platformProxy: true})
 	f.setPlatformFaults(platformserver.Faults{AnswerDelay: config.Duration(100 * time.Millisecond)})
 	revision := uint64(1)
 	for round, cut := range []rule{
-		{way: towardsServer, match: commitLine, end: endReset, times: times(2)},
-		{way: towardsServer, match: commitLine, after: 250, end: endClose, times: times(2)},
-		{way: towardsClient, match: "HTTP/1.1 200 OK", after: 20, end: endReset, times: times(6)},
-		{way: towardsClient, match: "HTTP/1.1 200 OK", end: endClose, times: times(6)},
+		{direction: towardsServer, match: commitLine, action: actionReset, remaining: matchLimit(2)},
+		{direction: towardsServer, match: commitLine, after: 250, action: actionClose, remaining: matchLimit(2)},
+		{direction: towardsClient, match: "HTTP/1.1 200 OK", after: 20, action: actionReset, remaining: matchLimit(6)},
+		{direction: towardsClient, match: "HTTP/1.1 200 OK", action: actionClose, remaining: matchLimit(6)},
 	} {
 		f.proxies["platform"].setRules(cut)
 		token := "cut-" + strconv.Itoa(round)
 		statement := []string{"drain engine-1", "admit engine-1"}[round%2]
-		reported, _ := f.operate("router-2", statement, "--token", token)
+		reported, _ := f.runStatement("router-2", statement, "--token", token)
 		f.proxies["platform"].setRules()
 		require.NotNil(t, reported)
-		repeated := f.mustOperate("router-3", statement, "--token", token)
+		repeated := f.mustRunStatement("router-3", statement, "--token", token)
 		revision++
 		assert.Equal(t, revision, repeated.Revision, "the command has taken effect once")
 		if resultcode.Code(reported.Code) == resultcode.OK {
