--- a/lab/enginemodel/batch_test.go
+++ b/lab/enginemodel/batch_test.go
@@ -13,6 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
+// TestStepTimesFollowTheCostModel guards against steps that last longer or shorter than the cost
+// model says.
 func TestStepTimesFollowTheCostModel(t *testing.T) {
 	e := New(testConfig())
 	require.NoError(t, e.Dispatch(0, request(e, "a", repeatedPrompt("a", 50), 3)))
@@ -30,20 +32,23 @@
 	assert.NoError(t, VerifyOutput(repeatedPrompt("a", 50), outputTokens(t, e, "a")))
 }
 
+// TestDecodingPrecedesChunkedPrefill guards against a long prompt that delays the output of running
+// streams.
 func TestDecodingPrecedesChunkedPrefill(t *testing.T) {
 	e := New(testConfig())
 	require.NoError(t, e.Dispatch(0, request(e, "short", repeatedPrompt("s", 8), 4)))
 	e.Advance(11 * time.Millisecond)
 	require.NoError(t, e.Dispatch(11*time.Millisecond, request(e, "long", repeatedPrompt("l", 250), 1)))
 	runToIdle(e)
-	// 242 tokens would fill two and a half steps; the running stream's output
-	// takes its token of the budget in each.
+	// The running stream takes one token of the budget of each step.
 	counters := e.Counters()
 	assert.EqualValues(t, 258, counters.PrefillTokens)
 	assert.EqualValues(t, 5, counters.OutputTokens)
 	assert.EqualValues(t, 5, counters.Steps)
 }
 
+// TestPriorityOrdersQueueWithoutPreemption guards against urgent streams that preempt running ones
+// or wait behind less urgent ones.
 func TestPriorityOrdersQueueWithoutPreemption(t *testing.T) {
 	config := testConfig()
 	config.MaxRunning = 1
@@ -71,6 +76,8 @@
 	assert.Equal(t, []fleet.StreamID{"running", "counter", "desk", "batch"}, order)
 }
 
+// TestExpectedPrefixCountsScheduledBlocksOnce guards against blocks that are expected twice, or
+// still expected after a cancellation.
 func TestExpectedPrefixCountsScheduledBlocksOnce(t *testing.T) {
 	e := New(testConfig())
 	text := repeatedPrompt("x", 200)
@@ -85,9 +92,11 @@
 	assert.Equal(t, 50, e.ExpectedPrefix(hashes))
 	_, err := e.Cancel(e.now, "a", 1)
 	require.NoError(t, err)
-	assert.Equal(t, 25, e.ExpectedPrefix(hashes), "cancelled work isn't expected any more")
+	assert.Equal(t, 25, e.ExpectedPrefix(hashes), "cancelled work is not expected")
 }
 
+// TestContinuationResumesAfterGivenTokens guards against repeated or skipped tokens when another
+// engine continues an output.
 func TestContinuationResumesAfterGivenTokens(t *testing.T) {
 	text := repeatedPrompt("c", 40)
 	first := New(testConfig())
@@ -115,9 +124,11 @@
 	body.StreamID = "r.3"
 	body.Continuation = whole
 	require.NoError(t, second.Dispatch(second.now, body))
-	assert.Equal(t, whole, outputTokens(t, second, "r.3"), "a whole output ends at once")
+	assert.Equal(t, whole, outputTokens(t, second, "r.3"), "a complete continuation ends at once")
 }
 
+// TestVerifyOutputRejectsBrokenOutput guards against a verifier that misses spliced, missing or
+// repeated tokens.
 func TestVerifyOutputRejectsBrokenOutput(t *testing.T) {
 	text := repeatedPrompt("v", 12)
 	output := func(id fleet.EngineID, text string) []string {
@@ -135,7 +146,7 @@
 	assert.Error(t, VerifyOutput(text, append(one[:2:2], one[3:]...)), "gap")
 	assert.Error(t, VerifyOutput(text, append(one[:2:2], one[1:]...)), "repeat")
 	assert.Error(t, VerifyOutput(repeatedPrompt("w", 12), one), "another prompt")
-	assert.Error(t, VerifyOutput(text, []string{"0a"}), "torn")
+	assert.Error(t, VerifyOutput(text, []string{"0a"}), "truncated token")
 	joined := ""
 	for _, token := range one {
 		joined += token
@@ -143,6 +154,7 @@
 	assert.Equal(t, one, SplitOutput(joined))
 }
 
+// TestReportedLoadLags guards against status reports that show a load younger than LoadLag.
 func TestReportedLoadLags(t *testing.T) {
 	config := testConfig()
 	config.LoadLag = time.Second
@@ -156,8 +168,8 @@
 	assert.Equal(t, 1, e.RunningStreams())
 }
 
-// runHashedLoad sends a seeded load through one engine and returns its counts and
-// the digest of its progress.
+// runHashedLoad sends a seeded load to one engine. It returns the counters and the sum of all event
+// times.
 func runHashedLoad(requests int) (Counters, time.Duration) {
 	random := rand.New(rand.NewPCG(7, 7))
 	e := New(Config{ID: "e", Loaded: []engine.Weights{testWeights}, BlockIdleTTL: 5 * time.Second, EventLoss: 0.3})
@@ -184,6 +196,8 @@
 	return e.Counters(), total
 }
 
+// TestHashedRunsAreDeterministic guards against results that differ between runs with the same
+// seed.
 func TestHashedRunsAreDeterministic(t *testing.T) {
 	counters, total := runHashedLoad(400)
 	again, totalAgain := runHashedLoad(400)
--- a/lab/enginemodel/blocks.go
+++ b/lab/enginemodel/blocks.go
@@ -7,8 +7,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// block is a cached block. Unpinned blocks are linked in the order of their
-// last use; links are positions in the slab.
+// block is a cached block. Unpinned blocks form a doubly linked list in order of last use; the
+// links are positions in the slab.
 type block struct {
 	hash           fleet.BlockHash
 	references     int32
@@ -17,25 +17,25 @@
 	idleSince      time.Duration
 }
 
-// sentinel is the slab position that closes the list of unpinned blocks: its
-// next is the least recently used.
+// sentinel is the slab position of the list head of unpinned blocks. Its next block is the least
+// recently used one.
 const sentinel = 0
 
-// blockStore is the engine's KV memory.
+// blockStore is the KV cache of the engine.
 type blockStore struct {
 	index    map[fleet.BlockHash]int32
 	slab     []block
 	free     []int32
 	capacity int
-	// pinned blocks are in use by running streams, reserved ones promised.
+	// pinned counts the blocks in use by running streams, reserved those promised to them but not
+	// stored yet.
 	pinned   int
 	reserved int
-	// scheduled counts, for blocks not stored yet, the accepted streams that will
-	// compute them.
+	// scheduled counts, for each block not stored yet, the accepted streams that will compute it.
 	scheduled map[fleet.BlockHash]int32
 	evicted   int
 	events    *eventLog
-	// everStored notes every block that was stored, unless it is nil.
+	// everStored records every block that was ever stored, unless it is nil.
 	everStored map[fleet.BlockHash]struct{}
 }
 
@@ -49,8 +49,7 @@
 	}
 }
 
-// prefix returns how many leading hashes are cached and how many of these are
-// unpinned.
+// prefix returns how many leading hashes are cached and how many of those are unpinned.
 func (s *blockStore) prefix(hashes []fleet.BlockHash) (cached, unpinned int) {
 	for _, hash := range hashes {
 		position, found := s.index[hash]
@@ -65,7 +64,7 @@
 	return cached, unpinned
 }
 
-// expected returns how many leading hashes are cached or due.
+// expected returns how many leading hashes are cached or scheduled.
 func (s *blockStore) expected(hashes []fleet.BlockHash) int {
 	for position, hash := range hashes {
 		if _, found := s.index[hash]; !found && s.scheduled[hash] == 0 {
@@ -95,20 +94,20 @@
 	return s.capacity - s.pinned - s.reserved
 }
 
-// reserve promises room, which must be there, and evicts to make it real.
+// reserve reserves count blocks, which must be available, and evicts until they fit.
 func (s *blockStore) reserve(count int) {
 	s.reserved += count
 	s.evictToFit()
 }
 
-// evictToFit evicts unpinned blocks until the promises fit.
+// evictToFit evicts unpinned blocks until the reserved blocks fit into the capacity.
 func (s *blockStore) evictToFit() {
 	for len(s.index)+s.reserved > s.capacity && s.slab[sentinel].next != sentinel {
 		s.evict(s.slab[sentinel].next)
 	}
 }
 
-// pin takes a cached block into use.
+// pin adds a reference to a cached block.
 func (s *blockStore) pin(hash fleet.BlockHash) {
 	position := s.index[hash]
 	entry := &s.slab[position]
@@ -119,7 +118,8 @@
 	entry.references++
 }
 
-// unpin gives a block up.
+// unpin drops a reference to a block. A block without references becomes the most recently used
+// idle block.
 func (s *blockStore) unpin(hash fleet.BlockHash, now time.Duration) {
 	position := s.index[hash]
 	entry := &s.slab[position]
@@ -132,7 +132,7 @@
 	s.link(position)
 }
 
-// storeReserved turns a promise into a pinned block.
+// storeReserved stores and pins a block for which memory is reserved.
 func (s *blockStore) storeReserved(hash fleet.BlockHash, scope int32) {
 	s.reserved--
 	if _, found := s.index[hash]; !found {
@@ -142,9 +142,9 @@
 	s.pin(hash)
 }
 
-// storeIdle keeps the blocks of a prefix that no stream uses, as far as there
-// is room beside the pinned ones, and returns how many. The end goes in first,
-// so that the beginning counts as used last.
+// storeIdle stores the blocks of a prefix that no stream uses, as many as fit beside the pinned and
+// reserved ones, and returns how many. The last block is stored first, so that the beginning of the
+// prefix is the most recently used part.
 func (s *blockStore) storeIdle(hashes []fleet.BlockHash, scope int32, now time.Duration) int {
 	count := max(min(len(hashes), s.available()), 0)
 	for i := count - 1; i >= 0; i-- {
@@ -164,7 +164,7 @@
 	return count
 }
 
-// expire evicts the blocks that have been idle since before a time.
+// expire evicts unpinned blocks that became idle at or before the given time.
 func (s *blockStore) expire(before time.Duration) {
 	for {
 		oldest := s.slab[sentinel].next
@@ -202,7 +202,7 @@
 	s.events.record(engine.BlockRemoved, hash)
 }
 
-// link appends a block to the list as the most recently used.
+// link appends a block to the idle list as the most recently used one.
 func (s *blockStore) link(position int32) {
 	last := s.slab[sentinel].previous
 	s.slab[position].previous = last
@@ -217,7 +217,7 @@
 	s.slab[entry.next].previous = entry.previous
 }
 
-// isInScope tells whether a cached block belongs to a scope.
+// isInScope reports whether a block is cached and belongs to a scope.
 func (s *blockStore) isInScope(hash fleet.BlockHash, scope int32) bool {
 	position, found := s.index[hash]
 	return found && s.slab[position].scope == scope
--- a/lab/enginemodel/cache_test.go
+++ b/lab/enginemodel/cache_test.go
@@ -15,6 +15,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
+// TestCacheIsNotSharedAcrossScopes guards against cache hits across tenants, adapters or versions.
 func TestCacheIsNotSharedAcrossScopes(t *testing.T) {
 	adapter := engine.Weights{Model: "sahayak", Adapter: "flags", Version: "v1"}
 	newer := engine.Weights{Model: "sahayak", Version: "v2"}
@@ -44,6 +45,7 @@
 	}
 }
 
+// TestEvictionIsLRUAndSparesPinnedBlocks guards against eviction out of order or of blocks in use.
 func TestEvictionIsLRUAndSparesPinnedBlocks(t *testing.T) {
 	config := testConfig()
 	config.CacheBlocks = 26
@@ -59,13 +61,13 @@
 	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, request(e, "a2", text["a"], 1)))
 	runToIdle(e)
-	// "b" is now the older one. A third prompt takes from its end.
+	// "b" is now the least recently used prefix; "c" evicts blocks from its end.
 	require.NoError(t, e.Dispatch(e.now, request(e, "c", text["c"], 20)))
 	e.Advance(e.now + 15*time.Millisecond)
 	assert.Equal(t, 10, cached("a"))
 	assert.Equal(t, 1, cached("b"))
 	assert.Equal(t, 10, cached("c"))
-	// While "c" runs, room for others must not come from it.
+	// The blocks of "c" are pinned while it runs.
 	require.NoError(t, e.Dispatch(e.now, request(e, "b2", text["b"], 1)))
 	e.Advance(e.now + 30*time.Millisecond)
 	assert.Equal(t, 10, cached("c"))
@@ -81,6 +83,7 @@
 	return count
 }
 
+// TestIdleBlocksExpire guards against blocks that expire while in use, too early or not at all.
 func TestIdleBlocksExpire(t *testing.T) {
 	config := testConfig()
 	config.BlockIdleTTL = 2 * time.Second
@@ -88,7 +91,7 @@
 	hashes := blockHashes("ward", testWeights, repeatedPrompt("a", 40))
 	require.NoError(t, e.Dispatch(0, request(e, "a", repeatedPrompt("a", 40), 200)))
 	ended := runToIdle(e)
-	require.Greater(t, ended, 2*time.Second, "blocks in use don't expire")
+	require.Greater(t, ended, 2*time.Second, "blocks in use do not expire")
 	assert.Equal(t, 10, e.CachedPrefix(hashes))
 	e.Advance(ended + 1999*time.Millisecond)
 	assert.Equal(t, 10, e.CachedPrefix(hashes))
@@ -96,6 +99,8 @@
 	assert.Zero(t, e.CachedPrefix(hashes))
 }
 
+// TestPromptLargerThanTheCacheStillRuns guards against a prompt that waits forever because it
+// exceeds the cache.
 func TestPromptLargerThanTheCacheStillRuns(t *testing.T) {
 	config := testConfig()
 	config.CacheBlocks = 5
@@ -108,6 +113,8 @@
 	assert.LessOrEqual(t, len(e.blocks.index), 5)
 }
 
+// TestCacheEventsAreDelayedAndLost guards against events that become visible early, twice or
+// without configured losses.
 func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	config := testConfig()
 	config.EventDelay = 300 * time.Millisecond
@@ -121,13 +128,15 @@
 	require.True(t, found)
 	assert.Empty(t, e.TakeCacheEvents(due-1))
 	events := e.TakeCacheEvents(ended + time.Second)
-	assert.Less(t, uint64(len(events)), e.EventSequence(), "some are lost")
+	assert.Less(t, uint64(len(events)), e.EventSequence(), "some events are lost")
 	assert.NotEmpty(t, events)
-	assert.Empty(t, e.TakeCacheEvents(ended+time.Second), "each is taken once")
+	assert.Empty(t, e.TakeCacheEvents(ended+time.Second), "each event is taken once")
 	assert.Equal(t, events, e.CacheEventsAfter(e.now, 0))
 	assert.Equal(t, e.EventSequence(), e.CacheSnapshot(e.now).Sequence)
 }
 
+// TestExportAndImportCheckScopeAndChecksum guards against KV blocks that cross tenants or versions,
+// or arrive corrupted.
 func TestExportAndImportCheckScopeAndChecksum(t *testing.T) {
 	text := repeatedPrompt("k", 40)
 	source := New(testConfig())
@@ -139,7 +148,7 @@
 	hashes := blockHashes("ward", testWeights, text)
 	stolen, err := source.Export(source.now, engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
 	require.NoError(t, err)
-	assert.Empty(t, stolen.Hashes, "another tenant's blocks stay")
+	assert.Empty(t, stolen.Hashes, "blocks of another tenant are not exported")
 	bundle, err := source.Export(source.now, engine.KVExportRequest{Tenant: "ward", Weights: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	require.Equal(t, hashes, bundle.Hashes)
@@ -163,9 +172,8 @@
 	assert.Equal(t, 10, target.CachedPrefix(hashes))
 }
 
-// TestRandomOperationsKeepInvariants checks after each of many random operations that
-// memory is within its bound and that the events, none being lost, rebuild the
-// cache.
+// TestRandomOperationsKeepInvariants guards against leaked reservations, memory beyond the bound,
+// and events that do not rebuild the cache.
 func TestRandomOperationsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
--- a/lab/enginemodel/config.go
+++ b/lab/enginemodel/config.go
@@ -8,24 +8,24 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Costs is the engine's speed; the package comment has the formulas.
+// Costs is the speed of an engine. The package comment defines how the values are combined.
 type Costs struct {
-	// StepBase is the fixed time of a step.
+	// StepBase is the fixed duration of a step.
 	StepBase time.Duration
-	// DecodePerToken is the time that each output token adds to its step.
+	// DecodePerToken is added to a step for each output token.
 	DecodePerToken time.Duration
-	// PrefillPerToken is the time that each computed prompt token adds.
+	// PrefillPerToken is added to a step for each computed prompt token.
 	PrefillPerToken time.Duration
-	// StepTokens is the budget of a step, output and prompt tokens together.
+	// StepTokens is the token budget of a step, output and prompt tokens together.
 	StepTokens int
-	// ImportPerBlock is the time to import one block of KV cache.
+	// ImportPerBlock is the time to import one KV cache block.
 	ImportPerBlock time.Duration
 	// LoadTime is the time to load weights.
 	LoadTime time.Duration
 }
 
-// DefaultCosts returns the speed of a middling accelerator: about 21,000
-// prompt tokens a second, and 8 to 20 ms between output tokens.
+// DefaultCosts returns the speed of a mid-range accelerator: about 21,000 prompt tokens per second,
+// and 8 to 20 ms between output tokens.
 func DefaultCosts() Costs {
 	return Costs{
 		StepBase:        8 * time.Millisecond,
@@ -48,45 +48,44 @@
 	DefaultMaxRetained    = 1024
 )
 
-// Config describes an engine. Zero values mean the defaults, except for the
-// delays, the loss and BlockIdleTTL, where zero means none.
+// Config describes an engine. Zero values select the defaults, except for the delays, EventLoss and
+// BlockIdleTTL, where zero disables them.
 type Config struct {
 	ID          fleet.EngineID
 	Incarnation fleet.Incarnation
 	Zone        fleet.ZoneName
 	Costs       Costs
-	// CacheBlocks is the memory for KV blocks, in blocks.
+	// CacheBlocks is the capacity of the KV cache in blocks.
 	CacheBlocks int
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// MaxRunning bounds the streams in a batch, MaxWaiting the queue.
+	// MaxRunning bounds the streams in a batch, MaxWaiting the streams in the queue.
 	MaxRunning int
 	MaxWaiting int
-	// MaxOutputTokens bounds every output; a higher limit of a request is
-	// lowered to it.
+	// MaxOutputTokens caps the output limit of every request.
 	MaxOutputTokens int
-	// StopTokens ends each output after so many tokens with reason "stop", if
-	// its limit isn't reached before. Zero means that outputs run to the limit.
+	// StopTokens ends each output after this number of tokens with reason "stop", unless its limit
+	// is lower. Zero runs every output to its limit.
 	StopTokens int
-	// EventDelay passes before a cache event can be taken. EventLoss is the
-	// probability that an event is lost and leaves a gap in the sequence.
+	// EventDelay is the time until a cache event becomes visible. EventLoss is the probability that
+	// an event is lost, which leaves a gap in the sequence numbers.
 	EventDelay time.Duration
 	EventLoss  float64
-	// LoadLag is the least age of the load that Status reports.
+	// LoadLag is the minimum age of the load that Status reports.
 	LoadLag time.Duration
-	// BlockIdleTTL evicts blocks that have been idle for so long.
+	// BlockIdleTTL is the idle time after which an unpinned block is evicted.
 	BlockIdleTTL time.Duration
-	// Loaded are the weights in memory at the start.
+	// Loaded lists the weights that are loaded at the start.
 	Loaded []engine.Weights
-	// KeepWeights puts Loaded into memory again after a restart.
+	// KeepWeights loads Loaded again after a restart.
 	KeepWeights bool
-	// FrameRetention and MaxRetained bound how long and for how many ended
-	// streams the frames are kept.
+	// FrameRetention is how long the frames of ended streams are kept, MaxRetained for how many
+	// streams.
 	FrameRetention time.Duration
 	MaxRetained    int
-	// RecordHistory keeps what checkers ask for: TakeExecutions and EverStored.
+	// RecordHistory enables TakeExecutions and EverStored.
 	RecordHistory bool
-	// Random is the source of event loss. Nil means a fixed seed.
+	// Random decides which events are lost. Nil selects a source with a fixed seed.
 	Random *rand.Rand
 }
 
--- a/lab/enginemodel/control_test.go
+++ b/lab/enginemodel/control_test.go
@@ -11,8 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestDispatchChecksInOrder removes one reason after another from a dispatch
-// that has all of them.
+// TestDispatchChecksInOrder guards against another order of checks: it removes one reason for
+// rejection after another.
 func TestDispatchChecksInOrder(t *testing.T) {
 	config := testConfig()
 	config.MaxRunning, config.MaxWaiting = 1, 1
@@ -41,9 +41,11 @@
 	requireCode(t, engine.ErrorOverloaded, e.Dispatch(0, body))
 	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, body))
-	assert.Len(t, outputTokens(t, e, "waiting"), 5, "a leaving engine ends what it has accepted")
+	assert.Len(t, outputTokens(t, e, "waiting"), 5, "a leaving engine finishes accepted streams")
 }
 
+// TestCancelReportsStateAndBarsStream guards against wrong cancel results, and against a late
+// dispatch of a cancelled stream.
 func TestCancelReportsStateAndBarsStream(t *testing.T) {
 	config := testConfig()
 	config.MaxRunning = 1
@@ -73,7 +75,7 @@
 	_, err = e.Cancel(e.now, "running", 2)
 	requireCode(t, engine.ErrorWrongIncarnation, err)
 
-	// Long after the frames are gone, no late dispatch may run any of them.
+	// The identifiers stay barred after the frames have been discarded.
 	e.Advance(e.now + time.Hour)
 	_, _, err = e.Frames("done", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
@@ -86,6 +88,7 @@
 	assert.Equal(t, engine.CancelResponse{State: engine.CancelFinished, Tokens: 2}, outcome)
 }
 
+// TestRetainedStreamsAreBounded guards against frames that are kept beyond MaxRetained streams.
 func TestRetainedStreamsAreBounded(t *testing.T) {
 	config := testConfig()
 	config.MaxRetained = 2
@@ -99,6 +102,7 @@
 	assert.Len(t, outputTokens(t, e, "c"), 1)
 }
 
+// TestOrdersAreFenced guards against stale or rejected orders that change the engine.
 func TestOrdersAreFenced(t *testing.T) {
 	e := New(testConfig())
 	newer := engine.Weights{Model: "sahayak", Version: "v2"}
@@ -112,7 +116,7 @@
 	requireCode(t, engine.ErrorStaleFence, e.ApplyOrder(e.now, stale))
 	stale.Fence, stale.Incarnation = 8, 2
 	requireCode(t, engine.ErrorWrongIncarnation, e.ApplyOrder(e.now, stale))
-	assert.Equal(t, fleet.FencingToken(7), e.Status(e.now).Fence, "a rejected order leaves nothing")
+	assert.Equal(t, fleet.FencingToken(7), e.Status(e.now).Fence, "a rejected order does not change the fence")
 	requireCode(t, engine.ErrorBadRequest, e.ApplyOrder(e.now, engine.Order{Incarnation: 1, Fence: 9, Kind: "explode"}))
 
 	stale.Incarnation = 1
@@ -122,6 +126,7 @@
 	assert.Equal(t, engine.RoleDecode, e.Status(e.now).Role)
 }
 
+// TestRestartClearsState guards against state that survives a restart.
 func TestRestartClearsState(t *testing.T) {
 	e := New(testConfig())
 	text := repeatedPrompt("a", 40)
@@ -146,7 +151,7 @@
 
 	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 2, Fence: 1, Kind: engine.OrderLoad, Weights: testWeights}))
 	runToIdle(e)
-	require.NoError(t, e.Dispatch(e.now, request(e, "late", text, 4)), "an identifier is new to a new run")
+	require.NoError(t, e.Dispatch(e.now, request(e, "late", text, 4)), "identifiers can be reused in the next incarnation")
 	runToIdle(e)
 	assert.Equal(t, uint64(1), e.TakeCacheEvents(e.now)[0].Sequence)
 }
--- a/lab/enginemodel/dispatch.go
+++ b/lab/enginemodel/dispatch.go
@@ -11,14 +11,14 @@
 	"github.com/tillerfall/tillerfall/internal/prompt"
 )
 
-// HashedRequest is a dispatch without text. Its stream has no frames; its
-// progress shows in TakeStreamEvents.
+// HashedRequest is a dispatch without text. Its stream has no frames; TakeStreamEvents reports its
+// progress.
 type HashedRequest struct {
 	StreamID    fleet.StreamID
 	Incarnation fleet.Incarnation
 	Tenant      fleet.TenantName
 	Weights     engine.Weights
-	// Hashes are the whole blocks of the prompt; the engine keeps the slice.
+	// Hashes are the hashes of the whole blocks of the prompt. The engine keeps the slice.
 	Hashes []fleet.BlockHash
 	// PromptTokens and OutputTokens are lengths in tokens.
 	PromptTokens int
@@ -26,9 +26,8 @@
 	Priority     int
 }
 
-// Dispatch accepts a stream or returns an *engine.Error. It checks, in this
-// order: incarnation, barring, duplicate, draining, weights, shape and the
-// bound of the queue.
+// Dispatch accepts a stream or returns an *engine.Error. It checks, in this order: incarnation,
+// barred identifier, duplicate, draining, weights, request fields and queue length.
 func (e *Engine) Dispatch(now time.Duration, request engine.DispatchRequest) error {
 	e.Advance(now)
 	if failure := e.checkDispatch(request.StreamID, request.Incarnation, request.Weights); failure != nil {
@@ -85,7 +84,8 @@
 	return nil
 }
 
-// checkDispatch makes the checks that need no more than the stream's identity.
+// checkDispatch checks everything that depends only on the identity of the stream, the incarnation
+// and the weights.
 func (e *Engine) checkDispatch(id fleet.StreamID, incarnation fleet.Incarnation, weights engine.Weights) error {
 	if incarnation != e.incarnation {
 		return e.newError(engine.ErrorWrongIncarnation, "dispatch is for another run of this engine")
--- a/lab/enginemodel/engine.go
+++ b/lab/enginemodel/engine.go
@@ -7,9 +7,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Engine is one run after another of a model engine. It isn't safe for
-// concurrent use. Times are elapsed times of one clock and never go back; a
-// call with an earlier time counts as one at the latest time seen.
+// Engine models an engine over successive incarnations. It is not safe for concurrent use. Times
+// are elapsed times of one clock; a time earlier than the latest one seen counts as the latest.
 type Engine struct {
 	config      Config
 	incarnation fleet.Incarnation
@@ -37,13 +36,12 @@
 	history  history
 }
 
-// Counters count an engine's work since its model was made; restarts don't
-// clear them.
+// Counters counts the work of an engine since New. A restart does not reset them.
 type Counters struct {
-	// PrefillTokens were computed, HitTokens were taken from the cache.
+	// PrefillTokens counts computed prompt tokens, HitTokens those taken from the cache.
 	PrefillTokens int64
 	HitTokens     int64
-	// PromptTokens is the sum over admitted streams.
+	// PromptTokens counts the prompt tokens of admitted streams.
 	PromptTokens   int64
 	OutputTokens   int64
 	EvictedBlocks  int64
@@ -60,8 +58,8 @@
 	return e
 }
 
-// Restart begins the next incarnation with nothing of the last: no streams, no
-// cache, no weights unless Config.KeepWeights, event numbers from the start.
+// Restart begins the next incarnation with an empty state: no streams, no cache, event numbers from
+// the start, and no weights unless Config.KeepWeights is set.
 func (e *Engine) Restart(now time.Duration) {
 	e.now = max(e.now, now)
 	e.counters.EvictedBlocks += int64(e.blocks.evicted)
@@ -93,7 +91,7 @@
 	e.sampleLoad(e.now)
 }
 
-// Advance does all that is due up to now.
+// Advance processes everything that is due up to now.
 func (e *Engine) Advance(now time.Duration) {
 	for {
 		due, found := e.NextWakeup()
@@ -108,8 +106,8 @@
 	e.loads.sampleIfDue(e)
 }
 
-// NextWakeup returns when Advance has something to do next: the end of a step,
-// of a load or of an import.
+// NextWakeup returns when Advance next has work: at the end of a step, of a load or of an import.
+// It returns false if nothing is pending.
 func (e *Engine) NextWakeup() (time.Duration, bool) {
 	var next time.Duration
 	found := false
@@ -130,7 +128,7 @@
 	return next, found
 }
 
-// processDue does what is due at e.now and starts the next step.
+// processDue processes what is due at e.now and starts the next step.
 func (e *Engine) processDue() {
 	e.expire()
 	e.control.finishLoads(e.now)
@@ -143,7 +141,7 @@
 	e.loads.sampleIfDue(e)
 }
 
-// expire drops idle blocks and the frames of streams that ended long ago.
+// expire evicts idle blocks and discards the frames of streams past their retention.
 func (e *Engine) expire() {
 	if ttl := e.config.BlockIdleTTL; ttl > 0 {
 		e.blocks.expire(e.now - ttl)
@@ -181,35 +179,34 @@
 // ID returns the engine's identifier.
 func (e *Engine) ID() fleet.EngineID { return e.config.ID }
 
-// Incarnation returns the number of the present run.
+// Incarnation returns the number of the current incarnation.
 func (e *Engine) Incarnation() fleet.Incarnation { return e.incarnation }
 
 // Config returns the configuration with its defaults filled in.
 func (e *Engine) Config() Config { return e.config }
 
-// Counters returns the work done so far.
+// Counters returns the work counted since New.
 func (e *Engine) Counters() Counters {
 	counters := e.counters
 	counters.EvictedBlocks += int64(e.blocks.evicted)
 	return counters
 }
 
-// CachedPrefix returns exactly how many leading blocks are cached at the time
-// of the last Advance.
+// CachedPrefix returns how many leading blocks are cached at the time of the last Advance.
 func (e *Engine) CachedPrefix(hashes []fleet.BlockHash) int {
 	cached, _ := e.blocks.prefix(hashes)
 	return cached
 }
 
-// ExpectedPrefix returns how many leading blocks are cached or will be computed
-// for streams already accepted.
+// ExpectedPrefix returns how many leading blocks are cached or scheduled to be computed for
+// accepted streams.
 func (e *Engine) ExpectedPrefix(hashes []fleet.BlockHash) int {
 	return e.blocks.expected(hashes)
 }
 
-// QueuedPrefillTokens returns the prompt tokens still to be computed for
-// accepted streams. A waiting stream counts without what was cached, or due to
-// be computed for an earlier stream, on its arrival.
+// QueuedPrefillTokens returns the prompt tokens still to be computed for accepted streams. A
+// waiting stream counts without the blocks that were cached or scheduled for an earlier stream when
+// it arrived.
 func (e *Engine) QueuedPrefillTokens() int {
 	tokens := e.waiting.prefillTokens
 	for _, running := range e.running {
@@ -218,10 +215,10 @@
 	return tokens
 }
 
-// RunningStreams returns the size of the batch.
+// RunningStreams returns the number of streams in the batch.
 func (e *Engine) RunningStreams() int { return len(e.running) }
 
-// WaitingStreams returns the length of the queue.
+// WaitingStreams returns the number of streams in the queue.
 func (e *Engine) WaitingStreams() int { return len(e.waiting.streams) }
 
 // SetEventDelay changes the delay of later cache events.
@@ -236,8 +233,8 @@
 	e.events.loss = probability
 }
 
-// SetLoadLag changes the least age of reported load.
+// SetLoadLag changes the minimum age of the reported load.
 func (e *Engine) SetLoadLag(lag time.Duration) { e.config.LoadLag = lag }
 
-// SetLoadTime changes how long later loads of weights take.
+// SetLoadTime changes the duration of later loads of weights.
 func (e *Engine) SetLoadTime(duration time.Duration) { e.config.Costs.LoadTime = duration }
--- a/lab/enginemodel/events.go
+++ b/lab/enginemodel/events.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// maxLoggedEvents bounds the events that are kept for readers that come late.
+// maxLoggedEvents bounds the events that are kept for late readers.
 const maxLoggedEvents = 4096
 
 type loggedEvent struct {
@@ -18,8 +18,8 @@
 	event     engine.CacheEvent
 }
 
-// eventLog numbers the changes of the cache, loses some and shows the rest
-// after a delay.
+// eventLog numbers the changes of the cache, drops some at random and makes the rest visible after
+// a delay.
 type eventLog struct {
 	delay    time.Duration
 	loss     float64
@@ -31,7 +31,7 @@
 	entries  []loggedEvent
 }
 
-// record adds a change to the open event, which holds changes of one kind.
+// record adds a change to the open event. An event holds changes of one kind.
 func (l *eventLog) record(kind engine.CacheEventKind, hash fleet.BlockHash) {
 	if kind != l.kind && len(l.hashes) > 0 {
 		l.closeEvent()
@@ -40,7 +40,7 @@
 	l.hashes = append(l.hashes, hash)
 }
 
-// closeEvent gives the open event its number. Its time follows in stamp.
+// closeEvent assigns a sequence number to the open event. flush sets its time.
 func (l *eventLog) closeEvent() {
 	l.sequence++
 	event := engine.CacheEvent{Sequence: l.sequence, Kind: l.kind, Hashes: slices.Clone(l.hashes)}
@@ -51,10 +51,10 @@
 	l.entries = append(l.entries, loggedEvent{visibleAt: unstamped, event: event})
 }
 
-// unstamped marks an event that flush hasn't given its time yet.
+// unstamped marks an event whose time flush has not set yet.
 const unstamped = time.Duration(-1)
 
-// flush closes the open event and stamps all that happened at now.
+// flush closes the open event and sets the visible time of all events that happened at now.
 func (l *eventLog) flush(now time.Duration) {
 	if len(l.hashes) > 0 {
 		l.closeEvent()
@@ -67,7 +67,7 @@
 	}
 }
 
-// after returns the visible events with a sequence number over a given one.
+// after returns the visible events with a sequence number greater than the given one.
 func (l *eventLog) after(now time.Duration, sequence uint64) []engine.CacheEvent {
 	start := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].event.Sequence > sequence })
 	var events []engine.CacheEvent
@@ -89,7 +89,8 @@
 	return events
 }
 
-// next returns when the first event after a sequence number is visible.
+// next returns when the first event after a sequence number becomes visible, or false if there is
+// none.
 func (l *eventLog) next(sequence uint64) (time.Duration, bool) {
 	start := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].event.Sequence > sequence })
 	if start == len(l.entries) {
@@ -98,8 +99,7 @@
 	return l.entries[start].visibleAt, true
 }
 
-// TakeCacheEvents returns the events that have become visible since the last
-// call, oldest first.
+// TakeCacheEvents returns the events that became visible since the last call, oldest first.
 func (e *Engine) TakeCacheEvents(now time.Duration) []engine.CacheEvent {
 	e.Advance(now)
 	return e.events.take(now)
@@ -111,22 +111,23 @@
 	return e.events.after(now, sequence)
 }
 
-// NextCacheEvent returns when the first event that TakeCacheEvents hasn't
-// returned becomes visible.
+// NextCacheEvent returns when the first event not yet returned by TakeCacheEvents becomes visible,
+// or false if there is none.
 func (e *Engine) NextCacheEvent() (time.Duration, bool) {
 	return e.events.next(e.events.taken)
 }
 
-// NextCacheEventAfter is NextCacheEvent for a reader with its own position.
+// NextCacheEventAfter returns when the first event after a sequence number becomes visible, or
+// false if there is none.
 func (e *Engine) NextCacheEventAfter(sequence uint64) (time.Duration, bool) {
 	return e.events.next(sequence)
 }
 
-// EventSequence returns the number of the last event, visible, late or lost.
+// EventSequence returns the sequence number of the last event, whether visible, delayed or lost.
 func (e *Engine) EventSequence() uint64 { return e.events.sequence }
 
-// CacheSnapshot returns all cached blocks in ascending order of their hashes.
-// Events up to its sequence number are contained in it.
+// CacheSnapshot returns all cached blocks in ascending order of their hashes. It includes the
+// effect of all events up to its sequence number.
 func (e *Engine) CacheSnapshot(now time.Duration) engine.CacheSnapshot {
 	e.Advance(now)
 	hashes := make([]fleet.BlockHash, 0, len(e.blocks.index))
--- a/lab/enginemodel/frames.go
+++ b/lab/enginemodel/frames.go
@@ -7,7 +7,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// AcceptedFrame returns the first frame of a stream with text.
+// AcceptedFrame returns the first frame of a stream with text. It returns an *engine.Error if the
+// stream is unknown.
 func (e *Engine) AcceptedFrame(id fleet.StreamID) (engine.Frame, error) {
 	s, err := e.streamWithText(id)
 	if err != nil {
@@ -21,10 +22,9 @@
 	}, nil
 }
 
-// Frames returns what a stream with text has yielded from a token index on,
-// and whether that includes its last frame. Output that was carried into the
-// stream by its dispatch can be read too. Frames of ended streams are kept for
-// Config.FrameRetention; then the stream is unknown.
+// Frames returns the frames of a stream with text from a token index on, and whether they include
+// its last frame. Tokens carried by the dispatch can be read too. The frames of an ended stream are
+// kept for Config.FrameRetention; after that the stream is unknown. Errors are *engine.Error.
 func (e *Engine) Frames(id fleet.StreamID, fromIndex int) (frames []engine.Frame, ended bool, err error) {
 	s, err := e.streamWithText(id)
 	if err != nil {
@@ -75,9 +75,8 @@
 	return s, nil
 }
 
-// Cancel stops a stream and bars its identifier for the rest of the
-// incarnation. It is idempotent. A stream that only waited counts as never
-// run, and is barred as well.
+// Cancel stops a stream and bars its identifier for the rest of the incarnation. It is idempotent.
+// A stream that was still waiting is reported as never run. Errors are *engine.Error.
 func (e *Engine) Cancel(now time.Duration, id fleet.StreamID, incarnation fleet.Incarnation) (engine.CancelResponse, error) {
 	e.Advance(now)
 	if incarnation != e.incarnation {
@@ -106,8 +105,8 @@
 	return engine.CancelResponse{State: engine.CancelCancelled, Tokens: s.produced}, nil
 }
 
-// abort ends a live stream before its time. A batch under way is computed to
-// its end, as accelerators do, without this stream's results.
+// abort ends a live stream early. A step in progress still runs to its end, without the results of
+// this stream.
 func (e *Engine) abort(s *stream) {
 	s.state = streamCancelled
 	e.dropReservations(s)
@@ -122,7 +121,7 @@
 	e.events.flush(e.now)
 }
 
-// StreamEventKind tells what became of a stream without text.
+// StreamEventKind is the kind of a StreamEvent.
 type StreamEventKind uint8
 
 // Kinds of stream events.
@@ -132,23 +131,23 @@
 	StreamCancelled
 )
 
-// StreamEvent is progress of a stream that was dispatched by its hashes.
+// StreamEvent is a progress event of a stream that was dispatched by DispatchHashed.
 type StreamEvent struct {
 	Stream fleet.StreamID
 	Kind   StreamEventKind
-	// At is the end of the step that brought it about.
+	// At is the time of the event: the end of a step, or the time of the cancellation.
 	At           time.Duration
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
 }
 
-// TakeStreamEvents returns the progress since the last call, oldest first. The
-// slice is valid until the next call on the engine.
+// TakeStreamEvents returns the events since the last call, oldest first. The slice is valid until
+// the next call on the engine.
 func (e *Engine) TakeStreamEvents() []StreamEvent {
-	reports := e.streamEvents
+	events := e.streamEvents
 	e.streamEvents = e.streamEvents[:0]
-	return reports
+	return events
 }
 
 func (e *Engine) recordStreamEvent(s *stream, kind StreamEventKind) {
--- a/lab/enginemodel/helpers_test.go
+++ b/lab/enginemodel/helpers_test.go
@@ -15,8 +15,7 @@
 
 var testWeights = engine.Weights{Model: "sahayak", Version: "v1"}
 
-// testCosts make step times easy to read: 10 ms, 1 ms a token of output and
-// 0.1 ms a token of prompt.
+// testCosts returns round costs: 10 ms per step, 1 ms per output token and 0.1 ms per prompt token.
 func testCosts() Costs {
 	return Costs{
 		StepBase:        10 * time.Millisecond,
@@ -38,7 +37,7 @@
 	}
 }
 
-// repeatedPrompt returns a prompt of so many tokens that repeats a letter.
+// repeatedPrompt returns a prompt of the given number of tokens that repeats a letter.
 func repeatedPrompt(letter string, tokens int) string { return strings.Repeat(letter, 4*tokens) }
 
 func request(e *Engine, id fleet.StreamID, text string, maxTokens int) engine.DispatchRequest {
@@ -56,7 +55,7 @@
 	return prompt.HashBlocks(cacheScope(tenant, weights), text, 4)
 }
 
-// runToIdle advances until nothing is left to do and returns the time.
+// runToIdle advances until the engine is idle and returns the time.
 func runToIdle(e *Engine) time.Duration {
 	for {
 		due, found := e.NextWakeup()
@@ -84,6 +83,6 @@
 func requireCode(t *testing.T, code engine.ErrorCode, err error) {
 	t.Helper()
 	var failure *engine.Error
-	require.True(t, errors.As(err, &failure), "error is %v", err)
+	require.True(t, errors.As(err, &failure), "got error %v", err)
 	require.Equal(t, code, failure.Code)
 }
--- a/lab/enginemodel/truth.go
+++ b/lab/enginemodel/history.go
@@ -6,20 +6,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Execution is the start of a stream's computation: its admission to a batch.
+// Execution is the admission of a stream to a batch.
 type Execution struct {
 	Stream fleet.StreamID
 	At     time.Duration
-	// Scope is the cache scope that the stream computes in; streams without
-	// text have none.
+	// Scope is the cache scope of the stream. It is empty for streams without text.
 	Scope fleet.CacheScope
-	// CachedBlocks counts the leading blocks taken from the cache, ForeignBlocks
-	// those of them that were computed for another scope.
+	// CachedBlocks counts the leading blocks taken from the cache, ForeignBlocks those among them
+	// that were computed for another scope.
 	CachedBlocks  int
 	ForeignBlocks int
 }
 
-// history is kept for checkers if Config.KeepTruth is set.
+// history records what invariant checkers need. It is empty unless Config.RecordHistory is set.
 type history struct {
 	executions []Execution
 	stored     map[fleet.BlockHash]struct{}
@@ -41,16 +40,16 @@
 	e.history.executions = append(e.history.executions, execution)
 }
 
-// TakeExecutions returns the executions begun since the last call, oldest
-// first. Config.KeepTruth must be set.
+// TakeExecutions returns the executions recorded since the last call, oldest first.
+// Config.RecordHistory must be set.
 func (e *Engine) TakeExecutions() []Execution {
 	executions := e.history.executions
 	e.history.executions = nil
 	return executions
 }
 
-// EverStored tells whether the present run has held a block at any time.
-// Config.KeepTruth must be set.
+// EverStored reports whether the current incarnation has held a block at any time.
+// Config.RecordHistory must be set.
 func (e *Engine) EverStored(hash fleet.BlockHash) bool {
 	_, stored := e.history.stored[hash]
 	return stored
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -8,15 +8,15 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// pendingImport is a bundle that is on its way into the cache.
+// pendingImport is a bundle whose blocks are stored at readyAt.
 type pendingImport struct {
 	readyAt time.Duration
 	scope   int32
 	hashes  []fleet.BlockHash
 }
 
-// Export returns the cached beginning of a prefix, as far as its blocks belong
-// to the tenant and weights of the request.
+// Export returns the leading cached blocks of the requested prefix that belong to the tenant and
+// weights of the request.
 func (e *Engine) Export(now time.Duration, request engine.KVExportRequest) (engine.KVBundle, error) {
 	e.Advance(now)
 	bundle := engine.KVBundle{Tenant: request.Tenant, Weights: request.Weights}
@@ -31,8 +31,8 @@
 	return bundle, nil
 }
 
-// Import checks a bundle and takes it into the cache at the returned time.
-// The engine must have loaded the weights that computed the blocks.
+// Import verifies a bundle and schedules its blocks to be stored at the returned time. The weights
+// that computed the blocks must be loaded. Errors are *engine.Error.
 func (e *Engine) Import(now time.Duration, bundle engine.KVBundle) (readyAt time.Duration, err error) {
 	e.Advance(now)
 	if bundle.ComputeChecksum() != bundle.Checksum {
--- a/lab/enginemodel/load.go
+++ b/lab/enginemodel/load.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// samplesPerLag sets how many samples of load a lag is divided into.
+	// samplesPerLag is the number of load samples taken per LoadLag.
 	samplesPerLag = 16
-	// minimumSampleInterval bounds how often samples are taken.
+	// minimumSampleInterval is the shortest time between two samples.
 	minimumSampleInterval = 5 * time.Millisecond
 )
 
@@ -19,7 +19,7 @@
 	load engine.Load
 }
 
-// loadHistory keeps samples of load for as long as reports lag.
+// loadHistory keeps samples of the load for the duration of LoadLag.
 type loadHistory struct {
 	samples []loadSample
 }
@@ -34,8 +34,8 @@
 	}
 }
 
-// sampleAt returns the latest sample that isn't younger than a time, and drops those
-// before it.
+// sampleAt returns the last sample taken at or before latest, or the first one if there is none,
+// and drops the samples before it.
 func (h *loadHistory) sampleAt(latest time.Duration) loadSample {
 	found := 0
 	for position, sample := range h.samples {
@@ -49,13 +49,13 @@
 
 func (e *Engine) sampleLoad(now time.Duration) {
 	e.loads.samples = append(e.loads.samples, loadSample{at: now, load: e.load()})
-	// Keep one sample from before the lag, for the next report.
+	// Keep one sample that is at least LoadLag old for the next report.
 	for len(e.loads.samples) > 2 && e.loads.samples[1].at <= now-e.config.LoadLag {
 		e.loads.samples = slices.Delete(e.loads.samples, 0, 1)
 	}
 }
 
-// load measures the present load.
+// load returns the current load.
 func (e *Engine) load() engine.Load {
 	costs := e.config.Costs
 	step := costs.StepBase + time.Duration(len(e.running))*costs.DecodePerToken
@@ -75,8 +75,7 @@
 	return float64(duration) / float64(time.Microsecond)
 }
 
-// Status returns the engine's word about itself, with a load that is at least
-// Config.LoadLag old.
+// Status returns the state of the engine. The load in it is at least Config.LoadLag old.
 func (e *Engine) Status(now time.Duration) engine.Status {
 	e.Advance(now)
 	load := e.load()
--- a/lab/enginemodel/orders.go
+++ b/lab/enginemodel/orders.go
@@ -13,7 +13,7 @@
 	readyAt time.Duration
 }
 
-// controlState is what fenced orders change.
+// controlState is the state that fenced orders change.
 type controlState struct {
 	fence   fleet.FencingToken
 	role    engine.Role
@@ -68,9 +68,9 @@
 	c.loading = slices.DeleteFunc(c.loading, func(pending pendingLoad) bool { return pending.weights == weights })
 }
 
-// ApplyOrder carries a fenced order out. Loading ends Costs.LoadTime later. Accepted
-// streams of unloaded weights, and those of an engine that leaves, go on to
-// their ends. Errors are *engine.Error.
+// ApplyOrder applies a fenced order. Loading weights ends Costs.LoadTime later. Accepted streams
+// run to their end even if their weights are unloaded or the engine is leaving. Errors are
+// *engine.Error.
 func (e *Engine) ApplyOrder(now time.Duration, order engine.Order) error {
 	e.Advance(now)
 	if order.Incarnation != e.incarnation {
@@ -98,6 +98,7 @@
 	return nil
 }
 
+// validateOrder returns what is wrong with an order, or an empty string if it is valid.
 func validateOrder(order engine.Order) string {
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderUnload:
--- a/lab/enginemodel/step.go
+++ b/lab/enginemodel/step.go
@@ -7,8 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/engine"
 )
 
-// startStep composes the next batch, unless a step is under way or there is no
-// work.
+// startStep composes the next batch, unless a step is in progress or there is no work.
 func (e *Engine) startStep() {
 	if e.stepping {
 		return
@@ -56,13 +55,13 @@
 	cached, unpinned := e.blocks.prefix(s.hashes)
 	missing := len(s.hashes) - cached
 	outputBlocks := (s.limit + e.config.BlockTokens - 1) / e.config.BlockTokens
-	room := e.blocks.available() - unpinned
-	if missing+outputBlocks > room {
+	available := e.blocks.available() - unpinned
+	if missing+outputBlocks > available {
 		if len(e.running) > 0 {
 			return false
 		}
-		missing = min(missing, max(room, 0))
-		outputBlocks = max(min(outputBlocks, room-missing), 0)
+		missing = min(missing, max(available, 0))
+		outputBlocks = max(min(outputBlocks, available-missing), 0)
 	}
 	e.waiting.remove(s)
 	e.admit(s, cached, missing, outputBlocks)
@@ -87,7 +86,7 @@
 	e.counters.PromptTokens += int64(s.promptTokens)
 }
 
-// finishStep applies the batch's results at its end.
+// finishStep applies the results of the batch.
 func (e *Engine) finishStep() {
 	e.stepping = false
 	e.counters.Steps++
@@ -105,8 +104,8 @@
 	}
 }
 
-// storeComputed counts a chunk of the prompt and stores the blocks that it
-// filled.
+// storeComputed accounts for a computed chunk of the prompt and stores the blocks that it
+// completed.
 func (e *Engine) storeComputed(s *stream) {
 	e.counters.PrefillTokens += int64(s.chunk)
 	s.remainingPrefill -= s.chunk
@@ -120,7 +119,7 @@
 	e.clearScheduled(s, whole)
 }
 
-// clearScheduled takes the stream's blocks before a position off the due ones.
+// clearScheduled removes the stream's blocks before a position from the scheduled ones.
 func (e *Engine) clearScheduled(s *stream, before int) {
 	if before > s.scheduledFrom {
 		e.blocks.removeScheduled(s.hashes[s.scheduledFrom:before])
@@ -128,7 +127,7 @@
 	}
 }
 
-// produce gives a stream its next output token.
+// produce adds the next output token to a stream.
 func (e *Engine) produce(s *stream) {
 	s.produced++
 	e.counters.OutputTokens++
@@ -142,7 +141,7 @@
 	}
 }
 
-// finish ends a complete stream. Its caller takes it off the batch.
+// finish ends a complete stream. The caller removes it from the batch.
 func (e *Engine) finish(s *stream) {
 	s.state = streamFinished
 	e.dropReservations(s)
@@ -156,8 +155,8 @@
 	s.reserved, s.outputReserved = 0, 0
 }
 
-// unpinAll gives the stream's blocks back, the end of the prefix first, so
-// that a beginning outlives its continuations.
+// unpinAll unpins all blocks of a stream, the end of the prefix first, so that the beginning is
+// evicted last.
 func (e *Engine) unpinAll(s *stream) {
 	for s.pinned > 0 {
 		s.pinned--
@@ -165,8 +164,7 @@
 	}
 }
 
-// storeOutput keeps the blocks that the output has filled, for a next prompt
-// that repeats it.
+// storeOutput caches the whole blocks of the output for later prompts that continue it.
 func (e *Engine) storeOutput(s *stream) {
 	if s.text == nil || s.produced == s.continuationTokens || s.pinned < len(s.hashes) {
 		return
@@ -175,7 +173,8 @@
 	e.blocks.storeIdle(hashes[len(s.hashes):], s.scope, e.now)
 }
 
-// closeStream moves a stream of any closeStream out of the live ones.
+// closeStream closes a finished or cancelled stream. A stream with text is retained for its
+// readers.
 func (e *Engine) closeStream(s *stream, kind StreamEventKind) {
 	s.endedAt = e.now
 	e.clearScheduled(s, len(s.hashes))
@@ -189,7 +188,7 @@
 	e.retained = append(e.retained, s)
 }
 
-// discard keeps only the identifier of an ended stream.
+// discard removes an ended stream and keeps its identifier in closed.
 func (e *Engine) discard(s *stream) {
 	state := engine.CancelFinished
 	if s.state == streamCancelled {
--- a/lab/enginemodel/stream.go
+++ b/lab/enginemodel/stream.go
@@ -25,7 +25,7 @@
 	streamCancelled
 )
 
-// stream is one accepted attempt.
+// stream is an accepted stream.
 type stream struct {
 	id       fleet.StreamID
 	scope    int32
@@ -35,24 +35,25 @@
 	hashes       []fleet.BlockHash
 	promptTokens int
 	cachedTokens int
-	// continuationTokens output tokens came with the dispatch; produced counts them too.
+	// continuationTokens counts the output tokens that the dispatch carried; produced includes
+	// them.
 	continuationTokens int
 	produced           int
 	limit              int
 
-	// scheduledFrom is the first block of the prompt that counts as due for this
-	// stream; those before it are stored or due for an earlier stream.
+	// scheduledFrom is the first block of the prompt that is scheduled for this stream; those
+	// before it are stored or scheduled for an earlier stream.
 	scheduledFrom int
-	// expectedPrefill is the prompt work that the waiting queue counts.
+	// expectedPrefill is the number of prompt tokens that the waiting queue counts for this stream.
 	expectedPrefill int
-	// remainingPrefill includes the carried output tokens.
+	// remainingPrefill counts the tokens still to be computed, including continuationTokens.
 	remainingPrefill int
-	// chunk is the prompt work in the present step; decoding tells that the
+	// chunk is the number of prompt tokens computed in the current step; decoding is set if the
 	// step computes an output token.
 	chunk    int
 	decoding bool
-	// pinned leading blocks are held in the cache, reserved ones promised to
-	// the rest of the prompt, outputReserved ones to the output.
+	// pinned counts the leading blocks that the stream pins, reserved the blocks reserved for the
+	// rest of the prompt, outputReserved those reserved for the output.
 	pinned         int
 	reserved       int
 	outputReserved int
@@ -62,7 +63,7 @@
 	text         *output
 }
 
-// output holds what only streams with text have.
+// output is the additional state of a stream with text.
 type output struct {
 	scope        fleet.CacheScope
 	prompt       string
@@ -79,7 +80,7 @@
 	o.tokens = append(o.tokens, tokenText(o.promptDigest, len(o.tokens), o.variant, previous))
 }
 
-// blockHashes returns the blocks of prompt and output together.
+// blockHashes returns the block hashes of prompt and output together.
 func (o *output) blockHashes(blockTokens int) []fleet.BlockHash {
 	var text strings.Builder
 	text.WriteString(o.prompt)
@@ -89,13 +90,13 @@
 	return prompt.HashBlocks(o.scope, text.String(), blockTokens)
 }
 
-// closedStream is what stays of a stream for the rest of the incarnation.
+// closedStream is what is kept of an ended stream for the rest of the incarnation.
 type closedStream struct {
 	state  engine.CancelState
 	tokens int
 }
 
-// waitingQueue is in the order of admission: by priority, then arrival.
+// waitingQueue is ordered by priority, then arrival.
 type waitingQueue struct {
 	streams       []*stream
 	prefillTokens int
