--- a/lab/standin/engineserver/executions.go
+++ b/lab/standin/engineserver/executions.go
@@ -10,19 +10,19 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// PathExecutions (GET) answers with Executions. It suffers no faults.
+// PathExecutions (GET) returns Executions. Faults do not affect it.
 const PathExecutions = "/control/executions"
 
-// maxExecutions bounds the streams that are remembered.
+// maxExecutions bounds the recorded streams; later ones are not recorded.
 const maxExecutions = 1 << 16
 
-// Executions are the streams that the stand-in has accepted since its process
-// began, in order, over all its incarnations.
+// Executions lists the streams that the server has accepted since New, in order, across all
+// incarnations.
 type Executions struct {
 	Streams []fleet.StreamID `json:"streams"`
 }
 
-// recordExecution remembers an accepted stream. The caller holds the mutex.
+// recordExecution records an accepted stream. The caller holds the mutex.
 func (s *Server) recordExecution(id fleet.StreamID) {
 	if len(s.executions) < maxExecutions {
 		s.executions = append(s.executions, id)
--- a/lab/standin/engineserver/faults.go
+++ b/lab/standin/engineserver/faults.go
@@ -5,39 +5,38 @@
 	"time"
 )
 
-// PathFaults reads (GET) and sets (POST) the faults. A POST changes the fields
-// that it names. The control paths themselves suffer no faults.
+// PathFaults returns (GET) and changes (POST) the faults. A POST changes only the fields that it
+// contains. Faults do not affect the control endpoints.
 const PathFaults = "/control/faults"
 
-// PathRestart (POST) begins the next incarnation and cuts all connections.
+// PathRestart (POST) begins the next incarnation, which aborts open streams.
 const PathRestart = "/control/restart"
 
-// Faults are what the stand-in does wrong. The zero value is a sound engine.
+// Faults are the faults that the server injects. The zero value injects none.
 type Faults struct {
-	// AnswerDelayMillis passes between the effect of a request and its answer.
+	// AnswerDelayMillis is the delay between the effect of a request and its answer.
 	AnswerDelayMillis int64 `json:"answer_delay_ms"`
-	// Down cuts every connection without an answer and without an effect.
-	// Accepted streams go on.
+	// Down aborts every connection without an answer or effect. Accepted streams keep running.
 	Down bool `json:"down"`
-	// LoseAnswers is the probability that a request takes effect and its
-	// connection is cut in place of an answer.
+	// LoseAnswers is the probability that a request takes effect but its connection is aborted
+	// instead of answered.
 	LoseAnswers float64 `json:"lose_answers"`
-	// Freeze stops the engine's clock and all answers, as a stopped process.
+	// Freeze stops the clock of the engine and all answers, like a paused process.
 	Freeze bool `json:"freeze"`
-	// EventLoss is the probability that a cache event is lost,
-	// EventDelayMillis the delay of those that aren't.
+	// EventLoss is the probability that a cache event is lost, EventDelayMillis the delay of the
+	// others.
 	EventLoss        float64 `json:"event_loss"`
 	EventDelayMillis int64   `json:"event_delay_ms"`
-	// LoadLagMillis is the least age of reported load.
+	// LoadLagMillis is the minimum age of the reported load.
 	LoadLagMillis int64 `json:"load_lag_ms"`
-	// LoadTimeMillis is the time to load weights.
+	// LoadTimeMillis is the duration of a load of weights.
 	LoadTimeMillis int64 `json:"load_time_ms"`
 }
 
 func millis(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// faultyWriter delays or loses an answer at its first byte, when the request
-// has already had its effect.
+// faultyWriter delays or aborts an answer before its first byte, after the request has taken
+// effect.
 type faultyWriter struct {
 	http.ResponseWriter
 	delay   time.Duration
--- a/lab/standin/engineserver/handlers.go
+++ b/lab/standin/engineserver/handlers.go
@@ -13,14 +13,14 @@
 	"github.com/tillerfall/tillerfall/internal/engine"
 )
 
-// handlers serve one life of the stand-in.
+// handlers serves requests from one Start to the next Stop or Kill.
 type handlers struct {
 	server *Server
 	tomb   *tomb.Tomb
 }
 
-func (s *Server) routes(life *tomb.Tomb) http.Handler {
-	h := &handlers{server: s, tomb: life}
+func (s *Server) routes(t *tomb.Tomb) http.Handler {
+	h := &handlers{server: s, tomb: t}
 	router := bunrouter.New()
 	router.GET(PathFaults, h.getFaults)
 	router.POST(PathFaults, h.postFaults)
@@ -39,8 +39,7 @@
 	return router
 }
 
-// applyFaults cuts, holds or marks a request according to the faults at its
-// arrival.
+// applyFaults blocks, aborts or marks a request according to the faults at its arrival.
 func (h *handlers) applyFaults(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(writer http.ResponseWriter, request bunrouter.Request) error {
 		h.waitWhileFrozen(request)
@@ -62,7 +61,7 @@
 	}
 }
 
-// waitWhileFrozen holds a request while the engine is frozen.
+// waitWhileFrozen blocks a request while the engine is frozen.
 func (h *handlers) waitWhileFrozen(request bunrouter.Request) {
 	s := h.server
 	for {
@@ -166,7 +165,7 @@
 	return nil
 }
 
-// importBundle answers when the blocks are in the cache.
+// importBundle answers once the blocks are in the cache.
 func (h *handlers) importBundle(writer http.ResponseWriter, request bunrouter.Request) error {
 	var bundle engine.KVBundle
 	if err := engine.ReadRequest(request.Request, maxBodyBytes, &bundle); err != nil {
@@ -191,8 +190,8 @@
 	return nil
 }
 
-// events answers a long poll: at once when there are events or when the
-// reader's position is from another incarnation, else when its wait ends.
+// events answers a long poll: at once if there are events or the position of the reader is from
+// another incarnation, otherwise when the wait ends.
 func (h *handlers) events(writer http.ResponseWriter, request bunrouter.Request) error {
 	query := request.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -226,8 +225,8 @@
 	}
 }
 
-// pollEvents returns the events to answer with, whether to answer at once, and
-// else when to look again.
+// pollEvents returns the current answer, whether it is ready to be sent, and otherwise when to poll
+// again.
 func (h *handlers) pollEvents(after uint64) (engine.CacheEvents, bool, time.Duration, <-chan struct{}) {
 	s := h.server
 	s.mutex.Lock()
@@ -260,8 +259,7 @@
 	return nil
 }
 
-// postRestart begins the next incarnation; open streams find theirs gone and
-// are cut.
+// postRestart begins the next incarnation. Open streams of the old one are aborted.
 func (h *handlers) postRestart(writer http.ResponseWriter, _ bunrouter.Request) error {
 	h.server.nextIncarnation()
 	engine.WriteResponse(writer, h.server.Status())
--- a/lab/standin/engineserver/server.go
+++ b/lab/standin/engineserver/server.go
@@ -1,5 +1,5 @@
-// Package engineserver is the HTTP stand-in of a model engine: the model of
-// package enginemodel in real time, with faults that can be set while it runs.
+// Package engineserver serves the engine model of package enginemodel over HTTP in real time, as a
+// stand-in for an engine. Faults can be set while it runs.
 package engineserver
 
 import (
@@ -21,11 +21,11 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// Defaults and limits.
+// Defaults and limits of the server.
 const (
-	// DefaultGrace is how long a stream goes on without a reader.
+	// DefaultGrace is the default of Config.Grace.
 	DefaultGrace = 10 * time.Second
-	// DefaultWriteTimeout is how long a reader may block a write.
+	// DefaultWriteTimeout is the default of Config.WriteTimeout.
 	DefaultWriteTimeout = time.Minute
 	maxBodyBytes        = 64 << 20
 	maxEventWait        = time.Minute
@@ -34,22 +34,22 @@
 	idleInterval        = time.Second
 )
 
-// Config describes a stand-in.
+// Config configures a Server.
 type Config struct {
-	// Model is the engine. An Incarnation of 0 is taken from the wall clock,
-	// so that a process that starts again supersedes the one before.
+	// Model describes the engine. An Incarnation of 0 selects the wall clock in milliseconds, so
+	// that a restarted process has a higher incarnation than its predecessor.
 	Model enginemodel.Config
-	// Grace is how long a stream without a reader goes on before it is
-	// cancelled. Zero means DefaultGrace.
+	// Grace is the grace period after which a stream without a reader is cancelled. Zero selects
+	// DefaultGrace.
 	Grace time.Duration
-	// WriteTimeout is how long a reader may block before its connection is
-	// cut. Zero means DefaultWriteTimeout.
+	// WriteTimeout is how long a reader may block a write before its connection is closed. Zero
+	// selects DefaultWriteTimeout.
 	WriteTimeout time.Duration
 	Logger       zerolog.Logger
 }
 
-// Server is a stand-in. Its methods are safe for concurrent use, but Start,
-// Stop, Kill and Restart must not overlap.
+// Server is a stand-in for an engine. Its methods are safe for concurrent use, but Start, Stop,
+// Kill and Restart must not overlap.
 type Server struct {
 	config Config
 	clock  fleet.Clock
@@ -59,15 +59,16 @@
 	model   *enginemodel.Engine
 	faults  Faults
 	readers map[fleet.StreamID]int
-	// orphans are streams without a reader, with the time they lost the last.
+	// orphans holds the streams without a reader and when each lost its last one.
 	orphans map[fleet.StreamID]time.Duration
-	// executions are the accepted streams, for Executions.
+	// executions lists the accepted streams in order.
 	executions []fleet.StreamID
-	// changed is closed and replaced whenever there may be something to read.
+	// changed is closed and replaced when readers may have something to read.
 	changed chan struct{}
-	// notified is what the model had done when changed was last closed.
+	// notified is the progress of the model when changed was last closed.
 	notified progress
-	// frozenAt and frozenFor hold the engine's time back while it is frozen.
+	// frozenAt is the engine time at which a freeze began, frozenFor the time that freezes have
+	// taken from the clock.
 	frozenAt  time.Duration
 	frozenFor time.Duration
 
@@ -78,7 +79,7 @@
 	started bool
 }
 
-// New returns a stand-in that doesn't listen yet.
+// New returns a server that is not listening yet.
 func New(config Config) *Server {
 	if config.Grace <= 0 {
 		config.Grace = DefaultGrace
@@ -112,8 +113,8 @@
 	}
 }
 
-// Start listens on an address; port 0 picks one. A start after Stop or Kill
-// begins the next incarnation.
+// Start listens on an address; port 0 selects a free port. A start after Stop or Kill begins the
+// next incarnation.
 func (s *Server) Start(address fleet.Address) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
@@ -124,12 +125,12 @@
 	}
 	s.started = true
 	s.address = fleet.Address(listener.Addr().String())
-	life := &tomb.Tomb{}
-	server := &http.Server{Handler: s.routes(life), ReadHeaderTimeout: readHeaderTimeout}
-	s.tomb = life
+	t := &tomb.Tomb{}
+	server := &http.Server{Handler: s.routes(t), ReadHeaderTimeout: readHeaderTimeout}
+	s.tomb = t
 	s.http = server
-	life.Go(func() error { return s.runModel(life) })
-	life.Go(func() error { return serve(server, listener) })
+	t.Go(func() error { return s.runModel(t) })
+	t.Go(func() error { return serve(server, listener) })
 	status := s.Status()
 	s.config.Logger.Info().Str("engine", string(status.Engine)).Str("address", string(s.address)).
 		Uint64("incarnation", uint64(status.Incarnation)).Msg("engine_started")
@@ -143,10 +144,10 @@
 	return nil
 }
 
-// Address is where the stand-in listens, or last listened.
+// Address returns the address of the last Start.
 func (s *Server) Address() fleet.Address { return s.address }
 
-// Stop ends open streams' connections, lets short exchanges end and stops.
+// Stop aborts open streams, waits a limited time for other requests to end, and stops the server.
 func (s *Server) Stop() error {
 	if s.tomb == nil {
 		return nil
@@ -160,7 +161,7 @@
 	return s.tomb.Wait()
 }
 
-// Kill cuts all connections at once, as the death of the process does.
+// Kill closes all connections at once, as the death of a process does.
 func (s *Server) Kill() {
 	if s.tomb == nil {
 		return
@@ -170,43 +171,43 @@
 	_ = s.tomb.Wait()
 }
 
-// Restart kills the stand-in and starts it on the same address with the next
-// incarnation and nothing in its memory.
+// Restart kills the server and starts it on the same address with the next incarnation and an empty
+// state.
 func (s *Server) Restart() error {
 	s.Kill()
 	return s.Start(s.address)
 }
 
-// Status returns the engine's state without faults.
+// Status returns the state of the engine, regardless of faults.
 func (s *Server) Status() engine.Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.model.Status(s.now())
 }
 
-// Counters returns the model's counts of work.
+// Counters returns the counters of the model.
 func (s *Server) Counters() enginemodel.Counters {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.model.Counters()
 }
 
-// Faults returns the present faults.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.setFaults(faults)
 }
 
-// changeFaults applies a JSON object on top of the present faults. It refuses
-// unknown fields: a fault with a misspelt name would test nothing.
+// changeFaults applies a JSON object on top of the current faults. It rejects unknown fields,
+// because a misspelt fault would have no effect.
 func (s *Server) changeFaults(changes []byte) (Faults, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -245,8 +246,8 @@
 	s.notify()
 }
 
-// now is the engine's own time, which stands still while it is frozen. The
-// caller holds the mutex.
+// now returns the time of the engine, which stands still during a freeze. The caller holds the
+// mutex.
 func (s *Server) now() time.Duration {
 	if s.faults.Freeze {
 		return s.frozenAt
@@ -254,8 +255,7 @@
 	return s.clock.Now() - s.frozenFor
 }
 
-// notify wakes all readers and the stepping goroutine. The caller holds the
-// mutex.
+// notify wakes all readers and the goroutine of runModel. The caller holds the mutex.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -25,7 +25,7 @@
 
 var testPrompt = strings.Repeat("fab rule ", 40)
 
-// start runs a fast stand-in and returns it with a client.
+// start runs a fast server and returns it with a client.
 func start(t *testing.T, change func(*engineserver.Config)) (*engineserver.Server, *engine.Client) {
 	config := engineserver.Config{
 		Model: enginemodel.Config{
@@ -53,7 +53,7 @@
 	}
 }
 
-// readTokens reads until the stream ends or breaks.
+// readTokens reads until the stream ends or fails.
 func readTokens(ctx context.Context, stream *engine.Stream) (tokens []string, last engine.Frame, err error) {
 	for {
 		frame, err := stream.Next(ctx)
@@ -70,7 +70,7 @@
 func requireCode(t *testing.T, code engine.ErrorCode, err error) {
 	t.Helper()
 	var failure *engine.Error
-	require.True(t, errors.As(err, &failure), "error is %v", err)
+	require.True(t, errors.As(err, &failure), "got error %v", err)
 	require.Equal(t, code, failure.Code)
 }
 
@@ -83,6 +83,8 @@
 	return last
 }
 
+// TestStreamOverHTTP guards against faults in dispatch, resume and cancel, also for identifiers
+// that need escaping.
 func TestStreamOverHTTP(t *testing.T) {
 	_, client := start(t, nil)
 	stream, err := client.Dispatch(t.Context(), newDispatch("a/b 1%", 12))
@@ -109,6 +111,7 @@
 	requireCode(t, engine.ErrorUnknownStream, err)
 }
 
+// TestCacheEventsSnapshotsOrdersAndBundles guards against faults in the endpoints beside streams.
 func TestCacheEventsSnapshotsOrdersAndBundles(t *testing.T) {
 	_, client := start(t, nil)
 	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 1))
@@ -128,7 +131,7 @@
 	require.NoError(t, err)
 	assert.Empty(t, empty.Events)
 	ahead, err := client.PollCacheEvents(t.Context(), snapshot.Sequence+50, time.Minute)
-	require.NoError(t, err, "a position of another run is answered at once")
+	require.NoError(t, err, "a position beyond the last event is answered at once")
 	assert.Empty(t, ahead.Events)
 
 	bundle, err := client.Export(t.Context(), engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
@@ -151,7 +154,7 @@
 	assert.True(t, status.Leaving)
 }
 
-// truncatingProxy passes each connection on until the engine has sent so many bytes.
+// truncatingProxy forwards each connection until the engine has sent limit bytes, then closes it.
 func truncatingProxy(t *testing.T, target fleet.Address, limit int64) fleet.Address {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -177,8 +180,8 @@
 	return fleet.Address(listener.Addr().String())
 }
 
-// TestResumeAfterCutsAtAnyByte reads one stream over connections that each die
-// after a number of bytes, for many such numbers.
+// TestResumeAfterCutsAtAnyByte guards against lost or repeated tokens when connections break at
+// arbitrary bytes.
 func TestResumeAfterCutsAtAnyByte(t *testing.T) {
 	server, _ := start(t, nil)
 	for limit := int64(300); limit < 700; limit += 7 {
@@ -205,6 +208,8 @@
 	}
 }
 
+// TestRestartCutsStreamsAndRejectsLateDispatches guards against streams and dispatches that survive
+// a restart.
 func TestRestartCutsStreamsAndRejectsLateDispatches(t *testing.T) {
 	server, client := start(t, nil)
 	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 4000))
@@ -224,9 +229,11 @@
 	server.Kill()
 	_, err = client.Dispatch(t.Context(), newDispatch("r.2", 4))
 	requireCode(t, engine.ErrorConnect, err)
-	assert.Equal(t, []fleet.StreamID{"r.1"}, server.Executions().Streams, "one dispatch was accepted")
+	assert.Equal(t, []fleet.StreamID{"r.1"}, server.Executions().Streams, "only one dispatch is accepted")
 }
 
+// TestStreamWithoutReaderIsCancelledAfterGracePeriod guards against abandoned streams that keep
+// running.
 func TestStreamWithoutReaderIsCancelledAfterGracePeriod(t *testing.T) {
 	server, client := start(t, func(config *engineserver.Config) { config.Grace = 30 * time.Millisecond })
 	stream, err := client.Dispatch(t.Context(), newDispatch("r.1", 4000))
@@ -240,8 +247,8 @@
 	assert.Equal(t, engine.CancelCancelled, outcome.State)
 }
 
-// TestSlowReaderDoesNotBlockOthers leaves one stream unread for good while another
-// runs to its end.
+// TestSlowReaderDoesNotBlockOthers guards against a stream that nobody reads holding up another
+// one.
 func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	server, client := start(t, nil)
 	slow, err := client.Dispatch(t.Context(), newDispatch("slow", 4000))
@@ -266,6 +273,7 @@
 	return response.StatusCode
 }
 
+// TestFaults guards against faults that do nothing, and lost answers that also lose the effect.
 func TestFaults(t *testing.T) {
 	server, client := start(t, nil)
 	require.Equal(t, http.StatusBadRequest, setFaults(t, server, `{"lose_answer":1}`))
@@ -276,9 +284,9 @@
 	requireCode(t, engine.ErrorConnectionLost,
 		client.SendOrder(t.Context(), engine.Order{Fence: 4, Incarnation: 1, Kind: engine.OrderResume}))
 	setFaults(t, server, `{"lose_answers":0}`)
-	assert.EqualValues(t, 4, server.Status().Fence, "the order had its effect")
+	assert.EqualValues(t, 4, server.Status().Fence, "the order took effect")
 	stream, err := client.Resume(t.Context(), "lost", 0)
-	require.NoError(t, err, "the dispatch had its effect")
+	require.NoError(t, err, "the dispatch took effect")
 	requireComplete(t, stream, 3)
 
 	cut, err := client.Dispatch(t.Context(), newDispatch("cut", 4000))
--- a/lab/standin/engineserver/step.go
+++ b/lab/standin/engineserver/step.go
@@ -8,13 +8,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// runModel drives the model in real time until the stand-in stops.
-func (s *Server) runModel(life *tomb.Tomb) error {
+// runModel advances the model in real time until the server stops.
+func (s *Server) runModel(t *tomb.Tomb) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-life.Dying():
+		case <-t.Dying():
 			return nil
 		case <-timer.C:
 		case <-s.wake:
@@ -23,14 +23,13 @@
 	}
 }
 
-// progress tells whether the model has done anything that readers wait for,
-// be it on the way of a request or in the stepping goroutine.
+// progress changes whenever the model does something that readers may wait for.
 type progress struct {
 	steps  int64
 	events uint64
 }
 
-// advance does what is due and returns the time until the next thing is.
+// advance processes what is due and returns the time until the next call is needed.
 func (s *Server) advance() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,7 +59,8 @@
 	return max(wait, 0)
 }
 
-// cancelOrphans ends streams that nobody has read for the grace time.
+// cancelOrphans cancels streams that have had no reader for the grace period, and reports whether
+// there were any.
 func (s *Server) cancelOrphans(now time.Duration) bool {
 	cancelled := false
 	for id, since := range s.orphans {
@@ -83,7 +83,7 @@
 	delete(s.orphans, id)
 }
 
-// detach takes a reader off a stream that it hasn't read to its end.
+// detach removes a reader from a stream. A live stream without readers becomes an orphan.
 func (s *Server) detach(id fleet.StreamID, incarnation fleet.Incarnation) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/standin/engineserver/streams.go
+++ b/lab/standin/engineserver/streams.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// reader copies one stream to one connection, at the connection's own pace.
+// reader copies one stream to one connection at the pace of the connection.
 type reader struct {
 	handlers    *handlers
 	writer      http.ResponseWriter
@@ -64,8 +64,8 @@
 	return h.serveStream(writer, request, id, incarnation, offset)
 }
 
-// streamID returns the identifier in the path. The router matches the escaped
-// path where escaping makes a difference, and leaves its parameters escaped.
+// streamID returns the stream identifier in the path. The router leaves parameters escaped if the
+// path has an escaped form of its own.
 func streamID(request bunrouter.Request) fleet.StreamID {
 	id := request.Param("id")
 	if request.URL.RawPath == "" {
@@ -77,7 +77,7 @@
 	return fleet.StreamID(id)
 }
 
-// serveStream writes a stream that the caller has attached to.
+// serveStream writes a stream from offset on. The caller has attached to the stream.
 func (h *handlers) serveStream(
 	writer http.ResponseWriter, request bunrouter.Request,
 	id fleet.StreamID, incarnation fleet.Incarnation, offset int,
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// copyFrames writes frames until the last one, or until the connection, the
-// incarnation or the stand-in ends.
+// copyFrames writes frames until the last one, or until the connection, the incarnation or the
+// server ends.
 func (r *reader) copyFrames() {
 	for {
 		frames, ended, changed, err := r.pendingFrames()
@@ -119,7 +119,7 @@
 	}
 }
 
-var errUnavailable = errors.New("the stream's engine is gone")
+var errUnavailable = errors.New("engine is down or has restarted")
 
 func (r *reader) acceptedFrame() (engine.Frame, error) {
 	s := r.handlers.server
@@ -131,7 +131,7 @@
 	return s.model.AcceptedFrame(r.stream)
 }
 
-// pendingFrames takes the frames that the connection hasn't had.
+// pendingFrames returns the frames that have not been written yet.
 func (r *reader) pendingFrames() (frames []engine.Frame, ended bool, changed <-chan struct{}, err error) {
 	s := r.handlers.server
 	s.mutex.Lock()
--- a/lab/standin/engineserver/streams_test.go
+++ b/lab/standin/engineserver/streams_test.go
@@ -10,8 +10,8 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// TestReaderStopsAtRestart has a stream of the same name run again
-// after a restart, while a reader of the first one is still there.
+// TestReaderStopsAtRestart guards against a reader that continues with a stream of the same
+// identifier in the next incarnation.
 func TestReaderStopsAtRestart(t *testing.T) {
 	weights := engine.Weights{Model: "lm-fab", Version: "v1"}
 	model := enginemodel.Config{Incarnation: 1, Loaded: []engine.Weights{weights}, KeepWeights: true}
--- a/lab/standin/platformmodel/limiter.go
+++ b/lab/standin/platformmodel/limiter.go
@@ -6,11 +6,11 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate is a token bucket's size and refill.
+// Rate configures a token bucket.
 type Rate struct {
-	// PerSecond is the number of calls allowed a second; 0 means no limit.
+	// PerSecond is the refill rate in calls per second; 0 means no limit.
 	PerSecond float64 `json:"per_second"`
-	// Burst is the size of the bucket; 0 means one call.
+	// Burst is the capacity of the bucket; 0 means one call.
 	Burst int `json:"burst"`
 }
 
--- a/lab/standin/platformmodel/machines.go
+++ b/lab/standin/platformmodel/machines.go
@@ -7,22 +7,22 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// machineHistory bounds the past states that the list can show.
+// machineHistory bounds the past states that are kept.
 const machineHistory = 64
 
-// machineState is what the list held from since on.
+// machineState is the list of machines from since on.
 type machineState struct {
 	since    time.Duration
 	machines []platform.Machine
 }
 
-// machineList keeps its past, so that it can show it.
+// machineList keeps past states, from which a lagging list is served.
 type machineList struct {
 	lag    time.Duration
 	states []machineState // oldest first
 }
 
-// SetMachines replaces the true list of machines.
+// SetMachines replaces the actual list of machines.
 func (p *Platform) SetMachines(now time.Duration, machines []platform.Machine) {
 	state := machineState{since: now, machines: slices.Clone(machines)}
 	list := &p.machines
@@ -32,15 +32,15 @@
 	}
 }
 
-// SetMachineLag sets the age of what the list shows. A greater lag makes the
-// list show an older state again.
+// SetMachineLag sets the age of the state that ListMachines returns. After an increase an older
+// state is returned again.
 func (p *Platform) SetMachineLag(lag time.Duration) { p.machines.lag = lag }
 
-// MachineLag returns the age of what the list shows.
+// MachineLag returns the age of the state that ListMachines returns.
 func (p *Platform) MachineLag() time.Duration { return p.machines.lag }
 
-// ListMachines returns the list as it was MachineLag ago. Before the first
-// SetMachines is that old, it returns the first list.
+// ListMachines returns the list as of MachineLag ago, or the oldest kept list if that is more
+// recent.
 func (p *Platform) ListMachines(now time.Duration) []platform.Machine {
 	states := p.machines.states
 	if len(states) == 0 {
--- a/lab/standin/platformmodel/model.go
+++ b/lab/standin/platformmodel/model.go
@@ -1,7 +1,6 @@
-// Package platformmodel is the behaviour of the platform's services in memory:
-// tables, objects, weight store and list of machines. It has no I/O, clock or
-// randomness: each call takes now, the elapsed time. The HTTP stand-in and the
-// deterministic simulation run the same code. It isn't safe for concurrent use.
+// Package platformmodel models the services of the platform in memory: tables, objects, the weight
+// store and the list of machines. It has no I/O, clock or randomness: each call takes the elapsed
+// time. The HTTP stand-in and the simulation share it. It is not safe for concurrent use.
 package platformmodel
 
 import (
@@ -11,21 +10,20 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Options sets up a Platform.
+// Options configures a Platform.
 type Options struct {
-	// Rate limits calls to tables and objects together. The zero value is no limit.
+	// Rate limits the calls to tables and objects together. The zero value means no limit.
 	Rate Rate
-	// FullSpeedLoads is the number of weight loads that run at full speed
-	// together; 0 means one.
+	// FullSpeedLoads is the number of concurrent weight loads that run at full speed; 0 means one.
 	FullSpeedLoads int
-	// MachineLag is the age of what the list of machines shows.
+	// MachineLag is the age of the state that ListMachines returns.
 	MachineLag time.Duration
 }
 
 // Platform is the state of all services.
 type Platform struct {
 	rows     map[string]platform.Row
-	keys     []string // of rows, sorted
+	keys     []string // keys of rows, sorted
 	objects  map[string][]byte
 	limit    *limiter
 	weights  *WeightStore
@@ -43,13 +41,13 @@
 	}
 }
 
-// SetRate replaces the rate limit; the bucket starts full.
+// SetRate replaces the rate limit. The bucket starts full.
 func (p *Platform) SetRate(rate Rate) { p.limit = newLimiter(rate) }
 
 // Weights returns the weight store.
 func (p *Platform) Weights() *WeightStore { return p.weights }
 
-// GetObject returns a copy of an object or platform.ErrNotFound.
+// GetObject returns a copy of an object, platform.ErrNotFound or platform.ErrRateLimited.
 func (p *Platform) GetObject(now time.Duration, name string) ([]byte, error) {
 	if !p.limit.allow(now) {
 		return nil, platform.ErrRateLimited
@@ -61,7 +59,7 @@
 	return slices.Clone(body), nil
 }
 
-// PutObject stores a copy of body.
+// PutObject stores a copy of body, or returns platform.ErrInvalid or platform.ErrRateLimited.
 func (p *Platform) PutObject(now time.Duration, name string, body []byte) error {
 	if !p.limit.allow(now) {
 		return platform.ErrRateLimited
--- a/lab/standin/platformmodel/model_test.go
+++ b/lab/standin/platformmodel/model_test.go
@@ -15,6 +15,7 @@
 	return platform.Write{Key: key, Value: []byte(value)}
 }
 
+// TestCommitWritesAllRowsOrNone guards against partially applied transactions.
 func TestCommitWritesAllRowsOrNone(t *testing.T) {
 	model := New(Options{})
 	create := platform.Transaction{
@@ -36,6 +37,7 @@
 	require.ErrorIs(t, model.Commit(0, twice), platform.ErrInvalid)
 }
 
+// TestReturnedRowsAreCopies guards against callers that change stored rows.
 func TestReturnedRowsAreCopies(t *testing.T) {
 	model := New(Options{})
 	require.NoError(t, model.Commit(0, platform.Transaction{Writes: []platform.Write{put("a", "1")}}))
@@ -47,6 +49,7 @@
 	assert.Equal(t, "1", string(again.Value))
 }
 
+// TestListPagesThroughEveryRowOnce guards against rows that paging skips or repeats.
 func TestListPagesThroughEveryRowOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := New(Options{})
@@ -76,6 +79,7 @@
 	})
 }
 
+// TestRateLimitRefusesWithoutEffect guards against refused calls that take effect.
 func TestRateLimitRefusesWithoutEffect(t *testing.T) {
 	model := New(Options{Rate: Rate{PerSecond: 1, Burst: 2}})
 	write := platform.Transaction{Writes: []platform.Write{put("a", "1")}}
@@ -87,6 +91,8 @@
 	assert.EqualValues(t, 2, row.Revision)
 }
 
+// TestMachineListLagsAndShowsOlderStates guards against a machine list that shows changes before
+// its lag.
 func TestMachineListLagsAndShowsOlderStates(t *testing.T) {
 	model := New(Options{MachineLag: time.Second})
 	live := []platform.Machine{{ID: "m", State: platform.MachineLive}}
@@ -96,9 +102,10 @@
 	assert.Equal(t, live, model.ListMachines(10900*time.Millisecond))
 	assert.Equal(t, leaving, model.ListMachines(11*time.Second))
 	model.SetMachineLag(5 * time.Second)
-	assert.Equal(t, live, model.ListMachines(12*time.Second), "a greater lag shows the older state again")
+	assert.Equal(t, live, model.ListMachines(12*time.Second), "an increased lag returns the older state again")
 }
 
+// TestWeightLoadsShareTheStoreBeyondItsLimit guards against wrong finish times of concurrent loads.
 func TestWeightLoadsShareTheStoreBeyondItsLimit(t *testing.T) {
 	store := NewWeightStore(2)
 	for _, loader := range []string{"a", "b", "c", "d"} {
@@ -112,7 +119,7 @@
 	store.Cancel(600*time.Millisecond, "c")
 	store.Cancel(600*time.Millisecond, "d")
 	assert.Empty(t, store.Finished(899*time.Millisecond))
-	assert.Equal(t, []string{"a", "b"}, store.Finished(900*time.Millisecond), "half the work was left, at full speed")
+	assert.Equal(t, []string{"a", "b"}, store.Finished(900*time.Millisecond), "the other half of the work runs at full speed")
 	_, running = store.NextFinish(time.Second)
 	assert.False(t, running)
 }
--- a/lab/standin/platformmodel/tables.go
+++ b/lab/standin/platformmodel/tables.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Get returns a row or platform.ErrNotFound.
+// Get returns a row, platform.ErrNotFound or platform.ErrRateLimited.
 func (p *Platform) Get(now time.Duration, key string) (platform.Row, error) {
 	if !p.limit.allow(now) {
 		return platform.Row{}, platform.ErrRateLimited
@@ -22,8 +22,9 @@
 	return cloneRow(row), nil
 }
 
-// List returns up to limit rows, and never more than platform.MaxListRows, in
-// order of key.
+// List returns up to limit rows whose key has the prefix and sorts behind after, in order of key.
+// The limit is at most platform.MaxListRows; 0 or less selects it. The error is
+// platform.ErrRateLimited.
 func (p *Platform) List(now time.Duration, prefix, after string, limit int) ([]platform.Row, error) {
 	if !p.limit.allow(now) {
 		return nil, platform.ErrRateLimited
@@ -44,8 +45,8 @@
 	return rows, nil
 }
 
-// Commit applies a transaction or returns platform.ErrConflict,
-// platform.ErrInvalid or platform.ErrRateLimited without effect.
+// Commit applies a transaction, or returns platform.ErrConflict, platform.ErrInvalid or
+// platform.ErrRateLimited without any effect.
 func (p *Platform) Commit(now time.Duration, transaction platform.Transaction) error {
 	if !p.limit.allow(now) {
 		return platform.ErrRateLimited
@@ -83,8 +84,8 @@
 	}
 }
 
-// checkTransaction refuses empty keys and rows written twice, whose outcome
-// would hang on the order of the writes.
+// checkTransaction rejects empty keys, and rows that are written twice, because their value would
+// depend on the order of the writes.
 func checkTransaction(transaction platform.Transaction) error {
 	written := make(map[string]bool, len(transaction.Writes))
 	for _, write := range transaction.Writes {
--- a/lab/standin/platformmodel/weights.go
+++ b/lab/standin/platformmodel/weights.go
@@ -7,38 +7,38 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// WeightStore serves loads of weights. Up to a limit each runs at full speed;
-// beyond it they share the limit's speed equally (processor sharing).
+// WeightStore models the loading of weights. Up to a limit each load runs at full speed; beyond it
+// the loads share the speed of the limit equally (processor sharing).
 type WeightStore struct {
 	fullSpeed int
 	updated   time.Duration
 	loads     []weightLoad // in order of start
 }
 
-// weightLoad is one load; remaining is its time at full speed.
+// weightLoad is one load; remaining is the time that it still needs at full speed.
 type weightLoad struct {
 	loader    string
 	remaining time.Duration
 }
 
-// NewWeightStore returns an idle store for fullSpeed loads at once, at least one.
+// NewWeightStore returns an idle store that runs fullSpeed loads at full speed, at least one.
 func NewWeightStore(fullSpeed int) *WeightStore {
 	return &WeightStore{fullSpeed: max(fullSpeed, 1)}
 }
 
-// Start begins a load that takes work at full speed, or begins it anew.
+// Start starts a load that takes work at full speed. It replaces a load of the same loader.
 func (s *WeightStore) Start(now time.Duration, loader string, work time.Duration) {
 	s.Cancel(now, loader)
 	s.loads = append(s.loads, weightLoad{loader: loader, remaining: max(work, 0)})
 }
 
-// Cancel drops a load.
+// Cancel cancels the load of a loader, if there is one.
 func (s *WeightStore) Cancel(now time.Duration, loader string) {
 	s.advance(now)
 	s.loads = slices.DeleteFunc(s.loads, func(load weightLoad) bool { return load.loader == loader })
 }
 
-// Finished removes and returns the loaders that are done, in order of start.
+// Finished removes the finished loads and returns their loaders in order of start.
 func (s *WeightStore) Finished(now time.Duration) []string {
 	s.advance(now)
 	var done []string
@@ -52,8 +52,8 @@
 	return done
 }
 
-// NextFinish returns when the next load ends if none starts or is cancelled;
-// false if there is none.
+// NextFinish returns when the next load finishes if none is started or cancelled before. It returns
+// false if there is no load.
 func (s *WeightStore) NextFinish(now time.Duration) (time.Duration, bool) {
 	s.advance(now)
 	if len(s.loads) == 0 {
@@ -69,13 +69,13 @@
 	return now + shortest, true
 }
 
-// Status returns how busy the store is.
+// Status returns the number of running loads and the limit.
 func (s *WeightStore) Status(now time.Duration) platform.WeightStoreStatus {
 	s.advance(now)
 	return platform.WeightStoreStatus{Loading: s.running(), Limit: s.fullSpeed}
 }
 
-// running counts the loads that still need the store.
+// running counts the loads that are not finished.
 func (s *WeightStore) running() int {
 	count := 0
 	for _, load := range s.loads {
@@ -86,8 +86,8 @@
 	return count
 }
 
-// advance spends the time since the last call, load end by load end, because
-// each end speeds up the rest.
+// advance applies the time since the last call in intervals between load ends, because each end
+// speeds up the remaining loads.
 func (s *WeightStore) advance(now time.Duration) {
 	for s.updated < now {
 		running := s.running()
@@ -101,7 +101,7 @@
 	s.updated = max(s.updated, now)
 }
 
-// timeToNextFinish returns the time to the next end, at most limit.
+// timeToNextFinish returns the time until the next load finishes, at most limit.
 func (s *WeightStore) timeToNextFinish(limit time.Duration, running int) time.Duration {
 	elapsed := limit
 	for _, load := range s.loads {
@@ -122,8 +122,8 @@
 	}
 }
 
-// ceilScale returns d*numerator/denominator, rounded up so that waiting for it
-// is never too short.
+// ceilScale returns d*numerator/denominator rounded up, so that a load has finished after the
+// returned time.
 func ceilScale(d time.Duration, numerator, denominator int) time.Duration {
 	product := d * time.Duration(numerator)
 	divisor := time.Duration(denominator)
--- a/lab/standin/platformserver/control.go
+++ b/lab/standin/platformserver/control.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// Counters counts the calls that reached the platform, by kind.
+// Counters counts the calls that reached the platform, by operation.
 type Counters struct {
 	Get          uint64 `json:"get"`
 	List         uint64 `json:"list"`
@@ -19,7 +19,7 @@
 	PutObject    uint64 `json:"put_object"`
 	ListMachines uint64 `json:"list_machines"`
 	WeightStore  uint64 `json:"weight_store"`
-	// RateLimited counts the calls of any kind that the rate limit refused.
+	// RateLimited counts the calls of any operation that the rate limit rejected.
 	RateLimited uint64 `json:"rate_limited"`
 }
 
@@ -46,7 +46,8 @@
 	return sendControl(writer, s.Counters())
 }
 
-// decodeControl refuses unknown fields: a fault with a typo would test nothing.
+// decodeControl decodes a body and rejects unknown fields, because a misspelt fault would have no
+// effect.
 func decodeControl(writer http.ResponseWriter, request bunrouter.Request, value any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
--- a/lab/standin/platformserver/faults.go
+++ b/lab/standin/platformserver/faults.go
@@ -8,24 +8,24 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// Faults is the body of POST PathFaults; it replaces all faults at once.
+// Faults is the body of a POST to PathFaults, which replaces all faults.
 type Faults struct {
-	// Down closes each connection without effect or answer.
+	// Down aborts each connection without an answer or effect.
 	Down bool `json:"down"`
-	// AnswerDelay delays each answer; the effect comes first.
+	// AnswerDelay is the delay between the effect of a call and its answer.
 	AnswerDelay config.Duration `json:"slow"`
-	// LoseAnswers closes the connection after the effect for the next calls, as
-	// many as it says; a negative number means all.
+	// LoseAnswers is the number of calls that take effect but whose connections are aborted instead
+	// of answered. A negative number means all.
 	LoseAnswers int `json:"lose_answers"`
-	// LoseWritesOnly leaves the answers to reads alone.
+	// LoseWritesOnly limits LoseAnswers to writes.
 	LoseWritesOnly bool `json:"lose_writes_only"`
-	// MachineLag is the age of what the list of machines shows.
+	// MachineLag is the age of the list of machines.
 	MachineLag config.Duration `json:"machine_lag"`
-	// Rate limits tables and objects; the zero value is no limit.
+	// Rate limits the calls to tables and objects. The zero value means no limit.
 	Rate platformmodel.Rate `json:"rate"`
 }
 
-// SetFaults replaces all faults at once.
+// SetFaults replaces all faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,15 +36,15 @@
 	s.faults = faults
 }
 
-// isDown tells whether calls are dropped unread.
+// isDown reports whether connections are aborted.
 func (s *Server) isDown() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults.Down
 }
 
-// answerFault tells, after a call's effect, how long its answer is delayed and
-// whether it is lost.
+// answerFault returns the delay of the answer to a call that took effect, and whether the answer is
+// lost.
 func (s *Server) answerFault(write bool) (delay time.Duration, lost bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,7 +58,7 @@
 	return delay, true
 }
 
-// dropConnection ends the call without an answer.
+// dropConnection aborts the connection without an answer.
 func dropConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/lab/standin/platformserver/handlers.go
+++ b/lab/standin/platformserver/handlers.go
@@ -13,12 +13,12 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 16 << 20
 
 const contentTypeJSON = "application/json"
 
-// access tells whether a call changes anything.
+// access distinguishes calls that change the platform from those that only read it.
 type access bool
 
 const (
@@ -26,16 +26,16 @@
 	write access = true
 )
 
-// reply is the success of a call, not yet sent.
+// reply is a successful answer.
 type reply struct {
 	contentType string
 	body        []byte
 }
 
-// operation applies one call to the model, with the mutex held.
+// operation applies one call to the model. The caller holds the mutex.
 type operation func(now time.Duration, request *http.Request, body []byte) (reply, error)
 
-// handle wraps an operation in the faults.
+// handle returns a handler that applies an operation and injects the faults.
 func (s *Server) handle(operation operation, effect access) bunrouter.HandlerFunc {
 	return func(writer http.ResponseWriter, request bunrouter.Request) error {
 		if s.isDown() {
@@ -63,7 +63,8 @@
 	return operation(s.clock.Now(), request, body)
 }
 
-// delayAnswer waits for the delay; false if the caller left or the server stops.
+// delayAnswer waits for the delay. It returns false if the caller has disconnected or the server is
+// stopping.
 func (s *Server) delayAnswer(request *http.Request, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -131,7 +132,7 @@
 	return s.encode(s.model.Weights().Status(now), nil)
 }
 
-// encode counts a refusal by the rate limit and encodes a success.
+// encode counts a rejection by the rate limit and encodes a successful answer.
 func (s *Server) encode(value any, err error) (reply, error) {
 	if errors.Is(err, platform.ErrRateLimited) {
 		s.counters.RateLimited++
--- a/lab/standin/platformserver/server.go
+++ b/lab/standin/platformserver/server.go
@@ -1,5 +1,5 @@
-// Package platformserver serves the platform's model over HTTP, with faults on
-// demand, as a stand-in for the platform in tests and in the embedded fleet.
+// Package platformserver serves the platform model over HTTP with injected faults, as a stand-in
+// for the platform.
 package platformserver
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// Paths of the control endpoints. Faults don't touch them.
+// Paths of the control endpoints, which faults do not affect.
 const (
-	// PathFaults takes POST of Faults.
+	// PathFaults accepts a POST of Faults.
 	PathFaults = "/control/faults"
-	// PathSetMachines takes POST of platform.MachinesResponse.
+	// PathSetMachines accepts a POST of platform.MachinesResponse.
 	PathSetMachines = "/control/machines"
-	// PathCounters answers GET with Counters.
+	// PathCounters returns Counters to a GET.
 	PathCounters = "/control/counters"
 )
 
@@ -35,7 +35,8 @@
 	stopTimeout   = time.Second
 )
 
-// Server is the stand-in.
+// Server is a stand-in for the platform. Its methods are safe for concurrent use, but Start and
+// Stop must not overlap.
 type Server struct {
 	logger   zerolog.Logger
 	clock    fleet.Clock
@@ -49,8 +50,8 @@
 	counters Counters
 }
 
-// New returns a server with an empty platform. Its rate limit and the lag of
-// its machine list come from faults.
+// New returns a server with an empty platform. The rate limit and the machine lag of options can be
+// changed by SetFaults.
 func New(options platformmodel.Options, logger zerolog.Logger) *Server {
 	return &Server{
 		logger: logger,
@@ -60,7 +61,7 @@
 	}
 }
 
-// Start listens on address, whose port may be 0, and serves until Stop.
+// Start listens on an address and serves until Stop. Port 0 selects a free port.
 func (s *Server) Start(address fleet.Address) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
@@ -78,10 +79,11 @@
 	return nil
 }
 
-// Address returns where the started server listens.
+// Address returns the address of the started server.
 func (s *Server) Address() fleet.Address { return fleet.Address(s.listener.Addr().String()) }
 
-// Stop ends all calls and waits for the server's goroutine.
+// Stop waits a limited time for calls to end, closes the remaining connections and waits for the
+// server.
 func (s *Server) Stop() error {
 	s.tomb.Kill(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
@@ -92,17 +94,17 @@
 	return s.tomb.Wait()
 }
 
-// Dead is closed when the server has ended.
+// Dead returns a channel that is closed when the server has ended.
 func (s *Server) Dead() <-chan struct{} { return s.tomb.Dead() }
 
-// SetMachines replaces the true list of machines.
+// SetMachines replaces the actual list of machines.
 func (s *Server) SetMachines(machines []platform.Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.model.SetMachines(s.clock.Now(), machines)
 }
 
-// Counters returns the calls so far.
+// Counters returns the number of calls so far.
 func (s *Server) Counters() Counters {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/standin/platformserver/server_test.go
+++ b/lab/standin/platformserver/server_test.go
@@ -34,6 +34,8 @@
 	}
 }
 
+// TestClientReachesEveryOperation guards against a client and a server that encode calls
+// differently.
 func TestClientReachesEveryOperation(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
@@ -69,18 +71,21 @@
 		server.Counters())
 }
 
+// TestLostAnswerReportsUnknownOutcome guards against a commit whose answer is lost being reported
+// as failed or sent twice.
 func TestLostAnswerReportsUnknownOutcome(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
-	_, err := client.List(ctx, "", "", 1) // leaves a connection that is reused
+	_, err := client.List(ctx, "", "", 1) // leaves an idle connection
 	require.NoError(t, err)
 	server.SetFaults(Faults{LoseAnswers: 1, LoseWritesOnly: true})
 	require.ErrorIs(t, client.Commit(ctx, createRow("k")), platform.ErrUnknownOutcome)
 	_, err = client.Get(ctx, "k")
 	require.NoError(t, err, "the commit took effect")
-	assert.EqualValues(t, 1, server.Counters().Commit, "net/http sent the commit once")
+	assert.EqualValues(t, 1, server.Counters().Commit, "the commit was sent once")
 }
 
+// TestReadsAreNotRetried guards against the HTTP client silently retrying a read.
 func TestReadsAreNotRetried(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
@@ -92,6 +97,7 @@
 	assert.EqualValues(t, 2, server.Counters().List)
 }
 
+// TestDownServiceHasNoEffect guards against calls to a service that is down taking effect.
 func TestDownServiceHasNoEffect(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
@@ -104,6 +110,8 @@
 	require.ErrorIs(t, err, platform.ErrNotFound)
 }
 
+// TestCancelledCommitReportsUnknownOutcome guards against a commit being reported as failed when
+// the caller stops waiting after its effect.
 func TestCancelledCommitReportsUnknownOutcome(t *testing.T) {
 	server, client := start(t)
 	server.SetFaults(Faults{AnswerDelay: config.Duration(time.Hour)})
@@ -116,12 +124,16 @@
 	require.ErrorIs(t, <-outcome, platform.ErrUnknownOutcome)
 }
 
+// TestConnectErrorIsUnavailable guards against a refused connection being reported as an unknown
+// outcome.
 func TestConnectErrorIsUnavailable(t *testing.T) {
 	server, client := start(t)
 	require.NoError(t, server.Stop())
 	require.ErrorIs(t, client.Commit(context.Background(), createRow("k")), platform.ErrUnavailable)
 }
 
+// TestControlEndpoints guards against control endpoints that accept unknown fields or have no
+// effect.
 func TestControlEndpoints(t *testing.T) {
 	server, client := start(t)
 	ctx := context.Background()
