--- a/lab/experiment/calibrate.go
+++ b/lab/experiment/calibrate.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// requiredFraction is the part of all requests that must meet their class's
-	// objective at capacity.
+	// requiredFraction is the fraction of all requests that must meet the objective of their class
+	// at capacity.
 	requiredFraction = 0.99
-	// Bounds and step of the search, in requests a second.
+	// Bounds and resolution of the search, in requests per second.
 	calibrationLow  = 50
 	calibrationHigh = 1000
 	calibrationStep = 5
 )
 
-// Calibrate finds each fleet's capacity: the greatest rate, by bisection, at
-// which the clairvoyant router serves 99 % of all requests within their class's
-// objective.
+// Calibrate finds the capacity of each fleet by bisection and writes it to progress. The capacity
+// is the highest rate at which the clairvoyant router serves 99 % of all requests within the
+// objective of their class.
 func Calibrate(seed uint64, progress io.Writer) error {
 	for _, description := range fleets() {
 		low, high := float64(calibrationLow), float64(calibrationHigh)
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// fractionWithinObjective returns the part of the requests that the clairvoyant router
-// serves within their objectives.
+// fractionWithinObjective returns the fraction of requests that the clairvoyant router serves
+// within their objective.
 func fractionWithinObjective(description workload.Fleet, rate float64, seed uint64) (float64, error) {
 	trace := workload.Generate(description, workload.Options{Seed: seed, Rate: rate, Duration: runDuration})
 	result, err := emulator.Run(Case{}.emulatorOptions(trace, emulator.Clairvoyant(), seed))
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs the emulator over fleets, policies, loads and failures,
-// and reports how the product compares with its rivals, with the limit and with
-// its own earlier results. docs/EXPERIMENTS.md describes the method.
+// Package experiment runs the emulator over fleets, policies, loads and failures. It reports the
+// results of the product beside those of baseline policies, of a clairvoyant router and of earlier
+// runs. docs/EXPERIMENTS.md describes the method.
 package experiment
 
 import (
@@ -11,27 +11,27 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Scenario names what happens during a run.
+// Scenario names the events of a run.
 type Scenario string
 
 // Scenarios.
 const (
 	// ScenarioSteady has a constant mean rate.
 	ScenarioSteady Scenario = "steady"
-	// ScenarioShift moves most long prompts to a new prefix in an instant.
+	// ScenarioShift moves most long prompts to a new prefix at once.
 	ScenarioShift Scenario = "shift"
-	// ScenarioFlood adds batch requests of one tenant, as many as the fleet's
-	// whole capacity; ScenarioCalm is the same trace without them.
+	// ScenarioFlood adds batch requests of one tenant at the capacity of the fleet. ScenarioCalm is
+	// the same trace without them.
 	ScenarioFlood Scenario = "flood"
 	ScenarioCalm  Scenario = "calm"
-	// ScenarioCrash makes an engine crash and come back empty.
+	// ScenarioCrash crashes an engine, which restarts with an empty cache.
 	ScenarioCrash Scenario = "crash"
 )
 
-// scenarios lists all of them in the order of reports.
+// scenarios lists all scenarios in the order of the report.
 var scenarios = []Scenario{ScenarioSteady, ScenarioShift, ScenarioCalm, ScenarioFlood, ScenarioCrash}
 
-// Times of a run, and what happens in it.
+// Times and fractions of the scenarios.
 const (
 	runDuration   = 45 * time.Second
 	warmup        = 15 * time.Second
@@ -41,12 +41,13 @@
 	crashDowntime = 3 * time.Second
 )
 
-// HeadlineLoad is the load, in parts of capacity, of the last lines of output.
+// HeadlineLoad is the load of the headlines, as a fraction of capacity.
 const HeadlineLoad = 0.8
 
-// Loads of the steady runs, in parts of capacity, and of the other scenarios.
+// steadyLoads lists the loads of the steady runs, as fractions of capacity.
 var steadyLoads = []float64{0.5, 0.65, HeadlineLoad, 0.9, 1.0, 1.15, 1.3}
 
+// scenarioLoads holds the loads of the other scenarios, as fractions of capacity.
 var scenarioLoads = map[Scenario]float64{
 	ScenarioShift: 0.7,
 	ScenarioCalm:  0.6,
@@ -54,14 +55,13 @@
 	ScenarioCrash: 0.9,
 }
 
-// capacities are the requests a second that each fleet can serve; Calibrate
-// finds them, and docs/EXPERIMENTS.md tells when they were found.
+// capacities holds the capacity of each fleet in requests per second, as found by Calibrate.
 var capacities = map[string]float64{
 	"ahd-west":   470,
 	"wp-colombo": 395,
 }
 
-// fleets lists the users' fleets.
+// fleets lists the fleets in the order of the report.
 func fleets() []workload.Fleet {
 	return []workload.Fleet{workload.AhdWestFleet(), workload.WPColomboFleet()}
 }
@@ -70,17 +70,17 @@
 type Case struct {
 	Fleet    string   `json:"fleet"`
 	Scenario Scenario `json:"scenario"`
-	// Load is the offered load in parts of the fleet's capacity.
+	// Load is the offered load as a fraction of the capacity of the fleet.
 	Load   float64 `json:"load"`
 	Policy string  `json:"policy"`
 }
 
-// String returns the case in one line.
+// String returns the case on one line.
 func (c Case) String() string {
 	return fmt.Sprintf("%s %s load=%.2f %s", c.Fleet, c.Scenario, c.Load, c.Policy)
 }
 
-// traceKey names a trace; the policies of a case share it.
+// traceKey identifies a trace, which the policies of a case share.
 type traceKey struct {
 	fleet    string
 	scenario Scenario
@@ -91,7 +91,7 @@
 	return traceKey{fleet: c.Fleet, scenario: c.Scenario, load: c.Load}
 }
 
-// workloadOptions describes the trace of a case.
+// workloadOptions returns the options of the trace.
 func (k traceKey) workloadOptions(seed uint64) workload.Options {
 	capacity := capacities[k.fleet]
 	options := workload.Options{Seed: seed, Rate: k.load * capacity, Duration: runDuration}
@@ -107,7 +107,7 @@
 	return options
 }
 
-// emulatorOptions describes the run of a case.
+// emulatorOptions returns the options of the run.
 func (c Case) emulatorOptions(trace workload.Trace, policy emulator.Policy, seed uint64) emulator.Options {
 	options := emulator.Options{
 		Trace:      trace,
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// result has just what the headline and the plots read.
+// result returns a result with the fields that the headline and the plots use.
 func result(hit, waste, p99 float64) *emulator.Result {
 	return &emulator.Result{
 		HitRate:   hit,
@@ -44,14 +44,18 @@
 	return made
 }
 
+// TestHeadlineComparesWithLimitAndLeastLoaded guards against wrong ratios and against headlines of
+// fleets that were not run.
 func TestHeadlineComparesWithLimitAndLeastLoaded(t *testing.T) {
 	headlines := record("now", time.Time{}).Headlines()
-	require.Len(t, headlines, 1, "the other fleet wasn't run")
+	require.Len(t, headlines, 1, "the other fleet was not run")
 	assert.Equal(t,
 		"fleet=ahd-west hit_vs_limit=0.947 waste_vs_limit=1.500 ttft_p99_vs_limit=1.500 ttft_p99_vs_least_loaded=0.100",
 		headlines[0].String())
 }
 
+// TestPublishComparesWithLatestRecord guards against missing files and a comparison with a record
+// that is not the latest.
 func TestPublishComparesWithLatestRecord(t *testing.T) {
 	root := t.TempDir()
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -73,6 +77,8 @@
 	assert.Equal(t, record("now", start.AddDate(0, 0, 1)), kept)
 }
 
+// TestCasesCoverEveryPolicyInEveryScenario guards against runs that are missing from the plan or
+// ignore the selection.
 func TestCasesCoverEveryPolicyInEveryScenario(t *testing.T) {
 	count := make(map[string]int)
 	for _, c := range (Selection{}).Cases() {
@@ -87,11 +93,12 @@
 	assert.Equal(t, []Case{{Fleet: "wp-colombo", Scenario: ScenarioSteady, Load: 0.5, Policy: emulator.PolicyRoundRobin}}, selection.Cases())
 }
 
+// TestRunStopsOnCancellation guards against a cancelled or empty experiment that reports success.
 func TestRunStopsOnCancellation(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Run(ctx, Settings{Seed: 1, Workers: 2, Progress: &bytes.Buffer{}})
 	require.ErrorIs(t, err, context.Canceled)
 	_, err = Run(t.Context(), Settings{Selection: Selection{Policies: []string{"none"}}})
-	require.ErrorContains(t, err, "nothing is selected")
+	require.ErrorContains(t, err, "no case matches the selection")
 }
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -7,7 +7,7 @@
 	"github.com/tillerfall/tillerfall/lab/emulator"
 )
 
-// Selection limits an experiment; an empty list means all.
+// Selection selects the runs of an experiment. An empty list selects all values.
 type Selection struct {
 	Fleets    []string
 	Policies  []string
@@ -49,8 +49,8 @@
 	return len(wanted) == 0 || slices.Contains(wanted, value)
 }
 
-// longestFirst orders runs for a pool of workers: the busiest ones begin, so
-// that none of them is left for the end.
+// longestFirst returns the order in which a pool of workers takes the cases: the longest ones
+// first, so that none of them is left for the end.
 func longestFirst(cases []Case) []int {
 	order := make([]int, len(cases))
 	for i := range order {
@@ -60,7 +60,7 @@
 	return order
 }
 
-// estimatedWork grows with the expected time of a run.
+// estimatedWork returns a value that grows with the expected duration of a run.
 func (c Case) estimatedWork() float64 {
 	if c.Scenario == ScenarioFlood {
 		return c.Load + 1
--- a/lab/experiment/plots.go
+++ b/lab/experiment/plots.go
@@ -15,13 +15,13 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// writePlots writes the plots of a fleet into a directory, as SVG.
+// writePlots writes the plots of a fleet into a directory as SVG files.
 func (r *Record) writePlots(directory, fleetName string) error {
 	for _, class := range []fleet.ClassName{workload.ClassUrgent, workload.ClassStandard, workload.ClassBatch} {
 		drawn := newPlot(fmt.Sprintf("%s: time to first token p99, %s", fleetName, class), "offered load / capacity", "milliseconds")
@@ -53,10 +53,10 @@
 	return drawn
 }
 
-// legendWidth is the width, in parts of capacity, that is left for the legend.
+// legendWidth is the width reserved for the legend, as a fraction of capacity.
 const legendWidth = 0.4
 
-// drawByLoad draws a line a policy over the steady loads.
+// drawByLoad plots a value over the steady loads, with one line per policy.
 func (r *Record) drawByLoad(drawn *plot.Plot, fleetName, path string, value func(*emulator.Result) float64) error {
 	drawn.Legend.Top = true
 	drawn.X.Max = steadyLoads[len(steadyLoads)-1] + legendWidth
@@ -64,7 +64,7 @@
 	for _, outcome := range r.outcomesFor(fleetName, ScenarioSteady) {
 		height := value(outcome.Result)
 		if height <= 0 {
-			continue // nothing was served, and the axis may be logarithmic
+			continue // the axis may be logarithmic
 		}
 		policy := outcome.Case.Policy
 		lines[policy] = append(lines[policy], plotter.XY{X: outcome.Case.Load, Y: height})
@@ -72,7 +72,7 @@
 	return draw(drawn, lines, path)
 }
 
-// drawShift draws the hit rate over time around the shift.
+// drawShift plots the hit rate over time around the shift.
 func (r *Record) drawShift(directory, fleetName string) error {
 	drawn := newPlot(fmt.Sprintf("%s: hit rate around a shift at %s", fleetName, shiftAt), "seconds", "hit rate")
 	drawn.Y.Min, drawn.Y.Max = 0, 1
@@ -88,8 +88,8 @@
 	return draw(drawn, lines, filepath.Join(directory, "hit-rate-shift-"+fleetName+".svg"))
 }
 
-// draw adds the lines in the order of the policies and saves the plot. Without
-// lines there is no plot.
+// draw adds the lines in the order of the policies and saves the plot. It writes nothing if there
+// are no lines.
 func draw(drawn *plot.Plot, lines map[string]plotter.XYs, path string) error {
 	if len(lines) == 0 {
 		return nil
--- a/lab/experiment/publish.go
+++ b/lab/experiment/publish.go
@@ -7,11 +7,12 @@
 	"github.com/go-faster/errors"
 )
 
-// tableFile is the name of the report in the directory of its results.
+// tableFile is the file name of the report.
 const tableFile = "table.md"
 
-// Publish writes a record, its report and its plots into the directory of its
-// label under root, and compares it with the latest other record there.
+// Publish writes a record, its report and its plots into the directory under root that is named
+// after its label, and returns that directory. The report compares the record with the most recent
+// other one under root.
 func Publish(root string, record *Record) (directory string, err error) {
 	earlier, err := latestRecord(root, record.Label)
 	if err != nil {
--- a/lab/experiment/record.go
+++ b/lab/experiment/record.go
@@ -9,21 +9,21 @@
 	"github.com/go-faster/errors"
 )
 
-// resultsFile is the name of the machine-readable results in their directory.
+// resultsFile is the file name of the machine-readable results.
 const resultsFile = "results.json"
 
-// Record is what is kept of an experiment.
+// Record is the stored result of an experiment.
 type Record struct {
 	Label    string    `json:"label"`
 	Finished time.Time `json:"finished"`
-	// Seconds is how long it took, on Workers runs at once.
+	// Seconds is the duration of the experiment with Workers concurrent runs.
 	Seconds  float64   `json:"seconds"`
 	Workers  int       `json:"workers"`
 	Seed     uint64    `json:"seed"`
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// find returns the result of a case; nil if it wasn't run.
+// find returns the outcome of a case, or nil if it was not run.
 func (r *Record) find(wanted Case) *Outcome {
 	for i := range r.Outcomes {
 		if r.Outcomes[i].Case == wanted {
@@ -41,8 +41,8 @@
 	return os.WriteFile(filepath.Join(directory, resultsFile), append(encoded, '\n'), 0o644)
 }
 
-// latestRecord returns the record in root that finished last, other than the one
-// with the given label; nil if there is none.
+// latestRecord returns the most recently finished record under root whose label is not except, or
+// nil if there is none.
 func latestRecord(root, except string) (*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(root, "*", resultsFile))
 	if err != nil {
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -34,7 +34,7 @@
 
 func formatLoad(value float64) string { return fmt.Sprintf("%.2f", value) }
 
-// Markdown returns the whole report. earlier may be nil.
+// Markdown returns the report. Without an earlier record there is no comparison.
 func (r *Record) Markdown(earlier *Record) string {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "# Experiment %s\n\n", r.Label)
@@ -61,7 +61,7 @@
 	return text.String()
 }
 
-// outcomesFor returns the outcomes outcomesFor a fleet and scenario.
+// outcomesFor returns the outcomes of a fleet in a scenario.
 func (r *Record) outcomesFor(fleetName string, scenario Scenario) []Outcome {
 	var found []Outcome
 	for _, outcome := range r.Outcomes {
--- a/lab/experiment/reportscenarios.go
+++ b/lab/experiment/reportscenarios.go
@@ -8,8 +8,7 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// writeFairness compares the urgent requests of the tenants that don't flood
-// with and without the flood.
+// writeFairness compares the urgent requests of the other tenants with and without the flood.
 func (r *Record) writeFairness(text *strings.Builder, fleetName string) {
 	floods := r.outcomesFor(fleetName, ScenarioFlood)
 	if len(floods) == 0 {
@@ -35,8 +34,8 @@
 	}
 }
 
-// worstRatio returns the greatest ratio of a tenant's p99 with the flood to
-// that without. Small tenants have few requests, so it is rough.
+// worstRatio returns the highest ratio, over the other tenants, of the p99 with the flood to that
+// without it. It is a rough value, because small tenants send few requests.
 func worstRatio(calm, flood *emulator.Result, fleetName string) float64 {
 	worst := 0.0
 	for _, description := range fleets() {
@@ -50,7 +49,7 @@
 	return worst
 }
 
-// writeOverload tells what became of the offered load at its highest.
+// writeOverload reports how the requests ended at the highest load.
 func (r *Record) writeOverload(text *strings.Builder, fleetName string) {
 	peaks := make(map[string]float64)
 	var highest []Outcome
@@ -78,7 +77,7 @@
 	}
 }
 
-// writeComparison sets the product's results beside its own earlier ones.
+// writeComparison compares the results of the product with its earlier ones.
 func (r *Record) writeComparison(text *strings.Builder, fleetName string, earlier *Record) {
 	if earlier == nil {
 		return
--- a/lab/experiment/summary.go
+++ b/lab/experiment/summary.go
@@ -7,8 +7,8 @@
 	"github.com/tillerfall/tillerfall/lab/workload"
 )
 
-// Headline compares the product at HeadlineLoad with the limit and with the
-// least loaded rival. Each field is the product's value in parts of the other's.
+// Headline compares the product at HeadlineLoad with the clairvoyant router, called the limit, and
+// with the least-loaded policy. Each field is the product's value divided by that of the other.
 type Headline struct {
 	Fleet                   string
 	HitVsLimit              float64
@@ -17,13 +17,13 @@
 	FirstTokenVsLeastLoaded float64
 }
 
-// String returns the line that an experiment ends in.
+// String returns the headline on one line.
 func (h Headline) String() string {
 	return fmt.Sprintf("fleet=%s hit_vs_limit=%.3f waste_vs_limit=%.3f ttft_p99_vs_limit=%.3f ttft_p99_vs_least_loaded=%.3f",
 		h.Fleet, h.HitVsLimit, h.WasteVsLimit, h.FirstTokenVsLimit, h.FirstTokenVsLeastLoaded)
 }
 
-// headline returns a fleet's headline; false if a run for it is missing.
+// headline returns the headline of a fleet, or false if one of its runs is missing.
 func (r *Record) headline(fleetName string) (Headline, bool) {
 	base := Case{Fleet: fleetName, Scenario: ScenarioSteady, Load: HeadlineLoad}
 	product := r.find(base.withPolicy(emulator.PolicyTillerfall))
@@ -41,7 +41,7 @@
 	}, true
 }
 
-// Headlines returns the headline of each fleet that has one.
+// Headlines returns the headlines of all fleets whose runs are complete.
 func (r *Record) Headlines() []Headline {
 	var headlines []Headline
 	for _, description := range fleets() {
--- a/lab/localfleet/benchmark_test.go
+++ b/lab/localfleet/benchmark_test.go
@@ -22,7 +22,7 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// fastCosts leave the time of a request to everything but the model.
+// fastCosts make the time in the engine model negligible.
 var fastCosts = enginemodel.Costs{
 	StepBase:        50 * time.Microsecond,
 	DecodePerToken:  time.Microsecond,
@@ -49,7 +49,7 @@
 	return running
 }
 
-// directCall dispatches to an engine without agent and router.
+// directCall dispatches a request to an engine without agent and router.
 func directCall(tb testing.TB, running *Fleet, client *engine.Client, number int, text string) {
 	tb.Helper()
 	status := running.EngineStatus(0)
@@ -92,14 +92,15 @@
 	require.Contains(tb, string(answer), "[DONE]")
 }
 
+// TestFleetServesRequestAndStops guards against an embedded fleet that does not serve a request or
+// does not stop.
 func TestFleetServesRequestAndStops(t *testing.T) {
 	running := startFleet(t)
 	routedCall(t, running, running.options.Document.Models[0].Name, strings.Repeat("word ", 400))
 }
 
-// BenchmarkAddedLatency compares a call through agent and router with a direct
-// call to the engine's stand-in, alternating in the same run, with a prompt of
-// 8,192 tokens and one token of output.
+// BenchmarkAddedLatency compares calls through agent and router with direct calls to an engine, in
+// alternation, with a prompt of 8,192 tokens and one output token.
 func BenchmarkAddedLatency(b *testing.B) {
 	const promptBytes = 32768
 	running := startFleet(b)
--- a/lab/localfleet/localfleet.go
+++ b/lab/localfleet/localfleet.go
@@ -1,6 +1,5 @@
-// Package localfleet runs a whole small fleet in one process on loopback: the
-// platform's and the engines' stand-ins beside the product's routers and agent.
-// It is for trying the product and for tests; nothing of it is in the product.
+// Package localfleet runs a small fleet in one process on loopback: stand-ins for the platform and
+// the engines, and the routers and the agent of the product. It serves demonstrations and tests.
 package localfleet
 
 import (
@@ -35,18 +34,18 @@
 	initialCommitToken                = "initial"
 )
 
-// Options says what to run.
+// Options configures a Fleet.
 type Options struct {
-	// Document is the configuration that is committed at the start.
+	// Document is the configuration that is committed at the start. Its first model is loaded on
+	// every engine.
 	Document config.Document
 	Routers  int
 	Engines  int
-	// IndexReplicas is the routers' setting: how many of them own one engine; 0
-	// means that all own all.
+	// IndexReplicas is the number of routers that own each engine; 0 means all.
 	IndexReplicas int
-	// AgentAddress is where the agent listens.
+	// AgentAddress is the listen address of the agent.
 	AgentAddress fleet.Address
-	// Costs is the engines' speed; the zero value means the model's default.
+	// Costs is the speed of the engines. The zero value selects enginemodel.DefaultCosts.
 	Costs  enginemodel.Costs
 	Logger zerolog.Logger
 }
@@ -61,8 +60,8 @@
 	agent    *agent.Agent
 }
 
-// Start starts every process and waits until the agent is ready or the context
-// ends. A fleet that fails to start is stopped.
+// Start starts every component and waits until the agent is ready or the context ends. If a
+// component fails to start, the others are stopped.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	if options.Costs == (enginemodel.Costs{}) {
 		options.Costs = enginemodel.DefaultCosts()
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// engineModel returns an engine that has the model's weights in memory.
+// engineModel returns an engine that has loaded the first version of the model.
 func (f *Fleet) engineModel(id fleet.EngineID, model config.Model) enginemodel.Config {
 	return enginemodel.Config{
 		ID:          id,
@@ -148,14 +147,14 @@
 func (f *Fleet) startRouters(ctx context.Context) error {
 	var peers []fleet.Address
 	for i := range f.options.Routers {
-		own := router.DefaultSettings()
-		own.Node = nodeSettings(fmt.Sprintf("router-%d", i+1), loopback)
-		own.Platform.Address = f.platform.Address()
-		own.Peers = peers
-		own.IndexReplicas = f.options.IndexReplicas
-		instance := router.New(router.Options{Settings: own, Logger: f.options.Logger, Version: "embedded"})
+		routerSettings := router.DefaultSettings()
+		routerSettings.Node = nodeSettings(fmt.Sprintf("router-%d", i+1), loopback)
+		routerSettings.Platform.Address = f.platform.Address()
+		routerSettings.Peers = peers
+		routerSettings.IndexReplicas = f.options.IndexReplicas
+		instance := router.New(router.Options{Settings: routerSettings, Logger: f.options.Logger, Version: "embedded"})
 		if err := instance.Start(); err != nil {
-			return errors.Wrapf(err, "start %s", own.Node.ID)
+			return errors.Wrapf(err, "start %s", routerSettings.Node.ID)
 		}
 		f.routers = append(f.routers, instance)
 		peers = append(peers, instance.Address())
@@ -169,14 +168,14 @@
 }
 
 func (f *Fleet) startAgent(ctx context.Context) error {
-	own := agent.DefaultSettings()
-	own.Node = nodeSettings("agent-1", f.options.AgentAddress)
+	agentSettings := agent.DefaultSettings()
+	agentSettings.Node = nodeSettings("agent-1", f.options.AgentAddress)
 	for _, instance := range f.routers {
-		own.Routers = append(own.Routers, instance.Address())
+		agentSettings.Routers = append(agentSettings.Routers, instance.Address())
 	}
-	instance, err := agent.New(own, agent.Dependencies{Logger: f.options.Logger})
+	instance, err := agent.New(agentSettings, agent.Dependencies{Logger: f.options.Logger})
 	if err != nil {
-		return errors.Wrap(err, "set up agent")
+		return errors.Wrap(err, "create agent")
 	}
 	if err := instance.Start(context.WithoutCancel(ctx)); err != nil {
 		return errors.Wrap(err, "start agent")
@@ -188,7 +187,7 @@
 	return nil
 }
 
-// isReady asks a process's readiness endpoint.
+// isReady reports whether the readiness endpoint of a process answers with success.
 func isReady(ctx context.Context, address fleet.Address) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(address)+agent.PathReady, nil)
 	if err != nil {
@@ -219,19 +218,19 @@
 	return nil
 }
 
-// AgentAddress is where callers send requests.
+// AgentAddress returns the address that serves requests.
 func (f *Fleet) AgentAddress() fleet.Address { return f.agent.Address() }
 
-// RouterAddress is where operators send statements.
+// RouterAddress returns the address of the first router, which accepts operator statements.
 func (f *Fleet) RouterAddress() fleet.Address { return f.routers[0].Address() }
 
-// EngineAddress is where one engine listens, counted from 0.
+// EngineAddress returns the address of an engine, counted from 0.
 func (f *Fleet) EngineAddress(index int) fleet.Address { return f.engines[index].Address() }
 
-// EngineStatus is an engine's word about itself, counted from 0.
+// EngineStatus returns the status of an engine, counted from 0.
 func (f *Fleet) EngineStatus(index int) engine.Status { return f.engines[index].Status() }
 
-// Stop stops every process, callers' side first, and returns all errors.
+// Stop stops every component, the agent first and the platform last, and joins their errors.
 func (f *Fleet) Stop() error {
 	var failures []error
 	if f.agent != nil {
--- a/lab/localfleet/sharded_test.go
+++ b/lab/localfleet/sharded_test.go
@@ -26,8 +26,8 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// startSharded runs three routers that own two engines each, more or less. A
-// prompt of 500 tokens takes an engine a second.
+// startSharded runs six engines and three routers, with one owning router per engine. An engine
+// computes a prompt of 500 tokens in one second.
 func startSharded(t *testing.T) *Fleet {
 	t.Helper()
 	source, err := os.ReadFile("../../examples/config.yaml")
@@ -52,8 +52,8 @@
 	return running
 }
 
-// waitForOwnership waits until the engines have loaded all weights, and the routers
-// know each other, share the engines and have heard from them.
+// waitForOwnership waits until the engines have loaded all weights, and the routers have divided
+// the engines among themselves and received their status.
 func waitForOwnership(t *testing.T, running *Fleet) {
 	t.Helper()
 	const weights = 3 // two models and an adapter
@@ -72,7 +72,7 @@
 	}, 30*time.Second, readyInterval)
 }
 
-// sendCompletion sends a prompt and returns the cached tokens of the answer.
+// sendCompletion sends a prompt and returns the number of cached tokens in the answer.
 func sendCompletion(running *Fleet, prompt string) (int, error) {
 	body, err := json.Marshal(map[string]any{"model": "sahayak-llm", "prompt": prompt, "max_tokens": 2})
 	if err != nil {
@@ -105,7 +105,7 @@
 	return decoded.Usage.Details.CachedTokens, err
 }
 
-// sumMetric sums the samples of a process's metrics that match.
+// sumMetric sums the samples of a process's metrics that match a pattern.
 func sumMetric(t *testing.T, address fleet.Address, pattern string) float64 {
 	t.Helper()
 	response, err := http.Get("http://" + string(address) + agent.PathMetrics)
@@ -122,7 +122,7 @@
 	return total
 }
 
-// grantsByRouter returns the number of requests that each router has placed.
+// grantsByRouter returns the number of requests that each router has granted.
 func grantsByRouter(t *testing.T, running *Fleet) []float64 {
 	t.Helper()
 	var placed []float64
@@ -132,6 +132,8 @@
 	return placed
 }
 
+// TestRepeatedPrefixIsPlacedByOwningRouter guards against repeated prompts that reach a router that
+// does not own the engine with the cached prefix.
 func TestRepeatedPrefixIsPlacedByOwningRouter(t *testing.T) {
 	running := startSharded(t)
 	circular := strings.Repeat("circular ", 150)
@@ -140,7 +142,7 @@
 		require.NoError(t, err)
 		return cached
 	}
-	// The agent learns the routers one after the other; its rank of them settles.
+	// The ranking of routers in the agent changes until it has discovered all of them.
 	const settled = 3
 	found, asked := 0, 0
 	var before []float64
@@ -154,7 +156,7 @@
 			found = 0
 		}
 	}
-	require.Equal(t, settled, found, "a prefix that was computed is found again")
+	require.Equal(t, settled, found, "a computed prefix is found again")
 	granting := 0
 	for position, after := range grantsByRouter(t, running) {
 		if after > before[position] {
@@ -164,8 +166,8 @@
 	assert.Equal(t, 1, granting)
 }
 
-// TestSaturatedRouterSpills sends prompts that begin alike and take the engines
-// of one router for ten seconds.
+// TestSaturatedRouterSpills guards against prompts with a common prefix that all wait at the
+// saturated owner of its engine.
 func TestSaturatedRouterSpills(t *testing.T) {
 	running := startSharded(t)
 	beginning := strings.Repeat("beginning ", 110)
--- a/lab/workload/blocks.go
+++ b/lab/workload/blocks.go
@@ -8,9 +8,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Blocks returns the chained hashes of the request's whole blocks, without
-// making its text. Requests of one scope share hashes exactly as far as they
-// share tokens.
+// Blocks returns the chained hashes of the whole blocks of the prompt, computed from segment
+// identifiers instead of text. Requests of one scope share exactly the hashes of the blocks in
+// their common token prefix.
 func (r Request) Blocks(blockTokens int) []fleet.BlockHash {
 	total := r.PromptTokens() / blockTokens
 	hashes := make([]fleet.BlockHash, 0, total)
@@ -24,15 +24,15 @@
 	return hashes
 }
 
-// segmentCursor walks through the segments token by token.
+// segmentCursor is a token position in a list of segments.
 type segmentCursor struct {
 	segments []Segment
 	segment  int
 	offset   int
 }
 
-// hashBlock folds the next count tokens into the parent's hash. A block that
-// crosses a segment's end covers a part of each segment.
+// hashBlock folds the next count tokens into the hash of the parent block. A block may span several
+// segments.
 func (c *segmentCursor) hashBlock(parent uint64, count int) uint64 {
 	hash := parent
 	for count > 0 {
--- a/lab/workload/fleet.go
+++ b/lab/workload/fleet.go
@@ -6,14 +6,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Priority classes of both fleets, best first.
+// Priority classes of both fleets, most urgent first.
 const (
 	ClassUrgent   fleet.ClassName = "urgent"
 	ClassStandard fleet.ClassName = "standard"
 	ClassBatch    fleet.ClassName = "batch"
 )
 
-// Fleet describes one users' fleet: its machines and the shape of its traffic.
+// Fleet describes a fleet: its machines, network and traffic.
 type Fleet struct {
 	Name         string
 	Zones        []fleet.ZoneName
@@ -21,13 +21,13 @@
 	Routers      int
 	ModelVersion fleet.ModelVersion
 	Pool         fleet.PoolName
-	// ZoneLatency is one way between zones, ClientLatency one way to clients.
+	// ZoneLatency is the one-way latency between zones, ClientLatency that to clients.
 	ZoneLatency   time.Duration
 	ClientLatency time.Duration
-	// FullSpeedLoads is the number of engines that can load weights at once at full speed.
+	// FullSpeedLoads is the number of engines that can load weights concurrently at full speed.
 	FullSpeedLoads int
-	// BlockTokens is the length of a cache block, CacheBlocks the cache of one
-	// engine. BlockIdleTTL evicts blocks that nobody has used for so long.
+	// BlockTokens is the length of a cache block in tokens, CacheBlocks the cache capacity of one
+	// engine in blocks. BlockIdleTTL is the idle time after which blocks are evicted.
 	BlockTokens  int
 	CacheBlocks  int
 	BlockIdleTTL time.Duration
@@ -35,33 +35,32 @@
 	Traffic      Traffic
 }
 
-// Tenant is one tenant of a fleet and its part of the traffic.
+// Tenant is a tenant of a fleet.
 type Tenant struct {
 	Name   fleet.TenantName
 	Weight float64
-	// Share is the part of all requests that this tenant sends.
+	// Share is the fraction of all requests that the tenant sends.
 	Share float64
 }
 
 // Traffic describes the requests of a fleet.
 type Traffic struct {
-	// Top, Middle and Leaf describe the nested levels of long prompts. The leaf is
-	// unique to a request.
+	// Top, Middle and LeafTokens describe the nested levels of long prompts. The leaf is unique to
+	// a request.
 	Top, Middle  Level
 	LeafTokens   int
 	LookupTokens int
-	// Parts of all requests by kind; the rest are drafts.
+	// Fractions of all requests by kind. The rest are drafts.
 	QuestionFraction, LookupFraction, BatchFraction float64
-	// Output tokens by kind.
+	// Mean output lengths in tokens by kind.
 	QuestionOutput, DraftOutput, LookupOutput, BatchOutput int
-	// NonRepeatableFraction is the part of lookups that must run at most once.
+	// NonRepeatableFraction is the fraction of lookups that must run at most once.
 	NonRepeatableFraction float64
 }
 
-// Level is one level of nested prefixes of a tenant.
+// Level is one level of the nested prefixes of a tenant.
 type Level struct {
-	// Variants is the number of different texts; with Skew the exponent of
-	// their Zipf popularity.
+	// Variants is the number of different texts, Skew the exponent of their Zipf popularity.
 	Variants int
 	Skew     float64
 	Tokens   int
@@ -74,7 +73,8 @@
 	largeTenantWeight = 3
 )
 
-// AhdWestFleet is the first users' fleet: tail time to first token counts most.
+// AhdWestFleet returns the fleet "ahd-west", whose main objective is the tail latency of the first
+// token.
 func AhdWestFleet() Fleet {
 	return Fleet{
 		Name:           "ahd-west",
@@ -102,7 +102,8 @@
 	}
 }
 
-// WPColomboFleet is the second users' fleet: hit rate and wasted recompute count most.
+// WPColomboFleet returns the fleet "wp-colombo", whose main objectives are cache hit rate and
+// little recomputation.
 func WPColomboFleet() Fleet {
 	return Fleet{
 		Name:           "wp-colombo",
--- a/lab/workload/generate.go
+++ b/lab/workload/generate.go
@@ -9,24 +9,23 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Options says what to generate for a fleet.
+// Options configures a trace.
 type Options struct {
 	Seed uint64
-	// Rate is the mean number of requests a second; arrivals are Poisson.
+	// Rate is the mean number of requests per second. Arrivals are a Poisson process.
 	Rate     float64
 	Duration time.Duration
-	// ShiftAt makes a new top-level prefix appear, which takes ShiftPart of all
-	// long prompts from then on; 0 means never.
+	// From ShiftAt on, ShiftFraction of all long prompts use a new top-level prefix. A ShiftAt of 0
+	// means that there is no shift.
 	ShiftAt       time.Duration
 	ShiftFraction float64
-	// FloodFrom and FloodTo bound a flood of batch requests at FloodRate a
-	// second by the first tenant.
+	// Between FloodFrom and FloodTo the first tenant sends additional batch requests at FloodRate
+	// per second.
 	FloodFrom, FloodTo time.Duration
 	FloodRate          float64
 }
 
-// Generate returns the trace that the options describe. Equal options give
-// equal traces.
+// Generate returns the trace that the options describe. Equal options yield equal traces.
 func Generate(description Fleet, options Options) Trace {
 	g := newGenerator(description, options)
 	requests := g.steadyRequests()
@@ -135,12 +134,13 @@
 	return request
 }
 
-// drawLength spreads a mean uniformly between half and one and a half of it.
+// drawLength returns a uniformly distributed length between half the mean and one and a half times
+// the mean.
 func (g *generator) drawLength(mean int) int {
 	return max(1, mean/2+g.random.IntN(mean+1))
 }
 
-// lookupSegments shares its first half among all lookups of a tenant.
+// lookupSegments returns a prompt whose first half is shared by all lookups of a tenant.
 func (g *generator) lookupSegments(tenant fleet.TenantName) []Segment {
 	half := g.fleet.Traffic.LookupTokens / 2
 	return []Segment{
@@ -175,7 +175,7 @@
 	return segmentID(tenant, levelLeaf, g.leaves, 0)
 }
 
-// Levels keep the identifiers of different levels apart.
+// Levels separate the identifiers of segments.
 const (
 	levelTop uint64 = iota + 1
 	levelMiddle
--- a/lab/workload/workload.go
+++ b/lab/workload/workload.go
@@ -1,7 +1,6 @@
-// Package workload generates request traces from a seed: prompts nested three
-// deep with skewed popularity, quick lookups, a batch flood, and a shift of the
-// most popular prefix. The emulator, the load generator and the simulation
-// replay the same traces.
+// Package workload generates request traces from a seed: prompts with three nested levels of skewed
+// popularity, short lookups, a batch flood, and a shift of the most popular prefix. The emulator,
+// the load generator and the simulation replay them.
 package workload
 
 import (
@@ -10,18 +9,18 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Kind tells what a request is for; results are reported by kind.
+// Kind is the kind of a request, by which results are reported.
 type Kind string
 
 // Kinds of requests.
 const (
-	// KindQuestion has a long nested prefix and an urgent class.
+	// KindQuestion has a long nested prefix and class ClassUrgent.
 	KindQuestion Kind = "question"
-	// KindDraft has a long nested prefix, a long answer and a standard class.
+	// KindDraft has a long nested prefix, a long output and class ClassStandard.
 	KindDraft Kind = "draft"
-	// KindLookup is short and urgent.
+	// KindLookup has a short prompt and class ClassUrgent.
 	KindLookup Kind = "lookup"
-	// KindBatch belongs to the flood of the lowest class.
+	// KindBatch has a long nested prefix and class ClassBatch. A flood consists of such requests.
 	KindBatch Kind = "batch"
 )
 
@@ -31,7 +30,7 @@
 	Tokens int
 }
 
-// Request is one arrival of a trace.
+// Request is a request of a trace, with its time of arrival.
 type Request struct {
 	ID           fleet.RequestID
 	At           time.Duration
@@ -42,11 +41,11 @@
 	Zone         fleet.ZoneName
 	Segments     []Segment
 	OutputTokens int
-	// NonRepeatable requests run at most once.
+	// NonRepeatable marks a request that must run at most once.
 	NonRepeatable bool
 }
 
-// PromptTokens returns the length of the whole prompt.
+// PromptTokens returns the length of the whole prompt in tokens.
 func (r Request) PromptTokens() int {
 	total := 0
 	for _, segment := range r.Segments {
--- a/lab/workload/workload_test.go
+++ b/lab/workload/workload_test.go
@@ -12,6 +12,7 @@
 	return Options{Seed: 1, Rate: 50, Duration: 20 * time.Second, ShiftAt: 10 * time.Second, ShiftFraction: 0.6}
 }
 
+// TestGenerateIsDeterministic guards against traces that differ between runs with the same seed.
 func TestGenerateIsDeterministic(t *testing.T) {
 	first := Generate(AhdWestFleet(), options())
 	second := Generate(AhdWestFleet(), options())
@@ -19,6 +20,8 @@
 	require.InDelta(t, 1000, len(first.Requests), 150)
 }
 
+// TestPromptsShareBlocksOfCommonPrefix guards against block hashes shared beyond the common prefix
+// or across tenants.
 func TestPromptsShareBlocksOfCommonPrefix(t *testing.T) {
 	long := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 3, Tokens: 40}}}
 	sibling := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 4, Tokens: 40}}}
@@ -31,6 +34,8 @@
 	assert.NotEqual(t, right[0], foreign[0])
 }
 
+// TestShiftMovesMostLongPromptsToTheNewPrefix guards against a shift that does not move its
+// fraction of the long prompts.
 func TestShiftMovesMostLongPromptsToTheNewPrefix(t *testing.T) {
 	trace := Generate(WPColomboFleet(), options())
 	newTop, long := 0, 0
--- a/lab/workload/zipf.go
+++ b/lab/workload/zipf.go
@@ -6,8 +6,7 @@
 	"sort"
 )
 
-// zipf draws variants with a probability that falls as rank to the power of
-// the level's skew.
+// zipf draws variants with a probability proportional to rank to the power of -skew.
 type zipf struct {
 	cumulative []float64
 }
