--- a/test/integration/caller_test.go
+++ b/test/integration/caller_test.go
@@ -20,19 +20,19 @@
 	"github.com/tillerfall/tillerfall/lab/enginemodel"
 )
 
-// Keys of the example configuration.
+// API keys of the example configuration.
 const (
 	counterKey = "example-key-counter"
 	batchKey   = "example-key-batch"
 )
 
-// Markers of server-sent events.
+// Parts of server-sent events.
 const (
 	eventPrefix = "data: "
 	doneMarker  = "[DONE]"
 )
 
-// chatRequest is a request of a caller. Its fields are those of the API.
+// chatRequest is a chat or completion request of the API.
 type chatRequest struct {
 	Model         string         `json:"model"`
 	Messages      []chatMessage  `json:"messages,omitempty"`
@@ -41,7 +41,7 @@
 	Stream        bool           `json:"stream,omitempty"`
 	StreamOptions map[string]any `json:"stream_options,omitempty"`
 
-	// header is added to the request's.
+	// header holds additional HTTP headers.
 	header http.Header
 }
 
@@ -50,8 +50,8 @@
 	Content string `json:"content"`
 }
 
-// chat returns a streamed request whose messages are the texts: the first from
-// the system, the others from the user.
+// chat returns a streaming request. The first text is the system message, the others are user
+// messages.
 func chat(model string, maxTokens int, texts ...string) chatRequest {
 	request := chatRequest{
 		Model: model, MaxTokens: maxTokens, Stream: true, StreamOptions: map[string]any{"include_usage": true},
@@ -67,7 +67,7 @@
 	return request
 }
 
-// notRepeatable returns the request with the mark that it must run at most once.
+// notRepeatable returns the request marked to run at most once.
 func (r chatRequest) notRepeatable() chatRequest {
 	r.header = r.header.Clone()
 	r.header.Set(openai.HeaderNotRepeatable, "true")
@@ -81,7 +81,7 @@
 	return openai.Completion, openai.PathCompletions
 }
 
-// prompt is the text that the engine gets.
+// prompt returns the text that the engine receives.
 func (r chatRequest) prompt(t *testing.T) string {
 	t.Helper()
 	body, err := json.Marshal(r)
@@ -92,7 +92,7 @@
 	return parsed.Prompt
 }
 
-// answerChunk is one event of a stream, or a whole answer.
+// answerChunk is an event of a stream, or a whole answer.
 type answerChunk struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -135,23 +135,23 @@
 	RequestID  string  `json:"request_id"`
 }
 
-// answer is all that a caller has received.
+// answer is everything that a caller has received.
 type answer struct {
 	status int
 	header http.Header
-	// chunks are the events of a stream, or the one body.
+	// chunks holds the events of a stream, or the single body.
 	chunks  []answerChunk
 	tokens  []string
 	finish  string
 	usage   *answerUsage
 	failure *answerFailure
-	// done is set by the mark that ends a whole stream, or by a whole body.
+	// done is set by the end marker of a stream, or by a complete body.
 	done bool
-	// broken is why the connection ended early.
+	// broken is the error that ended the connection early.
 	broken error
 }
 
-// exchange is an answer that is being read.
+// exchange is a request whose answer is being read.
 type exchange struct {
 	t        *testing.T
 	request  chatRequest
@@ -161,10 +161,10 @@
 	answer   answer
 }
 
-// callerClient is the HTTP client of all callerClient; it has no limit of time.
+// callerClient is the HTTP client of all callers. It has no timeout.
 var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// send sends a request to an agent and returns when the answer's head is there.
+// send sends a request to an agent and returns once the response header has arrived.
 func send(t *testing.T, agentAddress string, request chatRequest) *exchange {
 	t.Helper()
 	opened, err := trySend(t, agentAddress, request)
@@ -193,20 +193,20 @@
 	}, nil
 }
 
-// ask sends a request and reads its answer to the end.
+// ask sends a request and reads the whole answer.
 func ask(t *testing.T, agentAddress string, request chatRequest) answer {
 	t.Helper()
 	return send(t, agentAddress, request).readAll()
 }
 
-// readTokens reads until there are so many tokens or the stream ends.
+// readTokens reads until the answer has count tokens or ends.
 func (e *exchange) readTokens(count int) {
 	for len(e.answer.tokens) < count && e.readEvent() {
 		continue
 	}
 }
 
-// readAll reads to the end.
+// readAll reads the answer to its end.
 func (e *exchange) readAll() answer {
 	defer e.cancel()
 	defer e.response.Body.Close()
@@ -226,7 +226,7 @@
 	return e.answer
 }
 
-// readEvent reads one event and tells whether more may follow.
+// readEvent reads one line and reports whether more may follow.
 func (e *exchange) readEvent() bool {
 	line, err := e.lines.ReadString('\n')
 	if err != nil {
@@ -247,7 +247,7 @@
 	}
 	var chunk answerChunk
 	assert.NoError(e.t, json.Unmarshal([]byte(data), &chunk), "event %q", data)
-	assert.False(e.t, e.answer.done, "an event after the end: %q", data)
+	assert.False(e.t, e.answer.done, "event after the end marker: %q", data)
 	e.answer.addChunk(chunk)
 	return true
 }
@@ -279,14 +279,14 @@
 	return m.Content
 }
 
-// requireComplete checks that an answer is the whole answer to its own request:
-// each token in order and chained to this prompt, and the right counts.
+// requireComplete checks that an answer is complete and belongs to its request: all tokens in order
+// and chained to the prompt, with correct counts.
 func requireComplete(t *testing.T, request chatRequest, got answer) {
 	t.Helper()
 	require.Nil(t, got.failure, "%+v", got.failure)
 	require.Equal(t, http.StatusOK, got.status)
 	require.NoError(t, got.broken)
-	require.True(t, got.done, "the answer has no proper end after %d tokens", len(got.tokens))
+	require.True(t, got.done, "no end marker after %d tokens", len(got.tokens))
 	require.Equal(t, "length", got.finish)
 	promptText := request.prompt(t)
 	require.NoError(t, enginemodel.VerifyOutput(promptText, got.tokens))
@@ -297,15 +297,15 @@
 	require.Equal(t, got.usage.PromptTokens+got.usage.CompletionTokens, got.usage.TotalTokens)
 }
 
-// requireCompleteOrError checks that an answer is whole, or says that it isn't by an
-// error after a part that is in order.
+// requireCompleteOrError checks that an answer is complete, or ends in an error after a valid part
+// of the output.
 func requireCompleteOrError(t *testing.T, request chatRequest, got answer) {
 	t.Helper()
 	if got.failure == nil {
 		requireComplete(t, request, got)
 		return
 	}
-	require.False(t, got.done, "an error and a proper end")
+	require.False(t, got.done, "the answer has both an error and an end marker")
 	require.NoError(t, enginemodel.VerifyOutput(request.prompt(t), got.tokens))
 }
 
--- a/test/integration/together_test.go
+++ b/test/integration/combined_test.go
@@ -13,11 +13,11 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// commitLine begins a transaction at the platform.
+// commitLine is the request line of a transaction at the platform.
 const commitLine = "POST /v1/tables/commit HTTP/1.1"
 
-// TestEnginesAndRoutersKilledInTurn kills the engine under a stream, and then
-// the engine that goes on with it, each time with a router.
+// TestEnginesAndRoutersKilledInTurn guards against a stream that does not survive the death of
+// several engines and routers.
 func TestEnginesAndRoutersKilledInTurn(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat(model, 300, "You answer clerks.", "Which flag covers tankers?")
@@ -34,8 +34,8 @@
 	requireComplete(t, request, opened.readAll())
 }
 
-// TestAgentKilledDuringStreams kills the agent, whose callers see a stream
-// without an end, and starts it again. The new one serves at once.
+// TestAgentKilledDuringStreams guards against a stream that looks complete after the agent died,
+// and an agent that cannot serve after a restart while the platform is down.
 func TestAgentKilledDuringStreams(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat(model, 300, "You answer clerks.", "Which flag covers tankers?")
@@ -43,7 +43,7 @@
 	opened.readTokens(5)
 	f.processes["agent-1"].kill()
 	got := opened.readAll()
-	assert.False(t, got.done, "a cut stream has a proper end")
+	assert.False(t, got.done, "an interrupted stream must not have an end marker")
 	f.setPlatformFaults(platformserver.Faults{Down: true})
 	f.processes["agent-1"].start()
 	f.awaitListening("agent-1")
@@ -52,8 +52,8 @@
 	requireComplete(t, request, ask(t, f.agentAddress(), request))
 }
 
-// TestCommandsSurviveCutPlatformConnections cuts transactions before and after their
-// effect, on a platform that is slow besides.
+// TestCommandsSurviveCutPlatformConnections guards against commands that are lost or take effect
+// twice when connections to a slow platform are cut.
 func TestCommandsSurviveCutPlatformConnections(t *testing.T) {
 	f := startFleet(t, fleetOptions{platformProxy: true})
 	f.setPlatformFaults(platformserver.Faults{AnswerDelay: config.Duration(100 * time.Millisecond)})
@@ -72,7 +72,7 @@
 		require.NotNil(t, reported)
 		repeated := f.mustRunStatement("router-3", statement, "--token", token)
 		revision++
-		assert.Equal(t, revision, repeated.Revision, "the command has taken effect once")
+		assert.Equal(t, revision, repeated.Revision, "the command takes effect once")
 		if resultcode.Code(reported.Code) == resultcode.OK {
 			assert.Equal(t, revision, reported.Revision)
 		} else {
--- a/test/integration/doc.go
+++ b/test/integration/doc.go
@@ -1,2 +1,3 @@
-// Package integration tests the product as separate processes.
+// Package integration tests the product as separate processes, started by the commands of the
+// operations guide.
 package integration
--- a/test/integration/documented_test.go
+++ b/test/integration/documentation_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The section of docs/OPERATIONS.md whose commands the tests run.
+// The section of the operations guide whose commands start the fleets.
 const (
 	operatingPage    = "docs/OPERATIONS.md"
 	documentedTitle  = "## Run the parts as separate processes"
@@ -22,7 +22,7 @@
 	documentedSocket = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
-// documentation is the part of the operators' page that starts a fleet.
+// documentation is the parsed section.
 type documentation struct {
 	machines string
 	commands []documentedCommand
@@ -33,11 +33,11 @@
 	program    string
 	flags      []string
 	background bool
-	// line is the command as it is written.
+	// line is the command as documented.
 	line string
 }
 
-// name is the identifier of the process that a command starts.
+// name returns the identifier of the process that the command starts.
 func (c documentedCommand) name() string {
 	for position, flag := range c.flags {
 		if flag == "--id" {
@@ -47,7 +47,7 @@
 	return c.flags[0]
 }
 
-// flag returns the value of a flag.
+// flag returns the value of a flag, or an empty string.
 func (c documentedCommand) flag(name string) string {
 	for position, flag := range c.flags {
 		if flag == name {
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// runsProjectBinary tells whether the command runs one of the project's programs.
+// runsProjectBinary reports whether the command runs a program of this project.
 func (c documentedCommand) runsProjectBinary() bool { return strings.HasPrefix(c.program, "bin/") }
 
 func readDocumentation(t *testing.T) documentation {
@@ -89,7 +89,7 @@
 	return documentedCommand{program: words[0], flags: words[1:], background: background, line: text}
 }
 
-// splitWords splits as a shell does, with single quotes alone.
+// splitWords splits a line like a shell, but supports only single quotes.
 func splitWords(text string) []string {
 	var words []string
 	var word strings.Builder
--- a/test/integration/path_test.go
+++ b/test/integration/endtoend_test.go
@@ -11,9 +11,8 @@
 	"github.com/tillerfall/tillerfall/internal/openai"
 )
 
-// TestNestedPromptsThroughEveryProcess sends the example prompts through the
-// fleet that the operators' page describes, and a second question on each
-// prefix, which finds it cached.
+// TestNestedPromptsThroughEveryProcess guards against requests that fail on the way through all
+// processes, and prefixes that are not found in the cache.
 func TestNestedPromptsThroughEveryProcess(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	t.Run("flags", func(t *testing.T) {
@@ -51,7 +50,8 @@
 	})
 }
 
-// requireCachedPrefix asks two questions on one prefix.
+// requireCachedPrefix asks two questions with a common prefix and checks that the second one finds
+// the prefix cached.
 func requireCachedPrefix(t *testing.T, f *testFleet, first, second chatRequest) {
 	t.Helper()
 	cold := ask(t, f.agentAddress(), first)
@@ -87,7 +87,7 @@
 	return names
 }
 
-// TestStreamMatchesAPIFormat checks each event of a stream.
+// TestStreamMatchesAPIFormat guards against events of a stream that do not follow the API.
 func TestStreamMatchesAPIFormat(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat("sahayak-llm", 5, "You answer clerks.", "Which flag covers meter photographs?")
--- a/test/integration/engine_test.go
+++ b/test/integration/engine_test.go
@@ -12,14 +12,14 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-// longHeaderTimeout keeps the agent from giving up an exchange that a test holds.
+// longHeaderTimeout keeps the agent waiting for an engine whose answer a test delays.
 var longHeaderTimeout = map[string][]string{"agent": {"--set", "engines.header_timeout=10m"}}
 
-// shortHeaderTimeout makes the agent give up a silent engine soon.
+// shortHeaderTimeout makes the agent soon give up on an engine that does not answer.
 var shortHeaderTimeout = map[string][]string{"agent": {"--set", "engines.header_timeout=700ms"}}
 
-// TestEngineKilledWhileItsStreamRuns kills an engine under a stream. The stream
-// goes on at another engine from exactly the tokens sent.
+// TestEngineKilledWhileItsStreamRuns guards against lost or repeated tokens when an engine dies and
+// another one continues the stream.
 func TestEngineKilledWhileItsStreamRuns(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat(model, 300, "You answer clerks.", "Which flag covers tankers?")
@@ -30,17 +30,17 @@
 	f.processes[killed].kill()
 	got := opened.readAll()
 	requireComplete(t, request, got)
-	assert.Positive(t, f.executionsElsewhere(killed, got.requestID()), "another engine has gone on")
+	assert.Positive(t, f.executionsElsewhere(killed, got.requestID()), "another engine continues the stream")
 
 	f.processes[killed].start()
 	f.awaitListening(killed)
 	assert.Greater(t, f.engineStatus(killed).Incarnation, old)
 	f.awaitConvergence()
-	assert.Zero(t, f.executionsAt(killed, got.requestID()), "the new run has begun the old request")
+	assert.Zero(t, f.executionsAt(killed, got.requestID()), "the restarted engine must not run the old request")
 }
 
-// TestEngineKilledUnderNotRepeatableRequest kills an engine under a stream that
-// must run at most once: it ends in an error event and runs nowhere else.
+// TestEngineKilledUnderNotRepeatableRequest guards against a request that must run at most once
+// being run again after its engine died.
 func TestEngineKilledUnderNotRepeatableRequest(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	request := chat(model, 300, "You book tankers.", "Book one for Bopal.").notRepeatable()
@@ -56,11 +56,11 @@
 	requireCompleteOrError(t, request, got)
 	f.awaitListening(killed)
 	f.awaitConvergence()
-	assert.Zero(t, f.executions(got.requestID()), "only the killed run has begun the request")
+	assert.Zero(t, f.executions(got.requestID()), "no other engine may run the request")
 }
 
-// TestRestartedEngineRejectsLateDispatch delivers a dispatch after its engine has been
-// restarted. The new run rejects it.
+// TestRestartedEngineRejectsLateDispatch guards against a delayed dispatch that a restarted engine
+// runs.
 func TestRestartedEngineRejectsLateDispatch(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: longHeaderTimeout})
 	f.setEngineRules(rule{direction: towardsServer, match: dispatchLine, action: actionHold, remaining: matchLimit(1)})
@@ -77,8 +77,8 @@
 	assert.Equal(t, 1, f.executions(got.requestID()))
 }
 
-// TestCancelledDispatchNeverRuns delivers a dispatch that the agent has given up and
-// barred. The engine rejects it, so the request runs once, elsewhere.
+// TestCancelledDispatchNeverRuns guards against a delayed dispatch that runs after the agent has
+// cancelled it and tried another engine.
 func TestCancelledDispatchNeverRuns(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortHeaderTimeout})
 	f.setEngineRules(rule{direction: towardsServer, match: dispatchLine, action: actionHold, remaining: matchLimit(1)})
@@ -97,8 +97,8 @@
 	assert.Equal(t, 1, f.executions(got.requestID()))
 }
 
-// TestDispatchConnectionCutRunsAtMostOnce cuts the exchange of a dispatch before and
-// after its effect, for a request that must run at most once.
+// TestDispatchConnectionCutRunsAtMostOnce guards against a request that runs twice when its
+// connection breaks before or after the dispatch takes effect.
 func TestDispatchConnectionCutRunsAtMostOnce(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortHeaderTimeout})
 	for _, cut := range []struct {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestStreamsCutAtVariedBytes cuts and resets many streams between agent and
-// engine, each at another byte.
+// TestStreamsCutAtVariedBytes guards against broken output when connections to engines are cut at
+// many different bytes.
 func TestStreamsCutAtVariedBytes(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true})
 	const streams, tokens, step, lastByte = 12, 40, 97, 3500
@@ -147,15 +147,15 @@
 	f.setEngineRules(rules...)
 	running := startLoad(t, f, streams, tokens)
 	running.requireAllComplete(t)
-	struck := 0
+	matched := 0
 	for _, name := range f.names("engine") {
-		struck += f.proxies[name].matchCount()
+		matched += f.proxies[name].matchCount()
 	}
-	assert.Greater(t, struck, streams, "resumed streams are cut too")
+	assert.Greater(t, matched, streams, "resumed streams must be cut too")
 }
 
-// TestDelayedConnectionsKeepAnswersApart delays every piece on the way to the engines
-// and checks that each caller gets its own answer.
+// TestDelayedConnectionsKeepAnswersApart guards against callers that receive the answer to another
+// request when connections to engines are slow.
 func TestDelayedConnectionsKeepAnswersApart(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true})
 	for position, name := range f.names("engine") {
@@ -165,7 +165,8 @@
 	running.requireAllComplete(t)
 }
 
-// TestRouterAnswersLost resets the connections on which routers answer.
+// TestRouterAnswersLost guards against requests that fail when the connections to routers are reset
+// before the answer.
 func TestRouterAnswersLost(t *testing.T) {
 	f := startFleet(t, fleetOptions{routerProxies: true})
 	for _, name := range f.names("router") {
@@ -184,7 +185,7 @@
 	again.requireAllComplete(t)
 }
 
-// executionsElsewhere counts the dispatches of a request at all engines but one.
+// executionsElsewhere counts the dispatches of a request that all other engines have accepted.
 func (f *testFleet) executionsElsewhere(engineName, requestID string) int {
 	f.t.Helper()
 	count := 0
--- a/test/integration/engines_test.go
+++ b/test/integration/enginehelpers_test.go
@@ -10,7 +10,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-// Texts by which a proxy knows an exchange with an engine.
+// Texts by which proxy rules match an exchange with an engine.
 const (
 	dispatchLine = "POST /v1/streams HTTP/1.1"
 	orderLine    = "POST /v1/orders HTTP/1.1"
@@ -34,7 +34,7 @@
 	return count
 }
 
-// executions counts the dispatches of a request that any engine has accepted.
+// executions counts the dispatches of a request that all engines have accepted.
 func (f *testFleet) executions(requestID string) int {
 	f.t.Helper()
 	count := 0
@@ -44,7 +44,7 @@
 	return count
 }
 
-// engineForRequest returns the one engine that has accepted a request.
+// engineForRequest returns the only engine that has accepted a request.
 func (f *testFleet) engineForRequest(requestID string) string {
 	f.t.Helper()
 	var found []string
@@ -57,12 +57,12 @@
 	return found[0]
 }
 
-// awaitEngineForRequest waits until an engine has accepted a request. An engine that was
-// started again since knows of none.
+// awaitEngineForRequest waits until an engine has accepted a request. A restarted engine has no
+// record of earlier requests.
 func (f *testFleet) awaitEngineForRequest(requestID string) string {
 	f.t.Helper()
 	var found string
-	eventually(f.t, "an engine has the request", func() bool {
+	eventually(f.t, "an engine accepts the request", func() bool {
 		for _, name := range f.names("engine") {
 			if f.executionsAt(name, requestID) > 0 {
 				found = name
@@ -73,31 +73,31 @@
 	return found
 }
 
-// setEngineRules gives every engine's proxy the same rules.
+// setEngineRules sets the same rules on the proxies of all engines.
 func (f *testFleet) setEngineRules(rules ...rule) {
 	for _, name := range f.names("engine") {
 		f.proxies[name].setRules(rules...)
 	}
 }
 
-// awaitMatchedRule waits until a rule of an engine's proxy has struck, takes all
-// rules away and returns the engine's name.
+// awaitMatchedRule waits until a rule of an engine proxy has matched, removes all rules and returns
+// the name of the engine.
 func (f *testFleet) awaitMatchedRule() string {
 	f.t.Helper()
-	var struck string
-	eventually(f.t, "a rule strikes", func() bool {
+	var matched string
+	eventually(f.t, "a proxy rule matches", func() bool {
 		for _, name := range f.names("engine") {
 			if f.proxies[name].matchCount() > 0 {
-				struck = name
+				matched = name
 			}
 		}
-		return struck != ""
+		return matched != ""
 	})
 	f.setEngineRules()
-	return struck
+	return matched
 }
 
-// requestID is the whole identifier that the agent has given a request.
+// requestID returns the identifier that the agent has assigned to the request.
 func (a answer) requestID() string {
 	if a.failure != nil {
 		return a.failure.RequestID
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -24,43 +24,43 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// commandTimeoutFlag is the ctl flag that bounds one command.
+// commandTimeoutFlag bounds the duration of one ctl command.
 const commandTimeoutFlag = "--timeout=20s"
 
-// httpTimeout bounds one short exchange of the tests' own.
+// httpTimeout bounds one request of httpClient.
 const httpTimeout = 30 * time.Second
 
 var httpClient = &http.Client{Timeout: httpTimeout}
 
-// fleetOptions says how a fleet differs from the documented one.
+// fleetOptions describes how a fleet differs from the documented one.
 type fleetOptions struct {
-	// flags are added to the command of the process of that name; the names
-	// "router", "engine" and "agent" stand for all of their kind.
+	// flags adds flags to the command of the named process. The names "router", "engine" and
+	// "agent" stand for all processes of their kind.
 	flags map[string][]string
-	// engineProxies, routerProxies and platformProxy put a fault-injecting proxy
-	// before each engine, each router and the platform.
+	// engineProxies, routerProxies and platformProxy put a fault-injecting proxy in front of each
+	// engine, each router and the platform.
 	engineProxies bool
 	routerProxies bool
 	platformProxy bool
 }
 
-// testFleet is a fleet of real processes, started by the documented commands.
+// testFleet is a fleet of processes started by the documented commands.
 type testFleet struct {
 	t         *testing.T
 	options   fleetOptions
 	directory string
-	// addresses translates documented addresses into those of this fleet.
+	// addresses maps documented addresses to those of this fleet.
 	addresses map[string]string
-	// proxies holds the proxy before each process that has one.
+	// proxies holds the proxy in front of each process that has one.
 	proxies   map[string]*faultProxy
 	processes map[string]*process
-	// listenAddresses holds the address on which each process listenAddresses.
+	// listenAddresses holds the address that each process listens on.
 	listenAddresses map[string]string
 	machines        []platform.Machine
 }
 
-// startFleet runs the documented commands up to a ready agent. The calling test
-// runs in parallel with others, as far as there are slots.
+// startFleet runs the documented commands and waits until the fleet is ready. It marks the test as
+// parallel and waits for a free fleet slot.
 func startFleet(t *testing.T, options fleetOptions) *testFleet {
 	t.Helper()
 	t.Parallel()
@@ -94,8 +94,8 @@
 	return f
 }
 
-// reserveAddresses gives each documented address one of this fleet, and puts
-// the wanted proxies before them.
+// reserveAddresses assigns an address of this fleet to each documented one, and starts the
+// requested proxies.
 func (f *testFleet) reserveAddresses(documented documentation) {
 	for _, command := range documented.commands {
 		if !command.runsProjectBinary() || !command.background {
@@ -104,12 +104,12 @@
 		name := command.name()
 		listens := freeAddress(f.t)
 		f.listenAddresses[name] = listens
-		reached := listens
+		dialed := listens
 		if f.hasProxy(name) {
 			f.proxies[name] = newFaultProxy(f.t, listens)
-			reached = f.proxies[name].address()
+			dialed = f.proxies[name].address()
 		}
-		f.addresses[command.flag("--address")] = reached
+		f.addresses[command.flag("--address")] = dialed
 	}
 }
 
@@ -125,13 +125,13 @@
 	return false
 }
 
-// processKind returns the name without its number.
+// processKind returns the name of a process without its number.
 func processKind(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
 
-// translate replaces documented addresses.
+// translate replaces documented addresses by those of this fleet.
 func (f *testFleet) translate(text string) string {
 	return documentedSocket.ReplaceAllStringFunc(text, func(documented string) string {
 		address, found := f.addresses[documented]
@@ -158,7 +158,7 @@
 	f.awaitListening(name)
 }
 
-// awaitListening waits until a process answers any HTTP request.
+// awaitListening waits until a process answers an HTTP request.
 func (f *testFleet) awaitListening(name string) {
 	f.t.Helper()
 	eventually(f.t, name+" listens", func() bool {
@@ -184,7 +184,7 @@
 	f.setMachines(body.Machines)
 }
 
-// setMachines replaces the platform's list of machines.
+// setMachines replaces the list of machines of the platform.
 func (f *testFleet) setMachines(machines []platform.Machine) {
 	f.t.Helper()
 	f.machines = machines
@@ -197,7 +197,7 @@
 	f.control("platform", platformserver.PathFaults, faults)
 }
 
-// control posts to a stand-in's control endpoint, which suffers no faults.
+// control posts to a control endpoint of a stand-in, bypassing its proxy.
 func (f *testFleet) control(name, path string, body any) {
 	f.t.Helper()
 	encoded, err := json.Marshal(body)
@@ -212,7 +212,7 @@
 
 func (f *testFleet) agentAddress() string { return f.listenAddresses["agent-1"] }
 
-// answersReady asks a process's readiness endpoint.
+// answersReady reports whether the readiness endpoint of a process answers with success.
 func answersReady(address string) bool {
 	response, err := httpClient.Get("http://" + address + agent.PathReady)
 	if err != nil {
@@ -227,8 +227,7 @@
 	eventually(f.t, address+" is ready", func() bool { return answersReady(address) })
 }
 
-// awaitConvergence waits until each router is ready and sees every engine and
-// router, so that a test knows what it disturbs.
+// awaitConvergence waits until each router is ready and sees all engines and routers.
 func (f *testFleet) awaitConvergence() {
 	f.t.Helper()
 	for _, name := range f.names("router") {
@@ -238,7 +237,7 @@
 	}
 }
 
-// awaitRows waits until a router answers a query with so many rows.
+// awaitRows waits until a query at a router returns the given number of rows.
 func (f *testFleet) awaitRows(routerName, statement string, count int) {
 	f.t.Helper()
 	what := fmt.Sprintf("%s: %s has %d rows", routerName, statement, count)
@@ -254,7 +253,7 @@
 	})
 }
 
-// names lists the processes of a kind in order.
+// names lists the processes of a kind in order of their names.
 func (f *testFleet) names(kind string) []string {
 	var names []string
 	for name := range f.listenAddresses {
@@ -266,7 +265,7 @@
 	return names
 }
 
-// commandAnswer is what ctl prints with --json.
+// commandAnswer is the output of ctl --json.
 type commandAnswer struct {
 	Code        int        `json:"code"`
 	Name        string     `json:"name"`
@@ -278,12 +277,11 @@
 	Rows        [][]string `json:"rows"`
 }
 
-// runStatement runs a statement at a router by the command line. The answer is nil
-// if the router gave none.
+// runStatement runs a statement at a router with ctl. The answer is nil if there is none.
 func (f *testFleet) runStatement(routerName, statement string, flags ...string) (*commandAnswer, commandResult) {
 	f.t.Helper()
-	words := slices.Concat([]string{"ctl", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName]}, flags, strings.Fields(statement))
-	result := runCommand(f.t, "tillerfall", words...)
+	arguments := slices.Concat([]string{"ctl", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName]}, flags, strings.Fields(statement))
+	result := runCommand(f.t, "tillerfall", arguments...)
 	var answer commandAnswer
 	if json.Unmarshal([]byte(result.output), &answer) != nil {
 		return nil, result
@@ -291,7 +289,7 @@
 	return &answer, result
 }
 
-// mustRunStatement runs a statement that succeeds.
+// mustRunStatement runs a statement that must succeed.
 func (f *testFleet) mustRunStatement(routerName, statement string, flags ...string) *commandAnswer {
 	f.t.Helper()
 	answer, result := f.runStatement(routerName, statement, flags...)
@@ -300,7 +298,7 @@
 	return answer
 }
 
-// query returns the rows of a query; none if it failed.
+// query returns the rows of a query, or none if it fails.
 func (f *testFleet) query(routerName, statement string) [][]string {
 	answer, _ := f.runStatement(routerName, statement)
 	if answer == nil {
@@ -309,8 +307,8 @@
 	return answer.Rows
 }
 
-// apply commits a configuration through a router, and returns when every router
-// and the agent have it in force.
+// apply commits a configuration through a router and waits until every router and the agent have
+// it.
 func (f *testFleet) apply(routerName, configuration string) *commandAnswer {
 	f.t.Helper()
 	path := writeConfiguration(f.t, configuration)
@@ -340,7 +338,7 @@
 	return counters
 }
 
-// awaitRevision waits until every router and the agent have a revision.
+// awaitRevision waits until every router and the agent have a configuration revision.
 func (f *testFleet) awaitRevision(revision uint64) {
 	f.t.Helper()
 	for _, name := range f.names("router") {
@@ -354,7 +352,7 @@
 	})
 }
 
-// engineStatus asks an engine itself, past its proxy.
+// engineStatus returns the status of an engine, bypassing its proxy.
 func (f *testFleet) engineStatus(name string) engine.Status {
 	f.t.Helper()
 	client := engine.New(fleet.Address(f.listenAddresses[name]), engine.Options{})
--- a/test/integration/input_test.go
+++ b/test/integration/input_test.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// badRequest is a request that the agent refuses.
+// badRequest is a request that the agent must refuse.
 type badRequest struct {
 	name   string
 	header map[string]string
@@ -24,7 +24,7 @@
 	path   string
 	body   string
 	code   resultcode.Code
-	// text is a part of the message.
+	// text must be part of the message.
 	text string
 }
 
@@ -46,6 +46,8 @@
 	{name: "wrong method", method: http.MethodDelete, code: resultcode.UnknownPath},
 }
 
+// TestBadRequestsReturnResultCodes guards against bad requests that are accepted, or refused with
+// another result code or status.
 func TestBadRequestsReturnResultCodes(t *testing.T) {
 	f := startFleet(t, fleetOptions{flags: map[string][]string{"agent": {"--set", "http.max_body_bytes=200000"}}})
 	for _, bad := range badRequests {
@@ -99,6 +101,8 @@
 	return response.StatusCode, *decoded.Error
 }
 
+// TestBadConfigurationNamesEachLineAndField guards against configuration errors that do not name
+// the line and field of each fault.
 func TestBadConfigurationNamesEachLineAndField(t *testing.T) {
 	example, err := os.ReadFile(filepath.Join(repository, "examples", "config.yaml"))
 	require.NoError(t, err)
@@ -121,6 +125,8 @@
 	assert.Equal(t, [][]string{{"1"}}, f.query("router-2", "show revision"))
 }
 
+// TestBadStatementsReportColumn guards against statement errors that do not report the column of
+// the wrong word.
 func TestBadStatementsReportColumn(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	for _, bad := range []struct {
--- a/test/integration/lease_test.go
+++ b/test/integration/lease_test.go
@@ -12,15 +12,15 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// shortLease lets a lease lapse within the test.
+// shortLease makes a lease expire within the test.
 var shortLease = map[string][]string{"router": {"--set", "lease_duration=1500ms", "--set", "lease_margin=300ms"}}
 
-// withVersion is the narrow configuration with one more version of the model.
+// withVersion returns singleStreamConfiguration with a second version of the model.
 func withVersion(state string) string {
 	return strings.Replace(singleStreamConfiguration, "{name: v1, state: serving}", "{name: v1, state: serving}, {name: v2, state: "+state+"}", 1)
 }
 
-// leaseHolder returns the router that took the lease last, and its token.
+// leaseHolder returns the router that acquired the lease last, and its fencing token.
 func (f *testFleet) leaseHolder() (holder string, token int) {
 	for _, name := range f.names("router") {
 		for line := range strings.Lines(f.processes[name].log()) {
@@ -32,9 +32,8 @@
 	return holder, token
 }
 
-// TestPausedLeaseHolderCannotApplyStaleOrder freezes the router that holds the lease while its order
-// to load a version is on the way, and lets it thaw after another router has
-// unloaded that version under a newer token. The old order must have no effect.
+// TestPausedLeaseHolderCannotApplyStaleOrder guards against a late order of a paused lease holder
+// that loads a version after a newer holder has unloaded it.
 func TestPausedLeaseHolderCannotApplyStaleOrder(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortLease})
 	holder := ""
@@ -45,7 +44,7 @@
 	f.setEngineRules(rule{direction: towardsServer, match: orderLine, action: actionHold})
 	f.apply(f.otherRouter(holder), withVersion("loading"))
 	held := ""
-	eventually(t, "an order is on the way", func() bool {
+	eventually(t, "an order is in flight", func() bool {
 		for _, name := range f.names("engine") {
 			if f.proxies[name].matchCount() > 0 {
 				held = name
@@ -60,16 +59,16 @@
 		next, token := f.leaseHolder()
 		return next != holder && token > oldToken
 	})
-	eventually(t, "every engine has the version by a newer order", func() bool { return f.everyEngine(loadedAfterToken(oldToken)) })
+	eventually(t, "every engine has loaded the version by a newer order", func() bool { return f.everyEngine(loadedAfterToken(oldToken)) })
 	retired := f.mustRunStatement(f.otherRouter(holder), "retire version "+model+" v2")
 	eventually(t, "every engine has unloaded the version", func() bool { return f.everyEngine(hasUnloaded) })
 
 	before := f.engineStatus(held).Fence
 	f.proxies[held].releaseHeld()
-	eventually(t, "the engine rejects the old order", func() bool {
+	eventually(t, "the engine rejects the stale order", func() bool {
 		return f.proxies[held].hasAnswered(string(engine.ErrorStaleFence))
 	})
-	assert.True(t, hasUnloaded(f.engineStatus(held)), "the old order has had an effect")
+	assert.True(t, hasUnloaded(f.engineStatus(held)), "the stale order must not take effect")
 	f.processes[holder].signal(syscall.SIGCONT)
 	f.awaitRevision(retired.Revision)
 	assert.GreaterOrEqual(t, f.engineStatus(held).Fence, before)
@@ -84,7 +83,7 @@
 			return other
 		}
 	}
-	require.FailNow(f.t, "there is one router only")
+	require.FailNow(f.t, "the fleet has only one router")
 	return ""
 }
 
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// maxFleets bounds the fleets that run at once, whatever -parallel says: each
-// is about nine processes.
+// maxFleets bounds the fleets that run concurrently, regardless of -parallel. Each has about nine
+// processes.
 const maxFleets = 4
 
-// killBeforeTimeout is how long before the test binary's own timeout, which
-// runs no cleanup, every process is killed.
+// killBeforeTimeout is how long before the timeout of the test binary, which runs no cleanup, all
+// processes are killed.
 const killBeforeTimeout = 10 * time.Second
 
 var (
@@ -26,7 +26,7 @@
 	repository = filepath.Join("..", "..")
 	// binaries is the directory of the built programs.
 	binaries string
-	// fleetSlots holds one entry for each fleet that runs.
+	// fleetSlots holds one entry for each running fleet.
 	fleetSlots = make(chan struct{}, maxFleets)
 	// started holds the processes that have been started and not yet waited for.
 	started processRegistry
@@ -60,7 +60,7 @@
 	return m.Run()
 }
 
-// killOnSignal ends the tests and what they have started.
+// killOnSignal ends the tests and kills their processes on SIGINT or SIGTERM.
 func killOnSignal() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -79,7 +79,7 @@
 	return timeout
 }
 
-// processRegistry knows the running processes, so that none outlives the tests.
+// processRegistry holds the running processes, so that all can be killed when the tests end.
 type processRegistry struct {
 	mutex     sync.Mutex
 	processes map[*os.Process]struct{}
--- a/test/integration/operator_test.go
+++ b/test/integration/operator_test.go
@@ -15,7 +15,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// logNumber returns a number of a log line of an event; 0 if it isn't there.
+// logNumber returns a numeric field of a log line of an event, or 0 if the line has none.
 func logNumber(line, event, field string) int {
 	if !strings.Contains(line, event) {
 		return 0
@@ -29,9 +29,8 @@
 	return number
 }
 
-// TestOperatorsRaceWithLostAnswers lets three operators race on each revision
-// while the platform loses its answers after their effect. Each command's token
-// has one outcome, and one command of each race takes effect.
+// TestOperatorsRaceWithLostAnswers guards against concurrent commands that all take effect, or have
+// different outcomes at different routers, when the answers of the platform are lost.
 func TestOperatorsRaceWithLostAnswers(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	routers := f.names("router")
@@ -64,8 +63,8 @@
 
 func raceToken(round, operator int) string { return fmt.Sprintf("race-%d-%d", round, operator) }
 
-// requireSameOutcome looks a token up at every router and checks that all agree with one
-// another and with what the operator was told.
+// requireSameOutcome looks up a token at every router, checks that the outcomes are equal and match
+// the reported one, and returns the outcome.
 func (f *testFleet) requireSameOutcome(t *testing.T, routers []string, token string, reported *commandAnswer) *commandAnswer {
 	t.Helper()
 	var first *commandAnswer
@@ -85,7 +84,8 @@
 	return first
 }
 
-// TestCommandRepeatedWithItsToken sends one command twice under one token.
+// TestCommandRepeatedWithItsToken guards against a command that takes effect twice when it is sent
+// again.
 func TestCommandRepeatedWithItsToken(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	first := f.mustRunStatement("router-1", "drain engine-2", "--token", "drain-once")
@@ -97,9 +97,8 @@
 	assert.EqualValues(t, resultcode.TargetNotFound, unknown.Code)
 }
 
-// TestDrainedEnginesGetNoNewWork drains one engine by command and lets the list
-// of machines show another as leaving, and as live again afterwards. The stream
-// that runs at a drained engine goes on.
+// TestDrainedEnginesGetNoNewWork guards against new streams at a drained or leaving engine, and
+// against running streams that a drain interrupts.
 func TestDrainedEnginesGetNoNewWork(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	running := send(t, f.agentAddress(), chat(model, 400, "You answer clerks.", "Which flag covers tankers?"))
@@ -133,7 +132,8 @@
 	requireComplete(t, running.request, running.readAll())
 }
 
-// listEngine puts the present run of an engine into the list of machines.
+// listEngine lists the current incarnation of an engine with the given state in the list of
+// machines.
 func (f *testFleet) listEngine(name string, state platform.MachineState) {
 	f.t.Helper()
 	machines := append([]platform.Machine(nil), f.machines...)
@@ -146,7 +146,7 @@
 	f.setMachines(machines)
 }
 
-// awaitMachineReads waits until the list of machines has been read so often.
+// awaitMachineReads waits until the list of machines has been read count more times.
 func (f *testFleet) awaitMachineReads(count int) {
 	f.t.Helper()
 	before := f.platformCounters().ListMachines
@@ -155,9 +155,8 @@
 	})
 }
 
-// TestConfigurationSpreadsWithPlatformDown commits a change, after which the
-// platform is down. Routers that never poll it learn the change from their
-// peers, and the agent from them; a router that restarts has it too.
+// TestConfigurationSpreadsWithPlatformDown guards against routers and agents that miss a committed
+// change because the platform is down.
 func TestConfigurationSpreadsWithPlatformDown(t *testing.T) {
 	neverPolls := []string{"--set", "configuration_interval=1h"}
 	f := startFleet(t, fleetOptions{flags: map[string][]string{"router-2": neverPolls, "router-3": neverPolls}})
--- a/test/integration/ports_test.go
+++ b/test/integration/ports_test.go
@@ -12,17 +12,15 @@
 	"github.com/tillerfall/tillerfall/lab/loopback"
 )
 
-// firstPort is the first port of the processes: below the range that the system gives to
-// outgoing connections.
+// firstPort is the first port assigned to processes. It is below the ephemeral port range.
 const firstPort = 20_000
 
 var nextPort atomic.Int64
 
-// ownHost returns the loopback host of this test binary, which no other one uses.
+// ownHost returns the loopback host that is reserved for this test binary.
 var ownHost = sync.OnceValues(loopback.Host)
 
-// freeAddress returns a loopback address on which nothing listens, and which nobody else
-// takes.
+// freeAddress returns an unused loopback address on the host of this test binary.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	host, err := ownHost()
--- a/test/integration/process_test.go
+++ b/test/integration/process_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// pollInterval is the time between two looks at a condition.
+	// pollInterval is the time between two evaluations of a condition.
 	pollInterval = 50 * time.Millisecond
-	// conditionTimeout bounds the wait for a condition. It is no verdict on speed:
-	// only a condition that never comes true takes so long.
+	// conditionTimeout bounds the wait for a condition. It is not a performance requirement.
 	conditionTimeout = 60 * time.Second
-	// failureLogLines is how much of each end of each log a failed test prints.
+	// failureLogLines is the number of lines that a failed test prints from the start and from the
+	// end of each log.
 	failureLogLines = 25
 )
 
-// eventually polls until a condition holds.
+// eventually polls until a condition holds, and fails the test after conditionTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			require.FailNow(t, "never came true: "+what)
+			require.FailNow(t, "condition not met before the timeout: "+what)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// process is one program that the test has started. It can be started again
-// with the same command after its end.
+// process is a program started by a test. After it has exited it can be started again with the same
+// command.
 type process struct {
 	t       *testing.T
 	name    string
@@ -47,8 +47,7 @@
 	exited  chan struct{}
 }
 
-// newProcess starts a program whose output goes to a log file, and kills it at
-// the end of the test.
+// newProcess starts a program whose output goes to a log file, and kills it at the end of the test.
 func newProcess(t *testing.T, directory, name, binary string, flags []string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, binary: binary, flags: flags, logPath: filepath.Join(directory, name+".log")}
@@ -83,19 +82,19 @@
 	p.exited = exited
 }
 
-// signal sends a signal to this process alone.
+// signal sends a signal to the process.
 func (p *process) signal(signal syscall.Signal) {
 	p.t.Helper()
 	require.NoError(p.t, p.command.Process.Signal(signal), p.name)
 }
 
-// kill ends the process without notice and waits for its end.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	<-p.exited
 }
 
-// hasExited tells whether the process has hasExited.
+// hasExited reports whether the process has exited.
 func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
@@ -105,10 +104,10 @@
 	}
 }
 
-// exitCode waits for the end and returns the exit code; -1 after a signal.
+// exitCode waits for the exit and returns the exit code, or -1 after a signal.
 func (p *process) exitCode() int {
 	p.t.Helper()
-	eventually(p.t, p.name+" ends", p.hasExited)
+	eventually(p.t, p.name+" exits", p.hasExited)
 	return p.command.ProcessState.ExitCode()
 }
 
@@ -120,7 +119,7 @@
 	return string(content)
 }
 
-// countLogLines counts the log lines that hold all the texts.
+// countLogLines counts the log lines that contain all the texts.
 func (p *process) countLogLines(texts ...string) int {
 	count := 0
 	for line := range strings.Lines(p.log()) {
@@ -145,8 +144,7 @@
 	return strings.Join(lines[max(0, len(lines)-count):], "\n")
 }
 
-// headAndTail returns the first and the last lines of a text: what led to a failure may stand
-// before thousands of lines of the waiting for it.
+// headAndTail returns the first and the last lines of a text.
 func headAndTail(text string, count int) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	if len(lines) <= 2*count {
@@ -155,14 +153,14 @@
 	return strings.Join(lines[:count], "\n") + "\n...\n" + lastLines(text, count)
 }
 
-// commandResult is what a program that ended by itself has left.
+// commandResult is the output and exit code of a program that has exited.
 type commandResult struct {
 	output      string
 	diagnostics string
 	exitCode    int
 }
 
-// runCommand runs a program to its end.
+// runCommand runs a program until it exits.
 func runCommand(t *testing.T, binary string, flags ...string) commandResult {
 	t.Helper()
 	command := exec.Command(filepath.Join(binaries, binary), flags...)
--- a/test/integration/proxy_test.go
+++ b/test/integration/proxy_test.go
@@ -12,60 +12,58 @@
 	"github.com/stretchr/testify/require"
 )
 
-// direction tells which way bytes go through a proxy.
+// direction is the direction of bytes through a proxy.
 type direction int
 
 const (
-	// towardsServer is from the process that connected.
+	// towardsServer is the direction from the process that opened the connection.
 	towardsServer direction = iota
 	towardsClient
 )
 
-// faultAction tells what becomes of a connection whose rule has struck.
+// faultAction is what a rule does to a connection.
 type faultAction int
 
 const (
 	// actionClose closes both sides.
 	actionClose faultAction = iota
-	// actionReset aborts both sides with a TCP reset.
+	// actionReset resets both sides.
 	actionReset
-	// actionDiscard swallows what comes this way and leaves the other way open.
+	// actionDiscard discards further bytes in this direction and leaves the other direction open.
 	actionDiscard
-	// actionHold keeps what comes this way until the proxy is released.
+	// actionHold holds further bytes in this direction until the proxy releases them.
 	actionHold
 )
 
-// rule strikes a connection in one direction.
+// rule applies an action to connections that match in one direction.
 type rule struct {
 	direction direction
-	// match strikes with the piece that holds this text, which must not be
-	// split over pieces; empty strikes by count alone.
+	// match is a text that one chunk must contain. An empty text matches every chunk.
 	match string
-	// after is the number of bytes, from the start of the matching piece, that
-	// still pass.
+	// after is the number of bytes that still pass, from the start of the matching chunk.
 	after int64
-	// action is what happens then.
+	// action is applied once these bytes have passed.
 	action faultAction
-	// remaining bounds the connections that are struck; nil means all. Several
-	// proxies may share it.
+	// remaining is the number of connections that the rule may still match; nil means no limit.
+	// Several proxies may share it.
 	remaining *atomic.Int32
 }
 
-// matchLimit bounds the strikes of a rule.
+// matchLimit returns a limit for rule.remaining.
 func matchLimit(count int32) *atomic.Int32 {
-	left := &atomic.Int32{}
-	left.Store(count)
-	return left
+	remaining := &atomic.Int32{}
+	remaining.Store(count)
+	return remaining
 }
 
-// consume uses up one strike.
+// consume takes one match from the limit and reports whether there was one.
 func (r rule) consume() bool { return r.remaining == nil || r.remaining.Add(-1) >= 0 }
 
-// proxyBuffer is large enough that the head of a request comes as one piece.
+// proxyBuffer is large enough for a request header to arrive in one chunk.
 const proxyBuffer = 64 << 10
 
-// faultProxy passes TCP connections on to a process, and delays, cuts, resets
-// or holds them as its rules say.
+// faultProxy forwards TCP connections to a process, and delays, closes, resets or holds them by its
+// rules.
 type faultProxy struct {
 	target     string
 	listener   net.Listener
@@ -85,7 +83,7 @@
 type proxiedConnection struct {
 	client net.Conn
 	server net.Conn
-	// held is set once the connection is held: only hold closes it from then on.
+	// held is set once the connection is held; from then on only hold closes it.
 	held atomic.Bool
 }
 
@@ -94,7 +92,7 @@
 	p.server.Close()
 }
 
-// reset makes the close of both sides an abort.
+// reset closes both sides with a TCP reset.
 func (p *proxiedConnection) reset() {
 	for _, side := range []net.Conn{p.client, p.server} {
 		if connection, isTCP := side.(*net.TCPConn); isTCP {
@@ -142,7 +140,7 @@
 func (p *faultProxy) connect(client net.Conn) {
 	server, err := net.DialTimeout("tcp", p.target, httpTimeout)
 	if err != nil {
-		// The server's refusal shows as a reset.
+		// Report a refused connection as a reset.
 		(&proxiedConnection{client: client, server: client}).reset()
 		return
 	}
@@ -164,42 +162,42 @@
 	p.mutex.Unlock()
 }
 
-// forward copies one direction until an end or a rule stops it. An end of one side
-// closes both, as the death of either process does.
-func (p *faultProxy) forward(connection *proxiedConnection, way direction) {
+// forward copies one direction until it ends or a rule stops it. When one side ends, both are
+// closed.
+func (p *faultProxy) forward(connection *proxiedConnection, flow direction) {
 	defer func() {
-		if way == towardsServer || !connection.held.Load() {
+		if flow == towardsServer || !connection.held.Load() {
 			connection.close()
 		}
 	}()
 	from, to := connection.client, connection.server
-	if way == towardsClient {
+	if flow == towardsClient {
 		from, to = to, from
 	}
 	buffer := make([]byte, proxyBuffer)
-	var striking *rule
-	var left int64
+	var active *rule
+	var remaining int64
 	for {
 		count, err := from.Read(buffer)
-		piece := buffer[:count]
-		p.recordAnswer(way, piece)
+		chunk := buffer[:count]
+		p.recordAnswer(flow, chunk)
 		p.waitDelay()
-		if striking == nil && count > 0 {
-			if striking = p.matchRule(way, piece); striking != nil {
-				left = striking.after
+		if active == nil && count > 0 {
+			if active = p.matchRule(flow, chunk); active != nil {
+				remaining = active.after
 			}
 		}
-		if striking != nil {
-			passing := min(left, int64(len(piece)))
-			left -= passing
-			if _, failure := to.Write(piece[:passing]); failure != nil {
+		if active != nil {
+			forwarded := min(remaining, int64(len(chunk)))
+			remaining -= forwarded
+			if _, failure := to.Write(chunk[:forwarded]); failure != nil {
 				return
 			}
-			if passing < int64(len(piece)) {
-				p.applyAction(connection, striking, from, piece[passing:])
+			if forwarded < int64(len(chunk)) {
+				p.applyAction(connection, active, from, chunk[forwarded:])
 				return
 			}
-		} else if _, failure := to.Write(piece); failure != nil {
+		} else if _, failure := to.Write(chunk); failure != nil {
 			return
 		}
 		if err != nil {
@@ -208,9 +206,9 @@
 	}
 }
 
-// applyAction carries out a rule's ending.
-func (p *faultProxy) applyAction(connection *proxiedConnection, striking *rule, from io.Reader, rest []byte) {
-	switch striking.action {
+// applyAction applies the action of a rule. The caller closes the connection afterwards.
+func (p *faultProxy) applyAction(connection *proxiedConnection, active *rule, from io.Reader, rest []byte) {
+	switch active.action {
 	case actionReset:
 		connection.reset()
 	case actionDiscard:
@@ -220,9 +218,8 @@
 	}
 }
 
-// hold keeps a piece until the proxy is released, and sends it on a connection
-// of its own then: the server may have closed the first one for its silence. It
-// arrives also if the client is gone by then.
+// hold keeps a chunk until the proxy releases it, and then sends it on a new connection, because
+// the server may have closed the first one. It is also sent if the client has disconnected.
 func (p *faultProxy) hold(connection *proxiedConnection, rest []byte) {
 	p.mutex.Lock()
 	release := p.release
@@ -253,7 +250,7 @@
 	p.relayAnswers(server, connection.client)
 }
 
-// relayAnswers passes on what a server says until it ends.
+// relayAnswers forwards the answers of a server until it ends.
 func (p *faultProxy) relayAnswers(server io.Reader, client io.Writer) {
 	buffer := make([]byte, proxyBuffer)
 	for {
@@ -266,12 +263,12 @@
 	}
 }
 
-// matchRule returns the first rule for a piece.
-func (p *faultProxy) matchRule(way direction, piece []byte) *rule {
+// matchRule returns the first rule that matches a chunk, or nil.
+func (p *faultProxy) matchRule(flow direction, chunk []byte) *rule {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, candidate := range p.rules {
-		if candidate.direction == way && bytes.Contains(piece, []byte(candidate.match)) && candidate.consume() {
+		if candidate.direction == flow && bytes.Contains(chunk, []byte(candidate.match)) && candidate.consume() {
 			p.matched++
 			return &candidate
 		}
@@ -279,17 +276,17 @@
 	return nil
 }
 
-// recordAnswer keeps what the server has answered, for tests that look for a text.
-func (p *faultProxy) recordAnswer(way direction, piece []byte) {
-	if way != towardsClient {
+// recordAnswer records the bytes sent by the server for hasAnswered.
+func (p *faultProxy) recordAnswer(flow direction, chunk []byte) {
+	if flow != towardsClient {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.answers.Write(piece)
+	p.answers.Write(chunk)
 }
 
-// hasAnswered tells whether the server has sent a text.
+// hasAnswered reports whether the server has sent a text.
 func (p *faultProxy) hasAnswered(text string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -309,28 +306,28 @@
 	}
 }
 
-// setDelay delays each piece in both directions.
+// setDelay delays each chunk in both directions.
 func (p *faultProxy) setDelay(delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.delay = delay
 }
 
-// setRules replaces the rules; connections that were struck stay so.
+// setRules replaces the rules. Connections that a rule has already matched keep its action.
 func (p *faultProxy) setRules(rules ...rule) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.rules = rules
 }
 
-// matchCount is the number of connections that rules have struck.
+// matchCount returns the number of connections that rules have matched.
 func (p *faultProxy) matchCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.matched
 }
 
-// releaseHeld lets held connections go on.
+// releaseHeld releases all held chunks.
 func (p *faultProxy) releaseHeld() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/test/integration/router_test.go
+++ b/test/integration/router_test.go
@@ -15,8 +15,8 @@
 
 const model = "sahayak-llm"
 
-// singleStreamConfiguration is the example configuration with one stream an engine,
-// so that requests wait at routers.
+// singleStreamConfiguration is the example configuration with one stream per engine, so that
+// requests wait at routers.
 const singleStreamConfiguration = `
 tenants:
   - name: citizen-app
@@ -38,14 +38,14 @@
   - {name: main, max_streams: 1, max_loads: 2}
 `
 
-// load is a set of requests that run at once.
+// load is a set of concurrent requests.
 type load struct {
 	requests []chatRequest
 	answers  []answer
 	running  sync.WaitGroup
 }
 
-// startLoad sends so many requests with prompts of their own.
+// startLoad sends count requests with different prompts.
 func startLoad(t *testing.T, f *testFleet, count, maxTokens int) *load {
 	t.Helper()
 	l := &load{answers: make([]answer, count)}
@@ -64,7 +64,7 @@
 	return l
 }
 
-// requireAllComplete waits for the answers and checks each.
+// requireAllComplete waits for the answers and checks that each is complete.
 func (l *load) requireAllComplete(t *testing.T) {
 	t.Helper()
 	l.running.Wait()
@@ -84,7 +84,7 @@
 	return waiting
 }
 
-// awaitWaiting returns a router at which requests wait.
+// awaitWaiting waits until requests wait at routers and returns the router with the most of them.
 func (f *testFleet) awaitWaiting() string {
 	f.t.Helper()
 	var found string
@@ -100,8 +100,8 @@
 	return found
 }
 
-// TestRouterKilledWhileStreamsRun kills each router in turn under streams that
-// they have placed.
+// TestRouterKilledWhileStreamsRun guards against streams that end when the routers that placed them
+// die.
 func TestRouterKilledWhileStreamsRun(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	var opened []*exchange
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestRouterKilledWhileRequestsWait kills a router at which requests wait; the
-// agent asks another one.
+// TestRouterKilledWhileRequestsWait guards against waiting requests that are lost when their router
+// dies.
 func TestRouterKilledWhileRequestsWait(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	f.apply("router-1", singleStreamConfiguration)
@@ -130,8 +130,8 @@
 	running.requireAllComplete(t)
 }
 
-// TestAllRoutersRestartWithPlatformDown restarts all routers at once while the
-// platform is down. They serve from what the agent remembers.
+// TestAllRoutersRestartWithPlatformDown guards against routers that cannot serve after a
+// simultaneous restart while the platform is down.
 func TestAllRoutersRestartWithPlatformDown(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	before := chat(model, 250, "You answer clerks.", "Which flag covers tankers?")
@@ -163,8 +163,8 @@
 	assert.Contains(t, result.diagnostics, resultcode.PlatformUnavailable.String())
 }
 
-// TestPlannedStopOfRouterUnderLoad stops a router at which requests wait, with
-// a second signal and the platform down in the middle of it.
+// TestPlannedStopOfRouterUnderLoad guards against waiting requests that are lost in a planned stop,
+// with a second signal and the platform down during the stop.
 func TestPlannedStopOfRouterUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	f.apply("router-1", singleStreamConfiguration)
@@ -182,8 +182,8 @@
 	running.requireAllComplete(t)
 }
 
-// TestPlannedStopOfAgent stops the agent with running streams, and signals it
-// again in the middle.
+// TestPlannedStopOfAgent guards against running streams that a planned stop of the agent
+// interrupts, also after a second signal.
 func TestPlannedStopOfAgent(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	var opened []*exchange
