--- a/lab/enginemodel/load.go
+++ b/lab/enginemodel/load.go
@@ -10,7 +10,7 @@
 const (
 	// samplesPerLag is the number of load samples taken per LoadLag.
 	samplesPerLag = 16
-	// minimumSampleInterval is the shortest time between two samples.
+	// minimumSampleInterval is the shortest interval of periodic samples.
 	minimumSampleInterval = 5 * time.Millisecond
 )
 
