--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 
 // smallOptions returns a short run of a small fleet under the conditions of the performance targets.
 func smallOptions(policy Policy, rate float64) Options {
-	description := workload.FlagFleet()
+	description := workload.AhdWestFleet()
 	description.Engines = 4
 	trace := workload.Generate(description, workload.Options{Seed: 3, Rate: rate, Duration: 4 * time.Second})
 	return Options{
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -72,7 +72,7 @@
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
 		Tenant:       call.request.Tenant,
-		Weights:      engine.Weights(call.request.Weights),
+		Weights:      engine.Weights(call.request.ModelVersion),
 		Hashes:       call.blocks,
 		PromptTokens: call.promptTokens,
 		OutputTokens: call.request.OutputTokens,
@@ -104,7 +104,7 @@
 }
 
 func (h *engineHost) scheduleStep() {
-	next, found := h.model.NextStep()
+	next, found := h.model.NextWakeup()
 	if !found || h.down || (h.stepAt != 0 && h.stepAt <= next) {
 		return
 	}
--- a/lab/emulator/requestdriver.go
+++ b/lab/emulator/requestdriver.go
@@ -115,7 +115,7 @@
 	placementRequest := placement.Request{
 		Key:                d.lastKey,
 		Tenant:             request.Tenant,
-		ModelVersion:       request.Weights,
+		ModelVersion:       request.ModelVersion,
 		Class:              request.Class,
 		PromptTokens:       d.call.promptTokens,
 		MaxTokens:          request.OutputTokens,
--- a/lab/enginemodel/engine.go
+++ b/lab/enginemodel/engine.go
@@ -7,9 +7,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Engine is one run after another of a model engine. It isn't safe for
-// concurrent use. Times are elapsed times of one clock and never go back; a
-// call with an earlier time counts as one at the latest time seen.
+// Engine models an engine over successive incarnations. It is not safe for concurrent use. Times
+// are elapsed times of one clock; a time earlier than the latest one seen counts as the latest.
 type Engine struct {
 	config      Config
 	incarnation fleet.Incarnation
@@ -20,12 +19,12 @@
 	scopes  map[fleet.CacheScope]int32
 	imports []pendingImport
 
-	streams  map[fleet.StreamID]*stream
-	closed   map[fleet.StreamID]closedStream
-	retained []*stream
-	waiting  waitingQueue
-	running  []*stream
-	reports  []StreamEvent
+	streams      map[fleet.StreamID]*stream
+	closed       map[fleet.StreamID]closedStream
+	retained     []*stream
+	waiting      waitingQueue
+	running      []*stream
+	streamEvents []StreamEvent
 
 	stepping bool
 	stepEnd  time.Duration
@@ -34,16 +33,15 @@
 	control controlState
 
 	counters Counters
-	truth    truth
+	history  history
 }
 
-// Counters count an engine's work since its model was made; restarts don't
-// clear them.
+// Counters counts the work of an engine since New. A restart does not reset them.
 type Counters struct {
-	// PrefillTokens were computed, HitTokens were taken from the cache.
+	// PrefillTokens counts computed prompt tokens, HitTokens those taken from the cache.
 	PrefillTokens int64
 	HitTokens     int64
-	// PromptTokens is the sum over admitted streams.
+	// PromptTokens counts the prompt tokens of admitted streams.
 	PromptTokens   int64
 	OutputTokens   int64
 	EvictedBlocks  int64
@@ -60,8 +58,8 @@
 	return e
 }
 
-// Restart begins the next incarnation with nothing of the last: no streams, no
-// cache, no weights unless Config.KeepWeights, event numbers from the start.
+// Restart begins the next incarnation with an empty state: no streams, no cache, event numbers from
+// the start, and no weights unless Config.KeepWeights is set.
 func (e *Engine) Restart(now time.Duration) {
 	e.now = max(e.now, now)
 	e.counters.EvictedBlocks += int64(e.blocks.evicted)
@@ -75,9 +73,9 @@
 func (e *Engine) clear() {
 	e.events = &eventLog{delay: e.config.EventDelay, loss: e.config.EventLoss, random: e.config.Random}
 	e.blocks = newBlockStore(e.config.CacheBlocks, e.events)
-	if e.config.KeepTruth {
-		e.truth.stored = make(map[fleet.BlockHash]struct{})
-		e.blocks.everStored = e.truth.stored
+	if e.config.RecordHistory {
+		e.history.stored = make(map[fleet.BlockHash]struct{})
+		e.blocks.everStored = e.history.stored
 	}
 	e.scopes = make(map[fleet.CacheScope]int32)
 	e.imports = nil
@@ -86,31 +84,31 @@
 	e.retained = nil
 	e.waiting = waitingQueue{}
 	e.running = nil
-	e.reports = nil
+	e.streamEvents = nil
 	e.stepping = false
 	e.loads = loadHistory{}
 	e.control = controlState{role: engine.RoleServe}
 	e.sampleLoad(e.now)
 }
 
-// Advance does all that is due up to now.
+// Advance processes everything that is due up to now.
 func (e *Engine) Advance(now time.Duration) {
 	for {
-		due, found := e.NextStep()
+		due, found := e.NextWakeup()
 		if !found || due > now {
 			break
 		}
 		e.now = max(e.now, due)
-		e.work()
+		e.processDue()
 	}
 	e.now = max(e.now, now)
 	e.expire()
-	e.loads.sampleIfOld(e)
+	e.loads.sampleIfDue(e)
 }
 
-// NextStep returns when Advance has something to do next: the end of a step,
-// of a load or of an import.
-func (e *Engine) NextStep() (time.Duration, bool) {
+// NextWakeup returns when Advance next has work: at the end of a step, of a load or of an import.
+// It returns false if nothing is pending.
+func (e *Engine) NextWakeup() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	consider := func(due time.Duration) {
@@ -130,8 +128,8 @@
 	return next, found
 }
 
-// work does what is due at e.now and starts the next step.
-func (e *Engine) work() {
+// processDue processes what is due at e.now and starts the next step.
+func (e *Engine) processDue() {
 	e.expire()
 	e.control.finishLoads(e.now)
 	e.finishImports()
@@ -140,10 +138,10 @@
 	}
 	e.startStep()
 	e.events.flush(e.now)
-	e.loads.sampleIfOld(e)
+	e.loads.sampleIfDue(e)
 }
 
-// expire drops idle blocks and the frames of streams that ended long ago.
+// expire evicts idle blocks and discards the frames of streams past their retention.
 func (e *Engine) expire() {
 	if ttl := e.config.BlockIdleTTL; ttl > 0 {
 		e.blocks.expire(e.now - ttl)
@@ -156,11 +154,11 @@
 		}
 		e.retained[0] = nil
 		e.retained = e.retained[1:]
-		e.forget(oldest)
+		e.discard(oldest)
 	}
 }
 
-func (e *Engine) scope(tenant fleet.TenantName, weights engine.Weights) int32 {
+func (e *Engine) scopeNumber(tenant fleet.TenantName, weights engine.Weights) int32 {
 	key := cacheScope(tenant, weights)
 	number, found := e.scopes[key]
 	if !found {
@@ -174,42 +172,41 @@
 	return fleet.CacheScope{Tenant: tenant, ModelVersion: fleet.ModelVersion(weights)}
 }
 
-func (e *Engine) failure(code engine.ErrorCode, message string) *engine.Error {
+func (e *Engine) newError(code engine.ErrorCode, message string) *engine.Error {
 	return &engine.Error{Code: code, Message: message, Incarnation: e.incarnation, Sent: true}
 }
 
 // ID returns the engine's identifier.
 func (e *Engine) ID() fleet.EngineID { return e.config.ID }
 
-// Incarnation returns the number of the present run.
+// Incarnation returns the number of the current incarnation.
 func (e *Engine) Incarnation() fleet.Incarnation { return e.incarnation }
 
 // Config returns the configuration with its defaults filled in.
 func (e *Engine) Config() Config { return e.config }
 
-// Counters returns the work done so far.
+// Counters returns the work counted since New.
 func (e *Engine) Counters() Counters {
 	counters := e.counters
 	counters.EvictedBlocks += int64(e.blocks.evicted)
 	return counters
 }
 
-// CachedPrefix returns exactly how many leading blocks are cached at the time
-// of the last Advance.
+// CachedPrefix returns how many leading blocks are cached at the time of the last Advance.
 func (e *Engine) CachedPrefix(hashes []fleet.BlockHash) int {
 	cached, _ := e.blocks.prefix(hashes)
 	return cached
 }
 
-// ExpectedPrefix returns how many leading blocks are cached or will be computed
-// for streams already accepted.
+// ExpectedPrefix returns how many leading blocks are cached or scheduled to be computed for
+// accepted streams.
 func (e *Engine) ExpectedPrefix(hashes []fleet.BlockHash) int {
 	return e.blocks.expected(hashes)
 }
 
-// QueuedPrefillTokens returns the prompt tokens still to be computed for
-// accepted streams. A waiting stream counts without what was cached, or due to
-// be computed for an earlier stream, on its arrival.
+// QueuedPrefillTokens returns the prompt tokens still to be computed for accepted streams. A
+// waiting stream counts without the blocks that were cached or scheduled for an earlier stream when
+// it arrived.
 func (e *Engine) QueuedPrefillTokens() int {
 	tokens := e.waiting.prefillTokens
 	for _, running := range e.running {
@@ -218,10 +215,10 @@
 	return tokens
 }
 
-// RunningStreams returns the size of the batch.
+// RunningStreams returns the number of streams in the batch.
 func (e *Engine) RunningStreams() int { return len(e.running) }
 
-// WaitingStreams returns the length of the queue.
+// WaitingStreams returns the number of streams in the queue.
 func (e *Engine) WaitingStreams() int { return len(e.waiting.streams) }
 
 // SetEventDelay changes the delay of later cache events.
@@ -236,8 +233,8 @@
 	e.events.loss = probability
 }
 
-// SetLoadLag changes the least age of reported load.
+// SetLoadLag changes the minimum age of the reported load.
 func (e *Engine) SetLoadLag(lag time.Duration) { e.config.LoadLag = lag }
 
-// SetLoadTime changes how long later loads of weights take.
+// SetLoadTime changes the duration of later loads of weights.
 func (e *Engine) SetLoadTime(duration time.Duration) { e.config.Costs.LoadTime = duration }
--- a/lab/enginemodel/frames.go
+++ b/lab/enginemodel/frames.go
@@ -7,9 +7,10 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Accepted returns the first frame of a stream with text.
-func (e *Engine) Accepted(id fleet.StreamID) (engine.Frame, error) {
-	s, err := e.withText(id)
+// AcceptedFrame returns the first frame of a stream with text. It returns an *engine.Error if the
+// stream is unknown.
+func (e *Engine) AcceptedFrame(id fleet.StreamID) (engine.Frame, error) {
+	s, err := e.streamWithText(id)
 	if err != nil {
 		return engine.Frame{}, err
 	}
@@ -21,18 +22,17 @@
 	}, nil
 }
 
-// Frames returns what a stream with text has yielded from a token index on,
-// and whether that includes its last frame. Output that was carried into the
-// stream by its dispatch can be read too. Frames of ended streams are kept for
-// Config.FrameRetention; then the stream is unknown.
+// Frames returns the frames of a stream with text from a token index on, and whether they include
+// its last frame. Tokens carried by the dispatch can be read too. The frames of an ended stream are
+// kept for Config.FrameRetention; after that the stream is unknown. Errors are *engine.Error.
 func (e *Engine) Frames(id fleet.StreamID, fromIndex int) (frames []engine.Frame, ended bool, err error) {
-	s, err := e.withText(id)
+	s, err := e.streamWithText(id)
 	if err != nil {
 		return nil, false, err
 	}
 	ended = s.state == streamFinished || s.state == streamCancelled
 	if fromIndex < 0 || (ended && fromIndex > s.produced) {
-		return nil, false, e.failure(engine.ErrorBadRequest, "offset is outside the stream")
+		return nil, false, e.newError(engine.ErrorBadRequest, "offset is outside the stream")
 	}
 	for index := fromIndex; index < s.produced; index++ {
 		frames = append(frames, engine.Frame{
@@ -67,21 +67,20 @@
 	}
 }
 
-func (e *Engine) withText(id fleet.StreamID) (*stream, error) {
+func (e *Engine) streamWithText(id fleet.StreamID) (*stream, error) {
 	s, found := e.streams[id]
 	if !found || s.text == nil {
-		return nil, e.failure(engine.ErrorUnknownStream, "no such stream is held")
+		return nil, e.newError(engine.ErrorUnknownStream, "no such stream is held")
 	}
 	return s, nil
 }
 
-// Cancel stops a stream and bars its identifier for the rest of the
-// incarnation. It is idempotent. A stream that only waited counts as never
-// run, and is barred as well.
+// Cancel stops a stream and bars its identifier for the rest of the incarnation. It is idempotent.
+// A stream that was still waiting is reported as never run. Errors are *engine.Error.
 func (e *Engine) Cancel(now time.Duration, id fleet.StreamID, incarnation fleet.Incarnation) (engine.CancelResponse, error) {
 	e.Advance(now)
 	if incarnation != e.incarnation {
-		return engine.CancelResponse{}, e.failure(engine.ErrorWrongIncarnation, "stream belongs to another run of this engine")
+		return engine.CancelResponse{}, e.newError(engine.ErrorWrongIncarnation, "stream belongs to another run of this engine")
 	}
 	if ended, found := e.closed[id]; found {
 		return engine.CancelResponse{State: ended.state, Tokens: ended.tokens}, nil
@@ -96,19 +95,19 @@
 		return engine.CancelResponse{State: engine.CancelFinished, Tokens: s.produced}, nil
 	case streamWaiting:
 		e.waiting.remove(s)
-		e.stop(s)
+		e.abort(s)
 		e.closed[id] = closedStream{state: engine.CancelNeverRan}
 		return engine.CancelResponse{State: engine.CancelNeverRan}, nil
 	case streamRunning:
-		e.stop(s)
+		e.abort(s)
 	}
 	e.closed[id] = closedStream{state: engine.CancelCancelled, tokens: s.produced}
 	return engine.CancelResponse{State: engine.CancelCancelled, Tokens: s.produced}, nil
 }
 
-// stop ends a live stream before its time. A batch under way is computed to
-// its end, as accelerators do, without this stream's results.
-func (e *Engine) stop(s *stream) {
+// abort ends a live stream early. A step in progress still runs to its end, without the results of
+// this stream.
+func (e *Engine) abort(s *stream) {
 	s.state = streamCancelled
 	e.dropReservations(s)
 	e.unpinAll(s)
@@ -118,11 +117,11 @@
 			break
 		}
 	}
-	e.end(s, StreamCancelled)
+	e.closeStream(s, StreamCancelled)
 	e.events.flush(e.now)
 }
 
-// StreamEventKind tells what became of a stream without text.
+// StreamEventKind is the kind of a StreamEvent.
 type StreamEventKind uint8
 
 // Kinds of stream events.
@@ -132,27 +131,27 @@
 	StreamCancelled
 )
 
-// StreamEvent is progress of a stream that was dispatched by its hashes.
+// StreamEvent is a progress event of a stream that was dispatched by DispatchHashed.
 type StreamEvent struct {
 	Stream fleet.StreamID
 	Kind   StreamEventKind
-	// At is the end of the step that brought it about.
+	// At is the time of the event: the end of a step, or the time of the cancellation.
 	At           time.Duration
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
 }
 
-// TakeStreamEvents returns the progress since the last call, oldest first. The
-// slice is valid until the next call on the engine.
+// TakeStreamEvents returns the events since the last call, oldest first. The slice is valid until
+// the next call on the engine.
 func (e *Engine) TakeStreamEvents() []StreamEvent {
-	reports := e.reports
-	e.reports = e.reports[:0]
-	return reports
+	events := e.streamEvents
+	e.streamEvents = e.streamEvents[:0]
+	return events
 }
 
-func (e *Engine) report(s *stream, kind StreamEventKind) {
-	e.reports = append(e.reports, StreamEvent{
+func (e *Engine) recordStreamEvent(s *stream, kind StreamEventKind) {
+	e.streamEvents = append(e.streamEvents, StreamEvent{
 		Stream:       s.id,
 		Kind:         kind,
 		At:           e.now,
--- a/lab/enginemodel/helpers_test.go
+++ b/lab/enginemodel/helpers_test.go
@@ -15,8 +15,7 @@
 
 var testWeights = engine.Weights{Model: "sahayak", Version: "v1"}
 
-// testCosts make step times easy to read: 10 ms, 1 ms a token of output and
-// 0.1 ms a token of prompt.
+// testCosts returns round costs: 10 ms per step, 1 ms per output token and 0.1 ms per prompt token.
 func testCosts() Costs {
 	return Costs{
 		StepBase:        10 * time.Millisecond,
@@ -38,8 +37,8 @@
 	}
 }
 
-// promptOf returns a prompt of so many tokens that repeats a letter.
-func promptOf(letter string, tokens int) string { return strings.Repeat(letter, 4*tokens) }
+// repeatedPrompt returns a prompt of the given number of tokens that repeats a letter.
+func repeatedPrompt(letter string, tokens int) string { return strings.Repeat(letter, 4*tokens) }
 
 func request(e *Engine, id fleet.StreamID, text string, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
@@ -52,14 +51,14 @@
 	}
 }
 
-func hashesOf(tenant fleet.TenantName, weights engine.Weights, text string) []fleet.BlockHash {
+func blockHashes(tenant fleet.TenantName, weights engine.Weights, text string) []fleet.BlockHash {
 	return prompt.HashBlocks(cacheScope(tenant, weights), text, 4)
 }
 
-// runDry advances until nothing is left to do and returns the time.
-func runDry(e *Engine) time.Duration {
+// runToIdle advances until the engine is idle and returns the time.
+func runToIdle(e *Engine) time.Duration {
 	for {
-		due, found := e.NextStep()
+		due, found := e.NextWakeup()
 		if !found {
 			return e.now
 		}
@@ -67,7 +66,7 @@
 	}
 }
 
-func tokensOf(t require.TestingT, e *Engine, id fleet.StreamID) []string {
+func outputTokens(t require.TestingT, e *Engine, id fleet.StreamID) []string {
 	frames, ended, err := e.Frames(id, 0)
 	require.NoError(t, err)
 	require.True(t, ended)
@@ -84,6 +83,6 @@
 func requireCode(t *testing.T, code engine.ErrorCode, err error) {
 	t.Helper()
 	var failure *engine.Error
-	require.True(t, errors.As(err, &failure), "error is %v", err)
+	require.True(t, errors.As(err, &failure), "got error %v", err)
 	require.Equal(t, code, failure.Code)
 }
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -8,21 +8,21 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// pendingImport is a bundle that is on its way into the cache.
+// pendingImport is a bundle whose blocks are stored at readyAt.
 type pendingImport struct {
 	readyAt time.Duration
 	scope   int32
 	hashes  []fleet.BlockHash
 }
 
-// Export returns the cached beginning of a prefix, as far as its blocks belong
-// to the tenant and weights of the request.
+// Export returns the leading cached blocks of the requested prefix that belong to the tenant and
+// weights of the request.
 func (e *Engine) Export(now time.Duration, request engine.KVExportRequest) (engine.KVBundle, error) {
 	e.Advance(now)
 	bundle := engine.KVBundle{Tenant: request.Tenant, Weights: request.Weights}
 	scope, known := e.scopes[cacheScope(request.Tenant, request.Weights)]
 	for _, hash := range request.Hashes {
-		if !known || !e.blocks.owns(hash, scope) {
+		if !known || !e.blocks.isInScope(hash, scope) {
 			break
 		}
 		bundle.Hashes = append(bundle.Hashes, hash)
@@ -31,18 +31,18 @@
 	return bundle, nil
 }
 
-// Import checks a bundle and takes it into the cache at the returned time.
-// The engine must have loaded the weights that computed the blocks.
+// Import verifies a bundle and schedules its blocks to be stored at the returned time. The weights
+// that computed the blocks must be loaded. Errors are *engine.Error.
 func (e *Engine) Import(now time.Duration, bundle engine.KVBundle) (readyAt time.Duration, err error) {
 	e.Advance(now)
 	if bundle.ComputeChecksum() != bundle.Checksum {
-		return 0, e.failure(engine.ErrorChecksum, "bundle fails its check")
+		return 0, e.newError(engine.ErrorChecksum, "bundle fails its check")
 	}
-	if !e.control.has(bundle.Weights) {
-		return 0, e.failure(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
+	if !e.control.isLoaded(bundle.Weights) {
+		return 0, e.newError(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
 	}
 	readyAt = e.now + time.Duration(len(bundle.Hashes))*e.config.Costs.ImportPerBlock
-	pending := pendingImport{readyAt: readyAt, scope: e.scope(bundle.Tenant, bundle.Weights), hashes: bundle.Hashes}
+	pending := pendingImport{readyAt: readyAt, scope: e.scopeNumber(bundle.Tenant, bundle.Weights), hashes: bundle.Hashes}
 	position := sort.Search(len(e.imports), func(i int) bool { return e.imports[i].readyAt > readyAt })
 	e.imports = append(e.imports, pendingImport{})
 	copy(e.imports[position+1:], e.imports[position:])
--- a/lab/enginemodel/load.go
+++ b/lab/enginemodel/load.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// samplesPerLag sets how many samples of load a lag is divided into.
+	// samplesPerLag is the number of load samples taken per LoadLag.
 	samplesPerLag = 16
-	// minimumSampleGap bounds how often samples are taken.
-	minimumSampleGap = 5 * time.Millisecond
+	// minimumSampleInterval is the shortest interval of periodic samples.
+	minimumSampleInterval = 5 * time.Millisecond
 )
 
 type loadSample struct {
@@ -19,24 +19,24 @@
 	load engine.Load
 }
 
-// loadHistory keeps samples of load for as long as reports lag.
+// loadHistory keeps samples of the load for the duration of LoadLag.
 type loadHistory struct {
 	samples []loadSample
 }
 
-func (h *loadHistory) sampleIfOld(e *Engine) {
+func (h *loadHistory) sampleIfDue(e *Engine) {
 	if e.config.LoadLag <= 0 {
 		return
 	}
-	gap := max(e.config.LoadLag/samplesPerLag, minimumSampleGap)
+	gap := max(e.config.LoadLag/samplesPerLag, minimumSampleInterval)
 	if last := len(h.samples) - 1; last < 0 || e.now-h.samples[last].at >= gap {
 		e.sampleLoad(e.now)
 	}
 }
 
-// at returns the latest sample that isn't younger than a time, and drops those
-// before it.
-func (h *loadHistory) at(latest time.Duration) loadSample {
+// sampleAt returns the last sample taken at or before latest, or the first one if there is none,
+// and drops the samples before it.
+func (h *loadHistory) sampleAt(latest time.Duration) loadSample {
 	found := 0
 	for position, sample := range h.samples {
 		if sample.at <= latest {
@@ -49,13 +49,13 @@
 
 func (e *Engine) sampleLoad(now time.Duration) {
 	e.loads.samples = append(e.loads.samples, loadSample{at: now, load: e.load()})
-	// Keep one sample from before the lag, for the next report.
+	// Keep one sample that is at least LoadLag old for the next report.
 	for len(e.loads.samples) > 2 && e.loads.samples[1].at <= now-e.config.LoadLag {
 		e.loads.samples = slices.Delete(e.loads.samples, 0, 1)
 	}
 }
 
-// load measures the present load.
+// load returns the current load.
 func (e *Engine) load() engine.Load {
 	costs := e.config.Costs
 	step := costs.StepBase + time.Duration(len(e.running))*costs.DecodePerToken
@@ -75,13 +75,12 @@
 	return float64(duration) / float64(time.Microsecond)
 }
 
-// Status returns the engine's word about itself, with a load that is at least
-// Config.LoadLag old.
+// Status returns the state of the engine. The load in it is at least Config.LoadLag old.
 func (e *Engine) Status(now time.Duration) engine.Status {
 	e.Advance(now)
 	load := e.load()
 	if e.config.LoadLag > 0 {
-		load = e.loads.at(e.now - e.config.LoadLag).load
+		load = e.loads.sampleAt(e.now - e.config.LoadLag).load
 	}
 	return engine.Status{
 		Engine:      e.config.ID,
--- a/lab/enginemodel/step.go
+++ b/lab/enginemodel/step.go
@@ -7,8 +7,7 @@
 	"github.com/tillerfall/tillerfall/internal/engine"
 )
 
-// startStep composes the next batch, unless a step is under way or there is no
-// work.
+// startStep composes the next batch, unless a step is in progress or there is no work.
 func (e *Engine) startStep() {
 	if e.stepping {
 		return
@@ -56,13 +55,13 @@
 	cached, unpinned := e.blocks.prefix(s.hashes)
 	missing := len(s.hashes) - cached
 	outputBlocks := (s.limit + e.config.BlockTokens - 1) / e.config.BlockTokens
-	room := e.blocks.room() - unpinned
-	if missing+outputBlocks > room {
+	available := e.blocks.available() - unpinned
+	if missing+outputBlocks > available {
 		if len(e.running) > 0 {
 			return false
 		}
-		missing = min(missing, max(room, 0))
-		outputBlocks = max(min(outputBlocks, room-missing), 0)
+		missing = min(missing, max(available, 0))
+		outputBlocks = max(min(outputBlocks, available-missing), 0)
 	}
 	e.waiting.remove(s)
 	e.admit(s, cached, missing, outputBlocks)
@@ -79,15 +78,15 @@
 	s.outputReserved = outputBlocks
 	e.blocks.reserve(missing + outputBlocks)
 	s.cachedTokens = min(cached*e.config.BlockTokens, s.promptTokens-1)
-	s.remainingPrefill = s.promptTokens - s.cachedTokens + s.carried
-	e.settleDue(s, cached)
-	e.noteExecution(s, cached)
+	s.remainingPrefill = s.promptTokens - s.cachedTokens + s.continuationTokens
+	e.clearScheduled(s, cached)
+	e.recordExecution(s, cached)
 	e.running = append(e.running, s)
 	e.counters.HitTokens += int64(s.cachedTokens)
 	e.counters.PromptTokens += int64(s.promptTokens)
 }
 
-// finishStep applies the batch's results at its end.
+// finishStep applies the results of the batch.
 func (e *Engine) finishStep() {
 	e.stepping = false
 	e.counters.Steps++
@@ -105,50 +104,50 @@
 	}
 }
 
-// storeComputed counts a chunk of the prompt and stores the blocks that it
-// filled.
+// storeComputed accounts for a computed chunk of the prompt and stores the blocks that it
+// completed.
 func (e *Engine) storeComputed(s *stream) {
 	e.counters.PrefillTokens += int64(s.chunk)
 	s.remainingPrefill -= s.chunk
-	position := s.promptTokens + s.carried - s.remainingPrefill
+	position := s.promptTokens + s.continuationTokens - s.remainingPrefill
 	whole := min(position/e.config.BlockTokens, len(s.hashes))
 	for s.pinned < whole && s.reserved > 0 {
 		e.blocks.storeReserved(s.hashes[s.pinned], s.scope)
 		s.pinned++
 		s.reserved--
 	}
-	e.settleDue(s, whole)
+	e.clearScheduled(s, whole)
 }
 
-// settleDue takes the stream's blocks before a position off the due ones.
-func (e *Engine) settleDue(s *stream, before int) {
-	if before > s.dueFrom {
-		e.blocks.removeDue(s.hashes[s.dueFrom:before])
-		s.dueFrom = before
+// clearScheduled removes the stream's blocks before a position from the scheduled ones.
+func (e *Engine) clearScheduled(s *stream, before int) {
+	if before > s.scheduledFrom {
+		e.blocks.removeScheduled(s.hashes[s.scheduledFrom:before])
+		s.scheduledFrom = before
 	}
 }
 
-// produce gives a stream its next output token.
+// produce adds the next output token to a stream.
 func (e *Engine) produce(s *stream) {
 	s.produced++
 	e.counters.OutputTokens++
 	if s.text != nil {
-		s.text.append()
+		s.text.appendToken()
 	} else if s.produced == 1 {
-		e.report(s, StreamFirstToken)
+		e.recordStreamEvent(s, StreamFirstToken)
 	}
 	if s.produced >= s.limit {
 		e.finish(s)
 	}
 }
 
-// finish ends a complete stream. Its caller takes it off the batch.
+// finish ends a complete stream. The caller removes it from the batch.
 func (e *Engine) finish(s *stream) {
 	s.state = streamFinished
 	e.dropReservations(s)
 	e.storeOutput(s)
 	e.unpinAll(s)
-	e.end(s, StreamDone)
+	e.closeStream(s, StreamDone)
 }
 
 func (e *Engine) dropReservations(s *stream) {
@@ -156,8 +155,8 @@
 	s.reserved, s.outputReserved = 0, 0
 }
 
-// unpinAll gives the stream's blocks back, the end of the prefix first, so
-// that a beginning outlives its continuations.
+// unpinAll unpins all blocks of a stream, the end of the prefix first, so that the beginning is
+// evicted last.
 func (e *Engine) unpinAll(s *stream) {
 	for s.pinned > 0 {
 		s.pinned--
@@ -165,32 +164,32 @@
 	}
 }
 
-// storeOutput keeps the blocks that the output has filled, for a next prompt
-// that repeats it.
+// storeOutput caches the whole blocks of the output for later prompts that continue it.
 func (e *Engine) storeOutput(s *stream) {
-	if s.text == nil || s.produced == s.carried || s.pinned < len(s.hashes) {
+	if s.text == nil || s.produced == s.continuationTokens || s.pinned < len(s.hashes) {
 		return
 	}
-	hashes := s.text.hashes(e.config.BlockTokens)
+	hashes := s.text.blockHashes(e.config.BlockTokens)
 	e.blocks.storeIdle(hashes[len(s.hashes):], s.scope, e.now)
 }
 
-// end moves a stream of any end out of the live ones.
-func (e *Engine) end(s *stream, kind StreamEventKind) {
+// closeStream closes a finished or cancelled stream. A stream with text is retained for its
+// readers.
+func (e *Engine) closeStream(s *stream, kind StreamEventKind) {
 	s.endedAt = e.now
-	e.settleDue(s, len(s.hashes))
+	e.clearScheduled(s, len(s.hashes))
 	s.hashes = nil
 	if s.text == nil {
-		e.report(s, kind)
-		e.forget(s)
+		e.recordStreamEvent(s, kind)
+		e.discard(s)
 		return
 	}
 	s.text.prompt = ""
 	e.retained = append(e.retained, s)
 }
 
-// forget keeps only the identifier of an ended stream.
-func (e *Engine) forget(s *stream) {
+// discard removes an ended stream and keeps its identifier in closed.
+func (e *Engine) discard(s *stream) {
 	state := engine.CancelFinished
 	if s.state == streamCancelled {
 		state = engine.CancelCancelled
--- a/lab/enginemodel/stream.go
+++ b/lab/enginemodel/stream.go
@@ -25,7 +25,7 @@
 	streamCancelled
 )
 
-// stream is one accepted attempt.
+// stream is an accepted stream.
 type stream struct {
 	id       fleet.StreamID
 	scope    int32
@@ -35,24 +35,25 @@
 	hashes       []fleet.BlockHash
 	promptTokens int
 	cachedTokens int
-	// carried output tokens came with the dispatch; produced counts them too.
-	carried  int
-	produced int
-	limit    int
-
-	// dueFrom is the first block of the prompt that counts as due for this
-	// stream; those before it are stored or due for an earlier stream.
-	dueFrom int
-	// expectedPrefill is the prompt work that the waiting queue counts.
+	// continuationTokens counts the output tokens that the dispatch carried; produced includes
+	// them.
+	continuationTokens int
+	produced           int
+	limit              int
+
+	// scheduledFrom is the first block of the prompt that is scheduled for this stream; those
+	// before it are stored or scheduled for an earlier stream.
+	scheduledFrom int
+	// expectedPrefill is the number of prompt tokens that the waiting queue counts for this stream.
 	expectedPrefill int
-	// remainingPrefill includes the carried output tokens.
+	// remainingPrefill counts the tokens still to be computed, including continuationTokens.
 	remainingPrefill int
-	// chunk is the prompt work in the present step; decoding tells that the
+	// chunk is the number of prompt tokens computed in the current step; decoding is set if the
 	// step computes an output token.
 	chunk    int
 	decoding bool
-	// pinned leading blocks are held in the cache, reserved ones promised to
-	// the rest of the prompt, outputReserved ones to the output.
+	// pinned counts the leading blocks that the stream pins, reserved the blocks reserved for the
+	// rest of the prompt, outputReserved those reserved for the output.
 	pinned         int
 	reserved       int
 	outputReserved int
@@ -62,7 +63,7 @@
 	text         *output
 }
 
-// output holds what only streams with text have.
+// output is the additional state of a stream with text.
 type output struct {
 	scope        fleet.CacheScope
 	prompt       string
@@ -71,7 +72,7 @@
 	tokens       []string
 }
 
-func (o *output) append() {
+func (o *output) appendToken() {
 	previous := ""
 	if last := len(o.tokens) - 1; last >= 0 {
 		previous = o.tokens[last]
@@ -79,8 +80,8 @@
 	o.tokens = append(o.tokens, tokenText(o.promptDigest, len(o.tokens), o.variant, previous))
 }
 
-// hashes returns the blocks of prompt and output together.
-func (o *output) hashes(blockTokens int) []fleet.BlockHash {
+// blockHashes returns the block hashes of prompt and output together.
+func (o *output) blockHashes(blockTokens int) []fleet.BlockHash {
 	var text strings.Builder
 	text.WriteString(o.prompt)
 	for _, token := range o.tokens {
@@ -89,13 +90,13 @@
 	return prompt.HashBlocks(o.scope, text.String(), blockTokens)
 }
 
-// closedStream is what stays of a stream for the rest of the incarnation.
+// closedStream is what is kept of an ended stream for the rest of the incarnation.
 type closedStream struct {
 	state  engine.CancelState
 	tokens int
 }
 
-// waitingQueue is in the order of admission: by priority, then arrival.
+// waitingQueue is ordered by priority, then arrival.
 type waitingQueue struct {
 	streams       []*stream
 	prefillTokens int
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -39,7 +39,7 @@
 		CacheBlocks: w.options.CacheBlocks, BlockTokens: blockTokens,
 		EventDelay: w.options.EventDelay, EventLoss: w.options.EventLoss, LoadLag: w.options.LoadLag,
 		Loaded: []engine.Weights{{Model: model, Version: firstVersion}}, KeepWeights: true,
-		KeepTruth: true, Random: w.newRandom(),
+		RecordHistory: true, Random: w.newRandom(),
 	})
 	return host
 }
@@ -120,7 +120,7 @@
 
 // startStream answers with the first frame and sends the following ones as they are produced.
 func (h *engineHost) startStream(to *connection, offset int, reply func(any) time.Duration) {
-	accepted, err := h.model.Accepted(to.stream)
+	accepted, err := h.model.AcceptedFrame(to.stream)
 	if err != nil {
 		reply(err)
 		return
@@ -144,7 +144,7 @@
 
 // serveOrder serves a fenced order.
 func (h *engineHost) serveOrder(order engine.Order, reply func(any) time.Duration) {
-	err := h.model.Order(h.now(), order)
+	err := h.model.ApplyOrder(h.now(), order)
 	if err == nil {
 		h.world.record(history.OrderExecuted{Run: h.currentRun(), Token: order.Fence, Kind: order.Kind, Weights: order.Weights})
 		if order.Kind == engine.OrderRetire {
@@ -175,7 +175,7 @@
 }
 
 func (h *engineHost) scheduleStep() {
-	next, found := h.model.NextStep()
+	next, found := h.model.NextWakeup()
 	if !found || (h.nextStepAt != 0 && h.nextStepAt <= next && h.nextStepAt > h.now()) {
 		return
 	}
--- a/lab/workload/blocks.go
+++ b/lab/workload/blocks.go
@@ -8,15 +8,15 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// Blocks returns the chained hashes of the request's whole blocks, without
-// making its text. Requests of one scope share hashes exactly as far as they
-// share tokens.
+// Blocks returns the chained hashes of the whole blocks of the prompt, computed from segment
+// identifiers instead of text. Requests of one scope share exactly the hashes of the blocks in
+// their common token prefix.
 func (r Request) Blocks(blockTokens int) []fleet.BlockHash {
 	total := r.PromptTokens() / blockTokens
 	hashes := make([]fleet.BlockHash, 0, total)
 	cursor := segmentCursor{segments: r.Segments}
-	parent := xxhash.Sum64String(string(r.Tenant) + "\x00" + string(r.Weights.Model) +
-		"\x00" + string(r.Weights.Adapter) + "\x00" + string(r.Weights.Version))
+	parent := xxhash.Sum64String(string(r.Tenant) + "\x00" + string(r.ModelVersion.Model) +
+		"\x00" + string(r.ModelVersion.Adapter) + "\x00" + string(r.ModelVersion.Version))
 	for range total {
 		parent = cursor.hashBlock(parent, blockTokens)
 		hashes = append(hashes, fleet.BlockHash(parent))
@@ -24,21 +24,21 @@
 	return hashes
 }
 
-// segmentCursor walks through the segments token by token.
+// segmentCursor is a token position in a list of segments.
 type segmentCursor struct {
 	segments []Segment
 	segment  int
 	offset   int
 }
 
-// hashBlock folds the next count tokens into the parent's hash. A block that
-// crosses a segment's end covers a part of each segment.
+// hashBlock folds the next count tokens into the hash of the parent block. A block may span several
+// segments.
 func (c *segmentCursor) hashBlock(parent uint64, count int) uint64 {
 	hash := parent
 	for count > 0 {
 		current := c.segments[c.segment]
 		taken := min(count, current.Tokens-c.offset)
-		hash = mix(hash, current.ID, uint64(c.offset), uint64(taken))
+		hash = hashValues(hash, current.ID, uint64(c.offset), uint64(taken))
 		c.advance(taken)
 		count -= taken
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func mix(values ...uint64) uint64 {
+func hashValues(values ...uint64) uint64 {
 	var buffer [32]byte
 	for i, value := range values {
 		binary.LittleEndian.PutUint64(buffer[i*8:], value)
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -24,64 +24,64 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// commandPatience is the ctl flag that bounds one command.
-const commandPatience = "--timeout=20s"
+// commandTimeoutFlag bounds the duration of one ctl command.
+const commandTimeoutFlag = "--timeout=20s"
 
-// httpPatience bounds one short exchange of the tests' own.
-const httpPatience = 30 * time.Second
+// httpTimeout bounds one request of httpClient.
+const httpTimeout = 30 * time.Second
 
-var shortExchanges = &http.Client{Timeout: httpPatience}
+var httpClient = &http.Client{Timeout: httpTimeout}
 
-// fleetOptions says how a fleet differs from the documented one.
+// fleetOptions describes how a fleet differs from the documented one.
 type fleetOptions struct {
-	// flags are added to the command of the process of that name; the names
-	// "router", "engine" and "agent" stand for all of their kind.
+	// flags adds flags to the command of the named process. The names "router", "engine" and
+	// "agent" stand for all processes of their kind.
 	flags map[string][]string
-	// engineProxies, routerProxies and platformProxy put a fault-injecting proxy
-	// before each engine, each router and the platform.
+	// engineProxies, routerProxies and platformProxy put a fault-injecting proxy in front of each
+	// engine, each router and the platform.
 	engineProxies bool
 	routerProxies bool
 	platformProxy bool
 }
 
-// testFleet is a fleet of real processes, started by the documented commands.
+// testFleet is a fleet of processes started by the documented commands.
 type testFleet struct {
 	t         *testing.T
 	options   fleetOptions
 	directory string
-	// addresses translates documented addresses into those of this fleet.
+	// addresses maps documented addresses to those of this fleet.
 	addresses map[string]string
-	// proxies holds the proxy before each process that has one.
+	// proxies holds the proxy in front of each process that has one.
 	proxies   map[string]*faultProxy
 	processes map[string]*process
-	// listens holds the address on which each process listens.
-	listens  map[string]string
-	machines []platform.Machine
+	// listenAddresses holds the address that each process listens on.
+	listenAddresses map[string]string
+	machines        []platform.Machine
 }
 
-// startFleet runs the documented commands up to a ready agent. The calling test
-// runs in parallel with others, as far as there are slots.
+// startFleet runs the documented commands and waits until the fleet is ready. It marks the test as
+// parallel and waits for a free fleet slot.
 func startFleet(t *testing.T, options fleetOptions) *testFleet {
 	t.Helper()
 	t.Parallel()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
 	f := &testFleet{
-		t:         t,
-		options:   options,
-		directory: t.TempDir(),
-		addresses: make(map[string]string),
-		proxies:   make(map[string]*faultProxy),
-		processes: make(map[string]*process),
-		listens:   make(map[string]string),
+		t:               t,
+		options:         options,
+		directory:       t.TempDir(),
+		addresses:       make(map[string]string),
+		proxies:         make(map[string]*faultProxy),
+		processes:       make(map[string]*process),
+		listenAddresses: make(map[string]string),
 	}
 	documented := readDocumentation(t)
 	f.reserveAddresses(documented)
 	for _, command := range documented.commands {
 		switch {
-		case command.isOfBinary() && command.background:
+		case command.runsProjectBinary() && command.background:
 			f.startDocumented(command)
-		case command.isOfBinary():
+		case command.runsProjectBinary():
 			result := f.runDocumented(command)
 			require.Zero(t, result.exitCode, "%s\n%s%s", command.line, result.output, result.diagnostics)
 		case strings.Contains(command.line, platformserver.PathSetMachines):
@@ -90,31 +90,31 @@
 			f.awaitReady(f.agentAddress())
 		}
 	}
-	f.awaitSettled()
+	f.awaitConvergence()
 	return f
 }
 
-// reserveAddresses gives each documented address one of this fleet, and puts
-// the wanted proxies before them.
+// reserveAddresses assigns an address of this fleet to each documented one, and starts the
+// requested proxies.
 func (f *testFleet) reserveAddresses(documented documentation) {
 	for _, command := range documented.commands {
-		if !command.isOfBinary() || !command.background {
+		if !command.runsProjectBinary() || !command.background {
 			continue
 		}
 		name := command.name()
 		listens := freeAddress(f.t)
-		f.listens[name] = listens
-		reached := listens
-		if f.wantsProxy(name) {
+		f.listenAddresses[name] = listens
+		dialed := listens
+		if f.hasProxy(name) {
 			f.proxies[name] = newFaultProxy(f.t, listens)
-			reached = f.proxies[name].address()
+			dialed = f.proxies[name].address()
 		}
-		f.addresses[command.flag("--address")] = reached
+		f.addresses[command.flag("--address")] = dialed
 	}
 }
 
-func (f *testFleet) wantsProxy(name string) bool {
-	switch kindOf(name) {
+func (f *testFleet) hasProxy(name string) bool {
+	switch processKind(name) {
 	case "engine":
 		return f.options.engineProxies
 	case "router":
@@ -125,13 +125,13 @@
 	return false
 }
 
-// kindOf returns the name without its number.
-func kindOf(name string) string {
+// processKind returns the name of a process without its number.
+func processKind(name string) string {
 	kind, _, _ := strings.Cut(name, "-")
 	return kind
 }
 
-// translate replaces documented addresses.
+// translate replaces documented addresses by those of this fleet.
 func (f *testFleet) translate(text string) string {
 	return documentedSocket.ReplaceAllStringFunc(text, func(documented string) string {
 		address, found := f.addresses[documented]
@@ -145,24 +145,24 @@
 	flags := make([]string, 0, len(command.flags))
 	for position, flag := range command.flags {
 		if position > 0 && command.flags[position-1] == "--address" {
-			flags = append(flags, f.listens[name])
+			flags = append(flags, f.listenAddresses[name])
 			continue
 		}
 		flags = append(flags, f.translate(flag))
 	}
-	if kindOf(name) == "router" && f.options.routerProxies {
+	if processKind(name) == "router" && f.options.routerProxies {
 		flags = append(flags, "--set", "advertise="+f.proxies[name].address())
 	}
-	flags = slices.Concat(flags, f.options.flags[kindOf(name)], f.options.flags[name])
+	flags = slices.Concat(flags, f.options.flags[processKind(name)], f.options.flags[name])
 	f.processes[name] = newProcess(f.t, f.directory, name, filepath.Base(command.program), flags)
 	f.awaitListening(name)
 }
 
-// awaitListening waits until a process answers any HTTP request.
+// awaitListening waits until a process answers an HTTP request.
 func (f *testFleet) awaitListening(name string) {
 	f.t.Helper()
 	eventually(f.t, name+" listens", func() bool {
-		response, err := shortExchanges.Get("http://" + f.listens[name] + router.PathHealth)
+		response, err := httpClient.Get("http://" + f.listenAddresses[name] + router.PathHealth)
 		if err != nil {
 			return false
 		}
@@ -184,7 +184,7 @@
 	f.setMachines(body.Machines)
 }
 
-// setMachines replaces the platform's list of machines.
+// setMachines replaces the list of machines of the platform.
 func (f *testFleet) setMachines(machines []platform.Machine) {
 	f.t.Helper()
 	f.machines = machines
@@ -197,12 +197,12 @@
 	f.control("platform", platformserver.PathFaults, faults)
 }
 
-// control posts to a stand-in's control endpoint, which suffers no faults.
+// control posts to a control endpoint of a stand-in, bypassing its proxy.
 func (f *testFleet) control(name, path string, body any) {
 	f.t.Helper()
 	encoded, err := json.Marshal(body)
 	require.NoError(f.t, err)
-	response, err := shortExchanges.Post("http://"+f.listens[name]+path, "application/json", bytes.NewReader(encoded))
+	response, err := httpClient.Post("http://"+f.listenAddresses[name]+path, "application/json", bytes.NewReader(encoded))
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
@@ -210,11 +210,11 @@
 	require.Equal(f.t, http.StatusOK, response.StatusCode, "%s", answer)
 }
 
-func (f *testFleet) agentAddress() string { return f.listens["agent-1"] }
+func (f *testFleet) agentAddress() string { return f.listenAddresses["agent-1"] }
 
-// answersReady asks a process's readiness endpoint.
+// answersReady reports whether the readiness endpoint of a process answers with success.
 func answersReady(address string) bool {
-	response, err := shortExchanges.Get("http://" + address + agent.PathReady)
+	response, err := httpClient.Get("http://" + address + agent.PathReady)
 	if err != nil {
 		return false
 	}
@@ -227,18 +227,17 @@
 	eventually(f.t, address+" is ready", func() bool { return answersReady(address) })
 }
 
-// awaitSettled waits until each router is ready and sees every engine and
-// router, so that a test knows what it disturbs.
-func (f *testFleet) awaitSettled() {
+// awaitConvergence waits until each router is ready and sees all engines and routers.
+func (f *testFleet) awaitConvergence() {
 	f.t.Helper()
 	for _, name := range f.names("router") {
-		f.awaitReady(f.listens[name])
+		f.awaitReady(f.listenAddresses[name])
 		f.awaitRows(name, "show engines where state = ready", len(f.names("engine")))
 		f.awaitRows(name, "show routers where state = alive", len(f.names("router")))
 	}
 }
 
-// awaitRows waits until a router answers a query with so many rows.
+// awaitRows waits until a query at a router returns the given number of rows.
 func (f *testFleet) awaitRows(routerName, statement string, count int) {
 	f.t.Helper()
 	what := fmt.Sprintf("%s: %s has %d rows", routerName, statement, count)
@@ -254,11 +253,11 @@
 	})
 }
 
-// names lists the processes of a kind in order.
+// names lists the processes of a kind in order of their names.
 func (f *testFleet) names(kind string) []string {
 	var names []string
-	for name := range f.listens {
-		if kindOf(name) == kind {
+	for name := range f.listenAddresses {
+		if processKind(name) == kind {
 			names = append(names, name)
 		}
 	}
@@ -266,8 +265,8 @@
 	return names
 }
 
-// operatorAnswer is what ctl prints with --json.
-type operatorAnswer struct {
+// commandAnswer is the output of ctl --json.
+type commandAnswer struct {
 	Code        int        `json:"code"`
 	Name        string     `json:"name"`
 	Message     string     `json:"message"`
@@ -278,45 +277,44 @@
 	Rows        [][]string `json:"rows"`
 }
 
-// operate runs a statement at a router by the command line. The answer is nil
-// if the router gave none.
-func (f *testFleet) operate(routerName, statement string, flags ...string) (*operatorAnswer, commandResult) {
+// runStatement runs a statement at a router with ctl. The answer is nil if there is none.
+func (f *testFleet) runStatement(routerName, statement string, flags ...string) (*commandAnswer, commandResult) {
 	f.t.Helper()
-	words := slices.Concat([]string{"ctl", "--json", commandPatience, "--router", f.listens[routerName]}, flags, strings.Fields(statement))
-	result := runCommand(f.t, "tillerfall", words...)
-	var answer operatorAnswer
+	arguments := slices.Concat([]string{"ctl", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName]}, flags, strings.Fields(statement))
+	result := runCommand(f.t, "tillerfall", arguments...)
+	var answer commandAnswer
 	if json.Unmarshal([]byte(result.output), &answer) != nil {
 		return nil, result
 	}
 	return &answer, result
 }
 
-// mustOperate runs a statement that succeeds.
-func (f *testFleet) mustOperate(routerName, statement string, flags ...string) *operatorAnswer {
+// mustRunStatement runs a statement that must succeed.
+func (f *testFleet) mustRunStatement(routerName, statement string, flags ...string) *commandAnswer {
 	f.t.Helper()
-	answer, result := f.operate(routerName, statement, flags...)
+	answer, result := f.runStatement(routerName, statement, flags...)
 	require.Zero(f.t, result.exitCode, "%s: %s", statement, result.diagnostics)
 	require.NotNil(f.t, answer)
 	return answer
 }
 
-// query returns the rows of a query; none if it failed.
+// query returns the rows of a query, or none if it fails.
 func (f *testFleet) query(routerName, statement string) [][]string {
-	answer, _ := f.operate(routerName, statement)
+	answer, _ := f.runStatement(routerName, statement)
 	if answer == nil {
 		return nil
 	}
 	return answer.Rows
 }
 
-// apply commits a configuration through a router, and returns when every router
-// and the agent have it in force.
-func (f *testFleet) apply(routerName, configuration string) *operatorAnswer {
+// apply commits a configuration through a router and waits until every router and the agent have
+// it.
+func (f *testFleet) apply(routerName, configuration string) *commandAnswer {
 	f.t.Helper()
 	path := writeConfiguration(f.t, configuration)
-	result := runCommand(f.t, "tillerfall", "apply", "--json", commandPatience, "--router", f.listens[routerName], path)
+	result := runCommand(f.t, "tillerfall", "apply", "--json", commandTimeoutFlag, "--router", f.listenAddresses[routerName], path)
 	require.Zero(f.t, result.exitCode, result.diagnostics)
-	var answer operatorAnswer
+	var answer commandAnswer
 	require.NoError(f.t, json.Unmarshal([]byte(result.output), &answer))
 	f.awaitRevision(answer.Revision)
 	return &answer
@@ -332,7 +330,7 @@
 // platformCounters returns the calls that have reached the platform.
 func (f *testFleet) platformCounters() platformserver.Counters {
 	f.t.Helper()
-	response, err := shortExchanges.Get("http://" + f.listens["platform"] + platformserver.PathCounters)
+	response, err := httpClient.Get("http://" + f.listenAddresses["platform"] + platformserver.PathCounters)
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	var counters platformserver.Counters
@@ -340,7 +338,7 @@
 	return counters
 }
 
-// awaitRevision waits until every router and the agent have a revision.
+// awaitRevision waits until every router and the agent have a configuration revision.
 func (f *testFleet) awaitRevision(revision uint64) {
 	f.t.Helper()
 	for _, name := range f.names("router") {
@@ -350,14 +348,14 @@
 		})
 	}
 	eventually(f.t, fmt.Sprintf("the agent has revision %d", revision), func() bool {
-		return f.processes["agent-1"].logged("event=configuration_learned", fmt.Sprintf("revision=%d ", revision)) > 0
+		return f.processes["agent-1"].countLogLines("event=configuration_learned", fmt.Sprintf("revision=%d ", revision)) > 0
 	})
 }
 
-// engineStatus asks an engine itself, past its proxy.
+// engineStatus returns the status of an engine, bypassing its proxy.
 func (f *testFleet) engineStatus(name string) engine.Status {
 	f.t.Helper()
-	client := engine.New(fleet.Address(f.listens[name]), engine.Options{})
+	client := engine.New(fleet.Address(f.listenAddresses[name]), engine.Options{})
 	defer client.CloseIdle()
 	status, err := client.Status(f.t.Context())
 	require.NoError(f.t, err)
--- a/test/integration/input_test.go
+++ b/test/integration/input_test.go
@@ -16,7 +16,7 @@
 	"github.com/tillerfall/tillerfall/internal/resultcode"
 )
 
-// badRequest is a request that the agent refuses.
+// badRequest is a request that the agent must refuse.
 type badRequest struct {
 	name   string
 	header map[string]string
@@ -24,7 +24,7 @@
 	path   string
 	body   string
 	code   resultcode.Code
-	// text is a part of the message.
+	// text must be part of the message.
 	text string
 }
 
@@ -46,7 +46,9 @@
 	{name: "wrong method", method: http.MethodDelete, code: resultcode.UnknownPath},
 }
 
-func TestBadRequestsAreRefusedByNumber(t *testing.T) {
+// TestBadRequestsReturnResultCodes guards against bad requests that are accepted, or refused with
+// another result code or status.
+func TestBadRequestsReturnResultCodes(t *testing.T) {
 	f := startFleet(t, fleetOptions{flags: map[string][]string{"agent": {"--set", "http.max_body_bytes=200000"}}})
 	for _, bad := range badRequests {
 		t.Run(bad.name, func(t *testing.T) {
@@ -61,7 +63,7 @@
 		})
 	}
 	good := chat(model, 5, "You answer clerks.", "Which flag covers tankers?")
-	requireWhole(t, good, ask(t, f.agentAddress(), good))
+	requireComplete(t, good, ask(t, f.agentAddress(), good))
 	batch := good
 	batch.header = http.Header{openai.HeaderAuthorization: {"Bearer " + batchKey}}
 	batch.Model = "lm-fab"
@@ -88,7 +90,7 @@
 	for name, value := range bad.header {
 		request.Header.Set(name, value)
 	}
-	response, err := shortExchanges.Do(request)
+	response, err := httpClient.Do(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	answered, err := io.ReadAll(response.Body)
@@ -99,6 +101,8 @@
 	return response.StatusCode, *decoded.Error
 }
 
+// TestBadConfigurationNamesEachLineAndField guards against configuration errors that do not name
+// the line and field of each fault.
 func TestBadConfigurationNamesEachLineAndField(t *testing.T) {
 	example, err := os.ReadFile(filepath.Join(repository, "examples", "config.yaml"))
 	require.NoError(t, err)
@@ -114,14 +118,16 @@
 	assert.Equal(t, 2, usage.exitCode)
 
 	f := startFleet(t, fleetOptions{})
-	refused := runCommand(t, "tillerfall", "apply", "--router", f.listens["router-2"], path)
+	refused := runCommand(t, "tillerfall", "apply", "--router", f.listenAddresses["router-2"], path)
 	assert.Equal(t, 1, refused.exitCode)
 	assert.Contains(t, refused.diagnostics, "5001 config_invalid")
 	assert.Contains(t, refused.diagnostics, "line 11, column 5: tenants[0].wieght")
 	assert.Equal(t, [][]string{{"1"}}, f.query("router-2", "show revision"))
 }
 
-func TestBadStatementsPointAtTheWord(t *testing.T) {
+// TestBadStatementsReportColumn guards against statement errors that do not report the column of
+// the wrong word.
+func TestBadStatementsReportColumn(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	for _, bad := range []struct {
 		statement string
@@ -136,7 +142,7 @@
 		{"promote sahayak-llm v9", resultcode.TargetNotFound, 21, "v9"},
 	} {
 		t.Run(bad.statement, func(t *testing.T) {
-			answer, result := f.operate("router-1", bad.statement)
+			answer, result := f.runStatement("router-1", bad.statement)
 			require.NotNil(t, answer, result.diagnostics)
 			assert.Equal(t, 1, result.exitCode)
 			assert.EqualValues(t, bad.code, answer.Code)
--- a/test/integration/proxy_test.go
+++ b/test/integration/proxy_test.go
@@ -12,90 +12,88 @@
 	"github.com/stretchr/testify/require"
 )
 
-// direction tells which way bytes go through a proxy.
+// direction is the direction of bytes through a proxy.
 type direction int
 
 const (
-	// towardsServer is from the process that connected.
+	// towardsServer is the direction from the process that opened the connection.
 	towardsServer direction = iota
 	towardsClient
 )
 
-// ending tells what becomes of a connection whose rule has struck.
-type ending int
+// faultAction is what a rule does to a connection.
+type faultAction int
 
 const (
-	// endClose closes both sides.
-	endClose ending = iota
-	// endReset aborts both sides with a TCP reset.
-	endReset
-	// endDiscard swallows what comes this way and leaves the other way open.
-	endDiscard
-	// endHold keeps what comes this way until the proxy is released.
-	endHold
+	// actionClose closes both sides.
+	actionClose faultAction = iota
+	// actionReset resets both sides.
+	actionReset
+	// actionDiscard discards further bytes in this direction and leaves the other direction open.
+	actionDiscard
+	// actionHold holds further bytes in this direction until the proxy releases them.
+	actionHold
 )
 
-// rule strikes a connection in one direction.
+// rule applies an action to connections that match in one direction.
 type rule struct {
-	way direction
-	// match strikes with the piece that holds this text, which must not be
-	// split over pieces; empty strikes by count alone.
+	direction direction
+	// match is a text that one chunk must contain. An empty text matches every chunk.
 	match string
-	// after is the number of bytes, from the start of the matching piece, that
-	// still pass.
+	// after is the number of bytes that still pass, from the start of the matching chunk.
 	after int64
-	// end is what happens then.
-	end ending
-	// times bounds the connections that are struck; nil means all. Several
-	// proxies may share it.
-	times *atomic.Int32
+	// action is applied once these bytes have passed.
+	action faultAction
+	// remaining is the number of connections that the rule may still match; nil means no limit.
+	// Several proxies may share it.
+	remaining *atomic.Int32
 }
 
-// times bounds the strikes of a rule.
-func times(count int32) *atomic.Int32 {
-	left := &atomic.Int32{}
-	left.Store(count)
-	return left
+// matchLimit returns a limit for rule.remaining.
+func matchLimit(count int32) *atomic.Int32 {
+	remaining := &atomic.Int32{}
+	remaining.Store(count)
+	return remaining
 }
 
-// take uses up one strike.
-func (r rule) take() bool { return r.times == nil || r.times.Add(-1) >= 0 }
+// consume takes one match from the limit and reports whether there was one.
+func (r rule) consume() bool { return r.remaining == nil || r.remaining.Add(-1) >= 0 }
 
-// proxyBuffer is large enough that the head of a request comes as one piece.
+// proxyBuffer is large enough for a request header to arrive in one chunk.
 const proxyBuffer = 64 << 10
 
-// faultProxy passes TCP connections on to a process, and delays, cuts, resets
-// or holds them as its rules say.
+// faultProxy forwards TCP connections to a process, and delays, closes, resets or holds them by its
+// rules.
 type faultProxy struct {
-	target   string
-	listener net.Listener
-	pumps    sync.WaitGroup
+	target     string
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
 	mutex       sync.Mutex
 	rules       []rule
 	delay       time.Duration
-	connections map[*proxied]struct{}
-	struck      int
+	connections map[*proxiedConnection]struct{}
+	matched     int
 	release     chan struct{}
 	closed      chan struct{}
-	seen        bytes.Buffer
+	answers     bytes.Buffer
 }
 
-// proxied is one connection through a proxy.
-type proxied struct {
+// proxiedConnection is one connection through a proxy.
+type proxiedConnection struct {
 	client net.Conn
 	server net.Conn
-	// held is set once the connection is held: only hold closes it from then on.
+	// held is set once the connection is held; from then on only hold closes it.
 	held atomic.Bool
 }
 
-func (p *proxied) close() {
+func (p *proxiedConnection) close() {
 	p.client.Close()
 	p.server.Close()
 }
 
-// reset makes the close of both sides an abort.
-func (p *proxied) reset() {
+// reset closes both sides with a TCP reset.
+func (p *proxiedConnection) reset() {
 	for _, side := range []net.Conn{p.client, p.server} {
 		if connection, isTCP := side.(*net.TCPConn); isTCP {
 			_ = connection.SetLinger(0)
@@ -111,11 +109,11 @@
 	p := &faultProxy{
 		target:      target,
 		listener:    listener,
-		connections: make(map[*proxied]struct{}),
+		connections: make(map[*proxiedConnection]struct{}),
 		release:     make(chan struct{}),
 		closed:      make(chan struct{}),
 	}
-	p.pumps.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	t.Cleanup(p.stop)
 	return p
 }
@@ -125,8 +123,8 @@
 func (p *faultProxy) stop() {
 	p.listener.Close()
 	close(p.closed)
-	p.cutAll()
-	p.pumps.Wait()
+	p.resetAll()
+	p.goroutines.Wait()
 }
 
 func (p *faultProxy) accept() {
@@ -135,18 +133,18 @@
 		if err != nil {
 			return
 		}
-		p.pumps.Go(func() { p.connect(client) })
+		p.goroutines.Go(func() { p.connect(client) })
 	}
 }
 
 func (p *faultProxy) connect(client net.Conn) {
-	server, err := net.DialTimeout("tcp", p.target, httpPatience)
+	server, err := net.DialTimeout("tcp", p.target, httpTimeout)
 	if err != nil {
-		// The server's refusal shows as a reset.
-		(&proxied{client: client, server: client}).reset()
+		// Report a refused connection as a reset.
+		(&proxiedConnection{client: client, server: client}).reset()
 		return
 	}
-	connection := &proxied{client: client, server: server}
+	connection := &proxiedConnection{client: client, server: server}
 	p.mutex.Lock()
 	p.connections[connection] = struct{}{}
 	p.mutex.Unlock()
@@ -156,50 +154,50 @@
 	default:
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(connection, towardsServer) })
-	p.pump(connection, towardsClient)
+	both.Go(func() { p.forward(connection, towardsServer) })
+	p.forward(connection, towardsClient)
 	both.Wait()
 	p.mutex.Lock()
 	delete(p.connections, connection)
 	p.mutex.Unlock()
 }
 
-// pump copies one direction until an end or a rule stops it. An end of one side
-// closes both, as the death of either process does.
-func (p *faultProxy) pump(connection *proxied, way direction) {
+// forward copies one direction until it ends or a rule stops it. When one side ends, both are
+// closed.
+func (p *faultProxy) forward(connection *proxiedConnection, flow direction) {
 	defer func() {
-		if way == towardsServer || !connection.held.Load() {
+		if flow == towardsServer || !connection.held.Load() {
 			connection.close()
 		}
 	}()
 	from, to := connection.client, connection.server
-	if way == towardsClient {
+	if flow == towardsClient {
 		from, to = to, from
 	}
 	buffer := make([]byte, proxyBuffer)
-	var striking *rule
-	var left int64
+	var active *rule
+	var remaining int64
 	for {
 		count, err := from.Read(buffer)
-		piece := buffer[:count]
-		p.note(way, piece)
-		p.pause()
-		if striking == nil && count > 0 {
-			if striking = p.strike(way, piece); striking != nil {
-				left = striking.after
+		chunk := buffer[:count]
+		p.recordAnswer(flow, chunk)
+		p.waitDelay()
+		if active == nil && count > 0 {
+			if active = p.matchRule(flow, chunk); active != nil {
+				remaining = active.after
 			}
 		}
-		if striking != nil {
-			passing := min(left, int64(len(piece)))
-			left -= passing
-			if _, failure := to.Write(piece[:passing]); failure != nil {
+		if active != nil {
+			forwarded := min(remaining, int64(len(chunk)))
+			remaining -= forwarded
+			if _, failure := to.Write(chunk[:forwarded]); failure != nil {
 				return
 			}
-			if passing < int64(len(piece)) {
-				p.finish(connection, striking, from, piece[passing:])
+			if forwarded < int64(len(chunk)) {
+				p.applyAction(connection, active, from, chunk[forwarded:])
 				return
 			}
-		} else if _, failure := to.Write(piece); failure != nil {
+		} else if _, failure := to.Write(chunk); failure != nil {
 			return
 		}
 		if err != nil {
@@ -208,22 +206,21 @@
 	}
 }
 
-// finish carries out a rule's ending.
-func (p *faultProxy) finish(connection *proxied, striking *rule, from io.Reader, rest []byte) {
-	switch striking.end {
-	case endReset:
+// applyAction applies the action of a rule. The caller closes the connection afterwards.
+func (p *faultProxy) applyAction(connection *proxiedConnection, active *rule, from io.Reader, rest []byte) {
+	switch active.action {
+	case actionReset:
 		connection.reset()
-	case endDiscard:
+	case actionDiscard:
 		_, _ = io.Copy(io.Discard, from)
-	case endHold:
+	case actionHold:
 		p.hold(connection, rest)
 	}
 }
 
-// hold keeps a piece until the proxy is released, and sends it on a connection
-// of its own then: the server may have closed the first one for its silence. It
-// arrives also if the client is gone by then.
-func (p *faultProxy) hold(connection *proxied, rest []byte) {
+// hold keeps a chunk until the proxy releases it, and then sends it on a new connection, because
+// the server may have closed the first one. It is also sent if the client has disconnected.
+func (p *faultProxy) hold(connection *proxiedConnection, rest []byte) {
 	p.mutex.Lock()
 	release := p.release
 	connection.held.Store(true)
@@ -234,7 +231,7 @@
 	case <-p.closed:
 		return
 	}
-	server, err := net.DialTimeout("tcp", p.target, httpPatience)
+	server, err := net.DialTimeout("tcp", p.target, httpTimeout)
 	if err != nil {
 		return
 	}
@@ -249,16 +246,16 @@
 	if _, err := server.Write(rest); err != nil {
 		return
 	}
-	p.pumps.Go(func() { _, _ = io.Copy(server, connection.client) })
+	p.goroutines.Go(func() { _, _ = io.Copy(server, connection.client) })
 	p.relayAnswers(server, connection.client)
 }
 
-// relayAnswers passes on what a server says until it ends.
+// relayAnswers forwards the answers of a server until it ends.
 func (p *faultProxy) relayAnswers(server io.Reader, client io.Writer) {
 	buffer := make([]byte, proxyBuffer)
 	for {
 		count, err := server.Read(buffer)
-		p.note(towardsClient, buffer[:count])
+		p.recordAnswer(towardsClient, buffer[:count])
 		_, _ = client.Write(buffer[:count])
 		if err != nil {
 			return
@@ -266,37 +263,37 @@
 	}
 }
 
-// strike returns the first rule for a piece.
-func (p *faultProxy) strike(way direction, piece []byte) *rule {
+// matchRule returns the first rule that matches a chunk, or nil.
+func (p *faultProxy) matchRule(flow direction, chunk []byte) *rule {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, candidate := range p.rules {
-		if candidate.way == way && bytes.Contains(piece, []byte(candidate.match)) && candidate.take() {
-			p.struck++
+		if candidate.direction == flow && bytes.Contains(chunk, []byte(candidate.match)) && candidate.consume() {
+			p.matched++
 			return &candidate
 		}
 	}
 	return nil
 }
 
-// note keeps what the server has answered, for tests that look for a text.
-func (p *faultProxy) note(way direction, piece []byte) {
-	if way != towardsClient {
+// recordAnswer records the bytes sent by the server for hasAnswered.
+func (p *faultProxy) recordAnswer(flow direction, chunk []byte) {
+	if flow != towardsClient {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.seen.Write(piece)
+	p.answers.Write(chunk)
 }
 
-// answered tells whether the server has sent a text.
-func (p *faultProxy) answered(text string) bool {
+// hasAnswered reports whether the server has sent a text.
+func (p *faultProxy) hasAnswered(text string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return bytes.Contains(p.seen.Bytes(), []byte(text))
+	return bytes.Contains(p.answers.Bytes(), []byte(text))
 }
 
-func (p *faultProxy) pause() {
+func (p *faultProxy) waitDelay() {
 	p.mutex.Lock()
 	delay := p.delay
 	p.mutex.Unlock()
@@ -309,28 +306,28 @@
 	}
 }
 
-// setDelay delays each piece in both directions.
+// setDelay delays each chunk in both directions.
 func (p *faultProxy) setDelay(delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.delay = delay
 }
 
-// setRules replaces the rules; connections that were struck stay so.
+// setRules replaces the rules. Connections that a rule has already matched keep its action.
 func (p *faultProxy) setRules(rules ...rule) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.rules = rules
 }
 
-// strikes is the number of connections that rules have struck.
-func (p *faultProxy) strikes() int {
+// matchCount returns the number of connections that rules have matched.
+func (p *faultProxy) matchCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.struck
+	return p.matched
 }
 
-// releaseHeld lets held connections go on.
+// releaseHeld releases all held chunks.
 func (p *faultProxy) releaseHeld() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -338,8 +335,8 @@
 	p.release = make(chan struct{})
 }
 
-// cutAll resets every open connection.
-func (p *faultProxy) cutAll() {
+// resetAll resets every open connection.
+func (p *faultProxy) resetAll() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.connections {
--- a/test/integration/router_test.go
+++ b/test/integration/router_test.go
@@ -15,9 +15,9 @@
 
 const model = "sahayak-llm"
 
-// narrowConfiguration is the example configuration with one stream an engine,
-// so that requests wait at routers.
-const narrowConfiguration = `
+// singleStreamConfiguration is the example configuration with one stream per engine, so that
+// requests wait at routers.
+const singleStreamConfiguration = `
 tenants:
   - name: citizen-app
     key_hashes: [27c139b736e0e8c8e7292cde302b0d6fb1e6cff6b1a7413f3fafe27e70a2b166]
@@ -38,14 +38,14 @@
   - {name: main, max_streams: 1, max_loads: 2}
 `
 
-// load is a set of requests that run at once.
+// load is a set of concurrent requests.
 type load struct {
 	requests []chatRequest
 	answers  []answer
 	running  sync.WaitGroup
 }
 
-// startLoad sends so many requests with prompts of their own.
+// startLoad sends count requests with different prompts.
 func startLoad(t *testing.T, f *testFleet, count, maxTokens int) *load {
 	t.Helper()
 	l := &load{answers: make([]answer, count)}
@@ -64,12 +64,12 @@
 	return l
 }
 
-// requireAllWhole waits for the answers and checks each.
-func (l *load) requireAllWhole(t *testing.T) {
+// requireAllComplete waits for the answers and checks that each is complete.
+func (l *load) requireAllComplete(t *testing.T) {
 	t.Helper()
 	l.running.Wait()
 	for i, request := range l.requests {
-		requireWhole(t, request, l.answers[i])
+		requireComplete(t, request, l.answers[i])
 	}
 }
 
@@ -84,7 +84,7 @@
 	return waiting
 }
 
-// awaitWaiting returns a router at which requests wait.
+// awaitWaiting waits until requests wait at routers and returns the router with the most of them.
 func (f *testFleet) awaitWaiting() string {
 	f.t.Helper()
 	var found string
@@ -100,8 +100,8 @@
 	return found
 }
 
-// TestRouterKilledWhileStreamsRun kills each router in turn under streams that
-// they have placed.
+// TestRouterKilledWhileStreamsRun guards against streams that end when the routers that placed them
+// die.
 func TestRouterKilledWhileStreamsRun(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	var opened []*exchange
@@ -116,23 +116,23 @@
 		f.processes[name].kill()
 	}
 	for _, exchange := range opened {
-		requireWhole(t, exchange.request, exchange.readAll())
+		requireComplete(t, exchange.request, exchange.readAll())
 	}
 }
 
-// TestRouterKilledWhileRequestsWait kills a router at which requests wait; the
-// agent asks another one.
+// TestRouterKilledWhileRequestsWait guards against waiting requests that are lost when their router
+// dies.
 func TestRouterKilledWhileRequestsWait(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	f.apply("router-1", narrowConfiguration)
+	f.apply("router-1", singleStreamConfiguration)
 	running := startLoad(t, f, 12, 150)
 	f.processes[f.awaitWaiting()].kill()
-	running.requireAllWhole(t)
+	running.requireAllComplete(t)
 }
 
-// TestHerdRestartWithPlatformDown restarts all routers at once while the
-// platform is down. They serve from what the agent remembers.
-func TestHerdRestartWithPlatformDown(t *testing.T) {
+// TestAllRoutersRestartWithPlatformDown guards against routers that cannot serve after a
+// simultaneous restart while the platform is down.
+func TestAllRoutersRestartWithPlatformDown(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	before := chat(model, 250, "You answer clerks.", "Which flag covers tankers?")
 	opened := send(t, f.agentAddress(), before)
@@ -151,39 +151,39 @@
 			require.True(t, got.failure.NotRun, "%+v", got.failure)
 			return false
 		}
-		requireWhole(t, after, got)
+		requireComplete(t, after, got)
 		return true
 	})
-	requireWhole(t, before, opened.readAll())
+	requireComplete(t, before, opened.readAll())
 	for _, name := range f.names("router") {
-		f.awaitReady(f.listens[name])
+		f.awaitReady(f.listenAddresses[name])
 		assert.Equal(t, [][]string{{"1"}}, f.query(name, "show revision"), name)
 	}
-	_, result := f.operate("router-1", "drain engine-1")
+	_, result := f.runStatement("router-1", "drain engine-1")
 	assert.Contains(t, result.diagnostics, resultcode.PlatformUnavailable.String())
 }
 
-// TestPlannedStopOfRouterUnderLoad stops a router at which requests wait, with
-// a second signal and the platform down in the middle of it.
+// TestPlannedStopOfRouterUnderLoad guards against waiting requests that are lost in a planned stop,
+// with a second signal and the platform down during the stop.
 func TestPlannedStopOfRouterUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	f.apply("router-1", narrowConfiguration)
+	f.apply("router-1", singleStreamConfiguration)
 	running := startLoad(t, f, 12, 150)
 	stopped := f.processes[f.awaitWaiting()]
 	f.setPlatformFaults(platformserver.Faults{Down: true})
 	stopped.signal(syscall.SIGTERM)
-	eventually(t, "the stop has begun", func() bool { return stopped.logged("event=router_stopping") > 0 })
-	if !stopped.ended() {
+	eventually(t, "the stop has begun", func() bool { return stopped.countLogLines("event=router_stopping") > 0 })
+	if !stopped.hasExited() {
 		_ = stopped.command.Process.Signal(syscall.SIGTERM)
 	}
 	assert.Zero(t, stopped.exitCode())
-	assert.Equal(t, 1, stopped.logged("event=router_stopped"))
-	assert.Positive(t, stopped.logged("event=place_handed_back", "reason=draining"))
-	running.requireAllWhole(t)
+	assert.Equal(t, 1, stopped.countLogLines("event=router_stopped"))
+	assert.Positive(t, stopped.countLogLines("event=place_handed_back", "reason=draining"))
+	running.requireAllComplete(t)
 }
 
-// TestPlannedStopOfAgent stops the agent with running streams, and signals it
-// again in the middle.
+// TestPlannedStopOfAgent guards against running streams that a planned stop of the agent
+// interrupts, also after a second signal.
 func TestPlannedStopOfAgent(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	var opened []*exchange
@@ -195,7 +195,7 @@
 	}
 	agent := f.processes["agent-1"]
 	agent.signal(syscall.SIGTERM)
-	eventually(t, "the stop has begun", func() bool { return agent.logged("event=agent_stopping") > 0 })
+	eventually(t, "the stop has begun", func() bool { return agent.countLogLines("event=agent_stopping") > 0 })
 	agent.signal(syscall.SIGTERM)
 	refused, err := trySend(t, f.agentAddress(), chat(model, 5, "You answer clerks.", "Which flag?"))
 	require.NoError(t, err, "a stopping agent still answers")
@@ -205,7 +205,7 @@
 	assert.True(t, late.failure.NotRun)
 	assert.NotEmpty(t, late.header.Get("Retry-After"))
 	for _, exchange := range opened {
-		requireWhole(t, exchange.request, exchange.readAll())
+		requireComplete(t, exchange.request, exchange.readAll())
 	}
 	assert.Zero(t, agent.exitCode())
 }
