--- a/lab/doc.go
+++ b/lab/doc.go
@@ -1,3 +1,3 @@
-// Package lab holds the stand-ins, the emulator and the experiment tools. None
+// Package lab contains the stand-ins, the emulator, the simulation and the experiment tools. None
 // of it is part of the product.
 package lab
