--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -145,7 +145,7 @@
 
 // exchangeLoad sends this gateway's report to a member and applies its response.
 func (g *Gateway) exchangeLoad(member membership.Member) {
-	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Loads, member), loadExchangeTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.LoadReports, member), loadExchangeTimeout)
 	defer cancel()
 	start := g.now()
 	report, err := g.peers.ExchangeLoad(ctx, member.Address, g.loadReport(member.Node))
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -272,7 +272,7 @@
 	if member.Node == g.node {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.Uses, member), usageTimeout)
+	ctx, cancel := context.WithTimeout(g.peerCallContext(traffic.QuotaReports, member), usageTimeout)
 	defer cancel()
 	report := &rpc.LoadReport{Node: string(g.node), Partial: true}
 	g.quotas.writeReport(g.now(), report, member.Node)
--- a/internal/peer/headers_test.go
+++ b/internal/peer/headers_test.go
@@ -37,7 +37,7 @@
 	caller, err := New(options)
 	require.NoError(t, err)
 	report := &rpc.LoadReport{Node: "self", Partial: true}
-	got, err := caller.ExchangeLoad(traffic.With(t.Context(), traffic.Loads, traffic.OtherZone), address(server), report)
+	got, err := caller.ExchangeLoad(traffic.With(t.Context(), traffic.LoadReports, traffic.OtherZone), address(server), report)
 	require.NoError(t, err)
 	assert.Equal(t, answered.GetNode(), got.GetNode())
 	total := uint64(0)
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -12,8 +12,8 @@
 	// weight is the ratio of the peer's request rate to this node's. Both rates are taken at the
 	// same time, so a burst at all nodes doesn't change it. It is 1 until the peer has reported.
 	weight float64
-	// lastHeardAt is when the peer last reported, or when it was added.
-	lastHeardAt time.Duration
+	// lastReportAt is when the peer last reported, or when it was added.
+	lastReportAt time.Duration
 	// reported is set once the peer has reported.
 	reported bool
 	// unreachable is set while the peer's reports are overdue, since unreachableSince. share is the
@@ -35,7 +35,7 @@
 	} else {
 		l.removeMachine(now, machine)
 	}
-	l.peers[node] = &peer{machine: machine, weight: 1, lastHeardAt: now}
+	l.peers[node] = &peer{machine: machine, weight: 1, lastReportAt: now}
 }
 
 // Observe applies a peer's report. If this node is joining and the peer isn't, this node
@@ -44,7 +44,7 @@
 	l.drainAll(now)
 	l.AddPeer(now, report.Node, report.Machine)
 	peer := l.peers[report.Node]
-	peer.lastHeardAt, peer.reported = now, true
+	peer.lastReportAt, peer.reported = now, true
 	if report.RequestRate >= 0 {
 		weight := (report.RequestRate + 1) / (l.ownRate + 1)
 		peer.weight += (weight - peer.weight) * weightSmoothing
@@ -92,7 +92,7 @@
 // HasReportedSince reports whether a peer has reported at or after a time.
 func (l *Limiter) HasReportedSince(node fleet.NodeID, at time.Duration) bool {
 	peer := l.peers[node]
-	return peer != nil && peer.reported && peer.lastHeardAt >= at
+	return peer != nil && peer.reported && peer.lastReportAt >= at
 }
 
 // Peers returns the peers whose reports count.
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -62,7 +62,7 @@
 	result.reachable = max(result.reachable, 0)
 	stale := time.Duration(l.reportRounds) * nearLimitPeerTimeout
 	for _, peer := range l.peers {
-		if !peer.unreachable && now > peer.lastHeardAt+stale {
+		if !peer.unreachable && now > peer.lastReportAt+stale {
 			result.stale = append(result.stale, stalePeer{since: stale, share: result.reachable * peer.weight / total})
 		}
 	}
@@ -101,7 +101,7 @@
 			left -= peer.share
 		default:
 			total += peer.weight
-			if now > peer.lastHeardAt+time.Duration(l.reportRounds)*peerTimeout {
+			if now > peer.lastReportAt+time.Duration(l.reportRounds)*peerTimeout {
 				lost = append(lost, peer)
 			}
 		}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -24,12 +24,12 @@
 	Probes
 	// Exchanges are transfers of the full membership.
 	Exchanges
-	// Loads are nodes' reports of the requests that they have sent to workers.
-	Loads
+	// LoadReports are nodes' reports of the requests that they have sent to workers.
+	LoadReports
 	// Announcements are immediate reports of single placements and of changes.
 	Announcements
-	// Uses are reports of tenants' quota usage.
-	Uses
+	// QuotaReports are reports of tenants' quota usage.
+	QuotaReports
 	// Watches are rows of the store that another node relays.
 	Watches
 	// Store is traffic with the store itself.
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -64,9 +64,9 @@
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
 	}
-	call(Loads, OtherZone, 1000)
+	call(LoadReports, OtherZone, 1000)
 	call(Watches, SameZone, 5000)
-	call(Loads, OtherZone, 1000)
+	call(LoadReports, OtherZone, 1000)
 	client.CloseIdleConnections()
 	assert.Equal(t, 1, dials)
 
@@ -78,10 +78,10 @@
 		counts[count] = true
 	}
 	assert.Equal(t, map[Count]bool{
-		{Purpose: Loads, Distance: OtherZone, Direction: Sent}:      true,
-		{Purpose: Loads, Distance: OtherZone, Direction: Received}:  true,
-		{Purpose: Watches, Distance: SameZone, Direction: Sent}:     true,
-		{Purpose: Watches, Distance: SameZone, Direction: Received}: true,
+		{Purpose: LoadReports, Distance: OtherZone, Direction: Sent}:     true,
+		{Purpose: LoadReports, Distance: OtherZone, Direction: Received}: true,
+		{Purpose: Watches, Distance: SameZone, Direction: Sent}:          true,
+		{Purpose: Watches, Distance: SameZone, Direction: Received}:      true,
 	}, counts)
 	assert.Equal(t, serverMeter.countersFor(Callers, Unknown)[Received].Load(), total[Sent])
 	// The server counts a write after it has returned, which may be after the client has read it.
@@ -149,7 +149,7 @@
 // TestCollector guards against wrong values or labels of exported metrics.
 func TestCollector(t *testing.T) {
 	meter := &Meter{}
-	meter.Add(Uses, OtherRegion, Received, 42)
+	meter.Add(QuotaReports, OtherRegion, Received, 42)
 	registry := prometheus.NewRegistry()
 	require.NoError(t, registry.Register(NewCollector(meter, "bytes_total")))
 	families, err := registry.Gather()
