--- a/internal/attempt/machine_test.go
+++ b/internal/attempt/machine_test.go
@@ -187,7 +187,7 @@
 	assert.Zero(t, d.machine.Stats().Retries)
 }
 
-func TestMachineDeadline(t *testing.T) {
+func TestMachineReportsNotRunAtDeadlineOnlyBeforeDispatch(t *testing.T) {
 	request := attempt.Request{Deadline: time.Second}
 	waiting := newDriver(t, request, newBudget())
 	late := find[attempt.RequestPlacement](waiting)
--- a/internal/cachefeed/cachefeed_test.go
+++ b/internal/cachefeed/cachefeed_test.go
@@ -206,10 +206,10 @@
 // source is a node of the zone that follows the cache.
 type source struct {
 	log *Log
-	// The source does not answer from silentFrom to silentTo: it has crashed, is frozen or is
+	// The source does not answer from outageFrom to silentTo: it has crashed, is frozen or is
 	// partitioned.
-	silentFrom time.Duration
-	silentTo   time.Duration
+	outageFrom time.Duration
+	outageTo   time.Duration
 }
 
 // Sources fall silent at random, on a virtual clock. As long as any source answers, the follower
@@ -224,8 +224,8 @@
 			for index, node := range order {
 				from := time.Duration(random.Int64N(int64(20 * time.Second)))
 				sources[node] = &source{
-					log: NewLog(uint64(index+1), 50), silentFrom: from,
-					silentTo: from + time.Duration(random.Int64N(int64(10*time.Second))),
+					log: NewLog(uint64(index+1), 50), outageFrom: from,
+					outageTo: from + time.Duration(random.Int64N(int64(10*time.Second))),
 				}
 			}
 			selector, follower := NewSelector(0), newReplica()
@@ -251,7 +251,7 @@
 					log.Observe("cache", false, []Change{{Block: fleet.BlockHash(now / time.Millisecond % 7), Stored: false}})
 				}
 				source := sources[node]
-				if now >= source.silentFrom && now < source.silentTo {
+				if now >= source.outageFrom && now < source.outageTo {
 					now += detectionTime
 					selector.MarkFailed(now, node)
 					follower.Reset()
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -24,8 +24,8 @@
 // stalePeer is a peer that counts as unreachable for a tenant that has been near its limit for
 // longer than since.
 type stalePeer struct {
-	since time.Duration
-	share float64
+	timeout time.Duration
+	share   float64
 }
 
 // forAccount returns the share that applies to a tenant. While the tenant is near its limit, the
@@ -36,7 +36,7 @@
 		return share
 	}
 	for _, peer := range s.stale {
-		if s.now > account.nearLimitSince+peer.since {
+		if s.now > account.nearLimitSince+peer.timeout {
 			share -= peer.share
 		}
 	}
@@ -63,7 +63,7 @@
 	stale := time.Duration(l.reportRounds) * nearLimitPeerTimeout
 	for _, peer := range l.peers {
 		if !peer.unreachable && now > peer.lastReportAt+stale {
-			result.stale = append(result.stale, stalePeer{since: stale, share: result.reachable * peer.weight / total})
+			result.stale = append(result.stale, stalePeer{timeout: stale, share: result.reachable * peer.weight / total})
 		}
 	}
 	if l.joinTimedOut && now < l.started+partitionGuardPeriod {
