--- a/internal/attempt/forwarding.go
+++ b/internal/attempt/forwarding.go
@@ -15,8 +15,7 @@
 	maxRejections = 3
 	// minTimeLeft is the time before the deadline below which no further attempt is made.
 	minTimeLeft = 15 * time.Millisecond
-	// maxThrottled limits the sends of a request that are held back because the worker is at its
-	// limit.
+	// maxThrottled limits the sends of a request that are withheld because the worker is at its limit.
 	maxThrottled = 8
 )
 
@@ -91,10 +90,9 @@
 	StepContinue
 	// StepDeliver passes the answer to the caller.
 	StepDeliver
-	// StepFail ends the request with an error of the router's own.
+	// StepFail ends the request with an error of the router.
 	StepFail
-	// StepAbort breaks off the answer in delivery in such a way that the caller cannot mistake it
-	// for a complete one.
+	// StepAbort ends the answer in delivery so that the caller cannot mistake it for a complete one.
 	StepAbort
 )
 
@@ -120,8 +118,8 @@
 	return f.retry(now, false)
 }
 
-// Throttled records that a send was held back because the worker is at its limit, which frees up
-// after retryAfter. The same worker may be chosen again.
+// Throttled records that a send was withheld because the worker is at its limit. retryAfter is the
+// time until the worker may have capacity; the same worker may be chosen again.
 func (f *Forwarding) Throttled(now time.Duration, retryAfter time.Duration) Step {
 	if f.continuing {
 		return f.continuationFailed(now)
--- a/internal/cachefeed/cachefeed_test.go
+++ b/internal/cachefeed/cachefeed_test.go
@@ -56,9 +56,8 @@
 	r.wanted[cache] = true
 }
 
-// After each answer, a replica must match the log that it follows, whatever it missed: replicas
-// query at random times, switch between two logs of the same caches, lose answers and change the
-// caches that they want.
+// After each answer, a replica must match the log that it follows, also after lost answers and
+// changes of the log or of the wanted caches.
 func TestFollowersMatchLog(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -168,7 +167,7 @@
 	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
 	assert.Equal(t, fleet.NodeID("b"), choose(now+FailbackDelay-1, order), "the working source is kept")
-	assert.Equal(t, fleet.NodeID("a"), choose(now+FailbackDelay, order), "until the failback delay has passed")
+	assert.Equal(t, fleet.NodeID("a"), choose(now+FailbackDelay, order), "the failback delay has passed")
 	now += FailbackDelay
 	selector.MarkFailed(now, "a")
 	assert.Equal(t, fleet.NodeID("b"), choose(now, order))
@@ -206,15 +205,13 @@
 // source is a node of the zone that follows the cache.
 type source struct {
 	log *Log
-	// The source does not answer from outageFrom to silentTo: it has crashed, is frozen or is
-	// partitioned.
+	// The source does not answer from outageFrom to outageTo.
 	outageFrom time.Duration
 	outageTo   time.Duration
 }
 
-// Sources fall silent at random, on a virtual clock. As long as any source answers, the follower
-// must match the cache, with a delay of at most the time to detect the silent ones. If none
-// answers, the follower must be allowed to read the cache directly after the grace period.
+// While sources have outages, the follower must match the cache as long as any source answers, and
+// must be allowed to read the cache directly if none does.
 func TestFollowerFailsOverToStandby(t *testing.T) {
 	order := []fleet.NodeID{"a", "b", "c"}
 	for seed := range uint64(300) {
--- a/internal/cachefeed/log.go
+++ b/internal/cachefeed/log.go
@@ -231,22 +231,22 @@
 	return updates
 }
 
-func (f *cacheDelta) apply(next entry) {
+func (d *cacheDelta) apply(next entry) {
 	switch next.kind {
 	case entryReset, entryLost:
-		f.reset, f.lost = next.kind == entryReset, next.kind == entryLost
-		clear(f.blocks)
+		d.reset, d.lost = next.kind == entryReset, next.kind == entryLost
+		clear(d.blocks)
 	default:
-		f.blocks[next.block] = next.kind == entryStored
+		d.blocks[next.block] = next.kind == entryStored
 	}
 }
 
-func (f *cacheDelta) update(cache fleet.EngineID) Update {
-	update := Update{Cache: cache, Reset: f.reset, Lost: f.lost}
-	for block, stored := range f.blocks {
+func (d *cacheDelta) update(cache fleet.EngineID) Update {
+	update := Update{Cache: cache, Reset: d.reset, Lost: d.lost}
+	for block, stored := range d.blocks {
 		if stored {
 			update.Stored = append(update.Stored, block)
-		} else if !f.reset {
+		} else if !d.reset {
 			update.Removed = append(update.Removed, block)
 		}
 	}
--- a/internal/nodecapacity/capacity.go
+++ b/internal/nodecapacity/capacity.go
@@ -11,7 +11,8 @@
 // Limits holds the resources that a machine gives one process. A zero field is unknown and limits
 // nothing.
 type Limits struct {
-	// ProcessorShare is the fraction of a core that the process gets, on one of Cores cores.
+	// ProcessorShare is the processor time that the process gets, in cores. The machine has Cores
+	// cores.
 	ProcessorShare float64
 	Cores          int
 	// MemoryMB is the memory in MiB at which the process is killed.
--- a/internal/nodecapacity/pressure.go
+++ b/internal/nodecapacity/pressure.go
@@ -82,9 +82,9 @@
 			most = resource
 		}
 	}
-	hard := max(usage[Memory], usage[Descriptors])
+	exhaustible := max(usage[Memory], usage[Descriptors])
 	switch {
-	case hard > fullAbove || (m.pressure == Full && hard > fullBelow):
+	case exhaustible > fullAbove || (m.pressure == Full && exhaustible > fullBelow):
 		m.pressure, m.low = Full, false
 	case m.pressure == Full || usage[most] > busyAbove:
 		m.pressure, m.low = Busy, false
--- a/internal/quarantine/lostruns_test.go
+++ b/internal/quarantine/lostruns_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, []Fingerprint{fingerprintFor(1)}, lost.WorkerCrashed(1700*time.Millisecond, "w", RowRemoved))
 	lost.Observe(0, "v", fingerprintFor(1), ConnectionBroken)
 	assert.Empty(t, lost.WorkerCrashed(lossWindow, "v", RowRemoved), "too long before this crash")
-	assert.Empty(t, lost.WorkerCrashed(0, "unheard", ConnectionRefused))
+	assert.Empty(t, lost.WorkerCrashed(0, "unknown", ConnectionRefused))
 }
 
 // TestAbandonedRunsCountShortlyBeforeCrash guards against crashes that aren't attributed to requests
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -94,9 +94,9 @@
 type simulationOutcome struct {
 	harmless, refused       int
 	crashes, harmfulCrashes int
-	lateArrivals            int
 	// lateArrivals counts the harmful requests that reached workers more than three seconds after
 	// the third crash, maxLateArrivals the most of one body.
+	lateArrivals              int
 	maxLateArrivals, messages int
 }
 
@@ -161,8 +161,8 @@
 func isHarmful(body string) bool { return len(body) > 7 && body[:7] == "harmful" }
 
 func fingerprintOf(body string) Fingerprint {
-	subject := RequestIdentity{Body: []byte(body)}
-	return subject.Fingerprint()
+	identity := RequestIdentity{Body: []byte(body)}
+	return identity.Fingerprint()
 }
 
 // send sends a request to a random worker unless it is quarantined. It is lost if the worker is down.
@@ -182,14 +182,14 @@
 		s.schedule(s.exponential(400*time.Millisecond), func() { s.answer(worker, run) })
 		return
 	}
-	if third, ended := s.thirdCrashAt[run.body]; ended && s.now > third+3*time.Second {
+	if third, found := s.thirdCrashAt[run.body]; found && s.now > third+3*time.Second {
 		s.outcome.lateArrivals++
 		s.harmfulCounts["late "+run.body]++
 		s.outcome.maxLateArrivals = max(s.outcome.maxLateArrivals, s.harmfulCounts["late "+run.body])
 	}
-	name := s.runNumbers[worker]
+	runNumber := s.runNumbers[worker]
 	s.schedule(30*time.Millisecond+s.exponential(80*time.Millisecond), func() {
-		if s.runNumbers[worker] == name && s.up[worker] {
+		if s.runNumbers[worker] == runNumber && s.up[worker] {
 			s.countHarmfulCrash(run.body)
 			s.crash(worker)
 		}
@@ -218,17 +218,17 @@
 	}
 }
 
-// scheduleCrashes crashes count workers at random times.
-func (s *simulation) scheduleCrashes(every time.Duration, count int) {
-	if every <= 0 {
+// scheduleCrashes crashes count workers at once at random times, interval apart on average.
+func (s *simulation) scheduleCrashes(interval time.Duration, count int) {
+	if interval <= 0 {
 		return
 	}
-	s.schedule(s.exponential(every), func() {
+	s.schedule(s.exponential(interval), func() {
 		first := s.random.IntN(s.workers)
 		for offset := range count {
 			s.crash((first + offset) % s.workers)
 		}
-		s.scheduleCrashes(every, count)
+		s.scheduleCrashes(interval, count)
 	})
 }
 
@@ -326,8 +326,7 @@
 }
 
 // TestQuarantineStopsHarmfulRequestsAndFewOthers guards against harmful requests that keep crashing
-// workers, and against harmless ones that are refused. It compares thresholds, grace periods and
-// notification schemes.
+// workers, and against harmless ones that are refused. It logs other configurations for comparison.
 func TestQuarantineStopsHarmfulRequestsAndFewOthers(t *testing.T) {
 	const seeds = 8
 	outcomes := make(map[string]simulationOutcome)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -48,26 +48,26 @@
 )
 
 func (o *Options) setDefaults() {
-	for _, bound := range []struct {
+	for _, option := range []struct {
 		field    *time.Duration
 		fallback time.Duration
 	}{
 		{&o.GracePeriod, DefaultGracePeriod}, {&o.TrialDelay, DefaultTrialDelay},
 		{&o.QuarantineRetention, DefaultQuarantineRetention}, {&o.SuspectRetention, DefaultSuspectRetention},
 	} {
-		if *bound.field <= 0 {
-			*bound.field = bound.fallback
+		if *option.field <= 0 {
+			*option.field = option.fallback
 		}
 	}
-	for _, bound := range []struct {
+	for _, option := range []struct {
 		field    *int
 		fallback int
 	}{
 		{&o.Threshold, DefaultThreshold}, {&o.TrialDelayFactor, DefaultTrialDelayFactor},
 		{&o.MaxTrials, DefaultMaxTrials}, {&o.MaxRecords, DefaultMaxRecords},
 	} {
-		if *bound.field <= 0 {
-			*bound.field = bound.fallback
+		if *option.field <= 0 {
+			*option.field = option.fallback
 		}
 	}
 }
--- a/internal/quota/failures_test.go
+++ b/internal/quota/failures_test.go
@@ -22,7 +22,7 @@
 }
 
 // newFailurePlan draws one or two failures at random times. It never combines a partition with a
-// restart of all nodes: nodes that restart while partitioned can'p detect the other side, and each
+// restart of all nodes: nodes that restart while partitioned can't detect the other side, and each
 // side of eight nodes or more then has the whole limit.
 func newFailurePlan(random *rand.Rand) *failurePlan {
 	plan := &failurePlan{}
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -12,7 +12,7 @@
 	// weight is the ratio of the peer's request rate to this node's. Both rates are taken at the
 	// same time, so a burst at all nodes doesn't change it. It is 1 until the peer has reported.
 	weight float64
-	// lastReportAt is when the peer last reported, or when it was added.
+	// lastReportAt is when the peer last reported, or when it was added if it hasn't yet.
 	lastReportAt time.Duration
 	// reported is set once the peer has reported.
 	reported bool
@@ -60,8 +60,8 @@
 	peer.unreachable = false
 }
 
-// synchronize adopts a peer's knowledge of what was used before this node's start. Tenants that are
-// missing in the report have used nothing.
+// synchronize adopts the use before this node's start from a peer's report. Tenants that are missing
+// in the report have used nothing.
 func (l *Limiter) synchronize(report Report) {
 	l.joining = false
 	for _, account := range l.accounts {
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -56,9 +56,9 @@
 func (l load) run(f *simFleet, duration time.Duration) {
 	for end := f.now + duration; f.now < end; {
 		for _, tenant := range slices.Sorted(maps.Keys(f.limits)) {
-			chance := l.multiple * f.limits[tenant].Rate / meanTokens * simStep.Seconds()
-			for ; chance > 0; chance-- {
-				if f.random.Float64() >= chance {
+			expected := l.multiple * f.limits[tenant].Rate / meanTokens * simStep.Seconds()
+			for ; expected > 0; expected-- {
+				if f.random.Float64() >= expected {
 					continue
 				}
 				if node := l.pickNode(f); node.downUntil == 0 {
@@ -83,12 +83,12 @@
 	for seed := range uint64(40) {
 		limit := testLimits()[bigTenant]
 		f := newSimFleet(seed, 12, testOptions(true), map[fleet.TenantName]Limit{bigTenant: limit}, false)
-		single := newAccount(f.now, limit, limit.Burst)
+		singleBucket := newAccount(f.now, limit, limit.Burst)
 		f.onDecision = func(amount float64, decision Decision) {
-			single.drain(f.now, shares{reachable: 1})
-			left := single.available(1, false)
+			singleBucket.drain(f.now, shares{reachable: 1})
+			left := singleBucket.available(1, false)
 			if decision.Admitted {
-				single.take(f.now, amount)
+				singleBucket.take(f.now, amount)
 				return
 			}
 			require.Less(t, left, amount+lagFraction*limit.Burst, "seed %d: refused %.0f of %.0f", seed, amount, left)
@@ -110,24 +110,22 @@
 					used += use.amount
 				}
 			}
-			whole := limit.Rate*16 + limit.Burst
-			require.GreaterOrEqual(t, used, 0.97*whole, "seed %d, tenant %s", seed, tenant)
+			wholeLimit := limit.Rate*16 + limit.Burst
+			require.GreaterOrEqual(t, used, 0.97*wholeLimit, "seed %d, tenant %s", seed, tenant)
 			require.Negative(t, f.excess(tenant, limit, 0), "seed %d, tenant %s", seed, tenant)
 		}
 	}
 }
 
-// seedCount is the number of random failure allSeeds.
+// seedCount is the number of random failure plans.
 const seedCount = 60
 
-// regressionSeeds covers two past failures. 1126 is a partition just after nodes were added, whose
-// sides lowered each other's deficits once it had healed. 1003 is a partition soon after a start of
-// all nodes, which was detected too late.
+// regressionSeeds are seeds of rare failure plans: 1003 has a partition soon after the start of all
+// nodes, 1126 one just after nodes were added.
 var regressionSeeds = []uint64{1003, 1126}
 
-// TestLimitsHoldUnderFailures guards against exceeded limits under overload while nodes are
-// partitioned, killed, restarted together or added, limits change, callers use a few nodes only, or
-// clocks drift by up to 9%.
+// TestLimitsHoldUnderFailures guards against exceeded limits under overload while nodes fail or are
+// added, limits change, callers use a few nodes only, or clocks drift by up to 9%.
 func TestLimitsHoldUnderFailures(t *testing.T) {
 	allSeeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(seedCount) {
@@ -161,13 +159,13 @@
 		load{multiple: 0.6, pickNode: anyNode}.run(f, 4*time.Second)
 		frozen := f.nodes[0]
 		frozen.frozenUntil = f.now + 7*time.Second
-		awake := func(f *simFleet) *simNode {
+		pickRunning := func(f *simFleet) *simNode {
 			if f.now < frozen.frozenUntil {
 				return f.nodes[1+f.random.IntN(len(f.nodes)-1)]
 			}
 			return anyNode(f)
 		}
-		load{multiple: 0.6, pickNode: awake}.run(f, 7*time.Second)
+		load{multiple: 0.6, pickNode: pickRunning}.run(f, 7*time.Second)
 		requests, refused := 0, 0
 		f.onDecision = func(_ float64, decision Decision) {
 			requests++
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -22,14 +22,14 @@
 }
 
 // stalePeer is a peer that counts as unreachable for a tenant that has been near its limit for
-// longer than since.
+// longer than timeout.
 type stalePeer struct {
 	timeout time.Duration
 	share   float64
 }
 
 // forAccount returns the share that applies to a tenant. While the tenant is near its limit, the
-// shares of peers that haven't answered since then are reserved for them.
+// shares of peers that haven't reported in that time are reserved for them.
 func (s shares) forAccount(account *account) float64 {
 	share := s.reachable
 	if !account.nearLimit {
--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -115,7 +115,7 @@
 
 // New returns a selector of a node that starts at now.
 func New(now time.Duration, options Options) *Selector {
-	for _, bound := range []struct {
+	for _, option := range []struct {
 		field    *time.Duration
 		fallback time.Duration
 	}{
@@ -125,8 +125,8 @@
 		{&options.ProbeSpacing, DefaultProbeSpacing}, {&options.StoreGracePeriod, DefaultStoreGracePeriod},
 		{&options.ProofGracePeriod, DefaultProofGracePeriod}, {&options.IsolatedAfter, DefaultIsolatedAfter},
 	} {
-		if *bound.field <= 0 {
-			*bound.field = bound.fallback
+		if *option.field <= 0 {
+			*option.field = option.fallback
 		}
 	}
 	if options.MaxSources <= 0 {
--- a/internal/routes/document.go
+++ b/internal/routes/document.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// KeepUnreadableQuotas replaces quotas that can't be parsed by those of the previous table, which may
-// be nil.
+// KeepUnreadableQuotas keeps the previous table's quota of each tenant whose quota can't be parsed.
+// previous may be nil.
 func (d *Document) KeepUnreadableQuotas(previous *Table) {
 	for index := range d.Tenants {
 		tenant := &d.Tenants[index]
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -41,7 +41,7 @@
 }
 
 // isUsable reports whether an idle connection is open and has nothing to read. Unsolicited bytes
-// may be a late answer, which must not be taken for the answer to the next request.
+// may be a late response, which must not be taken for the response to the next request.
 func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -28,7 +28,7 @@
 	Header http.Header
 	// ContentLength is the length of the body in bytes, or -1 if unknown.
 	ContentLength int64
-	// Reused reports whether the connection had carried an earlier exchange.
+	// Reused is set if the connection had carried an earlier exchange.
 	Reused bool
 
 	exchange *exchange
@@ -164,10 +164,10 @@
 	}
 	response, err := http.ReadResponse(e.conn.reader, outgoing)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	if response.StatusCode < http.StatusOK {
-		return nil, errors.Errorf("unexpected interim answer %d", response.StatusCode)
+		return nil, errors.Errorf("unexpected interim response %d", response.StatusCode)
 	}
 	if request.CheckResponse != nil {
 		if err := request.CheckResponse(response.StatusCode, response.Header); err != nil {
@@ -186,7 +186,7 @@
 }
 
 // send writes a request. A long body is written concurrently with the reading of the response,
-// since a worker may answer before it has read the whole body.
+// since a worker may respond before it has read the whole body.
 func (e *exchange) send(outgoing *http.Request, bodyLength int) error {
 	write := func() error {
 		buffered := bufio.NewWriterSize(e.conn, writeBufferSize)
--- a/internal/upstream/permit_test.go
+++ b/internal/upstream/permit_test.go
@@ -19,7 +19,7 @@
 	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		served++
-		_, _ = io.WriteString(writer, "good")
+		_, _ = io.WriteString(writer, "body")
 	}))
 	defer server.Close()
 	dialed := 0
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// A probe must tell a live worker from a dead one and must respect the limit on connections.
+// A probe must distinguish a live worker from a dead one and respect the limit on connections.
 func TestProbeDistinguishesLiveAndDeadWorkers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -39,7 +39,7 @@
 	// ErrTooManyConnections means that MaxConnections to the worker are in use.
 	ErrTooManyConnections = errors.New("too many connections")
 	// ErrResponseMismatch means that the response belongs to another request.
-	ErrResponseMismatch = errors.New("answer to another request")
+	ErrResponseMismatch = errors.New("response to another request")
 	// ErrUnsolicitedData means that an idle connection received data.
 	ErrUnsolicitedData = errors.New("unsolicited data on idle connection")
 )
--- a/internal/workerbackoff/simulation_test.go
+++ b/internal/workerbackoff/simulation_test.go
@@ -45,7 +45,7 @@
 	served, withheld int
 }
 
-// reportedBackoff is another node's report, which arrives at at.
+// reportedBackoff is another node's report of a backoff until a time. It arrives at the time at.
 type reportedBackoff struct {
 	from      int
 	at, until time.Duration
@@ -130,10 +130,9 @@
 }
 
 // TestUnsharedBackoffsStayWithinTheRetryBudget guards against more rejections than the retry budget
-// covers, and against requests withheld from a worker that rejects only those of one zone. It logs
-// the results of other sharing modes for comparison.
+// covers, and against requests withheld from a worker that rejects only those of one zone.
 func TestUnsharedBackoffsStayWithinTheRetryBudget(t *testing.T) {
-	everybody := func(int) bool { return true }
+	allNodes := func(int) bool { return true }
 	oneZone := func(node int) bool { return node%simZones == 0 }
 	for _, size := range []struct {
 		nodes     int
@@ -141,12 +140,12 @@
 		slack     int
 	}{{7, 22, 54}, {79, 130, 198}, {300, 150, 400}, {985, 180, 1040}} {
 		for _, mode := range []sharingMode{shareWithNone, shareWithAll, shareWithZone} {
-			all := newSimulation(size.nodes, mode, everybody)
+			all := newSimulation(size.nodes, mode, allNodes)
 			all.run(size.perSecond)
 			zone := newSimulation(size.nodes, mode, oneZone)
 			zone.run(size.perSecond)
-			lost := float64(zone.withheld) / float64(max(zone.withheld+zone.served, 1))
-			t.Logf("%d nodes, mode %d: %d rejections in 10 s if all requests are rejected; %.2f of the other zones' requests withheld if those of one zone are", size.nodes, mode, all.maxRejections(), lost)
+			withheldFraction := float64(zone.withheld) / float64(max(zone.withheld+zone.served, 1))
+			t.Logf("%d nodes, mode %d: %d rejections in 10 s if all requests are rejected; %.2f of the other zones' requests withheld if those of one zone are", size.nodes, mode, all.maxRejections(), withheldFraction)
 			if mode == shareWithNone {
 				assert.LessOrEqual(t, all.maxRejections(), size.slack, "slack of the retry budget")
 				assert.Zero(t, zone.withheld)
--- a/internal/workerbackoff/tracker.go
+++ b/internal/workerbackoff/tracker.go
@@ -1,9 +1,9 @@
 // Package workerbackoff tracks for how long workers have asked this node to send no requests.
 //
-// A worker that rejects a request may state a time for which it wants none. Until that time is over
-// the worker is closed. Then it is half open: one request at a time is sent, until one is answered
-// without another backoff. The end of a backoff is jittered, since many nodes may have received it
-// at the same time.
+// A worker that rejects a request may ask for a backoff: a time during which no requests are sent to
+// it. Until its end the worker is closed. Then it is half open: one request at a time is sent, until
+// one is answered without another backoff. The end of a backoff is jittered, since many nodes may
+// have received it at the same time.
 //
 // The package has no I/O and no clock: times are passed in, on the process's steady clock.
 package workerbackoff
@@ -20,7 +20,7 @@
 	// jitterFraction is the fraction of a backoff over which its end is jittered, up to maxJitter.
 	jitterFraction = 0.1
 	maxJitter      = 500 * time.Millisecond
-	// trialTimeout is how long a half-open worker gets no further request while one is unanswered.
+	// trialTimeout is how long an unanswered request to a half-open worker holds back the next one.
 	trialTimeout = time.Second
 )
 
@@ -52,8 +52,8 @@
 	return &Tracker{random: random, entries: make(map[fleet.EngineID]*entry)}
 }
 
-// Extend records that a run wants no requests for a time from now on, and reports whether that
-// extends its backoff. A time that ends earlier than the present backoff changes nothing.
+// Extend records that a run has asked for a backoff from now on, and reports whether that extends
+// its backoff. A request that ends earlier than the present backoff changes nothing.
 func (t *Tracker) Extend(now time.Duration, run Run, wait time.Duration) bool {
 	known := t.entries[run.Worker]
 	switch {
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -18,8 +18,8 @@
 	extraRequestPeriod = 2 * time.Second
 	// maxRetrySpread bounds how much later than the next refill refused nodes are to ask again.
 	maxRetrySpread = 400 * time.Millisecond
-	// reservationPeriod is how much longer than its wait a refused request of a more urgent
-	// priority has room reserved.
+	// reservationPeriod is how long after its wait a refused request keeps its reservation against
+	// less urgent ones.
 	reservationPeriod = 250 * time.Millisecond
 	// bucketIdleTimeout is how long after its last use a worker's bucket is dropped.
 	bucketIdleTimeout = 30 * time.Second
@@ -32,7 +32,7 @@
 type Grant struct {
 	Granted bool
 	// Wait is the time after which to ask again for requests of the same or a less urgent priority.
-	// Refill is the time after which to ask again for more urgent ones. Nobody gets room earlier.
+	// Refill is the time after which to ask again for more urgent ones; none is granted earlier.
 	Wait   time.Duration
 	Refill time.Duration
 }
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -103,8 +103,8 @@
 // independent lets each node use the whole limit.
 type independent struct{ limiters []*Limiter }
 
-func (a *independent) request(s *simulation, node, priority int) {
-	if a.limiters[node].Acquire(s.now, "w", s.rate, 1, priority).Granted {
+func (i *independent) request(s *simulation, node, priority int) {
+	if i.limiters[node].Acquire(s.now, "w", s.rate, 1, priority).Granted {
 		s.send(priority)
 	}
 }
@@ -112,10 +112,10 @@
 // equalShares gives each node an equal share of the limit.
 type equalShares struct{ levels []float64 }
 
-func (d *equalShares) request(s *simulation, node, priority int) {
+func (e *equalShares) request(s *simulation, node, priority int) {
 	allowed := float64(s.rate) / float64(s.nodes)
-	if s.now.Seconds()*allowed+1 > d.levels[node]+1 && s.now.Seconds()*allowed >= d.levels[node] {
-		d.levels[node] = max(d.levels[node], s.now.Seconds()*allowed-1) + 1
+	if s.now.Seconds()*allowed+1 > e.levels[node]+1 && s.now.Seconds()*allowed >= e.levels[node] {
+		e.levels[node] = max(e.levels[node], s.now.Seconds()*allowed-1) + 1
 		s.send(priority)
 	}
 }
@@ -123,17 +123,17 @@
 // replicated gives each node a copy of the bucket and reports each request to all others.
 type replicated struct{ copies []*bucket }
 
-func (c *replicated) request(s *simulation, node, priority int) {
-	own := c.copies[node]
+func (r *replicated) request(s *simulation, node, priority int) {
+	own := r.copies[node]
 	own.refill(s.now, max(s.rate, minRate))
 	if own.tokens < 1 {
 		return
 	}
 	own.tokens--
 	s.send(priority)
-	for other := range c.copies {
+	for other := range r.copies {
 		if other != node {
-			s.deliver(func() { c.copies[other].refill(s.now, max(s.rate, minRate)); c.copies[other].tokens-- })
+			s.deliver(func() { r.copies[other].refill(s.now, max(s.rate, minRate)); r.copies[other].tokens-- })
 		}
 	}
 }
@@ -145,27 +145,27 @@
 }
 
 func newCentral(nodes int, rate Rate) *central {
-	g := &central{limiter: NewLimiter()}
+	c := &central{limiter: NewLimiter()}
 	for range nodes {
 		tracker := NewTracker()
 		tracker.Observe(Observation{Worker: "w", Limited: true, Rate: rate})
-		g.trackers = append(g.trackers, tracker)
+		c.trackers = append(c.trackers, tracker)
 	}
-	return g
+	return c
 }
 
-func (g *central) request(s *simulation, node, priority int) {
-	if g.trackers[node].ClosedFor(s.now, "w", priority) > 0 {
+func (c *central) request(s *simulation, node, priority int) {
+	if c.trackers[node].ClosedFor(s.now, "w", priority) > 0 {
 		return
 	}
 	s.deliver(func() {
-		answer := g.limiter.Acquire(s.now, "w", s.rate, 1, priority)
+		answer := c.limiter.Acquire(s.now, "w", s.rate, 1, priority)
 		s.deliver(func() {
 			if answer.Granted {
 				s.send(priority)
 				return
 			}
-			g.trackers[node].ObserveRefusal(s.now, "w", priority, answer)
+			c.trackers[node].ObserveRefusal(s.now, "w", priority, answer)
 		})
 	})
 }
@@ -190,7 +190,7 @@
 			for _, times := range []float64{2, 4} {
 				s := newSimulation(uint64(nodes), nodes, rate)
 				s.run(newCentral(nodes, rate), times*float64(rate), 120*time.Second)
-				assert.GreaterOrEqual(t, s.utilization(5*time.Second), 0.8, "%d nodes, %v a second, %v times as many requests", nodes, rate, times)
+				assert.GreaterOrEqual(t, s.utilization(5*time.Second), 0.8, "%d nodes, %v per second, %v times as many requests", nodes, rate, times)
 			}
 		}
 	}
@@ -201,12 +201,12 @@
 func TestCentralGrantsEnforceAndUseTheLimit(t *testing.T) {
 	for _, nodes := range []int{1, 7, 79, 300, 985} {
 		for _, rate := range []Rate{0, 0.1, 0.5, 2, 10, 100} {
-			t.Run(fmt.Sprintf("%d nodes, %v a second", nodes, rate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d nodes, %v per second", nodes, rate), func(t *testing.T) {
 				s := simulate(uint64(nodes), newCentral(nodes, rate), nodes, rate)
 				count, fraction := s.worstWindow()
 				assert.LessOrEqual(t, fraction, 1.0, "%d requests in a window", count)
 				assert.GreaterOrEqual(t, s.utilization(5*time.Second), 0.8)
-				t.Logf("worst window %d (%.2f of what is allowed), used %.2f, %.0f messages a second", count, fraction,
+				t.Logf("worst window %d (%.2f of what is allowed), used %.2f, %.0f messages per second", count, fraction,
 					s.utilization(5*time.Second), float64(s.messages)/s.now.Seconds())
 			})
 		}
