--- a/internal/attempt/forwarding_test.go
+++ b/internal/attempt/forwarding_test.go
@@ -106,7 +106,7 @@
 	require.Equal(t, StepDeliver, resumable.Answered(0, workerRun(1), false).Kind)
 	resumable.DeliveryStarted()
 	require.Equal(t, StepContinue, resumable.Truncated(0, workerRun(1), true).Kind)
-	assert.Equal(t, StepSend, resumable.Rejected(0, workerRun(2)).Kind, "runs again if there is no copy")
+	assert.Equal(t, StepSend, resumable.Rejected(0, workerRun(2)).Kind, "without a copy the request runs again")
 }
 
 func TestAnswerTruncatedBeforeDeliveryCountsAsRun(t *testing.T) {
@@ -178,13 +178,13 @@
 
 func TestDeniedRequestReportsNotRunOnlyIfNoSendMayHaveRun(t *testing.T) {
 	machine := newTestForwarding(ForwardingPolicy{Idempotent: true, MaxRuns: 3})
-	step := machine.Denied(resultcode.Quarantined, "held", time.Minute)
-	assert.Equal(t, Step{Kind: StepFail, Code: resultcode.Quarantined, Reason: "held", RetryAfter: time.Minute}, step)
+	step := machine.Denied(resultcode.Quarantined, "quarantined", time.Minute)
+	assert.Equal(t, Step{Kind: StepFail, Code: resultcode.Quarantined, Reason: "quarantined", RetryAfter: time.Minute}, step)
 	assert.True(t, resultcode.Lookup(step.Code).NotRun)
 
 	machine = newTestForwarding(ForwardingPolicy{Idempotent: true, MaxRuns: 3})
 	require.Equal(t, StepSend, machine.Unanswered(0, workerRun(1)).Kind)
-	step = machine.Denied(resultcode.Quarantined, "held", time.Minute)
+	step = machine.Denied(resultcode.Quarantined, "quarantined", time.Minute)
 	assert.Equal(t, resultcode.EngineFailed, step.Code)
 	assert.False(t, resultcode.Lookup(step.Code).NotRun)
 	assert.Zero(t, step.RetryAfter)
@@ -192,7 +192,7 @@
 	machine = newTestForwarding(ForwardingPolicy{Resumable: true, MaxRuns: 3})
 	machine.Answered(0, workerRun(1), false)
 	machine.DeliveryStarted()
-	assert.Equal(t, StepAbort, machine.Denied(resultcode.Quarantined, "held", 0).Kind)
+	assert.Equal(t, StepAbort, machine.Denied(resultcode.Quarantined, "quarantined", 0).Kind)
 }
 
 // A throttled send must be retried a limited number of times and then refused as not run, with the
--- a/internal/attempt/machine_test.go
+++ b/internal/attempt/machine_test.go
@@ -52,9 +52,9 @@
 
 // grantAndDispatch answers the placement request with a grant.
 func (d *driver) grantAndDispatch(engineID fleet.EngineID) attempt.Dispatch {
-	ask := find[attempt.RequestPlacement](d)
+	placement := find[attempt.RequestPlacement](d)
 	run := fleet.EngineRun{Engine: engineID, Incarnation: 1}
-	d.send(attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, Run: run})
+	d.send(attempt.Granted{Operation: placement.Operation, Attempt: placement.Attempt, Run: run})
 	return find[attempt.Dispatch](d)
 }
 
@@ -85,9 +85,9 @@
 	resume := find[attempt.Resume](d)
 	assert.Equal(t, 1, resume.Offset)
 	d.send(attempt.ResumeFailed{Operation: resume.Operation})
-	ask := find[attempt.RequestPlacement](d)
-	assert.Equal(t, []fleet.EngineRun{first.Run}, ask.Excluded)
-	assert.Equal(t, 1, ask.ContinuationTokens)
+	placement := find[attempt.RequestPlacement](d)
+	assert.Equal(t, []fleet.EngineRun{first.Run}, placement.Excluded)
+	assert.Equal(t, 1, placement.ContinuationTokens)
 	second := d.grantAndDispatch("b")
 	assert.Equal(t, []string{"zero"}, second.Continuation)
 	d.send(
@@ -205,8 +205,8 @@
 
 func TestMachineIgnoresAnExpiredGrant(t *testing.T) {
 	d := newDriver(t, attempt.Request{}, newBudget())
-	ask := find[attempt.RequestPlacement](d)
-	d.send(attempt.Granted{Operation: ask.Operation, Attempt: ask.Attempt, ValidUntil: 1})
+	placement := find[attempt.RequestPlacement](d)
+	d.send(attempt.Granted{Operation: placement.Operation, Attempt: placement.Attempt, ValidUntil: 1})
 	assert.Equal(t, attempt.ReportAbandoned, find[attempt.Report](d).Phase)
-	assert.Greater(t, find[attempt.RequestPlacement](d).Attempt, ask.Attempt)
+	assert.Greater(t, find[attempt.RequestPlacement](d).Attempt, placement.Attempt)
 }
--- a/internal/attempt/window_test.go
+++ b/internal/attempt/window_test.go
@@ -27,7 +27,7 @@
 		budget.Deposit(time.Duration(number) * 100 * time.Millisecond)
 	}
 	assert.Equal(t, 22, spend(budget, 9900*time.Millisecond), "0.2 times 100 attempts and the initial slack")
-	assert.Zero(t, spend(budget, 15*time.Second), "budget is spent and half of the attempts have left the window")
+	assert.Zero(t, spend(budget, 15*time.Second), "the budget is spent and half of the attempts have left the window")
 	assert.Equal(t, 4, spend(budget, 20500*time.Millisecond), "only the slack")
 }
 
