--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -22,21 +22,21 @@
 }
 
 // stalePeer is a peer that counts as unreachable for a tenant that has been near its limit for
-// longer than since.
+// longer than timeout.
 type stalePeer struct {
-	since time.Duration
-	share float64
+	timeout time.Duration
+	share   float64
 }
 
 // forAccount returns the share that applies to a tenant. While the tenant is near its limit, the
-// shares of peers that haven't answered since then are reserved for them.
+// shares of peers that haven't reported in that time are reserved for them.
 func (s shares) forAccount(account *account) float64 {
 	share := s.reachable
 	if !account.nearLimit {
 		return share
 	}
 	for _, peer := range s.stale {
-		if s.now > account.nearLimitSince+peer.since {
+		if s.now > account.nearLimitSince+peer.timeout {
 			share -= peer.share
 		}
 	}
@@ -62,8 +62,8 @@
 	result.reachable = max(result.reachable, 0)
 	stale := time.Duration(l.reportRounds) * nearLimitPeerTimeout
 	for _, peer := range l.peers {
-		if !peer.unreachable && now > peer.lastHeardAt+stale {
-			result.stale = append(result.stale, stalePeer{since: stale, share: result.reachable * peer.weight / total})
+		if !peer.unreachable && now > peer.lastReportAt+stale {
+			result.stale = append(result.stale, stalePeer{timeout: stale, share: result.reachable * peer.weight / total})
 		}
 	}
 	if l.joinTimedOut && now < l.started+partitionGuardPeriod {
@@ -101,7 +101,7 @@
 			left -= peer.share
 		default:
 			total += peer.weight
-			if now > peer.lastHeardAt+time.Duration(l.reportRounds)*peerTimeout {
+			if now > peer.lastReportAt+time.Duration(l.reportRounds)*peerTimeout {
 				lost = append(lost, peer)
 			}
 		}
