--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -101,9 +101,9 @@
 
 // PartChange reports that a cache has added or evicted a part.
 type PartChange struct {
-	Held  bool
-	Scope string
-	Part  string
+	Stored bool
+	Scope  string
+	Part   string
 }
 
 // ObserveCache applies changes of a run's cache, in order. If reset is set, the parts recorded
@@ -112,7 +112,7 @@
 func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
 	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		relayed[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Held}
+		relayed[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Stored}
 	}
 	r.ObserveRelayedCache(run, reset, relayed)
 	return relayed
--- a/internal/backends/search.go
+++ b/internal/backends/search.go
@@ -29,9 +29,9 @@
 const (
 	// verdictIneligible: the worker is gone, or the request may not go to its software version.
 	verdictIneligible verdict = iota
-	// verdictTried: the request was already sent to the run. verdictNoConnection: this node has no
+	// verdictExcluded: the request was already sent to the run. verdictNoConnection: this node has no
 	// free connection to the worker.
-	verdictTried
+	verdictExcluded
 	verdictNoConnection
 	// verdictOutdated: the model version is too old. verdictFull: the worker has reached its
 	// maximum number of streams.
@@ -155,7 +155,7 @@
 		return ReasonFull
 	case counts[verdictNotReadyOutdated] > 0:
 		return ReasonVersion
-	case counts[verdictTried] > 0:
+	case counts[verdictExcluded] > 0:
 		return ReasonExcluded
 	default:
 		return ReasonNoWorker
@@ -187,7 +187,7 @@
 	case state.gone && !state.isLapsed(s.now), !s.software.Allows(state.worker.ID, state.worker.Software):
 		return verdictIneligible
 	case slices.Contains(s.request.Excluded, state.worker.Run()):
-		return verdictTried
+		return verdictExcluded
 	case s.request.HasConnection != nil && !s.request.HasConnection(&state.worker):
 		return verdictNoConnection
 	}
--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -153,7 +153,7 @@
 	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Rejected)
 }
 
-func TestRestore(t *testing.T) {
+func TestRestoreKeepsFinalStageAndNewerOrder(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageCompleted}}, 0)
 	directive := director.Evaluate(time.Hour, testObservation(0, 4)).Directive
@@ -207,15 +207,15 @@
 
 func TestSilentNodesAreDetected(t *testing.T) {
 	meter := newMeter(0)
-	require.True(t, meter.isSilent(0))
+	require.True(t, meter.isMissingReports(0))
 	judge := newJudge()
 	for node := range 4 {
 		meter.observe(conditions{now: time.Second}, fleet.NodeID(fmt.Sprint(node)), Evidence{}, judge)
 	}
-	require.False(t, meter.isSilent(2*time.Second))
-	require.True(t, meter.isSilent(3*time.Second))
+	require.False(t, meter.isMissingReports(2*time.Second))
+	require.True(t, meter.isMissingReports(3*time.Second))
 	meter.observe(conditions{now: 20 * time.Second}, "0", Evidence{}, judge)
-	require.False(t, meter.isSilent(20*time.Second), "nodes silent for longer than nodeRetention are ignored")
+	require.False(t, meter.isMissingReports(20*time.Second), "nodes silent for longer than nodeRetention are ignored")
 }
 
 // benchmarkEvidence returns a node's evidence for 3 routes and 60 workers of the target.
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -252,7 +252,7 @@
 	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Answers)
 }
 
-func TestChooseAllocatesNothing(t *testing.T) {
+func TestFilterAllocatesNothing(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
 	random := rand.New(rand.NewPCG(1, 1))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestCountsSince(t *testing.T) {
+func TestCountsOfRestartedNodeAreAllNew(t *testing.T) {
 	before := Counts{Answers: 5, Failures: 1}
 	before.Latency[3] = 4
 	after := Counts{Answers: 8, Failures: 2}
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -92,7 +92,7 @@
 	due            map[time.Duration][]simAnswer
 	order          Order
 	leader         *simNode
-	leaselessSince time.Duration // when the lease became free
+	leaseFreeSince time.Duration // when the lease became free
 	storeDown      bool
 	downSince      time.Duration
 	// loseWriteAcks makes successful writes return an error.
@@ -179,10 +179,10 @@
 	if s.leader != nil && !isUnavailable(s.leader) {
 		return
 	}
-	if s.leaselessSince == 0 {
-		s.leaselessSince = s.now
+	if s.leaseFreeSince == 0 {
+		s.leaseFreeSince = s.now
 	}
-	if s.leader != nil && s.now-s.leaselessSince >= simLeaseDuration {
+	if s.leader != nil && s.now-s.leaseFreeSince >= simLeaseDuration {
 		s.leader = nil
 	}
 	if s.leader != nil {
@@ -190,7 +190,7 @@
 	}
 	for _, node := range s.fleet {
 		if !isUnavailable(node) {
-			s.leaselessSince = 0
+			s.leaseFreeSince = 0
 			s.makeLeader(node)
 			return
 		}
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -150,7 +150,7 @@
 // isReadyToShift reports whether the target has enough slots, reports arrive and the evidence
 // against the target is weak.
 func (s *directorState) isReadyToShift(now time.Duration, counts workerCounts) bool {
-	return hasEnoughSlots(counts) && !s.meter.isSilent(now) && s.suspicion() < holdShiftScore
+	return hasEnoughSlots(counts) && !s.meter.isMissingReports(now) && s.suspicion() < holdShiftScore
 }
 
 // decideAtDeadline sets the verdict at the last moment before the deadline.
@@ -160,7 +160,7 @@
 		return s.rollBack(now, ReasonNoWorkers)
 	case !hasEnoughSlots(counts):
 		return s.rollBack(now, ReasonFewWorkers)
-	case s.meter.isSilent(now):
+	case s.meter.isMissingReports(now):
 		return s.resume(now, ReasonNoEvidence)
 	case !s.shifting || s.suspicion() >= deadlineRollbackScore:
 		return s.rollBack(now, ReasonUndecided)
@@ -252,7 +252,7 @@
 	switch {
 	case !hasEnoughSlots(counts):
 		return ReasonFewWorkers
-	case s.meter.isSilent(now):
+	case s.meter.isMissingReports(now):
 		return ReasonNoEvidence
 	default:
 		return ReasonUndecided
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTooFewWorkersOfTheTarget(t *testing.T) {
+func TestTooFewTargetWorkersAreRolledBack(t *testing.T) {
 	director := newTestDelivery(t)
 	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(20, 12)).Write, nil, nil)
 	decision := advanceTo(director, EvaluationInterval, 12*time.Second-finishReserve, testObservation(20, 12))
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// isSilent reports whether at least as many nodes have recently stopped reporting as still report.
+// isMissingReports reports whether at least as many nodes have recently stopped reporting as still report.
 // The director is then partitioned, or has just started.
-func (m *meter) isSilent(now time.Duration) bool {
+func (m *meter) isMissingReports(now time.Duration) bool {
 	reporting, silent := 0, 0
 	for _, reportedAt := range m.lastReport {
 		switch age := now - reportedAt; {
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -220,7 +220,7 @@
 func (g *Gateway) applyCacheEvents(cache followedCache, events *CacheEvents, restarted bool) {
 	changes := make([]backends.PartChange, 0, len(events.Events))
 	for _, event := range events.Events {
-		changes = append(changes, backends.PartChange{Held: event.Held, Scope: event.Scope, Part: event.Part})
+		changes = append(changes, backends.PartChange{Stored: event.Held, Scope: event.Scope, Part: event.Part})
 	}
 	reset := restarted || events.Lost
 	applied := g.workers.ObserveCache(cache.run, reset, changes)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -165,16 +165,16 @@
 	assert.Zero(t, first.holder.Revision())
 }
 
-func TestPullAnswersAreApplied(t *testing.T) {
+func TestPullResponsesAreApplied(t *testing.T) {
 	first := startPeer(t, "first")
 	snapshot, err := config.SnapshotMessage(document(1, 1))
 	require.NoError(t, err)
-	require.NoError(t, first.applyPullAnswer(&rpc.ChangesResponse{Snapshot: snapshot}))
+	require.NoError(t, first.applyPullResponse(&rpc.ChangesResponse{Snapshot: snapshot}))
 	change, err := config.Diff(document(1, 1), document(2, 2))
 	require.NoError(t, err)
 	changes, err := config.ChangeMessages([]config.Change{change})
 	require.NoError(t, err)
-	require.NoError(t, first.applyPullAnswer(&rpc.ChangesResponse{Changes: changes}))
+	require.NoError(t, first.applyPullResponse(&rpc.ChangesResponse{Changes: changes}))
 	assert.EqualValues(t, 2, first.holder.Revision())
-	assert.Error(t, first.applyPullAnswer(&rpc.ChangesResponse{Snapshot: &rpc.ConfigSnapshot{Revision: 3, Document: []byte("no JSON")}}))
+	assert.Error(t, first.applyPullResponse(&rpc.ChangesResponse{Snapshot: &rpc.ConfigSnapshot{Revision: 3, Document: []byte("no JSON")}}))
 }
--- a/internal/peer/timeouts_test.go
+++ b/internal/peer/timeouts_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongAnswerIsNotTimedOutAsSilent guards against a long response that began in time being
+// TestLongResponseIsNotTimedOut guards against a long response that began in time being
 // canceled, and against wrong causes for responses that do not begin or do not end.
-func TestLongAnswerIsNotTimedOutAsSilent(t *testing.T) {
+func TestLongResponseIsNotTimedOut(t *testing.T) {
 	const first, whole = 100 * time.Millisecond, 400 * time.Millisecond
 	for name, test := range map[string]struct {
 		before, after time.Duration
@@ -32,7 +32,7 @@
 				_, _ = writer.Write([]byte("end"))
 			}))
 			t.Cleanup(server.Close)
-			ctx, cancel := withAnswerTimeouts(t.Context(), first, whole)
+			ctx, cancel := withResponseTimeouts(t.Context(), first, whole)
 			defer cancel()
 			request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, http.NoBody)
 			require.NoError(t, err)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -61,9 +61,9 @@
 	return p.client(address).ShareLoad(ctx, report)
 }
 
-// answerBodyTimeout bounds the time from the first byte of a response to its last. A member may
+// responseBodyTimeout bounds the time from the first byte of a response to its last. A member may
 // send large responses to many others at once.
-const answerBodyTimeout = 3 * time.Second
+const responseBodyTimeout = 3 * time.Second
 
 // Causes of a canceled call: the response did not begin, or did not end, in time.
 var (
@@ -71,10 +71,10 @@
 	errBodyTimeout      = errors.New("response did not end in time")
 )
 
-// withAnswerTimeouts returns a context that ends if a response does not begin within first, or does
+// withResponseTimeouts returns a context that ends if a response does not begin within first, or does
 // not end within whole after that. With a single timeout, a member that sends a long response over
 // a busy link would be taken for unresponsive, and another one asked for the same data.
-func withAnswerTimeouts(ctx context.Context, first, whole time.Duration) (context.Context, context.CancelFunc) {
+func withResponseTimeouts(ctx context.Context, first, whole time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var begun atomic.Bool
 	timer := time.AfterFunc(first, func() {
@@ -98,7 +98,7 @@
 // RequestWatch asks a member for changes in the store's tables. firstByte bounds the time until the
 // response begins.
 func (p *Peer) RequestWatch(ctx context.Context, address fleet.Address, firstByte time.Duration, request *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	ctx, cancel := withAnswerTimeouts(ctx, firstByte, answerBodyTimeout)
+	ctx, cancel := withResponseTimeouts(ctx, firstByte, responseBodyTimeout)
 	defer cancel()
 	return p.client(address).Watch(ctx, request)
 }
@@ -249,12 +249,12 @@
 		return
 	}
 	p.metrics.count(directionReceived, kindPull, proto.Size(answer))
-	if err := p.applyPullAnswer(answer); err != nil {
+	if err := p.applyPullResponse(answer); err != nil {
 		p.options.Logger.Warn().Err(err).Str("address", string(pull.From)).Msg("configuration_refused")
 	}
 }
 
-func (p *Peer) applyPullAnswer(answer *rpc.ChangesResponse) error {
+func (p *Peer) applyPullResponse(answer *rpc.ChangesResponse) error {
 	if snapshot := answer.GetSnapshot(); snapshot != nil {
 		document, err := config.DocumentFromMessage(snapshot)
 		if err != nil {
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -106,7 +106,7 @@
 	assert.InDelta(t, 100, counts[1], 30)
 }
 
-func TestDeadline(t *testing.T) {
+func TestDeadlineTakesPrecedenceOverCost(t *testing.T) {
 	warm, cold := testEndpoint(0), testEndpoint(1)
 	warm.CachedBlocks, warm.PrefillTokens = 60, 1100
 	request := testRequest()
