--- a/internal/delivery/baseline.go
+++ b/internal/delivery/baseline.go
@@ -9,19 +9,19 @@
 	// rate of the two counts.
 	recentSize   = 256
 	longTermSize = 2048
-	// priorAnswers and priorBad are added to the counts, so that few answers don't yield a rate of
+	// priorResponses and priorBad are added to the counts, so that few answers don't yield a rate of
 	// zero.
-	priorAnswers, priorBad = 10, 1
-	// minQuantileAnswers is the least number of answers from which a quantile is computed.
-	minQuantileAnswers = 12
+	priorResponses, priorBad = 10, 1
+	// minQuantileResponses is the least number of answers from which a quantile is computed.
+	minQuantileResponses = 12
 	// slowQuantile is the quantile of the old workers' times against which slowness is measured.
 	slowQuantile = 0.9
 	// slowOffset is how many buckets above that quantile an answer is slow, a factor of 2.8.
 	slowOffset = 3
-	// A worker is cold on a route until it has given coldAnswers answers and coldDuration has
+	// A worker is cold on a route until it has given coldResponses answers and coldDuration has
 	// passed since the first ones were counted, because engines start with an empty cache. Its
 	// answers are slow from a factor of 5.7 on, and are ignored between a factor of 2 and that.
-	coldAnswers    = 10
+	coldResponses  = 10
 	coldDuration   = 1500 * time.Millisecond
 	coldSlowOffset = 5
 	coldFastOffset = 2
@@ -40,23 +40,23 @@
 
 // window holds weighted counts of the last answers.
 type window struct {
-	answers  float64
-	failures float64
-	latency  [LatencyBuckets]float64
+	responses float64
+	failures  float64
+	latency   [LatencyBuckets]float64
 }
 
 // add adds answers and scales the counts down to the window's size.
 func (w *window) add(delta *Counts, size float64) {
-	w.answers += float64(delta.Answers)
+	w.responses += float64(delta.Responses)
 	w.failures += float64(delta.Failures)
 	for bucket, count := range delta.Latency {
 		w.latency[bucket] += float64(count)
 	}
-	if w.answers <= size {
+	if w.responses <= size {
 		return
 	}
-	scale := size / w.answers
-	w.answers *= scale
+	scale := size / w.responses
+	w.responses *= scale
 	w.failures *= scale
 	for bucket := range w.latency {
 		w.latency[bucket] *= scale
@@ -84,8 +84,8 @@
 
 // quantileBucket returns the bucket of slowQuantile, and false if there are too few answers.
 func (w *window) quantileBucket() (int, bool) {
-	succeeded := w.answers - w.failures
-	if succeeded < minQuantileAnswers {
+	succeeded := w.responses - w.failures
+	if succeeded < minQuantileResponses {
 		return 0, false
 	}
 	sum := 0.0
@@ -108,5 +108,5 @@
 	for bucket := slowFrom; bucket < LatencyBuckets; bucket++ {
 		bad += w.latency[bucket]
 	}
-	return (bad + priorBad) / (w.answers + priorAnswers)
+	return (bad + priorBad) / (w.responses + priorResponses)
 }
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -64,8 +64,8 @@
 	Worker fleet.EngineID
 	// Score is the strongest evidence; the target is rejected from Threshold on.
 	Score, Threshold float64
-	// NewAnswers, NewBad, OldAnswers and OldBad are the answer counts behind the score.
-	NewAnswers, NewBad, OldAnswers, OldBad uint64
+	// NewResponses, NewBad, OldResponses and OldBad are the answer counts behind the score.
+	NewResponses, NewBad, OldResponses, OldBad uint64
 	// Elapsed is the time since the order, Remaining the time until its deadline.
 	Elapsed, Remaining time.Duration
 }
--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -40,10 +40,10 @@
 func testEvidence(old, target, bad uint64) Evidence {
 	return Evidence{
 		Service: simService, Revision: 7,
-		Old: map[RouteName]*Counts{testRoute: {Answers: old}},
+		Old: map[RouteName]*Counts{testRoute: {Responses: old}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {
-			"new-0": {Answers: target / 2, Failures: bad / 2},
-			"new-1": {Answers: target / 2, Failures: bad / 2},
+			"new-0": {Responses: target / 2, Failures: bad / 2},
+			"new-1": {Responses: target / 2, Failures: bad / 2},
 		}},
 	}
 }
@@ -105,7 +105,7 @@
 	require.Equal(t, StageRolledBack, decision.Directive.Stage)
 	require.Equal(t, 2*time.Second, decision.Directive.IssuedAt)
 	require.Equal(t, EventRolledBack, decision.Event.Name)
-	require.Equal(t, ReasonBadAnswers, decision.Event.Reason)
+	require.Equal(t, ReasonBadResponses, decision.Event.Reason)
 	require.Empty(t, director.Evaluate(3*time.Second, testObservation(4, 4)).Event.Name)
 }
 
@@ -222,10 +222,10 @@
 func benchmarkEvidence(answers uint64) Evidence {
 	evidence := Evidence{Service: simService, Revision: 7, Old: map[RouteName]*Counts{}, New: map[RouteName]map[fleet.EngineID]*Counts{}}
 	for _, route := range []RouteName{"a", "b", "c"} {
-		evidence.Old[route] = &Counts{Answers: 20 * answers}
+		evidence.Old[route] = &Counts{Responses: 20 * answers}
 		evidence.New[route] = map[fleet.EngineID]*Counts{}
 		for index := range 60 {
-			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Answers: answers}
+			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Responses: answers}
 		}
 	}
 	return evidence
@@ -264,9 +264,9 @@
 		answers++
 		evidence := buffers[answers%2]
 		for _, route := range []RouteName{"a", "b", "c"} {
-			*evidence.Old[route] = Counts{Answers: answers}
+			*evidence.Old[route] = Counts{Responses: answers}
 			for _, counts := range evidence.New[route] {
-				*counts = Counts{Answers: answers}
+				*counts = Counts{Responses: answers}
 			}
 		}
 		director.Observe(0, "node", evidence)
--- a/internal/delivery/events.go
+++ b/internal/delivery/events.go
@@ -6,7 +6,7 @@
 
 // Reasons of verdicts and events.
 const (
-	ReasonBadAnswers         = "bad_answers"
+	ReasonBadResponses       = "bad_answers"
 	ReasonNoWorkers          = "no_workers"
 	ReasonFewWorkers         = "too_few_workers"
 	ReasonUndecided          = "undecided"
@@ -50,9 +50,9 @@
 	}
 	for candidate, judged := range s.judge.routes {
 		if route == "" || candidate == route {
-			event.NewAnswers += judged.newAnswers
+			event.NewResponses += judged.newResponses
 			event.NewBad += judged.newBad
-			event.OldAnswers += judged.oldAnswers
+			event.OldResponses += judged.oldResponses
 			event.OldBad += judged.oldBad
 		}
 	}
--- a/internal/delivery/evidence.go
+++ b/internal/delivery/evidence.go
@@ -26,9 +26,9 @@
 
 // Counts are cumulative counts of outcomes.
 type Counts struct {
-	Answers  uint64
-	Failures uint64
-	Latency  [LatencyBuckets]uint32
+	Responses uint64
+	Failures  uint64
+	Latency   [LatencyBuckets]uint32
 }
 
 // Evidence is what one node has observed of one service since the node's start or since the order.
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -207,8 +207,8 @@
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
-// recordAnswers records n answers of a worker and reports whether the follower stopped sending.
-func recordAnswers(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
+// recordResponses records n answers of a worker and reports whether the follower stopped sending.
+func recordResponses(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
 	stopped := false
 	for range n {
 		stopped = follower.RecordOutcome(0, Outcome{Service: simService, Route: testRoute, Worker: worker, Version: version, Failed: failed, TimeToFirstByte: time.Second, Predicted: time.Second}) || stopped
@@ -218,9 +218,9 @@
 
 func TestFollowerStopsOnItsOwnEvidence(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	recordAnswers(follower, 200, "old-0", simOld, false)
-	require.False(t, recordAnswers(follower, 50, "new-0", simNew, true), "a single bad worker does not reject the version")
-	require.True(t, recordAnswers(follower, 5, "new-1", simNew, true))
+	recordResponses(follower, 200, "old-0", simOld, false)
+	require.False(t, recordResponses(follower, 50, "new-0", simNew, true), "a single bad worker does not reject the version")
+	require.True(t, recordResponses(follower, 5, "new-1", simNew, true))
 	requireReachable(t, follower.Filter(0, simService, testRoute, 0, false), true, false, false)
 	require.True(t, follower.Evidence(0)[0].Stopped)
 	shifting := canaryDirective(time.Second)
@@ -229,9 +229,9 @@
 	requireReachable(t, follower.Filter(time.Second, simService, testRoute, 0, false), true, false, false)
 }
 
-func TestFollowerStopsOnSlowAnswers(t *testing.T) {
+func TestFollowerStopsOnSlowResponses(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	recordAnswers(follower, 200, "old-0", simOld, false)
+	recordResponses(follower, 200, "old-0", simOld, false)
 	stopped := false
 	for index := range 12 {
 		worker := []fleet.EngineID{"new-0", "new-1"}[index%2]
@@ -242,14 +242,14 @@
 
 func TestEvidenceIsACopy(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
-	recordAnswers(follower, 3, "old-0", simOld, false)
-	recordAnswers(follower, 2, "new-0", simNew, true)
+	recordResponses(follower, 3, "old-0", simOld, false)
+	recordResponses(follower, 2, "new-0", simNew, true)
 	evidence := follower.Evidence(0)[0]
-	recordAnswers(follower, 3, "old-0", simOld, false)
-	recordAnswers(follower, 3, "new-0", simNew, false)
-	require.EqualValues(t, 3, evidence.Old[testRoute].Answers)
+	recordResponses(follower, 3, "old-0", simOld, false)
+	recordResponses(follower, 3, "new-0", simNew, false)
+	require.EqualValues(t, 3, evidence.Old[testRoute].Responses)
 	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Failures)
-	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Answers)
+	require.EqualValues(t, 2, evidence.New[testRoute]["new-0"].Responses)
 }
 
 func TestFilterAllocatesNothing(t *testing.T) {
--- a/internal/delivery/histogram.go
+++ b/internal/delivery/histogram.go
@@ -22,7 +22,7 @@
 
 // add counts an outcome. The time of a failed request is ignored.
 func (c *Counts) add(o *Outcome) {
-	c.Answers++
+	c.Responses++
 	if o.Failed {
 		c.Failures++
 		return
@@ -33,10 +33,10 @@
 // since returns the difference from previous counts. If a count has decreased, the node has
 // restarted, and all counts are new.
 func (c *Counts) since(previous *Counts) Counts {
-	if previous == nil || c.Answers < previous.Answers || c.Failures < previous.Failures {
+	if previous == nil || c.Responses < previous.Responses || c.Failures < previous.Failures {
 		return *c
 	}
-	delta := Counts{Answers: c.Answers - previous.Answers, Failures: c.Failures - previous.Failures}
+	delta := Counts{Responses: c.Responses - previous.Responses, Failures: c.Failures - previous.Failures}
 	for bucket := range c.Latency {
 		if c.Latency[bucket] < previous.Latency[bucket] {
 			return *c
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -80,20 +80,20 @@
 	return strongest
 }
 
-// workerAnswers counts the answers of a worker of the target on a route.
-type workerAnswers struct {
-	answers uint64
-	firstAt time.Duration
+// workerResponses counts the answers of a worker of the target on a route.
+type workerResponses struct {
+	responses uint64
+	firstAt   time.Duration
 }
 
 // routeState is the evidence about one route.
 type routeState struct {
 	baseline baseline
 	scores   scores
-	workers  map[fleet.EngineID]workerAnswers
+	workers  map[fleet.EngineID]workerResponses
 	// The counts are only logged.
-	oldAnswers, oldBad uint64
-	newAnswers, newBad uint64
+	oldResponses, oldBad uint64
+	newResponses, newBad uint64
 }
 
 // judge compares the target with the old workers. Each route has its own scores, which detect a
@@ -112,7 +112,7 @@
 func (j *judge) route(name RouteName) *routeState {
 	state := j.routes[name]
 	if state == nil {
-		state = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerAnswers{}}
+		state = &routeState{scores: newScores(), workers: map[fleet.EngineID]workerResponses{}}
 		j.routes[name] = state
 	}
 	return state
@@ -122,7 +122,7 @@
 func (j *judge) observeOld(name RouteName, delta *Counts) {
 	route := j.route(name)
 	route.baseline.add(delta)
-	route.oldAnswers += delta.Answers
+	route.oldResponses += delta.Responses
 	route.oldBad += delta.Failures + delta.slow(route.baseline.limits(false).slowFrom)
 }
 
@@ -140,12 +140,12 @@
 // observeNew counts answers of a worker of the target and updates the scores.
 func (j *judge) observeNew(in conditions, name RouteName, id fleet.EngineID, delta *Counts) {
 	route := j.route(name)
-	cold := route.recordWorker(in.now, id, delta.Answers)
+	cold := route.recordWorker(in.now, id, delta.Responses)
 	limits := route.baseline.limits(cold)
 	verySlow := route.baseline.limits(true).slowFrom
-	route.newAnswers += delta.Answers
+	route.newResponses += delta.Responses
 	route.newBad += delta.Failures + delta.slow(limits.slowFrom)
-	good := delta.Answers - delta.Failures - delta.slow(limits.fastBelow)
+	good := delta.Responses - delta.Failures - delta.slow(limits.fastBelow)
 	limit := rejectScore
 	if !in.singleCanary {
 		limit *= maxWorkerFraction
@@ -174,8 +174,8 @@
 	if !found {
 		worker.firstAt = now
 	}
-	cold := worker.answers < coldAnswers || now-worker.firstAt < coldDuration
-	worker.answers += answers
+	cold := worker.responses < coldResponses || now-worker.firstAt < coldDuration
+	worker.responses += answers
 	r.workers[id] = worker
 	return cold
 }
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -41,18 +41,18 @@
 
 // windowedRatio uses likelihood ratios over windows of three lengths with limited contributions of
 // the workers.
-type windowedRatio struct{ answers []windowedAnswer }
+type windowedRatio struct{ responses []windowedResponse }
 
-type windowedAnswer struct {
+type windowedResponse struct {
 	worker fleet.EngineID
 	ratio  float64
 }
 
 func (w *windowedRatio) rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool {
-	w.answers = append(w.answers, windowedAnswer{worker, hypotheses[0].ratio(normal, bad, good)})
+	w.responses = append(w.responses, windowedResponse{worker, hypotheses[0].ratio(normal, bad, good)})
 	for _, size := range []int{30, 100, 1000} {
 		parts := map[fleet.EngineID]float64{}
-		for _, answer := range w.answers[max(0, len(w.answers)-size):] {
+		for _, answer := range w.responses[max(0, len(w.responses)-size):] {
 			parts[answer.worker] += answer.ratio
 		}
 		sum := 0.0
@@ -75,20 +75,20 @@
 	{"windowed ratio", func() judgingMethod { return &windowedRatio{} }},
 }
 
-// answerStream generates answers. normal is the failure rate of both versions, effect the
+// responseStream generates answers. normal is the failure rate of both versions, effect the
 // additional failure rate of the target, and greyRate that of one of the target's three workers.
-type answerStream struct {
+type responseStream struct {
 	normal, effect, greyRate float64
 }
 
 // play feeds a stream to a method. It returns the number of the target's answers and of the bad
 // ones among them until the rejection, or false if there is none within limit answers.
-func (s answerStream) play(method judgingMethod, seed uint64, limit int) (answers, bad int, rejected bool) {
+func (s responseStream) play(method judgingMethod, seed uint64, limit int) (answers, bad int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
 	for answers = 1; answers <= limit; answers++ {
-		delta := Counts{Answers: 20}
-		for range delta.Answers {
+		delta := Counts{Responses: 20}
+		for range delta.Responses {
 			if random.Float64() < s.normal {
 				delta.Failures++
 			}
@@ -117,7 +117,7 @@
 		for _, grey := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, rejected := (answerStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); rejected {
+				if _, _, rejected := (responseStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
@@ -134,7 +134,7 @@
 		}
 		missed := 0
 		for seed := range seeds {
-			if _, _, rejected := (answerStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !rejected {
+			if _, _, rejected := (responseStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !rejected {
 				missed++
 			}
 		}
@@ -148,7 +148,7 @@
 	seeds := seedCount(50)
 	for _, method := range judgingMethods {
 		line := method.name + ":"
-		for _, goodStream := range []answerStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
+		for _, goodStream := range []responseStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
 			wrong := 0
 			for seed := range seeds {
 				if _, _, rejected := goodStream.play(method.make(), uint64(seed), 1000); rejected {
@@ -157,7 +157,7 @@
 			}
 			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", goodStream.normal, goodStream.greyRate, wrong)
 		}
-		for _, badStream := range []answerStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
+		for _, badStream := range []responseStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
 			var numbers []int
 			for seed := range seeds {
 				_, bad, _ := badStream.play(method.make(), uint64(seed), 1000)
@@ -188,12 +188,12 @@
 }
 
 func TestCountsOfRestartedNodeAreAllNew(t *testing.T) {
-	before := Counts{Answers: 5, Failures: 1}
+	before := Counts{Responses: 5, Failures: 1}
 	before.Latency[3] = 4
-	after := Counts{Answers: 8, Failures: 2}
+	after := Counts{Responses: 8, Failures: 2}
 	after.Latency[3] = 6
 	delta := after.since(&before)
-	require.Equal(t, uint64(3), delta.Answers)
+	require.Equal(t, uint64(3), delta.Responses)
 	require.Equal(t, uint64(1), delta.Failures)
 	require.Equal(t, uint32(2), delta.Latency[3])
 	require.Equal(t, before, before.since(&after), "counts of a restarted node are all new")
@@ -203,22 +203,22 @@
 // Guards against a baseline that doesn't follow a burst of failures or doesn't forget it.
 func TestBaselineFollowsFailureRate(t *testing.T) {
 	var old baseline
-	old.add(&Counts{Answers: 2000})
+	old.add(&Counts{Responses: 2000})
 	require.Less(t, old.badRate(LatencyBuckets), 0.01)
-	old.add(&Counts{Answers: 200, Failures: 100})
+	old.add(&Counts{Responses: 200, Failures: 100})
 	require.Greater(t, old.badRate(LatencyBuckets), 0.2)
-	old.add(&Counts{Answers: 600, Failures: 300})
+	old.add(&Counts{Responses: 600, Failures: 300})
 	require.Greater(t, old.badRate(LatencyBuckets), 0.4)
-	old.add(&Counts{Answers: 20000})
+	old.add(&Counts{Responses: 20000})
 	require.Less(t, old.badRate(LatencyBuckets), 0.06)
 }
 
 // Guards against rejecting a version because its engines start with an empty cache.
-func TestSlowColdAnswersAreIgnored(t *testing.T) {
-	old := Counts{Answers: 200}
+func TestSlowColdResponsesAreIgnored(t *testing.T) {
+	old := Counts{Responses: 200}
 	old.Latency[4] = 200
 	slow := func(bucket int) Counts {
-		delta := Counts{Answers: 1}
+		delta := Counts{Responses: 1}
 		delta.Latency[bucket] = 1
 		return delta
 	}
@@ -244,8 +244,8 @@
 	judge := newJudge()
 	for index := range 40 {
 		for _, route := range []RouteName{"a", "b", "c"} {
-			judge.observeOld(route, &Counts{Answers: 20})
-			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: boolCount(route == "c" && index%2 == index%4)})
+			judge.observeOld(route, &Counts{Responses: 20})
+			judge.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Responses: 1, Failures: boolCount(route == "c" && index%2 == index%4)})
 		}
 	}
 	_, route := judge.strongest()
@@ -254,8 +254,8 @@
 	together := newJudge()
 	for index := range 6 {
 		route := RouteName(fmt.Sprint(index))
-		together.observeOld(route, &Counts{Answers: 100})
-		together.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Answers: 1, Failures: 1})
+		together.observeOld(route, &Counts{Responses: 100})
+		together.observeNew(conditions{}, route, fleet.EngineID([]string{"x", "y"}[index%2]), &Counts{Responses: 1, Failures: 1})
 	}
 	_, route = together.strongest()
 	require.True(t, together.rejectsTarget())
@@ -273,9 +273,9 @@
 func TestSurgeToleratesEarlyFailures(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
-		judge.observeOld(testRoute, &Counts{Answers: 2000, Failures: 280})
+		judge.observeOld(testRoute, &Counts{Responses: 2000, Failures: 280})
 		for index := range 90 {
-			delta := Counts{Answers: 10, Failures: 3}
+			delta := Counts{Responses: 10, Failures: 3}
 			judge.observeNew(conditions{now: time.Minute, surging: surging}, testRoute, fleet.EngineID(fmt.Sprint(index%30)), &delta)
 		}
 		require.Equal(t, !surging, judge.rejectsTarget(), "surging %t", surging)
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -53,11 +53,11 @@
 }
 
 type simWorker struct {
-	id       fleet.EngineID
-	version  fleet.SoftwareVersion
-	inFlight int
-	answered map[RouteName]int
-	crashed  bool
+	id        fleet.EngineID
+	version   fleet.SoftwareVersion
+	inFlight  int
+	responses map[RouteName]int
+	crashed   bool
 }
 
 type simNode struct {
@@ -71,7 +71,7 @@
 	dead                bool
 }
 
-type simAnswer struct {
+type simResponse struct {
 	node    *simNode
 	worker  *simWorker
 	outcome Outcome
@@ -79,7 +79,7 @@
 }
 
 // badTally counts the target's answers on a route since the first bad one.
-type badTally struct{ answers, bad int }
+type badTally struct{ responses, bad int }
 
 // simulation simulates the nodes, the store and the workers of one service.
 type simulation struct {
@@ -89,7 +89,7 @@
 	fleet          []*simNode
 	oldWorkers     []*simWorker
 	newWorkers     []*simWorker
-	due            map[time.Duration][]simAnswer
+	due            map[time.Duration][]simResponse
 	order          Order
 	leader         *simNode
 	leaseFreeSince time.Duration // when the lease became free
@@ -101,7 +101,7 @@
 	errors        []string
 
 	totalRequests, targetRequests float64         // requests until the deadline
-	badAnswerTimes                []time.Duration // of the target
+	badResponseTimes              []time.Duration // of the target
 	lastTargetRequest             time.Duration
 	finalAt                       time.Duration
 	killedRuns                    int // requests at old workers when these were stopped
@@ -111,7 +111,7 @@
 }
 
 func newSimulation(setup scenario) *simulation {
-	s := &simulation{scenario: setup, random: rand.New(rand.NewPCG(setup.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*badTally{}}
+	s := &simulation{scenario: setup, random: rand.New(rand.NewPCG(setup.seed, 1)), due: map[time.Duration][]simResponse{}, tallies: map[RouteName]*badTally{}}
 	for s.stride = 7; s.stride%3 == 0 || (2*s.workers)%s.stride == 0; {
 		s.stride += 4
 	}
@@ -119,8 +119,8 @@
 		s.fleet = append(s.fleet, s.newNode(index))
 	}
 	for index := range setup.workers {
-		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, answered: map[RouteName]int{}})
-		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, answered: map[RouteName]int{}})
+		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, responses: map[RouteName]int{}})
+		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, responses: map[RouteName]int{}})
 	}
 	s.order = Order{Service: simService, Target: simNew, Duration: setup.duration, Revision: 7}
 	s.makeLeader(s.fleet[0])
@@ -329,7 +329,7 @@
 	outcome, isBad := s.serve(worker, route, load)
 	worker.inFlight++
 	at := s.now + max(simTick, outcome.TimeToFirstByte.Round(simTick))
-	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, isBad: isBad})
+	s.due[at] = append(s.due[at], simResponse{node: node, worker: worker, outcome: outcome, isBad: isBad})
 }
 
 // pick returns the less loaded of two random workers that the filter or its fallbacks allow.
@@ -376,10 +376,10 @@
 	if load > 1 {
 		factor *= load
 	}
-	if s.cold && worker.version == simNew && worker.answered[route] < 8 {
+	if s.cold && worker.version == simNew && worker.responses[route] < 8 {
 		factor *= 1 + 3*s.random.Float64()
 	}
-	worker.answered[route]++
+	worker.responses[route]++
 	if !s.noPredictions {
 		outcome.Predicted = base
 	}
@@ -399,9 +399,9 @@
 func (s *simulation) finishRuns() {
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
-		s.tallyAnswer(&due)
+		s.tallyResponse(&due)
 		if due.isBad {
-			s.badAnswerTimes = append(s.badAnswerTimes, s.now)
+			s.badResponseTimes = append(s.badResponseTimes, s.now)
 		}
 		if due.node.dead || s.callerTimeout > 0 && due.outcome.TimeToFirstByte > s.callerTimeout {
 			continue
@@ -413,8 +413,8 @@
 	delete(s.due, s.now)
 }
 
-// tallyAnswer counts the target's answers until shortly before the last decision.
-func (s *simulation) tallyAnswer(due *simAnswer) {
+// tallyResponse counts the target's answers until shortly before the last decision.
+func (s *simulation) tallyResponse(due *simResponse) {
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
 	}
@@ -427,7 +427,7 @@
 		tally.bad++
 	}
 	if tally.bad > 0 {
-		tally.answers++
+		tally.responses++
 	}
 }
 
@@ -435,7 +435,7 @@
 // answers, that the target must be rolled back.
 func (s *simulation) hasEvidence(bad int, fraction float64) bool {
 	for _, tally := range s.tallies {
-		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.answers) {
+		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.responses) {
 			return true
 		}
 	}
@@ -447,10 +447,10 @@
 
 // exposedAfterBad returns how long after its n-th bad answer the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
-	if len(s.badAnswerTimes) < n {
+	if len(s.badResponseTimes) < n {
 		return 0
 	}
-	return s.lastTargetRequest - s.badAnswerTimes[n-1]
+	return s.lastTargetRequest - s.badResponseTimes[n-1]
 }
 
 func (s *simulation) stage() Stage {
--- a/internal/delivery/stages.go
+++ b/internal/delivery/stages.go
@@ -111,7 +111,7 @@
 		return s.rollBack(now, ReasonPreviouslyRejected)
 	}
 	if s.verdict != StageRolledBack && s.judge.rejectsTarget() {
-		return s.rollBack(now, ReasonBadAnswers)
+		return s.rollBack(now, ReasonBadResponses)
 	}
 	if s.verdict != 0 {
 		return Event{}
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -120,8 +120,8 @@
 	require.Contains(t, director.Evaluate(0, testObservation(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
 	director.Observe(0, "node-1", Evidence{
 		Service: simService, Revision: 7,
-		Old: map[RouteName]*Counts{testRoute: {Answers: 500}},
-		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Answers: 20, Failures: 10}}},
+		Old: map[RouteName]*Counts{testRoute: {Responses: 500}},
+		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {"new-0": {Responses: 20, Failures: 10}}},
 	})
 	decision := director.Evaluate(shareUpdateInterval, testObservation(6, 6))
 	require.Equal(t, []fleet.EngineID{"new-1", "new-2", "new-3"}, decision.Directive.Canaries)
@@ -144,7 +144,7 @@
 	}
 	require.InDelta(t, 100, observed.traffic(12*time.Second).rate, 5)
 	require.InDelta(t, 500, observed.targetPlanned, 100)
-	observed.targetAnswers = 0
+	observed.targetResponses = 0
 	require.Equal(t, observed.targetPlanned, observed.traffic(12*time.Second).target, "planned requests count before they are answered")
 }
 
@@ -157,7 +157,7 @@
 	require.Equal(t, StageShifting, decision.Directive.Stage)
 	late := testEvidence(50*116, 116, 0)
 	for _, counts := range late.New[testRoute] {
-		counts.Answers += 5
+		counts.Responses += 5
 		counts.Failures += 2
 	}
 	director.Observe(11700*time.Millisecond, "node-1", late)
@@ -177,7 +177,7 @@
 		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 70 * evaluations}, "rare": {Answers: 4 * evaluations}},
+			Old: map[RouteName]*Counts{"common": {Responses: 70 * evaluations}, "rare": {Responses: 4 * evaluations}},
 		})
 		decision = director.Evaluate(now, testObservation(60, 60))
 	}
@@ -194,7 +194,7 @@
 		evaluations := uint64(now / EvaluationInterval)
 		director.Observe(now, "node-1", Evidence{
 			Service: simService, Revision: 7,
-			Old: map[RouteName]*Counts{"common": {Answers: 50 * evaluations}, "rare": {Answers: evaluations}},
+			Old: map[RouteName]*Counts{"common": {Responses: 50 * evaluations}, "rare": {Responses: evaluations}},
 		})
 		decision = director.Evaluate(now, testObservation(4, 4))
 	}
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -22,9 +22,9 @@
 	tickedAt  time.Duration
 	startedAt time.Duration
 	total     float64
-	// targetAnswers counts the target's answers, targetPlanned the requests that its shares
+	// targetResponses counts the target's answers, targetPlanned the requests that its shares
 	// planned.
-	targetAnswers, targetPlanned float64
+	targetResponses, targetPlanned float64
 }
 
 func newMeter(now time.Duration) meter {
@@ -45,21 +45,21 @@
 	m.lastReport[node] = in.now
 	for route, counts := range evidence.Old {
 		delta := counts.since(previous.Old[route])
-		if delta.Answers == 0 {
+		if delta.Responses == 0 {
 			continue
 		}
 		judge.observeOld(route, &delta)
-		m.count(route, delta.Answers, reported)
+		m.count(route, delta.Responses, reported)
 	}
 	for route, byWorker := range evidence.New {
 		for worker, counts := range byWorker {
 			delta := counts.since(previous.New[route][worker])
-			if delta.Answers == 0 {
+			if delta.Responses == 0 {
 				continue
 			}
 			judge.observeNew(in, route, worker, &delta)
-			m.count(route, delta.Answers, reported)
-			m.targetAnswers += float64(delta.Answers)
+			m.count(route, delta.Responses, reported)
+			m.targetResponses += float64(delta.Responses)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 
 // traffic returns the traffic for the schedule. The rate is unknown until rateWarmup has passed.
 func (m *meter) traffic(now time.Duration) traffic {
-	observed := traffic{total: m.total, target: max(m.targetAnswers, m.targetPlanned)}
+	observed := traffic{total: m.total, target: max(m.targetResponses, m.targetPlanned)}
 	if now-m.startedAt < rateWarmup {
 		return observed
 	}
--- a/internal/gateway/deliveries.go
+++ b/internal/gateway/deliveries.go
@@ -340,13 +340,13 @@
 		routes := make(map[delivery.RouteName]deliveryShare)
 		for route, counts := range evidence.Old {
 			share := routes[route]
-			share.oldResponses = counts.Answers
+			share.oldResponses = counts.Responses
 			routes[route] = share
 		}
 		for route, workers := range evidence.New {
 			share := routes[route]
 			for _, counts := range workers {
-				share.targetResponses += counts.Answers
+				share.targetResponses += counts.Responses
 			}
 			routes[route] = share
 		}
--- a/internal/gateway/deliverycodec.go
+++ b/internal/gateway/deliverycodec.go
@@ -102,7 +102,7 @@
 	latency := make([]uint32, used)
 	copy(latency, counts.Latency[:used])
 	return &rpc.DeliveryCounts{
-		Route: string(route), Worker: string(worker), Answers: counts.Answers, Failures: counts.Failures, Latency: latency,
+		Route: string(route), Worker: string(worker), Answers: counts.Responses, Failures: counts.Failures, Latency: latency,
 	}
 }
 
@@ -115,7 +115,7 @@
 		Stopped:  encoded.GetStopped(),
 	}
 	for _, entry := range encoded.GetCounts() {
-		counts := &delivery.Counts{Answers: entry.GetAnswers(), Failures: entry.GetFailures()}
+		counts := &delivery.Counts{Responses: entry.GetAnswers(), Failures: entry.GetFailures()}
 		copy(counts.Latency[:], entry.GetLatency())
 		route := delivery.RouteName(entry.GetRoute())
 		if entry.GetWorker() == "" {
--- a/internal/gateway/deliverycodec_test.go
+++ b/internal/gateway/deliverycodec_test.go
@@ -70,7 +70,7 @@
 
 func TestEvidenceRoundTrip(t *testing.T) {
 	counts := func(answers, failures uint64, bucket int) *delivery.Counts {
-		c := &delivery.Counts{Answers: answers, Failures: failures}
+		c := &delivery.Counts{Responses: answers, Failures: failures}
 		c.Latency[bucket] = 5
 		return c
 	}
--- a/internal/gateway/deliverydirector.go
+++ b/internal/gateway/deliverydirector.go
@@ -165,8 +165,8 @@
 		Str("stage", event.Stage.String()).Str("reason", event.Reason).
 		Str("route", string(event.Route)).Str("worker", string(event.Worker)).
 		Float64("score", event.Score).Float64("bound", event.Threshold).
-		Uint64("new_answers", event.NewAnswers).Uint64("new_bad", event.NewBad).
-		Uint64("old_answers", event.OldAnswers).Uint64("old_bad", event.OldBad).
+		Uint64("new_answers", event.NewResponses).Uint64("new_bad", event.NewBad).
+		Uint64("old_answers", event.OldResponses).Uint64("old_bad", event.OldBad).
 		Dur("elapsed", event.Elapsed).Dur("left", event.Remaining)
 	line.Msg(event.Name)
 }
