--- a/internal/backends/backends_test.go
+++ b/internal/backends/backends_test.go
@@ -293,10 +293,10 @@
 	assert.EqualValues(t, 2, registry.preferred[testModel], "the preferred version must not decrease")
 }
 
-func TestEngineUnderOrderGetsNoRequest(t *testing.T) {
+func TestCordonedEngineGetsNoRequest(t *testing.T) {
 	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
-	registry.ObserveOrder(home.Worker.ID, time.Second)
+	registry.Cordon(home.Worker.ID, time.Second)
 	other, _ := registry.Choose(0, engineRequest("p"))
 	assert.NotEqual(t, home.Worker.ID, other.Worker.ID)
 	again, _ := registry.Choose(time.Second, engineRequest("q"))
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -14,8 +14,8 @@
 	// Deferring are the workers that have asked the peer for no requests, if they are likely to ask
 	// the same of this node.
 	Deferring []fleet.EngineID
-	// Orders holds, for each worker under an order of the peer, until when it counts as such.
-	Orders map[fleet.EngineID]time.Duration
+	// Cordons holds, for each worker under an order of the peer, until when it counts as such.
+	Cordons map[fleet.EngineID]time.Duration
 	// Work holds the work of the peer's requests by service.
 	Work map[fleet.PoolName]Work
 }
@@ -93,8 +93,8 @@
 	suspecting int
 	// deferring is the number of peers that the worker has asked for no requests.
 	deferring int
-	// orderedUntil is the time until which the worker counts as under an order.
-	orderedUntil time.Duration
+	// cordonedUntil is the time until which the worker counts as under an order.
+	cordonedUntil time.Duration
 }
 
 func newPeerReports() *peerReports {
@@ -146,18 +146,18 @@
 	for service, work := range report.Work {
 		p.totals.work[service] = p.totals.work[service].add(Work{Long: -work.Long, Short: -work.Short})
 	}
-	for id := range report.Orders {
-		p.totals.entry(id).orderedUntil = p.orderedUntil(id)
+	for id := range report.Cordons {
+		p.totals.entry(id).cordonedUntil = p.cordonedUntil(id)
 	}
 }
 
-// orderedUntil returns the time until which a worker counts as under an order, by the included
+// cordonedUntil returns the time until which a worker counts as under an order, by the included
 // reports.
-func (p *peerReports) orderedUntil(id fleet.EngineID) time.Duration {
+func (p *peerReports) cordonedUntil(id fleet.EngineID) time.Duration {
 	latest := time.Duration(0)
 	for _, report := range p.reports {
 		if report.included {
-			latest = max(latest, report.Orders[id])
+			latest = max(latest, report.Cordons[id])
 		}
 	}
 	return latest
@@ -250,9 +250,9 @@
 	for service, work := range report.Work {
 		t.work[service] = t.work[service].add(work)
 	}
-	for id, until := range report.Orders {
+	for id, until := range report.Cordons {
 		entry := t.entry(id)
-		entry.orderedUntil = max(entry.orderedUntil, until)
+		entry.cordonedUntil = max(entry.cordonedUntil, until)
 	}
 }
 
@@ -288,7 +288,7 @@
 	switch {
 	case entry == nil:
 		return true
-	case now < entry.orderedUntil:
+	case now < entry.cordonedUntil:
 		return false
 	default:
 		return entry.suspecting+entry.deferring < suspicionQuorum || state.hasRecentContact(now)
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -12,13 +12,13 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestPeerOrderEndsWithNextReport guards against avoiding an engine after its order no longer
+// TestPeerCordonEndsWithNextReport guards against avoiding an engine after its order no longer
 // appears in the peer's report.
-func TestPeerOrderEndsWithNextReport(t *testing.T) {
+func TestPeerCordonEndsWithNextReport(t *testing.T) {
 	registry := newEngineRegistry()
 	home, _ := registry.Choose(0, engineRequest("p"))
 	home.End(0, Succeeded)
-	registry.ObservePeer(0, "holder", PeerReport{Orders: map[fleet.EngineID]time.Duration{home.Worker.ID: 2 * time.Second}})
+	registry.ObservePeer(0, "holder", PeerReport{Cordons: map[fleet.EngineID]time.Duration{home.Worker.ID: 2 * time.Second}})
 	other, _ := registry.Choose(0, engineRequest("p"))
 	require.NotNil(t, other)
 	assert.NotEqual(t, home.Worker.ID, other.Worker.ID)
@@ -111,8 +111,8 @@
 		case 0, 1:
 			incremental.observe(now, node, PeerReport{
 				Loads: []Load{load, {Engine: "all", InFlight: 1}}, Suspects: []fleet.EngineID{id()}, Deferring: []fleet.EngineID{id()},
-				Orders: map[fleet.EngineID]time.Duration{id(): now + time.Duration(random.IntN(2000))*time.Millisecond},
-				Work:   map[fleet.PoolName]Work{"s": {Long: time.Duration(random.IntN(50)), Short: 1}},
+				Cordons: map[fleet.EngineID]time.Duration{id(): now + time.Duration(random.IntN(2000))*time.Millisecond},
+				Work:    map[fleet.PoolName]Work{"s": {Long: time.Duration(random.IntN(50)), Short: 1}},
 			})
 		case 2:
 			incremental.update(node, []Load{load})
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -359,16 +359,16 @@
 	r.setVersions(state, versions)
 	state.mismatchUntil = 0
 	// The order to load this version has been carried out.
-	state.orderedUntil = 0
+	state.cordonedUntil = 0
 	r.parts.clear(state.worker.Run())
 }
 
-// ObserveOrder records until when a worker counts as under an order.
-func (r *Registry) ObserveOrder(id fleet.EngineID, until time.Duration) {
+// Cordon records until when a worker counts as under an order.
+func (r *Registry) Cordon(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if state := r.workers[id]; state != nil {
-		state.orderedUntil = until
+		state.cordonedUntil = until
 	}
 }
 
--- a/internal/backends/restart_test.go
+++ b/internal/backends/restart_test.go
@@ -25,7 +25,7 @@
 		return other.Engine.HeldParts
 	}
 	require.Positive(t, held())
-	registry.ObserveOrder(first.ID, time.Hour)
+	registry.Cordon(first.ID, time.Hour)
 	second := first
 	second.StartTime, second.Versions = 2000, map[fleet.ModelName]ModelVersion{testModel: 1}
 	assert.Equal(t, Restarted, registry.Observe(5, second))
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -128,7 +128,7 @@
 func TestExhaustedRequestDoesNotWidenSubset(t *testing.T) {
 	registry := newSubsetRegistry(10_000, true)
 	for _, worker := range registry.WorkersInUse() {
-		registry.ObserveOrder(worker.ID, time.Hour)
+		registry.Cordon(worker.ID, time.Hour)
 	}
 	request := engineRequest("p")
 	for _, worker := range registry.WorkersInUse() {
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -97,8 +97,8 @@
 	lastContact     time.Duration
 	suspicionPeriod time.Duration
 	mismatchUntil   time.Duration
-	// orderedUntil is the time until which the worker counts as under an order.
-	orderedUntil time.Duration
+	// cordonedUntil is the time until which the worker counts as under an order.
+	cordonedUntil time.Duration
 
 	failureMean   float64
 	failureMeanAt time.Duration
@@ -159,7 +159,7 @@
 
 // isReady reports whether the worker is not suspected, not mismatched and not under an order.
 func (s *workerState) isReady(now time.Duration) bool {
-	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.orderedUntil
+	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.cordonedUntil
 }
 
 // failureRate returns the failure rate at now, from 0 to 1.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -305,7 +305,7 @@
 		}
 	}
 	g.workers.ObservePeer(now, fleet.NodeID(report.GetNode()), backends.PeerReport{
-		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Orders: orders, Work: work, Deferring: g.deferringWorkers(report),
+		Loads: g.decodeLoads(report.GetLoads()), Suspects: suspects, Cordons: orders, Work: work, Deferring: g.deferringWorkers(report),
 	})
 	for _, run := range report.GetDraining() {
 		g.observeDraining(backends.DrainingRun{Worker: fleet.EngineID(run.GetWorker()), StartTime: backends.StartTime(run.GetBorn())}, noticeSourcePeer)
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -213,7 +213,7 @@
 // cordonDuration.
 func (g *Gateway) cordonEngine(engine fleet.EngineID) {
 	until := g.now() + cordonDuration
-	g.workers.ObserveOrder(engine, until)
+	g.workers.Cordon(engine, until)
 	if g.rollout.cordon(engine, until) {
 		g.announcer.addAll()
 	}
@@ -257,7 +257,7 @@
 // recordUpdated records that an engine has its new version.
 func (g *Gateway) recordUpdated(update engineUpdate, version backends.ModelVersion, duration time.Duration) {
 	g.workers.ObserveVersion(update.worker.ID, update.model, version)
-	g.workers.ObserveOrder(update.worker.ID, 0)
+	g.workers.Cordon(update.worker.ID, 0)
 	g.rollout.uncordon(update.worker.ID)
 	g.announcer.addAll()
 	g.logger.Info().Str("worker", string(update.worker.ID)).Uint64("version", uint64(version)).Dur("took", duration).Msg("weights_changed")
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -160,7 +160,7 @@
 func (s *rolloutState) recordPeerVersion(requestedAt time.Duration, model fleet.ModelName, version uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pacer(model).LearnPublication(requestedAt, version)
+	s.pacer(model).ObservePublication(requestedAt, version)
 }
 
 // recentVersions returns, by model, the latest versions whose time of request is known.
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -166,11 +166,11 @@
 	return true
 }
 
-// LearnPublication applies a publication time reported by another process. The earliest report is
+// ObservePublication applies a publication time reported by another process. The earliest report is
 // the most accurate, since no process sees a version before its publication. Versions that this
 // process hasn't seen are added, since one published before it started is due earlier than a newer
 // one.
-func (p *Pacer) LearnPublication(at time.Duration, version uint64) {
+func (p *Pacer) ObservePublication(at time.Duration, version uint64) {
 	index, found := slices.BinarySearchFunc(p.publications, version, func(published publication, version uint64) int {
 		return cmp.Compare(published.version, version)
 	})
--- a/internal/rollout/pacer_test.go
+++ b/internal/rollout/pacer_test.go
@@ -195,17 +195,17 @@
 	}
 }
 
-func TestPublicationTimeIsLearntFromPeers(t *testing.T) {
+func TestEarliestPublicationTimeOfPeersApplies(t *testing.T) {
 	pacer := NewPacer(PacerOptions{Within: testWithin})
 	require.True(t, pacer.PublishAssumed(5*time.Second, 4))
-	pacer.LearnPublication(8*time.Second, 4)
-	pacer.LearnPublication(2*time.Second, 3)
+	pacer.ObservePublication(8*time.Second, 4)
+	pacer.ObservePublication(2*time.Second, 3)
 	assert.EqualValues(t, 0, pacer.NewestDue(8*time.Second, testWithin))
 	assert.EqualValues(t, 3, pacer.NewestDue(9*time.Second, testWithin), "a version published before this process started is due")
 	assert.EqualValues(t, 3, pacer.NewestDue(14*time.Second, testWithin), "the assumed time is replaced")
 	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin))
 	assert.Equal(t, []Publication{{Version: 3, At: 2 * time.Second}, {Version: 4, At: 8 * time.Second}}, pacer.RecentPublications(4))
-	pacer.LearnPublication(9*time.Second, 4)
+	pacer.ObservePublication(9*time.Second, 4)
 	assert.EqualValues(t, 4, pacer.NewestDue(15*time.Second, testWithin), "a later time is ignored")
 }
 
@@ -224,6 +224,6 @@
 	assert.EqualValues(t, 2, pacer.NewestDue(8*time.Second, testWithin), "a due version stays due")
 	assert.EqualValues(t, 2, pacer.NewestDue(14*time.Second, testWithin))
 	assert.EqualValues(t, 3, pacer.NewestDue(15*time.Second, testWithin))
-	pacer.LearnPublication(6*time.Second, 3)
+	pacer.ObservePublication(6*time.Second, 3)
 	assert.EqualValues(t, 3, pacer.NewestDue(13*time.Second, testWithin), "a time reported by another process is applied")
 }
