--- a/internal/backends/admission_test.go
+++ b/internal/backends/admission_test.go
@@ -69,8 +69,8 @@
 	assert.Zero(t, registry.speedEstimateOf(request.Service).slotTime)
 }
 
-// TestLimitedWorkerHoldsNoCopy guards against copies at engines that may not admit the run when it
-// has to continue there.
+// TestLimitedWorkerHoldsNoCopy guards against copies at engines that may not admit the request when
+// it has to be resumed there.
 func TestLimitedWorkerHoldsNoCopy(t *testing.T) {
 	registry := newEngineRegistry()
 	request := copiedRequest()
--- a/internal/backends/choose_benchmark_test.go
+++ b/internal/backends/choose_benchmark_test.go
@@ -41,12 +41,12 @@
 	sorted, nodeEngines []*workerState
 }
 
-func newSimulatedFleet(engines int, busy float64, options Options) *simulatedFleet {
+func newSimulatedFleet(engines int, meanInFlight float64, options Options) *simulatedFleet {
 	options.Random = rand.New(rand.NewPCG(1, 2))
 	options.Scheduling = scheduling.DefaultOptions()
 	options.Scheduling.TieFraction, options.Scheduling.ImportWeight = 0.02, 45*time.Microsecond
 	options.MaxParts = 1 << 21
-	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, meanInFlight: busy}
+	f := &simulatedFleet{registry: New(options), random: rand.New(rand.NewPCG(3, uint64(engines))), engines: engines, meanInFlight: meanInFlight}
 	for number := range engines {
 		worker := engineWorker(number, 1)
 		worker.Slots = simulatedSlots
--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -22,7 +22,9 @@
 	gather func(f *simulatedFleet, s *search)
 }
 
-// strategies returns the strategies to compare; the first one is the reference.
+// strategies returns the strategies to compare: whole searches exhaustively and is the reference,
+// few samples as in production, sorted takes the engines with the fewest requests in flight, and
+// partition takes the engines assigned to one node.
 func strategies() []strategy {
 	return []strategy{
 		{name: "whole", exhaustive: true},
--- a/internal/backends/copies.go
+++ b/internal/backends/copies.go
@@ -6,13 +6,14 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// copySampleSize is the number of engines that are sampled as targets for a copy of a run.
+// copySampleSize is the number of engines that are sampled as targets for a request's copy.
 const copySampleSize = 6
 
-// copyTarget returns the engine that is to keep a copy of a run. Of a random sample of engines with
-// the same model version, it takes the nearest, and among those the one with the most free memory.
-// Engines with a request limit are excluded, since they may not admit the run when it has to
-// continue there. It returns an empty worker if there is none. The mutex must be held.
+// copyTarget returns the engine that is to keep a copy of a request's KV cache. Of a random sample
+// of engines with the same model version, it takes the nearest, and among those the one with the
+// most free memory. Engines with a request limit are excluded, since they may not admit the request
+// when it has to be resumed there. It returns an empty worker if there is none. The mutex must be
+// held.
 func (s *search) copyTarget(candidates []*workerState, chosen *workerState) Worker {
 	model := s.request.Engine.Model
 	var best *workerState
@@ -34,8 +35,8 @@
 	return best.worker
 }
 
-// Continue places a request whose engine was lost at the engine that should hold the copy of its
-// run. It returns nil if that engine is draining, gone or has another model version.
+// Continue places a request whose engine was lost at the engine that should hold its copy. It
+// returns nil if that engine is draining, gone or has another model version.
 func (r *Registry) Continue(now time.Duration, lost *Placement, model fleet.ModelName) *Placement {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/copies_test.go
+++ b/internal/backends/copies_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// copiedRequest returns a request whose run is to be copied.
+// copiedRequest returns a request that is to be copied to another engine.
 func copiedRequest() *Request {
 	request := engineRequest("p")
 	request.Engine.WantsCopy = true
@@ -45,8 +45,8 @@
 	assert.Empty(t, placement.Engine.CopyTo.ID, "no copy was requested")
 }
 
-// TestContinueUsesCopyTarget guards against continuing a run elsewhere than at its copy, or without
-// counting the request there.
+// TestContinueUsesCopyTarget guards against resuming a request elsewhere than at its copy, or
+// without counting it there.
 func TestContinueUsesCopyTarget(t *testing.T) {
 	registry := newEngineRegistry()
 	lost, _ := registry.Choose(0, copiedRequest())
@@ -63,8 +63,8 @@
 	assert.Zero(t, registry.workers[target.ID].inFlight)
 }
 
-// TestContinueRejectsUnusableCopyTarget guards against continuing at an engine that is draining,
-// gone or has another model version.
+// TestContinueRejectsUnusableCopyTarget guards against resuming at an engine that is draining, gone
+// or has another model version.
 func TestContinueRejectsUnusableCopyTarget(t *testing.T) {
 	for name, change := range map[string]func(*Registry, Worker){
 		"other version": func(registry *Registry, target Worker) { registry.ObserveVersion(target.ID, testModel, 2) },
--- a/internal/backends/endpoint.go
+++ b/internal/backends/endpoint.go
@@ -7,7 +7,7 @@
 )
 
 // endpoint returns the scheduler's view of an engine.
-func (r *Registry) endpoint(search *search, prompt *prompt, state *workerState, parts *promptScope) scheduling.Endpoint {
+func (r *Registry) endpoint(search *search, prompt *prompt, state *workerState, scoped *promptScope) scheduling.Endpoint {
 	engine := prompt.engine
 	endpoint := r.endpointLoad(search.now, engine, state)
 	endpoint.Address, endpoint.Zone = state.worker.Address, state.worker.Zone
@@ -19,11 +19,11 @@
 	endpoint.FailureCost = time.Duration(state.failureRate(search.now) * float64(failureCost))
 	if capacity := r.memoryCapacities[state.worker.Service]; capacity > 0 {
 		endpoint.MemoryTokens = capacity
-		endpoint.MemoryUsed = r.totalLoad(search.now, state).MemoryTokens - state.memory.tokens() + state.memory.tokensWith(memoryNeedOf(engine, parts))
+		endpoint.MemoryUsed = r.totalLoad(search.now, state).MemoryTokens - state.memory.tokens() + state.memory.tokensWith(memoryNeedOf(engine, scoped))
 	}
-	held := r.heldParts(parts, state)
+	held := r.heldParts(scoped, state)
 	endpoint.CachedBlocks = held
-	from := r.bestSource(prompt, parts, state, held)
+	from := r.bestSource(prompt, scoped, state, held)
 	if from.parts > held {
 		endpoint.ImportBlocks = from.parts
 		endpoint.ImportSetup = importSetup
--- a/internal/backends/engine.go
+++ b/internal/backends/engine.go
@@ -27,7 +27,8 @@
 	MayRefuse bool
 	// Target is the target for the time to the first event, from the arrival of the request.
 	Target time.Duration
-	// WantsCopy requests that another engine keeps a copy of the run as it grows.
+	// WantsCopy requests that another engine keeps a copy of the request's KV cache as it grows, to
+	// resume the request there if its engine is lost.
 	WantsCopy bool
 	// EventTokens is the number of tokens in a stream event; 0 if unknown.
 	EventTokens int
@@ -56,10 +57,11 @@
 	// ImportFrom is the holder from which the engine should import missing parts; empty if there is
 	// nothing to import.
 	ImportFrom fleet.Address
-	// CopyTo is the engine that should keep a copy of the run; its ID is empty if there is none.
+	// CopyTo is the engine that should keep a copy of the request's KV cache; its ID is empty if
+	// there is none.
 	CopyTo Worker
-	// ContinueAt is set to this engine's address if the engine should continue from its copy of the
-	// run.
+	// ContinueAt is set to this engine's address if the engine should resume the request from its
+	// copy.
 	ContinueAt fleet.Address
 	// SaveTo is the store that should receive the shared parts; empty if the store or an engine
 	// already holds them.
--- a/internal/backends/load.go
+++ b/internal/backends/load.go
@@ -44,9 +44,9 @@
 // lowerPriorityThan returns the load of the requests that are less urgent than a priority.
 func (l *Load) lowerPriorityThan(priority int) PriorityLoad {
 	var sum PriorityLoad
-	for _, part := range l.Priorities[min(priority+1, PriorityCount):] {
-		sum.InFlight += part.InFlight
-		sum.PrefillTokens += part.PrefillTokens
+	for _, load := range l.Priorities[min(priority+1, PriorityCount):] {
+		sum.InFlight += load.InFlight
+		sum.PrefillTokens += load.PrefillTokens
 	}
 	return sum
 }
@@ -92,16 +92,16 @@
 	// Expire stale reports before the iteration: expiry moves workers between the lists that are
 	// being iterated over.
 	r.peers.totalsAt(now)
-	used, held := 0, 0
+	used, total := 0, 0
 	for _, state := range r.poolOf(reference.worker.Service).all() {
 		load := r.totalLoad(now, state)
 		if capacity := r.memoryCapacities[state.worker.Service]; capacity > 0 {
-			used, held = used+load.MemoryTokens, held+capacity
+			used, total = used+load.MemoryTokens, total+capacity
 			continue
 		}
-		used, held = used+load.InFlight, held+max(state.worker.Slots, 1)
+		used, total = used+load.InFlight, total+max(state.worker.Slots, 1)
 	}
-	return float64(used) / float64(max(held, 1))
+	return float64(used) / float64(max(total, 1))
 }
 
 // SetMemoryCapacity sets the KV cache capacity of a service's engines, in tokens.
@@ -127,19 +127,19 @@
 
 // AllSuspects returns the workers that this node or any peer recently failed to reach.
 func (r *Registry) AllSuspects(now time.Duration) map[fleet.EngineID]bool {
-	doubtful := make(map[fleet.EngineID]bool)
+	suspects := make(map[fleet.EngineID]bool)
 	for _, suspect := range r.Suspects(now) {
-		doubtful[suspect] = true
+		suspects[suspect] = true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	totals := r.peers.totalsAt(now)
 	for id, index := range totals.index {
 		if totals.workers[index].suspecting > 0 {
-			doubtful[id] = true
+			suspects[id] = true
 		}
 	}
-	return doubtful
+	return suspects
 }
 
 // SetPeerCount sets the number of peers, to which the load in the valid reports is extrapolated.
@@ -183,17 +183,17 @@
 	sum := own.lowerPriorityThan(priority)
 	totals := r.peers.totalsAt(now)
 	if others := totals.worker(state.worker.ID); others != nil {
-		part := others.lowerPriorityThan(priority)
-		sum.InFlight += int32(r.extrapolate(totals, int(part.InFlight)))
-		sum.PrefillTokens += int32(r.extrapolate(totals, int(part.PrefillTokens)))
+		load := others.lowerPriorityThan(priority)
+		sum.InFlight += int32(r.extrapolate(totals, int(load.InFlight)))
+		sum.PrefillTokens += int32(r.extrapolate(totals, int(load.PrefillTokens)))
 	}
 	return sum
 }
 
 // extrapolate scales a sum over the peers with valid reports to all peers.
-func (r *Registry) extrapolate(totals *peerTotals, units int) int {
-	if units == 0 {
+func (r *Registry) extrapolate(totals *peerTotals, sum int) int {
+	if sum == 0 {
 		return 0
 	}
-	return units * max(r.peers.peerCount, totals.reportCount) / totals.reportCount
+	return sum * max(r.peers.peerCount, totals.reportCount) / totals.reportCount
 }
--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -99,7 +99,7 @@
 	return scope
 }
 
-// PartChange reports that a cache has added or evicted a part.
+// PartChange is a change of a cache: the part was added if Stored is set, else evicted.
 type PartChange struct {
 	Stored bool
 	Scope  string
--- a/internal/backends/peers.go
+++ b/internal/backends/peers.go
@@ -14,7 +14,7 @@
 	// Deferring are the workers that have asked the peer for no requests, if they are likely to ask
 	// the same of this node.
 	Deferring []fleet.EngineID
-	// Cordons holds, for each worker under an order of the peer, until when it counts as such.
+	// Cordons holds the workers that the peer has cordoned, and until when.
 	Cordons map[fleet.EngineID]time.Duration
 	// Work holds the work of the peer's requests by service.
 	Work map[fleet.PoolName]Work
@@ -93,7 +93,7 @@
 	suspecting int
 	// deferring is the number of peers that the worker has asked for no requests.
 	deferring int
-	// cordonedUntil is the time until which the worker counts as under an order.
+	// cordonedUntil is the latest time until which a peer has cordoned the worker.
 	cordonedUntil time.Duration
 }
 
@@ -151,8 +151,7 @@
 	}
 }
 
-// cordonedUntil returns the time until which a worker counts as under an order, by the included
-// reports.
+// cordonedUntil returns the latest time until which a worker is cordoned, by the included reports.
 func (p *peerReports) cordonedUntil(id fleet.EngineID) time.Duration {
 	latest := time.Duration(0)
 	for _, report := range p.reports {
--- a/internal/backends/peers_test.go
+++ b/internal/backends/peers_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestPeerCordonEndsWithNextReport guards against avoiding an engine after its order no longer
+// TestPeerCordonEndsWithNextReport guards against avoiding an engine after its cordon no longer
 // appears in the peer's report.
 func TestPeerCordonEndsWithNextReport(t *testing.T) {
 	registry := newEngineRegistry()
--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -358,12 +358,12 @@
 	r.changes++
 	r.setVersions(state, versions)
 	state.mismatchUntil = 0
-	// The order to load this version has been carried out.
+	// The worker has loaded the version that it was cordoned for.
 	state.cordonedUntil = 0
 	r.parts.clear(state.worker.Run())
 }
 
-// Cordon records until when a worker counts as under an order.
+// Cordon keeps requests away from a worker until the given time. A time in the past ends this.
 func (r *Registry) Cordon(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/scope.go
+++ b/internal/backends/scope.go
@@ -54,6 +54,6 @@
 }
 
 // heldParts returns the number of leading parts that an engine is expected to hold.
-func (r *Registry) heldParts(parts *promptScope, state *workerState) int {
-	return r.parts.index.CachedPrefix(state.worker.Run(), parts.hashes)
+func (r *Registry) heldParts(scoped *promptScope, state *workerState) int {
+	return r.parts.index.CachedPrefix(state.worker.Run(), scoped.hashes)
 }
--- a/internal/backends/sources.go
+++ b/internal/backends/sources.go
@@ -26,21 +26,21 @@
 // bestSource returns the best import source for an engine that holds some leading parts: the one
 // with the most parts, and among those the fastest. It has no parts if there is none. An engine at
 // most as distant as the store takes precedence over it, since all engines share the store's link.
-func (r *Registry) bestSource(prompt *prompt, parts *promptScope, target *workerState, held int) source {
+func (r *Registry) bestSource(prompt *prompt, scoped *promptScope, target *workerState, held int) source {
 	engine := prompt.engine
-	best := source{address: engine.Store, parts: min(parts.storedParts, prompt.shared)}
+	best := source{address: engine.Store, parts: min(scoped.storedParts, prompt.shared)}
 	best.distance = r.options.Regions.Between(engine.StoreZone, target.worker.Zone)
 	if engine.StoreZone == "" {
 		best.distance = SameZone
 	}
 	best.perToken = r.transferPerToken(engine, engine.StoreMegabits*storeLinkShare, best.distance)
 	equal := 0
-	for _, from := range parts.holders {
+	for _, from := range scoped.holders {
 		count := min(from.parts, prompt.shared)
 		if count < max(held+1, best.parts) {
 			break
 		}
-		if !canBeSource(from.state, target, parts, engine.Model) {
+		if !canBeSource(from.state, target, scoped, engine.Model) {
 			continue
 		}
 		distance := r.options.Regions.Between(from.state.worker.Zone, target.worker.Zone)
@@ -62,8 +62,8 @@
 
 // canBeSource reports whether the target can import parts from an engine. A draining engine can be
 // a source until it is gone.
-func canBeSource(state, target *workerState, parts *promptScope, model fleet.ModelName) bool {
-	return state != nil && state != target && !state.gone && state.worker.Versions[model] == parts.version
+func canBeSource(state, target *workerState, scoped *promptScope, model fleet.ModelName) bool {
+	return state != nil && state != target && !state.gone && state.worker.Versions[model] == scoped.version
 }
 
 // transferPerToken predicts the time to transfer a token's KV cache over a distance, at a bandwidth
@@ -79,12 +79,12 @@
 // importSource returns the address from which an engine should import missing parts: the best
 // source, which is the store if no engine is better, or the prompt's home if there is no store. It
 // returns "" if the engine needs no import.
-func (r *Registry) importSource(prompt *prompt, parts *promptScope, chosen *workerState) fleet.Address {
-	held := min(r.heldParts(parts, chosen), prompt.shared)
+func (r *Registry) importSource(prompt *prompt, scoped *promptScope, chosen *workerState) fleet.Address {
+	held := min(r.heldParts(scoped, chosen), prompt.shared)
 	if held >= prompt.shared {
 		return ""
 	}
-	if best := r.bestSource(prompt, parts, chosen, held); best.address != "" {
+	if best := r.bestSource(prompt, scoped, chosen, held); best.address != "" {
 		return best.address
 	}
 	if prompt.home != nil && prompt.home != chosen {
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -24,20 +24,20 @@
 // oscillation after small changes.
 func TestHalvingsFollowFleetSizeAndDemand(t *testing.T) {
 	for _, test := range []struct {
-		workers, least int
-		inForce, want  Halvings
+		workers, minimum int
+		current, want  Halvings
 	}{
-		{workers: 287, least: 192, want: 0},
-		{workers: 9675, least: 192, want: 5},
-		{workers: 20_000, least: 192, want: 6},
-		{workers: 9675, least: 192, inForce: 6, want: 5},
-		{workers: 9000, least: 192, inForce: 5, want: 5},
-		{workers: 6200, least: 192, inForce: 5, want: 5},
-		{workers: 6100, least: 192, inForce: 5, want: 4},
-		{workers: 9675, least: 2000, inForce: 5, want: 2},
-		{workers: 0, least: 192, inForce: 3, want: 0},
+		{workers: 287, minimum: 192, want: 0},
+		{workers: 9675, minimum: 192, want: 5},
+		{workers: 20_000, minimum: 192, want: 6},
+		{workers: 9675, minimum: 192, current: 6, want: 5},
+		{workers: 9000, minimum: 192, current: 5, want: 5},
+		{workers: 6200, minimum: 192, current: 5, want: 5},
+		{workers: 6100, minimum: 192, current: 5, want: 4},
+		{workers: 9675, minimum: 2000, current: 5, want: 2},
+		{workers: 0, minimum: 192, current: 3, want: 0},
 	} {
-		assert.Equal(t, test.want, planHalvings(test.inForce, test.workers, test.least), "%+v", test)
+		assert.Equal(t, test.want, planHalvings(test.current, test.workers, test.minimum), "%+v", test)
 	}
 }
 
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -97,7 +97,8 @@
 	lastContact     time.Duration
 	suspicionPeriod time.Duration
 	mismatchUntil   time.Duration
-	// cordonedUntil is the time until which the worker counts as under an order.
+	// cordonedUntil is the time until which the worker is cordoned: it gets no requests because it
+	// is ordered to load a model version.
 	cordonedUntil time.Duration
 
 	failureMean   float64
@@ -157,7 +158,7 @@
 	return s.gone && !s.worker.Draining && now < s.goneAt+lapsedGracePeriod
 }
 
-// isReady reports whether the worker is not suspected, not mismatched and not under an order.
+// isReady reports whether the worker is neither suspected nor mismatched nor cordoned.
 func (s *workerState) isReady(now time.Duration) bool {
 	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.cordonedUntil
 }
