--- a/internal/backends/registry.go
+++ b/internal/backends/registry.go
@@ -363,7 +363,8 @@
 	r.parts.clear(state.worker.Run())
 }
 
-// Cordon keeps requests away from a worker until the given time. A time in the past ends this.
+// Cordon makes a worker count as not ready until the given time. A time in the past ends the
+// cordon.
 func (r *Registry) Cordon(id fleet.EngineID, until time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -25,7 +25,7 @@
 func TestHalvingsFollowFleetSizeAndDemand(t *testing.T) {
 	for _, test := range []struct {
 		workers, minimum int
-		current, want  Halvings
+		current, want    Halvings
 	}{
 		{workers: 287, minimum: 192, want: 0},
 		{workers: 9675, minimum: 192, want: 5},
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -97,8 +97,8 @@
 	lastContact     time.Duration
 	suspicionPeriod time.Duration
 	mismatchUntil   time.Duration
-	// cordonedUntil is the time until which the worker is cordoned: it gets no requests because it
-	// is ordered to load a model version.
+	// cordonedUntil is the time until which the worker is cordoned: it counts as not ready because
+	// it is ordered to load a model version.
 	cordonedUntil time.Duration
 
 	failureMean   float64
--- a/internal/delivery/canaries.go
+++ b/internal/delivery/canaries.go
@@ -42,7 +42,7 @@
 }
 
 // wantedCanaries returns the number of canaries. With more, their load would be below that of the
-// old workers, which would hide faults under load, and each would answer too rarely to be judged.
+// old workers, which would hide faults under load, and each would respond too rarely to be judged.
 func (s *directorState) wantedCanaries(now time.Duration, share float64, targets int) int {
 	byLoad := share * float64(targets)
 	byRate := share * s.meter.traffic(now).rate / minCanaryRate
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -17,7 +17,7 @@
 	// the service's requests between the order and its deadline, plus a fixed number of requests.
 	ExposureShare float64
 	ExposureSlack float64
-	// RollbackWithin is the time after the first bad answers within which a bad version must stop
+	// RollbackWithin is the time after the first bad responses within which a bad version must stop
 	// getting requests.
 	RollbackWithin time.Duration
 }
@@ -64,7 +64,7 @@
 	Worker fleet.EngineID
 	// Score is the strongest evidence; the target is rejected from Threshold on.
 	Score, Threshold float64
-	// NewResponses, NewBad, OldResponses and OldBad are the answer counts behind the score.
+	// NewResponses, NewBad, OldResponses and OldBad are the response counts behind the score.
 	NewResponses, NewBad, OldResponses, OldBad uint64
 	// Elapsed is the time since the order, Remaining the time until its deadline.
 	Elapsed, Remaining time.Duration
--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// rejectTarget reports bad answers until the director decides on a rollback.
+// rejectTarget reports bad responses until the director decides on a rollback.
 func rejectTarget(t *testing.T, director *Director) *Record {
 	t.Helper()
 	director.Observe(time.Second, "node-1", testEvidence(1000, 40, 40))
@@ -139,8 +139,8 @@
 	require.Contains(t, directive.Rejected, simNew)
 }
 
-// Another director may have completed the previous order. Its target is then the old version and
-// must not stay rejected.
+// TestStoredOlderCompletionUnrejectsItsTarget guards against rejecting the old version after
+// another director has completed the previous order with it.
 func TestStoredOlderCompletionUnrejectsItsTarget(t *testing.T) {
 	director := newTestDelivery(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
@@ -193,7 +193,8 @@
 	require.Zero(t, decision.Directive.DefaultShare)
 }
 
-// Guards against a delivery that never ends when there is no old worker to compare with.
+// TestDeliveryCompletesWithoutOldWorkers guards against a delivery that never ends when there is no
+// old worker to compare with.
 func TestDeliveryCompletesWithoutOldWorkers(t *testing.T) {
 	director := newTestDelivery(t)
 	start := time.Second
@@ -219,13 +220,13 @@
 }
 
 // benchmarkEvidence returns a node's evidence for 3 routes and 60 workers of the target.
-func benchmarkEvidence(answers uint64) Evidence {
+func benchmarkEvidence(responses uint64) Evidence {
 	evidence := Evidence{Service: simService, Revision: 7, Old: map[RouteName]*Counts{}, New: map[RouteName]map[fleet.EngineID]*Counts{}}
 	for _, route := range []RouteName{"a", "b", "c"} {
-		evidence.Old[route] = &Counts{Responses: 20 * answers}
+		evidence.Old[route] = &Counts{Responses: 20 * responses}
 		evidence.New[route] = map[fleet.EngineID]*Counts{}
 		for index := range 60 {
-			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Responses: answers}
+			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Responses: responses}
 		}
 	}
 	return evidence
@@ -257,16 +258,16 @@
 	director := newTestDirector()
 	require.NoError(b, director.SetOrder(0, 0, testOrder()))
 	b.ReportAllocs()
-	answers := uint64(0)
+	responses := uint64(0)
 	// The director keeps a reference to the last evidence.
 	buffers := []Evidence{benchmarkEvidence(0), benchmarkEvidence(0)}
 	for b.Loop() {
-		answers++
-		evidence := buffers[answers%2]
+		responses++
+		evidence := buffers[responses%2]
 		for _, route := range []RouteName{"a", "b", "c"} {
-			*evidence.Old[route] = Counts{Responses: answers}
+			*evidence.Old[route] = Counts{Responses: responses}
 			for _, counts := range evidence.New[route] {
-				*counts = Counts{Responses: answers}
+				*counts = Counts{Responses: responses}
 			}
 		}
 		director.Observe(0, "node", evidence)
@@ -288,7 +289,7 @@
 	}
 }
 
-// BenchmarkFollowerRecordOutcome measures the cost per answer during a delivery.
+// BenchmarkFollowerRecordOutcome measures the cost per response during a delivery.
 func BenchmarkFollowerRecordOutcome(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
@@ -299,15 +300,15 @@
 	}
 }
 
-// Guards against decisions on stale evidence after the director was suspended during a shift, by
-// when all nodes have returned to the old workers.
+// TestPausedDirectorRevokesTheShift guards against decisions on stale evidence after the director
+// was suspended during a shift, by when all nodes have returned to the old workers.
 func TestPausedDirectorRevokesTheShift(t *testing.T) {
 	director := newTestDelivery(t)
 	now := time.Duration(0)
-	answers := uint64(0)
+	responses := uint64(0)
 	evaluate := func() Decision {
-		answers += 10
-		director.Observe(now, "node-1", testEvidence(10*answers, answers, 0))
+		responses += 10
+		director.Observe(now, "node-1", testEvidence(10*responses, responses, 0))
 		return director.Evaluate(now, testObservation(4, 4))
 	}
 	for ; now < 11700*time.Millisecond; now += EvaluationInterval {
--- a/internal/delivery/doc.go
+++ b/internal/delivery/doc.go
@@ -1,6 +1,6 @@
 // Package delivery implements canary releases of a service's software version: it decides which
-// share of the requests goes to workers of the target version, compares their answers with those of
-// the old workers, and completes the release or rolls it back.
+// share of the requests goes to workers of the target version, compares their responses with those
+// of the old workers, and completes the release or rolls it back.
 //
 // The package has no I/O and no clock; times are passed in and are on the process's monotonic
 // clock. A Follower runs on every node, and a Director on the node that holds the lease. Neither is
--- a/internal/delivery/events.go
+++ b/internal/delivery/events.go
@@ -32,7 +32,7 @@
 	EventRolledBack   = "delivery_rolled_back"
 )
 
-// newEvent returns a log event with the answer counts behind it.
+// newEvent returns a log event with the response counts behind it.
 func (s *directorState) newEvent(now time.Duration, name, reason string) Event {
 	score, route := s.judge.strongest()
 	event := Event{
--- a/internal/delivery/evidence.go
+++ b/internal/delivery/evidence.go
@@ -12,10 +12,10 @@
 	Route   RouteName
 	Worker  fleet.EngineID
 	Version fleet.SoftwareVersion
-	// Failed is set if the worker answered with a failure or aborted its answer.
+	// Failed is set if the worker responded with a failure or aborted its response.
 	Failed bool
-	// TimeToFirstByte is the measured time and Predicted the expected one. Predicted is 0 without
-	// a prediction; times are then compared among answers of the same route.
+	// TimeToFirstByte is the measured time and Predicted the expected one. Predicted is 0 without a
+	// prediction; times are then compared among responses of the same route.
 	TimeToFirstByte time.Duration
 	Predicted       time.Duration
 }
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// badFrom returns a function that makes half of the target's answers bad from the given time on.
+// badFrom returns a function that makes half of the target's responses bad from the given time on.
 func badFrom(from time.Duration) func(time.Duration, RouteName, float64) float64 {
 	return func(at time.Duration, _ RouteName, _ float64) float64 {
 		if at < from {
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -231,7 +231,7 @@
 	return true
 }
 
-// recordOld counts an answer of an old worker, unless its version is rejected or superseded.
+// recordOld counts a response of an old worker, unless its version is rejected or superseded.
 func (s *followerState) recordOld(outcome *Outcome, delta *Counts) {
 	if slices.Contains(s.rejected, outcome.Version) || slices.Contains(s.superseded, outcome.Version) {
 		return
@@ -245,7 +245,7 @@
 	s.judge.observeOld(outcome.Route, delta)
 }
 
-// recordNew counts an answer of a worker of the target.
+// recordNew counts a response of a worker of the target.
 func (s *followerState) recordNew(now time.Duration, outcome *Outcome, delta *Counts) {
 	workers := s.new[outcome.Route]
 	if workers == nil {
@@ -281,7 +281,7 @@
 	return all
 }
 
-// evidence returns a copy of the counts that later answers don't change.
+// evidence returns a copy of the counts that later responses don't change.
 func (s *followerState) evidence(service fleet.PoolName) Evidence {
 	copied := Evidence{
 		Service:  service,
--- a/internal/delivery/follower_test.go
+++ b/internal/delivery/follower_test.go
@@ -149,7 +149,8 @@
 	}
 }
 
-// Guards against sending requests back to old workers, which may stop, when the target is full.
+// TestFullCompletedTargetKeepsItsRequests guards against sending requests back to old workers,
+// which may stop, when the target is full.
 func TestFullCompletedTargetKeepsItsRequests(t *testing.T) {
 	final := canaryDirective(0)
 	final.Stage = StageCompleted
@@ -176,8 +177,8 @@
 	}
 }
 
-// The outcome of the first order may be unknown here. Its target is avoided, but allowed if there
-// is no other worker, since it may have been completed.
+// TestSupersededTargetIsAvoided guards against preferring an earlier target of unknown outcome to
+// other workers, and against excluding it when there are none.
 func TestSupersededTargetIsAvoided(t *testing.T) {
 	follower := newTestFollower(t, canaryDirective(0))
 	_, err := follower.SetOrder(time.Second, Order{Service: simService, Target: "third", Duration: time.Second, Revision: 8})
@@ -207,7 +208,7 @@
 	require.Nil(t, follower.Filter(time.Second+newVersionHold, simService, testRoute, 0, false))
 }
 
-// recordResponses records n answers of a worker and reports whether the follower stopped sending.
+// recordResponses records n responses of a worker and reports whether the follower stopped sending.
 func recordResponses(follower *Follower, n int, worker fleet.EngineID, version fleet.SoftwareVersion, failed bool) bool {
 	stopped := false
 	for range n {
--- a/internal/delivery/histogram.go
+++ b/internal/delivery/histogram.go
@@ -8,7 +8,7 @@
 // plainLatencyUnit is the upper bound of the first bucket for requests without a prediction.
 const plainLatencyUnit = 2 * time.Millisecond
 
-// latencyBucket returns the histogram bucket for an answer's time to the first byte.
+// latencyBucket returns the histogram bucket for a response's time to the first byte.
 func latencyBucket(o *Outcome) int {
 	ratio := float64(o.TimeToFirstByte) / float64(plainLatencyUnit)
 	if o.Predicted > 0 {
@@ -46,7 +46,7 @@
 	return delta
 }
 
-// slow returns the number of answers in the given bucket or a higher one.
+// slow returns the number of responses in the given bucket or a higher one.
 func (c *Counts) slow(from int) uint64 {
 	var sum uint64
 	for bucket := from; bucket < LatencyBuckets; bucket++ {
--- a/internal/delivery/judge.go
+++ b/internal/delivery/judge.go
@@ -9,8 +9,8 @@
 
 // Thresholds of the sequential test.
 const (
-	// rejectScore is the log-likelihood ratio at which a version is rejected. A run of answers of a
-	// good version reaches it with a probability of at most e^-9.
+	// rejectScore is the log-likelihood ratio at which a version is rejected. A run of responses of
+	// a good version reaches it with a probability of at most e^-9.
 	rejectScore = 9.0
 	// maxWorkerFraction is the fraction of rejectScore that one worker can contribute. At least two
 	// workers must be bad: a single partially failing or crashed worker isn't a fault of the
@@ -18,25 +18,25 @@
 	maxWorkerFraction = 0.55
 	// suspectFraction is the fraction of its maximum contribution from which a worker is suspected.
 	suspectFraction = 0.9
-	// surgeFactor multiplies the normal rate of bad answers during a surge.
+	// surgeFactor multiplies the normal rate of bad responses during a surge.
 	surgeFactor = 2
 )
 
 // hypothesis is a kind of bad version that the test detects.
 type hypothesis struct {
-	// effect is the fraction of otherwise good answers that the version makes bad.
+	// effect is the fraction of otherwise good responses that the version makes bad.
 	effect float64
-	// minNormal is the lower limit of the normal rate of bad answers. Below it, single failures
+	// minNormal is the lower limit of the normal rate of bad responses. Below it, single failures
 	// would weigh too much.
 	minNormal float64
-	// usesWarmLimits applies the limits of warm workers to their answers. Otherwise only answers
-	// that are slow for a cold worker count as slow, since a few engines are always cold for a rare
-	// prompt.
+	// usesWarmLimits applies the limits of warm workers to their responses. Otherwise only
+	// responses that are slow for a cold worker count as slow, since a few engines are always cold
+	// for a rare prompt.
 	usesWarmLimits bool
 }
 
-// hypotheses are tested in parallel, from large effects, which few bad answers show, to small ones.
-// A version that fails only under load has a small effect on its canaries.
+// hypotheses are tested in parallel, from large effects, which few bad responses show, to small
+// ones. A version that fails only under load has a small effect on its canaries.
 var hypotheses = [...]hypothesis{
 	{effect: 0.2, minNormal: 0.02, usesWarmLimits: true},
 	{effect: 0.04, minNormal: 0.005},
@@ -80,7 +80,7 @@
 	return strongest
 }
 
-// workerResponses counts the answers of a worker of the target on a route.
+// workerResponses counts the responses of a worker of the target on a route.
 type workerResponses struct {
 	responses uint64
 	firstAt   time.Duration
@@ -118,7 +118,7 @@
 	return state
 }
 
-// observeOld counts answers of old workers.
+// observeOld counts responses of old workers.
 func (j *judge) observeOld(name RouteName, delta *Counts) {
 	route := j.route(name)
 	route.baseline.add(delta)
@@ -126,28 +126,28 @@
 	route.oldBad += delta.Failures + delta.slow(route.baseline.limits(false).slowFrom)
 }
 
-// conditions are the circumstances under which the target's answers are judged.
+// conditions are the circumstances under which the target's responses are judged.
 type conditions struct {
 	now time.Duration
 	// singleCanary is set if only one worker of the target gets requests. Its contribution isn't
 	// limited.
 	singleCanary bool
 	// surging is set after all requests have moved to the target. Failures are faster than
-	// successes, so that more of the first answers are bad.
+	// successes, so that more of the first responses are bad.
 	surging bool
 }
 
-// observeNew counts answers of a worker of the target and updates the scores.
-func (j *judge) observeNew(in conditions, name RouteName, id fleet.EngineID, delta *Counts) {
+// observeNew counts responses of a worker of the target and updates the scores.
+func (j *judge) observeNew(current conditions, name RouteName, id fleet.EngineID, delta *Counts) {
 	route := j.route(name)
-	cold := route.recordWorker(in.now, id, delta.Responses)
+	cold := route.recordWorker(current.now, id, delta.Responses)
 	limits := route.baseline.limits(cold)
 	verySlow := route.baseline.limits(true).slowFrom
 	route.newResponses += delta.Responses
 	route.newBad += delta.Failures + delta.slow(limits.slowFrom)
 	good := delta.Responses - delta.Failures - delta.slow(limits.fastBelow)
 	limit := rejectScore
-	if !in.singleCanary {
+	if !current.singleCanary {
 		limit *= maxWorkerFraction
 	}
 	for index, hypothesis := range hypotheses {
@@ -159,7 +159,7 @@
 			slowFrom = LatencyBuckets
 		}
 		normal := route.baseline.badRate(slowFrom)
-		if in.surging {
+		if current.surging {
 			normal *= surgeFactor
 		}
 		ratio := hypothesis.ratio(normal, delta.Failures+delta.slow(slowFrom), good)
@@ -168,19 +168,19 @@
 	}
 }
 
-// recordWorker counts a worker's answers and reports whether the worker was still cold.
-func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, answers uint64) bool {
+// recordWorker counts a worker's responses and reports whether the worker was still cold.
+func (r *routeState) recordWorker(now time.Duration, id fleet.EngineID, responses uint64) bool {
 	worker, found := r.workers[id]
 	if !found {
 		worker.firstAt = now
 	}
 	cold := worker.responses < coldResponses || now-worker.firstAt < coldDuration
-	worker.responses += answers
+	worker.responses += responses
 	r.workers[id] = worker
 	return cold
 }
 
-// ratio returns the log-likelihood ratio of the answers between a version with the hypothesis's
+// ratio returns the log-likelihood ratio of the responses between a version with the hypothesis's
 // effect and one that behaves like the old workers.
 func (h hypothesis) ratio(normal float64, bad, good uint64) float64 {
 	normal = min(0.99, max(h.minNormal, normal))
@@ -218,7 +218,7 @@
 }
 
 // suspects adds the workers that have nearly reached their maximum contribution to a score, so that
-// more of their answers add no evidence.
+// more of their responses add no evidence.
 func (s *scores) suspects(suspects map[fleet.EngineID]bool) {
 	for index := range s {
 		for id, value := range s[index].workers {
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// judgingMethod processes answers of the target and reports whether they reject it.
+// judgingMethod processes responses of the target and reports whether they reject it.
 type judgingMethod interface {
 	rejects(worker fleet.EngineID, normal float64, bad, good uint64) bool
 }
@@ -52,8 +52,8 @@
 	w.responses = append(w.responses, windowedResponse{worker, hypotheses[0].ratio(normal, bad, good)})
 	for _, size := range []int{30, 100, 1000} {
 		parts := map[fleet.EngineID]float64{}
-		for _, answer := range w.responses[max(0, len(w.responses)-size):] {
-			parts[answer.worker] += answer.ratio
+		for _, response := range w.responses[max(0, len(w.responses)-size):] {
+			parts[response.worker] += response.ratio
 		}
 		sum := 0.0
 		for _, part := range parts {
@@ -70,23 +70,23 @@
 	name string
 	make func() judgingMethod
 }{
-	{"pooled sum", func() judgingMethod { return &pooledCUSUM{scores: newScores()} }},
-	{"sum of sums", func() judgingMethod { return &perWorkerCUSUM{workers: map[fleet.EngineID]float64{}} }},
+	{"pooled CUSUM", func() judgingMethod { return &pooledCUSUM{scores: newScores()} }},
+	{"CUSUM per worker", func() judgingMethod { return &perWorkerCUSUM{workers: map[fleet.EngineID]float64{}} }},
 	{"windowed ratio", func() judgingMethod { return &windowedRatio{} }},
 }
 
-// responseStream generates answers. normal is the failure rate of both versions, effect the
+// responseStream generates responses. normal is the failure rate of both versions, effect the
 // additional failure rate of the target, and greyRate that of one of the target's three workers.
 type responseStream struct {
 	normal, effect, greyRate float64
 }
 
-// play feeds a stream to a method. It returns the number of the target's answers and of the bad
-// ones among them until the rejection, or false if there is none within limit answers.
-func (s responseStream) play(method judgingMethod, seed uint64, limit int) (answers, bad int, rejected bool) {
+// play feeds a stream to a method. It returns the number of the target's responses and of the bad
+// ones among them until the rejection, or false if there is none within limit responses.
+func (s responseStream) play(method judgingMethod, seed uint64, limit int) (responses, bad int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
-	for answers = 1; answers <= limit; answers++ {
+	for responses = 1; responses <= limit; responses++ {
 		delta := Counts{Responses: 20}
 		for range delta.Responses {
 			if random.Float64() < s.normal {
@@ -103,7 +103,7 @@
 			bad++
 		}
 		if method.rejects(worker, old.badRate(LatencyBuckets), failures, 1-failures) {
-			return answers, bad, true
+			return responses, bad, true
 		}
 	}
 	return limit, bad, false
@@ -138,7 +138,7 @@
 				missed++
 			}
 		}
-		t.Logf("normal %.2f: %d of %d bad versions missed within %d answers", normal, missed, seeds, limit)
+		t.Logf("normal %.2f: %d of %d bad versions missed within %d responses", normal, missed, seeds, limit)
 		require.LessOrEqual(t, missed*100, seeds, "normal %.2f", normal)
 	}
 }
@@ -200,7 +200,8 @@
 	require.Equal(t, after, after.since(nil))
 }
 
-// Guards against a baseline that doesn't follow a burst of failures or doesn't forget it.
+// TestBaselineFollowsFailureRate guards against a baseline that doesn't follow a burst of failures
+// or doesn't forget it.
 func TestBaselineFollowsFailureRate(t *testing.T) {
 	var old baseline
 	old.add(&Counts{Responses: 2000})
@@ -213,7 +214,8 @@
 	require.Less(t, old.badRate(LatencyBuckets), 0.06)
 }
 
-// Guards against rejecting a version because its engines start with an empty cache.
+// TestSlowColdResponsesAreIgnored guards against rejecting a version because its engines start with
+// an empty cache.
 func TestSlowColdResponsesAreIgnored(t *testing.T) {
 	old := Counts{Responses: 200}
 	old.Latency[4] = 200
@@ -238,8 +240,8 @@
 	}
 }
 
-// Guards against missing a fault of a single route, and one of all routes that no single route
-// shows often enough.
+// TestRoutesAreJudgedSeparatelyAndTogether guards against missing a fault of a single route, and
+// one of all routes that no single route shows often enough.
 func TestRoutesAreJudgedSeparatelyAndTogether(t *testing.T) {
 	judge := newJudge()
 	for index := range 40 {
@@ -269,7 +271,8 @@
 	return 0
 }
 
-// Guards against a rejection because failures, which are faster, are answered first in a surge.
+// TestSurgeToleratesEarlyFailures guards against a rejection because failures, which are faster,
+// arrive first in a surge.
 func TestSurgeToleratesEarlyFailures(t *testing.T) {
 	for _, surging := range []bool{true, false} {
 		judge := newJudge()
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -62,7 +62,7 @@
 		}
 		return fraction
 	}
-	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, plain %t",
+	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, no predictions %t",
 		setup.seed, kind, fraction, from, badRoute, setup.slow, setup.duration, setup.rate, setup.workers, setup.nodes, setup.noPredictions)
 }
 
@@ -94,7 +94,7 @@
 }
 
 // TestBadVersionStaysWithinItsExposure guards against exposure above the limit and against requests
-// to a bad version more than 5 s after its 50th bad answer.
+// to a bad version more than 5 s after its 50th bad response.
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
 	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
@@ -118,7 +118,7 @@
 			slowStops++
 		}
 	})
-	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad answer", seeds, completedBad, slowStops)
+	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad response", seeds, completedBad, slowStops)
 }
 
 // requireCompletes checks that at least 98 of 100 good versions are completed in time.
@@ -137,7 +137,7 @@
 			return
 		}
 		failed++
-		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
+		t.Logf("seed %d: %s at %.0f/s, %d workers, no predictions %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
 		for _, event := range run.events {
 			t.Logf("  %+v", event)
 		}
@@ -146,15 +146,15 @@
 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
-	wave := func(at time.Duration) float64 {
+	peak := func(at time.Duration) float64 {
 		if at > 4*time.Second && at < 7*time.Second {
 			return 3
 		}
 		return 1
 	}
 	for name, change := range map[string]func(*scenario){
-		"alone":           func(*scenario) {},
-		"cold":            func(s *scenario) { s.cold = true },
+		"no_disturbance":  func(*scenario) {},
+		"cold_caches":     func(s *scenario) { s.cold = true },
 		"grey_old_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"old-0": 0.4} },
 		"grey_new_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
@@ -163,9 +163,9 @@
 		"crashed_new_worker": func(s *scenario) {
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newWorkers[0].crashed = true }}
 		},
-		"callers_leave": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
-		"wave":          func(s *scenario) { s.wave = wave },
-		"overload":      func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
+		"callers_time_out": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
+		"load_peak":        func(s *scenario) { s.wave = peak },
+		"overload":         func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireCompletes(t, seedCount(100), change)
--- a/internal/delivery/schedule.go
+++ b/internal/delivery/schedule.go
@@ -47,7 +47,7 @@
 
 // traffic counts a service's requests since the order.
 type traffic struct {
-	// rate is the current number of answers per second; 0 if it isn't known yet.
+	// rate is the current number of responses per second; 0 if it isn't known yet.
 	rate float64
 	// total and target count the requests so far. target is at least the number planned by the
 	// shares.
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -36,14 +36,16 @@
 	routes         map[RouteName]float64 // fractions of the rate
 	noPredictions  bool
 	normalFailures map[RouteName]float64 // failure rates of any version
-	// badFraction returns the fraction of the target's answers that is bad.
+	// badFraction returns the fraction of the target's responses that is bad.
 	badFraction func(at time.Duration, route RouteName, load float64) float64
 	// orderDelay is the time within which nodes read the order; 0 means 500 ms.
 	orderDelay time.Duration
-	slow       bool // bad answers take eight times as long instead of failing
-	cold       bool // the first answers of a new worker on a route take up to four times as long
-	greyRates  map[fleet.EngineID]float64
-	wave       func(at time.Duration) float64
+	slow       bool // bad responses take eight times as long instead of failing
+	cold       bool // the first responses of a new worker on a route take up to four times as long
+	// greyRates holds the failure rates of partially failing workers.
+	greyRates map[fleet.EngineID]float64
+	// wave returns the factor by which the rate is multiplied at a time.
+	wave func(at time.Duration) float64
 	// callerTimeout is when callers abort, so that no outcome is recorded; 0 means never.
 	callerTimeout time.Duration
 	// faults are injected once, at their times.
@@ -78,10 +80,10 @@
 	isBad   bool
 }
 
-// badTally counts the target's answers on a route since the first bad one.
+// badTally counts the target's responses on a route since the first bad one.
 type badTally struct{ responses, bad int }
 
-// simulation simulates the nodes, the store and the workers of one service.
+// simulation simulates the nodes, the store and the workers of one service during a delivery.
 type simulation struct {
 	scenario
 	random         *rand.Rand
@@ -217,16 +219,16 @@
 		observation.Workers = append(observation.Workers, Worker{ID: worker.id, Version: worker.version, Slots: s.slots, InFlight: worker.inFlight, Unreachable: worker.crashed})
 	}
 	director := s.leader.director
-	step := director.Evaluate(s.now, observation)
-	if step.Event.Name != "" {
-		s.events = append(s.events, step.Event)
+	decision := director.Evaluate(s.now, observation)
+	if decision.Event.Name != "" {
+		s.events = append(s.events, decision.Event)
 	}
-	if step.Write != nil {
-		found, err := s.store(*step.Write)
-		director.HandleWriteResult(s.now, simService, *step.Write, found, err)
+	if decision.Write != nil {
+		found, err := s.store(*decision.Write)
+		director.HandleWriteResult(s.now, simService, *decision.Write, found, err)
 	}
-	if step.Directive != nil {
-		s.leader.follower.ApplyDirective(s.now, *step.Directive)
+	if decision.Directive != nil {
+		s.leader.follower.ApplyDirective(s.now, *decision.Directive)
 	}
 }
 
@@ -413,7 +415,7 @@
 	delete(s.due, s.now)
 }
 
-// tallyResponse counts the target's answers until shortly before the last decision.
+// tallyResponse counts the target's responses until shortly before the last decision.
 func (s *simulation) tallyResponse(due *simResponse) {
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
@@ -431,8 +433,8 @@
 	}
 }
 
-// hasEvidence reports whether a route has had so many bad answers, also as a fraction of its
-// answers, that the target must be rolled back.
+// hasEvidence reports whether a route has had so many bad responses, also as a fraction of its
+// responses, that the target must be rolled back.
 func (s *simulation) hasEvidence(bad int, fraction float64) bool {
 	for _, tally := range s.tallies {
 		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.responses) {
@@ -445,7 +447,7 @@
 // excessExposure returns by how much the target's requests exceed the limit until the deadline.
 func (s *simulation) excessExposure() float64 { return s.targetRequests - 0.1*s.totalRequests - 50 }
 
-// exposedAfterBad returns how long after its n-th bad answer the target still got requests.
+// exposedAfterBad returns how long after its n-th bad response the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
 	if len(s.badResponseTimes) < n {
 		return 0
--- a/internal/delivery/stages_test.go
+++ b/internal/delivery/stages_test.go
@@ -14,8 +14,8 @@
 func advanceTo(director *Director, from, until time.Duration, observation Observation) Decision {
 	var decision Decision
 	for now := from; now <= until; now += EvaluationInterval {
-		answers := uint64(now / EvaluationInterval)
-		director.Observe(now, "node-1", testEvidence(50*answers, answers, 0))
+		responses := uint64(now / EvaluationInterval)
+		director.Observe(now, "node-1", testEvidence(50*responses, responses, 0))
 		decision = director.Evaluate(now, observation)
 	}
 	return decision
@@ -31,7 +31,8 @@
 	require.Equal(t, StageShifting, decision.Directive.Stage)
 }
 
-// Guards against starting an announced shift after bad answers.
+// TestPlannedShiftIsHeldOnBadEvidence guards against starting an announced shift after bad
+// responses.
 func TestPlannedShiftIsHeldOnBadEvidence(t *testing.T) {
 	director := newTestDelivery(t)
 	advanceTo(director, 0, 11*time.Second, testObservation(4, 4))
@@ -93,7 +94,8 @@
 	require.Equal(t, 4, counts.oldInFlight)
 }
 
-// Guards against judging a version by its first worker alone while others are about to be listed.
+// TestFirstCanaryWaitsForOthers guards against judging a version by its first worker alone while
+// others are about to be listed.
 func TestFirstCanaryWaitsForOthers(t *testing.T) {
 	director := newTestDelivery(t)
 	require.Zero(t, director.Evaluate(time.Second, testObservation(4, 1)).Directive.DefaultShare)
@@ -102,7 +104,8 @@
 	require.NotZero(t, director.Evaluate(time.Second, testObservation(4, 3)).Directive.DefaultShare)
 }
 
-// Guards against canaries with less load than the old workers, and against too few answers of each.
+// TestNumberOfCanaries guards against canaries with less load than the old workers, and against too
+// few responses of each.
 func TestNumberOfCanaries(t *testing.T) {
 	state := newTestDelivery(t).services[simService]
 	state.defaultShare = 0.3
@@ -114,7 +117,8 @@
 	require.Equal(t, minCanaries, state.wantedCanaries(time.Minute, state.defaultShare, 60))
 }
 
-// Guards against keeping a canary that can't contribute more evidence.
+// TestSuspectedCanaryIsReplaced guards against keeping a canary that can't contribute more
+// evidence.
 func TestSuspectedCanaryIsReplaced(t *testing.T) {
 	director := newTestDelivery(t)
 	require.Contains(t, director.Evaluate(0, testObservation(6, 6)).Directive.Canaries, fleet.EngineID("new-0"))
@@ -129,7 +133,8 @@
 	require.NotZero(t, decision.Directive.DefaultShare)
 }
 
-// Guards against rates that include answers counted before a node's first report.
+// TestInitialCountsDoNotAffectRates guards against rates that include responses counted before a
+// node's first report.
 func TestInitialCountsDoNotAffectRates(t *testing.T) {
 	observed := newMeter(0)
 	judge := newJudge()
@@ -145,11 +150,11 @@
 	require.InDelta(t, 100, observed.traffic(12*time.Second).rate, 5)
 	require.InDelta(t, 500, observed.targetPlanned, 100)
 	observed.targetResponses = 0
-	require.Equal(t, observed.targetPlanned, observed.traffic(12*time.Second).target, "planned requests count before they are answered")
+	require.Equal(t, observed.targetPlanned, observed.traffic(12*time.Second).target, "planned requests count before their responses arrive")
 }
 
-// Guards against completing a target at the deadline with evidence against it that is too weak for
-// a rejection.
+// TestSuspectedTargetIsNotCompleted guards against completing a target at the deadline with
+// evidence against it that is too weak for a rejection.
 func TestSuspectedTargetIsNotCompleted(t *testing.T) {
 	director := newTestDelivery(t)
 	director.HandleWriteResult(0, simService, *director.Evaluate(0, testObservation(4, 4)).Write, nil, nil)
@@ -169,7 +174,8 @@
 	require.Less(t, decision.Event.Score, decision.Event.Threshold)
 }
 
-// Guards against overloading few canaries with a rare route, whose requests may be the longest.
+// TestRareRouteDoesNotOverloadCanaries guards against overloading few canaries with a rare route,
+// whose requests may be the longest.
 func TestRareRouteDoesNotOverloadCanaries(t *testing.T) {
 	director := newTestDelivery(t)
 	var decision Decision
--- a/internal/delivery/traffic.go
+++ b/internal/delivery/traffic.go
@@ -16,13 +16,13 @@
 	nodes map[fleet.NodeID]Evidence
 	// lastReport is when each node last reported.
 	lastReport map[fleet.NodeID]time.Duration
-	// pending counts answers by route since the last tick; rates are in answers per second.
+	// pending counts responses by route since the last tick; rates are in responses per second.
 	pending   map[RouteName]float64
 	rates     map[RouteName]float64
 	tickedAt  time.Duration
 	startedAt time.Duration
 	total     float64
-	// targetResponses counts the target's answers, targetPlanned the requests that its shares
+	// targetResponses counts the target's responses, targetPlanned the requests that its shares
 	// planned.
 	targetResponses, targetPlanned float64
 }
@@ -39,10 +39,10 @@
 }
 
 // observe takes a node's cumulative evidence and passes the increase to the judge.
-func (m *meter) observe(in conditions, node fleet.NodeID, evidence Evidence, judge *judge) {
+func (m *meter) observe(current conditions, node fleet.NodeID, evidence Evidence, judge *judge) {
 	previous, reported := m.nodes[node]
 	m.nodes[node] = evidence
-	m.lastReport[node] = in.now
+	m.lastReport[node] = current.now
 	for route, counts := range evidence.Old {
 		delta := counts.since(previous.Old[route])
 		if delta.Responses == 0 {
@@ -57,20 +57,20 @@
 			if delta.Responses == 0 {
 				continue
 			}
-			judge.observeNew(in, route, worker, &delta)
+			judge.observeNew(current, route, worker, &delta)
 			m.count(route, delta.Responses, reported)
 			m.targetResponses += float64(delta.Responses)
 		}
 	}
 }
 
-// count adds answers. Those in a node's first report have no known time and don't count for the
+// count adds responses. Those in a node's first report have no known time and don't count for the
 // rate.
-func (m *meter) count(route RouteName, answers uint64, recent bool) {
+func (m *meter) count(route RouteName, responses uint64, recent bool) {
 	if recent {
-		m.pending[route] += float64(answers)
+		m.pending[route] += float64(responses)
 	}
-	m.total += float64(answers)
+	m.total += float64(responses)
 }
 
 // tick updates the rates and the planned requests to now.
@@ -90,8 +90,8 @@
 	}
 }
 
-// isMissingReports reports whether at least as many nodes have recently stopped reporting as still report.
-// The director is then partitioned, or has just started.
+// isMissingReports reports whether the nodes that have recently stopped reporting are at least as
+// many as those that still report. The director is then partitioned, or has just started.
 func (m *meter) isMissingReports(now time.Duration) bool {
 	reporting, silent := 0, 0
 	for _, reportedAt := range m.lastReport {
@@ -124,5 +124,5 @@
 	nodeRetention  = 10 * time.Second
 )
 
-// rateWarmup is the time after which each node has reported answers twice.
+// rateWarmup is the time after which each node has reported responses twice.
 const rateWarmup = 1500 * time.Millisecond
