--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -27,9 +27,9 @@
 	t     *testing.T
 	now   time.Duration
 	model *platformmodel.Platform
-	// unavailable makes every call fail without effect. loseAnswers drops commit answers after the
+	// unavailable makes every call fail without effect. loseResponses drops commit answers after the
 	// commit took effect.
-	unavailable, loseAnswers bool
+	unavailable, loseResponses bool
 }
 
 func newHarness(t *testing.T) *harness {
@@ -59,7 +59,7 @@
 		return errors.Wrap(platform.ErrUnavailable, "commit")
 	}
 	err := h.model.Commit(h.now, transaction)
-	if h.loseAnswers {
+	if h.loseResponses {
 		return errors.Wrap(platform.ErrUnknownOutcome, "commit")
 	}
 	return err
@@ -119,11 +119,11 @@
 	assert.EqualValues(t, 2, h.token(b))
 }
 
-func TestLostCommitAnswerIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
+func TestLostCommitResponseIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
 	h := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, h.step(a)) // reads: there is no row
-	h.loseAnswers = true
+	h.loseResponses = true
 	start := h.now
 	require.True(t, h.step(a))
 	require.False(t, a.IsHeld(h.now))
@@ -135,7 +135,7 @@
 	assert.False(t, a.IsHeld(lapse))
 }
 
-func TestTwoLostCommitAnswersOnOneRevisionCountFromEarlier(t *testing.T) {
+func TestTwoLostCommitResponsesOnOneRevisionCountFromEarlier(t *testing.T) {
 	h := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, h.step(a))
@@ -146,7 +146,7 @@
 	require.True(t, h.step(a)) // reads: still no row
 	require.NoError(t, h.commit(first.Transaction), "the first commit takes effect late")
 	h.now += time.Second
-	h.loseAnswers = true
+	h.loseResponses = true
 	require.True(t, h.step(a)) // the second commit conflicts, and its answer is lost
 	h.now += 2 * time.Second
 	require.True(t, h.step(a)) // reads its own row
