--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -27,8 +27,8 @@
 	t     *testing.T
 	now   time.Duration
 	model *platformmodel.Platform
-	// unavailable makes every call fail without effect. loseResponses drops commit answers after the
-	// commit took effect.
+	// unavailable makes every call fail without effect. loseResponses drops commit responses after
+	// the commit took effect.
 	unavailable, loseResponses bool
 }
 
@@ -128,11 +128,11 @@
 	require.True(t, h.step(a))
 	require.False(t, a.IsHeld(h.now))
 	h.now += 5 * time.Second
-	require.True(t, h.step(a)) // reads back
+	require.True(t, h.step(a)) // reads its own row, which resolves the commit
 	assert.EqualValues(t, 1, h.token(a))
-	lapse := start + testSettings.Duration - testSettings.Margin
-	assert.True(t, a.IsHeld(lapse-1))
-	assert.False(t, a.IsHeld(lapse))
+	expiry := start + testSettings.Duration - testSettings.Margin
+	assert.True(t, a.IsHeld(expiry-1))
+	assert.False(t, a.IsHeld(expiry))
 }
 
 func TestTwoLostCommitResponsesOnOneRevisionCountFromEarlier(t *testing.T) {
@@ -147,7 +147,7 @@
 	require.NoError(t, h.commit(first.Transaction), "the first commit takes effect late")
 	h.now += time.Second
 	h.loseResponses = true
-	require.True(t, h.step(a)) // the second commit conflicts, and its answer is lost
+	require.True(t, h.step(a)) // the second commit conflicts, and its response is lost
 	h.now += 2 * time.Second
 	require.True(t, h.step(a)) // reads its own row
 	assert.True(t, a.IsHeld(9*time.Second-1))
@@ -163,7 +163,7 @@
 	require.NoError(t, h.commit(action.Transaction))
 	h.now += 9 * time.Second
 	a.CommitDone(h.now, nil)
-	assert.False(t, a.IsHeld(h.now), "the answer arrived after the lease had expired")
+	assert.False(t, a.IsHeld(h.now), "the response arrived after the lease had expired")
 }
 
 func TestStoreOutageEndsLeaseAndKeepsTokenOnRecovery(t *testing.T) {
@@ -267,9 +267,8 @@
 	assert.NoError(t, Settings{Key: "k", Duration: DefaultDuration, Margin: DefaultMargin}.Validate())
 }
 
-// TestExclusiveRestartTakesOverImmediately guards against a restarted process waiting for its own
-// earlier run's lease to expire on an exclusive machine, even if it is not eligible. Other machines
-// must still wait.
+// TestExclusiveRestartTakesOverImmediately guards against a restarted process, even an ineligible
+// one, waiting for its earlier run's lease on an exclusive machine, and other machines not waiting.
 func TestExclusiveRestartTakesOverImmediately(t *testing.T) {
 	h := newHarness(t)
 	settings := testSettings
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,8 +13,8 @@
 	"github.com/tillerfall/tillerfall/internal/platform"
 )
 
-// callTimeoutDivisor is the part of a lease's duration that bounds one call. A later answer would
-// leave too little of the lease.
+// A call may take at most the lease's duration divided by callTimeoutDivisor. A later response
+// would leave too little of the lease.
 const callTimeoutDivisor = 3
 
 // Keeper runs an Election against the table service in real time. It is safe for concurrent use.
@@ -46,7 +46,7 @@
 func (k *Keeper) Start() { k.tomb.Go(k.run) }
 
 // Stop makes Fence fail immediately, releases the lease if possible, and waits for the calls in
-// flight, each of which is bounded by a part of the lease's duration.
+// flight, each of which is bounded by callTimeoutDivisor.
 func (k *Keeper) Stop() error {
 	k.mutex.Lock()
 	k.election.Resign()
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -92,7 +92,7 @@
 		service.hang.Store(true)
 		time.Sleep(testSettings.Duration)
 		_, held := keeper.Fence()
-		assert.False(t, held, "no renewal was answered")
+		assert.False(t, held, "no renewal got a response")
 		before := clock.Now()
 		require.NoError(t, keeper.Stop())
 		assert.LessOrEqual(t, clock.Now()-before, 2*testSettings.Duration/callTimeoutDivisor)
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -37,7 +37,7 @@
 	token  fleet.FencingToken
 }
 
-// simulation is a random run with lost answers, late commits, pauses and delayed commands. It
+// simulation is a random run with lost responses, late commits, pauses and delayed commands. It
 // checks the lease's invariants at each step.
 type simulation struct {
 	t *rapid.T
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -17,31 +17,31 @@
 	share  float64
 }
 
-// RoutersFor returns the members that answerer returns to a caller at the given location. A caller
-// picks one of them at random for each connection, so a member with a smaller share is returned by
-// fewer answerers: the answerers of a zone divide the shares evenly among themselves. An answerer
-// returns the same members while nothing changes, because callers close connections to members that
-// are missing from a new answer.
+// RoutersFor returns the members that responder, the router that was asked, returns to a caller at
+// the given location. A caller picks one of them at random for each connection, so a member with a
+// smaller share is returned by fewer responders: the responders of a zone divide the shares evenly
+// among themselves. A responder returns the same members while nothing changes, because callers
+// close connections to members that are missing from a new response.
 //
 // alive reports whether a serving member is reachable. If fewer than half of all serving members
-// are, and none of those selected for the caller, the answerer assumes that it is partitioned
+// are, and none of those selected for the caller, the responder assumes that it is partitioned
 // itself and ignores alive.
-func (r *Roles) RoutersFor(from Location, answerer fleet.NodeID, alive func(Member) bool) []Member {
+func (r *Roles) RoutersFor(from Location, responder fleet.NodeID, alive func(Member) bool) []Member {
 	shares := r.filterReachable(r.callerShares(from), alive)
-	chosen := systematicSample(shares, r.sampleOffset(answerer))
-	answer := make([]Member, len(chosen))
+	chosen := systematicSample(shares, r.sampleOffset(responder))
+	response := make([]Member, len(chosen))
 	for index, candidate := range chosen {
-		answer[index] = candidate.member
+		response[index] = candidate.member
 	}
-	if len(answer) < minGroupServing {
-		answer = r.withFallback(answer, from, answerer, alive)
+	if len(response) < minGroupServing {
+		response = r.withFallback(response, from, responder, alive)
 	}
-	return answer
+	return response
 }
 
-// withFallback adds the nearest other reachable serving member to an answer that is too short for a
-// caller to fail over. Different answerers add different members, to spread the load.
-func (r *Roles) withFallback(answer []Member, from Location, answerer fleet.NodeID, alive func(Member) bool) []Member {
+// withFallback adds the nearest other reachable serving member to a response that is too short for
+// a caller to fail over. Different responders add different members, to spread the load.
+func (r *Roles) withFallback(response []Member, from Location, responder fleet.NodeID, alive func(Member) bool) []Member {
 	var fallback *Member
 	distance := func(member *Member) int {
 		switch {
@@ -55,20 +55,20 @@
 	}
 	for index := range r.Serving {
 		member := &r.Serving[index]
-		if !alive(*member) || slices.ContainsFunc(answer, func(named Member) bool { return named.Node == member.Node }) {
+		if !alive(*member) || slices.ContainsFunc(response, func(named Member) bool { return named.Node == member.Node }) {
 			continue
 		}
 		if fallback == nil || cmp.Or(
 			cmp.Compare(distance(member), distance(fallback)),
-			cmp.Compare(RendezvousWeight(string(answerer), string(fallback.Node)), RendezvousWeight(string(answerer), string(member.Node))),
+			cmp.Compare(RendezvousWeight(string(responder), string(fallback.Node)), RendezvousWeight(string(responder), string(member.Node))),
 		) < 0 {
 			fallback = member
 		}
 	}
 	if fallback == nil {
-		return answer
+		return response
 	}
-	return append(answer, *fallback)
+	return append(response, *fallback)
 }
 
 // filterReachable returns the shares of reachable members. If there are none, it returns all
@@ -142,11 +142,11 @@
 	return fractions
 }
 
-// sampleOffset returns the sampling offset of an answerer in [0, 1). The offsets of a zone's
+// sampleOffset returns the sampling offset of a responder in [0, 1). The offsets of a zone's
 // members are evenly spaced.
-func (r *Roles) sampleOffset(answerer fleet.NodeID) float64 {
+func (r *Roles) sampleOffset(responder fleet.NodeID) float64 {
 	position, neighbours := 0, 0
-	index, found := slices.BinarySearchFunc(r.routable, Member{Node: answerer}, compareNodes)
+	index, found := slices.BinarySearchFunc(r.routable, Member{Node: responder}, compareNodes)
 	if !found {
 		return 0.5
 	}
@@ -154,7 +154,7 @@
 		if member.location() != r.routable[index].location() {
 			continue
 		}
-		if member.Node < answerer {
+		if member.Node < responder {
 			position++
 		}
 		neighbours++
--- a/internal/membership/discovery_test.go
+++ b/internal/membership/discovery_test.go
@@ -11,11 +11,11 @@
 )
 
 // TestSamplesIncludeCandidatesInProportionToShare guards against samples that favour some
-// candidates: over evenly spaced answerers, each candidate must be returned in proportion to its
+// candidates: over evenly spaced responders, each candidate must be returned in proportion to its
 // share.
 func TestSamplesIncludeCandidatesInProportionToShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
-	const answerers = 2000
+	const responders = 2000
 	for range 50 {
 		candidates := make([]candidateShare, 4+random.IntN(100))
 		total, largest := 0.0, 0.0
@@ -29,12 +29,12 @@
 			continue
 		}
 		named := make([]float64, len(candidates))
-		for number := range answerers {
-			sample := systematicSample(candidates, (float64(number)+0.5)/answerers)
+		for number := range responders {
+			sample := systematicSample(candidates, (float64(number)+0.5)/responders)
 			require.LessOrEqual(t, len(sample), MaxRouters)
 			require.GreaterOrEqual(t, len(sample), minGroupServing)
 			for _, candidate := range sample {
-				named[candidate.member.Incarnation] += 1 / float64(len(sample)) / answerers
+				named[candidate.member.Incarnation] += 1 / float64(len(sample)) / responders
 			}
 		}
 		for index, candidate := range candidates {
@@ -58,26 +58,26 @@
 }
 
 // TestRoutersForLeavesOutUnreachableMembers guards against returning unreachable members, and
-// against an answerer that is itself partitioned leaving out all the others.
+// against a responder that is itself partitioned leaving out all the others.
 func TestRoutersForLeavesOutUnreachableMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
 	roles := Assign(view, 60, RoleOptions{})
 	node := view.Members()[0].Node
 	outsideA := func(member Member) bool { return member.Zone != "a" }
-	answer := roles.RoutersFor(northA, node, outsideA)
-	require.Len(t, answer, 4)
-	for _, named := range answer {
+	response := roles.RoutersFor(northA, node, outsideA)
+	require.Len(t, response, 4)
+	for _, named := range response {
 		assert.NotEqual(t, fleet.ZoneName("a"), named.Zone)
 	}
 	onlyA := func(member Member) bool { return member.Zone == "a" }
 	for _, named := range roles.RoutersFor(northA, node, onlyA) {
 		assert.Equal(t, fleet.ZoneName("a"), named.Zone, "a partitioned zone must use its own members")
 	}
-	assert.Len(t, roles.RoutersFor(northB, node, onlyA), 2, "the answerer is partitioned and must ignore reachability")
+	assert.Len(t, roles.RoutersFor(northB, node, onlyA), 2, "the responder is partitioned and must ignore reachability")
 	assert.Empty(t, (&Roles{}).RoutersFor(northA, node, always))
 }
 
-// TestSingleRouterGetsNearbyFallback guards against answers without a second router when one of a
+// TestSingleRouterGetsNearbyFallback guards against responses without a second router when one of a
 // zone's two serving members fails.
 func TestSingleRouterGetsNearbyFallback(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
@@ -88,15 +88,15 @@
 			failed = member.Node
 		}
 	}
-	reserves := map[fleet.NodeID]bool{}
-	for _, answerer := range view.Members() {
-		answer := roles.RoutersFor(northA, answerer.Node, func(member Member) bool { return member.Node != failed })
-		require.Len(t, answer, minGroupServing)
-		assert.Equal(t, fleet.ZoneName("a"), answer[0].Zone)
-		assert.Equal(t, fleet.ZoneName("b"), answer[1].Zone, "the fallback must be of the same region")
-		reserves[answer[1].Node] = true
+	fallbacks := map[fleet.NodeID]bool{}
+	for _, responder := range view.Members() {
+		response := roles.RoutersFor(northA, responder.Node, func(member Member) bool { return member.Node != failed })
+		require.Len(t, response, minGroupServing)
+		assert.Equal(t, fleet.ZoneName("a"), response[0].Zone)
+		assert.Equal(t, fleet.ZoneName("b"), response[1].Zone, "the fallback must be of the same region")
+		fallbacks[response[1].Node] = true
 	}
-	assert.Len(t, reserves, 2, "answerers must add different fallbacks")
+	assert.Len(t, fallbacks, 2, "responders must add different fallbacks")
 }
 
 // TestSmallFleetReturnsAllMembers guards against a small fleet directing callers to only some of
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -179,16 +179,16 @@
 // preferNonServing returns the members outside the serving set if there are at least the given
 // number, else all.
 func (r *Roles) preferNonServing(minimum int) []Member {
-	var idle []Member
+	var nonServing []Member
 	for _, member := range r.routable {
 		if !r.serving[member.Node] {
-			idle = append(idle, member)
+			nonServing = append(nonServing, member)
 		}
 	}
-	if len(idle) < minimum {
+	if len(nonServing) < minimum {
 		return r.routable
 	}
-	return idle
+	return nonServing
 }
 
 // IsReader reports whether a node reads the store: every node of a small fleet, else the first
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -40,15 +40,15 @@
 	assert.Len(t, more.Serving, 9, "one more small member in each zone")
 	for _, zone := range []fleet.ZoneName{"z0", "z1", "z2"} {
 		shares := expectedShares(t, more, Location{Zone: zone})
-		carried := 0.0
+		servingCapacity := 0.0
 		for node, share := range shares {
 			member, _ := view.Find(node)
 			assert.Equal(t, zone, member.Zone)
-			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "shares follow capacity as closely as two routers per answer allow")
-			carried += float64(member.Capacity)
+			assert.InDelta(t, float64(member.Capacity)/1800, share, 0.07, "shares follow capacity as closely as two routers per response allow")
+			servingCapacity += float64(member.Capacity)
 		}
-		assert.EqualValues(t, 1800, carried)
-		assert.GreaterOrEqual(t, carried*DefaultUtilization/DefaultRequestCost, 1750.0/3)
+		assert.EqualValues(t, 1800, servingCapacity)
+		assert.GreaterOrEqual(t, servingCapacity*DefaultUtilization/DefaultRequestCost, 1750.0/3)
 	}
 	assert.Len(t, Assign(view, 1e6, RoleOptions{}).Serving, 79)
 	assert.Len(t, Assign(mixedFleet(0, 5), 1e6, RoleOptions{}).Serving, 5)
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -44,24 +44,24 @@
 func always(Member) bool { return true }
 
 // expectedShares returns the fraction of a location's callers that each member gets, if they ask
-// the location's members evenly and pick one router of the answer at random.
+// the location's members evenly and pick one router of the response at random.
 func expectedShares(t *testing.T, roles *Roles, from Location) map[fleet.NodeID]float64 {
 	shares := make(map[fleet.NodeID]float64)
-	answerers := 0.0
+	responders := 0.0
 	for _, member := range roles.routable {
 		if member.location() != from {
 			continue
 		}
-		answerers++
-		answer := roles.RoutersFor(from, member.Node, always)
-		require.NotEmpty(t, answer)
-		require.LessOrEqual(t, len(answer), MaxRouters)
-		for _, named := range answer {
-			shares[named.Node] += 1 / float64(len(answer))
+		responders++
+		response := roles.RoutersFor(from, member.Node, always)
+		require.NotEmpty(t, response)
+		require.LessOrEqual(t, len(response), MaxRouters)
+		for _, named := range response {
+			shares[named.Node] += 1 / float64(len(response))
 		}
 	}
 	for node := range shares {
-		shares[node] /= answerers
+		shares[node] /= responders
 	}
 	return shares
 }
@@ -123,13 +123,13 @@
 	assert.InDelta(t, 0.5, byZone["b"], 0.02)
 	assert.Zero(t, byZone["c"])
 	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northB))["b"], 1e-9)
-	carried := 0.0
+	sustained := 0.0
 	for _, member := range roles.Serving {
 		if member.Zone == "b" {
-			carried += float64(member.Capacity) * 0.5 / DefaultRequestCost
+			sustained += float64(member.Capacity) * 0.5 / DefaultRequestCost
 		}
 	}
-	assert.GreaterOrEqual(t, carried, 300.0, "its own callers and the overflow")
+	assert.GreaterOrEqual(t, sustained, 300.0, "its own callers and the overflow")
 }
 
 // TestOverflowIsAttributedToOriginZone guards against overflow being attributed to the zone that
@@ -139,8 +139,8 @@
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
 	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	again := roles.DemandByOrigin(map[Location]float64{northA: 200, northB: 300, southC: 100})
-	for place, rate := range origins {
-		assert.InDelta(t, rate, again[place], 1, place)
+	for location, rate := range origins {
+		assert.InDelta(t, rate, again[location], 1, location)
 	}
 	unplanned := roles.DemandByOrigin(map[Location]float64{{"east", "e"}: 5})
 	assert.Equal(t, map[Location]float64{{"east", "e"}: 5}, unplanned)
@@ -154,10 +154,10 @@
 	roles := Assign(view, 950, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	parts := map[fleet.ZoneName]float64{}
 	for _, member := range view.Members() {
-		answer := roles.RoutersFor(southC, member.Node, always)
-		require.NotEmpty(t, answer)
-		for _, named := range answer {
-			parts[named.Zone] += 1 / float64(len(answer)*len(view.Members()))
+		response := roles.RoutersFor(southC, member.Node, always)
+		require.NotEmpty(t, response)
+		for _, named := range response {
+			parts[named.Zone] += 1 / float64(len(response)*len(view.Members()))
 		}
 	}
 	assert.InDelta(t, 0.9, parts["a"], 0.05, "spare capacity is 900 in this zone and 50 in the other")
@@ -179,11 +179,11 @@
 		origins := map[Location]float64{}
 		members, total := 0, 0.0
 		for zone := range 1 + random.IntN(6) {
-			place := Location{fleet.RegionName(fmt.Sprint("r", zone%3)), fleet.ZoneName(fmt.Sprint("z", zone))}
-			origins[place] = random.Float64() * 500
-			total += origins[place]
+			location := Location{fleet.RegionName(fmt.Sprint("r", zone%3)), fleet.ZoneName(fmt.Sprint("z", zone))}
+			origins[location] = random.Float64() * 500
+			total += origins[location]
 			if count := random.IntN(20); count > 0 {
-				zones = append(zones, zoneMembers{place, equal(count, uint32(100+random.IntN(800)))})
+				zones = append(zones, zoneMembers{location, equal(count, uint32(100+random.IntN(800)))})
 				members += count
 			}
 		}
@@ -196,16 +196,16 @@
 			capacity += group.capacity
 		}
 		for to, group := range plan.groups {
-			incoming, carried := 0.0, 0.0
+			incoming, sustained := 0.0, 0.0
 			for from := range plan.groups {
 				incoming += plan.groups[from].demand * plan.flows[from][to]
 			}
 			for _, entry := range group.members[:group.serving] {
-				carried += plan.options.sustainableRate(entry.Member)
+				sustained += plan.options.sustainableRate(entry.Member)
 			}
 			if total <= capacity {
 				require.LessOrEqual(t, incoming, group.capacity+0.01)
-				require.GreaterOrEqual(t, carried, incoming-0.01)
+				require.GreaterOrEqual(t, sustained, incoming-0.01)
 			}
 			sum := 0.0
 			for _, part := range plan.flows[to] {
@@ -251,9 +251,9 @@
 // TestGroupsGrowImmediatelyAndShrinkDelayed guards against groups that shrink as soon as their need
 // varies, or do not grow with it.
 func TestGroupsGrowImmediatelyAndShrinkDelayed(t *testing.T) {
-	var hold SizeHysteresis
+	var hysteresis SizeHysteresis
 	at := func(now time.Duration, need int) int {
-		return hold.Observe(now, 100, map[Location]int{northA: need})[northA]
+		return hysteresis.Observe(now, 100, map[Location]int{northA: need})[northA]
 	}
 	assert.Equal(t, 2, at(0, 2))
 	assert.Equal(t, 4, at(time.Second, 4))
@@ -265,8 +265,8 @@
 	assert.Equal(t, 5, at(41*time.Second, 1))
 	assert.Equal(t, 1, at(42*time.Second, 1))
 	assert.Equal(t, 7, at(43*time.Second, 7))
-	assert.Equal(t, 2, hold.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "lower planned demand must reset the sizes")
-	assert.NotContains(t, hold.Observe(45*time.Second, 50, nil), northA, "a group that no longer exists must be removed")
+	assert.Equal(t, 2, hysteresis.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "lower planned demand must reset the sizes")
+	assert.NotContains(t, hysteresis.Observe(45*time.Second, 50, nil), northA, "a group that no longer exists must be removed")
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
 	roles := Assign(view, 60, RoleOptions{MinServingByLocation: map[Location]int{northA: 4, southC: 99}})
 	assert.Equal(t, map[Location]int{northA: 2, northB: 2, southC: 2}, roles.Needed())
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -49,13 +49,13 @@
 
 // healRegion partitions one region, ends the partition, and returns the times until all nodes
 // detected each, and the mean and worst bytes that a node sent while the membership converged.
-func healRegion(network *network, count int) (seen, healed time.Duration, mean, worst int) {
+func healRegion(network *network, count int) (detected, healed time.Duration, mean, worst int) {
 	network.startConverged(count)
 	network.clearSeeds()
 	partitioned := network.all[0].core.Self().Region
 	network.blocked = func(from, to Member) bool { return (from.Region == partitioned) != (to.Region == partitioned) }
 	inside := (count + fleetRegions - 1) / fleetRegions
-	seen = network.advanceUntil(10*time.Minute, func() bool {
+	detected = network.advanceUntil(10*time.Minute, func() bool {
 		return len(network.all[0].core.Members()) == inside && len(network.all[1].core.Members()) == count-inside
 	})
 	network.advance(deadExchangeDuration)
@@ -65,13 +65,13 @@
 	for _, x := range network.all {
 		worst, mean = max(worst, x.bytes), mean+x.bytes/count
 	}
-	return seen, healed, mean, worst
+	return detected, healed, mean, worst
 }
 
 func TestRegionHealsWithinAMinute(t *testing.T) {
 	const count = 120
-	seen, healed, mean, worst := healRegion(newNetwork(t, 32, fleetRegions), count)
-	t.Logf("members=%d partition detected after %s, healed after %s, bytes_per_node mean=%d worst=%d", count, seen, healed, mean, worst)
+	detected, healed, mean, worst := healRegion(newNetwork(t, 32, fleetRegions), count)
+	t.Logf("members=%d partition detected after %s, healed after %s, bytes_per_node mean=%d worst=%d", count, detected, healed, mean, worst)
 	assert.Less(t, healed, time.Minute)
 }
 
@@ -80,8 +80,8 @@
 	for _, count := range []int{50, 200, 680} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			for i := range b.N {
-				seen, healed, mean, worst := healRegion(newNetwork(b, uint64(i), fleetRegions), count)
-				b.ReportMetric(seen.Seconds(), "seen-s")
+				detected, healed, mean, worst := healRegion(newNetwork(b, uint64(i), fleetRegions), count)
+				b.ReportMetric(detected.Seconds(), "seen-s")
 				b.ReportMetric(healed.Seconds(), "healed-s")
 				b.ReportMetric(float64(mean), "mean-bytes/node")
 				b.ReportMetric(float64(worst), "worst-bytes/node")
--- a/internal/peer/timeouts_test.go
+++ b/internal/peer/timeouts_test.go
@@ -19,9 +19,9 @@
 		before, after time.Duration
 		cause         error
 	}{
-		"long":   {before: 0, after: 2 * first},
-		"silent": {before: 3 * first, cause: errFirstByteTimeout},
-		"slow":   {before: 0, after: 3 * whole, cause: errBodyTimeout},
+		"long response":       {before: 0, after: 2 * first},
+		"no response":         {before: 3 * first, cause: errFirstByteTimeout},
+		"unfinished response": {before: 0, after: 3 * whole, cause: errBodyTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -242,20 +242,20 @@
 	defer cancel()
 	request := &rpc.ChangesRequest{Header: p.header(), After: uint64(pull.After)}
 	p.metrics.count(directionSent, kindPull, proto.Size(request))
-	answer, err := p.client(pull.From).Changes(ctx, request)
+	response, err := p.client(pull.From).Changes(ctx, request)
 	if err != nil {
 		p.metrics.failed.Inc()
 		p.options.Logger.Debug().Err(err).Str("address", string(pull.From)).Msg("configuration_pull_failed")
 		return
 	}
-	p.metrics.count(directionReceived, kindPull, proto.Size(answer))
-	if err := p.applyPullResponse(answer); err != nil {
+	p.metrics.count(directionReceived, kindPull, proto.Size(response))
+	if err := p.applyPullResponse(response); err != nil {
 		p.options.Logger.Warn().Err(err).Str("address", string(pull.From)).Msg("configuration_refused")
 	}
 }
 
-func (p *Peer) applyPullResponse(answer *rpc.ChangesResponse) error {
-	if snapshot := answer.GetSnapshot(); snapshot != nil {
+func (p *Peer) applyPullResponse(response *rpc.ChangesResponse) error {
+	if snapshot := response.GetSnapshot(); snapshot != nil {
 		document, err := config.DocumentFromMessage(snapshot)
 		if err != nil {
 			return err
@@ -265,7 +265,7 @@
 		}
 		return nil
 	}
-	changes, err := config.ChangesFromMessages(answer.GetChanges())
+	changes, err := config.ChangesFromMessages(response.GetChanges())
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -268,29 +268,29 @@
 // Next returns the engines to change to the newest version now, those with the earliest deadline
 // first.
 func (p *Pacer) Next(now time.Duration, engines []VersionedEngine) []fleet.EngineID {
-	var waiting, doubtful []VersionedEngine
-	changing, trying := 0, 0
+	var waiting, unreachable []VersionedEngine
+	changing, unreachableChanging := 0, 0
 	for _, engine := range engines {
 		switch {
 		case engine.Changing && engine.Unreachable:
-			trying++
+			unreachableChanging++
 		case engine.Changing:
 			changing++
 		case engine.Version >= p.Newest() || now < p.nextPublishedAt(engine.Version):
 		case engine.Unreachable:
-			doubtful = append(doubtful, engine)
+			unreachable = append(unreachable, engine)
 		default:
 			waiting = append(waiting, engine)
 		}
 	}
 	sortByDue(waiting)
-	sortByDue(doubtful)
+	sortByDue(unreachable)
 	p.saturated = float64(changing) >= saturatedFraction*p.usualFraction*float64(len(engines))
 	parallel, urgent := p.requiredParallel(now, waiting, changing, len(engines))
-	room := min(parallel-changing, p.startAllowance(now, parallel))
-	chosen := firstEngines(waiting, max(room, min(urgent, parallel-changing)))
+	allowed := min(parallel-changing, p.startAllowance(now, parallel))
+	chosen := firstEngines(waiting, max(allowed, min(urgent, parallel-changing)))
 	p.credit -= float64(len(chosen))
-	return append(chosen, firstEngines(doubtful, p.options.UnreachableParallel-trying)...)
+	return append(chosen, firstEngines(unreachable, p.options.UnreachableParallel-unreachableChanging)...)
 }
 
 // startAllowance returns how many changes may start now. Starts are spread over the duration of a
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -125,10 +125,10 @@
 	leaving.Status.Leaving = true
 	engines := []Engine{testEngine("a", newVersion, adapterVersion), testEngine("b"), leaving}
 
-	check := func(version fleet.VersionName, adapter fleet.AdapterName, wantReady bool, wantLoaded, wantWanted int) {
+	check := func(version fleet.VersionName, adapter fleet.AdapterName, wantReady bool, wantLoaded, wantExpected int) {
 		t.Helper()
-		ready, loaded, wanted := ReadyToPromote(document, engines, "m", adapter, version)
-		assert.Equal(t, []any{wantReady, wantLoaded, wantWanted}, []any{ready, loaded, wanted})
+		ready, loaded, expected := ReadyToPromote(document, engines, "m", adapter, version)
+		assert.Equal(t, []any{wantReady, wantLoaded, wantExpected}, []any{ready, loaded, expected})
 	}
 	check("v2", "", false, 1, 2)
 	check("x1", "a", false, 1, 2)
@@ -154,12 +154,12 @@
 		for index := range engines {
 			engines[index] = testEngine(fleet.EngineID('a' + rune(index)))
 		}
-		shown := engines
+		reported := engines
 		for now := time.Duration(0); now < 3*time.Minute; now += 500 * time.Millisecond {
-			truth := append([]Engine{}, engines...)
+			actual := append([]Engine{}, engines...)
 			loading := 0
-			for index := range truth {
-				status := &truth[index].Status
+			for index := range actual {
+				status := &actual[index].Status
 				if len(status.Loading) > 0 && now >= loadingUntil[index] {
 					status.Loaded = append(append([]engine.Weights{}, status.Loaded...), status.Loading...)
 					status.Loading = nil
@@ -167,18 +167,18 @@
 				loading += len(status.Loading)
 			}
 			if now%(2*time.Second) == 0 {
-				shown = append([]Engine{}, truth...)
+				reported = append([]Engine{}, actual...)
 			}
-			for _, order := range planner.Plan(now, document, shown) {
+			for _, order := range planner.Plan(now, document, reported) {
 				index := int(order.Engine[0] - 'a')
 				if random.IntN(4) == 0 {
 					continue // lost
 				}
-				truth[index].Status.Loading = []engine.Weights{order.Order.Weights}
+				actual[index].Status.Loading = []engine.Weights{order.Order.Weights}
 				loadingUntil[index] = now + time.Duration(random.Int64N(int64(3*time.Second)))
 				loading++
 			}
-			engines = truth
+			engines = actual
 			require.LessOrEqual(t, loading, document.Pools[0].MaxLoads)
 		}
 		ready, _, _ := ReadyToPromote(document, engines, "m", "", "v2")
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -31,26 +31,26 @@
 // newBenchmarkFixture stores sharedBlocks at every engine and splits the remaining blocks among the
 // engines.
 func newBenchmarkFixture(engines int) *benchmarkFixture {
-	result := &benchmarkFixture{
+	fixture := &benchmarkFixture{
 		index:     prefixindex.New(prefixindex.Options{}),
 		positions: make(map[fleet.EngineRun]int),
 		random:    rand.New(rand.NewPCG(1, uint64(engines))),
 	}
-	result.shared = result.randomHashes(sharedBlocks)
+	fixture.shared = fixture.randomHashes(sharedBlocks)
 	for number := range engines {
 		run := fleet.EngineRun{Engine: fleet.EngineID(fmt.Sprintf("engine-%03d", number)), Incarnation: 1}
-		result.index.AddRun(run)
-		result.index.Store(run, result.shared)
-		result.index.Store(run, result.randomHashes((indexBlocks-sharedBlocks)/engines))
-		result.positions[run] = number
-		result.endpoints = append(result.endpoints, scheduling.Endpoint{
+		fixture.index.AddRun(run)
+		fixture.index.Store(run, fixture.shared)
+		fixture.index.Store(run, fixture.randomHashes((indexBlocks-sharedBlocks)/engines))
+		fixture.positions[run] = number
+		fixture.endpoints = append(fixture.endpoints, scheduling.Endpoint{
 			Run: run, Pool: "pool", Ready: true,
-			Serves:        func(weights fleet.ModelVersion) bool { return weights.Model == "m" },
-			InFlight:      result.random.IntN(8),
-			PrefillTokens: result.random.IntN(60_000),
+			Serves:        func(version fleet.ModelVersion) bool { return version.Model == "m" },
+			InFlight:      fixture.random.IntN(8),
+			PrefillTokens: fixture.random.IntN(60_000),
 		})
 	}
-	return result
+	return fixture
 }
 
 func (b *benchmarkFixture) randomHashes(count int) []fleet.BlockHash {
@@ -87,15 +87,15 @@
 // index of 2.5 million blocks.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{16, 64} {
-		state := newBenchmarkFixture(engines)
+		fixture := newBenchmarkFixture(engines)
 		for _, blockTokens := range []int{64, 16} {
 			name := fmt.Sprintf("engines=%d/blocks=%d", engines, promptTokens/blockTokens)
-			b.Run(name, func(b *testing.B) { benchmarkDecision(b, state, blockTokens) })
+			b.Run(name, func(b *testing.B) { benchmarkDecision(b, fixture, blockTokens) })
 		}
 	}
 }
 
-func benchmarkDecision(b *testing.B, state *benchmarkFixture, blockTokens int) {
+func benchmarkDecision(b *testing.B, fixture *benchmarkFixture, blockTokens int) {
 	scheduler := scheduling.New(scheduling.DefaultOptions())
 	request := scheduling.Request{
 		ModelVersion: fleet.ModelVersion{Model: "m"}, Pool: "pool",
@@ -105,10 +105,10 @@
 	var matches []prefixindex.Match
 	b.ReportAllocs()
 	for range b.N {
-		prompt := state.prompt(promptTokens / blockTokens)
+		prompt := fixture.prompt(promptTokens / blockTokens)
 		start := time.Now()
 		var found bool
-		matches, found = state.decide(scheduler, request, prompt, matches)
+		matches, found = fixture.decide(scheduler, request, prompt, matches)
 		elapsed := time.Since(start)
 		if !found {
 			b.Fatal("no endpoint was found")
