--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -62,7 +62,7 @@
 func TestDirectorFailsInEachStage(t *testing.T) {
 	for name, fail := range map[string]func(*simNode, bool){
 		"killed": func(node *simNode, _ bool) { node.dead = true },
-		"frozen": func(node *simNode, on bool) { node.frozen = on },
+		"frozen": func(node *simNode, on bool) { node.suspended = on },
 		"cut":    func(node *simNode, on bool) { node.partitioned = on },
 	} {
 		for _, from := range stageTimes {
@@ -148,11 +148,11 @@
 			addFault(setup.faults, from, func(run *simulation) {
 				run.fleet[3].partitioned = true
 				run.fleet[4].partitioned = true
-				run.fleet[5].frozen = true
+				run.fleet[5].suspended = true
 				run.fleet[6] = run.newNode(6)
 				run.fleet = append(run.fleet, run.newNode(len(run.fleet)))
 			})
-			addFault(setup.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
+			addFault(setup.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].suspended = false })
 			run := newSimulation(setup).run(10 * time.Second)
 			requireInvariants(t, run)
 			requireDecided(t, run, from)
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -78,12 +78,12 @@
 // responseStream generates responses. normal is the failure rate of both versions, effect the
 // additional failure rate of the target, and greyRate that of one of the target's three workers.
 type responseStream struct {
-	normal, effect, greyRate float64
+	normal, effect, partialFailureRate float64
 }
 
-// play feeds a stream to a method. It returns the number of the target's responses and of the bad
+// feed feeds a stream to a method. It returns the number of the target's responses and of the bad
 // ones among them until the rejection, or false if there is none within limit responses.
-func (s responseStream) play(method judgingMethod, seed uint64, limit int) (responses, bad int, rejected bool) {
+func (s responseStream) feed(method judgingMethod, seed uint64, limit int) (responses, bad int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var old baseline
 	for responses = 1; responses <= limit; responses++ {
@@ -96,7 +96,7 @@
 		old.add(&delta)
 		worker := fleet.EngineID([]string{"x", "y", "z"}[random.IntN(3)])
 		failed := random.Float64() < s.normal || random.Float64() < s.effect
-		failed = failed || worker == "x" && random.Float64() < s.greyRate
+		failed = failed || worker == "x" && random.Float64() < s.partialFailureRate
 		var failures uint64
 		if failed {
 			failures = 1
@@ -117,7 +117,7 @@
 		for _, grey := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, rejected := (responseStream{normal: normal, greyRate: grey}).play(judgingMethods[0].make(), uint64(seed), 1000); rejected {
+				if _, _, rejected := (responseStream{normal: normal, partialFailureRate: grey}).feed(judgingMethods[0].make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
@@ -134,7 +134,7 @@
 		}
 		missed := 0
 		for seed := range seeds {
-			if _, _, rejected := (responseStream{normal: normal, effect: 0.2}).play(judgingMethods[0].make(), uint64(seed), limit); !rejected {
+			if _, _, rejected := (responseStream{normal: normal, effect: 0.2}).feed(judgingMethods[0].make(), uint64(seed), limit); !rejected {
 				missed++
 			}
 		}
@@ -148,19 +148,19 @@
 	seeds := seedCount(50)
 	for _, method := range judgingMethods {
 		line := method.name + ":"
-		for _, goodStream := range []responseStream{{}, {normal: 0.02}, {normal: 0.14}, {greyRate: 0.4}, {normal: 0.14, greyRate: 0.4}} {
+		for _, goodStream := range []responseStream{{}, {normal: 0.02}, {normal: 0.14}, {partialFailureRate: 0.4}, {normal: 0.14, partialFailureRate: 0.4}} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, rejected := goodStream.play(method.make(), uint64(seed), 1000); rejected {
+				if _, _, rejected := goodStream.feed(method.make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", goodStream.normal, goodStream.greyRate, wrong)
+			line += fmt.Sprintf(" wrong at %.2f/%.1f %d,", goodStream.normal, goodStream.partialFailureRate, wrong)
 		}
 		for _, badStream := range []responseStream{{effect: 0.05}, {effect: 0.2}, {effect: 1}, {normal: 0.14, effect: 0.2}, {normal: 0.14, effect: 0.5}} {
 			var numbers []int
 			for seed := range seeds {
-				_, bad, _ := badStream.play(method.make(), uint64(seed), 1000)
+				_, bad, _ := badStream.feed(method.make(), uint64(seed), 1000)
 				numbers = append(numbers, bad)
 			}
 			slices.Sort(numbers)
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drawScenario returns a random scenario with a good version and old workers that aren't
+// randomScenario returns a random scenario with a good version and old workers that aren't
 // overloaded.
-func drawScenario(seed uint64) scenario {
+func randomScenario(seed uint64) scenario {
 	random := rand.New(rand.NewPCG(seed, 2))
 	drawn := scenario{
 		seed:     seed,
@@ -66,8 +66,8 @@
 		setup.seed, kind, fraction, from, badRoute, setup.slow, setup.duration, setup.rate, setup.workers, setup.nodes, setup.noPredictions)
 }
 
-// playScenarios runs scenarios in parallel and checks them in order.
-func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
+// runScenarios runs scenarios in parallel and checks them in order.
+func runScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
 	semaphore := make(chan struct{}, 3)
@@ -100,11 +100,11 @@
 	descriptions := make([]string, seeds)
 	completedBad, slowStops := 0, 0
 	build := func(seed uint64) scenario {
-		drawn := drawScenario(seed)
+		drawn := randomScenario(seed)
 		descriptions[seed] = makeBad(&drawn)
 		return drawn
 	}
-	playScenarios(seeds, build, 6*time.Second, func(run *simulation) {
+	runScenarios(seeds, build, 6*time.Second, func(run *simulation) {
 		description := descriptions[run.seed]
 		require.LessOrEqual(t, run.excessExposure(), 0.0, description)
 		if run.stage() != StageRolledBack {
@@ -126,14 +126,14 @@
 	t.Helper()
 	failed := 0
 	build := func(seed uint64) scenario {
-		drawn := drawScenario(seed)
+		drawn := randomScenario(seed)
 		change(&drawn)
 		return drawn
 	}
-	playScenarios(seeds, build, time.Second, func(run *simulation) {
+	runScenarios(seeds, build, time.Second, func(run *simulation) {
 		if run.stage() == StageCompleted && run.finalAt < run.duration {
-			require.True(t, run.killedRuns == 0 || run.finalAt >= run.duration-finishReserve,
-				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRuns, run.finalAt)
+			require.True(t, run.killedRequests == 0 || run.finalAt >= run.duration-finishReserve,
+				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRequests, run.finalAt)
 			return
 		}
 		failed++
@@ -155,8 +155,8 @@
 	for name, change := range map[string]func(*scenario){
 		"no_disturbance":  func(*scenario) {},
 		"cold_caches":     func(s *scenario) { s.cold = true },
-		"grey_old_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"old-0": 0.4} },
-		"grey_new_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"new-0": 0.4} },
+		"grey_old_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"old-0": 0.4} },
+		"grey_new_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldWorkers[0].crashed = true }}
 		},
@@ -164,7 +164,7 @@
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newWorkers[0].crashed = true }}
 		},
 		"callers_time_out": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
-		"load_peak":        func(s *scenario) { s.wave = peak },
+		"load_peak":        func(s *scenario) { s.rateFactor = peak },
 		"overload":         func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -42,10 +42,10 @@
 	orderDelay time.Duration
 	slow       bool // bad responses take eight times as long instead of failing
 	cold       bool // the first responses of a new worker on a route take up to four times as long
-	// greyRates holds the failure rates of partially failing workers.
-	greyRates map[fleet.EngineID]float64
-	// wave returns the factor by which the rate is multiplied at a time.
-	wave func(at time.Duration) float64
+	// partialFailureRates holds the failure rates of partially failing workers.
+	partialFailureRates map[fleet.EngineID]float64
+	// rateFactor returns the factor by which the rate is multiplied at a time.
+	rateFactor func(at time.Duration) float64
 	// callerTimeout is when callers abort, so that no outcome is recorded; 0 means never.
 	callerTimeout time.Duration
 	// faults are injected once, at their times.
@@ -63,14 +63,14 @@
 }
 
 type simNode struct {
-	id                  fleet.NodeID
-	follower            *Follower
-	director            *Director
-	reportAt            time.Duration
-	orderAt             time.Duration
-	frozen, partitioned bool
-	listsTarget         bool // lists the target's workers
-	dead                bool
+	id                     fleet.NodeID
+	follower               *Follower
+	director               *Director
+	reportAt               time.Duration
+	orderAt                time.Duration
+	suspended, partitioned bool
+	listsTarget            bool // lists the target's workers
+	dead                   bool
 }
 
 type simResponse struct {
@@ -106,7 +106,7 @@
 	badResponseTimes              []time.Duration // of the target
 	lastTargetRequest             time.Duration
 	finalAt                       time.Duration
-	killedRuns                    int // requests at old workers when these were stopped
+	killedRequests                int // requests at old workers when these were stopped
 	events                        []Event
 	stride                        int // coprime to the number of workers
 	tallies                       map[RouteName]*badTally
@@ -161,7 +161,7 @@
 				fault(s)
 			}
 		}
-		s.finishRuns()
+		s.finishRequests()
 		s.sendRequests()
 		s.lease()
 		s.evaluate()
@@ -177,7 +177,7 @@
 	if s.storeDown && s.now-s.downSince < simLeaseDuration {
 		return
 	}
-	isUnavailable := func(node *simNode) bool { return node.dead || node.frozen || node.partitioned || s.storeDown }
+	isUnavailable := func(node *simNode) bool { return node.dead || node.suspended || node.partitioned || s.storeDown }
 	if s.leader != nil && !isUnavailable(s.leader) {
 		return
 	}
@@ -211,7 +211,7 @@
 }
 
 func (s *simulation) evaluate() {
-	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.frozen {
+	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.suspended {
 		return
 	}
 	observation := Observation{Service: simService, Configured: true}
@@ -247,7 +247,7 @@
 	}
 	if record.Stage == StageCompleted && record.Order.Target == simNew {
 		for _, worker := range s.oldWorkers {
-			s.killedRuns += worker.inFlight
+			s.killedRequests += worker.inFlight
 		}
 		s.oldWorkers = nil
 	}
@@ -259,7 +259,7 @@
 
 // report sends a node's evidence to the leader and returns the leader's directives.
 func (s *simulation) report(node *simNode) {
-	if node.dead || node.frozen {
+	if node.dead || node.suspended {
 		return
 	}
 	if s.now >= node.orderAt && !node.partitioned && !s.storeDown {
@@ -271,7 +271,7 @@
 		return
 	}
 	node.reportAt = s.now + simReportInterval
-	if s.leader == nil || node.partitioned || s.leader.partitioned || s.leader.dead || s.leader.frozen {
+	if s.leader == nil || node.partitioned || s.leader.partitioned || s.leader.dead || s.leader.suspended {
 		return
 	}
 	for _, evidence := range node.follower.Evidence(s.now) {
@@ -285,8 +285,8 @@
 // sendRequests sends the requests of one tick.
 func (s *simulation) sendRequests() {
 	rate := s.rate
-	if s.wave != nil {
-		rate *= s.wave(s.now)
+	if s.rateFactor != nil {
+		rate *= s.rateFactor(s.now)
 	}
 	for _, route := range slices.Sorted(maps.Keys(s.routes)) {
 		mean := rate * s.routes[route] * simTick.Seconds()
@@ -306,7 +306,7 @@
 
 func (s *simulation) send(route RouteName) {
 	node := s.fleet[s.random.IntN(len(s.fleet))]
-	if node.dead || node.frozen {
+	if node.dead || node.suspended {
 		return
 	}
 	filter := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
@@ -390,15 +390,15 @@
 		factor *= 8
 	}
 	outcome.TimeToFirstByte = time.Duration(float64(base) * factor)
-	outcome.Failed = isBad && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.greyRates[worker.id]
+	outcome.Failed = isBad && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.partialFailureRates[worker.id]
 	if outcome.Failed {
 		outcome.TimeToFirstByte = base / 2
 	}
 	return outcome, isBad
 }
 
-// finishRuns ends the requests that are due.
-func (s *simulation) finishRuns() {
+// finishRequests ends the requests that are due.
+func (s *simulation) finishRequests() {
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
 		s.tallyResponse(&due)
--- a/internal/membership/poolmap.go
+++ b/internal/membership/poolmap.go
@@ -93,9 +93,9 @@
 // routersFor returns the routers that share the engines of a zone.
 func (m *PoolMap) routersFor(location Location) []Member {
 	var chosen []Member
-	for distance := range proximityLevels {
+	for distance := range distanceLevels {
 		for _, member := range m.members {
-			if location.proximity(member) == distance {
+			if location.distance(member) == distance {
 				chosen = append(chosen, member)
 			}
 		}
@@ -156,7 +156,7 @@
 	for _, poolShare := range m.mergedShares(pool) {
 		serving[poolShare.member.Node] = true
 		entry := scoreRouter(key, poolShare, near)
-		if entry.proximity == 0 {
+		if entry.distance == 0 {
 			local++
 		}
 		scored = append(scored, entry)
@@ -167,7 +167,7 @@
 	for _, member := range m.members {
 		if !serving[member.Node] {
 			entry := scoreRouter(key, share{member: member, weight: 1}, near)
-			entry.proximity += proximityLevels
+			entry.distance += distanceLevels
 			scored = append(scored, entry)
 		}
 	}
@@ -192,14 +192,14 @@
 // scoreRouter scores a router for a prefix key. Routers of other regions come last, and the agent's
 // zone is preferred by localZoneWeight.
 func scoreRouter(key uint64, poolShare share, near Location) scoredMember {
-	distance := near.proximity(poolShare.member)
+	distance := near.distance(poolShare.member)
 	preference := 1.0
 	if distance == 0 {
 		preference = localZoneWeight
 	}
 	entry := poolShare.score(key, preference)
-	if distance == proximityLevels-1 {
-		entry.proximity = 1
+	if distance == distanceLevels-1 {
+		entry.distance = 1
 	}
 	return entry
 }
--- a/internal/membership/poolmap_test.go
+++ b/internal/membership/poolmap_test.go
@@ -53,7 +53,7 @@
 		for id, site := range sites {
 			owners := shared.Owners(id, site)
 			require.Len(t, owners, min(replicas, len(routable)))
-			local := slices.DeleteFunc(slices.Clone(routable), func(m Member) bool { return site.Location.proximity(m) != 0 })
+			local := slices.DeleteFunc(slices.Clone(routable), func(m Member) bool { return site.Location.distance(m) != 0 })
 			for position, owner := range owners {
 				require.NotContains(t, owners[:position], owner)
 				isLocal := slices.ContainsFunc(local, func(m Member) bool { return m.Node == owner })
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -21,12 +21,12 @@
 	Zone   fleet.ZoneName
 }
 
-// proximityLevels is the number of values of proximity.
-const proximityLevels = 3
+// distanceLevels is the number of values of proximity.
+const distanceLevels = 3
 
-// proximity returns the distance of a member: 0 for the same zone, 1 for the same region, 2 for
+// distance returns the distance of a member: 0 for the same zone, 1 for the same region, 2 for
 // elsewhere. A location without a region matches any region.
-func (l Location) proximity(member Member) int {
+func (l Location) distance(member Member) int {
 	sameRegion := l.Region == "" || member.Region == l.Region
 	switch {
 	case sameRegion && member.Zone == l.Zone:
@@ -82,8 +82,8 @@
 			continue
 		}
 		entry := share{member: member, weight: 1}.score(key, 1)
-		if near.proximity(member) == proximityLevels-1 {
-			entry.proximity = 1
+		if near.distance(member) == distanceLevels-1 {
+			entry.distance = 1
 		}
 		scored = append(scored, entry)
 	}
@@ -91,9 +91,9 @@
 }
 
 type scoredMember struct {
-	member    Member
-	proximity int
-	score     float64
+	member   Member
+	distance int
+	score    float64
 }
 
 func rankEngine(engine fleet.EngineID, members []Member, near *Location) []Member {
@@ -106,7 +106,7 @@
 		entry := scoredMember{member: member}
 		entry.score = weightedScore(mix(key^xxhash.Sum64String(string(member.Node))), 1)
 		if near != nil {
-			entry.proximity = near.proximity(member)
+			entry.distance = near.distance(member)
 		}
 		scored = append(scored, entry)
 	}
@@ -116,7 +116,7 @@
 // sortScored sorts by ascending proximity, then descending score, then node.
 func sortScored(scored []scoredMember) []Member {
 	slices.SortFunc(scored, func(a, b scoredMember) int {
-		if order := cmp.Compare(a.proximity, b.proximity); order != 0 {
+		if order := cmp.Compare(a.distance, b.distance); order != 0 {
 			return order
 		}
 		if order := cmp.Compare(b.score, a.score); order != 0 {
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -65,7 +65,7 @@
 	for i, node := range owners {
 		member, found := view.Find(node)
 		require.True(t, found)
-		distances[i] = near.proximity(member)
+		distances[i] = near.distance(member)
 	}
 	assert.Equal(t, []int{0, 0, 1, 1, 2, 2, 2, 2}, distances)
 }
