--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -29,7 +29,7 @@
 	Slots   int
 	// InFlight is the number of requests at the worker, over all nodes.
 	InFlight int
-	// Unreachable is set if the worker is believed to be unreachable.
+	// Unreachable is set if the worker counts as unreachable.
 	Unreachable bool
 }
 
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -61,9 +61,9 @@
 // killed, suspended or partitioned.
 func TestDirectorFailsInEachStage(t *testing.T) {
 	for name, fail := range map[string]func(*simNode, bool){
-		"killed": func(node *simNode, _ bool) { node.dead = true },
-		"frozen": func(node *simNode, on bool) { node.suspended = on },
-		"cut":    func(node *simNode, on bool) { node.partitioned = on },
+		"killed":      func(node *simNode, _ bool) { node.dead = true },
+		"suspended":   func(node *simNode, on bool) { node.suspended = on },
+		"partitioned": func(node *simNode, on bool) { node.partitioned = on },
 	} {
 		for _, from := range stageTimes {
 			for _, bad := range []time.Duration{-1, 0, from} {
--- a/internal/delivery/judge_test.go
+++ b/internal/delivery/judge_test.go
@@ -76,7 +76,8 @@
 }
 
 // responseStream generates responses. normal is the failure rate of both versions, effect the
-// additional failure rate of the target, and greyRate that of one of the target's three workers.
+// additional failure rate of the target, and partialFailureRate that of one of the target's three
+// workers.
 type responseStream struct {
 	normal, effect, partialFailureRate float64
 }
@@ -114,19 +115,19 @@
 func TestVerdictErrorRates(t *testing.T) {
 	seeds := seedCount(1000)
 	for _, normal := range []float64{0, 0.02, 0.14} {
-		for _, grey := range []float64{0, 0.4} {
+		for _, partial := range []float64{0, 0.4} {
 			wrong := 0
 			for seed := range seeds {
-				if _, _, rejected := (responseStream{normal: normal, partialFailureRate: grey}).feed(judgingMethods[0].make(), uint64(seed), 1000); rejected {
+				if _, _, rejected := (responseStream{normal: normal, partialFailureRate: partial}).feed(judgingMethods[0].make(), uint64(seed), 1000); rejected {
 					wrong++
 				}
 			}
-			t.Logf("normal %.2f grey %.1f: %d of %d good versions rejected", normal, grey, wrong, seeds)
+			t.Logf("normal %.2f partial %.1f: %d of %d good versions rejected", normal, partial, wrong, seeds)
 			allowed := 1
-			if normal > 0.1 && grey > 0 {
+			if normal > 0.1 && partial > 0 {
 				allowed = 3
 			}
-			require.LessOrEqual(t, wrong*100, allowed*seeds, "normal %.2f grey %.1f", normal, grey)
+			require.LessOrEqual(t, wrong*100, allowed*seeds, "normal %.2f partial %.1f", normal, partial)
 		}
 		limit := 300
 		if normal > 0.1 {
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -16,7 +16,7 @@
 // overloaded.
 func randomScenario(seed uint64) scenario {
 	random := rand.New(rand.NewPCG(seed, 2))
-	drawn := scenario{
+	setup := scenario{
 		seed:     seed,
 		nodes:    4 + random.IntN(20),
 		workers:  []int{3, 6, 20, 60}[random.IntN(4)],
@@ -25,14 +25,14 @@
 		rate:     []float64{20, 60, 200, 200, 700, 700, 700, 3000}[random.IntN(8)],
 		routes:   map[RouteName]float64{"a": 0.75, "b": 0.2, "c": 0.05},
 	}
-	for float64(drawn.workers*drawn.slots) < 0.2*drawn.rate {
-		drawn.workers *= 2
+	for float64(setup.workers*setup.slots) < 0.2*setup.rate {
+		setup.workers *= 2
 	}
 	if random.IntN(2) == 0 {
-		drawn.noPredictions = true
-		drawn.normalFailures = map[RouteName]float64{"b": 0.14}
+		setup.noPredictions = true
+		setup.normalFailures = map[RouteName]float64{"b": 0.14}
 	}
-	return drawn
+	return setup
 }
 
 // Kinds of bad versions.
@@ -100,9 +100,9 @@
 	descriptions := make([]string, seeds)
 	completedBad, slowStops := 0, 0
 	build := func(seed uint64) scenario {
-		drawn := randomScenario(seed)
-		descriptions[seed] = makeBad(&drawn)
-		return drawn
+		setup := randomScenario(seed)
+		descriptions[seed] = makeBad(&setup)
+		return setup
 	}
 	runScenarios(seeds, build, 6*time.Second, func(run *simulation) {
 		description := descriptions[run.seed]
@@ -126,14 +126,14 @@
 	t.Helper()
 	failed := 0
 	build := func(seed uint64) scenario {
-		drawn := randomScenario(seed)
-		change(&drawn)
-		return drawn
+		setup := randomScenario(seed)
+		change(&setup)
+		return setup
 	}
 	runScenarios(seeds, build, time.Second, func(run *simulation) {
 		if run.stage() == StageCompleted && run.finalAt < run.duration {
 			require.True(t, run.killedRequests == 0 || run.finalAt >= run.duration-finishReserve,
-				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRequests, run.finalAt)
+				"seed %d: %d requests ended with the old workers at %s", run.seed, run.killedRequests, run.finalAt)
 			return
 		}
 		failed++
@@ -153,10 +153,10 @@
 		return 1
 	}
 	for name, change := range map[string]func(*scenario){
-		"no_disturbance":  func(*scenario) {},
-		"cold_caches":     func(s *scenario) { s.cold = true },
-		"grey_old_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"old-0": 0.4} },
-		"grey_new_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"new-0": 0.4} },
+		"no_disturbance":               func(*scenario) {},
+		"cold_caches":                  func(s *scenario) { s.cold = true },
+		"partially_failing_old_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"old-0": 0.4} },
+		"partially_failing_new_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldWorkers[0].crashed = true }}
 		},
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -21,7 +21,7 @@
 	Zone   fleet.ZoneName
 }
 
-// distanceLevels is the number of values of proximity.
+// distanceLevels is the number of values of Location.distance.
 const distanceLevels = 3
 
 // distance returns the distance of a member: 0 for the same zone, 1 for the same region, 2 for
@@ -113,7 +113,7 @@
 	return sortScored(scored)
 }
 
-// sortScored sorts by ascending proximity, then descending score, then node.
+// sortScored sorts by ascending distance, then descending score, then node.
 func sortScored(scored []scoredMember) []Member {
 	slices.SortFunc(scored, func(a, b scoredMember) int {
 		if order := cmp.Compare(a.distance, b.distance); order != 0 {
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -92,7 +92,7 @@
 	Version uint64
 	// Changing is set while an order to the engine is in progress.
 	Changing bool
-	// Unreachable is set while the engine is believed to be unreachable. Failures is the number of
+	// Unreachable is set while the engine counts as unreachable. Failures is the number of
 	// consecutive failed changes.
 	Unreachable bool
 	Failures    int
