--- a/internal/backends/choose_strategies_test.go
+++ b/internal/backends/choose_strategies_test.go
@@ -109,9 +109,8 @@
 	})
 }
 
-// BenchmarkStrategies compares strategies by the duration of a choice and by the additional cost of
-// their decisions over an exhaustive search, with a third of the slots and with nearly all slots in
-// use.
+// BenchmarkStrategies compares the duration of a choice and the additional cost over an exhaustive
+// search, with a third of the slots and with nearly all slots in use.
 func BenchmarkStrategies(b *testing.B) {
 	for _, engines := range []int{12, 90, 1000, 3000, 10_000} {
 		for _, busy := range []float64{4, 13} {
--- a/internal/membership/discovery_test.go
+++ b/internal/membership/discovery_test.go
@@ -10,9 +10,8 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// TestSamplesIncludeCandidatesInProportionToShare guards against samples that favour some
-// candidates: over evenly spaced responders, each candidate must be returned in proportion to its
-// share.
+// TestSamplesIncludeCandidatesInProportionToShare guards against candidates that all responders
+// together return more or less often than their share.
 func TestSamplesIncludeCandidatesInProportionToShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	const responders = 2000
--- a/internal/peer/massstart_test.go
+++ b/internal/peer/massstart_test.go
@@ -46,8 +46,7 @@
 func (c clockFunc) Now() time.Duration { return c() }
 
 // TestViewsAndLogLinesAreBoundedAtMassStart guards against building a view and logging a line for
-// almost every message while members join one by one: twice as many members must not cause more
-// views in the same time.
+// almost every message while many members join one by one.
 func TestViewsAndLogLinesAreBoundedAtMassStart(t *testing.T) {
 	const duration = 2 * time.Second
 	viewCounts := make(map[int]int)
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -68,8 +68,8 @@
 
 // PacerOptions configures a Pacer. Zero fields take the defaults.
 type PacerOptions struct {
-	// Within is the time from the publication of a version after which engines with older versions
-	// get no more requests.
+	// Within is the time from the publication of a version to its deadline, after which engines
+	// with older versions get no more requests.
 	Within time.Duration
 	// MinParallel is the number of engines that may always change in parallel. UsualFraction is the
 	// fraction of the engines that changes in parallel while loads don't slow each other down.
@@ -153,7 +153,7 @@
 func (p *Pacer) Publish(at time.Duration, version uint64) bool { return p.add(at, version, false) }
 
 // PublishAssumed adds a version whose publication time is unknown. The given time is assumed until
-// LearnPublication replaces it.
+// ObservePublication replaces it.
 func (p *Pacer) PublishAssumed(at time.Duration, version uint64) bool {
 	return p.add(at, version, true)
 }
