--- a/internal/backends/parts.go
+++ b/internal/backends/parts.go
@@ -99,11 +99,11 @@
 	return scope
 }
 
-// PartChange reports that a cache has added or evicted a part.
+// PartChange is a change of a cache: the part was added if Stored is set, else evicted.
 type PartChange struct {
-	Held  bool
-	Scope string
-	Part  string
+	Stored bool
+	Scope  string
+	Part   string
 }
 
 // ObserveCache applies changes of a run's cache, in order. If reset is set, the parts recorded
@@ -112,7 +112,7 @@
 func (r *Registry) ObserveCache(run fleet.EngineRun, reset bool, changes []PartChange) []cachefeed.Change {
 	relayed := make([]cachefeed.Change, len(changes))
 	for index, change := range changes {
-		relayed[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Held}
+		relayed[index] = cachefeed.Change{Block: hashPart(change.Scope, change.Part), Stored: change.Stored}
 	}
 	r.ObserveRelayedCache(run, reset, relayed)
 	return relayed
--- a/internal/backends/worker.go
+++ b/internal/backends/worker.go
@@ -97,8 +97,9 @@
 	lastContact     time.Duration
 	suspicionPeriod time.Duration
 	mismatchUntil   time.Duration
-	// orderedUntil is the time until which the worker counts as under an order.
-	orderedUntil time.Duration
+	// cordonedUntil is the time until which the worker is cordoned: it counts as not ready because
+	// it is ordered to load a model version.
+	cordonedUntil time.Duration
 
 	failureMean   float64
 	failureMeanAt time.Duration
@@ -157,9 +158,9 @@
 	return s.gone && !s.worker.Draining && now < s.goneAt+lapsedGracePeriod
 }
 
-// isReady reports whether the worker is not suspected, not mismatched and not under an order.
+// isReady reports whether the worker is neither suspected nor mismatched nor cordoned.
 func (s *workerState) isReady(now time.Duration) bool {
-	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.orderedUntil
+	return now >= s.suspectUntil && now >= s.mismatchUntil && now >= s.cordonedUntil
 }
 
 // failureRate returns the failure rate at now, from 0 to 1.
--- a/internal/delivery/director_test.go
+++ b/internal/delivery/director_test.go
@@ -40,15 +40,15 @@
 func testEvidence(old, target, bad uint64) Evidence {
 	return Evidence{
 		Service: simService, Revision: 7,
-		Old: map[RouteName]*Counts{testRoute: {Answers: old}},
+		Old: map[RouteName]*Counts{testRoute: {Responses: old}},
 		New: map[RouteName]map[fleet.EngineID]*Counts{testRoute: {
-			"new-0": {Answers: target / 2, Failures: bad / 2},
-			"new-1": {Answers: target / 2, Failures: bad / 2},
+			"new-0": {Responses: target / 2, Failures: bad / 2},
+			"new-1": {Responses: target / 2, Failures: bad / 2},
 		}},
 	}
 }
 
-// rejectTarget reports bad answers until the director decides on a rollback.
+// rejectTarget reports bad responses until the director decides on a rollback.
 func rejectTarget(t *testing.T, director *Director) *Record {
 	t.Helper()
 	director.Observe(time.Second, "node-1", testEvidence(1000, 40, 40))
@@ -105,7 +105,7 @@
 	require.Equal(t, StageRolledBack, decision.Directive.Stage)
 	require.Equal(t, 2*time.Second, decision.Directive.IssuedAt)
 	require.Equal(t, EventRolledBack, decision.Event.Name)
-	require.Equal(t, ReasonBadAnswers, decision.Event.Reason)
+	require.Equal(t, ReasonBadResponses, decision.Event.Reason)
 	require.Empty(t, director.Evaluate(3*time.Second, testObservation(4, 4)).Event.Name)
 }
 
@@ -139,8 +139,8 @@
 	require.Contains(t, directive.Rejected, simNew)
 }
 
-// Another director may have completed the previous order. Its target is then the old version and
-// must not stay rejected.
+// TestStoredOlderCompletionUnrejectsItsTarget guards against rejecting the old version after
+// another director has completed the previous order with it.
 func TestStoredOlderCompletionUnrejectsItsTarget(t *testing.T) {
 	director := newTestDelivery(t)
 	next := Order{Service: simService, Target: "third", Duration: 9 * time.Second, Revision: 8}
@@ -153,7 +153,7 @@
 	require.Equal(t, []fleet.SoftwareVersion{"zero"}, directive.Rejected)
 }
 
-func TestRestore(t *testing.T) {
+func TestRestoreKeepsFinalStageAndNewerOrder(t *testing.T) {
 	director := newTestDirector()
 	director.Restore(time.Hour, []Record{{Order: testOrder(), Stage: StageCompleted}}, 0)
 	directive := director.Evaluate(time.Hour, testObservation(0, 4)).Directive
@@ -193,7 +193,8 @@
 	require.Zero(t, decision.Directive.DefaultShare)
 }
 
-// Guards against a delivery that never ends when there is no old worker to compare with.
+// TestDeliveryCompletesWithoutOldWorkers guards against a delivery that never ends when there is no
+// old worker to compare with.
 func TestDeliveryCompletesWithoutOldWorkers(t *testing.T) {
 	director := newTestDelivery(t)
 	start := time.Second
@@ -207,25 +208,25 @@
 
 func TestSilentNodesAreDetected(t *testing.T) {
 	meter := newMeter(0)
-	require.True(t, meter.isSilent(0))
+	require.True(t, meter.isMissingReports(0))
 	judge := newJudge()
 	for node := range 4 {
 		meter.observe(conditions{now: time.Second}, fleet.NodeID(fmt.Sprint(node)), Evidence{}, judge)
 	}
-	require.False(t, meter.isSilent(2*time.Second))
-	require.True(t, meter.isSilent(3*time.Second))
+	require.False(t, meter.isMissingReports(2*time.Second))
+	require.True(t, meter.isMissingReports(3*time.Second))
 	meter.observe(conditions{now: 20 * time.Second}, "0", Evidence{}, judge)
-	require.False(t, meter.isSilent(20*time.Second), "nodes silent for longer than nodeRetention are ignored")
+	require.False(t, meter.isMissingReports(20*time.Second), "nodes silent for longer than nodeRetention are ignored")
 }
 
 // benchmarkEvidence returns a node's evidence for 3 routes and 60 workers of the target.
-func benchmarkEvidence(answers uint64) Evidence {
+func benchmarkEvidence(responses uint64) Evidence {
 	evidence := Evidence{Service: simService, Revision: 7, Old: map[RouteName]*Counts{}, New: map[RouteName]map[fleet.EngineID]*Counts{}}
 	for _, route := range []RouteName{"a", "b", "c"} {
-		evidence.Old[route] = &Counts{Answers: 20 * answers}
+		evidence.Old[route] = &Counts{Responses: 20 * responses}
 		evidence.New[route] = map[fleet.EngineID]*Counts{}
 		for index := range 60 {
-			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Answers: answers}
+			evidence.New[route][fleet.EngineID(fmt.Sprint("new-", index))] = &Counts{Responses: responses}
 		}
 	}
 	return evidence
@@ -257,16 +258,16 @@
 	director := newTestDirector()
 	require.NoError(b, director.SetOrder(0, 0, testOrder()))
 	b.ReportAllocs()
-	answers := uint64(0)
+	responses := uint64(0)
 	// The director keeps a reference to the last evidence.
 	buffers := []Evidence{benchmarkEvidence(0), benchmarkEvidence(0)}
 	for b.Loop() {
-		answers++
-		evidence := buffers[answers%2]
+		responses++
+		evidence := buffers[responses%2]
 		for _, route := range []RouteName{"a", "b", "c"} {
-			*evidence.Old[route] = Counts{Answers: answers}
+			*evidence.Old[route] = Counts{Responses: responses}
 			for _, counts := range evidence.New[route] {
-				*counts = Counts{Answers: answers}
+				*counts = Counts{Responses: responses}
 			}
 		}
 		director.Observe(0, "node", evidence)
@@ -288,7 +289,7 @@
 	}
 }
 
-// BenchmarkFollowerRecordOutcome measures the cost per answer during a delivery.
+// BenchmarkFollowerRecordOutcome measures the cost per response during a delivery.
 func BenchmarkFollowerRecordOutcome(b *testing.B) {
 	follower := NewFollower(Options{})
 	follower.ApplyDirective(0, canaryDirective(0))
@@ -299,15 +300,15 @@
 	}
 }
 
-// Guards against decisions on stale evidence after the director was suspended during a shift, by
-// when all nodes have returned to the old workers.
+// TestPausedDirectorRevokesTheShift guards against decisions on stale evidence after the director
+// was suspended during a shift, by when all nodes have returned to the old workers.
 func TestPausedDirectorRevokesTheShift(t *testing.T) {
 	director := newTestDelivery(t)
 	now := time.Duration(0)
-	answers := uint64(0)
+	responses := uint64(0)
 	evaluate := func() Decision {
-		answers += 10
-		director.Observe(now, "node-1", testEvidence(10*answers, answers, 0))
+		responses += 10
+		director.Observe(now, "node-1", testEvidence(10*responses, responses, 0))
 		return director.Evaluate(now, testObservation(4, 4))
 	}
 	for ; now < 11700*time.Millisecond; now += EvaluationInterval {
--- a/internal/delivery/events.go
+++ b/internal/delivery/events.go
@@ -6,7 +6,7 @@
 
 // Reasons of verdicts and events.
 const (
-	ReasonBadAnswers         = "bad_answers"
+	ReasonBadResponses       = "bad_answers"
 	ReasonNoWorkers          = "no_workers"
 	ReasonFewWorkers         = "too_few_workers"
 	ReasonUndecided          = "undecided"
@@ -32,7 +32,7 @@
 	EventRolledBack   = "delivery_rolled_back"
 )
 
-// newEvent returns a log event with the answer counts behind it.
+// newEvent returns a log event with the response counts behind it.
 func (s *directorState) newEvent(now time.Duration, name, reason string) Event {
 	score, route := s.judge.strongest()
 	event := Event{
@@ -50,9 +50,9 @@
 	}
 	for candidate, judged := range s.judge.routes {
 		if route == "" || candidate == route {
-			event.NewAnswers += judged.newAnswers
+			event.NewResponses += judged.newResponses
 			event.NewBad += judged.newBad
-			event.OldAnswers += judged.oldAnswers
+			event.OldResponses += judged.oldResponses
 			event.OldBad += judged.oldBad
 		}
 	}
--- a/internal/delivery/evidence.go
+++ b/internal/delivery/evidence.go
@@ -12,10 +12,10 @@
 	Route   RouteName
 	Worker  fleet.EngineID
 	Version fleet.SoftwareVersion
-	// Failed is set if the worker answered with a failure or aborted its answer.
+	// Failed is set if the worker responded with a failure or aborted its response.
 	Failed bool
-	// TimeToFirstByte is the measured time and Predicted the expected one. Predicted is 0 without
-	// a prediction; times are then compared among answers of the same route.
+	// TimeToFirstByte is the measured time and Predicted the expected one. Predicted is 0 without a
+	// prediction; times are then compared among responses of the same route.
 	TimeToFirstByte time.Duration
 	Predicted       time.Duration
 }
@@ -26,9 +26,9 @@
 
 // Counts are cumulative counts of outcomes.
 type Counts struct {
-	Answers  uint64
-	Failures uint64
-	Latency  [LatencyBuckets]uint32
+	Responses uint64
+	Failures  uint64
+	Latency   [LatencyBuckets]uint32
 }
 
 // Evidence is what one node has observed of one service since the node's start or since the order.
--- a/internal/delivery/failure_test.go
+++ b/internal/delivery/failure_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// badFrom returns a function that makes half of the target's answers bad from the given time on.
+// badFrom returns a function that makes half of the target's responses bad from the given time on.
 func badFrom(from time.Duration) func(time.Duration, RouteName, float64) float64 {
 	return func(at time.Duration, _ RouteName, _ float64) float64 {
 		if at < from {
@@ -61,9 +61,9 @@
 // killed, suspended or partitioned.
 func TestDirectorFailsInEachStage(t *testing.T) {
 	for name, fail := range map[string]func(*simNode, bool){
-		"killed": func(node *simNode, _ bool) { node.dead = true },
-		"frozen": func(node *simNode, on bool) { node.frozen = on },
-		"cut":    func(node *simNode, on bool) { node.partitioned = on },
+		"killed":      func(node *simNode, _ bool) { node.dead = true },
+		"suspended":   func(node *simNode, on bool) { node.suspended = on },
+		"partitioned": func(node *simNode, on bool) { node.partitioned = on },
 	} {
 		for _, from := range stageTimes {
 			for _, bad := range []time.Duration{-1, 0, from} {
@@ -148,11 +148,11 @@
 			addFault(setup.faults, from, func(run *simulation) {
 				run.fleet[3].partitioned = true
 				run.fleet[4].partitioned = true
-				run.fleet[5].frozen = true
+				run.fleet[5].suspended = true
 				run.fleet[6] = run.newNode(6)
 				run.fleet = append(run.fleet, run.newNode(len(run.fleet)))
 			})
-			addFault(setup.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].frozen = false })
+			addFault(setup.faults, from+3*time.Second, func(run *simulation) { run.fleet[5].suspended = false })
 			run := newSimulation(setup).run(10 * time.Second)
 			requireInvariants(t, run)
 			requireDecided(t, run, from)
--- a/internal/delivery/histogram.go
+++ b/internal/delivery/histogram.go
@@ -8,7 +8,7 @@
 // plainLatencyUnit is the upper bound of the first bucket for requests without a prediction.
 const plainLatencyUnit = 2 * time.Millisecond
 
-// latencyBucket returns the histogram bucket for an answer's time to the first byte.
+// latencyBucket returns the histogram bucket for a response's time to the first byte.
 func latencyBucket(o *Outcome) int {
 	ratio := float64(o.TimeToFirstByte) / float64(plainLatencyUnit)
 	if o.Predicted > 0 {
@@ -22,7 +22,7 @@
 
 // add counts an outcome. The time of a failed request is ignored.
 func (c *Counts) add(o *Outcome) {
-	c.Answers++
+	c.Responses++
 	if o.Failed {
 		c.Failures++
 		return
@@ -33,10 +33,10 @@
 // since returns the difference from previous counts. If a count has decreased, the node has
 // restarted, and all counts are new.
 func (c *Counts) since(previous *Counts) Counts {
-	if previous == nil || c.Answers < previous.Answers || c.Failures < previous.Failures {
+	if previous == nil || c.Responses < previous.Responses || c.Failures < previous.Failures {
 		return *c
 	}
-	delta := Counts{Answers: c.Answers - previous.Answers, Failures: c.Failures - previous.Failures}
+	delta := Counts{Responses: c.Responses - previous.Responses, Failures: c.Failures - previous.Failures}
 	for bucket := range c.Latency {
 		if c.Latency[bucket] < previous.Latency[bucket] {
 			return *c
@@ -46,7 +46,7 @@
 	return delta
 }
 
-// slow returns the number of answers in the given bucket or a higher one.
+// slow returns the number of responses in the given bucket or a higher one.
 func (c *Counts) slow(from int) uint64 {
 	var sum uint64
 	for bucket := from; bucket < LatencyBuckets; bucket++ {
--- a/internal/delivery/scenario_test.go
+++ b/internal/delivery/scenario_test.go
@@ -12,11 +12,11 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// drawScenario returns a random scenario with a good version and old workers that aren't
+// randomScenario returns a random scenario with a good version and old workers that aren't
 // overloaded.
-func drawScenario(seed uint64) scenario {
+func randomScenario(seed uint64) scenario {
 	random := rand.New(rand.NewPCG(seed, 2))
-	drawn := scenario{
+	setup := scenario{
 		seed:     seed,
 		nodes:    4 + random.IntN(20),
 		workers:  []int{3, 6, 20, 60}[random.IntN(4)],
@@ -25,14 +25,14 @@
 		rate:     []float64{20, 60, 200, 200, 700, 700, 700, 3000}[random.IntN(8)],
 		routes:   map[RouteName]float64{"a": 0.75, "b": 0.2, "c": 0.05},
 	}
-	for float64(drawn.workers*drawn.slots) < 0.2*drawn.rate {
-		drawn.workers *= 2
+	for float64(setup.workers*setup.slots) < 0.2*setup.rate {
+		setup.workers *= 2
 	}
 	if random.IntN(2) == 0 {
-		drawn.noPredictions = true
-		drawn.normalFailures = map[RouteName]float64{"b": 0.14}
+		setup.noPredictions = true
+		setup.normalFailures = map[RouteName]float64{"b": 0.14}
 	}
-	return drawn
+	return setup
 }
 
 // Kinds of bad versions.
@@ -62,12 +62,12 @@
 		}
 		return fraction
 	}
-	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, plain %t",
+	return fmt.Sprintf("seed %d: kind %d, %.2f from %s, route %s, slow %t, %s at %.0f/s, %d workers, %d nodes, no predictions %t",
 		setup.seed, kind, fraction, from, badRoute, setup.slow, setup.duration, setup.rate, setup.workers, setup.nodes, setup.noPredictions)
 }
 
-// playScenarios runs scenarios in parallel and checks them in order.
-func playScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
+// runScenarios runs scenarios in parallel and checks them in order.
+func runScenarios(seeds int, build func(seed uint64) scenario, after time.Duration, check func(*simulation)) {
 	runs := make([]*simulation, seeds)
 	var group sync.WaitGroup
 	semaphore := make(chan struct{}, 3)
@@ -94,17 +94,17 @@
 }
 
 // TestBadVersionStaysWithinItsExposure guards against exposure above the limit and against requests
-// to a bad version more than 5 s after its 50th bad answer.
+// to a bad version more than 5 s after its 50th bad response.
 func TestBadVersionStaysWithinItsExposure(t *testing.T) {
 	seeds := seedCount(200)
 	descriptions := make([]string, seeds)
 	completedBad, slowStops := 0, 0
 	build := func(seed uint64) scenario {
-		drawn := drawScenario(seed)
-		descriptions[seed] = makeBad(&drawn)
-		return drawn
+		setup := randomScenario(seed)
+		descriptions[seed] = makeBad(&setup)
+		return setup
 	}
-	playScenarios(seeds, build, 6*time.Second, func(run *simulation) {
+	runScenarios(seeds, build, 6*time.Second, func(run *simulation) {
 		description := descriptions[run.seed]
 		require.LessOrEqual(t, run.excessExposure(), 0.0, description)
 		if run.stage() != StageRolledBack {
@@ -118,7 +118,7 @@
 			slowStops++
 		}
 	})
-	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad answer", seeds, completedBad, slowStops)
+	t.Logf("%d seeds: %d completed for lack of evidence, %d got requests 3 s after the tenth bad response", seeds, completedBad, slowStops)
 }
 
 // requireCompletes checks that at least 98 of 100 good versions are completed in time.
@@ -126,18 +126,18 @@
 	t.Helper()
 	failed := 0
 	build := func(seed uint64) scenario {
-		drawn := drawScenario(seed)
-		change(&drawn)
-		return drawn
+		setup := randomScenario(seed)
+		change(&setup)
+		return setup
 	}
-	playScenarios(seeds, build, time.Second, func(run *simulation) {
+	runScenarios(seeds, build, time.Second, func(run *simulation) {
 		if run.stage() == StageCompleted && run.finalAt < run.duration {
-			require.True(t, run.killedRuns == 0 || run.finalAt >= run.duration-finishReserve,
-				"seed %d: %d runs ended with the old workers at %s", run.seed, run.killedRuns, run.finalAt)
+			require.True(t, run.killedRequests == 0 || run.finalAt >= run.duration-finishReserve,
+				"seed %d: %d requests ended with the old workers at %s", run.seed, run.killedRequests, run.finalAt)
 			return
 		}
 		failed++
-		t.Logf("seed %d: %s at %.0f/s, %d workers, plain %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
+		t.Logf("seed %d: %s at %.0f/s, %d workers, no predictions %t: %s", run.seed, run.duration, run.rate, run.workers, run.noPredictions, run.stage())
 		for _, event := range run.events {
 			t.Logf("  %+v", event)
 		}
@@ -146,26 +146,26 @@
 }
 
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
-	wave := func(at time.Duration) float64 {
+	peak := func(at time.Duration) float64 {
 		if at > 4*time.Second && at < 7*time.Second {
 			return 3
 		}
 		return 1
 	}
 	for name, change := range map[string]func(*scenario){
-		"alone":           func(*scenario) {},
-		"cold":            func(s *scenario) { s.cold = true },
-		"grey_old_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"old-0": 0.4} },
-		"grey_new_worker": func(s *scenario) { s.greyRates = map[fleet.EngineID]float64{"new-0": 0.4} },
+		"no_disturbance":               func(*scenario) {},
+		"cold_caches":                  func(s *scenario) { s.cold = true },
+		"partially_failing_old_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"old-0": 0.4} },
+		"partially_failing_new_worker": func(s *scenario) { s.partialFailureRates = map[fleet.EngineID]float64{"new-0": 0.4} },
 		"crashed_old_worker": func(s *scenario) {
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.oldWorkers[0].crashed = true }}
 		},
 		"crashed_new_worker": func(s *scenario) {
 			s.faults = map[time.Duration]func(*simulation){3 * time.Second: func(run *simulation) { run.newWorkers[0].crashed = true }}
 		},
-		"callers_leave": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
-		"wave":          func(s *scenario) { s.wave = wave },
-		"overload":      func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
+		"callers_time_out": func(s *scenario) { s.callerTimeout = 120 * time.Millisecond },
+		"load_peak":        func(s *scenario) { s.rateFactor = peak },
+		"overload":         func(s *scenario) { s.workers, s.rate = 6, 13.5*6*float64(s.slots) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireCompletes(t, seedCount(100), change)
--- a/internal/delivery/simulation_test.go
+++ b/internal/delivery/simulation_test.go
@@ -36,14 +36,16 @@
 	routes         map[RouteName]float64 // fractions of the rate
 	noPredictions  bool
 	normalFailures map[RouteName]float64 // failure rates of any version
-	// badFraction returns the fraction of the target's answers that is bad.
+	// badFraction returns the fraction of the target's responses that is bad.
 	badFraction func(at time.Duration, route RouteName, load float64) float64
 	// orderDelay is the time within which nodes read the order; 0 means 500 ms.
 	orderDelay time.Duration
-	slow       bool // bad answers take eight times as long instead of failing
-	cold       bool // the first answers of a new worker on a route take up to four times as long
-	greyRates  map[fleet.EngineID]float64
-	wave       func(at time.Duration) float64
+	slow       bool // bad responses take eight times as long instead of failing
+	cold       bool // the first responses of a new worker on a route take up to four times as long
+	// partialFailureRates holds the failure rates of partially failing workers.
+	partialFailureRates map[fleet.EngineID]float64
+	// rateFactor returns the factor by which the rate is multiplied at a time.
+	rateFactor func(at time.Duration) float64
 	// callerTimeout is when callers abort, so that no outcome is recorded; 0 means never.
 	callerTimeout time.Duration
 	// faults are injected once, at their times.
@@ -53,35 +55,35 @@
 }
 
 type simWorker struct {
-	id       fleet.EngineID
-	version  fleet.SoftwareVersion
-	inFlight int
-	answered map[RouteName]int
-	crashed  bool
+	id        fleet.EngineID
+	version   fleet.SoftwareVersion
+	inFlight  int
+	responses map[RouteName]int
+	crashed   bool
 }
 
 type simNode struct {
-	id                  fleet.NodeID
-	follower            *Follower
-	director            *Director
-	reportAt            time.Duration
-	orderAt             time.Duration
-	frozen, partitioned bool
-	listsTarget         bool // lists the target's workers
-	dead                bool
+	id                     fleet.NodeID
+	follower               *Follower
+	director               *Director
+	reportAt               time.Duration
+	orderAt                time.Duration
+	suspended, partitioned bool
+	listsTarget            bool // lists the target's workers
+	dead                   bool
 }
 
-type simAnswer struct {
+type simResponse struct {
 	node    *simNode
 	worker  *simWorker
 	outcome Outcome
 	isBad   bool
 }
 
-// badTally counts the target's answers on a route since the first bad one.
-type badTally struct{ answers, bad int }
+// badTally counts the target's responses on a route since the first bad one.
+type badTally struct{ responses, bad int }
 
-// simulation simulates the nodes, the store and the workers of one service.
+// simulation simulates the nodes, the store and the workers of one service during a delivery.
 type simulation struct {
 	scenario
 	random         *rand.Rand
@@ -89,10 +91,10 @@
 	fleet          []*simNode
 	oldWorkers     []*simWorker
 	newWorkers     []*simWorker
-	due            map[time.Duration][]simAnswer
+	due            map[time.Duration][]simResponse
 	order          Order
 	leader         *simNode
-	leaselessSince time.Duration // when the lease became free
+	leaseFreeSince time.Duration // when the lease became free
 	storeDown      bool
 	downSince      time.Duration
 	// loseWriteAcks makes successful writes return an error.
@@ -101,17 +103,17 @@
 	errors        []string
 
 	totalRequests, targetRequests float64         // requests until the deadline
-	badAnswerTimes                []time.Duration // of the target
+	badResponseTimes              []time.Duration // of the target
 	lastTargetRequest             time.Duration
 	finalAt                       time.Duration
-	killedRuns                    int // requests at old workers when these were stopped
+	killedRequests                int // requests at old workers when these were stopped
 	events                        []Event
 	stride                        int // coprime to the number of workers
 	tallies                       map[RouteName]*badTally
 }
 
 func newSimulation(setup scenario) *simulation {
-	s := &simulation{scenario: setup, random: rand.New(rand.NewPCG(setup.seed, 1)), due: map[time.Duration][]simAnswer{}, tallies: map[RouteName]*badTally{}}
+	s := &simulation{scenario: setup, random: rand.New(rand.NewPCG(setup.seed, 1)), due: map[time.Duration][]simResponse{}, tallies: map[RouteName]*badTally{}}
 	for s.stride = 7; s.stride%3 == 0 || (2*s.workers)%s.stride == 0; {
 		s.stride += 4
 	}
@@ -119,8 +121,8 @@
 		s.fleet = append(s.fleet, s.newNode(index))
 	}
 	for index := range setup.workers {
-		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, answered: map[RouteName]int{}})
-		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, answered: map[RouteName]int{}})
+		s.oldWorkers = append(s.oldWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("old-%d", index)), version: simOld, responses: map[RouteName]int{}})
+		s.newWorkers = append(s.newWorkers, &simWorker{id: fleet.EngineID(fmt.Sprintf("new-%d", index)), version: simNew, responses: map[RouteName]int{}})
 	}
 	s.order = Order{Service: simService, Target: simNew, Duration: setup.duration, Revision: 7}
 	s.makeLeader(s.fleet[0])
@@ -159,7 +161,7 @@
 				fault(s)
 			}
 		}
-		s.finishRuns()
+		s.finishRequests()
 		s.sendRequests()
 		s.lease()
 		s.evaluate()
@@ -175,14 +177,14 @@
 	if s.storeDown && s.now-s.downSince < simLeaseDuration {
 		return
 	}
-	isUnavailable := func(node *simNode) bool { return node.dead || node.frozen || node.partitioned || s.storeDown }
+	isUnavailable := func(node *simNode) bool { return node.dead || node.suspended || node.partitioned || s.storeDown }
 	if s.leader != nil && !isUnavailable(s.leader) {
 		return
 	}
-	if s.leaselessSince == 0 {
-		s.leaselessSince = s.now
+	if s.leaseFreeSince == 0 {
+		s.leaseFreeSince = s.now
 	}
-	if s.leader != nil && s.now-s.leaselessSince >= simLeaseDuration {
+	if s.leader != nil && s.now-s.leaseFreeSince >= simLeaseDuration {
 		s.leader = nil
 	}
 	if s.leader != nil {
@@ -190,7 +192,7 @@
 	}
 	for _, node := range s.fleet {
 		if !isUnavailable(node) {
-			s.leaselessSince = 0
+			s.leaseFreeSince = 0
 			s.makeLeader(node)
 			return
 		}
@@ -209,7 +211,7 @@
 }
 
 func (s *simulation) evaluate() {
-	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.frozen {
+	if s.now%EvaluationInterval != 0 || s.leader == nil || s.leader.dead || s.leader.suspended {
 		return
 	}
 	observation := Observation{Service: simService, Configured: true}
@@ -217,16 +219,16 @@
 		observation.Workers = append(observation.Workers, Worker{ID: worker.id, Version: worker.version, Slots: s.slots, InFlight: worker.inFlight, Unreachable: worker.crashed})
 	}
 	director := s.leader.director
-	step := director.Evaluate(s.now, observation)
-	if step.Event.Name != "" {
-		s.events = append(s.events, step.Event)
+	decision := director.Evaluate(s.now, observation)
+	if decision.Event.Name != "" {
+		s.events = append(s.events, decision.Event)
 	}
-	if step.Write != nil {
-		found, err := s.store(*step.Write)
-		director.HandleWriteResult(s.now, simService, *step.Write, found, err)
+	if decision.Write != nil {
+		found, err := s.store(*decision.Write)
+		director.HandleWriteResult(s.now, simService, *decision.Write, found, err)
 	}
-	if step.Directive != nil {
-		s.leader.follower.ApplyDirective(s.now, *step.Directive)
+	if decision.Directive != nil {
+		s.leader.follower.ApplyDirective(s.now, *decision.Directive)
 	}
 }
 
@@ -245,7 +247,7 @@
 	}
 	if record.Stage == StageCompleted && record.Order.Target == simNew {
 		for _, worker := range s.oldWorkers {
-			s.killedRuns += worker.inFlight
+			s.killedRequests += worker.inFlight
 		}
 		s.oldWorkers = nil
 	}
@@ -257,7 +259,7 @@
 
 // report sends a node's evidence to the leader and returns the leader's directives.
 func (s *simulation) report(node *simNode) {
-	if node.dead || node.frozen {
+	if node.dead || node.suspended {
 		return
 	}
 	if s.now >= node.orderAt && !node.partitioned && !s.storeDown {
@@ -269,7 +271,7 @@
 		return
 	}
 	node.reportAt = s.now + simReportInterval
-	if s.leader == nil || node.partitioned || s.leader.partitioned || s.leader.dead || s.leader.frozen {
+	if s.leader == nil || node.partitioned || s.leader.partitioned || s.leader.dead || s.leader.suspended {
 		return
 	}
 	for _, evidence := range node.follower.Evidence(s.now) {
@@ -283,8 +285,8 @@
 // sendRequests sends the requests of one tick.
 func (s *simulation) sendRequests() {
 	rate := s.rate
-	if s.wave != nil {
-		rate *= s.wave(s.now)
+	if s.rateFactor != nil {
+		rate *= s.rateFactor(s.now)
 	}
 	for _, route := range slices.Sorted(maps.Keys(s.routes)) {
 		mean := rate * s.routes[route] * simTick.Seconds()
@@ -304,7 +306,7 @@
 
 func (s *simulation) send(route RouteName) {
 	node := s.fleet[s.random.IntN(len(s.fleet))]
-	if node.dead || node.frozen {
+	if node.dead || node.suspended {
 		return
 	}
 	filter := node.follower.Filter(s.now, simService, route, s.random.Float64(), false)
@@ -329,7 +331,7 @@
 	outcome, isBad := s.serve(worker, route, load)
 	worker.inFlight++
 	at := s.now + max(simTick, outcome.TimeToFirstByte.Round(simTick))
-	s.due[at] = append(s.due[at], simAnswer{node: node, worker: worker, outcome: outcome, isBad: isBad})
+	s.due[at] = append(s.due[at], simResponse{node: node, worker: worker, outcome: outcome, isBad: isBad})
 }
 
 // pick returns the less loaded of two random workers that the filter or its fallbacks allow.
@@ -376,10 +378,10 @@
 	if load > 1 {
 		factor *= load
 	}
-	if s.cold && worker.version == simNew && worker.answered[route] < 8 {
+	if s.cold && worker.version == simNew && worker.responses[route] < 8 {
 		factor *= 1 + 3*s.random.Float64()
 	}
-	worker.answered[route]++
+	worker.responses[route]++
 	if !s.noPredictions {
 		outcome.Predicted = base
 	}
@@ -388,20 +390,20 @@
 		factor *= 8
 	}
 	outcome.TimeToFirstByte = time.Duration(float64(base) * factor)
-	outcome.Failed = isBad && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.greyRates[worker.id]
+	outcome.Failed = isBad && !s.slow || worker.crashed || s.random.Float64() < s.normalFailures[route] || s.random.Float64() < s.partialFailureRates[worker.id]
 	if outcome.Failed {
 		outcome.TimeToFirstByte = base / 2
 	}
 	return outcome, isBad
 }
 
-// finishRuns ends the requests that are due.
-func (s *simulation) finishRuns() {
+// finishRequests ends the requests that are due.
+func (s *simulation) finishRequests() {
 	for _, due := range s.due[s.now] {
 		due.worker.inFlight--
-		s.tallyAnswer(&due)
+		s.tallyResponse(&due)
 		if due.isBad {
-			s.badAnswerTimes = append(s.badAnswerTimes, s.now)
+			s.badResponseTimes = append(s.badResponseTimes, s.now)
 		}
 		if due.node.dead || s.callerTimeout > 0 && due.outcome.TimeToFirstByte > s.callerTimeout {
 			continue
@@ -413,8 +415,8 @@
 	delete(s.due, s.now)
 }
 
-// tallyAnswer counts the target's answers until shortly before the last decision.
-func (s *simulation) tallyAnswer(due *simAnswer) {
+// tallyResponse counts the target's responses until shortly before the last decision.
+func (s *simulation) tallyResponse(due *simResponse) {
 	if due.worker.version != simNew || s.now > s.duration-1500*time.Millisecond {
 		return
 	}
@@ -427,15 +429,15 @@
 		tally.bad++
 	}
 	if tally.bad > 0 {
-		tally.answers++
+		tally.responses++
 	}
 }
 
-// hasEvidence reports whether a route has had so many bad answers, also as a fraction of its
-// answers, that the target must be rolled back.
+// hasEvidence reports whether a route has had so many bad responses, also as a fraction of its
+// responses, that the target must be rolled back.
 func (s *simulation) hasEvidence(bad int, fraction float64) bool {
 	for _, tally := range s.tallies {
-		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.answers) {
+		if tally.bad >= bad && float64(tally.bad) >= fraction*float64(tally.responses) {
 			return true
 		}
 	}
@@ -445,12 +447,12 @@
 // excessExposure returns by how much the target's requests exceed the limit until the deadline.
 func (s *simulation) excessExposure() float64 { return s.targetRequests - 0.1*s.totalRequests - 50 }
 
-// exposedAfterBad returns how long after its n-th bad answer the target still got requests.
+// exposedAfterBad returns how long after its n-th bad response the target still got requests.
 func (s *simulation) exposedAfterBad(n int) time.Duration {
-	if len(s.badAnswerTimes) < n {
+	if len(s.badResponseTimes) < n {
 		return 0
 	}
-	return s.lastTargetRequest - s.badAnswerTimes[n-1]
+	return s.lastTargetRequest - s.badResponseTimes[n-1]
 }
 
 func (s *simulation) stage() Stage {
--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -27,9 +27,9 @@
 	t     *testing.T
 	now   time.Duration
 	model *platformmodel.Platform
-	// unavailable makes every call fail without effect. loseAnswers drops commit answers after the
-	// commit took effect.
-	unavailable, loseAnswers bool
+	// unavailable makes every call fail without effect. loseResponses drops commit responses after
+	// the commit took effect.
+	unavailable, loseResponses bool
 }
 
 func newHarness(t *testing.T) *harness {
@@ -59,7 +59,7 @@
 		return errors.Wrap(platform.ErrUnavailable, "commit")
 	}
 	err := h.model.Commit(h.now, transaction)
-	if h.loseAnswers {
+	if h.loseResponses {
 		return errors.Wrap(platform.ErrUnknownOutcome, "commit")
 	}
 	return err
@@ -119,23 +119,23 @@
 	assert.EqualValues(t, 2, h.token(b))
 }
 
-func TestLostCommitAnswerIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
+func TestLostCommitResponseIsResolvedByReadAndCountsFromCommitStart(t *testing.T) {
 	h := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, h.step(a)) // reads: there is no row
-	h.loseAnswers = true
+	h.loseResponses = true
 	start := h.now
 	require.True(t, h.step(a))
 	require.False(t, a.IsHeld(h.now))
 	h.now += 5 * time.Second
-	require.True(t, h.step(a)) // reads back
+	require.True(t, h.step(a)) // reads its own row, which resolves the commit
 	assert.EqualValues(t, 1, h.token(a))
-	lapse := start + testSettings.Duration - testSettings.Margin
-	assert.True(t, a.IsHeld(lapse-1))
-	assert.False(t, a.IsHeld(lapse))
+	expiry := start + testSettings.Duration - testSettings.Margin
+	assert.True(t, a.IsHeld(expiry-1))
+	assert.False(t, a.IsHeld(expiry))
 }
 
-func TestTwoLostCommitAnswersOnOneRevisionCountFromEarlier(t *testing.T) {
+func TestTwoLostCommitResponsesOnOneRevisionCountFromEarlier(t *testing.T) {
 	h := newHarness(t)
 	a := newElection(t, "a", 1)
 	require.True(t, h.step(a))
@@ -146,8 +146,8 @@
 	require.True(t, h.step(a)) // reads: still no row
 	require.NoError(t, h.commit(first.Transaction), "the first commit takes effect late")
 	h.now += time.Second
-	h.loseAnswers = true
-	require.True(t, h.step(a)) // the second commit conflicts, and its answer is lost
+	h.loseResponses = true
+	require.True(t, h.step(a)) // the second commit conflicts, and its response is lost
 	h.now += 2 * time.Second
 	require.True(t, h.step(a)) // reads its own row
 	assert.True(t, a.IsHeld(9*time.Second-1))
@@ -163,7 +163,7 @@
 	require.NoError(t, h.commit(action.Transaction))
 	h.now += 9 * time.Second
 	a.CommitDone(h.now, nil)
-	assert.False(t, a.IsHeld(h.now), "the answer arrived after the lease had expired")
+	assert.False(t, a.IsHeld(h.now), "the response arrived after the lease had expired")
 }
 
 func TestStoreOutageEndsLeaseAndKeepsTokenOnRecovery(t *testing.T) {
@@ -267,9 +267,8 @@
 	assert.NoError(t, Settings{Key: "k", Duration: DefaultDuration, Margin: DefaultMargin}.Validate())
 }
 
-// TestExclusiveRestartTakesOverImmediately guards against a restarted process waiting for its own
-// earlier run's lease to expire on an exclusive machine, even if it is not eligible. Other machines
-// must still wait.
+// TestExclusiveRestartTakesOverImmediately guards against a restarted process, even an ineligible
+// one, waiting for its earlier run's lease on an exclusive machine, and other machines not waiting.
 func TestExclusiveRestartTakesOverImmediately(t *testing.T) {
 	h := newHarness(t)
 	settings := testSettings
--- a/internal/rollout/pacer.go
+++ b/internal/rollout/pacer.go
@@ -68,8 +68,8 @@
 
 // PacerOptions configures a Pacer. Zero fields take the defaults.
 type PacerOptions struct {
-	// Within is the time from the publication of a version after which engines with older versions
-	// get no more requests.
+	// Within is the time from the publication of a version to its deadline, after which engines
+	// with older versions get no more requests.
 	Within time.Duration
 	// MinParallel is the number of engines that may always change in parallel. UsualFraction is the
 	// fraction of the engines that changes in parallel while loads don't slow each other down.
@@ -92,7 +92,7 @@
 	Version uint64
 	// Changing is set while an order to the engine is in progress.
 	Changing bool
-	// Unreachable is set while the engine is believed to be unreachable. Failures is the number of
+	// Unreachable is set while the engine counts as unreachable. Failures is the number of
 	// consecutive failed changes.
 	Unreachable bool
 	Failures    int
@@ -153,7 +153,7 @@
 func (p *Pacer) Publish(at time.Duration, version uint64) bool { return p.add(at, version, false) }
 
 // PublishAssumed adds a version whose publication time is unknown. The given time is assumed until
-// LearnPublication replaces it.
+// ObservePublication replaces it.
 func (p *Pacer) PublishAssumed(at time.Duration, version uint64) bool {
 	return p.add(at, version, true)
 }
@@ -166,11 +166,11 @@
 	return true
 }
 
-// LearnPublication applies a publication time reported by another process. The earliest report is
+// ObservePublication applies a publication time reported by another process. The earliest report is
 // the most accurate, since no process sees a version before its publication. Versions that this
 // process hasn't seen are added, since one published before it started is due earlier than a newer
 // one.
-func (p *Pacer) LearnPublication(at time.Duration, version uint64) {
+func (p *Pacer) ObservePublication(at time.Duration, version uint64) {
 	index, found := slices.BinarySearchFunc(p.publications, version, func(published publication, version uint64) int {
 		return cmp.Compare(published.version, version)
 	})
@@ -268,29 +268,29 @@
 // Next returns the engines to change to the newest version now, those with the earliest deadline
 // first.
 func (p *Pacer) Next(now time.Duration, engines []VersionedEngine) []fleet.EngineID {
-	var waiting, doubtful []VersionedEngine
-	changing, trying := 0, 0
+	var waiting, unreachable []VersionedEngine
+	changing, unreachableChanging := 0, 0
 	for _, engine := range engines {
 		switch {
 		case engine.Changing && engine.Unreachable:
-			trying++
+			unreachableChanging++
 		case engine.Changing:
 			changing++
 		case engine.Version >= p.Newest() || now < p.nextPublishedAt(engine.Version):
 		case engine.Unreachable:
-			doubtful = append(doubtful, engine)
+			unreachable = append(unreachable, engine)
 		default:
 			waiting = append(waiting, engine)
 		}
 	}
 	sortByDue(waiting)
-	sortByDue(doubtful)
+	sortByDue(unreachable)
 	p.saturated = float64(changing) >= saturatedFraction*p.usualFraction*float64(len(engines))
 	parallel, urgent := p.requiredParallel(now, waiting, changing, len(engines))
-	room := min(parallel-changing, p.startAllowance(now, parallel))
-	chosen := firstEngines(waiting, max(room, min(urgent, parallel-changing)))
+	allowed := min(parallel-changing, p.startAllowance(now, parallel))
+	chosen := firstEngines(waiting, max(allowed, min(urgent, parallel-changing)))
 	p.credit -= float64(len(chosen))
-	return append(chosen, firstEngines(doubtful, p.options.UnreachableParallel-trying)...)
+	return append(chosen, firstEngines(unreachable, p.options.UnreachableParallel-unreachableChanging)...)
 }
 
 // startAllowance returns how many changes may start now. Starts are spread over the duration of a
