--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -140,8 +140,8 @@
 	if now <= e.updatedAt {
 		return
 	}
-	kept := math.Exp2(-float64(now-e.updatedAt) / float64(t.options.HalfLife))
-	e.width = math.Max(e.width*kept, 1)
-	e.count *= kept
+	decayFactor := math.Exp2(-float64(now-e.updatedAt) / float64(t.options.HalfLife))
+	e.width = math.Max(e.width*decayFactor, 1)
+	e.count *= decayFactor
 	e.updatedAt = now
 }
--- a/internal/affinity/routers_test.go
+++ b/internal/affinity/routers_test.go
@@ -59,18 +59,18 @@
 	members := routersOf("a", "b", "c")
 	choice := New(Options{Random: rand.New(rand.NewPCG(1, 1))}).Choose(0, nil, 1)
 	before := Routers{Members: members}.Order(choice, "pool")
-	var left, back []membership.Member
+	var remaining, restarted []membership.Member
 	for _, member := range members {
 		if member.Node != before[0].Node {
-			left = append(left, member)
-			back = append(back, member)
+			remaining = append(remaining, member)
+			restarted = append(restarted, member)
 			continue
 		}
 		member.Node += "-restarted"
-		back = append(back, member)
+		restarted = append(restarted, member)
 	}
-	assert.Equal(t, before[1:], Routers{Members: left}.Order(choice, "pool"))
-	after := Routers{Members: back}.Order(choice, "pool")
+	assert.Equal(t, before[1:], Routers{Members: remaining}.Order(choice, "pool"))
+	after := Routers{Members: restarted}.Order(choice, "pool")
 	assert.Equal(t, before[0].Address, after[0].Address, "a new run at the same address keeps its rank")
 }
 
--- a/internal/flowcontrol/rate.go
+++ b/internal/flowcontrol/rate.go
@@ -25,11 +25,11 @@
 	if now <= m.updatedAt {
 		return
 	}
-	kept := math.Exp(-float64(now-m.updatedAt) / float64(rateWindow))
-	m.servedTokens *= kept
-	m.busySeconds *= kept
+	decayFactor := math.Exp(-float64(now-m.updatedAt) / float64(rateWindow))
+	m.servedTokens *= decayFactor
+	m.busySeconds *= decayFactor
 	if backlogged {
-		m.busySeconds += rateWindow.Seconds() * (1 - kept)
+		m.busySeconds += rateWindow.Seconds() * (1 - decayFactor)
 	}
 	m.updatedAt = now
 }
--- a/internal/placement/engines_test.go
+++ b/internal/placement/engines_test.go
@@ -213,7 +213,7 @@
 	assert.InDelta(t, float64(35_999*time.Second), float64(load.measuredAt), float64(5*time.Millisecond))
 }
 
-func TestSuspectEngineGetsNoWorkUntilItsNextStatus(t *testing.T) {
+func TestUnreachableEngineGetsNoWorkUntilItsNextStatus(t *testing.T) {
 	b := newBench(t, 1)
 	grant := b.submitGranted(request("r", urgent, "p", 1))
 	b.core.Report(b.now, AttemptReport{Key: grant.Key, Run: grant.Run, Phase: PhaseFailed, EngineLost: true})
--- a/internal/placement/enginestate.go
+++ b/internal/placement/enginestate.go
@@ -123,8 +123,8 @@
 
 func acceptsRequests(role engine.Role) bool { return role == engine.RoleServe || role == "" }
 
-func (e *engineState) isReady(now, readyFor time.Duration) bool {
-	return e.status != nil && !e.unreachable && now-e.statusAt <= readyFor
+func (e *engineState) isReady(now, statusTTL time.Duration) bool {
+	return e.status != nil && !e.unreachable && now-e.statusAt <= statusTTL
 }
 
 // isPlaceable reports whether the engine may get work from this router once it is ready.
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -109,13 +109,13 @@
 	return described
 }
 
-func (e *engineState) condition(now, readyFor time.Duration) EngineCondition {
+func (e *engineState) condition(now, statusTTL time.Duration) EngineCondition {
 	switch {
 	case e.leavingSource() != LeavingNone:
 		return EngineLeaving
 	case e.unreachable:
 		return EngineUnreachable
-	case !e.isReady(now, readyFor):
+	case !e.isReady(now, statusTTL):
 		return EngineUnknown
 	default:
 		return EngineReady
--- a/internal/prefixindex/reclaim.go
+++ b/internal/prefixindex/reclaim.go
@@ -107,15 +107,15 @@
 }
 
 // sampleCandidates visits up to wanted entries from the home position of keep onwards, except
-// keep's own. It updates best and returns the number of entries visited.
-func (s *segment) sampleCandidates(keep fleet.BlockHash, kept uint64, wanted int, best *evictionCandidate) int {
+// keep's own. It compares their holders among usedSlots, updates best and returns the number of entries visited.
+func (s *segment) sampleCandidates(keep fleet.BlockHash, usedSlots uint64, wanted int, best *evictionCandidate) int {
 	sampled := 0
 	position := s.home(mix(keep))
 	for range s.table {
 		seen := s.table[position]
 		if seen.holders != 0 && seen.hash != keep {
 			sampled++
-			holders := bits.OnesCount64(seen.holders & kept)
+			holders := bits.OnesCount64(seen.holders & usedSlots)
 			if holders < best.holders {
 				*best = evictionCandidate{segment: s, position: position, holders: holders}
 			}
