--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -61,12 +61,12 @@
 		return nil, &openai.Failure{Code: resultcode.ModelNotAllowed, Message: fmt.Sprintf("model %q is not allowed", body.Model), Param: "model"}
 	}
 	return a.prepare(&admittedRequest{
-		tenant:  tenant,
-		class:   class.Name,
-		maxWait: time.Duration(class.MaxWait),
-		weights: weights,
-		options: options,
-		body:    body,
+		tenant:       tenant,
+		class:        class.Name,
+		maxWait:      time.Duration(class.MaxWait),
+		modelVersion: weights,
+		options:      options,
+		body:         body,
 	}, model)
 }
 
@@ -93,7 +93,7 @@
 
 // hashPrompt sets the block hashes, the prompt key and the pool, which depend on the model version.
 func (c *admittedRequest) hashPrompt(model config.Model) {
-	scope := fleet.CacheScope{Tenant: c.tenant.Name, ModelVersion: c.weights}
+	scope := fleet.CacheScope{Tenant: c.tenant.Name, ModelVersion: c.modelVersion}
 	c.hashes = prompt.HashBlocks(scope, c.body.Prompt, model.BlockTokens)
 	c.promptKey = xxhash.Sum64String(c.body.Prompt)
 	c.pool = model.Pool
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -19,7 +19,7 @@
 const cancelRetryDelay = 200 * time.Millisecond
 
 func (c *requestRunner) dispatch(ctx context.Context, action attempt.Dispatch) {
-	weights := c.request.weights
+	weights := c.request.modelVersion
 	stream, err := c.agent.engines.Client(action.Address).Dispatch(ctx, engine.DispatchRequest{
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -20,15 +20,15 @@
 	if admitted.body.Stream {
 		return openai.NewStreamWriter(writer, answer)
 	}
-	return &bufferedOutput{answer: answer, writer: writer}
+	return &bufferedOutput{response: answer, writer: writer}
 }
 
 // bufferedOutput collects the tokens of an answer that is not streamed. Its size is limited by the
 // model's output limit.
 type bufferedOutput struct {
-	answer openai.Response
-	writer http.ResponseWriter
-	text   strings.Builder
+	response openai.Response
+	writer   http.ResponseWriter
+	text     strings.Builder
 }
 
 // Token implements output.
@@ -39,10 +39,10 @@
 
 // Finish implements output.
 func (w *bufferedOutput) Finish(reason string, usage openai.Usage) error {
-	return w.answer.WriteCompletion(w.writer, w.text.String(), reason, usage)
+	return w.response.WriteCompletion(w.writer, w.text.String(), reason, usage)
 }
 
 // Fail implements output. Collected tokens are discarded.
 func (w *bufferedOutput) Fail(failure *openai.Failure) error {
-	return w.answer.WriteFailure(w.writer, failure)
+	return w.response.WriteFailure(w.writer, failure)
 }
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -19,7 +19,7 @@
 // call.
 const placeTimeoutMargin = 5 * time.Second
 
-var errMismatchedAnswer = errors.New("answer for another request or attempt")
+var errMismatchedResponse = errors.New("answer for another request or attempt")
 
 // place requests a placement from a router and returns the outcome as an event.
 func (c *requestRunner) place(ctx context.Context, action attempt.RequestPlacement) attempt.Event {
@@ -32,13 +32,13 @@
 	defer context.AfterFunc(aliveContext, cancel)()
 	answer, err := router.client.Place(ctx, c.placeRequest(action))
 	if err == nil && (answer.GetRequestId() != string(c.request.id) || answer.GetAttempt() != uint32(action.Attempt)) {
-		err = errMismatchedAnswer
+		err = errMismatchedResponse
 	}
 	if err != nil {
 		c.handlePlacementFailure(ctx, router, err)
 		return attempt.PlacementFailed{Operation: action.Operation}
 	}
-	c.agent.handleAnswerHeader(router, answer.GetHeader())
+	c.agent.handleResponseHeader(router, answer.GetHeader())
 	return c.placementEvent(action, router, answer)
 }
 
@@ -71,7 +71,7 @@
 	for _, hash := range c.request.hashes {
 		hashes = append(hashes, uint64(hash))
 	}
-	weights := c.request.weights
+	weights := c.request.modelVersion
 	return &rpc.PlaceRequest{
 		Header:    c.agent.header(),
 		RequestId: string(c.request.id),
@@ -186,10 +186,10 @@
 	c.agent.syncWith(router)
 	view := c.agent.config.Current()
 	weights, model, found := view.ResolveModel(c.request.body.Model)
-	if !found || weights == c.request.weights {
+	if !found || weights == c.request.modelVersion {
 		return false
 	}
-	c.request.weights = weights
+	c.request.modelVersion = weights
 	c.request.hashPrompt(model)
 	c.route = nil
 	return true
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -122,7 +122,7 @@
 		answer, err := router.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
 		cancel()
 		if err == nil {
-			a.handleAnswerHeader(router, answer.GetHeader())
+			a.handleResponseHeader(router, answer.GetHeader())
 			return
 		}
 		if try == maxReportTries {
--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -16,14 +16,14 @@
 
 // admittedRequest is a request that passed validation.
 type admittedRequest struct {
-	id      fleet.RequestID
-	arrived time.Duration
-	tenant  config.Tenant
-	class   fleet.ClassName
-	maxWait time.Duration
-	weights fleet.ModelVersion
-	options openai.Options
-	body    openai.Request
+	id           fleet.RequestID
+	arrived      time.Duration
+	tenant       config.Tenant
+	class        fleet.ClassName
+	maxWait      time.Duration
+	modelVersion fleet.ModelVersion
+	options      openai.Options
+	body         openai.Request
 	// deadline is a time of the agent's clock.
 	deadline     time.Duration
 	maxTokens    int
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -37,8 +37,8 @@
 	isStopping bool
 	// revision is the router's configuration revision in its last answer; hasAnswered is false
 	// before the first answer and after a failure.
-	revision    fleet.Revision
-	hasAnswered bool
+	revision     fleet.Revision
+	hasResponded bool
 	// machinesWanted is set if the router asked for the list of machines.
 	machinesWanted bool
 	// waiting counts the requests that wait for the router.
@@ -59,10 +59,10 @@
 	ranking routerRanking
 	states  map[fleet.Address]*routerState
 	// followed is the router from which lists are replicated.
-	followed     *routerState
-	rotation     int
-	lastAnswerAt time.Duration
-	anyAnswered  bool
+	followed       *routerState
+	rotation       int
+	lastResponseAt time.Duration
+	anyResponded   bool
 }
 
 func newRouterSet(clock fleet.Clock, ranking routerRanking, seeds []fleet.Address, backoffMax time.Duration) *routerSet {
@@ -174,23 +174,23 @@
 	router.waiting--
 }
 
-// recordAnswer records an answer and the revision in its header.
-func (r *routerSet) recordAnswer(router *routerState, header *rpc.Header) {
+// recordResponse records an answer and the revision in its header.
+func (r *routerSet) recordResponse(router *routerState, header *rpc.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	router.failures = 0
 	router.retryAt = 0
-	router.hasAnswered = true
+	router.hasResponded = true
 	router.revision = fleet.Revision(header.GetKnownRevision())
-	r.lastAnswerAt = r.clock.Now()
-	r.anyAnswered = true
+	r.lastResponseAt = r.clock.Now()
+	r.anyResponded = true
 }
 
 // recordFailure records a failed call to a router and cancels the requests that wait for it.
 func (r *routerSet) recordFailure(router *routerState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	router.hasAnswered = false
+	router.hasResponded = false
 	router.cancelAlive()
 	router.aliveContext, router.cancelAlive = context.WithCancel(context.Background())
 	now := r.clock.Now()
@@ -222,7 +222,7 @@
 func (r *routerSet) isBehind(router *routerState, ours fleet.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return router.hasAnswered && router.revision < ours
+	return router.hasResponded && router.revision < ours
 }
 
 // update applies the latest lists of routers and engines.
@@ -264,5 +264,5 @@
 func (r *routerSet) isReachable(within time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.anyAnswered && r.clock.Now()-r.lastAnswerAt <= within
+	return r.anyResponded && r.clock.Now()-r.lastResponseAt <= within
 }
--- a/internal/agent/sync.go
+++ b/internal/agent/sync.go
@@ -77,7 +77,7 @@
 		a.handleRouterFailure(router, "sync", err)
 		return false
 	}
-	a.routers.recordAnswer(router, answer.GetHeader())
+	a.routers.recordResponse(router, answer.GetHeader())
 	a.routers.recordSync(router, answer)
 	a.lists.Apply(request, answer)
 	a.routers.update(a.lists.Members(), a.lists.Machines(), int(answer.GetIndexReplicas()))
@@ -151,10 +151,10 @@
 	return accepted, err
 }
 
-// handleAnswerHeader records a router's answer and requests a sync if the configuration revisions
+// handleResponseHeader records a router's answer and requests a sync if the configuration revisions
 // differ.
-func (a *Agent) handleAnswerHeader(router *routerState, header *rpc.Header) {
-	a.routers.recordAnswer(router, header)
+func (a *Agent) handleResponseHeader(router *routerState, header *rpc.Header) {
+	a.routers.recordResponse(router, header)
 	if fleet.Revision(header.GetKnownRevision()) != a.config.Revision() {
 		a.requestSync(router)
 	}
--- a/internal/agent/synctargets.go
+++ b/internal/agent/synctargets.go
@@ -35,7 +35,7 @@
 	targets := []*routerState{r.followed}
 	for _, address := range addresses {
 		candidate := r.getOrCreate(address)
-		wanted := candidate == surveyed || candidate.waiting > 0 || !r.anyAnswered
+		wanted := candidate == surveyed || candidate.waiting > 0 || !r.anyResponded
 		if wanted && len(targets) < maxSyncTargets && !slices.Contains(targets, candidate) {
 			targets = append(targets, candidate)
 		}
@@ -52,7 +52,7 @@
 		addresses = append(addresses, member.Address)
 		needsSeeds = needsSeeds && r.penalty(r.getOrCreate(member.Address)) > 0
 	}
-	if needsSeeds || !r.anyAnswered {
+	if needsSeeds || !r.anyResponded {
 		addresses = append(addresses, r.seeds...)
 	}
 	return addresses
--- a/internal/agent/synctargets_test.go
+++ b/internal/agent/synctargets_test.go
@@ -24,7 +24,7 @@
 		})
 	}
 	r.update(members, nil, 0)
-	r.recordAnswer(r.getOrCreate(members[0].Address), &rpc.Header{})
+	r.recordResponse(r.getOrCreate(members[0].Address), &rpc.Header{})
 	return r
 }
 
--- a/internal/fleetsync/fleetsync_test.go
+++ b/internal/fleetsync/fleetsync_test.go
@@ -48,7 +48,7 @@
 	s.machines = &rpc.MachineList{Digest: digest, Machines: machines}
 }
 
-func (s *fakeRouter) answer(request *rpc.SyncRequest) *rpc.SyncResponse {
+func (s *fakeRouter) respond(request *rpc.SyncRequest) *rpc.SyncResponse {
 	response := &rpc.SyncResponse{Header: &rpc.Header{Sender: string(s.publisher.node)}}
 	s.publisher.FillResponse(s.view, s.machines, request, response)
 	return response
@@ -57,7 +57,7 @@
 func exchange(subscriber *Subscriber, router *fakeRouter) (*rpc.SyncRequest, *rpc.SyncResponse) {
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent-0123456789abcdef"}}
 	subscriber.FillRequest(request)
-	answer := router.answer(request)
+	answer := router.respond(request)
 	subscriber.Apply(request, answer)
 	return request, answer
 }
@@ -127,7 +127,7 @@
 			case 3:
 				request := &rpc.SyncRequest{}
 				subscriber.FillRequest(request)
-				delayed = append(delayed, delayedAnswer{request: request, answer: routers[index].answer(request)})
+				delayed = append(delayed, delayedAnswer{request: request, answer: routers[index].respond(request)})
 			case 4:
 				if len(delayed) > 0 {
 					chosen := delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")]
@@ -173,7 +173,7 @@
 	exchange(subscriber, router)
 	for run := range maxRemovals + 2 {
 		router.setMembers([]membership.Member{member(0, 1), member(1, run+2)})
-		router.answer(&rpc.SyncRequest{})
+		router.respond(&rpc.SyncRequest{})
 	}
 	_, answer := exchange(subscriber, router)
 	assert.Zero(t, answer.GetMembersStep().GetBase())
@@ -184,7 +184,7 @@
 func TestExchangeWithoutListsLeavesListsUnchanged(t *testing.T) {
 	router := newFakeFleet(3, 3)
 	subscriber := &Subscriber{}
-	answer := router.answer(&rpc.SyncRequest{WithoutLists: true})
+	answer := router.respond(&rpc.SyncRequest{WithoutLists: true})
 	subscriber.Apply(&rpc.SyncRequest{}, answer)
 	assert.Empty(t, answer.GetMembers())
 	assert.Empty(t, subscriber.Members())
--- a/internal/fleetsync/traffic_test.go
+++ b/internal/fleetsync/traffic_test.go
@@ -79,7 +79,7 @@
 }
 
 func (l syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-	return l.router.answer(request), nil
+	return l.router.respond(request), nil
 }
 
 // countingConn counts the bytes sent and received.
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -165,9 +165,9 @@
 // newlyServing returns the versions that replace another serving version in a change. New models
 // and adapters are excluded, because they take over no traffic from a loaded version.
 func newlyServing(before, after config.Document) []fleet.ModelVersion {
-	previous := servingWeights(before)
+	previous := servingVersions(before)
 	var changed []fleet.ModelVersion
-	for _, weights := range servingWeights(after) {
+	for _, weights := range servingVersions(after) {
 		replaces := func(old fleet.ModelVersion) bool {
 			return old.Model == weights.Model && old.Adapter == weights.Adapter && old.Version != weights.Version
 		}
@@ -178,8 +178,8 @@
 	return changed
 }
 
-// servingWeights returns the serving versions of all models and adapters.
-func servingWeights(document config.Document) []fleet.ModelVersion {
+// servingVersions returns the serving versions of all models and adapters.
+func servingVersions(document config.Document) []fleet.ModelVersion {
 	var serving []fleet.ModelVersion
 	add := func(model fleet.ModelName, adapter fleet.AdapterName, versions []config.Version) {
 		for _, version := range versions {
@@ -243,7 +243,7 @@
 		return Plan{}, notFound(prefix.Tenant, "tenant")
 	}
 	target := parseModelName(prefix.Model.Text)
-	for _, weights := range servingWeights(document) {
+	for _, weights := range servingVersions(document) {
 		if weights.Model != target.Model || weights.Adapter != target.Adapter {
 			continue
 		}
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -233,7 +233,7 @@
 	for _, waiting := range source.Waiting() {
 		rows = append(rows, Row{
 			string(waiting.Request), strconv.FormatUint(uint64(waiting.Attempt), 10), string(waiting.Tenant), string(waiting.Class),
-			formatModelName(waiting.Weights), string(waiting.Weights.Version), formatDuration(waiting.Waited), waiting.Reason,
+			formatModelName(waiting.ModelVersion), string(waiting.ModelVersion.Version), formatDuration(waiting.Waited), waiting.Reason,
 		})
 	}
 	return rows
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -56,13 +56,13 @@
 
 // Waiting is a row of "show waiting".
 type Waiting struct {
-	Request fleet.RequestID
-	Attempt fleet.Attempt
-	Tenant  fleet.TenantName
-	Class   fleet.ClassName
-	Weights fleet.ModelVersion
-	Waited  time.Duration
-	Reason  string
+	Request      fleet.RequestID
+	Attempt      fleet.Attempt
+	Tenant       fleet.TenantName
+	Class        fleet.ClassName
+	ModelVersion fleet.ModelVersion
+	Waited       time.Duration
+	Reason       string
 }
 
 // Holder is an engine run that has the first Blocks blocks of a prefix in its cache.
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// dropGrantsOf ends the grants of a run that is over.
-func (c *Core) dropGrantsOf(now time.Duration, state *engineState) {
+// endGrantsOf ends the grants of a run that is over.
+func (c *Core) endGrantsOf(now time.Duration, state *engineState) {
 	var ended []*grantState
 	for _, grant := range c.grantExpiry {
 		if grant.engine == state {
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -63,7 +63,7 @@
 		return
 	}
 	c.advance(now)
-	c.dropGrantsOf(now, state)
+	c.endGrantsOf(now, state)
 	c.pastRuns[id] = pastRun{incarnation: state.run.Incarnation, leaving: state.leaving}
 	delete(c.engines, id)
 	position, _ := slices.BinarySearchFunc(c.ordered, state, compareEngines)
@@ -210,7 +210,7 @@
 	if incarnation <= state.run.Incarnation {
 		return false
 	}
-	c.dropGrantsOf(now, state)
+	c.endGrantsOf(now, state)
 	c.index.RemoveRun(state.run)
 	state.reset(incarnation)
 	c.applyDirectives(state)
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -166,15 +166,15 @@
 	if !answer.GetMachinesCurrent() {
 		return errNotReader
 	}
-	m.applyAnswer(reader, request, answer)
+	m.applyResponse(reader, request, answer)
 	if err := m.router.fetcher.applyConfiguration(m.router.holder, reader, answer); err != nil {
 		m.router.logger.Debug().Err(err).Msg("configuration_fetch_failed")
 	}
 	return nil
 }
 
-// applyAnswer applies a reader's answer to the list of machines.
-func (m *machineFollower) applyAnswer(reader membership.Member, request *rpc.SyncRequest, answer *rpc.ChangesResponse) {
+// applyResponse applies a reader's answer to the list of machines.
+func (m *machineFollower) applyResponse(reader membership.Member, request *rpc.SyncRequest, answer *rpc.ChangesResponse) {
 	if reader.Node != m.followed {
 		m.followed = reader.Node
 		m.exchanges = 0
@@ -191,8 +191,8 @@
 	}
 }
 
-// answerFollower adds the changes that a follower is missing to response.
-func (m *machineFollower) answerFollower(request *rpc.ChangesRequest, response *rpc.ChangesResponse) {
+// fillFollowerResponse adds the changes that a follower is missing to response.
+func (m *machineFollower) fillFollowerResponse(request *rpc.ChangesRequest, response *rpc.ChangesResponse) {
 	if !m.isCurrent() {
 		return
 	}
--- a/internal/router/machinefollower_test.go
+++ b/internal/router/machinefollower_test.go
@@ -183,12 +183,12 @@
 	r := routers[0]
 	require.Eventually(t, r.machineFollower.isCurrent, waitTimeout, pollInterval)
 	answer := &rpc.ChangesResponse{}
-	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.True(t, answer.GetMachinesCurrent())
 	lists[0].setDown(true)
 	require.Eventually(t, func() bool { return !r.machineFollower.isCurrent() }, waitTimeout, pollInterval)
 	answer = &rpc.ChangesResponse{}
-	r.machineFollower.answerFollower(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
+	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
 	assert.False(t, answer.GetMachinesCurrent())
 }
 
--- a/internal/router/message.go
+++ b/internal/router/message.go
@@ -27,7 +27,7 @@
 	request := placement.Request{
 		Key:                placementKey(message.GetRequestId(), message.GetAttempt()),
 		Tenant:             fleet.TenantName(message.GetTenant()),
-		ModelVersion:       decodeWeights(message.GetWeights()),
+		ModelVersion:       decodeModelVersion(message.GetWeights()),
 		Class:              fleet.ClassName(message.GetClass()),
 		PromptTokens:       int(message.GetPromptTokens()),
 		MaxTokens:          int(message.GetMaxTokens()),
@@ -52,7 +52,7 @@
 	return placement.Key{Request: fleet.RequestID(request), Attempt: fleet.Attempt(attempt)}
 }
 
-func decodeWeights(message *rpc.Weights) fleet.ModelVersion {
+func decodeModelVersion(message *rpc.Weights) fleet.ModelVersion {
 	return fleet.ModelVersion{
 		Model:   fleet.ModelName(message.GetModel()),
 		Adapter: fleet.AdapterName(message.GetAdapter()),
--- a/internal/router/operatorsource.go
+++ b/internal/router/operatorsource.go
@@ -75,12 +75,12 @@
 	var waiting []operator.Waiting
 	for key, call := range p.calls {
 		waiting = append(waiting, operator.Waiting{
-			Request: key.Request,
-			Attempt: key.Attempt,
-			Tenant:  call.request.Tenant,
-			Class:   call.request.Class,
-			Weights: call.request.ModelVersion,
-			Waited:  now - call.submitted,
+			Request:      key.Request,
+			Attempt:      key.Attempt,
+			Tenant:       call.request.Tenant,
+			Class:        call.request.Class,
+			ModelVersion: call.request.ModelVersion,
+			Waited:       now - call.submitted,
 		})
 	}
 	slices.SortFunc(waiting, func(a, b operator.Waiting) int {
--- a/internal/router/peerserver.go
+++ b/internal/router/peerserver.go
@@ -20,7 +20,7 @@
 	switch {
 	case err != nil:
 	case message.GetMachinesFollowed():
-		s.router.machineFollower.answerFollower(message, response)
+		s.router.machineFollower.fillFollowerResponse(message, response)
 	case message.GetMachinesWanted():
 		response.Machines = s.router.machines.encoded()
 	}
--- a/internal/router/syncserver.go
+++ b/internal/router/syncserver.go
@@ -22,16 +22,16 @@
 		MachinesWanted: !s.router.machines.isKnown(),
 		IndexReplicas:  uint32(s.router.options.Settings.IndexReplicas),
 	}
-	if err := s.answerConfiguration(message, response); err != nil {
+	if err := s.fillConfiguration(message, response); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	s.router.listPublisher.FillResponse(s.router.peers.View(), s.router.machines.encoded(), message, response)
 	return response, nil
 }
 
-// answerConfiguration adds the configuration changes that an agent is missing, or the whole
+// fillConfiguration adds the configuration changes that an agent is missing, or the whole
 // document if the changes are not available or the agent can't apply them.
-func (s *placementServer) answerConfiguration(message *rpc.SyncRequest, response *rpc.SyncResponse) error {
+func (s *placementServer) fillConfiguration(message *rpc.SyncRequest, response *rpc.SyncResponse) error {
 	known := message.GetHeader().GetKnownRevision()
 	if known >= response.GetHeader().GetKnownRevision() {
 		return nil
