--- a/cmd/tillerfall/operationspage_test.go
+++ b/cmd/tillerfall/operationspage_test.go
@@ -15,7 +15,8 @@
 const operationsPage = "../../docs/OPERATIONS.md"
 
 var (
-	// loggedEvent matches the name of an event where it is logged or passed to logEngineError.
+	// loggedEvent matches the name of an event in a log call, a call of logEngineError or the
+	// declaration of a constant that begins with Event.
 	loggedEvent = regexp.MustCompile(`(?:\bMsg\(|logEngineError\(|\bEvent[A-Z][A-Za-z]* += )"([a-z_]+)"`)
 	eventRow    = regexp.MustCompile("(?m)^\\| ((?:`[a-z_]+`(?: d)?(?:, )?)+) \\| (?:both|router|agent|gateway|all) \\|")
 	quotedName  = regexp.MustCompile("`([a-z_]+)`")
@@ -40,8 +41,8 @@
 	return events
 }
 
-// Guards against differences between the events that the code logs and the table and examples in
-// docs/OPERATIONS.md.
+// TestPageNamesTheLoggedEvents guards against differences between the events that the code logs and
+// the table and examples in docs/OPERATIONS.md.
 func TestPageNamesTheLoggedEvents(t *testing.T) {
 	data, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
@@ -58,7 +59,8 @@
 	}
 }
 
-// Guards against differences between the exit codes and their table in docs/OPERATIONS.md.
+// TestPageNamesTheExitCodes guards against differences between the exit codes and their table in
+// docs/OPERATIONS.md.
 func TestPageNamesTheExitCodes(t *testing.T) {
 	page, err := os.ReadFile(operationsPage)
 	require.NoError(t, err)
--- a/cmd/tillerlab/platform_test.go
+++ b/cmd/tillerlab/platform_test.go
@@ -15,8 +15,8 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformserver"
 )
 
-// Guards against a simulated platform that sets its list of machines after it starts to listen, and
-// so overwrites a list posted in between.
+// TestPlatformLoadsMachinesBeforeListening guards against a simulated platform that sets its list
+// of machines after it starts to listen, and so overwrites a list posted in between.
 func TestPlatformLoadsMachinesBeforeListening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "machines.json")
 	require.NoError(t, os.WriteFile(path, []byte(`[{"id": "of-the-file", "kind": "engine", "address": "127.0.0.1:1"}]`), 0o600))
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -31,8 +31,8 @@
 // blocks returns a prompt of 80 blocks: the first 8 are common to the family, those up to 32 to the
 // child, the rest are specific to the request.
 func blocks(family, child, request uint64) []fleet.BlockHash {
-	made := make([]fleet.BlockHash, 80)
-	for position := range made {
+	hashes := make([]fleet.BlockHash, 80)
+	for position := range hashes {
 		hash := family<<40 | uint64(position)
 		if position >= 8 {
 			hash |= child << 24
@@ -40,9 +40,9 @@
 		if position >= 32 {
 			hash |= request << 8
 		}
-		made[position] = fleet.BlockHash(hash * 0x9e3779b97f4a7c15)
+		hashes[position] = fleet.BlockHash(hash * 0x9e3779b97f4a7c15)
 	}
-	return made
+	return hashes
 }
 
 // widen grows the width of a family's first key by recorded spills.
@@ -76,7 +76,7 @@
 	two := table.Choose(0, prompt, 0)
 	require.Equal(t, 2, two.Width(), "a burst of hand-backs doubles the width once")
 	table.RecordSpill(DefaultGrowInterval, narrow, 16)
-	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "a choice made before the width grew is ignored")
+	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "a choice hashes before the width grew is ignored")
 	table.RecordSpill(DefaultGrowInterval/2, two, 16)
 	require.Equal(t, 2, table.Choose(DefaultGrowInterval, prompt, 0).Width(), "the interval hasn't passed")
 	table.RecordSpill(DefaultGrowInterval, two, 3)
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -53,7 +53,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	weights, model, found := view.ResolveModel(body.Model)
+	modelVersion, model, found := view.ResolveModel(body.Model)
 	switch {
 	case !found:
 		return nil, &openai.Failure{Code: resultcode.UnknownModel, Message: fmt.Sprintf("no model %q is served", body.Model), Param: "model"}
@@ -64,7 +64,7 @@
 		tenant:       tenant,
 		class:        class.Name,
 		maxWait:      time.Duration(class.MaxWait),
-		modelVersion: weights,
+		modelVersion: modelVersion,
 		options:      options,
 		body:         body,
 	}, model)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -51,9 +51,9 @@
 // newScanner returns a scanner for an answer. It reads ahead, so an answer needs a single one.
 func newScanner(response *http.Response) *bufio.Scanner { return bufio.NewScanner(response.Body) }
 
-// readEvents reads a stream's events until its end or until there are most.
-func readEvents(t *testing.T, scanner *bufio.Scanner, most int) (tokens, events []string) {
-	for len(events) < most && scanner.Scan() {
+// readEvents reads a stream's events until its end or up to limit events.
+func readEvents(t *testing.T, scanner *bufio.Scanner, limit int) (tokens, events []string) {
+	for len(events) < limit && scanner.Scan() {
 		data, isData := strings.CutPrefix(scanner.Text(), "data: ")
 		if !isData {
 			continue
@@ -208,7 +208,7 @@
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Interval = settings.Duration(time.Hour) }, router)
 	defer router.blockAnswers()()
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, openai.PathCompletions, strings.NewReader(completionBody(2, false)))
 	request.Header.Set("Authorization", "Bearer "+testKey)
 	served := make(chan struct{})
@@ -216,14 +216,14 @@
 		defer close(served)
 		a.Handler().ServeHTTP(httptest.NewRecorder(), request)
 	}()
-	counts := func() (held, withdrawn int) {
+	counts := func() (blocked, cancelled int) {
 		router.mutex.Lock()
 		defer router.mutex.Unlock()
 		return router.blockedCalls, router.cancelledCalls
 	}
-	require.Eventually(t, func() bool { held, _ := counts(); return held == 1 }, waitTimeout, pollInterval)
-	leave()
-	require.Eventually(t, func() bool { _, withdrawn := counts(); return withdrawn == 1 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { blocked, _ := counts(); return blocked == 1 }, waitTimeout, pollInterval)
+	cancel()
+	require.Eventually(t, func() bool { _, cancelled := counts(); return cancelled == 1 }, waitTimeout, pollInterval)
 	<-served
 }
 
@@ -330,7 +330,7 @@
 // deadline, or a placement that isn't cancelled, while a router holds the call.
 func TestDeadlineDuringPlacementFailsRequestImmediately(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
-	a := startAgent(t, func(own *agent.Settings) { own.Sync.Timeout = settings.Duration(waitTimeout) }, router)
+	a := startAgent(t, func(agentSettings *agent.Settings) { agentSettings.Sync.Timeout = settings.Duration(waitTimeout) }, router)
 	unblock := router.blockAnswers()
 	defer unblock()
 	for _, stream := range []bool{false, true} {
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -19,12 +19,12 @@
 const cancelRetryDelay = 200 * time.Millisecond
 
 func (c *requestRunner) dispatch(ctx context.Context, action attempt.Dispatch) {
-	weights := c.request.modelVersion
+	modelVersion := c.request.modelVersion
 	stream, err := c.agent.engines.Client(action.Address).Dispatch(ctx, engine.DispatchRequest{
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
 		Tenant:       c.request.tenant.Name,
-		Weights:      engine.Weights{Model: weights.Model, Adapter: weights.Adapter, Version: weights.Version},
+		Weights:      engine.Weights{Model: modelVersion.Model, Adapter: modelVersion.Adapter, Version: modelVersion.Version},
 		Prompt:       c.request.body.Prompt,
 		MaxTokens:    c.request.maxTokens,
 		Priority:     action.Priority,
@@ -122,14 +122,14 @@
 func (c *requestRunner) cancelOnce(ctx context.Context, action attempt.CancelAndFence) attempt.Event {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.agent.settings.Engines.CancelTimeout))
 	defer cancel()
-	answer, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
+	response, err := c.agent.engines.Client(action.Address).Cancel(ctx, action.Stream, action.Run.Incarnation)
 	if err != nil {
 		c.logEngineError("cancel_failed", action.Run, err)
 		return attempt.CancelFailed{Operation: action.Operation, Code: engineError(err).Code}
 	}
 	c.logger.Debug().Str("engine", string(action.Run.Engine)).Str("stream", string(action.Stream)).
-		Str("found", string(answer.State)).Msg("stream_cancelled")
-	return attempt.CancelAnswered{Operation: action.Operation, State: answer.State}
+		Str("found", string(response.State)).Msg("stream_cancelled")
+	return attempt.CancelAnswered{Operation: action.Operation, State: response.State}
 }
 
 // logEngineError logs a failed call, unless the agent itself cancelled it.
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -70,7 +70,7 @@
 	lists      *fleetsync.Publisher
 	reports    []*rpc.AttemptReport
 	placements int
-	// blocked delays every answer until it is closed. blockedCalls counts the calls that were
+	// blocked delays every response until it is closed. blockedCalls counts the calls that were
 	// delayed, cancelledCalls those cancelled meanwhile.
 	blocked        chan struct{}
 	blockedCalls   int
@@ -102,16 +102,16 @@
 
 func (f *fakeRouter) wait(ctx context.Context) {
 	f.mutex.Lock()
-	hold := f.blocked
-	if hold != nil {
+	unblocked := f.blocked
+	if unblocked != nil {
 		f.blockedCalls++
 	}
 	f.mutex.Unlock()
-	if hold == nil {
+	if unblocked == nil {
 		return
 	}
 	select {
-	case <-hold:
+	case <-unblocked:
 	case <-ctx.Done():
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -121,15 +121,15 @@
 
 // blockAnswers delays all answers until unblock is called.
 func (f *fakeRouter) blockAnswers() (unblock func()) {
-	hold := make(chan struct{})
+	unblocked := make(chan struct{})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.blocked = hold
+	f.blocked = unblocked
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		f.blocked = nil
-		close(hold)
+		close(unblocked)
 	}
 }
 
@@ -176,16 +176,16 @@
 	if pushed := request.GetMachines(); pushed != nil {
 		f.machines = pushed
 	}
-	answer := &rpc.SyncResponse{Header: f.header(), MachinesWanted: f.machines == nil}
-	f.lists.FillResponse(membership.NewView(1, membership.Member{}, nil), f.machines, request, answer)
+	response := &rpc.SyncResponse{Header: f.header(), MachinesWanted: f.machines == nil}
+	f.lists.FillResponse(membership.NewView(1, membership.Member{}, nil), f.machines, request, response)
 	if request.GetHeader().GetKnownRevision() < f.revision {
 		if f.changes != nil && !request.GetConfigSnapshotWanted() {
-			answer.ConfigChanges = f.changes
-			return answer, nil
+			response.ConfigChanges = f.changes
+			return response, nil
 		}
-		answer.Config = f.config
+		response.Config = f.config
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (f *fakeRouter) phases() []rpc.AttemptPhase {
@@ -214,17 +214,17 @@
 
 // startAgent starts an agent and waits until it is ready.
 func startAgent(t *testing.T, change func(*agent.Settings), routers ...*fakeRouter) *agent.Agent {
-	own := agent.DefaultSettings()
-	own.Node = settings.Node{ID: "agent", Zone: "paldi-hall", Address: "127.0.0.1:0"}
-	own.HTTP.MaxBodyBytes = maxBody
-	own.Sync.Interval = settings.Duration(50 * time.Millisecond)
+	agentSettings := agent.DefaultSettings()
+	agentSettings.Node = settings.Node{ID: "agent", Zone: "paldi-hall", Address: "127.0.0.1:0"}
+	agentSettings.HTTP.MaxBodyBytes = maxBody
+	agentSettings.Sync.Interval = settings.Duration(50 * time.Millisecond)
 	for _, router := range routers {
-		own.Routers = append(own.Routers, router.address())
+		agentSettings.Routers = append(agentSettings.Routers, router.address())
 	}
 	if change != nil {
-		change(&own)
+		change(&agentSettings)
 	}
-	started, err := agent.New(own, agent.Dependencies{Logger: zerolog.Nop()})
+	started, err := agent.New(agentSettings, agent.Dependencies{Logger: zerolog.Nop()})
 	require.NoError(t, err)
 	require.NoError(t, started.Start(context.Background()))
 	t.Cleanup(func() { require.NoError(t, started.Stop()) })
--- a/internal/agent/nonreading_test.go
+++ b/internal/agent/nonreading_test.go
@@ -52,9 +52,8 @@
 	return int(value)
 }
 
-// TestNonReadingCallersAreBoundedAndCancelled guards against callers on real connections that stop
-// reading: they must not make the agent buffer without limit or block other requests, and their
-// streams must be cancelled after the write timeout.
+// TestNonReadingCallersAreBoundedAndCancelled guards against callers that stop reading and make the
+// agent buffer without limit, block other requests or keep their streams past the write timeout.
 func TestNonReadingCallersAreBoundedAndCancelled(t *testing.T) {
 	server := startEngine(t, "a", time.Millisecond)
 	router := startRouter(t, server)
@@ -63,9 +62,9 @@
 	snapshot, err := config.SnapshotMessage(document)
 	require.NoError(t, err)
 	router.config = snapshot
-	a := startAgent(t, func(own *agent.Settings) {
-		own.HTTP.WriteTimeout = settings.Duration(time.Second)
-		own.HTTP.WriteBufferBytes = smallBuffer
+	a := startAgent(t, func(agentSettings *agent.Settings) {
+		agentSettings.HTTP.WriteTimeout = settings.Duration(time.Second)
+		agentSettings.HTTP.WriteBufferBytes = smallBuffer
 	}, router)
 	for range nonReadingCallers {
 		startNonReadingCaller(t, a)
--- a/internal/agent/output.go
+++ b/internal/agent/output.go
@@ -9,7 +9,7 @@
 )
 
 func (a *Agent) newOutput(admitted *admittedRequest, writer http.ResponseWriter) output {
-	answer := openai.Response{
+	response := openai.Response{
 		Endpoint:     admitted.body.Endpoint,
 		RequestID:    admitted.id,
 		Model:        admitted.body.Model,
@@ -18,12 +18,12 @@
 		WriteTimeout: time.Duration(a.settings.HTTP.WriteTimeout),
 	}
 	if admitted.body.Stream {
-		return openai.NewStreamWriter(writer, answer)
+		return openai.NewStreamWriter(writer, response)
 	}
-	return &bufferedOutput{response: answer, writer: writer}
+	return &bufferedOutput{response: response, writer: writer}
 }
 
-// bufferedOutput collects the tokens of an answer that is not streamed. Its size is limited by the
+// bufferedOutput collects the tokens of a response that is not streamed. Its size is limited by the
 // model's output limit.
 type bufferedOutput struct {
 	response openai.Response
--- a/internal/agent/placement.go
+++ b/internal/agent/placement.go
@@ -19,7 +19,7 @@
 // call.
 const placeTimeoutMargin = 5 * time.Second
 
-var errMismatchedResponse = errors.New("answer for another request or attempt")
+var errMismatchedResponse = errors.New("response for another request or attempt")
 
 // place requests a placement from a router and returns the outcome as an event.
 func (c *requestRunner) place(ctx context.Context, action attempt.RequestPlacement) attempt.Event {
@@ -30,16 +30,16 @@
 	ctx, cancel := context.WithTimeout(ctx, c.request.maxWait+placeTimeoutMargin)
 	defer cancel()
 	defer context.AfterFunc(aliveContext, cancel)()
-	answer, err := router.client.Place(ctx, c.placeRequest(action))
-	if err == nil && (answer.GetRequestId() != string(c.request.id) || answer.GetAttempt() != uint32(action.Attempt)) {
+	response, err := router.client.Place(ctx, c.placeRequest(action))
+	if err == nil && (response.GetRequestId() != string(c.request.id) || response.GetAttempt() != uint32(action.Attempt)) {
 		err = errMismatchedResponse
 	}
 	if err != nil {
 		c.handlePlacementFailure(ctx, router, err)
 		return attempt.PlacementFailed{Operation: action.Operation}
 	}
-	c.agent.handleResponseHeader(router, answer.GetHeader())
-	return c.placementEvent(action, router, answer)
+	c.agent.handleResponseHeader(router, response.GetHeader())
+	return c.placementEvent(action, router, response)
 }
 
 // chooseRouter returns the router to ask and counts the try.
@@ -71,16 +71,16 @@
 	for _, hash := range c.request.hashes {
 		hashes = append(hashes, uint64(hash))
 	}
-	weights := c.request.modelVersion
+	modelVersion := c.request.modelVersion
 	return &rpc.PlaceRequest{
 		Header:    c.agent.header(),
 		RequestId: string(c.request.id),
 		Attempt:   uint32(action.Attempt),
 		Tenant:    string(c.request.tenant.Name),
 		Weights: &rpc.Weights{
-			Model:   string(weights.Model),
-			Adapter: string(weights.Adapter),
-			Version: string(weights.Version),
+			Model:   string(modelVersion.Model),
+			Adapter: string(modelVersion.Adapter),
+			Version: string(modelVersion.Version),
 		},
 		Class:              string(c.request.class),
 		PromptTokens:       uint32(c.request.promptTokens),
@@ -95,8 +95,8 @@
 	}
 }
 
-func (c *requestRunner) placementEvent(action attempt.RequestPlacement, router *routerState, answer *rpc.PlaceResponse) attempt.Event {
-	switch outcome := answer.GetOutcome().(type) {
+func (c *requestRunner) placementEvent(action attempt.RequestPlacement, router *routerState, response *rpc.PlaceResponse) attempt.Event {
+	switch outcome := response.GetOutcome().(type) {
 	case *rpc.PlaceResponse_Grant:
 		c.recordGrant()
 		return c.grantEvent(action, outcome.Grant)
@@ -185,11 +185,11 @@
 func (c *requestRunner) switchVersion(router *routerState) bool {
 	c.agent.syncWith(router)
 	view := c.agent.config.Current()
-	weights, model, found := view.ResolveModel(c.request.body.Model)
-	if !found || weights == c.request.modelVersion {
+	modelVersion, model, found := view.ResolveModel(c.request.body.Model)
+	if !found || modelVersion == c.request.modelVersion {
 		return false
 	}
-	c.request.modelVersion = weights
+	c.request.modelVersion = modelVersion
 	c.request.hashPrompt(model)
 	c.route = nil
 	return true
--- a/internal/agent/ranking.go
+++ b/internal/agent/ranking.go
@@ -29,9 +29,9 @@
 	pools *membership.PoolMap
 }
 
-func newRouterRanking(near membership.Location, firstDepth int) routerRanking {
+func newRouterRanking(location membership.Location, firstDepth int) routerRanking {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return routerRanking{location: near, table: affinity.New(affinity.Options{Random: random, FirstDepth: firstDepth})}
+	return routerRanking{location: location, table: affinity.New(affinity.Options{Random: random, FirstDepth: firstDepth})}
 }
 
 // update applies the latest lists and the number of index replicas. Empty lists are ignored.
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -119,10 +119,10 @@
 func (a *Agent) sendBatch(router *routerState, batch []*rpc.AttemptReport) {
 	for try := 1; ; try++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
-		answer, err := router.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
+		response, err := router.client.Report(ctx, &rpc.ReportRequest{Header: a.header(), Reports: batch})
 		cancel()
 		if err == nil {
-			a.handleResponseHeader(router, answer.GetHeader())
+			a.handleResponseHeader(router, response.GetHeader())
 			return
 		}
 		if try == maxReportTries {
--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -35,7 +35,7 @@
 	pool      fleet.PoolName
 }
 
-// output receives a request's answer. An error means that the caller no longer reads it.
+// output receives a request's response. An error means that the caller no longer reads it.
 type output interface {
 	Token(text string) error
 	Finish(reason string, usage openai.Usage) error
@@ -70,7 +70,7 @@
 
 	outputFailed bool
 	firstTokenAt time.Duration
-	// result is the result code of the answer; aborted is set if there was no answer.
+	// result is the result code of the response; aborted is set if there was none.
 	result  resultcode.Code
 	aborted bool
 	usage   openai.Usage
--- a/internal/agent/routers.go
+++ b/internal/agent/routers.go
@@ -35,8 +35,8 @@
 	failures   int
 	retryAt    time.Duration
 	isStopping bool
-	// revision is the router's configuration revision in its last answer; hasAnswered is false
-	// before the first answer and after a failure.
+	// revision is the router's configuration revision in its last response; hasResponded is false
+	// before the first response and after a failure.
 	revision     fleet.Revision
 	hasResponded bool
 	// machinesWanted is set if the router asked for the list of machines.
@@ -174,7 +174,7 @@
 	router.waiting--
 }
 
-// recordResponse records an answer and the revision in its header.
+// recordResponse records a response and the revision in its header.
 func (r *routerSet) recordResponse(router *routerState, header *rpc.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -202,14 +202,15 @@
 	router.retryAt = now + min(backoff, r.backoffMax)
 }
 
+// maxBackoffShift limits the doublings of a router's backoff.
 const maxBackoffShift = 10
 
 // recordSync records what a router reported about itself in a sync.
-func (r *routerSet) recordSync(router *routerState, answer *rpc.SyncResponse) {
+func (r *routerSet) recordSync(router *routerState, response *rpc.SyncResponse) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	router.isStopping = answer.GetStopping()
-	router.machinesWanted = answer.GetMachinesWanted()
+	router.isStopping = response.GetStopping()
+	router.machinesWanted = response.GetMachinesWanted()
 }
 
 func (r *routerSet) wantsMachines(router *routerState) bool {
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -170,6 +170,6 @@
 
 // newRanking returns the ranking of routers for this agent's location.
 func (s Settings) newRanking() routerRanking {
-	near := membership.Location{Region: s.Node.Region, Zone: s.Node.Zone}
-	return newRouterRanking(near, s.Requests.AffinityBlocks)
+	location := membership.Location{Region: s.Node.Region, Zone: s.Node.Zone}
+	return newRouterRanking(location, s.Requests.AffinityBlocks)
 }
--- a/internal/agent/sync.go
+++ b/internal/agent/sync.go
@@ -44,8 +44,8 @@
 // urgentRoundsPerInterval is the number of rounds per interval while required state is missing.
 const urgentRoundsPerInterval = 4
 
-// unreachableIntervals is the number of intervals without an answer from any router after which the
-// agent is not ready and syncs more often.
+// unreachableIntervals is the number of intervals without a response from any router after which
+// the agent is not ready and syncs more often.
 const unreachableIntervals = 5
 
 func (a *Agent) syncRound() {
@@ -56,14 +56,14 @@
 	group.Wait()
 }
 
-// syncWith syncs with a router, and immediately again if the answer shows that the router is
+// syncWith syncs with a router, and immediately again if the response shows that the router is
 // missing state.
 func (a *Agent) syncWith(router *routerState) {
 	if !a.exchange(router) {
 		return
 	}
-	lacksMachines := a.routers.wantsMachines(router) && a.lists.Machines() != nil
-	if lacksMachines || a.routers.isBehind(router, a.config.Revision()) {
+	needsMachines := a.routers.wantsMachines(router) && a.lists.Machines() != nil
+	if needsMachines || a.routers.isBehind(router, a.config.Revision()) {
 		a.exchange(router)
 	}
 }
@@ -72,16 +72,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.settings.Sync.Timeout))
 	defer cancel()
 	request := a.syncRequest(router)
-	answer, err := router.client.Sync(ctx, request)
+	response, err := router.client.Sync(ctx, request)
 	if err != nil {
 		a.handleRouterFailure(router, "sync", err)
 		return false
 	}
-	a.routers.recordResponse(router, answer.GetHeader())
-	a.routers.recordSync(router, answer)
-	a.lists.Apply(request, answer)
-	a.routers.update(a.lists.Members(), a.lists.Machines(), int(answer.GetIndexReplicas()))
-	a.applyConfig(router, answer)
+	a.routers.recordResponse(router, response.GetHeader())
+	a.routers.recordSync(router, response)
+	a.lists.Apply(request, response)
+	a.routers.update(a.lists.Members(), a.lists.Machines(), int(response.GetIndexReplicas()))
+	a.applyConfig(router, response)
 	return true
 }
 
@@ -116,13 +116,13 @@
 	return snapshot
 }
 
-// applyConfig applies the configuration in an answer. If changes can't be applied, the next sync
+// applyConfig applies the configuration in a response. If changes can't be applied, the next sync
 // requests the whole document.
-func (a *Agent) applyConfig(router *routerState, answer *rpc.SyncResponse) {
-	if answer.GetConfig() == nil && len(answer.GetConfigChanges()) == 0 {
+func (a *Agent) applyConfig(router *routerState, response *rpc.SyncResponse) {
+	if response.GetConfig() == nil && len(response.GetConfigChanges()) == 0 {
 		return
 	}
-	accepted, err := a.offerConfig(answer)
+	accepted, err := a.offerConfig(response)
 	a.snapshotWanted.Store(err != nil)
 	if err != nil {
 		a.logger.Warn().Err(err).Str("router", string(router.address)).Msg("configuration_rejected")
@@ -135,15 +135,15 @@
 	}
 }
 
-func (a *Agent) offerConfig(answer *rpc.SyncResponse) (accepted bool, err error) {
-	if snapshot := answer.GetConfig(); snapshot != nil {
+func (a *Agent) offerConfig(response *rpc.SyncResponse) (accepted bool, err error) {
+	if snapshot := response.GetConfig(); snapshot != nil {
 		document, err := config.DocumentFromMessage(snapshot)
 		if err != nil {
 			return false, err
 		}
 		return a.config.OfferSnapshot(document)
 	}
-	changes, err := config.ChangesFromMessages(answer.GetConfigChanges())
+	changes, err := config.ChangesFromMessages(response.GetConfigChanges())
 	if err != nil {
 		return false, err
 	}
@@ -151,8 +151,8 @@
 	return accepted, err
 }
 
-// handleResponseHeader records a router's answer and requests a sync if the configuration revisions
-// differ.
+// handleResponseHeader records a router's response and requests a sync if the configuration
+// revisions differ.
 func (a *Agent) handleResponseHeader(router *routerState, header *rpc.Header) {
 	a.routers.recordResponse(router, header)
 	if fleet.Revision(header.GetKnownRevision()) != a.config.Revision() {
--- a/internal/agent/synctargets.go
+++ b/internal/agent/synctargets.go
@@ -28,14 +28,14 @@
 	addresses := r.syncAddresses()
 	r.updateFollowed(addresses)
 	r.rotation++
-	var surveyed *routerState
+	var probed *routerState
 	if r.rotation%probeRounds == 0 {
-		surveyed = r.getOrCreate(addresses[r.rotation/probeRounds%len(addresses)])
+		probed = r.getOrCreate(addresses[r.rotation/probeRounds%len(addresses)])
 	}
 	targets := []*routerState{r.followed}
 	for _, address := range addresses {
 		candidate := r.getOrCreate(address)
-		wanted := candidate == surveyed || candidate.waiting > 0 || !r.anyResponded
+		wanted := candidate == probed || candidate.waiting > 0 || !r.anyResponded
 		if wanted && len(targets) < maxSyncTargets && !slices.Contains(targets, candidate) {
 			targets = append(targets, candidate)
 		}
--- a/internal/agent/synctargets_test.go
+++ b/internal/agent/synctargets_test.go
@@ -88,11 +88,11 @@
 // TestIncompleteAgentSyncsMoreOften guards against an agent that waits a whole interval although
 // its router has no configuration or engines yet.
 func TestIncompleteAgentSyncsMoreOften(t *testing.T) {
-	own := DefaultSettings()
-	a, err := New(own, Dependencies{})
+	settings := DefaultSettings()
+	a, err := New(settings, Dependencies{})
 	require.NoError(t, err)
 	a.routers = newTestRouterSet(1)
-	longest := time.Duration(float64(own.Sync.Interval) * (1 + syncJitter))
+	longest := time.Duration(float64(settings.Sync.Interval) * (1 + syncJitter))
 	assert.Less(t, a.syncPause(), longest/urgentRoundsPerInterval)
 
 	_, err = a.config.OfferSnapshot(config.Document{
--- a/internal/config/commit.go
+++ b/internal/config/commit.go
@@ -30,7 +30,7 @@
 // Commit applies a command to the committed configuration. If the error is nil, the outcome,
 // success or refusal, is final and recorded under the token: a repeated command with this token
 // gets the same outcome. Otherwise the error is a *resultcode.Error: CommandUncertain if the
-// command may have taken effect, PlatformUnavailable or RevisionConflict if it has not.
+// command may have taken effect, another code such as PlatformUnavailable if it has not.
 func (s *Store) Commit(ctx context.Context, request CommitRequest) (Outcome, error) {
 	if !tokenPattern.MatchString(request.Token) {
 		return Outcome{}, resultcode.New(resultcode.InvalidParameter,
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -99,12 +99,12 @@
 func (f *Follower) SetNodeCount(now time.Duration, nodes int) {
 	before := f.platformInterval()
 	f.nodeCount = max(nodes, 1)
-	left := f.nextPlatform - now
-	if f.failures > 0 || left <= 0 {
+	remaining := f.nextPlatform - now
+	if f.failures > 0 || remaining <= 0 {
 		return
 	}
 	scale := float64(f.platformInterval()) / float64(before)
-	f.nextPlatform = now + time.Duration(float64(left)*scale)
+	f.nextPlatform = now + time.Duration(float64(remaining)*scale)
 }
 
 // ObserveRevision records a revision from another node's message.
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -17,8 +17,8 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// Guards against bursts of platform calls over the fleet's limit when all nodes restart together,
-// with the platform available and unavailable.
+// TestSimultaneousRestartsKeepToFleetCallLimit guards against bursts of platform calls over the
+// fleet's limit when all nodes restart together, with the platform available and unavailable.
 func TestSimultaneousRestartsKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes   = 680
@@ -50,7 +50,8 @@
 	}
 }
 
-// Guards against bursts of platform calls while restarted nodes know only three of their peers.
+// TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit guards against bursts of platform calls while
+// restarted nodes know only three of their peers.
 func TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes     = 680
--- a/internal/config/holder_test.go
+++ b/internal/config/holder_test.go
@@ -59,8 +59,8 @@
 	assert.Equal(t, string(after.Tenants[1].Name), change.Patch[0].Name)
 }
 
-// Guards against a holder that replaces its configuration with an older or invalid one. Snapshots
-// and changes arrive in any order, with duplicates.
+// TestHolderNeverReverts guards against a holder that replaces its configuration with an older or
+// invalid one. Snapshots and changes arrive in any order, with duplicates.
 func TestHolderNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := append([]Document{{}}, drawHistory(t, 6)...)
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -19,8 +19,8 @@
 	assert.Equal(t, "urgent", string(view.Classes()[0].Name))
 }
 
-// Guards against errors of a configuration that are missed or reported at the wrong line. Each case
-// changes one place of the valid document.
+// TestParseReportsFault guards against errors of a configuration that are missed or reported at the
+// wrong line. Each case changes one place of the valid document.
 func TestParseReportsFault(t *testing.T) {
 	cases := []struct {
 		name, old, replacement string
@@ -95,7 +95,8 @@
 	}
 }
 
-// Guards against malicious files that keep the YAML parser busy for minutes.
+// TestParseRejectsFileOverLimits guards against malicious files that keep the YAML parser busy for
+// minutes.
 func TestParseRejectsFileOverLimits(t *testing.T) {
 	cases := map[string]string{
 		"[":       "levels of nesting",
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -86,7 +86,7 @@
 	objects platform.Objects
 	options StoreOptions
 
-	mutex sync.Mutex // guards options.Random and sweepAfter
+	mutex sync.Mutex // guards options.Random and sweepCursor
 	// sweepCursor is the key after which the next sweep for expired outcomes starts.
 	sweepCursor string
 }
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -51,9 +51,8 @@
 	return count
 }
 
-// Guards against commands that are applied twice or have contradictory outcomes, with concurrent
-// operators and a table service that rejects calls, loses responses before and after the effect,
-// and delays effects.
+// TestEveryTokenHasOneOutcome guards against commands that are applied twice or have contradictory
+// outcomes, with concurrent operators and a table service that loses responses or delays effects.
 func TestEveryTokenHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -268,8 +267,8 @@
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-// Guards against a second outcome if the same command is refused for another sender after this one
-// has found the token unused.
+// TestConcurrentCommitsOfOneTokenGetSameOutcome guards against a second outcome if the same command
+// is refused for another sender after this one has found the token unused.
 func TestConcurrentCommitsOfOneTokenGetSameOutcome(t *testing.T) {
 	tables := newFakeTables()
 	store := newTestStore(tables, StoreOptions{})
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -79,9 +79,9 @@
 }
 
 func TestContextDeadlineIsUnwrappedAndOutcomeUnknown(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
-	address, _ := serveRaw(t, func(net.Conn) { <-hold })
+	done := make(chan struct{})
+	defer close(done)
+	address, _ := serveRaw(t, func(net.Conn) { <-done })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := engine.New(address, engine.Options{}).Dispatch(ctx, testDispatch)
@@ -94,7 +94,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		code := current.Load().(engine.ErrorCode)
 		if code == "" {
-			http.Error(writer, "proxy says no", http.StatusBadGateway)
+			http.Error(writer, "bad gateway", http.StatusBadGateway)
 			return
 		}
 		engine.WriteError(writer, &engine.Error{Code: code, Message: "why", Incarnation: 7})
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -17,7 +17,7 @@
 	PathImport  = "/v1/kv/import"          // POST
 )
 
-// Weights is the wire form of fleet.Weights.
+// Weights is the wire form of fleet.ModelVersion.
 type Weights struct {
 	Model   fleet.ModelName   `json:"model"`
 	Adapter fleet.AdapterName `json:"adapter,omitempty"`
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -17,7 +17,7 @@
 
 // BenchmarkClock compares the clock that includes suspensions with the runtime's clock.
 func BenchmarkClock(b *testing.B) {
-	for name, clock := range map[string]Clock{"counting": NewClock(), "runtime": NewRuntimeClock()} {
+	for name, clock := range map[string]Clock{"boottime": NewClock(), "runtime": NewRuntimeClock()} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				clock.Now()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -56,8 +56,8 @@
 // RequestID identifies one caller's request across all processes and logs.
 type RequestID string
 
-// Attempt numbers the dispatches of one request, starting at 1. Answers for other attempts than the
-// current one are dropped.
+// Attempt numbers the dispatches of one request, starting at 1. Responses for other attempts than
+// the current one are dropped.
 type Attempt uint32
 
 // StreamID identifies the stream of one attempt at an engine.
--- a/internal/fleetsync/fleetsync_test.go
+++ b/internal/fleetsync/fleetsync_test.go
@@ -57,9 +57,9 @@
 func exchange(subscriber *Subscriber, router *fakeRouter) (*rpc.SyncRequest, *rpc.SyncResponse) {
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent-0123456789abcdef"}}
 	subscriber.FillRequest(request)
-	answer := router.respond(request)
-	subscriber.Apply(request, answer)
-	return request, answer
+	response := router.respond(request)
+	subscriber.Apply(request, response)
+	return request, response
 }
 
 func requireSame(t require.TestingT, subscriber *Subscriber, router *fakeRouter) {
@@ -110,11 +110,11 @@
 		start(0)
 		start(1)
 		subscriber := &Subscriber{}
-		type delayedAnswer struct {
-			request *rpc.SyncRequest
-			answer  *rpc.SyncResponse
+		type delayedResponse struct {
+			request  *rpc.SyncRequest
+			response *rpc.SyncResponse
 		}
-		var delayed []delayedAnswer
+		var delayed []delayedResponse
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			index := rapid.IntRange(0, 1).Draw(t, "router")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
@@ -127,11 +127,11 @@
 			case 3:
 				request := &rpc.SyncRequest{}
 				subscriber.FillRequest(request)
-				delayed = append(delayed, delayedAnswer{request: request, answer: routers[index].respond(request)})
+				delayed = append(delayed, delayedResponse{request: request, response: routers[index].respond(request)})
 			case 4:
 				if len(delayed) > 0 {
 					chosen := delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")]
-					subscriber.Apply(chosen.request, chosen.answer)
+					subscriber.Apply(chosen.request, chosen.response)
 				}
 			default:
 				exchange(subscriber, routers[index])
@@ -163,8 +163,8 @@
 	suspected[1].State = membership.Suspect
 	suspected[2].Incarnation = 2
 	router.setMembers(suspected)
-	_, answer := exchange(subscriber, router)
-	assert.Nil(t, answer.GetMembersStep())
+	_, response := exchange(subscriber, router)
+	assert.Nil(t, response.GetMembersStep())
 }
 
 func TestDroppedRemovalsSendWholeList(t *testing.T) {
@@ -175,8 +175,8 @@
 		router.setMembers([]membership.Member{member(0, 1), member(1, run+2)})
 		router.respond(&rpc.SyncRequest{})
 	}
-	_, answer := exchange(subscriber, router)
-	assert.Zero(t, answer.GetMembersStep().GetBase())
+	_, response := exchange(subscriber, router)
+	assert.Zero(t, response.GetMembersStep().GetBase())
 	requireSame(t, subscriber, router)
 	assert.LessOrEqual(t, len(router.publisher.members.removals), maxRemovals)
 }
@@ -184,9 +184,9 @@
 func TestExchangeWithoutListsLeavesListsUnchanged(t *testing.T) {
 	router := newFakeFleet(3, 3)
 	subscriber := &Subscriber{}
-	answer := router.respond(&rpc.SyncRequest{WithoutLists: true})
-	subscriber.Apply(&rpc.SyncRequest{}, answer)
-	assert.Empty(t, answer.GetMembers())
+	response := router.respond(&rpc.SyncRequest{WithoutLists: true})
+	subscriber.Apply(&rpc.SyncRequest{}, response)
+	assert.Empty(t, response.GetMembers())
 	assert.Empty(t, subscriber.Members())
 }
 
--- a/internal/fleetsync/subscriber.go
+++ b/internal/fleetsync/subscriber.go
@@ -31,32 +31,32 @@
 	request.MachinesDigest = s.machines.GetDigest()
 }
 
-// Apply applies the answer to a request filled by FillRequest. Answers may arrive in any order: one
-// that doesn't apply to the current version is dropped, and a later exchange delivers its changes.
-// An empty list is ignored.
-func (s *Subscriber) Apply(request *rpc.SyncRequest, answer *rpc.SyncResponse) {
+// Apply applies the response to a request filled by FillRequest. Responses may arrive in any order:
+// one that doesn't apply to the current version is dropped, and a later exchange delivers its
+// changes. An empty list is ignored.
+func (s *Subscriber) Apply(request *rpc.SyncRequest, response *rpc.SyncResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if answer.GetMembersStep() == nil && answer.GetMachinesStep() == nil {
+	if response.GetMembersStep() == nil && response.GetMachinesStep() == nil {
 		return
 	}
-	sender := answer.GetHeader().GetSender()
+	sender := response.GetHeader().GetSender()
 	if sender != s.router {
 		s.router = sender
 		s.membersVersion = 0
 		s.machinesVersion = 0
 	}
-	s.applyMembers(answer)
-	s.applyMachines(request, answer)
+	s.applyMembers(response)
+	s.applyMachines(request, response)
 }
 
-func (s *Subscriber) applyMembers(answer *rpc.SyncResponse) {
-	step := answer.GetMembersStep()
+func (s *Subscriber) applyMembers(response *rpc.SyncResponse) {
+	step := response.GetMembersStep()
 	if !canApply(step, s.membersVersion) {
 		return
 	}
-	changed := make([]membership.Member, 0, len(answer.GetMembers()))
-	for _, encoded := range answer.GetMembers() {
+	changed := make([]membership.Member, 0, len(response.GetMembers()))
+	for _, encoded := range response.GetMembers() {
 		if member, err := membership.DecodeMember(encoded); err == nil {
 			changed = append(changed, member)
 		}
@@ -75,8 +75,8 @@
 	s.membersVersion = step.GetVersion()
 }
 
-func (s *Subscriber) applyMachines(request *rpc.SyncRequest, answer *rpc.SyncResponse) {
-	step := answer.GetMachinesStep()
+func (s *Subscriber) applyMachines(request *rpc.SyncRequest, response *rpc.SyncResponse) {
+	step := response.GetMachinesStep()
 	if step.GetBase() != 0 && step.GetBase() == step.GetVersion() {
 		s.adoptMachinesVersion(request, step)
 		return
@@ -84,7 +84,7 @@
 	if !canApply(step, s.machinesVersion) {
 		return
 	}
-	machines := answer.GetMachines().GetMachines()
+	machines := response.GetMachines().GetMachines()
 	if step.GetBase() == 0 {
 		slices.SortFunc(machines, func(a, b *rpc.Machine) int { return cmp.Compare(a.GetId(), b.GetId()) })
 	} else {
@@ -95,7 +95,7 @@
 		s.machinesVersion = 0
 		return
 	}
-	s.machines = &rpc.MachineList{Digest: answer.GetMachines().GetDigest(), Machines: machines}
+	s.machines = &rpc.MachineList{Digest: response.GetMachines().GetDigest(), Machines: machines}
 	s.machinesVersion = step.GetVersion()
 }
 
@@ -107,13 +107,13 @@
 	}
 }
 
-// canApply reports whether a step applies to the version held. A whole list replaces any list that
-// is not newer.
-func canApply(step *rpc.ListStep, held uint64) bool {
-	if step.GetVersion() == 0 || step.GetVersion() < held {
+// canApply reports whether a step applies to the current version. A whole list replaces any list
+// that is not newer.
+func canApply(step *rpc.ListStep, current uint64) bool {
+	if step.GetVersion() == 0 || step.GetVersion() < current {
 		return false
 	}
-	return step.GetBase() == 0 || step.GetBase() == held
+	return step.GetBase() == 0 || step.GetBase() == current
 }
 
 // Members returns the routable routers, sorted by node. The slice must not be modified.
--- a/internal/fleetsync/traffic_test.go
+++ b/internal/fleetsync/traffic_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-func encodedSize(request *rpc.SyncRequest, answer *rpc.SyncResponse) int {
-	return proto.Size(request) + proto.Size(answer)
+func encodedSize(request *rpc.SyncRequest, response *rpc.SyncResponse) int {
+	return proto.Size(request) + proto.Size(response)
 }
 
 // dailyChangeBytes returns the bytes that a day's changes add to exchanges without changes.
@@ -78,8 +78,8 @@
 	router *fakeRouter
 }
 
-func (l syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
-	return l.router.respond(request), nil
+func (s syncServer) Sync(_ context.Context, request *rpc.SyncRequest) (*rpc.SyncResponse, error) {
+	return s.router.respond(request), nil
 }
 
 // countingConn counts the bytes sent and received.
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,7 @@
 // Package logging writes each event as one line of key=value pairs (logfmt). Time, level,
-// component, node and event come first, followed by the event's own fields sorted by name. Values
-// with spaces, quotes or control characters are quoted, so that an event is always a single line.
+// component, node and event come first, followed by the error, if any, and the event's other fields
+// sorted by name. Values with spaces, quotes or control characters are quoted, so that an event is
+// always a single line.
 package logging
 
 import (
--- a/internal/operator/mutate.go
+++ b/internal/operator/mutate.go
@@ -162,9 +162,9 @@
 }
 
 // formatModelName returns "model" or "model:adapter".
-func formatModelName(weights fleet.ModelVersion) string {
-	if weights.Adapter == "" {
-		return string(weights.Model)
+func formatModelName(target fleet.ModelVersion) string {
+	if target.Adapter == "" {
+		return string(target.Model)
 	}
-	return string(weights.Model) + config.AdapterSeparator + string(weights.Adapter)
+	return string(target.Model) + config.AdapterSeparator + string(target.Adapter)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestQueries(t *testing.T) {
+func TestQueriesReturnMatchingRows(t *testing.T) {
 	cases := []struct {
 		statement string
 		rows      int
@@ -293,7 +293,7 @@
 	assert.Len(t, f.store.document.Directives, 1)
 }
 
-func TestCommandOutcomes(t *testing.T) {
+func TestCommandOutcomesCanBeLookedUp(t *testing.T) {
 	f := newFixture(t, nil)
 	stale := f.runner.Run(context.Background(), Request{Statement: "drain e1", ExpectedRevision: 3})
 	assert.Equal(t, resultcode.RevisionConflict, stale.Code)
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -167,12 +167,12 @@
 func newlyServing(before, after config.Document) []fleet.ModelVersion {
 	previous := servingVersions(before)
 	var changed []fleet.ModelVersion
-	for _, weights := range servingVersions(after) {
+	for _, modelVersion := range servingVersions(after) {
 		replaces := func(old fleet.ModelVersion) bool {
-			return old.Model == weights.Model && old.Adapter == weights.Adapter && old.Version != weights.Version
+			return old.Model == modelVersion.Model && old.Adapter == modelVersion.Adapter && old.Version != modelVersion.Version
 		}
 		if slices.ContainsFunc(previous, replaces) {
-			changed = append(changed, weights)
+			changed = append(changed, modelVersion)
 		}
 	}
 	return changed
@@ -243,12 +243,12 @@
 		return Plan{}, notFound(prefix.Tenant, "tenant")
 	}
 	target := parseModelName(prefix.Model.Text)
-	for _, weights := range servingVersions(document) {
-		if weights.Model != target.Model || weights.Adapter != target.Adapter {
+	for _, modelVersion := range servingVersions(document) {
+		if modelVersion.Model != target.Model || modelVersion.Adapter != target.Adapter {
 			continue
 		}
-		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), ModelVersion: weights}
-		hashes := prompt.HashBlocks(scope, prefix.Text.Text, blockTokens(document, weights.Model))
+		scope := fleet.CacheScope{Tenant: fleet.TenantName(prefix.Tenant.Text), ModelVersion: modelVersion}
+		hashes := prompt.HashBlocks(scope, prefix.Text.Text, blockTokens(document, modelVersion.Model))
 		if len(hashes) == 0 {
 			return Plan{}, &PlanError{
 				Code: resultcode.StatementSyntax, Column: prefix.Text.Pos.Column, Message: "the text is shorter than one cache block",
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -137,8 +137,8 @@
 	var rows []Row
 	for _, engine := range source.Engines() {
 		var loaded []string
-		for _, weights := range engine.Loaded {
-			loaded = append(loaded, formatModelName(weights)+"@"+string(weights.Version))
+		for _, modelVersion := range engine.Loaded {
+			loaded = append(loaded, formatModelName(modelVersion)+"@"+string(modelVersion.Version))
 		}
 		rows = append(rows, Row{
 			string(engine.Run.Engine), formatIncarnation(engine.Run), string(engine.Address), string(engine.Zone),
@@ -196,16 +196,16 @@
 	document, _ := source.Configuration()
 	loaded := make(map[fleet.ModelVersion]int)
 	for _, engine := range source.Engines() {
-		for _, weights := range engine.Loaded {
-			loaded[weights]++
+		for _, modelVersion := range engine.Loaded {
+			loaded[modelVersion]++
 		}
 	}
 	var rows []Row
 	add := func(model config.Model, adapter fleet.AdapterName, versions []config.Version) {
 		for _, version := range versions {
-			weights := fleet.ModelVersion{Model: model.Name, Adapter: adapter, Version: version.Name}
+			modelVersion := fleet.ModelVersion{Model: model.Name, Adapter: adapter, Version: version.Name}
 			rows = append(rows, Row{
-				formatModelName(weights), string(version.Name), string(version.State), string(model.Pool), strconv.Itoa(loaded[weights]),
+				formatModelName(modelVersion), string(version.Name), string(version.State), string(model.Pool), strconv.Itoa(loaded[modelVersion]),
 			})
 		}
 	}
--- a/internal/operator/run.go
+++ b/internal/operator/run.go
@@ -48,7 +48,7 @@
 // Readiness checks whether a model version can be promoted.
 type Readiness interface {
 	// ReadyToPromote returns an error that describes what is missing; nil if the version is ready.
-	ReadyToPromote(document config.Document, weights fleet.ModelVersion) error
+	ReadyToPromote(document config.Document, modelVersion fleet.ModelVersion) error
 }
 
 // Request is one statement as an operator sent it.
@@ -155,8 +155,8 @@
 		if err != nil || command.Promotes == nil {
 			return next, err
 		}
-		for _, weights := range command.Promotes(document) {
-			if err := r.readiness.ReadyToPromote(next, weights); err != nil {
+		for _, modelVersion := range command.Promotes(document) {
+			if err := r.readiness.ReadyToPromote(next, modelVersion); err != nil {
 				return document, resultcode.New(resultcode.CommandImpossible, err.Error())
 			}
 		}
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -41,7 +41,8 @@
 	InFlight      int
 	PrefillTokens int
 	CachedBlocks  int
-	// CacheTrusted is false after cache events were lost, until a new cache snapshot has been read.
+	// CacheTrusted is false before the first cache snapshot of an owned engine, after a loss of
+	// cache events until the next snapshot, and for other engines.
 	CacheTrusted bool
 }
 
--- a/internal/placement/core_bench_test.go
+++ b/internal/placement/core_bench_test.go
@@ -24,9 +24,9 @@
 						bench.core.ObserveStatus(bench.now, bench.status(engineName(engine), 1))
 					}
 				}
-				made := warm
-				made.Key.Attempt = 2
-				grant := bench.submitGranted(made)
+				attempt := warm
+				attempt.Key.Attempt = 2
+				grant := bench.submitGranted(attempt)
 				bench.report(grant, PhaseAccepted)
 				bench.report(grant, PhaseFirstToken)
 				bench.report(grant, PhaseFinished)
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -317,11 +317,11 @@
 			"submit": func(t *rapid.T) {
 				for range rapid.IntRange(1, 8).Draw(t, "burst") {
 					sequence++
-					made := request(fmt.Sprint(sequence), rapid.SampledFrom([]fleet.ClassName{urgent, batch}).Draw(t, "class"),
+					attempt := request(fmt.Sprint(sequence), rapid.SampledFrom([]fleet.ClassName{urgent, batch}).Draw(t, "class"),
 						rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "prompt"), rapid.IntRange(0, 200).Draw(t, "blocks"))
-					made.Deadline = time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond
-					open[made.Key] = true
-					b.core.Submit(b.now, made)
+					attempt.Deadline = time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond
+					open[attempt.Key] = true
+					b.core.Submit(b.now, attempt)
 				}
 			},
 			"resubmit": func(t *rapid.T) {
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -101,7 +101,7 @@
 // request returns a request whose prompt has the given number of blocks. Equal prompts have equal
 // blocks.
 func request(name string, class fleet.ClassName, prompt string, blocks int) Request {
-	made := Request{
+	attempt := Request{
 		Key: keyOf(name), Tenant: "tenant", ModelVersion: testModelVersion, Class: class,
 		PromptTokens: blocks*testBlockTokens + 1, MaxTokens: 10, AgentZone: "zone",
 	}
@@ -110,18 +110,18 @@
 		seed = seed*31 + uint64(letter)
 	}
 	for block := range blocks {
-		made.Blocks = append(made.Blocks, fleet.BlockHash(seed<<16+uint64(block)))
+		attempt.Blocks = append(attempt.Blocks, fleet.BlockHash(seed<<16+uint64(block)))
 	}
-	return made
+	return attempt
 }
 
-func (b *bench) submit(made Request) []Outcome {
-	b.core.Submit(b.now, made)
+func (b *bench) submit(attempt Request) []Outcome {
+	b.core.Submit(b.now, attempt)
 	return b.core.TakeOutcomes()
 }
 
-func (b *bench) submitGranted(made Request) Grant {
-	outcomes := b.submit(made)
+func (b *bench) submitGranted(attempt Request) Grant {
+	outcomes := b.submit(attempt)
 	require.Len(b.t, outcomes, 1)
 	require.IsType(b.t, Grant{}, outcomes[0])
 	return outcomes[0].(Grant)
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -108,7 +108,7 @@
 	})
 }
 
-// ObserveCacheEvents applies an engine's answer to a poll for cache events.
+// ObserveCacheEvents applies an engine's response to a poll for cache events.
 func (c *Core) ObserveCacheEvents(now time.Duration, id fleet.EngineID, events engine.CacheEvents) {
 	state := c.cacheSource(now, id, events.Incarnation)
 	if state == nil {
@@ -126,7 +126,7 @@
 	state.feed.ApplySnapshot(now, snapshot)
 }
 
-// cacheSource returns the engine whose feed accepts an answer of the given incarnation, or nil. A
+// cacheSource returns the engine whose feed accepts a response of the given incarnation, or nil. A
 // newer incarnation replaces the current run.
 func (c *Core) cacheSource(now time.Duration, id fleet.EngineID, incarnation fleet.Incarnation) *engineState {
 	state := c.engines[id]
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -41,7 +41,8 @@
 	QueueTokens int
 	QueueTime   time.Duration
 	// CachedBlocks is the number of blocks that the index holds for the run. CacheTrusted is false
-	// before the first cache snapshot, and from a loss of events until the next one.
+	// for an engine that isn't owned, before the first cache snapshot, and from a loss of events
+	// until the next one.
 	CachedBlocks int
 	CacheTrusted bool
 }
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -25,15 +25,15 @@
 // each.
 func (b *bench) fillOwnedEngine() {
 	for number := range 3 {
-		made := request(fmt.Sprintf("fill%d", number), urgent, fmt.Sprintf("filler%d", number), 100)
-		made = withSpills(made, DefaultMaxSpills)
-		b.submit(made)
+		attempt := request(fmt.Sprintf("fill%d", number), urgent, fmt.Sprintf("filler%d", number), 100)
+		attempt = withSpills(attempt, DefaultMaxSpills)
+		b.submit(attempt)
 	}
 }
 
-func withSpills(made Request, spills int) Request {
-	made.Hops, made.Spills = spills, spills
-	return made
+func withSpills(attempt Request, spills int) Request {
+	attempt.Hops, attempt.Spills = spills, spills
+	return attempt
 }
 
 func handedBack(name string, reason HandBackReason) []Outcome {
@@ -43,8 +43,8 @@
 // fillQueue queues as many requests as SpillQueue allows.
 func (b *bench) fillQueue() {
 	for number := range DefaultSpillQueue {
-		made := request(fmt.Sprintf("queued%d", number), urgent, fmt.Sprintf("queue%d", number), 100)
-		require.Empty(b.t, b.submit(withSpills(made, DefaultMaxSpills)))
+		attempt := request(fmt.Sprintf("queued%d", number), urgent, fmt.Sprintf("queue%d", number), 100)
+		require.Empty(b.t, b.submit(withSpills(attempt, DefaultMaxSpills)))
 	}
 }
 
@@ -129,11 +129,11 @@
 func TestPoolWithoutOwnerIsRefusedAfterMaxHops(t *testing.T) {
 	b := newPartialOwnerBench(t)
 	b.core.SetOwned(func(fleet.EngineID) bool { return false })
-	made := request("r", urgent, "p", 1)
-	for made.Hops = 0; made.Hops < DefaultMaxForeignHops; made.Hops++ {
-		require.Equal(t, handedBack("r", HandBackNoEngine), b.submit(made))
+	attempt := request("r", urgent, "p", 1)
+	for attempt.Hops = 0; attempt.Hops < DefaultMaxForeignHops; attempt.Hops++ {
+		require.Equal(t, handedBack("r", HandBackNoEngine), b.submit(attempt))
 	}
-	outcomes := b.submit(made)
+	outcomes := b.submit(attempt)
 	require.Len(t, outcomes, 1)
 	refusal := outcomes[0].(Refusal)
 	assert.Equal(t, resultcode.NoEngine, refusal.Code)
--- a/internal/platform/decode_test.go
+++ b/internal/platform/decode_test.go
@@ -41,7 +41,7 @@
 	require.ErrorIs(t, err, ErrMalformedResponse)
 }
 
-func FuzzDecodeAnswers(f *testing.F) {
+func FuzzDecodeResponses(f *testing.F) {
 	f.Add([]byte(`{"rows":[{"key":"p/1","value":"dg==","revision":1}]}`))
 	f.Add([]byte(`{"key":"p/1","value":"dg==","revision":1}`))
 	f.Add([]byte(`{"machines":[{"id":"a","address":"127.0.0.1:1","state":"live","incarnation":3}]}`))
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -50,7 +50,7 @@
 type FeedCounts struct {
 	Applied    uint64
 	Duplicates uint64
-	// StaleRuns counts answers of another incarnation, which are dropped.
+	// StaleRuns counts responses of another incarnation, which are dropped.
 	StaleRuns uint64
 	// Gaps counts the times that events were found lost.
 	Gaps      uint64
@@ -116,7 +116,7 @@
 	return max(f.applied, f.buffered[len(f.buffered)-1].Sequence)
 }
 
-// Apply applies the answer to a poll at time now. It returns false if the answer is of another
+// Apply applies the response to a poll at time now. It returns false if the response is of another
 // incarnation. If that incarnation is higher, the run has ended, and the caller must remove it and
 // start a new feed.
 func (f *Feed) Apply(now time.Duration, events engine.CacheEvents) bool {
--- a/internal/router/allmachines.go
+++ b/internal/router/allmachines.go
@@ -29,22 +29,22 @@
 // encodeAllMachines encodes machines of every kind. It reuses the messages in engines, which must
 // be in the same order as the engines in machines.
 func encodeAllMachines(machines []platform.Machine, engines []*rpc.Machine) *rpc.MachineList {
-	whole := &rpc.MachineList{Machines: make([]*rpc.Machine, 0, len(machines))}
+	list := &rpc.MachineList{Machines: make([]*rpc.Machine, 0, len(machines))}
 	digest := xxhash.New()
 	for _, machine := range machines {
 		digestMachine(digest, machine)
 		_, _ = digest.WriteString(string(machine.Kind))
 		if machine.Kind == platform.MachineEngine {
-			whole.Machines = append(whole.Machines, engines[0])
+			list.Machines = append(list.Machines, engines[0])
 			engines = engines[1:]
 			continue
 		}
 		message := encodeMachine(machine)
 		message.Kind = string(machine.Kind)
-		whole.Machines = append(whole.Machines, message)
+		list.Machines = append(list.Machines, message)
 	}
-	whole.Digest = max(digest.Sum64(), 1)
-	return whole
+	list.Digest = max(digest.Sum64(), 1)
+	return list
 }
 
 // setFromReader stores the list of a router that reads the platform's list. The first list of a new
--- a/internal/router/enginefleet.go
+++ b/internal/router/enginefleet.go
@@ -33,7 +33,7 @@
 	// the engine's incarnation is known.
 	pendingLeaving map[fleet.EngineID]platform.Machine
 	routers        []membership.Member
-	// ownership determines which engines this router owns. It is derived from listed.
+	// ownership determines which engines this router owns. It is derived from listed and routers.
 	ownership *ownership
 	listed    []platform.Machine
 	stopped   bool
--- a/internal/router/enginestatus.go
+++ b/internal/router/enginestatus.go
@@ -17,7 +17,7 @@
 const (
 	// maxStatusAge is the maximum age of an engine status used for rollouts.
 	maxStatusAge = 5 * time.Second
-	// minRepollInterval is the time after an answer or a poll during which an engine isn't polled
+	// minRepollInterval is the time after a response or a poll during which an engine isn't polled
 	// again.
 	minRepollInterval = 2 * time.Second
 	// maxParallelStatusCalls limits concurrent status calls to engines.
@@ -50,49 +50,49 @@
 	}
 }
 
-func (b *statusCache) record(status engine.Status) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if known := b.statuses[status.Engine]; status.Incarnation < known.status.Incarnation {
+func (c *statusCache) record(status engine.Status) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if known := c.statuses[status.Engine]; status.Incarnation < known.status.Incarnation {
 		return
 	}
-	b.statuses[status.Engine] = timedStatus{status: status, observedAt: b.clock.Now()}
+	c.statuses[status.Engine] = timedStatus{status: status, observedAt: c.clock.Now()}
 }
 
-func (b *statusCache) remove(id fleet.EngineID) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	delete(b.statuses, id)
-	delete(b.polledAt, id)
+func (c *statusCache) remove(id fleet.EngineID) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.statuses, id)
+	delete(c.polledAt, id)
 }
 
 // claimPoll reports whether an engine is due for a poll, and if so records the poll.
-func (b *statusCache) claimPoll(id fleet.EngineID) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.clock.Now()
-	cached, known := b.statuses[id]
-	polled, everPolled := b.polledAt[id]
+func (c *statusCache) claimPoll(id fleet.EngineID) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.clock.Now()
+	cached, known := c.statuses[id]
+	polled, everPolled := c.polledAt[id]
 	if known && now-cached.observedAt <= minRepollInterval || everPolled && now-polled <= minRepollInterval {
 		return false
 	}
-	b.polledAt[id] = now
+	c.polledAt[id] = now
 	return true
 }
 
-// lookup returns an engine's status if it is not older than age.
-func (b *statusCache) lookup(id fleet.EngineID, age time.Duration) (engine.Status, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	cached, found := b.statuses[id]
-	return cached.status, found && b.clock.Now()-cached.observedAt <= age
+// lookup returns an engine's status if it is not older than maxAge.
+func (c *statusCache) lookup(id fleet.EngineID, maxAge time.Duration) (engine.Status, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	cached, found := c.statuses[id]
+	return cached.status, found && c.clock.Now()-cached.observedAt <= maxAge
 }
 
 // lastIncarnation returns the incarnation in an engine's last status, or 0 if there is none.
-func (b *statusCache) lastIncarnation(id fleet.EngineID) fleet.Incarnation {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.statuses[id].status.Incarnation
+func (c *statusCache) lastIncarnation(id fleet.EngineID) fleet.Incarnation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.statuses[id].status.Incarnation
 }
 
 // freshStatuses returns the listed engines that have a fresh status, sorted by identifier. It polls
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -159,12 +159,12 @@
 
 // placeAsync starts a placement call. The channel yields its response, or nil if the call failed.
 func placeAsync(ctx context.Context, r *Router, id string) <-chan *rpc.PlaceResponse {
-	answers := make(chan *rpc.PlaceResponse, 1)
+	responses := make(chan *rpc.PlaceResponse, 1)
 	go func() {
 		response, _ := placementClient(r).Place(ctx, placeRequest(id))
-		answers <- response
+		responses <- response
 	}()
-	return answers
+	return responses
 }
 
 func reportPhase(t testing.TB, r *Router, response *rpc.PlaceResponse, phase rpc.AttemptPhase) {
--- a/internal/router/machinefollower.go
+++ b/internal/router/machinefollower.go
@@ -25,7 +25,7 @@
 	// considered at least as new as that of the previous reader.
 	confirmationExchanges = 2
 	// maxReaderWaits is the number of consecutive refreshes that a follower skips while readers
-	// answer but have not read the list yet, such as after a restart of all routers. After that it
+	// respond but have not read the list yet, such as after a restart of all routers. After that it
 	// reads the list itself.
 	maxReaderWaits = 2
 )
@@ -152,7 +152,7 @@
 	defer cancel()
 	request := &rpc.SyncRequest{}
 	m.subscriber.FillRequest(request)
-	answer, err := m.router.fetcher.client(reader).Changes(ctx, &rpc.ChangesRequest{
+	response, err := m.router.fetcher.client(reader).Changes(ctx, &rpc.ChangesRequest{
 		Header:             m.router.header(),
 		After:              uint64(m.router.holder.Revision()),
 		MachinesFollowed:   true,
@@ -163,18 +163,18 @@
 	if err != nil {
 		return errors.Wrapf(err, "request machines from router %s", reader.Node)
 	}
-	if !answer.GetMachinesCurrent() {
+	if !response.GetMachinesCurrent() {
 		return errNotReader
 	}
-	m.applyResponse(reader, request, answer)
-	if err := m.router.fetcher.applyConfiguration(m.router.holder, reader, answer); err != nil {
+	m.applyResponse(reader, request, response)
+	if err := m.router.fetcher.applyConfiguration(m.router.holder, reader, response); err != nil {
 		m.router.logger.Debug().Err(err).Msg("configuration_fetch_failed")
 	}
 	return nil
 }
 
-// applyResponse applies a reader's answer to the list of machines.
-func (m *machineFollower) applyResponse(reader membership.Member, request *rpc.SyncRequest, answer *rpc.ChangesResponse) {
+// applyResponse applies a reader's response to the list of machines.
+func (m *machineFollower) applyResponse(reader membership.Member, request *rpc.SyncRequest, response *rpc.ChangesResponse) {
 	if reader.Node != m.followed {
 		m.followed = reader.Node
 		m.exchanges = 0
@@ -183,7 +183,7 @@
 	m.readerWaits = 0
 	before := m.subscriber.Machines()
 	m.subscriber.Apply(request, &rpc.SyncResponse{
-		Header: answer.GetHeader(), Machines: answer.GetMachines(), MachinesStep: answer.GetMachinesStep(),
+		Header: response.GetHeader(), Machines: response.GetMachines(), MachinesStep: response.GetMachinesStep(),
 	})
 	machines := m.subscriber.Machines()
 	if machines != nil && (machines != before || m.exchanges <= confirmationExchanges) {
--- a/internal/router/machinefollower_test.go
+++ b/internal/router/machinefollower_test.go
@@ -182,14 +182,14 @@
 	routers, lists := startRoutersCountingReads(t, f, 1)
 	r := routers[0]
 	require.Eventually(t, r.machineFollower.isCurrent, waitTimeout, pollInterval)
-	answer := &rpc.ChangesResponse{}
-	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
-	assert.True(t, answer.GetMachinesCurrent())
+	response := &rpc.ChangesResponse{}
+	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, response)
+	assert.True(t, response.GetMachinesCurrent())
 	lists[0].setDown(true)
 	require.Eventually(t, func() bool { return !r.machineFollower.isCurrent() }, waitTimeout, pollInterval)
-	answer = &rpc.ChangesResponse{}
-	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, answer)
-	assert.False(t, answer.GetMachinesCurrent())
+	response = &rpc.ChangesResponse{}
+	r.machineFollower.fillFollowerResponse(&rpc.ChangesRequest{MachinesFollowed: true}, response)
+	assert.False(t, response.GetMachinesCurrent())
 }
 
 // TestStaleListFromNewReaderKeepsEngines guards against losing engines when the new reader lags
--- a/internal/router/peerfetch.go
+++ b/internal/router/peerfetch.go
@@ -48,7 +48,7 @@
 	if !found {
 		return nil
 	}
-	answer, err := p.client(peer).Changes(ctx, &rpc.ChangesRequest{
+	response, err := p.client(peer).Changes(ctx, &rpc.ChangesRequest{
 		Header:         p.router.header(),
 		After:          uint64(holder.Revision()),
 		MachinesWanted: !p.router.machines.isKnown(),
@@ -56,20 +56,20 @@
 	if err != nil {
 		return errors.Wrapf(err, "request changes from router %s", peer.Node)
 	}
-	p.router.machines.offer(answer.GetMachines())
-	return p.applyConfiguration(holder, peer, answer)
+	p.router.machines.offer(response.GetMachines())
+	return p.applyConfiguration(holder, peer, response)
 }
 
 func (p *peerFetcher) client(peer membership.Member) rpc.Peer {
 	return rpc.NewPeerProtobufClient("http://"+string(peer.Address), p.http)
 }
 
-func (p *peerFetcher) applyConfiguration(holder *config.Holder, peer membership.Member, answer *rpc.ChangesResponse) error {
-	if snapshot := answer.GetSnapshot(); snapshot != nil {
+func (p *peerFetcher) applyConfiguration(holder *config.Holder, peer membership.Member, response *rpc.ChangesResponse) error {
+	if snapshot := response.GetSnapshot(); snapshot != nil {
 		p.router.offerConfiguration(snapshot, string(peer.Node))
 		return nil
 	}
-	changes, err := config.ChangesFromMessages(answer.GetChanges())
+	changes, err := config.ChangesFromMessages(response.GetChanges())
 	if err != nil {
 		return err
 	}
--- a/internal/router/placementserver.go
+++ b/internal/router/placementserver.go
@@ -59,7 +59,7 @@
 }
 
 // unpreparedReason returns why a recently started router hands a request back, or "" if it doesn't.
-// The answer shows an agent that has a newer configuration that this router is behind, and the
+// The response shows an agent that has a newer configuration that this router is behind, and the
 // agent then updates it. A request that was already handed back is placed even during warm-up:
 // after a restart of all routers, no other router is better prepared.
 func (s *placementServer) unpreparedReason(request placement.Request) placement.HandBackReason {
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -40,7 +40,8 @@
 	core  *placement.Core
 	calls map[placement.Key]*openCall
 	// recent keeps the block hashes of recent requests for operators.
-	recent     *recentRequests
+	recent *recentRequests
+	// armed is set while the timer is set for nextTickAt.
 	nextTickAt time.Duration
 	armed      bool
 }
--- a/internal/router/rolloutrunner.go
+++ b/internal/router/rolloutrunner.go
@@ -81,13 +81,13 @@
 }
 
 // ReadyToPromote implements operator.Readiness.
-func (r *rolloutRunner) ReadyToPromote(document config.Document, weights fleet.ModelVersion) error {
+func (r *rolloutRunner) ReadyToPromote(document config.Document, modelVersion fleet.ModelVersion) error {
 	engines := r.router.engines.freshStatuses(r.router.tomb.Context(context.Background()))
-	ready, loaded, wanted := rollout.ReadyToPromote(&document, engines, weights.Model, weights.Adapter, weights.Version)
+	ready, loaded, wanted := rollout.ReadyToPromote(&document, engines, modelVersion.Model, modelVersion.Adapter, modelVersion.Version)
 	if ready {
 		return nil
 	}
-	return errors.Errorf("%d of %d engines have version %q loaded", loaded, wanted, weights.Version)
+	return errors.Errorf("%d of %d engines have version %q loaded", loaded, wanted, modelVersion.Version)
 }
 
 // document returns the current configuration, or nil if none is known.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -107,14 +107,14 @@
 	f.platform.SetFaults(platformserver.Faults{Down: true})
 	go func() { _ = r.Stop() }()
 	require.NoError(t, r.Stop(), "the second stop must wait for the first")
-	for _, answer := range waiting {
-		assert.Equal(t, string(placement.HandBackDraining), (<-answer).GetHandBack().GetReason())
+	for _, response := range waiting {
+		assert.Equal(t, string(placement.HandBackDraining), (<-response).GetHandBack().GetReason())
 	}
 	assert.Zero(t, r.placer.openCallCount())
 	<-r.Dead()
 }
 
-func TestReadiness(t *testing.T) {
+func TestRouterIsReadyOnceConfiguredAndListed(t *testing.T) {
 	f := newTestFleet(t, 1)
 	r := f.startRouter("r")
 	status := func(path string) (int, string) {
@@ -160,17 +160,17 @@
 	client := placementClient(restarted)
 	header := &rpc.Header{Sender: "agent", KnownRevision: known.GetConfig().GetRevision()}
 	digest := known.GetMachines().GetDigest()
-	answer, err := client.Sync(context.Background(), &rpc.SyncRequest{Header: header, MachinesDigest: digest})
+	response, err := client.Sync(context.Background(), &rpc.SyncRequest{Header: header, MachinesDigest: digest})
 	require.NoError(t, err)
-	assert.Zero(t, answer.GetHeader().GetKnownRevision())
-	assert.True(t, answer.GetMachinesWanted())
-	answer, err = client.Sync(context.Background(), &rpc.SyncRequest{
+	assert.Zero(t, response.GetHeader().GetKnownRevision())
+	assert.True(t, response.GetMachinesWanted())
+	response, err = client.Sync(context.Background(), &rpc.SyncRequest{
 		Header: header, Config: known.GetConfig(), Machines: known.GetMachines(), MachinesDigest: digest,
 	})
 	require.NoError(t, err)
-	assert.Equal(t, known.GetConfig().GetRevision(), answer.GetHeader().GetKnownRevision())
-	assert.False(t, answer.GetMachinesWanted())
-	assert.Nil(t, answer.GetMachines(), "the agent already has this list")
+	assert.Equal(t, known.GetConfig().GetRevision(), response.GetHeader().GetKnownRevision())
+	assert.False(t, response.GetMachinesWanted())
+	assert.Nil(t, response.GetMachines(), "the agent already has this list")
 	f.awaitEngines(restarted)
 	assert.NotNil(t, place(t, restarted, "q").GetGrant())
 }
@@ -182,16 +182,16 @@
 	require.Zero(t, execute(t, r, "drain e0").GetCode())
 	require.Eventually(t, func() bool { return r.holder.Revision() == 2 }, waitTimeout, pollInterval)
 	request := &rpc.SyncRequest{Header: &rpc.Header{Sender: "agent", KnownRevision: 1}}
-	answer, err := placementClient(r).Sync(context.Background(), request)
+	response, err := placementClient(r).Sync(context.Background(), request)
 	require.NoError(t, err)
-	require.Len(t, answer.GetConfigChanges(), 1)
-	assert.EqualValues(t, 2, answer.GetConfigChanges()[0].GetRevision())
-	assert.Nil(t, answer.GetConfig())
+	require.Len(t, response.GetConfigChanges(), 1)
+	assert.EqualValues(t, 2, response.GetConfigChanges()[0].GetRevision())
+	assert.Nil(t, response.GetConfig())
 	request.ConfigSnapshotWanted = true
-	answer, err = placementClient(r).Sync(context.Background(), request)
+	response, err = placementClient(r).Sync(context.Background(), request)
 	require.NoError(t, err)
-	assert.Empty(t, answer.GetConfigChanges())
-	assert.EqualValues(t, 2, answer.GetConfig().GetRevision())
+	assert.Empty(t, response.GetConfigChanges())
+	assert.EqualValues(t, 2, response.GetConfig().GetRevision())
 }
 
 func TestLowerRevisionIsIgnored(t *testing.T) {
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -47,7 +47,7 @@
 }
 
 func (r *Router) isSynchronised() bool {
-	known := false
-	r.placer.do(func(_ time.Duration, core *placement.Core) { known = core.Synchronised() })
-	return known
+	synchronised := false
+	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.Synchronised() })
+	return synchronised
 }
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -37,14 +37,14 @@
 
 	again := placeRequest("again")
 	again.Hops = 1
-	answer := make(chan *rpc.PlaceResponse, 1)
+	responses := make(chan *rpc.PlaceResponse, 1)
 	go func() {
 		response, _ := placementClient(second).Place(context.Background(), again)
-		answer <- response
+		responses <- response
 	}()
 	require.Eventually(t, func() bool { return second.placer.openCallCount() == 1 }, waitTimeout, pollInterval, "a request that was handed back once must be placed")
 	f.delayAnswers(0)
-	assert.NotNil(t, (<-answer).GetGrant())
+	assert.NotNil(t, (<-responses).GetGrant())
 	require.Eventually(t, func() bool { return !second.isWarmingUp() }, waitTimeout, pollInterval)
 	assert.NotNil(t, place(t, second, "known").GetGrant())
 }
