--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -23,7 +23,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-type answerBody struct {
+type responseBody struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -41,9 +41,9 @@
 	} `json:"error"`
 }
 
-func decode(t *testing.T, response *http.Response) (int, answerBody) {
+func decode(t *testing.T, response *http.Response) (int, responseBody) {
 	status, body := readAll(t, response)
-	var answer answerBody
+	var answer responseBody
 	require.NoError(t, json.Unmarshal([]byte(body), &answer), body)
 	return status, answer
 }
@@ -59,7 +59,7 @@
 			continue
 		}
 		events = append(events, data)
-		var chunk answerBody
+		var chunk responseBody
 		if data != "[DONE]" {
 			require.NoError(t, json.Unmarshal([]byte(data), &chunk))
 		}
@@ -109,7 +109,7 @@
 	assert.Equal(t, http.StatusOK, status)
 }
 
-func TestStreamedAndBufferedAnswersAreComplete(t *testing.T) {
+func TestStreamedAndBufferedResponsesAreComplete(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, nil, router)
 	response := post(t, a, openai.PathCompletions, completionBody(20, true), "X-Request-Id: caller")
@@ -194,7 +194,7 @@
 	routers := []*fakeRouter{startRouter(t, server), startRouter(t, server)}
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Timeout = settings.Duration(300 * time.Millisecond) }, routers...)
 	for _, blocked := range routers {
-		unblock := blocked.blockAnswers()
+		unblock := blocked.blockResponses()
 		// The deadline is below the class's maximum wait, so a request that stays at the blocked
 		// router fails.
 		response := post(t, a, openai.PathCompletions, completionBody(2, false), "X-Tillerfall-Deadline-Ms: 15000")
@@ -207,7 +207,7 @@
 func TestCallerDisconnectCancelsPlacement(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(s *agent.Settings) { s.Sync.Interval = settings.Duration(time.Hour) }, router)
-	defer router.blockAnswers()()
+	defer router.blockResponses()()
 	ctx, cancel := context.WithCancel(context.Background())
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, openai.PathCompletions, strings.NewReader(completionBody(2, false)))
 	request.Header.Set("Authorization", "Bearer "+testKey)
@@ -331,7 +331,7 @@
 func TestDeadlineDuringPlacementFailsRequestImmediately(t *testing.T) {
 	router := startRouter(t, startEngine(t, "a", time.Millisecond))
 	a := startAgent(t, func(agentSettings *agent.Settings) { agentSettings.Sync.Timeout = settings.Duration(waitTimeout) }, router)
-	unblock := router.blockAnswers()
+	unblock := router.blockResponses()
 	defer unblock()
 	for _, stream := range []bool{false, true} {
 		response := post(t, a, openai.PathCompletions, completionBody(2, stream), "X-Tillerfall-Deadline-Ms: 200")
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// blockAnswers delays all answers until unblock is called.
-func (f *fakeRouter) blockAnswers() (unblock func()) {
+// blockResponses delays all answers until unblock is called.
+func (f *fakeRouter) blockResponses() (unblock func()) {
 	unblocked := make(chan struct{})
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -12,8 +12,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// delayAnswers delays the answers of every engine.
-func (f *testFleet) delayAnswers(delay time.Duration) {
+// delayResponses delays the answers of every engine.
+func (f *testFleet) delayResponses(delay time.Duration) {
 	for _, server := range f.engines {
 		faults := server.Faults()
 		faults.AnswerDelayMillis = delay.Milliseconds()
@@ -25,7 +25,7 @@
 	f := newTestFleet(t, 2)
 	f.commitConfiguration()
 	first := f.startReadyRouter("r1")
-	f.delayAnswers(time.Hour)
+	f.delayResponses(time.Hour)
 	second := f.startRouter("r2", joinThrough(first))
 	second.warmup.isStarted, second.warmup.startedAt = true, time.Hour // keep warm-up within its time limit
 	awaitRoutable(t, 2, first, second)
@@ -43,7 +43,7 @@
 		responses <- response
 	}()
 	require.Eventually(t, func() bool { return second.placer.openCallCount() == 1 }, waitTimeout, pollInterval, "a request that was handed back once must be placed")
-	f.delayAnswers(0)
+	f.delayResponses(0)
 	assert.NotNil(t, (<-responses).GetGrant())
 	require.Eventually(t, func() bool { return !second.isWarmingUp() }, waitTimeout, pollInterval)
 	assert.NotNil(t, place(t, second, "known").GetGrant())
@@ -52,7 +52,7 @@
 func TestSingleRouterSkipsWarmup(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.commitConfiguration()
-	f.delayAnswers(time.Hour)
+	f.delayResponses(time.Hour)
 	alone := f.startRouter("r")
 	alone.warmup.isStarted, alone.warmup.startedAt = true, time.Hour
 	require.Eventually(t, alone.Ready, waitTimeout, pollInterval)
