--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -43,12 +43,12 @@
 
 func decode(t *testing.T, response *http.Response) (int, responseBody) {
 	status, body := readAll(t, response)
-	var answer responseBody
-	require.NoError(t, json.Unmarshal([]byte(body), &answer), body)
-	return status, answer
+	var decoded responseBody
+	require.NoError(t, json.Unmarshal([]byte(body), &decoded), body)
+	return status, decoded
 }
 
-// newScanner returns a scanner for an answer. It reads ahead, so an answer needs a single one.
+// newScanner returns a scanner for a response. It reads ahead, so a response needs a single one.
 func newScanner(response *http.Response) *bufio.Scanner { return bufio.NewScanner(response.Body) }
 
 // readEvents reads a stream's events until its end or up to limit events.
@@ -97,12 +97,12 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			status, answer := decode(t, post(t, a, test.path, test.body, test.header))
-			require.NotNil(t, answer.Error)
+			status, decoded := decode(t, post(t, a, test.path, test.body, test.header))
+			require.NotNil(t, decoded.Error)
 			assert.Equal(t, test.status, status)
-			assert.Equal(t, test.code, answer.Error.ResultCode)
-			assert.True(t, answer.Error.NotRun)
-			assert.NotEmpty(t, answer.Error.RequestID)
+			assert.Equal(t, test.code, decoded.Error.ResultCode)
+			assert.True(t, decoded.Error.NotRun)
+			assert.NotEmpty(t, decoded.Error.RequestID)
 		})
 	}
 	status, _ := decode(t, post(t, a, openai.PathCompletions, completionBody(2, false)))
@@ -121,13 +121,13 @@
 	assert.Equal(t, "[DONE]", events[len(events)-1])
 	assert.Contains(t, events[len(events)-2], `"completion_tokens":20`)
 
-	status, answer := decode(t, post(t, a, openai.PathCompletions, completionBody(20, false)))
+	status, decoded := decode(t, post(t, a, openai.PathCompletions, completionBody(20, false)))
 	assert.Equal(t, http.StatusOK, status)
-	assert.Equal(t, 20, answer.Usage.CompletionTokens)
-	whole := enginemodel.SplitOutput(answer.Choices[0].Text)
+	assert.Equal(t, 20, decoded.Usage.CompletionTokens)
+	whole := enginemodel.SplitOutput(decoded.Choices[0].Text)
 	require.NoError(t, enginemodel.VerifyOutput(testPrompt, whole))
 	assert.Len(t, whole, 20)
-	assert.Positive(t, answer.Usage.PromptTokensDetails.CachedTokens)
+	assert.Positive(t, decoded.Usage.PromptTokensDetails.CachedTokens)
 	require.Eventually(t, func() bool {
 		phases := router.phases()
 		return len(phases) == 6 && phases[5] == rpc.AttemptPhase_ATTEMPT_PHASE_FINISHED
@@ -178,15 +178,15 @@
 	headers := []string{"X-Tillerfall-Not-Repeatable: true", "Idempotency-Key: booking-1"}
 	response := post(t, a, openai.PathCompletions, completionBody(5, false), headers...)
 	assert.Equal(t, "false", response.Header.Get("X-Should-Retry"))
-	_, answer := decode(t, response)
-	require.NotNil(t, answer.Error)
-	assert.Equal(t, resultcode.OutcomeUnknown, answer.Error.ResultCode)
-	assert.False(t, answer.Error.NotRun)
+	_, decoded := decode(t, response)
+	require.NotNil(t, decoded.Error)
+	assert.Equal(t, resultcode.OutcomeUnknown, decoded.Error.ResultCode)
+	assert.False(t, decoded.Error.NotRun)
 	assert.Zero(t, second.Counters().PromptTokens)
 
-	_, answer = decode(t, post(t, a, openai.PathCompletions, completionBody(5, false), headers...))
-	require.NotNil(t, answer.Error)
-	assert.Equal(t, resultcode.DuplicateRequest, answer.Error.ResultCode)
+	_, decoded = decode(t, post(t, a, openai.PathCompletions, completionBody(5, false), headers...))
+	require.NotNil(t, decoded.Error)
+	assert.Equal(t, resultcode.DuplicateRequest, decoded.Error.ResultCode)
 }
 
 func TestWaitingRequestsLeaveUnresponsiveRouter(t *testing.T) {
@@ -234,10 +234,10 @@
 	router.server.Close()
 	response := post(t, a, openai.PathCompletions, completionBody(2, false))
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	_, answer := decode(t, response)
-	require.NotNil(t, answer.Error)
-	assert.Equal(t, resultcode.NoRouter, answer.Error.ResultCode)
-	assert.True(t, answer.Error.NotRun)
+	_, decoded := decode(t, response)
+	require.NotNil(t, decoded.Error)
+	assert.Equal(t, resultcode.NoRouter, decoded.Error.ResultCode)
+	assert.True(t, decoded.Error.NotRun)
 }
 
 func TestAgentRestoresStateOfRestartedRouter(t *testing.T) {
@@ -268,9 +268,9 @@
 		status, _ := get(t, a, agent.PathReady)
 		return status == http.StatusServiceUnavailable
 	}, waitTimeout, time.Millisecond)
-	_, answer := decode(t, post(t, a, openai.PathCompletions, completionBody(2, false)))
-	require.NotNil(t, answer.Error)
-	assert.Equal(t, resultcode.Stopping, answer.Error.ResultCode)
+	_, decoded := decode(t, post(t, a, openai.PathCompletions, completionBody(2, false)))
+	require.NotNil(t, decoded.Error)
+	assert.Equal(t, resultcode.Stopping, decoded.Error.ResultCode)
 	_, events = readEvents(t, stream, allEvents)
 	assert.Equal(t, "[DONE]", events[len(events)-1])
 	require.NoError(t, <-stopped)
@@ -285,9 +285,9 @@
 	}
 	response := post(t, a, openai.PathCompletions, completionBody(2, false))
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	status, answer := decode(t, response)
+	status, decoded := decode(t, response)
 	assert.Equal(t, http.StatusTooManyRequests, status)
-	assert.Equal(t, resultcode.TenantConcurrency, answer.Error.ResultCode)
+	assert.Equal(t, resultcode.TenantConcurrency, decoded.Error.ResultCode)
 }
 
 func TestWaitingRequestSwitchesToPromotedVersion(t *testing.T) {
@@ -336,10 +336,10 @@
 	for _, stream := range []bool{false, true} {
 		response := post(t, a, openai.PathCompletions, completionBody(2, stream), "X-Tillerfall-Deadline-Ms: 200")
 		assert.NotEmpty(t, response.Header.Get("Retry-After"))
-		status, answer := decode(t, response)
+		status, decoded := decode(t, response)
 		assert.Equal(t, http.StatusServiceUnavailable, status)
-		assert.Equal(t, resultcode.QueueTimeout, answer.Error.ResultCode)
-		assert.True(t, answer.Error.NotRun)
+		assert.Equal(t, resultcode.QueueTimeout, decoded.Error.ResultCode)
+		assert.True(t, decoded.Error.NotRun)
 	}
 	require.Eventually(t, func() bool {
 		router.mutex.Lock()
--- a/internal/agent/apipage_test.go
+++ b/internal/agent/apipage_test.go
@@ -68,16 +68,16 @@
 func TestAPIPageListsFailureFields(t *testing.T) {
 	page, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
-	answer := httptest.NewRecorder()
-	require.NoError(t, openai.WriteFailure(answer, &openai.Failure{
+	recorder := httptest.NewRecorder()
+	require.NoError(t, openai.WriteFailure(recorder, &openai.Failure{
 		Code: resultcode.OutcomeUnknown, Param: "p", RetryAfter: time.Second, NotRepeatable: true,
 	}))
-	for name := range answer.Header() {
+	for name := range recorder.Header() {
 		if name != "Content-Type" {
 			assert.Contains(t, string(page), "| `"+name+"` |")
 		}
 	}
-	for _, field := range regexp.MustCompile(`"([a-z_]+)":`).FindAllStringSubmatch(answer.Body.String(), -1) {
+	for _, field := range regexp.MustCompile(`"([a-z_]+)":`).FindAllStringSubmatch(recorder.Body.String(), -1) {
 		if field[1] != "error" {
 			assert.Contains(t, string(page), "`"+field[1]+"`")
 		}
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// blockResponses delays all answers until unblock is called.
+// blockResponses delays all responses until unblock is called.
 func (f *fakeRouter) blockResponses() (unblock func()) {
 	unblocked := make(chan struct{})
 	f.mutex.Lock()
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -26,7 +26,7 @@
 		tick    = 10 * time.Millisecond
 		ceiling = 1.2 * DefaultFleetCallsPerSecond
 	)
-	for _, up := range []bool{true, false} {
+	for _, platformUp := range []bool{true, false} {
 		var followers []*Follower
 		for node := range nodes {
 			followers = append(followers, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
@@ -39,12 +39,12 @@
 					follower.PeerDone(now)
 				case SourcePlatform:
 					calls[now/(10*time.Second)]++
-					follower.PlatformDone(now, up)
+					follower.PlatformDone(now, platformUp)
 				}
 			}
 		}
 		for window, count := range calls {
-			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", up, window)
+			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", platformUp, window)
 		}
 		assert.Positive(t, calls[len(calls)-1], "the platform is still polled")
 	}
--- a/internal/fleetsync/fleetsync_test.go
+++ b/internal/fleetsync/fleetsync_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestSubscriberConvergesToPublisherLists guards against lists that diverge after changes,
-// restarts, switches between routers, and lost, delayed or repeated answers.
+// restarts, switches between routers, and lost, delayed or repeated responses.
 func TestSubscriberConvergesToPublisherLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]*fakeRouter, 2)
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -234,13 +234,13 @@
 // left to Expire.
 func (c *Controller) Drain(now time.Duration) []Item {
 	c.expireOverdue(now)
-	left := make([]*entry, 0, len(c.entries))
+	remaining := make([]*entry, 0, len(c.entries))
 	for _, e := range c.entries {
-		left = append(left, e)
+		remaining = append(remaining, e)
 	}
-	slices.SortFunc(left, compareEntries)
-	items := make([]Item, len(left))
-	for position, e := range left {
+	slices.SortFunc(remaining, compareEntries)
+	items := make([]Item, len(remaining))
+	for position, e := range remaining {
 		e.queue.remove(now, e)
 		c.removeFromIndexes(e)
 		items[position] = e.item
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -74,7 +74,7 @@
 func (c *Core) endpoint(now time.Duration, waiting *waitingRequest, state *engineState, limit int) scheduling.Endpoint {
 	parked := state.parkedAhead(waiting.rank)
 	output := time.Duration(waiting.request.MaxTokens) * state.load.step
-	slot := state.slotWait(limit, parked.requests, output)
+	slotWait := state.slotWait(limit, parked.requests, output)
 	ahead := c.queueTokens(now, state, waiting.rank) + parked.tokens
 	endpoint := scheduling.Endpoint{
 		Run:             state.run,
@@ -85,7 +85,7 @@
 		Draining:        state.leavingSource() != LeavingNone,
 		Serves:          state.serves,
 		InFlight:        state.streams(),
-		PrefillTokens:   max(ahead, int(slot/state.load.timePerToken())),
+		PrefillTokens:   max(ahead, int(slotWait/state.load.timePerToken())),
 		PrefillPerToken: state.load.perToken,
 		Step:            state.load.step,
 		StepTokens:      state.load.stepTokens,
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -131,7 +131,7 @@
 	return true
 }
 
-// Tick gives up missing events that are overdue at time now.
+// Tick marks the feed out of sync if missing events are overdue at time now.
 func (f *Feed) Tick(now time.Duration) {
 	if f.outOfSync || len(f.buffered) == 0 {
 		return
@@ -192,7 +192,7 @@
 	}
 }
 
-// markOutOfSync gives up the missing events and applies the buffered ones.
+// markOutOfSync treats the missing events as lost and applies the buffered ones.
 func (f *Feed) markOutOfSync() {
 	f.outOfSync = true
 	f.counts.Gaps++
--- a/internal/prefixindex/feed_test.go
+++ b/internal/prefixindex/feed_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)))
 	assert.True(t, feed.RequestSnapshot(time.Second))
 	assert.False(t, feed.RequestSnapshot(time.Second+1), "a snapshot has been requested already")
-	assert.True(t, feed.RequestSnapshot(2*time.Second), "a lost answer is requested again")
+	assert.True(t, feed.RequestSnapshot(2*time.Second), "a lost response is requested again")
 }
 
 func TestFeedSnapshotDropsOlderAndReplaysLater(t *testing.T) {
--- a/internal/prefixindex/lookup_limited_test.go
+++ b/internal/prefixindex/lookup_limited_test.go
@@ -13,7 +13,7 @@
 // TestLookupLimitedAgreesWithLookup guards against LookupLimited and CachedPrefix differing from
 // Lookup over random indexes of several banks.
 func TestLookupLimitedAgreesWithLookup(t *testing.T) {
-	t.Run("each bank", func(t *testing.T) { testLookupLimited(t, false) })
+	t.Run("all banks", func(t *testing.T) { testLookupLimited(t, false) })
 	t.Run("directory", func(t *testing.T) { testLookupLimited(t, true) })
 }
 
--- a/internal/prefixindex/reclaim.go
+++ b/internal/prefixindex/reclaim.go
@@ -107,7 +107,8 @@
 }
 
 // sampleCandidates visits up to wanted entries from the home position of keep onwards, except
-// keep's own. It compares their holders among usedSlots, updates best and returns the number of entries visited.
+// keep's own. It compares their holders among usedSlots, updates best and returns the number of
+// entries visited.
 func (s *segment) sampleCandidates(keep fleet.BlockHash, usedSlots uint64, wanted int, best *evictionCandidate) int {
 	sampled := 0
 	position := s.home(mix(keep))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -246,16 +246,16 @@
 
 // otherRouters returns the addresses of up to limit other routers, those in the same zone first.
 func (r *Router) otherRouters(limit int) []string {
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, member := range r.peers.View().Routable() {
 		switch {
 		case member.Node == r.node:
 		case member.Zone == r.options.Settings.Node.Zone:
-			near = append(near, string(member.Address))
+			sameZone = append(sameZone, string(member.Address))
 		default:
-			far = append(far, string(member.Address))
+			otherZones = append(otherZones, string(member.Address))
 		}
 	}
-	all := append(near, far...)
+	all := append(sameZone, otherZones...)
 	return all[:min(len(all), limit)]
 }
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -12,7 +12,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// delayResponses delays the answers of every engine.
+// delayResponses delays the responses of every engine.
 func (f *testFleet) delayResponses(delay time.Duration) {
 	for _, server := range f.engines {
 		faults := server.Faults()
