--- a/internal/agent/requestrunner.go
+++ b/internal/agent/requestrunner.go
@@ -16,14 +16,14 @@
 
 // admittedRequest is a request that passed validation.
 type admittedRequest struct {
-	id      fleet.RequestID
-	arrived time.Duration
-	tenant  config.Tenant
-	class   fleet.ClassName
-	maxWait time.Duration
-	weights fleet.ModelVersion
-	options openai.Options
-	body    openai.Request
+	id           fleet.RequestID
+	arrived      time.Duration
+	tenant       config.Tenant
+	class        fleet.ClassName
+	maxWait      time.Duration
+	modelVersion fleet.ModelVersion
+	options      openai.Options
+	body         openai.Request
 	// deadline is a time of the agent's clock.
 	deadline     time.Duration
 	maxTokens    int
@@ -35,7 +35,7 @@
 	pool      fleet.PoolName
 }
 
-// output receives a request's answer. An error means that the caller no longer reads it.
+// output receives a request's response. An error means that the caller no longer reads it.
 type output interface {
 	Token(text string) error
 	Finish(reason string, usage openai.Usage) error
@@ -70,7 +70,7 @@
 
 	outputFailed bool
 	firstTokenAt time.Duration
-	// result is the result code of the answer; aborted is set if there was no answer.
+	// result is the result code of the response; aborted is set if there was none.
 	result  resultcode.Code
 	aborted bool
 	usage   openai.Usage
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -17,8 +17,8 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// Guards against bursts of platform calls over the fleet's limit when all nodes restart together,
-// with the platform available and unavailable.
+// TestSimultaneousRestartsKeepToFleetCallLimit guards against bursts of platform calls over the
+// fleet's limit when all nodes restart together, with the platform available and unavailable.
 func TestSimultaneousRestartsKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes   = 680
@@ -26,7 +26,7 @@
 		tick    = 10 * time.Millisecond
 		ceiling = 1.2 * DefaultFleetCallsPerSecond
 	)
-	for _, up := range []bool{true, false} {
+	for _, platformUp := range []bool{true, false} {
 		var followers []*Follower
 		for node := range nodes {
 			followers = append(followers, NewFollower(FollowerOptions{}, seeded(uint64(node)), 0, nodes))
@@ -39,18 +39,19 @@
 					follower.PeerDone(now)
 				case SourcePlatform:
 					calls[now/(10*time.Second)]++
-					follower.PlatformDone(now, up)
+					follower.PlatformDone(now, platformUp)
 				}
 			}
 		}
 		for window, count := range calls {
-			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", up, window)
+			assert.LessOrEqual(t, float64(count)/10, ceiling, "up=%v window %d", platformUp, window)
 		}
 		assert.Positive(t, calls[len(calls)-1], "the platform is still polled")
 	}
 }
 
-// Guards against bursts of platform calls while restarted nodes know only three of their peers.
+// TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit guards against bursts of platform calls while
+// restarted nodes know only three of their peers.
 func TestNodesThatDiscoverFleetSizeKeepToFleetCallLimit(t *testing.T) {
 	const (
 		nodes     = 680
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -41,7 +41,8 @@
 	InFlight      int
 	PrefillTokens int
 	CachedBlocks  int
-	// CacheTrusted is false after cache events were lost, until a new cache snapshot has been read.
+	// CacheTrusted is false before the first cache snapshot of an owned engine, after a loss of
+	// cache events until the next snapshot, and for other engines.
 	CacheTrusted bool
 }
 
@@ -56,13 +57,13 @@
 
 // Waiting is a row of "show waiting".
 type Waiting struct {
-	Request fleet.RequestID
-	Attempt fleet.Attempt
-	Tenant  fleet.TenantName
-	Class   fleet.ClassName
-	Weights fleet.ModelVersion
-	Waited  time.Duration
-	Reason  string
+	Request      fleet.RequestID
+	Attempt      fleet.Attempt
+	Tenant       fleet.TenantName
+	Class        fleet.ClassName
+	ModelVersion fleet.ModelVersion
+	Waited       time.Duration
+	Reason       string
 }
 
 // Holder is an engine run that has the first Blocks blocks of a prefix in its cache.
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -41,7 +41,8 @@
 	QueueTokens int
 	QueueTime   time.Duration
 	// CachedBlocks is the number of blocks that the index holds for the run. CacheTrusted is false
-	// before the first cache snapshot, and from a loss of events until the next one.
+	// for an engine that isn't owned, before the first cache snapshot, and from a loss of events
+	// until the next one.
 	CachedBlocks int
 	CacheTrusted bool
 }
@@ -109,13 +110,13 @@
 	return described
 }
 
-func (e *engineState) condition(now, readyFor time.Duration) EngineCondition {
+func (e *engineState) condition(now, statusTTL time.Duration) EngineCondition {
 	switch {
 	case e.leavingSource() != LeavingNone:
 		return EngineLeaving
 	case e.unreachable:
 		return EngineUnreachable
-	case !e.isReady(now, readyFor):
+	case !e.isReady(now, statusTTL):
 		return EngineUnknown
 	default:
 		return EngineReady
