--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -79,8 +79,8 @@
 // machineListServer serves its list of machines to routers that follow it.
 type machineListServer struct {
 	fixedResponses
-	feed  *fleetsync.Publisher
-	lists [2]*rpc.MachineList
+	publisher *fleetsync.Publisher
+	lists     [2]*rpc.MachineList
 	// changing makes the server switch to the other list on each call.
 	changing bool
 	calls    int
@@ -92,7 +92,7 @@
 		s.calls++
 	}
 	step := &rpc.SyncResponse{}
-	s.feed.FillMachinesResponse(s.lists[s.calls%len(s.lists)], &rpc.SyncRequest{
+	s.publisher.FillMachinesResponse(s.lists[s.calls%len(s.lists)], &rpc.SyncRequest{
 		VersionsOf:      request.GetMachinesVersionsOf(),
 		MachinesVersion: request.GetMachinesVersion(),
 		MachinesDigest:  request.GetMachinesDigest(),
@@ -112,7 +112,7 @@
 	changed.Machines[0] = leaving
 	node := member(0, 0).Node
 	server := &machineListServer{
-		feed: fleetsync.NewPublisher(node), lists: [2]*rpc.MachineList{list, changed}, changing: changing,
+		publisher: fleetsync.NewPublisher(node), lists: [2]*rpc.MachineList{list, changed}, changing: changing,
 	}
 	e, err := newEndpoint(rpc.NewPeerServer(server))
 	if err != nil {
--- a/lab/emulator/collect.go
+++ b/lab/emulator/collect.go
@@ -12,17 +12,17 @@
 
 // collector aggregates the calls of a run into a Result.
 type collector struct {
-	result       *Result
-	firstToken   histograms[fleet.ClassName]
-	byKind       histograms[workload.Kind]
-	byTenant     histograms[fleet.TenantName]
-	queueWait    histograms[fleet.ClassName]
-	routerWait   histograms[fleet.ClassName]
-	finish       histograms[fleet.ClassName]
-	retryAfter   *hdrhistogram.Histogram
-	refusedAfter *hdrhistogram.Histogram
-	others       *hdrhistogram.Histogram
-	flooding     fleet.TenantName
+	result            *Result
+	firstTokenByClass histograms[fleet.ClassName]
+	firstTokenByKind  histograms[workload.Kind]
+	urgentByTenant    histograms[fleet.TenantName]
+	queueWait         histograms[fleet.ClassName]
+	routerWait        histograms[fleet.ClassName]
+	finish            histograms[fleet.ClassName]
+	retryAfter        *hdrhistogram.Histogram
+	refusedAfter      *hdrhistogram.Histogram
+	otherTenants      *hdrhistogram.Histogram
+	floodingTenant    fleet.TenantName
 
 	prompt, cached, reachable, recomputed int64
 	goodRequests                          int
@@ -72,17 +72,17 @@
 			Endings:        make(map[Ending]int),
 			EndingsByClass: make(map[fleet.ClassName]map[Ending]int),
 		},
-		firstToken:   make(histograms[fleet.ClassName]),
-		byKind:       make(histograms[workload.Kind]),
-		byTenant:     make(histograms[fleet.TenantName]),
-		queueWait:    make(histograms[fleet.ClassName]),
-		routerWait:   make(histograms[fleet.ClassName]),
-		finish:       make(histograms[fleet.ClassName]),
-		retryAfter:   newHistogram(),
-		refusedAfter: newHistogram(),
-		others:       newHistogram(),
-		flooding:     e.options.Trace.Fleet.Tenants[0].Name,
-		splits:       make(map[workload.Kind]*splitSum),
+		firstTokenByClass: make(histograms[fleet.ClassName]),
+		firstTokenByKind:  make(histograms[workload.Kind]),
+		urgentByTenant:    make(histograms[fleet.TenantName]),
+		queueWait:         make(histograms[fleet.ClassName]),
+		routerWait:        make(histograms[fleet.ClassName]),
+		finish:            make(histograms[fleet.ClassName]),
+		retryAfter:        newHistogram(),
+		refusedAfter:      newHistogram(),
+		otherTenants:      newHistogram(),
+		floodingTenant:    e.options.Trace.Fleet.Tenants[0].Name,
+		splits:            make(map[workload.Kind]*splitSum),
 	}
 	for _, call := range e.calls {
 		c.addSample(call, e.options.SampleInterval)
@@ -131,12 +131,12 @@
 
 func (c *collector) addFirstToken(call *call) {
 	class := call.request.Class
-	c.firstToken.record(class, call.firstToken)
-	c.byKind.record(call.request.Kind, call.firstToken)
+	c.firstTokenByClass.record(class, call.firstToken)
+	c.firstTokenByKind.record(call.request.Kind, call.firstToken)
 	if class == workload.ClassUrgent {
-		c.byTenant.record(call.request.Tenant, call.firstToken)
-		if call.request.Tenant != c.flooding {
-			record(c.others, call.firstToken)
+		c.urgentByTenant.record(call.request.Tenant, call.firstToken)
+		if call.request.Tenant != c.floodingTenant {
+			record(c.otherTenants, call.firstToken)
 		}
 	}
 	c.queueWait.record(class, call.firstToken-idlePrefillTime(call.promptTokens-call.cachedTokens))
@@ -193,15 +193,15 @@
 	}
 	r.UnavoidableTokens = e.ledger.unavoidableTokens
 	r.WasteRate = ratio(r.PrefillTokens-r.UnavoidableTokens, r.PromptTokens)
-	r.FirstTokenByClass = c.firstToken.quantiles()
-	r.FirstTokenByKind = c.byKind.quantiles()
-	r.UrgentByTenant = c.byTenant.quantiles()
+	r.FirstTokenByClass = c.firstTokenByClass.quantiles()
+	r.FirstTokenByKind = c.firstTokenByKind.quantiles()
+	r.UrgentByTenant = c.urgentByTenant.quantiles()
 	r.QueueWaitByClass = c.queueWait.quantiles()
 	r.RouterWaitByClass = c.routerWait.quantiles()
 	r.FinishTimeByClass = c.finish.quantiles()
 	r.RetryAfter = quantilesOf(c.retryAfter)
 	r.RefusedAfter = quantilesOf(c.refusedAfter)
-	r.UrgentOfOtherTenants = quantilesOf(c.others)
+	r.UrgentOfOtherTenants = quantilesOf(c.otherTenants)
 	r.PromptByKind = c.promptSplits()
 	every := e.options.SampleInterval
 	for i, sample := range c.samples {
--- a/lab/simulation/planted_test.go
+++ b/lab/simulation/planted_test.go
@@ -10,10 +10,10 @@
 
 // plantedFault is a variant and the invariant whose checker must detect it.
 type plantedFault struct {
-	invariant history.Invariant
-	variant   Variant
-	only      []FaultKind
-	faults    int
+	invariant  history.Invariant
+	variant    Variant
+	faultKinds []FaultKind
+	maxFaults  int
 }
 
 var plantedFaults = []plantedFault{
@@ -43,7 +43,7 @@
 		t.Run(string(planted.invariant)+"/"+string(planted.variant), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(maxPlantedSeeds) {
-				options := Options{Seed: seed + 1, FaultKinds: planted.only, MaxFaults: planted.faults}
+				options := Options{Seed: seed + 1, FaultKinds: planted.faultKinds, MaxFaults: planted.maxFaults}
 				_, result := CheckSeed(options)
 				require.Empty(t, result.Violations, "unmodified system")
 				options.Variant = planted.variant
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -34,13 +34,13 @@
 			for seed := range uint64(3) {
 				record, result := CheckSeed(Options{Seed: seed + 1, FaultKinds: []FaultKind{kind}, MaxFaults: 8})
 				assert.Empty(t, result.Violations, "seed %d", result.Seed)
-				assert.NotZero(t, finished(record), "finished requests")
+				assert.NotZero(t, countFinished(record), "finished requests")
 			}
 		})
 	}
 }
 
-func finished(record *history.History) int {
+func countFinished(record *history.History) int {
 	count := 0
 	for _, entry := range record.Entries {
 		if _, isEnd := entry.Event.(history.Finished); isEnd {
--- a/test/integration/documentation_test.go
+++ b/test/integration/documentation_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	fencedBlock      = regexp.MustCompile("(?s)```(sh|json)\n(.*?)```")
-	documentedSocket = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	fencedBlock       = regexp.MustCompile("(?s)```(sh|json)\n(.*?)```")
+	documentedAddress = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
 // documentation is the parsed section.
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -133,7 +133,7 @@
 
 // translate replaces documented addresses by those of this fleet.
 func (f *testFleet) translate(text string) string {
-	return documentedSocket.ReplaceAllStringFunc(text, func(documented string) string {
+	return documentedAddress.ReplaceAllStringFunc(text, func(documented string) string {
 		address, found := f.addresses[documented]
 		require.True(f.t, found, "no process listens on %s", documented)
 		return address
