--- a/lab/history/configuration.go
+++ b/lab/history/configuration.go
@@ -59,8 +59,8 @@
 	revision fleet.Revision
 }
 
-func (l *nodeRun) hasReached(revision fleet.Revision, by time.Duration) bool {
-	for _, step := range l.changes {
+func (r *nodeRun) hasReached(revision fleet.Revision, by time.Duration) bool {
+	for _, step := range r.changes {
 		if step.at <= by && step.revision >= revision {
 			return true
 		}
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -139,7 +139,8 @@
 
 // EngineLeaving is recorded when the system can detect that an engine run is leaving.
 type EngineLeaving struct {
-	Run    fleet.EngineRun
+	Run fleet.EngineRun
+	// Source names what indicates it: the engine, the list of machines or an operator.
 	Source string
 }
 
--- a/lab/simulation/network.go
+++ b/lab/simulation/network.go
@@ -46,10 +46,10 @@
 // blockedUntil returns when the last partition of a direction ends; 0 if it is open.
 func (n *network) blockedUntil(from, to *process) time.Duration {
 	var until time.Duration
-	n.partitions = slices.DeleteFunc(n.partitions, func(c partition) bool { return c.until <= n.now() })
-	for _, c := range n.partitions {
-		if matches(c.from, from.address) && matches(c.to, to.address) {
-			until = max(until, c.until)
+	n.partitions = slices.DeleteFunc(n.partitions, func(p partition) bool { return p.until <= n.now() })
+	for _, p := range n.partitions {
+		if matches(p.from, from.address) && matches(p.to, to.address) {
+			until = max(until, p.until)
 		}
 	}
 	return until
--- a/lab/simulation/rollout.go
+++ b/lab/simulation/rollout.go
@@ -141,10 +141,10 @@
 }
 
 // ReadyToPromote implements operator.Readiness.
-func (r *router) ReadyToPromote(document config.Document, weights fleet.ModelVersion) error {
-	ready, loaded, wanted := rollout.ReadyToPromote(&document, r.rolloutEngines(), weights.Model, weights.Adapter, weights.Version)
+func (r *router) ReadyToPromote(document config.Document, version fleet.ModelVersion) error {
+	ready, loaded, wanted := rollout.ReadyToPromote(&document, r.rolloutEngines(), version.Model, version.Adapter, version.Version)
 	if ready {
 		return nil
 	}
-	return errors.Errorf("%d of %d engines have version %q loaded", loaded, wanted, weights.Version)
+	return errors.Errorf("%d of %d engines have version %q loaded", loaded, wanted, version.Version)
 }
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -65,7 +65,7 @@
 }
 
 func (r *router) start() {
-	informed := r.world.hasConfiguredNode()
+	configurationAvailable := r.world.hasConfiguredNode()
 	r.begin()
 	r.node = fleet.NodeID(fmt.Sprintf("router-%d-%d", r.index, r.generation))
 	r.core = placement.New(placement.Options{Node: r.node, Zone: r.zone, Random: r.world.newRandom()})
@@ -79,7 +79,7 @@
 	r.polled = make(map[fleet.EngineID]bool)
 	r.earlierSnapshots = make(map[fleet.EngineID]engine.CacheSnapshot)
 	r.holder = config.NewHolder()
-	r.world.record(history.NodeStarted{Node: r.node, Kind: history.RouterNode, ConfigurationAvailable: informed})
+	r.world.record(history.NodeStarted{Node: r.node, Kind: history.RouterNode, ConfigurationAvailable: configurationAvailable})
 	r.joinMembership()
 	r.startConfiguration()
 	r.startEngines()
--- a/lab/simulation/tables.go
+++ b/lab/simulation/tables.go
@@ -12,9 +12,9 @@
 	"github.com/tillerfall/tillerfall/lab/standin/platformmodel"
 )
 
-// Parameters of faults of the table service. The first three are cumulative probabilities: the
-// answer of a commit is lost after, before or without its immediate effect, and delivered
-// otherwise.
+// Parameters of faults of the table service. lostAfterCommit, lostBeforeCommit and lostDelayedCommit
+// are cumulative probabilities that the answer to a commit is lost after the commit took effect,
+// without an effect, or with a delayed effect.
 const (
 	lostAfterCommit   = 0.3
 	lostBeforeCommit  = 0.45
@@ -182,11 +182,11 @@
 	if s.now() >= s.lossyUntil {
 		return s.commit(transaction)
 	}
-	switch fate := s.world.random.Float64(); {
-	case fate < lostAfterCommit:
+	switch draw := s.world.random.Float64(); {
+	case draw < lostAfterCommit:
 		_ = s.commit(transaction)
-	case fate < lostBeforeCommit:
-	case fate < lostDelayedCommit:
+	case draw < lostBeforeCommit:
+	case draw < lostDelayedCommit:
 		s.after(time.Duration(s.world.random.Int64N(int64(maxCommitDelay))), func() { _ = s.commit(transaction) })
 	default:
 		return s.commit(transaction)
--- a/lab/simulation/world.go
+++ b/lab/simulation/world.go
@@ -36,9 +36,10 @@
 	lastFrame         engine.Frame
 	commandCalls      int
 	commandCount      int
-	competing         bool
-	requestCount      int
-	hotUntil          time.Duration
+	// competing is set while runCompetingCommand executes a command.
+	competing    bool
+	requestCount int
+	hotUntil     time.Duration
 }
 
 // Run simulates one run and returns its history.
