--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -49,7 +49,8 @@
 	return trace
 }
 
-// The token counts, rates and latencies of a result must match values worked out by hand.
+// TestTokenAccountingOfTinyTrace guards against token counts, rates and latencies that differ from
+// manually computed values.
 func TestTokenAccountingOfTinyTrace(t *testing.T) {
 	// Round robin over two engines computes the prefix twice. The second computation is avoidable;
 	// the third and fourth requests hit the cache.
@@ -75,7 +76,8 @@
 	assert.InDelta(t, 4, wait.Max, 0.02, "requests wait only for the network")
 }
 
-// The clairvoyant policy must compute each prefix once, and no policy may exceed its hit rate.
+// TestClairvoyantHitRateIsUpperBound guards against a clairvoyant policy that computes a prefix twice
+// or has a lower hit rate than another policy.
 func TestClairvoyantHitRateIsUpperBound(t *testing.T) {
 	prefixes := []uint64{1, 2, 1, 2, 1, 3, 2, 3, 1, 2, 3, 1}
 	hits := make(map[string]float64)
@@ -92,8 +94,8 @@
 	assert.Less(t, hits[PolicyRoundRobin], limit)
 }
 
-// A request that arrives while the only engine is down must wait under the clairvoyant policy, and
-// be refused or retried under a baseline policy, with exactly one ending.
+// TestCallerRetriesOnceAfterRefusal guards against a clairvoyant router that does not wait for a
+// crashed engine, and a request to a baseline router without exactly one ending.
 func TestCallerRetriesOnceAfterRefusal(t *testing.T) {
 	trace := tinyTrace(1, 1)
 	crash := &Crash{Engine: 0, At: 0, Down: 500 * time.Millisecond}
--- a/lab/emulator/clairvoyant.go
+++ b/lab/emulator/clairvoyant.go
@@ -35,8 +35,7 @@
 	clairvoyantRetryInterval = 50 * time.Millisecond
 	// clairvoyantScanDepth bounds the requests of a tenant and class examined in one scan.
 	clairvoyantScanDepth = 32
-	// clairvoyantRecomputeWeight is the cost of a recomputed token. Near capacity a lower cost
-	// recomputes more, and a higher one queues longer.
+	// clairvoyantRecomputeWeight is the cost of a recomputed token.
 	clairvoyantRecomputeWeight = 75 * time.Microsecond
 )
 
@@ -76,7 +75,7 @@
 // clairvoyantEngine is an engine with the grants whose dispatch hasn't arrived there.
 type clairvoyantEngine struct {
 	host *engineHost
-	// version counts the changes of the engine\'s state.
+	// version counts the changes of the engine's state.
 	version   uint64
 	inTransit []clairvoyantGrant
 	// queuedTokens is the prompt work queued at the engine and in transit, streams all its streams
--- a/lab/emulator/collect.go
+++ b/lab/emulator/collect.go
@@ -24,6 +24,7 @@
 	otherTenants      *hdrhistogram.Histogram
 	floodingTenant    fleet.TenantName
 
+	// Sums of tokens over the requests whose prompt was computed.
 	prompt, cached, reachable, recomputed int64
 	goodRequests                          int
 	splits                                map[workload.Kind]*splitSum
@@ -167,11 +168,11 @@
 }
 
 // addSample adds a prompt to the interval of its arrival.
-func (c *collector) addSample(call *call, every time.Duration) {
+func (c *collector) addSample(call *call, sampleInterval time.Duration) {
 	if !call.prefillDone {
 		return
 	}
-	interval := int(call.request.At / every)
+	interval := int(call.request.At / sampleInterval)
 	for len(c.samples) <= interval {
 		c.samples = append(c.samples, sampleSum{})
 	}
@@ -203,10 +204,10 @@
 	r.RefusedAfter = quantilesOf(c.refusedAfter)
 	r.UrgentOfOtherTenants = quantilesOf(c.otherTenants)
 	r.PromptByKind = c.promptSplits()
-	every := e.options.SampleInterval
+	sampleInterval := e.options.SampleInterval
 	for i, sample := range c.samples {
 		r.HitOverTime = append(r.HitOverTime, HitSample{
-			Seconds:      (time.Duration(i) * every).Seconds(),
+			Seconds:      (time.Duration(i) * sampleInterval).Seconds(),
 			HitRate:      ratio(sample.cached, sample.prompt),
 			PromptTokens: sample.prompt,
 		})
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -57,7 +57,7 @@
 			return nil, errors.New("requests are still open but the event queue is empty")
 		}
 		if e.queue.Now() > end {
-			return nil, errors.Errorf("%d requests are still open past the overrun limit after the end of the trace", e.openRequests)
+			return nil, errors.Errorf("%d requests are still open after the maximum overrun of the trace", e.openRequests)
 		}
 	}
 	return e.result(), nil
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// A run must not depend on map order or on any randomness outside its seed.
+// TestRunIsDeterministic guards against results that depend on map order or on randomness outside
+// the seed.
 func TestRunIsDeterministic(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy.Name, func(t *testing.T) {
@@ -39,7 +40,8 @@
 	}
 }
 
-// Under overload and an engine crash no request may be lost or counted twice.
+// TestEachRequestHasExactlyOneEnding guards against requests that are lost or counted twice under
+// overload and an engine crash.
 func TestEachRequestHasExactlyOneEnding(t *testing.T) {
 	for _, policy := range Policies() {
 		t.Run(policy.Name, func(t *testing.T) {
--- a/lab/enginemodel/control_test.go
+++ b/lab/enginemodel/control_test.go
@@ -58,7 +58,7 @@
 	for range 2 {
 		for id, state := range map[fleet.StreamID]engine.CancelState{
 			"done": engine.CancelFinished, "running": engine.CancelCancelled,
-			"waiting": engine.CancelNeverRan, "unheard": engine.CancelNeverRan,
+			"waiting": engine.CancelNeverRan, "unknown": engine.CancelNeverRan,
 		} {
 			outcome, err := e.Cancel(e.now, id, 1)
 			require.NoError(t, err)
@@ -80,7 +80,7 @@
 	_, _, err = e.Frames("done", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
 	requireCode(t, engine.ErrorDuplicate, e.Dispatch(e.now, request(e, "done", repeatedPrompt("a", 8), 2)))
-	for _, id := range []fleet.StreamID{"running", "waiting", "unheard"} {
+	for _, id := range []fleet.StreamID{"running", "waiting", "unknown"} {
 		requireCode(t, engine.ErrorBarred, e.Dispatch(e.now, request(e, id, repeatedPrompt("a", 8), 2)))
 	}
 	outcome, err = e.Cancel(e.now, "done", 1)
--- a/lab/spill/options.go
+++ b/lab/spill/options.go
@@ -50,7 +50,8 @@
 
 // Options configures a run.
 type Options struct {
-	Policy   Policy
+	Policy Policy
+	// Replicas is the number of routers that own each engine.
 	Replicas int
 	Seed     uint64
 
--- a/lab/spill/workload.go
+++ b/lab/spill/workload.go
@@ -79,9 +79,9 @@
 func (g *generator) next(now time.Duration) *workload.Request {
 	g.drawn++
 	pool := g.random.IntN(g.options.Pools)
-	tenant, chosen := 0, 0
+	tenant, document := 0, 0
 	if g.random.Float64() >= g.options.HotShare {
-		tenant, chosen = int(g.tenants.Uint64()), int(g.documents.Uint64())
+		tenant, document = int(g.tenants.Uint64()), int(g.documents.Uint64())
 	}
 	system := uint64(pool*tenantCount+tenant) + 1
 	return &workload.Request{
@@ -92,7 +92,7 @@
 		ModelVersion: modelVersion(pool),
 		Segments: []workload.Segment{
 			{ID: system, Tokens: systemTokens},
-			{ID: system<<16 | uint64(chosen+1), Tokens: documentTokens},
+			{ID: system<<16 | uint64(document+1), Tokens: documentTokens},
 			{ID: 1<<40 | g.drawn, Tokens: questionTokens},
 		},
 		OutputTokens: outputTokens,
--- a/lab/spill/world.go
+++ b/lab/spill/world.go
@@ -70,11 +70,11 @@
 	}
 	w.startRouters()
 	for number := range w.options.Agents * w.options.Zones {
-		table := w.options.Policy.Affinity
-		table.Random = w.newRandom()
+		affinityOptions := w.options.Policy.Affinity
+		affinityOptions.Random = w.newRandom()
 		w.agents = append(w.agents, &agentHost{
 			world: w, location: membership.Location{Zone: zoneName(number % w.options.Zones)},
-			table: affinity.New(table), failed: make(map[fleet.NodeID]time.Duration),
+			table: affinity.New(affinityOptions), failed: make(map[fleet.NodeID]time.Duration),
 		})
 	}
 }
@@ -96,10 +96,10 @@
 	w.shareEngines()
 }
 
-func (f RouterChange) routers() []int {
+func (c RouterChange) routers() []int {
 	var numbers []int
-	for position := range f.Count {
-		numbers = append(numbers, f.Router+position*f.Step)
+	for position := range c.Count {
+		numbers = append(numbers, c.Router+position*c.Step)
 	}
 	return numbers
 }
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -107,7 +107,7 @@
 	assert.Equal(t, engine.CancelResponse{State: engine.CancelFinished, Tokens: 12}, outcome)
 	_, err = client.Dispatch(t.Context(), newDispatch("a/b 1%", 12))
 	requireCode(t, engine.ErrorDuplicate, err)
-	_, err = client.Resume(t.Context(), "unheard", 0)
+	_, err = client.Resume(t.Context(), "unknown", 0)
 	requireCode(t, engine.ErrorUnknownStream, err)
 }
 
@@ -161,19 +161,19 @@
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			near, err := listener.Accept()
+			downstream, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer near.Close()
-				far, err := net.Dial("tcp", string(target))
+				defer downstream.Close()
+				upstream, err := net.Dial("tcp", string(target))
 				if err != nil {
 					return
 				}
-				defer far.Close()
-				go func() { _, _ = io.Copy(far, near) }()
-				_, _ = io.CopyN(near, far, limit)
+				defer upstream.Close()
+				go func() { _, _ = io.Copy(upstream, downstream) }()
+				_, _ = io.CopyN(downstream, upstream, limit)
 			}()
 		}
 	}()
