--- a/lab/capacity/calls.go
+++ b/lab/capacity/calls.go
@@ -132,10 +132,10 @@
 
 // placeCost returns the cost of a Place call with the given number of block hashes.
 func placeCost(o Options, blocks int) (callCost, error) {
-	weights := servedVersion()
+	version := servedVersion()
 	request := &rpc.PlaceRequest{
 		Header: header(), RequestId: "0123456789abcdef0123456789abcdef", Attempt: 1, Tenant: string(tenantName(0)),
-		Weights: &rpc.Weights{Model: string(weights.Model), Version: string(weights.Version)}, Class: string(className),
+		Weights: &rpc.Weights{Model: string(version.Model), Version: string(version.Version)}, Class: string(className),
 		PromptTokens: uint32(blocks * blockTokens), MaxTokens: 200, DeadlineMillis: 60_000, AgentZone: string(zoneName(0)),
 	}
 	for _, hash := range randomHashes(rand.New(rand.NewPCG(o.Seed, 5)), blocks) {
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -78,13 +78,13 @@
 	return report, nil
 }
 
-func (p *measurement) addTo(report *Report, o Options) error {
-	if p.slopes != nil {
-		slopes, err := p.slopes(o)
+func (m *measurement) addTo(report *Report, o Options) error {
+	if m.slopes != nil {
+		slopes, err := m.slopes(o)
 		report.Slopes = append(report.Slopes, slopes...)
 		return err
 	}
-	figures, err := p.figures(o)
+	figures, err := m.figures(o)
 	report.Figures = append(report.Figures, figures...)
 	return err
 }
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// A fit must recover the coefficients of points that follow its growth function exactly.
+// TestFitRecoversCoefficients guards against wrong coefficients for points that follow the growth
+// function exactly.
 func TestFitRecoversCoefficients(t *testing.T) {
 	for _, growth := range []Growth{GrowthLinear, GrowthLogarithmic, GrowthLinearithmic} {
 		slope, err := sweep(quantity{
@@ -47,7 +48,8 @@
 	}
 }
 
-// Points that don't follow the fitted growth function must not go unnoticed.
+// TestResidualRevealsWrongGrowth guards against a small residual for points that follow another
+// growth function.
 func TestResidualRevealsWrongGrowth(t *testing.T) {
 	slope, err := sweep(quantity{
 		name: "square", growth: GrowthLinear, sizes: []int{1, 10, 100},
@@ -57,7 +59,7 @@
 	assert.Greater(t, slope.Residual, 0.05)
 }
 
-// A sweep over too few sizes to judge the fit must fail.
+// TestSweepRejectsTwoSizes guards against fits to fewer than minimumPoints sizes.
 func TestSweepRejectsTwoSizes(t *testing.T) {
 	_, err := sweep(quantity{
 		name: "short", growth: GrowthLinear, sizes: []int{1, 2},
@@ -66,7 +68,8 @@
 	assert.ErrorContains(t, err, "want 3")
 }
 
-// A run must measure every part, converge after each failure and write all results in both formats.
+// TestRunMeasuresAllParts guards against parts that are not measured, failures after which routers do
+// not converge, and results missing from a report.
 func TestRunMeasuresAllParts(t *testing.T) {
 	var measured []string
 	report, err := Run(Options{Sizes: smallSizes(), Seed: 1, Progress: func(part string) { measured = append(measured, part) }})
@@ -89,7 +92,8 @@
 	assert.Equal(t, len(report.Slopes)+len(report.Figures), strings.Count(text.String(), "\n| ")-2)
 }
 
-// Message counts and dissemination times must depend only on the seed, not on the machine.
+// TestMembershipCostIsDeterministic guards against message counts and dissemination times that differ
+// between runs with the same seed.
 func TestMembershipCostIsDeterministic(t *testing.T) {
 	o := Options{Sizes: smallSizes(), Seed: 7}
 	first, second := measureSteadyCost(o, 30), measureSteadyCost(o, 30)
@@ -109,7 +113,7 @@
 	assert.Less(t, changeA.secondsToAll, 4.0)
 }
 
-// All running routers must remove crashed routers from their views.
+// TestRoutersConvergeAfterCrash guards against crashed routers that stay in the views of others.
 func TestRoutersConvergeAfterCrash(t *testing.T) {
 	n := newNetwork(3)
 	n.startConverged(40)
@@ -120,7 +124,8 @@
 	assert.True(t, agreed)
 }
 
-// Routers that all restart at once must discover each other.
+// TestRoutersConvergeAfterHerdRestart guards against routers that do not discover each other when all
+// restart at once.
 func TestRoutersConvergeAfterHerdRestart(t *testing.T) {
 	n := newNetwork(4)
 	n.startCold(40)
@@ -128,8 +133,8 @@
 	assert.True(t, agreed)
 }
 
-// The rate of machine list reads must be bounded by the number of regions, and the bytes of a change
-// must not grow with the list.
+// TestMachineListCostDoesNotGrowWithFleet guards against a read rate above the bound per region, and
+// against changes whose size grows with the list.
 func TestMachineListCostDoesNotGrowWithFleet(t *testing.T) {
 	const perRegion = 3
 	counted := countMachineReads(Options{Seed: 6}, 150)
@@ -143,7 +148,8 @@
 	assert.InEpsilon(t, few.bytes, many.bytes, 0.1, "bytes of one change don't depend on the length of the list")
 }
 
-// Routers must share one budget of configuration reads instead of each polling at its own rate.
+// TestConfigurationPollRateDoesNotGrowWithFleet guards against routers that each poll the
+// configuration at their own rate instead of sharing one budget.
 func TestConfigurationPollRateDoesNotGrowWithFleet(t *testing.T) {
 	o := Options{Seed: 5}
 	few := countConfigurationPolls(o, 100, listedBootstrap).steadyRate()
--- a/lab/capacity/configuration.go
+++ b/lab/capacity/configuration.go
@@ -94,8 +94,8 @@
 
 // measureRouterMemory measures the memory of the state that a router holds.
 func measureRouterMemory(o Options) ([]Slope, error) {
-	memory := func(of, size string, sizes []int, measure func(int) (float64, error)) quantity {
-		return quantity{name: "memory at a router: " + of, size: size, unit: "B", growth: GrowthLinear, sizes: sizes, measure: measure}
+	memory := func(state, size string, sizes []int, measure func(int) (float64, error)) quantity {
+		return quantity{name: "memory at a router: " + state, size: size, unit: "B", growth: GrowthLinear, sizes: sizes, measure: measure}
 	}
 	return sweepAll(
 		memory("tenants", "tenants", o.Sizes.Tenants, func(size int) (float64, error) {
--- a/lab/capacity/machinereads.go
+++ b/lab/capacity/machinereads.go
@@ -91,14 +91,14 @@
 	if s.changing {
 		s.calls++
 	}
-	step := &rpc.SyncResponse{}
+	response := &rpc.SyncResponse{}
 	s.publisher.FillMachinesResponse(s.lists[s.calls%len(s.lists)], &rpc.SyncRequest{
 		VersionsOf:      request.GetMachinesVersionsOf(),
 		MachinesVersion: request.GetMachinesVersion(),
 		MachinesDigest:  request.GetMachinesDigest(),
-	}, step)
+	}, response)
 	return &rpc.ChangesResponse{
-		Header: header(), MachinesCurrent: true, Machines: step.GetMachines(), MachinesStep: step.GetMachinesStep(),
+		Header: header(), MachinesCurrent: true, Machines: response.GetMachines(), MachinesStep: response.GetMachinesStep(),
 	}, nil
 }
 
@@ -120,18 +120,18 @@
 	}
 	defer e.stop()
 	client := rpc.NewPeerProtobufClient(e.url, e.client)
-	var lists fleetsync.Subscriber
+	var subscriber fleetsync.Subscriber
 	return e.measure(o, func(ctx context.Context) error {
-		held := &rpc.SyncRequest{}
-		lists.FillRequest(held)
+		syncRequest := &rpc.SyncRequest{}
+		subscriber.FillRequest(syncRequest)
 		response, err := client.Changes(ctx, &rpc.ChangesRequest{
-			Header: header(), After: 1 << 20, MachinesFollowed: true, MachinesVersionsOf: held.GetVersionsOf(),
-			MachinesVersion: held.GetMachinesVersion(), MachinesDigest: held.GetMachinesDigest(),
+			Header: header(), After: 1 << 20, MachinesFollowed: true, MachinesVersionsOf: syncRequest.GetVersionsOf(),
+			MachinesVersion: syncRequest.GetMachinesVersion(), MachinesDigest: syncRequest.GetMachinesDigest(),
 		})
 		if err != nil {
 			return err
 		}
-		lists.Apply(held, &rpc.SyncResponse{
+		subscriber.Apply(syncRequest, &rpc.SyncResponse{
 			Header: response.GetHeader(), Machines: response.GetMachines(), MachinesStep: response.GetMachinesStep(),
 		})
 		return nil
--- a/lab/capacity/placement.go
+++ b/lab/capacity/placement.go
@@ -153,8 +153,8 @@
 
 // measurePlacement measures the time of a placement by each of the three sizes that it depends on.
 func measurePlacement(o Options) ([]Slope, error) {
-	quantityOf := func(by, size string, growth Growth, sizes []int, measure func(int) (float64, error)) quantity {
-		return quantity{name: "placement (submit, decision, 3 reports) by " + by, size: size, unit: "core-µs", growth: growth, sizes: sizes, measure: measure}
+	quantityOf := func(parameter, size string, growth Growth, sizes []int, measure func(int) (float64, error)) quantity {
+		return quantity{name: "placement (submit, decision, 3 reports) by " + parameter, size: size, unit: "core-µs", growth: growth, sizes: sizes, measure: measure}
 	}
 	indexBlocks := min(fixedIndexBlocks, o.Sizes.IndexBlocks[0])
 	return sweepAll(
--- a/lab/experiment/calibrate.go
+++ b/lab/experiment/calibrate.go
@@ -28,12 +28,12 @@
 		low, high := float64(calibrationLow), float64(calibrationHigh)
 		for high-low > calibrationStep {
 			rate := (low + high) / 2
-			part, err := fractionWithinObjective(description, rate, seed)
+			fraction, err := fractionWithinObjective(description, rate, seed)
 			if err != nil {
 				return errors.Wrap(err, description.Name)
 			}
-			_, _ = fmt.Fprintf(progress, "%s rate=%.1f served_well=%.4f\n", description.Name, rate, part)
-			if part >= requiredFraction {
+			_, _ = fmt.Fprintf(progress, "%s rate=%.1f served_well=%.4f\n", description.Name, rate, fraction)
+			if fraction >= requiredFraction {
 				low = rate
 			} else {
 				high = rate
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 }
 
 func record(label string, finished time.Time) *Record {
-	made := &Record{Label: label, Finished: finished, Seed: 1}
+	built := &Record{Label: label, Finished: finished, Seed: 1}
 	results := map[string]*emulator.Result{
 		emulator.PolicyTillerfall:  result(0.9, 0.03, 150),
 		emulator.PolicyClairvoyant: result(0.95, 0.02, 100),
@@ -38,10 +38,10 @@
 	}
 	for _, c := range (Selection{Fleets: []string{"ahd-west"}}).Cases() {
 		if results[c.Policy] != nil {
-			made.Outcomes = append(made.Outcomes, Outcome{Case: c, Result: results[c.Policy]})
+			built.Outcomes = append(built.Outcomes, Outcome{Case: c, Result: results[c.Policy]})
 		}
 	}
-	return made
+	return built
 }
 
 // TestHeadlineComparesWithLimitAndLeastLoaded guards against wrong ratios and against headlines of
@@ -72,9 +72,9 @@
 	for _, plot := range []string{"ttft-p99-ahd-west-urgent.svg", "goodput-ahd-west.svg", "hit-rate-shift-ahd-west.svg"} {
 		assert.FileExists(t, filepath.Join(directory, plot))
 	}
-	kept, err := loadRecord(filepath.Join(directory, resultsFile))
+	loaded, err := loadRecord(filepath.Join(directory, resultsFile))
 	require.NoError(t, err)
-	assert.Equal(t, record("now", start.AddDate(0, 0, 1)), kept)
+	assert.Equal(t, record("now", start.AddDate(0, 0, 1)), loaded)
 }
 
 // TestCasesCoverEveryPolicyInEveryScenario guards against runs that are missing from the plan or
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -22,9 +22,9 @@
 		for _, scenario := range scenarios {
 			for _, load := range loadsFor(scenario) {
 				for _, policy := range emulator.Policies() {
-					made := Case{Fleet: description.Name, Scenario: scenario, Load: load, Policy: policy.Name}
-					if s.includes(made) {
-						cases = append(cases, made)
+					candidate := Case{Fleet: description.Name, Scenario: scenario, Load: load, Policy: policy.Name}
+					if s.includes(candidate) {
+						cases = append(cases, candidate)
 					}
 				}
 			}
--- a/lab/workload/workload.go
+++ b/lab/workload/workload.go
@@ -1,6 +1,6 @@
 // Package workload generates request traces from a seed: prompts with three nested levels of skewed
-// popularity, short lookups, a batch flood, and a shift of the most popular prefix. The emulator,
-// the load generator and the simulation replay them.
+// popularity, short lookups, a batch flood, and a shift of the most popular prefix. The emulator
+// replays them.
 package workload
 
 import (
--- a/lab/workload/workload_test.go
+++ b/lab/workload/workload_test.go
@@ -25,9 +25,9 @@
 func TestPromptsShareBlocksOfCommonPrefix(t *testing.T) {
 	long := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 3, Tokens: 40}}}
 	sibling := Request{Tenant: "a", Segments: []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 60}, {ID: 4, Tokens: 40}}}
-	stranger := sibling
-	stranger.Tenant = "b"
-	left, right, foreign := long.Blocks(16), sibling.Blocks(16), stranger.Blocks(16)
+	otherTenant := sibling
+	otherTenant.Tenant = "b"
+	left, right, foreign := long.Blocks(16), sibling.Blocks(16), otherTenant.Blocks(16)
 	require.Len(t, left, 12)
 	assert.Equal(t, left[:10], right[:10])
 	assert.NotEqual(t, left[10], right[10])
