--- a/lab/localfleet/sharded_test.go
+++ b/lab/localfleet/sharded_test.go
@@ -56,10 +56,10 @@
 // the engines among themselves and received their status.
 func waitForOwnership(t *testing.T, running *Fleet) {
 	t.Helper()
-	const weights = 3 // two models and an adapter
+	const weightCount = 3 // two models and an adapter
 	require.Eventually(t, func() bool {
 		for index := range running.engines {
-			if status := running.EngineStatus(index); len(status.Loaded) < weights {
+			if status := running.EngineStatus(index); len(status.Loaded) < weightCount {
 				return false
 			}
 		}
--- a/test/integration/engine_test.go
+++ b/test/integration/engine_test.go
@@ -102,16 +102,16 @@
 func TestDispatchConnectionCutRunsAtMostOnce(t *testing.T) {
 	f := startFleet(t, fleetOptions{engineProxies: true, flags: shortHeaderTimeout})
 	for _, cut := range []struct {
-		name   string
-		rule   rule
-		proper bool
+		name         string
+		rule         rule
+		wantComplete bool
 	}{
 		{"request reset", rule{direction: towardsServer, match: dispatchLine, action: actionReset, remaining: matchLimit(1)}, true},
 		{"request closed in its body", rule{direction: towardsServer, match: dispatchLine, after: 200, action: actionClose, remaining: matchLimit(1)}, true},
-		{"request swallowed", rule{direction: towardsServer, match: dispatchLine, action: actionDiscard, remaining: matchLimit(1)}, true},
+		{"request discarded", rule{direction: towardsServer, match: dispatchLine, action: actionDiscard, remaining: matchLimit(1)}, true},
 		{"answer reset", rule{direction: towardsClient, match: streamHeader, action: actionReset, remaining: matchLimit(1)}, true},
-		{"answer closed in its head", rule{direction: towardsClient, match: streamHeader, after: 40, action: actionClose, remaining: matchLimit(1)}, true},
-		{"answer swallowed", rule{direction: towardsClient, match: streamHeader, action: actionDiscard, remaining: matchLimit(1)}, true},
+		{"answer closed in its header", rule{direction: towardsClient, match: streamHeader, after: 40, action: actionClose, remaining: matchLimit(1)}, true},
+		{"answer discarded", rule{direction: towardsClient, match: streamHeader, action: actionDiscard, remaining: matchLimit(1)}, true},
 		{"every answer reset", rule{direction: towardsClient, match: streamHeader, action: actionReset}, false},
 	} {
 		t.Run(cut.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 			executions := f.executions(got.requestID())
 			assert.LessOrEqual(t, executions, 1)
 			requireCompleteOrError(t, request, got)
-			if cut.proper {
+			if cut.wantComplete {
 				requireComplete(t, request, got)
 				return
 			}
--- a/test/integration/operator_test.go
+++ b/test/integration/operator_test.go
@@ -104,14 +104,14 @@
 	running := send(t, f.agentAddress(), chat(model, 400, "You answer clerks.", "Which flag covers tankers?"))
 	running.readTokens(2)
 	drained := f.engineForRequest(running.answer.requestID())
-	var leaving, left string
+	var leaving, remaining string
 	for _, name := range f.names("engine") {
 		switch {
 		case name == drained:
 		case leaving == "":
 			leaving = name
 		default:
-			left = name
+			remaining = name
 		}
 	}
 	f.mustRunStatement("router-1", "drain "+drained)
@@ -127,7 +127,7 @@
 	requests := startLoad(t, f, 12, 20)
 	requests.requireAllComplete(t)
 	for _, got := range requests.answers {
-		assert.Equal(t, left, f.engineForRequest(got.requestID()))
+		assert.Equal(t, remaining, f.engineForRequest(got.requestID()))
 	}
 	requireComplete(t, running.request, running.readAll())
 }
