--- a/lab/emulator/network.go
+++ b/lab/emulator/network.go
@@ -9,14 +9,14 @@
 
 // network holds the one-way latencies between processes.
 type network struct {
-	// zone is added between processes of different zones.
-	zone time.Duration
-	// client is the latency between an agent and the processes of its zone.
-	client time.Duration
+	// zoneLatency is added between processes of different zones.
+	zoneLatency time.Duration
+	// clientLatency is the latency between an agent and the processes of its zone.
+	clientLatency time.Duration
 }
 
 func newNetwork(description workload.Fleet) network {
-	return network{zone: description.ZoneLatency, client: description.ClientLatency}
+	return network{zoneLatency: description.ZoneLatency, clientLatency: description.ClientLatency}
 }
 
 // between returns the latency between a router and an engine.
@@ -24,14 +24,14 @@
 	if a == b {
 		return localLatency
 	}
-	return localLatency + n.zone
+	return localLatency + n.zoneLatency
 }
 
 // fromAgent returns the latency between an agent, which runs next to its callers, and a router or
 // engine.
 func (n network) fromAgent(agent, other fleet.ZoneName) time.Duration {
 	if agent == other {
-		return n.client
+		return n.clientLatency
 	}
-	return n.client + n.zone
+	return n.clientLatency + n.zoneLatency
 }
