--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -68,8 +68,8 @@
 	assert.ErrorContains(t, err, "want 3")
 }
 
-// TestRunMeasuresAllParts guards against parts that are not measured, failures after which routers do
-// not converge, and results missing from a report.
+// TestRunMeasuresAllParts guards against parts that are not measured, failures after which routers
+// do not converge, and results missing from a report.
 func TestRunMeasuresAllParts(t *testing.T) {
 	var measured []string
 	report, err := Run(Options{Sizes: smallSizes(), Seed: 1, Progress: func(part string) { measured = append(measured, part) }})
@@ -92,8 +92,8 @@
 	assert.Equal(t, len(report.Slopes)+len(report.Figures), strings.Count(text.String(), "\n| ")-2)
 }
 
-// TestMembershipCostIsDeterministic guards against message counts and dissemination times that differ
-// between runs with the same seed.
+// TestMembershipCostIsDeterministic guards against message counts and dissemination times that
+// differ between runs with the same seed.
 func TestMembershipCostIsDeterministic(t *testing.T) {
 	o := Options{Sizes: smallSizes(), Seed: 7}
 	first, second := measureSteadyCost(o, 30), measureSteadyCost(o, 30)
@@ -124,8 +124,8 @@
 	assert.True(t, agreed)
 }
 
-// TestRoutersConvergeAfterHerdRestart guards against routers that do not discover each other when all
-// restart at once.
+// TestRoutersConvergeAfterHerdRestart guards against routers that do not discover each other when
+// all restart at once.
 func TestRoutersConvergeAfterHerdRestart(t *testing.T) {
 	n := newNetwork(4)
 	n.startCold(40)
--- a/lab/emulator/accounting_test.go
+++ b/lab/emulator/accounting_test.go
@@ -76,8 +76,8 @@
 	assert.InDelta(t, 4, wait.Max, 0.02, "requests wait only for the network")
 }
 
-// TestClairvoyantHitRateIsUpperBound guards against a clairvoyant policy that computes a prefix twice
-// or has a lower hit rate than another policy.
+// TestClairvoyantHitRateIsUpperBound guards against a clairvoyant policy that computes a prefix
+// twice or has a lower hit rate than another policy.
 func TestClairvoyantHitRateIsUpperBound(t *testing.T) {
 	prefixes := []uint64{1, 2, 1, 2, 1, 3, 2, 3, 1, 2, 3, 1}
 	hits := make(map[string]float64)
