--- a/cmd/tillerlab/engine.go
+++ b/cmd/tillerlab/engine.go
@@ -58,8 +58,8 @@
 	return server.Stop()
 }
 
-func parseWeightsList(texts []string) ([]engine.Weights, error) {
-	weights := make([]engine.Weights, 0, len(texts))
+func parseWeightsList(texts []string) ([]engine.ModelVersion, error) {
+	weights := make([]engine.ModelVersion, 0, len(texts))
 	for _, text := range texts {
 		parsed, err := parseWeights(text)
 		if err != nil {
@@ -71,13 +71,13 @@
 }
 
 // parseWeights parses MODEL@VERSION or MODEL:ADAPTER@VERSION.
-func parseWeights(text string) (engine.Weights, error) {
+func parseWeights(text string) (engine.ModelVersion, error) {
 	name, version, found := strings.Cut(text, "@")
 	if !found || name == "" || version == "" {
-		return engine.Weights{}, errors.Errorf("weights %q: want MODEL[:ADAPTER]@VERSION", text)
+		return engine.ModelVersion{}, errors.Errorf("weights %q: want MODEL[:ADAPTER]@VERSION", text)
 	}
 	model, adapter, _ := strings.Cut(name, ":")
-	return engine.Weights{
+	return engine.ModelVersion{
 		Model:   fleet.ModelName(model),
 		Adapter: fleet.AdapterName(adapter),
 		Version: fleet.VersionName(version),
--- a/internal/agent/enginecalls.go
+++ b/internal/agent/enginecalls.go
@@ -24,7 +24,7 @@
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
 		Tenant:       c.request.tenant.Name,
-		Weights:      engine.Weights{Model: modelVersion.Model, Adapter: modelVersion.Adapter, Version: modelVersion.Version},
+		ModelVersion: engine.ModelVersion{Model: modelVersion.Model, Adapter: modelVersion.Adapter, Version: modelVersion.Version},
 		Prompt:       c.request.body.Prompt,
 		MaxTokens:    c.request.maxTokens,
 		Priority:     action.Priority,
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -202,7 +202,7 @@
 	server := engineserver.New(engineserver.Config{
 		Model: enginemodel.Config{
 			ID: id, Incarnation: 1, KeepWeights: true, BlockTokens: blockTokens,
-			Loaded: []engine.Weights{{Model: "notes", Version: "v1"}, {Model: "notes", Version: "v2"}},
+			Loaded: []engine.ModelVersion{{Model: "notes", Version: "v1"}, {Model: "notes", Version: "v2"}},
 			Costs:  enginemodel.Costs{StepBase: step},
 		},
 		Logger: zerolog.Nop(),
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -117,9 +117,9 @@
 	return doublings
 }
 
-// Doublings returns, by service, the number of doublings that this node requests because the
+// RequestedDoublings returns, by service, the number of doublings that this node requests because the
 // planned subsets lacked capacity for its requests.
-func (r *Registry) Doublings() Subsets {
+func (r *Registry) RequestedDoublings() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.doublings()
--- a/internal/backends/subset_test.go
+++ b/internal/backends/subset_test.go
@@ -119,7 +119,7 @@
 		require.Nil(t, placement)
 		registry.SetSubsets(registry.PlanSubsets(0, nil), true)
 	}
-	assert.Equal(t, Subsets{"engines": 2}, registry.Doublings())
+	assert.Equal(t, Subsets{"engines": 2}, registry.RequestedDoublings())
 	assert.InDelta(t, 4*before, len(registry.WorkersInUse()), float64(before))
 }
 
@@ -136,5 +136,5 @@
 	}
 	_, refusal := registry.Choose(0, request)
 	assert.Equal(t, ReasonExcluded, refusal.Reason)
-	assert.Empty(t, registry.Doublings())
+	assert.Empty(t, registry.RequestedDoublings())
 }
--- a/internal/engine/checksum.go
+++ b/internal/engine/checksum.go
@@ -15,9 +15,9 @@
 	digest := xxhash.New()
 	for _, name := range []string{
 		string(b.Tenant),
-		string(b.Weights.Model),
-		string(b.Weights.Adapter),
-		string(b.Weights.Version),
+		string(b.ModelVersion.Model),
+		string(b.ModelVersion.Adapter),
+		string(b.ModelVersion.Version),
 	} {
 		_, _ = digest.WriteString(name + fieldSeparator)
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -112,7 +112,7 @@
 	if err := c.call(ctx, http.MethodPost, PathExport, request, &bundle); err != nil {
 		return KVBundle{}, err
 	}
-	if bundle.ComputeChecksum() != bundle.Checksum || bundle.Tenant != request.Tenant || bundle.Weights != request.Weights {
+	if bundle.ComputeChecksum() != bundle.Checksum || bundle.Tenant != request.Tenant || bundle.ModelVersion != request.ModelVersion {
 		return KVBundle{}, &Error{Code: ErrorChecksum, Message: "KV bundle has a wrong checksum, tenant or model version", Sent: true}
 	}
 	return bundle, nil
--- a/internal/engine/frames_test.go
+++ b/internal/engine/frames_test.go
@@ -102,12 +102,12 @@
 }
 
 func TestChecksumCoversTenantWeightsAndHashes(t *testing.T) {
-	bundle := engine.KVBundle{Tenant: "a", Weights: engine.Weights{Model: "m", Version: "v"}, Hashes: []fleet.BlockHash{1, 2}}
+	bundle := engine.KVBundle{Tenant: "a", ModelVersion: engine.ModelVersion{Model: "m", Version: "v"}, Hashes: []fleet.BlockHash{1, 2}}
 	sum := bundle.ComputeChecksum()
 	for _, change := range []func(*engine.KVBundle){
 		func(b *engine.KVBundle) { b.Tenant = "b" },
-		func(b *engine.KVBundle) { b.Weights.Model, b.Weights.Adapter = "", "m" },
-		func(b *engine.KVBundle) { b.Weights.Version = "w" },
+		func(b *engine.KVBundle) { b.ModelVersion.Model, b.ModelVersion.Adapter = "", "m" },
+		func(b *engine.KVBundle) { b.ModelVersion.Version = "w" },
 		func(b *engine.KVBundle) { b.Hashes = []fleet.BlockHash{2, 1} },
 	} {
 		changed := bundle
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -17,8 +17,8 @@
 	PathImport  = "/v1/kv/import"          // POST
 )
 
-// Weights is the wire form of fleet.ModelVersion.
-type Weights struct {
+// ModelVersion is the wire form of fleet.ModelVersion.
+type ModelVersion struct {
 	Model   fleet.ModelName   `json:"model"`
 	Adapter fleet.AdapterName `json:"adapter,omitempty"`
 	Version fleet.VersionName `json:"version"`
@@ -28,11 +28,11 @@
 // Incarnation isn't its current one, the weights aren't loaded, or an earlier cancel barred the
 // stream.
 type DispatchRequest struct {
-	StreamID    fleet.StreamID    `json:"stream_id"`
-	Incarnation fleet.Incarnation `json:"incarnation"`
-	Tenant      fleet.TenantName  `json:"tenant"`
-	Weights     Weights           `json:"weights"`
-	Prompt      string            `json:"prompt"`
+	StreamID     fleet.StreamID    `json:"stream_id"`
+	Incarnation  fleet.Incarnation `json:"incarnation"`
+	Tenant       fleet.TenantName  `json:"tenant"`
+	ModelVersion ModelVersion      `json:"weights"`
+	Prompt       string            `json:"prompt"`
 	// MaxTokens limits the whole output, including Continuation.
 	MaxTokens int `json:"max_tokens"`
 	// Priority orders the engine's waiting streams; lower values run first.
@@ -146,8 +146,8 @@
 	Zone        fleet.ZoneName     `json:"zone"`
 	Role        Role               `json:"role"`
 	Leaving     bool               `json:"leaving"`
-	Loaded      []Weights          `json:"loaded"`
-	Loading     []Weights          `json:"loading,omitempty"`
+	Loaded      []ModelVersion     `json:"loaded"`
+	Loading     []ModelVersion     `json:"loading,omitempty"`
 	BlockTokens int                `json:"block_tokens"`
 	CacheBlocks int                `json:"cache_blocks"`
 	Fence       fleet.FencingToken `json:"fence"`
@@ -217,24 +217,24 @@
 // Order is an administrative command to an engine, protected by a fencing token: an engine that has
 // seen a higher token rejects it with ErrorStaleFence. Orders are idempotent.
 type Order struct {
-	Fence       fleet.FencingToken `json:"fence"`
-	Incarnation fleet.Incarnation  `json:"incarnation"`
-	Kind        OrderKind          `json:"kind"`
-	Weights     Weights            `json:"weights,omitzero"`
-	Role        Role               `json:"role,omitempty"`
+	Fence        fleet.FencingToken `json:"fence"`
+	Incarnation  fleet.Incarnation  `json:"incarnation"`
+	Kind         OrderKind          `json:"kind"`
+	ModelVersion ModelVersion       `json:"weights,omitzero"`
+	Role         Role               `json:"role,omitempty"`
 }
 
 // KVExportRequest requests the cached blocks of a prefix.
 type KVExportRequest struct {
-	Tenant  fleet.TenantName  `json:"tenant"`
-	Weights Weights           `json:"weights"`
-	Hashes  []fleet.BlockHash `json:"hashes"`
+	Tenant       fleet.TenantName  `json:"tenant"`
+	ModelVersion ModelVersion      `json:"weights"`
+	Hashes       []fleet.BlockHash `json:"hashes"`
 }
 
 // KVBundle holds exported blocks. Checksum covers the tenant, the weights and the hashes.
 type KVBundle struct {
-	Tenant   fleet.TenantName  `json:"tenant"`
-	Weights  Weights           `json:"weights"`
-	Hashes   []fleet.BlockHash `json:"hashes"`
-	Checksum uint64            `json:"checksum"`
+	Tenant       fleet.TenantName  `json:"tenant"`
+	ModelVersion ModelVersion      `json:"weights"`
+	Hashes       []fleet.BlockHash `json:"hashes"`
+	Checksum     uint64            `json:"checksum"`
 }
--- a/internal/gateway/deliverydirector.go
+++ b/internal/gateway/deliverydirector.go
@@ -86,7 +86,7 @@
 	}
 	rejected := g.deliveries.becomeDirector(g.now(), deliveryOptions(g.node, *g.settings()), stored, start-stored.StoreTime)
 	for service, err := range rejected {
-		g.logRefusedOrder(string(service), err)
+		g.logInvalidOrder(string(service), err)
 	}
 	g.logger.Info().Int("records", len(stored.Records)).Dur("took", g.now()-start).Msg("delivery_taken_over")
 	return true
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -30,12 +30,12 @@
 // latest.
 func (g *Gateway) applyOrders(now, writtenBy time.Duration, rows *OperatorRows) {
 	for _, refused := range rows.RefusedDeliveries {
-		g.logRefusedOrder(refused.Key, refused.Err)
+		g.logInvalidOrder(refused.Key, refused.Err)
 	}
 	for _, order := range rows.Deliveries {
 		isNew, err := g.deliveries.addOrder(now, writtenBy, order)
 		if err != nil {
-			g.logRefusedOrder(string(order.Service), err)
+			g.logInvalidOrder(string(order.Service), err)
 			continue
 		}
 		if isNew {
@@ -45,8 +45,8 @@
 	}
 }
 
-// logRefusedOrder logs that an order is invalid. The order before it stays in force.
-func (g *Gateway) logRefusedOrder(key string, err error) {
+// logInvalidOrder logs that an order is invalid. The order before it stays in force.
+func (g *Gateway) logInvalidOrder(key string, err error) {
 	g.logger.Error().Str("key", key).Err(err).Int("code", int(resultcode.DeliveryInvalid)).
 		Str("name", resultcode.DeliveryInvalid.String()).Msg("delivery_refused")
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -23,14 +23,14 @@
 }
 
 func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
-	limited := workerlimit.Statement{Kind: workerlimit.Limited, Rate: 2}
+	limited := workerlimit.AdvertisedLimit{Kind: workerlimit.Limited, Rate: 2}
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
 	assert.True(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
 	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "response of another run")
 	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true}))
 	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned response")
 	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.Statement{Kind: workerlimit.Unreadable}}}))
+	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.AdvertisedLimit{Kind: workerlimit.Unreadable}}}))
 }
 
 // Encoding must not make an observation younger than the call that delivered it.
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -22,7 +22,7 @@
 	// RetryAfter is how long the server asks this gateway to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
 	// Limit is the server's statement on its request limit.
-	Limit workerlimit.Statement
+	Limit workerlimit.AdvertisedLimit
 	// Unknown lists the headers about the server that the codec doesn't know.
 	Unknown []string
 	// Invalid lists the headers about the server that could not be decoded.
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -38,7 +38,7 @@
 	if _, proven := g.freshness.Age(g.now()); !proven || !g.workersKnown.Load() {
 		return
 	}
-	g.readiness.tablesOnce.Do(func() { g.sources.recordTablesKnown(g.now()) })
+	g.readiness.tablesOnce.Do(func() { g.sources.recordTablesLoaded(g.now()) })
 	if !g.hasTables() {
 		return
 	}
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -92,8 +92,8 @@
 	return s.selector.NeedsFullState(now)
 }
 
-// recordTablesKnown records that this gateway knows all tables.
-func (s *sourceSelector) recordTablesKnown(now time.Duration) {
+// recordTablesLoaded records that this gateway knows all tables.
+func (s *sourceSelector) recordTablesLoaded(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.selector.MarkSynced()
--- a/internal/gateway/subsets.go
+++ b/internal/gateway/subsets.go
@@ -99,7 +99,7 @@
 		return
 	}
 	request.WorkersInUse = true
-	request.Doublings = encodeSubsets(g.workers.Doublings())
+	request.Doublings = encodeSubsets(g.workers.RequestedDoublings())
 	if !g.workersTable().cache.IsComplete() {
 		request.SubsetsDigest = subsetsDigest(g.workers.ActiveSubsets())
 	}
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -89,7 +89,7 @@
 func (b *bench) status(id fleet.EngineID, incarnation fleet.Incarnation) engine.Status {
 	return engine.Status{
 		Engine: id, Incarnation: incarnation, Role: engine.RoleServe, BlockTokens: testBlockTokens,
-		Loaded: []engine.Weights{engine.Weights(testModelVersion)},
+		Loaded: []engine.ModelVersion{engine.ModelVersion(testModelVersion)},
 		Load: engine.Load{
 			MeasuredAtMillis: b.now.Milliseconds(), StepTokens: 1000, PrefillMicrosPerToken: 100, StepMicros: 1000,
 		},
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -152,9 +152,9 @@
 	})
 }
 
-// Synchronised reports whether every engine that this router places on has reported its status and
+// IsSynchronized reports whether every engine that this router places on has reported its status and
 // has had a complete cache snapshot.
-func (c *Core) Synchronised() bool {
+func (c *Core) IsSynchronized() bool {
 	for _, state := range c.ordered {
 		if !state.isPlaceable() {
 			continue
@@ -173,7 +173,7 @@
 	if state == nil || state.feed == nil {
 		return 0, 0, false
 	}
-	return state.feed.After(), state.run.Incarnation, true
+	return state.feed.LastReceived(), state.run.Incarnation, true
 }
 
 // SetOwned sets which engines this router owns. The router places requests on owned engines only
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -99,7 +99,7 @@
 		QueueTokens:  tokens,
 		QueueTime:    time.Duration(tokens) * state.load.timePerToken(),
 		CachedBlocks: c.index.BlocksOf(state.run),
-		CacheTrusted: state.feed != nil && !state.feed.OutOfSync(),
+		CacheTrusted: state.feed != nil && !state.feed.IsOutOfSync(),
 	}
 	if state.status != nil {
 		described.Role = state.status.Role
--- a/internal/prefixindex/feed.go
+++ b/internal/prefixindex/feed.go
@@ -101,15 +101,15 @@
 // Run returns the engine run that the feed follows.
 func (f *Feed) Run() fleet.EngineRun { return f.run }
 
-// OutOfSync reports whether the feed needs a snapshot: none has been applied yet, events have been
+// IsOutOfSync reports whether the feed needs a snapshot: none has been applied yet, events have been
 // lost since the last one, or one is being stored.
-func (f *Feed) OutOfSync() bool { return f.outOfSync }
+func (f *Feed) IsOutOfSync() bool { return f.outOfSync }
 
 // Counts returns the feed's counts.
 func (f *Feed) Counts() FeedCounts { return f.counts }
 
-// After returns the highest sequence number received, from which to poll the engine.
-func (f *Feed) After() uint64 {
+// LastReceived returns the highest sequence number received, from which to poll the engine.
+func (f *Feed) LastReceived() uint64 {
 	if len(f.buffered) == 0 {
 		return f.applied
 	}
--- a/internal/prefixindex/feed_snapshot.go
+++ b/internal/prefixindex/feed_snapshot.go
@@ -94,7 +94,7 @@
 // count as lost.
 func (f *Feed) checkRemainingGap(now time.Duration) {
 	f.gapSince = now
-	if f.After()-f.applied > f.options.ReorderWindow {
+	if f.LastReceived()-f.applied > f.options.ReorderWindow {
 		f.markOutOfSync()
 	}
 }
--- a/internal/prefixindex/feed_test.go
+++ b/internal/prefixindex/feed_test.go
@@ -35,9 +35,9 @@
 	index, feed := newTestFeed()
 	removed := engine.CacheEvent{Sequence: 3, Kind: engine.BlockRemoved, Hashes: []fleet.BlockHash{2}}
 	require.True(t, apply(feed, 0, removed, storedEvent(1), storedEvent(1), storedEvent(2), removed))
-	assert.False(t, feed.OutOfSync())
+	assert.False(t, feed.IsOutOfSync())
 	assert.Empty(t, index.HoldersOf(2), "the removal takes effect after the store")
-	assert.EqualValues(t, 3, feed.After())
+	assert.EqualValues(t, 3, feed.LastReceived())
 	assert.EqualValues(t, 2, feed.Counts().Duplicates)
 }
 
@@ -48,7 +48,7 @@
 	assert.Equal(t, 1, index.BlocksOf(testRun(1, 7)), "events are applied before the snapshot")
 	require.True(t, feed.RequestSnapshot(0))
 	feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 40, Hashes: testHashes(0, 3)})
-	assert.False(t, feed.OutOfSync())
+	assert.False(t, feed.IsOutOfSync())
 	assert.Equal(t, 4, index.BlocksOf(testRun(1, 7)))
 }
 
@@ -64,9 +64,9 @@
 func TestFeedIsOutOfSyncAfterGap(t *testing.T) {
 	index, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(3))
-	assert.False(t, feed.OutOfSync(), "event 2 may still arrive")
+	assert.False(t, feed.IsOutOfSync(), "event 2 may still arrive")
 	feed.Tick(DefaultGapTimeout)
-	require.True(t, feed.OutOfSync())
+	require.True(t, feed.IsOutOfSync())
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)))
 	assert.True(t, feed.RequestSnapshot(time.Second))
 	assert.False(t, feed.RequestSnapshot(time.Second+1), "a snapshot has been requested already")
@@ -76,10 +76,10 @@
 func TestFeedSnapshotDropsOlderAndReplaysLater(t *testing.T) {
 	index, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(6), storedEvent(7), storedEvent(8))
-	require.True(t, feed.OutOfSync())
+	require.True(t, feed.IsOutOfSync())
 	snapshot := engine.CacheSnapshot{Incarnation: 7, Sequence: 7, Hashes: []fleet.BlockHash{50}}
 	require.True(t, feed.ApplySnapshot(0, snapshot))
-	assert.False(t, feed.OutOfSync())
+	assert.False(t, feed.IsOutOfSync())
 	assert.Equal(t, 2, index.BlocksOf(testRun(1, 7)), "the snapshot and event 8")
 	apply(feed, 0, storedEvent(6))
 	assert.Empty(t, index.HoldersOf(6))
@@ -99,7 +99,7 @@
 	assert.Empty(t, index.Lookup(testHashes(100, 1), nil), "the new set isn't valid yet")
 	assert.False(t, feed.RequestSnapshot(time.Hour))
 	require.True(t, feed.ContinueSnapshot(0, 6))
-	assert.False(t, feed.OutOfSync())
+	assert.False(t, feed.IsOutOfSync())
 	assert.Equal(t, 11, index.BlocksOf(run), "the snapshot and event 3")
 	assert.Empty(t, index.HoldersOf(1))
 
@@ -114,10 +114,10 @@
 	_, feed := newTestFeed()
 	apply(feed, 0, storedEvent(1), storedEvent(9))
 	require.True(t, feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 3}))
-	assert.True(t, feed.OutOfSync())
+	assert.True(t, feed.IsOutOfSync())
 	require.True(t, feed.ApplySnapshot(0, engine.CacheSnapshot{Incarnation: 7, Sequence: 8}))
-	assert.False(t, feed.OutOfSync())
-	assert.EqualValues(t, 9, feed.After())
+	assert.False(t, feed.IsOutOfSync())
+	assert.EqualValues(t, 9, feed.LastReceived())
 }
 
 // TestFeedConvergesAfterLoss guards against an index that differs from the engine's cache after
@@ -149,7 +149,7 @@
 		apply(feed, 0, delayed...)
 		end := engine.CacheEvent{Sequence: uint64(total) + 100, Kind: engine.BlockStored}
 		apply(feed, 0, end)
-		require.True(t, feed.OutOfSync())
+		require.True(t, feed.IsOutOfSync())
 		snapshot := engine.CacheSnapshot{Incarnation: 7, Sequence: end.Sequence}
 		for hash := fleet.BlockHash(0); hash < 10; hash++ {
 			if cache[hash] {
@@ -157,7 +157,7 @@
 			}
 		}
 		require.True(t, feed.ApplySnapshot(0, snapshot))
-		require.False(t, feed.OutOfSync())
+		require.False(t, feed.IsOutOfSync())
 		for hash, held := range cache {
 			assert.Equal(t, held, len(index.HoldersOf(hash)) == 1, "block %d", hash)
 		}
--- a/internal/rollout/catalogue.go
+++ b/internal/rollout/catalogue.go
@@ -10,7 +10,7 @@
 
 // configuredVersion is a version of a model or adapter in the configuration.
 type configuredVersion struct {
-	version engine.Weights
+	version engine.ModelVersion
 	pool    fleet.PoolName
 	state   config.VersionState
 }
@@ -29,7 +29,7 @@
 
 func appendVersions(all []configuredVersion, model config.Model, adapter fleet.AdapterName, versions []config.Version) []configuredVersion {
 	for _, version := range versions {
-		identity := engine.Weights{Model: model.Name, Adapter: adapter, Version: version.Name}
+		identity := engine.ModelVersion{Model: model.Name, Adapter: adapter, Version: version.Name}
 		all = append(all, configuredVersion{version: identity, pool: model.Pool, state: version.State})
 	}
 	return all
@@ -73,6 +73,6 @@
 }
 
 // isSameVariant reports whether two versions belong to the same model and adapter.
-func isSameVariant(a, b engine.Weights) bool {
+func isSameVariant(a, b engine.ModelVersion) bool {
 	return a.Model == b.Model && a.Adapter == b.Adapter
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -141,9 +141,9 @@
 		Str("engine", string(order.Engine)).
 		Uint64("incarnation", uint64(order.Order.Incarnation)).
 		Str("order", string(order.Order.Kind)).
-		Str("model", string(order.Order.Weights.Model)).
-		Str("adapter", string(order.Order.Weights.Adapter)).
-		Str("version", string(order.Order.Weights.Version)).
+		Str("model", string(order.Order.ModelVersion.Model)).
+		Str("adapter", string(order.Order.ModelVersion.Adapter)).
+		Str("version", string(order.Order.ModelVersion.Version)).
 		Str("role", string(order.Order.Role)).
 		Uint64("token", uint64(order.Order.Fence))
 }
--- a/internal/rollout/engines.go
+++ b/internal/rollout/engines.go
@@ -31,11 +31,11 @@
 	return fleet.EngineRun{Engine: e.Status.Engine, Incarnation: e.Status.Incarnation}
 }
 
-func (e Engine) hasLoaded(version engine.Weights) bool {
+func (e Engine) hasLoaded(version engine.ModelVersion) bool {
 	return slices.Contains(e.Status.Loaded, version)
 }
 
-func (e Engine) isLoading(version engine.Weights) bool {
+func (e Engine) isLoading(version engine.ModelVersion) bool {
 	return slices.Contains(e.Status.Loading, version)
 }
 
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -38,7 +38,7 @@
 				continue
 			}
 			order := candidate.order(engine.OrderLoad)
-			order.Order.Weights = wanted.version
+			order.Order.ModelVersion = wanted.version
 			orders = append(orders, order)
 			p.pendingLoads[candidate.run()] = pendingLoad{pool: wanted.pool, version: wanted.version, at: now}
 			free--
@@ -73,7 +73,7 @@
 
 // updateRetired tracks since when each version has been retired.
 func (p *Planner) updateRetired(now time.Duration, versions catalogue) {
-	retired := make(map[engine.Weights]time.Duration)
+	retired := make(map[engine.ModelVersion]time.Duration)
 	for _, candidate := range versions.retired {
 		since, found := p.retiredSince[candidate.version]
 		if !found {
@@ -94,7 +94,7 @@
 			continue
 		}
 		order := candidate.order(engine.OrderUnload)
-		order.Order.Weights = retired.version
+		order.Order.ModelVersion = retired.version
 		orders = append(orders, order)
 	}
 	return orders
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -27,7 +27,7 @@
 // pendingLoad is an ordered load that isn't visible in a status yet.
 type pendingLoad struct {
 	pool    fleet.PoolName
-	version engine.Weights
+	version engine.ModelVersion
 	at      time.Duration
 }
 
@@ -38,7 +38,7 @@
 	// pendingLoads holds at most one load for each run.
 	pendingLoads map[fleet.EngineRun]pendingLoad
 	// retiredSince holds when each version was first seen as retired.
-	retiredSince map[engine.Weights]time.Duration
+	retiredSince map[engine.ModelVersion]time.Duration
 }
 
 // NewPlanner returns a planner without pending loads.
@@ -52,7 +52,7 @@
 	return &Planner{
 		settings:     settings,
 		pendingLoads: make(map[fleet.EngineRun]pendingLoad),
-		retiredSince: make(map[engine.Weights]time.Duration),
+		retiredSince: make(map[engine.ModelVersion]time.Duration),
 	}
 }
 
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	oldVersion     = engine.Weights{Model: "m", Version: "v1"}
-	newVersion     = engine.Weights{Model: "m", Version: "v2"}
-	adapterVersion = engine.Weights{Model: "m", Adapter: "a", Version: "x1"}
+	oldVersion     = engine.ModelVersion{Model: "m", Version: "v1"}
+	newVersion     = engine.ModelVersion{Model: "m", Version: "v2"}
+	adapterVersion = engine.ModelVersion{Model: "m", Adapter: "a", Version: "x1"}
 )
 
 // testDocument returns a document with one model, whose two versions have the given states.
@@ -35,13 +35,13 @@
 	}
 }
 
-func testEngine(id fleet.EngineID, loaded ...engine.Weights) Engine {
+func testEngine(id fleet.EngineID, loaded ...engine.ModelVersion) Engine {
 	status := engine.Status{Engine: id, Incarnation: 1, Role: engine.RoleServe, Loaded: loaded}
 	return Engine{Pool: "p", Status: status}
 }
 
-func loadOrder(id fleet.EngineID, weights engine.Weights) Order {
-	return Order{Engine: id, Order: engine.Order{Incarnation: 1, Kind: engine.OrderLoad, Weights: weights}}
+func loadOrder(id fleet.EngineID, weights engine.ModelVersion) Order {
+	return Order{Engine: id, Order: engine.Order{Incarnation: 1, Kind: engine.OrderLoad, ModelVersion: weights}}
 }
 
 func TestServingVersionsLoadFirstWithinTheLimit(t *testing.T) {
@@ -83,7 +83,7 @@
 func TestRetiredVersionIsUnloadedAfterReplacementAndGracePeriod(t *testing.T) {
 	document := testDocument(config.VersionRetired, config.VersionServing)
 	planner := NewPlanner(PlannerSettings{})
-	unknown := engine.Weights{Model: "m", Version: "v9"}
+	unknown := engine.ModelVersion{Model: "m", Version: "v9"}
 	engines := []Engine{testEngine("a", oldVersion, newVersion, unknown), testEngine("b", oldVersion)}
 	assert.Equal(t, []Order{loadOrder("b", newVersion)}, planner.Plan(0, document, engines))
 
@@ -133,7 +133,7 @@
 	check("v2", "", false, 1, 2)
 	check("x1", "a", false, 1, 2)
 	check("v3", "", false, 0, 0)
-	engines[1].Status.Loaded = []engine.Weights{newVersion}
+	engines[1].Status.Loaded = []engine.ModelVersion{newVersion}
 	check("v2", "", true, 2, 2)
 	document.Directives = []config.Directive{{Engine: "b", Incarnation: 1, Kind: config.DirectiveDrain}}
 	check("x1", "a", true, 1, 1)
@@ -161,7 +161,7 @@
 			for index := range actual {
 				status := &actual[index].Status
 				if len(status.Loading) > 0 && now >= loadingUntil[index] {
-					status.Loaded = append(append([]engine.Weights{}, status.Loaded...), status.Loading...)
+					status.Loaded = append(append([]engine.ModelVersion{}, status.Loaded...), status.Loading...)
 					status.Loading = nil
 				}
 				loading += len(status.Loading)
@@ -174,7 +174,7 @@
 				if random.IntN(4) == 0 {
 					continue // lost
 				}
-				actual[index].Status.Loading = []engine.Weights{order.Order.Weights}
+				actual[index].Status.Loading = []engine.ModelVersion{order.Order.ModelVersion}
 				loadingUntil[index] = now + time.Duration(random.Int64N(int64(3*time.Second)))
 				loading++
 			}
--- a/internal/rollout/promote.go
+++ b/internal/rollout/promote.go
@@ -21,7 +21,7 @@
 	if document == nil {
 		return false, 0, 0
 	}
-	target := engine.Weights{Model: model, Adapter: adapter, Version: version}
+	target := engine.ModelVersion{Model: model, Adapter: adapter, Version: version}
 	all := newCatalogue(document).needed()
 	index := slices.IndexFunc(all, func(candidate configuredVersion) bool { return candidate.version == target })
 	if index < 0 {
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -54,7 +54,7 @@
 	for number := range engines {
 		server := engineserver.New(engineserver.Config{Logger: zerolog.Nop(), Model: enginemodel.Config{
 			ID: fleet.EngineID(fmt.Sprintf("e%d", number)), Incarnation: 1, Zone: "z",
-			Loaded: []engine.Weights{{Model: "m", Version: "v1"}},
+			Loaded: []engine.ModelVersion{{Model: "m", Version: "v1"}},
 		}})
 		require.NoError(t, server.Start(anyPort))
 		t.Cleanup(server.Kill)
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -48,6 +48,6 @@
 
 func (r *Router) isSynchronised() bool {
 	synchronised := false
-	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.Synchronised() })
+	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.IsSynchronized() })
 	return synchronised
 }
--- a/internal/workerlimit/observation.go
+++ b/internal/workerlimit/observation.go
@@ -9,20 +9,20 @@
 // Rate is a limit in requests per second, summed over all nodes.
 type Rate float64
 
-// Statement is what the header of one answer states about the worker's limit.
-type Statement struct {
-	Kind StatementKind
+// AdvertisedLimit is what the header of one answer states about the worker's limit.
+type AdvertisedLimit struct {
+	Kind AdvertisedLimitKind
 	// Rate is set for Limited.
 	Rate Rate
 }
 
-// StatementKind is whether and how an answer states a limit.
-type StatementKind uint8
+// AdvertisedLimitKind is whether and how an answer states a limit.
+type AdvertisedLimitKind uint8
 
 // Kinds of statements.
 const (
 	// Unlimited is an answer without a limit: any earlier one no longer applies.
-	Unlimited StatementKind = iota
+	Unlimited AdvertisedLimitKind = iota
 	// Limited is an answer with a limit.
 	Limited
 	// Unreadable is an answer whose limit can't be parsed. It is ignored.
--- a/lab/capacity/fleetmodel.go
+++ b/lab/capacity/fleetmodel.go
@@ -84,7 +84,7 @@
 		Zone:        zoneName(number),
 		Role:        engine.RoleServe,
 		BlockTokens: blockTokens,
-		Loaded:      []engine.Weights{engine.Weights(servedVersion())},
+		Loaded:      []engine.ModelVersion{engine.ModelVersion(servedVersion())},
 		Load: engine.Load{
 			MeasuredAtMillis: now.Milliseconds(), StepTokens: 1000, PrefillMicrosPerToken: 0.1, StepMicros: 1000,
 		},
--- a/lab/emulator/baselinerouter.go
+++ b/lab/emulator/baselinerouter.go
@@ -170,7 +170,7 @@
 	if observed.feed == nil {
 		return 0, 0, false
 	}
-	return observed.feed.After(), observed.run.Incarnation, true
+	return observed.feed.LastReceived(), observed.run.Incarnation, true
 }
 
 // NeedsSnapshot implements Router.
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -98,7 +98,7 @@
 	id := fleet.EngineID(fmt.Sprintf("engine-%02d", index+1))
 	zone := description.Zones[index%len(description.Zones)]
 	settings := e.options.engineConfig(id, zone)
-	settings.Loaded = []engine.Weights{engine.Weights(description.ModelVersion)}
+	settings.Loaded = []engine.ModelVersion{engine.ModelVersion(description.ModelVersion)}
 	settings.Random = e.newRandom()
 	model := enginemodel.New(settings)
 	host := &engineHost{
--- a/lab/emulator/enginehost.go
+++ b/lab/emulator/enginehost.go
@@ -72,7 +72,7 @@
 		StreamID:     action.Stream,
 		Incarnation:  action.Run.Incarnation,
 		Tenant:       call.request.Tenant,
-		Weights:      engine.Weights(call.request.ModelVersion),
+		Weights:      engine.ModelVersion(call.request.ModelVersion),
 		Hashes:       call.blocks,
 		PromptTokens: call.promptTokens,
 		OutputTokens: call.request.OutputTokens,
--- a/lab/enginemodel/batch_test.go
+++ b/lab/enginemodel/batch_test.go
@@ -172,7 +172,7 @@
 // times.
 func runHashedLoad(requests int) (Counters, time.Duration) {
 	random := rand.New(rand.NewPCG(7, 7))
-	e := New(Config{ID: "e", Loaded: []engine.Weights{testWeights}, BlockIdleTTL: 5 * time.Second, EventLoss: 0.3})
+	e := New(Config{ID: "e", Loaded: []engine.ModelVersion{testWeights}, BlockIdleTTL: 5 * time.Second, EventLoss: 0.3})
 	now, total := time.Duration(0), time.Duration(0)
 	for i := range requests {
 		now += time.Duration(random.IntN(int(80 * time.Millisecond)))
--- a/lab/enginemodel/cache_test.go
+++ b/lab/enginemodel/cache_test.go
@@ -17,8 +17,8 @@
 
 // TestCacheIsNotSharedAcrossScopes guards against cache hits across tenants, adapters or versions.
 func TestCacheIsNotSharedAcrossScopes(t *testing.T) {
-	adapter := engine.Weights{Model: "sahayak", Adapter: "flags", Version: "v1"}
-	newer := engine.Weights{Model: "sahayak", Version: "v2"}
+	adapter := engine.ModelVersion{Model: "sahayak", Adapter: "flags", Version: "v1"}
+	newer := engine.ModelVersion{Model: "sahayak", Version: "v2"}
 	config := testConfig()
 	config.Loaded = append(config.Loaded, adapter, newer)
 	e := New(config)
@@ -27,7 +27,7 @@
 	runToIdle(e)
 	for name, change := range map[string]struct {
 		tenant  fleet.TenantName
-		weights engine.Weights
+		weights engine.ModelVersion
 		cached  int
 	}{
 		"same":    {"ward", testWeights, 39},
@@ -36,7 +36,7 @@
 		"version": {"ward", newer, 0},
 	} {
 		body := request(e, fleet.StreamID(name), text, 1)
-		body.Tenant, body.Weights = change.tenant, change.weights
+		body.Tenant, body.ModelVersion = change.tenant, change.weights
 		require.NoError(t, e.Dispatch(e.now, body))
 		runToIdle(e)
 		frames, _, err := e.Frames(body.StreamID, 1)
@@ -146,10 +146,10 @@
 	require.NoError(t, source.Dispatch(0, foreign))
 	runToIdle(source)
 	hashes := blockHashes("ward", testWeights, text)
-	exported, err := source.Export(source.now, engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
+	exported, err := source.Export(source.now, engine.KVExportRequest{Tenant: "shop", ModelVersion: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	assert.Empty(t, exported.Hashes, "blocks of another tenant are not exported")
-	bundle, err := source.Export(source.now, engine.KVExportRequest{Tenant: "ward", Weights: testWeights, Hashes: hashes})
+	bundle, err := source.Export(source.now, engine.KVExportRequest{Tenant: "ward", ModelVersion: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	require.Equal(t, hashes, bundle.Hashes)
 
@@ -159,7 +159,7 @@
 	_, err = target.Import(0, relabelled)
 	requireCode(t, engine.ErrorChecksum, err)
 	older := bundle
-	older.Weights.Version = "v0"
+	older.ModelVersion.Version = "v0"
 	older.Checksum = older.ComputeChecksum()
 	_, err = target.Import(0, older)
 	requireCode(t, engine.ErrorWeightsNotLoaded, err)
--- a/lab/enginemodel/config.go
+++ b/lab/enginemodel/config.go
@@ -76,7 +76,7 @@
 	// BlockIdleTTL is the idle time after which an unpinned block is evicted.
 	BlockIdleTTL time.Duration
 	// Loaded lists the weights that are loaded at the start.
-	Loaded []engine.Weights
+	Loaded []engine.ModelVersion
 	// KeepWeights loads Loaded again after a restart.
 	KeepWeights bool
 	// FrameRetention is how long the frames of ended streams are kept, MaxRetained for how many
--- a/lab/enginemodel/control_test.go
+++ b/lab/enginemodel/control_test.go
@@ -25,7 +25,7 @@
 
 	body := request(e, "barred", "", 0)
 	body.Incarnation = 2
-	body.Weights.Version = "v9"
+	body.ModelVersion.Version = "v9"
 	requireCode(t, engine.ErrorWrongIncarnation, e.Dispatch(0, body))
 	body.Incarnation = 1
 	requireCode(t, engine.ErrorBarred, e.Dispatch(0, body))
@@ -35,7 +35,7 @@
 	requireCode(t, engine.ErrorDraining, e.Dispatch(0, body))
 	require.NoError(t, e.ApplyOrder(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderResume}))
 	requireCode(t, engine.ErrorWeightsNotLoaded, e.Dispatch(0, body))
-	body.Weights = testWeights
+	body.ModelVersion = testWeights
 	requireCode(t, engine.ErrorBadRequest, e.Dispatch(0, body))
 	body.Prompt, body.MaxTokens = repeatedPrompt("c", 4), 1
 	requireCode(t, engine.ErrorOverloaded, e.Dispatch(0, body))
@@ -105,14 +105,14 @@
 // TestOrdersAreFenced guards against stale or rejected orders that change the engine.
 func TestOrdersAreFenced(t *testing.T) {
 	e := New(testConfig())
-	newer := engine.Weights{Model: "sahayak", Version: "v2"}
-	order := engine.Order{Incarnation: 1, Fence: 7, Kind: engine.OrderLoad, Weights: newer}
+	newer := engine.ModelVersion{Model: "sahayak", Version: "v2"}
+	order := engine.Order{Incarnation: 1, Fence: 7, Kind: engine.OrderLoad, ModelVersion: newer}
 	require.NoError(t, e.ApplyOrder(0, order))
 	require.NoError(t, e.ApplyOrder(100*time.Millisecond, order), "orders are idempotent")
-	assert.Equal(t, []engine.Weights{newer}, e.Status(599*time.Millisecond).Loading)
-	assert.Equal(t, []engine.Weights{testWeights, newer}, e.Status(600*time.Millisecond).Loaded)
+	assert.Equal(t, []engine.ModelVersion{newer}, e.Status(599*time.Millisecond).Loading)
+	assert.Equal(t, []engine.ModelVersion{testWeights, newer}, e.Status(600*time.Millisecond).Loaded)
 
-	stale := engine.Order{Incarnation: 1, Fence: 6, Kind: engine.OrderUnload, Weights: testWeights}
+	stale := engine.Order{Incarnation: 1, Fence: 6, Kind: engine.OrderUnload, ModelVersion: testWeights}
 	requireCode(t, engine.ErrorStaleFence, e.ApplyOrder(e.now, stale))
 	stale.Fence, stale.Incarnation = 8, 2
 	requireCode(t, engine.ErrorWrongIncarnation, e.ApplyOrder(e.now, stale))
@@ -121,7 +121,7 @@
 
 	stale.Incarnation = 1
 	require.NoError(t, e.ApplyOrder(e.now, stale))
-	assert.Equal(t, []engine.Weights{newer}, e.Status(e.now).Loaded)
+	assert.Equal(t, []engine.ModelVersion{newer}, e.Status(e.now).Loaded)
 	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 1, Fence: 8, Kind: engine.OrderRole, Role: engine.RoleDecode}))
 	assert.Equal(t, engine.RoleDecode, e.Status(e.now).Role)
 }
@@ -149,7 +149,7 @@
 	_, found := e.NextWakeup()
 	assert.False(t, found)
 
-	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 2, Fence: 1, Kind: engine.OrderLoad, Weights: testWeights}))
+	require.NoError(t, e.ApplyOrder(e.now, engine.Order{Incarnation: 2, Fence: 1, Kind: engine.OrderLoad, ModelVersion: testWeights}))
 	runToIdle(e)
 	require.NoError(t, e.Dispatch(e.now, request(e, "late", text, 4)), "identifiers can be reused in the next incarnation")
 	runToIdle(e)
--- a/lab/enginemodel/dispatch.go
+++ b/lab/enginemodel/dispatch.go
@@ -17,7 +17,7 @@
 	StreamID    fleet.StreamID
 	Incarnation fleet.Incarnation
 	Tenant      fleet.TenantName
-	Weights     engine.Weights
+	Weights     engine.ModelVersion
 	// Hashes are the hashes of the whole blocks of the prompt. The engine keeps the slice.
 	Hashes []fleet.BlockHash
 	// PromptTokens and OutputTokens are lengths in tokens.
@@ -30,7 +30,7 @@
 // barred identifier, duplicate, draining, weights, request fields and queue length.
 func (e *Engine) Dispatch(now time.Duration, request engine.DispatchRequest) error {
 	e.Advance(now)
-	if failure := e.checkDispatch(request.StreamID, request.Incarnation, request.Weights); failure != nil {
+	if failure := e.checkDispatch(request.StreamID, request.Incarnation, request.ModelVersion); failure != nil {
 		return failure
 	}
 	if request.StreamID == "" || request.MaxTokens < 1 || request.Prompt == "" {
@@ -39,10 +39,10 @@
 	if failure := e.checkQueue(); failure != nil {
 		return failure
 	}
-	scope := cacheScope(request.Tenant, request.Weights)
+	scope := cacheScope(request.Tenant, request.ModelVersion)
 	s := &stream{
 		id:                 request.StreamID,
-		scope:              e.scopeNumber(request.Tenant, request.Weights),
+		scope:              e.scopeNumber(request.Tenant, request.ModelVersion),
 		priority:           request.Priority,
 		hashes:             prompt.HashBlocks(scope, request.Prompt, e.config.BlockTokens),
 		promptTokens:       prompt.CountTokens(request.Prompt),
@@ -86,7 +86,7 @@
 
 // checkDispatch checks everything that depends only on the identity of the stream, the incarnation
 // and the weights.
-func (e *Engine) checkDispatch(id fleet.StreamID, incarnation fleet.Incarnation, weights engine.Weights) error {
+func (e *Engine) checkDispatch(id fleet.StreamID, incarnation fleet.Incarnation, weights engine.ModelVersion) error {
 	if incarnation != e.incarnation {
 		return e.newError(engine.ErrorWrongIncarnation, "dispatch is for another run of this engine")
 	}
--- a/lab/enginemodel/engine.go
+++ b/lab/enginemodel/engine.go
@@ -158,7 +158,7 @@
 	}
 }
 
-func (e *Engine) scopeNumber(tenant fleet.TenantName, weights engine.Weights) int32 {
+func (e *Engine) scopeNumber(tenant fleet.TenantName, weights engine.ModelVersion) int32 {
 	key := cacheScope(tenant, weights)
 	number, found := e.scopes[key]
 	if !found {
@@ -168,7 +168,7 @@
 	return number
 }
 
-func cacheScope(tenant fleet.TenantName, weights engine.Weights) fleet.CacheScope {
+func cacheScope(tenant fleet.TenantName, weights engine.ModelVersion) fleet.CacheScope {
 	return fleet.CacheScope{Tenant: tenant, ModelVersion: fleet.ModelVersion(weights)}
 }
 
--- a/lab/enginemodel/helpers_test.go
+++ b/lab/enginemodel/helpers_test.go
@@ -13,7 +13,7 @@
 	"github.com/tillerfall/tillerfall/internal/prompt"
 )
 
-var testWeights = engine.Weights{Model: "sahayak", Version: "v1"}
+var testWeights = engine.ModelVersion{Model: "sahayak", Version: "v1"}
 
 // testCosts returns round costs: 10 ms per step, 1 ms per output token and 0.1 ms per prompt token.
 func testCosts() Costs {
@@ -33,7 +33,7 @@
 		Costs:       testCosts(),
 		CacheBlocks: 100,
 		BlockTokens: 4,
-		Loaded:      []engine.Weights{testWeights},
+		Loaded:      []engine.ModelVersion{testWeights},
 	}
 }
 
@@ -42,16 +42,16 @@
 
 func request(e *Engine, id fleet.StreamID, text string, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
-		StreamID:    id,
-		Incarnation: e.Incarnation(),
-		Tenant:      "ward",
-		Weights:     testWeights,
-		Prompt:      text,
-		MaxTokens:   maxTokens,
+		StreamID:     id,
+		Incarnation:  e.Incarnation(),
+		Tenant:       "ward",
+		ModelVersion: testWeights,
+		Prompt:       text,
+		MaxTokens:    maxTokens,
 	}
 }
 
-func blockHashes(tenant fleet.TenantName, weights engine.Weights, text string) []fleet.BlockHash {
+func blockHashes(tenant fleet.TenantName, weights engine.ModelVersion, text string) []fleet.BlockHash {
 	return prompt.HashBlocks(cacheScope(tenant, weights), text, 4)
 }
 
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -19,8 +19,8 @@
 // weights of the request.
 func (e *Engine) Export(now time.Duration, request engine.KVExportRequest) (engine.KVBundle, error) {
 	e.Advance(now)
-	bundle := engine.KVBundle{Tenant: request.Tenant, Weights: request.Weights}
-	scope, known := e.scopes[cacheScope(request.Tenant, request.Weights)]
+	bundle := engine.KVBundle{Tenant: request.Tenant, ModelVersion: request.ModelVersion}
+	scope, known := e.scopes[cacheScope(request.Tenant, request.ModelVersion)]
 	for _, hash := range request.Hashes {
 		if !known || !e.blocks.isInScope(hash, scope) {
 			break
@@ -38,11 +38,11 @@
 	if bundle.ComputeChecksum() != bundle.Checksum {
 		return 0, e.newError(engine.ErrorChecksum, "bundle fails its check")
 	}
-	if !e.control.isLoaded(bundle.Weights) {
+	if !e.control.isLoaded(bundle.ModelVersion) {
 		return 0, e.newError(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
 	}
 	readyAt = e.now + time.Duration(len(bundle.Hashes))*e.config.Costs.ImportPerBlock
-	pending := pendingImport{readyAt: readyAt, scope: e.scopeNumber(bundle.Tenant, bundle.Weights), hashes: bundle.Hashes}
+	pending := pendingImport{readyAt: readyAt, scope: e.scopeNumber(bundle.Tenant, bundle.ModelVersion), hashes: bundle.Hashes}
 	position := sort.Search(len(e.imports), func(i int) bool { return e.imports[i].readyAt > readyAt })
 	e.imports = append(e.imports, pendingImport{})
 	copy(e.imports[position+1:], e.imports[position:])
--- a/lab/enginemodel/orders.go
+++ b/lab/enginemodel/orders.go
@@ -9,7 +9,7 @@
 )
 
 type pendingLoad struct {
-	weights engine.Weights
+	weights engine.ModelVersion
 	readyAt time.Duration
 }
 
@@ -18,11 +18,11 @@
 	fence   fleet.FencingToken
 	role    engine.Role
 	leaving bool
-	loaded  []engine.Weights
+	loaded  []engine.ModelVersion
 	loading []pendingLoad
 }
 
-func (c *controlState) isLoaded(weights engine.Weights) bool {
+func (c *controlState) isLoaded(weights engine.ModelVersion) bool {
 	return slices.Contains(c.loaded, weights)
 }
 
@@ -47,15 +47,15 @@
 	})
 }
 
-func (c *controlState) loadingWeights() []engine.Weights {
-	var weights []engine.Weights
+func (c *controlState) loadingWeights() []engine.ModelVersion {
+	var weights []engine.ModelVersion
 	for _, pending := range c.loading {
 		weights = append(weights, pending.weights)
 	}
 	return weights
 }
 
-func (c *controlState) load(weights engine.Weights, readyAt time.Duration) {
+func (c *controlState) load(weights engine.ModelVersion, readyAt time.Duration) {
 	underWay := func(pending pendingLoad) bool { return pending.weights == weights }
 	if c.isLoaded(weights) || slices.ContainsFunc(c.loading, underWay) {
 		return
@@ -63,8 +63,8 @@
 	c.loading = append(c.loading, pendingLoad{weights: weights, readyAt: readyAt})
 }
 
-func (c *controlState) unload(weights engine.Weights) {
-	c.loaded = slices.DeleteFunc(c.loaded, func(other engine.Weights) bool { return other == weights })
+func (c *controlState) unload(weights engine.ModelVersion) {
+	c.loaded = slices.DeleteFunc(c.loaded, func(other engine.ModelVersion) bool { return other == weights })
 	c.loading = slices.DeleteFunc(c.loading, func(pending pendingLoad) bool { return pending.weights == weights })
 }
 
@@ -85,9 +85,9 @@
 	e.control.fence = order.Fence
 	switch order.Kind {
 	case engine.OrderLoad:
-		e.control.load(order.Weights, e.now+e.config.Costs.LoadTime)
+		e.control.load(order.ModelVersion, e.now+e.config.Costs.LoadTime)
 	case engine.OrderUnload:
-		e.control.unload(order.Weights)
+		e.control.unload(order.ModelVersion)
 	case engine.OrderRole:
 		e.control.role = order.Role
 	case engine.OrderRetire:
@@ -102,7 +102,7 @@
 func validateOrder(order engine.Order) string {
 	switch order.Kind {
 	case engine.OrderLoad, engine.OrderUnload:
-		if order.Weights.Model == "" || order.Weights.Version == "" {
+		if order.ModelVersion.Model == "" || order.ModelVersion.Version == "" {
 			return "model and version are required"
 		}
 	case engine.OrderRole:
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -114,7 +114,7 @@
 	Run     fleet.EngineRun
 	Token   fleet.FencingToken
 	Kind    engine.OrderKind
-	Weights engine.Weights
+	Weights engine.ModelVersion
 }
 
 // ConfigurationApplied is recorded when a node applies a configuration.
--- a/lab/localfleet/benchmark_test.go
+++ b/lab/localfleet/benchmark_test.go
@@ -56,12 +56,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	stream, err := client.Dispatch(ctx, engine.DispatchRequest{
-		StreamID:    fleet.StreamID(fmt.Sprintf("direct-%d.1", number)),
-		Incarnation: status.Incarnation,
-		Tenant:      "citizen-app",
-		Weights:     status.Loaded[0],
-		Prompt:      text,
-		MaxTokens:   1,
+		StreamID:     fleet.StreamID(fmt.Sprintf("direct-%d.1", number)),
+		Incarnation:  status.Incarnation,
+		Tenant:       "citizen-app",
+		ModelVersion: status.Loaded[0],
+		Prompt:       text,
+		MaxTokens:    1,
 	})
 	require.NoError(tb, err)
 	defer stream.Close()
--- a/lab/localfleet/localfleet.go
+++ b/lab/localfleet/localfleet.go
@@ -126,7 +126,7 @@
 		BlockTokens: model.BlockTokens,
 		EventDelay:  eventDelay,
 		LoadLag:     loadLag,
-		Loaded:      []engine.Weights{{Model: model.Name, Version: model.Versions[0].Name}},
+		Loaded:      []engine.ModelVersion{{Model: model.Name, Version: model.Versions[0].Name}},
 		KeepWeights: true,
 	}
 }
--- a/lab/simulation/enginecalls.go
+++ b/lab/simulation/enginecalls.go
@@ -13,7 +13,7 @@
 	a := c.agent
 	target := a.world.engineAt(action.Address)
 	incoming := dispatchCall{grantedRun: action.Run, request: engine.DispatchRequest{
-		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, Weights: engine.Weights(c.version),
+		StreamID: action.Stream, Incarnation: action.Run.Incarnation, Tenant: c.request.tenant, ModelVersion: engine.ModelVersion(c.version),
 		Prompt: c.request.prompt, MaxTokens: c.request.maxTokens, Priority: action.Priority, Continuation: action.Continuation,
 	}}
 	if a.world.options.Variant == DropContinuation {
--- a/lab/simulation/enginehost.go
+++ b/lab/simulation/enginehost.go
@@ -38,7 +38,7 @@
 		ID: id, Zone: zone, Costs: w.options.costs(),
 		CacheBlocks: w.options.CacheBlocks, BlockTokens: blockTokens,
 		EventDelay: w.options.EventDelay, EventLoss: w.options.EventLoss, LoadLag: w.options.LoadLag,
-		Loaded: []engine.Weights{{Model: model, Version: firstVersion}}, KeepWeights: true,
+		Loaded: []engine.ModelVersion{{Model: model, Version: firstVersion}}, KeepWeights: true,
 		RecordHistory: true, Random: w.newRandom(),
 	})
 	return host
@@ -146,7 +146,7 @@
 func (h *engineHost) serveOrder(order engine.Order, reply func(any) time.Duration) {
 	err := h.model.ApplyOrder(h.now(), order)
 	if err == nil {
-		h.world.record(history.OrderExecuted{Run: h.currentRun(), Token: order.Fence, Kind: order.Kind, Weights: order.Weights})
+		h.world.record(history.OrderExecuted{Run: h.currentRun(), Token: order.Fence, Kind: order.Kind, Weights: order.ModelVersion})
 		if order.Kind == engine.OrderRetire {
 			h.world.record(history.EngineLeaving{Run: h.currentRun(), Source: "engine"})
 		}
--- a/lab/spill/engine.go
+++ b/lab/spill/engine.go
@@ -26,7 +26,7 @@
 func newEngineHost(w *world, id string, pool, zone int) *engineHost {
 	model := enginemodel.New(enginemodel.Config{
 		ID: fleet.EngineID(id), Zone: zoneName(zone), BlockTokens: blockTokens, MaxRunning: maxStreams, CacheBlocks: w.options.CacheBlocks,
-		EventDelay: eventDelay, LoadLag: loadLag, Loaded: []engine.Weights{engine.Weights(modelVersion(pool))},
+		EventDelay: eventDelay, LoadLag: loadLag, Loaded: []engine.ModelVersion{engine.ModelVersion(modelVersion(pool))},
 	})
 	location := membership.Location{Zone: zoneName(zone)}
 	return &engineHost{
@@ -49,7 +49,7 @@
 	stream := fleet.StreamID(c.request.ID)
 	err := h.model.DispatchHashed(now, enginemodel.HashedRequest{
 		StreamID: stream, Incarnation: grant.Run.Incarnation, Tenant: c.request.Tenant,
-		Weights: engine.Weights(c.request.ModelVersion), Hashes: c.blocks,
+		Weights: engine.ModelVersion(c.request.ModelVersion), Hashes: c.blocks,
 		PromptTokens: c.request.PromptTokens(), OutputTokens: c.request.OutputTokens, Priority: grant.Priority,
 	})
 	if err != nil {
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -21,7 +21,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-var testWeights = engine.Weights{Model: "lm-fab", Version: "v1"}
+var testWeights = engine.ModelVersion{Model: "lm-fab", Version: "v1"}
 
 var testPrompt = strings.Repeat("fab rule ", 40)
 
@@ -29,7 +29,7 @@
 func start(t *testing.T, change func(*engineserver.Config)) (*engineserver.Server, *engine.Client) {
 	config := engineserver.Config{
 		Model: enginemodel.Config{
-			ID: "engine-1", Incarnation: 1, Loaded: []engine.Weights{testWeights}, KeepWeights: true, BlockTokens: 4,
+			ID: "engine-1", Incarnation: 1, Loaded: []engine.ModelVersion{testWeights}, KeepWeights: true, BlockTokens: 4,
 			Costs: enginemodel.Costs{StepBase: time.Millisecond, LoadTime: 5 * time.Millisecond},
 		},
 		Logger: zerolog.Nop(),
@@ -49,7 +49,7 @@
 
 func newDispatch(id fleet.StreamID, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
-		StreamID: id, Incarnation: 1, Tenant: "shop", Weights: testWeights, Prompt: testPrompt, MaxTokens: maxTokens,
+		StreamID: id, Incarnation: 1, Tenant: "shop", ModelVersion: testWeights, Prompt: testPrompt, MaxTokens: maxTokens,
 	}
 }
 
@@ -134,7 +134,7 @@
 	require.NoError(t, err, "a position beyond the last event is answered at once")
 	assert.Empty(t, ahead.Events)
 
-	bundle, err := client.Export(t.Context(), engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
+	bundle, err := client.Export(t.Context(), engine.KVExportRequest{Tenant: "shop", ModelVersion: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	require.Equal(t, hashes, bundle.Hashes)
 	_, other := start(t, nil)
--- a/test/integration/lease_test.go
+++ b/test/integration/lease_test.go
@@ -96,7 +96,7 @@
 	return true
 }
 
-var secondVersion = engine.Weights{Model: model, Version: "v2"}
+var secondVersion = engine.ModelVersion{Model: model, Version: "v2"}
 
 func loadedAfterToken(token int) func(engine.Status) bool {
 	return func(status engine.Status) bool {
@@ -108,7 +108,7 @@
 	return !contains(status.Loaded, secondVersion) && !contains(status.Loading, secondVersion)
 }
 
-func contains(weights []engine.Weights, wanted engine.Weights) bool {
+func contains(weights []engine.ModelVersion, wanted engine.ModelVersion) bool {
 	for _, loaded := range weights {
 		if loaded == wanted {
 			return true
