--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -49,7 +49,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	body, failure := openai.Parse(endpoint, data)
+	body, failure := openai.ParseRequest(endpoint, data)
 	if failure != nil {
 		return nil, failure
 	}
--- a/internal/attempt/streaming.go
+++ b/internal/attempt/streaming.go
@@ -17,7 +17,7 @@
 		m.fail(resultcode.InvalidParameter, reason, 0)
 	case engine.ErrorOverloaded:
 		m.onNotDispatched(resultcode.Overloaded, reason, false)
-	case engine.ErrorWeightsNotLoaded:
+	case engine.ErrorVersionNotLoaded:
 		m.onNotDispatched(resultcode.StaleWeights, reason, false)
 	default:
 		m.onNotDispatched(resultcode.NoEngine, reason, event.Code == engine.ErrorWrongIncarnation)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -28,8 +28,8 @@
 	control *http.Client
 }
 
-// New returns a client for the engine at address with its own connection pool.
-func New(address fleet.Address, options Options) *Client {
+// NewClient returns a client for the engine at address with its own connection pool.
+func NewClient(address fleet.Address, options Options) *Client {
 	return NewConnectionPool(options).Client(address)
 }
 
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	address := fleet.Address(listener.Addr().String())
 	require.NoError(t, listener.Close())
-	_, err = engine.New(address, engine.Options{}).Dispatch(t.Context(), testDispatch)
+	_, err = engine.NewClient(address, engine.Options{}).Dispatch(t.Context(), testDispatch)
 	failure := requireEngineError(t, err)
 	assert.Equal(t, engine.ErrorConnect, failure.Code)
 	assert.Equal(t, engine.OutcomeNotSent, failure.Outcome())
@@ -68,7 +68,7 @@
 
 func TestDispatchWithLostResponseIsUnknownAndSentOnce(t *testing.T) {
 	address, connections := serveRaw(t, func(net.Conn) {})
-	client := engine.New(address, engine.Options{})
+	client := engine.NewClient(address, engine.Options{})
 	for attempt := range int32(3) {
 		_, err := client.Dispatch(t.Context(), testDispatch)
 		failure := requireEngineError(t, err)
@@ -84,7 +84,7 @@
 	address, _ := serveRaw(t, func(net.Conn) { <-done })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err := engine.New(address, engine.Options{}).Dispatch(ctx, testDispatch)
+	_, err := engine.NewClient(address, engine.Options{}).Dispatch(ctx, testDispatch)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, engine.OutcomeUnknown, requireEngineError(t, err).Outcome())
 }
@@ -100,9 +100,9 @@
 		engine.WriteError(writer, &engine.Error{Code: code, Message: "why", Incarnation: 7})
 	}))
 	defer server.Close()
-	client := engine.New(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{})
+	client := engine.NewClient(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{})
 	for want, codes := range map[engine.Outcome][]engine.ErrorCode{
-		engine.OutcomeRejected: {engine.ErrorWrongIncarnation, engine.ErrorWeightsNotLoaded, engine.ErrorBarred,
+		engine.OutcomeRejected: {engine.ErrorWrongIncarnation, engine.ErrorVersionNotLoaded, engine.ErrorBarred,
 			engine.ErrorDraining, engine.ErrorOverloaded, engine.ErrorBadRequest},
 		engine.OutcomeUnknown: {engine.ErrorDuplicate, engine.ErrorInternal, "new_code", ""},
 	} {
@@ -127,7 +127,7 @@
 	response := append(head, body...)
 	var length atomic.Int32
 	address, _ := serveRaw(t, func(connection net.Conn) { _, _ = connection.Write(response[:length.Load()]) })
-	client := engine.New(address, engine.Options{})
+	client := engine.NewClient(address, engine.Options{})
 	for cut := range len(response) + 1 {
 		length.Store(int32(cut))
 		stream, err := client.Dispatch(t.Context(), testDispatch)
@@ -176,7 +176,7 @@
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = writer.Write(body.Bytes())
 		}))
-		client := engine.New(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{})
+		client := engine.NewClient(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{})
 		stream, err := client.Dispatch(t.Context(), testDispatch)
 		require.NoError(t, err)
 		read, err := readAll(t.Context(), stream)
@@ -191,7 +191,7 @@
 		_, _ = writer.Write([]byte(`{"engine":"` + strings.Repeat("x", 2000) + `"}`))
 	}))
 	defer server.Close()
-	client := engine.New(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{MaxBodyBytes: 1000})
+	client := engine.NewClient(fleet.Address(strings.TrimPrefix(server.URL, "http://")), engine.Options{MaxBodyBytes: 1000})
 	_, err := client.Status(t.Context())
 	assert.Equal(t, engine.ErrorProtocol, requireEngineError(t, err).Code)
 }
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -58,7 +58,7 @@
 		return OutcomeNotSent
 	}
 	switch e.Code {
-	case ErrorWrongIncarnation, ErrorWeightsNotLoaded, ErrorBarred,
+	case ErrorWrongIncarnation, ErrorVersionNotLoaded, ErrorBarred,
 		ErrorDraining, ErrorOverloaded, ErrorBadRequest:
 		return OutcomeRejected
 	default:
@@ -73,7 +73,7 @@
 		return http.StatusBadRequest
 	case ErrorUnknownStream:
 		return http.StatusNotFound
-	case ErrorWrongIncarnation, ErrorBarred, ErrorDuplicate, ErrorStaleFence, ErrorWeightsNotLoaded:
+	case ErrorWrongIncarnation, ErrorBarred, ErrorDuplicate, ErrorStaleFence, ErrorVersionNotLoaded:
 		return http.StatusConflict
 	case ErrorDraining, ErrorOverloaded:
 		return http.StatusServiceUnavailable
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -85,7 +85,7 @@
 // for the rejected dispatch.
 const (
 	ErrorWrongIncarnation ErrorCode = "wrong_incarnation"
-	ErrorWeightsNotLoaded ErrorCode = "weights_not_loaded"
+	ErrorVersionNotLoaded ErrorCode = "weights_not_loaded"
 	ErrorBarred           ErrorCode = "barred"
 	ErrorDuplicate        ErrorCode = "duplicate_stream"
 	ErrorDraining         ErrorCode = "draining"
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -212,7 +212,7 @@
 
 // observeLimit records what a response to a request states about its worker's limit.
 func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info ResponseInfo) {
-	if !hasLimitStatement(info) {
+	if !hasValidLimit(info) {
 		return
 	}
 	observation := workerlimit.Observation{
@@ -225,9 +225,9 @@
 	}
 }
 
-// hasLimitStatement reports whether a response is a valid statement of the worker about its limit.
+// hasValidLimit reports whether a response is a valid statement of the worker about its limit.
 // A response of another run is not. A rejection may omit the limit, so it doesn't end one.
-func hasLimitStatement(info ResponseInfo) bool {
+func hasValidLimit(info ResponseInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
 		return !info.Misdirected
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -24,13 +24,13 @@
 
 func TestLimitStatementMustComeFromTheWorker(t *testing.T) {
 	limited := workerlimit.AdvertisedLimit{Kind: workerlimit.Limited, Rate: 2}
-	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
-	assert.True(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
-	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "response of another run")
-	assert.True(t, hasLimitStatement(ResponseInfo{Signed: true}))
-	assert.False(t, hasLimitStatement(ResponseInfo{}), "unsigned response")
-	assert.False(t, hasLimitStatement(ResponseInfo{NotExecuted: true, Signed: true}))
-	assert.False(t, hasLimitStatement(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.AdvertisedLimit{Kind: workerlimit.Unreadable}}}))
+	assert.True(t, hasValidLimit(ResponseInfo{Signed: true, Notice: Notice{Limit: limited}}))
+	assert.True(t, hasValidLimit(ResponseInfo{NotExecuted: true, Notice: Notice{Limit: limited}}), "rejection with a limit")
+	assert.False(t, hasValidLimit(ResponseInfo{NotExecuted: true, Notice: Notice{Misdirected: true, Limit: limited}}), "response of another run")
+	assert.True(t, hasValidLimit(ResponseInfo{Signed: true}))
+	assert.False(t, hasValidLimit(ResponseInfo{}), "unsigned response")
+	assert.False(t, hasValidLimit(ResponseInfo{NotExecuted: true, Signed: true}))
+	assert.False(t, hasValidLimit(ResponseInfo{Signed: true, Notice: Notice{Limit: workerlimit.AdvertisedLimit{Kind: workerlimit.Unreadable}}}))
 }
 
 // Encoding must not make an observation younger than the call that delivered it.
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -88,7 +88,7 @@
 // deriveRolesWithOptions is deriveRoles with further options.
 func deriveRolesWithOptions(self fleet.NodeID, zone fleet.ZoneName, view *membership.View, demand float64, fallback bool,
 	options membership.RoleOptions) *nodeRoles {
-	all := membership.Assign(view, demand, options)
+	all := membership.AssignRoles(view, demand, options)
 	candidates := all.Candidates(rolloutLease)
 	roles := &nodeRoles{
 		Roles: all, view: view, demand: demand, fallbackCandidate: fallback,
--- a/internal/gateway/roles_test.go
+++ b/internal/gateway/roles_test.go
@@ -63,7 +63,7 @@
 
 func TestLoadsAreSharedAmongServingNodesAndCandidates(t *testing.T) {
 	view := largeFleet(195)
-	all := membership.Assign(view, 100, membership.RoleOptions{})
+	all := membership.AssignRoles(view, 100, membership.RoleOptions{})
 	candidates := all.Candidates(rolloutLease)
 	sharingCount := 0
 	for _, member := range view.Members() {
--- a/internal/membership/discovery_test.go
+++ b/internal/membership/discovery_test.go
@@ -51,16 +51,16 @@
 
 func TestRoutersForIsStable(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, append(equal(2, 800), equal(20, 200)...)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
-	roles := Assign(view, 1500, RoleOptions{})
+	roles := AssignRoles(view, 1500, RoleOptions{})
 	node := view.Members()[7].Node
-	assert.Equal(t, roles.RoutersFor(northA, node, always), Assign(view, 1500, RoleOptions{}).RoutersFor(northA, node, always))
+	assert.Equal(t, roles.RoutersFor(northA, node, always), AssignRoles(view, 1500, RoleOptions{}).RoutersFor(northA, node, always))
 }
 
 // TestRoutersForLeavesOutUnreachableMembers guards against returning unreachable members, and
 // against a responder that is itself partitioned leaving out all the others.
 func TestRoutersForLeavesOutUnreachableMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
-	roles := Assign(view, 60, RoleOptions{})
+	roles := AssignRoles(view, 60, RoleOptions{})
 	node := view.Members()[0].Node
 	outsideA := func(member Member) bool { return member.Zone != "a" }
 	response := roles.RoutersFor(northA, node, outsideA)
@@ -80,7 +80,7 @@
 // zone's two serving members fails.
 func TestSingleRouterGetsNearbyFallback(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
-	roles := Assign(view, 60, RoleOptions{})
+	roles := AssignRoles(view, 60, RoleOptions{})
 	var failed fleet.NodeID
 	for _, member := range roles.Serving {
 		if member.Zone == "a" {
@@ -102,14 +102,14 @@
 // its members.
 func TestSmallFleetReturnsAllMembers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(3, 200)}, zoneMembers{northB, equal(2, 200)}, zoneMembers{southC, equal(2, 200)})
-	roles := Assign(view, 60, RoleOptions{})
+	roles := AssignRoles(view, 60, RoleOptions{})
 	assert.Len(t, roles.RoutersFor(northA, view.Members()[0].Node, always), 7)
 	assert.Len(t, roles.RoutersFor(Location{}, "", always), 7)
 }
 
 func TestCallersOfUnknownLocationUseAllGroups(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)})
-	roles := Assign(view, 60, RoleOptions{})
+	roles := AssignRoles(view, 60, RoleOptions{})
 	assert.Len(t, roles.RoutersFor(Location{}, view.Members()[0].Node, always), 6)
 	named := roles.RoutersFor(Location{Region: "north"}, view.Members()[0].Node, always)
 	assert.Len(t, named, 4, "callers of an unknown zone use the groups of their region")
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -96,9 +96,9 @@
 	candidates      map[string][]fleet.NodeID
 }
 
-// Assign assigns roles to the members of a view. demand is the total rate of requests from callers,
+// AssignRoles assigns roles to the members of a view. demand is the total rate of requests from callers,
 // in requests per second.
-func Assign(view *View, demand float64, options RoleOptions) *Roles {
+func AssignRoles(view *View, demand float64, options RoleOptions) *Roles {
 	options.setDefaults()
 	roles := &Roles{
 		options:    options,
--- a/internal/membership/roles_test.go
+++ b/internal/membership/roles_test.go
@@ -29,14 +29,14 @@
 
 func TestLargestMembersServeFirst(t *testing.T) {
 	view := mixedFleet(6, 73)
-	roles := Assign(view, 1650, RoleOptions{})
+	roles := AssignRoles(view, 1650, RoleOptions{})
 	require.Len(t, roles.Serving, 6)
 	for _, member := range roles.Serving {
 		assert.EqualValues(t, 800, member.Capacity)
 		assert.True(t, roles.IsServing(member.Node))
 	}
-	assert.Len(t, Assign(view, 0, RoleOptions{}).Serving, 6, "the minimum serves without demand")
-	more := Assign(view, 1750, RoleOptions{})
+	assert.Len(t, AssignRoles(view, 0, RoleOptions{}).Serving, 6, "the minimum serves without demand")
+	more := AssignRoles(view, 1750, RoleOptions{})
 	assert.Len(t, more.Serving, 9, "one more small member in each zone")
 	for _, zone := range []fleet.ZoneName{"z0", "z1", "z2"} {
 		shares := expectedShares(t, more, Location{Zone: zone})
@@ -50,12 +50,12 @@
 		assert.EqualValues(t, 1800, servingCapacity)
 		assert.GreaterOrEqual(t, servingCapacity*DefaultUtilization/DefaultRequestCost, 1750.0/3)
 	}
-	assert.Len(t, Assign(view, 1e6, RoleOptions{}).Serving, 79)
-	assert.Len(t, Assign(mixedFleet(0, 5), 1e6, RoleOptions{}).Serving, 5)
+	assert.Len(t, AssignRoles(view, 1e6, RoleOptions{}).Serving, 79)
+	assert.Len(t, AssignRoles(mixedFleet(0, 5), 1e6, RoleOptions{}).Serving, 5)
 }
 
 func TestCandidatesAndReadersAreNonServing(t *testing.T) {
-	roles := Assign(mixedFleet(6, 73), 300, RoleOptions{})
+	roles := AssignRoles(mixedFleet(6, 73), 300, RoleOptions{})
 	candidates := roles.Candidates("duty")
 	require.Len(t, candidates, DefaultCandidates)
 	for _, node := range candidates {
@@ -79,7 +79,7 @@
 }
 
 func TestSmallFleetUsesAllMembers(t *testing.T) {
-	roles := Assign(mixedFleet(0, 7), 100, RoleOptions{})
+	roles := AssignRoles(mixedFleet(0, 7), 100, RoleOptions{})
 	assert.True(t, roles.SmallFleet)
 	assert.True(t, roles.IsReader("node-000"))
 	assert.Len(t, roles.Serving, 7)
@@ -116,7 +116,7 @@
 // not serve.
 func TestCandidatesAreLargestMembers(t *testing.T) {
 	for _, large := range []int{12, 40} {
-		roles := Assign(mixedFleet(large, 300), 100, RoleOptions{})
+		roles := AssignRoles(mixedFleet(large, 300), 100, RoleOptions{})
 		candidates := roles.Candidates("duty")
 		require.Len(t, candidates, DefaultCandidates)
 		for _, candidate := range candidates {
@@ -142,7 +142,7 @@
 			State: Alive, Capacity: 200,
 		})
 	}
-	roles := Assign(NewView(1, members[0], members), 10, RoleOptions{})
+	roles := AssignRoles(NewView(1, members[0], members), 10, RoleOptions{})
 	first := roles.ReaderOrder("z1", "node-001")[0]
 	next := make(map[fleet.NodeID]int)
 	for number := 1; number < 500; number += 5 {
--- a/internal/membership/serving_test.go
+++ b/internal/membership/serving_test.go
@@ -85,7 +85,7 @@
 
 func TestCallersStayInZoneWithinCapacity(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
-	roles := Assign(view, 150, RoleOptions{Utilization: 0.5, DemandByLocation: map[Location]float64{northA: 90, northB: 40, southC: 20}})
+	roles := AssignRoles(view, 150, RoleOptions{Utilization: 0.5, DemandByLocation: map[Location]float64{northA: 90, northB: 40, southC: 20}})
 	assert.Len(t, roles.Serving, 6, "two members of capacity 200 sustain 100 requests per second")
 	for _, from := range []Location{northA, northB, southC} {
 		assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, from))[from.Zone], 1e-9)
@@ -94,7 +94,7 @@
 
 func TestCallersStayInRegionWhenZonesAreTooMany(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(5, 200)}, zoneMembers{northB, equal(5, 200)}, zoneMembers{southC, equal(5, 200)}, zoneMembers{southD, equal(5, 200)})
-	roles := Assign(view, 60, RoleOptions{Utilization: 0.5})
+	roles := AssignRoles(view, 60, RoleOptions{Utilization: 0.5})
 	assert.Len(t, roles.Serving, 6, "four zones with two members each would need eight")
 	for _, from := range []Location{northA, northB, southC, southD} {
 		for _, named := range roles.RoutersFor(from, roles.Serving[0].Node, always) {
@@ -108,7 +108,7 @@
 	for _, zone := range []fleet.ZoneName{"a", "b", "c", "d"} {
 		assert.Positive(t, zones[zone], "serving members must be spread over the region's zones")
 	}
-	roles = Assign(view, 380, RoleOptions{Utilization: 0.5})
+	roles = AssignRoles(view, 380, RoleOptions{Utilization: 0.5})
 	assert.InDelta(t, 1, sharesByZone(view, expectedShares(t, roles, northA))["a"], 1e-9, "enough members serve to group by zone")
 }
 
@@ -117,7 +117,7 @@
 func TestZoneOverflowGoesToSameRegion(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
-	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
+	roles := AssignRoles(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	byZone := sharesByZone(view, expectedShares(t, roles, northA))
 	assert.InDelta(t, 0.5, byZone["a"], 0.02, "four members sustain 200 of 400")
 	assert.InDelta(t, 0.5, byZone["b"], 0.02)
@@ -137,7 +137,7 @@
 func TestOverflowIsAttributedToOriginZone(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(4, 200)}, zoneMembers{northB, equal(20, 200)}, zoneMembers{southC, equal(20, 200)})
 	origins := map[Location]float64{northA: 400, northB: 100, southC: 100}
-	roles := Assign(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
+	roles := AssignRoles(view, 600, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	again := roles.DemandByOrigin(map[Location]float64{northA: 200, northB: 300, southC: 100})
 	for location, rate := range origins {
 		assert.InDelta(t, rate, again[location], 1, location)
@@ -151,7 +151,7 @@
 func TestLostRegionOverflowsBySpareCapacity(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(20, 200)}, zoneMembers{northB, equal(8, 200)})
 	origins := map[Location]float64{northA: 100, northB: 350, southC: 500}
-	roles := Assign(view, 950, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
+	roles := AssignRoles(view, 950, RoleOptions{Utilization: 0.5, DemandByLocation: origins})
 	parts := map[fleet.ZoneName]float64{}
 	for _, member := range view.Members() {
 		response := roles.RoutersFor(southC, member.Node, always)
@@ -190,7 +190,7 @@
 		if members <= DefaultSmallFleet {
 			continue
 		}
-		plan := Assign(fleetOf(zones...), total, RoleOptions{Utilization: 0.5, DemandByLocation: origins}).plan
+		plan := AssignRoles(fleetOf(zones...), total, RoleOptions{Utilization: 0.5, DemandByLocation: origins}).plan
 		capacity := 0.0
 		for _, group := range plan.groups {
 			capacity += group.capacity
@@ -218,9 +218,9 @@
 
 func TestMembersUnderPressureGetFewerCallers(t *testing.T) {
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
-	before := Assign(view, 90, RoleOptions{Utilization: 0.5})
+	before := AssignRoles(view, 90, RoleOptions{Utilization: 0.5})
 	busy := before.RoutersFor(northA, view.Members()[0].Node, always)[0].Node
-	after := Assign(view, 240, RoleOptions{Utilization: 0.5, CapacityFactors: map[fleet.NodeID]float64{busy: 0.5}})
+	after := AssignRoles(view, 240, RoleOptions{Utilization: 0.5, CapacityFactors: map[fleet.NodeID]float64{busy: 0.5}})
 	shares := expectedShares(t, after, northA)
 	assert.Less(t, shares[busy], 0.51*0.5, "at most half of its earlier share")
 	assert.True(t, after.IsServing(busy), "a member under pressure must not be replaced")
@@ -237,10 +237,10 @@
 	view := fleetOf(zones...)
 	b.Run("assign, 676 members", func(b *testing.B) {
 		for b.Loop() {
-			Assign(view, 5000, RoleOptions{Utilization: 0.5})
+			AssignRoles(view, 5000, RoleOptions{Utilization: 0.5})
 		}
 	})
-	roles := Assign(view, 5000, RoleOptions{Utilization: 0.5})
+	roles := AssignRoles(view, 5000, RoleOptions{Utilization: 0.5})
 	b.Run("routers for caller, 676 members", func(b *testing.B) {
 		for b.Loop() {
 			roles.RoutersFor(Location{"r0", "z0"}, view.Members()[3].Node, always)
@@ -268,7 +268,7 @@
 	assert.Equal(t, 2, hysteresis.Observe(44*time.Second, 50, map[Location]int{northA: 2})[northA], "lower planned demand must reset the sizes")
 	assert.NotContains(t, hysteresis.Observe(45*time.Second, 50, nil), northA, "a group that no longer exists must be removed")
 	view := fleetOf(zoneMembers{northA, equal(10, 200)}, zoneMembers{northB, equal(10, 200)}, zoneMembers{southC, equal(10, 200)})
-	roles := Assign(view, 60, RoleOptions{MinServingByLocation: map[Location]int{northA: 4, southC: 99}})
+	roles := AssignRoles(view, 60, RoleOptions{MinServingByLocation: map[Location]int{northA: 4, southC: 99}})
 	assert.Equal(t, map[Location]int{northA: 2, northB: 2, southC: 2}, roles.Needed())
 	assert.Len(t, roles.Serving, 4+2+10)
 }
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -50,8 +50,8 @@
 	Echo   *bool `json:"echo"`
 }
 
-// Parse decodes and validates the request body for an endpoint.
-func Parse(endpoint Endpoint, body []byte) (Request, *Failure) {
+// ParseRequest decodes and validates the request body for an endpoint.
+func ParseRequest(endpoint Endpoint, body []byte) (Request, *Failure) {
 	if endpoint == Chat {
 		return parseChat(body)
 	}
--- a/internal/openai/request_test.go
+++ b/internal/openai/request_test.go
@@ -52,7 +52,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, failure := openai.Parse(test.endpoint, []byte(test.body))
+			_, failure := openai.ParseRequest(test.endpoint, []byte(test.body))
 			require.NotNil(t, failure)
 			assert.Equal(t, test.code, failure.Code)
 			assert.Equal(t, test.param, failure.Param)
@@ -63,7 +63,7 @@
 func TestParseIgnoresUnknownFields(t *testing.T) {
 	body := `{"model":"m:a","prompt":["text"],"max_tokens":3,"stream":true,"user":"u",` +
 		`"stop":null,"stream_options":{"include_usage":true},"vendor":{"x":[1]}}`
-	request, failure := openai.Parse(openai.Completion, []byte(body))
+	request, failure := openai.ParseRequest(openai.Completion, []byte(body))
 	require.Nil(t, failure)
 	want := openai.Request{
 		Endpoint: openai.Completion, Model: "m:a", Prompt: "text", MaxTokens: 3, Stream: true, IncludeUsage: true,
@@ -72,7 +72,7 @@
 }
 
 func chatPrompt(t *testing.T, messages string) string {
-	request, failure := openai.Parse(openai.Chat, []byte(`{"model":"m","messages":[`+messages+`]}`))
+	request, failure := openai.ParseRequest(openai.Chat, []byte(`{"model":"m","messages":[`+messages+`]}`))
 	require.Nil(t, failure)
 	return request.Prompt
 }
@@ -130,7 +130,7 @@
 		if chat {
 			endpoint = openai.Chat
 		}
-		request, failure := openai.Parse(endpoint, body)
+		request, failure := openai.ParseRequest(endpoint, body)
 		if failure != nil {
 			require.True(t, resultcode.Lookup(failure.Code).NotRun)
 			return
--- a/internal/router/enginestatus.go
+++ b/internal/router/enginestatus.go
@@ -142,7 +142,7 @@
 func (f *engineFleet) pollStatus(ctx context.Context, machine platform.Machine) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	client := engine.New(machine.Address, engine.Options{})
+	client := engine.NewClient(machine.Address, engine.Options{})
 	defer client.CloseIdle()
 	status, err := client.Status(ctx)
 	if err == nil && string(status.Engine) == machine.ID {
@@ -161,6 +161,6 @@
 	if !found {
 		return nil, nil, false
 	}
-	client = engine.New(machine.Address, engine.Options{})
+	client = engine.NewClient(machine.Address, engine.Options{})
 	return client, client.CloseIdle, true
 }
--- a/internal/router/enginewatcher.go
+++ b/internal/router/enginewatcher.go
@@ -53,7 +53,7 @@
 	return &engineWatcher{
 		id:                fleet.EngineID(machine.ID),
 		address:           machine.Address,
-		client:            engine.New(machine.Address, engine.Options{}),
+		client:            engine.NewClient(machine.Address, engine.Options{}),
 		placer:            engines.placer,
 		statuses:          engines.statuses,
 		metrics:           engines.metrics,
--- a/internal/workerbackoff/retryscheduler.go
+++ b/internal/workerbackoff/retryscheduler.go
@@ -11,8 +11,8 @@
 	goldenRatio = 0.618033988749895
 )
 
-// PriorityLevels is the number of priorities; 0 is the most urgent.
-const PriorityLevels = 10
+// PriorityCount is the number of priorities; 0 is the most urgent.
+const PriorityCount = 10
 
 // RetryScheduler assigns retry times to callers that were refused because all workers are closed.
 // The times differ, and more urgent callers retry first.
@@ -27,6 +27,6 @@
 	r.phase += goldenRatio
 	r.phase -= float64(int(r.phase))
 	spread := min(max(opensIn, minRetrySpread), maxRetrySpread)
-	level := float64(min(max(priority, 0), PriorityLevels-1))
-	return opensIn + time.Duration((level+r.phase)/PriorityLevels*float64(spread))
+	level := float64(min(max(priority, 0), PriorityCount-1))
+	return opensIn + time.Duration((level+r.phase)/PriorityCount*float64(spread))
 }
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -25,8 +25,8 @@
 	bucketIdleTimeout = 30 * time.Second
 )
 
-// PriorityLevels is the number of priorities; 0 is the most urgent.
-const PriorityLevels = 10
+// PriorityCount is the number of priorities; 0 is the most urgent.
+const PriorityCount = 10
 
 // Grant is the answer to a node that asks to send one request to a worker.
 type Grant struct {
@@ -55,7 +55,7 @@
 		l.buckets[worker] = known
 	}
 	known.refill(now, max(Rate(float64(rate)*fraction), minRate))
-	return known.acquire(now, min(max(priority, 0), PriorityLevels-1))
+	return known.acquire(now, min(max(priority, 0), PriorityCount-1))
 }
 
 // Forget drops a worker's bucket.
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -37,7 +37,7 @@
 	pending  []event
 	arrivals []time.Duration
 	// byPriority counts the requests that reached the worker.
-	byPriority [PriorityLevels]int
+	byPriority [PriorityCount]int
 	messages   int
 }
 
--- a/internal/workerlimit/tracker.go
+++ b/internal/workerlimit/tracker.go
@@ -40,7 +40,7 @@
 type entry struct {
 	observation Observation
 	// closedUntil is until when the worker has no room, by priority.
-	closedUntil [PriorityLevels]time.Duration
+	closedUntil [PriorityCount]time.Duration
 }
 
 // NewTracker returns an empty tracker.
@@ -68,7 +68,7 @@
 	}
 	change := changeOf(&before, &known.observation)
 	if change != Unchanged {
-		known.closedUntil = [PriorityLevels]time.Duration{}
+		known.closedUntil = [PriorityCount]time.Duration{}
 	}
 	return change
 }
@@ -122,7 +122,7 @@
 	if known == nil || !known.observation.Limited {
 		return 0
 	}
-	return max(known.closedUntil[min(max(priority, 0), PriorityLevels-1)]-now, 0)
+	return max(known.closedUntil[min(max(priority, 0), PriorityCount-1)]-now, 0)
 }
 
 // Observation returns the current observation of a worker; false if there is none.
--- a/lab/enginemodel/cache_test.go
+++ b/lab/enginemodel/cache_test.go
@@ -162,7 +162,7 @@
 	older.ModelVersion.Version = "v0"
 	older.Checksum = older.ComputeChecksum()
 	_, err = target.Import(0, older)
-	requireCode(t, engine.ErrorWeightsNotLoaded, err)
+	requireCode(t, engine.ErrorVersionNotLoaded, err)
 	readyAt, err := target.Import(0, bundle)
 	require.NoError(t, err)
 	assert.Equal(t, 10*time.Millisecond, readyAt)
--- a/lab/enginemodel/control_test.go
+++ b/lab/enginemodel/control_test.go
@@ -34,7 +34,7 @@
 	body.StreamID = "fresh"
 	requireCode(t, engine.ErrorDraining, e.Dispatch(0, body))
 	require.NoError(t, e.ApplyOrder(0, engine.Order{Incarnation: 1, Fence: 1, Kind: engine.OrderResume}))
-	requireCode(t, engine.ErrorWeightsNotLoaded, e.Dispatch(0, body))
+	requireCode(t, engine.ErrorVersionNotLoaded, e.Dispatch(0, body))
 	body.ModelVersion = testWeights
 	requireCode(t, engine.ErrorBadRequest, e.Dispatch(0, body))
 	body.Prompt, body.MaxTokens = repeatedPrompt("c", 4), 1
--- a/lab/enginemodel/dispatch.go
+++ b/lab/enginemodel/dispatch.go
@@ -103,7 +103,7 @@
 		return e.newError(engine.ErrorDraining, "engine is leaving")
 	}
 	if !e.control.isLoaded(weights) {
-		return e.newError(engine.ErrorWeightsNotLoaded, "weights are not loaded")
+		return e.newError(engine.ErrorVersionNotLoaded, "weights are not loaded")
 	}
 	return nil
 }
--- a/lab/enginemodel/kv.go
+++ b/lab/enginemodel/kv.go
@@ -39,7 +39,7 @@
 		return 0, e.newError(engine.ErrorChecksum, "bundle fails its check")
 	}
 	if !e.control.isLoaded(bundle.ModelVersion) {
-		return 0, e.newError(engine.ErrorWeightsNotLoaded, "weights of the bundle are not loaded")
+		return 0, e.newError(engine.ErrorVersionNotLoaded, "weights of the bundle are not loaded")
 	}
 	readyAt = e.now + time.Duration(len(bundle.Hashes))*e.config.Costs.ImportPerBlock
 	pending := pendingImport{readyAt: readyAt, scope: e.scopeNumber(bundle.Tenant, bundle.ModelVersion), hashes: bundle.Hashes}
--- a/lab/localfleet/benchmark_test.go
+++ b/lab/localfleet/benchmark_test.go
@@ -105,7 +105,7 @@
 	const promptBytes = 32768
 	running := startFleet(b)
 	model := running.options.Document.Models[0].Name
-	client := engine.New(running.EngineAddress(0), engine.Options{})
+	client := engine.NewClient(running.EngineAddress(0), engine.Options{})
 	text := strings.Repeat("meter reading ", promptBytes/14)
 	direct, routed := newHistogram(), newHistogram()
 	b.ResetTimer()
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -39,7 +39,7 @@
 	}
 	server := engineserver.New(config)
 	require.NoError(t, server.Start("127.0.0.1:0"))
-	client := engine.New(server.Address(), engine.Options{})
+	client := engine.NewClient(server.Address(), engine.Options{})
 	t.Cleanup(func() {
 		server.Kill()
 		client.CloseIdle()
@@ -185,7 +185,7 @@
 func TestResumeAfterCutsAtAnyByte(t *testing.T) {
 	server, _ := start(t, nil)
 	for limit := int64(300); limit < 700; limit += 7 {
-		client := engine.New(truncatingProxy(t, server.Address(), limit), engine.Options{})
+		client := engine.NewClient(truncatingProxy(t, server.Address(), limit), engine.Options{})
 		id := fleet.StreamID("r." + time.Duration(limit).String())
 		var tokens []string
 		stream, err := client.Dispatch(t.Context(), newDispatch(id, 6))
@@ -199,7 +199,7 @@
 			requireCode(t, engine.ErrorConnectionLost, broken)
 			require.Equal(t, len(tokens), stream.Offset())
 			if len(more) == 0 {
-				client = engine.New(server.Address(), engine.Options{})
+				client = engine.NewClient(server.Address(), engine.Options{})
 			}
 			stream, err = client.Resume(t.Context(), id, stream.Offset())
 		}
--- a/test/integration/caller_test.go
+++ b/test/integration/caller_test.go
@@ -87,7 +87,7 @@
 	body, err := json.Marshal(r)
 	require.NoError(t, err)
 	endpoint, _ := r.endpoint()
-	parsed, failure := openai.Parse(endpoint, body)
+	parsed, failure := openai.ParseRequest(endpoint, body)
 	require.Nil(t, failure)
 	return parsed.Prompt
 }
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -355,7 +355,7 @@
 // engineStatus returns the status of an engine, bypassing its proxy.
 func (f *testFleet) engineStatus(name string) engine.Status {
 	f.t.Helper()
-	client := engine.New(fleet.Address(f.listenAddresses[name]), engine.Options{})
+	client := engine.NewClient(fleet.Address(f.listenAddresses[name]), engine.Options{})
 	defer client.CloseIdle()
 	status, err := client.Status(f.t.Context())
 	require.NoError(f.t, err)
