--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -4,8 +4,9 @@
 //
 // An agent receives its configuration from the routers. It uses the highest revision it has seen
 // and updates routers that are behind. While no router is reachable, it is not ready and keeps
-// validating requests with its last configuration, however old, but refuses them as "no_router"
-// with a Retry-After, since they can't be placed. Streams that already run at engines continue.
+// validating requests with its last configuration, regardless of its age, but refuses them as
+// "no_router" with a Retry-After, since they can't be placed. Streams that already run at engines
+// continue.
 package agent
 
 import (
--- a/internal/backends/search_sample.go
+++ b/internal/backends/search_sample.go
@@ -7,7 +7,7 @@
 var strides = [...]int{1_000_003, 1_299_709, 2_750_159, 4_256_233, 6_700_417, 7_368_787, 15_485_863, 32_452_843}
 
 // sampler draws workers from a list without replacement: by increasing load level, and in random
-// order within a level. The list must not change meanwhile.
+// order within a level. The list must not change while it is sampled.
 type sampler struct {
 	list   *loadLevels
 	random *rand.Rand
@@ -46,7 +46,7 @@
 }
 
 // examineSample examines a sample of workers from each distance, nearest first. If a distance
-// yields too few eligible workers, the next one makes up for them.
+// yields too few eligible workers, more are taken from the next one.
 func (s *search) examineSample() {
 	wanted := 0
 	for tier, limit := range sampleSizes {
--- a/internal/backends/subset.go
+++ b/internal/backends/subset.go
@@ -117,8 +117,8 @@
 	return doublings
 }
 
-// RequestedDoublings returns, by service, the number of doublings that this node requests because the
-// planned subsets lacked capacity for its requests.
+// RequestedDoublings returns, by service, how often this node requests to double the planned
+// subset, because it lacked capacity for the node's requests.
 func (r *Registry) RequestedDoublings() Subsets {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -10,7 +10,7 @@
 // MaxLoggedChanges bounds the changes that a Holder retains for its peers.
 const MaxLoggedChanges = 256
 
-// Holder keeps the configuration in force at one node. Documents and changes may be offered from
+// Holder keeps the active configuration of one node. Documents and changes may be offered from
 // any source in any order: only a revision higher than the current one is accepted, and a document
 // that fails validation never replaces a valid one. Its methods may be called from any goroutine.
 type Holder struct {
@@ -27,10 +27,10 @@
 	return &Holder{updated: make(chan struct{})}
 }
 
-// Current returns the configuration in force, or nil before the first.
+// Current returns the active configuration, or nil before the first.
 func (h *Holder) Current() *View { return h.current.Load() }
 
-// Revision returns the revision in force, or 0 before the first.
+// Revision returns the active revision, or 0 before the first.
 func (h *Holder) Revision() fleet.Revision {
 	if view := h.current.Load(); view != nil {
 		return view.Revision()
@@ -46,8 +46,8 @@
 	return h.updated
 }
 
-// OfferSnapshot offers a whole document. It is accepted if its revision is higher than the one in
-// force. An error means that the document fails validation.
+// OfferSnapshot offers a whole document. It is accepted if its revision is higher than the active
+// one. An error means that the document fails validation.
 func (h *Holder) OfferSnapshot(document Document) (accepted bool, err error) {
 	if document.Revision <= h.Revision() {
 		return false, nil
@@ -66,7 +66,7 @@
 	return true, nil
 }
 
-// OfferChanges offers consecutive changes in ascending order. Changes up to the revision in force
+// OfferChanges offers consecutive changes in ascending order. Changes up to the active revision
 // are skipped. If gap is true, a change is missing: those before the gap have been applied, and the
 // caller should fetch the changes after Revision. On an error nothing is accepted: a change can't
 // be applied or the result fails validation.
@@ -103,7 +103,7 @@
 	return true, gap, nil
 }
 
-// ChangesAfter returns the changes from a revision to the one in force. If they are no longer
+// ChangesAfter returns the changes from a revision to the active one. If they are no longer
 // retained ok is false, and the caller has to send the whole document.
 func (h *Holder) ChangesAfter(revision fleet.Revision) (changes []Change, ok bool) {
 	h.mutex.Lock()
@@ -119,7 +119,7 @@
 	return append(changes, h.changes[uint64(len(h.changes))-missing:]...), true
 }
 
-// install puts a view in force. The caller holds the mutex.
+// install activates a view. The caller holds the mutex.
 func (h *Holder) install(view *View) {
 	h.current.Store(view)
 	close(h.updated)
--- a/internal/delivery/director.go
+++ b/internal/delivery/director.go
@@ -88,7 +88,7 @@
 
 // Restore loads the records from the store after the lease was acquired. storeOffset converts
 // times: local time = store time + storeOffset. Orders newer than the stored record of their
-// service are kept. All evidence is collected anew.
+// service are kept. Evidence collection restarts from zero.
 func (d *Director) Restore(now time.Duration, records []Record, storeOffset time.Duration) {
 	d.storeOffset = storeOffset
 	previous := d.services
--- a/internal/engine/checksum.go
+++ b/internal/engine/checksum.go
@@ -9,8 +9,8 @@
 // fieldSeparator terminates each name in the checksum input, so that adjacent names stay distinct.
 const fieldSeparator = "\x00"
 
-// ComputeChecksum returns the xxHash checksum of the tenant, the weights and the block hashes. It
-// detects mixed-up bundles, not forged ones.
+// ComputeChecksum returns the xxHash checksum of the tenant, the model version and the block
+// hashes. It detects mixed-up bundles, not forged ones.
 func (b *KVBundle) ComputeChecksum() uint64 {
 	digest := xxhash.New()
 	for _, name := range []string{
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -106,7 +106,7 @@
 }
 
 // Export returns the cached blocks of a prefix. It fails with ErrorChecksum if the bundle's
-// checksum, tenant or weights don't match the request.
+// checksum, tenant or model version don't match the request.
 func (c *Client) Export(ctx context.Context, request KVExportRequest) (KVBundle, error) {
 	var bundle KVBundle
 	if err := c.call(ctx, http.MethodPost, PathExport, request, &bundle); err != nil {
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -25,8 +25,8 @@
 }
 
 // DispatchRequest starts one attempt of a request on an engine. The engine rejects it if
-// Incarnation isn't its current one, the weights aren't loaded, or an earlier cancel barred the
-// stream.
+// Incarnation isn't its current one, the model version isn't loaded, or an earlier cancel barred
+// the stream.
 type DispatchRequest struct {
 	StreamID     fleet.StreamID    `json:"stream_id"`
 	Incarnation  fleet.Incarnation `json:"incarnation"`
@@ -231,7 +231,7 @@
 	Hashes       []fleet.BlockHash `json:"hashes"`
 }
 
-// KVBundle holds exported blocks. Checksum covers the tenant, the weights and the hashes.
+// KVBundle holds exported blocks. Checksum covers the tenant, the model version and the hashes.
 type KVBundle struct {
 	Tenant       fleet.TenantName  `json:"tenant"`
 	ModelVersion ModelVersion      `json:"weights"`
--- a/internal/fleetsync/publisher.go
+++ b/internal/fleetsync/publisher.go
@@ -8,7 +8,7 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Publisher is the sending side, for one router instance.
+// Publisher computes the changes that one router instance sends to Subscribers.
 type Publisher struct {
 	node fleet.NodeID
 
--- a/internal/fleetsync/subscriber.go
+++ b/internal/fleetsync/subscriber.go
@@ -9,7 +9,8 @@
 	"github.com/tillerfall/tillerfall/internal/rpc"
 )
 
-// Subscriber is the receiving side. Its zero value is ready to use and holds no lists.
+// Subscriber holds the lists received from Publishers. Its zero value is ready to use and holds no
+// lists.
 type Subscriber struct {
 	mutex sync.Mutex
 	// router is the router instance that the versions refer to. A version of 0 means that there is
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -15,8 +15,8 @@
 
 const (
 	// announceMinTokens is the number of uncached prompt tokens from which a placement is announced
-	// at once. A few such prompts delay all streams of an engine, which other gateways would take
-	// for idle until the next report.
+	// immediately. A few such prompts delay all streams of an engine, which other gateways would
+	// consider idle until the next report.
 	announceMinTokens = 1500
 	// announceBatchDelay is the time in which placements are collected.
 	announceBatchDelay = 3 * time.Millisecond
--- a/internal/gateway/contract.go
+++ b/internal/gateway/contract.go
@@ -50,7 +50,7 @@
 	// RefusedDeliveries lists the delivery orders that are invalid.
 	RefusedDeliveries []InvalidInput
 	// Invalid lists the parts of the configuration that could not be decoded. Their previous values
-	// stay in force.
+	// stay active.
 	Invalid []InvalidInput
 }
 
--- a/internal/gateway/deliverypeers.go
+++ b/internal/gateway/deliverypeers.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// logInvalidOrder logs that an order is invalid. The order before it stays in force.
+// logInvalidOrder logs that an order is invalid. The previous order stays active.
 func (g *Gateway) logInvalidOrder(key string, err error) {
 	g.logger.Error().Str("key", key).Err(err).Int("code", int(resultcode.DeliveryInvalid)).
 		Str("name", resultcode.DeliveryInvalid.String()).Msg("delivery_refused")
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -14,7 +14,7 @@
 	// progressInterval is the interval at which progress is checked.
 	progressInterval = 300 * time.Millisecond
 	// maxProgressGap is the longest time between two checks. After a longer gap the measurement
-	// restarts, since what happened meanwhile is unknown.
+	// restarts, since the progress during the gap is unknown.
 	maxProgressGap = 2 * time.Second
 	// maxOwnProofAge is the age of the gateway's own freshness proof up to which the gateway counts
 	// as having store access.
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -132,7 +132,7 @@
 	g.forward(current)
 }
 
-// admit decides by the configuration in force whether a request may go on. It sets the route,
+// admit decides by the active configuration whether a request is accepted. It sets the route,
 // tenant and service of the request.
 func (g *Gateway) admit(current *callerRequest) *refusal {
 	metadata, err := g.dependencies.Codec.ReadMetadata(current.request.Header)
--- a/internal/gateway/limitgrants.go
+++ b/internal/gateway/limitgrants.go
@@ -20,12 +20,12 @@
 	grantTimeout = 250 * time.Millisecond
 	// granterRanks is the number of gateways that may be a worker's granter, by rank.
 	granterRanks = 3
-	// unansweredBackoff is how long a gateway that didn't answer isn't asked again,
-	// unsupportedBackoff the same for one whose release doesn't support grants.
+	// unansweredBackoff is the backoff for a gateway that didn't answer, and unsupportedBackoff the
+	// one for a gateway whose release doesn't support grants.
 	unansweredBackoff  = 2 * time.Second
 	unsupportedBackoff = 30 * time.Second
-	// nextGranterDelay is the delay before the next granter is asked, unsettledDelay the delay
-	// before a granter is asked again that has just started and doesn't know its role yet.
+	// nextGranterDelay is the delay before the next granter is asked. unsettledDelay is the delay
+	// before the retry at a granter that has just started and doesn't know its role yet.
 	nextGranterDelay = 20 * time.Millisecond
 	unsettledDelay   = 200 * time.Millisecond
 	// noGranterDelay is the delay before the next attempt if no granter answers, such as in a
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -38,7 +38,7 @@
 	calls map[fleet.EngineID]map[callKind]int
 	// granters caches the ranked granters of each worker for one membership view.
 	granters map[fleet.EngineID]rankedGranters
-	// unavailableUntil holds until when a gateway that didn't answer isn't asked.
+	// unavailableUntil is the time until which no grants are requested from a gateway, by gateway.
 	unavailableUntil map[fleet.NodeID]time.Duration
 	// pendingBroadcast holds the workers whose limits are to be sent to other gateways at once.
 	pendingBroadcast map[fleet.EngineID]bool
@@ -210,7 +210,7 @@
 	g.limits.countCall(worker, kind)
 }
 
-// observeLimit records what a response to a request states about its worker's limit.
+// observeLimit records the limit that a worker's response advertises.
 func (g *Gateway) observeLimit(current *callerRequest, worker *backends.Worker, info ResponseInfo) {
 	if !hasValidLimit(info) {
 		return
@@ -225,8 +225,8 @@
 	}
 }
 
-// hasValidLimit reports whether a response is a valid statement of the worker about its limit.
-// A response of another run is not. A rejection may omit the limit, so it doesn't end one.
+// hasValidLimit reports whether a response sets or removes the worker's limit. A response of
+// another run does neither. A rejection may omit the limit, so it doesn't remove one.
 func hasValidLimit(info ResponseInfo) bool {
 	switch info.Limit.Kind {
 	case workerlimit.Limited:
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -21,7 +21,7 @@
 	Draining bool
 	// RetryAfter is how long the server asks this gateway to send nothing; 0 if it doesn't ask.
 	RetryAfter time.Duration
-	// Limit is the server's statement on its request limit.
+	// Limit is the request limit that the server advertises.
 	Limit workerlimit.AdvertisedLimit
 	// Unknown lists the headers about the server that the codec doesn't know.
 	Unknown []string
--- a/internal/gateway/roles.go
+++ b/internal/gateway/roles.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// updateRoles derives the roles of the current members and puts them in force.
+// updateRoles derives the roles of the current members and applies them.
 func (g *Gateway) updateRoles(now time.Duration) {
 	previous := g.roles.Load()
 	roles := previous
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -30,11 +30,11 @@
 	// unknownAgeGracePeriod is the time after the process's start at which a version requested
 	// earlier is due, unless a peer knows when it was requested.
 	unknownAgeGracePeriod = 2800 * time.Millisecond
-	// minQuiesce is the least time between announcing a cordon and the order, in which requests on
-	// their way to the engine arrive. After that, the engine's runs may end, since loading a
-	// version interrupts them. The wait is at most maxQuiesceIdle while the engines' memory is
-	// mostly free and at most maxQuiesceFull when it is full, since the engine does no other work
-	// meanwhile.
+	// minQuiesce is the minimum time between announcing a cordon and the order. It lets requests on
+	// their way to the engine arrive. After that, the gateway waits for the engine's runs to end,
+	// since loading a version interrupts them. The wait is at most maxQuiesceIdle while the
+	// engines' memory is mostly free and at most maxQuiesceFull when it is full, since the engine
+	// gets no other work during the wait.
 	minQuiesce          = 100 * time.Millisecond
 	maxQuiesceIdle      = 600 * time.Millisecond
 	maxQuiesceFull      = 400 * time.Millisecond
@@ -98,7 +98,7 @@
 	updating map[fleet.EngineID]bool
 	// cordonedUntil holds, by engine, the end of its cordon.
 	cordonedUntil map[fleet.EngineID]time.Duration
-	// failures counts, by engine, the failed updates in a row.
+	// failures counts, by engine, the consecutive failed updates.
 	failures map[fleet.EngineID]int
 	// backoffUntil holds, by engine, the time before which no update of it starts.
 	backoffUntil map[fleet.EngineID]time.Duration
--- a/internal/gateway/sources.go
+++ b/internal/gateway/sources.go
@@ -92,7 +92,7 @@
 	return s.selector.NeedsFullState(now)
 }
 
-// recordTablesLoaded records that this gateway knows all tables.
+// recordTablesLoaded records that this gateway has loaded all tables.
 func (s *sourceSelector) recordTablesLoaded(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -126,8 +126,7 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force. If it is invalid, the current one stays in
-// force.
+// applyConfiguration activates a configuration. If it is invalid, the current one stays active.
 func (g *Gateway) applyConfiguration(now time.Duration, rows *OperatorRows) {
 	g.reportInvalidInput("", rows.Invalid)
 	if snapshot := g.configuration.Current(); snapshot != nil {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -23,7 +23,7 @@
 	watchSlack = 350 * time.Millisecond
 	// watchBatchDelay is the pause after a change at a gateway that isn't serving. A rollout
 	// changes the row of each engine, and without the pause each change would end a call of every
-	// gateway. It adds to the time until a change is in force there.
+	// gateway. It adds to the time until a change is active there.
 	watchBatchDelay = 400 * time.Millisecond
 	// watchIdlePause is the pause while there is no peer to ask. watchRetry is the pause after a
 	// failed call; it grows with each failure up to watchRetryMax to bound the load on the readers
@@ -105,7 +105,7 @@
 	watchFailed
 )
 
-// countFailures returns the number of failures in a row, including this outcome.
+// countFailures returns the number of consecutive failures, including this outcome.
 func (o watchOutcome) countFailures(previous int) int {
 	if o == watchFailed {
 		return previous + 1
@@ -113,7 +113,8 @@
 	return 0
 }
 
-// watchPause returns the pause until the next call. failures counts the failed calls in a row.
+// watchPause returns the pause until the next call. failures is the number of consecutive failed
+// calls.
 func (g *Gateway) watchPause(outcome watchOutcome, failures int) time.Duration {
 	switch {
 	case outcome == watchFailed:
@@ -225,7 +226,7 @@
 	})
 }
 
-// logSourceChange logs that another peer is asked from now on.
+// logSourceChange logs that the gateway has switched to another peer as its source.
 func (g *Gateway) logSourceChange(source fleet.NodeID, changed bool, reason string) {
 	if !changed {
 		return
--- a/internal/lease/storetime.go
+++ b/internal/lease/storetime.go
@@ -4,8 +4,8 @@
 
 // The store's clock lets a process that reads the row for the first time compute when the record
 // expires: each renewal writes an upper bound of the store's time into it. A process that has just
-// started, or could not reach the store, then need not wait for a whole duration after its first
-// read.
+// started, or could not reach the store, therefore need not wait for a whole lease duration after
+// its first read.
 
 // clockErrorDivisor is the inverse of the relative error allowed for a process's clock when it
 // extrapolates the store's time.
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -73,9 +73,9 @@
 	// state this node and another one disagree.
 	contestedProbesPerInterval = 20
 	// rejoinInterval is the mean time between the full exchanges of a node that has just joined.
-	// They end after maxUnchangedRejoins in a row without a new member, or after maxRejoins, and
-	// postRejoinInterval is the mean time to the exchange that follows. When many nodes start at
-	// once the first answers are incomplete, and these exchanges speed up convergence.
+	// They end after maxUnchangedRejoins in a row without a new member, or after maxRejoins.
+	// postRejoinInterval is the mean time to the next exchange. When many nodes start together, the
+	// first answers are incomplete, and these exchanges speed up convergence.
 	rejoinInterval      = 400 * time.Millisecond
 	maxUnchangedRejoins = 2
 	maxRejoins          = 8
--- a/internal/membership/roles.go
+++ b/internal/membership/roles.go
@@ -11,7 +11,7 @@
 	"github.com/tillerfall/tillerfall/internal/fleet"
 )
 
-// RoleOptions configures Assign. Zero fields are replaced by the defaults where there is one.
+// RoleOptions configures AssignRoles. Zero fields are replaced by the defaults where there is one.
 type RoleOptions struct {
 	// RequestCost is the processor time that a request takes on its node, in thousandths of a
 	// core-second.
@@ -96,8 +96,8 @@
 	candidates      map[string][]fleet.NodeID
 }
 
-// AssignRoles assigns roles to the members of a view. demand is the total rate of requests from callers,
-// in requests per second.
+// AssignRoles assigns roles to the members of a view. demand is the total rate of requests from
+// callers, in requests per second.
 func AssignRoles(view *View, demand float64, options RoleOptions) *Roles {
 	options.setDefaults()
 	roles := &Roles{
--- a/internal/placement/observe.go
+++ b/internal/placement/observe.go
@@ -152,8 +152,8 @@
 	})
 }
 
-// IsSynchronized reports whether every engine that this router places on has reported its status and
-// has had a complete cache snapshot.
+// IsSynchronized reports whether every engine that this router places on has reported its status
+// and has had a complete cache snapshot.
 func (c *Core) IsSynchronized() bool {
 	for _, state := range c.ordered {
 		if !state.isPlaceable() {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 const shortDigits = 12
 
 // Fingerprint identifies a request by its caller and content. A repeated request has the same
-// fingerprint on every node, whatever its request identifier.
+// fingerprint on every node, regardless of its request identifier.
 type Fingerprint [fingerprintSize]byte
 
 // RequestIdentity holds the parts of a request that its fingerprint covers.
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -119,8 +119,8 @@
 }
 
 // synchronize replaces the deficit that a joining node assumed by a peer's, plus what this node has
-// admitted and the peer hasn't acknowledged. The acknowledged part is in the peer's deficit already;
-// counting it twice would spread to all nodes through reports.
+// admitted and the peer hasn't acknowledged. The peer's deficit already contains the acknowledged
+// part; counting it twice would spread to all nodes through reports.
 func (a *account) synchronize(usage Usage) {
 	unacknowledged := max(a.total-float64(usage.Acknowledged), 0)
 	a.fleet.deficit = float64(usage.Deficit) + min(unacknowledged, a.recent)
@@ -148,7 +148,7 @@
 
 // converge raises the deficit towards that of a peer which is far larger, as after a partition. It
 // never lowers it: the peer may not have received this node's use yet, and following it would let
-// a flood exceed the limit with every report. An overestimate drains by itself.
+// a flood exceed the limit with every report. An overestimate drains over time.
 func (a *account) converge(deficit float64) {
 	beyond := deficit - a.fleet.deficit - convergenceThreshold*a.limit.Burst
 	if beyond > 0 {
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -109,7 +109,7 @@
 	Joining bool
 	// RequestRate is the peer's requests per second; negative if it isn't reported.
 	RequestRate float64
-	// Usages lists the tenants of which the peer has recently admitted requests.
+	// Usages lists the tenants whose requests the peer has recently admitted.
 	Usages []Usage
 }
 
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -40,8 +40,8 @@
 	return Engine{Pool: "p", Status: status}
 }
 
-func loadOrder(id fleet.EngineID, weights engine.ModelVersion) Order {
-	return Order{Engine: id, Order: engine.Order{Incarnation: 1, Kind: engine.OrderLoad, ModelVersion: weights}}
+func loadOrder(id fleet.EngineID, version engine.ModelVersion) Order {
+	return Order{Engine: id, Order: engine.Order{Incarnation: 1, Kind: engine.OrderLoad, ModelVersion: version}}
 }
 
 func TestServingVersionsLoadFirstWithinTheLimit(t *testing.T) {
--- a/internal/routes/freshness.go
+++ b/internal/routes/freshness.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Freshness holds the proof of how current this process's configuration is: every change acknowledged
-// before the proof's time is in force here. It is safe for concurrent use.
+// Freshness holds the proof of how current this process's configuration is: every change that the
+// store acknowledged before the proof's time is active here. It is safe for concurrent use.
 //
 // A proof's time is on the steady clock and precedes the answer that proves it, so a slow answer or
 // a paused process makes the proof older, never newer.
@@ -24,7 +24,7 @@
 	return freshness
 }
 
-// Prove records that every change acknowledged before at is in force. A proof that is older than the
+// Prove records that every change acknowledged before at is active. A proof that is older than the
 // current one changes nothing.
 func (f *Freshness) Prove(at time.Duration) {
 	for {
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,9 +1,9 @@
 // Package traffic counts the bytes that a process sends and receives, by purpose and distance.
 //
-// With labels the context of a call with both. Connections made by Dial and calls made through
-// RoundTripper are counted under the context's label. The calling side counts both directions, so
-// the sum over all processes contains each byte between two of them once. TCP and IP headers aren't
-// counted.
+// With returns a context labelled with the purpose and distance of a call. Connections made by Dial
+// and calls made through RoundTripper are counted under the context's label. The calling side counts
+// both directions, so the sum over all processes contains each byte between two of them once. TCP
+// and IP headers aren't counted.
 package traffic
 
 import (
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -59,7 +59,7 @@
 	// snapshotRevision is the highest revision of a complete update; 0 before the first.
 	// watchedRevision is the revision up to which changes have been watched since. Complete updates
 	// carry snapshotRevision, not watchedRevision: a store that has compacted its history may skip
-	// changes, and a skipped row would be taken for deleted and never return at its own revision.
+	// changes, and a skipped row would be deleted and never return at its own revision.
 	snapshotRevision fleet.Revision
 	watchedRevision  fleet.Revision
 	// partial is set while only a part of the table is kept.
--- a/internal/workerbackoff/tracker.go
+++ b/internal/workerbackoff/tracker.go
@@ -53,7 +53,7 @@
 }
 
 // Extend records that a run has asked for a backoff from now on, and reports whether that extends
-// its backoff. A request that ends earlier than the present backoff changes nothing.
+// its backoff. A requested backoff that ends before the current one changes nothing.
 func (t *Tracker) Extend(now time.Duration, run Run, wait time.Duration) bool {
 	known := t.entries[run.Worker]
 	switch {
--- a/internal/workerlimit/observation.go
+++ b/internal/workerlimit/observation.go
@@ -9,17 +9,17 @@
 // Rate is a limit in requests per second, summed over all nodes.
 type Rate float64
 
-// AdvertisedLimit is what the header of one answer states about the worker's limit.
+// AdvertisedLimit is the worker's limit as advertised in the header of one answer.
 type AdvertisedLimit struct {
 	Kind AdvertisedLimitKind
 	// Rate is set for Limited.
 	Rate Rate
 }
 
-// AdvertisedLimitKind is whether and how an answer states a limit.
+// AdvertisedLimitKind is whether an answer contains a limit.
 type AdvertisedLimitKind uint8
 
-// Kinds of statements.
+// Kinds of advertised limits.
 const (
 	// Unlimited is an answer without a limit: any earlier one no longer applies.
 	Unlimited AdvertisedLimitKind = iota
@@ -29,7 +29,7 @@
 	Unreadable
 )
 
-// Observation is a statement of a worker's run, with the time at which it was made.
+// Observation is a limit advertised by a worker's run, with bounds of the time of its answer.
 type Observation struct {
 	Worker fleet.EngineID
 	// StartTime is when the run started, by the worker's clock; 0 if that isn't known.
@@ -37,8 +37,8 @@
 	// Limited is set if a limit applies, which is Rate.
 	Limited bool
 	Rate    Rate
-	// RequestedAt and AnsweredAt enclose the time at which the statement was made, on this process's
-	// steady clock: one is before the request reached the worker, the other after its answer left.
+	// RequestedAt and AnsweredAt are the earliest and latest time at which the worker can have
+	// answered, on this process's steady clock.
 	RequestedAt time.Duration
 	AnsweredAt  time.Duration
 }
