--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -40,13 +40,13 @@
 // isWarmingUp reports whether another router should place requests instead. It is always false when
 // routers share engines, because only the owners place requests on an engine.
 func (r *Router) isWarmingUp() bool {
-	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronised) {
+	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronized) {
 		return false
 	}
 	return len(r.otherRouters(1)) > 0
 }
 
-func (r *Router) isSynchronised() bool {
+func (r *Router) isSynchronized() bool {
 	synchronised := false
 	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.IsSynchronized() })
 	return synchronised
