--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -21,9 +21,9 @@
 	isDone    bool
 }
 
-// isOver reports whether the engines are synchronised or the warm-up has reached its time limit.
+// isOver reports whether the engines are synchronized or the warm-up has reached its time limit.
 // Once true, it stays true.
-func (w *warmup) isOver(now time.Duration, synchronised func() bool) bool {
+func (w *warmup) isOver(now time.Duration, synchronized func() bool) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.isDone {
@@ -33,7 +33,7 @@
 		w.isStarted = true
 		w.startedAt = now
 	}
-	w.isDone = now-w.startedAt >= warmupLimit || synchronised()
+	w.isDone = now-w.startedAt >= warmupLimit || synchronized()
 	return w.isDone
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (r *Router) isSynchronized() bool {
-	synchronised := false
-	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.IsSynchronized() })
-	return synchronised
+	synchronized := false
+	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronized = core.IsSynchronized() })
+	return synchronized
 }
