--- a/internal/engine/checksum.go
+++ b/internal/engine/checksum.go
@@ -9,15 +9,15 @@
 // fieldSeparator terminates each name in the checksum input, so that adjacent names stay distinct.
 const fieldSeparator = "\x00"
 
-// ComputeChecksum returns the xxHash checksum of the tenant, the weights and the block hashes. It
-// detects mixed-up bundles, not forged ones.
+// ComputeChecksum returns the xxHash checksum of the tenant, the model version and the block
+// hashes. It detects mixed-up bundles, not forged ones.
 func (b *KVBundle) ComputeChecksum() uint64 {
 	digest := xxhash.New()
 	for _, name := range []string{
 		string(b.Tenant),
-		string(b.Weights.Model),
-		string(b.Weights.Adapter),
-		string(b.Weights.Version),
+		string(b.ModelVersion.Model),
+		string(b.ModelVersion.Adapter),
+		string(b.ModelVersion.Version),
 	} {
 		_, _ = digest.WriteString(name + fieldSeparator)
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -28,8 +28,8 @@
 	control *http.Client
 }
 
-// New returns a client for the engine at address with its own connection pool.
-func New(address fleet.Address, options Options) *Client {
+// NewClient returns a client for the engine at address with its own connection pool.
+func NewClient(address fleet.Address, options Options) *Client {
 	return NewConnectionPool(options).Client(address)
 }
 
@@ -106,13 +106,13 @@
 }
 
 // Export returns the cached blocks of a prefix. It fails with ErrorChecksum if the bundle's
-// checksum, tenant or weights don't match the request.
+// checksum, tenant or model version don't match the request.
 func (c *Client) Export(ctx context.Context, request KVExportRequest) (KVBundle, error) {
 	var bundle KVBundle
 	if err := c.call(ctx, http.MethodPost, PathExport, request, &bundle); err != nil {
 		return KVBundle{}, err
 	}
-	if bundle.ComputeChecksum() != bundle.Checksum || bundle.Tenant != request.Tenant || bundle.Weights != request.Weights {
+	if bundle.ComputeChecksum() != bundle.Checksum || bundle.Tenant != request.Tenant || bundle.ModelVersion != request.ModelVersion {
 		return KVBundle{}, &Error{Code: ErrorChecksum, Message: "KV bundle has a wrong checksum, tenant or model version", Sent: true}
 	}
 	return bundle, nil
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -21,9 +21,9 @@
 	isDone    bool
 }
 
-// isOver reports whether the engines are synchronised or the warm-up has reached its time limit.
+// isOver reports whether the engines are synchronized or the warm-up has reached its time limit.
 // Once true, it stays true.
-func (w *warmup) isOver(now time.Duration, synchronised func() bool) bool {
+func (w *warmup) isOver(now time.Duration, synchronized func() bool) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.isDone {
@@ -33,21 +33,21 @@
 		w.isStarted = true
 		w.startedAt = now
 	}
-	w.isDone = now-w.startedAt >= warmupLimit || synchronised()
+	w.isDone = now-w.startedAt >= warmupLimit || synchronized()
 	return w.isDone
 }
 
 // isWarmingUp reports whether another router should place requests instead. It is always false when
 // routers share engines, because only the owners place requests on an engine.
 func (r *Router) isWarmingUp() bool {
-	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronised) {
+	if r.options.Settings.IndexReplicas > 0 || r.warmup.isOver(r.clock.Now(), r.isSynchronized) {
 		return false
 	}
 	return len(r.otherRouters(1)) > 0
 }
 
-func (r *Router) isSynchronised() bool {
-	synchronised := false
-	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronised = core.Synchronised() })
-	return synchronised
+func (r *Router) isSynchronized() bool {
+	synchronized := false
+	r.placer.do(func(_ time.Duration, core *placement.Core) { synchronized = core.IsSynchronized() })
+	return synchronized
 }
--- a/lab/localfleet/benchmark_test.go
+++ b/lab/localfleet/benchmark_test.go
@@ -56,12 +56,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	stream, err := client.Dispatch(ctx, engine.DispatchRequest{
-		StreamID:    fleet.StreamID(fmt.Sprintf("direct-%d.1", number)),
-		Incarnation: status.Incarnation,
-		Tenant:      "citizen-app",
-		Weights:     status.Loaded[0],
-		Prompt:      text,
-		MaxTokens:   1,
+		StreamID:     fleet.StreamID(fmt.Sprintf("direct-%d.1", number)),
+		Incarnation:  status.Incarnation,
+		Tenant:       "citizen-app",
+		ModelVersion: status.Loaded[0],
+		Prompt:       text,
+		MaxTokens:    1,
 	})
 	require.NoError(tb, err)
 	defer stream.Close()
@@ -105,7 +105,7 @@
 	const promptBytes = 32768
 	running := startFleet(b)
 	model := running.options.Document.Models[0].Name
-	client := engine.New(running.EngineAddress(0), engine.Options{})
+	client := engine.NewClient(running.EngineAddress(0), engine.Options{})
 	text := strings.Repeat("meter reading ", promptBytes/14)
 	direct, routed := newHistogram(), newHistogram()
 	b.ResetTimer()
--- a/lab/standin/engineserver/server_test.go
+++ b/lab/standin/engineserver/server_test.go
@@ -21,7 +21,7 @@
 	"github.com/tillerfall/tillerfall/lab/standin/engineserver"
 )
 
-var testWeights = engine.Weights{Model: "lm-fab", Version: "v1"}
+var testWeights = engine.ModelVersion{Model: "lm-fab", Version: "v1"}
 
 var testPrompt = strings.Repeat("fab rule ", 40)
 
@@ -29,7 +29,7 @@
 func start(t *testing.T, change func(*engineserver.Config)) (*engineserver.Server, *engine.Client) {
 	config := engineserver.Config{
 		Model: enginemodel.Config{
-			ID: "engine-1", Incarnation: 1, Loaded: []engine.Weights{testWeights}, KeepWeights: true, BlockTokens: 4,
+			ID: "engine-1", Incarnation: 1, Loaded: []engine.ModelVersion{testWeights}, KeepWeights: true, BlockTokens: 4,
 			Costs: enginemodel.Costs{StepBase: time.Millisecond, LoadTime: 5 * time.Millisecond},
 		},
 		Logger: zerolog.Nop(),
@@ -39,7 +39,7 @@
 	}
 	server := engineserver.New(config)
 	require.NoError(t, server.Start("127.0.0.1:0"))
-	client := engine.New(server.Address(), engine.Options{})
+	client := engine.NewClient(server.Address(), engine.Options{})
 	t.Cleanup(func() {
 		server.Kill()
 		client.CloseIdle()
@@ -49,7 +49,7 @@
 
 func newDispatch(id fleet.StreamID, maxTokens int) engine.DispatchRequest {
 	return engine.DispatchRequest{
-		StreamID: id, Incarnation: 1, Tenant: "shop", Weights: testWeights, Prompt: testPrompt, MaxTokens: maxTokens,
+		StreamID: id, Incarnation: 1, Tenant: "shop", ModelVersion: testWeights, Prompt: testPrompt, MaxTokens: maxTokens,
 	}
 }
 
@@ -134,7 +134,7 @@
 	require.NoError(t, err, "a position beyond the last event is answered at once")
 	assert.Empty(t, ahead.Events)
 
-	bundle, err := client.Export(t.Context(), engine.KVExportRequest{Tenant: "shop", Weights: testWeights, Hashes: hashes})
+	bundle, err := client.Export(t.Context(), engine.KVExportRequest{Tenant: "shop", ModelVersion: testWeights, Hashes: hashes})
 	require.NoError(t, err)
 	require.Equal(t, hashes, bundle.Hashes)
 	_, other := start(t, nil)
@@ -185,7 +185,7 @@
 func TestResumeAfterCutsAtAnyByte(t *testing.T) {
 	server, _ := start(t, nil)
 	for limit := int64(300); limit < 700; limit += 7 {
-		client := engine.New(truncatingProxy(t, server.Address(), limit), engine.Options{})
+		client := engine.NewClient(truncatingProxy(t, server.Address(), limit), engine.Options{})
 		id := fleet.StreamID("r." + time.Duration(limit).String())
 		var tokens []string
 		stream, err := client.Dispatch(t.Context(), newDispatch(id, 6))
@@ -199,7 +199,7 @@
 			requireCode(t, engine.ErrorConnectionLost, broken)
 			require.Equal(t, len(tokens), stream.Offset())
 			if len(more) == 0 {
-				client = engine.New(server.Address(), engine.Options{})
+				client = engine.NewClient(server.Address(), engine.Options{})
 			}
 			stream, err = client.Resume(t.Context(), id, stream.Offset())
 		}
